--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"os"
 
-	"willowsill/carrier/wire"
+	"willowsill/transport/wire"
 )
 
 func main() {
--- a/cmd/keeper/keeper_test.go
+++ b/cmd/willowctl/keeper_test.go
@@ -16,7 +16,7 @@
 const configuration = `{"revision": 7, "routes": [{"name":"r","host":"h&h.example","path-prefix":"/x/","route-kind":"safe","deadline-ms":1000,
 "target-ms":100,"service":"s","max-tries":2}], "services": [{"name":"s"}], "limits": {}}`
 
-// control is a stand-in for a lighthouse's resource of the configuration.
+// control is a stand-in for a controller's resource of the configuration.
 func control(t *testing.T, held string) (address string, got *string) {
 	got = &held
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -86,9 +86,9 @@
 		args []string
 		says string
 	}{
-		{nil, "keeper is the operators' client"},
-		{[]string{"fly"}, "keeper is the operators' client"},
-		{[]string{"snapshot", "save"}, "keeper is the operators' client"},
+		{nil, "willowctl is the operators' client"},
+		{[]string{"fly"}, "willowctl is the operators' client"},
+		{[]string{"snapshot", "save"}, "willowctl is the operators' client"},
 		{[]string{"snapshot", "burn", "x"}, "none of save, verify and restore"},
 		{[]string{"snapshot", "verify", "/nowhere"}, "/nowhere"},
 		{[]string{"-revision", "x", "send", "/nowhere"}, "/nowhere"},
--- a/cmd/keeper/main.go
+++ b/cmd/willowctl/main.go
@@ -1,5 +1,5 @@
-// Keeper is the operators' client: it checks configurations and settings files, sends and reads
-// configurations, compares them, explains where a request goes, and shows what a lighthouse or a cutter tells
+// Willowctl is the operators' client: it checks configurations and settings files, sends and reads
+// configurations, compares them, explains where a request goes, and shows what a controller or an agent tells
 // its followers.
 package main
 
@@ -21,11 +21,11 @@
 
 	"github.com/go-faster/jx"
 
-	"willowsill/carrier/dinghy"
-	"willowsill/decide/chart"
-	"willowsill/decide/muster"
-	"willowsill/decide/notices"
-	"willowsill/deployment/berth"
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/registry"
+	"willowsill/decide/routeconfig"
+	"willowsill/deployment/settings"
+	"willowsill/transport/controlclient"
 )
 
 type command struct {
@@ -36,44 +36,44 @@
 type flags struct {
 	*flag.FlagSet
 	control  string
-	notices  string
+	watch    string
 	revision string
 	within   time.Duration
 	json     bool
 	out      io.Writer
 }
 
-func (f *flags) addresses() *dinghy.Control {
-	return &dinghy.Control{Addresses: strings.FieldsFunc(f.control, func(r rune) bool { return r == ',' })}
+func (f *flags) addresses() *controlclient.Control {
+	return &controlclient.Control{Addresses: strings.FieldsFunc(f.control, func(r rune) bool { return r == ',' })}
 }
 
 var commands = []command{
-	{"check", "FILE", "says what is wrong with a configuration (JSON) or a settings file (TOML)", "keeper check next.json", check},
-	{"read", "", "prints the newest configuration", "keeper -control 10.0.0.4:8080 read", read},
-	{"send", "FILE", "sends a configuration until it is acknowledged or refused", "keeper -control 10.0.0.4:8080 -revision auto send next.json", send},
-	{"diff", "A B", "says what configuration B has otherwise than A; - stands for the newest", "keeper -control 10.0.0.4:8080 diff - next.json", diff},
-	{"explain", "HOST PATH", "says which route of the newest configuration takes a request, and to which services", "keeper -control 10.0.0.4:8080 explain hall.example /scan/x", explain},
-	{"show", "", "shows what a lighthouse or a cutter tells its followers", "keeper -notices 10.0.0.4:7081 show", show},
+	{"check", "FILE", "says what is wrong with a configuration (JSON) or a settings file (TOML)", "willowctl check next.json", check},
+	{"read", "", "prints the newest configuration", "willowctl -control 10.0.0.4:8080 read", read},
+	{"send", "FILE", "sends a configuration until it is acknowledged or refused", "willowctl -control 10.0.0.4:8080 -revision auto send next.json", send},
+	{"diff", "A B", "says what configuration B has otherwise than A; - stands for the newest", "willowctl -control 10.0.0.4:8080 diff - next.json", diff},
+	{"explain", "HOST PATH", "says which route of the newest configuration takes a request, and to which services", "willowctl -control 10.0.0.4:8080 explain hall.example /scan/x", explain},
+	{"show", "", "shows what a controller or an agent tells its followers", "willowctl -watch 10.0.0.4:7081 show", show},
 	{"snapshot", "save|verify|restore FILE", "keeps the newest configuration in a file, says whether a file is whole, or gives it to a system that has none",
-		"keeper -control 10.0.0.4:8080 snapshot save monday.json", snapshot},
-	{"watch", "", "the same, and then a line a change", "keeper -notices 10.0.0.4:7081 watch", watch},
+		"willowctl -control 10.0.0.4:8080 snapshot save monday.json", snapshot},
+	{"watch", "", "the same, and then a line a change", "willowctl -watch 10.0.0.4:7081 watch", watch},
 }
 
 func main() { os.Exit(start(os.Args[1:], os.Stdout, os.Stderr)) }
 
 func start(args []string, out, errs io.Writer) int {
-	f := &flags{FlagSet: flag.NewFlagSet("keeper", flag.ContinueOnError), out: out}
+	f := &flags{FlagSet: flag.NewFlagSet("willowctl", flag.ContinueOnError), out: out}
 	f.SetOutput(errs)
-	f.StringVar(&f.control, "control", "", "control `addresses` of lighthouses, separated by commas")
-	f.StringVar(&f.notices, "notices", "", "`address` where a lighthouse or a cutter is followed: its IP and the second internal port")
+	f.StringVar(&f.control, "control", "", "control `addresses` of controllers, separated by commas")
+	f.StringVar(&f.watch, "watch", "", "`address` where a controller or an agent is followed: its IP and the second internal port")
 	f.StringVar(&f.revision, "revision", "", "for send: the `number` to send under instead of the file's; auto for one above the newest")
 	f.DurationVar(&f.within, "within", 10*time.Second, "how long to try")
 	f.BoolVar(&f.json, "json", false, "print JSON")
 	f.Usage = func() {
-		fmt.Fprintln(errs, "keeper is the operators' client of willowsill.")
+		fmt.Fprintln(errs, "willowctl is the operators' client of willowsill.")
 		fmt.Fprintln(errs)
 		for _, c := range commands {
-			fmt.Fprintf(errs, "  keeper [flags] %s %s\n      %s\n      %s\n", c.name, c.args, c.does, c.example)
+			fmt.Fprintf(errs, "  willowctl [flags] %s %s\n      %s\n      %s\n", c.name, c.args, c.does, c.example)
 		}
 		fmt.Fprintln(errs)
 		f.PrintDefaults()
@@ -111,7 +111,7 @@
 
 func wrong(err error) error { return usage{err} }
 
-func load(ctx context.Context, f *flags, file string) (*chart.Chart, []byte, error) {
+func load(ctx context.Context, f *flags, file string) (*routeconfig.Configuration, []byte, error) {
 	var body []byte
 	var err error
 	if file == "-" {
@@ -122,7 +122,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	c, err := chart.Read(body)
+	c, err := routeconfig.Read(body)
 	if err != nil {
 		return nil, nil, wrong(fmt.Errorf("%s: %w", file, err))
 	}
@@ -131,7 +131,7 @@
 
 func check(ctx context.Context, f *flags, args []string) error {
 	if strings.HasSuffix(args[0], ".toml") {
-		if _, err := berth.Read(args[0]); err != nil {
+		if _, err := settings.Read(args[0]); err != nil {
 			return wrong(err)
 		}
 	} else if _, _, err := load(ctx, f, args[0]); err != nil {
@@ -208,7 +208,7 @@
 	if err != nil {
 		return err
 	}
-	lines := chart.Diff(a, b)
+	lines := routeconfig.Diff(a, b)
 	if f.json {
 		return json.NewEncoder(f.out).Encode(lines)
 	}
@@ -247,22 +247,22 @@
 	return nil
 }
 
-var phases = map[muster.Phase]string{muster.Ready: "ready", muster.Draining: "draining", muster.Silent: "silent", muster.Gone: "gone"}
+var phases = map[registry.Phase]string{registry.Ready: "ready", registry.Draining: "draining", registry.Silent: "silent", registry.Gone: "gone"}
 
 func show(ctx context.Context, f *flags, _ []string) error {
-	return dinghy.Follow(ctx, f.notices, func(n notices.Notice) bool {
+	return controlclient.Follow(ctx, f.watch, func(n clusterstate.Update) bool {
 		if f.json {
 			json.NewEncoder(f.out).Encode(n)
 			return false
 		}
-		slices.SortFunc(n.Replicas, func(a, b muster.Record) int {
+		slices.SortFunc(n.Replicas, func(a, b registry.Record) int {
 			return strings.Compare(a.Service+a.ID, b.Service+b.ID)
 		})
-		fmt.Fprintf(f.out, "revision %d (%d bytes), %d edges (%d at the most of late), %d lighthouses, %d replicas\n", n.Revision, len(n.Body),
-			len(n.Fleet.Edges), n.Fleet.Most, len(n.Fleet.Lights), len(n.Replicas))
+		fmt.Fprintf(f.out, "revision %d (%d bytes), %d edges (%d at the most of late), %d controllers, %d replicas\n", n.Revision, len(n.Body),
+			len(n.Fleet.Edges), n.Fleet.Most, len(n.Fleet.Controllers), len(n.Replicas))
 		w := tabwriter.NewWriter(f.out, 0, 4, 2, ' ', 0)
-		for _, ip := range n.Fleet.Lights {
-			fmt.Fprintf(w, "lighthouse\t%s\n", ip)
+		for _, ip := range n.Fleet.Controllers {
+			fmt.Fprintf(w, "controller\t%s\n", ip)
 		}
 		for _, e := range n.Fleet.Edges {
 			fmt.Fprintf(w, "edge\t%s\t%s\n", e.IP, e.Zone)
@@ -276,8 +276,8 @@
 }
 
 func watch(ctx context.Context, f *flags, _ []string) error {
-	book := notices.NewBook()
-	return dinghy.Follow(ctx, f.notices, func(n notices.Notice) bool {
+	book := clusterstate.NewState()
+	return controlclient.Follow(ctx, f.watch, func(n clusterstate.Update) bool {
 		fresh := book.Take(n)
 		at := time.Now().Format(time.RFC3339)
 		if f.json {
@@ -291,7 +291,7 @@
 			fmt.Fprintf(f.out, "%s replica %s of %s at %s is %s\n", at, r.ID, r.Service, r.Address, phases[r.Phase])
 		}
 		if !fresh.Fleet.Empty() {
-			fmt.Fprintf(f.out, "%s %d edges, lighthouses %s\n", at, len(fresh.Fleet.Edges), strings.Join(fresh.Fleet.Lights, " "))
+			fmt.Fprintf(f.out, "%s %d edges, controllers %s\n", at, len(fresh.Fleet.Edges), strings.Join(fresh.Fleet.Controllers, " "))
 		}
 		return true
 	})
--- a/cmd/keeper/snapshot.go
+++ b/cmd/willowctl/snapshot.go
@@ -12,7 +12,7 @@
 	"path/filepath"
 	"time"
 
-	"willowsill/decide/chart"
+	"willowsill/decide/routeconfig"
 )
 
 const (
@@ -111,12 +111,12 @@
 		return k, fmt.Errorf("%s: key \"kind\" is %q, a snapshot has %q", file, k.Kind, snapshotKind)
 	}
 	if k.Format != snapshotFormat {
-		return k, fmt.Errorf("%s: key \"format\" is %d, this keeper reads %d", file, k.Format, snapshotFormat)
+		return k, fmt.Errorf("%s: key \"format\" is %d, this willowctl reads %d", file, k.Format, snapshotFormat)
 	}
 	if sum := sha256.Sum256(k.Configuration); hex.EncodeToString(sum[:]) != k.SHA256 {
 		return k, fmt.Errorf("%s: key \"configuration\" is not what was saved: its sum is %x, key \"sha256\" has %s", file, sum, k.SHA256)
 	}
-	c, err := chart.Read(k.Configuration)
+	c, err := routeconfig.Read(k.Configuration)
 	if err != nil {
 		return k, fmt.Errorf("%s: key \"configuration\": %w", file, err)
 	}
@@ -140,7 +140,7 @@
 		return err
 	}
 	if held {
-		return wrong(errors.New("the system has a configuration already; `keeper -revision auto send` gives it another"))
+		return wrong(errors.New("the system has a configuration already; `willowctl -revision auto send` gives it another"))
 	}
 	if err := f.addresses().Send(ctx, k.Configuration); err != nil {
 		return err
--- a/cmd/willowlab/explore.go
+++ b/cmd/willowlab/explore.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"willowsill/lab/shoals"
-	"willowsill/lab/spread"
+	"willowsill/lab/modelcheck"
+	"willowsill/lab/propagation"
 )
 
 // exploring plays every order of events of small registers.
@@ -20,16 +20,16 @@
 	var workers int
 	var list, deep bool
 	c := &cobra.Command{Use: "explore [SCOPE ...]", Short: "Play every order of events of small registers",
-		Long: "Plays the register of the lighthouses in every order of events: each message at any time, again or never; timers;\n" +
+		Long: "Plays the register of the controllers in every order of events: each message at any time, again or never; timers;\n" +
 			"losses of power and of disks. The first promise that is found broken is printed with a shortest way to it.",
 		Example: "  willowlab explore 'two contents'\n  willowlab explore --deep --states 100000000 replacement",
 		RunE: func(c *cobra.Command, args []string) error {
 			for _, a := range args {
-				if !slices.ContainsFunc(shoals.Scopes, func(s shoals.Scope) bool { return s.Name == a }) {
+				if !slices.ContainsFunc(modelcheck.Scopes, func(s modelcheck.Scope) bool { return s.Name == a }) {
 					return fmt.Errorf("there is no scope %q; --list names them", a)
 				}
 			}
-			for _, s := range shoals.Scopes {
+			for _, s := range modelcheck.Scopes {
 				if len(args) > 0 && !slices.Contains(args, s.Name) {
 					continue
 				}
@@ -39,11 +39,11 @@
 					continue
 				}
 				began := time.Now()
-				var r shoals.Result
+				var r modelcheck.Result
 				if deep {
-					r = shoals.Deeply(s, most, workers, func(n int64) { fmt.Fprintf(os.Stderr, "%s: %d states\n", s.Name, n) })
+					r = modelcheck.Deeply(s, most, workers, func(n int64) { fmt.Fprintf(os.Stderr, "%s: %d states\n", s.Name, n) })
 				} else {
-					r = shoals.Widely(s, most, workers)
+					r = modelcheck.Widely(s, most, workers)
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s, %.1f s\n", r, time.Since(began).Seconds())
 				if r.Broken != "" {
@@ -61,22 +61,22 @@
 
 // spreading reckons what news costs on its way to all edges.
 func spreading() *cobra.Command {
-	f := spread.Fleet{Edges: 60, Lights: 9, Zones: 6, Regions: 3}
+	f := propagation.Fleet{Edges: 60, Controllers: 9, Zones: 6, Regions: 3}
 	c := &cobra.Command{Use: "spread", Short: "Reckon what one piece of news costs on its way to all edges: tree, star, flood",
 		Example: "  willowlab spread --edges 1000", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if f.Edges < 1 || f.Lights < 1 || f.Zones < 1 || f.Regions < 1 || f.Regions > f.Zones {
+			if f.Edges < 1 || f.Controllers < 1 || f.Zones < 1 || f.Regions < 1 || f.Regions > f.Zones {
 				return fmt.Errorf("edges, lights, zones and regions are 1 at least, and regions no more than zones")
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', tabwriter.AlignRight)
-			fmt.Fprintln(w, "way\tcopies\tbetween zones\tbetween regions\tmost at a lighthouse\tmost at an edge\thops\treached\t")
-			for _, r := range spread.Reckon(f) {
+			fmt.Fprintln(w, "way\tcopies\tbetween zones\tbetween regions\tmost at a controller\tmost at an edge\thops\treached\t")
+			for _, r := range propagation.Reckon(f) {
 				fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", r.Way, r.Copies, r.Zones, r.Regions, r.AtLight, r.AtEdge, r.Hops, r.Reached)
 			}
 			return w.Flush()
 		}}
 	c.Flags().IntVar(&f.Edges, "edges", f.Edges, "edges")
-	c.Flags().IntVar(&f.Lights, "lights", f.Lights, "lighthouses")
+	c.Flags().IntVar(&f.Controllers, "lights", f.Controllers, "controllers")
 	c.Flags().IntVar(&f.Zones, "zones", f.Zones, "zones")
 	c.Flags().IntVar(&f.Regions, "regions", f.Regions, "regions")
 	return c
--- a/cmd/willowsill/demo.go
+++ b/cmd/willowsill/demo.go
@@ -21,13 +21,13 @@
 	"go.uber.org/zap"
 
 	"willowsill/balance"
-	"willowsill/carrier/replica"
 	"willowsill/deployment"
 	"willowsill/deployment/operator"
 	"willowsill/lab/rehearsal"
 	"willowsill/standin"
 	"willowsill/standin/ports"
 	"willowsill/standin/redis"
+	"willowsill/transport/replica"
 )
 
 // The demonstration's fleet.
@@ -101,7 +101,7 @@
 		},
 	}
 	c.Flags().BoolVar(&withStore, "store", false, "share what is found through a stand-in store")
-	c.Flags().BoolVar(&system, "system", false, "the whole system: lighthouses, pilots and cutters as processes, one of each killed")
+	c.Flags().BoolVar(&system, "system", false, "the whole system: controllers, proxies and agents as processes, one of each killed")
 	c.Flags().IntVar(&sites, "sites", 1, "two: one goes dark, and its queries are carried to the other")
 	c.Flags().DurationVar(&each, "each", 2*time.Second, "how long each phase takes")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
--- a/cmd/willowsill/main.go
+++ b/cmd/willowsill/main.go
@@ -20,14 +20,14 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"willowsill/carrier/replica"
-	"willowsill/carrier/roster"
-	"willowsill/carrier/sockets"
 	"willowsill/deployment"
 	"willowsill/deployment/operator"
 	"willowsill/front"
 	"willowsill/internal/counters"
 	"willowsill/node"
+	"willowsill/transport/replica"
+	"willowsill/transport/roster"
+	"willowsill/transport/sockets"
 )
 
 const (
--- a/cmd/willowsill/main_test.go
+++ b/cmd/willowsill/main_test.go
@@ -17,12 +17,12 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"willowsill/carrier/replica"
 	"willowsill/deployment"
 	"willowsill/deployment/operator"
 	"willowsill/internal/counters"
 	"willowsill/internal/pipes"
 	"willowsill/standin"
+	"willowsill/transport/replica"
 )
 
 // The whole program with toy peers: a new configuration, a query before the word to stop, one under way at it,
--- a/cmd/willowsill/strained.go
+++ b/cmd/willowsill/strained.go
@@ -7,14 +7,14 @@
 
 	"go.uber.org/zap"
 
-	"willowsill/carrier/machine"
-	"willowsill/carrier/sockets"
 	"willowsill/decide/strain"
 	"willowsill/deployment"
 	"willowsill/deployment/operator"
 	"willowsill/front"
 	"willowsill/internal/counters"
 	"willowsill/node"
+	"willowsill/transport/machine"
+	"willowsill/transport/sockets"
 )
 
 // strained has the process know its own strain as the operator's script says.
--- a/cmd/willowsill/ways.go
+++ b/cmd/willowsill/ways.go
@@ -14,7 +14,6 @@
 
 	"go.uber.org/zap"
 
-	"willowsill/carrier/replica"
 	"willowsill/decide/routes"
 	"willowsill/decide/window"
 	"willowsill/deployment"
@@ -23,6 +22,7 @@
 	"willowsill/front/gateway"
 	"willowsill/internal/counters"
 	"willowsill/node"
+	"willowsill/transport/replica"
 )
 
 // What the door remembers of queries that came from other sites.
--- a/cmd/willowsill/ways_off.go
+++ b/cmd/willowsill/ways_off.go
@@ -7,12 +7,12 @@
 
 	"go.uber.org/zap"
 
-	"willowsill/carrier/replica"
 	"willowsill/deployment"
 	"willowsill/deployment/operator"
 	"willowsill/front"
 	"willowsill/internal/counters"
 	"willowsill/node"
+	"willowsill/transport/replica"
 )
 
 // ways are the ways to other sites, which the platform's build leaves out: it gives no listener for them, and what they
--- a/decide/notices/notices.go
+++ b/decide/clusterstate/clusterstate.go
@@ -1,34 +1,34 @@
-// Package notices is what edges are told: the configuration in force, the replicas, and who else is there. A
-// book takes notices in any order, any number of times, from any feeder, and says what of them is new; that
+// Package clusterstate is what edges are told: the configuration in force, the replicas, and who else is there. A
+// State takes updates in any order, any number of times, from any feeder, and says what of them is new; that
 // much goes on to those who follow it. So a follower that changes its feeder takes a whole book and then
 // changes, and never goes back.
 //
 // Decides: what an edge holds to be the newest of configuration and replicas.
-package notices
+package clusterstate
 
 import (
 	"slices"
 
-	"willowsill/decide/muster"
+	"willowsill/decide/registry"
 )
 
-// Notice is a whole book or a change to one.
-type Notice struct {
-	Whole    bool            `cbor:"1,keyasint,omitempty"`
-	Revision uint64          `cbor:"2,keyasint,omitempty"` // of Body
-	Body     []byte          `cbor:"3,keyasint,omitempty"` // the configuration, packed; or
-	Base     uint64          `cbor:"6,keyasint,omitempty"` // the revision that Patch makes it of
-	Patch    []byte          `cbor:"7,keyasint,omitempty"`
-	Raw      []byte          `cbor:"-"` // as the operator sent it; of what Take returns
-	Replicas []muster.Record `cbor:"4,keyasint,omitempty"`
-	Fleet    Fleet           `cbor:"5,keyasint,omitempty"`
+// Update is a whole book or a change to one.
+type Update struct {
+	Snapshot bool              `cbor:"1,keyasint,omitempty"`
+	Revision uint64            `cbor:"2,keyasint,omitempty"` // of Body
+	Body     []byte            `cbor:"3,keyasint,omitempty"` // the configuration, packed; or
+	Base     uint64            `cbor:"6,keyasint,omitempty"` // the revision that Patch makes it of
+	Patch    []byte            `cbor:"7,keyasint,omitempty"`
+	Raw      []byte            `cbor:"-"` // as the operator sent it; of what Take returns
+	Replicas []registry.Record `cbor:"4,keyasint,omitempty"`
+	Fleet    Fleet             `cbor:"5,keyasint,omitempty"`
 }
 
 // Fleet is who else is there.
 type Fleet struct {
-	Edges  []Edge   `cbor:"1,keyasint,omitempty"` // by IP
-	Most   int      `cbor:"2,keyasint,omitempty"` // edges that there were of late at the most
-	Lights []string `cbor:"3,keyasint,omitempty"` // lighthouses, by IP
+	Edges       []Edge   `cbor:"1,keyasint,omitempty"` // by IP
+	Most        int      `cbor:"2,keyasint,omitempty"` // edges that there were of late at the most
+	Controllers []string `cbor:"3,keyasint,omitempty"` // controllers, by IP
 }
 
 // Edge is one machine that serves clients.
@@ -41,28 +41,28 @@
 func (f Fleet) Empty() bool { return f.Most == 0 }
 
 // Empty tells whether a notice says nothing.
-func (n Notice) Empty() bool {
+func (n Update) Empty() bool {
 	return n.Revision == 0 && len(n.Replicas) == 0 && n.Fleet.Empty()
 }
 
-// Book is what one follower holds.
-type Book struct {
+// State is what one follower holds.
+type State struct {
 	Revision uint64
 	Raw      []byte // the configuration as the operator sent it
 	Fleet    Fleet
 	Behind   bool // a patch came for a revision that is not held: the whole book is needed
 	packed   []byte
-	replicas map[string]muster.Record
+	replicas map[string]registry.Record
 }
 
-// NewBook makes an empty one.
-func NewBook() *Book { return &Book{replicas: map[string]muster.Record{}} }
+// NewState makes an empty one.
+func NewState() *State { return &State{replicas: map[string]registry.Record{}} }
 
 // Take takes a notice in and returns what of it is new.
 //
 // Danger: a feeder that is behind must not bring back an older configuration, nor a replica that is leaving.
-func (b *Book) Take(n Notice) (fresh Notice) {
-	fresh.Whole = n.Whole
+func (b *State) Take(n Update) (fresh Update) {
+	fresh.Snapshot = n.Snapshot
 	if n.Revision > b.Revision && len(n.Body)+len(n.Patch) > 0 {
 		b.revise(n, &fresh)
 	}
@@ -70,7 +70,7 @@
 		was, known := b.replicas[r.ID]
 		// Danger: the feeder before may have called a replica silent by the very call that this one heard. That one
 		// is told of here for what it says next alone, and would stay struck off.
-		unsaid := n.Whole && was.Phase == muster.Silent && r.Phase == muster.Ready && r.Seq == was.Seq
+		unsaid := n.Snapshot && was.Phase == registry.Silent && r.Phase == registry.Ready && r.Seq == was.Seq
 		if known && !r.Newer(was) && !unsaid {
 			continue
 		}
@@ -79,7 +79,7 @@
 		}
 	}
 	if f := n.Fleet; !f.Empty() && (f.Most != b.Fleet.Most || !slices.Equal(f.Edges, b.Fleet.Edges) ||
-		!slices.Equal(f.Lights, b.Fleet.Lights)) {
+		!slices.Equal(f.Controllers, b.Fleet.Controllers)) {
 		b.Fleet, fresh.Fleet = n.Fleet, n.Fleet
 	}
 	return fresh
@@ -87,7 +87,7 @@
 
 // revise takes a configuration in. Those who follow hold the one before, so a patch is enough for them where
 // it is shorter.
-func (b *Book) revise(n Notice, fresh *Notice) {
+func (b *State) revise(n Update, fresh *Update) {
 	raw, ok := []byte(nil), false
 	switch {
 	case len(n.Body) > 0:
@@ -111,12 +111,12 @@
 	b.Revision, b.Raw, b.packed, b.Behind = n.Revision, raw, n.Body, false
 }
 
-// Whole is the whole book.
-func (b *Book) Whole() Notice {
+// Snapshot is the whole book.
+func (b *State) Snapshot() Update {
 	if b.packed == nil && b.Revision > 0 {
 		b.packed = Pack(b.Raw)
 	}
-	n := Notice{Whole: true, Revision: b.Revision, Body: b.packed, Fleet: b.Fleet}
+	n := Update{Snapshot: true, Revision: b.Revision, Body: b.packed, Fleet: b.Fleet}
 	for _, r := range b.replicas {
 		n.Replicas = append(n.Replicas, r)
 	}
@@ -124,9 +124,9 @@
 }
 
 // Forget drops the replicas that are gone for good, so that a book does not grow for ever.
-func (b *Book) Forget() {
+func (b *State) Forget() {
 	for id, r := range b.replicas {
-		if r.Phase == muster.Gone {
+		if r.Phase == registry.Gone {
 			delete(b.replicas, id)
 		}
 	}
--- a/decide/notices/notices_test.go
+++ b/decide/clusterstate/clusterstate_test.go
@@ -1,4 +1,4 @@
-package notices
+package clusterstate
 
 import (
 	"fmt"
@@ -9,39 +9,39 @@
 	"github.com/shoenig/test/must"
 	"pgregory.net/rapid"
 
-	"willowsill/decide/muster"
+	"willowsill/decide/registry"
 )
 
 func TestNeverBack(t *testing.T) {
-	b := NewBook()
-	up := muster.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 3}
+	b := NewState()
+	up := registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 3}
 	leaving := up
-	leaving.Phase, leaving.Seq = muster.Draining, 4
-	fresh := b.Take(Notice{Revision: 5, Body: Pack([]byte("five")), Replicas: []muster.Record{up}})
+	leaving.Phase, leaving.Seq = registry.Draining, 4
+	fresh := b.Take(Update{Revision: 5, Body: Pack([]byte("five")), Replicas: []registry.Record{up}})
 	must.Eq(t, 5, fresh.Revision)
 	must.SliceLen(t, 1, fresh.Replicas)
-	must.SliceLen(t, 1, b.Take(Notice{Replicas: []muster.Record{leaving}}).Replicas)
+	must.SliceLen(t, 1, b.Take(Update{Replicas: []registry.Record{leaving}}).Replicas)
 	// A feeder that is behind says nothing new.
-	must.True(t, b.Take(Notice{Whole: true, Revision: 4, Body: Pack([]byte("four")), Replicas: []muster.Record{up}}).Empty())
+	must.True(t, b.Take(Update{Snapshot: true, Revision: 4, Body: Pack([]byte("four")), Replicas: []registry.Record{up}}).Empty())
 	must.Eq(t, "five", string(b.Raw))
 	// Nor does one that says again what is known.
-	must.True(t, b.Take(b.Whole()).Empty())
+	must.True(t, b.Take(b.Snapshot()).Empty())
 	// One called silent by the feeder before, by the same call, is there again where the next feeder's book says
 	// so.
-	silent := muster.Record{ID: "i-2", Service: "s", Address: "a:2", Seq: 7, Phase: muster.Silent}
+	silent := registry.Record{ID: "i-2", Service: "s", Address: "a:2", Seq: 7, Phase: registry.Silent}
 	ready := silent
-	ready.Phase = muster.Ready
-	b.Take(Notice{Replicas: []muster.Record{silent}})
-	must.True(t, b.Take(Notice{Replicas: []muster.Record{ready}}).Empty())
-	must.SliceLen(t, 1, b.Take(Notice{Whole: true, Replicas: []muster.Record{ready}}).Replicas)
+	ready.Phase = registry.Ready
+	b.Take(Update{Replicas: []registry.Record{silent}})
+	must.True(t, b.Take(Update{Replicas: []registry.Record{ready}}).Empty())
+	must.SliceLen(t, 1, b.Take(Update{Snapshot: true, Replicas: []registry.Record{ready}}).Replicas)
 	// A follower of the follower ends up with the same.
-	next := NewBook()
-	next.Take(b.Whole())
-	must.Eq(t, sorted(b.Whole()), sorted(next.Whole()))
+	next := NewState()
+	next.Take(b.Snapshot())
+	must.Eq(t, sorted(b.Snapshot()), sorted(next.Snapshot()))
 }
 
-func sorted(n Notice) Notice {
-	slices.SortFunc(n.Replicas, func(a, b muster.Record) int { return strings.Compare(a.ID, b.ID) })
+func sorted(n Update) Update {
+	slices.SortFunc(n.Replicas, func(a, b registry.Record) int { return strings.Compare(a.ID, b.ID) })
 	return n
 }
 
@@ -74,21 +74,21 @@
 
 // TestBehind: a follower that does not hold the base says so, and a whole book mends it.
 func TestBehind(t *testing.T) {
-	feeder, follower := NewBook(), NewBook()
+	feeder, follower := NewState(), NewState()
 	var b strings.Builder
 	for i := range 500 {
 		fmt.Fprint(&b, i*i*7919)
 	}
 	long := b.String()
-	feeder.Take(Notice{Revision: 1, Body: Pack([]byte(long + "one"))})
-	follower.Take(feeder.Whole())
-	second := feeder.Take(Notice{Revision: 2, Body: Pack([]byte("x" + long + "two"))})
-	third := feeder.Take(Notice{Revision: 3, Body: Pack([]byte("y" + long + "three"))})
+	feeder.Take(Update{Revision: 1, Body: Pack([]byte(long + "one"))})
+	follower.Take(feeder.Snapshot())
+	second := feeder.Take(Update{Revision: 2, Body: Pack([]byte("x" + long + "two"))})
+	third := feeder.Take(Update{Revision: 3, Body: Pack([]byte("y" + long + "three"))})
 	must.Nil(t, third.Body)
 	must.True(t, follower.Take(third).Empty())
 	must.True(t, follower.Behind)
 	must.Eq(t, 2, follower.Take(second).Revision)
 	must.Eq(t, "y"+long+"three", string(follower.Take(third).Raw))
 	must.False(t, follower.Behind)
-	must.Eq(t, feeder.Whole(), follower.Whole())
+	must.Eq(t, feeder.Snapshot(), follower.Snapshot())
 }
--- a/decide/notices/patch.go
+++ b/decide/clusterstate/patch.go
@@ -1,4 +1,4 @@
-package notices
+package clusterstate
 
 import (
 	"bytes"
--- /dev/null
+++ b/decide/controller/callers.go
@@ -0,0 +1,128 @@
+package controller
+
+import (
+	"slices"
+
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/register"
+	"willowsill/decide/registry"
+)
+
+// What replicas and operators are answered, and when.
+
+// Beat takes a replica's heartbeat or departure. It is acknowledged at once; but that one leaves is known to
+// a majority first.
+//
+// Danger: a controller that is cut off would acknowledge what no edge ever hears of; and one that dies right
+// after would take the word with it, while edges go on sending to the replica.
+func (c *Controller) Beat(now int64, id uint64, r registry.Record) Out {
+	c.now = now
+	if !c.InContact() || c.leaving {
+		c.out.Answers = append(c.out.Answers, Answer{Call: id, Status: 503, Reason: "not in touch with most controllers"})
+		return c.done()
+	}
+	c.take(r, true)
+	if r.Phase == registry.Ready {
+		c.out.Answers = append(c.out.Answers, Answer{Call: id, Status: 200})
+		return c.done()
+	}
+	c.asks++
+	t := &pendingCall{id: id, until: now + answerWithin, acks: map[string]struct{}{c.IP: {}}, asked: c.asks}
+	c.calls = append(c.calls, t)
+	delete(c.pass, r.ID)
+	if known, ok := c.list.Get(r.ID); ok {
+		r = known
+	}
+	c.send(Message{Records: []registry.Record{r}, Ask: c.asks}, c.all()...)
+	c.acked(t)
+	return c.done()
+}
+
+// take takes records in; those that are news go on to the other controllers in the next batch.
+func (c *Controller) take(r registry.Record, pass bool) {
+	news, changed := c.list.Take(c.now, r)
+	if !news {
+		return
+	}
+	r, _ = c.list.Get(r.ID)
+	if pass && (changed || c.now-c.passed[r.ID] > (2*beatsPassed-1)*c.BeatEvery/2) {
+		c.passed[r.ID] = c.now
+		p := r
+		if _, waits := c.pass[r.ID]; !changed && !waits && r.Phase == registry.Ready {
+			p = registry.Record{ID: r.ID, Seq: r.Seq} // says what it said before
+		}
+		c.pass[r.ID], c.urgent = p, c.urgent || changed
+	}
+	if r.Phase == registry.Gone {
+		delete(c.passed, r.ID)
+	}
+	if changed {
+		c.listDirty = true
+		c.tell(c.book.Take(clusterstate.Update{Replicas: []registry.Record{r}}))
+	}
+}
+
+// acked answers a call once a majority knows.
+func (c *Controller) acked(t *pendingCall) {
+	n := 0
+	for _, m := range c.members() {
+		if _, ok := t.acks[m]; ok {
+			n++
+		}
+	}
+	if 2*n > len(c.members()) {
+		c.answer(t, 200, nil, "")
+	}
+}
+
+func (c *Controller) answer(t *pendingCall, status int, body []byte, reason string) {
+	c.out.Answers = append(c.out.Answers, Answer{t.id, status, body, reason})
+	c.calls = slices.DeleteFunc(c.calls, func(o *pendingCall) bool { return o == t })
+}
+
+// Put takes a configuration that was read and found valid.
+func (c *Controller) Put(now int64, id, revision uint64, body []byte) Out {
+	c.now = now
+	t := &pendingCall{id: id, until: now + answerWithin, put: revision}
+	c.calls = append(c.calls, t)
+	n, out := c.proposer.Edit(now, func(v register.Value) (register.Value, bool) {
+		if revision <= v.Revision {
+			return v, false
+		}
+		v.Revision, v.Body = revision, body
+		return v, true
+	})
+	t.edit = n
+	c.carry(out)
+	return c.done()
+}
+
+// Read asks for the newest configuration.
+func (c *Controller) Read(now int64, id uint64) Out {
+	c.now = now
+	t := &pendingCall{id: id, until: now + answerWithin, read: true}
+	c.calls = append(c.calls, t)
+	n, out := c.proposer.Edit(now, same)
+	t.edit = n
+	c.carry(out)
+	return c.done()
+}
+
+func same(v register.Value) (register.Value, bool) { return v, false }
+
+// finish answers the caller whose edit is done.
+func (c *Controller) finish(d register.Done) {
+	for _, t := range slices.Clone(c.calls) {
+		if t.edit != d.ID || t.edit == 0 {
+			continue
+		}
+		switch {
+		case !t.read:
+			c.answer(t, 200, nil, "")
+		case d.Value.Revision == 0:
+			c.answer(t, 404, nil, "there is no configuration yet")
+		default:
+			c.answer(t, 200, d.Value.Body, "")
+		}
+	}
+}
--- /dev/null
+++ b/decide/controller/controller.go
@@ -0,0 +1,426 @@
+// Package controller is what a controller does, without its sockets and its disk: it takes heartbeats,
+// configurations and what the other controllers say, and returns what to send, save, answer and tell the
+// edges. It reads no clock.
+//
+// Decides: what a controller acknowledges and when, who the controllers are, and which of them does the duty
+// of changing that.
+package controller
+
+import (
+	"maps"
+	"slices"
+
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/register"
+	"willowsill/decide/registry"
+)
+
+// Times, ns.
+const (
+	ms             = 1_000_000
+	heartbeatEvery = 300 * ms  // between two words to every other controller
+	heardWithin    = 1300 * ms // a controller heard within it is live: three words lost and it is not
+	passEvery      = 100 * ms  // between two batches of replicas' records to the others
+	beatsEvery     = 600 * ms  // between two batches that say only that replicas were heard
+	answerWithin   = 900 * ms  // callers go elsewhere after a second of silence
+	joinEvery      = 250 * ms
+	silentMember   = 2500 * ms  // a member unheard for so long gives its place to a newcomer
+	roomMember     = 4000 * ms  // a newcomer waits so long for such a place before the members become more
+	goneAfter      = 30000 * ms // a controller that is no member and unheard for so long is forgotten
+	edgeWithin     = 20000 * ms // an edge heard of within it counts
+	edgeQuiet      = 7000 * ms  // one that is suspected and unheard for so long does not
+	suspicion      = 4000 * ms  // a watcher's word on another counts for so long
+	suspectedBy    = 2          // watchers, or all that there are
+	mostKept       = 60000 * ms // the number of edges for budgets goes down only after that
+	edgesEvery     = 900 * ms   // between two lists of controllers, and of what is new of edges
+	edgeAgain      = 5000 * ms  // an edge of which nothing is new is told of again after that
+	wantEvery      = 500 * ms   // between two questions for all that another controller knows
+	beatsPassed    = 2          // heartbeats of a replica of which the others are told one
+	silentBeats    = 5          // heartbeats left out, and a replica has fallen silent
+	keepGone       = 60000 * ms
+	saveAgain      = 200 * ms // after a save that failed
+	listEvery      = 500 * ms // between two saves for the list of replicas alone
+)
+
+type peer struct {
+	heard, first int64 // last, and since when without a long silence
+	heartbeat    Heartbeat
+}
+
+// edge is what is known of one edge.
+type edge struct {
+	clusterstate.Edge
+	heard int64
+	by    map[string]int64 // who suspects it, and when that was last said
+	told  int64            // when the other controllers were last told of it
+	said  []string         // whom it suspects
+}
+
+type reply struct {
+	to     string
+	answer register.Message
+	after  uint64 // the save that covers it
+}
+
+type pendingCall struct {
+	id    uint64
+	until int64
+	// one of:
+	edit  uint64 // of the proposer
+	read  bool
+	put   uint64              // the revision
+	acks  map[string]struct{} // for what must be known to a majority
+	asked uint64
+}
+
+// Controller is the machine.
+type Controller struct {
+	Start
+	disk      register.Disk
+	proposer  *register.Proposer
+	joiner    *register.Joiner
+	list      *registry.Registry
+	book      *clusterstate.State
+	committed register.Value // the newest value known to stand
+	peers     map[string]*peer
+	edges     map[string]*edge // by IP
+	most      int
+	mostAt    int64
+	calls     []*pendingCall
+	asks      uint64
+	pass      map[string]registry.Record // for the next batch
+	passed    map[string]int64           // when the others were last told of a replica
+	wantAt    int64
+	began     int64
+	now       int64
+
+	listDirty           bool
+	listAt              int64
+	dirty               bool   // the state differs from what was handed out to be saved
+	saving              uint64 // number of the save under way, 0 for none
+	saves               uint64
+	saveAt              int64 // not before, after a failure
+	replies             []reply
+	heartbeatAt, passAt int64
+	beatsAt             int64
+	urgent              bool // something in the next batch is news to edges
+	joinAt, edgesAt     int64
+	dutyAt              int64
+	asked               bool // what stands, of the register, in this life
+	leaving, inContact  bool
+	out                 Out
+}
+
+// New makes a controller.
+func New(now int64, s Start) *Controller {
+	c := &Controller{Start: s, list: registry.New(silentBeats*s.BeatEvery, keepGone), book: clusterstate.NewState(),
+		peers: map[string]*peer{}, edges: map[string]*edge{}, pass: map[string]registry.Record{}, passed: map[string]int64{},
+		began: now, now: now}
+	seeds := slices.Clone(s.Seeds)
+	slices.Sort(seeds)
+	seeds = slices.Compact(seeds)
+	switch {
+	case s.State != nil:
+		c.disk = register.Disk{State: *s.State, CaughtUp: true}
+	case s.Bootstrap && slices.Contains(seeds, s.IP):
+		c.disk = register.Disk{State: register.State{Value: register.Value{Members: seeds}}, CaughtUp: true}
+		c.dirty = true
+	default:
+		c.joiner = register.NewJoiner(s.IP, s.IP+"/"+s.Life)
+	}
+	known := c.disk.Value
+	if len(known.Members) == 0 {
+		known = register.Value{}
+	}
+	c.proposer = register.NewProposer(s.IP+"/"+s.Life, known, s.Draw)
+	c.proposer.Seen(c.disk.Promised)
+	c.proposer.Hold(c.disk.State)
+	for _, m := range slices.Concat(seeds, known.Disks()) {
+		c.meet(m)
+	}
+	// What stood once may be told at once, and who was there: after a loss of all machines edges have nothing
+	// else, and who asks a replica that is gone is told so by whoever has its address now. An edge that knows
+	// more does not go back.
+	if v := c.disk.Value; s.CommittedRevision > 0 && v.Revision == s.CommittedRevision {
+		c.book.Take(clusterstate.Update{Revision: v.Revision, Body: v.Body})
+	}
+	for _, r := range s.List {
+		c.list.Take(now, r)
+	}
+	c.book.Take(clusterstate.Update{Replicas: c.list.All()})
+	return c
+}
+
+func (c *Controller) meet(ip string) *peer {
+	if ip == c.IP || ip == "" {
+		return nil
+	}
+	p := c.peers[ip]
+	if p == nil {
+		p = &peer{}
+		c.peers[ip] = p
+	}
+	return p
+}
+
+// Members are those of the newest value known here.
+func (c *Controller) members() []string {
+	if len(c.committed.Members) > 0 {
+		return c.committed.Members
+	}
+	return c.disk.Value.Members
+}
+
+// live tells whether a controller was heard of late; this one always is.
+func (c *Controller) live(ip string) bool {
+	p := c.peers[ip]
+	return ip == c.IP || p != nil && p.heard > 0 && c.now-p.heard < heardWithin
+}
+
+// Settled tells whether more than half of the members are heard, this one among them.
+func (c *Controller) InContact() bool {
+	members, n := c.members(), 0
+	for _, m := range members {
+		if c.live(m) {
+			n++
+		}
+	}
+	return 2*n > len(members)
+}
+
+func (c *Controller) send(w Message, to ...string) {
+	to = slices.DeleteFunc(slices.Clone(to), func(ip string) bool { return ip == c.IP })
+	if len(to) > 0 {
+		w.From = c.IP
+		c.out.Sends = append(c.out.Sends, Send{to, w})
+	}
+}
+
+func (c *Controller) log(text string, values ...any) {
+	c.out.Log = append(c.out.Log, Line{text, values})
+}
+
+// all are the other controllers.
+func (c *Controller) all() []string { return slices.Sorted(maps.Keys(c.peers)) }
+
+// done ends a call: what has to be saved is handed out, and what may leave does.
+func (c *Controller) done() Out {
+	listDue := c.listDirty && c.now >= c.listAt
+	if (c.dirty || listDue) && c.saving == 0 && c.now >= c.saveAt && c.disk.CaughtUp {
+		c.saves++
+		c.saving, c.dirty = c.saves, false
+		c.out.Save = &Save{Number: c.saves, State: c.disk.State, CommittedRevision: c.committed.Revision}
+		if listDue {
+			c.listDirty, c.listAt = false, c.now+listEvery
+			c.out.Save.List = c.list.All()
+		}
+	}
+	out := c.out
+	c.out = Out{}
+	return out
+}
+
+// Take takes a word of another controller.
+func (c *Controller) Take(now int64, w Message) Out {
+	c.now = now
+	p := c.meet(w.From)
+	if p == nil {
+		return c.done()
+	}
+	if p.heard == 0 || now-p.heard > silentMember {
+		p.first = now
+	}
+	p.heard = now
+	if w.Heartbeat != nil {
+		c.heartbeat(p, w)
+	}
+	if m := w.Register; m != nil {
+		switch m.Kind {
+		case register.Prepare, register.Accept, register.Query:
+			c.ask(w.From, *m)
+		default:
+			if c.joiner != nil && !c.disk.CaughtUp {
+				c.joined(w.From, *m)
+			}
+			c.carry(c.proposer.Step(now, w.From, *m))
+		}
+	}
+	for _, r := range w.Records {
+		c.take(r, false)
+	}
+	for _, b := range w.Beats {
+		r, known := c.list.Get(b.ID)
+		if !known || r.Phase > registry.Ready {
+			c.want(w.From)
+			continue
+		}
+		r.Seq = max(r.Seq, b.Seq)
+		c.take(r, false)
+	}
+	if w.CommittedBallot.N > 0 && w.CommittedBallot == c.disk.Accepted {
+		c.stand(c.disk.Value)
+	} else if w.CommittedBallot.N > 0 && w.CommittedBallot.Compare(c.disk.Accepted) > 0 {
+		c.want(w.From)
+	}
+	if w.Ask > 0 {
+		c.send(Message{Ack: w.Ask}, w.From)
+	}
+	if w.Ack > 0 {
+		for _, t := range slices.Clone(c.calls) {
+			if t.asked == w.Ack {
+				t.acks[w.From] = struct{}{}
+				c.acked(t)
+			}
+		}
+	}
+	if w.Committed != nil {
+		c.stand(*w.Committed)
+	}
+	if w.Want {
+		answer := Message{Records: c.list.All()}
+		if len(c.committed.Members) > 0 {
+			v := c.committed
+			answer.Committed = &v
+		}
+		c.send(answer, w.From)
+	}
+	return c.done()
+}
+
+func (c *Controller) heartbeat(p *peer, w Message) {
+	h := w.Heartbeat
+	p.heartbeat = *h
+	for _, s := range h.Edges {
+		c.sight(s, false)
+	}
+	if len(h.Edges) > 0 {
+		c.fleet()
+	}
+	for _, ip := range h.Controllers {
+		c.meet(ip)
+	}
+	if h.Revision > c.committed.Revision || h.Epoch > c.committed.Epoch || c.list.Count() == 0 {
+		c.want(w.From)
+	}
+}
+
+// want asks one controller for all that it knows, now and then.
+//
+// Danger: one that is behind hears of it from all the others at once, and each would send it the whole
+// configuration.
+func (c *Controller) want(from string) {
+	if c.now >= c.wantAt {
+		c.wantAt = c.now + wantEvery
+		c.send(Message{Want: true}, from)
+	}
+}
+
+// Tick does what is due.
+func (c *Controller) Tick(now int64) Out {
+	c.now = now
+	if s := c.InContact(); s != c.inContact {
+		c.inContact = s
+		c.log("in touch with most controllers", "settled", s)
+	}
+	c.carry(c.proposer.Tick(now))
+	for _, t := range slices.Clone(c.calls) {
+		if now >= t.until {
+			c.answer(t, 503, nil, "no majority answered in time")
+		}
+	}
+	if now >= c.heartbeatAt {
+		c.heartbeatAt = now + heartbeatEvery
+		h := Heartbeat{CaughtUp: c.disk.CaughtUp, Epoch: c.committed.Epoch, Revision: c.committed.Revision, Leaving: c.leaving}
+		if now >= c.edgesAt {
+			c.edgesAt = now + edgesEvery
+			for ip := range c.peers {
+				if c.live(ip) {
+					h.Controllers = append(h.Controllers, ip)
+				}
+			}
+			for _, e := range c.edges {
+				if now-e.told > edgeAgain && now-e.heard < edgeAgain {
+					e.told = now
+					h.Edges = append(h.Edges, EdgeReport{e.Edge, e.said, now - e.heard})
+				}
+			}
+			c.fleet()
+		}
+		c.send(Message{Heartbeat: &h}, c.all()...)
+		c.forget()
+		c.book.Forget()
+	}
+	if now >= c.passAt {
+		c.passAt = now + passEvery
+		if len(c.pass) > 0 && (c.urgent || now >= c.beatsAt) {
+			c.urgent, c.beatsAt = false, now+beatsEvery
+			var w Message
+			for _, r := range c.pass {
+				if r.Service == "" && r.Phase == registry.Ready {
+					w.Beats = append(w.Beats, ReplicaHeartbeat{r.ID, r.Seq})
+				} else {
+					w.Records = append(w.Records, r)
+				}
+			}
+			c.send(w, c.all()...)
+			clear(c.pass)
+		}
+		listening := c.inContact && now-c.began > silentBeats*c.BeatEvery
+		for _, r := range c.list.Tick(now, listening) {
+			c.listDirty = true
+			c.log("a replica has fallen silent", "replica", r.ID, "service", r.Service, "gone", r.Phase == registry.Gone)
+			c.tell(c.book.Take(clusterstate.Update{Replicas: []registry.Record{r}}))
+		}
+	}
+	if c.joiner != nil && now >= c.joinAt {
+		c.joinAt = now + joinEvery
+		m := c.joiner.Ask()
+		c.send(Message{Register: &m}, c.joiner.Others(slices.Concat(c.all(), c.members()))...)
+	}
+	if !c.asked && c.disk.CaughtUp && c.inContact {
+		c.asked = true
+		_, out := c.proposer.Edit(now, same)
+		c.carry(out)
+	}
+	if now >= c.dutyAt {
+		c.dutyAt = now + heartbeatEvery
+		c.duty()
+	}
+	return c.done()
+}
+
+// Next is when Tick wants to be called at the latest.
+func (c *Controller) Next() int64 {
+	next := min(c.heartbeatAt, c.passAt, c.dutyAt)
+	if d := c.proposer.Due(); d > 0 {
+		next = min(next, d)
+	}
+	if c.joiner != nil {
+		next = min(next, c.joinAt)
+	}
+	for _, t := range c.calls {
+		next = min(next, t.until)
+	}
+	if c.dirty && c.saving == 0 {
+		next = min(next, max(c.saveAt, c.now))
+	} else if c.listDirty && c.saving == 0 {
+		next = min(next, max(c.saveAt, c.listAt, c.now))
+	}
+	return next
+}
+
+// Leave tells that the process is about to end in order.
+func (c *Controller) Leave(now int64) Out {
+	c.now, c.leaving = now, true
+	c.send(Message{Heartbeat: &Heartbeat{Leaving: true, Epoch: c.committed.Epoch, Revision: c.committed.Revision}}, c.all()...)
+	return c.done()
+}
+
+// forget lets go of controllers that are no members and have been silent for long.
+func (c *Controller) forget() {
+	for ip, p := range c.peers {
+		if !slices.Contains(c.members(), ip) && c.now-max(p.heard, c.began) > goneAfter {
+			delete(c.peers, ip)
+		}
+	}
+}
--- /dev/null
+++ b/decide/controller/disk.go
@@ -0,0 +1,153 @@
+package controller
+
+import (
+	"bytes"
+	"slices"
+
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/register"
+)
+
+// This controller's part of the register: its disk, its rounds, and what stands.
+
+// ask puts a question to this controller's own disk.
+func (c *Controller) ask(from string, m register.Message) {
+	if m.Kind != register.Query {
+		c.proposer.Seen(m.Ballot)
+	}
+	answer, save, ok := c.disk.Step(m)
+	if !ok {
+		return
+	}
+	c.dirty = c.dirty || save
+	c.proposer.Hold(c.disk.State)
+	// Danger: an answer that leaves before what it tells is on disk would be forgotten with the power.
+	after := uint64(0)
+	switch {
+	case c.dirty:
+		after = c.saves + 1
+	case c.saving > 0:
+		after = c.saving
+	}
+	if after == 0 {
+		c.answerDisk(from, answer)
+		return
+	}
+	c.replies = append(c.replies, reply{from, answer, after})
+}
+
+// Saved tells that a save has ended.
+func (c *Controller) Saved(now int64, number uint64, err error) Out {
+	c.now = now
+	if number == c.saving {
+		c.saving = 0
+	}
+	if err != nil {
+		c.dirty, c.saveAt = true, now+saveAgain
+		// What waited for this save waits for the next, which covers it as well.
+		for i := range c.replies {
+			c.replies[i].after = max(c.replies[i].after, c.saves+1)
+		}
+		c.log("a save failed", "err", err.Error())
+		return c.done()
+	}
+	ready := []reply{}
+	c.replies = slices.DeleteFunc(c.replies, func(r reply) bool {
+		if r.after <= number {
+			ready = append(ready, r)
+			return true
+		}
+		return false
+	})
+	for _, r := range ready {
+		c.answerDisk(r.to, r.answer)
+	}
+	return c.done()
+}
+
+// answerDisk lets a disk's answer leave, to another controller or to this one's own proposer.
+func (c *Controller) answerDisk(to string, m register.Message) {
+	if to != c.IP {
+		c.send(Message{Register: &m}, to)
+		return
+	}
+	c.carry(c.proposer.Step(c.now, c.IP, m))
+}
+
+// carry does what the proposer asks for.
+func (c *Controller) carry(o register.Out) {
+	for _, d := range o.Done {
+		c.stand(d.Value)
+		c.finish(d)
+	}
+	if n := len(o.Done); n > 0 { // all of one round
+		c.send(Message{CommittedBallot: o.Done[n-1].Ballot}, c.all()...)
+	}
+	if len(o.To) > 0 {
+		m := o.Send
+		c.send(Message{Register: &m}, o.To...)
+		if slices.Contains(o.To, c.IP) {
+			c.ask(c.IP, m)
+		}
+	}
+}
+
+// stand takes in a value that is known to stand.
+func (c *Controller) stand(v register.Value) {
+	newer := v.Epoch > c.committed.Epoch || v.Revision > c.committed.Revision ||
+		v.Epoch == c.committed.Epoch && v.Revision == c.committed.Revision && len(v.Prior) < len(c.committed.Prior) ||
+		len(c.committed.Members) == 0
+	if !newer || v.Epoch < c.committed.Epoch || v.Revision < c.committed.Revision {
+		return
+	}
+	if !slices.Equal(v.Members, c.committed.Members) {
+		c.log("members", "epoch", v.Epoch, "members", v.Members)
+	}
+	if v.Revision > c.committed.Revision {
+		c.listDirty = true // that it stands goes to disk with the next save
+		c.log("configuration stands", "revision", v.Revision, "bytes", len(v.Body))
+	}
+	c.committed = v
+	c.proposer.Know(v)
+	for _, m := range v.Members {
+		c.meet(m)
+	}
+	c.tell(c.book.Take(clusterstate.Update{Revision: v.Revision, Body: v.Body}))
+	c.fleet()
+}
+
+// joined takes what the others promise an empty disk.
+func (c *Controller) joined(from string, m register.Message) {
+	state, ok := c.joiner.Take(from, m)
+	if !ok {
+		return
+	}
+	c.disk = register.Disk{State: state, CaughtUp: true}
+	c.dirty, c.joiner = true, nil
+	c.proposer.Know(state.Value)
+	c.proposer.Seen(state.Promised)
+	c.log("the disk is whole again", "epoch", state.Value.Epoch, "revision", state.Value.Revision)
+}
+
+// tell adds to what goes to those who follow.
+func (c *Controller) tell(n clusterstate.Update) {
+	if n.Revision > 0 {
+		o := &c.out.Notice
+		if o.Revision > 0 { // a patch of what was not told yet is none
+			n.Body, n.Base, n.Patch = c.book.Snapshot().Body, 0, nil
+		}
+		o.Revision, o.Body, o.Base, o.Patch, o.Raw = n.Revision, n.Body, n.Base, n.Patch, n.Raw
+	}
+	c.out.Notice.Replicas = append(c.out.Notice.Replicas, n.Replicas...)
+	if !n.Fleet.Empty() {
+		c.out.Notice.Fleet = n.Fleet
+	}
+}
+
+// CaughtUp is the book for one who begins to follow.
+func (c *Controller) Snapshot() clusterstate.Update { return c.book.Snapshot() }
+
+// Holds tells whether the configuration that stands is the very one given.
+func (c *Controller) Holds(revision uint64, body []byte) bool {
+	return c.committed.Revision == revision && bytes.Equal(c.committed.Body, body)
+}
--- /dev/null
+++ b/decide/controller/edges.go
@@ -0,0 +1,87 @@
+package controller
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"willowsill/decide/clusterstate"
+)
+
+// Which edges there are, by who heard them.
+
+// Edge tells of an edge that follows this controller, or one below it, again and again while it does.
+func (c *Controller) Edge(now int64, s EdgeReport) Out {
+	c.now = now
+	c.sight(s, true)
+	c.fleet()
+	return c.done()
+}
+
+// sight takes in that an edge was heard of. own tells that no other controller has it from elsewhere.
+func (c *Controller) sight(s EdgeReport, own bool) {
+	if s.Edge.IP == "" { // an operator who looks on
+		return
+	}
+	e := c.edges[s.Edge.IP]
+	if e == nil {
+		e = &edge{by: map[string]int64{}}
+		c.edges[s.Edge.IP] = e
+		c.edgesAt = 0
+	}
+	at := c.now - s.Age
+	if at < e.heard {
+		return
+	}
+	if own && !slices.Equal(e.said, s.Suspects) {
+		e.told = 0
+	} else if !own {
+		e.told = c.now
+	}
+	e.Edge, e.heard, e.said = s.Edge, at, s.Suspects
+	for _, ip := range s.Suspects {
+		if o := c.edges[ip]; o != nil {
+			o.by[s.Edge.IP] = at
+		}
+	}
+}
+
+// fleet tells the edges who they are and where controllers are, where that has changed.
+//
+// Danger: one watcher may be the one that is cut off. An edge is left out of the tree only by the word of
+// two, or of all that watch it, and never while it is heard itself.
+func (c *Controller) fleet() {
+	var f clusterstate.Fleet
+	for ip, e := range c.edges {
+		if c.now-e.heard > edgeWithin {
+			delete(c.edges, ip)
+			continue
+		}
+		n := 0
+		for by, at := range e.by {
+			if c.now-at > suspicion {
+				delete(e.by, by)
+			} else {
+				n++
+			}
+		}
+		if n >= min(suspectedBy, len(c.edges)-1) && n > 0 && c.now-e.heard > edgeQuiet {
+			continue
+		}
+		f.Edges = append(f.Edges, e.Edge)
+	}
+	slices.SortFunc(f.Edges, func(a, b clusterstate.Edge) int { return cmp.Compare(a.IP, b.IP) })
+	// Danger: an edge that was left out may still be spending its share of a budget.
+	if len(f.Edges) >= c.most || c.now-c.mostAt > mostKept {
+		c.most, c.mostAt = len(f.Edges), c.now
+	}
+	f.Most = max(c.most, 1)
+	lights := map[string]bool{c.IP: true}
+	for ip := range c.peers {
+		if slices.Contains(c.members(), ip) || c.live(ip) {
+			lights[ip] = true
+		}
+	}
+	f.Controllers = slices.Sorted(maps.Keys(lights))
+	c.tell(c.book.Take(clusterstate.Update{Fleet: f}))
+}
--- a/decide/lantern/fields_test.go
+++ b/decide/controller/fields_test.go
@@ -1,4 +1,4 @@
-package lantern
+package controller
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/shoenig/test/must"
 
-	"willowsill/decide/muster"
+	"willowsill/decide/registry"
 )
 
 // leaves lists every field of a message that says something, each as a way to reach it.
@@ -29,8 +29,8 @@
 	}
 }
 
-// twin is a copy that shares nothing: words go to several lighthouses.
-func twin(t *testing.T, w Word) (c Word) {
+// twin is a copy that shares nothing: words go to several controllers.
+func twin(t *testing.T, w Message) (c Message) {
 	b, err := cbor.Marshal(w)
 	must.NoError(t, err)
 	must.NoError(t, cbor.Unmarshal(b, &c))
@@ -48,21 +48,21 @@
 		name   string
 	}
 	var found []leaf
-	var before []Word
+	var before []Message
 	seen := map[string]int{}
 	// play returns false where a call had no clear answer, which is a true one.
-	play := func(tamper func(int, *Word) (int, int64)) {
-		b := newBay(t, 5)
+	play := func(tamper func(int, *Message) (int, int64)) {
+		b := newCluster(t, 5)
 		b.tamper = tamper
 		b.run(2500 * ms)
 		first := b.put(b.names[1], 3, "one")
 		b.run(700 * ms)
 		must.Eq(t, 200, b.answers[first].Status)
-		wiped := b.towers[b.names[4]]
+		wiped := b.servers[b.names[4]]
 		wiped.up, wiped.saved, wiped.list = false, nil, nil
 		b.run(100 * ms)
 		b.start(b.names[4], false)
-		b.beat(b.names[2], muster.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1, Phase: muster.Draining})
+		b.beat(b.names[2], registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1, Phase: registry.Draining})
 		last := uint64(3)
 		for i, body := range []string{"five", "nine"} {
 			id := b.put(b.names[2+i], uint64(5+4*i), body)
@@ -76,9 +76,9 @@
 		b.run(1000 * ms)
 		a := b.read(b.names[0])
 		must.Eq(t, 200, a.Status)
-		must.Eq(t, map[uint64]string{3: "one", 5: "five", 9: "nine"}[max(last, b.towers[b.names[0]].told)], string(a.Body))
+		must.Eq(t, map[uint64]string{3: "one", 5: "five", 9: "nine"}[max(last, b.servers[b.names[0]].told)], string(a.Body))
 	}
-	play(func(number int, w *Word) (int, int64) {
+	play(func(number int, w *Message) (int, int64) {
 		c := twin(t, *w)
 		leaves(reflect.ValueOf(&c).Elem(), nil, func(way []int, v reflect.Value) {
 			kind := 0
@@ -97,28 +97,28 @@
 	plays := 0
 	defer func() { t.Logf("%d fields of words, %d plays", len(found), plays) }()
 	ways := 4
-	for i, l := range found {
+	for i, c := range found {
 		if testing.Short() && i%7 > 0 {
 			continue
 		}
 		for way := range ways {
-			if i%ways != way && seen[l.name] > 200 { // common ones are tried in one way each time they come up here
+			if i%ways != way && seen[c.name] > 200 { // common ones are tried in one way each time they come up here
 				continue
 			}
 			plays++
-			play(func(number int, w *Word) (int, int64) {
-				if number != l.number {
+			play(func(number int, w *Message) (int, int64) {
+				if number != c.number {
 					return 1, 0
 				}
 				*w = twin(t, *w)
-				v, _ := field(reflect.ValueOf(w).Elem(), l.way)
+				v, _ := field(reflect.ValueOf(w).Elem(), c.way)
 				switch way {
 				case 0: // dropped
 					v.SetZero()
-				case 1, 2: // as an earlier word had it, or one from another lighthouse
+				case 1, 2: // as an earlier word had it, or one from another controller
 					step := []int{7, 31}[way-1]
 					for n := number - 2; n >= 0; n -= step {
-						other, ok := field(reflect.ValueOf(&before[n]).Elem(), l.way)
+						other, ok := field(reflect.ValueOf(&before[n]).Elem(), c.way)
 						if ok && other.Type() == v.Type() {
 							v.Set(other)
 							break
--- a/decide/lantern/members.go
+++ b/decide/controller/members.go
@@ -1,4 +1,4 @@
-package lantern
+package controller
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"willowsill/decide/register"
 )
 
-// Who the lighthouses are: the one duty that one of them does.
+// Who the controllers are: the one duty that one of them does.
 
 // duty changes the members, where this is the first live one of them in their order: a newcomer takes the
 // place of one that has been silent, or is added where none is.
@@ -15,22 +15,22 @@
 // Danger: were members only taken away, those left could be the few that die next, and the rest would wait
 // for them for ever. So there are as many as there were before the first configuration; one more, where a
 // newcomer comes before the one that it replaces has gone, and that one gives its place up once it is silent.
-func (l *Lantern) duty() {
-	v := l.stands
-	if len(v.Members) == 0 || !l.disk.Whole || !l.settled || l.leaving || l.proposer.Busy() || len(v.Prior) > 0 {
+func (c *Controller) duty() {
+	v := c.committed
+	if len(v.Members) == 0 || !c.disk.CaughtUp || !c.inContact || c.leaving || c.proposer.Busy() || len(v.Prior) > 0 {
 		return
 	}
-	first := v.Members[slices.IndexFunc(v.Members, l.live)]
-	if first != l.IP {
+	first := v.Members[slices.IndexFunc(v.Members, c.live)]
+	if first != c.IP {
 		return
 	}
 	var newcomers, silent []string
-	for ip, p := range l.peers {
+	for ip, p := range c.peers {
 		member := slices.Contains(v.Members, ip)
 		switch {
-		case member && l.now-max(p.heard, l.began) > silentMember:
+		case member && c.now-max(p.heard, c.began) > silentMember:
 			silent = append(silent, ip)
-		case !member && l.live(ip) && p.hello.Whole && !p.hello.Leaving:
+		case !member && c.live(ip) && p.heartbeat.CaughtUp && !p.heartbeat.Leaving:
 			newcomers = append(newcomers, ip)
 		}
 	}
@@ -39,7 +39,7 @@
 		return
 	}
 	slices.Sort(newcomers)
-	slices.SortFunc(silent, func(a, b string) int { return int(l.peers[a].heard - l.peers[b].heard) })
+	slices.SortFunc(silent, func(a, b string) int { return int(c.peers[a].heard - c.peers[b].heard) })
 	members := slices.Clone(v.Members)
 	switch {
 	case len(silent) > 0:
@@ -49,7 +49,7 @@
 		}
 	default:
 		for _, ip := range newcomers {
-			if v.Revision == 0 || l.now-l.peers[ip].first > roomMember {
+			if v.Revision == 0 || c.now-c.peers[ip].first > roomMember {
 				members = append(members, ip)
 			}
 		}
@@ -61,14 +61,14 @@
 	if v.Revision == 0 {
 		size = len(members)
 	}
-	l.log("changing the members", "epoch", v.Epoch+1, "members", members)
+	c.log("changing the members", "epoch", v.Epoch+1, "members", members)
 	epoch := v.Epoch
-	_, out := l.proposer.Edit(l.now, func(v register.Value) (register.Value, bool) {
+	_, out := c.proposer.Edit(c.now, func(v register.Value) (register.Value, bool) {
 		if v.Epoch != epoch || len(v.Prior) > 0 {
 			return v, false
 		}
 		v.Epoch, v.Prior, v.Members, v.Size = epoch+1, v.Members, members, size
 		return v, true
 	})
-	l.carry(out)
+	c.carry(out)
 }
--- /dev/null
+++ b/decide/controller/messages.go
@@ -0,0 +1,96 @@
+package controller
+
+import (
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/register"
+	"willowsill/decide/registry"
+)
+
+// What controllers say to each other, and what a call of the machine asks for.
+
+// Message is what one controller sends to another. Any part may be there.
+type Message struct {
+	From            string             `cbor:"1,keyasint"`
+	Heartbeat       *Heartbeat         `cbor:"2,keyasint,omitempty"`
+	Register        *register.Message  `cbor:"3,keyasint,omitempty"`
+	Records         []registry.Record  `cbor:"4,keyasint,omitempty"`
+	Ask             uint64             `cbor:"5,keyasint,omitempty"` // wants an Ack once Records are taken
+	Ack             uint64             `cbor:"6,keyasint,omitempty"`
+	Want            bool               `cbor:"7,keyasint,omitempty"` // wants all records and what stands
+	Committed       *register.Value    `cbor:"8,keyasint,omitempty"` // a value known to stand
+	CommittedBallot register.Ballot    `cbor:"9,keyasint,omitempty"` // what was taken under this ballot stands
+	Beats           []ReplicaHeartbeat `cbor:"10,keyasint,omitempty"`
+}
+
+// ReplicaHeartbeat tells that a replica was heard which says what it said before.
+type ReplicaHeartbeat struct {
+	ID  string `cbor:"1,keyasint"`
+	Seq uint64 `cbor:"2,keyasint"`
+}
+
+// Heartbeat tells how a controller is.
+type Heartbeat struct {
+	CaughtUp    bool         `cbor:"1,keyasint,omitempty"`
+	Epoch       uint64       `cbor:"2,keyasint,omitempty"`
+	Revision    uint64       `cbor:"3,keyasint,omitempty"`
+	Controllers []string     `cbor:"4,keyasint,omitempty"` // live ones that it knows of
+	Edges       []EdgeReport `cbor:"5,keyasint,omitempty"` // heard of since the last hello
+	Leaving     bool         `cbor:"6,keyasint,omitempty"`
+}
+
+// EdgeReport is one edge as it was heard of by a controller.
+type EdgeReport struct {
+	Edge     clusterstate.Edge `cbor:"1,keyasint"`
+	Suspects []string          `cbor:"2,keyasint,omitempty"` // edges that it watches and does not hear
+	Age      int64             `cbor:"3,keyasint,omitempty"` // since it was heard of, ns
+}
+
+// Send is one word on its way.
+type Send struct {
+	To      []string // IPs; never this one's own
+	Message Message
+}
+
+// Save is a state to be put on disk; Saved tells what became of it.
+type Save struct {
+	Number            uint64
+	State             register.State
+	CommittedRevision uint64            // the revision known to stand
+	List              []registry.Record // the list of replicas, nil where it is as it was
+}
+
+// Answer goes to a caller.
+type Answer struct {
+	Call   uint64
+	Status int // of HTTP
+	Body   []byte
+	Reason string
+}
+
+// Out is what a call asks for, in this order.
+type Out struct {
+	Save    *Save
+	Sends   []Send
+	Answers []Answer
+	Notice  clusterstate.Update // to all who follow
+	Log     []Line
+}
+
+// Line is something worth a line of the log.
+type Line struct {
+	Text   string
+	Values []any // keys and values by turns
+}
+
+// Start is what a controller begins with.
+type Start struct {
+	IP                string
+	Life              string // new in each life of the process
+	Seeds             []string
+	Bootstrap         bool              // the first start of the whole system
+	State             *register.State   // as it was saved; nil for an empty disk
+	CommittedRevision uint64            // the revision known to stand, as it was saved
+	List              []registry.Record // of replicas, likewise
+	BeatEvery         int64             // of replicas, ns
+	Draw              func() float64
+}
--- a/decide/lookout/lookout.go
+++ b/decide/failuredetector/failuredetector.go
@@ -1,9 +1,9 @@
-// Package lookout has edges keep an eye on each other: each sends heartbeats to the few that follow it on a
+// Package failuredetector has edges keep an eye on each other: each sends heartbeats to the few that follow it on a
 // ring, and says whom of those that it is to watch it has not heard. It reads no clock and sends nothing
 // itself.
 //
 // Decides: who watches whom, and when a watcher suspects an edge.
-package lookout
+package failuredetector
 
 import (
 	"cmp"
@@ -20,8 +20,8 @@
 	slowShare = 2         // a call so many times later than it should have been tells of one's own slowness
 )
 
-// Lookout is one edge's.
-type Lookout struct {
+// Detector is one edge's.
+type Detector struct {
 	self   string
 	ring   []string
 	heard  map[string]int64
@@ -30,7 +30,7 @@
 }
 
 // New makes one for an edge, by its IP.
-func New(self string) *Lookout { return &Lookout{self: self, heard: map[string]int64{}} }
+func New(self string) *Detector { return &Detector{self: self, heard: map[string]int64{}} }
 
 // Ring sorts edges by their places: the hash of what they are called.
 func Ring(ips []string) []string {
@@ -51,7 +51,7 @@
 }
 
 // Fleet tells who is there.
-func (l *Lookout) Fleet(now int64, ips []string) {
+func (l *Detector) Fleet(now int64, ips []string) {
 	l.ring = Ring(ips)
 	watched := map[string]bool{}
 	for _, ip := range l.ring {
@@ -70,7 +70,7 @@
 }
 
 // Heard takes a heartbeat.
-func (l *Lookout) Heard(now int64, from string) {
+func (l *Detector) Heard(now int64, from string) {
 	if _, ok := l.heard[from]; ok {
 		l.heard[from] = now
 	}
@@ -80,7 +80,7 @@
 //
 // Danger: one that stood still itself has heard nobody. It would call all that it watches lost; so its own
 // lateness counts for them first.
-func (l *Lookout) Tick(now int64) (beats, suspects []string) {
+func (l *Detector) Tick(now int64) (beats, suspects []string) {
 	if gap := now - l.last; l.last > 0 && gap > slowShare*beatEvery {
 		for ip := range l.heard {
 			l.heard[ip] += gap
--- a/decide/lookout/lookout_test.go
+++ b/decide/failuredetector/failuredetector_test.go
@@ -1,4 +1,4 @@
-package lookout
+package failuredetector
 
 import (
 	"fmt"
@@ -32,7 +32,7 @@
 	ips := fleet(9)
 	ring := Ring(ips)
 	lost := ring[4]
-	looks := map[string]*Lookout{}
+	looks := map[string]*Detector{}
 	for _, ip := range ips {
 		looks[ip] = New(ip)
 		looks[ip].Fleet(0, ips)
--- a/decide/register/example_test.go
+++ b/decide/register/example_test.go
@@ -11,7 +11,7 @@
 	members := register.Value{Members: []string{"a", "b", "c"}}
 	disks := map[string]*register.Disk{}
 	for _, name := range members.Members {
-		disks[name] = &register.Disk{State: register.State{Value: members}, Whole: true}
+		disks[name] = &register.Disk{State: register.State{Value: members}, CaughtUp: true}
 	}
 	p := register.NewProposer("a/1", members, func() float64 { return 0.5 })
 	_, out := p.Edit(0, func(v register.Value) (register.Value, bool) {
--- a/decide/register/register.go
+++ b/decide/register/register.go
@@ -64,20 +64,20 @@
 	Value  Value  `cbor:"5,keyasint,omitempty"`
 }
 
-// Disk is one member's part. Whole tells whether it may answer.
+// Disk is one member's part. CaughtUp tells whether it may answer.
 //
 // Danger: a disk that came back empty has forgotten what it promised and took. Were it counted, a majority
 // could be found that never heard of an acknowledged value. It is whole again once a snapshot from a majority
 // of the others is saved.
 type Disk struct {
 	State
-	Whole bool
+	CaughtUp bool
 }
 
 // Step takes a message that asks something. save tells that the state has changed: the answer must not leave
 // before a sync that covers it. Answers to a Query must not overtake such a sync either.
 func (d *Disk) Step(m Message) (answer Message, save, ok bool) {
-	if !d.Whole {
+	if !d.CaughtUp {
 		return Message{}, false, false
 	}
 	switch m.Kind {
--- a/decide/register/register_test.go
+++ b/decide/register/register_test.go
@@ -43,7 +43,7 @@
 	x := s.sites[name]
 	x.up, x.life = true, x.life+1
 	own := fmt.Sprint(name, "/", x.life)
-	if !x.disk.Whole {
+	if !x.disk.CaughtUp {
 		x.joiner = NewJoiner(name, own)
 	}
 	if len(x.disk.Value.Members) > 0 {
@@ -220,7 +220,7 @@
 
 func (s *sea) whole() (n int) {
 	for _, x := range s.sites {
-		if x.disk.Whole {
+		if x.disk.CaughtUp {
 			n++
 		}
 	}
@@ -232,7 +232,7 @@
 	d := Disk{}
 	_, _, ok := d.Step(Message{Kind: Prepare, Ballot: Ballot{9, "x"}})
 	must.False(t, ok)
-	d.Whole = true
+	d.CaughtUp = true
 	a, save, ok := d.Step(Message{Kind: Prepare, Ballot: Ballot{9, "x"}})
 	must.True(t, ok && save)
 	must.Eq(t, Promised, a.Kind)
--- a/decide/muster/muster.go
+++ b/decide/registry/registry.go
@@ -1,11 +1,11 @@
-// Package muster is the list of replicas: it takes their heartbeats, told by several co-ordinators in any
+// Package registry is the list of replicas: it takes their heartbeats, told by several co-ordinators in any
 // order, and says who is there, who is leaving and who has fallen silent. It reads no clock.
 //
-// Records merge by their call number, so that any number of lighthouses come to the same list whatever
+// Records merge by their call number, so that any number of controllers come to the same list whatever
 // reaches them first.
 //
 // Decides: which replicas are there, and when a silent one counts as gone.
-package muster
+package registry
 
 import (
 	"cmp"
@@ -59,8 +59,8 @@
 	heard int64
 }
 
-// Muster is one co-ordinator's list.
-type Muster struct {
+// Registry is one co-ordinator's list.
+type Registry struct {
 	SilentAfter int64 // a replica unheard for so long has fallen silent, ns
 	KeepGone    int64 // the gone are remembered for so long, ns
 	entries     map[string]*entry
@@ -68,13 +68,13 @@
 }
 
 // New makes an empty list.
-func New(silentAfter, keepGone int64) *Muster {
-	return &Muster{SilentAfter: silentAfter, KeepGone: keepGone, entries: map[string]*entry{}}
+func New(silentAfter, keepGone int64) *Registry {
+	return &Registry{SilentAfter: silentAfter, KeepGone: keepGone, entries: map[string]*entry{}}
 }
 
 // Take takes a record in. news tells whether it said anything new at all, changed whether edges need to hear
 // of it.
-func (m *Muster) Take(now int64, r Record) (news, changed bool) {
+func (m *Registry) Take(now int64, r Record) (news, changed bool) {
 	e := m.entries[r.ID]
 	if e == nil {
 		m.entries[r.ID] = &entry{r, now}
@@ -101,7 +101,7 @@
 //
 // Danger: a co-ordinator that stood still or was cut off has heard nobody. Were the replicas blamed for that,
 // all would be struck off at once.
-func (m *Muster) Tick(now int64, listening bool) (changed []Record) {
+func (m *Registry) Tick(now int64, listening bool) (changed []Record) {
 	gap := now - m.looked
 	m.looked = now
 	for id, e := range m.entries {
@@ -128,7 +128,7 @@
 }
 
 // All is the whole list.
-func (m *Muster) All() []Record {
+func (m *Registry) All() []Record {
 	all := make([]Record, 0, len(m.entries))
 	for _, e := range m.entries {
 		all = append(all, e.Record)
@@ -137,7 +137,7 @@
 }
 
 // Get is what is known of one replica.
-func (m *Muster) Get(id string) (Record, bool) {
+func (m *Registry) Get(id string) (Record, bool) {
 	if e := m.entries[id]; e != nil {
 		return e.Record, true
 	}
@@ -145,7 +145,7 @@
 }
 
 // Count is how many are not gone.
-func (m *Muster) Count() (n int) {
+func (m *Registry) Count() (n int) {
 	for _, e := range m.entries {
 		if e.Phase < Silent {
 			n++
--- a/decide/muster/muster_test.go
+++ b/decide/registry/registry_test.go
@@ -1,4 +1,4 @@
-package muster
+package registry
 
 import (
 	"math/rand/v2"
@@ -10,7 +10,7 @@
 
 const second = 1_000_000_000
 
-// TestAnyOrder: lighthouses that are told the same in other orders, and some of it twice, come to the same
+// TestAnyOrder: controllers that are told the same in other orders, and some of it twice, come to the same
 // list.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -46,7 +46,7 @@
 	r := Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1}
 	m.Take(0, r)
 	must.SliceEmpty(t, m.Tick(2*second, true))
-	// A lighthouse that heard nobody blames nobody.
+	// A controller that heard nobody blames nobody.
 	must.SliceEmpty(t, m.Tick(9*second, false))
 	must.SliceEmpty(t, m.Tick(10*second, true))
 	must.SliceLen(t, 1, m.Tick(14*second, true))
--- /dev/null
+++ b/decide/relaytree/example_test.go
@@ -0,0 +1,24 @@
+package relaytree_test
+
+import (
+	"fmt"
+
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/relaytree"
+)
+
+// Of four edges of a zone two follow controllers, the others follow those two.
+func ExampleFeeders() {
+	var fleet clusterstate.Fleet
+	for i := range 4 {
+		fleet.Edges = append(fleet.Edges, clusterstate.Edge{IP: fmt.Sprint("10.0.0.", i+1), Zone: "east"})
+	}
+	lights := 0
+	for _, e := range fleet.Edges {
+		if relaytree.Feeders(e.IP, e.Zone, fleet, []string{"10.9.0.1"})[0].Light {
+			lights++
+		}
+	}
+	fmt.Println(lights, "follow a controller")
+	// Output: 2 follow a controller
+}
--- a/decide/beacons/beacons.go
+++ b/decide/relaytree/relaytree.go
@@ -1,9 +1,9 @@
-// Package beacons is the tree that news goes down. Each zone's edges make one among themselves, from the list
-// of edges that all are told: the first two in the order of the ring follow lighthouses, the others follow
+// Package relaytree is the tree that news goes down. Each zone's edges make one among themselves, from the list
+// of edges that all are told: the first two in the order of the ring follow controllers, the others follow
 // those before them. It does no I/O.
 //
 // Decides: whom an edge follows, and whom next when that one fails.
-package beacons
+package relaytree
 
 import (
 	"cmp"
@@ -11,12 +11,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"willowsill/decide/lookout"
-	"willowsill/decide/notices"
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/failuredetector"
 )
 
 const (
-	heads = 2 // of a zone: they follow lighthouses
+	heads = 2 // of a zone: they follow controllers
 	below = 4 // edges that follow one
 )
 
@@ -26,16 +26,16 @@
 	Light bool
 }
 
-// Feeders are those that an edge may follow, the one to follow first in front; lighthouses come last and
+// Feeders are those that an edge may follow, the one to follow first in front; controllers come last and
 // always.
-func Feeders(self, zone string, f notices.Fleet, lights []string) (order []Feeder) {
+func Feeders(self, zone string, f clusterstate.Fleet, lights []string) (order []Feeder) {
 	var ips []string
 	for _, e := range f.Edges {
 		if e.Zone == zone || e.IP == self {
 			ips = append(ips, e.IP)
 		}
 	}
-	ring := lookout.Ring(ips)
+	ring := failuredetector.Ring(ips)
 	if at := slices.Index(ring, self); at >= heads {
 		for up := at; up >= heads; {
 			up = (up - heads) / below
--- a/decide/beacons/beacons_test.go
+++ b/decide/relaytree/relaytree_test.go
@@ -1,4 +1,4 @@
-package beacons
+package relaytree
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"willowsill/decide/notices"
+	"willowsill/decide/clusterstate"
 )
 
 // TestEveryWayLeadsToALight: whoever fails, each edge has another way in the end, and the first ways make a
@@ -14,9 +14,9 @@
 func TestEveryWayLeadsToALight(t *testing.T) {
 	lights := []string{"1.1.1.1", "1.1.1.2", "1.1.1.3"}
 	for _, n := range []int{1, 2, 3, 9, 60, 300} {
-		var f notices.Fleet
+		var f clusterstate.Fleet
 		for i := range n {
-			f.Edges = append(f.Edges, notices.Edge{IP: fmt.Sprint("10.0.0.", i), Zone: fmt.Sprint("z", i%3)})
+			f.Edges = append(f.Edges, clusterstate.Edge{IP: fmt.Sprint("10.0.0.", i), Zone: fmt.Sprint("z", i%3)})
 		}
 		first, zone := map[string]Feeder{}, map[string]string{}
 		heads, under := map[string]int{}, map[string]int{}
@@ -45,6 +45,6 @@
 			}
 		}
 	}
-	// An edge that no list names yet follows a lighthouse.
-	must.True(t, Feeders("10.9.9.9", "z1", notices.Fleet{}, lights)[0].Light)
+	// An edge that no list names yet follows a controller.
+	must.True(t, Feeders("10.9.9.9", "z1", clusterstate.Fleet{}, lights)[0].Light)
 }
--- a/decide/chart/diff.go
+++ b/decide/routeconfig/diff.go
@@ -1,4 +1,4 @@
-package chart
+package routeconfig
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 )
 
 // Diff says what b has otherwise than a, a line each, in a fixed order.
-func Diff(a, b *Chart) (lines []string) {
+func Diff(a, b *Configuration) (lines []string) {
 	if a.Revision != b.Revision {
 		lines = append(lines, fmt.Sprintf("revision %d -> %d", a.Revision, b.Revision))
 	}
--- a/decide/chart/read.go
+++ b/decide/routeconfig/read.go
@@ -1,4 +1,4 @@
-package chart
+package routeconfig
 
 import (
 	"math"
@@ -8,11 +8,11 @@
 
 // Read reads a configuration field by field, as the operators send it, and checks it. The error says what is
 // wrong and where.
-func Read(body []byte) (*Chart, error) {
+func Read(body []byte) (*Configuration, error) {
 	if !jx.Valid(body) {
 		return nil, ErrInvalid.Errorf("the configuration is no whole JSON document (%d bytes)", len(body))
 	}
-	c := &Chart{Services: map[string]Service{}}
+	c := &Configuration{Services: map[string]Service{}}
 	var has struct{ revision, routes, services bool }
 	err := jx.DecodeBytes(body).Obj(func(d *jx.Decoder, key string) (err error) {
 		switch key {
--- a/decide/chart/chart.go
+++ b/decide/routeconfig/routeconfig.go
@@ -1,9 +1,9 @@
-// Package chart is the operator's configuration: it reads one, says what is wrong with it, and finds the
+// Package routeconfig is the operator's configuration: it reads one, says what is wrong with it, and finds the
 // route that takes a request. It does no I/O, and keeps the bytes that it was read from, since those are what
 // is stored and handed on.
 //
 // Decides: which configurations are valid, and which route and services a request belongs to.
-package chart
+package routeconfig
 
 import (
 	"slices"
@@ -12,8 +12,8 @@
 	"github.com/samber/oops"
 )
 
-// Chart is one version of the configuration.
-type Chart struct {
+// Configuration is one version of the configuration.
+type Configuration struct {
 	Revision uint64
 	Routes   []Route
 	Services map[string]Service
@@ -57,7 +57,7 @@
 var ErrInvalid = oops.Code("chart_invalid")
 
 // index sorts the routes by host, longest prefix first.
-func (c *Chart) index() {
+func (c *Configuration) index() {
 	c.hosts = map[string][]*Route{}
 	for i := range c.Routes {
 		r := &c.Routes[i]
@@ -71,7 +71,7 @@
 
 // Find is the route of a request: the longest prefix of its host that begins the path, nil where there is
 // none.
-func (c *Chart) Find(host, path string) *Route {
+func (c *Configuration) Find(host, path string) *Route {
 	rs, ok := c.hosts[host]
 	if !ok {
 		if i := strings.LastIndexByte(host, ':'); i > 0 {
@@ -108,8 +108,8 @@
 	return ""
 }
 
-// check says what is wrong with a chart that could be read.
-func (c *Chart) check() error {
+// check says what is wrong with a configuration that could be read.
+func (c *Configuration) check() error {
 	type place struct{ host, prefix string }
 	seen := map[place]string{}
 	for i := range c.Routes {
--- a/decide/chart/chart_test.go
+++ b/decide/routeconfig/routeconfig_test.go
@@ -1,4 +1,4 @@
-package chart
+package routeconfig
 
 import (
 	"strings"
--- a/decide/pilotage/pilotage.go
+++ b/decide/routingtable/routingtable.go
@@ -1,10 +1,10 @@
-// Package pilotage turns what the system is told (configuration, replicas, how many edges there are) into the
+// Package routingtable turns what the system is told (configuration, replicas, how many edges there are) into the
 // decision module's terms: a route is a workload, a service a shard, and each replica holds the one shard of
 // its service. It does no I/O.
 //
 // Decides: what a route's answers are worth late and in part, which row and shard stand for what, and this
 // edge's share of the budget of further executions.
-package pilotage
+package routingtable
 
 import (
 	"maps"
@@ -13,10 +13,10 @@
 	"github.com/cespare/xxhash/v2"
 
 	"willowsill/balance"
-	"willowsill/decide/chart"
-	"willowsill/decide/muster"
-	"willowsill/decide/notices"
-	"willowsill/deployment/berth"
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/registry"
+	"willowsill/decide/routeconfig"
+	"willowsill/deployment/settings"
 )
 
 const (
@@ -37,7 +37,7 @@
 )
 
 // Deployment is what the module is told at the start.
-func Deployment(s berth.Settings, seed uint64) balance.Deployment {
+func Deployment(s settings.Settings, seed uint64) balance.Deployment {
 	d := balance.Deployment{Number: int(xxhash.Sum64String(s.IP) % shards), Aggregators: 1, Seed: seed, Tick: tick,
 		Shards: shards, Cells: shards, Reach: 1, PartsPerCall: 1, MaxExecutions: 1, Cancels: true, MaxComeBack: comeBack,
 		ColdShare: fullCold, FallMultiple: fullCold, FallSpan: fallSpan, PaceDoubt: paceDoubt,
@@ -50,7 +50,7 @@
 }
 
 // Workload is the module's view of a route.
-func Workload(r *chart.Route) balance.Workload {
+func Workload(r *routeconfig.Route) balance.Workload {
 	w := balance.Workload{LatencyGoal: r.TargetMs * ms, LateShare: lateShare, Need: 1, Floor: 1, PartialShare: partialShare,
 		MaxExecutions: r.Tries}
 	if r.Unsafe {
@@ -77,26 +77,26 @@
 
 // State is what requests are taken by. It is never changed in place.
 type State struct {
-	Chart *chart.Chart
-	Rows  map[string]int // of each route, by name
-	Slots map[string]int // of each service: the module's shard
+	Config *routeconfig.Configuration
+	Rows   map[string]int // of each route, by name
+	Slots  map[string]int // of each service: the module's shard
 }
 
 // Change is what the module and the front are to be told.
 type Change struct {
 	Workloads   []balance.Workload // nil where they are as before
 	State       *State             // nil likewise
-	Replicas    []muster.Record    // changed ones; Slot tells their shards
+	Replicas    []registry.Record  // changed ones; Slot tells their shards
 	FurtherFree float64
 	Budget      bool // FurtherFree has changed
 	Err         error
 }
 
-// Pilotage keeps rows and shards.
-type Pilotage struct {
-	settings  berth.Settings
+// Table keeps rows and shards.
+type Table struct {
+	settings  settings.Settings
 	began     int64
-	chart     *chart.Chart
+	config    *routeconfig.Configuration
 	rows      map[string]int
 	free      []int
 	workloads []balance.Workload
@@ -104,18 +104,18 @@
 	used      [shards]bool
 	edges     int // at the most of late
 	edgesAt   int64
-	known     map[string]muster.Record
+	known     map[string]registry.Record
 	shared    map[string]int // channels by service, as they were last told
 	budget    float64
 }
 
 // New makes one at the start of a life.
-func New(now int64, s berth.Settings) *Pilotage {
-	return &Pilotage{settings: s, began: now, rows: map[string]int{}, slots: map[string]int{}, known: map[string]muster.Record{}}
+func New(now int64, s settings.Settings) *Table {
+	return &Table{settings: s, began: now, rows: map[string]int{}, slots: map[string]int{}, known: map[string]registry.Record{}}
 }
 
 // Slot is the shard of a service, new where it has none.
-func (p *Pilotage) Slot(service string) int {
+func (p *Table) Slot(service string) int {
 	if s, ok := p.slots[service]; ok {
 		return s
 	}
@@ -128,7 +128,7 @@
 }
 
 // Distance is how far a replica's zone is from this edge: 0 in its own, 1 in its region, 2 beyond.
-func (p *Pilotage) Distance(zone string) int {
+func (p *Table) Distance(zone string) int {
 	switch here := p.settings.Zones[p.settings.Zone]; {
 	case zone == p.settings.Zone || zone == "":
 		return 0
@@ -143,18 +143,18 @@
 //
 // Danger: a replica that hangs draws parts from every edge until each has filled its channels, and resets the
 // connections beyond what it takes; whether what came with them ran, nobody knows.
-func (p *Pilotage) Channels(service string) int {
-	if p.chart == nil || p.edges == 0 || p.chart.Services[service].MaxConns <= 0 {
+func (p *Table) Channels(service string) int {
+	if p.config == nil || p.edges == 0 || p.config.Services[service].MaxConns <= 0 {
 		return 0
 	}
-	return max(p.chart.Services[service].MaxConns/p.edges, 1)
+	return max(p.config.Services[service].MaxConns/p.edges, 1)
 }
 
 // shares tells whether what Channels says of any service has changed since the last call.
-func (p *Pilotage) shares() (changed bool) {
+func (p *Table) shares() (changed bool) {
 	now := map[string]int{}
-	if p.chart != nil {
-		for name := range p.chart.Services {
+	if p.config != nil {
+		for name := range p.config.Services {
 			now[name] = p.Channels(name)
 		}
 	}
@@ -164,9 +164,9 @@
 }
 
 // Take takes a notice.
-func (p *Pilotage) Take(now int64, n notices.Notice) (c Change) {
-	if len(n.Raw) > 0 && (p.chart == nil || n.Revision > p.chart.Revision) {
-		next, err := chart.Read(n.Raw)
+func (p *Table) Take(now int64, n clusterstate.Update) (c Change) {
+	if len(n.Raw) > 0 && (p.config == nil || n.Revision > p.config.Revision) {
+		next, err := routeconfig.Read(n.Raw)
 		if err != nil {
 			c.Err = err
 		} else {
@@ -178,11 +178,11 @@
 			p.Slot(r.Service)
 			c.Replicas = append(c.Replicas, r)
 		}
-		if r.Phase == muster.Gone {
+		if r.Phase == registry.Gone {
 			delete(p.known, r.ID)
 		}
 	}
-	// Danger: lighthouses that have all just started know of few edges, and each of those would take the others'
+	// Danger: controllers that have all just started know of few edges, and each of those would take the others'
 	// shares.
 	if m := n.Fleet.Most; m >= p.edges || m > 0 && now-p.edgesAt > fewerAfter {
 		p.edges, p.edgesAt = m, now
@@ -198,9 +198,9 @@
 	return c
 }
 
-// serve moves to a chart.
-func (p *Pilotage) serve(next *chart.Chart, c *Change) {
-	p.chart = next
+// serve moves to a configuration.
+func (p *Table) serve(next *routeconfig.Configuration, c *Change) {
+	p.config = next
 	stays := map[string]bool{}
 	for i := range next.Routes {
 		stays[next.Routes[i].Name] = true
@@ -229,7 +229,7 @@
 	for name := range next.Services {
 		p.Slot(name)
 	}
-	// A service that neither the chart nor a replica names gives its shard back.
+	// A service that neither the configuration nor a replica names gives its shard back.
 	held := map[string]bool{}
 	for _, r := range p.known {
 		held[r.Service] = true
@@ -240,7 +240,7 @@
 			p.used[slot] = false
 		}
 	}
-	state := &State{Chart: next, Rows: map[string]int{}, Slots: map[string]int{}}
+	state := &State{Config: next, Rows: map[string]int{}, Slots: map[string]int{}}
 	for name, row := range p.rows {
 		state.Rows[name] = row
 	}
@@ -254,7 +254,7 @@
 //
 // Danger: an edge that starts anew does not know what it spent before, and one that does not know how many
 // there are could take all for itself. Neither has any for so long.
-func (p *Pilotage) Free(now int64) (share float64, changed bool) {
+func (p *Table) Free(now int64) (share float64, changed bool) {
 	if p.edges > 0 && now-p.began > int64(p.settings.Bounds.RetryWindowS*1000*ms) {
 		share = slackShare * p.settings.Bounds.RetrySlack / float64(p.edges)
 	}
@@ -265,9 +265,9 @@
 
 // Replicas is how many may be sent parts, Edges how many edges there are, Budget this one's free further
 // executions.
-func (p *Pilotage) Replicas() (n int) {
+func (p *Table) Replicas() (n int) {
 	for _, r := range p.known {
-		if r.Phase == muster.Ready {
+		if r.Phase == registry.Ready {
 			n++
 		}
 	}
@@ -275,7 +275,7 @@
 }
 
 // Edges is how many edges there are.
-func (p *Pilotage) Edges() int { return p.edges }
+func (p *Table) Edges() int { return p.edges }
 
 // Budget is this edge's share of the free further executions.
-func (p *Pilotage) Budget() float64 { return p.budget }
+func (p *Table) Budget() float64 { return p.budget }
--- a/decide/pilotage/pilotage_test.go
+++ b/decide/routingtable/routingtable_test.go
@@ -1,4 +1,4 @@
-package pilotage
+package routingtable
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 	"github.com/shoenig/test/must"
 
 	"willowsill/balance"
-	"willowsill/decide/chart"
-	"willowsill/decide/muster"
-	"willowsill/decide/notices"
-	"willowsill/deployment/berth"
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/registry"
+	"willowsill/decide/routeconfig"
+	"willowsill/deployment/settings"
 )
 
 func body(revision int, routes ...string) []byte {
@@ -22,30 +22,30 @@
 	return fmt.Appendf(nil, `{"revision":%d,"routes":[%s],"services":[{"name":"s1"},{"name":"s2"}]}`, revision, strings.Join(rs, ","))
 }
 
-func settings() berth.Settings {
-	return berth.Settings{IP: "10.0.0.1", Bounds: berth.Bounds{RetryRatio: 0.2, RetrySlack: 60, RetryWindowS: 10}}
+func testSettings() settings.Settings {
+	return settings.Settings{IP: "10.0.0.1", Bounds: settings.Bounds{RetryRatio: 0.2, RetrySlack: 60, RetryWindowS: 10}}
 }
 
 // TestRowsStay: a route keeps its row, with what was learnt in it, for as long as it is there.
 func TestRowsStay(t *testing.T) {
-	p := New(0, settings())
-	c := p.Take(0, notices.Notice{Revision: 1, Raw: body(1, "a", "b")})
+	p := New(0, testSettings())
+	c := p.Take(0, clusterstate.Update{Revision: 1, Raw: body(1, "a", "b")})
 	must.NoError(t, c.Err)
 	a, b := c.State.Rows["a"], c.State.Rows["b"]
-	c = p.Take(0, notices.Notice{Revision: 2, Raw: body(2, "b", "c")})
+	c = p.Take(0, clusterstate.Update{Revision: 2, Raw: body(2, "b", "c")})
 	must.Eq(t, b, c.State.Rows["b"])
 	must.Eq(t, a, c.State.Rows["c"]) // of the one that has gone
 	must.SliceLen(t, 2, c.Workloads)
 	must.Eq(t, 0.5, c.Workloads[b].Floor)
 	must.Eq(t, balance.Repeatable, c.Workloads[b].Effect)
-	must.Nil(t, p.Take(0, notices.Notice{Revision: 1, Raw: body(1, "a")}).State)
+	must.Nil(t, p.Take(0, clusterstate.Update{Revision: 1, Raw: body(1, "a")}).State)
 }
 
 // TestBudgetOfAll: an edge that has just started has no free further executions, and all edges together never
 // more than there are.
 func TestBudgetOfAll(t *testing.T) {
-	p := New(0, settings())
-	must.Zero(t, p.Take(1, notices.Notice{Fleet: notices.Fleet{Most: 9}}).FurtherFree)
+	p := New(0, testSettings())
+	must.Zero(t, p.Take(1, clusterstate.Update{Fleet: clusterstate.Fleet{Most: 9}}).FurtherFree)
 	free, changed := p.Free(11_000 * ms)
 	must.True(t, changed)
 	must.Positive(t, free)
@@ -54,19 +54,19 @@
 
 // TestShardsComeBack: services that are cut anew again and again do not use the shards up.
 func TestShardsComeBack(t *testing.T) {
-	p := New(0, settings())
+	p := New(0, testSettings())
 	for i := range 3 * shards {
 		id := fmt.Sprint("i-", i)
-		p.Take(0, notices.Notice{Replicas: []muster.Record{{ID: id, Service: fmt.Sprint("t", i), Address: "a:1", Seq: 1}}})
-		p.Take(0, notices.Notice{Replicas: []muster.Record{{ID: id, Phase: muster.Gone, Seq: 2}}})
-		p.Take(0, notices.Notice{Revision: uint64(i + 1), Raw: body(i+1, "a")})
+		p.Take(0, clusterstate.Update{Replicas: []registry.Record{{ID: id, Service: fmt.Sprint("t", i), Address: "a:1", Seq: 1}}})
+		p.Take(0, clusterstate.Update{Replicas: []registry.Record{{ID: id, Phase: registry.Gone, Seq: 2}}})
+		p.Take(0, clusterstate.Update{Revision: uint64(i + 1), Raw: body(i+1, "a")})
 	}
 	must.MapLen(t, 2, p.slots)
 }
 
 // TestDistance: own zone, own region, beyond; what names no zone counts as near.
 func TestDistance(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Zone, s.Zones = "east", map[string]string{"east": "coast", "west": "coast", "up": "hills"}
 	p := New(0, s)
 	for zone, want := range map[string]int{"east": 0, "": 0, "west": 1, "up": 2, "unknown": 2} {
@@ -76,10 +76,10 @@
 
 // TestClientsWay: a gathered answer is given in part before the aim is over at the client; a plain route keeps the whole aim.
 func TestClientsWay(t *testing.T) {
-	gathered := Workload(&chart.Route{TargetMs: 120, DeadlineMs: 600, Fanout: []string{"a", "b"}, MinCoverage: 0.5})
+	gathered := Workload(&routeconfig.Route{TargetMs: 120, DeadlineMs: 600, Fanout: []string{"a", "b"}, MinCoverage: 0.5})
 	must.Eq(t, 110*ms, gathered.LatencyGoal)
 	must.Eq(t, gathered.LatencyGoal, gathered.SpareGoal)
-	plain := Workload(&chart.Route{TargetMs: 800, DeadlineMs: 4000})
+	plain := Workload(&routeconfig.Route{TargetMs: 800, DeadlineMs: 4000})
 	must.Eq(t, 800*ms, plain.LatencyGoal)
 	must.Eq(t, 0, plain.SpareGoal)
 }
@@ -94,17 +94,17 @@
 // TestShareOfConnections: what a replica takes from all is shared by the edges; when their number or the configuration changes all
 // are listed anew, and one that has gone meanwhile is told as well.
 func TestShareOfConnections(t *testing.T) {
-	p := New(0, settings())
+	p := New(0, testSettings())
 	raw := []byte(`{"revision":1,"routes":[],"services":[{"name":"s1","max-conns":76},{"name":"s2"}]}`)
-	p.Take(0, notices.Notice{Revision: 1, Raw: raw, Replicas: []muster.Record{{ID: "i-1", Service: "s1", Seq: 1}, {ID: "i-2", Service: "s2", Seq: 1}}})
+	p.Take(0, clusterstate.Update{Revision: 1, Raw: raw, Replicas: []registry.Record{{ID: "i-1", Service: "s1", Seq: 1}, {ID: "i-2", Service: "s2", Seq: 1}}})
 	must.Eq(t, 0, p.Channels("s1")) // how many edges there are is not known yet
-	c := p.Take(0, notices.Notice{Fleet: notices.Fleet{Most: 9}, Replicas: []muster.Record{{ID: "i-2", Service: "s2", Seq: 2, Phase: muster.Gone}}})
+	c := p.Take(0, clusterstate.Update{Fleet: clusterstate.Fleet{Most: 9}, Replicas: []registry.Record{{ID: "i-2", Service: "s2", Seq: 2, Phase: registry.Gone}}})
 	must.Eq(t, 8, p.Channels("s1"))
 	must.Eq(t, 0, p.Channels("s2"))
 	must.SliceLen(t, 2, c.Replicas)
-	must.Eq(t, muster.Gone, c.Replicas[0].Phase)
+	must.Eq(t, registry.Gone, c.Replicas[0].Phase)
 	must.Eq(t, "i-1", c.Replicas[1].ID)
-	must.SliceEmpty(t, p.Take(0, notices.Notice{Fleet: notices.Fleet{Most: 9}}).Replicas)
-	p.Take(0, notices.Notice{Fleet: notices.Fleet{Most: 200}})
+	must.SliceEmpty(t, p.Take(0, clusterstate.Update{Fleet: clusterstate.Fleet{Most: 9}}).Replicas)
+	p.Take(0, clusterstate.Update{Fleet: clusterstate.Fleet{Most: 200}})
 	must.Eq(t, 1, p.Channels("s1"))
 }
--- a/deployment/berth/berth.go
+++ b/deployment/settings/settings.go
@@ -1,6 +1,6 @@
-// Package berth is where a process of the system lies: it reads and checks the settings file that the
+// Package settings is where a process of the system lies: it reads and checks the settings file that the
 // platform hands it. It decides nothing; its errors name the file and the key.
-package berth
+package settings
 
 import (
 	"net"
@@ -181,8 +181,8 @@
 
 // The ports between the system's own processes, counted from the first.
 const (
-	PortLights  = 0 // lighthouses among themselves
-	PortNotices = 1 // where edges follow a lighthouse, or a cutter
-	PortPilot   = 2 // on loopback: where the pilot follows its cutter
-	PortLookout = 3 // datagrams: heartbeats of edges
+	PortControllers = 0 // controllers among themselves
+	PortWatch       = 1 // where edges follow a controller, or an agent
+	PortAgent       = 2 // on loopback: where the proxy follows its agent
+	PortHeartbeats  = 3 // datagrams: heartbeats of edges
 )
--- a/deployment/start.go
+++ b/deployment/start.go
@@ -11,8 +11,8 @@
 	"slices"
 	"strconv"
 
-	"willowsill/carrier/roster"
 	"willowsill/deployment/fields"
+	"willowsill/transport/roster"
 )
 
 // Terms are what the deployment states of an aggregator's sockets and of what it may hold. Times in ns.
--- a/examples/toyreplica/main.go
+++ b/examples/toyreplica/main.go
@@ -11,8 +11,8 @@
 	"os"
 	"time"
 
-	"willowsill/carrier/replica"
 	"willowsill/standin"
+	"willowsill/transport/replica"
 )
 
 func main() {
--- a/front/quay/quay.go
+++ b/front/clienthttp/clienthttp.go
@@ -1,7 +1,7 @@
-// Package quay takes clients' requests over HTTP, hands them to the core and writes the answers. It knows no
+// Package clienthttp takes clients' requests over HTTP, hands them to the core and writes the answers. It knows no
 // policy: what it refuses itself is what cannot be read, has no route, or comes before there is a
 // configuration.
-package quay
+package clienthttp
 
 import (
 	"bytes"
@@ -17,11 +17,11 @@
 	"github.com/cespare/xxhash/v2"
 
 	"willowsill/balance"
-	"willowsill/carrier/gangway"
-	"willowsill/decide/chart"
 	"willowsill/decide/gather"
-	"willowsill/decide/pilotage"
+	"willowsill/decide/routeconfig"
+	"willowsill/decide/routingtable"
 	"willowsill/node"
+	"willowsill/transport/replicahttp"
 )
 
 const (
@@ -37,24 +37,24 @@
 	Serve(ctx context.Context, q node.Query) (node.Answer, bool)
 }
 
-// Quay is the handler of clients' requests.
-type Quay struct {
+// Handler is the handler of clients' requests.
+type Handler struct {
 	Core    Core
 	Now     func() int64
 	Leaving atomic.Bool // each answer closes its connection
-	state   atomic.Pointer[pilotage.State]
+	state   atomic.Pointer[routingtable.State]
 }
 
 // Serve takes requests by this from now on. One under way goes on with what it began with.
-func (q *Quay) Serve(s *pilotage.State) { q.state.Store(s) }
+func (q *Handler) Serve(s *routingtable.State) { q.state.Store(s) }
 
 // hopHeaders concern one connection only, or are this side's to write.
 var hopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true,
-	"Content-Length": true, "Host": true, gangway.HeaderDeadline: true, gangway.HeaderTarget: true}
+	"Content-Length": true, "Host": true, replicahttp.HeaderDeadline: true, replicahttp.HeaderTarget: true}
 
 // ServeHTTP serves one request.
-func (q *Quay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (q *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	came := q.Now()
 	if q.Leaving.Load() {
 		w.Header().Set("Connection", "close")
@@ -69,18 +69,18 @@
 		target = r.URL.RequestURI()
 	}
 	path, _, _ := strings.Cut(target, "?")
-	route := state.Chart.Find(r.Host, path)
+	route := state.Config.Find(r.Host, path)
 	if route == nil {
 		refuse(w, http.StatusNotFound, 0)
 		return
 	}
-	attempt := r.Header.Get(gangway.HeaderAttempt)
+	attempt := r.Header.Get(replicahttp.HeaderAttempt)
 	if attempt == "" {
 		refuse(w, http.StatusBadRequest, 0)
 		return
 	}
 	until := came + route.DeadlineMs*millisecond
-	if v := r.Header.Get(gangway.HeaderDeadline); v != "" {
+	if v := r.Header.Get(replicahttp.HeaderDeadline); v != "" {
 		n, err := strconv.ParseInt(v, 10, 64)
 		if err != nil {
 			refuse(w, http.StatusBadRequest, 0)
@@ -88,7 +88,7 @@
 		}
 		until = min(until, came+n*millisecond)
 	}
-	body, err := readBody(w, r, state.Chart.Limits.BodyBytes)
+	body, err := readBody(w, r, state.Config.Limits.BodyBytes)
 	if err != nil {
 		var long *http.MaxBytesError
 		if errors.As(err, &long) {
@@ -98,8 +98,8 @@
 		}
 		return
 	}
-	req := &gangway.Request{Attempt: attempt, Method: r.Method, Body: body, Head: head(r, target, len(body)),
-		Answers: map[int]*gangway.Answer{}}
+	req := &replicahttp.Request{Attempt: attempt, Method: r.Method, Body: body, Head: head(r, target, len(body)),
+		Answers: map[int]*replicahttp.Answer{}}
 	draw := float64(uint32(xxhash.Sum64String(attempt))) / drawBits
 	query := node.Query{ID: attempt, Workload: state.Rows[route.Name], Until: until, Load: req}
 	if len(route.Fanout) > 0 {
@@ -113,7 +113,7 @@
 	if !here {
 		return
 	}
-	answer.ComeBack = pilotage.ComeBack(answer.ComeBack, draw)
+	answer.ComeBack = routingtable.ComeBack(answer.ComeBack, draw)
 	if len(route.Fanout) > 0 {
 		gathered(w, route, req, query.Parts, answer)
 	} else {
@@ -149,7 +149,7 @@
 		}
 	}
 	for k, vs := range r.Header {
-		if hopHeaders[k] || named[k] && k != gangway.HeaderAttempt {
+		if hopHeaders[k] || named[k] && k != replicahttp.HeaderAttempt {
 			continue
 		}
 		for _, v := range vs {
@@ -182,7 +182,7 @@
 }
 
 // plain passes one replica's answer on unchanged, also its failure where there is nothing better.
-func plain(w http.ResponseWriter, req *gangway.Request, shard int, a node.Answer) {
+func plain(w http.ResponseWriter, req *replicahttp.Request, shard int, a node.Answer) {
 	got := req.Answers[shard]
 	if got == nil || !got.Whole || a.Final > balance.Partial && (got.Seal == "" || got.Status < http.StatusInternalServerError) {
 		unserved(w, a)
@@ -200,7 +200,7 @@
 }
 
 // gathered merges the parts that are in.
-func gathered(w http.ResponseWriter, route *chart.Route, req *gangway.Request, parts []node.Part, a node.Answer) {
+func gathered(w http.ResponseWriter, route *routeconfig.Route, req *replicahttp.Request, parts []node.Part, a node.Answer) {
 	if a.Final > balance.Partial {
 		unserved(w, a)
 		return
@@ -214,7 +214,7 @@
 	}
 	body := gather.Greatest(make([]byte, 0, gather.RecordBytes*route.ResultCount), bodies, route.ResultCount)
 	h := w.Header()
-	h.Set(gangway.HeaderAttempt, req.Attempt)
+	h.Set(replicahttp.HeaderAttempt, req.Attempt)
 	h.Set(headerParts, strings.Join(seals, ", "))
 	if missing := len(parts) - len(seals); missing > 0 {
 		h.Set(headerMissing, strconv.Itoa(missing))
--- a/front/quay/quay_test.go
+++ b/front/clienthttp/clienthttp_test.go
@@ -1,4 +1,4 @@
-package quay
+package clienthttp
 
 import (
 	"bytes"
@@ -14,10 +14,10 @@
 	"github.com/shoenig/test/must"
 
 	"willowsill/balance"
-	"willowsill/carrier/gangway"
-	"willowsill/decide/chart"
-	"willowsill/decide/pilotage"
+	"willowsill/decide/routeconfig"
+	"willowsill/decide/routingtable"
 	"willowsill/node"
+	"willowsill/transport/replicahttp"
 )
 
 const configuration = `{"revision":7,"routes":[
@@ -28,7 +28,7 @@
 // core answers as it is told to, and keeps what it was asked.
 type core struct {
 	asked   node.Query
-	answers map[int]*gangway.Answer
+	answers map[int]*replicahttp.Answer
 	final   balance.Final
 	wait    int64
 }
@@ -36,7 +36,7 @@
 func (c *core) Serve(_ context.Context, q node.Query) (node.Answer, bool) {
 	c.asked = q
 	a := node.Answer{Final: c.final, ComeBack: c.wait}
-	r := q.Load.(*gangway.Request)
+	r := q.Load.(*replicahttp.Request)
 	for _, p := range q.Parts {
 		if got := c.answers[p.Shard]; got != nil {
 			r.Answers[p.Shard] = got
@@ -48,36 +48,36 @@
 	return a, true
 }
 
-func quayOf(t *testing.T, c *core) *Quay {
-	ch, err := chart.Read([]byte(configuration))
+func quayOf(t *testing.T, c *core) *Handler {
+	ch, err := routeconfig.Read([]byte(configuration))
 	must.NoError(t, err)
-	q := &Quay{Core: c, Now: func() int64 { return 1000 }}
-	q.Serve(&pilotage.State{Chart: ch, Rows: map[string]int{"scan": 4, "debit": 9}, Slots: map[string]int{"s0": 0, "s1": 1, "s2": 2}})
+	q := &Handler{Core: c, Now: func() int64 { return 1000 }}
+	q.Serve(&routingtable.State{Config: ch, Rows: map[string]int{"scan": 4, "debit": 9}, Slots: map[string]int{"s0": 0, "s1": 1, "s2": 2}})
 	return q
 }
 
 func request(method, target, body string) *http.Request {
 	r := httptest.NewRequest(method, target, strings.NewReader(body))
 	r.Host, r.RequestURI = "h", target
-	r.Header.Set(gangway.HeaderAttempt, "try-1")
-	r.Header.Set(gangway.HeaderDeadline, "700")
+	r.Header.Set(replicahttp.HeaderAttempt, "try-1")
+	r.Header.Set(replicahttp.HeaderDeadline, "700")
 	r.Header.Set("X-Till", "9")
 	r.Header.Set("Connection", "X-Hop")
 	r.Header.Set("X-Hop", "1")
-	r.Header.Set(gangway.HeaderTarget, "forged")
+	r.Header.Set(replicahttp.HeaderTarget, "forged")
 	return r
 }
 
-func part(seal string, records ...string) *gangway.Answer {
-	return &gangway.Answer{Status: http.StatusOK, Seal: seal, Whole: true, Body: []byte(strings.Join(records, ""))}
+func part(seal string, records ...string) *replicahttp.Answer {
+	return &replicahttp.Answer{Status: http.StatusOK, Seal: seal, Whole: true, Body: []byte(strings.Join(records, ""))}
 }
 
 func record(c byte) string { return strings.Repeat(string(c), 16) }
 
 // TestGatheredAnswer: the greatest records of the parts that are in, their seals, and how many are missing.
 func TestGatheredAnswer(t *testing.T) {
-	failed := &gangway.Answer{Status: 500, Seal: "bad", Whole: true}
-	c := &core{final: balance.Partial, answers: map[int]*gangway.Answer{0: part("x", record('b'), record('d')), 1: failed,
+	failed := &replicahttp.Answer{Status: 500, Seal: "bad", Whole: true}
+	c := &core{final: balance.Partial, answers: map[int]*replicahttp.Answer{0: part("x", record('b'), record('d')), 1: failed,
 		2: part("y", record('d'), record('a'), "rest")}}
 	w := httptest.NewRecorder()
 	quayOf(t, c).ServeHTTP(w, request("GET", "/a/q?x=1", ""))
@@ -92,7 +92,7 @@
 
 // TestWhatReplicasGet: the request unchanged, but for what concerns one connection or is this side's to say.
 func TestWhatReplicasGet(t *testing.T) {
-	c := &core{answers: map[int]*gangway.Answer{0: {Status: 200, Seal: "s", Whole: true, Body: []byte("ok"),
+	c := &core{answers: map[int]*replicahttp.Answer{0: {Status: 200, Seal: "s", Whole: true, Body: []byte("ok"),
 		Header: http.Header{"Willowsill-Replica-Seal": {"s"}, "Connection": {"close"}, "X-More": {"1", "2"}}}}}
 	w := httptest.NewRecorder()
 	quayOf(t, c).ServeHTTP(w, request("POST", "/b/a%2Fb?x=%20", "body"))
@@ -100,13 +100,13 @@
 	must.Eq(t, "ok", w.Body.String())
 	must.Eq(t, "", w.Header().Get("Connection"))
 	must.SliceLen(t, 2, w.Header()["X-More"])
-	r := c.asked.Load.(*gangway.Request)
+	r := c.asked.Load.(*replicahttp.Request)
 	head := string(r.Head)
 	must.StrHasPrefix(t, "POST /b/a%2Fb?x=%20 HTTP/1.1\r\nHost: h\r\n", head)
-	must.StrContains(t, head, gangway.HeaderAttempt+": try-1\r\n")
+	must.StrContains(t, head, replicahttp.HeaderAttempt+": try-1\r\n")
 	must.StrContains(t, head, "X-Till: 9\r\n")
 	must.StrContains(t, head, "Content-Length: 4\r\n")
-	for _, not := range []string{"X-Hop", "forged", gangway.HeaderDeadline} {
+	for _, not := range []string{"X-Hop", "forged", replicahttp.HeaderDeadline} {
 		must.StrNotContains(t, head, not)
 	}
 	must.Eq(t, "body", string(r.Body))
@@ -116,8 +116,8 @@
 func TestRefusals(t *testing.T) {
 	declined := &core{final: balance.Declined, wait: int64(1500 * time.Millisecond)}
 	forfeited := &core{final: balance.Forfeited}
-	failed := &core{final: balance.Forfeited, answers: map[int]*gangway.Answer{0: {Status: 500, Seal: "s", Whole: true, Body: []byte("no")}}}
-	turned := &core{final: balance.Declined, answers: map[int]*gangway.Answer{0: {Status: 421, Whole: true}}}
+	failed := &core{final: balance.Forfeited, answers: map[int]*replicahttp.Answer{0: {Status: 500, Seal: "s", Whole: true, Body: []byte("no")}}}
+	turned := &core{final: balance.Declined, answers: map[int]*replicahttp.Answer{0: {Status: 421, Whole: true}}}
 	for name, c := range map[string]struct {
 		core   *core
 		change func(*http.Request)
@@ -129,8 +129,8 @@
 		"another replica's":  {turned, func(*http.Request) {}, 503},
 		"no route":           {declined, func(r *http.Request) { r.RequestURI = "/c/" }, 404},
 		"another host":       {declined, func(r *http.Request) { r.Host = "other" }, 404},
-		"no id":              {declined, func(r *http.Request) { r.Header.Del(gangway.HeaderAttempt) }, 400},
-		"odd deadline":       {declined, func(r *http.Request) { r.Header.Set(gangway.HeaderDeadline, "soon") }, 400},
+		"no id":              {declined, func(r *http.Request) { r.Header.Del(replicahttp.HeaderAttempt) }, 400},
+		"odd deadline":       {declined, func(r *http.Request) { r.Header.Set(replicahttp.HeaderDeadline, "soon") }, 400},
 		"too long":           {declined, func(r *http.Request) { r.ContentLength = 11 }, 413},
 		"too long in chunks": {declined, func(r *http.Request) { r.ContentLength = -1; r.Body = io.NopCloser(bytes.NewReader(make([]byte, 11))) }, 413},
 	} {
@@ -146,7 +146,7 @@
 		})
 	}
 	w := httptest.NewRecorder()
-	(&Quay{Now: func() int64 { return 0 }}).ServeHTTP(w, request("GET", "/a/", "")) // before any configuration
+	(&Handler{Now: func() int64 { return 0 }}).ServeHTTP(w, request("GET", "/a/", "")) // before any configuration
 	must.Eq(t, 503, w.Code)
 }
 
@@ -155,7 +155,7 @@
 func TestLimitsThatChange(t *testing.T) {
 	h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
 	s := &Servers{Handler: h}
-	one, other := chart.Limits{HeaderBytes: 1 << 10}, chart.Limits{HeaderBytes: 1 << 10, IdleTimeoutMs: 50}
+	one, other := routeconfig.Limits{HeaderBytes: 1 << 10}, routeconfig.Limits{HeaderBytes: 1 << 10, IdleTimeoutMs: 50}
 	s.Limit(nil, one)
 	s.Limit(nil, one)
 	must.SliceLen(t, 1, s.All())
--- a/front/quay/server.go
+++ b/front/clienthttp/server.go
@@ -1,4 +1,4 @@
-package quay
+package clienthttp
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"willowsill/decide/chart"
+	"willowsill/decide/routeconfig"
 )
 
 const (
@@ -21,7 +21,7 @@
 type Servers struct {
 	Handler http.Handler
 	mu      sync.Mutex
-	limits  chart.Limits
+	limits  routeconfig.Limits
 	now     *http.Server
 	all     []*http.Server
 	door    *door
@@ -52,7 +52,7 @@
 func (d *door) Addr() net.Addr { return d.address }
 
 // Limit sets the limits for connections from now on.
-func (s *Servers) Limit(address net.Addr, l chart.Limits) {
+func (s *Servers) Limit(address net.Addr, l routeconfig.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.now != nil && l == s.limits {
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -22,10 +22,10 @@
 	"golang.org/x/sys/unix"
 
 	"willowsill/balance"
-	"willowsill/carrier/sockets"
 	"willowsill/internal/counters"
 	"willowsill/internal/pipes"
 	"willowsill/node"
+	"willowsill/transport/sockets"
 )
 
 // core answers each query as serve says.
--- a/front/gateway/core.go
+++ b/front/gateway/core.go
@@ -13,15 +13,15 @@
 	"go.uber.org/zap"
 
 	"willowsill/balance"
-	"willowsill/carrier/replica"
-	"willowsill/carrier/roster"
-	"willowsill/carrier/sockets"
 	"willowsill/decide/crossing"
 	"willowsill/decide/routes"
 	"willowsill/deployment"
 	"willowsill/front"
 	"willowsill/internal/counters"
 	"willowsill/node"
+	"willowsill/transport/replica"
+	"willowsill/transport/roster"
+	"willowsill/transport/sockets"
 )
 
 // Site is another site and the way there.
--- a/front/gateway/gateway_test.go
+++ b/front/gateway/gateway_test.go
@@ -15,9 +15,6 @@
 	"go.uber.org/zap"
 
 	"willowsill/balance"
-	"willowsill/carrier/replica"
-	"willowsill/carrier/roster"
-	"willowsill/carrier/sockets"
 	"willowsill/decide/routes"
 	"willowsill/decide/window"
 	"willowsill/deployment"
@@ -27,6 +24,9 @@
 	"willowsill/node"
 	"willowsill/standin"
 	"willowsill/standin/link"
+	"willowsill/transport/replica"
+	"willowsill/transport/roster"
+	"willowsill/transport/sockets"
 )
 
 // site is a whole one: replicas, discovery, an aggregator, a gateway with its door.
--- a/front/gateway/pool.go
+++ b/front/gateway/pool.go
@@ -22,8 +22,8 @@
 	"github.com/go-json-experiment/json"
 
 	"willowsill/balance"
-	"willowsill/carrier/replica"
 	"willowsill/node"
+	"willowsill/transport/replica"
 )
 
 // The words on the wire between gateways, beside those of the platform's front.
--- a/front/helm/helm.go
+++ b/front/proxyserver/proxyserver.go
@@ -1,6 +1,6 @@
-// Package helm gives a pilot its sockets: clients in front, replicas behind, the cutter beside it. The node
+// Package proxyserver gives a proxy its sockets: clients in front, replicas behind, the agent beside it. The node
 // in the middle and its decision module are those of the co-ordinator in service. It decides nothing.
-package helm
+package proxyserver
 
 import (
 	"context"
@@ -16,22 +16,22 @@
 	"k8s.io/klog/v2"
 
 	"willowsill/balance"
-	"willowsill/carrier/beam"
-	"willowsill/carrier/gangway"
-	"willowsill/carrier/roster"
-	"willowsill/decide/lantern"
-	"willowsill/decide/muster"
-	"willowsill/decide/notices"
-	"willowsill/decide/pilotage"
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/controller"
+	"willowsill/decide/registry"
+	"willowsill/decide/routingtable"
 	"willowsill/deployment"
-	"willowsill/deployment/berth"
-	"willowsill/front/quay"
+	"willowsill/deployment/settings"
+	"willowsill/front/clienthttp"
 	"willowsill/internal/counters"
 	"willowsill/node"
+	"willowsill/transport/replicahttp"
+	"willowsill/transport/roster"
+	"willowsill/transport/watch"
 )
 
-// ErrHelm is the class of this package's errors.
-var ErrHelm = oops.Code("pilot")
+// ErrProxy is the class of this package's errors.
+var ErrProxy = oops.Code("proxy")
 
 const (
 	heldMost   = 20000 // queries and parts that the node holds at the most
@@ -40,53 +40,53 @@
 	graceSpare = 400 * time.Millisecond
 )
 
-// Helm is a running pilot.
-type Helm struct {
-	settings berth.Settings
+// Server is a running proxy.
+type Server struct {
+	settings settings.Settings
 	node     *node.Node
-	pool     *gangway.Pool
-	quay     *quay.Quay
-	servers  *quay.Servers
+	pool     *replicahttp.Pool
+	handler  *clienthttp.Handler
+	servers  *clienthttp.Servers
 	address  net.Addr
 	count    *counters.Counters
 
-	mu       sync.Mutex // guards pilotage and what is told to the node by it
-	book     *notices.Book
-	pilotage *pilotage.Pilotage
-	rows     []*counters.Workload
-	served   []balance.Workload
+	mu     sync.Mutex // guards table and what is told to the node by it
+	book   *clusterstate.State
+	table  *routingtable.Table
+	rows   []*counters.Workload
+	served []balance.Workload
 
 	knows   atomic.Bool // a configuration and a whole book were there once
 	leaving atomic.Bool
 }
 
-// Run runs a pilot until ctx ends and then serves on for as long as clients come.
-func Run(ctx context.Context, s berth.Settings) error {
+// Run runs a proxy until ctx ends and then serves on for as long as clients come.
+func Run(ctx context.Context, s settings.Settings) error {
 	seed := rand.Uint64()
-	h := &Helm{settings: s, count: counters.New(nil), book: notices.NewBook()}
+	h := &Server{settings: s, count: counters.New(nil), book: clusterstate.NewState()}
 	clock := node.NewClock()
-	h.pilotage = pilotage.New(clock.Now(), s)
-	h.node = node.New(node.Plan{Clock: clock, Deployment: deployment.Deployment{Deployment: pilotage.Deployment(s, seed)},
+	h.table = routingtable.New(clock.Now(), s)
+	h.node = node.New(node.Plan{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(s, seed)},
 		Terms: deployment.Terms{MostHeld: heldMost}, Count: h.count, Log: zap.NewNop(), Ask: func() {},
 		Carry: func(tell func(any), now func() int64) node.Carrier {
-			h.pool = gangway.NewPool(tell, now)
+			h.pool = replicahttp.NewPool(tell, now)
 			return h.pool
 		}})
 	front, err := net.Listen("tcp", s.Bind.Front)
 	if err != nil {
-		return ErrHelm.Wrapf(err, "bind-addrs.front")
+		return ErrProxy.Wrapf(err, "bind-addrs.front")
 	}
 	ready, err := net.Listen("tcp", s.Bind.Readiness)
 	if err != nil {
-		return ErrHelm.Wrapf(err, "bind-addrs.readiness")
+		return ErrProxy.Wrapf(err, "bind-addrs.readiness")
 	}
-	h.quay = &quay.Quay{Core: h.node, Now: clock.Now}
-	h.servers, h.address = &quay.Servers{Handler: h.quay}, front.Addr()
+	h.handler = &clienthttp.Handler{Core: h.node, Now: clock.Now}
+	h.servers, h.address = &clienthttp.Servers{Handler: h.handler}, front.Addr()
 	inner, end := context.WithCancel(context.Background())
 	defer end()
-	self := beam.Hello{Self: lantern.Sight{Edge: notices.Edge{IP: s.IP, Zone: s.Zone}}}
-	up := beam.Follower{Hello: func() beam.Hello { return self }, Take: h.take,
-		Addresses: func() []string { return []string{s.Inner(s.Loopback(), berth.PortPilot)} }}
+	self := watch.Report{Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: s.IP, Zone: s.Zone}}}
+	up := watch.Follower{Report: func() watch.Report { return self }, Take: h.take,
+		Addresses: func() []string { return []string{s.Inner(s.Loopback(), settings.PortAgent)} }}
 	go up.Run(inner)
 	go h.budget(inner)
 	go h.tally(inner)
@@ -98,7 +98,7 @@
 }
 
 // accept takes clients in once there is a configuration; until then they wait to be accepted.
-func (h *Helm) accept(front net.Listener) {
+func (h *Server) accept(front net.Listener) {
 	for !h.knows.Load() {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -110,11 +110,11 @@
 //
 // Danger: the platform goes on sending for as long as it has not noticed; a request that was read must be
 // answered.
-func (h *Helm) leave(front net.Listener) {
+func (h *Server) leave(front net.Listener) {
 	until := time.Now().Add(time.Duration(h.settings.Bounds.GraceS*float64(time.Second)) - graceSpare)
 	klog.InfoS("leaving")
 	h.leaving.Store(true)
-	h.quay.Leaving.Store(true)
+	h.handler.Leaving.Store(true)
 	time.Sleep(min(stayOpen, time.Until(until)/2))
 	front.Close()
 	wait, cancel := context.WithDeadline(context.Background(), until)
@@ -127,7 +127,7 @@
 	klog.InfoS("left", "late", wait.Err() != nil)
 }
 
-func (h *Helm) ready(w http.ResponseWriter, _ *http.Request) {
+func (h *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	if !h.knows.Load() || h.leaving.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -135,12 +135,12 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// take takes a notice from the cutter.
-func (h *Helm) take(n notices.Notice) bool {
+// take takes a notice from the agent.
+func (h *Server) take(n clusterstate.Update) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n = h.book.Take(n)
-	c := h.pilotage.Take(h.node.Now(), n)
+	c := h.table.Take(h.node.Now(), n)
 	if c.Err != nil {
 		klog.ErrorS(c.Err, "a configuration cannot be used", "revision", n.Revision)
 	}
@@ -157,9 +157,9 @@
 		h.node.News(context.Background(), h.news(c.Replicas))
 	}
 	if c.State != nil {
-		h.servers.Limit(h.address, c.State.Chart.Limits)
-		h.quay.Serve(c.State)
-		klog.InfoS("serving", "revision", c.State.Chart.Revision, "routes", len(c.State.Chart.Routes))
+		h.servers.Limit(h.address, c.State.Config.Limits)
+		h.handler.Serve(c.State)
+		klog.InfoS("serving", "revision", c.State.Config.Revision, "routes", len(c.State.Config.Routes))
 		h.knows.Store(true)
 	}
 	h.book.Forget()
@@ -167,19 +167,19 @@
 }
 
 // serving tells the node what is served, and this edge's free further executions.
-func (h *Helm) serving(free float64) {
+func (h *Server) serving(free float64) {
 	h.node.Serving(node.Serving{Workloads: h.served, Rows: h.rows, FurtherFree: free})
 }
 
 // news is what the node is told of replicas.
-func (h *Helm) news(records []muster.Record) (n roster.News) {
+func (h *Server) news(records []registry.Record) (n roster.News) {
 	for _, r := range records {
-		e := roster.Entry{Host: r.ID, Dial: gangway.Dial(r.ID, r.Address), Cell: h.pilotage.Slot(r.Service), Zone: r.Zone,
-			Distance: h.pilotage.Distance(r.Zone), Channels: h.pilotage.Channels(r.Service)}
+		e := roster.Entry{Host: r.ID, Dial: replicahttp.Dial(r.ID, r.Address), Cell: h.table.Slot(r.Service), Zone: r.Zone,
+			Distance: h.table.Distance(r.Zone), Channels: h.table.Channels(r.Service)}
 		switch r.Phase {
-		case muster.Draining:
+		case registry.Draining:
 			e.Standing = balance.Draining
-		case muster.Silent, muster.Gone:
+		case registry.Silent, registry.Gone:
 			e.Standing = balance.Gone
 		}
 		n.Entries = append(n.Entries, e)
@@ -188,7 +188,7 @@
 }
 
 // budget looks whether this edge's share of the budget has changed with time alone.
-func (h *Helm) budget(ctx context.Context) {
+func (h *Server) budget(ctx context.Context) {
 	t := time.NewTicker(budgetLook)
 	defer t.Stop()
 	for {
@@ -197,7 +197,7 @@
 			return
 		case <-t.C:
 			h.mu.Lock()
-			if free, changed := h.pilotage.Free(h.node.Now()); changed {
+			if free, changed := h.table.Free(h.node.Now()); changed {
 				h.serving(free)
 			}
 			h.mu.Unlock()
--- a/front/helm/helm_bench_test.go
+++ b/front/proxyserver/proxyserver_bench_test.go
@@ -1,4 +1,4 @@
-package helm
+package proxyserver
 
 import (
 	"bufio"
@@ -14,15 +14,15 @@
 	"github.com/shoenig/test/must"
 	"go.uber.org/zap"
 
-	"willowsill/carrier/gangway"
-	"willowsill/decide/muster"
-	"willowsill/decide/notices"
-	"willowsill/decide/pilotage"
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/registry"
+	"willowsill/decide/routingtable"
 	"willowsill/deployment"
-	"willowsill/deployment/berth"
-	"willowsill/front/quay"
+	"willowsill/deployment/settings"
+	"willowsill/front/clienthttp"
 	"willowsill/internal/counters"
 	"willowsill/node"
+	"willowsill/transport/replicahttp"
 )
 
 // answerer is a replica at the other end of a connection: it answers each request at once, with as little work as can be.
@@ -34,11 +34,11 @@
 
 func (a *answerer) Write(b []byte) (int, error) {
 	id := "?"
-	if at := bytes.Index(b, []byte(gangway.HeaderAttempt+": ")); at >= 0 {
-		id, _, _ = strings.Cut(string(b[at+len(gangway.HeaderAttempt)+2:]), "\r\n")
+	if at := bytes.Index(b, []byte(replicahttp.HeaderAttempt+": ")); at >= 0 {
+		id, _, _ = strings.Cut(string(b[at+len(replicahttp.HeaderAttempt)+2:]), "\r\n")
 	}
 	a.replies <- fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: 3e1b.07.5a2.600.0.c9f2a4d1\r\n%s: 1,0,3\r\nContent-Type: application/octet-stream\r\nContent-Length: 160\r\nDate: Wed, 02 Dec 2026 02:00:00 GMT\r\n\r\n%0160d",
-		gangway.HeaderAttempt, id, gangway.HeaderSeal, gangway.HeaderLoad, 7)
+		replicahttp.HeaderAttempt, id, replicahttp.HeaderSeal, replicahttp.HeaderLoad, 7)
 	return len(b), nil
 }
 
@@ -61,23 +61,23 @@
 // BenchmarkGathered is a gathered query of four parts on one connection: the front, the node, the module and the connections to
 // replicas; replicas themselves cost next to nothing.
 func BenchmarkGathered(b *testing.B) {
-	s := berth.Settings{IP: "127.0.0.1", Bounds: berth.Bounds{RetryRatio: 0.2, RetrySlack: 60, RetryWindowS: 10}}
+	s := settings.Settings{IP: "127.0.0.1", Bounds: settings.Bounds{RetryRatio: 0.2, RetrySlack: 60, RetryWindowS: 10}}
 	clock := node.NewClock()
-	p := pilotage.New(clock.Now(), s)
+	p := routingtable.New(clock.Now(), s)
 	count := counters.New(nil)
-	n := node.New(node.Plan{Clock: clock, Deployment: deployment.Deployment{Deployment: pilotage.Deployment(s, 1)},
+	n := node.New(node.Plan{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(s, 1)},
 		Terms: deployment.Terms{MostHeld: heldMost}, Count: count, Log: zap.NewNop(), Ask: func() {},
 		Carry: func(tell func(any), now func() int64) node.Carrier {
-			pool := gangway.NewPool(tell, now)
+			pool := replicahttp.NewPool(tell, now)
 			pool.Dial = func(context.Context, string, string) (net.Conn, error) {
 				return &answerer{replies: make(chan []byte, 4)}, nil
 			}
 			return pool
 		}})
-	h := &Helm{settings: s, node: n, count: count, pilotage: p}
-	notice := notices.Notice{Revision: 1, Raw: []byte(`{"revision":1,"routes":[{"name":"a","host":"h","path-prefix":"/x/","deadline-ms":2500,"target-ms":250,"fanout":["s0","s1","s2","s3"],"min-coverage":0.5,"max-tries":2,"result-count":10}],"services":[{"name":"s0"},{"name":"s1"},{"name":"s2"},{"name":"s3"}]}`)}
+	h := &Server{settings: s, node: n, count: count, table: p}
+	notice := clusterstate.Update{Revision: 1, Raw: []byte(`{"revision":1,"routes":[{"name":"a","host":"h","path-prefix":"/x/","deadline-ms":2500,"target-ms":250,"fanout":["s0","s1","s2","s3"],"min-coverage":0.5,"max-tries":2,"result-count":10}],"services":[{"name":"s0"},{"name":"s1"},{"name":"s2"},{"name":"s3"}]}`)}
 	for i := range 16 {
-		notice.Replicas = append(notice.Replicas, muster.Record{ID: fmt.Sprint("i-", i), Service: fmt.Sprint("s", i%4), Address: "10.0.0.1:80", Seq: 1})
+		notice.Replicas = append(notice.Replicas, registry.Record{ID: fmt.Sprint("i-", i), Service: fmt.Sprint("s", i%4), Address: "10.0.0.1:80", Seq: 1})
 	}
 	c := p.Take(clock.Now(), notice)
 	must.NoError(b, c.Err)
@@ -87,7 +87,7 @@
 	}
 	h.serving(0)
 	n.News(context.Background(), h.news(c.Replicas))
-	q := &quay.Quay{Core: n, Now: clock.Now}
+	q := &clienthttp.Handler{Core: n, Now: clock.Now}
 	q.Serve(c.State)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(b, err)
--- a/front/helm/tally.go
+++ b/front/proxyserver/tally.go
@@ -1,4 +1,4 @@
-package helm
+package proxyserver
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 const tallyEvery = 5 * time.Second
 
 // tally logs what was served since the last time, where anything was.
-func (h *Helm) tally(ctx context.Context) {
+func (h *Server) tally(ctx context.Context) {
 	t := time.NewTicker(tallyEvery)
 	defer t.Stop()
 	var was, is [11]int64
@@ -32,7 +32,7 @@
 			continue
 		}
 		h.mu.Lock()
-		replicas, edges, free := h.pilotage.Replicas(), h.pilotage.Edges(), h.pilotage.Budget()
+		replicas, edges, free := h.table.Replicas(), h.table.Edges(), h.table.Budget()
 		h.mu.Unlock()
 		klog.InfoS("served", "sent", d[0], "fulfilled", d[1], "errored", d[2], "full", d[3], "timedOut", d[4], "connectFailed", d[5],
 			"reset", d[6], "cancelled", d[7], "moot", d[8], "opened", d[9], "crowded", d[10], "replicas", replicas, "edges", edges,
--- a/front/server.go
+++ b/front/server.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"willowsill/carrier/sockets"
+	"willowsill/transport/sockets"
 )
 
 const (
--- a/internal/house/house_test.go
+++ b/internal/house/house_test.go
@@ -86,7 +86,7 @@
 			if own && within(path, "lab", "standin") && !within(name, "lab", "standin", "cmd", "examples", "internal") {
 				t.Errorf("%s imports %s: what measures is needed by nothing that serves", name, path)
 			}
-			if own && within(name, "carrier") && within(path, "node", "front") || own && within(name, "node") && within(path, "front") {
+			if own && within(name, "transport") && within(path, "node", "front") || own && within(name, "node") && within(path, "front") {
 				t.Errorf("%s imports %s: that stands above it", name, path)
 			}
 			if own && within(path, "cmd") {
--- a/lab/shoals/shoals_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -1,4 +1,4 @@
-package shoals
+package modelcheck
 
 import (
 	"flag"
--- a/lab/shoals/planted/planted.go
+++ b/lab/modelcheck/planted/planted.go
@@ -1,5 +1,5 @@
 // Package planted holds the register's text with one defence taken out at a time, to see that the exploration
-// of lab/shoals would find such faults. It writes what the Go tool builds them by, and explores nothing itself.
+// of lab/modelcheck would find such faults. It writes what the Go tool builds them by, and explores nothing itself.
 package planted
 
 import (
@@ -32,7 +32,7 @@
 	{Name: "a read writes nothing back", Scope: "power", Edits: []Edit{{File: "decide/register/proposer.go",
 		Was: "stands := best.Value.Quorum(p.holding(best.Accepted))", Is: "stands := true"}}},
 	{Name: "a wiped disk counts", Scope: "disk lost", Edits: []Edit{{File: "decide/register/register.go",
-		Was: "if !d.Whole {", Is: "if false {"}}},
+		Was: "if !d.CaughtUp {", Is: "if false {"}}},
 	{Name: "the old members alone decide", Scope: "replacement", Long: true, Edits: []Edit{{File: "decide/register/register.go",
 		Was: "return majority(v.Members, in) && (len(v.Prior) == 0 || majority(v.Prior, in))",
 		Is:  "if len(v.Prior) > 0 {\nreturn majority(v.Prior, in)\n}\nreturn majority(v.Members, in)"},
--- a/lab/shoals/planted/planted_test.go
+++ b/lab/modelcheck/planted/planted_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"willowsill/lab/shoals"
+	"willowsill/lab/modelcheck"
 )
 
 var long = flag.Bool("long", false, "try the mutants that lie deep as well")
@@ -23,9 +23,9 @@
 				t.Skip("it lies too deep for a run of fixed length: -long tries")
 			}
 			if m.Hasty {
-				s := shoals.Scopes[slices.IndexFunc(shoals.Scopes, func(s shoals.Scope) bool { return s.Name == m.Scope })]
+				s := modelcheck.Scopes[slices.IndexFunc(modelcheck.Scopes, func(s modelcheck.Scope) bool { return s.Name == m.Scope })]
 				s.Hasty = true
-				r := shoals.Widely(s, 60_000, 0)
+				r := modelcheck.Widely(s, 60_000, 0)
 				t.Log(r)
 				must.NotEq(t, "", r.Broken)
 				return
@@ -33,7 +33,7 @@
 			overlay, err := m.Overlay("../../..", t.TempDir())
 			must.NoError(t, err)
 			// A program of its own, for this one is built of the true text.
-			out, err := exec.Command("go", "test", "-count=1", "-overlay", overlay, "-run", "^TestScopes$", "-v", "willowsill/lab/shoals",
+			out, err := exec.Command("go", "test", "-count=1", "-overlay", overlay, "-run", "^TestScopes$", "-v", "willowsill/lab/modelcheck",
 				"-scope", m.Scope).CombinedOutput()
 			t.Log(string(out))
 			must.Error(t, err)
--- a/lab/shoals/scopes.go
+++ b/lab/modelcheck/scopes.go
@@ -1,4 +1,4 @@
-package shoals
+package modelcheck
 
 // Scopes are small systems that are explored whole, or as far as is said.
 var Scopes = []Scope{
--- a/lab/shoals/step.go
+++ b/lab/modelcheck/step.go
@@ -1,4 +1,4 @@
-package shoals
+package modelcheck
 
 import (
 	"fmt"
@@ -21,7 +21,7 @@
 	eventWipe
 )
 
-// told is the kind of the news that a value stands, as lighthouses tell each other beside the register.
+// told is the kind of the news that a value stands, as controllers tell each other beside the register.
 const told register.Kind = 99
 
 // event is one step from a state to the next.
@@ -59,7 +59,7 @@
 		m := w.machines[s.number[o.At]]
 		ready := m.op == 0 && !m.proposer.Busy()
 		if o.Kind == Swap { // only who is whole becomes a member
-			ready = ready && w.machines[s.number[o.In]].disk.Whole
+			ready = ready && w.machines[s.number[o.In]].disk.CaughtUp
 		}
 		if w.begun&(1<<i) == 0 && ready && !s.do(w, event{eventOp, uint32(i)}, visit) {
 			return
@@ -252,9 +252,9 @@
 	}
 	switch p.m.Kind {
 	case register.Prepare:
-		return !m.disk.Whole || p.m.Ballot.Compare(m.disk.Promised) > 0
+		return !m.disk.CaughtUp || p.m.Ballot.Compare(m.disk.Promised) > 0
 	case register.Accept:
-		return !m.disk.Whole || p.m.Ballot.Compare(m.disk.Promised) >= 0 && p.m.Ballot != m.disk.Accepted
+		return !m.disk.CaughtUp || p.m.Ballot.Compare(m.disk.Promised) >= 0 && p.m.Ballot != m.disk.Accepted
 	}
 	return false
 }
@@ -275,7 +275,7 @@
 	m := t.machine(p.to)
 	if m.joiner != nil {
 		if state, done := m.joiner.Take(t.names[p.from], p.m); done {
-			m.disk, m.joiner = register.Disk{State: state, Whole: true}, nil
+			m.disk, m.joiner = register.Disk{State: state, CaughtUp: true}, nil
 			m.proposer.Know(state.Value)
 			m.proposer.Seen(state.Promised)
 			if !t.Lazy {
@@ -324,7 +324,7 @@
 // sync ends a save: what it covers is on the platter, and the answers leave.
 func (t *turn) sync(i int) {
 	m := t.machine(i)
-	m.saved, m.whole = m.disk.State, m.disk.Whole
+	m.saved, m.whole = m.disk.State, m.disk.CaughtUp
 	held := m.held
 	m.held = nil
 	for _, id := range held {
--- a/lab/shoals/world.go
+++ b/lab/modelcheck/world.go
@@ -1,10 +1,10 @@
-// Package shoals explores every order of events of small registers: which message comes when, twice or never,
+// Package modelcheck explores every order of events of small registers: which message comes when, twice or never,
 // when a timer fires, when power goes and a disk is emptied. The true proposers, disks and joiners of
 // decide/register are played, unchanged; after each step the register's promises are checked. It reads no
 // clock and does no I/O.
 //
 // Decides: which event may come next, which states are alike, and when what a register promised is broken.
-package shoals
+package modelcheck
 
 import (
 	"fmt"
@@ -88,7 +88,7 @@
 
 func (w *words) get(id uint32) *word { return (*w.all.Load())[id] }
 
-// machine is one lighthouse. It is never changed in place.
+// machine is one controller. It is never changed in place.
 type machine struct {
 	disk     register.Disk  // as its process knows it
 	saved    register.State // as the platter holds it
@@ -161,7 +161,7 @@
 func (c *chart) rise(m *machine, name string) {
 	m.life++
 	own := c.life(name, m.life)
-	m.disk, m.held, m.joiner, m.op, m.rounds, m.last = register.Disk{State: m.saved, Whole: m.whole}, nil, nil, 0, 0, register.Ballot{}
+	m.disk, m.held, m.joiner, m.op, m.rounds, m.last = register.Disk{State: m.saved, CaughtUp: m.whole}, nil, nil, 0, 0, register.Ballot{}
 	known := register.Value{Members: c.Members}
 	if m.whole {
 		known = m.saved.Value
@@ -176,7 +176,7 @@
 func (m *machine) rehash(key []byte) []byte {
 	key = m.saved.Key(m.disk.State.Key(key[:0]))
 	key = append(key, byte(m.life), byte(m.rounds), byte(m.op), byte(m.floor))
-	for _, is := range []bool{m.whole, m.disk.Whole, m.joiner != nil} {
+	for _, is := range []bool{m.whole, m.disk.CaughtUp, m.joiner != nil} {
 		if is {
 			key = append(key, 1)
 		} else {
--- a/lab/spread/spread.go
+++ b/lab/propagation/propagation.go
@@ -1,34 +1,34 @@
-// Package spread reckons what one piece of news costs on its way to all edges, by whom each would follow as
-// decide/beacons has it, beside a star (each edge on a lighthouse) and a flood (each edge tells a few others
+// Package propagation reckons what one piece of news costs on its way to all edges, by whom each would follow as
+// decide/relaytree has it, beside a star (each edge on a controller) and a flood (each edge tells a few others
 // whatever it hears first). It does no I/O.
-package spread
+package propagation
 
 import (
 	"fmt"
 	"math/rand/v2"
 
-	"willowsill/decide/beacons"
-	"willowsill/decide/notices"
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/relaytree"
 )
 
-// Fleet is what is reckoned: so many edges and lighthouses spread evenly over zones, and those over regions.
-type Fleet struct{ Edges, Lights, Zones, Regions int }
+// Fleet is what is reckoned: so many edges and controllers spread evenly over zones, and those over regions.
+type Fleet struct{ Edges, Controllers, Zones, Regions int }
 
 // Cost is what one piece of news costs. Copies are of the news itself, on a link each.
 type Cost struct {
 	Way     string
-	Copies  int     // all in all, those between lighthouses left out
+	Copies  int     // all in all, those between controllers left out
 	Zones   int     // of them between zones of a region
 	Regions int     // and between regions
-	AtLight int     // the most that one lighthouse sends
+	AtLight int     // the most that one controller sends
 	AtEdge  int     // the most that one edge sends
-	Hops    int     // from a lighthouse to the last edge
+	Hops    int     // from a controller to the last edge
 	Reached float64 // share of the edges
 }
 
 const (
 	floodTo = 3 // others that an edge tells in a flood: fewer leave many out
-	floodOf = 2 // edges that lighthouses begin a flood with
+	floodOf = 2 // edges that controllers begin a flood with
 )
 
 type place struct{ zone, region int }
@@ -47,29 +47,29 @@
 
 // Reckon compares the three ways.
 func Reckon(f Fleet) (all []Cost) {
-	edges, lights := map[string]place{}, map[string]place{}
-	var fleet notices.Fleet
+	edges, controllers := map[string]place{}, map[string]place{}
+	var fleet clusterstate.Fleet
 	var names []string
 	for i := range f.Edges {
 		ip := fmt.Sprintf("10.%d.%d.%d", i%f.Zones, i/250, i%250)
 		edges[ip] = f.place(i)
-		fleet.Edges = append(fleet.Edges, notices.Edge{IP: ip, Zone: fmt.Sprint("z", i%f.Zones)})
+		fleet.Edges = append(fleet.Edges, clusterstate.Edge{IP: ip, Zone: fmt.Sprint("z", i%f.Zones)})
 		names = append(names, ip)
 	}
-	for i := range f.Lights {
+	for i := range f.Controllers {
 		ip := fmt.Sprintf("10.200.0.%d", i)
-		lights[ip] = f.place(i)
-		fleet.Lights = append(fleet.Lights, ip)
+		controllers[ip] = f.place(i)
+		fleet.Controllers = append(fleet.Controllers, ip)
 	}
-	first := func(ip string) beacons.Feeder { // whom it follows
-		return beacons.Feeders(ip, fmt.Sprint("z", edges[ip].zone), fleet, fleet.Lights)[0]
+	first := func(ip string) relaytree.Feeder { // whom it follows
+		return relaytree.Feeders(ip, fmt.Sprint("z", edges[ip].zone), fleet, fleet.Controllers)[0]
 	}
 	tree, star := Cost{Way: "tree", Reached: 1}, Cost{Way: "star", Reached: 1, Hops: 1}
 	sends := map[string]int{}
 	starSends := map[string]int{}
 	for _, ip := range names {
 		up := first(ip)
-		from := lights[up.IP]
+		from := controllers[up.IP]
 		if !up.Light {
 			from = edges[up.IP]
 		}
@@ -80,12 +80,12 @@
 			hops++
 		}
 		tree.Hops = max(tree.Hops, hops)
-		order := beacons.Feeders(ip, "none", notices.Fleet{}, fleet.Lights)
-		star.pass(lights[order[0].IP], edges[ip])
+		order := relaytree.Feeders(ip, "none", clusterstate.Fleet{}, fleet.Controllers)
+		star.pass(controllers[order[0].IP], edges[ip])
 		starSends[order[0].IP]++
 	}
 	for ip, n := range sends {
-		if _, light := lights[ip]; light {
+		if _, light := controllers[ip]; light {
 			tree.AtLight = max(tree.AtLight, n)
 		} else {
 			tree.AtEdge = max(tree.AtEdge, n)
@@ -94,16 +94,16 @@
 	for _, n := range starSends {
 		star.AtLight = max(star.AtLight, n)
 	}
-	return []Cost{tree, star, flood(f, names, edges, lights)}
+	return []Cost{tree, star, flood(f, names, edges, controllers)}
 }
 
 // flood is one drawing of it.
-func flood(f Fleet, names []string, edges, lights map[string]place) Cost {
+func flood(f Fleet, names []string, edges, controllers map[string]place) Cost {
 	c := Cost{Way: "flood", AtLight: floodOf, AtEdge: floodTo}
 	rng := rand.New(rand.NewPCG(uint64(f.Edges), 1))
 	heard := map[string]bool{}
 	var wave []string
-	for _, at := range lights {
+	for _, at := range controllers {
 		for range floodOf {
 			to := names[rng.IntN(len(names))]
 			c.pass(at, edges[to])
--- a/lab/spread/spread_test.go
+++ b/lab/propagation/propagation_test.go
@@ -1,4 +1,4 @@
-package spread
+package propagation
 
 import (
 	"testing"
--- a/lab/rehearsal/rehearsal.go
+++ b/lab/rehearsal/rehearsal.go
@@ -1,5 +1,5 @@
-// Package rehearsal plays the whole system on loopback addresses with real processes: lighthouses, pilots and
-// their cutters, stand-in replicas, an operator and clients. One of each is killed on the way, and what
+// Package rehearsal plays the whole system on loopback addresses with real processes: controllers, proxies and
+// their agents, stand-in replicas, an operator and clients. One of each is killed on the way, and what
 // clients saw is counted.
 package rehearsal
 
@@ -19,13 +19,13 @@
 	"text/tabwriter"
 	"time"
 
-	"willowsill/carrier/crew"
-	"willowsill/carrier/dinghy"
-	"willowsill/carrier/skiff"
-	"willowsill/carrier/tower"
-	"willowsill/deployment/berth"
-	"willowsill/front/helm"
-	"willowsill/standin/moored"
+	"willowsill/deployment/settings"
+	"willowsill/front/proxyserver"
+	"willowsill/standin/systemreplica"
+	"willowsill/transport/agentserver"
+	"willowsill/transport/controlclient"
+	"willowsill/transport/controlserver"
+	"willowsill/transport/daemon"
 )
 
 // Variable names the part that a child process plays.
@@ -33,7 +33,7 @@
 
 const (
 	lights     = 3
-	pilots     = 2
+	proxies    = 2
 	shards     = 3
 	holders    = 2 // of each shard, and of the ledger
 	work       = 8 * time.Millisecond
@@ -57,12 +57,12 @@
 // Part runs one process of the rehearsal, where this process is one; it tells whether it was.
 func Part() bool {
 	switch os.Getenv(Variable) {
-	case "lighthouse":
-		os.Exit(crew.Start("lighthouse", "plays a part", nil, tower.Run))
-	case "cutter":
-		os.Exit(crew.Start("cutter", "plays a part", nil, skiff.Run))
-	case "pilot":
-		os.Exit(crew.Start("pilot", "plays a part", nil, helm.Run))
+	case "controller":
+		os.Exit(daemon.Start("controller", "plays a part", nil, controlserver.Run))
+	case "agent":
+		os.Exit(daemon.Start("agent", "plays a part", nil, agentserver.Run))
+	case "proxy":
+		os.Exit(daemon.Start("proxy", "plays a part", nil, proxyserver.Run))
 	}
 	return false
 }
@@ -72,7 +72,7 @@
 	dir      string
 	exe      string
 	children map[string]*exec.Cmd
-	replicas []*moored.Replica
+	replicas []*systemreplica.Replica
 	control  []string
 	fronts   []string
 	ready    []string
@@ -95,15 +95,15 @@
 		s.control = append(s.control, fmt.Sprintf("127.0.1.%d:%d", i+1, firstPort+10))
 	}
 	for i := range lights {
-		if err := s.start("lighthouse", fmt.Sprintf("127.0.1.%d", i+1)); err != nil {
+		if err := s.start("controller", fmt.Sprintf("127.0.1.%d", i+1)); err != nil {
 			return nil, err
 		}
 	}
-	for i := range pilots {
+	for i := range proxies {
 		ip := fmt.Sprintf("127.0.2.%d", i+1)
 		s.fronts = append(s.fronts, fmt.Sprintf("%s:%d", ip, firstPort+11))
 		s.ready = append(s.ready, fmt.Sprintf("%s:%d", ip, firstPort+12))
-		for _, role := range []string{"cutter", "pilot"} {
+		for _, role := range []string{"agent", "proxy"} {
 			if err := s.start(role, ip); err != nil {
 				return nil, err
 			}
@@ -114,7 +114,7 @@
 		if i/holders == shards {
 			service = "ledger"
 		}
-		r := &moored.Replica{ID: fmt.Sprint("i-", i), Service: service, Zone: "hall", Work: work, Beat: beat, Control: s.control}
+		r := &systemreplica.Replica{ID: fmt.Sprint("i-", i), Service: service, Zone: "hall", Work: work, Beat: beat, Control: s.control}
 		if err := r.Start("127.0.3.1:0"); err != nil {
 			return nil, err
 		}
@@ -127,18 +127,18 @@
 		return nil, err
 	}
 	phases := []Phase{s.play(ctx, "all is well", "/scan/x", queries)}
-	s.kill("lighthouse", "127.0.1.1")
+	s.kill("controller", "127.0.1.1")
 	if err := s.configure(2, "later"); err != nil {
 		return phases, err
 	}
 	time.Sleep(settleWait)
-	phases = append(phases, s.play(ctx, "a lighthouse was killed, then a route added", "/later/x", queries))
-	s.kill("cutter", "127.0.2.1")
-	phases = append(phases, s.play(ctx, "a cutter was killed", "/scan/x", queries))
+	phases = append(phases, s.play(ctx, "a controller was killed, then a route added", "/later/x", queries))
+	s.kill("agent", "127.0.2.1")
+	phases = append(phases, s.play(ctx, "an agent was killed", "/scan/x", queries))
 	s.replicas[0].Kill()
 	phases = append(phases, s.play(ctx, "a replica was killed", "/scan/x", queries))
-	s.kill("pilot", "127.0.2.1")
-	phases = append(phases, s.play(ctx, "a pilot was killed", "/debit/x", queries))
+	s.kill("proxy", "127.0.2.1")
+	phases = append(phases, s.play(ctx, "a proxy was killed", "/debit/x", queries))
 	return phases, ctx.Err()
 }
 
@@ -155,14 +155,14 @@
 		fmt.Fprintf(&b, "%q,", c)
 	}
 	fmt.Fprintf(&b, "]\nbootstrap = true\nbeat-interval-ms = %d\n", beat.Milliseconds())
-	if role == "lighthouse" {
+	if role == "controller" {
 		fmt.Fprintf(&b, "data-dir = %q\n", data)
 	}
 	fmt.Fprintf(&b, "[bind-addrs]\n")
 	switch role {
-	case "lighthouse":
+	case "controller":
 		fmt.Fprintf(&b, "control = \"%s:%d\"\n", ip, firstPort+10)
-	case "pilot":
+	case "proxy":
 		fmt.Fprintf(&b, "front = \"%s:%d\"\nreadiness = \"%s:%d\"\n", ip, firstPort+11, ip, firstPort+12)
 	}
 	fmt.Fprintf(&b, "[limits]\nmemory-mb = 256\n[bounds]\ngrace-s = 2\nretry-ratio = 0.2\nretry-window-s = 10\nretry-slack = 40\n")
@@ -181,7 +181,7 @@
 	}
 	defer log.Close()
 	c := exec.Command(s.exe)
-	c.Env = append(os.Environ(), Variable+"="+role, berth.Variable+"="+file)
+	c.Env = append(os.Environ(), Variable+"="+role, settings.Variable+"="+file)
 	c.Stdout, c.Stderr = log, log
 	if err := c.Start(); err != nil {
 		return err
@@ -210,7 +210,7 @@
 	}
 }
 
-// configure sends a configuration to one lighthouse after the other until it is acknowledged.
+// configure sends a configuration to one controller after the other until it is acknowledged.
 func (s *stage) configure(revision int, added string) error {
 	var fan, services []string
 	for i := range shards {
@@ -232,14 +232,14 @@
 		strings.Join(routes, ","), strings.Join(services, ","))
 	ctx, stop := context.WithTimeout(context.Background(), startWait)
 	defer stop()
-	control := dinghy.Control{Addresses: s.control}
+	control := controlclient.Control{Addresses: s.control}
 	if err := control.Send(ctx, []byte(body)); err != nil {
 		return fmt.Errorf("configuration %d was not taken: %w", revision, err)
 	}
 	return nil
 }
 
-// wait waits until all pilots are ready and know the replicas.
+// wait waits until all proxies are ready and know the replicas.
 func (s *stage) wait() error {
 	for until := time.Now().Add(startWait); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
 		n := 0
@@ -256,10 +256,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("the pilots did not get ready")
+	return fmt.Errorf("the proxies did not get ready")
 }
 
-// play asks queries of the pilots and counts the answers. A client whose pilot does not answer goes to the
+// play asks queries of the proxies and counts the answers. A client whose proxy does not answer goes to the
 // next.
 func (s *stage) play(ctx context.Context, name, path string, queries int) Phase {
 	p := Phase{Name: name, Answers: map[string]int{}}
--- a/node/book.go
+++ b/node/book.go
@@ -6,8 +6,8 @@
 	"go.uber.org/zap"
 
 	"willowsill/balance"
-	"willowsill/carrier/roster"
 	"willowsill/internal/counters"
+	"willowsill/transport/roster"
 )
 
 // outcome is one that came up while a round was carried out; the module hears of it afterwards.
--- a/node/carrier.go
+++ b/node/carrier.go
@@ -1,6 +1,6 @@
 package node
 
-import "willowsill/carrier/replica"
+import "willowsill/transport/replica"
 
 // Carrier takes parts to replicas and brings back what became of them. Its methods are for the loop alone; what its
 // goroutines have to tell comes through the loop's queue to Note. A ticket's end is seen just once: Note reports it, or
--- a/node/node.go
+++ b/node/node.go
@@ -11,12 +11,12 @@
 	"go.uber.org/zap"
 
 	"willowsill/balance"
-	"willowsill/carrier/replica"
-	"willowsill/carrier/roster"
-	"willowsill/carrier/sockets"
 	"willowsill/decide/rift"
 	"willowsill/deployment"
 	"willowsill/internal/counters"
+	"willowsill/transport/replica"
+	"willowsill/transport/roster"
+	"willowsill/transport/sockets"
 )
 
 const (
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -12,14 +12,14 @@
 	"go.uber.org/zap"
 
 	"willowsill/balance"
-	"willowsill/carrier/replica"
-	"willowsill/carrier/roster"
-	"willowsill/carrier/sockets"
 	"willowsill/decide/strain"
 	"willowsill/deployment"
 	"willowsill/internal/counters"
 	"willowsill/internal/pipes"
 	"willowsill/standin"
+	"willowsill/transport/replica"
+	"willowsill/transport/roster"
+	"willowsill/transport/sockets"
 )
 
 // world is a node with stand-ins for all that is around it: two replicas, each holding both shards.
--- a/node/send.go
+++ b/node/send.go
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"willowsill/balance"
-	"willowsill/carrier/replica"
+	"willowsill/transport/replica"
 )
 
 // execution is one run of a part at a replica, numbered from 0.
--- a/node/share_test.go
+++ b/node/share_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"willowsill/balance"
-	"willowsill/carrier/replica"
 	"willowsill/decide/commons"
+	"willowsill/transport/replica"
 )
 
 // What is shared reaches the module and the purse through the loop; with nothing shared, nobody is asked.
--- a/standin/lab/back.go
+++ b/standin/lab/back.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"willowsill/carrier/replica"
 	"willowsill/lab/emulator"
 	"willowsill/standin"
+	"willowsill/transport/replica"
 )
 
 // back is a replica that does in real time what the emulator's model does.
--- a/standin/lab/lab.go
+++ b/standin/lab/lab.go
@@ -22,10 +22,10 @@
 	"time"
 
 	"willowsill/balance"
-	"willowsill/carrier/replica"
 	"willowsill/lab/emulator"
 	"willowsill/standin"
 	"willowsill/standin/ports"
+	"willowsill/transport/replica"
 )
 
 const (
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"willowsill/carrier/replica"
+	"willowsill/transport/replica"
 )
 
 // Replica serves parts on all connections of a listener.
--- a/standin/sites/sites.go
+++ b/standin/sites/sites.go
@@ -24,11 +24,11 @@
 
 	"github.com/shirou/gopsutil/v4/process"
 
-	"willowsill/carrier/replica"
 	"willowsill/standin"
 	"willowsill/standin/link"
 	"willowsill/standin/papers"
 	"willowsill/standin/ports"
+	"willowsill/transport/replica"
 )
 
 // Shape is what is started.
--- a/standin/moored/moored.go
+++ b/standin/systemreplica/systemreplica.go
@@ -1,7 +1,7 @@
-// Package moored is a stand-in for a replica of the whole system, written from the operators' page: it serves
+// Package systemreplica is a stand-in for a replica of the whole system, written from the operators' page: it serves
 // HTTP/1.1, seals its answers, sends heartbeats to control and says when it leaves. Faults are made by those
 // who own it: it can be stopped dead.
-package moored
+package systemreplica
 
 import (
 	"bytes"
--- a/carrier/dinghy/dinghy.go
+++ b/transport/controlclient/controlclient.go
@@ -1,6 +1,6 @@
-// Package dinghy is the operators' way to the system: it calls control as operators do, and follows the news
+// Package controlclient is the operators' way to the system: it calls control as operators do, and follows the news
 // as an edge does, without being one. It decides nothing.
-package dinghy
+package controlclient
 
 import (
 	"bytes"
@@ -11,13 +11,13 @@
 
 	"github.com/samber/oops"
 
-	"willowsill/carrier/beam"
-	"willowsill/carrier/hail"
-	"willowsill/decide/notices"
+	"willowsill/decide/clusterstate"
+	"willowsill/transport/peer"
+	"willowsill/transport/watch"
 )
 
 // ErrDinghy is the class of this package's errors.
-var ErrDinghy = oops.Code("keeper")
+var ErrDinghy = oops.Code("willowctl")
 
 const (
 	callWithin = 2 * time.Second
@@ -92,8 +92,8 @@
 
 // Follow gives take the whole book of a feeder and then what changes, until ctx ends or the feeder is silent;
 // take returns false to stop.
-func Follow(ctx context.Context, address string, take func(notices.Notice) bool) error {
-	l, err := hail.Dial(ctx, address)
+func Follow(ctx context.Context, address string, take func(clusterstate.Update) bool) error {
+	l, err := peer.Dial(ctx, address)
 	if err != nil {
 		return ErrDinghy.Wrap(err)
 	}
@@ -103,9 +103,9 @@
 	for ctx.Err() == nil {
 		if time.Since(said) > time.Second {
 			said = time.Now()
-			l.Say(beam.Hello{})
+			l.Say(watch.Report{})
 		}
-		var p beam.Packet
+		var p watch.Message
 		if err := l.Receive(&p, followWait); err != nil {
 			if ctx.Err() != nil {
 				return nil
--- a/carrier/tower/resources.go
+++ b/transport/controlserver/resources.go
@@ -1,4 +1,4 @@
-package tower
+package controlserver
 
 import (
 	"errors"
@@ -10,10 +10,10 @@
 	"github.com/go-faster/jx"
 	"k8s.io/klog/v2"
 
-	"willowsill/decide/chart"
-	"willowsill/decide/lantern"
-	"willowsill/decide/muster"
-	"willowsill/decide/notices"
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/controller"
+	"willowsill/decide/registry"
+	"willowsill/decide/routeconfig"
 )
 
 const (
@@ -22,7 +22,7 @@
 )
 
 // handler puts the resources together.
-func (t *Tower) handler() http.Handler {
+func (t *Server) handler() http.Handler {
 	replicas, configuration := &replicas{t}, &configuration{t}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if id, ok := strings.CutPrefix(r.URL.Path, "/v1/replicas/"); ok {
@@ -59,14 +59,14 @@
 }
 
 // replicas is the resource of heartbeats and departures.
-type replicas struct{ t *Tower }
+type replicas struct{ t *Server }
 
 func (h *replicas) serve(w http.ResponseWriter, r *http.Request, id, call string) {
 	if r.Method != http.MethodPost || id == "" {
 		refuse(w, http.StatusMethodNotAllowed, "replicas are told of by POST")
 		return
 	}
-	record := muster.Record{ID: id, Phase: muster.Gone}
+	record := registry.Record{ID: id, Phase: registry.Gone}
 	switch call {
 	case "heartbeat":
 		body, err := io.ReadAll(io.LimitReader(r.Body, beatMost+1))
@@ -89,7 +89,7 @@
 	answer(w, a, ok)
 }
 
-func answer(w http.ResponseWriter, a lantern.Answer, ok bool) {
+func answer(w http.ResponseWriter, a controller.Answer, ok bool) {
 	switch {
 	case !ok:
 		refuse(w, http.StatusServiceUnavailable, "the call was broken off")
@@ -101,8 +101,8 @@
 }
 
 // readBeat reads a heartbeat field by field.
-func readBeat(id string, body []byte) (muster.Record, error) {
-	r := muster.Record{ID: id}
+func readBeat(id string, body []byte) (registry.Record, error) {
+	r := registry.Record{ID: id}
 	err := jx.DecodeBytes(body).Obj(func(d *jx.Decoder, key string) (err error) {
 		var n int64
 		switch key {
@@ -120,7 +120,7 @@
 				switch s {
 				case "ready":
 				case "draining":
-					r.Phase = muster.Draining
+					r.Phase = registry.Draining
 				default:
 					return fmt.Errorf("phase %q is unknown", s)
 				}
@@ -134,25 +134,25 @@
 			return d.Skip()
 		}
 		if err != nil {
-			return ErrTower.Wrapf(err, "%s", key)
+			return ErrControlServer.Wrapf(err, "%s", key)
 		}
 		return nil
 	})
 	if err == nil && (r.Service == "" || r.Address == "") {
-		err = ErrTower.Errorf("service or address is missing")
+		err = ErrControlServer.Errorf("service or address is missing")
 	}
 	return r, err
 }
 
 // configuration is the resource of the whole configuration.
-type configuration struct{ t *Tower }
+type configuration struct{ t *Server }
 
 func (h *configuration) serve(w http.ResponseWriter, r *http.Request, call string) {
 	switch {
 	case call == "read" && r.Method == http.MethodGet:
-		a, ok := h.t.call(r.Context(), h.t.lantern.Read)
+		a, ok := h.t.call(r.Context(), h.t.controller.Read)
 		if ok && a.Status == http.StatusOK {
-			if a.Body, ok = notices.Unpack(a.Body); !ok {
+			if a.Body, ok = clusterstate.Unpack(a.Body); !ok {
 				refuse(w, http.StatusInternalServerError, "the configuration held here cannot be unpacked")
 				return
 			}
@@ -175,14 +175,14 @@
 		refuse(w, http.StatusRequestEntityTooLarge, "the configuration is too long")
 		return
 	}
-	c, err := chart.Read(body)
+	c, err := routeconfig.Read(body)
 	if err != nil {
 		klog.InfoS("a configuration is refused", "bytes", len(body), "err", err.Error())
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	packed := notices.Pack(body)
-	a, ok := h.t.call(r.Context(), func(now int64, id uint64) lantern.Out { return h.t.lantern.Put(now, id, c.Revision, packed) })
+	packed := clusterstate.Pack(body)
+	a, ok := h.t.call(r.Context(), func(now int64, id uint64) controller.Out { return h.t.controller.Put(now, id, c.Revision, packed) })
 	klog.InfoS("a configuration was sent", "revision", c.Revision, "routes", len(c.Routes), "status", a.Status, "reason", a.Reason)
 	answer(w, a, ok)
 }
--- a/carrier/crew/crew.go
+++ b/transport/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package crew is what the system's daemons have in common at their start and end: arguments, settings, logs
+// Package daemon is what the system's daemons have in common at their start and end: arguments, settings, logs
 // and signals. It decides nothing.
-package crew
+package daemon
 
 import (
 	"context"
@@ -12,36 +12,36 @@
 
 	"k8s.io/klog/v2"
 
-	"willowsill/carrier/logs"
-	"willowsill/deployment/berth"
+	"willowsill/deployment/settings"
+	"willowsill/transport/logs"
 )
 
 // Main runs a daemon: run is to return once ctx is over, which SIGTERM ends. The exit code is 2 where the
 // settings are wrong.
-func Main(program, purpose string, run func(ctx context.Context, s berth.Settings) error) {
+func Main(program, purpose string, run func(ctx context.Context, s settings.Settings) error) {
 	os.Exit(Start(program, purpose, os.Args[1:], run))
 }
 
 // Start is Main for a process with arguments of its own; it returns the exit code.
-func Start(program, purpose string, args []string, run func(ctx context.Context, s berth.Settings) error) int {
+func Start(program, purpose string, args []string, run func(ctx context.Context, s settings.Settings) error) int {
 	flags := flag.NewFlagSet(program, flag.ContinueOnError)
 	check := flags.String("check", "", "read this settings `file`, say what is wrong with it and end")
 	flags.Usage = func() {
 		fmt.Fprintf(flags.Output(), "%s %s, as the settings file named by %s says.\n\n  %s\n  %s --check /etc/willowsill/local.toml\n\n",
-			program, purpose, berth.Variable, program, program)
+			program, purpose, settings.Variable, program, program)
 		flags.PrintDefaults()
 	}
 	if err := flags.Parse(args); err != nil {
 		return 2
 	}
 	if *check != "" {
-		if _, err := berth.Read(*check); err != nil {
+		if _, err := settings.Read(*check); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return 2
 		}
 		return 0
 	}
-	s, err := berth.FromEnvironment(os.Getenv)
+	s, err := settings.FromEnvironment(os.Getenv)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 2
@@ -61,7 +61,7 @@
 
 // reloads says what it thinks of the settings file at each SIGHUP. Nothing in it changes for a process that
 // runs but the list of seeds, and that one serves the start alone: who else is there comes by the news.
-func reloads(ctx context.Context, s berth.Settings) {
+func reloads(ctx context.Context, s settings.Settings) {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP)
 	defer signal.Stop(c)
@@ -70,7 +70,7 @@
 		case <-ctx.Done():
 			return
 		case <-c:
-			if _, err := berth.Read(s.File); err != nil {
+			if _, err := settings.Read(s.File); err != nil {
 				klog.ErrorS(err, "the settings file cannot be read; what was read before holds")
 			} else {
 				klog.InfoS("the settings file was read again")
--- a/carrier/logs/logs.go
+++ b/transport/logs/logs.go
@@ -9,13 +9,13 @@
 
 	"k8s.io/klog/v2"
 
-	"willowsill/deployment/berth"
+	"willowsill/deployment/settings"
 )
 
 const memoryShare = 0.6 // of the memory limit, past which the collector works harder
 
 // Begin sets the logs up for a program.
-func Begin(program string, s berth.Settings) {
+func Begin(program string, s settings.Settings) {
 	h := slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if len(groups) == 0 && a.Key == slog.SourceKey {
 			return slog.Attr{}
--- a/carrier/hail/mesh.go
+++ b/transport/peer/mesh.go
@@ -1,4 +1,4 @@
-package hail
+package peer
 
 import (
 	"context"
--- a/carrier/hail/hail.go
+++ b/transport/peer/peer.go
@@ -1,6 +1,6 @@
-// Package hail carries messages between the system's own processes: CBOR in frames over TCP. It decides
+// Package peer carries messages between the system's own processes: CBOR in frames over TCP. It decides
 // nothing: it opens links, keeps what waits on them bounded, and says when one is down.
-package hail
+package peer
 
 import (
 	"bufio"
--- a/carrier/replica/pool.go
+++ b/transport/replica/pool.go
@@ -9,8 +9,8 @@
 	"slices"
 
 	"willowsill/balance"
-	"willowsill/carrier/sockets"
 	"willowsill/internal/counters"
+	"willowsill/transport/sockets"
 )
 
 // Ticket is one execution on its way; the pool fills in the rest. Its owner sees its end just once: either
--- a/carrier/replica/pool_test.go
+++ b/transport/replica/pool_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"willowsill/balance"
-	"willowsill/carrier/sockets"
 	"willowsill/internal/counters"
 	"willowsill/internal/pipes"
+	"willowsill/transport/sockets"
 )
 
 // bench is a pool with one replica, played by the test by hand.
--- a/carrier/gangway/connection.go
+++ b/transport/replicahttp/connection.go
@@ -1,4 +1,4 @@
-package gangway
+package replicahttp
 
 import (
 	"bufio"
--- a/carrier/gangway/gangway.go
+++ b/transport/replicahttp/replicahttp.go
@@ -1,7 +1,7 @@
-// Package gangway carries parts to replicas over HTTP/1.1, one at a time on each connection, and brings back
+// Package replicahttp carries parts to replicas over HTTP/1.1, one at a time on each connection, and brings back
 // what became of them. It decides nothing: it owns the connections, and turns what comes on them into the
 // module's results.
-package gangway
+package replicahttp
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"time"
 
 	"willowsill/balance"
-	"willowsill/carrier/hail"
-	"willowsill/carrier/replica"
+	"willowsill/transport/peer"
+	"willowsill/transport/replica"
 )
 
 // Names are the headers between the system and replicas.
@@ -96,7 +96,7 @@
 
 // NewPool makes a pool.
 func NewPool(tell func(any), now func() int64) *Pool {
-	d := net.Dialer{Control: hail.Control, KeepAlive: -1}
+	d := net.Dialer{Control: peer.Control, KeepAlive: -1}
 	return &Pool{tell: tell, now: now, out: map[*replica.Ticket]*exchange{}, Dial: d.DialContext}
 }
 
--- a/carrier/gangway/gangway_test.go
+++ b/transport/replicahttp/replicahttp_test.go
@@ -1,4 +1,4 @@
-package gangway
+package replicahttp
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"github.com/shoenig/test/must"
 
 	"willowsill/balance"
-	"willowsill/carrier/replica"
 	"willowsill/internal/pipes"
+	"willowsill/transport/replica"
 )
 
 // server is a scripted replica: it answers the requests of a connection with the given texts, one each; ""
--- a/carrier/strongbox/strongbox.go
+++ b/transport/statestore/statestore.go
@@ -1,6 +1,6 @@
-// Package strongbox keeps one lighthouse's part of the register on disk, in buntdb. It decides nothing: it
+// Package statestore keeps one controller's part of the register on disk, in buntdb. It decides nothing: it
 // saves what it is given, and finds at the start what was saved last.
-package strongbox
+package statestore
 
 import (
 	"bytes"
@@ -16,13 +16,13 @@
 	"github.com/samber/oops"
 	"github.com/tidwall/buntdb"
 
-	"willowsill/decide/lantern"
-	"willowsill/decide/muster"
+	"willowsill/decide/controller"
 	"willowsill/decide/register"
+	"willowsill/decide/registry"
 )
 
-// ErrBox is the class of this package's errors.
-var ErrBox = oops.Code("strongbox")
+// ErrStore is the class of this package's errors.
+var ErrStore = oops.Code("statestore")
 
 const (
 	fileName  = "register.db"
@@ -31,8 +31,8 @@
 	shrinkMin = 24 << 20 // bytes of the file before it is written anew
 )
 
-// Box is the open file.
-type Box struct {
+// Store is the open file.
+type Store struct {
 	db     *buntdb.DB
 	dir    string
 	number uint64 // of the last save
@@ -40,31 +40,31 @@
 
 // kept is what a save holds.
 type kept struct {
-	State register.State `cbor:"1,keyasint"`
-	Stood uint64         `cbor:"2,keyasint,omitempty"`
+	State             register.State `cbor:"1,keyasint"`
+	CommittedRevision uint64         `cbor:"2,keyasint,omitempty"`
 }
 
 // Found is what a box held when it was opened.
 type Found struct {
-	State *register.State // nil where none was ever saved
-	Stood uint64          // the revision last known to stand
-	List  []muster.Record // as it was last saved
+	State             *register.State   // nil where none was ever saved
+	CommittedRevision uint64            // the revision last known to stand
+	List              []registry.Record // as it was last saved
 }
 
 // Open opens the box in a folder.
-func Open(dir string) (b *Box, found Found, err error) {
+func Open(dir string) (b *Store, found Found, err error) {
 	path := filepath.Join(dir, fileName)
 	if err := mend(path); err != nil {
-		return nil, found, ErrBox.Wrapf(err, "mending %s", path)
+		return nil, found, ErrStore.Wrapf(err, "mending %s", path)
 	}
 	db, err := buntdb.Open(path)
 	if err != nil {
-		return nil, found, ErrBox.Wrapf(err, "opening %s", path)
+		return nil, found, ErrStore.Wrapf(err, "opening %s", path)
 	}
 	if err := db.SetConfig(buntdb.Config{SyncPolicy: buntdb.Always, AutoShrinkDisabled: true}); err != nil {
-		return nil, found, ErrBox.Wrapf(err, "opening %s", path)
+		return nil, found, ErrStore.Wrapf(err, "opening %s", path)
 	}
-	b = &Box{db: db, dir: dir}
+	b = &Store{db: db, dir: dir}
 	err = db.View(func(tx *buntdb.Tx) error {
 		for slot := range slots {
 			text, err := tx.Get(strconv.Itoa(slot))
@@ -75,7 +75,7 @@
 			}
 			var k kept
 			if n, ok := unseal([]byte(text), &k); ok && n > b.number {
-				b.number, found.State, found.Stood = n, &k.State, k.Stood
+				b.number, found.State, found.CommittedRevision = n, &k.State, k.CommittedRevision
 			}
 		}
 		if text, err := tx.Get(listKey); err == nil {
@@ -84,7 +84,7 @@
 		return nil
 	})
 	if err != nil {
-		return nil, found, ErrBox.Wrapf(err, "reading %s", path)
+		return nil, found, ErrStore.Wrapf(err, "reading %s", path)
 	}
 	return b, found, nil
 }
@@ -92,16 +92,16 @@
 // Save returns once what is given is on disk for good, or with an error.
 //
 // Danger: a new file lasts only once the folder that holds its name is synced as well.
-func (b *Box) Save(s lantern.Save) error {
+func (b *Store) Save(s controller.Save) error {
 	n := b.number + 1
-	text, err := seal(n, kept{s.State, s.Stood})
+	text, err := seal(n, kept{s.State, s.CommittedRevision})
 	if err != nil {
-		return ErrBox.Wrapf(err, "encoding")
+		return ErrStore.Wrapf(err, "encoding")
 	}
 	var list []byte
 	if s.List != nil {
 		if list, err = seal(n, s.List); err != nil {
-			return ErrBox.Wrapf(err, "encoding")
+			return ErrStore.Wrapf(err, "encoding")
 		}
 	}
 	err = b.db.Update(func(tx *buntdb.Tx) error {
@@ -114,11 +114,11 @@
 		return err
 	})
 	if err != nil {
-		return ErrBox.Wrapf(err, "saving")
+		return ErrStore.Wrapf(err, "saving")
 	}
 	if b.number == 0 {
 		if err := syncDir(b.dir); err != nil {
-			return ErrBox.Wrapf(err, "syncing the folder")
+			return ErrStore.Wrapf(err, "syncing the folder")
 		}
 	}
 	b.number = n
@@ -126,19 +126,19 @@
 }
 
 // shrink writes the file anew once it has grown.
-func (b *Box) shrink() error {
+func (b *Store) shrink() error {
 	info, err := os.Stat(filepath.Join(b.dir, fileName))
 	if err != nil || info.Size() < shrinkMin {
 		return nil
 	}
 	if err := b.db.Shrink(); err != nil {
-		return ErrBox.Wrapf(err, "shrinking")
+		return ErrStore.Wrapf(err, "shrinking")
 	}
 	return syncDir(b.dir)
 }
 
 // Close closes the box.
-func (b *Box) Close() error { return b.db.Close() }
+func (b *Store) Close() error { return b.db.Close() }
 
 func syncDir(dir string) error {
 	d, err := os.Open(dir)
--- a/carrier/strongbox/strongbox_test.go
+++ b/transport/statestore/statestore_test.go
@@ -1,4 +1,4 @@
-package strongbox
+package statestore
 
 import (
 	"bytes"
@@ -8,13 +8,13 @@
 
 	"github.com/shoenig/test/must"
 
-	"willowsill/decide/lantern"
-	"willowsill/decide/muster"
+	"willowsill/decide/controller"
 	"willowsill/decide/register"
+	"willowsill/decide/registry"
 )
 
-func save(n uint64) lantern.Save {
-	return lantern.Save{Number: n, Stood: n, State: register.State{Accepted: register.Ballot{N: n, By: "a"},
+func save(n uint64) controller.Save {
+	return controller.Save{Number: n, CommittedRevision: n, State: register.State{Accepted: register.Ballot{N: n, By: "a"},
 		Value: register.Value{Members: []string{"a"}, Revision: n, Body: make([]byte, 300)}}}
 }
 
@@ -24,7 +24,7 @@
 	b, found, err := Open(dir)
 	must.NoError(t, err)
 	must.Nil(t, found.State)
-	must.NoError(t, b.Save(lantern.Save{State: save(1).State, List: []muster.Record{{ID: "i-1"}}}))
+	must.NoError(t, b.Save(controller.Save{State: save(1).State, List: []registry.Record{{ID: "i-1"}}}))
 	must.NoError(t, b.Save(save(2)))
 	before, err := os.ReadFile(Path(dir))
 	must.NoError(t, err)
--- a/carrier/store/store_test.go
+++ b/transport/store/store_test.go
@@ -84,9 +84,9 @@
 	return all
 }
 
-// one is a keeper with its core.
+// one is a willowctl with its core.
 type one struct {
-	*Keeper
+	*Willowctl
 	core *core
 	logs *observer.ObservedLogs
 }
@@ -123,11 +123,11 @@
 			}
 			seen, logs := observer.New(zap.InfoLevel)
 			k := &one{core: &core{survey: survey(20)}, logs: logs}
-			keeper, err := New(p, commons.New(w.now(), terms), k.core, w.now, &Count{}, zap.New(seen))
+			willowctl, err := New(p, commons.New(w.now(), terms), k.core, w.now, &Count{}, zap.New(seen))
 			if err != nil {
 				t.Fatal(err)
 			}
-			k.Keeper = keeper
+			k.Willowctl = willowctl
 			w.keepers = append(w.keepers, k)
 			go func() {
 				k.Run(ctx)
--- a/carrier/beam/beam.go
+++ b/transport/watch/watch.go
@@ -1,7 +1,7 @@
-// Package beam brings news from one process to those that follow it: from lighthouses to cutters, from
-// cutters to the cutters below them and to the pilot on the same machine. It decides nothing but whom to
+// Package watch brings news from one process to those that follow it: from controllers to agents, from
+// agents to the agents below them and to the proxy on the same machine. It decides nothing but whom to
 // follow next when a feeder falls silent.
-package beam
+package watch
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 
 	"k8s.io/klog/v2"
 
-	"willowsill/carrier/hail"
-	"willowsill/decide/lantern"
-	"willowsill/decide/notices"
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/controller"
+	"willowsill/transport/peer"
 )
 
 const (
@@ -25,44 +25,44 @@
 	stayFor      = 5 * time.Second // before a follower goes back to the feeder that it should have
 )
 
-// Packet is what a feeder says; without a notice it only says that it is there.
+// Message is what a feeder says; without a notice it only says that it is there.
 //
 // Danger: relays that said so of themselves could follow each other in a circle, each content with the other,
-// and hear nothing ever again. So that word comes from a lighthouse, and relays only pass it on.
-type Packet struct {
-	Notice  *notices.Notice `cbor:"1,keyasint,omitempty"`
-	Settled bool            `cbor:"2,keyasint,omitempty"` // in touch with most lighthouses
+// and hear nothing ever again. So that word comes from a controller, and relays only pass it on.
+type Message struct {
+	Notice  *clusterstate.Update `cbor:"1,keyasint,omitempty"`
+	Settled bool                 `cbor:"2,keyasint,omitempty"` // in touch with most controllers
 }
 
-// Hello is what a follower says, again and again: of itself, and of those that follow it.
-type Hello struct {
-	Self  lantern.Sight   `cbor:"1,keyasint"`
-	Below []lantern.Sight `cbor:"2,keyasint,omitempty"`
+// Report is what a follower says, again and again: of itself, and of those that follow it.
+type Report struct {
+	Self  controller.EdgeReport   `cbor:"1,keyasint"`
+	Below []controller.EdgeReport `cbor:"2,keyasint,omitempty"`
 }
 
 // All are the follower and those below it.
-func (h Hello) All() []lantern.Sight { return append(h.Below, h.Self) }
+func (h Report) All() []controller.EdgeReport { return append(h.Below, h.Self) }
 
 // Feed is the set of those who follow.
 type Feed struct {
 	mu    sync.Mutex
-	links map[*hail.Link]struct{}
+	links map[*peer.Link]struct{}
 }
 
 // Join adds a follower and gives it the whole book. Join and Publish are called in the order of what they
 // tell.
-func (f *Feed) Join(l *hail.Link, whole notices.Notice, settled bool) {
+func (f *Feed) Join(l *peer.Link, whole clusterstate.Update, settled bool) {
 	f.mu.Lock()
 	if f.links == nil {
-		f.links = map[*hail.Link]struct{}{}
+		f.links = map[*peer.Link]struct{}{}
 	}
 	f.links[l] = struct{}{}
 	f.mu.Unlock()
-	l.Say(Packet{&whole, settled})
+	l.Say(Message{&whole, settled})
 }
 
 // Part removes a follower.
-func (f *Feed) Part(l *hail.Link) {
+func (f *Feed) Part(l *peer.Link) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.links, l)
@@ -76,8 +76,8 @@
 }
 
 // Publish tells all who follow; nil for a sign of life.
-func (f *Feed) Publish(n *notices.Notice, settled bool) {
-	frame, err := hail.Encode(Packet{n, settled})
+func (f *Feed) Publish(n *clusterstate.Update, settled bool) {
+	frame, err := peer.Encode(Message{n, settled})
 	if err != nil {
 		klog.ErrorS(err, "a notice cannot be encoded")
 		return
@@ -104,9 +104,9 @@
 }
 
 // Attend takes a follower's words until it is gone; join is called with the first, here with every one.
-func Attend(l *hail.Link, join func(Hello), here func(Hello)) {
+func Attend(l *peer.Link, join func(Report), here func(Report)) {
 	for first := true; ; first = false {
-		var h Hello
+		var h Report
 		if l.Receive(&h, followerGone) != nil {
 			return
 		}
@@ -119,15 +119,15 @@
 
 // Follower keeps one link to a feeder.
 type Follower struct {
-	Hello     func() Hello
-	Addresses func() []string           // feeders to try, the best first
-	Take      func(notices.Notice) bool // false where it cannot be used and the whole book is needed
-	Beat      func(settled bool)        // a sign of life came, nil where nobody wants it
+	Report    func() Report
+	Addresses func() []string                // feeders to try, the best first
+	Take      func(clusterstate.Update) bool // false where it cannot be used and the whole book is needed
+	Beat      func(settled bool)             // a sign of life came, nil where nobody wants it
 	mu        sync.Mutex
 	settled   bool
 }
 
-// Settled tells whether the feeder followed now is in touch with most lighthouses.
+// Settled tells whether the feeder followed now is in touch with most controllers.
 func (f *Follower) Settled() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,7 +163,7 @@
 
 // follow tells whether the feeder was lost; else it was left for one that should be followed instead.
 func (f *Follower) follow(ctx context.Context, address string, others bool) (lost bool) {
-	l, err := hail.Dial(ctx, address)
+	l, err := peer.Dial(ctx, address)
 	if err != nil {
 		klog.V(1).InfoS("a feeder cannot be reached", "address", address, "err", err.Error())
 		return true
@@ -171,11 +171,11 @@
 	defer l.Close()
 	stop := context.AfterFunc(ctx, l.Close)
 	defer stop()
-	l.Say(f.Hello())
+	l.Say(f.Report())
 	began := time.Now()
 	said, settledAt := began, began
 	for {
-		var p Packet
+		var p Message
 		if err := l.Receive(&p, silentAfter); err != nil {
 			klog.InfoS("a feeder is lost", "address", address, "err", err.Error())
 			return true
@@ -198,7 +198,7 @@
 		}
 		if now.Sub(said) > sayEvery {
 			said = now
-			l.Say(f.Hello())
+			l.Say(f.Report())
 			if a := f.Addresses(); now.Sub(began) > stayFor && len(a) > 0 && a[0] != address {
 				klog.InfoS("another feeder is to be followed", "address", address, "next", a[0])
 				return false
--- a/carrier/beam/beam_test.go
+++ b/transport/watch/watch_test.go
@@ -1,4 +1,4 @@
-package beam
+package watch
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 
 	"github.com/shoenig/test/must"
 
-	"willowsill/carrier/hail"
-	"willowsill/decide/muster"
-	"willowsill/decide/notices"
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/registry"
+	"willowsill/transport/peer"
 )
 
 // TestBookThenChanges: a follower gets the whole book first and each change after it, in order, and none that
@@ -19,25 +19,25 @@
 func TestBookThenChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		feeder, follower := hail.Over(near), hail.Over(far)
+		feeder, follower := peer.Over(near), peer.Over(far)
 		defer feeder.Close()
 		defer follower.Close()
 		var f Feed
-		book := notices.NewBook()
-		book.Take(notices.Notice{Replicas: []muster.Record{{ID: "i-1", Seq: 1}}})
-		f.Publish(&notices.Notice{Revision: 9}, true) // nobody follows yet
-		f.Join(feeder, book.Whole(), true)
-		n := book.Take(notices.Notice{Replicas: []muster.Record{{ID: "i-2", Seq: 1}}})
+		book := clusterstate.NewState()
+		book.Take(clusterstate.Update{Replicas: []registry.Record{{ID: "i-1", Seq: 1}}})
+		f.Publish(&clusterstate.Update{Revision: 9}, true) // nobody follows yet
+		f.Join(feeder, book.Snapshot(), true)
+		n := book.Take(clusterstate.Update{Replicas: []registry.Record{{ID: "i-2", Seq: 1}}})
 		f.Publish(&n, true)
 		f.Publish(nil, false)
-		var p Packet
+		var p Message
 		must.NoError(t, follower.Receive(&p, time.Second))
-		must.True(t, p.Notice.Whole)
+		must.True(t, p.Notice.Snapshot)
 		must.Eq(t, "i-1", p.Notice.Replicas[0].ID)
-		p = Packet{}
+		p = Message{}
 		must.NoError(t, follower.Receive(&p, time.Second))
 		must.Eq(t, "i-2", p.Notice.Replicas[0].ID)
-		p = Packet{}
+		p = Message{}
 		must.NoError(t, follower.Receive(&p, time.Second))
 		must.Nil(t, p.Notice)
 		must.False(t, p.Settled)
@@ -50,21 +50,21 @@
 // TestLeavesWhoIsSilent: a follower whose feeder says nothing, or is itself cut off, goes to the next.
 func TestLeavesWhoIsSilent(t *testing.T) {
 	serve := func(settled bool, beats bool) (address string, joined chan struct{}) {
-		ln, err := hail.Listen("127.0.0.1:0")
+		ln, err := peer.Listen("127.0.0.1:0")
 		must.NoError(t, err)
 		t.Cleanup(func() { ln.Close() })
 		joined = make(chan struct{}, 8)
-		go hail.Serve(ln, func(l *hail.Link) {
+		go peer.Serve(ln, func(l *peer.Link) {
 			var f Feed
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			Attend(l, func(Hello) {
+			Attend(l, func(Report) {
 				joined <- struct{}{}
-				f.Join(l, notices.Notice{Whole: true}, settled)
+				f.Join(l, clusterstate.Update{Snapshot: true}, settled)
 				if beats {
 					go f.Beats(ctx, func() bool { return settled })
 				}
-			}, func(Hello) {})
+			}, func(Report) {})
 		})
 		return ln.Addr().String(), joined
 	}
@@ -73,8 +73,8 @@
 	good, third := serve(true, true)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	f := Follower{Hello: func() Hello { return Hello{} }, Addresses: func() []string { return []string{mute, cut, good} },
-		Take: func(notices.Notice) bool { return true }}
+	f := Follower{Report: func() Report { return Report{} }, Addresses: func() []string { return []string{mute, cut, good} },
+		Take: func(clusterstate.Update) bool { return true }}
 	go f.Run(ctx)
 	for _, joined := range []chan struct{}{first, second, third} {
 		select {
