--- /dev/null
+++ b/lab/controlsim/checker/checker.go
@@ -0,0 +1,391 @@
+package checker
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/anishathalye/porcupine"
+)
+
+// The names of the checks.
+const (
+	Lost         = "acknowledged revision is lost"
+	TwoContents  = "two contents under one number"
+	Linear       = "history is not linearizable"
+	RefusedTaken = "refused is in force"
+	RefusedAgain = "acknowledged order is refused when sent again"
+	Back         = "edge goes back"
+	Behind       = "edge in touch is behind"
+	BehindBeside = "edge is behind while most controllers are well"
+	CutOff       = "cut-off controller answers an order"
+	ReadyOld     = "edge is ready with an old configuration"
+	DrainUnknown = "acknowledged drain is unknown at an edge"
+	NoAnswer     = "order without an answer in calm times"
+	NoRead       = "read without an answer in calm times"
+)
+
+// Checks are the names of all checks.
+var Checks = []string{Lost, TwoContents, Linear, RefusedTaken, RefusedAgain, Back, Behind, BehindBeside, CutOff, ReadyOld, DrainUnknown,
+	NoAnswer, NoRead}
+
+const (
+	sampleEvery    = 250 * int64(time.Millisecond)
+	reachableFor   = 1500 * int64(time.Millisecond) // controllers that have been well for so long could have been asked
+	linearMost     = 20 * time.Second               // of real time
+	cutBegins      = int64(time.Millisecond)
+	noLimit        = int64(Never)
+	mostViolations = 3 // of one check that are told
+)
+
+type judge struct {
+	History
+	calm  *calm
+	found []Violation
+	count map[string]int
+}
+
+// Check returns what was broken, the first of each check in the order of time.
+func Check(h History) []Violation {
+	j := &judge{History: h, calm: newCalm(h), count: map[string]int{}}
+	j.lost()
+	j.contents()
+	j.refused()
+	j.edges()
+	j.cutOff()
+	j.readiness()
+	j.drains()
+	j.answers()
+	j.linear()
+	slices.SortStableFunc(j.found, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return j.found
+}
+
+func (j *judge) broken(check string, at int64, format string, values ...any) {
+	if j.count[check]++; j.count[check] <= mostViolations {
+		j.found = append(j.found, Violation{check, at, fmt.Sprintf(format, values...)})
+	}
+}
+
+// newest is the newest revision acknowledged up to a time, and when it was.
+func (j *judge) newest(until int64) (revision uint64, at int64) {
+	for _, o := range j.Orders {
+		if o.Outcome == Acknowledged && o.Ended <= until && o.Revision > revision {
+			revision, at = o.Revision, o.Ended
+		}
+	}
+	return revision, at
+}
+
+// lost: a read that begins after an acknowledgement returns that revision or a newer one.
+func (j *judge) lost() {
+	for _, r := range j.Reads {
+		if r.Answered == 0 {
+			continue
+		}
+		if want, at := j.newest(r.Sent - 1); r.Revision < want {
+			j.broken(Lost, r.Answered, "a read sent at %s returns revision %d; %d was acknowledged at %s", seconds(r.Sent), r.Revision, want, seconds(at))
+		}
+	}
+}
+
+// contents: whatever was acknowledged, read or in force under one number is one content.
+func (j *judge) contents() {
+	type sighting struct {
+		at       int64
+		revision uint64
+		content  string
+		how      string
+	}
+	var all []sighting
+	for _, o := range j.Orders {
+		if o.Outcome == Acknowledged {
+			all = append(all, sighting{o.Ended, o.Revision, o.Content, "acknowledged"})
+		}
+	}
+	for _, r := range j.Reads {
+		if r.Answered > 0 && r.Revision > 0 {
+			all = append(all, sighting{r.Answered, r.Revision, r.Content, "read"})
+		}
+	}
+	for _, s := range j.Serves {
+		all = append(all, sighting{s.At, s.Revision, s.Content, "in force at " + s.Edge})
+	}
+	slices.SortStableFunc(all, func(a, b sighting) int { return cmp.Compare(a.at, b.at) })
+	first := map[uint64]sighting{}
+	for _, s := range all {
+		was, known := first[s.revision]
+		if !known {
+			first[s.revision] = s
+		} else if was.content != s.content {
+			j.broken(TwoContents, s.at, "revision %d: %s %s at %s, and %s %s", s.revision, was.content, was.how, seconds(was.at), s.content, s.how)
+		}
+	}
+}
+
+// refused: what was refused is in force nowhere, and what was acknowledged is not refused when it comes again.
+func (j *judge) refused() {
+	type key struct {
+		revision uint64
+		content  string
+	}
+	inForce := map[key]int64{}
+	note := func(k key, at int64) {
+		if was, known := inForce[k]; !known || at < was {
+			inForce[k] = at
+		}
+	}
+	for _, s := range j.Serves {
+		note(key{s.Revision, s.Content}, s.At)
+	}
+	for _, r := range j.Reads {
+		if r.Answered > 0 {
+			note(key{r.Revision, r.Content}, r.Answered)
+		}
+	}
+	acknowledged := map[key]int64{}
+	for _, o := range j.Orders {
+		k := key{o.Revision, o.Content}
+		if was, known := acknowledged[k]; o.Outcome == Acknowledged && (!known || o.Ended < was) {
+			acknowledged[k] = o.Ended
+		}
+	}
+	for _, o := range j.Orders {
+		if o.Outcome != Refused {
+			continue
+		}
+		k := key{o.Revision, o.Content}
+		if at, known := acknowledged[k]; known && at < o.Ended {
+			j.broken(RefusedAgain, o.Ended, "revision %d %s was acknowledged at %s", o.Revision, o.Content, seconds(at))
+		} else if at, known := inForce[k]; known {
+			j.broken(RefusedTaken, max(at, o.Ended), "revision %d %s is in force at %s", o.Revision, o.Content, seconds(at))
+		}
+	}
+}
+
+// until is the end of a life of an edge.
+func (j *judge) until(l Life) int64 {
+	for _, e := range j.Ends {
+		if e.Edge == l.Edge && e.Life == l.Life {
+			return e.At
+		}
+	}
+	return j.End
+}
+
+// edges: no edge goes back in one life, and those in touch serve what was acknowledged.
+func (j *judge) edges() {
+	for _, l := range j.Lives {
+		var serves []Serve
+		for _, s := range j.Serves {
+			if s.Edge == l.Edge && s.Life == l.Life {
+				if n := len(serves); n > 0 && s.Revision < serves[n-1].Revision {
+					j.broken(Back, s.At, "%s goes from %d to %d", s.Edge, serves[n-1].Revision, s.Revision)
+				}
+				serves = append(serves, s)
+			}
+		}
+		j.behind(l, serves)
+	}
+}
+
+func (j *judge) behind(l Life, serves []Serve) {
+	b, held := j.Bounds, uint64(0)
+	told, toldBeside := uint64(0), uint64(0)
+	for at := l.At + b.Contact; at < j.until(l); at += sampleEvery {
+		for len(serves) > 0 && serves[0].At <= at {
+			held = max(held, serves[0].Revision)
+			serves = serves[1:]
+		}
+		if !j.calm.machine(l.Edge, at-b.Contact, at) {
+			continue
+		}
+		if want, acked := j.newest(at - b.Apply); want > held && want > told && j.calm.settled(at) {
+			told = want
+			j.broken(Behind, at, "%s serves %d; %d was acknowledged at %s", l.Edge, held, want, seconds(acked))
+		}
+		want, acked := j.newest(at - b.Apply - b.Stretch)
+		if want > held && want > toldBeside && j.calm.machine(l.Edge, acked-b.Contact, at) && l.At <= acked && j.calm.majority(acked-b.Contact, at) {
+			toldBeside = want
+			j.broken(BehindBeside, at, "%s serves %d; %d was acknowledged at %s", l.Edge, held, want, seconds(acked))
+		}
+	}
+}
+
+// cutOff: a controller that is cut off from a majority neither acknowledges nor refuses.
+func (j *judge) cutOff() {
+	for _, c := range j.Cuts {
+		if !j.calm.cutOff(c) {
+			continue
+		}
+		look := func(what string, tries []Try) {
+			for _, t := range tries {
+				inside := t.Controller == c.Controller && t.Sent >= c.From+cutBegins && t.Answered > 0 && t.Answered <= c.Until
+				clear := t.Status == 200 || t.Status >= 400 && t.Status < 500 && t.Status != 408 && t.Status != 429
+				if inside && clear {
+					j.broken(CutOff, t.Answered, "%s answers %s with %d while it is cut off from %s", t.Controller, what, t.Status, seconds(c.From))
+				}
+			}
+		}
+		for _, o := range j.Orders {
+			look(fmt.Sprintf("order %d (%s)", o.Number, o.Content), o.Tries)
+		}
+		for _, d := range j.Drains {
+			look("the drain of "+d.Replica, d.Tries)
+		}
+	}
+}
+
+// readiness: an edge that begins beside a majority that could be asked is not ready with an old configuration.
+func (j *judge) readiness() {
+	for _, r := range j.Readiness {
+		if !r.Ready {
+			continue
+		}
+		started := int64(0)
+		for _, l := range j.Lives {
+			if l.Edge == r.Edge && l.Life == r.Life {
+				started = l.At
+			}
+		}
+		want, acked := j.newest(min(r.At-j.Bounds.Apply, started))
+		if r.Revision < want && j.calm.machine(r.Edge, started, r.At) && j.calm.majority(r.At-reachableFor, r.At) {
+			j.broken(ReadyOld, r.At, "%s (begun at %s) is ready with %d from %s; %d was acknowledged at %s", r.Edge, seconds(started), r.Revision,
+				r.Feeder, want, seconds(acked))
+		}
+	}
+}
+
+// drains: an acknowledged drain is known at each edge in touch.
+func (j *judge) drains() {
+	type key struct {
+		edge    string
+		life    int
+		replica string
+	}
+	takes := map[key][]Know{}
+	for _, k := range j.Knows {
+		id := key{k.Edge, k.Life, k.Replica}
+		takes[id] = append(takes[id], k)
+	}
+	for _, d := range j.Drains {
+		if d.Acknowledged == 0 {
+			continue
+		}
+		for _, l := range j.Lives {
+			known := takes[key{l.Edge, l.Life, d.Replica}]
+			until := j.until(l)
+			for i, k := range known {
+				end := until
+				if i+1 < len(known) {
+					end = known[i+1].At
+				}
+				if !k.Takes || end <= d.Acknowledged+j.Bounds.Drain {
+					continue
+				}
+				if at, ok := j.inTouch(l, max(k.At, d.Acknowledged+j.Bounds.Drain), end); ok {
+					j.broken(DrainUnknown, at, "%s still sends to %s, whose drain was acknowledged at %s", l.Edge, d.Replica, seconds(d.Acknowledged))
+				}
+			}
+		}
+	}
+}
+
+// inTouch is the first time in a span at which an edge is in touch.
+func (j *judge) inTouch(l Life, from, until int64) (int64, bool) {
+	for at := max(from, l.At+j.Bounds.Contact); at < until; at += sampleEvery {
+		if j.calm.machine(l.Edge, at-j.Bounds.Contact, at) && j.calm.settled(at) {
+			return at, true
+		}
+	}
+	return 0, false
+}
+
+// answers: in calm times orders and reads have a clear answer.
+func (j *judge) answers() {
+	for _, o := range j.Orders {
+		ended := o.Ended
+		if ended == 0 {
+			ended = noLimit
+		}
+		if at, late := j.unanswered(o.Sent, min(ended, j.End)); late {
+			j.broken(NoAnswer, at, "order %d (%s), sent at %s, has no clear answer after %d tries", o.Number, o.Content, seconds(o.Sent), len(o.Tries))
+		}
+	}
+	for _, r := range j.Reads {
+		ended := r.Answered
+		if ended == 0 {
+			ended = noLimit
+		}
+		if at, late := j.unanswered(r.Sent, min(ended, j.End)); late {
+			j.broken(NoRead, at, "a read sent at %s has no answer", seconds(r.Sent))
+		}
+	}
+}
+
+// unanswered tells whether a call waited through a whole calm span.
+func (j *judge) unanswered(sent, ended int64) (int64, bool) {
+	for from := sent; from+j.Bounds.OrderAck < ended; from += sampleEvery {
+		until := from + j.Bounds.OrderAck
+		if j.calm.settled(from) && within(j.calm.coreAll, from, until) && j.calm.machine("operator", from, until) {
+			return until, true
+		}
+	}
+	return 0, false
+}
+
+func seconds(at int64) string { return fmt.Sprintf("%.3f s", float64(at)/1e9) }
+
+// register is the state of the sequential register that the history is compared with.
+type register struct {
+	revision uint64
+	content  string
+}
+
+// operation is the input of one operation: an order, or a read.
+type operation struct {
+	read    bool
+	order   register
+	outcome Outcome
+}
+
+// model is a register in which the highest revision holds.
+var model = porcupine.Model{
+	Init: func() any { return register{} },
+	Step: func(state, input, output any) (bool, any) {
+		s, in := state.(register), input.(operation)
+		switch {
+		case in.read:
+			return output.(register) == s, s
+		case in.outcome == Refused || in.order.revision < s.revision:
+			return true, s
+		case in.order.revision == s.revision:
+			return in.outcome != Acknowledged || in.order == s, s
+		}
+		return true, in.order
+	},
+	Equal: func(a, b any) bool { return a == b },
+}
+
+// linear: there is one order of all reads and orders that each saw.
+func (j *judge) linear() {
+	var operations []porcupine.Operation
+	for i, o := range j.Orders {
+		ended := o.Ended
+		if o.Outcome == Unclear {
+			ended = noLimit
+		}
+		operations = append(operations, porcupine.Operation{ClientId: i, Input: operation{order: register{o.Revision, o.Content}, outcome: o.Outcome},
+			Call: o.Sent, Output: register{}, Return: ended})
+	}
+	for i, r := range j.Reads {
+		if r.Answered > 0 {
+			operations = append(operations, porcupine.Operation{ClientId: len(j.Orders) + i, Input: operation{read: true}, Call: r.Sent,
+				Output: register{r.Revision, r.Content}, Return: r.Answered})
+		}
+	}
+	if porcupine.CheckOperationsTimeout(model, operations, linearMost) == porcupine.Illegal {
+		j.broken(Linear, j.End, "no order of %d operations explains what was seen", len(operations))
+	}
+}
--- /dev/null
+++ b/lab/controlsim/plan.go
@@ -0,0 +1,146 @@
+package controlsim
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Kind names what a fault does.
+type Kind string
+
+// The kinds of faults. Machine is the one that is hit; "all" are all controllers.
+const (
+	Freeze           Kind = "freeze"             // the process stands still; what is sent to it waits
+	Kill             Kind = "kill"               // SIGKILL; a new process begins after For
+	Power            Kind = "power"              // the machine loses power; what was not synced may be lost
+	Wipe             Kind = "wipe"               // the same, and the disk comes back empty
+	Term             Kind = "term"               // SIGTERM; a new process begins after For
+	Cut              Kind = "cut"                // nothing passes between Machine and Others, either way
+	CutOut           Kind = "cut_out"            // Machine cannot be heard by Others, and hears them
+	CutIn            Kind = "cut_in"             // Machine cannot hear Others, and is heard by them
+	Reset            Kind = "reset"              // each connection of Machine is reset once
+	SlowLink         Kind = "slow_link"          // what Machine sends and gets is late by Amount
+	Duplicate        Kind = "duplicate"          // what Machine sends arrives twice, the second time late by Amount
+	DiskStall        Kind = "disk_stall"         // no sync ends
+	DiskSlow         Kind = "disk_slow"          // a sync takes Amount
+	DiskFull         Kind = "disk_full"          // each write is refused
+	ReplacePlanned   Kind = "replace_planned"    // Successor starts with an empty disk; after For Machine gets SIGTERM and never returns
+	ReplaceUnplanned Kind = "replace_unplanned"  // Machine loses power for good; Successor starts after For
+	LoseAnswers      Kind = "lose_answers"       // half of the answers of controllers to operators and replicas are lost
+	EdgeRestart      Kind = "edge_restart"       // an edge's process is killed; a new one begins after For with nothing
+	EdgeBeside       Kind = "edge_starts_beside" // an edge is killed, and begins again the moment that Others[0] does
+)
+
+// Fault is one trouble. Times are of the run, and begin at its start.
+type Fault struct {
+	Kind      Kind          `json:"kind"`
+	At        time.Duration `json:"at"`
+	For       time.Duration `json:"for,omitempty"`
+	Machine   string        `json:"machine,omitempty"`
+	Others    []string      `json:"others,omitempty"`    // of a cut; all other controllers where none are named
+	Successor string        `json:"successor,omitempty"` // of a replacement
+	Amount    time.Duration `json:"amount,omitempty"`
+	Refused   bool          `json:"refused,omitempty"` // of a cut: connections are refused; otherwise there is silence
+	Edges     bool          `json:"edges,omitempty"`   // of Machine "all": the edges go as well
+}
+
+// All names every controller as the Machine of a fault.
+const All = "all"
+
+// Act is something that an operator or a replica is told to do at a time, besides what the workload draws.
+type Act struct {
+	At         time.Duration `json:"at"`
+	Do         Deed          `json:"do"`
+	Controller string        `json:"controller,omitempty"` // that is asked first; any where none is named
+	Revision   uint64        `json:"revision,omitempty"`
+	Content    string        `json:"content,omitempty"`
+	Replica    string        `json:"replica,omitempty"`
+	Once       bool          `json:"once,omitempty"` // one try, and no other controller
+}
+
+// Deed is what an Act does.
+type Deed string
+
+// The deeds.
+const (
+	DoOrder Deed = "order"
+	DoRead  Deed = "read"
+	DoDrain Deed = "drain"
+)
+
+// Storm is many orders in a short time.
+type Storm struct {
+	At     time.Duration `json:"at"`
+	For    time.Duration `json:"for"`
+	Orders int           `json:"orders"`
+}
+
+// Workload is what operators and replicas do, drawn from the seed.
+type Workload struct {
+	OrderEvery time.Duration `json:"order_every,omitempty"` // mean; no orders where it is 0
+	ReadEvery  time.Duration `json:"read_every,omitempty"`
+	DrainEvery time.Duration `json:"drain_every,omitempty"`
+	Races      float64       `json:"races,omitempty"`   // share of orders beside which another content goes out under the same number
+	Resends    float64       `json:"resends,omitempty"` // share of orders that are sent again later
+	Storms     []Storm       `json:"storms,omitempty"`
+	Bytes      int           `json:"bytes,omitempty"` // of a configuration
+}
+
+// Plan is one run. The same plan gives the same run.
+type Plan struct {
+	Name        string        `json:"name,omitempty"`
+	Seed        uint64        `json:"seed"`
+	Controllers int           `json:"controllers"`
+	Edges       int           `json:"edges"`
+	Replicas    int           `json:"replicas"`
+	Length      time.Duration `json:"length"`
+	Bounds      Bounds        `json:"bounds"`
+	Workload    Workload      `json:"workload"`
+	Acts        []Act         `json:"acts,omitempty"`
+	Faults      []Fault       `json:"faults"`
+}
+
+// Bounds are the figures of a deployment that the checks go by.
+type Bounds struct {
+	Contact  time.Duration `json:"contact"`
+	Apply    time.Duration `json:"apply"`
+	Stretch  time.Duration `json:"stretch"`
+	Drain    time.Duration `json:"drain"`
+	OrderAck time.Duration `json:"order_ack"`
+	CatchUp  time.Duration `json:"catch_up"`
+}
+
+// Usual are the bounds of the deployments in use, the tighter one where they differ.
+var Usual = Bounds{Contact: 5 * time.Second, Apply: 3 * time.Second, Stretch: 15 * time.Second, Drain: 4 * time.Second,
+	OrderAck: 6 * time.Second, CatchUp: 4 * time.Second}
+
+// Valid tells what of a plan cannot be played.
+func (p Plan) Valid() error {
+	if p.Controllers < 3 || p.Controllers > 15 || p.Edges < 1 || p.Length <= 0 {
+		return fmt.Errorf("a plan has 3 to 15 controllers, an edge and a length")
+	}
+	for _, f := range p.Faults {
+		if !slices.Contains(Kinds, f.Kind) {
+			return fmt.Errorf("a fault of kind %q is unknown", f.Kind)
+		}
+	}
+	return nil
+}
+
+// Kinds are all kinds of faults.
+var Kinds = []Kind{Freeze, Kill, Power, Wipe, Term, Cut, CutOut, CutIn, Reset, SlowLink, Duplicate, DiskStall, DiskSlow, DiskFull,
+	ReplacePlanned, ReplaceUnplanned, LoseAnswers, EdgeRestart, EdgeBeside}
+
+// Script writes a plan as a text that Read takes back.
+func (p Plan) Script() ([]byte, error) { return json.MarshalIndent(p, "", "  ") }
+
+// Read reads a plan from its script.
+func Read(script []byte) (Plan, error) {
+	var p Plan
+	if err := json.Unmarshal(script, &p); err != nil {
+		return Plan{}, fmt.Errorf("reading a plan: %w", err)
+	}
+	return p, p.Valid()
+}
--- /dev/null
+++ b/lab/controlsim/server.go
@@ -0,0 +1,298 @@
+package controlsim
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/controller"
+	"willowsill/lab/controlsim/checker"
+)
+
+// Times of a control server, ns; those of transport/controlserver, transport/peer and transport/watch.
+const (
+	tickLeast    = millisecond
+	leaveWait    = 400 * millisecond
+	redialAfter  = 150 * millisecond
+	meshQueue    = 64
+	feedEvery    = 300 * millisecond
+	followerGone = 5 * second
+	heartbeats   = second // of replicas
+	firstStart   = 300 * millisecond
+)
+
+// server is a controller with what transport/controlserver puts around it. Its disk outlives its processes.
+type server struct {
+	world     *world
+	machine   *machine
+	disk      *disk
+	seeds     []string
+	bootstrap bool // the next start is the first of the whole system
+
+	controller *controller.Controller // of the process that runs
+	inContact  bool
+	leaving    bool
+	mesh       map[string]*line
+	feed       feed
+	tickAt     int64
+	lastCall   uint64
+	calls      map[uint64]func(controller.Answer)
+}
+
+// line is the connection to one other controller, and what waits for it.
+type line struct {
+	link    *connection
+	dialing bool
+	queue   []controller.Message
+}
+
+// feed is the set of those who follow a process.
+type feed struct{ links []*connection }
+
+// news is what a feeder says; without a notice it only says that it is there.
+type news struct {
+	notice  *clusterstate.Update
+	settled bool
+}
+
+// report is what a follower says of itself and of those below it.
+type report struct{ all []controller.EdgeReport }
+
+func (f *feed) publish(n news) {
+	for _, l := range slices.Clone(f.links) {
+		l.send(1, n)
+	}
+}
+
+func (f *feed) part(l *connection) {
+	f.links = slices.DeleteFunc(f.links, func(o *connection) bool { return o == l })
+}
+
+// addController makes a controller's machine; it starts at once, or at the first start within 0.3 s of the others.
+func (w *world) addController(name string, first bool) *server {
+	s := &server{world: w, machine: w.addMachine(name, true), disk: &disk{world: w}, bootstrap: first}
+	for i := range 3 {
+		s.seeds = append(s.seeds, controllerName(i+1))
+	}
+	w.servers[name] = s
+	w.core = append(w.core, name)
+	w.history.Machines = append(w.history.Machines, checker.Machine{Name: name, Core: true, From: w.now, Until: checker.Never})
+	s.machine.boot = s.boot
+	if first {
+		w.after(between(w.draw, 0, firstStart), s.machine.start)
+	}
+	return s
+}
+
+// boot begins a process with what the disk holds.
+func (s *server) boot() {
+	w, m := s.world, s.machine
+	w.lives++
+	draw := rand.New(rand.NewPCG(w.plan.Seed, 1000+uint64(w.lives)))
+	start := controller.Start{IP: m.name, Life: fmt.Sprint("life", w.lives), Seeds: s.seeds, Bootstrap: s.bootstrap, BeatEvery: heartbeats,
+		Draw: draw.Float64}
+	if found := s.disk.open(); found != nil {
+		state := found.state
+		start.State, start.CommittedRevision, start.List = &state, found.committed, found.list
+	}
+	s.bootstrap = false
+	s.mesh, s.feed, s.calls = map[string]*line{}, feed{}, map[uint64]func(controller.Answer){}
+	s.leaving, s.inContact, s.tickAt = false, false, 0
+	s.controller = controller.New(m.clock(), start)
+	m.every(feedEvery, func() { s.feed.publish(news{settled: s.inContact}) })
+	s.tick()
+}
+
+// tick has the controller do what is due, and sets the timer for what comes next.
+func (s *server) tick() {
+	if now := s.machine.clock(); now >= s.controller.Next() {
+		s.carry(s.controller.Tick(now))
+	}
+	s.wake()
+}
+
+func (s *server) wake() {
+	w, m := s.world, s.machine
+	at := w.now + max(m.trueSpan(s.controller.Next()-m.clock()), tickLeast)
+	if s.tickAt > w.now && s.tickAt <= at {
+		return
+	}
+	s.tickAt = at
+	life := m.life
+	w.at(at, func() {
+		if m.life == life && s.tickAt == at {
+			m.dispatch(life, func() {
+				s.tickAt = 0
+				s.tick()
+			})
+		}
+	})
+}
+
+// take carries out a call of the controller.
+func (s *server) take(o controller.Out) {
+	s.carry(o)
+	s.tick()
+}
+
+func (s *server) carry(o controller.Out) {
+	s.inContact = s.controller.InContact()
+	for _, l := range o.Log {
+		if s.world.trace != nil {
+			s.world.tell(s.machine.name, "%s %v", l.Text, l.Values)
+		}
+	}
+	if o.Save != nil {
+		number := o.Save.Number
+		s.disk.save(s.machine, *o.Save, func(err error) { s.take(s.controller.Saved(s.machine.clock(), number, err)) })
+	}
+	for _, send := range o.Sends {
+		for _, to := range send.To {
+			s.send(to, send.Message)
+		}
+	}
+	for _, a := range o.Answers {
+		answer := s.calls[a.Call]
+		delete(s.calls, a.Call)
+		if answer != nil {
+			answer(a)
+		}
+	}
+	if !o.Notice.Empty() {
+		n := o.Notice
+		s.feed.publish(news{&n, s.inContact})
+	}
+}
+
+// send sends to another controller as soon as there is a connection to it; the oldest of too many makes room.
+func (s *server) send(to string, m controller.Message) {
+	l := s.mesh[to]
+	if l == nil {
+		l = &line{}
+		s.mesh[to] = l
+	}
+	if l.link != nil {
+		l.link.send(0, m)
+		return
+	}
+	if l.queue = append(l.queue, m); len(l.queue) > meshQueue {
+		l.queue = l.queue[1:]
+	}
+	s.connect(to, l)
+}
+
+// connect opens the connection; each try that fails loses the message that it was for.
+func (s *server) connect(to string, l *line) {
+	if l.dialing || l.link != nil || len(l.queue) == 0 {
+		return
+	}
+	l.dialing = true
+	first := l.queue[0]
+	l.queue = l.queue[1:]
+	accept := func(*connection) {}
+	if other := s.world.servers[to]; other != nil {
+		accept = other.acceptPeer
+	}
+	s.world.network.dial(s.machine, s.world.machines[to], accept, func(c *connection) {
+		if c == nil {
+			s.machine.timer(redialAfter, func() {
+				l.dialing = false
+				s.connect(to, l)
+			})
+			return
+		}
+		l.dialing, l.link = false, c
+		c.listen(0, func(any) {}, func() { l.link = nil })
+		c.send(0, first)
+		for _, m := range l.queue {
+			c.send(0, m)
+		}
+		l.queue = nil
+	})
+}
+
+func (s *server) acceptPeer(c *connection) {
+	c.listen(1, func(m any) { s.take(s.controller.Take(s.machine.clock(), m.(controller.Message))) }, func() {})
+}
+
+// acceptFollower feeds an edge from its first report on.
+func (s *server) acceptFollower(c *connection) {
+	attend(s.machine, c, &s.feed, func() news {
+		whole := s.controller.Snapshot()
+		return news{&whole, s.controller.InContact()}
+	}, func(r report) {
+		for _, e := range r.all {
+			s.take(s.controller.Edge(s.machine.clock(), e))
+		}
+	})
+}
+
+// attend takes a follower's reports until it falls silent, and feeds it from the first one on.
+func attend(m *machine, c *connection, f *feed, whole func() news, here func(report)) {
+	joined, heard := false, m.clock()
+	var look func()
+	look = func() {
+		if !c.alive[1] {
+			return
+		}
+		if m.clock()-heard >= followerGone {
+			f.part(c)
+			c.shut(1)
+			return
+		}
+		m.timer(followerGone-(m.clock()-heard), look)
+	}
+	c.listen(1, func(message any) {
+		heard = m.clock()
+		if !joined {
+			joined = true
+			f.links = append(f.links, c)
+			c.send(1, whole())
+		}
+		here(message.(report))
+	}, func() { f.part(c) })
+	m.timer(followerGone, look)
+}
+
+// term ends the process in order, as SIGTERM does.
+func (s *server) term(then func()) {
+	m := s.machine
+	life := m.life
+	m.dispatch(life, func() {
+		s.leaving = true
+		s.take(s.controller.Leave(m.clock()))
+		m.timer(leaveWait, func() {
+			s.carry(s.controller.Leave(m.clock()))
+			s.world.at(s.world.now+millisecond, func() {
+				if m.life == life {
+					m.stop(false)
+					then()
+				}
+			})
+		})
+	})
+}
+
+// call puts a call to the controller.
+func (s *server) call(in func(now int64, id uint64) controller.Out, answer func(controller.Answer)) {
+	s.lastCall++
+	s.calls[s.lastCall] = answer
+	s.take(in(s.machine.clock(), s.lastCall))
+}
+
+// contentOf unpacks a configuration that was read.
+func contentOf(body []byte) string {
+	raw, ok := clusterstate.Unpack(body)
+	if !ok {
+		return "unreadable"
+	}
+	return label(string(raw))
+}
+
+// label is the name of a content: its first word. The rest is there for its length.
+func label(content string) string {
+	name, _, _ := strings.Cut(content, " ")
+	return name
+}
--- /dev/null
+++ b/lab/controlsim/world.go
@@ -0,0 +1,133 @@
+// Package controlsim plays a control cluster in virtual time from one seed: controllers with their disks, edges, operators and
+// replicas. The state machines are the true ones of decide/, unchanged; sockets, disks, clocks and processes are simulated here as
+// transport/ has them. What operators, replicas and edges saw goes to lab/controlsim/checker, which shares no code with decide/.
+package controlsim
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"willowsill/lab/controlsim/checker"
+	"willowsill/lab/emulator/agenda"
+)
+
+const (
+	millisecond = int64(time.Millisecond)
+	second      = int64(time.Second)
+	rateMost    = 0.001 // by how much a machine's steady clock runs fast or slow at the most
+)
+
+// world is one run.
+type world struct {
+	plan     Plan
+	now      int64 // true time, ns
+	agenda   *agenda.Agenda
+	sequence uint64
+	network  *network
+	machines map[string]*machine
+	names    []string // of machines, in the order of their making
+	servers  map[string]*server
+	edges    map[string]*edge
+	core     []string // controllers that are deployed now
+	replicas []*replica
+	history  checker.History
+	draw     *rand.Rand // of disks, processes and clients
+	orders   []*order
+	highest  uint64 // revision that an operator has given out
+	lose     int    // faults under way that lose answers
+	lives    int
+	trace    func(at int64, who, what string)
+}
+
+// Result is what became of a run.
+type Result struct {
+	Plan         Plan
+	Violations   []checker.Violation
+	Orders       int
+	Acknowledged int
+	Reads        int
+	Drains       int
+	Virtual      time.Duration
+	History      checker.History
+}
+
+// Broken is the first check that failed, empty where none did.
+func (r Result) Broken() string {
+	if len(r.Violations) == 0 {
+		return ""
+	}
+	return r.Violations[0].Check
+}
+
+// Run plays a plan and checks what was seen. trace, where given, is told what happens.
+func Run(p Plan, trace func(at int64, who, what string)) (Result, error) {
+	if err := p.Valid(); err != nil {
+		return Result{}, err
+	}
+	w := newWorld(p, trace)
+	end := int64(p.Length)
+	for {
+		e, ok := w.agenda.Pop(end)
+		if !ok {
+			break
+		}
+		w.now = max(w.now, e.At)
+		e.Load.(func())()
+	}
+	w.now = end
+	w.history.End = end
+	for _, o := range w.orders {
+		w.history.Orders = append(w.history.Orders, o.seen)
+	}
+	r := Result{Plan: p, Virtual: p.Length, Orders: len(w.history.Orders), Reads: len(w.history.Reads), Drains: len(w.history.Drains),
+		History: w.history}
+	for _, o := range w.history.Orders {
+		if o.Outcome == checker.Acknowledged {
+			r.Acknowledged++
+		}
+	}
+	r.Violations = checker.Check(w.history)
+	return r, nil
+}
+
+func newWorld(p Plan, trace func(int64, string, string)) *world {
+	w := &world{plan: p, agenda: agenda.New(0), machines: map[string]*machine{}, servers: map[string]*server{},
+		edges: map[string]*edge{}, draw: rand.New(rand.NewPCG(p.Seed, 1)), trace: trace}
+	w.network = newNetwork(w, rand.New(rand.NewPCG(p.Seed, 2)))
+	b := p.Bounds
+	w.history.Bounds = checker.Bounds{Contact: int64(b.Contact), Apply: int64(b.Apply), Stretch: int64(b.Stretch),
+		Drain: int64(b.Drain), OrderAck: int64(b.OrderAck)}
+	for i := range p.Controllers {
+		w.addController(controllerName(i+1), true)
+	}
+	for i := range p.Edges {
+		w.addEdge(edgeName(i+1), fmt.Sprint("zone", i%2+1))
+	}
+	w.addClients()
+	for _, f := range p.Faults {
+		w.at(int64(f.At), func() { w.befall(f) })
+	}
+	return w
+}
+
+func controllerName(n int) string { return fmt.Sprint("c", n) }
+func edgeName(n int) string       { return fmt.Sprint("e", n) }
+
+// at has something done at a time.
+func (w *world) at(when int64, do func()) {
+	w.sequence++
+	w.agenda.Push(agenda.Event{At: max(when, w.now), Seq: w.sequence, Load: do})
+}
+
+// after has something done once so much time has gone by.
+func (w *world) after(delay int64, do func()) { w.at(w.now+delay, do) }
+
+func (w *world) tell(who, format string, values ...any) {
+	if w.trace != nil {
+		w.trace(w.now, who, fmt.Sprintf(format, values...))
+	}
+}
+
+// between draws a time from a range.
+func between(draw *rand.Rand, low, high int64) int64 { return low + draw.Int64N(max(high-low, 1)) }
