--- a/cmd/willowlab/control.go
+++ b/cmd/willowlab/control.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	garbagePercent = 400 // memory is plenty, and runs make much garbage
-	seedsNamed     = 5   // of each check that failed
+	garbagePercent = 1500 // memory is plenty, and runs make much garbage
+	seedsNamed     = 5    // of each check that failed
 )
 
 // controlling plays control clusters in virtual time.
--- a/lab/controlsim/checker/checker.go
+++ b/lab/controlsim/checker/checker.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"fmt"
 	"slices"
+	"sort"
 	"time"
 
 	"github.com/anishathalye/porcupine"
@@ -22,13 +23,14 @@
 	CutOff       = "cut-off controller answers an order"
 	ReadyOld     = "edge is ready with an old configuration"
 	DrainUnknown = "acknowledged drain is unknown at an edge"
+	GoneAgain    = "edge sends to a replica that has departed"
 	NoAnswer     = "order without an answer in calm times"
 	NoRead       = "read without an answer in calm times"
 )
 
 // Checks are the names of all checks.
 var Checks = []string{Lost, TwoContents, Linear, RefusedTaken, RefusedAgain, Back, Behind, BehindBeside, CutOff, ReadyOld, DrainUnknown,
-	NoAnswer, NoRead}
+	GoneAgain, NoAnswer, NoRead}
 
 const (
 	sampleEvery    = 250 * int64(time.Millisecond)
@@ -42,13 +44,14 @@
 type judge struct {
 	History
 	calm  *calm
+	rises []rise
 	found []Violation
 	count map[string]int
 }
 
 // Check returns what was broken, the first of each check in the order of time.
 func Check(h History) []Violation {
-	j := &judge{History: h, calm: newCalm(h), count: map[string]int{}}
+	j := &judge{History: h, calm: newCalm(h), rises: findRises(h.Orders), count: map[string]int{}}
 	j.lost()
 	j.contents()
 	j.refused()
@@ -70,12 +73,34 @@
 
 // newest is the newest revision acknowledged up to a time, and when it was.
 func (j *judge) newest(until int64) (revision uint64, at int64) {
-	for _, o := range j.Orders {
-		if o.Outcome == Acknowledged && o.Ended <= until && o.Revision > revision {
-			revision, at = o.Revision, o.Ended
+	n := sort.Search(len(j.rises), func(i int) bool { return j.rises[i].at > until })
+	if n == 0 {
+		return 0, 0
+	}
+	return j.rises[n-1].revision, j.rises[n-1].at
+}
+
+// rise is a time from which on a revision is the newest that was acknowledged.
+type rise struct {
+	at       int64
+	revision uint64
+}
+
+// findRises puts the acknowledgements in order and keeps those of a newer revision than all before.
+func findRises(orders []Order) (rises []rise) {
+	var all []rise
+	for _, o := range orders {
+		if o.Outcome == Acknowledged {
+			all = append(all, rise{o.Ended, o.Revision})
+		}
+	}
+	slices.SortStableFunc(all, func(a, b rise) int { return cmp.Compare(a.at, b.at) })
+	for _, r := range all {
+		if n := len(rises); n == 0 || r.revision > rises[n-1].revision {
+			rises = append(rises, r)
 		}
 	}
-	return revision, at
+	return rises
 }
 
 // lost: a read that begins after an acknowledgement returns that revision or a newer one.
@@ -284,7 +309,12 @@
 				if !k.Takes || end <= d.Acknowledged+j.Bounds.Drain {
 					continue
 				}
-				if at, ok := j.inTouch(l, max(k.At, d.Acknowledged+j.Bounds.Drain), end); ok {
+				at, ok := j.inTouch(l, max(k.At, d.Acknowledged+j.Bounds.Drain), end)
+				switch {
+				case !ok:
+				case d.Departed > 0 && at > d.Departed:
+					j.broken(GoneAgain, at, "%s sends to %s from %s on, which departed at %s", l.Edge, d.Replica, seconds(k.At), seconds(d.Departed))
+				default:
 					j.broken(DrainUnknown, at, "%s still sends to %s, whose drain was acknowledged at %s", l.Edge, d.Replica, seconds(d.Acknowledged))
 				}
 			}
@@ -328,7 +358,8 @@
 func (j *judge) unanswered(sent, ended int64) (int64, bool) {
 	for from := sent; from+j.Bounds.OrderAck < ended; from += sampleEvery {
 		until := from + j.Bounds.OrderAck
-		if j.calm.settled(from) && within(j.calm.coreAll, from, until) && j.calm.machine("operator", from, until) {
+		if j.calm.settled(from) && j.calm.settled(until) && j.calm.events.clear(from, until) && j.calm.slow.clear(from, until) &&
+			j.calm.links.clear(from, until) {
 			return until, true
 		}
 	}
--- a/lab/controlsim/checker/history.go
+++ b/lab/controlsim/checker/history.go
@@ -82,18 +82,19 @@
 	At   int64
 }
 
-// Drain is a replica that said that it leaves. Acknowledged is 0 where nobody did.
+// Drain is a replica that said that it leaves. Acknowledged is 0 where nobody did that, and Departed where it is still there.
 type Drain struct {
-	Replica            string
-	Sent, Acknowledged int64
-	Tries              []Try
+	Replica                      string
+	Sent, Acknowledged, Departed int64
+	Tries                        []Try
 }
 
 // Trouble is a span in which something befell a machine or its links.
 type Trouble struct {
 	Machine     string
 	From, Until int64
-	Kind        string
+	Slow        bool // the machine or its links are slow, or harm what passes, for the whole span
+	Link        bool // links are in trouble
 }
 
 // Cut is a span in which a controller could not hear others, could not be heard by them, or both.
--- a/lab/controlsim/clients.go
+++ b/lab/controlsim/clients.go
@@ -181,12 +181,15 @@
 }
 
 // pick is any controller of the operator's list.
-func (w *world) pick() string { return w.core[w.draw.IntN(len(w.core))] }
+func (w *world) pick() string {
+	list := w.listed()
+	return list[w.draw.IntN(len(list))]
+}
 
 // other is any controller but one.
 func (w *world) other(than string) string {
 	for {
-		if c := w.pick(); c != than || len(w.core) == 1 {
+		if c := w.pick(); c != than {
 			return c
 		}
 	}
@@ -263,7 +266,6 @@
 	controller string
 	sequence   uint64
 	leaving    bool
-	gone       bool
 }
 
 func (w *world) addReplica(name string) {
@@ -339,9 +341,12 @@
 			case status == 200:
 				d.Acknowledged = w.now
 				w.tell(r.name, "drains, by %s", to)
-				w.after(int64(w.plan.Bounds.Drain)+between(w.draw, second, 8*second), r.depart)
+				w.after(int64(w.plan.Bounds.Drain)+between(w.draw, second, 8*second), func() {
+					w.history.Drains[index].Departed = w.now
+					r.depart()
+				})
 			case w.now-began > drainGiveUp:
-				r.gone = true
+				d.Departed = w.now
 			default:
 				w.after(pauseLeast, try)
 			}
@@ -354,6 +359,5 @@
 }
 
 func (r *replica) depart() {
-	r.gone = true
 	r.tell(registry.Record{ID: r.name, Phase: registry.Gone}, func(int) {})
 }
--- a/lab/controlsim/edge.go
+++ b/lab/controlsim/edge.go
@@ -23,6 +23,7 @@
 	machine *machine
 	zone    string
 	seeds   []string
+	beside  string // the next process is told of this controller alone
 
 	state    *clusterstate.State
 	detector *failuredetector.Detector
@@ -44,9 +45,6 @@
 
 func (w *world) addEdge(name, zone string) {
 	e := &edge{world: w, machine: w.addMachine(name, false), zone: zone}
-	for i := range 3 {
-		e.seeds = append(e.seeds, controllerName(i+1))
-	}
 	w.edges[name] = e
 	w.history.Machines = append(w.history.Machines, checker.Machine{Name: name, From: w.now, Until: checker.Never})
 	e.machine.boot = e.boot
@@ -56,6 +54,12 @@
 func (e *edge) boot() {
 	m := e.machine
 	e.state, e.detector, e.suspects = clusterstate.NewState(), failuredetector.New(m.name), nil
+	if e.seeds = firstSeeds(); m.life > 1 {
+		e.seeds = e.world.seeds()
+	}
+	if e.beside != "" {
+		e.seeds, e.beside = []string{e.beside}, ""
+	}
 	e.relay, e.below, e.rule, e.link, e.ready = feed{}, map[string]sighting{}, &watchRule{}, nil, false
 	e.world.history.Lives = append(e.world.history.Lives, checker.Life{Edge: m.name, Life: m.life, At: e.world.now})
 	life := m.life
--- a/lab/controlsim/faults.go
+++ b/lab/controlsim/faults.go
@@ -8,7 +8,9 @@
 
 // trouble writes down, for the checker, that a machine is in trouble for a while.
 func (w *world) trouble(machine string, span int64, kind Kind) {
-	w.history.Troubles = append(w.history.Troubles, checker.Trouble{Machine: machine, From: w.now, Until: w.now + span, Kind: string(kind)})
+	slow := slices.Contains([]Kind{SlowLink, Duplicate, DiskSlow, DiskStall, DiskFull}, kind)
+	link := slices.Contains([]Kind{Cut, CutOut, CutIn, SlowLink, Duplicate, LoseAnswers}, kind)
+	w.history.Troubles = append(w.history.Troubles, checker.Trouble{Machine: machine, From: w.now, Until: w.now + span, Slow: slow, Link: link})
 }
 
 // befall has a fault begin.
@@ -116,8 +118,8 @@
 	if e == nil || len(f.Others) == 0 {
 		return
 	}
-	e.seeds = slices.Clone(f.Others)
 	w.after(int64(f.For), func() {
+		e.beside = f.Others[0]
 		m.start()
 	})
 }
@@ -172,7 +174,7 @@
 // replace puts an empty machine at another address in the place of one.
 func (w *world) replace(f Fault, m *machine) {
 	gone := func() {
-		w.core = slices.DeleteFunc(w.core, func(c string) bool { return c == f.Machine })
+		w.deployed(slices.DeleteFunc(slices.Clone(w.core), func(c string) bool { return c == f.Machine }))
 		for i := range w.history.Machines {
 			if w.history.Machines[i].Name == f.Machine {
 				w.history.Machines[i].Until = w.now
--- a/lab/controlsim/server.go
+++ b/lab/controlsim/server.go
@@ -28,7 +28,6 @@
 	world     *world
 	machine   *machine
 	disk      *disk
-	seeds     []string
 	bootstrap bool // the next start is the first of the whole system
 
 	controller *controller.Controller // of the process that runs
@@ -73,11 +72,8 @@
 // addController makes a controller's machine; it starts at once, or at the first start within 0.3 s of the others.
 func (w *world) addController(name string, first bool) *server {
 	s := &server{world: w, machine: w.addMachine(name, true), disk: &disk{world: w}, bootstrap: first}
-	for i := range 3 {
-		s.seeds = append(s.seeds, controllerName(i+1))
-	}
 	w.servers[name] = s
-	w.core = append(w.core, name)
+	w.deployed(append(slices.Clone(w.core), name))
 	w.history.Machines = append(w.history.Machines, checker.Machine{Name: name, Core: true, From: w.now, Until: checker.Never})
 	s.machine.boot = s.boot
 	if first {
@@ -91,12 +87,15 @@
 	w, m := s.world, s.machine
 	w.lives++
 	draw := rand.New(rand.NewPCG(w.plan.Seed, 1000+uint64(w.lives)))
-	start := controller.Start{IP: m.name, Life: fmt.Sprint("life", w.lives), Seeds: s.seeds, Bootstrap: s.bootstrap, BeatEvery: heartbeats,
+	start := controller.Start{IP: m.name, Life: fmt.Sprint("life", w.lives), Seeds: firstSeeds(), Bootstrap: s.bootstrap, BeatEvery: heartbeats,
 		Draw: draw.Float64}
 	if found := s.disk.open(); found != nil {
 		state := found.state
 		start.State, start.CommittedRevision, start.List = &state, found.committed, found.list
 	}
+	if !s.bootstrap {
+		start.Seeds = w.seeds()
+	}
 	s.bootstrap = false
 	s.mesh, s.feed, s.calls = map[string]*line{}, feed{}, map[uint64]func(controller.Answer){}
 	s.leaving, s.inContact, s.tickAt = false, false, 0
--- a/lab/controlsim/world.go
+++ b/lab/controlsim/world.go
@@ -6,6 +6,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"willowsill/lab/controlsim/checker"
@@ -15,6 +16,7 @@
 const (
 	millisecond = int64(time.Millisecond)
 	second      = int64(time.Second)
+	seedsNamed  = 3
 	rateMost    = 0.001 // by how much a machine's steady clock runs fast or slow at the most
 )
 
@@ -30,6 +32,7 @@
 	servers  map[string]*server
 	edges    map[string]*edge
 	core     []string // controllers that are deployed now
+	lists    []listing
 	replicas []*replica
 	history  checker.History
 	draw     *rand.Rand // of disks, processes and clients
@@ -40,6 +43,44 @@
 	trace    func(at int64, who, what string)
 }
 
+// listing is which controllers were deployed from a time on.
+type listing struct {
+	at   int64
+	core []string
+}
+
+// listed is the operators' list of controllers, which lags.
+func (w *world) listed() []string {
+	list := w.lists[0].core
+	for _, l := range w.lists {
+		if l.at+listLag <= w.now {
+			list = l.core
+		}
+	}
+	return list
+}
+
+// deployed notes that the controllers are others than before.
+func (w *world) deployed(core []string) {
+	w.core = core
+	w.lists = append(w.lists, listing{w.now, core})
+}
+
+// seeds are what a settings file names when it is written now: three of the operators' list.
+func (w *world) seeds() []string {
+	list := slices.Clone(w.listed())
+	w.draw.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
+	return list[:min(seedsNamed, len(list))]
+}
+
+// firstSeeds are the same for all machines at the first start.
+func firstSeeds() (names []string) {
+	for i := range seedsNamed {
+		names = append(names, controllerName(i+1))
+	}
+	return names
+}
+
 // Result is what became of a run.
 type Result struct {
 	Plan         Plan
@@ -101,6 +142,7 @@
 	for i := range p.Controllers {
 		w.addController(controllerName(i+1), true)
 	}
+	w.lists[0] = listing{core: w.core}
 	for i := range p.Edges {
 		w.addEdge(edgeName(i+1), fmt.Sprint("zone", i%2+1))
 	}
