--- a/lab/controlsim/clients.go
+++ b/lab/controlsim/clients.go
@@ -1,12 +1,15 @@
 package controlsim
 
 import (
+	"bytes"
+	"cmp"
+	"compress/flate"
 	"fmt"
 	"math/rand/v2"
 	"slices"
 	"strings"
+	"sync"
 
-	"willowsill/decide/clusterstate"
 	"willowsill/decide/controller"
 	"willowsill/decide/registry"
 	"willowsill/lab/controlsim/checker"
@@ -168,17 +171,27 @@
 	if n := w.plan.Workload.Bytes; n > len(body) {
 		body += " " + strings.Repeat("route ", (n-len(body))/6)
 	}
-	o := &order{world: w, body: clusterstate.Pack([]byte(body)), pause: pauseLeast, once: once,
+	o := &order{world: w, body: pack(body), pause: pauseLeast, once: once,
 		seen: checker.Order{Number: len(w.orders), Revision: revision, Content: content, Sent: w.now}}
 	w.orders = append(w.orders, o)
-	o.try(cmpOr(first, w.pick()))
+	o.try(cmp.Or(first, w.pick()))
 }
 
-func cmpOr(a, b string) string {
-	if a != "" {
-		return a
-	}
-	return b
+// packers are kept, for one is costly to make.
+var packers = sync.Pool{New: func() any {
+	w, _ := flate.NewWriter(nil, flate.DefaultCompression)
+	return w
+}}
+
+// pack packs a configuration as clusterstate.Pack does.
+func pack(content string) []byte {
+	var b bytes.Buffer
+	w := packers.Get().(*flate.Writer)
+	defer packers.Put(w)
+	w.Reset(&b)
+	w.Write([]byte(content))
+	w.Close()
+	return b.Bytes()
 }
 
 // pick is any controller of the operator's list.
@@ -211,6 +224,7 @@
 		switch {
 		case status == 200:
 			o.seen.Outcome, o.seen.Ended = checker.Acknowledged, w.now
+			w.acknowledged(revision)
 			return
 		case slices.Contains([]int{400, 409, 412, 413, 422}, status):
 			o.seen.Outcome, o.seen.Ended = checker.Refused, w.now
@@ -234,7 +248,7 @@
 func (w *world) read(first string, once bool) {
 	index := len(w.history.Reads)
 	w.history.Reads = append(w.history.Reads, checker.Read{Sent: w.now})
-	w.readTry(index, cmpOr(first, w.pick()), once, pauseLeast)
+	w.readTry(index, cmp.Or(first, w.pick()), once, pauseLeast)
 }
 
 func (w *world) readTry(index int, to string, once bool, pause int64) {
--- a/lab/controlsim/controlsim_test.go
+++ b/lab/controlsim/controlsim_test.go
@@ -41,7 +41,7 @@
 func TestDays(t *testing.T) {
 	for _, point := range []Point{CutOffAlone, OneNumber, SecondLoss, LongLife} {
 		for seed := range *seedsOfDay {
-			t.Run(fmt.Sprintf("point%s/%d", point, seed+1), func(t *testing.T) {
+			t.Run(fmt.Sprintf("point%s/seed%d", point, seed+1), func(t *testing.T) {
 				t.Parallel()
 				play(t, Day(point, uint64(seed+1)))
 			})
--- a/lab/controlsim/days.go
+++ b/lab/controlsim/days.go
@@ -135,9 +135,12 @@
 	d.plan.Acts = append(d.plan.Acts, Act{At: at, Do: DoOrder, Controller: controller, Revision: revision, Content: content})
 }
 
-// secondLoss: a controller is lost, or replaced, and the moment that it counts again the next is; in the end all disks but the
-// budget's lose power right after acknowledgements.
+// secondLoss: a controller is lost, or replaced, and the moment that it counts again the next is; or all lose power again and again.
 func (d *day) secondLoss() {
+	if d.IntN(2) == 0 {
+		d.lossesAfterAcks(2 * d.plan.Bounds.Contact)
+		return
+	}
 	catchUp := d.plan.Bounds.CatchUp
 	at := d.span(6*time.Second, 8*time.Second)
 	for n := range 4 {
@@ -164,6 +167,22 @@
 	d.plan.Workload.DrainEvery = 0
 }
 
+// lossesAfterAcks: right after an order was acknowledged all controllers lose power, and one its disk; they come back, and the same
+// befalls them again with another's disk.
+func (d *day) lossesAfterAcks(calm time.Duration) {
+	const down = time.Second
+	d.plan.Workload.OrderEvery, d.plan.Workload.DrainEvery = 0, 0
+	at := 6 * time.Second
+	for n := range 4 {
+		revision := uint64(100 * (n + 1))
+		d.order(at, revision, fmt.Sprint(revision, "/last"), d.controller(n))
+		soon := d.span(0, 15*time.Millisecond)
+		d.fault(Fault{Kind: Power, At: soon, For: down, Machine: All, After: revision, Edges: d.IntN(3) == 0})
+		d.fault(Fault{Kind: Wipe, At: soon, For: down, Machine: d.controller(n + 1), After: revision})
+		at += down + calm + d.span(0, 2*time.Second)
+	}
+}
+
 // longLife: hundreds of changes while one controller is away; it comes back, the next goes as soon as the budget allows it, and an
 // edge begins beside the one that came back.
 func (d *day) longLife() {
--- a/lab/controlsim/disk.go
+++ b/lab/controlsim/disk.go
@@ -10,8 +10,8 @@
 
 // Times of a disk, ns.
 const (
-	syncLeast     = 2 * millisecond
-	syncMost      = 12 * millisecond
+	syncLeast     = millisecond
+	syncMost      = 30 * millisecond // of the slowest sound disk; each has a usual time of its own below it
 	refusedAfter  = 3 * millisecond
 	writeBackWait = 5 * second // after which the system writes by itself what nobody synced
 )
@@ -31,6 +31,7 @@
 // is found, as statestore's two slots have it.
 type disk struct {
 	world   *world
+	usual   int64  // ns that a sync takes, half of it at the least
 	durable *image // synced; nil for an empty disk
 	written *image // what a process that starts finds
 	stalls  int
@@ -51,7 +52,7 @@
 		next.list = d.written.list
 	}
 	d.written = next
-	took := between(d.world.draw, syncLeast, syncMost)
+	took := between(d.world.draw, d.usual/2, d.usual)
 	if d.slow > 0 {
 		took = between(d.world.draw, d.slow/2, d.slow)
 	}
--- a/lab/controlsim/plan.go
+++ b/lab/controlsim/plan.go
@@ -44,6 +44,7 @@
 	Amount    time.Duration `json:"amount,omitempty"`
 	Refused   bool          `json:"refused,omitempty"` // of a cut: connections are refused; otherwise there is silence
 	Edges     bool          `json:"edges,omitempty"`   // of Machine "all": the edges go as well
+	After     uint64        `json:"after,omitempty"`   // a revision: At counts from its first acknowledgement
 }
 
 // All names every controller as the Machine of a fault.
--- a/lab/controlsim/server.go
+++ b/lab/controlsim/server.go
@@ -71,7 +71,7 @@
 
 // addController makes a controller's machine; it starts at once, or at the first start within 0.3 s of the others.
 func (w *world) addController(name string, first bool) *server {
-	s := &server{world: w, machine: w.addMachine(name, true), disk: &disk{world: w}, bootstrap: first}
+	s := &server{world: w, machine: w.addMachine(name, true), disk: &disk{world: w, usual: between(w.draw, syncLeast, syncMost)}, bootstrap: first}
 	w.servers[name] = s
 	w.deployed(append(slices.Clone(w.core), name))
 	w.history.Machines = append(w.history.Machines, checker.Machine{Name: name, Core: true, From: w.now, Until: checker.Never})
--- a/lab/controlsim/world.go
+++ b/lab/controlsim/world.go
@@ -40,9 +40,18 @@
 	highest  uint64 // revision that an operator has given out
 	lose     int    // faults under way that lose answers
 	lives    int
+	onAck    map[uint64][]Fault // that begin after a revision is acknowledged
 	trace    func(at int64, who, what string)
 }
 
+// acknowledged has the faults begin that wait for a revision.
+func (w *world) acknowledged(revision uint64) {
+	for _, f := range w.onAck[revision] {
+		w.after(int64(f.At), func() { w.befall(f) })
+	}
+	delete(w.onAck, revision)
+}
+
 // listing is which controllers were deployed from a time on.
 type listing struct {
 	at   int64
@@ -134,7 +143,7 @@
 
 func newWorld(p Plan, trace func(int64, string, string)) *world {
 	w := &world{plan: p, agenda: agenda.New(0), machines: map[string]*machine{}, servers: map[string]*server{},
-		edges: map[string]*edge{}, draw: rand.New(rand.NewPCG(p.Seed, 1)), trace: trace}
+		edges: map[string]*edge{}, onAck: map[uint64][]Fault{}, draw: rand.New(rand.NewPCG(p.Seed, 1)), trace: trace}
 	w.network = newNetwork(w, rand.New(rand.NewPCG(p.Seed, 2)))
 	b := p.Bounds
 	w.history.Bounds = checker.Bounds{Contact: int64(b.Contact), Apply: int64(b.Apply), Stretch: int64(b.Stretch),
@@ -148,7 +157,11 @@
 	}
 	w.addClients()
 	for _, f := range p.Faults {
-		w.at(int64(f.At), func() { w.befall(f) })
+		if f.After == 0 {
+			w.at(int64(f.At), func() { w.befall(f) })
+		} else {
+			w.onAck[f.After] = append(w.onAck[f.After], f)
+		}
 	}
 	return w
 }
