--- a/lab/controlsim/days.go
+++ b/lab/controlsim/days.go
@@ -18,6 +18,9 @@
 	LongLife    Point = "4" // hundreds of changes, and a controller that missed them
 )
 
+// firstStartMost is by how much starts at once are apart at the most.
+const firstStartMost = time.Duration(firstStart)
+
 // Points are all of them.
 var Points = []Point{Drawn, CutOffAlone, OneNumber, SecondLoss, LongLife}
 
@@ -135,10 +138,15 @@
 	d.plan.Acts = append(d.plan.Acts, Act{At: at, Do: DoOrder, Controller: controller, Revision: revision, Content: content})
 }
 
-// secondLoss: a controller is lost, or replaced, and the moment that it counts again the next is; or all lose power again and again.
+// secondLoss: a controller is lost, or replaced, and the moment that it counts again the next is; or all lose power again and again;
+// or there are three controllers only, of which each is lost in turn.
 func (d *day) secondLoss() {
-	if d.IntN(2) == 0 {
-		d.lossesAfterAcks(2 * d.plan.Bounds.Contact)
+	switch d.IntN(3) {
+	case 0:
+		d.lossesAfterAcks()
+		return
+	case 1:
+		d.threeInTurn()
 		return
 	}
 	catchUp := d.plan.Bounds.CatchUp
@@ -169,17 +177,51 @@
 
 // lossesAfterAcks: right after an order was acknowledged all controllers lose power, and one its disk; they come back, and the same
 // befalls them again with another's disk.
-func (d *day) lossesAfterAcks(calm time.Duration) {
-	const down = time.Second
+func (d *day) lossesAfterAcks() {
+	const rounds, down = 9, 500 * time.Millisecond
 	d.plan.Workload.OrderEvery, d.plan.Workload.DrainEvery = 0, 0
 	at := 6 * time.Second
-	for n := range 4 {
+	for n := range rounds {
 		revision := uint64(100 * (n + 1))
 		d.order(at, revision, fmt.Sprint(revision, "/last"), d.controller(n))
-		soon := d.span(0, 15*time.Millisecond)
+		soon := d.span(0, 2*time.Millisecond)
 		d.fault(Fault{Kind: Power, At: soon, For: down, Machine: All, After: revision, Edges: d.IntN(3) == 0})
-		d.fault(Fault{Kind: Wipe, At: soon, For: down, Machine: d.controller(n + 1), After: revision})
-		at += down + calm + d.span(0, 2*time.Second)
+		d.fault(Fault{Kind: Wipe, At: soon, For: down, Machine: d.controller(n + d.IntN(5)), After: revision})
+		at += down + firstStartMost + d.plan.Bounds.CatchUp + d.span(0, 200*time.Millisecond)
+	}
+}
+
+// threeInTurn: of three controllers one misses an order; once it counts again another comes back with an empty disk, or is replaced;
+// once that one counts the third is lost, which alone of them had held the order all the time. Nothing else is sent meanwhile, for
+// that would bring the others up to date.
+func (d *day) threeInTurn() {
+	p := d.plan
+	p.Controllers, p.Workload = 3, Workload{}
+	d.who = d.Perm(p.Controllers)
+	next := p.Controllers + 1
+	names := []string{d.controller(0), d.controller(1), d.controller(2)}
+	at := 6 * time.Second
+	for n := range 2 {
+		late, emptied, holder := names[n%3], (n+1)%3, names[(n+2)%3]
+		missed := Fault{Kind: []Kind{Freeze, Kill, Cut}[d.IntN(3)], At: at, For: 2 * time.Second, Machine: late}
+		d.fault(missed)
+		revision := uint64(100 * (n + 1))
+		d.order(at+time.Second, revision, fmt.Sprint(revision, "/held"), holder)
+		at += missed.For + p.Bounds.CatchUp
+		loss := Fault{Kind: Wipe, At: at, For: d.span(500*time.Millisecond, 2*time.Second), Machine: names[emptied]}
+		if d.IntN(2) == 0 {
+			loss.Kind, loss.Successor = ReplaceUnplanned, controllerName(next)
+			names[emptied] = loss.Successor
+			next++
+		}
+		d.fault(loss)
+		at += loss.For + p.Bounds.CatchUp
+		lost := Fault{Kind: []Kind{Freeze, Kill, Cut, Power}[d.IntN(4)], At: at, For: 3 * time.Second, Machine: holder}
+		d.fault(lost)
+		for i := range 3 {
+			p.Acts = append(p.Acts, Act{At: at + time.Second/2 + time.Duration(i)*300*time.Millisecond, Do: DoRead})
+		}
+		at += lost.For + p.Bounds.CatchUp
 	}
 }
 
--- a/lab/controlsim/disk.go
+++ b/lab/controlsim/disk.go
@@ -13,6 +13,7 @@
 	syncLeast     = millisecond
 	syncMost      = 30 * millisecond // of the slowest sound disk; each has a usual time of its own below it
 	refusedAfter  = 3 * millisecond
+	keptOneIn     = 4          // saves that were under way as the power went, one is kept of so many
 	writeBackWait = 5 * second // after which the system writes by itself what nobody synced
 )
 
@@ -88,7 +89,7 @@
 
 // losePower loses what was not synced, or keeps it.
 func (d *disk) losePower() {
-	if d.written != d.durable && d.world.draw.IntN(2) == 0 {
+	if d.written != d.durable && d.world.draw.IntN(keptOneIn) == 0 {
 		d.durable = d.written
 		return
 	}
--- a/lab/controlsim/planted/planted.go
+++ b/lab/controlsim/planted/planted.go
@@ -37,13 +37,15 @@
 		edit(registerFile, "return majority(v.Members, in) && (len(v.Prior) == 0 || majority(v.Prior, in))", "return majority(v.Members, in)"),
 		edit(proposerFile, "if !p.next.Quorum(in) || !p.read().Quorum(in) {", "if !p.next.Quorum(in) {")}},
 		Point: controlsim.SecondLoss, Checks: []string{checker.Lost, checker.Linear}},
-	{Mutant: planted.Mutant{Name: "a disk that came back empty counts at once", Edits: []planted.Edit{
-		edit(registerFile, "if !d.CaughtUp {", "if false {"),
-		edit(controllerFile, "c.saving == 0 && c.now >= c.saveAt && c.disk.CaughtUp {", "c.saving == 0 && c.now >= c.saveAt {")}},
+	{Mutant: planted.Mutant{Name: "an empty disk counts as at the first start", Edits: []planted.Edit{
+		edit(controllerFile, "case s.Bootstrap && slices.Contains(seeds, s.IP):", "case true:")}},
+		Point: controlsim.SecondLoss, Checks: []string{checker.Lost, checker.Linear}},
+	{Mutant: planted.Mutant{Name: "an empty disk counts once one other has answered", Edits: []planted.Edit{
+		edit(proposerFile, "return best, best.Value.Quorum(in)", "return best, in != nil")}},
 		Point: controlsim.SecondLoss, Checks: []string{checker.Lost, checker.Linear}},
 	{Mutant: planted.Mutant{Name: "answers leave before the sync", Edits: []planted.Edit{
 		edit(diskFile, "	if after == 0 {\n", "	if after >= 0 {\n")}},
-		Point: controlsim.LongLife, Checks: []string{checker.Lost, checker.Linear}},
+		Point: controlsim.SecondLoss, Checks: []string{checker.Lost, checker.Linear}},
 	{Mutant: planted.Mutant{Name: "a controller starts again with its first state", Edits: []planted.Edit{
 		edit(controllerFile, "c.disk = register.Disk{State: *s.State, CaughtUp: true}",
 			"c.disk = register.Disk{State: register.State{Value: register.Value{Members: s.State.Value.Members, Epoch: s.State.Value.Epoch}}, CaughtUp: true}")}},
