--- a/lab/controlsim/checker/calm.go
+++ b/lab/controlsim/checker/calm.go
@@ -55,6 +55,7 @@
 	for _, m := range h.Machines {
 		if m.Core {
 			c.core = append(c.core, m)
+			c.events.add(m.From, m.From)
 		}
 	}
 	begun := map[int64]int{}
--- a/lab/controlsim/checker/checker.go
+++ b/lab/controlsim/checker/checker.go
@@ -26,11 +26,12 @@
 	GoneAgain    = "edge sends to a replica that has departed"
 	NoAnswer     = "order without an answer in calm times"
 	NoRead       = "read without an answer in calm times"
+	Idle         = "controller in touch does no work"
 )
 
 // Checks are the names of all checks.
 var Checks = []string{Lost, TwoContents, Linear, RefusedTaken, RefusedAgain, Back, Behind, BehindBeside, CutOff, ReadyOld, DrainUnknown,
-	GoneAgain, NoAnswer, NoRead}
+	GoneAgain, NoAnswer, NoRead, Idle}
 
 const (
 	sampleEvery    = 250 * int64(time.Millisecond)
@@ -38,6 +39,7 @@
 	linearMost     = 20 * time.Second               // of real time
 	cutBegins      = int64(time.Millisecond)
 	noLimit        = int64(Never)
+	idleTries      = 4 // calls that a controller in touch fails one after the other
 	mostViolations = 3 // of one check that are told
 )
 
@@ -60,6 +62,7 @@
 	j.readiness()
 	j.drains()
 	j.answers()
+	j.idle()
 	j.linear()
 	slices.SortStableFunc(j.found, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return j.found
@@ -366,6 +369,39 @@
 	return 0, false
 }
 
+// idle: a controller in touch does not fail one call after the other.
+func (j *judge) idle() {
+	tries := map[string][]Try{}
+	for _, o := range j.Orders {
+		for _, t := range o.Tries {
+			tries[t.Controller] = append(tries[t.Controller], t)
+		}
+	}
+	for _, r := range j.Reads {
+		for _, t := range r.Tries {
+			tries[t.Controller] = append(tries[t.Controller], t)
+		}
+	}
+	for _, m := range j.calm.core {
+		mine := tries[m.Name]
+		slices.SortStableFunc(mine, func(a, b Try) int { return cmp.Compare(a.Sent, b.Sent) })
+		failed := 0
+		for _, t := range mine {
+			inTouch := t.Answered > 0 && j.calm.settled(t.Sent) && j.calm.settled(t.Answered) && j.calm.links.clear(t.Sent, t.Answered) &&
+				j.calm.machine(m.Name, t.Sent-j.Bounds.Contact, t.Answered)
+			switch {
+			case !inTouch:
+			case t.Status > 0 && t.Status < 500:
+				failed = 0
+			default:
+				if failed++; failed == idleTries {
+					j.broken(Idle, t.Answered, "%s fails %d calls one after the other, the last with %d", m.Name, failed, t.Status)
+				}
+			}
+		}
+	}
+}
+
 func seconds(at int64) string { return fmt.Sprintf("%.3f s", float64(at)/1e9) }
 
 // register is the state of the sequential register that the history is compared with.
--- a/lab/controlsim/checker/history.go
+++ b/lab/controlsim/checker/history.go
@@ -45,6 +45,7 @@
 	Sent, Answered int64
 	Revision       uint64
 	Content        string
+	Tries          []Try
 }
 
 // Serve tells that a configuration is in force at an edge from a time on.
--- a/lab/controlsim/clients.go
+++ b/lab/controlsim/clients.go
@@ -252,10 +252,12 @@
 }
 
 func (w *world) readTry(index int, to string, once bool, pause int64) {
+	sent := w.now
 	w.call("operator", to, func(s *server, answer func(controller.Answer)) {
 		s.call(s.controller.Read, answer)
 	}, func(status int, body []byte) {
 		r := &w.history.Reads[index]
+		r.Tries = append(r.Tries, checker.Try{Controller: to, Sent: sent, Answered: w.now, Status: status})
 		switch {
 		case status == 200:
 			r.Content, r.Answered = contentOf(body), w.now
--- a/lab/controlsim/days.go
+++ b/lab/controlsim/days.go
@@ -196,7 +196,7 @@
 // that would bring the others up to date.
 func (d *day) threeInTurn() {
 	p := d.plan
-	p.Controllers, p.Workload = 3, Workload{}
+	p.Controllers, p.Workload, p.Length = 3, Workload{}, 90*time.Second
 	d.who = d.Perm(p.Controllers)
 	next := p.Controllers + 1
 	names := []string{d.controller(0), d.controller(1), d.controller(2)}
@@ -216,11 +216,12 @@
 		}
 		d.fault(loss)
 		at += loss.For + p.Bounds.CatchUp
-		lost := Fault{Kind: []Kind{Freeze, Kill, Cut, Power}[d.IntN(4)], At: at, For: 3 * time.Second, Machine: holder}
+		lost := Fault{Kind: []Kind{Freeze, Kill, Cut, Power}[d.IntN(4)], At: at, For: 2*p.Bounds.Contact + 3*time.Second, Machine: holder}
 		d.fault(lost)
 		for i := range 3 {
 			p.Acts = append(p.Acts, Act{At: at + time.Second/2 + time.Duration(i)*300*time.Millisecond, Do: DoRead})
 		}
+		d.order(at+p.Bounds.Contact+time.Second, revision+50, fmt.Sprint(revision+50, "/alone"), "")
 		at += lost.For + p.Bounds.CatchUp
 	}
 }
