--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -11,6 +11,7 @@
 	"slices"
 
 	"willowsill/decide/clusterstate"
+	"willowsill/decide/lease"
 	"willowsill/decide/register"
 	"willowsill/decide/registry"
 )
@@ -18,11 +19,10 @@
 // Times, ns.
 const (
 	ms             = 1_000_000
-	heartbeatEvery = 300 * ms  // between two words to every other controller
-	heardWithin    = 1300 * ms // a controller heard within it is live: three words lost and it is not
-	passEvery      = 100 * ms  // between two batches of replicas' records to the others
-	beatsEvery     = 600 * ms  // between two batches that say only that replicas were heard
-	answerWithin   = 900 * ms  // callers go elsewhere after a second of silence
+	heartbeatEvery = 300 * ms // between two heartbeats to every other controller
+	passEvery      = 100 * ms // between two batches of replicas' records to the others
+	beatsEvery     = 600 * ms // between two batches that say only that replicas were heard
+	answerWithin   = 900 * ms // callers go elsewhere after a second of silence
 	joinEvery      = 250 * ms
 	silentMember   = 2500 * ms  // a member unheard for so long gives its place to a newcomer
 	roomMember     = 4000 * ms  // a newcomer waits so long for such a place before the members become more
@@ -43,7 +43,8 @@
 )
 
 type peer struct {
-	heard, first int64 // last, and since when without a long silence
+	heard, first int64  // last, and since when without a long silence
+	number       uint64 // of the last heartbeat received
 	heartbeat    Heartbeat
 }
 
@@ -76,23 +77,26 @@
 // Controller is the machine.
 type Controller struct {
 	Start
-	disk      register.Disk
-	proposer  *register.Proposer
-	joiner    *register.Joiner
-	list      *registry.Registry
-	book      *clusterstate.State
-	committed register.Value // the newest value known to stand
-	peers     map[string]*peer
-	edges     map[string]*edge // by IP
-	most      int
-	mostAt    int64
-	calls     []*pendingCall
-	asks      uint64
-	pass      map[string]registry.Record // for the next batch
-	passed    map[string]int64           // when the others were last told of a replica
-	wantAt    int64
-	began     int64
-	now       int64
+	disk        register.Disk
+	proposer    *register.Proposer
+	joiner      *register.Joiner
+	list        *registry.Registry
+	book        *clusterstate.State
+	committed   register.Value  // the newest value known to be committed
+	committedAt register.Ballot // the highest ballot known to be committed
+	lease       *lease.Lease
+	unsettledAt int64 // since when some disk has held what is not known to be committed; 0 for not
+	peers       map[string]*peer
+	edges       map[string]*edge // by IP
+	most        int
+	mostAt      int64
+	calls       []*pendingCall
+	asks        uint64
+	pass        map[string]registry.Record // for the next batch
+	passed      map[string]int64           // when the others were last told of a replica
+	wantAt      int64
+	began       int64
+	now         int64
 
 	listDirty           bool
 	listAt              int64
@@ -115,7 +119,7 @@
 func New(now int64, s Start) *Controller {
 	c := &Controller{Start: s, list: registry.New(silentBeats*s.BeatEvery, keepGone), book: clusterstate.NewState(),
 		peers: map[string]*peer{}, edges: map[string]*edge{}, pass: map[string]registry.Record{}, passed: map[string]int64{},
-		began: now, now: now}
+		lease: lease.New(s.IP + "/" + s.Life), began: now, now: now}
 	seeds := slices.Clone(s.Seeds)
 	slices.Sort(seeds)
 	seeds = slices.Compact(seeds)
@@ -171,23 +175,6 @@
 	return c.disk.Value.Members
 }
 
-// live tells whether a controller was heard of late; this one always is.
-func (c *Controller) live(ip string) bool {
-	p := c.peers[ip]
-	return ip == c.IP || p != nil && p.heard > 0 && c.now-p.heard < heardWithin
-}
-
-// Settled tells whether more than half of the members are heard, this one among them.
-func (c *Controller) InContact() bool {
-	members, n := c.members(), 0
-	for _, m := range members {
-		if c.live(m) {
-			n++
-		}
-	}
-	return 2*n > len(members)
-}
-
 func (c *Controller) send(w Message, to ...string) {
 	to = slices.DeleteFunc(slices.Clone(to), func(ip string) bool { return ip == c.IP })
 	if len(to) > 0 {
@@ -258,7 +245,7 @@
 		c.take(r, false)
 	}
 	if w.CommittedBallot.N > 0 && w.CommittedBallot == c.disk.Accepted {
-		c.stand(c.disk.Value)
+		c.commit(c.disk.Value, w.CommittedBallot)
 	} else if w.CommittedBallot.N > 0 && w.CommittedBallot.Compare(c.disk.Accepted) > 0 {
 		c.want(w.From)
 	}
@@ -274,36 +261,19 @@
 		}
 	}
 	if w.Committed != nil {
-		c.stand(*w.Committed)
+		c.commit(*w.Committed, w.CommittedAt)
 	}
 	if w.Want {
 		answer := Message{Records: c.list.All()}
 		if len(c.committed.Members) > 0 {
 			v := c.committed
-			answer.Committed = &v
+			answer.Committed, answer.CommittedAt = &v, c.committedAt
 		}
 		c.send(answer, w.From)
 	}
 	return c.done()
 }
 
-func (c *Controller) heartbeat(p *peer, w Message) {
-	h := w.Heartbeat
-	p.heartbeat = *h
-	for _, s := range h.Edges {
-		c.sight(s, false)
-	}
-	if len(h.Edges) > 0 {
-		c.fleet()
-	}
-	for _, ip := range h.Controllers {
-		c.meet(ip)
-	}
-	if h.Revision > c.committed.Revision || h.Epoch > c.committed.Epoch || c.list.Count() == 0 {
-		c.want(w.From)
-	}
-}
-
 // want asks one controller for all that it knows, now and then.
 //
 // Danger: one that is behind hears of it from all the others at once, and each would send it the whole
@@ -318,35 +288,17 @@
 // Tick does what is due.
 func (c *Controller) Tick(now int64) Out {
 	c.now = now
-	if s := c.InContact(); s != c.inContact {
-		c.inContact = s
-		c.log("in touch with most controllers", "settled", s)
-	}
+	c.checkContact()
 	c.carry(c.proposer.Tick(now))
 	for _, t := range slices.Clone(c.calls) {
 		if now >= t.until {
+			c.proposer.Cancel(t.edit)
 			c.answer(t, 503, nil, "no majority answered in time")
 		}
 	}
 	if now >= c.heartbeatAt {
 		c.heartbeatAt = now + heartbeatEvery
-		h := Heartbeat{CaughtUp: c.disk.CaughtUp, Epoch: c.committed.Epoch, Revision: c.committed.Revision, Leaving: c.leaving}
-		if now >= c.edgesAt {
-			c.edgesAt = now + edgesEvery
-			for ip := range c.peers {
-				if c.live(ip) {
-					h.Controllers = append(h.Controllers, ip)
-				}
-			}
-			for _, e := range c.edges {
-				if now-e.told > edgeAgain && now-e.heard < edgeAgain {
-					e.told = now
-					h.Edges = append(h.Edges, EdgeReport{e.Edge, e.said, now - e.heard})
-				}
-			}
-			c.fleet()
-		}
-		c.send(Message{Heartbeat: &h}, c.all()...)
+		c.sendHeartbeat()
 		c.forget()
 		c.book.Forget()
 	}
@@ -382,6 +334,7 @@
 		_, out := c.proposer.Edit(now, same)
 		c.carry(out)
 	}
+	c.settle()
 	if now >= c.dutyAt {
 		c.dutyAt = now + heartbeatEvery
 		c.duty()
@@ -412,7 +365,7 @@
 // Leave tells that the process is about to end in order.
 func (c *Controller) Leave(now int64) Out {
 	c.now, c.leaving = now, true
-	c.send(Message{Heartbeat: &Heartbeat{Leaving: true, Epoch: c.committed.Epoch, Revision: c.committed.Revision}}, c.all()...)
+	c.sendHeartbeat()
 	return c.done()
 }
 
--- a/decide/controller/controller_test.go
+++ b/decide/controller/controller_test.go
@@ -124,7 +124,7 @@
 	for _, a := range o.Answers {
 		b.answers[a.Call] = a
 	}
-	if n := o.Notice; n.Revision > 0 {
+	if n := o.Update; n.Revision > 0 {
 		must.GreaterEq(b.t, x.told, n.Revision, must.Sprint("followers were taken back"))
 		x.told = n.Revision
 		x.follower.Take(n) // one who follows holds what the controller holds
--- a/decide/controller/disk.go
+++ b/decide/controller/disk.go
@@ -77,7 +77,7 @@
 // carry does what the proposer asks for.
 func (c *Controller) carry(o register.Out) {
 	for _, d := range o.Done {
-		c.stand(d.Value)
+		c.commit(d.Value, d.Ballot)
 		c.finish(d)
 	}
 	if n := len(o.Done); n > 0 { // all of one round
@@ -92,8 +92,11 @@
 	}
 }
 
-// stand takes in a value that is known to stand.
-func (c *Controller) stand(v register.Value) {
+// commit takes in a value that is known to be committed, and the ballot under which it is.
+func (c *Controller) commit(v register.Value, ballot register.Ballot) {
+	if ballot.Compare(c.committedAt) > 0 {
+		c.committedAt = ballot
+	}
 	newer := v.Epoch > c.committed.Epoch || v.Revision > c.committed.Revision ||
 		v.Epoch == c.committed.Epoch && v.Revision == c.committed.Revision && len(v.Prior) < len(c.committed.Prior) ||
 		len(c.committed.Members) == 0
@@ -132,15 +135,15 @@
 // tell adds to what goes to those who follow.
 func (c *Controller) tell(n clusterstate.Update) {
 	if n.Revision > 0 {
-		o := &c.out.Notice
+		o := &c.out.Update
 		if o.Revision > 0 { // a patch of what was not told yet is none
 			n.Body, n.Base, n.Patch = c.book.Snapshot().Body, 0, nil
 		}
 		o.Revision, o.Body, o.Base, o.Patch, o.Raw = n.Revision, n.Body, n.Base, n.Patch, n.Raw
 	}
-	c.out.Notice.Replicas = append(c.out.Notice.Replicas, n.Replicas...)
+	c.out.Update.Replicas = append(c.out.Update.Replicas, n.Replicas...)
 	if !n.Fleet.Empty() {
-		c.out.Notice.Fleet = n.Fleet
+		c.out.Update.Fleet = n.Fleet
 	}
 }
 
--- a/decide/controller/members.go
+++ b/decide/controller/members.go
@@ -20,15 +20,14 @@
 	if len(v.Members) == 0 || !c.disk.CaughtUp || !c.inContact || c.leaving || c.proposer.Busy() || len(v.Prior) > 0 {
 		return
 	}
-	first := v.Members[slices.IndexFunc(v.Members, c.live)]
-	if first != c.IP {
+	if c.firstLiveMember() != c.IP {
 		return
 	}
 	var newcomers, silent []string
 	for ip, p := range c.peers {
 		member := slices.Contains(v.Members, ip)
 		switch {
-		case member && c.now-max(p.heard, c.began) > silentMember:
+		case member && c.now-max(c.lease.Reached(ip), c.began) > silentMember:
 			silent = append(silent, ip)
 		case !member && c.live(ip) && p.heartbeat.CaughtUp && !p.heartbeat.Leaving:
 			newcomers = append(newcomers, ip)
@@ -39,7 +38,7 @@
 		return
 	}
 	slices.Sort(newcomers)
-	slices.SortFunc(silent, func(a, b string) int { return int(c.peers[a].heard - c.peers[b].heard) })
+	slices.SortFunc(silent, c.laterOf)
 	members := slices.Clone(v.Members)
 	switch {
 	case len(silent) > 0:
--- a/decide/controller/messages.go
+++ b/decide/controller/messages.go
@@ -20,6 +20,7 @@
 	Committed       *register.Value    `cbor:"8,keyasint,omitempty"` // a value known to stand
 	CommittedBallot register.Ballot    `cbor:"9,keyasint,omitempty"` // what was taken under this ballot stands
 	Beats           []ReplicaHeartbeat `cbor:"10,keyasint,omitempty"`
+	CommittedAt     register.Ballot    `cbor:"11,keyasint,omitempty"` // the ballot that Committed was committed under
 }
 
 // ReplicaHeartbeat tells that a replica was heard which says what it said before.
@@ -34,8 +35,18 @@
 	Epoch       uint64       `cbor:"2,keyasint,omitempty"`
 	Revision    uint64       `cbor:"3,keyasint,omitempty"`
 	Controllers []string     `cbor:"4,keyasint,omitempty"` // live ones that it knows of
-	Edges       []EdgeReport `cbor:"5,keyasint,omitempty"` // heard of since the last hello
+	Edges       []EdgeReport `cbor:"5,keyasint,omitempty"` // heard of since the last heartbeat
 	Leaving     bool         `cbor:"6,keyasint,omitempty"`
+
+	Number   uint64          `cbor:"7,keyasint,omitempty"` // of this heartbeat; the others return it
+	Received []Receipt       `cbor:"8,keyasint,omitempty"` // the last heartbeats received from the others
+	Accepted register.Ballot `cbor:"9,keyasint,omitempty"` // the newest that this one's disk has accepted
+}
+
+// Receipt returns the number of the last heartbeat that was received from a controller.
+type Receipt struct {
+	IP     string `cbor:"1,keyasint"`
+	Number uint64 `cbor:"2,keyasint"`
 }
 
 // EdgeReport is one edge as it was heard of by a controller.
@@ -72,7 +83,7 @@
 	Save    *Save
 	Sends   []Send
 	Answers []Answer
-	Notice  clusterstate.Update // to all who follow
+	Update  clusterstate.Update // to all who follow
 	Log     []Line
 }
 
--- /dev/null
+++ b/decide/lease/lease.go
@@ -0,0 +1,137 @@
+// Package lease tells how long ago a control server was last in contact with a majority. Each server numbers its
+// heartbeats, and the others return in theirs the last number that they received. A returned number proves that both
+// ways worked after the heartbeat with that number was sent, so contact is counted from the time of that sending, on the
+// server's own steady clock. No clocks are compared, and no time of day is read.
+//
+// Decides: since when a majority is known to have been reached, and to have held nothing newer.
+package lease
+
+import (
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+
+	"willowsill/decide/register"
+)
+
+// remembered is how many heartbeats an answer may lag behind the last one that was sent.
+const remembered = 16
+
+// Never is the time of a contact that has not taken place.
+const Never int64 = -1 << 62
+
+// question is a heartbeat that was sent.
+type question struct {
+	number uint64
+	sent   int64
+}
+
+// contact is what the answers of one server have proved so far. Times are those of the questions' sending, in ns.
+type contact struct {
+	reached int64 // it received a heartbeat of ours that was sent then, and we received its answer
+	current int64 // the same, and what its disk had accepted by then was committed here
+}
+
+// Lease records contacts with the other control servers. It is not safe for concurrent use.
+type Lease struct {
+	next      uint64
+	questions []question
+	contacts  map[string]contact
+}
+
+// New makes a lease for one life of a process. Numbers of different lives differ, so an answer to an earlier life proves
+// nothing in this one.
+func New(life string) *Lease {
+	return &Lease{next: xxhash.Sum64String(life), contacts: map[string]contact{}}
+}
+
+// Ask returns the number of a heartbeat that is sent now, ns.
+func (l *Lease) Ask(now int64) uint64 {
+	l.next++
+	l.questions = append(l.questions, question{l.next, now})
+	if len(l.questions) > remembered {
+		l.questions = slices.Delete(l.questions, 0, 1)
+	}
+	return l.next
+}
+
+// Answer takes the number that a server returned. current tells that all its disk had accepted was known here as
+// committed. Numbers that were never sent, or long ago, prove nothing.
+func (l *Lease) Answer(from string, number uint64, current bool) {
+	at := slices.IndexFunc(l.questions, func(q question) bool { return q.number == number })
+	if at < 0 {
+		return
+	}
+	sent := l.questions[at].sent
+	c, ok := l.contacts[from]
+	if !ok {
+		c = contact{Never, Never}
+	}
+	c.reached = max(c.reached, sent)
+	if current {
+		c.current = max(c.current, sent)
+	}
+	l.contacts[from] = c
+}
+
+// Reached is the time since when a server is known to have been in contact, or Never.
+func (l *Lease) Reached(name string) int64 {
+	if c, ok := l.contacts[name]; ok {
+		return c.reached
+	}
+	return Never
+}
+
+// Forget drops what is known of a server.
+func (l *Lease) Forget(name string) { delete(l.contacts, name) }
+
+// ReachedSince is the latest time since when a quorum of the value's members was in contact, or Never. self is the
+// server's own name, which counts as reached now; empty where its own disk does not count.
+func (l *Lease) ReachedSince(now int64, self string, v register.Value) int64 {
+	return quorumSince(v, func(name string) int64 {
+		if name == self {
+			return now
+		}
+		return l.Reached(name)
+	})
+}
+
+// CurrentSince is the latest time at which a quorum of the value's members is known to have held nothing that was not
+// committed here, or Never. So whatever was acknowledged before that time is known here. selfCurrent tells whether the
+// server's own disk holds nothing newer either.
+func (l *Lease) CurrentSince(now int64, self string, selfCurrent bool, v register.Value) int64 {
+	return quorumSince(v, func(name string) int64 {
+		if name == self {
+			if selfCurrent {
+				return now
+			}
+			return Never
+		}
+		if c, ok := l.contacts[name]; ok {
+			return c.current
+		}
+		return Never
+	})
+}
+
+// quorumSince is the latest time that a majority of the members has reached, and of the prior members where there are
+// any.
+func quorumSince(v register.Value, at func(name string) int64) int64 {
+	since := majoritySince(v.Members, at)
+	if len(v.Prior) > 0 {
+		since = min(since, majoritySince(v.Prior, at))
+	}
+	return since
+}
+
+func majoritySince(members []string, at func(name string) int64) int64 {
+	if len(members) == 0 {
+		return Never
+	}
+	times := make([]int64, 0, len(members))
+	for _, name := range members {
+		times = append(times, at(name))
+	}
+	slices.Sort(times)
+	return times[(len(times)-1)/2] // more than half of all are at this time or later
+}
--- /dev/null
+++ b/decide/lease/lease_test.go
@@ -0,0 +1,97 @@
+package lease_test
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+	"pgregory.net/rapid"
+
+	"willowsill/decide/lease"
+	"willowsill/decide/register"
+)
+
+var five = register.Value{Members: []string{"a", "b", "c", "d", "e"}}
+
+// TestCountsFromTheQuestion: contact is as old as the heartbeat that was answered, however late the answer comes.
+func TestCountsFromTheQuestion(t *testing.T) {
+	l := lease.New("a/1")
+	first, second := l.Ask(100), l.Ask(200)
+	l.Answer("b", second, true)
+	must.Eq(t, lease.Never, l.ReachedSince(1000, "a", five))
+	l.Answer("c", first, true)
+	must.Eq(t, 100, l.ReachedSince(1000, "a", five))
+	must.Eq(t, 100, l.CurrentSince(1000, "a", true, five))
+	l.Answer("c", second, false)
+	must.Eq(t, 200, l.ReachedSince(1000, "a", five))
+	must.Eq(t, 100, l.CurrentSince(1000, "a", true, five))
+	l.Answer("c", first, true) // late or again: nothing goes back
+	must.Eq(t, 200, l.ReachedSince(1000, "a", five))
+}
+
+// TestOwnDiskCounts: a server whose own disk does not count needs a majority of the others, and one whose own disk
+// holds what may not be committed is not current by its own word.
+func TestOwnDiskCounts(t *testing.T) {
+	l := lease.New("a/1")
+	n := l.Ask(100)
+	l.Answer("b", n, true)
+	l.Answer("c", n, true)
+	must.Eq(t, 100, l.ReachedSince(500, "a", five))
+	must.Eq(t, lease.Never, l.ReachedSince(500, "", five))
+	must.Eq(t, lease.Never, l.CurrentSince(500, "a", false, five))
+	l.Answer("d", n, true)
+	must.Eq(t, 100, l.ReachedSince(500, "", five))
+}
+
+// TestOtherLife: an answer to the heartbeats of an earlier life proves nothing.
+func TestOtherLife(t *testing.T) {
+	earlier, now := lease.New("a/1"), lease.New("a/2")
+	n := earlier.Ask(1)
+	now.Ask(100)
+	now.Answer("b", n, true)
+	now.Answer("c", 0, true)
+	must.Eq(t, lease.Never, now.Reached("b"))
+	must.Eq(t, lease.Never, now.Reached("c"))
+}
+
+// TestBothSetsOfMembers: while members change, a majority of the former ones is needed as well.
+func TestBothSetsOfMembers(t *testing.T) {
+	l := lease.New("a/1")
+	v := register.Value{Members: []string{"a", "b", "f"}, Prior: []string{"a", "b", "c"}}
+	l.Answer("f", l.Ask(100), true)
+	must.Eq(t, lease.Never, l.ReachedSince(500, "a", v))
+	l.Answer("c", l.Ask(200), true)
+	must.Eq(t, 100, l.ReachedSince(500, "a", v))
+}
+
+// TestMajority: by definition, more than half of the members were in contact at the returned time or later.
+func TestMajority(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		names := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}[:rapid.IntRange(1, 9).Draw(t, "members")]
+		l := lease.New("z/1")
+		at := map[string]int64{}
+		for now := int64(1); now < 20; now++ {
+			n := l.Ask(now)
+			for _, name := range names {
+				if rapid.IntRange(0, 3).Draw(t, "answers") == 0 {
+					l.Answer(name, n, true)
+					at[name] = now
+				}
+			}
+		}
+		since := l.ReachedSince(20, "", register.Value{Members: names})
+		later := func(than int64) (count int) {
+			for _, name := range names {
+				if when, ok := at[name]; ok && when >= than {
+					count++
+				}
+			}
+			return count
+		}
+		if since == lease.Never {
+			must.LessEq(t, len(names)/2, later(1))
+			return
+		}
+		must.Greater(t, len(names)/2, later(since))
+		must.LessEq(t, len(names)/2, later(since+1))
+	})
+}
--- a/decide/register/proposer.go
+++ b/decide/register/proposer.go
@@ -113,6 +113,23 @@
 	return id, Out{}
 }
 
+// Cancel withdraws an edit whose caller has stopped waiting, unless its value is being written already: then it may
+// be committed, and nobody can tell.
+//
+// Danger: a proposer that is cut off would keep edits for as long as that lasts, and write them over all that was
+// changed meanwhile.
+func (p *Proposer) Cancel(id uint64) {
+	is := func(e edit) bool { return e.id == id }
+	p.waiting = slices.DeleteFunc(p.waiting, is)
+	if p.phase == accepting {
+		return
+	}
+	p.running = slices.DeleteFunc(p.running, is)
+	if len(p.running)+len(p.waiting) == 0 && len(p.next.Prior) == 0 {
+		p.phase, p.refused = idle, 0
+	}
+}
+
 // begin starts with a question that binds nobody: mostly the value stands already, and nothing changes it.
 func (p *Proposer) begin(now int64) Out {
 	p.running, p.waiting = append(p.running, p.waiting...), nil
--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -167,8 +167,8 @@
 			c <- a
 		}
 	}
-	if !o.Notice.Empty() {
-		n := o.Notice
+	if !o.Update.Empty() {
+		n := o.Update
 		t.feed.Publish(&n, t.inContact.Load())
 	}
 }
