--- a/decide/clusterstate/clusterstate.go
+++ b/decide/clusterstate/clusterstate.go
@@ -31,6 +31,15 @@
 	Controllers []string `cbor:"3,keyasint,omitempty"` // controllers, by IP
 }
 
+// Freshness says how recent a feeder's state is known to be.
+type Freshness struct {
+	Known    bool   `cbor:"1,keyasint,omitempty"` // a control server in contact with a majority has vouched for it in this life
+	Age      int64  `cbor:"2,keyasint,omitempty"` // ns since it was known to hold all that had been acknowledged
+	Epoch    uint64 `cbor:"3,keyasint,omitempty"` // of the members of the control state
+	Revision uint64 `cbor:"4,keyasint,omitempty"` // of the newest configuration known to be committed
+	Hops     int    `cbor:"5,keyasint,omitempty"` // relays between the control server that said so and the reader
+}
+
 // Edge is one machine that serves clients.
 type Edge struct {
 	IP   string `cbor:"1,keyasint"`
--- /dev/null
+++ b/decide/follower/follower.go
@@ -0,0 +1,85 @@
+// Package follower is what an edge goes by when it follows the control servers: how old its knowledge may be, when it
+// leaves the feeder that it follows for another, and whether it may call itself ready. It reads no clock.
+//
+// A feeder says with each message how long ago it was known to hold all that had been acknowledged (its freshness).
+// Relays pass that on, grown by the time that it lay with them, so that its age counts from a control server in contact
+// with a majority, over any number of hops.
+//
+// Decides: when an edge leaves its feeder, and whether it may take new clients.
+package follower
+
+import (
+	"willowsill/decide/clusterstate"
+)
+
+// Times, ns.
+const (
+	ms            = 1_000_000
+	staleDirect   = 2000 * ms // a control server's word that is older than this counts as that of one that is cut off
+	staleRelayed  = 3000 * ms // a relay's: the relay itself leaves its feeder first, and those below it need not move
+	leastStay     = 1000 * ms // with a feeder that is not fresh, before the next one is tried
+	longStay      = 4000 * ms // the same once all have been tried: none of them is fresh, and each visit costs a snapshot
+	readyWithout  = 3000 * ms // from the first configuration on: a new edge that finds no fresh feeder for so long is ready
+	behindAllowed = 1000 * ms // from the word of a newer revision until it has to be here
+)
+
+// Follower decides for one edge whom to leave. It is not safe for concurrent use.
+type Follower struct {
+	connectedAt  int64
+	alternatives int // feeders besides this one
+	tried        int // feeders that were left one after the other because none was fresh
+	heard        clusterstate.Freshness
+	heardAt      int64
+}
+
+// Connected tells that a feeder is followed from now on, and how many others there are.
+func (f *Follower) Connected(now int64, alternatives int) {
+	f.connectedAt, f.alternatives = now, alternatives
+	f.heard = clusterstate.Freshness{}
+}
+
+// Heard takes what the feeder said of itself.
+func (f *Follower) Heard(now int64, said clusterstate.Freshness) {
+	f.heard, f.heardAt = said, now
+	if f.fresh(now) {
+		f.tried = 0
+	}
+}
+
+// Disconnected tells that no feeder is followed any more.
+func (f *Follower) Disconnected() { f.heard = clusterstate.Freshness{} }
+
+// Leave tells whether the feeder is to be left because what it says is not fresh.
+//
+// Danger: a feeder that is cut off from the other control servers goes on saying that it is there, and an edge that
+// stays with it keeps an old configuration.
+func (f *Follower) Leave(now int64) bool {
+	stay := int64(leastStay)
+	if f.tried > f.alternatives {
+		stay = longStay
+	}
+	if f.alternatives == 0 || f.fresh(now) || now-f.connectedAt < stay {
+		return false
+	}
+	f.tried++
+	return true
+}
+
+// fresh tells whether the feeder followed now is.
+func (f *Follower) fresh(now int64) bool {
+	limit := int64(staleDirect)
+	if f.heard.Hops > 0 {
+		limit = staleRelayed
+	}
+	return f.heard.Known && f.heard.Age+now-f.heardAt < limit
+}
+
+// Freshness is what this edge knows, for itself and for those that follow it.
+func (f *Follower) Freshness(now int64) clusterstate.Freshness {
+	known := f.heard
+	if known.Known {
+		known.Age += now - f.heardAt
+		known.Hops++
+	}
+	return known
+}
--- /dev/null
+++ b/decide/follower/follower_test.go
@@ -0,0 +1,112 @@
+package follower
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"willowsill/decide/clusterstate"
+)
+
+func said(age int64, hops int) clusterstate.Freshness {
+	return clusterstate.Freshness{Known: true, Age: age, Revision: 7, Hops: hops}
+}
+
+// TestLeavesWhoIsCutOff: a feeder whose word grows old is left, a relay's later than a control server's; one that is
+// fresh is not, and neither is the only one.
+func TestLeavesWhoIsCutOff(t *testing.T) {
+	for _, hops := range []int{0, 2} {
+		var f, only Follower
+		f.Connected(0, 3)
+		only.Connected(0, 0)
+		leftAt := int64(0)
+		for now := int64(0); now < 10_000*ms && leftAt == 0; now += 300 * ms {
+			age := max(now-4_000*ms, 0) // cut off after four seconds
+			f.Heard(now, said(age, hops))
+			only.Heard(now, said(age, hops))
+			if f.Leave(now) {
+				leftAt = now
+			}
+			must.False(t, only.Leave(now))
+		}
+		limit := int64(staleDirect)
+		if hops > 0 {
+			limit = staleRelayed
+		}
+		must.Between(t, 4_000*ms+limit, leftAt, 4_300*ms+limit)
+	}
+}
+
+// TestNeverVouchedFor: a control server that has not been in contact in this life is left after a moment, which one
+// that is just starting needs.
+func TestNeverVouchedFor(t *testing.T) {
+	var f Follower
+	f.Connected(0, 1)
+	f.Heard(100*ms, clusterstate.Freshness{Revision: 3})
+	must.False(t, f.Leave(900*ms))
+	must.True(t, f.Leave(1000*ms))
+}
+
+// TestNobodyIsFresh: once all feeders have been tried in vain, each is stayed with for longer; a fresh one ends that.
+func TestNobodyIsFresh(t *testing.T) {
+	var f Follower
+	now := int64(0)
+	for range 4 {
+		f.Connected(now, 3)
+		must.False(t, f.Leave(now+999*ms))
+		now += 1000 * ms
+		must.True(t, f.Leave(now))
+	}
+	f.Connected(now, 3)
+	must.False(t, f.Leave(now+3999*ms))
+	must.True(t, f.Leave(now+4000*ms))
+	f.Connected(now, 3)
+	f.Heard(now, said(0, 0))
+	f.Connected(now, 3)
+	must.True(t, f.Leave(now+1000*ms))
+}
+
+// TestAgeGrows: what is passed on has grown by the time that it lay here, and by a hop.
+func TestAgeGrows(t *testing.T) {
+	var f Follower
+	f.Connected(0, 3)
+	f.Heard(100, said(50, 1))
+	must.Eq(t, said(250, 2), f.Freshness(300))
+	f.Disconnected()
+	must.False(t, f.Freshness(400).Known)
+}
+
+// TestReadyOnlyWithCurrent: a new edge that holds an old configuration waits for a fresh feeder; it is ready without
+// one after a while, when it must assume that there is none.
+func TestReadyOnlyWithCurrent(t *testing.T) {
+	var r Readiness
+	must.False(t, r.Ready(0))
+	r.Configured(1000*ms, 7)
+	r.Heard(1000*ms, clusterstate.Freshness{Revision: 7})
+	must.False(t, r.Ready(1500*ms))
+	r.Heard(1600*ms, said(9_000*ms, 1)) // the feeder is itself cut off
+	must.False(t, r.Ready(1700*ms))
+	must.True(t, r.Ready(4000*ms))
+	r = Readiness{}
+	r.Configured(1000*ms, 7)
+	r.Heard(1200*ms, said(300*ms, 1))
+	must.True(t, r.Ready(1200*ms))
+	must.True(t, r.Ready(100_000*ms)) // all control servers may be gone since: what is known then changes nowhere
+}
+
+// TestBehindIsNotReady: an edge that knows of a newer revision than it serves says so once that lasts.
+func TestBehindIsNotReady(t *testing.T) {
+	var r Readiness
+	r.Configured(0, 6)
+	r.Heard(100*ms, clusterstate.Freshness{Known: true, Revision: 7})
+	must.False(t, r.Ready(500*ms)) // it was never current
+	r.Configured(600*ms, 7)
+	r.Heard(600*ms, said(0, 1))
+	must.True(t, r.Ready(600*ms))
+	r.Heard(700*ms, clusterstate.Freshness{Known: true, Revision: 9})
+	must.True(t, r.Ready(1600*ms))
+	must.False(t, r.Ready(1700*ms))
+	r.Configured(1800*ms, 9)
+	r.Heard(1800*ms, clusterstate.Freshness{Known: true, Revision: 9})
+	must.True(t, r.Ready(1800*ms))
+}
--- a/front/proxyserver/proxyserver.go
+++ b/front/proxyserver/proxyserver.go
@@ -7,6 +7,7 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
+	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -18,6 +19,7 @@
 	"willowsill/balance"
 	"willowsill/decide/clusterstate"
 	"willowsill/decide/controller"
+	"willowsill/decide/follower"
 	"willowsill/decide/registry"
 	"willowsill/decide/routingtable"
 	"willowsill/deployment"
@@ -50,13 +52,16 @@
 	address  net.Addr
 	count    *counters.Counters
 
-	mu     sync.Mutex // guards table and what is told to the node by it
-	book   *clusterstate.State
-	table  *routingtable.Table
-	rows   []*counters.Workload
-	served []balance.Workload
+	mu        sync.Mutex // guards table and what is told to the node by it
+	book      *clusterstate.State
+	table     *routingtable.Table
+	readiness follower.Readiness
+	fresh     clusterstate.Freshness // as the agent said it at freshAt
+	freshAt   int64
+	rows      []*counters.Workload
+	served    []balance.Workload
 
-	knows   atomic.Bool // a configuration and a whole book were there once
+	knows   atomic.Bool // a configuration and a snapshot were there once
 	leaving atomic.Bool
 }
 
@@ -84,8 +89,7 @@
 	h.servers, h.address = &clienthttp.Servers{Handler: h.handler}, front.Addr()
 	inner, end := context.WithCancel(context.Background())
 	defer end()
-	self := watch.Report{Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: s.IP, Zone: s.Zone}}}
-	up := watch.Follower{Report: func() watch.Report { return self }, Take: h.take,
+	up := watch.Follower{Report: h.report, Take: h.take, Sign: h.heard,
 		Addresses: func() []string { return []string{s.Inner(s.Loopback(), settings.PortAgent)} }}
 	go up.Run(inner)
 	go h.budget(inner)
@@ -127,12 +131,42 @@
 	klog.InfoS("left", "late", wait.Err() != nil)
 }
 
+// ready answers the platform, which reads the status alone; the body says to people how old the knowledge here is.
 func (h *Server) ready(w http.ResponseWriter, _ *http.Request) {
-	if !h.knows.Load() || h.leaving.Load() {
-		w.WriteHeader(http.StatusServiceUnavailable)
-		return
+	h.mu.Lock()
+	now := h.node.Now()
+	ready := h.readiness.Ready(now) && !h.leaving.Load()
+	state := readinessState{Ready: ready, Behind: h.readiness.Behind(now), Known: h.fresh.Known, NewestRevision: h.fresh.Revision,
+		AgeMs: (h.fresh.Age + now - h.freshAt) / int64(time.Millisecond)}
+	if h.book != nil {
+		state.Revision = h.book.Revision
+	}
+	h.mu.Unlock()
+	status := http.StatusOK
+	if !ready {
+		status = http.StatusServiceUnavailable
 	}
-	w.WriteHeader(http.StatusOK)
+	body := state.encode()
+	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	w.WriteHeader(status)
+	w.Write(body)
+}
+
+// report is what the proxy says to the agent beside it.
+func (h *Server) report() watch.Report {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	self := controller.EdgeReport{Edge: clusterstate.Edge{IP: h.settings.IP, Zone: h.settings.Zone}}
+	return watch.Report{Self: self, Revision: h.book.Revision}
+}
+
+// heard takes how fresh the agent's knowledge is.
+func (h *Server) heard(fresh clusterstate.Freshness) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.fresh, h.freshAt = fresh, h.node.Now()
+	h.readiness.Heard(h.freshAt, fresh)
 }
 
 // take takes a notice from the agent.
@@ -160,6 +194,7 @@
 		h.servers.Limit(h.address, c.State.Config.Limits)
 		h.handler.Serve(c.State)
 		klog.InfoS("serving", "revision", c.State.Config.Revision, "routes", len(c.State.Config.Routes))
+		h.readiness.Configured(h.node.Now(), c.State.Config.Revision)
 		h.knows.Store(true)
 	}
 	h.book.Forget()
--- a/transport/agentserver/agentserver.go
+++ b/transport/agentserver/agentserver.go
@@ -72,11 +72,11 @@
 	}
 	inner, end := context.WithCancel(context.Background())
 	defer end()
-	k.up = watch.Follower{Report: k.hello, Addresses: k.feeders, Take: k.take,
-		Beat: func(settled bool) { k.relay.Publish(nil, settled) }}
+	k.up = watch.Follower{Report: k.report, Addresses: k.feeders, Take: k.take,
+		Sign: func(fresh clusterstate.Freshness) { k.relay.Publish(nil, fresh) }}
 	go peer.Serve(proxy, func(l *peer.Link) { k.attend(l, &k.proxy) })
 	go peer.Serve(relay, func(l *peer.Link) { k.attend(l, &k.relay) })
-	go k.proxy.Beats(inner, k.up.Settled)
+	go k.proxy.Beats(inner, k.up.Freshness)
 	go k.hear()
 	go k.watch(inner)
 	go k.up.Run(inner)
@@ -102,11 +102,11 @@
 	return addresses
 }
 
-// hello is what this agent says to the one it follows.
-func (k *Server) hello() watch.Report {
+// report is what this agent says to the one it follows.
+func (k *Server) report() watch.Report {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	h := watch.Report{Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: k.settings.IP, Zone: k.settings.Zone}, Suspects: k.suspect}}
+	h := watch.Report{Revision: k.book.Revision, Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: k.settings.IP, Zone: k.settings.Zone}, Suspects: k.suspect}}
 	for ip, s := range k.below {
 		age := time.Since(s.at)
 		if age > belowWithin {
@@ -138,18 +138,19 @@
 		}
 		k.detector.Fleet(k.now(), ips)
 	}
-	k.proxy.Publish(&fresh, k.up.Settled())
-	k.relay.Publish(&fresh, k.up.Settled())
+	known := k.up.Freshness()
+	k.proxy.Publish(&fresh, known)
+	k.relay.Publish(&fresh, known)
 	k.book.Forget()
 	return !k.book.Behind
 }
 
 // attend feeds one follower.
 func (k *Server) attend(l *peer.Link, feed *watch.Feed) {
-	watch.Attend(l, func(watch.Report) {
+	watch.Attend(l, func(report watch.Report) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		feed.Join(l, k.book.Snapshot(), k.up.Settled())
+		feed.Join(l, report, k.book.Snapshot(), k.up.Freshness())
 	}, func(h watch.Report) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
--- a/transport/controlclient/controlclient.go
+++ b/transport/controlclient/controlclient.go
@@ -112,7 +112,7 @@
 			}
 			return ErrDinghy.Wrap(err)
 		}
-		if p.Notice != nil && !take(*p.Notice) {
+		if p.Update != nil && !take(*p.Update) {
 			return nil
 		}
 	}
--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -17,7 +17,9 @@
 	"github.com/samber/oops"
 	"k8s.io/klog/v2"
 
+	"willowsill/decide/clusterstate"
 	"willowsill/decide/controller"
+	"willowsill/decide/lease"
 	"willowsill/decide/registry"
 	"willowsill/deployment/settings"
 	"willowsill/transport/peer"
@@ -48,7 +50,7 @@
 	saves      chan controller.Save
 	mesh       *peer.Mesh
 	feed       watch.Feed
-	inContact  atomic.Bool
+	current    atomic.Pointer[currency]
 
 	mu    sync.Mutex // guards the rest
 	calls map[uint64]chan controller.Answer
@@ -93,7 +95,7 @@
 	go peer.Serve(peers, t.peer)
 	go peer.Serve(followers, t.follower)
 	go t.save(box)
-	go t.feed.Beats(inner, t.inContact.Load)
+	go t.feed.Beats(inner, t.freshness)
 	server := &http.Server{Handler: t.handler(), ReadHeaderTimeout: headWait, ReadTimeout: bodyWait, IdleTimeout: idleWait,
 		MaxHeaderBytes: headMost}
 	go func() {
@@ -116,6 +118,33 @@
 
 func (t *Server) now() int64 { return int64(time.Since(t.base)) }
 
+// currency is what was last known of how current the controller is.
+type currency struct {
+	since           int64 // on the server's clock; the controller then held all that had been acknowledged
+	epoch, revision uint64
+}
+
+// noteCurrent is called by the loop.
+func (t *Server) noteCurrent() {
+	t.current.Store(&currency{t.controller.CurrentSince(), t.controller.Epoch(), t.controller.Revision()})
+}
+
+// freshness is what followers are told, as of now. It may be called from any goroutine.
+//
+// Danger: a process that stood still for seconds would go on telling what held before; so the age is taken when it is
+// told, and not when it was noted.
+func (t *Server) freshness() clusterstate.Freshness {
+	noted := t.current.Load()
+	if noted == nil {
+		return clusterstate.Freshness{}
+	}
+	f := clusterstate.Freshness{Epoch: noted.epoch, Revision: noted.revision}
+	if noted.since != lease.Never {
+		f.Known, f.Age = true, max(t.now()-noted.since, 0)
+	}
+	return f
+}
+
 // loop is the one goroutine that calls the controller.
 func (t *Server) loop(ctx context.Context) {
 	timer := time.NewTimer(0)
@@ -135,13 +164,13 @@
 		if now := t.now(); now >= t.controller.Next() {
 			t.carry(t.controller.Tick(now))
 		}
+		t.noteCurrent()
 		timer.Reset(min(max(time.Duration(t.controller.Next()-t.now()), time.Millisecond), pollMost))
 	}
 }
 
 // carry carries out what the controller asks for.
 func (t *Server) carry(o controller.Out) {
-	t.inContact.Store(t.controller.InContact())
 	for _, l := range o.Log {
 		klog.InfoS(l.Text, l.Values...)
 	}
@@ -168,8 +197,9 @@
 		}
 	}
 	if !o.Update.Empty() {
-		n := o.Update
-		t.feed.Publish(&n, t.inContact.Load())
+		t.noteCurrent()
+		update := o.Update
+		t.feed.Publish(&update, t.freshness())
 	}
 }
 
@@ -204,7 +234,7 @@
 func (t *Server) follower(l *peer.Link) {
 	watch.Attend(l, func(h watch.Report) {
 		t.inputs <- func(int64) controller.Out {
-			t.feed.Join(l, t.controller.Snapshot(), t.controller.InContact())
+			t.feed.Join(l, h, t.controller.Snapshot(), t.freshness())
 			return controller.Out{}
 		}
 	}, func(h watch.Report) {
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -1,6 +1,6 @@
-// Package watch brings news from one process to those that follow it: from controllers to agents, from
-// agents to the agents below them and to the proxy on the same machine. It decides nothing but whom to
-// follow next when a feeder falls silent.
+// Package watch brings updates of the cluster's state from one process to those that follow it: from controllers to
+// agents, from agents to the agents below them and to the proxy on the same machine. It owns the links; when a feeder is
+// left is decided by decide/follower.
 package watch
 
 import (
@@ -12,32 +12,49 @@
 
 	"willowsill/decide/clusterstate"
 	"willowsill/decide/controller"
+	"willowsill/decide/follower"
 	"willowsill/transport/peer"
 )
 
 const (
-	beatEvery    = 300 * time.Millisecond  // between two words of a feeder
-	silentAfter  = 1000 * time.Millisecond // three words left out
-	unsettledFor = 1000 * time.Millisecond // a feeder that is itself cut off for so long is left for another
-	sayEvery     = time.Second             // between two words of a follower
-	followerGone = 5 * time.Second
-	nextAfter    = 100 * time.Millisecond
-	stayFor      = 5 * time.Second // before a follower goes back to the feeder that it should have
+	beatEvery    = 300 * time.Millisecond  // between two messages of a feeder
+	silentAfter  = 1000 * time.Millisecond // three messages left out, and the feeder is lost
+	sayEvery     = time.Second             // between two reports of a follower
+	followerGone = 5 * time.Second         // without a report, and the follower is
+	nextAfter    = 100 * time.Millisecond  // before the next feeder is tried
+	stayFor      = 5 * time.Second         // before a follower goes back to the feeder that it should have
 )
 
-// Message is what a feeder says; without a notice it only says that it is there.
+// Message is what a feeder says. Without an update it only says that it is there, and how fresh its state is.
 //
-// Danger: relays that said so of themselves could follow each other in a circle, each content with the other,
-// and hear nothing ever again. So that word comes from a controller, and relays only pass it on.
+// Danger: relays that called themselves fresh could follow each other in a circle, each content with the other, and hear
+// nothing ever again. So freshness begins at a controller, and relays pass it on grown by the time that it lay with them.
 type Message struct {
-	Notice  *clusterstate.Update `cbor:"1,keyasint,omitempty"`
-	Settled bool                 `cbor:"2,keyasint,omitempty"` // in touch with most controllers
+	Update    *clusterstate.Update    `cbor:"1,keyasint,omitempty"`
+	InContact bool                    `cbor:"2,keyasint,omitempty"` // in contact with a majority; for followers of the former version
+	Freshness *clusterstate.Freshness `cbor:"3,keyasint,omitempty"` // nil from a feeder of the former version
 }
 
-// Report is what a follower says, again and again: of itself, and of those that follow it.
+// inContactWithin is the age up to which followers of the former version are told that the feeder is in contact.
+const inContactWithin = 2 * time.Second
+
+func newMessage(u *clusterstate.Update, fresh clusterstate.Freshness) Message {
+	return Message{u, fresh.Known && fresh.Age < int64(inContactWithin), &fresh}
+}
+
+// freshness is what the message says; a feeder of the former version says only whether it is in contact.
+func (m Message) freshness() clusterstate.Freshness {
+	if m.Freshness == nil {
+		return clusterstate.Freshness{Known: m.InContact}
+	}
+	return *m.Freshness
+}
+
+// Report is what a follower says, again and again: of itself, of those that follow it, and which configuration it holds.
 type Report struct {
-	Self  controller.EdgeReport   `cbor:"1,keyasint"`
-	Below []controller.EdgeReport `cbor:"2,keyasint,omitempty"`
+	Self     controller.EdgeReport   `cbor:"1,keyasint"`
+	Below    []controller.EdgeReport `cbor:"2,keyasint,omitempty"`
+	Revision uint64                  `cbor:"3,keyasint,omitempty"` // of the configuration held; its body need not come again
 }
 
 // All are the follower and those below it.
@@ -49,16 +66,19 @@
 	links map[*peer.Link]struct{}
 }
 
-// Join adds a follower and gives it the whole book. Join and Publish are called in the order of what they
-// tell.
-func (f *Feed) Join(l *peer.Link, whole clusterstate.Update, settled bool) {
+// Join adds a follower and gives it the snapshot, without the body of a configuration that it holds already. Join and
+// Publish are called in the order of what they tell.
+func (f *Feed) Join(l *peer.Link, report Report, snapshot clusterstate.Update, fresh clusterstate.Freshness) {
 	f.mu.Lock()
 	if f.links == nil {
 		f.links = map[*peer.Link]struct{}{}
 	}
 	f.links[l] = struct{}{}
 	f.mu.Unlock()
-	l.Say(Message{&whole, settled})
+	if report.Revision >= snapshot.Revision {
+		snapshot.Body = nil
+	}
+	l.Say(newMessage(&snapshot, fresh))
 }
 
 // Part removes a follower.
@@ -75,11 +95,11 @@
 	return len(f.links)
 }
 
-// Publish tells all who follow; nil for a sign of life.
-func (f *Feed) Publish(n *clusterstate.Update, settled bool) {
-	frame, err := peer.Encode(Message{n, settled})
+// Publish tells all who follow; a nil update is a sign of life.
+func (f *Feed) Publish(update *clusterstate.Update, fresh clusterstate.Freshness) {
+	frame, err := peer.Encode(newMessage(update, fresh))
 	if err != nil {
-		klog.ErrorS(err, "a notice cannot be encoded")
+		klog.ErrorS(err, "an update cannot be encoded")
 		return
 	}
 	f.mu.Lock()
@@ -90,7 +110,7 @@
 }
 
 // Beats publishes signs of life until ctx ends.
-func (f *Feed) Beats(ctx context.Context, settled func() bool) {
+func (f *Feed) Beats(ctx context.Context, fresh func() clusterstate.Freshness) {
 	t := time.NewTicker(beatEvery)
 	defer t.Stop()
 	for {
@@ -98,7 +118,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			f.Publish(nil, settled())
+			f.Publish(nil, fresh())
 		}
 	}
 }
@@ -117,39 +137,64 @@
 	}
 }
 
-// Follower keeps one link to a feeder.
+// Follower keeps one link to a feeder. Its functions are called by the goroutine of Run.
 type Follower struct {
 	Report    func() Report
-	Addresses func() []string                // feeders to try, the best first
-	Take      func(clusterstate.Update) bool // false where it cannot be used and the whole book is needed
-	Beat      func(settled bool)             // a sign of life came, nil where nobody wants it
-	mu        sync.Mutex
-	settled   bool
+	Addresses func() []string                    // feeders to try, the best first
+	Take      func(clusterstate.Update) bool     // false where it cannot be used and a snapshot is needed
+	Sign      func(fresh clusterstate.Freshness) // a message came, and said this of the feeder; nil where nobody wants it
+
+	mu     sync.Mutex // guards what follows
+	base   time.Time
+	decide follower.Follower
 }
 
-// Settled tells whether the feeder followed now is in touch with most controllers.
-func (f *Follower) Settled() bool {
+// now is the follower's steady clock, ns. The caller holds mu.
+func (f *Follower) now() int64 {
+	if f.base.IsZero() {
+		f.base = time.Now().Add(-time.Hour)
+	}
+	return int64(time.Since(f.base))
+}
+
+// Freshness is how fresh the state held here is, for those that follow in turn.
+func (f *Follower) Freshness() clusterstate.Freshness {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.settled
+	return f.decide.Freshness(f.now())
 }
 
-func (f *Follower) set(s bool) {
+func (f *Follower) connected(alternatives int) {
 	f.mu.Lock()
-	f.settled = s
-	f.mu.Unlock()
+	defer f.mu.Unlock()
+	f.decide.Connected(f.now(), alternatives)
+}
+
+func (f *Follower) disconnected() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.decide.Disconnected()
+}
+
+func (f *Follower) heard(fresh clusterstate.Freshness) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.decide.Heard(f.now(), fresh)
+}
+
+func (f *Follower) leave() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.decide.Leave(f.now())
 }
 
 // Run follows one feeder after the other until ctx ends.
-//
-// Danger: a feeder that is cut off from the others goes on saying that it is there. It is left once another
-// may know more.
 func (f *Follower) Run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; {
 		if addresses := f.Addresses(); len(addresses) > 0 {
 			n %= len(addresses)
-			lost := f.follow(ctx, addresses[n], len(addresses) > 1)
-			f.set(false)
+			lost := f.follow(ctx, addresses[n], len(addresses)-1)
+			f.disconnected()
 			if n++; !lost {
 				n = 0
 			}
@@ -162,7 +207,7 @@
 }
 
 // follow tells whether the feeder was lost; else it was left for one that should be followed instead.
-func (f *Follower) follow(ctx context.Context, address string, others bool) (lost bool) {
+func (f *Follower) follow(ctx context.Context, address string, alternatives int) (lost bool) {
 	l, err := peer.Dial(ctx, address)
 	if err != nil {
 		klog.V(1).InfoS("a feeder cannot be reached", "address", address, "err", err.Error())
@@ -172,30 +217,28 @@
 	stop := context.AfterFunc(ctx, l.Close)
 	defer stop()
 	l.Say(f.Report())
+	f.connected(alternatives)
 	began := time.Now()
-	said, settledAt := began, began
+	said := began
 	for {
-		var p Message
-		if err := l.Receive(&p, silentAfter); err != nil {
+		var m Message
+		if err := l.Receive(&m, silentAfter); err != nil {
 			klog.InfoS("a feeder is lost", "address", address, "err", err.Error())
 			return true
 		}
-		f.set(p.Settled)
-		if p.Notice != nil {
-			if !f.Take(*p.Notice) {
-				klog.InfoS("the whole book is asked for again", "address", address)
-				return false
-			}
-		} else if f.Beat != nil {
-			f.Beat(p.Settled)
+		f.heard(m.freshness())
+		if m.Update != nil && !f.Take(*m.Update) {
+			klog.InfoS("a snapshot is asked for again", "address", address)
+			return false
 		}
-		now := time.Now()
-		if p.Settled || !others {
-			settledAt = now
-		} else if now.Sub(settledAt) > unsettledFor {
+		if f.Sign != nil && (m.Update == nil || m.Update.Snapshot) {
+			f.Sign(f.Freshness())
+		}
+		if f.leave() {
 			klog.InfoS("a feeder is cut off from the others", "address", address)
 			return true
 		}
+		now := time.Now()
 		if now.Sub(said) > sayEvery {
 			said = now
 			l.Say(f.Report())
--- a/transport/watch/watch_test.go
+++ b/transport/watch/watch_test.go
@@ -14,9 +14,9 @@
 	"willowsill/transport/peer"
 )
 
-// TestBookThenChanges: a follower gets the whole book first and each change after it, in order, and none that
+// TestSnapshotThenChanges: a follower gets the snapshot first and each change after it, in order, and none that
 // came before.
-func TestBookThenChanges(t *testing.T) {
+func TestSnapshotThenChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		feeder, follower := peer.Over(near), peer.Over(far)
@@ -25,22 +25,24 @@
 		var f Feed
 		book := clusterstate.NewState()
 		book.Take(clusterstate.Update{Replicas: []registry.Record{{ID: "i-1", Seq: 1}}})
-		f.Publish(&clusterstate.Update{Revision: 9}, true) // nobody follows yet
-		f.Join(feeder, book.Snapshot(), true)
+		fresh, old := clusterstate.Freshness{Known: true, Age: 5}, clusterstate.Freshness{Known: true, Age: int64(time.Minute)}
+		f.Publish(&clusterstate.Update{Revision: 9}, fresh) // nobody follows yet
+		f.Join(feeder, Report{}, book.Snapshot(), fresh)
 		n := book.Take(clusterstate.Update{Replicas: []registry.Record{{ID: "i-2", Seq: 1}}})
-		f.Publish(&n, true)
-		f.Publish(nil, false)
+		f.Publish(&n, fresh)
+		f.Publish(nil, old)
 		var p Message
 		must.NoError(t, follower.Receive(&p, time.Second))
-		must.True(t, p.Notice.Snapshot)
-		must.Eq(t, "i-1", p.Notice.Replicas[0].ID)
+		must.True(t, p.Update.Snapshot)
+		must.Eq(t, "i-1", p.Update.Replicas[0].ID)
 		p = Message{}
 		must.NoError(t, follower.Receive(&p, time.Second))
-		must.Eq(t, "i-2", p.Notice.Replicas[0].ID)
+		must.Eq(t, "i-2", p.Update.Replicas[0].ID)
 		p = Message{}
 		must.NoError(t, follower.Receive(&p, time.Second))
-		must.Nil(t, p.Notice)
-		must.False(t, p.Settled)
+		must.Nil(t, p.Update)
+		must.False(t, p.InContact)
+		must.Eq(t, old, p.freshness())
 		must.Error(t, follower.Receive(&p, time.Second)) // silence shows
 		f.Part(feeder)
 		must.Zero(t, f.Count())
@@ -49,7 +51,8 @@
 
 // TestLeavesWhoIsSilent: a follower whose feeder says nothing, or is itself cut off, goes to the next.
 func TestLeavesWhoIsSilent(t *testing.T) {
-	serve := func(settled bool, beats bool) (address string, joined chan struct{}) {
+	serve := func(inContact bool, beats bool) (address string, joined chan struct{}) {
+		fresh := clusterstate.Freshness{Known: inContact}
 		ln, err := peer.Listen("127.0.0.1:0")
 		must.NoError(t, err)
 		t.Cleanup(func() { ln.Close() })
@@ -60,9 +63,9 @@
 			defer cancel()
 			Attend(l, func(Report) {
 				joined <- struct{}{}
-				f.Join(l, clusterstate.Update{Snapshot: true}, settled)
+				f.Join(l, Report{}, clusterstate.Update{Snapshot: true}, fresh)
 				if beats {
-					go f.Beats(ctx, func() bool { return settled })
+					go f.Beats(ctx, func() clusterstate.Freshness { return fresh })
 				}
 			}, func(Report) {})
 		})
@@ -84,3 +87,31 @@
 		}
 	}
 }
+
+// TestHeldBodyStaysAway: a follower that holds the revision of the snapshot is not sent its body again.
+func TestHeldBodyStaysAway(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		for _, held := range []uint64{0, 6, 7, 8} {
+			near, far := net.Pipe()
+			feeder, follower := peer.Over(near), peer.Over(far)
+			var f Feed
+			f.Join(feeder, Report{Revision: held}, clusterstate.Update{Snapshot: true, Revision: 7, Body: []byte("seven")}, clusterstate.Freshness{})
+			var m Message
+			must.NoError(t, follower.Receive(&m, time.Second))
+			must.Eq(t, 7, int(m.Update.Revision))
+			must.Eq(t, held >= 7, len(m.Update.Body) == 0)
+			feeder.Close()
+			follower.Close()
+		}
+	})
+}
+
+// TestFormerVersion: a feeder of the former version says only whether it is in contact, and a follower of the former
+// version reads just that.
+func TestFormerVersion(t *testing.T) {
+	must.True(t, Message{InContact: true}.freshness().Known)
+	must.False(t, Message{}.freshness().Known)
+	must.True(t, newMessage(nil, clusterstate.Freshness{Known: true, Age: int64(time.Second)}).InContact)
+	must.False(t, newMessage(nil, clusterstate.Freshness{Known: true, Age: int64(time.Minute)}).InContact)
+	must.False(t, newMessage(nil, clusterstate.Freshness{}).InContact)
+}
