--- a/decide/controller/contact.go
+++ b/decide/controller/contact.go
@@ -41,7 +41,7 @@
 // majority then held nothing that is not known here to be committed. neverCurrent where there was no such time in this
 // life.
 func (c *Controller) CurrentSince() int64 {
-	return c.lease.CurrentSince(c.now, c.ownName(), c.disk.Accepted.Compare(c.committedAt) <= 0, c.electorate())
+	return c.lease.CurrentSince(c.now, c.ownName(), c.electorate())
 }
 
 // Epoch and Revision are those of the newest value known to be committed.
@@ -141,7 +141,7 @@
 	}
 	for _, r := range h.Received {
 		if r.IP == c.IP {
-			c.lease.Answer(from, r.Number, h.Accepted.Compare(c.committedAt) <= 0)
+			c.lease.Answer(from, r.Number, h.Accepted)
 		}
 	}
 }
@@ -171,12 +171,8 @@
 // unsettled tells whether this controller's disk, or that of a live member, has accepted what is not known to be
 // committed.
 func (c *Controller) unsettled() bool {
-	if c.disk.Accepted.Compare(c.committedAt) > 0 {
-		return true
-	}
-	return slices.ContainsFunc(c.members(), func(ip string) bool {
-		p := c.peers[ip]
-		return p != nil && c.live(ip) && p.heartbeat.Accepted.Compare(c.committedAt) > 0
+	return c.lease.OwnUnsettled() || slices.ContainsFunc(c.members(), func(ip string) bool {
+		return c.live(ip) && c.lease.Unsettled(ip)
 	})
 }
 
--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -82,8 +82,7 @@
 	joiner      *register.Joiner
 	list        *registry.Registry
 	book        *clusterstate.State
-	committed   register.Value  // the newest value known to be committed
-	committedAt register.Ballot // the highest ballot known to be committed
+	committed   register.Value // the newest value known to be committed
 	lease       *lease.Lease
 	unsettledAt int64 // since when some disk has held what is not known to be committed; 0 for not
 	peers       map[string]*peer
@@ -139,6 +138,7 @@
 	c.proposer = register.NewProposer(s.IP+"/"+s.Life, known, s.Draw)
 	c.proposer.Seen(c.disk.Promised)
 	c.proposer.Hold(c.disk.State)
+	c.lease.Accepted(now, c.disk.Accepted)
 	for _, m := range slices.Concat(seeds, known.Disks()) {
 		c.meet(m)
 	}
@@ -267,7 +267,7 @@
 		answer := Message{Records: c.list.All()}
 		if len(c.committed.Members) > 0 {
 			v := c.committed
-			answer.Committed, answer.CommittedAt = &v, c.committedAt
+			answer.Committed, answer.CommittedAt = &v, c.lease.Committed()
 		}
 		c.send(answer, w.From)
 	}
--- a/decide/controller/disk.go
+++ b/decide/controller/disk.go
@@ -20,6 +20,7 @@
 		return
 	}
 	c.dirty = c.dirty || save
+	c.lease.Accepted(c.now, c.disk.Accepted)
 	c.proposer.Hold(c.disk.State)
 	// Danger: an answer that leaves before what it tells is on disk would be forgotten with the power.
 	after := uint64(0)
@@ -94,9 +95,7 @@
 
 // commit takes in a value that is known to be committed, and the ballot under which it is.
 func (c *Controller) commit(v register.Value, ballot register.Ballot) {
-	if ballot.Compare(c.committedAt) > 0 {
-		c.committedAt = ballot
-	}
+	c.lease.Commit(ballot)
 	newer := v.Epoch > c.committed.Epoch || v.Revision > c.committed.Revision ||
 		v.Epoch == c.committed.Epoch && v.Revision == c.committed.Revision && len(v.Prior) < len(c.committed.Prior) ||
 		len(c.committed.Members) == 0
@@ -127,6 +126,7 @@
 	}
 	c.disk = register.Disk{State: state, CaughtUp: true}
 	c.dirty, c.joiner = true, nil
+	c.lease.Accepted(c.now, state.Accepted)
 	c.proposer.Know(state.Value)
 	c.proposer.Seen(state.Promised)
 	c.log("the disk is whole again", "epoch", state.Value.Epoch, "revision", state.Value.Revision)
--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -26,23 +26,47 @@
 	sent   int64
 }
 
+// observation is what an answer told: at some time after the question was sent, the server's disk had accepted this.
+type observation struct {
+	sent     int64
+	accepted register.Ballot
+}
+
+// acceptance is a ballot that the own disk has accepted, and when.
+type acceptance struct {
+	ballot register.Ballot
+	at     int64
+}
+
 // contact is what the answers of one server have proved so far. Times are those of the questions' sending, in ns.
 type contact struct {
-	reached int64 // it received a heartbeat of ours that was sent then, and we received its answer
-	current int64 // the same, and what its disk had accepted by then was committed here
+	reached int64         // it received a heartbeat of ours that was sent then, and we received its answer
+	current int64         // the same, and what its disk had accepted by then is known here to be committed
+	pending []observation // answers that told of what is not known to be committed yet, oldest first
+}
+
+// settle moves on what the commit of a ballot has decided.
+func (c *contact) settle(committed register.Ballot) {
+	for len(c.pending) > 0 && c.pending[0].accepted.Compare(committed) <= 0 {
+		c.current = max(c.current, c.pending[0].sent)
+		c.pending = c.pending[1:]
+	}
 }
 
 // Lease records contacts with the other control servers. It is not safe for concurrent use.
 type Lease struct {
 	next      uint64
 	questions []question
-	contacts  map[string]contact
+	contacts  map[string]*contact
+	committed register.Ballot // the highest known to be committed
+
+	own []acceptance // by the own disk, of what is not known to be committed, oldest first
 }
 
 // New makes a lease for one life of a process. Numbers of different lives differ, so an answer to an earlier life proves
 // nothing in this one.
 func New(life string) *Lease {
-	return &Lease{next: xxhash.Sum64String(life), contacts: map[string]contact{}}
+	return &Lease{next: xxhash.Sum64String(life), contacts: map[string]*contact{}}
 }
 
 // Ask returns the number of a heartbeat that is sent now, ns.
@@ -55,9 +79,9 @@
 	return l.next
 }
 
-// Answer takes the number that a server returned. current tells that all its disk had accepted was known here as
-// committed. Numbers that were never sent, or long ago, prove nothing.
-func (l *Lease) Answer(from string, number uint64, current bool) {
+// Answer takes the number that a server returned, and what its disk had accepted as it did. Numbers that were never
+// sent, or long ago, prove nothing.
+func (l *Lease) Answer(from string, number uint64, accepted register.Ballot) {
 	at := slices.IndexFunc(l.questions, func(q question) bool { return q.number == number })
 	if at < 0 {
 		return
@@ -65,13 +89,57 @@
 	sent := l.questions[at].sent
 	c, ok := l.contacts[from]
 	if !ok {
-		c = contact{Never, Never}
+		c = &contact{reached: Never, current: Never}
+		l.contacts[from] = c
 	}
 	c.reached = max(c.reached, sent)
-	if current {
-		c.current = max(c.current, sent)
+	c.pending = append(c.pending, observation{sent, accepted})
+	c.settle(l.committed)
+	if len(c.pending) > remembered {
+		c.pending = c.pending[1:]
+	}
+}
+
+// Accepted tells what the own disk has accepted.
+func (l *Lease) Accepted(now int64, ballot register.Ballot) {
+	newest := l.committed
+	if n := len(l.own); n > 0 {
+		newest = l.own[n-1].ballot
+	}
+	if ballot.Compare(newest) <= 0 {
+		return
 	}
-	l.contacts[from] = c
+	if len(l.own) < remembered {
+		l.own = append(l.own, acceptance{ballot, now})
+		return
+	}
+	l.own[len(l.own)-1].ballot = ballot // as if it had been accepted earlier, which errs on the safe side
+}
+
+// Commit tells that a value is known to be committed under a ballot.
+func (l *Lease) Commit(ballot register.Ballot) {
+	if ballot.Compare(l.committed) <= 0 {
+		return
+	}
+	l.committed = ballot
+	for len(l.own) > 0 && l.own[0].ballot.Compare(ballot) <= 0 {
+		l.own = l.own[1:]
+	}
+	for _, c := range l.contacts {
+		c.settle(ballot)
+	}
+}
+
+// Committed is the highest ballot known to be committed.
+func (l *Lease) Committed() register.Ballot { return l.committed }
+
+// OwnUnsettled tells whether the own disk has accepted what is not known to be committed.
+func (l *Lease) OwnUnsettled() bool { return len(l.own) > 0 }
+
+// Unsettled tells whether a server's disk has.
+func (l *Lease) Unsettled(name string) bool {
+	c, ok := l.contacts[name]
+	return ok && len(c.pending) > 0
 }
 
 // Reached is the time since when a server is known to have been in contact, or Never.
@@ -97,15 +165,14 @@
 }
 
 // CurrentSince is the latest time at which a quorum of the value's members is known to have held nothing that was not
-// committed here, or Never. So whatever was acknowledged before that time is known here. selfCurrent tells whether the
-// server's own disk holds nothing newer either.
-func (l *Lease) CurrentSince(now int64, self string, selfCurrent bool, v register.Value) int64 {
+// committed here, or Never. So whatever was acknowledged before that time is known here.
+func (l *Lease) CurrentSince(now int64, self string, v register.Value) int64 {
 	return quorumSince(v, func(name string) int64 {
 		if name == self {
-			if selfCurrent {
-				return now
+			if l.OwnUnsettled() {
+				return l.own[0].at
 			}
-			return Never
+			return now
 		}
 		if c, ok := l.contacts[name]; ok {
 			return c.current
--- a/decide/lease/lease_test.go
+++ b/decide/lease/lease_test.go
@@ -10,21 +10,28 @@
 	"willowsill/decide/register"
 )
 
+// known is a ballot that the tests commit at first; newer is above it.
+var (
+	known = register.Ballot{N: 4, By: "a/1"}
+	newer = register.Ballot{N: 5, By: "b/1"}
+)
+
 var five = register.Value{Members: []string{"a", "b", "c", "d", "e"}}
 
 // TestCountsFromTheQuestion: contact is as old as the heartbeat that was answered, however late the answer comes.
 func TestCountsFromTheQuestion(t *testing.T) {
 	l := lease.New("a/1")
+	l.Commit(known)
 	first, second := l.Ask(100), l.Ask(200)
-	l.Answer("b", second, true)
+	l.Answer("b", second, known)
 	must.Eq(t, lease.Never, l.ReachedSince(1000, "a", five))
-	l.Answer("c", first, true)
+	l.Answer("c", first, known)
 	must.Eq(t, 100, l.ReachedSince(1000, "a", five))
-	must.Eq(t, 100, l.CurrentSince(1000, "a", true, five))
-	l.Answer("c", second, false)
+	must.Eq(t, 100, l.CurrentSince(1000, "a", five))
+	l.Answer("c", second, newer)
 	must.Eq(t, 200, l.ReachedSince(1000, "a", five))
-	must.Eq(t, 100, l.CurrentSince(1000, "a", true, five))
-	l.Answer("c", first, true) // late or again: nothing goes back
+	must.Eq(t, 100, l.CurrentSince(1000, "a", five))
+	l.Answer("c", first, known) // late or again: nothing goes back
 	must.Eq(t, 200, l.ReachedSince(1000, "a", five))
 }
 
@@ -32,13 +39,15 @@
 // holds what may not be committed is not current by its own word.
 func TestOwnDiskCounts(t *testing.T) {
 	l := lease.New("a/1")
+	l.Commit(known)
 	n := l.Ask(100)
-	l.Answer("b", n, true)
-	l.Answer("c", n, true)
+	l.Answer("b", n, known)
+	l.Answer("c", n, known)
 	must.Eq(t, 100, l.ReachedSince(500, "a", five))
 	must.Eq(t, lease.Never, l.ReachedSince(500, "", five))
-	must.Eq(t, lease.Never, l.CurrentSince(500, "a", false, five))
-	l.Answer("d", n, true)
+	l.Accepted(50, newer)
+	must.Eq(t, 50, l.CurrentSince(500, "a", five)) // until then it held nothing newer
+	l.Answer("d", n, known)
 	must.Eq(t, 100, l.ReachedSince(500, "", five))
 }
 
@@ -47,8 +56,8 @@
 	earlier, now := lease.New("a/1"), lease.New("a/2")
 	n := earlier.Ask(1)
 	now.Ask(100)
-	now.Answer("b", n, true)
-	now.Answer("c", 0, true)
+	now.Answer("b", n, known)
+	now.Answer("c", 0, known)
 	must.Eq(t, lease.Never, now.Reached("b"))
 	must.Eq(t, lease.Never, now.Reached("c"))
 }
@@ -57,9 +66,9 @@
 func TestBothSetsOfMembers(t *testing.T) {
 	l := lease.New("a/1")
 	v := register.Value{Members: []string{"a", "b", "f"}, Prior: []string{"a", "b", "c"}}
-	l.Answer("f", l.Ask(100), true)
+	l.Answer("f", l.Ask(100), known)
 	must.Eq(t, lease.Never, l.ReachedSince(500, "a", v))
-	l.Answer("c", l.Ask(200), true)
+	l.Answer("c", l.Ask(200), known)
 	must.Eq(t, 100, l.ReachedSince(500, "a", v))
 }
 
@@ -73,7 +82,7 @@
 			n := l.Ask(now)
 			for _, name := range names {
 				if rapid.IntRange(0, 3).Draw(t, "answers") == 0 {
-					l.Answer(name, n, true)
+					l.Answer(name, n, known)
 					at[name] = now
 				}
 			}
@@ -95,3 +104,28 @@
 		must.LessEq(t, len(names)/2, later(since+1))
 	})
 }
+
+// TestCommitSettles: what a disk had accepted before its commit was known here counts from the question all the same,
+// so a stream of changes, of which some are always under way, keeps nobody from being current.
+func TestCommitSettles(t *testing.T) {
+	for lag := range uint64(3) {
+		l := lease.New("a/1")
+		for n := uint64(1); n < 100; n++ {
+			now := int64(n) * 100
+			ballot := register.Ballot{N: n, By: "b/1"}
+			l.Accepted(now, ballot)
+			number := l.Ask(now)
+			l.Answer("b", number, ballot)
+			l.Answer("c", number, ballot)
+			must.True(t, l.OwnUnsettled())
+			must.True(t, l.Unsettled("b"))
+			if n <= lag {
+				continue
+			}
+			l.Commit(register.Ballot{N: n - lag, By: "b/1"})
+			must.Eq(t, lag > 0, l.Unsettled("b"))
+			must.Eq(t, lag > 0, l.OwnUnsettled())
+			must.Eq(t, now-int64(lag)*100, l.CurrentSince(now, "a", five))
+		}
+	}
+}
