--- a/transport/daemon/daemon.go
+++ b/transport/daemon/daemon.go
@@ -22,8 +22,10 @@
 	os.Exit(Start(program, purpose, os.Args[1:], run))
 }
 
-// Start is Main for a process with arguments of its own; it returns the exit code.
+// Start is Main for a process with arguments of its own; it returns the exit code, and the process is to end with
+// it: the handlers of signals stay in place.
 func Start(program, purpose string, args []string, run func(ctx context.Context, s settings.Settings) error) int {
+	received := catchSignals()
 	flags := flag.NewFlagSet(program, flag.ContinueOnError)
 	check := flags.String("check", "", "read this settings `file`, say what is wrong with it and end")
 	flags.Usage = func() {
@@ -48,10 +50,10 @@
 	}
 	logs.Begin(program, s)
 	defer logs.End()
-	signal.Ignore(syscall.SIGPIPE)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	go reloads(ctx, s)
+	go rereadSettings(received.reload, s.File)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go cancelOnStop(received.stop, cancel)
 	if err := run(ctx, s); err != nil {
 		klog.ErrorS(err, "the program cannot run")
 		return 1
@@ -59,22 +61,40 @@
 	return 0
 }
 
-// reloads says what it thinks of the settings file at each SIGHUP. Nothing in it changes for a process that
-// runs but the list of seeds, and that one serves the start alone: who else is there comes by the news.
-func reloads(ctx context.Context, s settings.Settings) {
-	c := make(chan os.Signal, 1)
-	signal.Notify(c, syscall.SIGHUP)
-	defer signal.Stop(c)
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-c:
-			if _, err := settings.Read(s.File); err != nil {
-				klog.ErrorS(err, "the settings file cannot be read; what was read before holds")
-			} else {
-				klog.InfoS("the settings file was read again")
-			}
+// signals are what the daemon is sent from outside.
+type signals struct {
+	stop   <-chan os.Signal // SIGTERM and SIGINT: drain and end
+	reload <-chan os.Signal // SIGHUP: read the settings file again
+}
+
+// catchSignals takes over the signals that would end the process, from its start to its exit.
+//
+// Danger: a signal without a handler ends the process at once, and with it the queries under way. A rolling restart or
+// a change of the settings file may send SIGHUP to a daemon that still starts or already drains, and SIGTERM twice, so
+// the handlers do not go with the context; they are never taken away.
+func catchSignals() signals {
+	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
+	signal.Notify(reload, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE) // else a reader of the logs that goes away ends the process
+	return signals{stop: stop, reload: reload}
+}
+
+// cancelOnStop cancels at the first signal to stop. Later ones are dropped: the daemon leaves already.
+func cancelOnStop(stop <-chan os.Signal, cancel context.CancelFunc) {
+	<-stop
+	cancel()
+}
+
+// rereadSettings checks the settings file at each SIGHUP and logs the result, until the process exits. Of what the
+// file may change, a running process needs nothing: the list of seeds serves its start alone, and members that came
+// later reach it as updates.
+func rereadSettings(reload <-chan os.Signal, file string) {
+	for range reload {
+		if _, err := settings.Read(file); err != nil {
+			klog.ErrorS(err, "the settings file cannot be read; what was read before holds")
+			continue
 		}
+		klog.InfoS("the settings file was read again")
 	}
 }
--- /dev/null
+++ b/transport/daemon/daemon_test.go
@@ -0,0 +1,142 @@
+package daemon
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"willowsill/deployment/settings"
+)
+
+// childVariable in the environment of the test binary makes it a daemon that leaves slowly.
+const childVariable = "WILLOWSILL_TEST_DAEMON"
+
+const validSettings = `
+node-name = "n1"
+role = "front"
+ip = "127.0.0.1"
+zone = "z"
+internal-ports = [9100, 9110]
+`
+
+func TestMain(m *testing.M) {
+	if os.Getenv(childVariable) != "" {
+		os.Exit(Start("test", "leaves slowly", nil, leaveSlowly))
+	}
+	os.Exit(m.Run())
+}
+
+// leaveSlowly says when it is ready and when it has been told to stop. From then on it answers each line of its
+// input, as a process that drains answers its queries, and ends when its input does.
+func leaveSlowly(ctx context.Context, _ settings.Settings) error {
+	fmt.Println("ready")
+	<-ctx.Done()
+	fmt.Println("leaving")
+	for lines := bufio.NewScanner(os.Stdin); lines.Scan(); {
+		fmt.Println("answer to", lines.Text())
+	}
+	fmt.Println("left")
+	return nil
+}
+
+// child is a daemon in a process of its own.
+type child struct {
+	t       *testing.T
+	process *exec.Cmd
+	input   io.WriteCloser
+	output  *bufio.Scanner
+}
+
+func startChild(t *testing.T, settingsFile string) *child {
+	c := &child{t: t, process: exec.Command(os.Args[0])}
+	c.process.Env = append(os.Environ(), childVariable+"=1", settings.Variable+"="+settingsFile,
+		"GORACE=atexit_sleep_ms=0") // the race detector would wait a second at each exit
+	var err error
+	c.input, err = c.process.StdinPipe()
+	must.NoError(t, err)
+	output, err := c.process.StdoutPipe()
+	must.NoError(t, err)
+	c.output = bufio.NewScanner(output)
+	must.NoError(t, c.process.Start())
+	t.Cleanup(func() { _ = c.process.Process.Kill() })
+	return c
+}
+
+func (c *child) signal(signals ...syscall.Signal) {
+	c.t.Helper()
+	for _, s := range signals {
+		must.NoError(c.t, c.process.Process.Signal(s), must.Sprintf("signal %s", s))
+	}
+}
+
+func (c *child) expect(line string) {
+	c.t.Helper()
+	if !c.output.Scan() {
+		c.t.Fatalf("the daemon ended (%v) where %q was expected", c.process.Wait(), line)
+	}
+	must.Eq(c.t, line, c.output.Text())
+}
+
+// expectOrderlyEnd closes the daemon's input and wants it to end by itself with exit code 0.
+func (c *child) expectOrderlyEnd() {
+	c.t.Helper()
+	must.NoError(c.t, c.input.Close())
+	c.expect("left")
+	must.NoError(c.t, c.process.Wait())
+}
+
+func settingsFile(t *testing.T) string {
+	file := filepath.Join(t.TempDir(), "local.toml")
+	must.NoError(t, os.WriteFile(file, []byte(validSettings), 0o600))
+	return file
+}
+
+// A daemon that leaves has queries to answer. None of the signals that a roll or a change of its settings may send
+// once more ends it before that.
+func TestSignalsWhileLeaving(t *testing.T) {
+	for _, again := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGPIPE} {
+		t.Run(again.String(), func(t *testing.T) {
+			c := startChild(t, settingsFile(t))
+			c.expect("ready")
+			c.signal(syscall.SIGTERM)
+			c.expect("leaving")
+			// An answer shows that what was sent before it was borne. Several rounds, as the daemon's own reaction to
+			// the first SIGTERM runs beside.
+			for round := range 20 {
+				c.signal(again)
+				_, err := fmt.Fprintln(c.input, round)
+				must.NoError(t, err)
+				c.expect(fmt.Sprint("answer to ", round))
+			}
+			c.expectOrderlyEnd()
+		})
+	}
+}
+
+// A reload that is ordered while the daemon reads its settings for the first time does not end it.
+func TestReloadDuringStart(t *testing.T) {
+	fifo := filepath.Join(t.TempDir(), "local.toml")
+	must.NoError(t, syscall.Mkfifo(fifo, 0o600))
+	c := startChild(t, fifo)
+	text, err := os.OpenFile(fifo, os.O_WRONLY, 0) // returns once the daemon has opened the file
+	must.NoError(t, err)
+	c.signal(syscall.SIGHUP)
+	must.NoError(t, os.Remove(fifo))
+	must.NoError(t, os.WriteFile(fifo, []byte(validSettings), 0o600)) // for the second reading
+	_, err = io.Copy(text, strings.NewReader(validSettings))
+	must.NoError(t, err)
+	must.NoError(t, text.Close())
+	c.expect("ready")
+	c.signal(syscall.SIGTERM)
+	c.expect("leaving")
+	c.expectOrderlyEnd()
+}
