--- a/decide/rift/rift.go
+++ b/decide/rift/rift.go
@@ -134,7 +134,9 @@
 			z.failures--
 		}
 		r.zone, r.failed = 0, -1
-		f.stale = f.stale || r.barred
+		// Danger: with its last replica a zone is no longer one that can take over. If it was the last such zone, the
+		// zones out of reach are to be let in again; that their own replicas are unchanged must not hide it.
+		f.stale = f.stale || r.barred || z.replicas == 0
 	}
 }
 
--- a/decide/rift/rift_test.go
+++ b/decide/rift/rift_test.go
@@ -277,6 +277,32 @@
 	}
 }
 
+// The last sound zone leaves the list while another is out of reach: nothing is left to take over, so the replicas
+// out of reach are let in again at once, not only at the next try.
+func TestLastSoundZoneLeaves(t *testing.T) {
+	now := 1000 * ms
+	for name, leave := range map[string]func(f *Rifts, i int){
+		"no longer listed":      func(f *Rifts, i int) { f.Gone(i) },
+		"listed without a zone": func(f *Rifts, i int) { f.Listed(i, "", true) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			f, h := newRifts(6, "a", "b"), heard{}
+			for _, i := range []int{0, 2, 4} {
+				f.Ended(now, i, balance.ConnectFailed, ms)
+			}
+			if h.decide(t, f, now); h.zone(0, 2) != 3 {
+				t.Fatalf("barred: %v", h)
+			}
+			for _, i := range []int{1, 3, 5} {
+				leave(f, i)
+			}
+			if h.decide(t, f, now); len(h) != 0 {
+				t.Errorf("barred while no zone is sound: %v", h)
+			}
+		})
+	}
+}
+
 // Whatever comes in whatever order: the words fit what the module was told before; only zones found out of reach are passed over;
 // some zone with replicas is never; and after an answer nothing of its zone is.
 func TestAnyOrder(t *testing.T) {
