--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -189,14 +189,22 @@
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
 		return balance.ConnectFailed // another replica has the address
-	case a.notExecuted, a.Status == http.StatusTooManyRequests && a.Seal == "":
+	case a.notExecuted && turnsAway(a.Status):
 		return balance.Full
-	case a.Status >= 200 && a.Status < 300 && a.Seal != "" && !a.encoded:
+	case a.Status >= 200 && a.Status < 300 && a.Seal != "" && !a.encoded && !a.notExecuted:
 		return balance.Fulfilled
 	}
 	return balance.Errored
 }
 
+// turnsAway tells whether a replica answers with this status what it has not run. Willowsill-Not-Executed beside any
+// other contradicts itself, and a status without that header proves nothing.
+//
+// Danger: an unsafe request that has run would be promised to its client as one that never will.
+func turnsAway(status int) bool {
+	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusBadRequest
+}
+
 // readAnswer reads the next answer whole, and tells for how long the connection may be used again.
 //
 // Danger: an answer without a length ends with its connection, and one that was broken off would look whole.
--- a/transport/replicahttp/replicahttp_test.go
+++ b/transport/replicahttp/replicahttp_test.go
@@ -24,6 +24,9 @@
 type server struct {
 	answers []string
 	heads   []string
+
+	idle       string // sent half a second after the first answer
+	closesIdle bool   // it closes half a second after the first answer
 }
 
 func (s *server) serve(l *pipes.Listener) {
@@ -56,6 +59,13 @@
 				if closes {
 					return
 				}
+				if len(s.heads) == 1 && (s.idle != "" || s.closesIdle) {
+					time.Sleep(500 * time.Millisecond)
+					if s.closesIdle {
+						return
+					}
+					io.WriteString(c, s.idle)
+				}
 			}
 		}()
 	}
@@ -84,22 +94,33 @@
 			return n.Dial(ctx, network, address)
 		}
 		d.Address(0, Dial("i-1", "r:1"))
+		defer l.Close()
+		defer func() { // also where play has failed
+			d.Pool.Close()
+			synctest.Wait()
+			for len(d.notes) > 0 {
+				d.Note(<-d.notes)
+				synctest.Wait()
+			}
+			if !t.Failed() {
+				must.Zero(t, d.Open())
+			}
+		}()
 		play(d)
-		d.Pool.Close()
-		synctest.Wait()
-		for len(d.notes) > 0 {
-			d.Note(<-d.notes)
-		}
-		must.Zero(t, d.Open())
-		l.Close()
 	})
 }
 
 // ask sends one part and tells how it ended.
 func (d *deck) ask(id string) (balance.Result, *Answer) {
 	d.t.Helper()
-	r := &Request{Attempt: id, Method: "POST", Body: []byte("body"), Answers: map[int]*Answer{},
-		Head: []byte("POST /a/b?c HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": " + id + "\r\nContent-Length: 4\r\n")}
+	return d.askBy("POST", id)
+}
+
+// askBy does so by another method.
+func (d *deck) askBy(method, id string) (balance.Result, *Answer) {
+	d.t.Helper()
+	r := &Request{Attempt: id, Method: method, Body: []byte("body"), Answers: map[int]*Answer{},
+		Head: []byte(method + " /a/b?c HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": " + id + "\r\nContent-Length: 4\r\n")}
 	t := &replica.Ticket{Part: replica.Part{Shard: 3, Wait: 700}, Load: r}
 	must.True(d.t, d.Call(0, []*replica.Ticket{t}))
 	synctest.Wait()
