--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -22,7 +23,10 @@
 
 var errUnasked = ErrReplica.Errorf("bytes came that belong to no request")
 
-const readBuffer = 2 << 10
+const (
+	readBuffer = 2 << 10
+	firstLine  = "HTTP/1." // how the first line of each answer begins
+)
 
 // connection is one to a replica. free and until are the loop's; the rest belongs to its goroutines.
 type connection struct {
@@ -225,11 +229,14 @@
 	if res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
 		return nil, 0, ErrReplica.Errorf("an answer without a length")
 	}
+	h := res.Header
+	if spliced(res) {
+		return nil, 0, ErrReplica.Errorf("an answer whose head is of two")
+	}
 	body, err := readBody(res)
 	if err != nil {
 		return nil, 0, ErrReplica.Wrapf(err, "an answer that was broken off")
 	}
-	h := res.Header
 	a := &answer{Answer: Answer{Status: res.StatusCode, Header: h, Body: body, Seal: h.Get(HeaderSeal), Whole: true,
 		Replica: h.Get(HeaderReplica)}, attempt: h.Get(HeaderAttempt), notExecuted: h.Get(HeaderNotExecuted) != "",
 		encoded: h.Get("Content-Encoding") != "" && !strings.EqualFold(h.Get("Content-Encoding"), "identity")}
@@ -248,6 +255,28 @@
 	return a, keep, nil
 }
 
+// spliced tells whether the head of an answer was put together from those of two: it bears two first lines, or twice what an
+// answer bears once.
+//
+// Danger: an answer that was broken off in its head, with the next one behind it, reads as one. The status and the seal of
+// the former would go out under the id of the latter.
+func spliced(res *http.Response) bool {
+	for _, once := range [...]string{HeaderAttempt, HeaderSeal, HeaderNotExecuted} {
+		if len(res.Header[once]) > 1 {
+			return true
+		}
+	}
+	if strings.Contains(res.Status, firstLine) {
+		return true
+	}
+	for key, values := range res.Header {
+		if strings.Contains(key, firstLine) || slices.ContainsFunc(values, func(v string) bool { return strings.Contains(v, firstLine) }) {
+			return true
+		}
+	}
+	return false
+}
+
 func readBody(res *http.Response) ([]byte, error) {
 	if res.ContentLength > bodyMost {
 		return nil, ErrReplica.Errorf("an answer of %d bytes", res.ContentLength)
