--- a/decide/relaytree/relaytree.go
+++ b/decide/relaytree/relaytree.go
@@ -2,6 +2,12 @@
 // of edges that all are told: the first two in the order of the ring follow controllers, the others follow
 // those before them. It does no I/O.
 //
+// The tree is a digital search tree: an edge's way down from its head is spelt by the bits of a hash of its IP,
+// and on each way the edges stand in the order of the ring. So an edge that joins or leaves moves only those
+// on the one way that it stands on, whatever the size of the zone. Whoever is followed stands before its
+// follower in the order of the ring, which is the same for all: so edges whose lists differ, and edges of the
+// version before, which went by that order too, cannot follow each other in a circle.
+//
 // Decides: whom an edge follows, and whom next when that one fails.
 package relaytree
 
@@ -16,8 +22,9 @@
 )
 
 const (
-	heads = 2 // of a zone: they follow controllers
-	below = 4 // edges that follow one
+	heads     = 2 // of a zone: they follow controllers
+	below     = 5 // edges that follow one, at the most while all ways up are whole
+	branchKey = "/branch"
 )
 
 // Feeder is one to follow.
@@ -37,9 +44,8 @@
 	}
 	ring := failuredetector.Ring(ips)
 	if at := slices.Index(ring, self); at >= heads {
-		for up := at; up >= heads; {
-			up = (up - heads) / below
-			order = append(order, Feeder{IP: ring[up]})
+		for _, ip := range above(self, ring[:at]) {
+			order = append(order, Feeder{IP: ip})
 		}
 		// The other head, where the way up fails.
 		for _, ip := range ring[:heads] {
@@ -57,3 +63,31 @@
 	}
 	return order
 }
+
+// above are the edges on self's way up to its head, the nearest first. before are the edges that stand before
+// it in the order of the ring; the first of them are the heads.
+//
+// Danger: were followers counted off along the ring, each edge that joins would give a share of all the edges
+// after it another feeder (nine, of 300 in six zones), and each of those would be sent the whole state again.
+func above(self string, before []string) (way []string) {
+	head, branches := branchesOf(self)
+	way = []string{before[head]}
+	// Of those that share the first steps, the first in the order of the ring stands where these steps lead.
+	steps := uint64(below)
+	for _, ip := range before[heads:] {
+		otherHead, other := branchesOf(ip)
+		if otherHead == head && other%steps == branches%steps {
+			way = append(way, ip)
+			steps *= below
+		}
+	}
+	slices.Reverse(way)
+	return way
+}
+
+// branchesOf spells an edge's way down its zone's tree: its head, then one of the branches at each step, the
+// first step in the lowest digit.
+func branchesOf(ip string) (head int, branches uint64) {
+	hash := xxhash.Sum64String(ip + branchKey)
+	return int(hash % heads), hash / heads
+}
--- a/decide/relaytree/relaytree_test.go
+++ b/decide/relaytree/relaytree_test.go
@@ -5,8 +5,10 @@
 	"testing"
 
 	"github.com/shoenig/test/must"
+	"pgregory.net/rapid"
 
 	"willowsill/decide/clusterstate"
+	"willowsill/decide/failuredetector"
 )
 
 // TestEveryWayLeadsToALight: whoever fails, each edge has another way in the end, and the first ways make a
@@ -48,3 +50,65 @@
 	// An edge that no list names yet follows a controller.
 	must.True(t, Feeders("10.9.9.9", "z1", clusterstate.Fleet{}, lights)[0].Light)
 }
+
+// TestFewMoveWhenOneJoins: an edge that joins or leaves gives few others another feeder, however many there are.
+// Each that moves is sent the whole state again, so moves that grew with the zone would make the bytes of a
+// change grow with the square.
+func TestFewMoveWhenOneJoins(t *testing.T) {
+	const joins, zones = 8, 2
+	for _, n := range []int{30, 100, 300} {
+		edge := func(i int) clusterstate.Edge {
+			return clusterstate.Edge{IP: fmt.Sprintf("10.0.%d.%d", i/250, i%250), Zone: fmt.Sprint("z", i%zones)}
+		}
+		var f clusterstate.Fleet
+		for i := range n {
+			f.Edges = append(f.Edges, edge(i))
+		}
+		feeders := func() map[string]Feeder {
+			first := map[string]Feeder{}
+			for _, e := range f.Edges {
+				first[e.IP] = Feeders(e.IP, e.Zone, f, []string{"1.1.1.1", "1.1.1.2"})[0]
+			}
+			return first
+		}
+		before, moved := feeders(), 0
+		for k := range joins {
+			f.Edges = append(f.Edges, edge(n+k))
+			after := feeders()
+			for ip, up := range before {
+				if after[ip] != up {
+					moved++
+				}
+			}
+			before = after
+		}
+		must.LessEq(t, 3*joins, moved, must.Sprint(n, " edges"))
+	}
+}
+
+// TestNoCircleWithDifferentLists: edges whose lists differ never follow each other in a circle, as whoever is
+// followed stands before its follower in one order that does not depend on the list.
+func TestNoCircleWithDifferentLists(t *testing.T) {
+	const n = 60
+	rapid.Check(t, func(t *rapid.T) {
+		var all []string
+		for i := range n {
+			all = append(all, fmt.Sprint("10.0.0.", i))
+		}
+		place := map[string]int{}
+		for i, ip := range failuredetector.Ring(all) {
+			place[ip] = i
+		}
+		var f clusterstate.Fleet
+		for _, ip := range all {
+			if rapid.Bool().Draw(t, ip) {
+				f.Edges = append(f.Edges, clusterstate.Edge{IP: ip})
+			}
+		}
+		for _, e := range f.Edges {
+			for _, up := range Feeders(e.IP, e.Zone, f, nil) {
+				must.Less(t, place[e.IP], place[up.IP])
+			}
+		}
+	})
+}
