--- a/decide/clusterstate/clusterstate.go
+++ b/decide/clusterstate/clusterstate.go
@@ -7,8 +7,6 @@
 package clusterstate
 
 import (
-	"slices"
-
 	"willowsill/decide/registry"
 )
 
@@ -21,7 +19,8 @@
 	Patch    []byte            `cbor:"7,keyasint,omitempty"`
 	Raw      []byte            `cbor:"-"` // as the operator sent it; of what Take returns
 	Replicas []registry.Record `cbor:"4,keyasint,omitempty"`
-	Fleet    Fleet             `cbor:"5,keyasint,omitempty"`
+	Fleet    Fleet             `cbor:"5,keyasint,omitempty"` // whole, where it has changed
+	Change   *FleetChange      `cbor:"8,keyasint,omitempty"` // the same as a difference, where that is shorter
 }
 
 // Fleet is who else is there.
@@ -37,12 +36,32 @@
 	Zone string `cbor:"2,keyasint,omitempty"`
 }
 
+// FleetChange makes of the fleet that a follower was told last the one that its feeder holds now.
+type FleetChange struct {
+	Joined      []Edge   `cbor:"1,keyasint,omitempty"`
+	Left        []string `cbor:"2,keyasint,omitempty"` // IPs
+	Most        int      `cbor:"3,keyasint,omitempty"` // as in Fleet
+	Controllers []string `cbor:"4,keyasint,omitempty"` // as in Fleet: all of them
+	Count       int      `cbor:"5,keyasint,omitempty"` // of the edges afterwards; another count, and a snapshot is needed
+}
+
 // Empty tells whether a fleet says nothing.
 func (f Fleet) Empty() bool { return f.Most == 0 }
 
 // Empty tells whether a notice says nothing.
 func (n Update) Empty() bool {
-	return n.Revision == 0 && len(n.Replicas) == 0 && n.Fleet.Empty()
+	return n.Revision == 0 && len(n.Replicas) == 0 && n.Fleet.Empty() && n.Change == nil
+}
+
+// ForFollower is the update as it goes on the wire: a fleet is told whole or as a difference, not both.
+// changes tells whether the follower understands differences.
+func (n Update) ForFollower(changes bool) Update {
+	if changes && n.Change != nil && !n.Snapshot {
+		n.Fleet = Fleet{}
+	} else {
+		n.Change = nil
+	}
+	return n
 }
 
 // State is what one follower holds.
@@ -50,9 +69,11 @@
 	Revision uint64
 	Raw      []byte // the configuration as the operator sent it
 	Fleet    Fleet
-	Behind   bool // a patch came for a revision that is not held: the whole book is needed
+	Behind   bool // a patch or a difference came for what is not held: a snapshot is needed
 	packed   []byte
-	replicas map[string]registry.Record
+	// What Behind tells of: the configuration held is not the one that a patch was for, the fleet held not the feeder's.
+	staleConfiguration, staleFleet bool
+	replicas                       map[string]registry.Record
 }
 
 // NewState makes an empty one.
@@ -78,10 +99,8 @@
 			fresh.Replicas = append(fresh.Replicas, r)
 		}
 	}
-	if f := n.Fleet; !f.Empty() && (f.Most != b.Fleet.Most || !slices.Equal(f.Edges, b.Fleet.Edges) ||
-		!slices.Equal(f.Controllers, b.Fleet.Controllers)) {
-		b.Fleet, fresh.Fleet = n.Fleet, n.Fleet
-	}
+	b.takeFleet(n, &fresh)
+	b.Behind = b.staleConfiguration || b.staleFleet
 	return fresh
 }
 
@@ -96,7 +115,7 @@
 		raw, ok = Apply(b.Raw, n.Patch)
 	}
 	if !ok {
-		b.Behind = true
+		b.staleConfiguration = true
 		return
 	}
 	fresh.Revision, fresh.Raw, fresh.Base, fresh.Patch = n.Revision, raw, n.Base, n.Patch
@@ -108,7 +127,29 @@
 			}
 		}
 	}
-	b.Revision, b.Raw, b.packed, b.Behind = n.Revision, raw, n.Body, false
+	b.Revision, b.Raw, b.packed, b.staleConfiguration = n.Revision, raw, n.Body, false
+}
+
+// takeFleet takes a fleet in, told whole or as a difference.
+func (b *State) takeFleet(n Update, fresh *Update) {
+	fleet := n.Fleet
+	if fleet.Empty() && n.Change != nil {
+		if fleet = b.Fleet.apply(*n.Change); len(fleet.Edges) != n.Change.Count {
+			b.staleFleet = true
+			return
+		}
+	}
+	if fleet.Empty() {
+		return
+	}
+	b.staleFleet = false
+	if fleet.equal(b.Fleet) {
+		return
+	}
+	if change := difference(b.Fleet, fleet); !b.Fleet.Empty() && len(change.Joined)+len(change.Left) < len(fleet.Edges) {
+		fresh.Change = &change
+	}
+	b.Fleet, fresh.Fleet = fleet, fleet
 }
 
 // Snapshot is the whole book.
--- /dev/null
+++ b/decide/clusterstate/fleet.go
@@ -0,0 +1,42 @@
+package clusterstate
+
+import (
+	"cmp"
+	"slices"
+)
+
+// Differences between fleets. Edges are listed by IP.
+
+func byIP(a, b Edge) int { return cmp.Compare(a.IP, b.IP) }
+
+func (f Fleet) equal(o Fleet) bool {
+	return f.Most == o.Most && slices.Equal(f.Edges, o.Edges) && slices.Equal(f.Controllers, o.Controllers)
+}
+
+// apply makes a new fleet of f and a difference.
+func (f Fleet) apply(c FleetChange) Fleet {
+	edges := slices.DeleteFunc(slices.Clone(f.Edges), func(e Edge) bool {
+		_, joined := slices.BinarySearchFunc(c.Joined, e, byIP)
+		_, left := slices.BinarySearch(c.Left, e.IP)
+		return joined || left
+	})
+	edges = append(edges, c.Joined...)
+	slices.SortFunc(edges, byIP)
+	return Fleet{Edges: edges, Most: c.Most, Controllers: c.Controllers}
+}
+
+// difference makes after of before. An edge whose zone has changed has joined anew.
+func difference(before, after Fleet) FleetChange {
+	c := FleetChange{Most: after.Most, Controllers: after.Controllers, Count: len(after.Edges)}
+	for _, e := range after.Edges {
+		if at, found := slices.BinarySearchFunc(before.Edges, e, byIP); !found || before.Edges[at] != e {
+			c.Joined = append(c.Joined, e)
+		}
+	}
+	for _, e := range before.Edges {
+		if _, found := slices.BinarySearchFunc(after.Edges, e, byIP); !found {
+			c.Left = append(c.Left, e.IP)
+		}
+	}
+	return c
+}
--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -32,6 +32,7 @@
 	suspicion      = 4000 * ms  // a watcher's word on another counts for so long
 	suspectedBy    = 2          // watchers, or all that there are
 	mostKept       = 60000 * ms // the number of edges for budgets goes down only after that
+	fleetEvery     = 200 * ms   // between two lists of edges that followers are told
 	edgesEvery     = 900 * ms   // between two lists of controllers, and of what is new of edges
 	edgeAgain      = 5000 * ms  // an edge of which nothing is new is told of again after that
 	wantEvery      = 500 * ms   // between two questions for all that another controller knows
@@ -109,6 +110,8 @@
 	beatsAt             int64
 	urgent              bool // something in the next batch is news to edges
 	joinAt, edgesAt     int64
+	fleetAt             int64 // no list of edges is told before
+	fleetDue            bool  // one may have changed
 	dutyAt              int64
 	asked               bool // what stands, of the register, in this life
 	leaving, inContact  bool
@@ -296,6 +299,9 @@
 			c.answer(t, 503, nil, "no majority answered in time")
 		}
 	}
+	if c.fleetDue {
+		c.fleet()
+	}
 	if now >= c.heartbeatAt {
 		c.heartbeatAt = now + heartbeatEvery
 		c.sendHeartbeat()
@@ -351,6 +357,9 @@
 	if c.joiner != nil {
 		next = min(next, c.joinAt)
 	}
+	if c.fleetDue {
+		next = min(next, c.fleetAt)
+	}
 	for _, t := range c.calls {
 		next = min(next, t.until)
 	}
--- a/decide/controller/disk.go
+++ b/decide/controller/disk.go
@@ -142,8 +142,11 @@
 		o.Revision, o.Body, o.Base, o.Patch, o.Raw = n.Revision, n.Body, n.Base, n.Patch, n.Raw
 	}
 	c.out.Update.Replicas = append(c.out.Update.Replicas, n.Replicas...)
-	if !n.Fleet.Empty() {
-		c.out.Update.Fleet = n.Fleet
+	if o := &c.out.Update; !n.Fleet.Empty() {
+		if !o.Fleet.Empty() { // a difference to what was not told yet is none
+			n.Change = nil
+		}
+		o.Fleet, o.Change = n.Fleet, n.Change
 	}
 }
 
--- a/decide/controller/edges.go
+++ b/decide/controller/edges.go
@@ -46,11 +46,19 @@
 	}
 }
 
-// fleet tells the edges who they are and where controllers are, where that has changed.
+// fleet tells the edges who they are and where controllers are, where that has changed: at once, or a little later
+// where that was done just before.
+//
+// Danger: when a zone starts, its edges come within seconds, and a list for each that comes, told to each that is there,
+// would make the bytes grow with the square of the edges, and the time to make the lists too.
 //
 // Danger: one watcher may be the one that is cut off. An edge is left out of the tree only by the word of
 // two, or of all that watch it, and never while it is heard itself.
 func (c *Controller) fleet() {
+	if c.fleetDue = c.now < c.fleetAt; c.fleetDue {
+		return
+	}
+	c.fleetAt = c.now + fleetEvery
 	var f clusterstate.Fleet
 	for ip, e := range c.edges {
 		if c.now-e.heard > edgeWithin {
--- /dev/null
+++ b/decide/controller/edges_test.go
@@ -0,0 +1,63 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/shoenig/test/must"
+
+	"willowsill/decide/clusterstate"
+)
+
+// startZone has n edges come to a lone controller, evenly in the given time, and returns how many times followers were
+// told of edges, the bytes of that to one follower, and what that one holds in the end.
+func startZone(t *testing.T, n int, within int64) (told, size int, follower *clusterstate.State, c *Controller) {
+	c = New(0, Start{IP: "10.9.0.1", Life: "1", Seeds: []string{"10.9.0.1"}, Bootstrap: true, BeatEvery: 1000 * ms,
+		Draw: func() float64 { return 0 }})
+	follower = clusterstate.NewState()
+	take := func(o Out) {
+		update := o.Update.ForFollower(true)
+		if update.Fleet.Empty() && update.Change == nil {
+			return
+		}
+		told++
+		frame, err := cbor.Marshal(update)
+		must.NoError(t, err)
+		size += len(frame)
+		follower.Take(update)
+	}
+	came := 0
+	for now := int64(0); now < within+1000*ms; now += 10 * ms {
+		for ; came < n && int64(came)*within <= now*int64(n); came++ {
+			take(c.Edge(now, EdgeReport{Edge: clusterstate.Edge{IP: fmt.Sprintf("10.0.%d.%d", came/250, came%250), Zone: "z"}}))
+		}
+		if now >= c.Next() {
+			take(c.Tick(now))
+		}
+	}
+	return told, size, follower, c
+}
+
+// TestFleetGoesTogether: edges that come within seconds are told of in few updates, whose bytes grow with the edges and
+// not with their square; the follower ends with all of them.
+func TestFleetGoesTogether(t *testing.T) {
+	const within = 4000 * ms
+	sizes := map[int]int{}
+	for _, n := range []int{100, 400} {
+		told, size, follower, c := startZone(t, n, within)
+		must.LessEq(t, int(within/fleetEvery)+2, told)
+		must.Eq(t, n, len(follower.Fleet.Edges))
+		must.Eq(t, c.Snapshot().Fleet, follower.Fleet)
+		must.Eq(t, n, follower.Fleet.Most)
+		sizes[n] = size
+	}
+	must.Less(t, 5*sizes[100], sizes[400])
+}
+
+// TestFirstEdgeIsToldAtOnce: a lone edge does not wait for others.
+func TestFirstEdgeIsToldAtOnce(t *testing.T) {
+	_, _, _, c := startZone(t, 3, 0)
+	o := c.Edge(5000*ms, EdgeReport{Edge: clusterstate.Edge{IP: "10.0.9.9"}})
+	must.SliceLen(t, 1, o.Update.Change.Joined)
+}
