--- a/cmd/sites/restart.go
+++ b/cmd/sites/restart.go
@@ -77,7 +77,8 @@
 			failed <- err
 			return
 		}
-		if err := west.Start(i); err == nil {
+		err := west.Start(i)
+		if err == nil {
 			err = west.Ready(i)
 		}
 		if err != nil {
--- a/decide/commons/commons.go
+++ b/decide/commons/commons.go
@@ -121,7 +121,6 @@
 	leasedAt int64
 	leasing  bool           // the round under way asks for tokens
 	stale    map[string]int // fields of aggregators long gone, by rounds that they were seen
-	told     bool           // findings stand in the store
 	events   []Event
 	figures  Figures
 	was      State
--- a/decide/commons/quota_test.go
+++ b/decide/commons/quota_test.go
@@ -33,7 +33,6 @@
 	asked    *Request
 	reply    *Reply // on its way back
 	replyAt  int64
-	toldAt   int64
 	carryAt  int64
 	restarts []int64
 }
--- a/decide/commons/record_test.go
+++ b/decide/commons/record_test.go
@@ -114,7 +114,8 @@
 }
 
 func TestKey(t *testing.T) {
-	if Key("s-1", 5) == Key("s-1", 6) || Key("s-1", 5) == Key("s-2", 5) || Key("s-1", 5) != Key("s-1", 5) {
+	first, again := Key("s-1", 5), Key("s-1", 5)
+	if first == Key("s-1", 6) || first == Key("s-2", 5) || first != again {
 		t.Error("keys do not tell incarnations apart")
 	}
 }
--- a/decide/crossing/crossing_test.go
+++ b/decide/crossing/crossing_test.go
@@ -57,7 +57,7 @@
 				now = max(c.Next(), now)
 				carry()
 			}
-			now += max(later-(now%1), 0)
+			now += later
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				if len(flying) > 0 {
--- a/front/gateway/history_test.go
+++ b/front/gateway/history_test.go
@@ -20,9 +20,6 @@
 	"willowsill/node"
 )
 
-// asked is one call of a peer: an id, and the answer or none.
-type asked struct{ id, answer string }
-
 // oneAnswer is what peers may see of a door: the first answer to an id is its answer for ever; that it is not known, or not
 // taken in, may be told at any time.
 var oneAnswer = porcupine.Model{
--- a/front/gateway/pool.go
+++ b/front/gateway/pool.go
@@ -142,7 +142,6 @@
 	out    map[*replica.Ticket]*trip
 	most   int // trips at a time
 	under  int // goroutines that have not told their end
-	ending bool
 }
 
 // newPool makes a pool that reaches gateways by dial, with TLS where secure is not nil; site tells whose an address is.
--- a/lab/emulator/checker/checker.go
+++ b/lab/emulator/checker/checker.go
@@ -74,7 +74,6 @@
 	shard  int
 	up     int64 // the list has let it be sent to since then, -1 for not
 	failed int64 // an execution there last ended otherwise than fulfilled
-	since  int64 // it was sent to last, or might have been first
 	others int   // parts that its shard's others got since
 	out    int   // parts in flight, by the checker's own count
 }
--- a/lab/emulator/hunt/hunt.go
+++ b/lab/emulator/hunt/hunt.go
@@ -97,9 +97,7 @@
 	f := emulator.Fault{Kind: t.Kinds[chance.IntN(len(t.Kinds))], From: at, Until: at + length, Times: 2 + 8*chance.Float64()}
 	f.Every = int64(500e6) + chance.Int64N(4e9)
 	f.For = f.Every/10 + chance.Int64N(f.Every/2)
-	for _, r := range chance.Perm(t.Replicas)[:1+chance.IntN(max(min(t.Most, t.Replicas), 1))] {
-		f.Replicas = append(f.Replicas, r)
-	}
+	f.Replicas = chance.Perm(t.Replicas)[:1+chance.IntN(max(min(t.Most, t.Replicas), 1))]
 	slices.Sort(f.Replicas)
 	return f
 }
--- a/standin/redis/redis.go
+++ b/standin/redis/redis.go
@@ -50,7 +50,6 @@
 	conns    map[net.Conn]struct{}
 	commands int64
 	bytes    int64
-	readOnly bool
 	outcome  map[string]int64
 }
 
--- a/transport/replica/pool_test.go
+++ b/transport/replica/pool_test.go
@@ -21,7 +21,6 @@
 	*testing.T
 	*Pool
 	network *pipes.Network
-	heard   []Notice
 	ticks   chan Notice
 }
 
