--- a/decide/strain/strain.go
+++ b/decide/strain/strain.go
@@ -137,8 +137,10 @@
 	return s
 }
 
-// Level is the present one, and Cause what presses most.
-func (s *Strain) Level() Level  { return s.level }
+// Level is the present level.
+func (s *Strain) Level() Level { return s.level }
+
+// Cause names the signal that presses most, empty where none does.
 func (s *Strain) Cause() string { return s.cause }
 
 // Read takes in a reading, and tells whether the level has changed.
--- a/transport/sockets/sockets.go
+++ b/transport/sockets/sockets.go
@@ -6,6 +6,7 @@
 // Use is what a descriptor is for.
 type Use int
 
+// The uses: connections that clients opened, and connections to replicas.
 const (
 	Clients Use = iota
 	Replicas
