--- a/decide/controller/disk.go
+++ b/decide/controller/disk.go
@@ -20,6 +20,7 @@
 		return
 	}
 	c.dirty = c.dirty || save
+	c.lease.Accepted(c.now, c.disk.Accepted)
 	c.proposer.Hold(c.disk.State)
 	// Danger: an answer that leaves before what it tells is on disk would be forgotten with the power.
 	after := uint64(0)
@@ -77,7 +78,7 @@
 // carry does what the proposer asks for.
 func (c *Controller) carry(o register.Out) {
 	for _, d := range o.Done {
-		c.stand(d.Value)
+		c.commit(d.Value, d.Ballot)
 		c.finish(d)
 	}
 	if n := len(o.Done); n > 0 { // all of one round
@@ -92,8 +93,9 @@
 	}
 }
 
-// stand takes in a value that is known to stand.
-func (c *Controller) stand(v register.Value) {
+// commit takes in a value that is known to be committed, and the ballot under which it is.
+func (c *Controller) commit(v register.Value, ballot register.Ballot) {
+	c.lease.Commit(ballot)
 	newer := v.Epoch > c.committed.Epoch || v.Revision > c.committed.Revision ||
 		v.Epoch == c.committed.Epoch && v.Revision == c.committed.Revision && len(v.Prior) < len(c.committed.Prior) ||
 		len(c.committed.Members) == 0
@@ -124,6 +126,7 @@
 	}
 	c.disk = register.Disk{State: state, CaughtUp: true}
 	c.dirty, c.joiner = true, nil
+	c.lease.Accepted(c.now, state.Accepted)
 	c.proposer.Know(state.Value)
 	c.proposer.Seen(state.Promised)
 	c.log("the disk is whole again", "epoch", state.Value.Epoch, "revision", state.Value.Revision)
@@ -132,15 +135,18 @@
 // tell adds to what goes to those who follow.
 func (c *Controller) tell(n clusterstate.Update) {
 	if n.Revision > 0 {
-		o := &c.out.Notice
+		o := &c.out.Update
 		if o.Revision > 0 { // a patch of what was not told yet is none
 			n.Body, n.Base, n.Patch = c.book.Snapshot().Body, 0, nil
 		}
 		o.Revision, o.Body, o.Base, o.Patch, o.Raw = n.Revision, n.Body, n.Base, n.Patch, n.Raw
 	}
-	c.out.Notice.Replicas = append(c.out.Notice.Replicas, n.Replicas...)
-	if !n.Fleet.Empty() {
-		c.out.Notice.Fleet = n.Fleet
+	c.out.Update.Replicas = append(c.out.Update.Replicas, n.Replicas...)
+	if o := &c.out.Update; !n.Fleet.Empty() {
+		if !o.Fleet.Empty() { // a difference to what was not told yet is none
+			n.Change = nil
+		}
+		o.Fleet, o.Change = n.Fleet, n.Change
 	}
 }
 
