--- a/cmd/willowsill/main.go
+++ b/cmd/willowsill/main.go
@@ -69,8 +69,9 @@
 		zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), out, zap.InfoLevel),
 		logEach, logFirst, logThen)).With(zap.String("aggregator", start.Name))
 	defer out.Stop()
-	stop, ignore := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer ignore()
+	stop, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	cancelOnSignal(cancel)
 	listener, err := net.Listen("tcp", start.Listen)
 	if err != nil {
 		err = fmt.Errorf("variable NODE_LISTEN: %w", err)
@@ -85,6 +86,21 @@
 	return 0
 }
 
+// cancelOnSignal cancels at the first signal to stop.
+//
+// Danger: a signal without a handler ends the process at once, with the queries that it answers and the lines of its
+// log that wait; so the handlers stay until the process has ended, and a reader of the log that goes away (SIGPIPE) is
+// no reason to end.
+func cancelOnSignal(cancel context.CancelFunc) {
+	stop := make(chan os.Signal, 1)
+	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
+	signal.Ignore(syscall.SIGPIPE)
+	go func() {
+		<-stop
+		cancel()
+	}()
+}
+
 // run serves until stop is over, and ends when all it has taken is answered and all it holds is given back. At
 // each word on reload it reads its configuration again.
 func run(stop context.Context, reload <-chan os.Signal, start deployment.Start, orders *operator.Orders,
--- /dev/null
+++ b/cmd/willowsill/signals_test.go
@@ -0,0 +1,78 @@
+package main
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+)
+
+// childVariable in the environment of the test binary makes it the program as the platform starts it.
+const childVariable = "WILLOWSILL_TEST_SERVE"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(childVariable) != "" {
+		os.Args = os.Args[:1]
+		main()
+	}
+	os.Exit(m.Run())
+}
+
+// startChild starts the program with a discovery that does not answer, and waits until it serves.
+func startChild(t *testing.T) (process *exec.Cmd, stderr io.ReadCloser) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	must.NoError(t, err)
+	address := l.Addr().String()
+	must.NoError(t, l.Close())
+	process = exec.Command(os.Args[0])
+	process.Env = append(os.Environ(), childVariable+"=1", "NODE_NAME=n0", "NODE_LISTEN="+address, "NODE_DISCOVERY=127.0.0.1:1",
+		"NODE_CONFIG=../../examples/config.json", "GORACE=atexit_sleep_ms=0")
+	stderr, err = process.StderrPipe()
+	must.NoError(t, err)
+	must.NoError(t, process.Start())
+	t.Cleanup(func() { _ = process.Process.Kill() })
+	for range 1000 {
+		response, err := http.Get("http://" + address + "/healthz")
+		if err == nil {
+			response.Body.Close()
+			return process, stderr
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	t.Fatal("the program does not serve")
+	return nil, nil
+}
+
+// Once told to stop, the program answers what it has taken and ends with 0, whatever signals come until then.
+func TestSignalsWhileLeaving(t *testing.T) {
+	process, stderr := startChild(t)
+	go io.Copy(io.Discard, stderr)
+	ended := make(chan error, 1)
+	must.NoError(t, process.Process.Signal(syscall.SIGTERM))
+	go func() { ended <- process.Wait() }()
+	for {
+		select {
+		case err := <-ended:
+			must.NoError(t, err)
+			return
+		case <-time.After(time.Millisecond):
+			for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGPIPE} {
+				_ = process.Process.Signal(s) // fails once the process has ended
+			}
+		}
+	}
+}
+
+// A reader of the log that goes away does not end the program.
+func TestLogReaderGone(t *testing.T) {
+	process, stderr := startChild(t)
+	must.NoError(t, stderr.Close())
+	must.NoError(t, process.Process.Signal(syscall.SIGTERM))
+	must.NoError(t, process.Wait())
+}
