--- a/front/proxyserver/proxyserver.go
+++ b/front/proxyserver/proxyserver.go
@@ -1,5 +1,5 @@
-// Package proxyserver gives a proxy its sockets: clients in front, replicas behind, the agent beside it. The node
-// in the middle and its decision module are those of the co-ordinator in service. It decides nothing.
+// Package proxyserver runs a proxy: it owns the sockets to clients, to replicas and to the agent beside it. The node
+// in the middle, with its decision module, is that of the co-ordinator in service. It decides nothing.
 package proxyserver
 
 import (
@@ -36,10 +36,11 @@
 var ErrProxy = oops.Code("proxy")
 
 const (
-	heldMost   = 20000 // queries and parts that the node holds at the most
-	budgetLook = time.Second
-	stayOpen   = 2500 * time.Millisecond // after SIGTERM, until the platform sends no more
-	graceSpare = 400 * time.Millisecond
+	maxHeld     = 20000                   // queries and parts that the node holds at the most
+	budgetPoll  = time.Second             // between two looks at this edge's share of the budget of retries
+	stayOpen    = 2500 * time.Millisecond // after SIGTERM, until the platform sends no more
+	graceMargin = 400 * time.Millisecond  // the proxy ends so long before its grace does
+	startPoll   = 5 * time.Millisecond    // between two looks whether there is a configuration
 )
 
 // Server is a running proxy.
@@ -50,10 +51,10 @@
 	handler  *clienthttp.Handler
 	servers  *clienthttp.Servers
 	address  net.Addr
-	count    *counters.Counters
+	counters *counters.Counters
 
 	mu        sync.Mutex // guards table and what is told to the node by it
-	book      *clusterstate.State
+	state     *clusterstate.State
 	table     *routingtable.Table
 	readiness follower.Readiness
 	fresh     clusterstate.Freshness // as the agent said it at freshAt
@@ -66,87 +67,87 @@
 }
 
 // Run runs a proxy until ctx ends and then serves on for as long as clients come.
-func Run(ctx context.Context, s settings.Settings) error {
+func Run(ctx context.Context, local settings.Settings) error {
 	seed := rand.Uint64()
-	h := &Server{settings: s, count: counters.New(nil), book: clusterstate.NewState()}
+	s := &Server{settings: local, counters: counters.New(nil), state: clusterstate.NewState()}
 	clock := node.NewClock()
-	h.table = routingtable.New(clock.Now(), s)
-	h.node = node.New(node.Plan{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(s, seed)},
-		Terms: deployment.Terms{MostHeld: heldMost}, Count: h.count, Log: zap.NewNop(), Ask: func() {},
+	s.table = routingtable.New(clock.Now(), local)
+	s.node = node.New(node.Plan{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(local, seed)},
+		Terms: deployment.Terms{MostHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), Ask: func() {},
 		Carry: func(tell func(any), now func() int64) node.Carrier {
-			h.pool = replicahttp.NewPool(tell, now)
-			return h.pool
+			s.pool = replicahttp.NewPool(tell, now)
+			return s.pool
 		}})
-	front, err := net.Listen("tcp", s.Bind.Front)
+	front, err := net.Listen("tcp", local.Bind.Front)
 	if err != nil {
 		return ErrProxy.Wrapf(err, "bind-addrs.front")
 	}
-	ready, err := net.Listen("tcp", s.Bind.Readiness)
+	ready, err := net.Listen("tcp", local.Bind.Readiness)
 	if err != nil {
 		return ErrProxy.Wrapf(err, "bind-addrs.readiness")
 	}
-	h.handler = &clienthttp.Handler{Core: h.node, Now: clock.Now}
-	h.servers, h.address = &clienthttp.Servers{Handler: h.handler}, front.Addr()
+	s.handler = &clienthttp.Handler{Core: s.node, Now: clock.Now}
+	s.servers, s.address = &clienthttp.Servers{Handler: s.handler}, front.Addr()
 	inner, end := context.WithCancel(context.Background())
 	defer end()
-	up := watch.Follower{Report: h.report, Take: h.take, Sign: h.heard,
-		Addresses: func() []string { return []string{s.Inner(s.Loopback(), settings.PortAgent)} }}
+	up := watch.Follower{Report: s.report, Take: s.take, Sign: s.heard,
+		Addresses: func() []string { return []string{local.Inner(local.Loopback(), settings.PortAgent)} }}
 	go up.Run(inner)
-	go h.budget(inner)
-	go h.tally(inner)
-	go (&http.Server{Handler: http.HandlerFunc(h.ready), ReadHeaderTimeout: time.Second}).Serve(ready)
-	go h.accept(front)
+	go s.budget(inner)
+	go s.tally(inner)
+	go (&http.Server{Handler: http.HandlerFunc(s.ready), ReadHeaderTimeout: time.Second}).Serve(ready)
+	go s.accept(front)
 	<-ctx.Done()
-	h.leave(front)
+	s.leave(front)
 	return nil
 }
 
 // accept takes clients in once there is a configuration; until then they wait to be accepted.
-func (h *Server) accept(front net.Listener) {
-	for !h.knows.Load() {
-		time.Sleep(5 * time.Millisecond)
+func (s *Server) accept(front net.Listener) {
+	for !s.knows.Load() {
+		time.Sleep(startPoll)
 	}
-	h.servers.Accept(front)
+	s.servers.Accept(front)
 }
 
-// leave ends in order: clients are told to go while they are still served, then what is under way is waited
-// for.
+// leave drains the proxy: clients are told to close their connections while they are still served, then the requests
+// under way are waited for, as long as the grace allows.
 //
 // Danger: the platform goes on sending for as long as it has not noticed; a request that was read must be
 // answered.
-func (h *Server) leave(front net.Listener) {
-	until := time.Now().Add(time.Duration(h.settings.Bounds.GraceS*float64(time.Second)) - graceSpare)
+func (s *Server) leave(front net.Listener) {
+	until := time.Now().Add(time.Duration(s.settings.Bounds.GraceS*float64(time.Second)) - graceMargin)
 	klog.InfoS("leaving")
-	h.leaving.Store(true)
-	h.handler.Leaving.Store(true)
+	s.leaving.Store(true)
+	s.handler.Leaving.Store(true)
 	time.Sleep(min(stayOpen, time.Until(until)/2))
 	front.Close()
 	wait, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	var all sync.WaitGroup
-	for _, s := range h.servers.All() {
-		all.Go(func() { s.Shutdown(wait) })
+	for _, server := range s.servers.All() {
+		all.Go(func() { server.Shutdown(wait) })
 	}
 	all.Wait()
 	klog.InfoS("left", "late", wait.Err() != nil)
 }
 
 // ready answers the platform, which reads the status alone; the body says to people how old the knowledge here is.
-func (h *Server) ready(w http.ResponseWriter, _ *http.Request) {
-	h.mu.Lock()
-	now := h.node.Now()
-	ready := h.readiness.Ready(now) && !h.leaving.Load()
-	state := readinessState{Ready: ready, Behind: h.readiness.Behind(now), Known: h.fresh.Known, NewestRevision: h.fresh.Revision,
-		AgeMs: (h.fresh.Age + now - h.freshAt) / int64(time.Millisecond)}
-	if h.book != nil {
-		state.Revision = h.book.Revision
+func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
+	s.mu.Lock()
+	now := s.node.Now()
+	ready := s.readiness.Ready(now) && !s.leaving.Load()
+	answer := readinessState{Ready: ready, Behind: s.readiness.Behind(now), Known: s.fresh.Known, NewestRevision: s.fresh.Revision,
+		AgeMs: (s.fresh.Age + now - s.freshAt) / int64(time.Millisecond)}
+	if s.state != nil {
+		answer.Revision = s.state.Revision
 	}
-	h.mu.Unlock()
+	s.mu.Unlock()
 	status := http.StatusOK
 	if !ready {
 		status = http.StatusServiceUnavailable
 	}
-	body := state.encode()
+	body := answer.encode()
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
@@ -154,88 +155,89 @@
 }
 
 // report is what the proxy says to the agent beside it.
-func (h *Server) report() watch.Report {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	self := controller.EdgeReport{Edge: clusterstate.Edge{IP: h.settings.IP, Zone: h.settings.Zone}}
-	return watch.Report{Self: self, Revision: h.book.Revision}
+func (s *Server) report() watch.Report {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	self := controller.EdgeReport{Edge: clusterstate.Edge{IP: s.settings.IP, Zone: s.settings.Zone}}
+	return watch.Report{Self: self, Revision: s.state.Revision}
 }
 
 // heard takes how fresh the agent's knowledge is.
-func (h *Server) heard(fresh clusterstate.Freshness) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.fresh, h.freshAt = fresh, h.node.Now()
-	h.readiness.Heard(h.freshAt, fresh)
+func (s *Server) heard(fresh clusterstate.Freshness) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.fresh, s.freshAt = fresh, s.node.Now()
+	s.readiness.Heard(s.freshAt, fresh)
 }
 
-// take takes a notice from the agent.
-func (h *Server) take(n clusterstate.Update) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	n = h.book.Take(n)
-	c := h.table.Take(h.node.Now(), n)
-	if c.Err != nil {
-		klog.ErrorS(c.Err, "a configuration cannot be used", "revision", n.Revision)
+// take merges an update from the agent into the state and puts what is new in force. It returns false where the update
+// is a patch of another state than the one held, so that a snapshot is needed.
+func (s *Server) take(update clusterstate.Update) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	update = s.state.Take(update)
+	change := s.table.Take(s.node.Now(), update)
+	if change.Err != nil {
+		klog.ErrorS(change.Err, "a configuration cannot be used", "revision", update.Revision)
 	}
-	if c.State != nil {
-		h.served = c.Workloads
-		for len(h.rows) < len(c.Workloads) {
-			h.rows = append(h.rows, &counters.Workload{})
+	if change.State != nil {
+		s.served = change.Workloads
+		for len(s.rows) < len(change.Workloads) {
+			s.rows = append(s.rows, &counters.Workload{})
 		}
 	}
-	if c.State != nil || c.Budget {
-		h.serving(c.FurtherFree)
+	if change.State != nil || change.Budget {
+		s.serving(change.FurtherFree)
 	}
-	if len(c.Replicas) > 0 {
-		h.node.News(context.Background(), h.news(c.Replicas))
+	if len(change.Replicas) > 0 {
+		s.node.News(context.Background(), s.news(change.Replicas))
 	}
-	if c.State != nil {
-		h.servers.Limit(h.address, c.State.Config.Limits)
-		h.handler.Serve(c.State)
-		klog.InfoS("serving", "revision", c.State.Config.Revision, "routes", len(c.State.Config.Routes))
-		h.readiness.Configured(h.node.Now(), c.State.Config.Revision)
-		h.knows.Store(true)
+	if change.State != nil {
+		s.servers.Limit(s.address, change.State.Config.Limits)
+		s.handler.Serve(change.State)
+		klog.InfoS("serving", "revision", change.State.Config.Revision, "routes", len(change.State.Config.Routes))
+		s.readiness.Configured(s.node.Now(), change.State.Config.Revision)
+		s.knows.Store(true)
 	}
-	h.book.Forget()
-	return !h.book.Behind
+	s.state.Forget()
+	return !s.state.Behind
 }
 
-// serving tells the node what is served, and this edge's free further executions.
-func (h *Server) serving(free float64) {
-	h.node.Serving(node.Serving{Workloads: h.served, Rows: h.rows, FurtherFree: free})
+// serving tells the node which workloads are served, and how many retries this edge may make beyond its ratio.
+func (s *Server) serving(free float64) {
+	s.node.Serving(node.Serving{Workloads: s.served, Rows: s.rows, FurtherFree: free})
 }
 
-// news is what the node is told of replicas.
-func (h *Server) news(records []registry.Record) (n roster.News) {
+// news translates records of replicas for the node.
+func (s *Server) news(records []registry.Record) (n roster.News) {
 	for _, r := range records {
-		e := roster.Entry{Host: r.ID, Dial: replicahttp.Dial(r.ID, r.Address), Cell: h.table.Slot(r.Service), Zone: r.Zone,
-			Distance: h.table.Distance(r.Zone), Channels: h.table.Channels(r.Service)}
+		entry := roster.Entry{Host: r.ID, Dial: replicahttp.Dial(r.ID, r.Address), Cell: s.table.Slot(r.Service), Zone: r.Zone,
+			Distance: s.table.Distance(r.Zone), Channels: s.table.Channels(r.Service)}
 		switch r.Phase {
 		case registry.Draining:
-			e.Standing = balance.Draining
+			entry.Standing = balance.Draining
 		case registry.Silent, registry.Gone:
-			e.Standing = balance.Gone
+			entry.Standing = balance.Gone
 		}
-		n.Entries = append(n.Entries, e)
+		n.Entries = append(n.Entries, entry)
 	}
 	return n
 }
 
-// budget looks whether this edge's share of the budget has changed with time alone.
-func (h *Server) budget(ctx context.Context) {
-	t := time.NewTicker(budgetLook)
-	defer t.Stop()
+// budget tells the node when this edge's share of the budget of retries has changed with time alone, until ctx ends.
+func (s *Server) budget(ctx context.Context) {
+	ticker := time.NewTicker(budgetPoll)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
-			h.mu.Lock()
-			if free, changed := h.table.Free(h.node.Now()); changed {
-				h.serving(free)
+		case <-ticker.C:
+			s.mu.Lock()
+			if free, changed := s.table.Free(s.node.Now()); changed {
+				s.serving(free)
 			}
-			h.mu.Unlock()
+			s.mu.Unlock()
 		}
 	}
 }
--- a/front/proxyserver/proxyserver_bench_test.go
+++ b/front/proxyserver/proxyserver_bench_test.go
@@ -66,7 +66,7 @@
 	p := routingtable.New(clock.Now(), s)
 	count := counters.New(nil)
 	n := node.New(node.Plan{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(s, 1)},
-		Terms: deployment.Terms{MostHeld: heldMost}, Count: count, Log: zap.NewNop(), Ask: func() {},
+		Terms: deployment.Terms{MostHeld: maxHeld}, Count: count, Log: zap.NewNop(), Ask: func() {},
 		Carry: func(tell func(any), now func() int64) node.Carrier {
 			pool := replicahttp.NewPool(tell, now)
 			pool.Dial = func(context.Context, string, string) (net.Conn, error) {
@@ -74,7 +74,7 @@
 			}
 			return pool
 		}})
-	h := &Server{settings: s, node: n, count: count, table: p}
+	h := &Server{settings: s, node: n, counters: count, table: p}
 	notice := clusterstate.Update{Revision: 1, Raw: []byte(`{"revision":1,"routes":[{"name":"a","host":"h","path-prefix":"/x/","deadline-ms":2500,"target-ms":250,"fanout":["s0","s1","s2","s3"],"min-coverage":0.5,"max-tries":2,"result-count":10}],"services":[{"name":"s0"},{"name":"s1"},{"name":"s2"},{"name":"s3"}]}`)}
 	for i := range 16 {
 		notice.Replicas = append(notice.Replicas, registry.Record{ID: fmt.Sprint("i-", i), Service: fmt.Sprint("s", i%4), Address: "10.0.0.1:80", Seq: 1})
--- a/front/proxyserver/tally.go
+++ b/front/proxyserver/tally.go
@@ -7,35 +7,50 @@
 	"k8s.io/klog/v2"
 )
 
+// tallyEvery is the time between two lines of the log about what was served.
 const tallyEvery = 5 * time.Second
 
-// tally logs what was served since the last time, where anything was.
-func (h *Server) tally(ctx context.Context) {
-	t := time.NewTicker(tallyEvery)
-	defer t.Stop()
-	var was, is [11]int64
+// totals are counts since the start of the process: executions sent to replicas and how they ended, connections opened
+// and queries turned away because too many were held.
+type totals struct {
+	sent, fulfilled, errored, full, timedOut, connectFailed, reset, cancelled, moot, opened, crowded int64
+}
+
+// totals reads the counts as they are now.
+func (s *Server) totals() totals {
+	e := &s.counters.Executions
+	return totals{sent: e.Sent.Load(), fulfilled: e.Fulfilled.Load(), errored: e.Errored.Load(), full: e.Full.Load(),
+		timedOut: e.TimedOut.Load(), connectFailed: e.ConnectFailed.Load(), reset: e.Reset.Load(), cancelled: e.Cancelled.Load(),
+		moot: e.Moot.Load(), opened: s.pool.Opened.Load(), crowded: s.counters.Crowded.Load()}
+}
+
+// tally logs what was served since the line before, where anything was, until ctx ends.
+func (s *Server) tally(ctx context.Context) {
+	ticker := time.NewTicker(tallyEvery)
+	defer ticker.Stop()
+	var before totals
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		x := &h.count.Executions
-		is = [...]int64{x.Sent.Load(), x.Fulfilled.Load(), x.Errored.Load(), x.Full.Load(), x.TimedOut.Load(),
-			x.ConnectFailed.Load(), x.Reset.Load(), x.Cancelled.Load(), x.Moot.Load(), h.pool.Opened.Load(), h.count.Crowded.Load()}
-		var d [len(is)]int64
-		for i := range is {
-			d[i] = is[i] - was[i]
+		now := s.totals()
+		if now.sent != before.sent || now.crowded != before.crowded {
+			s.logTotals(now, before)
 		}
-		was = is
-		if d[0] == 0 && d[10] == 0 {
-			continue
-		}
-		h.mu.Lock()
-		replicas, edges, free := h.table.Replicas(), h.table.Edges(), h.table.Budget()
-		h.mu.Unlock()
-		klog.InfoS("served", "sent", d[0], "fulfilled", d[1], "errored", d[2], "full", d[3], "timedOut", d[4], "connectFailed", d[5],
-			"reset", d[6], "cancelled", d[7], "moot", d[8], "opened", d[9], "crowded", d[10], "replicas", replicas, "edges", edges,
-			"furtherFree", free, "delayMaxMs", h.count.DelayHighest.Load()/1e6)
+		before = now
 	}
 }
+
+func (s *Server) logTotals(now, before totals) {
+	s.mu.Lock()
+	replicas, edges, free := s.table.Replicas(), s.table.Edges(), s.table.Budget()
+	s.mu.Unlock()
+	klog.InfoS("served", "sent", now.sent-before.sent, "fulfilled", now.fulfilled-before.fulfilled,
+		"errored", now.errored-before.errored, "full", now.full-before.full, "timedOut", now.timedOut-before.timedOut,
+		"connectFailed", now.connectFailed-before.connectFailed, "reset", now.reset-before.reset,
+		"cancelled", now.cancelled-before.cancelled, "moot", now.moot-before.moot, "opened", now.opened-before.opened,
+		"crowded", now.crowded-before.crowded, "replicas", replicas, "edges", edges, "furtherFree", free,
+		"delayMaxMs", s.counters.DelayHighest.Load()/int64(time.Millisecond))
+}
--- a/transport/agentserver/agentserver.go
+++ b/transport/agentserver/agentserver.go
@@ -1,5 +1,6 @@
-// Package agentserver gives an agent its sockets: it follows a feeder, keeps the book, and feeds the proxy beside
-// it over loopback and the agents that follow it. It decides nothing.
+// Package agentserver runs an agent, the relay beside a proxy: it follows a feeder (a controller or another agent),
+// holds the newest cluster state, and feeds the proxy beside it over loopback and the agents that follow it. It also
+// sends and hears the heartbeats of the edges. It decides nothing.
 package agentserver
 
 import (
@@ -26,107 +27,108 @@
 var ErrAgent = oops.Code("agent")
 
 const (
-	leaveSpare = 300 * time.Millisecond // before the grace ends
-	leaveLook  = 100 * time.Millisecond
+	graceMargin = 300 * time.Millisecond // the agent ends so long before its grace does
+	leavePoll   = 100 * time.Millisecond // between two looks whether the proxy has gone
 
-	belowWithin = 4 * time.Second // a follower unheard for so long is no longer told of
-	lookEvery   = 250 * time.Millisecond
+	followerTimeout = 4 * time.Second        // a follower unheard for so long is no longer reported
+	heartbeatPoll   = 250 * time.Millisecond // between two looks which heartbeats are due and which are missing
 )
 
 // Server is a running agent.
 type Server struct {
-	settings settings.Settings
-	base     time.Time
-	up       watch.Follower
-	proxy    watch.Feed // the proxy beside it
-	relay    watch.Feed // the agents that follow it
-	beats    net.PacketConn
-
-	mu       sync.Mutex // guards the rest, and the order of what followers are told
-	book     *clusterstate.State
-	detector *failuredetector.Detector
-	below    map[string]sight
-	suspect  []string
+	settings   settings.Settings
+	base       time.Time
+	upstream   watch.Follower
+	proxy      watch.Feed // the proxy beside it
+	relay      watch.Feed // the agents that follow it
+	heartbeats net.PacketConn
+
+	mu        sync.Mutex // guards the rest, and the order of what followers are told
+	state     *clusterstate.State
+	detector  *failuredetector.Detector
+	followers map[string]followerReport
+	suspects  []string
 }
 
-// sight is what a follower said last.
-type sight struct {
+// followerReport is what a follower said last, and when.
+type followerReport struct {
 	controller.EdgeReport
 	at time.Time
 }
 
 // Run runs an agent until ctx ends and the proxy beside it has gone.
-func Run(ctx context.Context, s settings.Settings) error {
-	k := &Server{settings: s, base: time.Now().Add(-time.Hour), book: clusterstate.NewState(), detector: failuredetector.New(s.IP),
-		below: map[string]sight{}}
-	proxy, err := peer.Listen(s.Inner(s.Loopback(), settings.PortAgent))
+func Run(ctx context.Context, local settings.Settings) error {
+	s := &Server{settings: local, base: time.Now().Add(-time.Hour), state: clusterstate.NewState(), detector: failuredetector.New(local.IP),
+		followers: map[string]followerReport{}}
+	proxy, err := peer.Listen(local.Inner(local.Loopback(), settings.PortAgent))
 	if err != nil {
 		return ErrAgent.Wrap(err)
 	}
-	relay, err := peer.Listen(s.Inner(s.IP, settings.PortWatch))
+	relay, err := peer.Listen(local.Inner(local.IP, settings.PortWatch))
 	if err != nil {
 		return ErrAgent.Wrap(err)
 	}
-	if k.beats, err = net.ListenPacket("udp", s.Inner(s.IP, settings.PortHeartbeats)); err != nil {
+	if s.heartbeats, err = net.ListenPacket("udp", local.Inner(local.IP, settings.PortHeartbeats)); err != nil {
 		return ErrAgent.Wrapf(err, "listening for heartbeats")
 	}
 	inner, end := context.WithCancel(context.Background())
 	defer end()
-	k.up = watch.Follower{Report: k.report, Addresses: k.feeders, Take: k.take,
-		Sign: func(fresh clusterstate.Freshness) { k.relay.Publish(nil, fresh) }}
-	go peer.Serve(proxy, func(l *peer.Link) { k.attend(l, &k.proxy) })
-	go peer.Serve(relay, func(l *peer.Link) { k.attend(l, &k.relay) })
-	go k.proxy.Beats(inner, k.up.Freshness)
-	go k.hear()
-	go k.watch(inner)
-	go k.up.Run(inner)
+	s.upstream = watch.Follower{Report: s.report, Addresses: s.feeders, Take: s.take,
+		Sign: func(fresh clusterstate.Freshness) { s.relay.Publish(nil, fresh) }}
+	go peer.Serve(proxy, func(l *peer.Link) { s.attend(l, &s.proxy) })
+	go peer.Serve(relay, func(l *peer.Link) { s.attend(l, &s.relay) })
+	go s.proxy.Beats(inner, s.upstream.Freshness)
+	go s.hear()
+	go s.watch(inner)
+	go s.upstream.Run(inner)
 	<-ctx.Done()
 	// Danger: a proxy that ends in order serves on for a while, and must hear what changes meanwhile.
-	until := time.Now().Add(time.Duration(s.Bounds.GraceS*float64(time.Second)) - leaveSpare)
-	for time.Now().Before(until) && k.proxy.Count() > 0 {
-		time.Sleep(leaveLook)
+	until := time.Now().Add(time.Duration(local.Bounds.GraceS*float64(time.Second)) - graceMargin)
+	for time.Now().Before(until) && s.proxy.Count() > 0 {
+		time.Sleep(leavePoll)
 	}
 	return nil
 }
 
-func (k *Server) now() int64 { return int64(time.Since(k.base)) }
+func (s *Server) now() int64 { return int64(time.Since(s.base)) }
 
-// feeders are where news may be had, the one to follow in front.
-func (k *Server) feeders() (addresses []string) {
-	k.mu.Lock()
-	f := k.book.Fleet
-	k.mu.Unlock()
-	for _, o := range relaytree.Feeders(k.settings.IP, k.settings.Zone, f, slices.Concat(f.Controllers, k.settings.SeedIPs())) {
-		addresses = append(addresses, k.settings.Inner(o.IP, settings.PortWatch))
+// feeders returns the addresses to follow, in order of preference.
+func (s *Server) feeders() (addresses []string) {
+	s.mu.Lock()
+	fleet := s.state.Fleet
+	s.mu.Unlock()
+	for _, feeder := range relaytree.Feeders(s.settings.IP, s.settings.Zone, fleet, slices.Concat(fleet.Controllers, s.settings.SeedIPs())) {
+		addresses = append(addresses, s.settings.Inner(feeder.IP, settings.PortWatch))
 	}
 	return addresses
 }
 
-// report is what this agent says to the one it follows.
-func (k *Server) report() watch.Report {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	h := watch.Report{Revision: k.book.Revision, Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: k.settings.IP, Zone: k.settings.Zone}, Suspects: k.suspect}}
-	for ip, s := range k.below {
-		age := time.Since(s.at)
-		if age > belowWithin {
-			delete(k.below, ip)
+// report returns what this agent says to its feeder: itself, the edges that follow it, and which it suspects.
+func (s *Server) report() watch.Report {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	report := watch.Report{Revision: s.state.Revision, Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: s.settings.IP, Zone: s.settings.Zone}, Suspects: s.suspects}}
+	for ip, follower := range s.followers {
+		age := time.Since(follower.at)
+		if age > followerTimeout {
+			delete(s.followers, ip)
 			continue
 		}
-		o := s.EdgeReport
-		o.Age += int64(age)
-		h.Below = append(h.Below, o)
+		edge := follower.EdgeReport
+		edge.Age += int64(age)
+		report.Below = append(report.Below, edge)
 	}
-	return h
+	return report
 }
 
-// take takes a notice in and passes on what is new in it.
-func (k *Server) take(n clusterstate.Update) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	fresh := k.book.Take(n)
+// take merges an update into the state and publishes what is new in it. It returns false where the update is a patch
+// of another state than the one held, so that a snapshot is needed.
+func (s *Server) take(update clusterstate.Update) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	fresh := s.state.Take(update)
 	if fresh.Empty() {
-		return !k.book.Behind
+		return !s.state.Behind
 	}
 	if fresh.Revision > 0 {
 		klog.InfoS("a configuration has come", "revision", fresh.Revision, "bytes", len(fresh.Raw), "sent", len(fresh.Body)+len(fresh.Patch))
@@ -136,74 +138,74 @@
 		for _, e := range f.Edges {
 			ips = append(ips, e.IP)
 		}
-		k.detector.Fleet(k.now(), ips)
+		s.detector.Fleet(s.now(), ips)
 	}
-	known := k.up.Freshness()
-	k.proxy.Publish(&fresh, known)
-	k.relay.Publish(&fresh, known)
-	k.book.Forget()
-	return !k.book.Behind
+	known := s.upstream.Freshness()
+	s.proxy.Publish(&fresh, known)
+	s.relay.Publish(&fresh, known)
+	s.state.Forget()
+	return !s.state.Behind
 }
 
-// attend feeds one follower.
-func (k *Server) attend(l *peer.Link, feed *watch.Feed) {
-	watch.Attend(l, func(report watch.Report) {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		feed.Join(l, report, k.book.Snapshot(), k.up.Freshness())
-	}, func(h watch.Report) {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		for _, s := range h.All() {
-			if s.Edge.IP != k.settings.IP {
-				k.below[s.Edge.IP] = sight{s, time.Now()}
+// attend feeds one follower until its link ends, and keeps its reports.
+func (s *Server) attend(link *peer.Link, feed *watch.Feed) {
+	watch.Attend(link, func(report watch.Report) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		feed.Join(link, report, s.state.Snapshot(), s.upstream.Freshness())
+	}, func(report watch.Report) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		for _, edge := range report.All() {
+			if edge.Edge.IP != s.settings.IP {
+				s.followers[edge.Edge.IP] = followerReport{edge, time.Now()}
 			}
 		}
 	})
-	feed.Part(l)
+	feed.Part(link)
 }
 
-// watch sends heartbeats and notes whom it does not hear.
-func (k *Server) watch(ctx context.Context) {
-	t := time.NewTicker(lookEvery)
-	defer t.Stop()
+// watch sends heartbeats to the edges that watch this one and notes which edges are suspected, until ctx ends.
+func (s *Server) watch(ctx context.Context) {
+	ticker := time.NewTicker(heartbeatPoll)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			k.beats.Close()
+			s.heartbeats.Close()
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		k.mu.Lock()
-		to, suspects := k.detector.Tick(k.now())
-		if !slices.Equal(suspects, k.suspect) {
+		s.mu.Lock()
+		to, suspects := s.detector.Tick(s.now())
+		if !slices.Equal(suspects, s.suspects) {
 			klog.InfoS("edges that are not heard", "suspects", suspects)
 		}
-		k.suspect = suspects
-		k.mu.Unlock()
+		s.suspects = suspects
+		s.mu.Unlock()
 		for _, ip := range to {
-			if a, err := net.ResolveUDPAddr("udp", k.settings.Inner(ip, settings.PortHeartbeats)); err == nil {
-				k.beats.WriteTo([]byte{1}, a)
+			if a, err := net.ResolveUDPAddr("udp", s.settings.Inner(ip, settings.PortHeartbeats)); err == nil {
+				s.heartbeats.WriteTo([]byte{1}, a)
 			}
 		}
 	}
 }
 
-// hear takes heartbeats in.
-func (k *Server) hear() {
+// hear receives heartbeats until the socket is closed.
+func (s *Server) hear() {
 	var buf [16]byte
 	for {
-		_, from, err := k.beats.ReadFrom(buf[:])
+		_, from, err := s.heartbeats.ReadFrom(buf[:])
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(lookEvery)
+			time.Sleep(heartbeatPoll)
 			continue
 		}
 		host, _, _ := net.SplitHostPort(from.String())
-		k.mu.Lock()
-		k.detector.Heard(k.now(), host)
-		k.mu.Unlock()
+		s.mu.Lock()
+		s.detector.Heard(s.now(), host)
+		s.mu.Unlock()
 	}
 }
--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -1,5 +1,5 @@
-// Package controlserver gives a controller its sockets, its disk and its clock: it turns what comes into calls of the
-// controller and carries out what that returns. It decides nothing.
+// Package controlserver runs a controller: it owns the controller's sockets, disk and clock, turns messages and HTTP
+// requests into calls of decide/controller and carries out what those return. It decides nothing.
 package controlserver
 
 import (
@@ -31,14 +31,15 @@
 var ErrControlServer = oops.Code("control_server")
 
 const (
-	inputs     = 1024 // that may wait for the loop
-	pollMost   = 50 * time.Millisecond
-	leaveWait  = 400 * time.Millisecond // for what is under way at a planned end
-	headWait   = 2 * time.Second
-	bodyWait   = 5 * time.Second
-	idleWait   = 15 * time.Second
-	headMost   = 16 << 10
-	reopenWait = 300 * time.Millisecond
+	inputQueue        = 1024                   // inputs that may wait for the loop
+	inputBatch        = 64                     // inputs taken between two looks at the timer
+	longestPoll       = 50 * time.Millisecond  // between two looks at the timer
+	drainTimeout      = 400 * time.Millisecond // for calls under way at a planned end
+	readHeaderTimeout = 2 * time.Second
+	readTimeout       = 5 * time.Second // of a whole request
+	idleTimeout       = 15 * time.Second
+	maxHeaderBytes    = 16 << 10
+	reopenDelay       = 300 * time.Millisecond // before a disk that refused to open is tried again
 )
 
 // Server is a running controller.
@@ -52,71 +53,71 @@
 	feed       watch.Feed
 	current    atomic.Pointer[currency]
 
-	mu    sync.Mutex // guards the rest
-	calls map[uint64]chan controller.Answer
-	last  uint64
+	mu       sync.Mutex                        // guards the rest
+	calls    map[uint64]chan controller.Answer // that wait, by number
+	lastCall uint64                            // the highest number given
 }
 
 // Run runs a controller until ctx ends.
-func Run(ctx context.Context, s settings.Settings) error {
-	t := &Server{settings: s, base: time.Now().Add(-time.Hour), inputs: make(chan func(int64) controller.Out, inputs),
+func Run(ctx context.Context, local settings.Settings) error {
+	s := &Server{settings: local, base: time.Now().Add(-time.Hour), inputs: make(chan func(int64) controller.Out, inputQueue),
 		saves: make(chan controller.Save, 1), calls: map[uint64]chan controller.Answer{}}
 	life := strconv.FormatUint(rand.Uint64(), 36)
-	start := controller.Start{IP: s.IP, Life: life, Seeds: s.SeedIPs(), Bootstrap: s.Bootstrap,
-		BeatEvery: s.BeatMs * int64(time.Millisecond), Draw: rand.Float64}
-	box, found, err := statestore.Open(s.DataDir)
+	start := controller.Start{IP: local.IP, Life: life, Seeds: local.SeedIPs(), Bootstrap: local.Bootstrap,
+		BeatEvery: local.BeatMs * int64(time.Millisecond), Draw: rand.Float64}
+	store, found, err := statestore.Open(local.DataDir)
 	if err != nil {
 		// Danger: a disk that refuses to be read must not be taken for an empty one of a first start; as one that
 		// was emptied it counts for nothing until the others have told what stands.
 		klog.ErrorS(err, "the disk cannot be read; this controller joins as one whose disk is empty")
 		start.Bootstrap = false
-		os.Remove(statestore.Path(s.DataDir))
+		os.Remove(statestore.Path(local.DataDir))
 	}
 	start.State, start.CommittedRevision, start.List = found.State, found.CommittedRevision, found.List
-	klog.InfoS("controller", "ip", s.IP, "bootstrap", s.Bootstrap, "found", found.State != nil, "stood", found.CommittedRevision,
+	klog.InfoS("controller", "ip", local.IP, "bootstrap", local.Bootstrap, "found", found.State != nil, "stood", found.CommittedRevision,
 		"replicas", len(found.List))
-	t.controller = controller.New(t.now(), start)
+	s.controller = controller.New(s.now(), start)
 
-	peers, err := peer.Listen(s.Inner(s.IP, settings.PortControllers))
+	peers, err := peer.Listen(local.Inner(local.IP, settings.PortControllers))
 	if err != nil {
 		return ErrControlServer.Wrap(err)
 	}
-	followers, err := peer.Listen(s.Inner(s.IP, settings.PortWatch))
+	followers, err := peer.Listen(local.Inner(local.IP, settings.PortWatch))
 	if err != nil {
 		return ErrControlServer.Wrap(err)
 	}
-	control, err := net.Listen("tcp", s.Bind.Control)
+	control, err := net.Listen("tcp", local.Bind.Control)
 	if err != nil {
 		return ErrControlServer.Wrapf(err, "bind-addrs.control")
 	}
 	inner, end := context.WithCancel(context.Background())
 	defer end()
-	t.mesh = peer.NewMesh(inner)
-	go peer.Serve(peers, t.peer)
-	go peer.Serve(followers, t.follower)
-	go t.save(box)
-	go t.feed.Beats(inner, t.freshness)
-	server := &http.Server{Handler: t.handler(), ReadHeaderTimeout: headWait, ReadTimeout: bodyWait, IdleTimeout: idleWait,
-		MaxHeaderBytes: headMost}
+	s.mesh = peer.NewMesh(inner)
+	go peer.Serve(peers, s.peer)
+	go peer.Serve(followers, s.follower)
+	go s.save(store)
+	go s.feed.Beats(inner, s.freshness)
+	httpServer := &http.Server{Handler: s.handler(), ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
+		MaxHeaderBytes: maxHeaderBytes}
 	go func() {
-		if err := server.Serve(control); !errors.Is(err, http.ErrServerClosed) {
+		if err := httpServer.Serve(control); !errors.Is(err, http.ErrServerClosed) {
 			klog.ErrorS(err, "the control server ended")
 		}
 	}()
-	t.loop(ctx)
-	wait, cancel := context.WithTimeout(context.Background(), leaveWait)
+	s.loop(ctx)
+	wait, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	go func() {
-		server.Shutdown(wait)
+		httpServer.Shutdown(wait)
 		cancel()
 	}()
-	t.loop(wait)
+	s.loop(wait)
 	peers.Close()
 	followers.Close()
 	return nil
 }
 
-func (t *Server) now() int64 { return int64(time.Since(t.base)) }
+func (s *Server) now() int64 { return int64(time.Since(s.base)) }
 
 // currency is what was last known of how current the controller is.
 type currency struct {
@@ -125,136 +126,138 @@
 }
 
 // noteCurrent is called by the loop.
-func (t *Server) noteCurrent() {
-	t.current.Store(&currency{t.controller.CurrentSince(), t.controller.Epoch(), t.controller.Revision()})
+func (s *Server) noteCurrent() {
+	s.current.Store(&currency{s.controller.CurrentSince(), s.controller.Epoch(), s.controller.Revision()})
 }
 
 // freshness is what followers are told, as of now. It may be called from any goroutine.
 //
 // Danger: a process that stood still for seconds would go on telling what held before; so the age is taken when it is
 // told, and not when it was noted.
-func (t *Server) freshness() clusterstate.Freshness {
-	noted := t.current.Load()
+func (s *Server) freshness() clusterstate.Freshness {
+	noted := s.current.Load()
 	if noted == nil {
 		return clusterstate.Freshness{}
 	}
 	f := clusterstate.Freshness{Epoch: noted.epoch, Revision: noted.revision}
 	if noted.since != lease.Never {
-		f.Known, f.Age = true, max(t.now()-noted.since, 0)
+		f.Known, f.Age = true, max(s.now()-noted.since, 0)
 	}
 	return f
 }
 
 // loop is the one goroutine that calls the controller.
-func (t *Server) loop(ctx context.Context) {
+func (s *Server) loop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			t.carry(t.controller.Leave(t.now()))
+			s.carry(s.controller.Leave(s.now()))
 			return
-		case in := <-t.inputs:
-			t.carry(in(t.now()))
-			for range min(len(t.inputs), 64) {
-				t.carry((<-t.inputs)(t.now()))
+		case in := <-s.inputs:
+			s.carry(in(s.now()))
+			for range min(len(s.inputs), inputBatch) {
+				s.carry((<-s.inputs)(s.now()))
 			}
 		case <-timer.C:
 		}
-		if now := t.now(); now >= t.controller.Next() {
-			t.carry(t.controller.Tick(now))
+		if now := s.now(); now >= s.controller.Next() {
+			s.carry(s.controller.Tick(now))
 		}
-		t.noteCurrent()
-		timer.Reset(min(max(time.Duration(t.controller.Next()-t.now()), time.Millisecond), pollMost))
+		s.noteCurrent()
+		timer.Reset(min(max(time.Duration(s.controller.Next()-s.now()), time.Millisecond), longestPoll))
 	}
 }
 
-// carry carries out what the controller asks for.
-func (t *Server) carry(o controller.Out) {
+// carry carries out what the controller asks for: log lines, saves, messages, answers and updates.
+func (s *Server) carry(o controller.Out) {
 	for _, l := range o.Log {
 		klog.InfoS(l.Text, l.Values...)
 	}
 	if o.Save != nil {
-		t.saves <- *o.Save
+		s.saves <- *o.Save
 	}
-	for _, s := range o.Sends {
-		frame, err := peer.Encode(s.Message)
+	for _, send := range o.Sends {
+		frame, err := peer.Encode(send.Message)
 		if err != nil {
-			klog.ErrorS(err, "a word cannot be encoded")
+			klog.ErrorS(err, "a message cannot be encoded")
 			continue
 		}
-		for _, ip := range s.To {
-			t.mesh.Send(t.settings.Inner(ip, settings.PortControllers), frame)
+		for _, ip := range send.To {
+			s.mesh.Send(s.settings.Inner(ip, settings.PortControllers), frame)
 		}
 	}
 	for _, a := range o.Answers {
-		t.mu.Lock()
-		c := t.calls[a.Call]
-		delete(t.calls, a.Call)
-		t.mu.Unlock()
+		s.mu.Lock()
+		c := s.calls[a.Call]
+		delete(s.calls, a.Call)
+		s.mu.Unlock()
 		if c != nil {
 			c <- a
 		}
 	}
 	if !o.Update.Empty() {
-		t.noteCurrent()
+		s.noteCurrent()
 		update := o.Update
-		t.feed.Publish(&update, t.freshness())
+		s.feed.Publish(&update, s.freshness())
 	}
 }
 
-// save is the goroutine that waits on the disk.
+// save writes states to the disk one after the other, in a goroutine of its own.
 //
 // Danger: a disk that hangs must not hold heartbeats and reads up.
-func (t *Server) save(box *statestore.Store) {
-	for s := range t.saves {
+func (s *Server) save(store *statestore.Store) {
+	for save := range s.saves {
 		var err error
-		if box == nil {
-			if box, _, err = statestore.Open(t.settings.DataDir); err != nil {
-				time.Sleep(reopenWait)
+		if store == nil {
+			if store, _, err = statestore.Open(s.settings.DataDir); err != nil {
+				time.Sleep(reopenDelay)
 			}
 		}
 		if err == nil {
-			err = box.Save(s)
+			err = store.Save(save)
 		}
-		t.inputs <- func(now int64) controller.Out { return t.controller.Saved(now, s.Number, err) }
+		s.inputs <- func(now int64) controller.Out { return s.controller.Saved(now, save.Number, err) }
 	}
 }
 
-func (t *Server) peer(l *peer.Link) {
+// peer hands the messages of another controller to this one until the link ends.
+func (s *Server) peer(link *peer.Link) {
 	for {
-		var w controller.Message
-		if err := l.Receive(&w, 0); err != nil {
+		var message controller.Message
+		if err := link.Receive(&message, 0); err != nil {
 			return
 		}
-		t.inputs <- func(now int64) controller.Out { return t.controller.Take(now, w) }
+		s.inputs <- func(now int64) controller.Out { return s.controller.Take(now, message) }
 	}
 }
 
-func (t *Server) follower(l *peer.Link) {
-	watch.Attend(l, func(h watch.Report) {
-		t.inputs <- func(int64) controller.Out {
-			t.feed.Join(l, h, t.controller.Snapshot(), t.freshness())
+// follower serves one follower, an agent or an operator's watch, until its link ends.
+func (s *Server) follower(link *peer.Link) {
+	watch.Attend(link, func(report watch.Report) {
+		s.inputs <- func(int64) controller.Out {
+			s.feed.Join(link, report, s.controller.Snapshot(), s.freshness())
 			return controller.Out{}
 		}
-	}, func(h watch.Report) {
-		for _, s := range h.All() {
-			t.inputs <- func(now int64) controller.Out { return t.controller.Edge(now, s) }
+	}, func(report watch.Report) {
+		for _, edge := range report.All() {
+			s.inputs <- func(now int64) controller.Out { return s.controller.Edge(now, edge) }
 		}
 	})
-	t.feed.Part(l)
+	s.feed.Part(link)
 }
 
-// call puts a call to the controller and waits for its answer.
-func (t *Server) call(ctx context.Context, in func(now int64, call uint64) controller.Out) (controller.Answer, bool) {
+// call puts a call to the controller and waits for its answer; false where ctx ended first.
+func (s *Server) call(ctx context.Context, in func(now int64, call uint64) controller.Out) (controller.Answer, bool) {
 	c := make(chan controller.Answer, 1)
-	t.mu.Lock()
-	t.last++
-	id := t.last
-	t.calls[id] = c
-	t.mu.Unlock()
+	s.mu.Lock()
+	s.lastCall++
+	id := s.lastCall
+	s.calls[id] = c
+	s.mu.Unlock()
 	select {
-	case t.inputs <- func(now int64) controller.Out { return in(now, id) }:
+	case s.inputs <- func(now int64) controller.Out { return in(now, id) }:
 	case <-ctx.Done():
 		return controller.Answer{}, false
 	}
@@ -262,14 +265,14 @@
 	case a := <-c:
 		return a, true
 	case <-ctx.Done():
-		t.mu.Lock()
-		delete(t.calls, id)
-		t.mu.Unlock()
+		s.mu.Lock()
+		delete(s.calls, id)
+		s.mu.Unlock()
 		return controller.Answer{}, false
 	}
 }
 
-// beat hands a replica's call on.
-func (t *Server) beat(ctx context.Context, r registry.Record) (controller.Answer, bool) {
-	return t.call(ctx, func(now int64, id uint64) controller.Out { return t.controller.Beat(now, id, r) })
+// beat hands a heartbeat or a departure of a replica to the controller and waits for its answer.
+func (s *Server) beat(ctx context.Context, r registry.Record) (controller.Answer, bool) {
+	return s.call(ctx, func(now int64, id uint64) controller.Out { return s.controller.Beat(now, id, r) })
 }
--- a/transport/controlserver/resources.go
+++ b/transport/controlserver/resources.go
@@ -22,8 +22,8 @@
 )
 
 // handler puts the resources together.
-func (t *Server) handler() http.Handler {
-	replicas, configuration := &replicas{t}, &configuration{t}
+func (s *Server) handler() http.Handler {
+	replicas, configuration := &replicas{s}, &configuration{s}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if id, ok := strings.CutPrefix(r.URL.Path, "/v1/replicas/"); ok {
 			id, call, _ := strings.Cut(id, "/")
