--- a/cmd/willowlab/explore.go
+++ b/cmd/willowlab/explore.go
@@ -41,9 +41,9 @@
 				began := time.Now()
 				var r modelcheck.Result
 				if deep {
-					r = modelcheck.Deeply(s, most, workers, func(n int64) { fmt.Fprintf(os.Stderr, "%s: %d states\n", s.Name, n) })
+					r = modelcheck.DepthFirst(s, most, workers, func(n int64) { fmt.Fprintf(os.Stderr, "%s: %d states\n", s.Name, n) })
 				} else {
-					r = modelcheck.Widely(s, most, workers)
+					r = modelcheck.BreadthFirst(s, most, workers)
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s, %.1f s\n", r, time.Since(began).Seconds())
 				if r.Broken != "" {
--- a/lab/modelcheck/explore.go
+++ b/lab/modelcheck/explore.go
@@ -11,15 +11,15 @@
 // Result is what an exploration found.
 type Result struct {
 	Scope  string
-	States int64    // different ones that were seen
-	Steps  int64    // from one to the next
-	Depth  int      // of the longest shortest way; 0 where depth comes first
-	All    bool     // nothing in the scope is left
-	Broken string   // the promise that was found broken, empty for none
-	Trace  []string // the shortest way there, or a way where depth comes first
+	States int64    // number of different states visited
+	Steps  int64    // number of transitions taken
+	Depth  int      // of the search, breadth first; 0 depth first
+	All    bool     // every state of the scope was visited
+	Broken string   // the invariant that was found broken, empty for none
+	Trace  []string // the events that lead there; breadth first a shortest list
 }
 
-// String is the result in a line, and the trace below it.
+// String returns the result in a line, with the trace below it.
 func (r Result) String() string {
 	text := fmt.Sprintf("%s: %d states, %d steps", r.Scope, r.States, r.Steps)
 	if r.All {
@@ -31,23 +31,23 @@
 	return text
 }
 
-// seen is a set of keys that many may add to at once. It holds as many as it was made for.
-type seen struct {
+// keySet is a set of states' keys of a fixed capacity. Any number of goroutines may add to it at once.
+type keySet struct {
 	slots []atomic.Uint64
 	mask  uint64
 	n     atomic.Int64
 }
 
-func newSeen(most int64) *seen {
+func newKeySet(most int64) *keySet {
 	size := uint64(1 << 10)
 	for size < uint64(most)*3/2 {
 		size *= 2
 	}
-	return &seen{slots: make([]atomic.Uint64, size), mask: size - 1}
+	return &keySet{slots: make([]atomic.Uint64, size), mask: size - 1}
 }
 
-// add tells whether a key is new.
-func (s *seen) add(key uint64) bool {
+// add adds a key other than 0 and returns whether it was new.
+func (s *keySet) add(key uint64) bool {
 	for i := key; ; i++ {
 		slot := &s.slots[i&s.mask]
 		switch slot.Load() {
@@ -63,50 +63,50 @@
 	}
 }
 
-// way is how a state was come by.
-type way struct {
-	before *way
+// path is the list of events that led to a state, the last one first.
+type path struct {
+	before *path
 	event  event
 	depth  int
 }
 
-func (c *chart) trace(w *way) (lines []string) {
+func (x *exploration) trace(w *path) (lines []string) {
 	for ; w != nil && w.before != nil; w = w.before {
-		lines = append([]string{c.tell(w.event)}, lines...)
+		lines = append([]string{x.describe(w.event)}, lines...)
 	}
 	return lines
 }
 
 type node struct {
-	w   *world
-	way *way
+	w    *world
+	path *path
 }
 
-// Widely explores a scope step by step, so that the first broken promise comes with a shortest way to it. It
-// stops once most states were seen; 0 workers for all cores.
-func Widely(s Scope, most int64, workers int) Result {
-	c := newChart(s)
+// BreadthFirst explores a scope level by level, so that the first broken invariant comes with a shortest trace. It
+// stops once it has visited most states. 0 workers stand for one a core.
+func BreadthFirst(s Scope, most int64, workers int) Result {
+	x := newExploration(s)
 	r := Result{Scope: s.Name, All: true}
-	known := newSeen(most + most/8)
-	level := []node{{c.begin(known), &way{}}}
+	known := newKeySet(most + most/8)
+	level := []node{{x.begin(known), &path{}}}
 	var steps atomic.Int64
 	for len(level) > 0 && r.Broken == "" {
 		var mu sync.Mutex
 		var next []node
-		c.each(workers, len(level), func(h *sailor, i int) {
+		x.each(workers, len(level), func(worker *worker, i int) {
 			var mine []node
-			h.next(level[i].w, func(e event, w *world, err error) bool {
+			worker.next(level[i].w, func(e event, w *world, err error) bool {
 				steps.Add(1)
 				if err != nil {
 					mu.Lock()
 					defer mu.Unlock()
 					if r.Broken == "" {
-						r.Broken, r.Trace = err.Error(), c.trace(&way{level[i].way, e, 0})
+						r.Broken, r.Trace = err.Error(), x.trace(&path{level[i].path, e, 0})
 					}
 					return false
 				}
 				if known.n.Load() < most && known.add(w.key()) {
-					mine = append(mine, node{w, &way{level[i].way, e, level[i].way.depth + 1}})
+					mine = append(mine, node{w, &path{level[i].path, e, level[i].path.depth + 1}})
 				}
 				return true
 			})
@@ -123,8 +123,8 @@
 	return r
 }
 
-// each calls do for every number below n, on all workers.
-func (c *chart) each(workers, n int, do func(*sailor, int)) {
+// each calls do for every number below n, spread over the workers.
+func (x *exploration) each(workers, n int, do func(*worker, int)) {
 	if workers <= 0 {
 		workers = runtime.NumCPU()
 	}
@@ -132,48 +132,49 @@
 	var at atomic.Int64
 	for range min(workers, n) {
 		all.Go(func() {
-			h := c.sailor()
+			worker := x.newWorker()
 			for {
 				i := int(at.Add(1)) - 1
 				if i >= n {
 					return
 				}
-				do(h, i)
+				do(worker, i)
 			}
 		})
 	}
 	all.Wait()
 }
 
-func (c *chart) begin(known *seen) *world {
-	w := c.first()
-	h := c.sailor()
+func (x *exploration) begin(known *keySet) *world {
+	w := x.first()
+	worker := x.newWorker()
 	for _, m := range w.machines {
-		h.key = m.rehash(h.key)
+		worker.key = m.rehash(worker.key)
 	}
 	known.add(w.key())
 	return w
 }
 
-const handOver = 64 // states that a worker keeps before it lets others have some
+// maxLocalStates is how many states a worker keeps before it shares them with idle ones.
+const maxLocalStates = 64
 
-// Deeply explores a scope depth first, with little memory a state: for the large ones. It stops once most
-// states were seen.
-func Deeply(s Scope, most int64, workers int, progress func(states int64)) Result {
+// DepthFirst explores a scope depth first, with little memory for each state, for large scopes. It stops once it has
+// visited most states. progress, if not nil, is called now and then with the number of states so far.
+func DepthFirst(s Scope, most int64, workers int, progress func(states int64)) Result {
 	if workers <= 0 {
 		workers = runtime.NumCPU()
 	}
-	c := newChart(s)
-	known := newSeen(most + most/8)
+	x := newExploration(s)
+	known := newKeySet(most + most/8)
 	r := Result{Scope: s.Name, All: true}
 	var mu sync.Mutex
 	wake := sync.NewCond(&mu)
-	pool, waiting, over := []node{{c.begin(known), &way{}}}, 0, false
+	pool, waiting, over := []node{{x.begin(known), &path{}}}, 0, false
 	var steps atomic.Int64
 	var all sync.WaitGroup
 	for range workers {
 		all.Go(func() {
-			h := c.sailor()
+			worker := x.newWorker()
 			var mine []node
 			for {
 				if len(mine) == 0 {
@@ -196,11 +197,11 @@
 				}
 				from := mine[len(mine)-1]
 				mine = mine[:len(mine)-1]
-				h.next(from.w, func(e event, w *world, err error) bool {
+				worker.next(from.w, func(e event, w *world, err error) bool {
 					steps.Add(1)
 					if err == nil {
 						if n := known.n.Load(); n < most && known.add(w.key()) {
-							mine = append(mine, node{w, &way{from.way, e, 0}})
+							mine = append(mine, node{w, &path{from.path, e, 0}})
 							if n++; progress != nil && n%(1<<22) == 0 {
 								progress(n)
 							}
@@ -210,21 +211,21 @@
 					mu.Lock()
 					defer mu.Unlock()
 					if r.Broken == "" {
-						r.Broken, r.Trace = err.Error(), c.trace(&way{from.way, e, 0})
+						r.Broken, r.Trace = err.Error(), x.trace(&path{from.path, e, 0})
 					}
 					over = true
 					wake.Broadcast()
 					return false
 				})
 				if known.n.Load() >= most {
-					r.All = false // written alike by all
+					r.All = false // every worker writes the same
 					mu.Lock()
 					over = true
 					wake.Broadcast()
 					mu.Unlock()
 					return
 				}
-				if len(mine) > handOver || over {
+				if len(mine) > maxLocalStates || over {
 					mu.Lock()
 					if over {
 						mu.Unlock()
--- a/lab/modelcheck/modelcheck_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -22,11 +22,11 @@
 			if *only != "" {
 				most = forMutant
 			}
-			r := Widely(s, most, 0)
+			r := BreadthFirst(s, most, 0)
 			t.Log(r)
 			must.Eq(t, "", r.Broken)
 			if *only != "" { // what lies deep is found sooner so
-				r = Deeply(s, 5*forMutant, 0, nil)
+				r = DepthFirst(s, 5*forMutant, 0, nil)
 				t.Log(r)
 				must.Eq(t, "", r.Broken)
 			}
--- a/lab/modelcheck/planted/planted.go
+++ b/lab/modelcheck/planted/planted.go
@@ -12,11 +12,11 @@
 
 // Mutant is the register with one of its defences taken out, and the scope that has to show it.
 type Mutant struct {
-	Name  string
-	Scope string
-	Edits []Edit
-	Long  bool // it lies deep, and is found in some runs of 300,000 states and not in others: no part of CI
-	Hasty bool // instead: answers leave before the sync
+	Name             string
+	Scope            string
+	Edits            []Edit
+	Long             bool // it lies deep, and is found in some runs of 300,000 states and not in others: no part of CI
+	AnswerBeforeSync bool // instead: answers leave before the sync
 }
 
 // Edit is one change of the text.
@@ -28,7 +28,7 @@
 
 // Mutants are planted to see that the exploration would find such faults.
 var Mutants = []Mutant{
-	{Name: "answers leave before the sync", Scope: "slow disks", Hasty: true},
+	{Name: "answers leave before the sync", Scope: "slow disks", AnswerBeforeSync: true},
 	{Name: "a read writes nothing back", Scope: "power", Edits: []Edit{{File: "decide/register/proposer.go",
 		Was: "stands := best.Value.Quorum(p.holding(best.Accepted))", Is: "stands := true"}}},
 	{Name: "a wiped disk counts", Scope: "disk lost", Edits: []Edit{{File: "decide/register/register.go",
--- a/lab/modelcheck/planted/planted_test.go
+++ b/lab/modelcheck/planted/planted_test.go
@@ -22,10 +22,10 @@
 			if m.Long && !*long {
 				t.Skip("it lies too deep for a run of fixed length: -long tries")
 			}
-			if m.Hasty {
+			if m.AnswerBeforeSync {
 				s := modelcheck.Scopes[slices.IndexFunc(modelcheck.Scopes, func(s modelcheck.Scope) bool { return s.Name == m.Scope })]
-				s.Hasty = true
-				r := modelcheck.Widely(s, 60_000, 0)
+				s.AnswerBeforeSync = true
+				r := modelcheck.BreadthFirst(s, 60_000, 0)
 				t.Log(r)
 				must.NotEq(t, "", r.Broken)
 				return
--- a/lab/modelcheck/scopes.go
+++ b/lab/modelcheck/scopes.go
@@ -8,15 +8,15 @@
 		{At: "a", Revision: 5, Body: "x"}, {At: "b", Kind: Read}}},
 	{Name: "power", Members: three, Rounds: 2, Crashes: 1, Ops: []Op{
 		{At: "a", Revision: 5, Body: "x"}, {At: "b", Kind: Read}}},
-	{Name: "slow disks", Members: three, Rounds: 2, Crashes: 1, Lazy: true, Ops: []Op{
+	{Name: "slow disks", Members: three, Rounds: 2, Crashes: 1, SlowDisks: true, Ops: []Op{
 		{At: "a", Revision: 5, Body: "x"}}},
 	{Name: "disk lost", Members: three, Rounds: 2, Wipes: 1, Ops: []Op{
 		{At: "a", Revision: 5, Body: "x"}}},
 	{Name: "replacement", Members: three, Spare: []string{"d"}, Rounds: 3, Ops: []Op{
-		{At: "a", Kind: Swap, Out: "c", In: "d"}, {At: "d", Revision: 5, Body: "x"}}},
+		{At: "a", Kind: ReplaceMember, Out: "c", In: "d"}, {At: "d", Revision: 5, Body: "x"}}},
 	{Name: "replacement and a write beside it", Members: three, Spare: []string{"d"}, Rounds: 3, Ops: []Op{
-		{At: "a", Kind: Swap, Out: "c", In: "d"}, {At: "b", Revision: 5, Body: "x"}}},
-	{Name: "late answers", Members: three, Rounds: 2, Crashes: 1, Late: true, Ops: []Op{
+		{At: "a", Kind: ReplaceMember, Out: "c", In: "d"}, {At: "b", Revision: 5, Body: "x"}}},
+	{Name: "late answers", Members: three, Rounds: 2, Crashes: 1, LateAnswers: true, Ops: []Op{
 		{At: "a", Kind: Read}, {At: "b", Revision: 5, Body: "x"}, {At: "a", Kind: Read}}},
 	{Name: "two contents, five disks", Members: five, Rounds: 2, Ops: []Op{
 		{At: "a", Revision: 5, Body: "x"}, {At: "b", Revision: 5, Body: "y"}}},
--- a/lab/modelcheck/step.go
+++ b/lab/modelcheck/step.go
@@ -10,7 +10,8 @@
 	"willowsill/decide/register"
 )
 
-// Event kinds.
+// The kinds of events: an operation begins, a message is delivered, a proposer's timer fires, a joiner asks again, a
+// disk has synced, a machine loses power, a machine loses power and its disk.
 const (
 	eventOp uint8 = iota + 1
 	eventDeliver
@@ -21,44 +22,45 @@
 	eventWipe
 )
 
-// told is the kind of the news that a value stands, as controllers tell each other beside the register.
-const told register.Kind = 99
+// committedNotice is the kind of the message by which controllers tell each other, beside the register's own messages,
+// that a value is committed.
+const committedNotice register.Kind = 99
 
-// event is one step from a state to the next.
+// event leads from a state to the next.
 type event struct {
 	kind uint8
 	of   uint32 // the operation, the message's number, or the machine
 }
 
-// sailor makes steps; each worker has its own.
-type sailor struct {
-	*chart
+// worker computes the states that follow a state. Each goroutine of an exploration has its own.
+type worker struct {
+	*exploration
 	key []byte
-	ids map[string]uint32 // of messages met
+	ids map[string]uint32 // numbers of the messages met, by their keys
 }
 
-func (c *chart) sailor() *sailor { return &sailor{chart: c, ids: map[string]uint32{}} }
+func (x *exploration) newWorker() *worker { return &worker{exploration: x, ids: map[string]uint32{}} }
 
-// message is the number of one.
-func (s *sailor) message(from, to, life int, m register.Message) uint32 {
+// message returns a message's number.
+func (s *worker) message(from, to, life int, m register.Message) uint32 {
 	s.key = m.Key(append(s.key[:0], byte(from), byte(to), byte(life)))
 	id, ok := s.ids[string(s.key)]
 	if !ok {
 		key := string(s.key)
-		id = s.words.id(key, func() *word { return &word{from, to, life, m, xxhash.Sum64String(key)} })
+		id = s.messages.number(key, func() *message { return &message{from, to, life, m, xxhash.Sum64String(key)} })
 		s.ids[key] = id
 	}
 	return id
 }
 
-// next calls visit with each event that may come next and the state that it leads to. An error tells that a
-// promise is broken there.
-func (s *sailor) next(w *world, visit func(event, *world, error) bool) {
+// next calls visit with each event that may come next and the state that it leads to, until visit returns false. An
+// error says which invariant is broken there.
+func (s *worker) next(w *world, visit func(event, *world, error) bool) {
 	for i := range s.Ops {
 		o := &s.Ops[i]
 		m := w.machines[s.number[o.At]]
 		ready := m.op == 0 && !m.proposer.Busy()
-		if o.Kind == Swap { // only who is whole becomes a member
+		if o.Kind == ReplaceMember { // only a machine whose disk has caught up becomes a member
 			ready = ready && w.machines[s.number[o.In]].disk.CaughtUp
 		}
 		if w.begun&(1<<i) == 0 && ready && !s.do(w, event{eventOp, uint32(i)}, visit) {
@@ -83,38 +85,38 @@
 		if w.crashes < s.Crashes && !s.do(w, event{eventCrash, uint32(i)}, visit) {
 			return
 		}
-		if w.wipes < s.Wipes && s.wholeMembers(w) && i < len(s.Members) && !s.do(w, event{eventWipe, uint32(i)}, visit) {
+		if w.wipes < s.Wipes && s.membersCaughtUp(w) && i < len(s.Members) && !s.do(w, event{eventWipe, uint32(i)}, visit) {
 			return
 		}
 	}
 }
 
-// wholeMembers tells whether every member's disk counts: as many as the budget allows may be lost at a time.
-func (s *sailor) wholeMembers(w *world) bool {
-	return !slices.ContainsFunc(w.machines[:len(s.Members)], func(m *machine) bool { return !m.whole })
+// membersCaughtUp returns whether every member's disk counts: a further one may be lost only then.
+func (s *worker) membersCaughtUp(w *world) bool {
+	return !slices.ContainsFunc(w.machines[:len(s.Members)], func(m *machine) bool { return !m.savedCaughtUp })
 }
 
-// turn is a state in the making: machines are copied as they change.
-type turn struct {
-	*sailor
+// transition builds the state after an event. Machines are copied when they change.
+type transition struct {
+	*worker
 	w       *world
 	changed []bool
 	err     error
 }
 
-func (s *sailor) do(from *world, e event, visit func(event, *world, error) bool) bool {
+func (s *worker) do(from *world, e event, visit func(event, *world, error) bool) bool {
 	w := *from
 	w.machines = slices.Clone(from.machines)
-	t := &turn{s, &w, make([]bool, len(w.machines)), nil}
+	t := &transition{s, &w, make([]bool, len(w.machines)), nil}
 	switch e.kind {
 	case eventOp:
 		t.begin(int(e.of))
 	case eventDeliver:
-		t.deliver(s.words.get(e.of))
+		t.deliver(s.messages.get(e.of))
 	case eventTick:
 		i := int(e.of)
 		m := t.machine(i)
-		t.carry(i, m.proposer.Tick(m.proposer.Due()))
+		t.carryOut(i, m.proposer.Tick(m.proposer.Due()))
 	case eventAsk:
 		i := int(e.of)
 		m := t.w.machines[i]
@@ -126,24 +128,24 @@
 	case eventCrash:
 		w.crashes++
 		i := int(e.of)
-		t.rise(t.machine(i), s.names[i])
+		t.restart(t.machine(i), s.names[i])
 	case eventWipe:
 		w.wipes++
 		i := int(e.of)
 		m := t.machine(i)
-		m.saved, m.whole = register.State{}, false
-		t.rise(m, s.names[i])
+		m.saved, m.savedCaughtUp = register.State{}, false
+		t.restart(m, s.names[i])
 	}
-	t.sink()
+	t.dropIrrelevant()
 	moved := t.w.sentHash != from.sentHash || w.begun != from.begun
-	for i, c := range t.changed {
-		if c {
+	for i, changed := range t.changed {
+		if changed {
 			s.key = w.machines[i].rehash(s.key)
 			moved = moved || w.machines[i].hash != from.machines[i].hash
 		}
 	}
 	if t.err == nil && moved {
-		t.err = t.lasts()
+		t.err = t.checkDurable()
 	}
 	if !moved && t.err == nil {
 		return true
@@ -151,8 +153,8 @@
 	return visit(e, &w, t.err)
 }
 
-// machine is one that may be changed from here on.
-func (t *turn) machine(i int) *machine {
+// machine returns a machine of the new state that may be changed.
+func (t *transition) machine(i int) *machine {
 	if !t.changed[i] {
 		m := *t.w.machines[i]
 		m.proposer = m.proposer.Copy()
@@ -165,24 +167,24 @@
 	return t.w.machines[i]
 }
 
-func (t *turn) begin(op int) {
+func (t *transition) begin(op int) {
 	o := t.Ops[op]
 	i := t.number[o.At]
 	m := t.machine(i)
 	t.w.begun |= 1 << op
 	m.op, m.floor = op+1, t.w.floor
 	_, out := m.proposer.Edit(0, edit(o))
-	t.carry(i, out)
+	t.carryOut(i, out)
 }
 
-// edit is an operation as the register knows it.
+// edit returns an operation in the register's form.
 func edit(o Op) register.Edit {
 	return func(v register.Value) (register.Value, bool) {
 		switch {
 		case o.Kind == Put && o.Revision > v.Revision:
 			v.Revision, v.Body = o.Revision, []byte(o.Body)
 			return v, true
-		case o.Kind == Swap && len(v.Prior) == 0 && !slices.Contains(v.Members, o.In) && (o.Out == "" || slices.Contains(v.Members, o.Out)):
+		case o.Kind == ReplaceMember && len(v.Prior) == 0 && !slices.Contains(v.Members, o.In) && (o.Out == "" || slices.Contains(v.Members, o.Out)):
 			members := append(slices.DeleteFunc(slices.Clone(v.Members), func(m string) bool { return m == o.Out }), o.In)
 			slices.Sort(members)
 			v.Epoch, v.Prior, v.Members = v.Epoch+1, v.Members, members
@@ -192,17 +194,17 @@
 	}
 }
 
-func (t *turn) send(from, to int, m register.Message) {
+func (t *transition) send(from, to int, m register.Message) {
 	life := 0
-	if m.Kind > register.Query && !t.Late {
+	if m.Kind > register.Query && !t.LateAnswers {
 		life = t.w.machines[to].life
 	}
 	t.emit(t.message(from, to, life, m))
 }
 
-// emit puts a message among those that were sent; what a machine tells itself does not travel.
-func (t *turn) emit(id uint32) {
-	if p := t.words.get(id); p.from == p.to {
+// emit adds a message to those that were sent. A message of a machine to itself is delivered at once.
+func (t *transition) emit(id uint32) {
+	if p := t.messages.get(id); p.from == p.to {
 		t.deliver(p)
 		return
 	}
@@ -211,17 +213,17 @@
 		return
 	}
 	t.w.sent = slices.Insert(slices.Clone(t.w.sent), at, id)
-	t.w.sentHash += t.words.get(id).hash
+	t.w.sentHash += t.messages.get(id).hash
 }
 
-// sink takes away what may still come and would do nothing: answers that nobody awaits, and questions that
-// change no disk and whose answers nobody awaits.
-func (t *turn) sink() {
+// dropIrrelevant removes sent messages whose delivery would change nothing: answers that nobody waits for, and
+// requests that change no disk and whose answers nobody waits for. It keeps the number of states small.
+func (t *transition) dropIrrelevant() {
 	w := t.w
 	kept := w.sent[:0:0]
 	for i, id := range w.sent {
-		p := t.words.get(id)
-		if t.matters(p) {
+		p := t.messages.get(id)
+		if t.isRelevant(p) {
 			if kept != nil {
 				kept = append(kept, id)
 			}
@@ -238,13 +240,13 @@
 	}
 }
 
-func (t *turn) matters(p *word) bool {
+func (t *transition) isRelevant(p *message) bool {
 	m, from := t.w.machines[p.to], t.names[p.from]
-	if p.m.Kind == told {
+	if p.m.Kind == committedNotice {
 		return m.proposer.Learns(p.m.Value)
 	}
 	if p.m.Kind > register.Query {
-		return p.life == 0 && t.Late || p.life == m.life && (m.proposer.Awaits(from, p.m) || m.joiner != nil && m.joiner.Awaits(from, p.m))
+		return p.life == 0 && t.LateAnswers || p.life == m.life && (m.proposer.Awaits(from, p.m) || m.joiner != nil && m.joiner.Awaits(from, p.m))
 	}
 	asker := t.w.machines[p.from]
 	if asker.proposer.Asks(p.m) || asker.joiner != nil && asker.joiner.Ask().Ballot == p.m.Ballot {
@@ -259,12 +261,12 @@
 	return false
 }
 
-// deliver hands a message over. An answer to a former life is lost with it, unless the scope says otherwise.
-func (t *turn) deliver(p *word) {
+// deliver delivers a message. An answer to a former life of the receiver is dropped, unless the scope says otherwise.
+func (t *transition) deliver(p *message) {
 	if p.life > 0 && p.life != t.w.machines[p.to].life {
 		return
 	}
-	if p.m.Kind == told {
+	if p.m.Kind == committedNotice {
 		t.machine(p.to).proposer.Know(p.m.Value)
 		return
 	}
@@ -278,16 +280,16 @@
 			m.disk, m.joiner = register.Disk{State: state, CaughtUp: true}, nil
 			m.proposer.Know(state.Value)
 			m.proposer.Seen(state.Promised)
-			if !t.Lazy {
-				m.saved, m.whole = m.disk.State, true
+			if !t.SlowDisks {
+				m.saved, m.savedCaughtUp = m.disk.State, true
 			}
 		}
 	}
-	t.carry(p.to, m.proposer.Step(0, t.names[p.from], p.m))
+	t.carryOut(p.to, m.proposer.Step(0, t.names[p.from], p.m))
 }
 
-// ask puts a question to a disk; its answer waits for the sync that covers it.
-func (t *turn) ask(from, to int, q register.Message) {
+// ask hands a request to a disk. The answer waits for the sync that covers it.
+func (t *transition) ask(from, to int, q register.Message) {
 	m := t.machine(to)
 	if q.Kind != register.Query {
 		m.proposer.Seen(q.Ballot)
@@ -297,10 +299,10 @@
 		return
 	}
 	m.proposer.Hold(m.disk.State)
-	clean := m.whole && same(m.saved, m.disk.State)
-	if t.Lazy && !clean && !t.Hasty {
+	clean := m.savedCaughtUp && same(m.saved, m.disk.State)
+	if t.SlowDisks && !clean && !t.AnswerBeforeSync {
 		life := 0
-		if !t.Late {
+		if !t.LateAnswers {
 			life = t.w.machines[from].life
 		}
 		id := t.message(to, from, life, answer)
@@ -310,21 +312,21 @@
 		}
 		return
 	}
-	if !t.Lazy {
-		m.saved, m.whole = m.disk.State, true
+	if !t.SlowDisks {
+		m.saved, m.savedCaughtUp = m.disk.State, true
 	}
 	t.send(to, from, answer)
-	if t.Hasty && !clean { // the sync comes some time
+	if t.AnswerBeforeSync && !clean { // the sync is still to come
 		m.held = []uint32{t.message(to, from, 0, answer)}
 	}
 }
 
 func same(a, b register.State) bool { return a.Promised == b.Promised && a.Accepted == b.Accepted }
 
-// sync ends a save: what it covers is on the platter, and the answers leave.
-func (t *turn) sync(i int) {
+// sync ends a save: the state is durable, and the answers that waited for it are sent.
+func (t *transition) sync(i int) {
 	m := t.machine(i)
-	m.saved, m.whole = m.disk.State, m.disk.CaughtUp
+	m.saved, m.savedCaughtUp = m.disk.State, m.disk.CaughtUp
 	held := m.held
 	m.held = nil
 	for _, id := range held {
@@ -332,18 +334,18 @@
 	}
 }
 
-// carry does what a proposer asks for, and checks what it says stands.
-func (t *turn) carry(i int, out register.Out) {
+// carryOut sends what a proposer asks for, and checks the values that it reports as committed.
+func (t *transition) carryOut(i int, out register.Out) {
 	m := t.machine(i)
 	if b := out.Send.Ballot; len(out.To) > 0 && out.Send.Kind != register.Accept && b != m.last {
 		m.rounds, m.last = m.rounds+1, b
 	}
 	for _, d := range out.Done {
 		m.op = 0
-		t.stands(d.Value, m.floor)
+		t.noteCommitted(d.Value, m.floor)
 		for to := range t.w.machines {
 			if to != i && d.Value.Epoch > 0 {
-				t.emit(t.message(i, to, 0, register.Message{Kind: told, Value: d.Value}))
+				t.emit(t.message(i, to, 0, register.Message{Kind: committedNotice, Value: d.Value}))
 			}
 		}
 	}
@@ -352,15 +354,16 @@
 	}
 }
 
-// stands takes in that a value was acknowledged or read.
-func (t *turn) stands(v register.Value, floor uint64) {
+// noteCommitted records that a value was acknowledged or read, and checks it against those before: one content a
+// revision, and no operation returns less than was acknowledged before it began.
+func (t *transition) noteCommitted(v register.Value, floor uint64) {
 	body := slices.Index(t.bodies, string(v.Body))
-	if was, ok := t.w.stood[v.Revision]; ok && was != body {
+	if was, ok := t.w.committed[v.Revision]; ok && was != body {
 		t.err = fmt.Errorf("revision %d stands with %q and with %q", v.Revision, t.bodies[was], v.Body)
 		return
 	} else if !ok {
-		t.w.stood = maps.Clone(t.w.stood)
-		t.w.stood[v.Revision] = body
+		t.w.committed = maps.Clone(t.w.committed)
+		t.w.committed[v.Revision] = body
 	}
 	if v.Revision < floor {
 		t.err = fmt.Errorf("revision %d was acknowledged before an operation began that found %d standing", floor, v.Revision)
@@ -368,10 +371,10 @@
 	t.w.floor = max(t.w.floor, v.Revision)
 }
 
-// lasts tells whether what was acknowledged outlives the loss of all power: no majority of disks that count
-// may be without it. Which disks of the others are lost with the power is all the same then: those left make
-// up a majority, or nothing is told.
-func (t *turn) lasts() error {
+// checkDurable checks that what was acknowledged outlives the loss of all power: no majority of disks that count may
+// be without it. Which other disks are lost with the power makes no difference: the rest either is a majority, or
+// answers nothing.
+func (t *transition) checkDurable() error {
 	if t.w.floor == 0 {
 		return nil
 	}
@@ -381,7 +384,7 @@
 			if set&(1<<i) == 0 {
 				continue
 			}
-			if all = all && m.whole; m.saved.Accepted.Compare(best.Accepted) > 0 || len(best.Value.Members) == 0 {
+			if all = all && m.savedCaughtUp; m.saved.Accepted.Compare(best.Accepted) > 0 || len(best.Value.Members) == 0 {
 				best = m.saved
 			}
 		}
@@ -392,11 +395,11 @@
 	return nil
 }
 
-// tell says what an event is.
-func (c *chart) tell(e event) string {
+// describe returns an event in words, for a trace.
+func (x *exploration) describe(e event) string {
 	switch e.kind {
 	case eventOp:
-		o := c.Ops[e.of]
+		o := x.Ops[e.of]
 		switch o.Kind {
 		case Put:
 			return fmt.Sprintf("%s is sent revision %d with %q", o.At, o.Revision, o.Body)
@@ -405,17 +408,17 @@
 		}
 		return fmt.Sprintf("%s takes %s in for %q", o.At, o.In, o.Out)
 	case eventDeliver:
-		p := c.words.get(e.of)
-		return fmt.Sprintf("%s hears from %s: %s", c.names[p.to], c.names[p.from], Describe(p.m))
+		p := x.messages.get(e.of)
+		return fmt.Sprintf("%s hears from %s: %s", x.names[p.to], x.names[p.from], Describe(p.m))
 	}
-	return c.names[e.of] + map[uint8]string{eventTick: ": its timer fires", eventAsk: " asks to be whole again",
+	return x.names[e.of] + map[uint8]string{eventTick: ": its timer fires", eventAsk: " asks to be whole again",
 		eventSync: ": its disk has synced", eventCrash: " loses power and is back", eventWipe: " loses power and its disk, and is back"}[e.kind]
 }
 
 var kinds = map[register.Kind]string{register.Prepare: "prepare", register.Accept: "accept", register.Query: "query",
-	register.Promised: "promised", register.Accepted: "accepted", register.Refused: "refused", register.Holds: "holds", told: "what stands"}
+	register.Promised: "promised", register.Accepted: "accepted", register.Refused: "refused", register.Holds: "holds", committedNotice: "what stands"}
 
-// Describe says a message in a few words.
+// Describe returns a message in a few words, for a trace.
 func Describe(m register.Message) string {
 	text := fmt.Sprintf("%s %d %s", kinds[m.Kind], m.Ballot.N, m.Ballot.By)
 	v := m.Value
@@ -423,7 +426,7 @@
 		v = m.State.Value
 		text += fmt.Sprintf(", accepted under %d %s", m.State.Accepted.N, m.State.Accepted.By)
 	}
-	if m.Kind == told || m.Kind == register.Accept || m.Kind == register.Promised || m.Kind == register.Holds {
+	if m.Kind == committedNotice || m.Kind == register.Accept || m.Kind == register.Promised || m.Kind == register.Holds {
 		text += fmt.Sprintf(", revision %d %q, members %v", v.Revision, v.Body, v.Members)
 		if len(v.Prior) > 0 {
 			text += fmt.Sprintf(" after %v", v.Prior)
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -1,9 +1,9 @@
-// Package modelcheck explores every order of events of small registers: which message comes when, twice or never,
-// when a timer fires, when power goes and a disk is emptied. The true proposers, disks and joiners of
-// decide/register are played, unchanged; after each step the register's promises are checked. It reads no
-// clock and does no I/O.
+// Package modelcheck is an explicit-state model checker of decide/register: it explores every order of events of small
+// systems, in which messages are delayed, repeated and lost, timers fire, machines lose power and disks. It runs the
+// proposers, disks and joiners of decide/register unchanged and checks the register's invariants after each event. It
+// reads no clock and does no I/O.
 //
-// Decides: which event may come next, which states are alike, and when what a register promised is broken.
+// Decides: which events may come next, which states are the same, and whether an invariant is broken.
 package modelcheck
 
 import (
@@ -20,11 +20,11 @@
 // Kind of an operation.
 type Kind uint8
 
-// The operations: an operator's write, an operator's read, and the duty of changing the members.
+// The operations: an operator's write, an operator's read, and a change of the members.
 const (
 	Put Kind = iota
 	Read
-	Swap
+	ReplaceMember
 )
 
 // Op is one operation, carried out once at most, at any moment, by the machine At. Its caller hears nothing
@@ -34,45 +34,45 @@
 	Kind     Kind
 	Revision uint64 // of a Put
 	Body     string // of a Put
-	Out, In  string // of a Swap: members; an empty Out adds In
+	Out, In  string // of a ReplaceMember: members; an empty Out adds In
 }
 
-// Scope is what is explored: a small system, what is asked of it and what may happen to it.
+// Scope is a system to explore: its machines, the operations asked of it and the faults that may happen to it.
 type Scope struct {
-	Name    string
-	Members []string // at the first start, with disks that hold that
-	Spare   []string // machines that come with empty disks, and join
-	Ops     []Op
-	Crashes int  // losses of power of one machine each, which is up again at once: for how long it is down shows in what reaches it late
-	Wipes   int  // the same with the disk lost; never a second one before the first has caught up
-	Rounds  int  // questions or ballots that one life of a proposer may begin
-	Lazy    bool // a disk's sync is a step of its own; else it comes with what it covers
-	Late    bool // answers to a former life of a machine reach the next one
-	Hasty   bool // a mutant: answers leave before the sync that covers them
+	Name             string
+	Members          []string // at the first start, with disks that hold that
+	Spare            []string // machines that come with empty disks, and join
+	Ops              []Op
+	Crashes          int  // losses of power of one machine each, which is up again at once: for how long it is down shows in what reaches it late
+	Wipes            int  // the same with the disk lost; never a second one before the first has caught up
+	Rounds           int  // questions or ballots that one life of a proposer may begin
+	SlowDisks        bool // a disk's sync is a step of its own; else it comes with what it covers
+	LateAnswers      bool // answers to a former life of a machine reach the next one
+	AnswerBeforeSync bool // a mutant: answers leave before the sync that covers them
 }
 
-// words gives every message a number, so that a set of messages is a short list. Each worker remembers the
-// numbers that it has met.
-type words struct {
+// messageTable gives every message a number, so that a set of messages is a short list. It is safe for concurrent use;
+// each worker remembers the numbers that it has met.
+type messageTable struct {
 	mu  sync.Mutex
 	ids map[string]uint32
-	all atomic.Pointer[[]*word]
+	all atomic.Pointer[[]*message]
 }
 
-type word struct {
+type message struct {
 	from, to int
 	life     int // of the receiver that an answer is for, 0 for any
 	m        register.Message
 	hash     uint64
 }
 
-func newWords() *words {
-	w := &words{ids: map[string]uint32{}}
-	w.all.Store(&[]*word{})
+func newMessageTable() *messageTable {
+	w := &messageTable{ids: map[string]uint32{}}
+	w.all.Store(&[]*message{})
 	return w
 }
 
-func (w *words) id(key string, make func() *word) uint32 {
+func (w *messageTable) number(key string, make func() *message) uint32 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	id, ok := w.ids[key]
@@ -86,89 +86,89 @@
 	return id
 }
 
-func (w *words) get(id uint32) *word { return (*w.all.Load())[id] }
+func (w *messageTable) get(id uint32) *message { return (*w.all.Load())[id] }
 
 // machine is one controller. It is never changed in place.
 type machine struct {
-	disk     register.Disk  // as its process knows it
-	saved    register.State // as the platter holds it
-	whole    bool           // and whether that counts
-	held     []uint32       // answers that wait for the next sync
-	proposer *register.Proposer
-	joiner   *register.Joiner
-	life     int
-	rounds   int // questions and ballots that its proposer began in this life
-	last     register.Ballot
-	op       int    // that runs, + 1
-	floor    uint64 // the highest revision acknowledged anywhere as that op began
-	hash     uint64
+	disk          register.Disk  // as its process knows it
+	saved         register.State // as the disk holds it
+	savedCaughtUp bool           // whether the saved state counts for a majority
+	held          []uint32       // answers that wait for the next sync
+	proposer      *register.Proposer
+	joiner        *register.Joiner
+	life          int
+	rounds        int // questions and ballots that its proposer began in this life
+	last          register.Ballot
+	op            int    // that runs, + 1
+	floor         uint64 // the highest revision acknowledged anywhere as that op began
+	hash          uint64
 }
 
-// world is one state of all. It is never changed in place.
+// world is one state of the whole system. It is never changed in place.
 type world struct {
-	machines []*machine
-	sent     []uint32 // every message ever sent, in order of their numbers: each may come at any time, or again
-	sentHash uint64
-	begun    uint32 // operations, a bit each
-	crashes  int
-	wipes    int
-	floor    uint64         // the highest revision known to stand
-	stood    map[uint64]int // by revision: the number of the body that stood
+	machines  []*machine
+	sent      []uint32 // every message ever sent, in order of their numbers: each may come at any time, or again
+	sentHash  uint64
+	begun     uint32 // operations, a bit each
+	crashes   int
+	wipes     int
+	floor     uint64         // the highest revision acknowledged or read
+	committed map[uint64]int // by revision: the index of the body that was acknowledged or read
 }
 
-// chart is one exploration's fixed part.
-type chart struct {
+// exploration is what all states of an exploration share.
+type exploration struct {
 	Scope
-	names  []string
-	number map[string]int
-	words  *words
-	bodies []string
+	names    []string
+	number   map[string]int
+	messages *messageTable
+	bodies   []string
 }
 
-func newChart(s Scope) *chart {
-	c := &chart{Scope: s, names: slices.Concat(s.Members, s.Spare), number: map[string]int{},
-		words: newWords(), bodies: []string{""}}
-	for i, n := range c.names {
-		c.number[n] = i
+func newExploration(s Scope) *exploration {
+	x := &exploration{Scope: s, names: slices.Concat(s.Members, s.Spare), number: map[string]int{},
+		messages: newMessageTable(), bodies: []string{""}}
+	for i, n := range x.names {
+		x.number[n] = i
 	}
 	for _, o := range s.Ops {
-		if !slices.Contains(c.bodies, o.Body) {
-			c.bodies = append(c.bodies, o.Body)
+		if !slices.Contains(x.bodies, o.Body) {
+			x.bodies = append(x.bodies, o.Body)
 		}
 	}
-	return c
+	return x
 }
 
-func half() float64 { return 0.5 }
+func fixedDraw() float64 { return 0.5 }
 
-func (c *chart) life(name string, n int) string { return fmt.Sprint(name, "/", n) }
+func (x *exploration) life(name string, n int) string { return fmt.Sprint(name, "/", n) }
 
-// first is the state that all begins with.
-func (c *chart) first() *world {
-	w := &world{stood: map[uint64]int{}}
-	for i, n := range c.names {
-		m := &machine{whole: i < len(c.Members)}
-		if m.whole {
-			m.saved = register.State{Value: register.Value{Members: c.Members}}
+// first returns the initial state.
+func (x *exploration) first() *world {
+	w := &world{committed: map[uint64]int{}}
+	for i, n := range x.names {
+		m := &machine{savedCaughtUp: i < len(x.Members)}
+		if m.savedCaughtUp {
+			m.saved = register.State{Value: register.Value{Members: x.Members}}
 		}
-		c.rise(m, n)
+		x.restart(m, n)
 		w.machines = append(w.machines, m)
 	}
 	return w
 }
 
-// rise starts a process with what the platter holds.
-func (c *chart) rise(m *machine, name string) {
+// restart starts a machine's process anew with what its disk holds.
+func (x *exploration) restart(m *machine, name string) {
 	m.life++
-	own := c.life(name, m.life)
-	m.disk, m.held, m.joiner, m.op, m.rounds, m.last = register.Disk{State: m.saved, CaughtUp: m.whole}, nil, nil, 0, 0, register.Ballot{}
-	known := register.Value{Members: c.Members}
-	if m.whole {
+	own := x.life(name, m.life)
+	m.disk, m.held, m.joiner, m.op, m.rounds, m.last = register.Disk{State: m.saved, CaughtUp: m.savedCaughtUp}, nil, nil, 0, 0, register.Ballot{}
+	known := register.Value{Members: x.Members}
+	if m.savedCaughtUp {
 		known = m.saved.Value
 	} else {
 		m.joiner = register.NewJoiner(name, own)
 	}
-	m.proposer = register.NewProposer(own, known, half)
+	m.proposer = register.NewProposer(own, known, fixedDraw)
 	m.proposer.Seen(m.saved.Promised)
 	m.proposer.Hold(m.saved)
 }
@@ -176,15 +176,15 @@
 func (m *machine) rehash(key []byte) []byte {
 	key = m.saved.Key(m.disk.State.Key(key[:0]))
 	key = append(key, byte(m.life), byte(m.rounds), byte(m.op), byte(m.floor))
-	for _, is := range []bool{m.whole, m.disk.CaughtUp, m.joiner != nil} {
+	for _, is := range []bool{m.savedCaughtUp, m.disk.CaughtUp, m.joiner != nil} {
 		if is {
 			key = append(key, 1)
 		} else {
 			key = append(key, 0)
 		}
 	}
-	for _, h := range m.held {
-		key = append(key, byte(h), byte(h>>8), byte(h>>16))
+	for _, worker := range m.held {
+		key = append(key, byte(worker), byte(worker>>8), byte(worker>>16))
 	}
 	key = m.proposer.Key(key)
 	if m.joiner != nil {
@@ -194,7 +194,7 @@
 	return key
 }
 
-// key tells states apart, but for one chance in 2^64 a pair.
+// key returns a hash of the state, never 0. Two different states share one with a probability of 2^-64.
 func (w *world) key() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -211,7 +211,7 @@
 	put(w.sentHash)
 	put(uint64(w.begun) | uint64(w.crashes)<<32 | uint64(w.wipes)<<40 | w.floor<<48)
 	for r := uint64(0); r <= w.floor; r++ {
-		if body, ok := w.stood[r]; ok {
+		if body, ok := w.committed[r]; ok {
 			put(r<<32 | uint64(body))
 		}
 	}
