--- a/decide/clusterstate/clusterstate.go
+++ b/decide/clusterstate/clusterstate.go
@@ -65,7 +65,7 @@
 // ForFollower is the update as it goes on the wire: a fleet is told whole or as a difference, not both.
 // changes tells whether the follower understands differences.
 func (n Update) ForFollower(changes bool) Update {
-	if changes && n.Change != nil && !n.Snapshot {
+	if changes && n.Change != nil {
 		n.Fleet = Fleet{}
 	} else {
 		n.Change = nil
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -55,6 +55,7 @@
 	Self     controller.EdgeReport   `cbor:"1,keyasint"`
 	Below    []controller.EdgeReport `cbor:"2,keyasint,omitempty"`
 	Revision uint64                  `cbor:"3,keyasint,omitempty"` // of the configuration held; its body need not come again
+	Changes  bool                    `cbor:"4,keyasint,omitempty"` // takes differences between fleets
 }
 
 // All are the follower and those below it.
@@ -63,7 +64,7 @@
 // Feed is the set of those who follow.
 type Feed struct {
 	mu    sync.Mutex
-	links map[*peer.Link]struct{}
+	links map[*peer.Link]bool // whether the follower takes differences between fleets
 }
 
 // Join adds a follower and gives it the snapshot, without the body of a configuration that it holds already. Join and
@@ -71,9 +72,9 @@
 func (f *Feed) Join(l *peer.Link, report Report, snapshot clusterstate.Update, fresh clusterstate.Freshness) {
 	f.mu.Lock()
 	if f.links == nil {
-		f.links = map[*peer.Link]struct{}{}
+		f.links = map[*peer.Link]bool{}
 	}
-	f.links[l] = struct{}{}
+	f.links[l] = report.Changes
 	f.mu.Unlock()
 	if report.Revision >= snapshot.Revision {
 		snapshot.Body = nil
@@ -97,18 +98,36 @@
 
 // Publish tells all who follow; a nil update is a sign of life.
 func (f *Feed) Publish(update *clusterstate.Update, fresh clusterstate.Freshness) {
-	frame, err := peer.Encode(newMessage(update, fresh))
-	if err != nil {
-		klog.ErrorS(err, "an update cannot be encoded")
-		return
-	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for l := range f.links {
+	frames := map[bool]peer.Frame{} // by whether the follower takes differences
+	for l, changes := range f.links {
+		frame, made := frames[changes]
+		if !made {
+			if frame = encode(update, fresh, changes); frame == nil {
+				return
+			}
+			frames[changes] = frame
+		}
 		l.Send(frame)
 	}
 }
 
+// encode makes the frame for followers that take differences between fleets, or for those that do not; nil, and a line
+// in the log, where that fails.
+func encode(update *clusterstate.Update, fresh clusterstate.Freshness, changes bool) peer.Frame {
+	if update != nil {
+		told := update.ForFollower(changes)
+		update = &told
+	}
+	frame, err := peer.Encode(newMessage(update, fresh))
+	if err != nil {
+		klog.ErrorS(err, "an update cannot be encoded")
+		return nil
+	}
+	return frame
+}
+
 // Beats publishes signs of life until ctx ends.
 func (f *Feed) Beats(ctx context.Context, fresh func() clusterstate.Freshness) {
 	t := time.NewTicker(beatEvery)
@@ -188,6 +207,13 @@
 	return f.decide.Leave(f.now())
 }
 
+// report sends a report. What a Follower's Take is given may hold differences between fleets.
+func (f *Follower) report(l *peer.Link) {
+	r := f.Report()
+	r.Changes = true
+	l.Say(r)
+}
+
 // Run follows one feeder after the other until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; {
@@ -216,7 +242,7 @@
 	defer l.Close()
 	stop := context.AfterFunc(ctx, l.Close)
 	defer stop()
-	l.Say(f.Report())
+	f.report(l)
 	f.connected(alternatives)
 	began := time.Now()
 	said := began
@@ -241,7 +267,7 @@
 		now := time.Now()
 		if now.Sub(said) > sayEvery {
 			said = now
-			l.Say(f.Report())
+			f.report(l)
 			if a := f.Addresses(); now.Sub(began) > stayFor && len(a) > 0 && a[0] != address {
 				klog.InfoS("another feeder is to be followed", "address", address, "next", a[0])
 				return false
--- a/transport/watch/watch_test.go
+++ b/transport/watch/watch_test.go
@@ -115,3 +115,36 @@
 	must.False(t, newMessage(nil, clusterstate.Freshness{Known: true, Age: int64(time.Minute)}).InContact)
 	must.False(t, newMessage(nil, clusterstate.Freshness{}).InContact)
 }
+
+// TestFleetToFormerFollowers: a follower that does not say that it takes differences between fleets is told whole ones;
+// one that does ends with the same.
+func TestFleetToFormerFollowers(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var f Feed
+		feeder := clusterstate.NewState()
+		feeder.Take(clusterstate.Update{Fleet: clusterstate.Fleet{Most: 2, Edges: []clusterstate.Edge{{IP: "10.0.0.1"}, {IP: "10.0.0.2"}}}})
+		join := func(changes bool) *peer.Link {
+			near, far := net.Pipe()
+			link, follower := peer.Over(near), peer.Over(far)
+			f.Join(link, Report{Changes: changes}, feeder.Snapshot(), clusterstate.Freshness{})
+			t.Cleanup(func() { link.Close(); follower.Close() })
+			return follower
+		}
+		former, newer := join(false), join(true)
+		update := feeder.Take(clusterstate.Update{Fleet: clusterstate.Fleet{Most: 3,
+			Edges: []clusterstate.Edge{{IP: "10.0.0.1"}, {IP: "10.0.0.2"}, {IP: "10.0.0.3"}}}})
+		f.Publish(&update, clusterstate.Freshness{})
+		for link, whole := range map[*peer.Link]bool{former: true, newer: false} {
+			held := clusterstate.NewState()
+			var last Message
+			for range 2 {
+				last = Message{}
+				must.NoError(t, link.Receive(&last, time.Second))
+				must.False(t, held.Take(*last.Update).Empty())
+			}
+			must.Eq(t, whole, last.Update.Change == nil)
+			must.Eq(t, !whole, last.Update.Fleet.Empty())
+			must.Eq(t, feeder.Fleet, held.Fleet)
+		}
+	})
+}
