--- /dev/null
+++ b/decide/clusterstate/bench_test.go
@@ -0,0 +1,78 @@
+package clusterstate
+
+import (
+	"fmt"
+	"runtime"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"willowsill/decide/registry"
+)
+
+// What docs/CAPACITY.md reckons with: what an agent's state costs at the size to come.
+
+const manyReplicas = 93_000
+
+func largeState() *State {
+	s := NewState()
+	var replicas []registry.Record
+	for i := range manyReplicas {
+		replicas = append(replicas, registry.Record{ID: fmt.Sprintf("replica-%06d-0", i), Service: fmt.Sprint("shard-", i%150),
+			Address: fmt.Sprintf("10.%d.%d.%d:9000", i/62500, i/250%250, i%250), Zone: fmt.Sprint("zone-", i%14), Capacity: 4, Seq: 1})
+	}
+	frame, _ := cbor.Marshal(Update{Snapshot: true, Replicas: replicas})
+	var u Update
+	cbor.Unmarshal(frame, &u)
+	s.Take(u)
+	return s
+}
+
+// BenchmarkSnapshot is what an agent spends on one from its feeder, decoding included, and the heap that stays.
+func BenchmarkSnapshot(b *testing.B) {
+	for b.Loop() {
+		var before, after runtime.MemStats
+		runtime.GC()
+		runtime.ReadMemStats(&before)
+		s := largeState()
+		runtime.GC()
+		runtime.ReadMemStats(&after)
+		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/manyReplicas, "heap-bytes/replica")
+		runtime.KeepAlive(s)
+	}
+}
+
+func manyRoutes(routes, changed int) []byte {
+	var b strings.Builder
+	for i := range routes {
+		deadline := 1000 + i%900
+		if i == changed {
+			deadline = 2001
+		}
+		fmt.Fprintf(&b, `{"name":"route-%d","host":"h%d.example","path-prefix":"/p%d/","deadline-ms":%d,"service":"shard-%d","max-tries":2},`, i, i%7,
+			i*104729%1000003, deadline, i%150)
+	}
+	return []byte(b.String())
+}
+
+// BenchmarkConfigurationChange is one route of so many that changes: making the patch, and taking it in.
+func BenchmarkConfigurationChange(b *testing.B) {
+	for _, routes := range []int{100, 1000, 10000} {
+		b.Run(fmt.Sprint(routes, "routes"), func(b *testing.B) {
+			bodies := [][]byte{Pack(manyRoutes(routes, 0)), Pack(manyRoutes(routes, 1))}
+			feeder, follower := NewState(), NewState()
+			feeder.Take(Update{Revision: 1, Body: bodies[1]})
+			follower.Take(feeder.Snapshot())
+			revision := uint64(1)
+			for b.Loop() {
+				revision++
+				fresh := feeder.Take(Update{Revision: revision, Body: bodies[revision%2]})
+				frame, _ := cbor.Marshal(fresh)
+				b.ReportMetric(float64(len(frame)), "bytes")
+				follower.Take(fresh)
+			}
+			b.ReportMetric(float64(len(bodies[0])), "bytes-packed")
+		})
+	}
+}
--- /dev/null
+++ b/decide/controller/bench_test.go
@@ -0,0 +1,121 @@
+package controller
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/registry"
+)
+
+// What docs/CAPACITY.md reckons with: the cost of each message in a controller of the size to come.
+
+const (
+	manyReplicas = 93_000
+	manyEdges    = 4_200
+)
+
+func replicaRecord(i int, seq uint64) registry.Record {
+	return registry.Record{ID: fmt.Sprintf("replica-%06d-0", i), Service: fmt.Sprint("shard-", i%150),
+		Address: fmt.Sprintf("10.%d.%d.%d:9000", i/62500, i/250%250, i%250), Zone: fmt.Sprint("zone-", i%14), Capacity: 4, Seq: seq}
+}
+
+// largeController is a lone controller that knows many replicas and edges.
+func largeController(now int64) *Controller {
+	c := New(now, Start{IP: "10.9.0.1", Life: "1", Seeds: []string{"10.9.0.1"}, Bootstrap: true, BeatEvery: 1000 * ms,
+		Draw: func() float64 { return 0 }})
+	for i := range manyReplicas {
+		c.take(replicaRecord(i, 1), false)
+	}
+	for i := range manyEdges {
+		c.Edge(now, edgeReport(i))
+	}
+	c.Tick(now + fleetEvery)
+	return c
+}
+
+func edgeReport(i int) EdgeReport {
+	return EdgeReport{Edge: clusterstate.Edge{IP: fmt.Sprintf("10.100.%d.%d", i/250, i%250), Zone: fmt.Sprint("zone-", i%14)}}
+}
+
+// BenchmarkHeartbeat is one that says nothing new, from a replica.
+func BenchmarkHeartbeat(b *testing.B) {
+	c := largeController(ms)
+	records := make([]registry.Record, manyReplicas)
+	for i := range records {
+		records[i] = replicaRecord(i, 2)
+	}
+	n := 0
+	for b.Loop() {
+		r := records[n%manyReplicas]
+		r.Seq += uint64(n / manyReplicas)
+		c.Beat(2*ms+int64(n)*10_000, uint64(n), r)
+		n++
+	}
+}
+
+// BenchmarkPassedHeartbeat is one that another controller passes on, in batches of a thousand, decoding included.
+func BenchmarkPassedHeartbeat(b *testing.B) {
+	c := largeController(ms)
+	const batch = 1000
+	n := 0
+	for b.Loop() {
+		w := Message{From: "10.9.0.2"}
+		for i := range batch {
+			w.Beats = append(w.Beats, ReplicaHeartbeat{fmt.Sprintf("replica-%06d-0", (n*batch+i)%manyReplicas), uint64(2 + n*batch/manyReplicas)})
+		}
+		frame, _ := cbor.Marshal(w)
+		var got Message
+		if err := cbor.Unmarshal(frame, &got); err != nil {
+			b.Fatal(err)
+		}
+		c.Take(2*ms+int64(n)*ms, got)
+		n++
+		b.ReportMetric(float64(len(frame))/batch, "bytes/heartbeat")
+	}
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(n*batch), "ns/heartbeat")
+}
+
+// BenchmarkEdgeReport is one report of one edge.
+func BenchmarkEdgeReport(b *testing.B) {
+	c := largeController(ms)
+	n := 0
+	for b.Loop() {
+		c.Edge(2*ms+int64(n)*1_000_000_000/manyEdges, edgeReport(n%manyEdges))
+		n++
+	}
+}
+
+// BenchmarkTick is what stands still costs a controller, each 100 ms.
+func BenchmarkTick(b *testing.B) {
+	c := largeController(ms)
+	n := int64(0)
+	for b.Loop() {
+		n++
+		c.Tick(ms + n*passEvery)
+	}
+}
+
+// BenchmarkStateSize is the heap and the bytes on the wire of what a controller holds.
+func BenchmarkStateSize(b *testing.B) {
+	var before, after runtime.MemStats
+	for b.Loop() {
+		runtime.GC()
+		runtime.ReadMemStats(&before)
+		c := largeController(ms)
+		runtime.GC()
+		runtime.ReadMemStats(&after)
+		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1e6, "MB-heap")
+		snapshot := c.Snapshot()
+		whole, _ := cbor.Marshal(snapshot)
+		replicas, _ := cbor.Marshal(snapshot.Replicas)
+		fleet, _ := cbor.Marshal(snapshot.Fleet)
+		b.ReportMetric(float64(len(whole))/1e6, "MB-snapshot")
+		b.ReportMetric(float64(len(replicas))/manyReplicas, "bytes/replica")
+		b.ReportMetric(float64(len(fleet))/manyEdges, "bytes/edge")
+		runtime.KeepAlive(c)
+	}
+}
