--- a/lab/controlsim/edge.go
+++ b/lab/controlsim/edge.go
@@ -15,6 +15,7 @@
 const (
 	belowWithin = 4 * second
 	lookEvery   = 250 * millisecond
+	askEvery    = 100 * millisecond // the platform asks once a second, at any moment of it
 )
 
 // edge is an agent with its proxy, as transport/agentserver and front/proxyserver have them. A process begins with nothing.
@@ -30,7 +31,7 @@
 	suspects []string
 	relay    feed
 	below    map[string]sighting
-	rule     following
+	rule     *following
 	feeder   string
 	feeders  []string // that may be followed, the best first
 	link     *connection
@@ -60,13 +61,15 @@
 	if e.beside != "" {
 		e.seeds, e.beside = []string{e.beside}, ""
 	}
-	e.relay, e.below, e.rule, e.link, e.ready = feed{}, map[string]sighting{}, &watchRule{}, nil, false
+	e.relay, e.below, e.rule, e.link, e.ready = feed{}, map[string]sighting{}, &following{}, nil, false
 	e.world.history.Lives = append(e.world.history.Lives, checker.Life{Edge: m.name, Life: m.life, At: e.world.now})
 	life := m.life
 	m.ended = append(m.ended, func(bool) {
 		e.world.history.Ends = append(e.world.history.Ends, checker.Life{Edge: m.name, Life: life, At: e.world.now})
 	})
 	m.every(lookEvery, e.look)
+	m.every(feedEvery, e.tellProxy)
+	m.every(askEvery, e.askReady)
 	e.findFeeders()
 	e.follow()
 }
@@ -95,7 +98,7 @@
 			return
 		}
 		e.link = c
-		e.rule.begin(m.clock())
+		e.rule.begin(m.clock(), len(e.feeders)-1)
 		c.send(0, e.report())
 		c.listen(0, func(message any) { e.heard(c, message.(news)) }, func() {
 			if e.link == c {
@@ -134,24 +137,17 @@
 	if e.link != c {
 		return
 	}
-	usable := true
-	before := e.rule.settled()
-	if n.notice == nil {
-		e.relay.publish(news{settled: n.settled})
-	}
-	v := e.rule.heard(e.machine.clock(), n, true, len(e.feeders) > 1)
-	if n.notice != nil {
-		usable = e.take(*n.notice)
-	}
-	if !usable {
-		v = changed
+	now := e.machine.clock()
+	e.rule.heard(now, n.fresh)
+	if n.update != nil && !e.take(*n.update) {
+		e.leave(changed)
+		return
 	}
-	if before != e.rule.settled() {
-		e.world.tell(e.machine.name, "feeder %s settled %v", e.feeder, e.rule.settled())
+	if n.update == nil || n.update.Snapshot {
+		e.relay.publish(news{fresh: e.rule.decide.Freshness(now)})
 	}
-	e.noteReady()
-	if v != stay {
-		e.leave(v)
+	if e.rule.decide.Leave(now) {
+		e.leave(lost)
 		return
 	}
 	due, v := e.rule.due(e.machine.clock(), e.feeder, e.feeders)
@@ -178,7 +174,11 @@
 		e.detector.Fleet(e.machine.clock(), names)
 		e.findFeeders()
 	}
-	e.relay.publish(news{&fresh, e.rule.settled()})
+	now := e.machine.clock()
+	e.relay.publish(news{&fresh, e.rule.decide.Freshness(now)})
+	if fresh.Revision > 0 {
+		e.rule.readiness.Configured(now, fresh.Revision)
+	}
 	e.state.Forget()
 	return !e.state.Behind
 }
@@ -196,8 +196,15 @@
 	}
 }
 
-func (e *edge) noteReady() {
-	if now := e.rule.ready(e.state.Revision); now != e.ready {
+// tellProxy tells the proxy beside the agent how fresh the agent's state is.
+func (e *edge) tellProxy() {
+	now := e.machine.clock()
+	e.rule.readiness.Heard(now, e.rule.decide.Freshness(now))
+}
+
+// askReady does what the platform does: it asks whether this edge is ready.
+func (e *edge) askReady() {
+	if now := e.rule.readiness.Ready(e.machine.clock()); now != e.ready {
 		e.ready = now
 		e.world.history.Readiness = append(e.world.history.Readiness, checker.Ready{At: e.world.now, Edge: e.machine.name, Life: e.machine.life,
 			Ready: now, Revision: e.state.Revision, Feeder: e.feeder})
@@ -206,7 +213,7 @@
 
 // report is what this edge says to the one that it follows.
 func (e *edge) report() report {
-	r := report{}
+	r := report{revision: e.state.Revision}
 	now := e.machine.clock()
 	for _, name := range e.world.names { // in a fixed order
 		s, ok := e.below[name]
@@ -228,7 +235,7 @@
 func (e *edge) acceptFollower(c *connection) {
 	attend(e.machine, c, &e.relay, func() news {
 		whole := e.state.Snapshot()
-		return news{&whole, e.rule.settled()}
+		return news{&whole, e.rule.decide.Freshness(e.machine.clock())}
 	}, func(r report) {
 		for _, s := range r.all {
 			if s.Edge.IP != e.machine.name {
--- a/lab/controlsim/server.go
+++ b/lab/controlsim/server.go
@@ -8,6 +8,7 @@
 
 	"willowsill/decide/clusterstate"
 	"willowsill/decide/controller"
+	"willowsill/decide/lease"
 	"willowsill/lab/controlsim/checker"
 )
 
@@ -31,7 +32,7 @@
 	bootstrap bool // the next start is the first of the whole system
 
 	controller *controller.Controller // of the process that runs
-	inContact  bool
+	current    currency
 	leaving    bool
 	mesh       map[string]*line
 	feed       feed
@@ -50,16 +51,31 @@
 // feed is the set of those who follow a process.
 type feed struct{ links []*connection }
 
-// news is what a feeder says; without a notice it only says that it is there.
+// news is what a feeder says; without an update it only says that it is there, and how fresh its state is.
 type news struct {
-	notice  *clusterstate.Update
-	settled bool
+	update *clusterstate.Update
+	fresh  clusterstate.Freshness
 }
 
-// report is what a follower says of itself and of those below it.
-type report struct{ all []controller.EdgeReport }
+// report is what a follower says of itself and of those below it, and which configuration it holds.
+type report struct {
+	all      []controller.EdgeReport
+	revision uint64
+}
+
+// currency is what was last noted of how current a controller is.
+type currency struct {
+	noted           bool
+	since           int64 // on the machine's clock
+	epoch, revision uint64
+}
 
+// publish tells all who follow. Each takes differences between fleets.
 func (f *feed) publish(n news) {
+	if n.update != nil {
+		told := n.update.ForFollower(true)
+		n.update = &told
+	}
 	for _, l := range slices.Clone(f.links) {
 		l.send(1, n)
 	}
@@ -98,9 +114,9 @@
 	}
 	s.bootstrap = false
 	s.mesh, s.feed, s.calls = map[string]*line{}, feed{}, map[uint64]func(controller.Answer){}
-	s.leaving, s.inContact, s.tickAt = false, false, 0
+	s.leaving, s.current, s.tickAt = false, currency{}, 0
 	s.controller = controller.New(m.clock(), start)
-	m.every(feedEvery, func() { s.feed.publish(news{settled: s.inContact}) })
+	m.every(feedEvery, func() { s.feed.publish(news{fresh: s.freshness()}) })
 	s.tick()
 }
 
@@ -109,6 +125,7 @@
 	if now := s.machine.clock(); now >= s.controller.Next() {
 		s.carry(s.controller.Tick(now))
 	}
+	s.noteCurrent()
 	s.wake()
 }
 
@@ -136,8 +153,21 @@
 	s.tick()
 }
 
+// noteCurrent notes how current the controller is.
+func (s *server) noteCurrent() {
+	s.current = currency{true, s.controller.CurrentSince(), s.controller.Epoch(), s.controller.Revision()}
+}
+
+// freshness is what followers are told, as of now.
+func (s *server) freshness() clusterstate.Freshness {
+	fresh := clusterstate.Freshness{Epoch: s.current.epoch, Revision: s.current.revision}
+	if s.current.noted && s.current.since != lease.Never {
+		fresh.Known, fresh.Age = true, max(s.machine.clock()-s.current.since, 0)
+	}
+	return fresh
+}
+
 func (s *server) carry(o controller.Out) {
-	s.inContact = s.controller.InContact()
 	for _, l := range o.Log {
 		if s.world.trace != nil {
 			s.world.tell(s.machine.name, "%s %v", l.Text, l.Values)
@@ -159,9 +189,10 @@
 			answer(a)
 		}
 	}
-	if !o.Notice.Empty() {
-		n := o.Notice
-		s.feed.publish(news{&n, s.inContact})
+	if !o.Update.Empty() {
+		s.noteCurrent()
+		update := o.Update
+		s.feed.publish(news{&update, s.freshness()})
 	}
 }
 
@@ -220,7 +251,7 @@
 func (s *server) acceptFollower(c *connection) {
 	attend(s.machine, c, &s.feed, func() news {
 		whole := s.controller.Snapshot()
-		return news{&whole, s.controller.InContact()}
+		return news{&whole, s.freshness()}
 	}, func(r report) {
 		for _, e := range r.all {
 			s.take(s.controller.Edge(s.machine.clock(), e))
@@ -248,7 +279,11 @@
 		if !joined {
 			joined = true
 			f.links = append(f.links, c)
-			c.send(1, whole())
+			first := whole()
+			if message.(report).revision >= first.update.Revision {
+				first.update.Body = nil
+			}
+			c.send(1, first)
 		}
 		here(message.(report))
 	}, func() { f.part(c) })
