--- a/lab/controlsim/edge.go
+++ b/lab/controlsim/edge.go
@@ -24,7 +24,7 @@
 	machine *machine
 	zone    string
 	seeds   []string
-	beside  string // the next process is told of this controller alone
+	beside  string // the next process follows this controller first
 
 	state    *clusterstate.State
 	detector *failuredetector.Detector
@@ -59,7 +59,7 @@
 		e.seeds = e.world.seeds()
 	}
 	if e.beside != "" {
-		e.seeds, e.beside = []string{e.beside}, ""
+		e.seeds, e.beside = e.seedsWith(e.beside), ""
 	}
 	e.relay, e.below, e.rule, e.link, e.ready = feed{}, map[string]sighting{}, &following{}, nil, false
 	e.world.history.Lives = append(e.world.history.Lives, checker.Life{Edge: m.name, Life: m.life, At: e.world.now})
@@ -74,6 +74,22 @@
 	e.follow()
 }
 
+// seedsWith are three seeds of which this edge follows the one named first, where there are such.
+func (e *edge) seedsWith(first string) []string {
+	const tries = 50
+	seeds := []string{first}
+	for range tries {
+		seeds = e.world.seeds()
+		if !slices.Contains(seeds, first) {
+			seeds[0] = first
+		}
+		if relaytree.Feeders(e.machine.name, e.zone, clusterstate.Fleet{}, seeds)[0].IP == first {
+			break
+		}
+	}
+	return seeds
+}
+
 // findFeeders finds those that may be followed, by what is known of the fleet.
 func (e *edge) findFeeders() {
 	e.feeders = nil
