--- a/decide/controller/callers.go
+++ b/decide/controller/callers.go
@@ -10,11 +10,12 @@
 
 // What replicas and operators are answered, and when.
 
-// Beat takes a replica's heartbeat or departure. It is acknowledged at once; but that one leaves is known to
-// a majority first.
+// Beat takes a replica's heartbeat or departure. It is acknowledged at once; but that one leaves is on the disks
+// of a majority first.
 //
-// Danger: a controller that is cut off would acknowledge what no edge ever hears of; and one that dies right
-// after would take the word with it, while edges go on sending to the replica.
+// This guards against a controller that is cut off, which would acknowledge what no edge ever hears of; against one
+// that dies right after and would take the word with it, while edges go on sending to the replica; and against
+// the death of all of them.
 func (c *Controller) Beat(now int64, id uint64, r registry.Record) Out {
 	c.now = now
 	if !c.InContact() || c.leaving {
@@ -27,14 +28,14 @@
 		return c.done()
 	}
 	c.asks++
-	t := &pendingCall{id: id, until: now + answerWithin, acks: map[string]struct{}{c.IP: {}}, asked: c.asks}
+	t := &pendingCall{id: id, until: now + answerWithin, acks: map[string]struct{}{}, asked: c.asks, replica: r.ID}
 	c.calls = append(c.calls, t)
 	delete(c.pass, r.ID)
 	if known, ok := c.list.Get(r.ID); ok {
 		r = known
 	}
 	c.send(Message{Records: []registry.Record{r}, Ask: c.asks}, c.all()...)
-	c.acked(t)
+	c.answerLeavers()
 	return c.done()
 }
 
@@ -58,11 +59,12 @@
 	}
 	if changed {
 		c.listDirty = true
+		c.leavers.note(r)
 		c.tell(c.book.Take(clusterstate.Update{Replicas: []registry.Record{r}}))
 	}
 }
 
-// acked answers a call once a majority knows.
+// acked answers a call once a majority has it on disk.
 func (c *Controller) acked(t *pendingCall) {
 	n := 0
 	for _, m := range c.members() {
@@ -80,18 +82,14 @@
 	c.calls = slices.DeleteFunc(c.calls, func(o *pendingCall) bool { return o == t })
 }
 
-// Put takes a configuration that was read and found valid.
-func (c *Controller) Put(now int64, id, revision uint64, body []byte) Out {
+// Put takes an order of an operator: a configuration that was read and found valid, its content packed by
+// clusterstate.Pack. The answer follows the order's Verdict: 200 where the configuration is in force or was
+// overtaken, 409 where another content was confirmed under its revision, 503 where no majority answered in time.
+func (c *Controller) Put(now int64, id, revision uint64, packed []byte) Out {
 	c.now = now
-	t := &pendingCall{id: id, until: now + answerWithin, put: revision}
+	t := &pendingCall{id: id, until: now + answerWithin, order: newOrder(revision, packed)}
 	c.calls = append(c.calls, t)
-	n, out := c.proposer.Edit(now, func(v register.Value) (register.Value, bool) {
-		if revision <= v.Revision {
-			return v, false
-		}
-		v.Revision, v.Body = revision, body
-		return v, true
-	})
+	n, out := c.proposer.Edit(now, t.order.apply)
 	t.edit = n
 	c.carry(out)
 	return c.done()
@@ -117,8 +115,8 @@
 			continue
 		}
 		switch {
-		case !t.read:
-			c.answer(t, 200, nil, "")
+		case t.order != nil:
+			c.answerOrder(t, d.Value)
 		case d.Value.Revision == 0:
 			c.answer(t, 404, nil, "there is no configuration yet")
 		default:
--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -66,11 +66,12 @@
 	id    uint64
 	until int64
 	// one of:
-	edit  uint64 // of the proposer
-	read  bool
-	put   uint64              // the revision
-	acks  map[string]struct{} // for what must be known to a majority
-	asked uint64
+	edit    uint64 // of the proposer
+	read    bool
+	order   *order              // of an operator
+	acks    map[string]struct{} // for what must be on the disks of a majority: who has it there
+	asked   uint64
+	replica string // that leaves
 }
 
 // Controller is the machine.
@@ -95,6 +96,8 @@
 	now       int64
 
 	listDirty           bool
+	savingList          bool // the save under way has the list
+	leavers             leavers
 	listAt              int64
 	dirty               bool   // the state differs from what was handed out to be saved
 	saving              uint64 // number of the save under way, 0 for none
@@ -114,7 +117,7 @@
 // New makes a controller.
 func New(now int64, s Start) *Controller {
 	c := &Controller{Start: s, list: registry.New(silentBeats*s.BeatEvery, keepGone), book: clusterstate.NewState(),
-		peers: map[string]*peer{}, edges: map[string]*edge{}, pass: map[string]registry.Record{}, passed: map[string]int64{},
+		peers: map[string]*peer{}, edges: map[string]*edge{}, pass: map[string]registry.Record{}, passed: map[string]int64{}, leavers: newLeavers(),
 		began: now, now: now}
 	seeds := slices.Clone(s.Seeds)
 	slices.Sort(seeds)
@@ -205,13 +208,14 @@
 
 // done ends a call: what has to be saved is handed out, and what may leave does.
 func (c *Controller) done() Out {
-	listDue := c.listDirty && c.now >= c.listAt
+	listDue := c.listDue()
 	if (c.dirty || listDue) && c.saving == 0 && c.now >= c.saveAt && c.disk.CaughtUp {
 		c.saves++
 		c.saving, c.dirty = c.saves, false
 		c.out.Save = &Save{Number: c.saves, State: c.disk.State, CommittedRevision: c.committed.Revision}
 		if listDue {
-			c.listDirty, c.listAt = false, c.now+listEvery
+			c.listDirty, c.listAt, c.savingList = false, c.now+listEvery, true
+			c.leavers.handedOut(c.now)
 			c.out.Save.List = c.list.All()
 		}
 	}
@@ -227,6 +231,11 @@
 	if p == nil {
 		return c.done()
 	}
+	if p.heard == 0 {
+		// A drain that was acknowledged may have missed this controller's disk. Each of the others is asked once in a
+		// life, not just the first: a majority of them has it.
+		c.send(Message{Want: true}, w.From)
+	}
 	if p.heard == 0 || now-p.heard > silentMember {
 		p.first = now
 	}
@@ -263,7 +272,7 @@
 		c.want(w.From)
 	}
 	if w.Ask > 0 {
-		c.send(Message{Ack: w.Ask}, w.From)
+		c.acknowledge(w.From, w.Ask, w.Records)
 	}
 	if w.Ack > 0 {
 		for _, t := range slices.Clone(c.calls) {
@@ -406,6 +415,9 @@
 	} else if c.listDirty && c.saving == 0 {
 		next = min(next, max(c.saveAt, c.listAt, c.now))
 	}
+	if c.saving == 0 && c.leaverWaits() {
+		next = min(next, max(c.saveAt, c.leavers.saveAt, c.now))
+	}
 	return next
 }
 
--- a/decide/controller/disk.go
+++ b/decide/controller/disk.go
@@ -42,6 +42,7 @@
 	if number == c.saving {
 		c.saving = 0
 	}
+	c.listSaved(err == nil)
 	if err != nil {
 		c.dirty, c.saveAt = true, now+saveAgain
 		// What waited for this save waits for the next, which covers it as well.
--- /dev/null
+++ b/decide/controller/orders.go
@@ -0,0 +1,117 @@
+package controller
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"fmt"
+	"net/http"
+
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/register"
+)
+
+// Verdict is what became of an operator's order. It is read off the value that is known to stand on a majority
+// once the order's round has ended, never off an earlier look at a value that may still be replaced.
+type Verdict uint8
+
+// The verdicts.
+const (
+	Unsettled  Verdict = iota // the value says nothing of the order: it may yet be taken or not
+	InForce                   // the value holds this content under this revision
+	Overtaken                 // a higher revision is held, and no other content was confirmed under this one
+	Conflicted                // another content was confirmed under this revision
+)
+
+// String names a verdict for the log.
+func (v Verdict) String() string {
+	switch v {
+	case InForce:
+		return "in force"
+	case Overtaken:
+		return "overtaken"
+	case Conflicted:
+		return "conflicted"
+	default:
+		return "unsettled"
+	}
+}
+
+// order is one configuration as an operator sent it.
+type order struct {
+	register.Order
+	packed []byte // the content as clusterstate.Pack gave it
+}
+
+func newOrder(revision uint64, packed []byte) *order {
+	return &order{register.Order{Revision: revision, Sum: contentSum(packed)}, packed}
+}
+
+// contentSum is a sum of the bytes that the operator sent, the first 64 bits of their SHA-256. The packed form
+// would not do: another version of the program may pack the same bytes otherwise, and an order that was
+// confirmed by the one must be recognised by the other.
+func contentSum(packed []byte) uint64 {
+	content, ok := clusterstate.Unpack(packed)
+	if !ok {
+		content = packed
+	}
+	sum := sha256.Sum256(content)
+	return binary.BigEndian.Uint64(sum[:])
+}
+
+// recorded returns the orders of a value with the one in force among them.
+//
+// It guards against a version of the program that keeps no orders: a value that it wrote lacks the newest, whose
+// sum can still be had from the content held.
+func recorded(value register.Value) register.Orders {
+	if value.Revision == 0 {
+		return value.Orders
+	}
+	if _, known := value.Orders.Lookup(value.Revision); known {
+		return value.Orders
+	}
+	return value.Orders.Add(register.Order{Revision: value.Revision, Sum: contentSum(value.Body)})
+}
+
+// apply is the order as an edit of the register; it may run several times, each time on a newer value. The
+// configuration changes where the revision is above the one held. Also an order that comes too late for that is
+// recorded before it is confirmed, lest another content be confirmed under its revision afterwards.
+func (o *order) apply(value register.Value) (next register.Value, changed bool) {
+	orders := recorded(value)
+	if _, known := orders.Lookup(o.Revision); known {
+		return value, false // sent again, or another content came first
+	}
+	if o.Revision <= value.Revision && !orders.Reaches(o.Revision) {
+		return value, false // too old to be remembered
+	}
+	if o.Revision > value.Revision {
+		value.Revision, value.Body = o.Revision, o.packed
+	}
+	value.Orders = orders.Add(o.Order)
+	return value, true
+}
+
+// verdict tells what became of the order by the value that stands.
+func (o *order) verdict(value register.Value) Verdict {
+	sum, known := recorded(value).Lookup(o.Revision)
+	switch {
+	case known && sum != o.Sum:
+		return Conflicted
+	case o.Revision > value.Revision:
+		return Unsettled
+	case o.Revision == value.Revision:
+		return InForce
+	}
+	return Overtaken
+}
+
+// answerOrder tells an operator what became of an order.
+func (c *Controller) answerOrder(call *pendingCall, value register.Value) {
+	switch verdict := call.order.verdict(value); verdict {
+	case InForce, Overtaken:
+		c.answer(call, http.StatusOK, nil, "")
+	case Conflicted:
+		c.answer(call, http.StatusConflict, nil, fmt.Sprintf("revision %d was confirmed with another content", call.order.Revision))
+	default:
+		c.answer(call, http.StatusServiceUnavailable, nil, "it is not known what became of the configuration")
+	}
+}
--- /dev/null
+++ b/decide/controller/orders_test.go
@@ -0,0 +1,363 @@
+package controller
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/shoenig/test/must"
+	"pgregory.net/rapid"
+
+	"willowsill/decide/clusterstate"
+)
+
+// Tests of what operators are answered, played through a cluster in virtual time.
+
+// sentOrder is an order as an operator sends it, and sends again.
+type sentOrder struct {
+	revision uint64
+	content  string
+}
+
+// operators send orders and keep what they were answered. They fail the test where two contents are confirmed
+// under one number, or one that was confirmed is refused.
+type operators struct {
+	fail      func(format string, values ...any)
+	cluster   *cluster
+	calls     map[uint64]sentOrder
+	confirmed map[uint64]string
+	refused   map[sentOrder]bool
+	heard     map[uint64]bool
+}
+
+func newOperators(b *cluster, fail func(string, ...any)) *operators {
+	return &operators{fail: fail, cluster: b, calls: map[uint64]sentOrder{}, confirmed: map[uint64]string{},
+		refused: map[sentOrder]bool{}, heard: map[uint64]bool{}}
+}
+
+// send sends an order to a controller; it is answered to nobody where that is down.
+func (o *operators) send(name string, s sentOrder) uint64 {
+	if !o.cluster.servers[name].up {
+		return 0
+	}
+	id := o.cluster.put(name, s.revision, s.content)
+	o.calls[id] = s
+	return id
+}
+
+// listen takes in the answers that have come.
+func (o *operators) listen() {
+	for id, s := range o.calls {
+		answer, answered := o.cluster.answers[id]
+		if !answered || o.heard[id] {
+			continue
+		}
+		o.heard[id] = true
+		switch answer.Status {
+		case 200:
+			if was, ok := o.confirmed[s.revision]; ok && was != s.content {
+				o.fail("number %d is confirmed with %q and with %q", s.revision, was, s.content)
+			}
+			o.confirmed[s.revision] = s.content
+		case 409:
+			o.refused[s] = true
+		case 503:
+		default:
+			o.fail("an order was answered %d", answer.Status)
+		}
+	}
+	for revision, content := range o.confirmed {
+		if o.refused[sentOrder{revision, content}] {
+			o.fail("number %d with %q was confirmed and refused", revision, content)
+		}
+	}
+}
+
+// answered sends an order again and again, to one controller after the other, until its answer is clear.
+func (o *operators) answered(s sentOrder, first int) int {
+	names := o.cluster.names
+	for try := range 12 {
+		id := o.send(names[(first+try)%len(names)], s)
+		for wait := 0; id > 0 && o.cluster.answers[id].Status == 0 && wait < 1000; wait++ {
+			o.cluster.run(ms)
+		}
+		o.listen()
+		if status := o.cluster.answers[id].Status; status == 200 || status == 409 {
+			return status
+		}
+	}
+	o.fail("number %d got no clear answer", s.revision)
+	return 0
+}
+
+// unruly delays, loses and doubles words by the draws of a seed, while it is on.
+func unruly(b *cluster, random *rand.Rand, on *bool) {
+	b.tamper = func(_ int, w *Message) (int, int64) {
+		if !*on {
+			return 1, 0
+		}
+		delay := int64(random.IntN(60)) * ms
+		switch random.IntN(12) {
+		case 0:
+			return 0, 0
+		case 1:
+			return 2, delay
+		case 2:
+			return 1, 400 * ms
+		}
+		return 1, delay
+	}
+}
+
+// TestTwoContentsUnderOneNumber sends two contents under one number to two controllers at once, with words among
+// them delayed, lost and doubled as each of hundreds of seeds says. One content at most is confirmed, also when
+// both are sent again everywhere, and it is the one that is read back.
+func TestTwoContentsUnderOneNumber(t *testing.T) {
+	seeds := uint64(300)
+	if testing.Short() {
+		seeds = 60
+	}
+	winners := map[string]int{}
+	for seed := range seeds {
+		random := rand.New(rand.NewPCG(seed, 49))
+		b := newCluster(t, 3)
+		b.run(400 * ms)
+		on := true
+		unruly(b, random, &on)
+		o := newOperators(b, func(format string, values ...any) { t.Fatalf("seed %d: "+format, append([]any{seed}, values...)...) })
+		one, other := sentOrder{7, "one"}, sentOrder{7, "other"}
+		first := random.IntN(3)
+		o.send(b.names[first], one)
+		b.run(int64(random.IntN(40)) * ms)
+		o.send(b.names[(first+1+random.IntN(2))%3], other)
+		for range random.IntN(4) {
+			b.run(int64(random.IntN(300)) * ms)
+			o.send(b.names[random.IntN(3)], []sentOrder{one, other}[random.IntN(2)])
+		}
+		b.run(1200 * ms)
+		o.listen()
+		on = false
+		for at := range 3 {
+			statuses := [2]int{o.answered(one, at), o.answered(other, at)}
+			must.True(t, statuses == [2]int{200, 409} || statuses == [2]int{409, 200}, must.Sprint("seed ", seed, ": ", statuses))
+		}
+		read := b.read(b.names[random.IntN(3)])
+		must.Eq(t, o.confirmed[7], string(read.Body), must.Sprint("seed ", seed))
+		winners[o.confirmed[7]]++
+	}
+	must.MapLen(t, 2, winners, must.Sprint("the seeds decide nothing: ", winners))
+}
+
+// TestLoserOfARaceStaysTheLoser: also once later changes have come, and after all power was lost, the other content
+// under a number that was taken is refused, and the one that was taken is acknowledged.
+func TestLoserOfARaceStaysTheLoser(t *testing.T) {
+	b := newCluster(t, 5)
+	b.run(3000 * ms)
+	o := newOperators(b, t.Fatalf)
+	must.Eq(t, 200, o.answered(sentOrder{5, "five"}, 0))
+	must.Eq(t, 200, o.answered(sentOrder{9, "nine"}, 1))
+	for at := range b.names {
+		must.Eq(t, 200, o.answered(sentOrder{5, "five"}, at))
+		must.Eq(t, 409, o.answered(sentOrder{5, "other"}, at))
+	}
+	b.powerLost()
+	for at := range b.names {
+		must.Eq(t, 409, o.answered(sentOrder{5, "other"}, at))
+		must.Eq(t, 409, o.answered(sentOrder{9, "other"}, at))
+		must.Eq(t, 200, o.answered(sentOrder{5, "five"}, at))
+		must.Eq(t, 200, o.answered(sentOrder{9, "nine"}, at))
+	}
+}
+
+// powerLost takes the power from all controllers at once, and has them started again.
+func (b *cluster) powerLost() {
+	for _, name := range b.names {
+		b.servers[name].up = false
+	}
+	b.events = nil
+	b.run(300 * ms)
+	for _, name := range b.names {
+		b.start(name, false)
+	}
+	b.run(2500 * ms)
+}
+
+// TestOvertakenNumberHasOneContent: an order that a higher number has overtaken is acknowledged and changes nothing;
+// from then on its number, too, has one content.
+func TestOvertakenNumberHasOneContent(t *testing.T) {
+	b := newCluster(t, 5)
+	b.run(3000 * ms)
+	o := newOperators(b, t.Fatalf)
+	must.Eq(t, 200, o.answered(sentOrder{9, "nine"}, 0))
+	must.Eq(t, 200, o.answered(sentOrder{5, "five"}, 1))
+	must.Eq(t, "nine", string(b.read(b.names[2]).Body))
+	must.Eq(t, 409, o.answered(sentOrder{5, "other"}, 3))
+	b.powerLost()
+	must.Eq(t, 409, o.answered(sentOrder{5, "other"}, 4))
+	must.Eq(t, 200, o.answered(sentOrder{5, "five"}, 0))
+	must.Eq(t, "nine", string(b.read(b.names[2]).Body))
+}
+
+// TestSameOrderAtTwoControllers: an order that reaches two controllers at once is confirmed by both.
+func TestSameOrderAtTwoControllers(t *testing.T) {
+	for seed := range uint64(40) {
+		random := rand.New(rand.NewPCG(seed, 7))
+		b := newCluster(t, 3)
+		b.run(400 * ms)
+		one, other := b.put(b.names[0], 4, "four"), b.put(b.names[1], 4, "four")
+		b.run(int64(random.IntN(30)) * ms)
+		third := b.put(b.names[2], 4, "four")
+		b.run(900 * ms)
+		for _, id := range []uint64{one, other, third} {
+			must.Eq(t, 200, b.answers[id].Status)
+		}
+	}
+}
+
+// TestEightOrdersAtOnce: eight orders under way at once at all controllers, each answer lost at times and the order
+// sent again elsewhere. All are confirmed, and the highest is in force.
+func TestEightOrdersAtOnce(t *testing.T) {
+	for seed := range uint64(12) {
+		random := rand.New(rand.NewPCG(seed, 8))
+		b := newCluster(t, 5)
+		b.run(3000 * ms)
+		o := newOperators(b, t.Fatalf)
+		var orders []sentOrder
+		for i := range uint64(8) {
+			orders = append(orders, sentOrder{10 + 3*i, fmt.Sprint("content ", i)})
+		}
+		random.Shuffle(len(orders), func(i, j int) { orders[i], orders[j] = orders[j], orders[i] })
+		for i, s := range orders {
+			o.send(b.names[i%5], s)
+			b.run(int64(random.IntN(8)) * ms)
+		}
+		b.run(1000 * ms)
+		o.listen()
+		for i, s := range orders { // as if all answers had been lost
+			must.Eq(t, 200, o.answered(s, i+1))
+		}
+		must.Eq(t, "content 7", string(b.read(b.names[0]).Body))
+	}
+}
+
+// TestHundredsOfChanges: over 600 changes, any of the last 250 that is sent again to any controller is acknowledged,
+// another content under its number is refused, and the record stays bounded. What lies further back is acknowledged
+// and changes nothing.
+func TestHundredsOfChanges(t *testing.T) {
+	b := newCluster(t, 3)
+	b.run(400 * ms)
+	o := newOperators(b, t.Fatalf)
+	random := rand.New(rand.NewPCG(600, 49))
+	var taken []sentOrder
+	revision := uint64(0)
+	for change := range 600 {
+		revision += 1 + uint64(random.IntN(5))
+		s := sentOrder{revision, fmt.Sprint("content ", change)}
+		must.Eq(t, 200, o.answered(s, change))
+		taken = append(taken, s)
+		if change%10 > 0 {
+			continue
+		}
+		back := taken[len(taken)-1-random.IntN(min(250, len(taken)))]
+		must.Eq(t, 200, o.answered(back, random.IntN(3)))
+		must.Eq(t, 409, o.answered(sentOrder{back.revision, "other"}, random.IntN(3)))
+		if change == 300 {
+			b.servers[b.names[2]].up = false
+		} else if change == 400 {
+			b.start(b.names[2], false)
+		}
+	}
+	must.Eq(t, 200, o.answered(taken[3], 1))
+	last := taken[len(taken)-1]
+	must.Eq(t, last.content, string(b.read(b.names[2]).Body))
+}
+
+// TestOrdersByLot plays orders by lot: new numbers, old ones, contents sent again and others under a number that has
+// one, several at once, while controllers are killed, lose power, are cut off, and words go astray. One content a
+// number at most is confirmed, none that was confirmed is refused, and what is read back is confirmed or above.
+func TestOrdersByLot(t *testing.T) {
+	rapid.Check(t, func(r *rapid.T) {
+		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 49))
+		b := newCluster(t, 3+2*random.IntN(2))
+		b.run(400 * ms)
+		on := true
+		unruly(b, random, &on)
+		o := newOperators(b, r.Fatalf)
+		var sent []sentOrder
+		top := uint64(1)
+		for range 40 {
+			name := b.names[random.IntN(len(b.names))]
+			switch k := random.IntN(20); {
+			case k < 6 || len(sent) == 0: // a change, or two at once under one number
+				top += uint64(random.IntN(3))
+				s := sentOrder{top, fmt.Sprint("content ", len(sent))}
+				sent = append(sent, s)
+				o.send(name, s)
+			case k < 9: // another content under a number that was sent
+				s := sentOrder{sent[random.IntN(len(sent))].revision, fmt.Sprint("content ", len(sent))}
+				sent = append(sent, s)
+				o.send(name, s)
+			case k < 15: // sent again
+				o.send(name, sent[random.IntN(len(sent))])
+			case k < 16:
+				b.servers[name].up = false
+			case k < 17:
+				b.cut = func(from, to string) bool { return from == name || to == name && k%2 == 0 }
+			case k < 18:
+				b.cut = nil
+			default:
+				for _, down := range b.names {
+					if !b.servers[down].up {
+						b.start(down, false)
+					}
+				}
+			}
+			b.run(int64(random.IntN(250)) * ms)
+			o.listen()
+		}
+		on, b.cut = false, nil
+		for _, down := range b.names {
+			if !b.servers[down].up {
+				b.start(down, false)
+			}
+		}
+		b.run(3000 * ms)
+		o.listen()
+		for i, s := range sent {
+			o.answered(s, i)
+		}
+		newest := uint64(0)
+		for revision := range o.confirmed {
+			newest = max(newest, revision)
+		}
+		read := b.read(b.names[random.IntN(len(b.names))])
+		if string(read.Body) != o.confirmed[newest] {
+			r.Fatalf("read back: %q, confirmed last: %q under %d", read.Body, o.confirmed[newest], newest)
+		}
+	})
+}
+
+// TestOrdersBesideAnOlderVersion: controllers of a version that keeps no orders drop the record from each word. The
+// order that is held is still known by its content, and none that was confirmed is refused.
+func TestOrdersBesideAnOlderVersion(t *testing.T) {
+	b := newCluster(t, 3)
+	b.run(400 * ms)
+	b.tamper = func(_ int, w *Message) (int, int64) {
+		if m := w.Register; m != nil {
+			stripped := *m
+			stripped.Value.Orders, stripped.State.Value.Orders = nil, nil
+			w.Register = &stripped
+		}
+		return 1, 0
+	}
+	o := newOperators(b, t.Fatalf)
+	for i, s := range []sentOrder{{3, "three"}, {8, "eight"}, {12, "twelve"}} {
+		must.Eq(t, 200, o.answered(s, i))
+		must.Eq(t, 200, o.answered(s, i+1))
+		must.Eq(t, 409, o.answered(sentOrder{s.revision, "other"}, i+2))
+	}
+	b.tamper = nil
+	must.Eq(t, 200, o.answered(sentOrder{3, "three"}, 0))
+	must.Eq(t, 200, o.answered(sentOrder{12, "twelve"}, 1))
+	must.Eq(t, clusterstate.Pack([]byte("twelve")), b.servers[b.names[0]].committed.Body)
+}
--- a/decide/register/copy.go
+++ b/decide/register/copy.go
@@ -114,7 +114,7 @@
 	for _, m := range v.Prior {
 		b = appendText(b, m)
 	}
-	return appendText(b, string(v.Body))
+	return appendText(appendText(b, string(v.Body)), string(v.Orders))
 }
 
 func appendStates(b []byte, states map[string]State) []byte {
--- /dev/null
+++ b/decide/register/orders_test.go
@@ -0,0 +1,100 @@
+package register
+
+import (
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/shoenig/test/must"
+	"pgregory.net/rapid"
+)
+
+// TestOrdersKnowEachRevision adds orders in any sequence and compares with a map: the highest OrdersKept revisions
+// are known with the sum that came first, and Reaches tells where that ends.
+func TestOrdersKnowEachRevision(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var orders Orders
+		model := map[uint64]uint64{}
+		for range rapid.IntRange(0, 2*OrdersKept).Draw(t, "orders") {
+			order := Order{rapid.Uint64Range(0, 1500).Draw(t, "revision"), rapid.Uint64().Draw(t, "sum")}
+			if _, known := orders.Lookup(order.Revision); !known && !orders.Reaches(order.Revision) {
+				continue
+			}
+			before := string(orders)
+			next := orders.Add(order)
+			must.Eq(t, before, string(orders), must.Sprint("a record was changed in place"))
+			if _, known := model[order.Revision]; !known {
+				model[order.Revision] = order.Sum
+			}
+			orders = next
+		}
+		all := orders.All()
+		must.LessEq(t, OrdersKept, len(all))
+		must.Eq(t, min(OrdersKept, len(model)), len(all))
+		for revision, sum := range model {
+			got, known := orders.Lookup(revision)
+			if known {
+				must.Eq(t, sum, got)
+			} else {
+				must.False(t, orders.Reaches(revision))
+			}
+		}
+	})
+}
+
+// TestOrdersAreSmall: the record travels with each Accept.
+func TestOrdersAreSmall(t *testing.T) {
+	var orders Orders
+	for i := range uint64(3 * OrdersKept) {
+		orders = orders.Add(Order{1_000_000 + 90*i, i})
+	}
+	must.LessEq(t, 2600, len(orders))
+	must.Eq(t, OrdersKept, len(orders.All()))
+}
+
+// TestOrdersThatAreMalformed: bytes that are no record, from a disk or the wire, do no harm.
+func TestOrdersThatAreMalformed(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		orders := Orders(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"))
+		orders.Lookup(rapid.Uint64().Draw(t, "revision"))
+		orders.Reaches(7)
+		must.LessEq(t, OrdersKept, len(orders.Add(Order{7, 7}).All()))
+	})
+}
+
+// TestValueOfAnOlderVersion: a value without orders is read, and one with orders is read by who knows none.
+func TestValueOfAnOlderVersion(t *testing.T) {
+	older := struct {
+		Members  []string `cbor:"2,keyasint,omitempty"`
+		Revision uint64   `cbor:"4,keyasint,omitempty"`
+		Body     []byte   `cbor:"5,keyasint,omitempty"`
+	}{[]string{"a"}, 7, []byte("seven")}
+	packed, err := cbor.Marshal(older)
+	must.NoError(t, err)
+	var value Value
+	must.NoError(t, cbor.Unmarshal(packed, &value))
+	must.Eq(t, Value{Members: []string{"a"}, Revision: 7, Body: []byte("seven")}, value)
+	value.Orders = value.Orders.Add(Order{7, 1})
+	packed, err = cbor.Marshal(value)
+	must.NoError(t, err)
+	must.NoError(t, cbor.Unmarshal(packed, &older))
+	must.Eq(t, 7, older.Revision)
+}
+
+// TestKnownValueComesWithoutOrders: a disk leaves the record out where the asker holds the same value, and the
+// proposer puts its own in its place.
+func TestKnownValueComesWithoutOrders(t *testing.T) {
+	seeds := Value{Members: []string{"a"}, Revision: 7, Body: []byte("seven"), Orders: Orders{}.Add(Order{7, 1})}
+	held := State{Promised: Ballot{3, "x"}, Accepted: Ballot{3, "x"}, Value: seeds}
+	disk := Disk{held, true}
+	p := NewProposer("b/1", seeds, func() float64 { return 0 })
+	p.Hold(held)
+	var seen Value
+	_, out := p.Edit(0, func(v Value) (Value, bool) { seen = v; return v, false })
+	answer, _, _ := disk.Step(out.Send)
+	must.True(t, answer.Same)
+	must.SliceEmpty(t, answer.State.Value.Orders)
+	done := p.Step(0, "a", answer)
+	must.SliceLen(t, 1, done.Done)
+	must.Eq(t, seeds, seen)
+	must.Eq(t, seeds, done.Done[0].Value)
+}
--- a/decide/register/proposer.go
+++ b/decide/register/proposer.go
@@ -153,7 +153,7 @@
 		if m.State.Accepted != p.held.Accepted {
 			return Out{} // an answer to a question of before
 		}
-		m.State.Value.Body = p.held.Value.Body
+		m.State.Value.Body, m.State.Value.Orders = p.held.Value.Body, p.held.Value.Orders
 	}
 	switch {
 	case m.Kind == Holds && p.phase == asking && m.Ballot == p.asked:
--- a/decide/register/register.go
+++ b/decide/register/register.go
@@ -31,6 +31,7 @@
 	Revision uint64   `cbor:"4,keyasint,omitempty"` // of the configuration
 	Body     []byte   `cbor:"5,keyasint,omitempty"` // the configuration as the operator sent it
 	Size     int      `cbor:"6,keyasint,omitempty"` // members that there should be; more are there only for a while
+	Orders   Orders   `cbor:"7,keyasint,omitempty"` // which content was confirmed under which revision
 }
 
 // State is what one disk keeps.
@@ -59,7 +60,7 @@
 	Kind   Kind   `cbor:"1,keyasint"`
 	Ballot Ballot `cbor:"2,keyasint,omitempty"` // of a Query the number and the asker's life: handed back, and no ballot
 	State  State  `cbor:"4,keyasint,omitempty"`
-	Have   Ballot `cbor:"6,keyasint,omitempty"` // of a question: what the asker holds; what was accepted under it comes without its body
+	Have   Ballot `cbor:"6,keyasint,omitempty"` // of a question: what the asker holds; what was accepted under it comes without its body and orders
 	Same   bool   `cbor:"7,keyasint,omitempty"` // of an answer: it came so
 	Value  Value  `cbor:"5,keyasint,omitempty"`
 }
@@ -105,7 +106,7 @@
 func (d *Disk) told(question, answer Message) Message {
 	answer.State = d.State
 	if question.Have == d.Accepted && len(d.Value.Body) > 0 {
-		answer.State.Value.Body, answer.Same = nil, true
+		answer.State.Value.Body, answer.State.Value.Orders, answer.Same = nil, nil, true
 	}
 	return answer
 }
