--- a/decide/controller/orders_test.go
+++ b/decide/controller/orders_test.go
@@ -113,6 +113,7 @@
 // them delayed, lost and doubled as each of hundreds of seeds says. One content at most is confirmed, also when
 // both are sent again everywhere, and it is the one that is read back.
 func TestTwoContentsUnderOneNumber(t *testing.T) {
+	t.Parallel()
 	seeds := uint64(300)
 	if testing.Short() {
 		seeds = 60
@@ -200,6 +201,7 @@
 
 // TestSameOrderAtTwoControllers: an order that reaches two controllers at once is confirmed by both.
 func TestSameOrderAtTwoControllers(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		b := newCluster(t, 3)
@@ -217,6 +219,7 @@
 // TestEightOrdersAtOnce: eight orders under way at once at all controllers, each answer lost at times and the order
 // sent again elsewhere. All are confirmed, and the highest is in force.
 func TestEightOrdersAtOnce(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(12) {
 		random := rand.New(rand.NewPCG(seed, 8))
 		b := newCluster(t, 5)
@@ -244,6 +247,7 @@
 // another content under its number is refused, and the record stays bounded. What lies further back is acknowledged
 // and changes nothing.
 func TestHundredsOfChanges(t *testing.T) {
+	t.Parallel()
 	b := newCluster(t, 3)
 	b.run(400 * ms)
 	o := newOperators(b, t.Fatalf)
@@ -276,6 +280,7 @@
 // one, several at once, while controllers are killed, lose power, are cut off, and words go astray. One content a
 // number at most is confirmed, none that was confirmed is refused, and what is read back is confirmed or above.
 func TestOrdersByLot(t *testing.T) {
+	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 49))
 		b := newCluster(t, 3+2*random.IntN(2))
--- a/decide/register/orders.go
+++ b/decide/register/orders.go
@@ -29,7 +29,7 @@
 	revision := uint64(0)
 	for rest := []byte(o); len(rest) > 0; {
 		step, size := binary.Uvarint(rest)
-		if size <= 0 || len(rest) < size+sumBytes || step == 0 && len(all) > 0 {
+		if size <= 0 || len(rest) < size+sumBytes || step == 0 && len(all) > 0 || revision+step < revision {
 			break
 		}
 		revision += step
--- a/deployment/settings/settings.go
+++ b/deployment/settings/settings.go
@@ -36,6 +36,7 @@
 	QuorumMember bool              `toml:"quorum-member"`
 	BeatMs       int64             `toml:"beat-interval-ms"`
 	Rules        []string          `toml:"active-rules"`
+	ConfigMode   string            `toml:"config_mode"`
 	Zones        map[string]string `toml:"zones"`
 	Bind         Bind              `toml:"bind-addrs"`
 	Limits       Limits            `toml:"limits"`
--- a/transport/controlserver/resources.go
+++ b/transport/controlserver/resources.go
@@ -165,7 +165,23 @@
 	}
 }
 
+// configModeHighest is the one way to order configurations that is known here: the highest revision holds.
+const configModeHighest = "highest"
+
+// knownMode tells whether orders are taken. A settings file that names no mode is one from before there were any.
+func knownMode(mode string) bool { return mode == "" || mode == configModeHighest }
+
+// replace takes an operator's order.
+//
+// Where the deployment orders configurations in a way that is not known here, none is confirmed: one that the
+// operators' way refuses could be taken, and they would be told that it holds. 501 has them try again elsewhere,
+// so the order comes through once a version that knows the mode runs.
 func (h *configuration) replace(w http.ResponseWriter, r *http.Request) {
+	if mode := h.t.settings.ConfigMode; !knownMode(mode) {
+		klog.ErrorS(nil, "the config_mode of the settings is unknown; a configuration is left unanswered", "mode", mode)
+		refuse(w, http.StatusNotImplemented, fmt.Sprintf("config_mode %q is unknown here", mode))
+		return
+	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, chartMost+1))
 	if err != nil {
 		refuse(w, http.StatusServiceUnavailable, "the configuration did not come whole")
--- /dev/null
+++ b/transport/controlserver/resources_test.go
@@ -0,0 +1,78 @@
+package controlserver
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"github.com/shoenig/test/must"
+
+	"willowsill/decide/controller"
+	"willowsill/deployment/settings"
+)
+
+// newTestServer is a server whose controller is its only member; it has no sockets and its disk saves at once.
+func newTestServer(t *testing.T, mode string) http.Handler {
+	s := &Server{settings: settings.Settings{ConfigMode: mode}, calls: map[uint64]chan controller.Answer{},
+		inputs: make(chan func(int64) controller.Out, inputs), saves: make(chan controller.Save, 1)}
+	s.controller = controller.New(0, controller.Start{IP: "10.0.0.1", Life: "1", Seeds: []string{"10.0.0.1"}, Bootstrap: true,
+		BeatEvery: 1_000_000_000, Draw: func() float64 { return 0 }})
+	done := make(chan struct{})
+	t.Cleanup(func() { close(done) })
+	go func() {
+		now := int64(0)
+		save := func(out controller.Out) {
+			for {
+				s.carry(out)
+				if out.Save == nil {
+					return
+				}
+				number := (<-s.saves).Number
+				out = s.controller.Saved(now, number, nil)
+			}
+		}
+		save(s.controller.Tick(now))
+		for {
+			select {
+			case in := <-s.inputs:
+				now++
+				save(in(now))
+			case <-done:
+				return
+			}
+		}
+	}()
+	return s.handler()
+}
+
+func replace(handler http.Handler, revision, service string) int {
+	body := `{"revision":` + revision + `,"routes":[],"services":[{"name":"` + service + `"}]}`
+	w := httptest.NewRecorder()
+	handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/configuration/replace", strings.NewReader(body)))
+	return w.Code
+}
+
+// TestOrdersByHTTP: an order is confirmed, confirmed again when it is sent again, and another content under its
+// number is refused.
+func TestOrdersByHTTP(t *testing.T) {
+	for _, mode := range []string{"", configModeHighest} {
+		handler := newTestServer(t, mode)
+		must.Eq(t, 200, replace(handler, "7", "one"))
+		must.Eq(t, 200, replace(handler, "7", "one"))
+		must.Eq(t, 409, replace(handler, "7", "other"))
+		must.Eq(t, 200, replace(handler, "9", "two"))
+		must.Eq(t, 200, replace(handler, "7", "one"))
+		must.Eq(t, 409, replace(handler, "7", "other"))
+	}
+}
+
+// TestUnknownModeConfirmsNothing: where configurations are ordered in a way that is not known here, no order is
+// confirmed, and none is refused for good.
+func TestUnknownModeConfirmsNothing(t *testing.T) {
+	handler := newTestServer(t, "match")
+	must.Eq(t, 501, replace(handler, "7", "one"))
+	w := httptest.NewRecorder()
+	handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/configuration/read", nil))
+	must.Eq(t, 404, w.Code)
+}
