--- a/decide/controller/orders.go
+++ b/decide/controller/orders.go
@@ -4,12 +4,18 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"fmt"
-	"net/http"
 
 	"willowsill/decide/clusterstate"
 	"willowsill/decide/register"
 )
 
+// Statuses of HTTP that operators are answered.
+const (
+	statusOK          = 200
+	statusConflict    = 409 // ends the operator's call
+	statusUnavailable = 503 // has the operator try another controller
+)
+
 // Verdict is what became of an operator's order. It is read off the value that is known to stand on a majority
 // once the order's round has ended, never off an earlier look at a value that may still be replaced.
 type Verdict uint8
@@ -108,10 +114,10 @@
 func (c *Controller) answerOrder(call *pendingCall, value register.Value) {
 	switch verdict := call.order.verdict(value); verdict {
 	case InForce, Overtaken:
-		c.answer(call, http.StatusOK, nil, "")
+		c.answer(call, statusOK, nil, "")
 	case Conflicted:
-		c.answer(call, http.StatusConflict, nil, fmt.Sprintf("revision %d was confirmed with another content", call.order.Revision))
+		c.answer(call, statusConflict, nil, fmt.Sprintf("revision %d was confirmed with another content", call.order.Revision))
 	default:
-		c.answer(call, http.StatusServiceUnavailable, nil, "it is not known what became of the configuration")
+		c.answer(call, statusUnavailable, nil, "it is not known what became of the configuration")
 	}
 }
