--- a/decide/controller/orders.go
+++ b/decide/controller/orders.go
@@ -28,20 +28,6 @@
 	Conflicted                // another content was confirmed under this revision
 )
 
-// String names a verdict for the log.
-func (v Verdict) String() string {
-	switch v {
-	case InForce:
-		return "in force"
-	case Overtaken:
-		return "overtaken"
-	case Conflicted:
-		return "conflicted"
-	default:
-		return "unsettled"
-	}
-}
-
 // order is one configuration as an operator sent it.
 type order struct {
 	register.Order
