--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -68,11 +68,12 @@
 	id    uint64
 	until int64
 	// one of:
-	edit  uint64 // of the proposer
-	read  bool
-	put   uint64              // the revision
-	acks  map[string]struct{} // for what must be known to a majority
-	asked uint64
+	edit    uint64 // of the proposer
+	read    bool
+	order   *order              // of an operator
+	acks    map[string]struct{} // for what must be on the disks of a majority: who has it there
+	asked   uint64
+	replica string // that leaves
 }
 
 // Controller is the machine.
@@ -99,6 +100,8 @@
 	now         int64
 
 	listDirty           bool
+	savingList          bool // the save under way has the list
+	leavers             leavers
 	listAt              int64
 	dirty               bool   // the state differs from what was handed out to be saved
 	saving              uint64 // number of the save under way, 0 for none
@@ -121,7 +124,7 @@
 func New(now int64, s Start) *Controller {
 	c := &Controller{Start: s, list: registry.New(silentBeats*s.BeatEvery, keepGone), book: clusterstate.NewState(),
 		peers: map[string]*peer{}, edges: map[string]*edge{}, pass: map[string]registry.Record{}, passed: map[string]int64{},
-		lease: lease.New(s.IP + "/" + s.Life), began: now, now: now}
+		leavers: newLeavers(), lease: lease.New(s.IP + "/" + s.Life), began: now, now: now}
 	seeds := slices.Clone(s.Seeds)
 	slices.Sort(seeds)
 	seeds = slices.Compact(seeds)
@@ -195,13 +198,14 @@
 
 // done ends a call: what has to be saved is handed out, and what may leave does.
 func (c *Controller) done() Out {
-	listDue := c.listDirty && c.now >= c.listAt
+	listDue := c.listDue()
 	if (c.dirty || listDue) && c.saving == 0 && c.now >= c.saveAt && c.disk.CaughtUp {
 		c.saves++
 		c.saving, c.dirty = c.saves, false
 		c.out.Save = &Save{Number: c.saves, State: c.disk.State, CommittedRevision: c.committed.Revision}
 		if listDue {
-			c.listDirty, c.listAt = false, c.now+listEvery
+			c.listDirty, c.listAt, c.savingList = false, c.now+listEvery, true
+			c.leavers.handedOut(c.now)
 			c.out.Save.List = c.list.All()
 		}
 	}
@@ -217,6 +221,11 @@
 	if p == nil {
 		return c.done()
 	}
+	if p.heard == 0 {
+		// A drain that was acknowledged may have missed this controller's disk. Each of the others is asked once in a
+		// life, not just the first: a majority of them has it.
+		c.send(Message{Want: true}, w.From)
+	}
 	if p.heard == 0 || now-p.heard > silentMember {
 		p.first = now
 	}
@@ -253,7 +262,7 @@
 		c.want(w.From)
 	}
 	if w.Ask > 0 {
-		c.send(Message{Ack: w.Ask}, w.From)
+		c.acknowledge(w.From, w.Ask, w.Records)
 	}
 	if w.Ack > 0 {
 		for _, t := range slices.Clone(c.calls) {
@@ -368,6 +377,9 @@
 	} else if c.listDirty && c.saving == 0 {
 		next = min(next, max(c.saveAt, c.listAt, c.now))
 	}
+	if c.saving == 0 && c.leaverWaits() {
+		next = min(next, max(c.saveAt, c.leavers.saveAt, c.now))
+	}
 	return next
 }
 
