--- a/cmd/overloadtest/burst.go
+++ b/cmd/overloadtest/burst.go
@@ -97,7 +97,7 @@
 	var parts int
 	c := &cobra.Command{
 		Use: "burst", Short: "More than can be served for a while: what is kept, and what a refusal costs",
-		Example: "  bin/pressed burst --times 1,2,5,10 --for 5s", Args: cobra.NoArgs,
+		Example: "  bin/overloadtest burst --times 1,2,5,10 --for 5s", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx := context.Background()
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 1, ' ', 0)
--- a/cmd/overloadtest/rounds.go
+++ b/cmd/overloadtest/rounds.go
@@ -22,7 +22,7 @@
 
 // lone is one process of the program with replicas that take no time.
 func lone(binary, script string, parts int, work time.Duration) (*sites.World, func(), error) {
-	dir, err := os.MkdirTemp("", "pressed")
+	dir, err := os.MkdirTemp("", "overloadtest")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -48,7 +48,7 @@
 	var parts int
 	c := &cobra.Command{
 		Use: "rounds", Short: "What a query waits for the tick, what it costs, and the highest rate",
-		Example: "  bin/pressed rounds --each 5s", Args: cobra.NoArgs,
+		Example: "  bin/overloadtest rounds --each 5s", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 1, ' ', 0)
 			fmt.Fprintf(t, "one core of %d for the program, replicas without work, %v each\n", runtime.NumCPU(), each)
--- a/cmd/overloadtest/stops.go
+++ b/cmd/overloadtest/stops.go
@@ -121,7 +121,7 @@
 	var times int
 	c := &cobra.Command{
 		Use: "stops", Short: "The process is stopped by signals while it serves: what it blames on its replicas",
-		Example: "  bin/pressed stops --times 5", Args: cobra.NoArgs,
+		Example: "  bin/overloadtest stops --times 5", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 1, ' ', 0)
 			fmt.Fprintf(t, "%g queries a second of two parts of 40 ms each, stopped %d times, one second between\n", rate, times)
--- a/cmd/willowlab/explore.go
+++ b/cmd/willowlab/explore.go
@@ -59,24 +59,24 @@
 	return c
 }
 
-// spreading reckons what news costs on its way to all edges.
-func spreading() *cobra.Command {
+// propagating counts the messages that bring one update to all edges.
+func propagating() *cobra.Command {
 	f := propagation.Fleet{Edges: 60, Controllers: 9, Zones: 6, Regions: 3}
-	c := &cobra.Command{Use: "spread", Short: "Reckon what one piece of news costs on its way to all edges: tree, star, flood",
-		Example: "  willowlab spread --edges 1000", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "propagation", Aliases: []string{"spread"}, Short: "Count the messages that bring one update to all edges: tree, star, flood",
+		Example: "  willowlab propagation --edges 1000", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if f.Edges < 1 || f.Controllers < 1 || f.Zones < 1 || f.Regions < 1 || f.Regions > f.Zones {
-				return fmt.Errorf("edges, lights, zones and regions are 1 at least, and regions no more than zones")
+				return fmt.Errorf("edges, controllers, zones and regions are 1 at least, and regions no more than zones")
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(w, "way\tcopies\tbetween zones\tbetween regions\tmost at a controller\tmost at an edge\thops\treached\t")
 			for _, r := range propagation.Reckon(f) {
-				fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", r.Way, r.Copies, r.Zones, r.Regions, r.AtLight, r.AtEdge, r.Hops, r.Reached)
+				fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", r.Way, r.Copies, r.Zones, r.Regions, r.AtController, r.AtEdge, r.Hops, r.Reached)
 			}
 			return w.Flush()
 		}}
 	c.Flags().IntVar(&f.Edges, "edges", f.Edges, "edges")
-	c.Flags().IntVar(&f.Controllers, "lights", f.Controllers, "controllers")
+	c.Flags().IntVar(&f.Controllers, "controllers", f.Controllers, "controllers")
 	c.Flags().IntVar(&f.Zones, "zones", f.Zones, "zones")
 	c.Flags().IntVar(&f.Regions, "regions", f.Regions, "regions")
 	return c
--- a/cmd/willowlab/main.go
+++ b/cmd/willowlab/main.go
@@ -14,7 +14,7 @@
 		SilenceUsage: true, SilenceErrors: true}
 	root.PersistentFlags().Bool(asBuilt, false, "")
 	root.PersistentFlags().MarkHidden(asBuilt)
-	root.AddCommand(running(), beside(), checking(), comparing(), reporting(), hunting(), replaying(), loading(), growing(), exploring(), spreading(), losing())
+	root.AddCommand(running(), beside(), checking(), comparing(), reporting(), hunting(), replaying(), loading(), growing(), exploring(), propagating(), losing())
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "willowlab:", err)
 		os.Exit(code(err))
--- a/decide/relaytree/example_test.go
+++ b/decide/relaytree/example_test.go
@@ -13,12 +13,12 @@
 	for i := range 4 {
 		fleet.Edges = append(fleet.Edges, clusterstate.Edge{IP: fmt.Sprint("10.0.0.", i+1), Zone: "east"})
 	}
-	lights := 0
+	controllers := 0
 	for _, e := range fleet.Edges {
-		if relaytree.Feeders(e.IP, e.Zone, fleet, []string{"10.9.0.1"})[0].Light {
-			lights++
+		if relaytree.Feeders(e.IP, e.Zone, fleet, []string{"10.9.0.1"})[0].Controller {
+			controllers++
 		}
 	}
-	fmt.Println(lights, "follow a controller")
+	fmt.Println(controllers, "follow a controller")
 	// Output: 2 follow a controller
 }
--- a/decide/relaytree/relaytree.go
+++ b/decide/relaytree/relaytree.go
@@ -1,6 +1,6 @@
-// Package relaytree is the tree that news goes down. Each zone's edges make one among themselves, from the list
-// of edges that all are told: the first two in the order of the ring follow controllers, the others follow
-// those before them. It does no I/O.
+// Package relaytree is the tree by which updates reach the edges. Each zone's edges make one among themselves, from the
+// list of edges that all are told: the first two in the order of the ring follow controllers, the others follow those
+// before them. It does no I/O.
 //
 // The tree is a digital search tree: an edge's way down from its head is spelt by the bits of a hash of its IP,
 // and on each way the edges stand in the order of the ring. So an edge that joins or leaves moves only those
@@ -27,15 +27,15 @@
 	branchKey = "/branch"
 )
 
-// Feeder is one to follow.
+// Feeder is a process that an edge may follow for updates: a controller, or the agent of another edge.
 type Feeder struct {
-	IP    string
-	Light bool
+	IP         string
+	Controller bool
 }
 
 // Feeders are those that an edge may follow, the one to follow first in front; controllers come last and
 // always.
-func Feeders(self, zone string, f clusterstate.Fleet, lights []string) (order []Feeder) {
+func Feeders(self, zone string, f clusterstate.Fleet, controllers []string) (order []Feeder) {
 	var ips []string
 	for _, e := range f.Edges {
 		if e.Zone == zone || e.IP == self {
@@ -54,11 +54,11 @@
 			}
 		}
 	}
-	lights = slices.Clone(lights)
-	slices.SortFunc(lights, func(a, b string) int {
+	controllers = slices.Clone(controllers)
+	slices.SortFunc(controllers, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(self+a), xxhash.Sum64String(self+b)), cmp.Compare(a, b))
 	})
-	for _, ip := range slices.Compact(lights) {
+	for _, ip := range slices.Compact(controllers) {
 		order = append(order, Feeder{ip, true})
 	}
 	return order
--- a/decide/relaytree/relaytree_test.go
+++ b/decide/relaytree/relaytree_test.go
@@ -11,10 +11,10 @@
 	"willowsill/decide/failuredetector"
 )
 
-// TestEveryWayLeadsToALight: whoever fails, each edge has another way in the end, and the first ways make a
+// TestEveryPathEndsAtAController: whoever fails, each edge has another way in the end, and the first ways make a
 // tree: nobody is above itself.
-func TestEveryWayLeadsToALight(t *testing.T) {
-	lights := []string{"1.1.1.1", "1.1.1.2", "1.1.1.3"}
+func TestEveryPathEndsAtAController(t *testing.T) {
+	controllers := []string{"1.1.1.1", "1.1.1.2", "1.1.1.3"}
 	for _, n := range []int{1, 2, 3, 9, 60, 300} {
 		var f clusterstate.Fleet
 		for i := range n {
@@ -23,10 +23,10 @@
 		first, zone := map[string]Feeder{}, map[string]string{}
 		heads, under := map[string]int{}, map[string]int{}
 		for _, e := range f.Edges {
-			order := Feeders(e.IP, e.Zone, f, lights)
+			order := Feeders(e.IP, e.Zone, f, controllers)
 			first[e.IP], zone[e.IP] = order[0], e.Zone
-			must.True(t, order[len(order)-1].Light)
-			if order[0].Light {
+			must.True(t, order[len(order)-1].Controller)
+			if order[0].Controller {
 				heads[e.Zone]++
 			} else {
 				under[order[0].IP]++
@@ -40,7 +40,7 @@
 		}
 		for ip := range first {
 			steps := 0
-			for at := ip; !first[at].Light; at = first[at].IP {
+			for at := ip; !first[at].Controller; at = first[at].IP {
 				must.Eq(t, zone[ip], zone[at])
 				steps++
 				must.Less(t, 8, steps)
@@ -48,7 +48,7 @@
 		}
 	}
 	// An edge that no list names yet follows a controller.
-	must.True(t, Feeders("10.9.9.9", "z1", clusterstate.Fleet{}, lights)[0].Light)
+	must.True(t, Feeders("10.9.9.9", "z1", clusterstate.Fleet{}, controllers)[0].Controller)
 }
 
 // TestFewMoveWhenOneJoins: an edge that joins or leaves gives few others another feeder, however many there are.
--- a/lab/propagation/propagation.go
+++ b/lab/propagation/propagation.go
@@ -1,6 +1,5 @@
-// Package propagation reckons what one piece of news costs on its way to all edges, by whom each would follow as
-// decide/relaytree has it, beside a star (each edge on a controller) and a flood (each edge tells a few others
-// whatever it hears first). It does no I/O.
+// Package propagation counts the messages that bring one update to all edges: by the tree of decide/relaytree, by a star
+// (each edge follows a controller) and by a flood (each edge passes what it hears first to a few others). It does no I/O.
 package propagation
 
 import (
@@ -11,19 +10,19 @@
 	"willowsill/decide/relaytree"
 )
 
-// Fleet is what is reckoned: so many edges and controllers spread evenly over zones, and those over regions.
+// Fleet is a system's size: edges and controllers spread evenly over zones, and zones over regions.
 type Fleet struct{ Edges, Controllers, Zones, Regions int }
 
-// Cost is what one piece of news costs. Copies are of the news itself, on a link each.
+// Cost is what one update costs. A copy is one message over one link.
 type Cost struct {
-	Way     string
-	Copies  int     // all in all, those between controllers left out
-	Zones   int     // of them between zones of a region
-	Regions int     // and between regions
-	AtLight int     // the most that one controller sends
-	AtEdge  int     // the most that one edge sends
-	Hops    int     // from a controller to the last edge
-	Reached float64 // share of the edges
+	Way          string
+	Copies       int     // in all, those between controllers not counted
+	Zones        int     // of them between zones of a region
+	Regions      int     // and between regions
+	AtController int     // the most that one controller sends
+	AtEdge       int     // the most that one edge sends
+	Hops         int     // from a controller to the last edge
+	Reached      float64 // share of the edges
 }
 
 const (
@@ -70,13 +69,13 @@
 	for _, ip := range names {
 		up := first(ip)
 		from := controllers[up.IP]
-		if !up.Light {
+		if !up.Controller {
 			from = edges[up.IP]
 		}
 		tree.pass(from, edges[ip])
 		sends[up.IP]++
 		hops := 1
-		for at := up; !at.Light; at = first(at.IP) {
+		for at := up; !at.Controller; at = first(at.IP) {
 			hops++
 		}
 		tree.Hops = max(tree.Hops, hops)
@@ -85,21 +84,21 @@
 		starSends[order[0].IP]++
 	}
 	for ip, n := range sends {
-		if _, light := controllers[ip]; light {
-			tree.AtLight = max(tree.AtLight, n)
+		if _, controller := controllers[ip]; controller {
+			tree.AtController = max(tree.AtController, n)
 		} else {
 			tree.AtEdge = max(tree.AtEdge, n)
 		}
 	}
 	for _, n := range starSends {
-		star.AtLight = max(star.AtLight, n)
+		star.AtController = max(star.AtController, n)
 	}
 	return []Cost{tree, star, flood(f, names, edges, controllers)}
 }
 
 // flood is one drawing of it.
 func flood(f Fleet, names []string, edges, controllers map[string]place) Cost {
-	c := Cost{Way: "flood", AtLight: floodOf, AtEdge: floodTo}
+	c := Cost{Way: "flood", AtController: floodOf, AtEdge: floodTo}
 	rng := rand.New(rand.NewPCG(uint64(f.Edges), 1))
 	heard := map[string]bool{}
 	var wave []string
--- a/lab/rehearsal/rehearsal.go
+++ b/lab/rehearsal/rehearsal.go
@@ -32,17 +32,17 @@
 const Variable = "WILLOWSILL_REHEARSAL_PART"
 
 const (
-	lights     = 3
-	proxies    = 2
-	shards     = 3
-	holders    = 2 // of each shard, and of the ledger
-	work       = 8 * time.Millisecond
-	beat       = 300 * time.Millisecond
-	clients    = 8
-	deadlineMs = 1500
-	firstPort  = 17080
-	startWait  = 20 * time.Second
-	settleWait = 1200 * time.Millisecond // after a loss, before what follows is counted apart
+	controllers = 3
+	proxies     = 2
+	shards      = 3
+	holders     = 2 // of each shard, and of the ledger
+	work        = 8 * time.Millisecond
+	beat        = 300 * time.Millisecond
+	clients     = 8
+	deadlineMs  = 1500
+	firstPort   = 17080
+	startWait   = 20 * time.Second
+	settleWait  = 1200 * time.Millisecond // after a loss, before what follows is counted apart
 )
 
 // Phase is a stretch of the rehearsal and what came of it.
@@ -91,10 +91,10 @@
 	}
 	s := &stage{dir: dir, exe: exe, children: map[string]*exec.Cmd{}}
 	defer s.strike()
-	for i := range lights {
+	for i := range controllers {
 		s.control = append(s.control, fmt.Sprintf("127.0.1.%d:%d", i+1, firstPort+10))
 	}
-	for i := range lights {
+	for i := range controllers {
 		if err := s.start("controller", fmt.Sprintf("127.0.1.%d", i+1)); err != nil {
 			return nil, err
 		}
--- a/transport/controlclient/controlclient.go
+++ b/transport/controlclient/controlclient.go
@@ -16,8 +16,8 @@
 	"willowsill/transport/watch"
 )
 
-// ErrDinghy is the class of this package's errors.
-var ErrDinghy = oops.Code("willowctl")
+// ErrClient is the class of this package's errors.
+var ErrClient = oops.Code("willowctl")
 
 const (
 	callWithin = 2 * time.Second
@@ -30,12 +30,12 @@
 
 func (c *Control) call(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
 	client := http.Client{Timeout: callWithin}
-	err = ErrDinghy.Errorf("no control address was given")
+	err = ErrClient.Errorf("no control address was given")
 	for n := 0; ctx.Err() == nil && len(c.Addresses) > 0; n++ {
 		address := c.Addresses[n%len(c.Addresses)]
 		var req *http.Request
 		if req, err = http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body)); err != nil {
-			return 0, nil, ErrDinghy.Wrapf(err, "%s", address)
+			return 0, nil, ErrClient.Wrapf(err, "%s", address)
 		}
 		req.Header.Set("Content-Type", "application/json")
 		var res *http.Response
@@ -47,7 +47,7 @@
 				return res.StatusCode, answer, nil
 			}
 			if err == nil {
-				err = ErrDinghy.Errorf("%s answered %s: %s", address, res.Status, bytes.TrimSpace(answer))
+				err = ErrClient.Errorf("%s answered %s: %s", address, res.Status, bytes.TrimSpace(answer))
 			}
 		}
 		select {
@@ -55,7 +55,7 @@
 		case <-time.After(tryAgain):
 		}
 	}
-	return 0, nil, ErrDinghy.Wrapf(err, "no clear answer")
+	return 0, nil, ErrClient.Wrapf(err, "no clear answer")
 }
 
 // read asks for the newest configuration; status is 404 where there is none.
@@ -67,7 +67,7 @@
 func (c *Control) Read(ctx context.Context) ([]byte, error) {
 	status, body, err := c.read(ctx)
 	if err == nil && status != http.StatusOK {
-		err = ErrDinghy.Errorf("status %d: %s", status, bytes.TrimSpace(body))
+		err = ErrClient.Errorf("status %d: %s", status, bytes.TrimSpace(body))
 	}
 	return body, err
 }
@@ -76,7 +76,7 @@
 func (c *Control) Holds(ctx context.Context) (bool, error) {
 	status, body, err := c.read(ctx)
 	if err == nil && status != http.StatusOK && status != http.StatusNotFound {
-		err = ErrDinghy.Errorf("status %d: %s", status, bytes.TrimSpace(body))
+		err = ErrClient.Errorf("status %d: %s", status, bytes.TrimSpace(body))
 	}
 	return status == http.StatusOK, err
 }
@@ -85,7 +85,7 @@
 func (c *Control) Send(ctx context.Context, body []byte) error {
 	status, answer, err := c.call(ctx, http.MethodPost, "/v1/configuration/replace", body)
 	if err == nil && status != http.StatusOK {
-		err = ErrDinghy.Errorf("status %d: %s", status, bytes.TrimSpace(answer))
+		err = ErrClient.Errorf("status %d: %s", status, bytes.TrimSpace(answer))
 	}
 	return err
 }
@@ -95,7 +95,7 @@
 func Follow(ctx context.Context, address string, take func(clusterstate.Update) bool) error {
 	l, err := peer.Dial(ctx, address)
 	if err != nil {
-		return ErrDinghy.Wrap(err)
+		return ErrClient.Wrap(err)
 	}
 	defer l.Close()
 	defer context.AfterFunc(ctx, l.Close)()
@@ -110,7 +110,7 @@
 			if ctx.Err() != nil {
 				return nil
 			}
-			return ErrDinghy.Wrap(err)
+			return ErrClient.Wrap(err)
 		}
 		if p.Update != nil && !take(*p.Update) {
 			return nil
