--- a/front/clienthttp/clienthttp_test.go
+++ b/front/clienthttp/clienthttp_test.go
@@ -48,7 +48,7 @@
 	return a, true
 }
 
-func quayOf(t *testing.T, c *core) *Handler {
+func handlerOf(t *testing.T, c *core) *Handler {
 	ch, err := routeconfig.Read([]byte(configuration))
 	must.NoError(t, err)
 	q := &Handler{Core: c, Now: func() int64 { return 1000 }}
@@ -80,7 +80,7 @@
 	c := &core{final: balance.Partial, answers: map[int]*replicahttp.Answer{0: part("x", record('b'), record('d')), 1: failed,
 		2: part("y", record('d'), record('a'), "rest")}}
 	w := httptest.NewRecorder()
-	quayOf(t, c).ServeHTTP(w, request("GET", "/a/q?x=1", ""))
+	handlerOf(t, c).ServeHTTP(w, request("GET", "/a/q?x=1", ""))
 	must.Eq(t, 200, w.Code)
 	must.Eq(t, "x, y", w.Header().Get(headerParts))
 	must.Eq(t, "1", w.Header().Get(headerMissing))
@@ -95,7 +95,7 @@
 	c := &core{answers: map[int]*replicahttp.Answer{0: {Status: 200, Seal: "s", Whole: true, Body: []byte("ok"),
 		Header: http.Header{"Willowsill-Replica-Seal": {"s"}, "Connection": {"close"}, "X-More": {"1", "2"}}}}}
 	w := httptest.NewRecorder()
-	quayOf(t, c).ServeHTTP(w, request("POST", "/b/a%2Fb?x=%20", "body"))
+	handlerOf(t, c).ServeHTTP(w, request("POST", "/b/a%2Fb?x=%20", "body"))
 	must.Eq(t, 200, w.Code)
 	must.Eq(t, "ok", w.Body.String())
 	must.Eq(t, "", w.Header().Get("Connection"))
@@ -138,7 +138,7 @@
 			r := request("POST", "/b/x", "body")
 			c.change(r)
 			w := httptest.NewRecorder()
-			quayOf(t, c.core).ServeHTTP(w, r)
+			handlerOf(t, c.core).ServeHTTP(w, r)
 			must.Eq(t, c.want, w.Code)
 			if c.want == 503 && c.core == declined {
 				must.Eq(t, "0.892", w.Header().Get("Retry-After"))
--- /dev/null
+++ b/internal/house/names_test.go
@@ -0,0 +1,99 @@
+package house
+
+import (
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+// withdrawn are names that the operators have withdrawn; docs/former-names.md has what took their place.
+var withdrawn = []string{"lighthouse", "pilot", "pilotage", "cutter", "keeper", "lantern", "tower", "helm", "skiff", "dinghy",
+	"muster", "beam", "beacons", "lookout", "gangway", "hail", "crew", "strongbox", "quay", "berth", "shoals", "moored", "sailor"}
+
+// withdrawnPaths are names of folders whose last part is a word of its own elsewhere.
+var withdrawnPaths = []string{"carrier/", "cmd/pressed", "bin/pressed", "decide/chart", "decide/notices", "lab/spread"}
+
+// history says what things were called then.
+var history = []string{"journal", ".git", "results", "docs/incidents", "CHANGELOG.md", "docs/former-names.md", "internal/house/names_test.go"}
+
+var namedIn = []string{".go", ".md", ".toml", ".star", ".sh", ".json", ".txt", ".mod", ""}
+
+// namePart is a word, or the part of an identifier that begins with a capital.
+var namePart = regexp.MustCompile(`[A-Z]?[a-z]+|[A-Z]+`)
+
+// withdrawnIn lists the withdrawn names in a text, whether they stand alone, in the plural or in an identifier.
+func withdrawnIn(text string) []string {
+	var found []string
+	for _, part := range namePart.FindAllString(text, -1) {
+		part = strings.ToLower(part)
+		if slices.Contains(withdrawn, part) || slices.Contains(withdrawn, strings.TrimSuffix(part, "s")) {
+			found = append(found, part)
+		}
+	}
+	for _, path := range withdrawnPaths {
+		if strings.Contains(text, path) {
+			found = append(found, path)
+		}
+	}
+	return found
+}
+
+// TestWithdrawnNames: code and docs of today call things by the names of today.
+func TestWithdrawnNames(t *testing.T) {
+	root := "../.."
+	files := 0
+	must.NoError(t, filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		name, err := filepath.Rel(root, path)
+		if err != nil {
+			return err
+		}
+		if within(name, history...) {
+			if d.IsDir() {
+				return fs.SkipDir
+			}
+			return nil
+		}
+		if found := withdrawnIn(name + " "); len(found) > 0 {
+			t.Errorf("%s is named by %v", name, found)
+		}
+		if d.IsDir() && (within(name, "bin", "target", "logs", "found") || d.Name() == "rapid") {
+			return fs.SkipDir
+		}
+		if !d.Type().IsRegular() || !slices.Contains(namedIn, filepath.Ext(name)) {
+			return nil
+		}
+		files++
+		text, err := os.ReadFile(path)
+		if err != nil {
+			return err
+		}
+		for i, line := range strings.Split(string(text), "\n") {
+			if found := withdrawnIn(line); len(found) > 0 {
+				t.Errorf("%s:%d: %v", name, i+1, found)
+			}
+		}
+		return nil
+	}))
+	must.Greater(t, 300, files)
+}
+
+func TestWithdrawnIn(t *testing.T) {
+	for text, want := range map[string][]string{
+		"two lighthouses and a Pilot": {"lighthouses", "pilot"},
+		"func newKeeperState()":       {"keeper"},
+		"carrier/wire and Carrier":    {"carrier/"},
+		"a beamer, copilots, towered": nil,
+		"errTowerGone, tower_gone":    {"tower", "tower"},
+	} {
+		must.Eq(t, want, withdrawnIn(text), must.Sprint(text))
+	}
+}
--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -96,13 +96,13 @@
 	server  *redis.Server
 	network *pipes.Network
 	began   time.Time
-	keepers []*one
+	aggregators []*one
 }
 
 func (w *world) now() int64 { return int64(time.Since(w.began)) + 1e9 }
 
-// play plays a test in a bubble of its own time with some keepers at one server.
-func play(t *testing.T, keepers int, change func(*Place, *commons.Terms), do func(*world)) {
+// play plays a test in a bubble of its own time with some aggregators at one server.
+func play(t *testing.T, aggregators int, change func(*Place, *commons.Terms), do func(*world)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{T: t, server: &redis.Server{}, network: &pipes.Network{}, began: time.Now()}
 		l := w.network.Listen("r:1")
@@ -113,10 +113,10 @@
 		}()
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan struct{})
-		for i := range keepers {
+		for i := range aggregators {
 			p := Place{Address: "r:1", Prefix: "t", Dial: w.network.Dial}
 			terms := commons.Terms{Name: fmt.Sprint("n", i), Incarnation: 7, Seed: uint64(i), Round: int64(round),
-				Deadline: int64(deadline), Sample: 24, Aggregators: keepers, Rest: 1e9, Health: true,
+				Deadline: int64(deadline), Sample: 24, Aggregators: aggregators, Rest: 1e9, Health: true,
 				Quotas: []commons.Quota{{Customer: "acme", Rate: 40}}}
 			if change != nil {
 				change(&p, &terms)
@@ -128,7 +128,7 @@
 				t.Fatal(err)
 			}
 			k.Willowctl = willowctl
-			w.keepers = append(w.keepers, k)
+			w.aggregators = append(w.aggregators, k)
 			go func() {
 				k.Run(ctx)
 				ended <- struct{}{}
@@ -137,7 +137,7 @@
 		do(w)
 		w.server.Misbehave(redis.Fault{})
 		stop()
-		for range keepers {
+		for range aggregators {
 			<-ended
 		}
 		l.Close()
@@ -158,7 +158,7 @@
 
 func (w *world) states() string {
 	all := ""
-	for _, k := range w.keepers {
+	for _, k := range w.aggregators {
 		all += k.state() + " "
 	}
 	return strings.TrimSpace(all)
@@ -168,23 +168,23 @@
 func TestHeard(t *testing.T) {
 	play(t, 3, nil, func(w *world) {
 		time.Sleep(4 * round)
-		for _, k := range w.keepers[:2] {
+		for _, k := range w.aggregators[:2] {
 			k.core.finds(balance.Finding{Replica: 3, Aside: true, Failed: w.now()})
 		}
 		time.Sleep(4 * round)
 		synctest.Wait()
-		if got := w.keepers[2].core.passed(); len(got) != 1 || got[0] != 3 || w.states() != "fresh fresh fresh" {
+		if got := w.aggregators[2].core.passed(); len(got) != 1 || got[0] != 3 || w.states() != "fresh fresh fresh" {
 			w.Errorf("passed over %v, %s", got, w.states())
 		}
-		if f := w.keepers[2].count.Figures(); f.Live != 3 || f.Heard == 0 || f.Refused != 0 {
+		if f := w.aggregators[2].count.Figures(); f.Live != 3 || f.Heard == 0 || f.Refused != 0 {
 			w.Errorf("%+v", f)
 		}
-		for _, k := range w.keepers[:2] {
+		for _, k := range w.aggregators[:2] {
 			k.core.finds(balance.Finding{Replica: 3})
 		}
 		time.Sleep(20 * round) // it fades, not at once for all
 		synctest.Wait()
-		if got := w.keepers[2].core.passed(); len(got) != 0 {
+		if got := w.aggregators[2].core.passed(); len(got) != 0 {
 			w.Errorf("still passes over %v", got)
 		}
 		if n := w.server.Connections(); n != 3 {
@@ -199,7 +199,7 @@
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
 		tokens := 0.0
-		for _, k := range w.keepers {
+		for _, k := range w.aggregators {
 			k.core.mu.Lock()
 			for _, a := range k.core.allowed {
 				for _, l := range a.Leases {
@@ -251,7 +251,7 @@
 				if c.want != "" && w.states() != c.want+" "+c.want {
 					w.Errorf("in trouble %s", w.states())
 				}
-				for _, k := range w.keepers {
+				for _, k := range w.aggregators {
 					if len(k.core.passed()) > 0 {
 						w.Error("words of a store in trouble")
 					}
@@ -297,22 +297,22 @@
 		}
 		time.Sleep(2 * round)
 		synctest.Wait()
-		f := w.keepers[0].count.Figures()
+		f := w.aggregators[0].count.Figures()
 		if f.Refused == 0 || f.Refused > 3*24 || f.State != commons.Fresh {
 			w.Errorf("a hash of many fields: %+v", f)
 		}
 		w.server.Plant("t:f", "", "a string")
 		w.server.Plant("t:m", "", "a string")
-		odd := w.keepers[0].count.Odd.Load()
+		odd := w.aggregators[0].count.Odd.Load()
 		time.Sleep(4 * round)
 		synctest.Wait()
-		if k := w.keepers[0]; k.count.Odd.Load() == odd || k.state() != "fresh" {
+		if k := w.aggregators[0]; k.count.Odd.Load() == odd || k.state() != "fresh" {
 			w.Errorf("of the wrong type: %d odd parts, %s", k.count.Odd.Load(), k.state())
 		}
 		w.server.Plant("t:a:n0", "", strings.Repeat("x", 10<<20))
 		time.Sleep(4 * round)
 		synctest.Wait()
-		if k := w.keepers[0]; k.count.Figures().Failed == 0 {
+		if k := w.aggregators[0]; k.count.Figures().Failed == 0 {
 			w.Errorf("ten megabytes at its own key: %s", k.state())
 		}
 	})
@@ -321,10 +321,10 @@
 // An aggregator that has no time to say what it knows goes on hearing.
 func TestCrowded(t *testing.T) {
 	play(t, 1, nil, func(w *world) {
-		w.keepers[0].core.crowd()
+		w.aggregators[0].core.crowd()
 		time.Sleep(10 * round)
 		synctest.Wait()
-		if k := w.keepers[0]; k.count.Unsurveyed.Load() == 0 || k.state() != "fresh" {
+		if k := w.aggregators[0]; k.count.Unsurveyed.Load() == 0 || k.state() != "fresh" {
 			w.Errorf("%d unsurveyed, %s", k.count.Unsurveyed.Load(), k.state())
 		}
 	})
@@ -348,11 +348,11 @@
 			time.Sleep(40 * round)
 			if synctest.Wait(); w.states() != c.state {
 				w.Errorf("with %q: %s", c.password, w.states())
-				for _, e := range w.keepers[0].logs.All()[:5] {
+				for _, e := range w.aggregators[0].logs.All()[:5] {
 					w.Log(e.Message, e.ContextMap())
 				}
 			}
-			for _, e := range w.keepers[0].logs.All() {
+			for _, e := range w.aggregators[0].logs.All() {
 				if strings.Contains(fmt.Sprint(e), c.password) && c.password != "wrong" {
 					w.Errorf("the log says %v", e)
 				}
