--- a/cmd/willowlab/explore.go
+++ b/cmd/willowlab/explore.go
@@ -59,8 +59,8 @@
 	return c
 }
 
-// propagating counts the messages that bring one update to all edges.
-func propagating() *cobra.Command {
+// spreading counts the messages that bring one update to all edges.
+func spreading() *cobra.Command {
 	f := propagation.Fleet{Edges: 60, Controllers: 9, Zones: 6, Regions: 3}
 	c := &cobra.Command{Use: "propagation", Aliases: []string{"spread"}, Short: "Count the messages that bring one update to all edges: tree, star, flood",
 		Example: "  willowlab propagation --edges 1000", Args: cobra.NoArgs,
