--- a/internal/house/names_test.go
+++ b/internal/house/names_test.go
@@ -44,6 +44,13 @@
 	return found
 }
 
+// mayHold is a quick look whether a text has a withdrawn name, or a longer word that holds one.
+func mayHold(text string) bool {
+	lower := strings.ToLower(text)
+	holds := func(name string) bool { return strings.Contains(lower, name) }
+	return slices.ContainsFunc(withdrawn, holds) || slices.ContainsFunc(withdrawnPaths, holds)
+}
+
 // TestWithdrawnNames: code and docs of today call things by the names of today.
 func TestWithdrawnNames(t *testing.T) {
 	root := "../.."
@@ -76,6 +83,9 @@
 		if err != nil {
 			return err
 		}
+		if !mayHold(string(text)) {
+			return nil
+		}
 		for i, line := range strings.Split(string(text), "\n") {
 			if found := withdrawnIn(line); len(found) > 0 {
 				t.Errorf("%s:%d: %v", name, i+1, found)
