--- a/decide/registry/registry.go
+++ b/decide/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry is the list of replicas: it takes their heartbeats, told by several co-ordinators in any
-// order, and says who is there, who is leaving and who has fallen silent. It reads no clock.
+// Package registry is the list of replicas: it takes their heartbeats, which come by several controllers in any order,
+// and says which replicas are ready, draining, silent or gone. It reads no clock.
 //
 // Records merge by their call number, so that any number of controllers come to the same list whatever
 // reaches them first.
@@ -59,7 +59,7 @@
 	heard int64
 }
 
-// Registry is one co-ordinator's list.
+// Registry is one controller's list.
 type Registry struct {
 	SilentAfter int64 // a replica unheard for so long has fallen silent, ns
 	KeepGone    int64 // the gone are remembered for so long, ns
@@ -74,10 +74,10 @@
 
 // Take takes a record in. news tells whether it said anything new at all, changed whether edges need to hear
 // of it.
-func (m *Registry) Take(now int64, r Record) (news, changed bool) {
-	e := m.entries[r.ID]
+func (reg *Registry) Take(now int64, r Record) (news, changed bool) {
+	e := reg.entries[r.ID]
 	if e == nil {
-		m.entries[r.ID] = &entry{r, now}
+		reg.entries[r.ID] = &entry{r, now}
 		return true, true
 	}
 	if !r.Newer(e.Record) {
@@ -97,17 +97,17 @@
 }
 
 // Tick marks who has fallen silent since the last call, or been silent for so long that it is gone, and
-// returns their records. listening tells whether this co-ordinator is in a state to hear them.
+// returns their records. listening tells whether this controller is in a state to hear them.
 //
-// Danger: a co-ordinator that stood still or was cut off has heard nobody. Were the replicas blamed for that,
+// Danger: a controller that stood still or was cut off has heard nobody. Were the replicas blamed for that,
 // all would be struck off at once.
-func (m *Registry) Tick(now int64, listening bool) (changed []Record) {
-	gap := now - m.looked
-	m.looked = now
-	for id, e := range m.entries {
+func (reg *Registry) Tick(now int64, listening bool) (changed []Record) {
+	gap := now - reg.looked
+	reg.looked = now
+	for id, e := range reg.entries {
 		if e.Phase == Gone || e.Phase == Silent {
-			if now-e.heard > m.KeepGone {
-				delete(m.entries, id)
+			if now-e.heard > reg.KeepGone {
+				delete(reg.entries, id)
 				if e.Phase == Silent { // edges must not keep for ever what will never come back
 					e.Phase = Gone
 					changed = append(changed, e.Record)
@@ -119,7 +119,7 @@
 			e.heard = min(e.heard+gap, now)
 			continue
 		}
-		if now-e.heard > m.SilentAfter {
+		if now-e.heard > reg.SilentAfter {
 			e.Phase = Silent
 			changed = append(changed, e.Record)
 		}
@@ -128,25 +128,25 @@
 }
 
 // All is the whole list.
-func (m *Registry) All() []Record {
-	all := make([]Record, 0, len(m.entries))
-	for _, e := range m.entries {
+func (reg *Registry) All() []Record {
+	all := make([]Record, 0, len(reg.entries))
+	for _, e := range reg.entries {
 		all = append(all, e.Record)
 	}
 	return all
 }
 
 // Get is what is known of one replica.
-func (m *Registry) Get(id string) (Record, bool) {
-	if e := m.entries[id]; e != nil {
+func (reg *Registry) Get(id string) (Record, bool) {
+	if e := reg.entries[id]; e != nil {
 		return e.Record, true
 	}
 	return Record{}, false
 }
 
 // Count is how many are not gone.
-func (m *Registry) Count() (n int) {
-	for _, e := range m.entries {
+func (reg *Registry) Count() (n int) {
+	for _, e := range reg.entries {
 		if e.Phase < Silent {
 			n++
 		}
--- a/decide/routingtable/routingtable.go
+++ b/decide/routingtable/routingtable.go
@@ -1,9 +1,8 @@
-// Package routingtable turns what the system is told (configuration, replicas, how many edges there are) into the
-// decision module's terms: a route is a workload, a service a shard, and each replica holds the one shard of
-// its service. It does no I/O.
+// Package routingtable translates the cluster state (configuration, replicas, number of edges) for the decision module:
+// a route is a workload, a service a shard, and each replica holds the one shard of its service. It does no I/O.
 //
 // Decides: what a route's answers are worth late and in part, which row and shard stand for what, and this
-// edge's share of the budget of further executions.
+// edge's share of the budget of retries.
 package routingtable
 
 import (
@@ -22,21 +21,21 @@
 const (
 	ms = 1_000_000
 
-	tick         = 1 * ms // least time between two rounds: a small part of the shortest aim
+	tick         = 1 * ms // least time between two rounds: a small part of the shortest latency goal
 	shards       = 1024   // services that may be known at a time
-	wayShare     = 12     // 1 / this of a gathered answer's aim is kept for the client's way here and back
+	wayShare     = 12     // 1 / this of a gathered answer's latency goal is kept for the network to the client and back
 	paceDoubt    = 1.5    // calls: an edge meets a replica seldom, and the best of many seldom met looks quick by chance
-	lateShare    = 0.4    // of the worth, for an answer past its aim: the configuration does not state it
+	lateShare    = 0.4    // of the worth, for an answer past its latency goal: the configuration does not state it
 	partialShare = 1      // of the worth, times the share that is in: what is gathered in part is worth having
 	comeBack     = 1000 * ms
-	ratioShare   = 0.7 // of the ratio of further executions that is used: requests are counted a little differently by others
-	slackShare   = 0.6 // of the free ones, for the same reason
+	ratioShare   = 0.7 // of the ratio of retries that is used: others count requests a little differently
+	slackShare   = 0.6 // of the retries beyond the ratio, for the same reason
 	fallSpan     = 1000 * ms
 	fewerAfter   = 60000 * ms // the number of edges goes down only after that
 	fullCold     = 1          // no rule binds what a cold replica is sent
 )
 
-// Deployment is what the module is told at the start.
+// Deployment returns what the module is told at the start.
 func Deployment(s settings.Settings, seed uint64) balance.Deployment {
 	d := balance.Deployment{Number: int(xxhash.Sum64String(s.IP) % shards), Aggregators: 1, Seed: seed, Tick: tick,
 		Shards: shards, Cells: shards, Reach: 1, PartsPerCall: 1, MaxExecutions: 1, Cancels: true, MaxComeBack: comeBack,
@@ -75,14 +74,14 @@
 	return advice - int64(draw*float64(advice)/2)
 }
 
-// State is what requests are taken by. It is never changed in place.
+// State is what a front needs to turn a request into a query. It is never changed in place.
 type State struct {
 	Config *routeconfig.Configuration
 	Rows   map[string]int // of each route, by name
 	Slots  map[string]int // of each service: the module's shard
 }
 
-// Change is what the module and the front are to be told.
+// Change is what an update changes for the module and the front.
 type Change struct {
 	Workloads   []balance.Workload // nil where they are as before
 	State       *State             // nil likewise
@@ -92,7 +91,8 @@
 	Err         error
 }
 
-// Table keeps rows and shards.
+// Table holds the numbers of workloads and shards, and the replicas that the module knows. It is for one goroutine at a
+// time.
 type Table struct {
 	settings  settings.Settings
 	began     int64
@@ -102,171 +102,170 @@
 	workloads []balance.Workload
 	slots     map[string]int
 	used      [shards]bool
-	edges     int // at the most of late
+	edges     int // the highest number of edges of late
 	edgesAt   int64
 	known     map[string]registry.Record
 	shared    map[string]int // channels by service, as they were last told
 	budget    float64
 }
 
-// New makes one at the start of a life.
+// New makes the table of a process that starts now.
 func New(now int64, s settings.Settings) *Table {
 	return &Table{settings: s, began: now, rows: map[string]int{}, slots: map[string]int{}, known: map[string]registry.Record{}}
 }
 
-// Slot is the shard of a service, new where it has none.
-func (p *Table) Slot(service string) int {
-	if s, ok := p.slots[service]; ok {
+// Slot returns the shard of a service; a service without one is given one.
+func (t *Table) Slot(service string) int {
+	if s, ok := t.slots[service]; ok {
 		return s
 	}
-	s := slices.Index(p.used[:], false)
+	s := slices.Index(t.used[:], false)
 	if s < 0 {
 		s = shards - 1
 	}
-	p.slots[service], p.used[s] = s, true
+	t.slots[service], t.used[s] = s, true
 	return s
 }
 
 // Distance is how far a replica's zone is from this edge: 0 in its own, 1 in its region, 2 beyond.
-func (p *Table) Distance(zone string) int {
-	switch here := p.settings.Zones[p.settings.Zone]; {
-	case zone == p.settings.Zone || zone == "":
+func (t *Table) Distance(zone string) int {
+	switch here := t.settings.Zones[t.settings.Zone]; {
+	case zone == t.settings.Zone || zone == "":
 		return 0
-	case here != "" && here == p.settings.Zones[zone]:
+	case here != "" && here == t.settings.Zones[zone]:
 		return 1
 	}
 	return 2
 }
 
-// Channels is how many parts this edge may have in flight at a replica of a service, 0 for no word: its share of the
+// Channels returns how many parts this edge may have in flight at a replica of a service, 0 for no limit: its share of the
 // connections that the replica takes from all edges.
 //
 // Danger: a replica that hangs draws parts from every edge until each has filled its channels, and resets the
 // connections beyond what it takes; whether what came with them ran, nobody knows.
-func (p *Table) Channels(service string) int {
-	if p.config == nil || p.edges == 0 || p.config.Services[service].MaxConns <= 0 {
+func (t *Table) Channels(service string) int {
+	if t.config == nil || t.edges == 0 || t.config.Services[service].MaxConns <= 0 {
 		return 0
 	}
-	return max(p.config.Services[service].MaxConns/p.edges, 1)
+	return max(t.config.Services[service].MaxConns/t.edges, 1)
 }
 
-// shares tells whether what Channels says of any service has changed since the last call.
-func (p *Table) shares() (changed bool) {
+// shares returns whether Channels of any service has changed since the last call.
+func (t *Table) shares() (changed bool) {
 	now := map[string]int{}
-	if p.config != nil {
-		for name := range p.config.Services {
-			now[name] = p.Channels(name)
+	if t.config != nil {
+		for name := range t.config.Services {
+			now[name] = t.Channels(name)
 		}
 	}
-	changed = !maps.Equal(now, p.shared)
-	p.shared = now
+	changed = !maps.Equal(now, t.shared)
+	t.shared = now
 	return changed
 }
 
-// Take takes a notice.
-func (p *Table) Take(now int64, n clusterstate.Update) (c Change) {
-	if len(n.Raw) > 0 && (p.config == nil || n.Revision > p.config.Revision) {
+// Take takes an update in and returns what it changes. A configuration that cannot be read leaves the former in force.
+func (t *Table) Take(now int64, n clusterstate.Update) (c Change) {
+	if len(n.Raw) > 0 && (t.config == nil || n.Revision > t.config.Revision) {
 		next, err := routeconfig.Read(n.Raw)
 		if err != nil {
 			c.Err = err
 		} else {
-			p.serve(next, &c)
+			t.serve(next, &c)
 		}
 	}
 	for _, r := range n.Replicas {
-		if p.known[r.ID] = r; r.Service != "" {
-			p.Slot(r.Service)
+		if t.known[r.ID] = r; r.Service != "" {
+			t.Slot(r.Service)
 			c.Replicas = append(c.Replicas, r)
 		}
 		if r.Phase == registry.Gone {
-			delete(p.known, r.ID)
+			delete(t.known, r.ID)
 		}
 	}
 	// Danger: controllers that have all just started know of few edges, and each of those would take the others'
 	// shares.
-	if m := n.Fleet.Most; m >= p.edges || m > 0 && now-p.edgesAt > fewerAfter {
-		p.edges, p.edgesAt = m, now
+	if m := n.Fleet.Most; m >= t.edges || m > 0 && now-t.edgesAt > fewerAfter {
+		t.edges, t.edgesAt = m, now
 	}
-	if (c.State != nil || !n.Fleet.Empty()) && p.shares() { // all are listed anew, with their caps
-		for _, r := range p.known {
+	if (c.State != nil || !n.Fleet.Empty()) && t.shares() { // all are listed anew, with their caps
+		for _, r := range t.known {
 			if r.Service != "" {
 				c.Replicas = append(c.Replicas, r)
 			}
 		}
 	}
-	c.FurtherFree, c.Budget = p.Free(now)
+	c.FurtherFree, c.Budget = t.Free(now)
 	return c
 }
 
-// serve moves to a configuration.
-func (p *Table) serve(next *routeconfig.Configuration, c *Change) {
-	p.config = next
+// serve puts a configuration in force: rows of routes and shards of services that stay keep their numbers.
+func (t *Table) serve(next *routeconfig.Configuration, c *Change) {
+	t.config = next
 	stays := map[string]bool{}
 	for i := range next.Routes {
 		stays[next.Routes[i].Name] = true
 	}
-	for name, row := range p.rows {
+	for name, row := range t.rows {
 		if !stays[name] {
-			delete(p.rows, name)
-			p.free = append(p.free, row)
+			delete(t.rows, name)
+			t.free = append(t.free, row)
 		}
 	}
-	p.workloads = slices.Clone(p.workloads)
+	t.workloads = slices.Clone(t.workloads)
 	for i := range next.Routes {
 		r := &next.Routes[i]
-		row, ok := p.rows[r.Name]
+		row, ok := t.rows[r.Name]
 		if !ok {
-			if n := len(p.free); n > 0 {
-				row, p.free = p.free[n-1], p.free[:n-1]
+			if n := len(t.free); n > 0 {
+				row, t.free = t.free[n-1], t.free[:n-1]
 			} else {
-				row = len(p.workloads)
-				p.workloads = append(p.workloads, balance.Workload{})
+				row = len(t.workloads)
+				t.workloads = append(t.workloads, balance.Workload{})
 			}
-			p.rows[r.Name] = row
+			t.rows[r.Name] = row
 		}
-		p.workloads[row] = Workload(r)
+		t.workloads[row] = Workload(r)
 	}
 	for name := range next.Services {
-		p.Slot(name)
+		t.Slot(name)
 	}
 	// A service that neither the configuration nor a replica names gives its shard back.
 	held := map[string]bool{}
-	for _, r := range p.known {
+	for _, r := range t.known {
 		held[r.Service] = true
 	}
-	for name, slot := range p.slots {
+	for name, slot := range t.slots {
 		if _, ok := next.Services[name]; !ok && !held[name] {
-			delete(p.slots, name)
-			p.used[slot] = false
+			delete(t.slots, name)
+			t.used[slot] = false
 		}
 	}
 	state := &State{Config: next, Rows: map[string]int{}, Slots: map[string]int{}}
-	for name, row := range p.rows {
+	for name, row := range t.rows {
 		state.Rows[name] = row
 	}
-	for name, slot := range p.slots {
+	for name, slot := range t.slots {
 		state.Slots[name] = slot
 	}
-	c.State, c.Workloads = state, p.workloads
+	c.State, c.Workloads = state, t.workloads
 }
 
-// Free is this edge's share of the free further executions, and whether it has changed since the last call.
+// Free returns this edge's share of the retries beyond the ratio, and whether it has changed since the last call.
 //
 // Danger: an edge that starts anew does not know what it spent before, and one that does not know how many
 // there are could take all for itself. Neither has any for so long.
-func (p *Table) Free(now int64) (share float64, changed bool) {
-	if p.edges > 0 && now-p.began > int64(p.settings.Bounds.RetryWindowS*1000*ms) {
-		share = slackShare * p.settings.Bounds.RetrySlack / float64(p.edges)
+func (t *Table) Free(now int64) (share float64, changed bool) {
+	if t.edges > 0 && now-t.began > int64(t.settings.Bounds.RetryWindowS*1000*ms) {
+		share = slackShare * t.settings.Bounds.RetrySlack / float64(t.edges)
 	}
-	changed = share != p.budget
-	p.budget = share
+	changed = share != t.budget
+	t.budget = share
 	return share, changed
 }
 
-// Replicas is how many may be sent parts, Edges how many edges there are, Budget this one's free further
-// executions.
-func (p *Table) Replicas() (n int) {
-	for _, r := range p.known {
+// Replicas returns how many replicas are ready.
+func (t *Table) Replicas() (n int) {
+	for _, r := range t.known {
 		if r.Phase == registry.Ready {
 			n++
 		}
@@ -274,8 +273,8 @@
 	return n
 }
 
-// Edges is how many edges there are.
-func (p *Table) Edges() int { return p.edges }
+// Edges returns how many edges share the budget of retries.
+func (t *Table) Edges() int { return t.edges }
 
-// Budget is this edge's share of the free further executions.
-func (p *Table) Budget() float64 { return p.budget }
+// Budget returns this edge's share of the retries beyond the ratio, as Free last returned it.
+func (t *Table) Budget() float64 { return t.budget }
--- a/transport/controlclient/controlclient.go
+++ b/transport/controlclient/controlclient.go
@@ -1,5 +1,5 @@
-// Package controlclient is the operators' way to the system: it calls control as operators do, and follows the news
-// as an edge does, without being one. It decides nothing.
+// Package controlclient is the operators' client: it calls the controllers' HTTP resources, and follows updates as an
+// edge does without being counted as one. It decides nothing.
 package controlclient
 
 import (
@@ -25,7 +25,7 @@
 	followWait = 3 * time.Second
 )
 
-// Control calls one co-ordinator after the other until one gives a clear answer, or ctx ends.
+// Control calls one controller after the other until one gives a clear answer, or ctx ends.
 type Control struct{ Addresses []string }
 
 func (c *Control) call(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
