--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -93,9 +93,9 @@
 
 type world struct {
 	*testing.T
-	server  *redis.Server
-	network *pipes.Network
-	began   time.Time
+	server      *redis.Server
+	network     *pipes.Network
+	began       time.Time
 	aggregators []*one
 }
 
