--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -25,7 +25,6 @@
 	answerWithin   = 900 * ms  // callers go elsewhere after a second of silence
 	joinEvery      = 250 * ms
 	silentMember   = 2500 * ms  // a member unheard for so long gives its place to a newcomer
-	roomMember     = 4000 * ms  // a newcomer waits so long for such a place before the members become more
 	goneAfter      = 30000 * ms // a controller that is no member and unheard for so long is forgotten
 	edgeWithin     = 20000 * ms // an edge heard of within it counts
 	edgeQuiet      = 7000 * ms  // one that is suspected and unheard for so long does not
@@ -289,6 +288,9 @@
 
 func (c *Controller) heartbeat(p *peer, w Message) {
 	h := w.Heartbeat
+	if h.Leaving && !p.heartbeat.Leaving {
+		c.dutyAt = c.now // a member that leaves is replaced while it still runs
+	}
 	p.heartbeat = *h
 	for _, s := range h.Edges {
 		c.sight(s, false)
--- a/decide/controller/controller_test.go
+++ b/decide/controller/controller_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"slices"
@@ -25,7 +26,8 @@
 	life     int
 	saved    *Save
 	list     []registry.Record
-	stuck    bool // its disk answers nothing
+	stuck    bool  // its disk answers nothing
+	sync     int64 // how long its disk takes, where that is not syncs
 	next     int64
 	follower *clusterstate.State
 	told     uint64 // the highest revision that its followers were told
@@ -97,7 +99,7 @@
 		}
 	}
 	if s := o.Save; s != nil && !x.stuck {
-		b.after(syncs, here(func() {
+		b.after(cmp.Or(x.sync, syncs), here(func() {
 			if x.saved = s; s.List != nil {
 				x.list = s.List
 			}
--- a/decide/controller/disk.go
+++ b/decide/controller/disk.go
@@ -118,14 +118,24 @@
 
 // joined takes what the others promise an empty disk.
 func (c *Controller) joined(from string, m register.Message) {
+	asked := c.joiner.Ask().Ballot
 	state, ok := c.joiner.Take(from, m)
 	if !ok {
+		if c.joiner.Ask().Ballot != asked {
+			c.joinAt = c.now // refused: asked again at once under the next ballot
+		}
 		return
 	}
 	c.disk = register.Disk{State: state, CaughtUp: true}
 	c.dirty, c.joiner = true, nil
 	c.proposer.Know(state.Value)
 	c.proposer.Seen(state.Promised)
+	// The members hear at once of a machine that can count now: it may know only the seeds so far, and the one
+	// that changes the members would hear of it seconds later.
+	for _, m := range state.Value.Disks() {
+		c.meet(m)
+	}
+	c.heartbeatAt = c.now
 	c.log("the disk is whole again", "epoch", state.Value.Epoch, "revision", state.Value.Revision)
 }
 
--- a/decide/controller/members.go
+++ b/decide/controller/members.go
@@ -7,49 +7,40 @@
 	"willowsill/decide/register"
 )
 
-// Who the controllers are: the one duty that one of them does.
+// The members of the register: who changes them, and when.
+
+// How long a newcomer waits for a member's place before the members become more, ns.
+const (
+	roomMember      = 1500 * ms // while all members are heard
+	roomWhileSilent = 3000 * ms // while one is not
+)
 
 // duty changes the members, where this is the first live one of them in their order: a newcomer takes the
-// place of one that has been silent, or is added where none is.
+// place of one that leaves or has been silent, or is added where there is none.
 //
-// Danger: were members only taken away, those left could be the few that die next, and the rest would wait
-// for them for ever. So there are as many as there were before the first configuration; one more, where a
-// newcomer comes before the one that it replaces has gone, and that one gives its place up once it is silent.
+// There are never fewer members than there were before the first configuration. It guards against losses one
+// after another: were members only taken away, those left could be the few that die next, and the rest would
+// wait for them for ever. There is one more where a newcomer comes before the one that it replaces has gone;
+// that one gives its place up once it leaves or is silent.
 func (c *Controller) duty() {
 	v := c.committed
 	if len(v.Members) == 0 || !c.disk.CaughtUp || !c.inContact || c.leaving || c.proposer.Busy() || len(v.Prior) > 0 {
 		return
 	}
-	first := v.Members[slices.IndexFunc(v.Members, c.live)]
-	if first != c.IP {
+	if !c.firstStaying() {
 		return
 	}
-	var newcomers, silent []string
-	for ip, p := range c.peers {
-		member := slices.Contains(v.Members, ip)
-		switch {
-		case member && c.now-max(p.heard, c.began) > silentMember:
-			silent = append(silent, ip)
-		case !member && c.live(ip) && p.heartbeat.CaughtUp && !p.heartbeat.Leaving:
-			newcomers = append(newcomers, ip)
-		}
-	}
+	newcomers, gone := c.newcomers(), c.gone()
 	size := cmp.Or(v.Size, len(v.Members))
-	if len(newcomers) == 0 && (len(v.Members) <= size || len(silent) == 0) {
-		return
-	}
-	slices.Sort(newcomers)
-	slices.SortFunc(silent, func(a, b string) int { return int(c.peers[a].heard - c.peers[b].heard) })
 	members := slices.Clone(v.Members)
 	switch {
-	case len(silent) > 0:
-		members = slices.DeleteFunc(members, func(m string) bool { return m == silent[0] })
-		if len(members) < size {
-			members = append(members, newcomers[0])
-		}
-	default:
+	case len(gone) > 0 && len(v.Members) > size:
+		members = without(members, gone[0])
+	case len(gone) > 0 && len(newcomers) > 0:
+		members = append(without(members, gone[0]), newcomers[0])
+	case len(gone) == 0:
 		for _, ip := range newcomers {
-			if v.Revision == 0 || c.now-c.peers[ip].first > roomMember {
+			if v.Revision == 0 || c.waitedForRoom(ip) {
 				members = append(members, ip)
 			}
 		}
@@ -72,3 +63,68 @@
 	})
 	c.carry(out)
 }
+
+// firstStaying tells whether this controller is the first member, in their order, that is live and stays. One
+// that leaves does not count, else nobody would replace it while it still runs.
+func (c *Controller) firstStaying() bool {
+	for _, ip := range c.committed.Members {
+		p := c.peers[ip]
+		leaves := p != nil && p.heartbeat.Leaving
+		if c.live(ip) && !leaves {
+			return ip == c.IP
+		}
+	}
+	return false
+}
+
+// newcomers are the controllers, by IP, that are no members, whole, heard of late and there to stay.
+func (c *Controller) newcomers() []string {
+	var all []string
+	for ip, p := range c.peers {
+		member := slices.Contains(c.committed.Members, ip)
+		if !member && c.live(ip) && p.heartbeat.CaughtUp && !p.heartbeat.Leaving {
+			all = append(all, ip)
+		}
+	}
+	slices.Sort(all)
+	return all
+}
+
+// gone are the members whose place is free for a newcomer: first those that said that they leave, then those
+// that have been silent, the longest first.
+//
+// A member that leaves still runs and answers for a while. It guards against a second loss right after a
+// planned replacement: were its silence waited for, the newcomer would count seconds later, and until then the
+// members would have one machine fewer than the budget reckons with.
+func (c *Controller) gone() []string {
+	var leaving, silent []string
+	for _, ip := range c.committed.Members {
+		p := c.peers[ip]
+		switch {
+		case p == nil:
+		case p.heartbeat.Leaving:
+			leaving = append(leaving, ip)
+		case c.now-max(p.heard, c.began) > silentMember:
+			silent = append(silent, ip)
+		}
+	}
+	slices.Sort(leaving)
+	slices.SortFunc(silent, func(a, b string) int { return cmp.Compare(c.peers[a].heard, c.peers[b].heard) })
+	return append(leaving, silent...)
+}
+
+// waitedForRoom tells whether a newcomer has waited long enough for a member to leave it its place, so that
+// the members become more. While a member is not heard it waits longer: that one may be the one to be replaced,
+// and one change does what else takes two.
+func (c *Controller) waitedForRoom(newcomer string) bool {
+	allLive := !slices.ContainsFunc(c.committed.Members, func(m string) bool { return !c.live(m) })
+	wait := int64(roomWhileSilent)
+	if allLive {
+		wait = roomMember
+	}
+	return c.now-c.peers[newcomer].first > wait
+}
+
+func without(members []string, member string) []string {
+	return slices.DeleteFunc(members, func(m string) bool { return m == member })
+}
