--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -63,6 +63,9 @@
 	start := controller.Start{IP: s.IP, Life: life, Seeds: s.SeedIPs(), Bootstrap: s.Bootstrap,
 		BeatEvery: s.BeatMs * int64(time.Millisecond), Draw: rand.Float64}
 	box, found, err := statestore.Open(s.DataDir)
+	if errors.Is(err, statestore.ErrNewerFormat) {
+		return ErrControlServer.Wrap(err) // the file stays for the version that wrote it
+	}
 	if err != nil {
 		// Danger: a disk that refuses to be read must not be taken for an empty one of a first start; as one that
 		// was emptied it counts for nothing until the others have told what stands.
--- /dev/null
+++ b/transport/controlserver/format_test.go
@@ -0,0 +1,52 @@
+package controlserver
+
+import (
+	"context"
+	"encoding/binary"
+	"errors"
+	"hash/crc32"
+	"os"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/shoenig/test/must"
+	"github.com/tidwall/buntdb"
+
+	"willowsill/decide/controller"
+	"willowsill/deployment/settings"
+	"willowsill/transport/statestore"
+)
+
+// TestNewerStateEndsTheProgram: a state file of a newer format ends the program with an error, and stays as it is.
+func TestNewerStateEndsTheProgram(t *testing.T) {
+	dir := t.TempDir()
+	store, _, err := statestore.Open(dir)
+	must.NoError(t, err)
+	must.NoError(t, store.Save(controller.Save{}))
+	must.NoError(t, store.Close())
+	const farAhead = 1000
+	writeVersion(t, statestore.Path(dir), farAhead)
+	before, err := os.ReadFile(statestore.Path(dir))
+	must.NoError(t, err)
+
+	err = Run(context.Background(), settings.Settings{DataDir: dir})
+	must.True(t, errors.Is(err, statestore.ErrNewerFormat), must.Sprint(err))
+	after, err := os.ReadFile(statestore.Path(dir))
+	must.NoError(t, err)
+	must.Eq(t, before, after)
+}
+
+// writeVersion has a state file name a version, as the program of that version would: sealed by a check sum.
+func writeVersion(t *testing.T, path string, version uint64) {
+	body, err := cbor.Marshal(version)
+	must.NoError(t, err)
+	text := append(binary.BigEndian.AppendUint64(nil, 1), body...)
+	text = binary.BigEndian.AppendUint32(text, crc32.ChecksumIEEE(text))
+	db, err := buntdb.Open(path)
+	must.NoError(t, err)
+	must.NoError(t, db.Update(func(tx *buntdb.Tx) error {
+		_, _, err := tx.Set("version", string(text), nil)
+		return err
+	}))
+	must.NoError(t, db.Close())
+}
--- /dev/null
+++ b/transport/statestore/format_test.go
@@ -0,0 +1,199 @@
+package statestore
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"syscall"
+	"testing"
+
+	"github.com/shoenig/test/must"
+	"github.com/tidwall/buntdb"
+
+	"willowsill/decide/controller"
+	"willowsill/decide/register"
+	"willowsill/decide/registry"
+)
+
+// formerFile was written by the program before the file had a version: three saves, the list with the second.
+const formerFile = "testdata/without-version.db"
+
+func copyOf(t *testing.T, path string) (dir string, text []byte) {
+	text, err := os.ReadFile(path)
+	must.NoError(t, err)
+	dir = t.TempDir()
+	must.NoError(t, os.WriteFile(Path(dir), text, 0o600))
+	return dir, text
+}
+
+// TestFormerFormat: a file without a version is read, the next save gives it one, and it is read again.
+func TestFormerFormat(t *testing.T) {
+	dir, _ := copyOf(t, formerFile)
+	b, found, err := Open(dir)
+	must.NoError(t, err)
+	want := register.State{Promised: register.Ballot{N: 8, By: "10.0.0.1/x"}, Accepted: register.Ballot{N: 3, By: "10.0.0.2/y"},
+		Value: register.Value{Epoch: 2, Members: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, Prior: []string{"10.0.0.1", "10.0.0.2"},
+			Revision: 3, Body: []byte("body"), Size: 3}}
+	must.Eq(t, want, *found.State)
+	must.Eq(t, 2, found.CommittedRevision)
+	must.Eq(t, []registry.Record{{ID: "i-1", Service: "s", Address: "10.0.2.1:80", Seq: 7}}, found.List)
+	must.NoError(t, b.Save(save(4)))
+	must.NoError(t, b.Close())
+	text, err := os.ReadFile(Path(dir))
+	must.NoError(t, err)
+	whole, version := scan(text)
+	must.Eq(t, len(text), whole)
+	must.Eq(t, formatVersion, version)
+	b, found, err = Open(dir)
+	must.NoError(t, err)
+	must.Eq(t, 4, found.State.Value.Revision)
+	must.Eq(t, "i-1", found.List[0].ID)
+	must.NoError(t, b.Close())
+}
+
+// newerFile puts a file of a newer format into a folder, with an end that this program would cut off.
+func newerFile(t *testing.T, dir string) []byte {
+	b, _, err := Open(dir)
+	must.NoError(t, err)
+	must.NoError(t, b.Save(save(1)))
+	version, err := seal(2, formatVersion+1)
+	must.NoError(t, err)
+	must.NoError(t, b.db.Update(func(tx *buntdb.Tx) error {
+		_, _, err := tx.Set(versionKey, string(version), nil)
+		return err
+	}))
+	must.NoError(t, b.Close())
+	text, err := os.ReadFile(Path(dir))
+	must.NoError(t, err)
+	text = append(text, "*9\r\nan end of another kind"...)
+	must.NoError(t, os.WriteFile(Path(dir), text, 0o600))
+	return text
+}
+
+// TestNewerFormatRefused: a file of a newer format is refused by a typed error, and not a byte of it changes.
+func TestNewerFormatRefused(t *testing.T) {
+	dir := t.TempDir()
+	text := newerFile(t, dir)
+	_, found, err := Open(dir)
+	must.True(t, errors.Is(err, ErrNewerFormat))
+	must.StrContains(t, err.Error(), "newer format")
+	must.Nil(t, found.State)
+	after, err := os.ReadFile(Path(dir))
+	must.NoError(t, err)
+	must.Eq(t, text, after)
+}
+
+// TestSizeIsBounded: 10,000 saves of 20 KB leave the file, and what lies beside it while it shrinks, well below
+// a disk of 128 MB.
+func TestSizeIsBounded(t *testing.T) {
+	const saves, body, most = 10_000, 20_000, 32 << 20
+	dir := t.TempDir()
+	b, _, err := Open(dir)
+	must.NoError(t, err)
+	largest := int64(0)
+	for n := uint64(1); n <= saves; n++ {
+		s := save(n)
+		s.State.Value.Body = make([]byte, body)
+		must.NoError(t, b.Save(s))
+		info, err := os.Stat(Path(dir))
+		must.NoError(t, err)
+		largest = max(largest, info.Size())
+	}
+	t.Logf("%d bytes at the most", largest)
+	must.Less(t, most, largest)
+	must.NoError(t, b.Close())
+	_, found, err := Open(dir)
+	must.NoError(t, err)
+	must.Eq(t, saves, found.State.Value.Revision)
+}
+
+// TestShrinkCutShort: wherever a shrink is cut short, by a kill or a loss of power, the last save is found: the
+// new file is there in part beside the old one, or whole beside it, or in its place.
+func TestShrinkCutShort(t *testing.T) {
+	dir := t.TempDir()
+	b, _, err := Open(dir)
+	must.NoError(t, err)
+	must.NoError(t, b.Save(controller.Save{State: save(1).State, List: []registry.Record{{ID: "i-1"}}}))
+	for n := uint64(2); n <= 9; n++ {
+		must.NoError(t, b.Save(save(n)))
+	}
+	next := filepath.Join(dir, shrinkName)
+	must.NoError(t, b.writeAnew(next))
+	must.NoError(t, b.Close())
+	shrunk, err := os.ReadFile(next)
+	must.NoError(t, err)
+	before, err := os.ReadFile(Path(dir))
+	must.NoError(t, err)
+	must.Less(t, len(before), len(shrunk))
+	check := func(text, beside []byte, what string) {
+		at := t.TempDir()
+		must.NoError(t, os.WriteFile(Path(at), text, 0o600))
+		if beside != nil {
+			must.NoError(t, os.WriteFile(filepath.Join(at, shrinkName), beside, 0o600))
+		}
+		b, found, err := Open(at)
+		must.NoError(t, err, must.Sprint(what))
+		must.NotNil(t, found.State, must.Sprint(what))
+		must.Eq(t, 9, found.State.Value.Revision, must.Sprint(what))
+		must.Eq(t, "i-1", found.List[0].ID, must.Sprint(what))
+		must.NoError(t, b.Save(save(10)))
+		must.NoError(t, b.Close())
+		_, err = os.Stat(filepath.Join(at, shrinkName))
+		must.ErrorIs(t, err, os.ErrNotExist, must.Sprint(what))
+	}
+	for cut := 0; cut <= len(shrunk); cut += 13 {
+		check(before, shrunk[:cut], "part of the new file beside the old")
+	}
+	check(before, shrunk, "renamed, and the name lost")
+	check(shrunk, nil, "renamed")
+}
+
+// TestNewFileIsSyncedBeforeItsName: a shrink gives the new file its name only once what it holds is on disk.
+func TestNewFileIsSyncedBeforeItsName(t *testing.T) {
+	dir := t.TempDir()
+	b, _, err := Open(dir)
+	must.NoError(t, err)
+	must.NoError(t, b.Save(save(1)))
+	var steps []string
+	b.sync = func(f *os.File) error {
+		steps = append(steps, "sync "+filepath.Base(f.Name()))
+		return f.Sync()
+	}
+	b.rename = func(from, to string) error {
+		steps = append(steps, "rename "+filepath.Base(from))
+		return os.Rename(from, to)
+	}
+	must.NoError(t, b.shrinkNow())
+	must.Eq(t, []string{"sync " + shrinkName, "rename " + shrinkName, "sync " + filepath.Base(dir)}, steps)
+	steps = nil
+	must.NoError(t, b.Save(save(2)))
+	must.Eq(t, []string{"sync " + fileName}, steps)
+	must.NoError(t, b.Close())
+	_, found, err := Open(dir)
+	must.NoError(t, err)
+	must.Eq(t, 2, found.State.Value.Revision)
+}
+
+// TestDiskThatRefuses: a shrink for which there is no room costs nothing, and a save that is refused leaves what
+// was saved before.
+func TestDiskThatRefuses(t *testing.T) {
+	dir := t.TempDir()
+	b, _, err := Open(dir)
+	must.NoError(t, err)
+	must.NoError(t, b.Save(save(1)))
+	blocked := filepath.Join(dir, shrinkName)
+	must.NoError(t, os.MkdirAll(filepath.Join(blocked, "in the way"), 0o700))
+	must.NoError(t, b.shrinkNow())
+	must.NoError(t, b.Save(save(2)))
+	must.NoError(t, os.RemoveAll(blocked))
+
+	b.sync = func(*os.File) error { return syscall.EIO }
+	must.ErrorIs(t, b.Save(save(3)), syscall.EIO)
+	must.ErrorIs(t, b.Save(save(3)), syscall.EIO)
+	b.sync = (*os.File).Sync
+	must.NoError(t, b.Save(save(4)))
+	must.NoError(t, b.Close())
+	_, found, err := Open(dir)
+	must.NoError(t, err)
+	must.Eq(t, 4, found.State.Value.Revision)
+}
--- a/transport/statestore/statestore.go
+++ b/transport/statestore/statestore.go
@@ -6,8 +6,8 @@
 	"bytes"
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"hash/crc32"
-	"io"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -24,18 +24,34 @@
 // ErrStore is the class of this package's errors.
 var ErrStore = oops.Code("statestore")
 
+// ErrNewerFormat tells that the file was written by a newer version of the program. Nothing of it was changed;
+// whoever meets it must not remove it.
+var ErrNewerFormat = errors.New("the state file has a newer format than this program reads")
+
 const (
-	fileName  = "register.db"
-	listKey   = "list"
+	fileName   = "register.db"
+	shrinkName = fileName + ".new" // the file that is to take its place
+	listKey    = "list"
+	versionKey = "version"
+
+	// formatVersion is that of the file. One without a version is of the first format, which is read as this one.
+	formatVersion = 2
+
+	mostDigits = 10 // of a length in the file
+
 	slots     = 2        // saves go to them by turns, so that a torn one leaves the one before
 	shrinkMin = 24 << 20 // bytes of the file before it is written anew
 )
 
 // Store is the open file.
 type Store struct {
-	db     *buntdb.DB
-	dir    string
-	number uint64 // of the last save
+	db      *buntdb.DB
+	file    *os.File // the same file, to sync it
+	dir     string
+	number  uint64                      // of the last save
+	current bool                        // the file names the format's version
+	sync    func(*os.File) error        // of files and of the folder; tests put their own in its place
+	rename  func(from, to string) error // likewise
 }
 
 // kept is what a save holds.
@@ -44,28 +60,65 @@
 	CommittedRevision uint64         `cbor:"2,keyasint,omitempty"`
 }
 
-// Found is what a box held when it was opened.
+// Found is what the file held when it was opened.
 type Found struct {
 	State             *register.State   // nil where none was ever saved
 	CommittedRevision uint64            // the revision last known to stand
 	List              []registry.Record // as it was last saved
 }
 
-// Open opens the box in a folder.
+// Open opens the file in a folder. Its error is ErrNewerFormat, in a chain, where a newer version of the program
+// wrote the file; the file is left as it is then.
 func Open(dir string) (b *Store, found Found, err error) {
 	path := filepath.Join(dir, fileName)
 	if err := mend(path); err != nil {
-		return nil, found, ErrStore.Wrapf(err, "mending %s", path)
+		return nil, found, ErrStore.Wrapf(err, "opening %s", path)
 	}
+	// What a shrink left behind that was cut short: the file itself is still the one before.
+	os.Remove(filepath.Join(dir, shrinkName))
+	b = &Store{dir: dir, sync: (*os.File).Sync, rename: os.Rename}
+	if err := b.attach(); err != nil {
+		return nil, found, ErrStore.Wrapf(err, "opening %s", path)
+	}
+	if found, err = b.load(); err != nil {
+		b.Close()
+		return nil, Found{}, ErrStore.Wrapf(err, "reading %s", path)
+	}
+	return b, found, nil
+}
+
+// attach opens the file as it is on disk.
+func (b *Store) attach() error {
+	path := filepath.Join(b.dir, fileName)
+	db, err := openDB(path)
+	if err != nil {
+		return err
+	}
+	file, err := os.OpenFile(path, os.O_RDWR, 0o600)
+	if err != nil {
+		db.Close()
+		return err
+	}
+	b.db, b.file = db, file
+	return nil
+}
+
+// openDB opens a database that syncs nothing by itself: it ignores errors of its syncs, so Store does them.
+func openDB(path string) (*buntdb.DB, error) {
 	db, err := buntdb.Open(path)
 	if err != nil {
-		return nil, found, ErrStore.Wrapf(err, "opening %s", path)
+		return nil, err
 	}
-	if err := db.SetConfig(buntdb.Config{SyncPolicy: buntdb.Always, AutoShrinkDisabled: true}); err != nil {
-		return nil, found, ErrStore.Wrapf(err, "opening %s", path)
+	if err := db.SetConfig(buntdb.Config{SyncPolicy: buntdb.Never, AutoShrinkDisabled: true}); err != nil {
+		db.Close()
+		return nil, err
 	}
-	b = &Store{db: db, dir: dir}
-	err = db.View(func(tx *buntdb.Tx) error {
+	return db, nil
+}
+
+// load finds what was saved last.
+func (b *Store) load() (found Found, err error) {
+	err = b.db.View(func(tx *buntdb.Tx) error {
 		for slot := range slots {
 			text, err := tx.Get(strconv.Itoa(slot))
 			if errors.Is(err, buntdb.ErrNotFound) {
@@ -81,12 +134,12 @@
 		if text, err := tx.Get(listKey); err == nil {
 			unseal([]byte(text), &found.List)
 		}
+		if text, err := tx.Get(versionKey); err == nil {
+			b.current = versionOf([]byte(text)) == formatVersion
+		}
 		return nil
 	})
-	if err != nil {
-		return nil, found, ErrStore.Wrapf(err, "reading %s", path)
-	}
-	return b, found, nil
+	return found, err
 }
 
 // Save returns once what is given is on disk for good, or with an error.
@@ -104,7 +157,16 @@
 			return ErrStore.Wrapf(err, "encoding")
 		}
 	}
+	version, err := seal(n, formatVersion)
+	if err != nil {
+		return ErrStore.Wrapf(err, "encoding")
+	}
 	err = b.db.Update(func(tx *buntdb.Tx) error {
+		if !b.current {
+			if _, _, err := tx.Set(versionKey, string(version), nil); err != nil {
+				return err
+			}
+		}
 		if list != nil {
 			if _, _, err := tx.Set(listKey, string(list), nil); err != nil {
 				return err
@@ -116,37 +178,94 @@
 	if err != nil {
 		return ErrStore.Wrapf(err, "saving")
 	}
+	if err := b.sync(b.file); err != nil {
+		return ErrStore.Wrapf(err, "syncing")
+	}
 	if b.number == 0 {
-		if err := syncDir(b.dir); err != nil {
+		if err := b.syncDir(); err != nil {
 			return ErrStore.Wrapf(err, "syncing the folder")
 		}
 	}
-	b.number = n
+	b.number, b.current = n, true
 	return b.shrink()
 }
 
 // shrink writes the file anew once it has grown.
 func (b *Store) shrink() error {
-	info, err := os.Stat(filepath.Join(b.dir, fileName))
+	info, err := b.file.Stat()
 	if err != nil || info.Size() < shrinkMin {
 		return nil
 	}
-	if err := b.db.Shrink(); err != nil {
-		return ErrStore.Wrapf(err, "shrinking")
+	return b.shrinkNow()
+}
+
+// shrinkNow writes the file anew. What was saved is on disk already, so a disk that refuses the new file, as a
+// full one does, costs nothing but room: the next save tries again.
+func (b *Store) shrinkNow() error {
+	next := filepath.Join(b.dir, shrinkName)
+	if err := b.writeAnew(next); err != nil {
+		os.Remove(next)
+		return nil
+	}
+	return b.replaceBy(next)
+}
+
+// writeAnew puts what the file holds into a new one and syncs that.
+//
+// It is synced before it takes the place of the other: all members grow alike and shrink at about the same
+// save, and a loss of power right then could leave all of them the new name with nothing behind it.
+func (b *Store) writeAnew(path string) error {
+	os.Remove(path)
+	next, err := openDB(path)
+	if err != nil {
+		return err
+	}
+	err = b.db.View(func(from *buntdb.Tx) error {
+		return next.Update(func(to *buntdb.Tx) (err error) {
+			ascend := from.Ascend("", func(key, value string) bool {
+				_, _, err = to.Set(key, value, nil)
+				return err == nil
+			})
+			return errors.Join(ascend, err)
+		})
+	})
+	if err := errors.Join(err, next.Close()); err != nil {
+		return err
+	}
+	file, err := os.OpenFile(path, os.O_RDWR, 0o600)
+	if err != nil {
+		return err
+	}
+	return errors.Join(b.sync(file), file.Close())
+}
+
+// replaceBy gives a new file the name of the one that is open, and opens it.
+func (b *Store) replaceBy(path string) error {
+	if err := b.rename(path, filepath.Join(b.dir, fileName)); err != nil {
+		os.Remove(path)
+		return nil
+	}
+	before := *b
+	if err := b.attach(); err != nil {
+		return ErrStore.Wrapf(err, "opening the shrunk file")
+	}
+	before.Close()
+	if err := b.syncDir(); err != nil {
+		return ErrStore.Wrapf(err, "syncing the folder")
 	}
-	return syncDir(b.dir)
+	return nil
 }
 
-// Close closes the box.
-func (b *Store) Close() error { return b.db.Close() }
+// Close closes the file.
+func (b *Store) Close() error { return errors.Join(b.db.Close(), b.file.Close()) }
 
-func syncDir(dir string) error {
-	d, err := os.Open(dir)
+func (b *Store) syncDir() error {
+	d, err := os.Open(b.dir)
 	if err != nil {
 		return err
 	}
 	defer d.Close()
-	return d.Sync()
+	return b.sync(d)
 }
 
 // seal puts the number of the save before what is saved, and a check sum behind it.
@@ -174,9 +293,18 @@
 	return binary.BigEndian.Uint64(body), true
 }
 
-// mend cuts the file off behind its last whole command.
+// versionOf is the version that a sealed text names, 0 where the text is damaged: then the slots, each with a
+// check sum of its own, tell what can be read.
+func versionOf(text []byte) (version uint64) {
+	if _, ok := unseal(text, &version); !ok {
+		return 0
+	}
+	return version
+}
+
+// mend cuts the file off behind its last whole command. It changes nothing in a file of a newer format.
 //
-// Danger: the store refuses a file whose end is torn, though all that was ever synced stands before it.
+// The database refuses a file whose end is torn, though all that was ever synced stands before it.
 func mend(path string) error {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -184,8 +312,11 @@
 	} else if err != nil {
 		return err
 	}
-	n := wholeLength(text)
-	if n == len(text) {
+	whole, version := scan(text)
+	if version > formatVersion {
+		return fmt.Errorf("%w: it has version %d, this program reads up to %d", ErrNewerFormat, version, formatVersion)
+	}
+	if whole == len(text) {
 		return nil
 	}
 	f, err := os.OpenFile(path, os.O_WRONLY, 0o600)
@@ -193,55 +324,58 @@
 		return err
 	}
 	defer f.Close()
-	if err := f.Truncate(int64(n)); err != nil {
+	if err := f.Truncate(int64(whole)); err != nil {
 		return err
 	}
 	return f.Sync()
 }
 
-// wholeLength is how many bytes of a file are whole commands: an array's count, then each string with its
-// length.
-func wholeLength(text []byte) int {
-	r := bytes.NewReader(text)
-	whole := 0
-	number := func(mark byte) (int, bool) {
-		if c, err := r.ReadByte(); err != nil || c != mark {
-			return 0, false
+// scan tells how many bytes of a file are whole commands, and the highest version that one of them sets.
+func scan(text []byte) (whole int, version uint64) {
+	for {
+		words, rest, ok := command(text[whole:])
+		if !ok {
+			return whole, version
 		}
-		n, digits := 0, 0
-		for {
-			c, err := r.ReadByte()
-			if err != nil || digits > 9 {
-				return 0, false
-			}
-			if c == '\r' {
-				c, err = r.ReadByte()
-				return n, err == nil && c == '\n' && digits > 0
-			}
-			if c < '0' || c > '9' {
-				return 0, false
-			}
-			n, digits = 10*n+int(c-'0'), digits+1
+		if len(words) >= 3 && string(words[0]) == "set" && string(words[1]) == versionKey {
+			version = max(version, versionOf(words[2]))
 		}
+		whole = len(text) - len(rest)
 	}
-	for {
-		words, ok := number('*')
-		if !ok || words == 0 {
-			return whole
+}
+
+// command takes one command off a text: an array's count, then each string with its length.
+func command(text []byte) (words [][]byte, rest []byte, ok bool) {
+	count, rest, ok := number(text, '*')
+	if !ok || count == 0 {
+		return nil, nil, false
+	}
+	for range count {
+		var length int
+		if length, rest, ok = number(rest, '$'); !ok || length+2 > len(rest) || string(rest[length:length+2]) != "\r\n" {
+			return nil, nil, false
 		}
-		for range words {
-			n, ok := number('$')
-			if !ok || n > r.Len() {
-				return whole
-			}
-			r.Seek(int64(n), io.SeekCurrent)
-			var end [2]byte
-			if _, err := io.ReadFull(r, end[:]); err != nil || string(end[:]) != "\r\n" {
-				return whole
-			}
+		words, rest = append(words, rest[:length]), rest[length+2:]
+	}
+	return words, rest, true
+}
+
+// number takes a line off a text that holds a mark and a number.
+func number(text []byte, mark byte) (n int, rest []byte, ok bool) {
+	if len(text) == 0 || text[0] != mark {
+		return 0, nil, false
+	}
+	end := bytes.Index(text[:min(len(text), mostDigits+3)], []byte("\r\n"))
+	if end < 2 {
+		return 0, nil, false
+	}
+	for _, digit := range text[1:end] {
+		if digit < '0' || digit > '9' {
+			return 0, nil, false
 		}
-		whole = len(text) - r.Len()
+		n = 10*n + int(digit-'0')
 	}
+	return n, text[end+2:], true
 }
 
 // Path is the file in a folder.
