--- /dev/null
+++ b/decide/register/admission_test.go
@@ -0,0 +1,54 @@
+package register
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+// TestNewcomerMustAnswerItsRound: a machine becomes a member only in a round that its own disk has promised. One
+// that was whole and has lost its disk since stays outside, and what else the round carries stands.
+func TestNewcomerMustAnswerItsRound(t *testing.T) {
+	for _, whole := range []bool{true, false} {
+		members := Value{Members: []string{"a", "b", "c"}}
+		disks := map[string]*Disk{"d": {CaughtUp: whole}}
+		for _, name := range members.Members {
+			disks[name] = &Disk{State{Value: members}, true}
+		}
+		p := NewProposer("a/1", members, func() float64 { return 0.5 })
+		now := int64(0)
+		var done []Done
+		carry := func(out Out) {
+			for len(out.To) > 0 {
+				var next Out
+				for _, to := range out.To {
+					answer, _, ok := disks[to].Step(out.Send)
+					if !ok {
+						continue
+					}
+					o := p.Step(now, to, answer)
+					done = append(done, o.Done...)
+					if len(o.To) > 0 {
+						next = o
+					}
+				}
+				out = next
+			}
+		}
+		_, out := p.Edit(now, swap("c", "d"))
+		_, none := p.Edit(now, put(7, "seven"))
+		must.SliceEmpty(t, none.To)
+		carry(out)
+		for range 8 {
+			now += resendAfter
+			carry(p.Tick(now))
+		}
+		must.SliceLen(t, 2, done)
+		stands := done[1].Value
+		must.Eq(t, 7, stands.Revision)
+		must.Eq(t, whole, slices.Contains(stands.Members, "d"))
+		must.Eq(t, !whole, slices.Contains(stands.Members, "c"))
+		must.SliceEmpty(t, stands.Prior)
+	}
+}
--- a/decide/register/copy.go
+++ b/decide/register/copy.go
@@ -35,6 +35,13 @@
 			b = appendText(b, name)
 		}
 	}
+	b = append(b, byte(len(p.admits)))
+	for _, name := range p.admits {
+		b = appendText(b, name)
+	}
+	if p.waited && len(p.admits) > 0 && p.phase == preparing {
+		b = append(b, 1)
+	}
 	b = append(b, byte(len(p.running)), byte(len(p.waiting)))
 	for _, e := range slices.Concat(p.running, p.waiting) {
 		b = binary.AppendUvarint(b, e.id)
--- a/decide/register/proposer.go
+++ b/decide/register/proposer.go
@@ -60,8 +60,10 @@
 	asked    Ballot           // the question that binds nobody: its number, in this life
 	answers  map[string]State // of this round
 	accepted map[string]bool
-	next     Value  // that is being written
-	stood    Ballot // of a change of members known to stand
+	next     Value    // that is being written
+	stood    Ballot   // of a change of members known to stand
+	admits   []string // machines that the edits of this round make members, to be asked as well
+	waited   bool     // a resend has passed since those were asked
 	running  []edit
 	waiting  []edit
 	refused  int
@@ -134,7 +136,33 @@
 	p.highest++
 	p.ballot = Ballot{p.highest, p.name}
 	p.phase, p.answers, p.due = preparing, map[string]State{}, now+resendAfter
-	return Out{To: p.known.Disks(), Send: p.question()}
+	p.waited = false
+	return Out{To: p.asks(), Send: p.question()}
+}
+
+// asks are the disks that a round proper asks.
+func (p *Proposer) asks() []string {
+	all := slices.Concat(p.known.Disks(), p.admits)
+	slices.Sort(all)
+	return slices.Compact(all)
+}
+
+// admitted tells whether the machines that a change makes members have promised in this round.
+//
+// It guards against a machine that was whole when it was last heard of and has lost its disk since: made a
+// member, it would be one that answers nothing, and several such leave no majority that ever answers.
+func (p *Proposer) admitted(before, after Value) bool {
+	for _, m := range added(before, after) {
+		if _, ok := p.answers[m]; !ok {
+			return false
+		}
+	}
+	return true
+}
+
+// added are the machines that a change makes members.
+func added(before, after Value) []string {
+	return slices.DeleteFunc(slices.Clone(after.Members), func(m string) bool { return slices.Contains(before.Members, m) })
 }
 
 // question is what disks are asked in this phase.
@@ -210,9 +238,13 @@
 		return more
 	}
 	changes := len(best.Value.Prior) > 0
+	p.admits = nil
 	for _, e := range p.running {
-		_, changed := e.apply(best.Value)
+		next, changed := e.apply(best.Value)
 		changes = changes || changed
+		if changed {
+			p.admits = append(p.admits, added(best.Value, next)...)
+		}
 	}
 	stands := best.Value.Quorum(p.holding(best.Accepted))
 	if !changes && stands {
@@ -241,6 +273,9 @@
 		}
 		return more
 	}
+	if slices.ContainsFunc(p.admits, func(m string) bool { _, ok := p.answers[m]; return !ok }) && !p.waited {
+		return more
+	}
 	// What is known to stand with its prior members needs them no longer: the change of members is over. That it
 	// stands is known where a quorum of both holds it; else it is written once more as it is, and the next round
 	// drops them.
@@ -250,7 +285,7 @@
 	}
 	if len(v.Prior) == 0 {
 		for _, e := range p.running {
-			if next, changed := e.apply(v); changed {
+			if next, changed := e.apply(v); changed && p.admitted(v, next) {
 				v = next
 			}
 		}
@@ -273,7 +308,7 @@
 	}
 	p.known, p.held = p.next, State{Accepted: p.ballot, Value: p.next}
 	if len(p.next.Prior) > 0 { // the members' change stands now; one more round lets the old ones go
-		p.refused, p.stood = 0, p.ballot
+		p.refused, p.stood, p.admits = 0, p.ballot, nil
 		return p.prepare(now)
 	}
 	return p.finish(now, p.next)
@@ -287,7 +322,7 @@
 	for _, e := range p.running {
 		out.Done = append(out.Done, Done{e.id, p.held.Accepted, v})
 	}
-	p.running, p.refused, p.phase = nil, 0, idle
+	p.running, p.refused, p.phase, p.admits = nil, 0, idle, nil
 	p.known = v
 	if len(p.waiting) > 0 {
 		more := p.begin(now)
@@ -310,8 +345,13 @@
 			if _, enough, _ := p.top(); enough {
 				return p.prepare(now)
 			}
+			return Out{To: missing(has, p.known.Disks()), Send: p.question()}
+		}
+		p.waited = true
+		if _, enough, _ := p.top(); enough {
+			return p.promised(now)
 		}
-		return Out{To: missing(has, p.known.Disks()), Send: p.question()}
+		return Out{To: missing(has, p.asks()), Send: p.question()}
 	case accepting:
 		return Out{To: missing(func(m string) bool { return p.accepted[m] }, p.targets(p.read())),
 			Send: Message{Kind: Accept, Ballot: p.ballot, Value: p.next}}
