--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -25,7 +25,6 @@
 	answerWithin   = 900 * ms // callers go elsewhere after a second of silence
 	joinEvery      = 250 * ms
 	silentMember   = 2500 * ms  // a member unheard for so long gives its place to a newcomer
-	roomMember     = 4000 * ms  // a newcomer waits so long for such a place before the members become more
 	goneAfter      = 30000 * ms // a controller that is no member and unheard for so long is forgotten
 	edgeWithin     = 20000 * ms // an edge heard of within it counts
 	edgeQuiet      = 7000 * ms  // one that is suspected and unheard for so long does not
@@ -228,6 +227,7 @@
 	}
 	if p.heard == 0 || now-p.heard > silentMember {
 		p.first = now
+		c.heartbeatAt = now // so that it can answer one soon: a newcomer counts once it has
 	}
 	p.heard = now
 	if w.Heartbeat != nil {
