--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -41,6 +41,9 @@
 	conn   net.Conn
 	closed bool
 	over   *exchange // that is out
+
+	writing chan struct{} // full while a request is written
+	broken  bool          // a write has failed; of the one who writes
 }
 
 // begin books an exchange; the loop calls it while the connection is free.
@@ -102,7 +105,12 @@
 }
 
 // write writes the request of an exchange, unless it was withdrawn meanwhile.
+//
+// Danger: a replica may answer before it has read a request whole, and the next one begins while the rest of the former is
+// still being written. Where that rest then fails, nothing may follow: the replica would read it as the rest.
 func (c *connection) write(e *exchange) {
+	c.writing <- struct{}{}
+	defer func() { <-c.writing }()
 	if !e.state.CompareAndSwap(pending, written) {
 		c.end(e, notice{conn: c, free: unnamed})
 		return
@@ -116,18 +124,27 @@
 	buf = append(buf, c.line.id...)
 	buf = append(buf, "\r\n\r\n"...)
 	buf = append(buf, r.Body...)
+	if c.broken {
+		c.end(e, notice{conn: c, result: balance.ConnectFailed})
+		return
+	}
 	c.conn.SetWriteDeadline(time.Now().Add(writeWait))
 	if n, err := c.conn.Write(buf); err != nil {
-		// What was not even taken by this machine's own kernel cannot have run. All else may have.
-		result := balance.Reset
-		if n == 0 && !errors.Is(err, net.ErrClosed) {
-			result = balance.ConnectFailed
-		}
-		c.end(e, notice{conn: c, over: e, result: result, err: err})
+		c.broken = true
+		c.end(e, notice{conn: c, result: failedWrite(n), err: err})
 		c.conn.Close()
 	}
 }
 
+// failedWrite is what a failed write of a request says of its execution: what this machine's own kernel took no byte of
+// cannot have run. All else may have.
+func failedWrite(taken int) balance.Result {
+	if taken == 0 {
+		return balance.ConnectFailed
+	}
+	return balance.Reset
+}
+
 // end tells of an exchange's end, if nobody has yet.
 func (c *connection) end(e *exchange, n notice) bool {
 	c.mu.Lock()
--- a/transport/replicahttp/replicahttp.go
+++ b/transport/replicahttp/replicahttp.go
@@ -140,7 +140,7 @@
 			go c.write(e)
 			continue
 		}
-		c = &connection{line: l, pool: p}
+		c = &connection{line: l, pool: p, writing: make(chan struct{}, 1)}
 		c.ctx, c.cancel = context.WithCancel(context.Background())
 		l.conns = append(l.conns, c)
 		p.open++
--- /dev/null
+++ b/transport/replicahttp/write_test.go
@@ -0,0 +1,147 @@
+package replicahttp
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"willowsill/balance"
+	"willowsill/transport/replica"
+)
+
+// writeEnd is how the next write on a connection ends.
+type writeEnd struct {
+	taken int // bytes that the kernel took
+	err   error
+}
+
+// faultyConn is a connection whose writes end as they are told to, in turn; without a word they go through.
+type faultyConn struct {
+	net.Conn
+	ends    []writeEnd
+	written *strings.Builder
+	wait    chan struct{} // if there, the first write waits for it after its bytes
+}
+
+func (f *faultyConn) Write(b []byte) (int, error) {
+	if len(f.ends) == 0 {
+		n, err := f.Conn.Write(b)
+		f.written.Write(b[:n])
+		return n, err
+	}
+	end := f.ends[0]
+	f.ends = f.ends[1:]
+	n := min(end.taken, len(b))
+	if n > 0 {
+		f.Conn.Write(b[:n])
+		f.written.Write(b[:n])
+	}
+	if f.wait != nil {
+		<-f.wait
+		f.wait = nil
+	}
+	return n, end.err
+}
+
+// TestFailedWrites: a write that failed proves that nothing ran only where the kernel took none of it.
+func TestFailedWrites(t *testing.T) {
+	for name, c := range map[string]struct {
+		end  writeEnd
+		want balance.Result
+	}{
+		"reset before a byte":   {writeEnd{0, syscall.ECONNRESET}, balance.ConnectFailed},
+		"pipe before a byte":    {writeEnd{0, syscall.EPIPE}, balance.ConnectFailed},
+		"time before a byte":    {writeEnd{0, os.ErrDeadlineExceeded}, balance.ConnectFailed},
+		"closed here before":    {writeEnd{0, net.ErrClosed}, balance.ConnectFailed},
+		"reset after some":      {writeEnd{20, syscall.ECONNRESET}, balance.Reset},
+		"time after some":       {writeEnd{20, os.ErrDeadlineExceeded}, balance.Reset},
+		"closed here in midway": {writeEnd{20, net.ErrClosed}, balance.Reset},
+		"reset after all":       {writeEnd{1 << 20, syscall.ECONNRESET}, balance.Reset},
+	} {
+		for _, reused := range []bool{false, true} {
+			t.Run(fmt.Sprint(name, ", reused ", reused), func(t *testing.T) {
+				good := text("200 OK", "ID", "s", "abc")
+				board(t, &server{answers: []string{good, good, good}}, func(d *deck) {
+					var conn *faultyConn
+					dial := d.Dial
+					d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+						c, err := dial(ctx, network, address)
+						conn = &faultyConn{Conn: c, written: &strings.Builder{}}
+						return conn, err
+					}
+					if reused {
+						d.ask("x0")
+						conn.ends = []writeEnd{c.end}
+					} else {
+						first := d.Dial
+						d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+							_, err := first(ctx, network, address)
+							conn.ends = []writeEnd{c.end}
+							return conn, err
+						}
+					}
+					result, _ := d.ask("x1")
+					if c.end.taken < 1<<20 { // the whole request may be answered as well
+						must.Eq(t, c.want, result)
+					} else {
+						must.False(t, result.NeverRan())
+					}
+					d.settle()
+				})
+			})
+		}
+	}
+}
+
+// TestAnsweredBeforeItIsWritten: a replica that answers before it has read the whole request, whose rest then is never
+// taken: no byte of the next request may follow where the replica still waits for that rest.
+func TestAnsweredBeforeItIsWritten(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		near, far := net.Pipe()
+		conn := &faultyConn{Conn: near, ends: []writeEnd{{taken: 20, err: os.ErrDeadlineExceeded}}, written: &strings.Builder{},
+			wait: make(chan struct{})}
+		d := &deck{t: t, notes: make(chan any, 64)}
+		began := time.Now()
+		d.Pool = NewPool(func(v any) { d.notes <- v }, func() int64 { return int64(time.Since(began)) })
+		d.Dial = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
+		d.Address(0, Dial("i-1", "r:1"))
+		go func() {
+			io.ReadFull(far, make([]byte, 20))
+			io.WriteString(far, withLines(text("503 No", "x1", "", ""), notExecutedLine))
+			io.Copy(io.Discard, far)
+		}()
+		wait := conn.wait
+		defer func() {
+			far.Close()
+			near.Close()
+			synctest.Wait()
+		}()
+		result, _ := d.ask("x1")
+		must.Eq(t, balance.Full, result)
+		t2 := &replica.Ticket{Load: &Request{Attempt: "x2", Method: "GET", Head: []byte("GET /other HTTP/1.1\r\n"),
+			Answers: map[int]*Answer{}}}
+		d.Call(0, []*replica.Ticket{t2})
+		synctest.Wait()
+		close(wait)
+		synctest.Wait()
+		var ended []replica.Report
+		for len(d.notes) > 0 {
+			reports, _ := d.Note(<-d.notes)
+			ended = append(ended, reports...)
+			synctest.Wait()
+		}
+		must.StrNotContains(t, conn.written.String(), "/other")
+		must.SliceLen(t, 1, ended)
+		must.Eq(t, balance.ConnectFailed, ended[0].Result)
+		must.Zero(t, d.Open())
+	})
+}
