--- a/front/clienthttp/clienthttp.go
+++ b/front/clienthttp/clienthttp.go
@@ -195,6 +195,9 @@
 		}
 	}
 	h.Set("Content-Length", strconv.Itoa(len(got.Body)))
+	if stated := http.Header(got.Header).Get("Content-Length"); req.Method == http.MethodHead && stated != "" {
+		h.Set("Content-Length", stated)
+	}
 	w.WriteHeader(got.Status)
 	w.Write(got.Body)
 }
--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -54,6 +54,13 @@
 	c.mu.Unlock()
 }
 
+// ended tells whether the connection was closed, by either side.
+func (c *connection) ended() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.closed
+}
+
 func (c *connection) close() {
 	c.free = false
 	c.mu.Lock()
@@ -250,7 +257,7 @@
 	if spliced(res) {
 		return nil, 0, ErrReplica.Errorf("an answer whose head is of two")
 	}
-	body, err := readBody(res)
+	body, err := readBody(res, method)
 	if err != nil {
 		return nil, 0, ErrReplica.Wrapf(err, "an answer that was broken off")
 	}
@@ -294,7 +301,11 @@
 	return false
 }
 
-func readBody(res *http.Response) ([]byte, error) {
+// readBody reads the body of an answer whole; the answer to HEAD has none, whatever length it states.
+func readBody(res *http.Response, method string) ([]byte, error) {
+	if method == http.MethodHead {
+		return nil, nil
+	}
 	if res.ContentLength > bodyMost {
 		return nil, ErrReplica.Errorf("an answer of %d bytes", res.ContentLength)
 	}
--- a/transport/replicahttp/replicahttp.go
+++ b/transport/replicahttp/replicahttp.go
@@ -255,7 +255,9 @@
 			ended = append(ended, replica.Report{Ticket: e.ticket, Result: n.result, At: n.at})
 		}
 		if !n.down {
-			c.free, c.until = n.free > 0, p.now()+int64(n.free)
+			// Danger: a connection may have been closed since, by giving its exchange up or by the replica; what is
+			// begun on it would fail for no reason of its own.
+			c.free, c.until = n.free > 0 && !c.ended(), p.now()+int64(n.free)
 			if !c.free || p.ended || c.line.gone {
 				c.close()
 			}
--- /dev/null
+++ b/transport/replicahttp/reuse_test.go
@@ -0,0 +1,47 @@
+package replicahttp
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"willowsill/balance"
+	"willowsill/transport/replica"
+)
+
+// TestGivenUpAndAnswered: an exchange that was given up while its answer was on its way leaves no connection behind that
+// would be used again.
+func TestGivenUpAndAnswered(t *testing.T) {
+	good := text("200 OK", "ID", "s", "abc")
+	s := &server{answers: []string{good, good}}
+	board(t, s, func(d *deck) {
+		r := &Request{Attempt: "x1", Method: "GET", Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": x1\r\n")}
+		ticket := &replica.Ticket{Load: r}
+		must.True(t, d.Call(0, []*replica.Ticket{ticket}))
+		synctest.Wait()
+		must.Eq(t, 1, len(d.notes)) // the answer is there, and the loop has not heard of it
+		must.False(t, d.GiveUp(ticket, true))
+		reports, _ := d.Note(<-d.notes)
+		must.SliceEmpty(t, reports)
+		must.MapEmpty(t, r.Answers)
+		result, _ := d.ask("x2")
+		must.Eq(t, balance.Fulfilled, result)
+	})
+}
+
+// TestIdleRace: the replica closes an idle connection at the moment at which the next request is begun on it. What was
+// never written is said not to have run.
+func TestIdleRace(t *testing.T) {
+	good := text("200 OK", "ID", "s", "abc")
+	s := &server{answers: []string{good, good}, closesIdle: true}
+	board(t, s, func(d *deck) {
+		d.ask("x1")
+		time.Sleep(time.Second) // it has closed; the loop has not heard of it
+		result, a := d.ask("x2")
+		must.True(t, result == balance.ConnectFailed, must.Sprint(result))
+		must.Nil(t, a)
+		must.SliceLen(t, 1, s.heads)
+	})
+}
