--- a/front/clienthttp/clienthttp.go
+++ b/front/clienthttp/clienthttp.go
@@ -181,10 +181,27 @@
 	refuse(w, http.StatusBadGateway, 0)
 }
 
+// passes tells whether a replica's answer goes to the client: a success, and a failure of the replica's own.
+//
+// Danger: 503 promises a client that its request has not run and never will. A replica's own 503 without a proof promises
+// nothing, and a client would repeat an unsafe request that has run.
+func passes(got *replicahttp.Answer, final balance.Final) bool {
+	if got == nil || !got.Whole {
+		return false
+	}
+	if final <= balance.Partial {
+		return true
+	}
+	if got.Status == http.StatusServiceUnavailable && final != balance.Declined {
+		return false
+	}
+	return got.Seal != "" && got.Status >= http.StatusInternalServerError
+}
+
 // plain passes one replica's answer on unchanged, also its failure where there is nothing better.
 func plain(w http.ResponseWriter, req *replicahttp.Request, shard int, a node.Answer) {
 	got := req.Answers[shard]
-	if got == nil || !got.Whole || a.Final > balance.Partial && (got.Seal == "" || got.Status < http.StatusInternalServerError) {
+	if !passes(got, a.Final) {
 		unserved(w, a)
 		return
 	}
--- /dev/null
+++ b/front/proxyserver/callers_test.go
@@ -0,0 +1,290 @@
+package proxyserver
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+	"go.uber.org/zap"
+
+	"willowsill/decide/clusterstate"
+	"willowsill/decide/registry"
+	"willowsill/decide/routingtable"
+	"willowsill/deployment"
+	"willowsill/deployment/settings"
+	"willowsill/front/clienthttp"
+	"willowsill/internal/counters"
+	"willowsill/node"
+	"willowsill/transport/replicahttp"
+)
+
+const (
+	callersConfiguration = `{"revision":1,"routes":[
+{"name":"safe","host":"h","path-prefix":"/safe/","route-kind":"safe","deadline-ms":300,"target-ms":100,"service":"s","max-tries":2},
+{"name":"unsafe","host":"h","path-prefix":"/unsafe/","route-kind":"unsafe","deadline-ms":300,"target-ms":100,"service":"s","max-tries":3}],
+"services":[{"name":"s"}]}`
+	warmPath = "/unsafe/warm" // a replica always answers it well
+)
+
+// call is one request as a replica reads it.
+type call struct {
+	path, attempt, body string
+}
+
+// troubled is a replica whose connections end or misbehave in one way.
+type troubled struct {
+	misbehave func(c *net.TCPConn, r *bufio.Reader, attempt string) // instead of an answer; the connection ends after it
+	idle      func(c *net.TCPConn)                                  // after the answer to the warm request
+	unread    bool                                                  // a connection ends before anything is read
+
+	mu    sync.Mutex
+	calls []call // without the warm ones
+	conns int
+}
+
+func goodAnswer(attempt, body string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: seal-%s\r\nContent-Length: %d\r\n\r\n%s", replicahttp.HeaderAttempt, attempt,
+		replicahttp.HeaderSeal, attempt, len(body), body)
+}
+
+func (s *troubled) serve(c *net.TCPConn) {
+	defer c.Close()
+	s.mu.Lock()
+	s.conns++
+	s.mu.Unlock()
+	r := bufio.NewReader(c)
+	for {
+		if s.unread && s.misbehave != nil {
+			s.misbehave(c, r, "")
+			return
+		}
+		request, err := http.ReadRequest(r)
+		if err != nil {
+			return
+		}
+		body, err := io.ReadAll(request.Body)
+		if err != nil {
+			return
+		}
+		attempt := request.Header.Get(replicahttp.HeaderAttempt)
+		if request.RequestURI == warmPath {
+			io.WriteString(c, goodAnswer(attempt, "warm"))
+			if s.idle != nil {
+				s.idle(c)
+			}
+			continue
+		}
+		s.mu.Lock()
+		s.calls = append(s.calls, call{request.RequestURI, attempt, string(body)})
+		s.mu.Unlock()
+		if s.misbehave == nil {
+			io.WriteString(c, goodAnswer(attempt, "body of "+attempt))
+			continue
+		}
+		s.misbehave(c, r, attempt)
+		return
+	}
+}
+
+// written sends text and reads on until the other side ends.
+func written(format string) func(*net.TCPConn, *bufio.Reader, string) {
+	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
+		io.WriteString(c, strings.ReplaceAll(format, "ID", attempt))
+		c.SetReadDeadline(time.Now().Add(time.Second))
+		io.Copy(io.Discard, c)
+	}
+}
+
+// closing sends text and closes.
+func closing(format string) func(*net.TCPConn, *bufio.Reader, string) {
+	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
+		io.WriteString(c, strings.ReplaceAll(format, "ID", attempt))
+	}
+}
+
+// reset sends text and resets.
+func reset(format string) func(*net.TCPConn, *bufio.Reader, string) {
+	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
+		io.WriteString(c, strings.ReplaceAll(format, "ID", attempt))
+		c.SetLinger(0)
+	}
+}
+
+// halfClose sends text and ends its side alone.
+func halfClose(format string) func(*net.TCPConn, *bufio.Reader, string) {
+	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
+		io.WriteString(c, strings.ReplaceAll(format, "ID", attempt))
+		c.CloseWrite()
+		c.SetReadDeadline(time.Now().Add(time.Second))
+		io.Copy(io.Discard, c)
+	}
+}
+
+// proxyBefore serves clients by handler, node and pool as a proxy does, before one replica.
+func proxyBefore(t *testing.T, s *troubled) (front string) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	must.NoError(t, err)
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go s.serve(c.(*net.TCPConn))
+		}
+	}()
+	set := settings.Settings{IP: "127.0.0.1", Bounds: settings.Bounds{RetryRatio: 1, RetrySlack: 600, RetryWindowS: 10}}
+	clock := node.NewClock()
+	table, count := routingtable.New(clock.Now(), set), counters.New(nil)
+	n := node.New(node.Plan{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
+		Terms: deployment.Terms{MostHeld: heldMost}, Count: count, Log: zap.NewNop(), Ask: func() {},
+		Carry: func(tell func(any), now func() int64) node.Carrier { return replicahttp.NewPool(tell, now) }})
+	h := &Server{settings: set, node: n, count: count, table: table}
+	c := table.Take(clock.Now(), clusterstate.Update{Revision: 1, Raw: []byte(callersConfiguration),
+		Replicas: []registry.Record{{ID: "i-1", Service: "s", Address: ln.Addr().String(), Seq: 1, Capacity: 8}}})
+	must.NoError(t, c.Err)
+	h.served = c.Workloads
+	for range c.Workloads {
+		h.rows = append(h.rows, &counters.Workload{})
+	}
+	h.serving(600)
+	n.News(context.Background(), h.news(c.Replicas))
+	q := &clienthttp.Handler{Core: n, Now: clock.Now}
+	q.Serve(c.State)
+	clients, err := net.Listen("tcp", "127.0.0.1:0")
+	must.NoError(t, err)
+	server := &http.Server{Handler: q}
+	go server.Serve(clients)
+	t.Cleanup(func() { server.Close() })
+	return clients.Addr().String()
+}
+
+// ask sends one request and reads its answer.
+func ask(t *testing.T, c net.Conn, r *bufio.Reader, path, attempt string) (*http.Response, string) {
+	t.Helper()
+	c.SetDeadline(time.Now().Add(10 * time.Second))
+	fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 4\r\n\r\nbody", path, replicahttp.HeaderAttempt, attempt)
+	res, err := http.ReadResponse(r, nil)
+	must.NoError(t, err)
+	body, err := io.ReadAll(res.Body)
+	must.NoError(t, err)
+	return res, string(body)
+}
+
+// TestReplicaConnections: each way in which a connection to a replica ends or misbehaves, for safe and unsafe calls, on
+// their connection's first use and on a reused one. The answer goes to its own caller or to nobody, an unsafe call is
+// written once, and no promise that it has not run goes out where it may have.
+func TestReplicaConnections(t *testing.T) {
+	good := goodAnswer("ID", "body of ID")
+	lines := func(status, more string) string {
+		return "HTTP/1.1 " + status + "\r\n" + replicahttp.HeaderAttempt + ": ID\r\n" + more + "Content-Length: 2\r\n\r\nno"
+	}
+	seal, proof := replicahttp.HeaderSeal+": s\r\n", replicahttp.HeaderNotExecuted+": 1\r\n"
+	served, lost, refused := []int{200}, []int{502}, []int{503}
+	for name, c := range map[string]struct {
+		s    *troubled
+		want []int // statuses that an unsafe call's client may get
+		runs bool  // the replica may have run it
+	}{
+		"well":                          {&troubled{}, served, true},
+		"closed before reading":         {&troubled{unread: true, misbehave: closing("")}, []int{502, 503}, false},
+		"reset before reading":          {&troubled{unread: true, misbehave: reset("")}, []int{502, 503}, false},
+		"closed in the request's head":  {&troubled{unread: true, misbehave: func(c *net.TCPConn, r *bufio.Reader, _ string) { r.ReadByte() }}, lost, true},
+		"closed after the request":      {&troubled{misbehave: closing("")}, lost, true},
+		"reset after the request":       {&troubled{misbehave: reset("")}, lost, true},
+		"half closed after the request": {&troubled{misbehave: halfClose("")}, lost, true},
+		"silent":                        {&troubled{misbehave: written("")}, lost, true},
+		"closed in the answer's head":   {&troubled{misbehave: closing(good[:40])}, lost, true},
+		"reset in the answer's head":    {&troubled{misbehave: reset(good[:40])}, lost, true},
+		"silent in the answer's head":   {&troubled{misbehave: written(good[:40])}, lost, true},
+		"closed in the body":            {&troubled{misbehave: closing(good[:len(good)-3])}, lost, true},
+		"reset in the body":             {&troubled{misbehave: reset(good[:len(good)-3])}, lost, true},
+		"half closed in the body":       {&troubled{misbehave: halfClose(good[:len(good)-3])}, lost, true},
+		"silent in the body":            {&troubled{misbehave: written(good[:len(good)-3])}, lost, true},
+		"garbage":                       {&troubled{misbehave: written("\x00\x01 no answer\r\n\r\n")}, lost, true},
+		"another's answer instead":      {&troubled{misbehave: closing(goodAnswer("other", "body of other"))}, lost, true},
+		"another's answer, then silent": {&troubled{misbehave: written(goodAnswer("other", "body of other"))}, lost, true},
+		"another's answer before":       {&troubled{misbehave: written(goodAnswer("other", "body of other") + good)}, served, true},
+		"another's answer behind":       {&troubled{misbehave: written(good + goodAnswer("other", "body of other"))}, served, true},
+		"twice the same":                {&troubled{misbehave: written(good + good)}, served, true},
+		"garbage behind":                {&troubled{misbehave: written(good + "junk")}, served, true},
+		"no id":                         {&troubled{misbehave: written("HTTP/1.1 200 OK\r\n" + seal + "Content-Length: 2\r\n\r\nok")}, lost, true},
+		"Connection: close":             {&troubled{misbehave: closing(strings.Replace(good, "\r\n", "\r\nConnection: close\r\n", 1))}, served, true},
+		"HTTP/1.0":                      {&troubled{misbehave: closing(strings.Replace(good, "HTTP/1.1", "HTTP/1.0", 1))}, served, true},
+		"1xx before":                    {&troubled{misbehave: written("HTTP/1.1 103 Early\r\n\r\n" + good)}, served, true},
+		"1xx alone":                     {&troubled{misbehave: closing("HTTP/1.1 103 Early\r\n\r\n")}, lost, true},
+		"no length":                     {&troubled{misbehave: closing("HTTP/1.1 200 OK\r\n" + replicahttp.HeaderAttempt + ": ID\r\n" + seal + "\r\nbody of")}, lost, true},
+		"chunks broken off":             {&troubled{misbehave: closing("HTTP/1.1 200 OK\r\n" + replicahttp.HeaderAttempt + ": ID\r\n" + seal + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n")}, lost, true},
+		"success without a seal":        {&troubled{misbehave: written(lines("200 OK", ""))}, lost, true},
+		"503 without proof":             {&troubled{misbehave: written(lines("503 No", ""))}, lost, true},
+		"503 of its own":                {&troubled{misbehave: written(lines("503 No", seal))}, lost, true},
+		"429 without proof":             {&troubled{misbehave: written(lines("429 No", ""))}, lost, true},
+		"429 of its own":                {&troubled{misbehave: written(lines("429 No", seal))}, lost, true},
+		"408 of its own":                {&troubled{misbehave: written(lines("408 No", seal))}, lost, true},
+		"400 of its own":                {&troubled{misbehave: written(lines("400 No", seal))}, lost, true},
+		"500 of its own":                {&troubled{misbehave: written(lines("500 No", seal))}, []int{500}, true},
+		"503 with proof":                {&troubled{misbehave: written(lines("503 No", proof))}, refused, false},
+		"503 of its own with proof":     {&troubled{misbehave: written(lines("503 No", seal+proof))}, refused, false},
+		"429 with proof":                {&troubled{misbehave: written(lines("429 No", proof))}, refused, false},
+		"421":                           {&troubled{misbehave: written(lines("421 No", ""))}, refused, false},
+		"closed while idle":             {&troubled{idle: func(c *net.TCPConn) { c.Close() }}, []int{200, 502, 503}, true},
+		"reset while idle":              {&troubled{idle: func(c *net.TCPConn) { c.SetLinger(0); c.Close() }}, []int{200, 502, 503}, true},
+		"half closed while idle":        {&troubled{idle: func(c *net.TCPConn) { c.CloseWrite() }}, []int{200, 502, 503}, true},
+		"surplus while idle":            {&troubled{idle: func(c *net.TCPConn) { io.WriteString(c, goodAnswer("other", "body of other")) }}, []int{200, 502, 503}, true},
+	} {
+		for _, unsafe := range []bool{false, true} {
+			for _, reused := range []bool{false, true} {
+				if reused && c.s.unread || !reused && c.s.idle != nil {
+					continue // says nothing about that
+				}
+				t.Run(fmt.Sprintf("%s, unsafe %t, reused %t", name, unsafe, reused), func(t *testing.T) {
+					t.Parallel()
+					s := &troubled{misbehave: c.s.misbehave, idle: c.s.idle, unread: c.s.unread}
+					front := proxyBefore(t, s)
+					conn, err := net.Dial("tcp", front)
+					must.NoError(t, err)
+					defer conn.Close()
+					r := bufio.NewReader(conn)
+					if reused {
+						res, body := ask(t, conn, r, warmPath, "warm")
+						must.Eq(t, 200, res.StatusCode)
+						must.Eq(t, "warm", body)
+					}
+					path := "/safe/x"
+					if unsafe {
+						path = "/unsafe/x"
+					}
+					res, body := ask(t, conn, r, path, "t1")
+					if res.StatusCode/100 == 2 {
+						must.Eq(t, "body of t1", body)
+						must.Eq(t, "seal-t1", res.Header.Get(replicahttp.HeaderSeal))
+						must.Eq(t, "t1", res.Header.Get(replicahttp.HeaderAttempt))
+					}
+					s.mu.Lock()
+					defer s.mu.Unlock()
+					for _, got := range s.calls {
+						must.Eq(t, call{path, "t1", "body"}, got)
+					}
+					if unsafe {
+						must.SliceContains(t, c.want, res.StatusCode, must.Sprint(s.calls))
+						must.LessEq(t, 1, len(s.calls))
+						if promise := res.StatusCode == 503 || res.StatusCode == 429 || res.StatusCode == 408 || res.StatusCode == 421; promise && c.runs {
+							must.SliceEmpty(t, s.calls)
+						}
+					} else if c.want[0] == 200 && c.s.idle == nil {
+						must.Eq(t, 200, res.StatusCode)
+					}
+				})
+			}
+		}
+	}
+}
