--- /dev/null
+++ b/front/clienthttp/callers_test.go
@@ -0,0 +1,274 @@
+package clienthttp
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"willowsill/balance"
+	"willowsill/node"
+	"willowsill/transport/replicahttp"
+)
+
+// echoCore answers each query with its own attempt id, once it is let; a client that leaves first gets none.
+type echoCore struct {
+	hold chan struct{} // nil to answer at once
+
+	mu    sync.Mutex
+	asked []*replicahttp.Request
+	left  int
+	came  chan struct{}
+}
+
+func (c *echoCore) Serve(ctx context.Context, q node.Query) (node.Answer, bool) {
+	r := q.Load.(*replicahttp.Request)
+	c.mu.Lock()
+	c.asked = append(c.asked, r)
+	c.mu.Unlock()
+	c.came <- struct{}{}
+	if c.hold != nil {
+		select {
+		case <-c.hold:
+		case <-ctx.Done():
+			c.mu.Lock()
+			c.left++
+			c.mu.Unlock()
+			return node.Answer{}, false
+		}
+	}
+	r.Answers[q.Parts[0].Shard] = &replicahttp.Answer{Status: 200, Seal: "seal-" + r.Attempt, Whole: true, Body: []byte("for " + r.Attempt),
+		Header: http.Header{replicahttp.HeaderAttempt: {r.Attempt}, replicahttp.HeaderSeal: {"seal-" + r.Attempt}}}
+	return node.Answer{Final: balance.Whole, Values: []node.Value{{Shard: q.Parts[0].Shard}}}, true
+}
+
+// serveClients serves clients on a port of its own.
+func serveClients(t *testing.T, c *echoCore) (address string) {
+	c.came = make(chan struct{}, 64)
+	handler := quayOf(t, nil)
+	handler.Core = c
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	must.NoError(t, err)
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: 300 * time.Millisecond}
+	go server.Serve(ln)
+	t.Cleanup(func() { server.Close() })
+	return ln.Addr().String()
+}
+
+func post(id, lines, body string) string {
+	return "POST /b/x HTTP/1.1\r\nHost: h\r\n" + replicahttp.HeaderAttempt + ": " + id + "\r\n" + lines + "\r\n" + body
+}
+
+func sized(id, body string) string {
+	return post(id, fmt.Sprintf("Content-Length: %d\r\n", len(body)), body)
+}
+
+const chunked = "Transfer-Encoding: chunked\r\n"
+
+// answers reads all answers of a connection, until it ends, as "status body".
+func answers(t *testing.T, c net.Conn) (all []string) {
+	c.SetReadDeadline(time.Now().Add(5 * time.Second))
+	r := bufio.NewReader(c)
+	for {
+		if _, err := r.Peek(1); err != nil {
+			return all
+		}
+		res, err := http.ReadResponse(r, nil)
+		must.NoError(t, err)
+		body, err := io.ReadAll(res.Body)
+		must.NoError(t, err)
+		if res.StatusCode == 200 {
+			must.Eq(t, "for "+res.Header.Get(replicahttp.HeaderAttempt), string(body))
+			must.Eq(t, "seal-"+res.Header.Get(replicahttp.HeaderAttempt), res.Header.Get(replicahttp.HeaderSeal))
+			all = append(all, "200 "+res.Header.Get(replicahttp.HeaderAttempt))
+			continue
+		}
+		all = append(all, fmt.Sprint(res.StatusCode))
+	}
+}
+
+// TestClientConnections: each way in which a client's connection ends or misbehaves, on its first request and behind one
+// that was answered. What did not come whole goes to no replica, each answer goes to its own request, in order, and none
+// is made up.
+func TestClientConnections(t *testing.T) {
+	for name, c := range map[string]struct {
+		sent  string   // then the client ends its side
+		want  []string // answers
+		asked []string // attempt and body of what went on
+	}{
+		"nothing":                   {"", nil, nil},
+		"ended in the first line":   {"POST /b", []string{"400"}, nil},
+		"ended in the head":         {post("x1", "X-A: 1\r\n", "")[:40], []string{"400"}, nil},
+		"ended before the body":     {post("x1", "Content-Length: 4\r\n", ""), []string{"400"}, nil},
+		"ended in the body":         {post("x1", "Content-Length: 4\r\n", "bo"), []string{"400"}, nil},
+		"ended in a chunk's head":   {post("x1", chunked, "4"), []string{"400"}, nil},
+		"ended in a chunk":          {post("x1", chunked, "4\r\nbo"), []string{"400"}, nil},
+		"ended behind a chunk":      {post("x1", chunked, "4\r\nbody\r\n"), []string{"400"}, nil},
+		"ended in the last chunk":   {post("x1", chunked, "4\r\nbody\r\n0\r\n"), []string{"400"}, nil},
+		"a chunk that is none":      {post("x1", chunked, "zz\r\nbody\r\n0\r\n\r\n"), []string{"400"}, nil},
+		"whole in chunks":           {post("x1", chunked+"Connection: close\r\n", "4\r\nbody\r\n0\r\n\r\n"), []string{"200 x1"}, []string{"x1 body"}},
+		"two in one segment":        {sized("x1", "body") + sized("x2", "more"), []string{"200 x1", "200 x2"}, []string{"x1 body", "x2 more"}},
+		"two in one, second broken": {sized("x1", "body") + post("x2", "Content-Length: 4\r\n", "mo"), []string{"200 x1", "400"}, []string{"x1 body"}},
+		"garbage behind the body":   {sized("x1", "body") + "\x00garbage\r\n\r\n", []string{"200 x1", "400"}, []string{"x1 body"}},
+		"two lengths":               {post("x1", "Content-Length: 4\r\nContent-Length: 5\r\n", "body"), []string{"400"}, nil},
+		"two ids":                   {post("x1", replicahttp.HeaderAttempt+": x2\r\nContent-Length: 4\r\nConnection: close\r\n", "body"), []string{"400"}, nil},
+		"length and chunks":         {post("x1", chunked+"Content-Length: 3\r\nConnection: close\r\n", "4\r\nbody\r\n0\r\n\r\n"), []string{"200 x1"}, []string{"x1 body"}},
+	} {
+		for _, reused := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, reused %t", name, reused), func(t *testing.T) {
+				t.Parallel()
+				core := &echoCore{}
+				conn, err := net.Dial("tcp", serveClients(t, core))
+				must.NoError(t, err)
+				defer conn.Close()
+				sent, want, asked := c.sent, c.want, c.asked
+				if reused {
+					sent = sized("x0", "first") + sent
+					want = append([]string{"200 x0"}, want...)
+					asked = append([]string{"x0 first"}, asked...)
+				}
+				io.WriteString(conn, sent)
+				for range asked {
+					<-core.came // served at once, so that the end of the client's side is no departure
+				}
+				if len(want) > len(asked) || len(asked) == 0 {
+					conn.(*net.TCPConn).CloseWrite()
+				} else {
+					conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
+				}
+				got := answersUntil(t, conn, len(want))
+				must.Eq(t, want, got)
+				core.mu.Lock()
+				defer core.mu.Unlock()
+				var came []string
+				for _, r := range core.asked {
+					came = append(came, r.Attempt+" "+string(r.Body))
+				}
+				must.Eq(t, asked, came)
+			})
+		}
+	}
+}
+
+// answersUntil reads so many answers, and all that come until the end where there are to be none.
+func answersUntil(t *testing.T, c net.Conn, most int) (all []string) {
+	if most == 0 {
+		return answers(t, c)
+	}
+	r := bufio.NewReader(c)
+	for len(all) < most {
+		c.SetReadDeadline(time.Now().Add(5 * time.Second))
+		res, err := http.ReadResponse(r, nil)
+		if err != nil {
+			return all
+		}
+		body, err := io.ReadAll(res.Body)
+		must.NoError(t, err)
+		if res.StatusCode != http.StatusOK {
+			all = append(all, fmt.Sprint(res.StatusCode))
+			continue
+		}
+		id := res.Header.Get(replicahttp.HeaderAttempt)
+		must.Eq(t, "for "+id, string(body))
+		must.Eq(t, "seal-"+id, res.Header.Get(replicahttp.HeaderSeal))
+		all = append(all, "200 "+id)
+	}
+	return all
+}
+
+// TestClientLeaves: a client that leaves while its request is out is given up, and what it may still read is no success
+// and no promise.
+func TestClientLeaves(t *testing.T) {
+	for name, leave := range map[string]func(*net.TCPConn){
+		"closed":      func(c *net.TCPConn) { c.Close() },
+		"reset":       func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+		"half closed": func(c *net.TCPConn) { c.CloseWrite() },
+	} {
+		for _, path := range []string{"/a/x", "/b/x"} {
+			t.Run(name+" "+path, func(t *testing.T) {
+				core := &echoCore{hold: make(chan struct{})}
+				conn, err := net.Dial("tcp", serveClients(t, core))
+				must.NoError(t, err)
+				defer conn.Close()
+				io.WriteString(conn, strings.Replace(sized("x1", "body"), "/b/x", path, 1))
+				<-core.came
+				leave(conn.(*net.TCPConn))
+				for _, got := range answers(t, conn) {
+					must.Eq(t, "502", got)
+				}
+				for range 500 { // the server sees it at once; the race with this check is short
+					core.mu.Lock()
+					left := core.left
+					core.mu.Unlock()
+					if left == 1 {
+						return
+					}
+					time.Sleep(10 * time.Millisecond)
+				}
+				t.Fatal("not given up")
+			})
+		}
+	}
+}
+
+// TestPipelinedBehindOneThatWaits: a request behind one that is out waits, and each gets its own answer.
+func TestPipelinedBehindOneThatWaits(t *testing.T) {
+	core := &echoCore{hold: make(chan struct{})}
+	conn, err := net.Dial("tcp", serveClients(t, core))
+	must.NoError(t, err)
+	defer conn.Close()
+	io.WriteString(conn, sized("x1", "body"))
+	<-core.came
+	io.WriteString(conn, sized("x2", "more"))
+	close(core.hold)
+	must.Eq(t, []string{"200 x1", "200 x2"}, answersUntil(t, conn, 2))
+}
+
+// TestExpectContinue: a body is asked for before it is sent, and one that never comes goes to no replica.
+func TestExpectContinue(t *testing.T) {
+	for _, sent := range []string{"body", "bo"} {
+		core := &echoCore{}
+		conn, err := net.Dial("tcp", serveClients(t, core))
+		must.NoError(t, err)
+		defer conn.Close()
+		io.WriteString(conn, post("x1", "Expect: 100-continue\r\nContent-Length: 4\r\n", ""))
+		r := bufio.NewReader(conn)
+		conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+		line, err := r.ReadString('\n')
+		must.NoError(t, err)
+		must.Eq(t, "HTTP/1.1 100 Continue\r\n", line)
+		_, err = r.ReadString('\n')
+		must.NoError(t, err)
+		io.WriteString(conn, sent)
+		if len(sent) < 4 {
+			conn.(*net.TCPConn).CloseWrite()
+		}
+		res, err := http.ReadResponse(r, nil)
+		must.NoError(t, err)
+		if len(sent) < 4 {
+			must.Eq(t, 400, res.StatusCode)
+			must.SliceEmpty(t, core.asked)
+			continue
+		}
+		must.Eq(t, 200, res.StatusCode)
+	}
+}
+
+// TestSlowHead: a head that does not come in time goes to no replica; net/http refuses it and ends the connection.
+func TestSlowHead(t *testing.T) {
+	core := &echoCore{}
+	conn, err := net.Dial("tcp", serveClients(t, core))
+	must.NoError(t, err)
+	defer conn.Close()
+	io.WriteString(conn, "POST /b/x HTTP/1.1\r\nHost")
+	must.Eq(t, []string{"400"}, answers(t, conn))
+	must.SliceEmpty(t, core.asked)
+}
--- a/front/clienthttp/clienthttp.go
+++ b/front/clienthttp/clienthttp.go
@@ -75,7 +75,8 @@
 		return
 	}
 	attempt := r.Header.Get(replicahttp.HeaderAttempt)
-	if attempt == "" {
+	// Danger: of two ids a replica may answer by the other, and its answer would be nobody's.
+	if attempt == "" || len(r.Header[replicahttp.HeaderAttempt]) > 1 {
 		refuse(w, http.StatusBadRequest, 0)
 		return
 	}
@@ -111,6 +112,10 @@
 	}
 	answer, here := q.Core.Serve(r.Context(), query)
 	if !here {
+		// Danger: a handler that returns without a word answers 200, and a client that has ended only its own side
+		// reads that as a success.
+		w.Header().Set("Connection", "close")
+		refuse(w, http.StatusBadGateway, 0)
 		return
 	}
 	answer.ComeBack = routingtable.ComeBack(answer.ComeBack, draw)
