--- a/transport/controlclient/controlclient.go
+++ b/transport/controlclient/controlclient.go
@@ -23,13 +23,35 @@
 	callWithin = 2 * time.Second
 	tryAgain   = 200 * time.Millisecond
 	followWait = 3 * time.Second
+
+	mostRedirects = 2 // that one call follows
 )
 
-// Control calls one co-ordinator after the other until one gives a clear answer, or ctx ends.
+// client sends each request once. Of net/http's own client it keeps neither the idle connections nor the ten redirects.
+//
+// Danger: net/http sends a request again by itself where a connection that it reuses dies under it. What is sent again is
+// for Control alone to say, and what is never reused is never replayed on.
+var client = &http.Client{
+	Timeout:       callWithin,
+	Transport:     &http.Transport{Proxy: http.ProxyFromEnvironment, DisableKeepAlives: true},
+	CheckRedirect: boundRedirects,
+}
+
+// boundRedirects follows a 307 as often as all callers of control do.
+func boundRedirects(_ *http.Request, via []*http.Request) error {
+	if len(via) > mostRedirects {
+		return ErrDinghy.Errorf("more than %d redirects", mostRedirects)
+	}
+	return nil
+}
+
+// Control calls one co-ordinator after the other until one gives a clear answer, or ctx ends. A call without a clear answer
+// (no connection, no whole answer within callWithin, a 5xx, 408 or 429) goes out again, the same bytes, to the next address
+// after tryAgain: no more than one in each tryAgain, for as long as ctx lasts. Whoever gives a ctx without an end gets tries
+// without an end.
 type Control struct{ Addresses []string }
 
 func (c *Control) call(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
-	client := http.Client{Timeout: callWithin}
 	err = ErrDinghy.Errorf("no control address was given")
 	for n := 0; ctx.Err() == nil && len(c.Addresses) > 0; n++ {
 		address := c.Addresses[n%len(c.Addresses)]
--- /dev/null
+++ b/transport/controlclient/replay_test.go
@@ -0,0 +1,144 @@
+package controlclient
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+)
+
+// dyingServer answers the first request of each connection, and ends the connection when it has read a second.
+type dyingServer struct {
+	answers []string // to the first requests of connections, in turn; the last one repeats
+
+	mu       sync.Mutex
+	requests []string // method and body, as they were read
+	conns    int
+	longest  int // requests read on one connection
+}
+
+func (s *dyingServer) listen(t *testing.T) string {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	must.NoError(t, err)
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go s.serve(c)
+		}
+	}()
+	return ln.Addr().String()
+}
+
+func (s *dyingServer) serve(c net.Conn) {
+	defer c.Close()
+	s.mu.Lock()
+	answer := s.answers[min(s.conns, len(s.answers)-1)]
+	s.conns++
+	s.mu.Unlock()
+	r := bufio.NewReader(c)
+	for n := 1; ; n++ {
+		req, err := http.ReadRequest(r)
+		if err != nil {
+			return
+		}
+		body, _ := io.ReadAll(req.Body)
+		s.mu.Lock()
+		s.requests = append(s.requests, req.Method+" "+string(body))
+		s.longest = max(s.longest, n)
+		s.mu.Unlock()
+		if n > 1 {
+			return
+		}
+		io.WriteString(c, answer)
+	}
+}
+
+const (
+	busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+	done = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+)
+
+// TestStockClientReplays shows what net/http's own client does with a reused connection that dies under a request: a GET
+// is sent again without a word to the caller, and a POST is not once it was written.
+func TestStockClientReplays(t *testing.T) {
+	for _, c := range []struct {
+		method, body string
+		read         int // requests that the server reads for the second call
+		fails        bool
+	}{
+		{http.MethodGet, "", 2, false},
+		{http.MethodPost, "configuration", 1, true},
+	} {
+		t.Run(c.method, func(t *testing.T) {
+			s := &dyingServer{answers: []string{done}}
+			address := s.listen(t)
+			stock := http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}
+			for call := range 2 {
+				req, err := http.NewRequest(c.method, "http://"+address, strings.NewReader(c.body))
+				must.NoError(t, err)
+				res, err := stock.Do(req)
+				must.Eq(t, call == 1 && c.fails, err != nil)
+				if err == nil {
+					io.Copy(io.Discard, res.Body)
+					res.Body.Close()
+				}
+			}
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			must.SliceLen(t, 1+c.read, s.requests)
+		})
+	}
+}
+
+// TestEachTryHasItsOwnConnection: what is sent again is sent by Control's own tries alone, the same bytes each time, and
+// each on a connection of its own, for net/http replays only on one that it reuses.
+func TestEachTryHasItsOwnConnection(t *testing.T) {
+	s := &dyingServer{answers: []string{busy, busy, done}}
+	control := Control{Addresses: []string{s.listen(t)}}
+	must.NoError(t, control.Send(context.Background(), []byte("configuration")))
+	_, err := control.Read(context.Background())
+	must.NoError(t, err)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	must.Eq(t, []string{"POST configuration", "POST configuration", "POST configuration", "GET "}, s.requests)
+	must.Eq(t, 1, s.longest)
+	must.Eq(t, 4, s.conns)
+}
+
+// TestRedirectsAreBounded: a 307 is followed twice, as by all callers of control, and then the next address is tried.
+func TestRedirectsAreBounded(t *testing.T) {
+	loop := &dyingServer{}
+	address := loop.listen(t)
+	loop.mu.Lock()
+	loop.answers = []string{"HTTP/1.1 307 There\r\nLocation: http://" + address + "/v1\r\nContent-Length: 0\r\n\r\n"}
+	loop.mu.Unlock()
+	good := &dyingServer{answers: []string{done}}
+	control := Control{Addresses: []string{address, good.listen(t)}}
+	must.NoError(t, control.Send(context.Background(), []byte("configuration")))
+	loop.mu.Lock()
+	defer loop.mu.Unlock()
+	must.SliceLen(t, 3, loop.requests)
+}
+
+// TestTriesEndWithTheContext: without a clear answer it goes on until ctx ends, and no longer.
+func TestTriesEndWithTheContext(t *testing.T) {
+	s := &dyingServer{answers: []string{busy}}
+	control := Control{Addresses: []string{s.listen(t)}}
+	ctx, cancel := context.WithTimeout(context.Background(), 3*tryAgain)
+	defer cancel()
+	must.Error(t, control.Send(ctx, []byte("configuration")))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	must.LessEq(t, 4, len(s.requests))
+}
