--- /dev/null
+++ b/transport/replicahttp/fuzz_test.go
@@ -0,0 +1,190 @@
+package replicahttp
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"willowsill/balance"
+	"willowsill/transport/replica"
+)
+
+const (
+	fuzzExchanges = 4    // on one connection, one after the other
+	fuzzSegments  = 32   // at the most, of the replica's stream
+	fuzzCut       = 0x3f // of a byte of the plan: how many bytes the segment has
+	fuzzWaits     = 0x40 // the segment waits for the next request
+	fuzzPause     = 0x80 // time passes before the segment
+	fuzzStep      = 10 * time.Millisecond
+	fuzzPatience  = time.Second // after which an exchange is given up
+)
+
+// fuzzStream plays a replica's stream on the one connection that there is: the segments of data that plan cuts, whatever is
+// asked. Each byte of the plan is one segment.
+func fuzzStream(c net.Conn, requests <-chan struct{}, data, plan []byte) {
+	defer c.Close()
+	for _, p := range plan[:min(len(plan), fuzzSegments)] {
+		if p&fuzzWaits != 0 {
+			if _, more := <-requests; !more {
+				return
+			}
+		}
+		if p&fuzzPause != 0 {
+			time.Sleep(fuzzStep)
+		}
+		n := min(int(p&fuzzCut)*4+1, len(data))
+		if _, err := c.Write(data[:n]); err != nil {
+			return
+		}
+		data = data[n:]
+	}
+	c.Write(data)
+}
+
+// fuzzRequests reads what is asked, and tells of each request's end.
+func fuzzRequests(c net.Conn, requests chan<- struct{}) {
+	defer close(requests)
+	seen, buf := []byte(nil), make([]byte, 512)
+	for {
+		n, err := c.Read(buf)
+		seen = append(seen, buf[:n]...)
+		for {
+			at := bytes.Index(seen, []byte("\r\n\r\n"))
+			if at < 0 {
+				break
+			}
+			seen = seen[at+4:]
+			select {
+			case requests <- struct{}{}:
+			default: // nobody waits for so many
+			}
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// checkGiven fails unless the answer given to an exchange is one that the stream holds for it, judged by the stream's bytes
+// alone.
+func checkGiven(t *testing.T, data []byte, id string, a *Answer, result balance.Result) {
+	ids := a.Header[HeaderAttempt]
+	if len(ids) != 1 || ids[0] != id {
+		t.Fatalf("an answer that bears %q was given to %q", ids, id)
+	}
+	if at := bytes.Index(data, []byte(id)); at < 0 {
+		t.Fatalf("the stream never names %q", id)
+	}
+	if !bytes.Contains(data, fmt.Appendf(nil, " %d", a.Status)) {
+		t.Fatalf("the stream has no status %d", a.Status)
+	}
+	if stated := a.Header["Content-Length"]; len(stated) == 1 {
+		if stated[0] != fmt.Sprint(len(a.Body)) {
+			t.Fatalf("a body of %d bytes for a length of %s", len(a.Body), stated[0])
+		}
+		if !bytes.Contains(data, a.Body) {
+			t.Fatalf("a body that the stream does not hold in one piece: %q", a.Body)
+		}
+	}
+	for key, values := range a.Header {
+		if strings.Contains(strings.Join(values, ""), "HTTP/1.") {
+			t.Fatalf("a head of two answers: %s: %q", key, values)
+		}
+	}
+	proof := a.Status == http.StatusMisdirectedRequest || http.Header(a.Header).Get(HeaderNotExecuted) != "" &&
+		(a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests || a.Status == http.StatusBadRequest)
+	if result.NeverRan() != proof {
+		t.Fatalf("result %d of an answer with proof %t", result, proof)
+	}
+	if result == balance.Fulfilled && (a.Status/100 != 2 || len(a.Header[HeaderSeal]) != 1) {
+		t.Fatalf("status %d with seals %q is a success", a.Status, a.Header[HeaderSeal])
+	}
+}
+
+// fuzzReplica plays one stream to fuzzExchanges requests, and checks what each of them is given.
+func fuzzReplica(t *testing.T, data, plan []byte) {
+	near, far := net.Pipe()
+	requests := make(chan struct{}, fuzzExchanges)
+	go fuzzRequests(far, requests)
+	go fuzzStream(far, requests, data, plan)
+	dialled := false
+	notes := make(chan any, 64)
+	began := time.Now()
+	pool := NewPool(func(v any) { notes <- v }, func() int64 { return int64(time.Since(began)) })
+	pool.Dial = func(context.Context, string, string) (net.Conn, error) {
+		if dialled {
+			return nil, io.ErrClosedPipe // there is one stream only
+		}
+		dialled = true
+		return near, nil
+	}
+	pool.Address(0, Dial("i-1", "r:1"))
+	for i := range fuzzExchanges {
+		id := fmt.Sprint("id", i)
+		r := &Request{Attempt: id, Method: http.MethodGet, Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\n" + HeaderAttempt + ": " + id + "\r\n")}
+		ticket := &replica.Ticket{Load: r}
+		pool.Call(0, []*replica.Ticket{ticket})
+		ended := 0
+		for until := time.Now().Add(fuzzPatience); ended == 0 && time.Now().Before(until); time.Sleep(fuzzStep) {
+			synctest.Wait()
+			for len(notes) > 0 {
+				reports, _ := pool.Note(<-notes)
+				ended += len(reports)
+				for _, report := range reports {
+					must.EqOp(t, ticket, report.Ticket)
+					if a := r.Answers[0]; a != nil {
+						checkGiven(t, data, id, a, report.Result)
+					}
+				}
+			}
+		}
+		must.LessEq(t, 1, ended)
+		if ended == 0 {
+			pool.GiveUp(ticket, true)
+			must.MapEmpty(t, r.Answers)
+		}
+	}
+	pool.Close()
+	near.Close()
+	far.Close()
+	synctest.Wait()
+	for len(notes) > 0 {
+		pool.Note(<-notes)
+		synctest.Wait()
+	}
+	must.Zero(t, pool.Open())
+}
+
+// FuzzReplicaStream: whatever bytes a replica sends, however they are cut and whenever they come, over several exchanges on
+// one connection: an answer is given only to the exchange whose attempt id it bears, whole, and says that nothing ran
+// only with a proof.
+func FuzzReplicaStream(f *testing.F) {
+	answer := func(i int, more string) string {
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: id%d\r\n%s: s%d\r\n%sContent-Length: 5\r\n\r\nbody%d", HeaderAttempt, i, HeaderSeal, i, more, i)
+	}
+	all := answer(0, "") + answer(1, "") + answer(2, "") + answer(3, "")
+	each := bytes.Repeat([]byte{fuzzWaits | 24}, 8) // about one answer a segment
+	f.Add([]byte(all), each)
+	f.Add([]byte(all), bytes.Repeat([]byte{1}, fuzzSegments))
+	f.Add([]byte(answer(0, "")+answer(0, "")+answer(1, "")), each)
+	f.Add([]byte(answer(1, "")+answer(0, "")), each)
+	f.Add([]byte(answer(0, "X: ")+answer(1, "")), each)
+	f.Add([]byte(answer(0, "")+"HTTP/1.1 503 No\r\n"+notExecutedLine+"X-More: ab"+answer(1, "")), each)
+	f.Add([]byte(answer(0, "")+"HTTP/1.1 200 O"+strings.Replace(answer(1, ""), "200 OK", "500 No", 1)), each)
+	f.Add([]byte(strings.Replace(answer(0, notExecutedLine), "200 OK", "503 No", 1)+answer(1, "")), []byte{fuzzWaits | 63, fuzzPause | 63})
+	f.Add([]byte(strings.Replace(answer(0, ""), "200 OK", "421 No", 1)+"HTTP/1.1 100 Continue\r\n\r\n"+answer(1, "")), each)
+	f.Add([]byte(strings.Replace(answer(0, ""), "Content-Length: 5\r\n\r\nbody0", "Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n0\r\n\r\n", 1)+answer(1, "")), each)
+	f.Add([]byte("garbage\r\n\r\n"+all), each)
+	f.Fuzz(func(t *testing.T, data, plan []byte) {
+		synctest.Test(t, func(t *testing.T) { fuzzReplica(t, data, plan) })
+	})
+}
