--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -43,7 +43,6 @@
 	over   *exchange // that is out
 
 	writing chan struct{} // full while a request is written
-	broken  bool          // a write has failed; of the one who writes
 }
 
 // begin books an exchange; the loop calls it while the connection is free.
@@ -114,7 +113,8 @@
 // write writes the request of an exchange, unless it was withdrawn meanwhile.
 //
 // Danger: a replica may answer before it has read a request whole, and the next one begins while the rest of the former is
-// still being written. Where that rest then fails, nothing may follow: the replica would read it as the rest.
+// still being written. Where that rest then fails, nothing may follow: the replica would read it as the rest. So writes
+// come one after another, and a failed one closes the connection before the next begins.
 func (c *connection) write(e *exchange) {
 	c.writing <- struct{}{}
 	defer func() { <-c.writing }()
@@ -131,13 +131,8 @@
 	buf = append(buf, c.line.id...)
 	buf = append(buf, "\r\n\r\n"...)
 	buf = append(buf, r.Body...)
-	if c.broken {
-		c.end(e, notice{conn: c, result: balance.ConnectFailed})
-		return
-	}
 	c.conn.SetWriteDeadline(time.Now().Add(writeWait))
 	if n, err := c.conn.Write(buf); err != nil {
-		c.broken = true
 		c.end(e, notice{conn: c, result: failedWrite(n), err: err})
 		c.conn.Close()
 	}
--- a/transport/replicahttp/write_test.go
+++ b/transport/replicahttp/write_test.go
@@ -102,46 +102,76 @@
 	}
 }
 
-// TestAnsweredBeforeItIsWritten: a replica that answers before it has read the whole request, whose rest then is never
-// taken: no byte of the next request may follow where the replica still waits for that rest.
-func TestAnsweredBeforeItIsWritten(t *testing.T) {
+// stalledWrite gives play a pool with one connection, on which the write of the first request has stalled midway while
+// the replica has answered that it did not run, and the second request waits to be written. release lets the stalled
+// write fail, and tells how the second request ended.
+func stalledWrite(t *testing.T, play func(far net.Conn, conn *faultyConn, release func() []replica.Report)) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		conn := &faultyConn{Conn: near, ends: []writeEnd{{taken: 20, err: os.ErrDeadlineExceeded}}, written: &strings.Builder{},
-			wait: make(chan struct{})}
+		wait := make(chan struct{})
+		conn := &faultyConn{Conn: near, ends: []writeEnd{{taken: 20, err: os.ErrDeadlineExceeded}}, written: &strings.Builder{}, wait: wait}
 		d := &deck{t: t, notes: make(chan any, 64)}
 		began := time.Now()
 		d.Pool = NewPool(func(v any) { d.notes <- v }, func() int64 { return int64(time.Since(began)) })
 		d.Dial = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
 		d.Address(0, Dial("i-1", "r:1"))
-		go func() {
-			io.ReadFull(far, make([]byte, 20))
-			io.WriteString(far, withLines(text("503 No", "x1", "", ""), notExecutedLine))
-			io.Copy(io.Discard, far)
-		}()
-		wait := conn.wait
 		defer func() {
 			far.Close()
 			near.Close()
 			synctest.Wait()
 		}()
+		go func() {
+			io.ReadFull(far, make([]byte, 20))
+			io.WriteString(far, withLines(text("503 No", "x1", "", ""), notExecutedLine))
+		}()
 		result, _ := d.ask("x1")
 		must.Eq(t, balance.Full, result)
-		t2 := &replica.Ticket{Load: &Request{Attempt: "x2", Method: "GET", Head: []byte("GET /other HTTP/1.1\r\n"),
+		second := &replica.Ticket{Load: &Request{Attempt: "x2", Method: "GET", Head: []byte("GET /other HTTP/1.1\r\n"),
 			Answers: map[int]*Answer{}}}
-		d.Call(0, []*replica.Ticket{t2})
-		synctest.Wait()
-		close(wait)
+		d.Call(0, []*replica.Ticket{second})
 		synctest.Wait()
-		var ended []replica.Report
-		for len(d.notes) > 0 {
-			reports, _ := d.Note(<-d.notes)
-			ended = append(ended, reports...)
+		play(far, conn, func() (ended []replica.Report) {
+			close(wait)
 			synctest.Wait()
-		}
+			for len(d.notes) > 0 {
+				reports, _ := d.Note(<-d.notes)
+				ended = append(ended, reports...)
+				synctest.Wait()
+			}
+			must.Zero(t, d.Open())
+			return ended
+		})
+	})
+}
+
+// TestAnsweredBeforeItIsWritten: a replica that answers before it has read the whole request, whose rest then is never
+// taken: no byte of the next request may follow where the replica still waits for that rest.
+func TestAnsweredBeforeItIsWritten(t *testing.T) {
+	stalledWrite(t, func(far net.Conn, conn *faultyConn, release func() []replica.Report) {
+		go io.Copy(io.Discard, far)
+		ended := release()
 		must.StrNotContains(t, conn.written.String(), "/other")
 		must.SliceLen(t, 1, ended)
 		must.Eq(t, balance.ConnectFailed, ended[0].Result)
-		must.Zero(t, d.Open())
 	})
 }
+
+// TestEndedBeforeItIsWritten: a connection that ends, or brings bytes that nobody asked for, before a request is written: that
+// request has not run, and is not written any more.
+func TestEndedBeforeItIsWritten(t *testing.T) {
+	for name, end := range map[string]func(far net.Conn){
+		"closed":  func(far net.Conn) { far.Close() },
+		"garbage": func(far net.Conn) { io.WriteString(far, "x") },
+		"answer":  func(far net.Conn) { io.WriteString(far, text("200 OK", "x2", "s", "abc")) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			stalledWrite(t, func(far net.Conn, conn *faultyConn, release func() []replica.Report) {
+				end(far)
+				ended := release()
+				must.StrNotContains(t, conn.written.String(), "/other")
+				must.SliceLen(t, 1, ended)
+				must.Eq(t, balance.ConnectFailed, ended[0].Result)
+			})
+		})
+	}
+}
