--- a/transport/replicahttp/write_test.go
+++ b/transport/replicahttp/write_test.go
@@ -167,6 +167,7 @@
 		t.Run(name, func(t *testing.T) {
 			stalledWrite(t, func(far net.Conn, conn *faultyConn, release func() []replica.Report) {
 				end(far)
+				synctest.Wait() // its end is known before the write may begin
 				ended := release()
 				must.StrNotContains(t, conn.written.String(), "/other")
 				must.SliceLen(t, 1, ended)
