--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -92,6 +92,9 @@
 	err = c.read(conn)
 	conn.Close()
 	c.cancel()
+	// A write that is under way fails now, and knows better than this side whether any byte of it was taken.
+	c.writing <- struct{}{}
+	defer func() { <-c.writing }()
 	n := notice{conn: c, down: true, at: c.pool.now()}
 	c.mu.Lock()
 	closed := c.closed
