--- a/transport/replicahttp/fuzz_test.go
+++ b/transport/replicahttp/fuzz_test.go
@@ -21,13 +21,26 @@
 const (
 	fuzzExchanges = 4    // on one connection, one after the other
 	fuzzSegments  = 32   // at the most, of the replica's stream
-	fuzzCut       = 0x3f // of a byte of the plan: how many bytes the segment has
+	fuzzCut       = 0x3f // of a byte of the plan: how long the segment is; all of it for up to the next first line
 	fuzzWaits     = 0x40 // the segment waits for the next request
 	fuzzPause     = 0x80 // time passes before the segment
 	fuzzStep      = 10 * time.Millisecond
 	fuzzPatience  = time.Second // after which an exchange is given up
 )
 
+// fuzzLength is how long the next segment is.
+func fuzzLength(data []byte, plan byte) int {
+	if plan&fuzzCut < fuzzCut {
+		return min(int(plan&fuzzCut)*4+1, len(data))
+	}
+	if len(data) > 1 {
+		if at := bytes.Index(data[1:], []byte(firstLine)); at >= 0 {
+			return at + 1
+		}
+	}
+	return len(data)
+}
+
 // fuzzStream plays a replica's stream on the one connection that there is: the segments of data that plan cuts, whatever is
 // asked. Each byte of the plan is one segment.
 func fuzzStream(c net.Conn, requests <-chan struct{}, data, plan []byte) {
@@ -41,7 +54,7 @@
 		if p&fuzzPause != 0 {
 			time.Sleep(fuzzStep)
 		}
-		n := min(int(p&fuzzCut)*4+1, len(data))
+		n := fuzzLength(data, p)
 		if _, err := c.Write(data[:n]); err != nil {
 			return
 		}
@@ -110,8 +123,9 @@
 	}
 }
 
-// fuzzReplica plays one stream to fuzzExchanges requests, and checks what each of them is given.
-func fuzzReplica(t *testing.T, data, plan []byte) {
+// fuzzReplica plays one stream to fuzzExchanges requests, checks what each of them is given, and tells how many were
+// given an answer.
+func fuzzReplica(t *testing.T, data, plan []byte) (given int) {
 	near, far := net.Pipe()
 	requests := make(chan struct{}, fuzzExchanges)
 	go fuzzRequests(far, requests)
@@ -142,6 +156,7 @@
 				for _, report := range reports {
 					must.EqOp(t, ticket, report.Ticket)
 					if a := r.Answers[0]; a != nil {
+						given++
 						checkGiven(t, data, id, a, report.Result)
 					}
 				}
@@ -162,28 +177,51 @@
 		synctest.Wait()
 	}
 	must.Zero(t, pool.Open())
+	return given
+}
+
+// TestFuzzedStreamsAreAnswered: the streams that the fuzzing begins with do reach the exchanges.
+func TestFuzzedStreamsAreAnswered(t *testing.T) {
+	var given []int
+	for _, s := range fuzzSeeds() {
+		synctest.Test(t, func(t *testing.T) { given = append(given, fuzzReplica(t, s.data, s.plan)) })
+	}
+	must.Eq(t, []int{4, 1, 1, 0, 0, 1, 1, 2, 2, 2, 0}, given)
+}
+
+// fuzzSeed is a stream and how it is cut.
+type fuzzSeed struct{ data, plan []byte }
+
+// fuzzSeeds are the streams that the fuzzing begins with.
+func fuzzSeeds() []fuzzSeed {
+	answer := func(i int, more string) string {
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: id%d\r\n%s: s%d\r\n%sContent-Length: 5\r\n\r\nbody%d", HeaderAttempt, i, HeaderSeal, i, more, i)
+	}
+	all := answer(0, "") + answer(1, "") + answer(2, "") + answer(3, "")
+	each := bytes.Repeat([]byte{fuzzWaits | fuzzCut}, 8) // one answer a request
+	tail := []byte{fuzzWaits | fuzzCut, fuzzWaits}       // one answer, and to the next request all the rest
+	return []fuzzSeed{
+		{[]byte(all), each},
+		{[]byte(all), append([]byte{fuzzWaits}, bytes.Repeat([]byte{1}, fuzzSegments)...)},
+		{[]byte(answer(0, "") + answer(0, "") + answer(1, "")), each},
+		{[]byte(answer(1, "") + answer(0, "")), each},
+		{[]byte(answer(0, "X: ") + answer(1, "")), each},
+		{[]byte(answer(0, "") + "HTTP/1.1 503 No\r\n" + notExecutedLine + "X-More: ab" + answer(1, "")), tail},
+		{[]byte(answer(0, "") + "HTTP/1.1 200 O" + strings.Replace(answer(1, ""), "200 OK", "500 No", 1)), tail},
+		{[]byte(strings.Replace(answer(0, notExecutedLine), "200 OK", "503 No", 1) + answer(1, "")), []byte{fuzzWaits | fuzzCut, fuzzWaits | fuzzPause | fuzzCut}},
+		{[]byte(strings.Replace(answer(0, ""), "200 OK", "421 No", 1) + "HTTP/1.1 100 Continue\r\n\r\n" + answer(1, "")), tail},
+		{[]byte(strings.Replace(answer(0, ""), "Content-Length: 5\r\n\r\nbody0", "Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n0\r\n\r\n", 1) + answer(1, "")), each},
+		{[]byte("garbage\r\n\r\n" + all), each},
+	}
 }
 
 // FuzzReplicaStream: whatever bytes a replica sends, however they are cut and whenever they come, over several exchanges on
 // one connection: an answer is given only to the exchange whose attempt id it bears, whole, and says that nothing ran
 // only with a proof.
 func FuzzReplicaStream(f *testing.F) {
-	answer := func(i int, more string) string {
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: id%d\r\n%s: s%d\r\n%sContent-Length: 5\r\n\r\nbody%d", HeaderAttempt, i, HeaderSeal, i, more, i)
+	for _, s := range fuzzSeeds() {
+		f.Add(s.data, s.plan)
 	}
-	all := answer(0, "") + answer(1, "") + answer(2, "") + answer(3, "")
-	each := bytes.Repeat([]byte{fuzzWaits | 24}, 8) // about one answer a segment
-	f.Add([]byte(all), each)
-	f.Add([]byte(all), bytes.Repeat([]byte{1}, fuzzSegments))
-	f.Add([]byte(answer(0, "")+answer(0, "")+answer(1, "")), each)
-	f.Add([]byte(answer(1, "")+answer(0, "")), each)
-	f.Add([]byte(answer(0, "X: ")+answer(1, "")), each)
-	f.Add([]byte(answer(0, "")+"HTTP/1.1 503 No\r\n"+notExecutedLine+"X-More: ab"+answer(1, "")), each)
-	f.Add([]byte(answer(0, "")+"HTTP/1.1 200 O"+strings.Replace(answer(1, ""), "200 OK", "500 No", 1)), each)
-	f.Add([]byte(strings.Replace(answer(0, notExecutedLine), "200 OK", "503 No", 1)+answer(1, "")), []byte{fuzzWaits | 63, fuzzPause | 63})
-	f.Add([]byte(strings.Replace(answer(0, ""), "200 OK", "421 No", 1)+"HTTP/1.1 100 Continue\r\n\r\n"+answer(1, "")), each)
-	f.Add([]byte(strings.Replace(answer(0, ""), "Content-Length: 5\r\n\r\nbody0", "Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n0\r\n\r\n", 1)+answer(1, "")), each)
-	f.Add([]byte("garbage\r\n\r\n"+all), each)
 	f.Fuzz(func(t *testing.T, data, plan []byte) {
 		synctest.Test(t, func(t *testing.T) { fuzzReplica(t, data, plan) })
 	})
