--- a/transport/replicahttp/write_test.go
+++ b/transport/replicahttp/write_test.go
@@ -18,6 +18,9 @@
 	"willowsill/transport/replica"
 )
 
+// raceRounds is how often a race is run in one test.
+const raceRounds = 50
+
 // writeEnd is how the next write on a connection ends.
 type writeEnd struct {
 	taken int // bytes that the kernel took
@@ -147,12 +150,35 @@
 // TestAnsweredBeforeItIsWritten: a replica that answers before it has read the whole request, whose rest then is never
 // taken: no byte of the next request may follow where the replica still waits for that rest.
 func TestAnsweredBeforeItIsWritten(t *testing.T) {
-	stalledWrite(t, func(far net.Conn, conn *faultyConn, release func() []replica.Report) {
-		go io.Copy(io.Discard, far)
-		ended := release()
-		must.StrNotContains(t, conn.written.String(), "/other")
-		must.SliceLen(t, 1, ended)
-		must.Eq(t, balance.ConnectFailed, ended[0].Result)
+	for range raceRounds { // whose word comes first, the reader's or the write's, must make no difference
+		stalledWrite(t, func(far net.Conn, conn *faultyConn, release func() []replica.Report) {
+			go io.Copy(io.Discard, far)
+			ended := release()
+			must.StrNotContains(t, conn.written.String(), "/other")
+			must.SliceLen(t, 1, ended)
+			must.Eq(t, balance.ConnectFailed, ended[0].Result)
+		})
+	}
+}
+
+// deadConn is a connection that ended as it came up.
+type deadConn struct{ net.Conn }
+
+func (deadConn) Read([]byte) (int, error)         { return 0, io.EOF }
+func (deadConn) Write([]byte) (int, error)        { return 0, net.ErrClosed }
+func (deadConn) Close() error                     { return nil }
+func (deadConn) SetWriteDeadline(time.Time) error { return nil }
+
+// TestDeadOnArrival: a connection that has ended before its first request was written proves that it did not run, also where
+// the reader is the one to tell.
+func TestDeadOnArrival(t *testing.T) {
+	board(t, &server{}, func(d *deck) {
+		d.Dial = func(context.Context, string, string) (net.Conn, error) { return deadConn{}, nil }
+		for range raceRounds {
+			result, _ := d.ask("x1")
+			must.Eq(t, balance.ConnectFailed, result)
+			d.settle()
+		}
 	})
 }
 
