--- a/cmd/willowlab/hollow.go
+++ b/cmd/willowlab/hollow.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"encoding/json"
+	"fmt"
 	"os"
 	"os/signal"
 	"syscall"
@@ -36,6 +38,7 @@
 			r.Print(c.OutOrStdout())
 			return nil
 		}}
+	c.AddCommand(fitting())
 	c.Flags().IntVar(&o.Controllers, "controllers", 5, "real control processes")
 	c.Flags().IntVar(&o.Edges, "edges", 30, "co-ordinators")
 	c.Flags().IntVar(&o.Replicas, "replicas", 300, "replicas")
@@ -50,3 +53,25 @@
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
+
+// fitting reads what runs printed as JSON and prints the slopes over them.
+func fitting() *cobra.Command {
+	return &cobra.Command{Use: "slopes FILE...", Short: "Fit lines to the figures of runs that differ in one option alone",
+		Example: "  willowlab hollow slopes results/hollow/*.json", Args: cobra.MinimumNArgs(3),
+		RunE: func(c *cobra.Command, files []string) error {
+			var runs []*hollow.Result
+			for _, file := range files {
+				text, err := os.ReadFile(file)
+				if err != nil {
+					return err
+				}
+				var r hollow.Result
+				if err := json.Unmarshal(text, &r); err != nil {
+					return fmt.Errorf("%s: %w", file, err)
+				}
+				runs = append(runs, &r)
+			}
+			hollow.PrintSlopes(c.OutOrStdout(), hollow.Slopes(runs))
+			return nil
+		}}
+}
