--- a/decide/clusterstate/clusterstate.go
+++ b/decide/clusterstate/clusterstate.go
@@ -83,6 +83,7 @@
 	// What Behind tells of: the configuration held is not the one that a patch was for, the fleet held not the feeder's.
 	staleConfiguration, staleFleet bool
 	replicas                       map[string]registry.Record
+	gone                           bool // some of the replicas may be
 }
 
 // NewState makes an empty one.
@@ -104,6 +105,7 @@
 		if known && !r.Newer(was) && !unsaid {
 			continue
 		}
+		b.gone = b.gone || r.Phase == registry.Gone
 		if b.replicas[r.ID] = r; !known || !r.Same(was) {
 			fresh.Replicas = append(fresh.Replicas, r)
 		}
@@ -175,6 +177,10 @@
 
 // Forget drops the replicas that are gone for good, so that a book does not grow for ever.
 func (b *State) Forget() {
+	if !b.gone {
+		return
+	}
+	b.gone = false
 	for id, r := range b.replicas {
 		if r.Phase == registry.Gone {
 			delete(b.replicas, id)
--- a/decide/clusterstate/clusterstate_test.go
+++ b/decide/clusterstate/clusterstate_test.go
@@ -92,3 +92,16 @@
 	must.False(t, follower.Behind)
 	must.Eq(t, feeder.Snapshot(), follower.Snapshot())
 }
+
+// TestForget: the gone are dropped from the snapshot, whenever they come.
+func TestForget(t *testing.T) {
+	b := NewState()
+	for _, id := range []string{"i-1", "i-2"} {
+		b.Take(Update{Replicas: []registry.Record{{ID: id, Service: "s", Seq: 1}, {ID: "i-stays", Service: "s", Seq: 1}}})
+		b.Forget()
+		b.Take(Update{Replicas: []registry.Record{{ID: id, Service: "s", Seq: 2, Phase: registry.Gone}}})
+		must.SliceLen(t, 2, b.Snapshot().Replicas)
+		b.Forget()
+		must.SliceLen(t, 1, b.Snapshot().Replicas)
+	}
+}
--- a/decide/controller/bench_test.go
+++ b/decide/controller/bench_test.go
@@ -89,11 +89,19 @@
 	}
 }
 
-// BenchmarkTick is what stands still costs a controller, each 100 ms.
+// BenchmarkTick is what a controller spends each 100 ms while all replicas are heard.
 func BenchmarkTick(b *testing.B) {
+	const heardEvery = 20 // ticks: the oldest heartbeat is 2 s old
 	c := largeController(ms)
 	n := int64(0)
 	for b.Loop() {
+		if n%heardEvery == 0 {
+			b.StopTimer()
+			for i := range manyReplicas {
+				c.take(replicaRecord(i, uint64(2+n)), false)
+			}
+			b.StartTimer()
+		}
 		n++
 		c.Tick(ms + n*passEvery)
 	}
--- a/decide/controller/contact.go
+++ b/decide/controller/contact.go
@@ -126,7 +126,7 @@
 	for _, ip := range h.Controllers {
 		c.meet(ip)
 	}
-	if h.Revision > c.committed.Revision || h.Epoch > c.committed.Epoch || c.list.Count() == 0 {
+	if h.Revision > c.committed.Revision || h.Epoch > c.committed.Epoch || c.list.Empty() {
 		c.want(w.From)
 	}
 }
--- a/decide/registry/registry.go
+++ b/decide/registry/registry.go
@@ -64,7 +64,8 @@
 	SilentAfter int64 // a replica unheard for so long has fallen silent, ns
 	KeepGone    int64 // the gone are remembered for so long, ns
 	entries     map[string]*entry
-	looked      int64
+	looked      int64 // when Tick was called last
+	due         int64 // before it nobody can have fallen silent, or been so for long enough to be gone
 }
 
 // New makes an empty list.
@@ -104,29 +105,42 @@
 func (m *Registry) Tick(now int64, listening bool) (changed []Record) {
 	gap := now - m.looked
 	m.looked = now
+	// Danger: to look at each of many replicas ten times a second would cost more than all of their heartbeats. Whoever
+	// is heard after a look is due later than it, and nobody is ever due earlier than at the look before.
+	if listening && now < m.due {
+		return nil
+	}
+	m.due = now + min(m.SilentAfter, m.KeepGone)
 	for id, e := range m.entries {
-		if e.Phase == Gone || e.Phase == Silent {
+		switch {
+		case e.Phase == Gone || e.Phase == Silent:
 			if now-e.heard > m.KeepGone {
 				delete(m.entries, id)
 				if e.Phase == Silent { // edges must not keep for ever what will never come back
 					e.Phase = Gone
 					changed = append(changed, e.Record)
 				}
+				continue
 			}
-			continue
-		}
-		if !listening {
+		case !listening:
 			e.heard = min(e.heard+gap, now)
-			continue
-		}
-		if now-e.heard > m.SilentAfter {
+		case now-e.heard > m.SilentAfter:
 			e.Phase = Silent
 			changed = append(changed, e.Record)
 		}
+		m.due = min(m.due, m.dueOf(e))
 	}
 	return changed
 }
 
+// dueOf is the last time at which an entry that is not heard again is still as it is.
+func (m *Registry) dueOf(e *entry) int64 {
+	if e.Phase >= Silent {
+		return e.heard + m.KeepGone
+	}
+	return e.heard + m.SilentAfter
+}
+
 // All is the whole list.
 func (m *Registry) All() []Record {
 	all := make([]Record, 0, len(m.entries))
@@ -144,6 +158,16 @@
 	return Record{}, false
 }
 
+// Empty tells whether there is none that has not fallen silent; it looks at one where there are any.
+func (m *Registry) Empty() bool {
+	for _, e := range m.entries {
+		if e.Phase < Silent {
+			return false
+		}
+	}
+	return true
+}
+
 // Count is how many are not gone.
 func (m *Registry) Count() (n int) {
 	for _, e := range m.entries {
--- a/decide/registry/registry_test.go
+++ b/decide/registry/registry_test.go
@@ -1,7 +1,10 @@
 package registry
 
 import (
+	"fmt"
 	"math/rand/v2"
+	"slices"
+	"strings"
 	"testing"
 
 	"github.com/shoenig/test/must"
@@ -79,3 +82,50 @@
 	_, changed = m.Take(0, Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 9})
 	must.False(t, changed)
 }
+
+// TestLooksLeftOut: a list that looks at its replicas only when one may be due says the same, at the same moments, as one
+// that looks each time.
+func TestLooksLeftOut(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		spare, eager := New(4*second, 9*second), New(4*second, 9*second)
+		now := int64(0)
+		for i := range rapid.IntRange(1, 200).Draw(t, "steps") {
+			now += rapid.Int64Range(0, second).Draw(t, "pause")
+			if rapid.IntRange(0, 3).Draw(t, "beat") == 0 {
+				r := Record{ID: fmt.Sprint("i-", rapid.IntRange(0, 4).Draw(t, "id")), Service: "s", Address: "a:1", Seq: uint64(i),
+					Phase: Phase(rapid.IntRange(0, 3).Draw(t, "phase"))}
+				newsOfSpare, changedOfSpare := spare.Take(now, r)
+				news, changed := eager.Take(now, r)
+				must.Eq(t, news, newsOfSpare)
+				must.Eq(t, changed, changedOfSpare)
+			}
+			listening := rapid.IntRange(0, 5).Draw(t, "listening") > 0
+			eager.due = 0
+			must.Eq(t, sorted(eager.Tick(now, listening)), sorted(spare.Tick(now, listening)))
+			must.Eq(t, eager.Count() == 0, spare.Empty())
+		}
+		must.Eq(t, sorted(eager.All()), sorted(spare.All()))
+	})
+}
+
+func sorted(records []Record) []Record {
+	slices.SortFunc(records, func(a, b Record) int { return strings.Compare(a.ID, b.ID) })
+	return records
+}
+
+// TestFewLooks: while all are heard, a list of many is looked at seldom.
+func TestFewLooks(t *testing.T) {
+	const beat = second
+	m := New(5*beat, 60*second)
+	looks, due := 0, int64(0)
+	for now := int64(0); now < 60*second; now += second / 10 {
+		if now%beat == 0 {
+			m.Take(now, Record{ID: "i-1", Service: "s", Address: "a:1", Seq: uint64(now/beat) + 1})
+		}
+		must.SliceEmpty(t, m.Tick(now, true))
+		if m.due != due {
+			looks, due = looks+1, m.due
+		}
+	}
+	must.LessEq(t, 20, looks)
+}
