--- a/cmd/willowlab/hollow.go
+++ b/cmd/willowlab/hollow.go
@@ -47,6 +47,7 @@
 	c.Flags().Float64Var(&o.ChangesPerMinute, "changes-per-minute", 4, "changes of the configuration")
 	c.Flags().Float64Var(&o.ChurnPerMinute, "churn-per-minute", 0, "replicas that leave and are replaced")
 	c.Flags().DurationVar(&o.Beat, "heartbeat", time.Second, "between two heartbeats of a replica")
+	c.Flags().DurationVar(&o.StartOver, "start-over", 0, "the time over which co-ordinators start; 0 for all at once")
 	c.Flags().DurationVar(&o.Settle, "settle", 8*time.Second, "between the start and what is measured")
 	c.Flags().Float64Var(&seconds, "seconds", 30, "to measure for")
 	c.Flags().StringVar(&o.Programs, "programs", "", "the folder of the built programs (controller, agent, proxy); without it copies of this one play them, whose memory is larger")
--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -32,7 +32,7 @@
 	suspicion      = 4000 * ms  // a watcher's word on another counts for so long
 	suspectedBy    = 2          // watchers, or all that there are
 	mostKept       = 60000 * ms // the number of edges for budgets goes down only after that
-	fleetEvery     = 200 * ms   // between two lists of edges that followers are told
+	fleetEvery     = 400 * ms   // between two lists of edges that followers are told
 	edgesEvery     = 900 * ms   // between two lists of controllers, and of what is new of edges
 	edgeAgain      = 5000 * ms  // an edge of which nothing is new is told of again after that
 	wantEvery      = 500 * ms   // between two questions for all that another controller knows
