--- a/decide/controller/contact.go
+++ b/decide/controller/contact.go
@@ -115,6 +115,9 @@
 // heartbeat takes one in.
 func (c *Controller) heartbeat(p *peer, w Message) {
 	h := w.Heartbeat
+	if h.Leaving && !p.heartbeat.Leaving {
+		c.dutyAt = c.now // a member that leaves is replaced while it still runs
+	}
 	p.heartbeat, p.number = *h, h.Number
 	c.receipts(w.From, h)
 	for _, s := range h.Edges {
@@ -126,7 +129,7 @@
 	for _, ip := range h.Controllers {
 		c.meet(ip)
 	}
-	if h.Revision > c.committed.Revision || h.Epoch > c.committed.Epoch || c.list.Count() == 0 {
+	if h.Revision > c.committed.Revision || h.Epoch > c.committed.Epoch || c.list.Empty() {
 		c.want(w.From)
 	}
 }
@@ -176,16 +179,26 @@
 	})
 }
 
-// firstLiveMember is the member that does the duties, empty where none is live.
+// firstLiveMember is the member that does the duties: the first in their order that is live and stays, empty where there
+// is none. One that leaves does not count, else nobody would replace it while it still runs.
 func (c *Controller) firstLiveMember() string {
 	members := c.members()
-	at := slices.IndexFunc(members, c.live)
+	at := slices.IndexFunc(members, func(ip string) bool { return c.live(ip) && !c.leaves(ip) })
 	if at < 0 {
 		return ""
 	}
 	return members[at]
 }
 
+// leaves tells whether a controller has said that its process is about to end.
+func (c *Controller) leaves(ip string) bool {
+	if ip == c.IP {
+		return c.leaving
+	}
+	p := c.peers[ip]
+	return p != nil && p.heartbeat.Leaving
+}
+
 // laterOf orders controllers by when they were last in contact.
 func (c *Controller) laterOf(a, b string) int {
 	return cmp.Compare(c.lease.Reached(a), c.lease.Reached(b))
--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -25,14 +25,13 @@
 	answerWithin   = 900 * ms // callers go elsewhere after a second of silence
 	joinEvery      = 250 * ms
 	silentMember   = 2500 * ms  // a member unheard for so long gives its place to a newcomer
-	roomMember     = 4000 * ms  // a newcomer waits so long for such a place before the members become more
 	goneAfter      = 30000 * ms // a controller that is no member and unheard for so long is forgotten
 	edgeWithin     = 20000 * ms // an edge heard of within it counts
 	edgeQuiet      = 7000 * ms  // one that is suspected and unheard for so long does not
 	suspicion      = 4000 * ms  // a watcher's word on another counts for so long
 	suspectedBy    = 2          // watchers, or all that there are
 	mostKept       = 60000 * ms // the number of edges for budgets goes down only after that
-	fleetEvery     = 200 * ms   // between two lists of edges that followers are told
+	fleetEvery     = 400 * ms   // between two lists of edges that followers are told
 	edgesEvery     = 900 * ms   // between two lists of controllers, and of what is new of edges
 	edgeAgain      = 5000 * ms  // an edge of which nothing is new is told of again after that
 	wantEvery      = 500 * ms   // between two questions for all that another controller knows
@@ -228,6 +227,7 @@
 	}
 	if p.heard == 0 || now-p.heard > silentMember {
 		p.first = now
+		c.heartbeatAt = now // so that it can answer one soon: a newcomer counts once it has
 	}
 	p.heard = now
 	if w.Heartbeat != nil {
--- a/front/clienthttp/clienthttp.go
+++ b/front/clienthttp/clienthttp.go
@@ -75,7 +75,8 @@
 		return
 	}
 	attempt := r.Header.Get(replicahttp.HeaderAttempt)
-	if attempt == "" {
+	// Danger: of two ids a replica may answer by the other, and its answer would be nobody's.
+	if attempt == "" || len(r.Header[replicahttp.HeaderAttempt]) > 1 {
 		refuse(w, http.StatusBadRequest, 0)
 		return
 	}
@@ -111,6 +112,10 @@
 	}
 	answer, here := q.Core.Serve(r.Context(), query)
 	if !here {
+		// Danger: a handler that returns without a word answers 200, and a client that has ended only its own side
+		// reads that as a success.
+		w.Header().Set("Connection", "close")
+		refuse(w, http.StatusBadGateway, 0)
 		return
 	}
 	answer.ComeBack = routingtable.ComeBack(answer.ComeBack, draw)
@@ -181,10 +186,27 @@
 	refuse(w, http.StatusBadGateway, 0)
 }
 
+// passes tells whether a replica's answer goes to the client: a success, and a failure of the replica's own.
+//
+// Danger: 503 promises a client that its request has not run and never will. A replica's own 503 without a proof promises
+// nothing, and a client would repeat an unsafe request that has run.
+func passes(got *replicahttp.Answer, final balance.Final) bool {
+	if got == nil || !got.Whole {
+		return false
+	}
+	if final <= balance.Partial {
+		return true
+	}
+	if got.Status == http.StatusServiceUnavailable && final != balance.Declined {
+		return false
+	}
+	return got.Seal != "" && got.Status >= http.StatusInternalServerError
+}
+
 // plain passes one replica's answer on unchanged, also its failure where there is nothing better.
 func plain(w http.ResponseWriter, req *replicahttp.Request, shard int, a node.Answer) {
 	got := req.Answers[shard]
-	if got == nil || !got.Whole || a.Final > balance.Partial && (got.Seal == "" || got.Status < http.StatusInternalServerError) {
+	if !passes(got, a.Final) {
 		unserved(w, a)
 		return
 	}
@@ -195,6 +217,9 @@
 		}
 	}
 	h.Set("Content-Length", strconv.Itoa(len(got.Body)))
+	if stated := http.Header(got.Header).Get("Content-Length"); req.Method == http.MethodHead && stated != "" {
+		h.Set("Content-Length", stated)
+	}
 	w.WriteHeader(got.Status)
 	w.Write(got.Body)
 }
--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -66,6 +66,9 @@
 	start := controller.Start{IP: local.IP, Life: life, Seeds: local.SeedIPs(), Bootstrap: local.Bootstrap,
 		BeatEvery: local.BeatMs * int64(time.Millisecond), Draw: rand.Float64}
 	store, found, err := statestore.Open(local.DataDir)
+	if errors.Is(err, statestore.ErrNewerFormat) {
+		return ErrControlServer.Wrap(err) // the file stays for the version that wrote it
+	}
 	if err != nil {
 		// Danger: a disk that refuses to be read must not be taken for an empty one of a first start; as one that
 		// was emptied it counts for nothing until the others have told what stands.
--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -41,6 +41,8 @@
 	conn   net.Conn
 	closed bool
 	over   *exchange // that is out
+
+	writing chan struct{} // full while a request is written
 }
 
 // begin books an exchange; the loop calls it while the connection is free.
@@ -51,6 +53,13 @@
 	c.mu.Unlock()
 }
 
+// ended tells whether the connection was closed, by either side.
+func (c *connection) ended() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.closed
+}
+
 func (c *connection) close() {
 	c.free = false
 	c.mu.Lock()
@@ -83,6 +92,9 @@
 	err = c.read(conn)
 	conn.Close()
 	c.cancel()
+	// A write that is under way fails now, and knows better than this side whether any byte of it was taken.
+	c.writing <- struct{}{}
+	defer func() { <-c.writing }()
 	n := notice{conn: c, down: true, at: c.pool.now()}
 	c.mu.Lock()
 	closed := c.closed
@@ -102,7 +114,13 @@
 }
 
 // write writes the request of an exchange, unless it was withdrawn meanwhile.
+//
+// Danger: a replica may answer before it has read a request whole, and the next one begins while the rest of the former is
+// still being written. Where that rest then fails, nothing may follow: the replica would read it as the rest. So writes
+// come one after another, and a failed one closes the connection before the next begins.
 func (c *connection) write(e *exchange) {
+	c.writing <- struct{}{}
+	defer func() { <-c.writing }()
 	if !e.state.CompareAndSwap(pending, written) {
 		c.end(e, notice{conn: c, free: unnamed})
 		return
@@ -118,16 +136,20 @@
 	buf = append(buf, r.Body...)
 	c.conn.SetWriteDeadline(time.Now().Add(writeWait))
 	if n, err := c.conn.Write(buf); err != nil {
-		// What was not even taken by this machine's own kernel cannot have run. All else may have.
-		result := balance.Reset
-		if n == 0 && !errors.Is(err, net.ErrClosed) {
-			result = balance.ConnectFailed
-		}
-		c.end(e, notice{conn: c, over: e, result: result, err: err})
+		c.end(e, notice{conn: c, result: failedWrite(n), err: err})
 		c.conn.Close()
 	}
 }
 
+// failedWrite is what a failed write of a request says of its execution: what this machine's own kernel took no byte of
+// cannot have run. All else may have.
+func failedWrite(taken int) balance.Result {
+	if taken == 0 {
+		return balance.ConnectFailed
+	}
+	return balance.Reset
+}
+
 // end tells of an exchange's end, if nobody has yet.
 func (c *connection) end(e *exchange, n notice) bool {
 	c.mu.Lock()
@@ -233,7 +255,7 @@
 	if spliced(res) {
 		return nil, 0, ErrReplica.Errorf("an answer whose head is of two")
 	}
-	body, err := readBody(res)
+	body, err := readBody(res, method)
 	if err != nil {
 		return nil, 0, ErrReplica.Wrapf(err, "an answer that was broken off")
 	}
@@ -277,7 +299,11 @@
 	return false
 }
 
-func readBody(res *http.Response) ([]byte, error) {
+// readBody reads the body of an answer whole; the answer to HEAD has none, whatever length it states.
+func readBody(res *http.Response, method string) ([]byte, error) {
+	if method == http.MethodHead {
+		return nil, nil
+	}
 	if res.ContentLength > bodyMost {
 		return nil, ErrReplica.Errorf("an answer of %d bytes", res.ContentLength)
 	}
--- /dev/null
+++ b/transport/replicahttp/write_test.go
@@ -0,0 +1,204 @@
+package replicahttp
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"willowsill/balance"
+	"willowsill/transport/replica"
+)
+
+// raceRounds is how often a race is run in one test.
+const raceRounds = 50
+
+// writeEnd is how the next write on a connection ends.
+type writeEnd struct {
+	taken int // bytes that the kernel took
+	err   error
+}
+
+// faultyConn is a connection whose writes end as they are told to, in turn; without a word they go through.
+type faultyConn struct {
+	net.Conn
+	ends    []writeEnd
+	written *strings.Builder
+	wait    chan struct{} // if there, the first write waits for it after its bytes
+}
+
+func (f *faultyConn) Write(b []byte) (int, error) {
+	if len(f.ends) == 0 {
+		n, err := f.Conn.Write(b)
+		f.written.Write(b[:n])
+		return n, err
+	}
+	end := f.ends[0]
+	f.ends = f.ends[1:]
+	n := min(end.taken, len(b))
+	if n > 0 {
+		f.Conn.Write(b[:n])
+		f.written.Write(b[:n])
+	}
+	if f.wait != nil {
+		<-f.wait
+		f.wait = nil
+	}
+	return n, end.err
+}
+
+// TestFailedWrites: a write that failed proves that nothing ran only where the kernel took none of it.
+func TestFailedWrites(t *testing.T) {
+	for name, c := range map[string]struct {
+		end  writeEnd
+		want balance.Result
+	}{
+		"reset before a byte":   {writeEnd{0, syscall.ECONNRESET}, balance.ConnectFailed},
+		"pipe before a byte":    {writeEnd{0, syscall.EPIPE}, balance.ConnectFailed},
+		"time before a byte":    {writeEnd{0, os.ErrDeadlineExceeded}, balance.ConnectFailed},
+		"closed here before":    {writeEnd{0, net.ErrClosed}, balance.ConnectFailed},
+		"reset after some":      {writeEnd{20, syscall.ECONNRESET}, balance.Reset},
+		"time after some":       {writeEnd{20, os.ErrDeadlineExceeded}, balance.Reset},
+		"closed here in midway": {writeEnd{20, net.ErrClosed}, balance.Reset},
+		"reset after all":       {writeEnd{1 << 20, syscall.ECONNRESET}, balance.Reset},
+	} {
+		for _, reused := range []bool{false, true} {
+			t.Run(fmt.Sprint(name, ", reused ", reused), func(t *testing.T) {
+				good := text("200 OK", "ID", "s", "abc")
+				board(t, &server{answers: []string{good, good, good}}, func(d *deck) {
+					var conn *faultyConn
+					dial := d.Dial
+					d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+						c, err := dial(ctx, network, address)
+						conn = &faultyConn{Conn: c, written: &strings.Builder{}}
+						return conn, err
+					}
+					if reused {
+						d.ask("x0")
+						conn.ends = []writeEnd{c.end}
+					} else {
+						first := d.Dial
+						d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+							_, err := first(ctx, network, address)
+							conn.ends = []writeEnd{c.end}
+							return conn, err
+						}
+					}
+					result, _ := d.ask("x1")
+					if c.end.taken < 1<<20 { // the whole request may be answered as well
+						must.Eq(t, c.want, result)
+					} else {
+						must.False(t, result.NeverRan())
+					}
+					d.settle()
+				})
+			})
+		}
+	}
+}
+
+// stalledWrite gives play a pool with one connection, on which the write of the first request has stalled midway while
+// the replica has answered that it did not run, and the second request waits to be written. release lets the stalled
+// write fail, and tells how the second request ended.
+func stalledWrite(t *testing.T, play func(far net.Conn, conn *faultyConn, release func() []replica.Report)) {
+	synctest.Test(t, func(t *testing.T) {
+		near, far := net.Pipe()
+		wait := make(chan struct{})
+		conn := &faultyConn{Conn: near, ends: []writeEnd{{taken: 20, err: os.ErrDeadlineExceeded}}, written: &strings.Builder{}, wait: wait}
+		d := &deck{t: t, notes: make(chan any, 64)}
+		began := time.Now()
+		d.Pool = NewPool(func(v any) { d.notes <- v }, func() int64 { return int64(time.Since(began)) })
+		d.Dial = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
+		d.Address(0, Dial("i-1", "r:1"))
+		defer func() {
+			far.Close()
+			near.Close()
+			synctest.Wait()
+		}()
+		go func() {
+			io.ReadFull(far, make([]byte, 20))
+			io.WriteString(far, withLines(text("503 No", "x1", "", ""), notExecutedLine))
+		}()
+		result, _ := d.ask("x1")
+		must.Eq(t, balance.Full, result)
+		second := &replica.Ticket{Load: &Request{Attempt: "x2", Method: "GET", Head: []byte("GET /other HTTP/1.1\r\n"),
+			Answers: map[int]*Answer{}}}
+		d.Call(0, []*replica.Ticket{second})
+		synctest.Wait()
+		play(far, conn, func() (ended []replica.Report) {
+			close(wait)
+			synctest.Wait()
+			for len(d.notes) > 0 {
+				reports, _ := d.Note(<-d.notes)
+				ended = append(ended, reports...)
+				synctest.Wait()
+			}
+			must.Zero(t, d.Open())
+			return ended
+		})
+	})
+}
+
+// TestAnsweredBeforeItIsWritten: a replica that answers before it has read the whole request, whose rest then is never
+// taken: no byte of the next request may follow where the replica still waits for that rest.
+func TestAnsweredBeforeItIsWritten(t *testing.T) {
+	for range raceRounds { // whose word comes first, the reader's or the write's, must make no difference
+		stalledWrite(t, func(far net.Conn, conn *faultyConn, release func() []replica.Report) {
+			go io.Copy(io.Discard, far)
+			ended := release()
+			must.StrNotContains(t, conn.written.String(), "/other")
+			must.SliceLen(t, 1, ended)
+			must.Eq(t, balance.ConnectFailed, ended[0].Result)
+		})
+	}
+}
+
+// deadConn is a connection that ended as it came up.
+type deadConn struct{ net.Conn }
+
+func (deadConn) Read([]byte) (int, error)         { return 0, io.EOF }
+func (deadConn) Write([]byte) (int, error)        { return 0, net.ErrClosed }
+func (deadConn) Close() error                     { return nil }
+func (deadConn) SetWriteDeadline(time.Time) error { return nil }
+
+// TestDeadOnArrival: a connection that has ended before its first request was written proves that it did not run, also where
+// the reader is the one to tell.
+func TestDeadOnArrival(t *testing.T) {
+	board(t, &server{}, func(d *deck) {
+		d.Dial = func(context.Context, string, string) (net.Conn, error) { return deadConn{}, nil }
+		for range raceRounds {
+			result, _ := d.ask("x1")
+			must.Eq(t, balance.ConnectFailed, result)
+			d.settle()
+		}
+	})
+}
+
+// TestEndedBeforeItIsWritten: a connection that ends, or brings bytes that nobody asked for, before a request is written: that
+// request has not run, and is not written any more.
+func TestEndedBeforeItIsWritten(t *testing.T) {
+	for name, end := range map[string]func(far net.Conn){
+		"closed":  func(far net.Conn) { far.Close() },
+		"garbage": func(far net.Conn) { io.WriteString(far, "x") },
+		"answer":  func(far net.Conn) { io.WriteString(far, text("200 OK", "x2", "s", "abc")) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			stalledWrite(t, func(far net.Conn, conn *faultyConn, release func() []replica.Report) {
+				end(far)
+				synctest.Wait() // its end is known before the write may begin
+				ended := release()
+				must.StrNotContains(t, conn.written.String(), "/other")
+				must.SliceLen(t, 1, ended)
+				must.Eq(t, balance.ConnectFailed, ended[0].Result)
+			})
+		})
+	}
+}
