--- a/cmd/willowlab/control.go
+++ b/cmd/willowlab/control.go
@@ -23,6 +23,7 @@
 const (
 	garbagePercent = 1500 // memory is plenty, and runs make much garbage
 	seedsNamed     = 5    // of each check that failed
+	toldEvery      = 500  // runs
 )
 
 // controlling plays control clusters in virtual time.
@@ -139,6 +140,9 @@
 	if len(r.Violations) > 0 {
 		t.broken++
 	}
+	if t.runs%toldEvery == 0 {
+		fmt.Fprintf(os.Stderr, "%d runs, %d broken\n", t.runs, t.broken)
+	}
 	seen := map[string]bool{}
 	for _, v := range r.Violations {
 		if seen[v.Check] {
