--- a/cmd/willowlab/control.go
+++ b/cmd/willowlab/control.go
@@ -40,6 +40,7 @@
 	f.Uint64Var(&o.from, "from", o.from, "the first seed")
 	f.IntVar(&o.workers, "workers", 0, "runs at once, 0 for one a core")
 	f.StringVar(&o.points, "points", "all", "which plans: all, or some of drawn, 1, 2, 3, 3-three, 4, with commas between")
+	f.DurationVar(&o.within, "for", 0, "begin no more runs after so long; 0 for no bound")
 	f.StringVar(&o.replay, "replay", "", "play a script instead")
 	f.StringVar(&o.shrunk, "shrunk", "", "write the script of each check's first failing seed, cut down, to files that begin so")
 	f.BoolVar(&o.trace, "trace", false, "with --replay or one seed: print what happens")
@@ -53,6 +54,7 @@
 	points, replay, shrunk string
 	trace                  bool
 	races                  float64
+	within                 time.Duration
 }
 
 func (o controlOptions) run(out io.Writer) error {
@@ -170,7 +172,7 @@
 		all.Go(func() {
 			for {
 				n := next.Add(1) - 1
-				if n >= o.seeds {
+				if n >= o.seeds || o.within > 0 && time.Since(began) > o.within {
 					return
 				}
 				r, err := controlsim.Run(o.plan(o.from+n, points), nil)
