--- a/decide/controller/bench_test.go
+++ b/decide/controller/bench_test.go
@@ -127,3 +127,13 @@
 		runtime.KeepAlive(c)
 	}
 }
+
+// BenchmarkSnapshot is what each follower that joins costs: the controller's loop makes and encodes the snapshot.
+func BenchmarkSnapshot(b *testing.B) {
+	c := largeController(ms)
+	for b.Loop() {
+		if _, err := cbor.Marshal(c.Snapshot()); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
