--- a/decide/clusterstate/clusterstate.go
+++ b/decide/clusterstate/clusterstate.go
@@ -83,6 +83,7 @@
 	// What Behind tells of: the configuration held is not the one that a patch was for, the fleet held not the feeder's.
 	staleConfiguration, staleFleet bool
 	replicas                       map[string]registry.Record
+	departed                       departed
 	gone                           bool // some of the replicas may be
 }
 
@@ -98,7 +99,15 @@
 		b.revise(n, &fresh)
 	}
 	for _, r := range n.Replicas {
+		if b.departed.covers(r) {
+			continue
+		}
 		was, known := b.replicas[r.ID]
+		if known && r.Phase == registry.Gone && r.Service == "" { // the id alone
+			seq := max(r.Seq, was.Seq)
+			r = was
+			r.Phase, r.Seq = registry.Gone, seq
+		}
 		// Danger: the feeder before may have called a replica silent by the very call that this one heard. That one
 		// is told of here for what it says next alone, and would stay struck off.
 		unsaid := n.Snapshot && was.Phase == registry.Silent && r.Phase == registry.Ready && r.Seq == was.Seq
@@ -106,6 +115,9 @@
 			continue
 		}
 		b.gone = b.gone || r.Phase == registry.Gone
+		if r.Phase == registry.Gone {
+			b.departed.add(r)
+		}
 		if b.replicas[r.ID] = r; !known || !r.Same(was) {
 			fresh.Replicas = append(fresh.Replicas, r)
 		}
@@ -172,6 +184,12 @@
 	for _, r := range b.replicas {
 		n.Replicas = append(n.Replicas, r)
 	}
+	// A follower may have been told of replicas by a feeder that was cut off as they departed.
+	for _, id := range b.departed.order {
+		if _, listed := b.replicas[id]; !listed {
+			n.Replicas = append(n.Replicas, registry.Record{ID: id, Phase: registry.Gone, Seq: b.departed.last[id]})
+		}
+	}
 	return n
 }
 
--- /dev/null
+++ b/decide/register/learns_test.go
@@ -0,0 +1,20 @@
+package register
+
+import (
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+// TestEmptiedDiskLearnsMembers: a proposer that knows no members learns them also where they have never changed, and then
+// carries its edits.
+func TestEmptiedDiskLearnsMembers(t *testing.T) {
+	members := Value{Members: []string{"a", "b", "c"}}
+	p := NewProposer("c/2", Value{}, func() float64 { return 0 })
+	_, out := p.Edit(0, func(v Value) (Value, bool) { return v, false })
+	must.SliceEmpty(t, out.To)
+	must.True(t, p.Learns(members))
+	p.Know(members)
+	must.Eq(t, members.Members, p.Tick(resendAfter).To)
+	must.False(t, p.Learns(Value{Members: []string{"x"}}))
+}
--- a/decide/register/proposer.go
+++ b/decide/register/proposer.go
@@ -89,7 +89,12 @@
 }
 
 // Learns tells whether Know would say anything new.
-func (p *Proposer) Learns(v Value) bool { return v.Epoch > p.known.Epoch }
+//
+// Danger: a proposer on an emptied disk knows no members. Where they have never changed their epoch is 0, and were the
+// epoch alone compared, it would know none for ever and carry no edit.
+func (p *Proposer) Learns(v Value) bool {
+	return v.Epoch > p.known.Epoch || len(p.known.Members) == 0 && len(v.Members) > 0
+}
 
 // Hold tells of a state held here, so that its body need not come again.
 func (p *Proposer) Hold(s State) {
