--- a/cmd/willowsill/share.go
+++ b/cmd/willowsill/share.go
@@ -33,29 +33,29 @@
 		s.orders = o
 		return nil
 	}
-	var willowctl *store.Willowctl
+	var keeper *store.Keeper
 	var quotas []commons.Quota
 	var err error
 	count := &store.Count{}
 	if o.Store != nil {
-		if willowctl, quotas, err = s.willowctl(o, count); err != nil {
+		if keeper, quotas, err = s.keeper(o, count); err != nil {
 			return fmt.Errorf("%s: shared_store: %w", o.File, err)
 		}
 	}
 	s.end()
 	s.orders = o
-	if willowctl == nil {
+	if keeper == nil {
 		return nil
 	}
 	s.log.Info("knowledge is shared through a store", zap.String("address", o.Store.Address))
 	s.core.Share(true, quotas)
 	s.count.SharedStore.Put(count)
-	s.runs = begin(willowctl.Run)
+	s.runs = begin(keeper.Run)
 	return nil
 }
 
-// willowctl makes what the orders ask for.
-func (s *sharing) willowctl(o *operator.Orders, count *store.Count) (*store.Willowctl, []commons.Quota, error) {
+// keeper makes what the orders ask for.
+func (s *sharing) keeper(o *operator.Orders, count *store.Count) (*store.Keeper, []commons.Quota, error) {
 	terms := commons.Terms{Name: s.start.Name, Incarnation: uint64(time.Now().UnixNano()), Seed: s.start.Seed,
 		Round: o.Store.Round, Deadline: o.Store.Deadline, Sample: o.Store.Sample,
 		Aggregators: s.start.Aggregators, Rest: s.start.Rest(), Health: o.Store.Health}
