--- a/cmd/willowsill/share.go
+++ b/cmd/willowsill/share.go
@@ -33,29 +33,29 @@
 		s.orders = o
 		return nil
 	}
-	var keeper *store.Keeper
+	var client *store.Client
 	var quotas []commons.Quota
 	var err error
 	count := &store.Count{}
 	if o.Store != nil {
-		if keeper, quotas, err = s.keeper(o, count); err != nil {
+		if client, quotas, err = s.client(o, count); err != nil {
 			return fmt.Errorf("%s: shared_store: %w", o.File, err)
 		}
 	}
 	s.end()
 	s.orders = o
-	if keeper == nil {
+	if client == nil {
 		return nil
 	}
 	s.log.Info("knowledge is shared through a store", zap.String("address", o.Store.Address))
 	s.core.Share(true, quotas)
 	s.count.SharedStore.Put(count)
-	s.runs = begin(keeper.Run)
+	s.runs = begin(client.Run)
 	return nil
 }
 
-// keeper makes what the orders ask for.
-func (s *sharing) keeper(o *operator.Orders, count *store.Count) (*store.Keeper, []commons.Quota, error) {
+// client makes what the orders ask for.
+func (s *sharing) client(o *operator.Orders, count *store.Count) (*store.Client, []commons.Quota, error) {
 	terms := commons.Terms{Name: s.start.Name, Incarnation: uint64(time.Now().UnixNano()), Seed: s.start.Seed,
 		Round: o.Store.Round, Deadline: o.Store.Deadline, Sample: o.Store.Sample,
 		Aggregators: s.start.Aggregators, Rest: s.start.Rest(), Health: o.Store.Health}
--- a/node/share.go
+++ b/node/share.go
@@ -7,7 +7,7 @@
 )
 
 // What an aggregator shares with others goes through the same bounded queue as all facts. It is asked for and handed
-// over by store.Keeper, and is the first to be dropped.
+// over by store.Client, and is the first to be dropped.
 
 const shareMost = queueLength / 8 // facts that wait: beyond that nothing is shared
 
--- a/transport/store/store.go
+++ b/transport/store/store.go
@@ -38,7 +38,7 @@
 	Dial         func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Core is the aggregator as a Keeper sees it. Neither call waits for a socket.
+// Core is the aggregator as a Client sees it. Neither call waits for a socket.
 type Core interface {
 	// Consult asks what the aggregator knows now; false where it has no time for that.
 	Consult(ctx context.Context) (commons.Survey, bool)
@@ -46,8 +46,8 @@
 	Allow(commons.Allowance)
 }
 
-// Keeper keeps an aggregator in touch with the store.
-type Keeper struct {
+// Client keeps an aggregator in touch with the store.
+type Client struct {
 	place  Place
 	common *commons.Commons
 	core   Core
@@ -65,9 +65,9 @@
 	socket net.Conn
 }
 
-// New makes a keeper; the error names what in the place cannot be used. now is the aggregator's clock, ns.
-func New(p Place, c *commons.Commons, core Core, now func() int64, count *Count, log *zap.Logger) (*Keeper, error) {
-	k := &Keeper{place: p, common: c, core: core, now: now, count: count, log: log}
+// New makes a client; the error names what in the place cannot be used. now is the aggregator's clock, ns.
+func New(p Place, c *commons.Commons, core Core, now func() int64, count *Count, log *zap.Logger) (*Client, error) {
+	k := &Client{place: p, common: c, core: core, now: now, count: count, log: log}
 	var err error
 	if k.secure, err = p.secure(); err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 }
 
 // connect opens the connection and is let in. The connection's time is up when ctx ends.
-func (k *Keeper) connect(ctx context.Context) error {
+func (k *Client) connect(ctx context.Context) error {
 	p := k.place
 	password, err := p.password()
 	if err != nil {
@@ -121,7 +121,7 @@
 }
 
 // hangUp closes the connection, if there is one.
-func (k *Keeper) hangUp() {
+func (k *Client) hangUp() {
 	if k.conn != nil {
 		k.conn.Close()
 		k.conn = nil
@@ -172,7 +172,7 @@
 }
 
 // Run keeps in touch until ctx ends, and closes the connections.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Client) Run(ctx context.Context) {
 	defer k.hangUp()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -195,7 +195,7 @@
 }
 
 // round carries one request out and tells what became of it.
-func (k *Keeper) round(ctx context.Context, r *commons.Request) {
+func (k *Client) round(ctx context.Context, r *commons.Request) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.By-k.now()))
 	defer cancel()
 	reply, err := k.carry(ctx, r)
@@ -241,7 +241,7 @@
 
 // carry sends a request as one pipeline and reads the reply. After an error of the connection it is closed: what might
 // still come on it would be taken for the next round's.
-func (k *Keeper) carry(ctx context.Context, r *commons.Request) (reply commons.Reply, err error) {
+func (k *Client) carry(ctx context.Context, r *commons.Request) (reply commons.Reply, err error) {
 	if k.conn == nil {
 		if err := k.connect(ctx); err != nil {
 			return reply, err
@@ -250,7 +250,7 @@
 	if by, limited := ctx.Deadline(); limited {
 		k.conn.socket.SetDeadline(by)
 	}
-	// Danger: the end of ctx may come while the connection is hung up, and the keeper has none any more.
+	// Danger: the end of ctx may come while the connection is hung up, and the client has none any more.
 	conn := k.conn
 	stop := context.AfterFunc(ctx, func() { conn.socket.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -274,7 +274,7 @@
 }
 
 // ask puts a request's commands into a pipe; their answers go into the reply.
-func (k *Keeper) ask(p *pipe, r *commons.Request, reply *commons.Reply) error {
+func (k *Client) ask(p *pipe, r *commons.Request, reply *commons.Reply) error {
 	place, c, name := k.place, k.common, k.common.Name
 	// Without these the round is none: nothing could be dated or fenced.
 	k.needed = nil
