--- a/cmd/willowlab/control.go
+++ b/cmd/willowlab/control.go
@@ -21,9 +21,10 @@
 )
 
 const (
-	garbagePercent = 1500 // memory is plenty, and runs make much garbage
-	seedsNamed     = 5    // of each check that failed
-	toldEvery      = 500  // runs
+	garbagePercent = 1500    // memory is plenty, and runs make much garbage
+	memoryLimit    = 6 << 30 // bytes
+	seedsNamed     = 5       // of each check that failed
+	toldEvery      = 500     // runs
 )
 
 // controlling plays control clusters in virtual time.
@@ -59,6 +60,7 @@
 
 func (o controlOptions) run(out io.Writer) error {
 	debug.SetGCPercent(garbagePercent)
+	debug.SetMemoryLimit(memoryLimit) // from here on garbage is collected as often as needed
 	if o.replay != "" {
 		script, err := os.ReadFile(o.replay)
 		if err != nil {
