--- a/decide/controller/callers.go
+++ b/decide/controller/callers.go
@@ -19,12 +19,12 @@
 func (c *Controller) Beat(now int64, id uint64, r registry.Record) Out {
 	c.now = now
 	if !c.InContact() || c.leaving {
-		c.out.Answers = append(c.out.Answers, Answer{Call: id, Status: 503, Reason: "not in touch with most controllers"})
+		c.out.Answers = append(c.out.Answers, Answer{Call: id, Status: statusUnavailable, Reason: "not in touch with most controllers"})
 		return c.done()
 	}
 	c.take(r, true)
 	if r.Phase == registry.Ready {
-		c.out.Answers = append(c.out.Answers, Answer{Call: id, Status: 200})
+		c.out.Answers = append(c.out.Answers, Answer{Call: id, Status: statusOK})
 		return c.done()
 	}
 	c.asks++
@@ -73,7 +73,7 @@
 		}
 	}
 	if 2*n > len(c.members()) {
-		c.answer(t, 200, nil, "")
+		c.answer(t, statusOK, nil, "")
 	}
 }
 
@@ -118,9 +118,9 @@
 		case t.order != nil:
 			c.answerOrder(t, d.Value)
 		case d.Value.Revision == 0:
-			c.answer(t, 404, nil, "there is no configuration yet")
+			c.answer(t, statusNotFound, nil, "there is no configuration yet")
 		default:
-			c.answer(t, 200, d.Value.Body, "")
+			c.answer(t, statusOK, d.Value.Body, "")
 		}
 	}
 }
--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -305,7 +305,7 @@
 	for _, t := range slices.Clone(c.calls) {
 		if now >= t.until {
 			c.proposer.Cancel(t.edit)
-			c.answer(t, 503, nil, "no majority answered in time")
+			c.answer(t, statusUnavailable, nil, "no majority answered in time")
 		}
 	}
 	if c.fleetDue {
--- a/decide/controller/orders.go
+++ b/decide/controller/orders.go
@@ -9,9 +9,10 @@
 	"willowsill/decide/register"
 )
 
-// Statuses of HTTP that operators are answered.
+// Statuses of HTTP that callers are answered.
 const (
 	statusOK          = 200
+	statusNotFound    = 404
 	statusConflict    = 409 // ends the operator's call
 	statusUnavailable = 503 // has the operator try another controller
 )
