--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -48,6 +48,7 @@
 
 // One seed gives one run, on any number of cores, and another seed another.
 func TestSame(t *testing.T) {
+	t.Parallel()
 	for _, policy := range []string{"module", "shared", "sites", "two", "oracle"} {
 		p := small(policy, 3)
 		p.Faults = append(slices.Clone(everything), Fault{Kind: "crash", Aggregators: []int{2}, From: 5 * second, Until: 7 * second})
@@ -76,6 +77,7 @@
 
 // The module keeps the rules under all faults together, and serves more than a random choice.
 func TestKeepsRules(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(2) {
 		p := small("module", seed)
 		p.Faults = everything
@@ -95,6 +97,7 @@
 
 // Danger: a checker that sees nothing would pass everything: a module that is broken on purpose is caught, by its rule.
 func TestBreaks(t *testing.T) {
+	t.Parallel()
 	rules := map[string]int{"count not lowered on reset": 0, "drain ignored": 3, "cold guard off": 4, "budget off": 6, "second answer": 1,
 		"runs before the outcome": 2, "whole from a part": 5}
 	for _, how := range Breaks {
@@ -128,6 +131,7 @@
 // An aggregator that dies loses what it held and no more; one that freezes answers late what it must, and loses nothing that it
 // had time for.
 func TestOwnFaults(t *testing.T) {
+	t.Parallel()
 	for _, kind := range OwnKinds {
 		p := small("module", 5)
 		p.Faults = []Fault{{Kind: kind, Aggregators: []int{0, 3}, From: 4 * second, Until: 8 * second, Every: 2 * second, For: 300 * ms}}
@@ -152,6 +156,7 @@
 
 // Cold replicas that all send to at once are pushed over, and the checker tells. The module's guard does not do it.
 func TestCold(t *testing.T) {
+	t.Parallel()
 	p := coldRestart(2)
 	if r, _ := played(t, p, Cores()); r.Broken != "" {
 		t.Errorf("the module: %s", r.Broken)
@@ -164,6 +169,7 @@
 
 // With a store that answers, aggregators find what hangs together; whatever else it does, no rule is broken.
 func TestStores(t *testing.T) {
+	t.Parallel()
 	met := map[string]int{}
 	for _, mode := range Stores {
 		p := small("module", 1)
@@ -185,6 +191,7 @@
 
 // With a site dark its queries are served at the other, and no rule is broken at either; without a gateway they are not.
 func TestSites(t *testing.T) {
+	t.Parallel()
 	shares := map[string]float64{}
 	for _, route := range []string{"none", "plan", "all", "half"} {
 		p := small("module", 2)
@@ -211,6 +218,7 @@
 }
 
 func TestCheck(t *testing.T) {
+	t.Parallel()
 	for name, change := range map[string]func(*Plan){
 		"groups":  func(p *Plan) { p.Replicas = 23 },
 		"parts":   func(p *Plan) { p.Loads[0].Parts = 7 },
@@ -251,6 +259,7 @@
 // Replicas that stand still now and then, that lose speed under many parts, that drop what nobody waits for, and that work on what
 // was given up: each of these moves what is served, the way it should.
 func TestLaws(t *testing.T) {
+	t.Parallel()
 	play := func(change func(*Plan)) *Result {
 		p := small("random", 5)
 		p.Budgeted, p.Loads = false, p.Loads[:1]
--- a/lab/emulator/own_test.go
+++ b/lab/emulator/own_test.go
@@ -5,6 +5,7 @@
 // A crowd of ten times what an aggregator's own processor can do, whose clients insist: without its strain known the repeats keep
 // it down after the crowd has gone, with it all is served again within seconds.
 func TestOwnCrowd(t *testing.T) {
+	t.Parallel()
 	after := map[string]float64{}
 	for _, strain := range []string{"none", "model"} {
 		p := Plan{Policy: "module", Seed: 3, Span: 26e9, From: 1e9, Until: 25e9, Aggregators: 1, Replicas: 16, Holders: 4, Workers: 8, Work: 5e6,
