--- a/front/proxyserver/callers_test.go
+++ b/front/proxyserver/callers_test.go
@@ -8,8 +8,10 @@
 	"net"
 	"net/http"
 	"slices"
+	"strconv"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -37,18 +39,25 @@
 	hasty       = 300            // ms that it waits where its answer is not judged, only what the replica saw
 	ownDeclines = 20             // that a client meets on a busy machine before the test gives up
 	warmPath    = "/unsafe/warm" // a replica always answers it well
+
+	replicaPrefix = "i-" // of the replicas' ids
 )
 
 // call is one request as a replica reads it.
 type call struct {
-	host, path, attempt, body string
+	target, host, path, attempt, body string
 }
 
+// lastReplica numbers the replicas of all tests here. Each proxy knows one of them, so a request to another one than it
+// comes to is of another test's proxy, whose replica had the same port before.
+var lastReplica atomic.Int64
+
 // troubled is a replica whose connections end or misbehave in one way.
 type troubled struct {
 	misbehave func(c *net.TCPConn, r *bufio.Reader, attempt string) // instead of an answer; the connection ends after it
 	idle      func(c *net.TCPConn)                                  // after the answer to the warm request
 	unread    bool                                                  // a connection ends before anything is read
+	id        string
 
 	mu    sync.Mutex
 	calls []call // without the warm ones
@@ -79,7 +88,11 @@
 		if err != nil {
 			return
 		}
-		attempt := request.Header.Get(replicahttp.HeaderAttempt)
+		attempt, target := request.Header.Get(replicahttp.HeaderAttempt), request.Header.Get(replicahttp.HeaderTarget)
+		if s.belongsToAnother(target) {
+			io.WriteString(c, "HTTP/1.1 421 No\r\n"+replicahttp.HeaderAttempt+": "+attempt+"\r\nContent-Length: 0\r\n\r\n")
+			continue
+		}
 		if request.RequestURI == warmPath {
 			io.WriteString(c, goodAnswer(attempt, "warm"))
 			if s.idle != nil {
@@ -88,7 +101,7 @@
 			continue
 		}
 		s.mu.Lock()
-		s.calls = append(s.calls, call{request.Host, request.RequestURI, attempt, string(body)})
+		s.calls = append(s.calls, call{target, request.Host, request.RequestURI, attempt, string(body)})
 		s.mu.Unlock()
 		if s.misbehave == nil {
 			io.WriteString(c, goodAnswer(attempt, "body of "+attempt))
@@ -99,6 +112,12 @@
 	}
 }
 
+// belongsToAnother tells whether a target is another test's replica.
+func (s *troubled) belongsToAnother(target string) bool {
+	number, err := strconv.ParseInt(strings.TrimPrefix(target, replicaPrefix), 10, 64)
+	return err == nil && number > 0 && number <= lastReplica.Load() && target != s.id
+}
+
 // written sends text and reads on until the other side ends.
 func written(format string) func(*net.TCPConn, *bufio.Reader, string) {
 	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
@@ -138,6 +157,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
+	s.id = replicaPrefix + strconv.FormatInt(lastReplica.Add(1), 10)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -153,9 +173,11 @@
 	n := node.New(node.Plan{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
 		Terms: deployment.Terms{MostHeld: maxHeld}, Count: count, Log: zap.NewNop(), Ask: func() {},
 		Carry: func(tell func(any), now func() int64) node.Carrier { return replicahttp.NewPool(tell, now) }})
+	// Danger: a node that goes on after its test may reach another test's replica, which has got the port.
+	t.Cleanup(n.Close)
 	h := &Server{settings: set, node: n, counters: count, table: table}
 	c := table.Take(clock.Now(), clusterstate.Update{Revision: 1, Raw: []byte(callersConfiguration),
-		Replicas: []registry.Record{{ID: "i-1", Service: "s", Address: ln.Addr().String(), Seq: 1, Capacity: 8}}})
+		Replicas: []registry.Record{{ID: s.id, Service: "s", Address: ln.Addr().String(), Seq: 1, Capacity: 8}}})
 	must.NoError(t, c.Err)
 	h.served = c.Workloads
 	for range c.Workloads {
@@ -299,7 +321,7 @@
 					s.mu.Lock()
 					defer s.mu.Unlock()
 					for _, got := range s.calls {
-						must.Eq(t, call{"h", path, "t1", "body"}, got, must.Sprint(got))
+						must.Eq(t, call{s.id, "h", path, "t1", "body"}, got, must.Sprint(got))
 					}
 					if unsafe {
 						must.SliceContains(t, c.want, res.StatusCode, must.Sprint(s.calls))
