--- a/balance/admit.go
+++ b/balance/admit.go
@@ -28,6 +28,7 @@
 	workload         *workload
 	broke            int  // the replica that it was last reset by at once, + 1
 	deadly           bool // it was reset at once by two replicas
+	proven           bool // a part of it was fulfilled
 	parts            []part
 	expected         int
 	taken, goal, end int64 // when; latest time for an answer within the latency goal, and for any
--- a/balance/again.go
+++ b/balance/again.go
@@ -13,8 +13,10 @@
 	call          *call
 	sentAt, stood int64 // when; and how long the process had stood by then, ns
 	replica       int
-	slots         int  // own calls out there at the send, with this one
-	over, overdue bool // overdue: given up by this aggregator as too long
+	rested        int64 // how long the connection had not been used, ns; 0 for a new one
+	slots         int   // own calls out there at the send, with this one
+	over, overdue bool  // overdue: given up by this aggregator as too long
+	silent        bool  // its replica has said nothing since
 }
 
 // own is how long the process itself stood since the execution was sent, ns.
@@ -30,6 +32,7 @@
 	e := &p.executions[execution]
 	e.over = true
 	r := &q.agg.replicas[e.replica]
+	r.touched = now
 	if e.call.parts--; e.call.parts == 0 {
 		r.calls--
 	}
@@ -45,11 +48,17 @@
 	}
 	switch result {
 	case Fulfilled:
-		r.heard, r.stale = now, false
+		r.heard, r.stale, q.proven = now, false, true
+		q.agg.bookRest(now, e.rested, 0)
 		if own == 0 {
 			q.workload.logs.add(now, math.Log(float64(max(took, ms))), 1)
 			q.workload.look(now)
 		}
+	case TimedOut:
+		if e.silent && own == 0 {
+			q.agg.bookRest(now, e.rested, 1)
+			q.agg.limitRests(now)
+		}
 	case Full, ConnectFailed:
 		// Danger: a replica that turns all away at once always has the lowest count and draws every part.
 		r.jammed = max(r.jammed, now+q.workload.middle)
@@ -58,7 +67,7 @@
 		}
 	case Reset:
 		// Danger: a query that kills its replicas, at once, kills their peers as well if its parts run again.
-		if took < q.workload.middle/atOnce {
+		if took < q.workload.middle/atOnce && !q.proven {
 			q.deadly = q.deadly || q.broke > 0 && q.broke != e.replica+1
 			q.broke = e.replica + 1
 		}
@@ -117,7 +126,9 @@
 	if now < half {
 		return half
 	}
-	r.stale = r.stale || r.heard < e.sentAt
+	if r.heard < e.sentAt && !e.silent {
+		e.silent, r.stale = true, true
+	}
 	if !p.spared { // where any so many parts do, another can come in its place
 		p.spared = true
 		q.ask(now, p.weight, math.MaxInt64)
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -105,7 +105,12 @@
 	r.used++
 	a.further[p.shard%len(a.further)].add(now, float64(min(len(p.executions), 1)))
 	a.sent.add(now, 1)
-	p.executions = append(p.executions, execution{r.shared, now, a.stood, to, r.calls, false, false})
+	rested := now - r.touched
+	if r.calls > 1 || r.given {
+		rested = 0
+	}
+	r.touched, r.given = now, false
+	p.executions = append(p.executions, execution{call: r.shared, sentAt: now, stood: a.stood, replica: to, rested: rested, slots: r.calls})
 	p.stage = out
 	if p.mayHaveRun == never {
 		p.mayHaveRun = now
