--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command drill plays the decision module on the simulator's wire: events on standard input, actions on
+// Command simadapter plays the decision module on the simulator's wire: events on standard input, actions on
 // standard output. It ends with 0 when the input ends, and with 1 and one line on standard error when the
 // input is malformed.
 package main
@@ -12,7 +12,7 @@
 
 func main() {
 	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/willowsill/main.go
+++ b/cmd/willowsill/main.go
@@ -25,8 +25,8 @@
 	"willowsill/front"
 	"willowsill/internal/counters"
 	"willowsill/node"
+	"willowsill/transport/discovery"
 	"willowsill/transport/replica"
-	"willowsill/transport/roster"
 	"willowsill/transport/sockets"
 )
 
@@ -110,8 +110,8 @@
 	clock := node.NewClock()
 
 	var core *node.Node
-	watch := roster.NewWatch(start.Discovery, start.Cells, start.Known.Sequence, dial,
-		func(ctx context.Context, n roster.News) { core.News(ctx, n) })
+	watch := discovery.NewWatch(start.Discovery, start.Cells, start.Known.Sequence, dial,
+		func(ctx context.Context, n discovery.News) { core.News(ctx, n) })
 	core = node.New(node.Plan{Clock: clock, Deployment: start.Deployment, Terms: start.Terms, Known: start.Known,
 		Budget: budget, Count: count, Log: log, Ask: watch.Ask, Dial: dial})
 	shares := &sharing{start: start, core: core, dial: dial, count: count, log: log}
@@ -183,7 +183,7 @@
 // and switches on and off what the script says.
 //
 // Danger: a file that is missing, half-written or wrong must not end what runs well, nor change a part of it.
-func follow(start *deployment.Start, watch *roster.Watch, shares *sharing, own *strained, areas *zoned, ways *ways,
+func follow(start *deployment.Start, watch *discovery.Watch, shares *sharing, own *strained, areas *zoned, ways *ways,
 	count *counters.Counters, log *zap.Logger) {
 	count.Reloads.Add(1)
 	next, odd, err := start.Again()
--- a/cmd/willowsill/share.go
+++ b/cmd/willowsill/share.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"willowsill/decide/commons"
+	"willowsill/decide/sharedhealth"
 	"willowsill/deployment"
 	"willowsill/deployment/operator"
 	"willowsill/internal/counters"
@@ -34,7 +34,7 @@
 		return nil
 	}
 	var client *store.Client
-	var quotas []commons.Quota
+	var quotas []sharedhealth.Quota
 	var err error
 	count := &store.Count{}
 	if o.Store != nil {
@@ -55,17 +55,17 @@
 }
 
 // client makes what the orders ask for.
-func (s *sharing) client(o *operator.Orders, count *store.Count) (*store.Client, []commons.Quota, error) {
-	terms := commons.Terms{Name: s.start.Name, Incarnation: uint64(time.Now().UnixNano()), Seed: s.start.Seed,
+func (s *sharing) client(o *operator.Orders, count *store.Count) (*store.Client, []sharedhealth.Quota, error) {
+	terms := sharedhealth.Terms{Name: s.start.Name, Incarnation: uint64(time.Now().UnixNano()), Seed: s.start.Seed,
 		Round: o.Store.Round, Deadline: o.Store.Deadline, Sample: o.Store.Sample,
 		Aggregators: s.start.Aggregators, Rest: s.start.Rest(), Health: o.Store.Health}
 	for _, q := range o.Quotas {
-		terms.Quotas = append(terms.Quotas, commons.Quota(q))
+		terms.Quotas = append(terms.Quotas, sharedhealth.Quota(q))
 	}
 	k, err := store.New(store.Place{Address: o.Store.Address, Database: o.Store.Database, Prefix: o.Store.Prefix,
 		User: o.Store.User, PasswordFile: o.Store.PasswordFile, CAFile: o.Store.CAFile,
 		ServerName: o.Store.ServerName, Dial: s.dial},
-		commons.New(s.core.Now(), terms), s.core, s.core.Now, count, s.log)
+		sharedhealth.New(s.core.Now(), terms), s.core, s.core.Now, count, s.log)
 	return k, terms.Quotas, err
 }
 
--- a/cmd/willowsill/strained.go
+++ b/cmd/willowsill/strained.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"willowsill/decide/strain"
+	"willowsill/decide/overload"
 	"willowsill/deployment"
 	"willowsill/deployment/operator"
 	"willowsill/front"
@@ -65,7 +65,7 @@
 	}
 	rhythm := &node.Rhythm{Waited: watch.Waited, Stood: func(ns int64) { watch.Stood.Add(ns) }}
 	if o.Strain.AtOnce {
-		rhythm.Pace = &strain.Pace{Tick: s.start.Tick}
+		rhythm.Pace = &overload.Pace{Tick: s.start.Tick}
 	}
 	s.core.Follow(rhythm)
 	if o.Strain.Shed {
@@ -79,9 +79,9 @@
 }
 
 // terms are what the orders and the deployment ask for.
-func (s *strained) terms(o *operator.Strain) (strain.Terms, error) {
-	t := strain.Terms{Cores: s.start.Cores, Limit: o.Limit, Fixed: o.Rate, Target: o.Lateness, Most: s.start.MaxComeBack,
-		Floor: o.Floor, Seed: s.start.Seed, Workloads: make([]strain.Workload, len(s.start.Workloads))}
+func (s *strained) terms(o *operator.Strain) (overload.Terms, error) {
+	t := overload.Terms{Cores: s.start.Cores, Limit: o.Limit, Fixed: o.Rate, Target: o.Lateness, Most: s.start.MaxComeBack,
+		Floor: o.Floor, Seed: s.start.Seed, Workloads: make([]overload.Workload, len(s.start.Workloads))}
 	for name := range o.Revenue {
 		if _, known := s.start.Workload[name]; !known {
 			return t, fmt.Errorf(`key "revenue": %q is no workload of the deployment`, name)
@@ -92,7 +92,7 @@
 		if !stated {
 			revenue = 1
 		}
-		t.Workloads[row] = strain.Workload{Revenue: revenue, Goal: s.start.Workloads[row].LatencyGoal}
+		t.Workloads[row] = overload.Workload{Revenue: revenue, Goal: s.start.Workloads[row].LatencyGoal}
 	}
 	return t, t.Check()
 }
--- a/cmd/willowsill/zoned.go
+++ b/cmd/willowsill/zoned.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"willowsill/decide/rift"
+	"willowsill/decide/zonehealth"
 	"willowsill/deployment"
 	"willowsill/deployment/operator"
 	"willowsill/node"
@@ -20,8 +20,8 @@
 	orders *operator.Zones
 }
 
-func (z *zoned) terms(o *operator.Zones) rift.Terms {
-	return rift.Terms{Rest: z.start.Rest(), Few: o.Few, Seed: z.start.Seed}
+func (z *zoned) terms(o *operator.Zones) zonehealth.Terms {
+	return zonehealth.Terms{Rest: z.start.Rest(), Few: o.Few, Seed: z.start.Seed}
 }
 
 // check tells what the orders cannot be here.
@@ -49,7 +49,7 @@
 		z.log.Info("zones are no longer watched")
 		return nil
 	}
-	z.core.WatchZones(rift.New(z.terms(o.Zones)))
+	z.core.WatchZones(zonehealth.New(z.terms(o.Zones)))
 	z.log.Info("zones are watched", zap.Int("few", o.Zones.Few))
 	return nil
 }
--- a/decide/window/window.go
+++ b/decide/deduplication/deduplication.go
@@ -1,11 +1,11 @@
-// Package window remembers, for a while, the ids of queries that came from another site and how they ended, so that a
+// Package deduplication remembers, for a while, the ids of queries that came from another site and how they ended, so that a
 // repeat joins the one under way or gets the same answer. It does no I/O and reads no clock.
 //
 // Decides: whether a query with this id is new, is under way, has its answer, or must not run here again.
 //
 // What is kept is bounded in time and number. Snapshot and Restore carry it over a planned restart; what a restart cut
 // off is known as cut off, and is not run a second time.
-package window
+package deduplication
 
 import (
 	"encoding/binary"
--- a/decide/window/window_test.go
+++ b/decide/deduplication/deduplication_test.go
@@ -1,4 +1,4 @@
-package window
+package deduplication
 
 import (
 	"bytes"
--- a/decide/fair/fair.go
+++ b/decide/fairqueue/fairqueue.go
@@ -1,4 +1,4 @@
-// Package fair keeps queries that wait for room, and says which is next, so that one customer's crowd does not keep out
+// Package fairqueue keeps queries that wait for room, and says which is next, so that one customer's crowd does not keep out
 // the others. It does no I/O and reads no clock.
 //
 // Decides: who may wait, who goes next, and who has waited too long.
@@ -6,7 +6,7 @@
 // Customers take turns by what they were served: each has a virtual time that grows with every query served, by the inverse of
 // its weight, and the one with the least goes next. Within a customer the oldest goes first; one whose time to wait is over is
 // dropped from the front and never from the back, for the newest has the most time left.
-package fair
+package fairqueue
 
 import (
 	"cmp"
--- a/decide/fair/fair_test.go
+++ b/decide/fairqueue/fairqueue_test.go
@@ -1,4 +1,4 @@
-package fair
+package fairqueue
 
 import (
 	"fmt"
--- a/decide/crossing/crossing.go
+++ b/decide/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package crossing decides for one site's gateway, query by query: what is asked at home, what leaves and over which way, who
+// Package gateway decides for one site's gateway, query by query: what is asked at home, what leaves and over which way, who
 // waits for room there and who is next. It puts together what routes, limits and turns decide each by itself. It does no I/O
 // and reads no clock, so a gateway and a simulation drive it alike.
 //
@@ -7,13 +7,13 @@
 //
 // How to call it: New at the start. Facts go in by Ended, Returned, Pinged, Told and Evacuate; Stays and Leave are asked for
 // each query; Decide(now) returns who goes and who is turned away now, after each fact and at Next at the latest.
-package crossing
+package gateway
 
 import (
 	"slices"
 
-	"willowsill/decide/fair"
-	"willowsill/decide/routes"
+	"willowsill/decide/fairqueue"
+	"willowsill/decide/siterouting"
 )
 
 const (
@@ -30,7 +30,7 @@
 
 // Query is one that may leave.
 type Query struct {
-	routes.Query
+	siterouting.Query
 	Customer string
 	Load     any // the caller's, by which it is told who goes
 }
@@ -44,8 +44,8 @@
 // Round is what one Decide asks for. Its slices are used again by the next.
 type Round struct {
 	Going  []Going
-	Turned []any        // the loads of those that are turned away
-	Plan   *routes.Plan // a new one, if there is one
+	Turned []any             // the loads of those that are turned away
+	Plan   *siterouting.Plan // a new one, if there is one
 }
 
 // Way is how the way to another site stands. Times in ns.
@@ -63,14 +63,14 @@
 	sent   float64
 	lost   float64
 	known  bool
-	limit  *routes.Limit
-	queues []*fair.Queue // by workload
+	limit  *siterouting.Limit
+	queues []*fairqueue.Queue // by workload
 }
 
-// Crossing decides for one gateway.
-type Crossing struct {
-	routes *routes.Routes
-	spare  *routes.Spare
+// Gateway decides for one gateway.
+type Gateway struct {
+	routes *siterouting.Router
+	spare  *siterouting.Spare
 	ways   []way
 	order  []int // workloads, those worth most first
 	look   int64 // when it is to be looked for room, 0 where nobody waits
@@ -78,12 +78,12 @@
 }
 
 // New makes one at its start.
-func New(now int64, t routes.Terms) *Crossing {
-	c := &Crossing{routes: routes.New(now, t), spare: routes.NewSpare(now)}
+func New(now int64, t siterouting.Terms) *Gateway {
+	c := &Gateway{routes: siterouting.New(now, t), spare: siterouting.NewSpare(now)}
 	for range t.Links {
-		w := way{limit: routes.NewLimit(now)}
+		w := way{limit: siterouting.NewLimit(now)}
 		for range t.Workloads {
-			w.queues = append(w.queues, fair.New(fair.Terms{Most: waitMost, MostOne: waitOne}))
+			w.queues = append(w.queues, fairqueue.New(fairqueue.Terms{Most: waitMost, MostOne: waitOne}))
 		}
 		c.ways = append(c.ways, w)
 	}
@@ -93,16 +93,16 @@
 
 // Stays tells whether the own site is asked for a query. Mark is the query's own number in [0, 1), came that it is another
 // site's.
-func (c *Crossing) Stays(now int64, mark float64, came bool) bool {
+func (c *Gateway) Stays(now int64, mark float64, came bool) bool {
 	return c.routes.Stays(now, mark, came)
 }
 
 // Ended tells how a query ended at the own site; own is one of its own clients.
-func (c *Crossing) Ended(now int64, own, declined bool) { c.spare.Ended(now, own, declined) }
+func (c *Gateway) Ended(now int64, own, declined bool) { c.spare.Ended(now, own, declined) }
 
 // Leave asks for a way for a query that the own site does not serve: the link it goes over, or that it waits and is told by
 // Decide, or -1 and false for neither.
-func (c *Crossing) Leave(now int64, q Query) (link int, waits bool) {
+func (c *Gateway) Leave(now int64, q Query) (link int, waits bool) {
 	if len(q.Visited) == 0 { // the own clients'
 		c.routes.Missed(q.Workload)
 	}
@@ -111,7 +111,7 @@
 		return -1, false
 	}
 	w := &c.ways[link]
-	if c.routes.Policy != routes.Planned {
+	if c.routes.Policy != siterouting.Planned {
 		w.limit.Must()
 		return link, false
 	}
@@ -120,7 +120,7 @@
 	}
 	// Danger: one customer's crowd would take all the room of a plan, a purse or a limit as it comes free; customers take
 	// turns wherever room is short.
-	dropped, taken := w.queues[q.Workload].Push(now, fair.Item{Customer: q.Customer, Until: now + q.Left/waitShare, Load: q.Load})
+	dropped, taken := w.queues[q.Workload].Push(now, fairqueue.Item{Customer: q.Customer, Until: now + q.Left/waitShare, Load: q.Load})
 	c.turnAway(dropped)
 	if !taken {
 		return -1, false
@@ -130,12 +130,12 @@
 }
 
 // Withdraw takes a query out that waits on a link; false where it does not wait there any more.
-func (c *Crossing) Withdraw(q Query, link int) bool {
+func (c *Gateway) Withdraw(q Query, link int) bool {
 	return c.ways[link].queues[q.Workload].Remove(q.Customer, q.Load)
 }
 
 // room takes the room for one query on a link, if there is some.
-func (c *Crossing) room(now int64, workload, link int) bool {
+func (c *Gateway) room(now int64, workload, link int) bool {
 	l := c.ways[link].limit
 	if !l.Take() {
 		return false
@@ -149,7 +149,7 @@
 
 // Returned tells that a query that went over a link is back, whether the other site or the way refused it unseen, and how many
 // bytes it took, 0 for not known.
-func (c *Crossing) Returned(now int64, workload, link int, refused bool, bytes float64) {
+func (c *Gateway) Returned(now int64, workload, link int, refused bool, bytes float64) {
 	c.ways[link].limit.Give()
 	c.routes.Carried(workload, link, refused)
 	if bytes > 0 {
@@ -161,7 +161,7 @@
 // Pinged tells of a ping over a link: how long it took, or that it was lost. It returns whether the way counts as cut by it.
 //
 // Danger: a link that is cut says nothing, and queries would wait for their time to pass: some lost pings close it.
-func (c *Crossing) Pinged(now int64, link int, took int64, lost bool) (cut bool) {
+func (c *Gateway) Pinged(now int64, link int, took int64, lost bool) (cut bool) {
 	w := &c.ways[link]
 	w.sent, w.lost = w.sent*pingKept+1, w.lost*pingKept
 	if lost {
@@ -182,19 +182,19 @@
 }
 
 // Told takes in how many queries a second another site says it would take.
-func (c *Crossing) Told(now int64, link int, rate float64) { c.routes.Willing(now, link, rate) }
+func (c *Gateway) Told(now int64, link int, rate float64) { c.routes.Willing(now, link, rate) }
 
 // Willing is how many more queries a second this site would take from others.
-func (c *Crossing) Willing(now int64) float64 { return c.spare.Rate(now) * c.routes.Local(now) }
+func (c *Gateway) Willing(now int64) float64 { return c.spare.Rate(now) * c.routes.Local(now) }
 
 // Evacuate leaves the own site, or takes it up again over a ramp.
-func (c *Crossing) Evacuate(now int64, dark bool) { c.routes.Evacuate(now, dark) }
+func (c *Gateway) Evacuate(now int64, dark bool) { c.routes.Evacuate(now, dark) }
 
 // Least is the least way to a site and back of late, ns.
-func (c *Crossing) Least(link int) int64 { return c.ways[link].limit.Least() }
+func (c *Gateway) Least(link int) int64 { return c.ways[link].limit.Least() }
 
 // Ways tell how the ways stand.
-func (c *Crossing) Ways() (all []Way) {
+func (c *Gateway) Ways() (all []Way) {
 	for _, w := range c.ways {
 		all = append(all, Way{w.usable(), int64(w.mean), w.limit.Least(), w.limit.Most(), w.limit.InFlight()})
 	}
@@ -202,7 +202,7 @@
 }
 
 // Waiting is how many wait for room, on all links.
-func (c *Crossing) Waiting() (n int) {
+func (c *Gateway) Waiting() (n int) {
 	for _, w := range c.ways {
 		for _, q := range w.queues {
 			n += q.Len()
@@ -214,7 +214,7 @@
 func (w *way) usable() bool { return w.known && w.missed < pingMissed }
 
 // Next is when Decide wants to be called again at the latest.
-func (c *Crossing) Next() int64 {
+func (c *Gateway) Next() int64 {
 	if c.look > 0 {
 		return min(c.look, c.routes.Next())
 	}
@@ -222,7 +222,7 @@
 }
 
 // Decide returns who goes and who is turned away now, and a new plan when it is time for one.
-func (c *Crossing) Decide(now int64) Round {
+func (c *Gateway) Decide(now int64) Round {
 	if now >= c.routes.Next() {
 		for i := range c.ways {
 			w := &c.ways[i]
@@ -230,7 +230,7 @@
 			if w.sent > 0 {
 				loss = w.lost / w.sent
 			}
-			c.routes.Linked(i, routes.Figures{Delay: int64(w.mean), Loss: loss, Usable: w.usable()})
+			c.routes.Linked(i, siterouting.Figures{Delay: int64(w.mean), Loss: loss, Usable: w.usable()})
 		}
 		plan := c.routes.Decide(now)
 		c.round.Plan = &plan
@@ -248,14 +248,14 @@
 }
 
 // again has it looked for room again while somebody waits.
-func (c *Crossing) again(now int64) {
+func (c *Gateway) again(now int64) {
 	if c.look == 0 && c.Waiting() > 0 {
 		c.look = now + lookEach
 	}
 }
 
 // serve gives what room there is on a link to those who wait, by turns of customers, first to what is worth most.
-func (c *Crossing) serve(now int64, link int) {
+func (c *Gateway) serve(now int64, link int) {
 	for _, workload := range c.order {
 		q := c.ways[link].queues[workload]
 		c.turnAway(q.Late(now))
@@ -266,13 +266,13 @@
 	}
 }
 
-func (c *Crossing) turnAway(items []fair.Item) {
+func (c *Gateway) turnAway(items []fairqueue.Item) {
 	for _, it := range items {
 		c.round.Turned = append(c.round.Turned, it.Load)
 	}
 }
 
 // InOrder tells whether all room that was taken was given back and nobody waits: what holds when no query is under way.
-func (c *Crossing) InOrder() bool {
+func (c *Gateway) InOrder() bool {
 	return c.Waiting() == 0 && !slices.ContainsFunc(c.ways, func(w way) bool { return w.limit.InFlight() != 0 })
 }
--- a/decide/crossing/crossing_test.go
+++ b/decide/gateway/gateway_test.go
@@ -1,18 +1,18 @@
-package crossing
+package gateway
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"willowsill/decide/routes"
+	"willowsill/decide/siterouting"
 )
 
 const second = int64(1e9)
 
-func two(queries float64) routes.Terms {
-	return routes.Terms{Site: "a", Interval: second, Links: []routes.Link{{Site: "b", Queries: queries, Bytes: 1e6, Cost: 0.1}},
-		Workloads: []routes.Workload{{Name: "look", Revenue: 1, Bytes: 1000, Serves: 50e6}, {Name: "pay", Revenue: 5, Bytes: 1000, Serves: 50e6}}}
+func two(queries float64) siterouting.Terms {
+	return siterouting.Terms{Site: "a", Interval: second, Links: []siterouting.Link{{Site: "b", Queries: queries, Bytes: 1e6, Cost: 0.1}},
+		Workloads: []siterouting.Workload{{Name: "look", Revenue: 1, Bytes: 1000, Serves: 50e6}, {Name: "pay", Revenue: 5, Bytes: 1000, Serves: 50e6}}}
 }
 
 // Whatever comes in whatever order: each query that waits is told once, and in a tenth of its time; no more are in flight than
@@ -78,7 +78,7 @@
 			default:
 				number++
 				q := Query{Customer: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"), Load: number,
-					Query: routes.Query{Workload: rapid.IntRange(0, 1).Draw(t, "workload"), Left: 2 * second, Declined: true}}
+					Query: siterouting.Query{Workload: rapid.IntRange(0, 1).Draw(t, "workload"), Left: 2 * second, Declined: true}}
 				before := len(waiting)
 				waiting[number], until[number] = q, now+q.Left/waitShare
 				link, waits := c.Leave(now, q)
@@ -120,7 +120,7 @@
 		c.Decide(now)
 	}
 	goes := func() bool {
-		link, waits := c.Leave(now, Query{Query: routes.Query{Workload: 1, Left: 5 * second, Declined: true}, Load: 1})
+		link, waits := c.Leave(now, Query{Query: siterouting.Query{Workload: 1, Left: 5 * second, Declined: true}, Load: 1})
 		if link >= 0 && !waits {
 			c.Returned(now, 1, 0, false, 0)
 		}
--- a/decide/strain/cost.go
+++ b/decide/overload/cost.go
@@ -1,4 +1,4 @@
-package strain
+package overload
 
 // What queries cost the process is learned from the processor time of each stretch and what ended and was turned away in it:
 // a step towards what explains the difference, shared out by each kind's own part of it (normalized least mean squares).
--- a/decide/strain/limit.go
+++ b/decide/overload/limit.go
@@ -1,4 +1,4 @@
-package strain
+package overload
 
 import (
 	"maps"
--- a/decide/strain/model_test.go
+++ b/decide/overload/model_test.go
@@ -1,4 +1,4 @@
-package strain
+package overload
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 
 // machine is a process on one processor: what comes is worked on in its order, and its clients leave when their time is up.
 type machine struct {
-	strain  *Strain // nil for a process that does not know its strain
+	strain  *Detector // nil for a process that does not know its strain
 	chance  *rand.Rand
 	cost    []float64 // ns of a query, by workload
 	refusal float64
--- a/decide/strain/strain.go
+++ b/decide/overload/overload.go
@@ -1,11 +1,11 @@
-// Package strain knows how hard the process itself is pressed, apart from its replicas, and what it can still serve. From
+// Package overload knows how hard the process itself is pressed, apart from its replicas, and what it can still serve. From
 // readings of the machine it keeps a level, from what queries cost a limit, and from both the price under which an arrival
 // is turned away, so that the dearest are served. It paces the loop's rounds, and tells from the loop's beat how long the process
 // itself stood. It does no I/O, has no clock and is owned by one caller at a time.
 //
 // Decides: the level of strain; how much work is taken on; which arrivals are turned away, and when they may come back; when
 // a round comes; what of a wait was the process's own.
-package strain
+package overload
 
 import (
 	"fmt"
@@ -49,7 +49,7 @@
 	Goal    int64   // ns
 }
 
-// Terms are what a Strain is made from.
+// Terms are what a Detector is made from.
 type Terms struct {
 	Cores     float64 // allowed
 	Workloads []Workload
@@ -110,8 +110,8 @@
 
 var reach = [...]float64{Busy: toBusy, Strained: toStrained, Critical: toCritical}
 
-// Strain is the state of one process.
-type Strain struct {
+// Detector is the state of one process.
+type Detector struct {
 	Terms
 	level    Level
 	cause    string
@@ -128,8 +128,8 @@
 }
 
 // New makes one at a process's start.
-func New(now int64, t Terms) *Strain {
-	s := &Strain{Terms: t, began: make([]float64, len(t.Workloads)),
+func New(now int64, t Terms) *Detector {
+	s := &Detector{Terms: t, began: make([]float64, len(t.Workloads)),
 		done: make([]float64, len(t.Workloads))}
 	s.costs = newCosts(len(t.Workloads))
 	s.limit = limits[t.Limit](&s.Terms)
@@ -138,13 +138,13 @@
 }
 
 // Level is the present level.
-func (s *Strain) Level() Level { return s.level }
+func (s *Detector) Level() Level { return s.level }
 
 // Cause names the signal that presses most, empty where none does.
-func (s *Strain) Cause() string { return s.cause }
+func (s *Detector) Cause() string { return s.cause }
 
 // Read takes in a reading, and tells whether the level has changed.
-func (s *Strain) Read(now int64, r Reading) (changed bool) {
+func (s *Detector) Read(now int64, r Reading) (changed bool) {
 	pressure, cause := 0.0, ""
 	for _, one := range signals {
 		if p := one.of(&s.Terms, &r); p > pressure {
@@ -191,10 +191,10 @@
 }
 
 // can is the work a second that can be done as far as is known, ns: without a limit, what the cores are.
-func (s *Strain) can() float64 { return min(s.limit.allowed(), s.Cores*1e9) }
+func (s *Detector) can() float64 { return min(s.limit.allowed(), s.Cores*1e9) }
 
 // work is what the queries taken on since the last reading cost, ns.
-func (s *Strain) work() (sum float64) {
+func (s *Detector) work() (sum float64) {
 	for w, n := range s.began {
 		sum += n * s.costs.of(w)
 	}
@@ -212,7 +212,7 @@
 
 // Arrive decides on a query before it has cost anything: it is taken on, or turned away, and its client may come back after
 // some time, ns; 0 where it cannot be told.
-func (s *Strain) Arrive(now int64, a Arrival) (taken bool, comeBack int64) {
+func (s *Detector) Arrive(now int64, a Arrival) (taken bool, comeBack int64) {
 	if taken, comeBack = s.worth.arrive(now, s, a); taken {
 		s.began[a.Workload]++
 	} else {
@@ -222,14 +222,14 @@
 }
 
 // Ended tells how long a query took that was taken on, and whether it was answered.
-func (s *Strain) Ended(workload int, took int64, answered bool) {
+func (s *Detector) Ended(workload int, took int64, answered bool) {
 	s.done[workload]++
 	s.worth.ended(workload, took, answered)
 }
 
 // Unseen decides on a request of which nothing is read but its workload: true turns it away there and then. It is so only
 // for what would be turned away at the best that it can be, and where that is common enough to cost something.
-func (s *Strain) Unseen(now int64, workload int) (away bool, comeBack int64) {
+func (s *Detector) Unseen(now int64, workload int) (away bool, comeBack int64) {
 	if !s.shedding() {
 		return false, 0
 	}
@@ -240,12 +240,12 @@
 }
 
 // Waited tells how long one that came waited for the process, ns: a fact for the loop, a query until it was seen.
-func (s *Strain) Waited(ns int64) { s.worth.waited(ns) }
+func (s *Detector) Waited(ns int64) { s.worth.waited(ns) }
 
 // shedding tells whether anything may be turned away now.
 // Danger: on a calm day a wrong reckoning of costs must turn nobody away. Without anything that presses it never does. A
 // crowd comes between two readings, so a wait that all share is enough.
-func (s *Strain) shedding() bool {
+func (s *Detector) shedding() bool {
 	return s.level >= Busy || s.worth.wait > waitAlone*float64(s.Target)
 }
 
@@ -263,7 +263,7 @@
 }
 
 // Figures are the present ones.
-func (s *Strain) Figures() Figures {
+func (s *Detector) Figures() Figures {
 	f := Figures{Level: s.level.String(), Cause: s.cause, Pressure: round3(s.pressure), Used: round3(s.used / 1e9),
 		Refusal: math.Round(s.costs.refusal), Unseen: math.Round(s.costs.unseen)}
 	for w := range s.Workloads {
--- a/decide/strain/strain_test.go
+++ b/decide/overload/overload_test.go
@@ -1,4 +1,4 @@
-package strain
+package overload
 
 import (
 	"slices"
@@ -109,7 +109,7 @@
 }
 
 // pressed is one that is strained, with so much of each workload offered for a second, a thousandth of a second each.
-func pressed(t *testing.T, change func(*Terms), offer func(s *Strain, now int64)) *Strain {
+func pressed(t *testing.T, change func(*Terms), offer func(s *Detector, now int64)) *Detector {
 	t.Helper()
 	w := terms()
 	if change != nil {
@@ -134,7 +134,7 @@
 }
 
 // taken offers one kind of query many times and tells the share taken on.
-func taken(s *Strain, now int64, a Arrival) float64 {
+func taken(s *Detector, now int64, a Arrival) float64 {
 	n := 0.0
 	const tries = 400
 	for i := range tries {
@@ -149,7 +149,7 @@
 // What is turned away first: the cheap before the dear, its repeats before itself, what has no time left before all.
 func TestOrder(t *testing.T) {
 	// Twice of what can be served is offered, half of it dear.
-	s := pressed(t, nil, func(s *Strain, now int64) {
+	s := pressed(t, nil, func(s *Detector, now int64) {
 		for w := range 2 {
 			s.Arrive(now, Arrival{Workload: w, ID: uint64(now) + uint64(w)<<60, Left: 1e9, Try: 1})
 		}
@@ -176,7 +176,7 @@
 func TestFloor(t *testing.T) {
 	for floor, want := range map[float64][2]float64{0.1: {0.02, 0.2}, 0: {0, 0}} {
 		var meek, asked float64
-		pressed(t, func(w *Terms) { w.Floor = floor }, func(s *Strain, now int64) {
+		pressed(t, func(w *Terms) { w.Floor = floor }, func(s *Detector, now int64) {
 			for range 2 {
 				s.Arrive(now, Arrival{Workload: 1, Customer: 1, ID: uint64(now), Left: 1e9, Try: 1})
 			}
@@ -195,7 +195,7 @@
 // A customer that asks for much more than its share makes its own queries worth less, not those of others.
 func TestGreedy(t *testing.T) {
 	var got, asked [3]float64
-	pressed(t, func(w *Terms) { w.Floor = 0 }, func(s *Strain, now int64) {
+	pressed(t, func(w *Terms) { w.Floor = 0 }, func(s *Detector, now int64) {
 		for customer, n := range []int{1: 3, 2: 1} {
 			for i := range n {
 				if customer == 2 && now/(step/100)%5 > 0 { // two hundred a second of what can be a thousand
@@ -220,7 +220,7 @@
 func TestComeBack(t *testing.T) {
 	times := map[int][]int64{}
 	for _, over := range []int{2, 6} {
-		s := pressed(t, func(w *Terms) { w.Most = 60e9 }, func(s *Strain, now int64) {
+		s := pressed(t, func(w *Terms) { w.Most = 60e9 }, func(s *Detector, now int64) {
 			for i := range over {
 				if ok, back := s.Arrive(now, Arrival{Workload: 0, ID: uint64(now) + uint64(i)<<50, Left: 1e9, Try: 1}); !ok && now > 2e9 {
 					times[over] = append(times[over], back)
@@ -238,7 +238,7 @@
 	if a, b := times[2][len(times[2])/2], times[6][len(times[6])/2]; b < 2*a {
 		t.Errorf("the middle at twice %d, at six times %d", a, b)
 	}
-	pressed(t, func(w *Terms) { w.Most = 0 }, func(s *Strain, now int64) {
+	pressed(t, func(w *Terms) { w.Most = 0 }, func(s *Detector, now int64) {
 		for range 4 {
 			if _, back := s.Arrive(now, Arrival{Workload: 0, Left: 1e9, Try: 1}); back != 0 {
 				t.Fatalf("told to come back in %d where none can be told", back)
--- a/decide/strain/pace.go
+++ b/decide/overload/pace.go
@@ -1,4 +1,4 @@
-package strain
+package overload
 
 // Pace decides when a loop's next round comes. A fact that comes alone should not wait for others; facts that come together
 // are worth one round. So a round comes at once, after others that are ready to run have had their turn and brought what they
--- a/decide/strain/worth.go
+++ b/decide/overload/worth.go
@@ -1,4 +1,4 @@
-package strain
+package overload
 
 import (
 	"math"
@@ -109,7 +109,7 @@
 
 // price is what a query should earn for each ms that it costs: its revenue, by its customer's share, by the chance that it is
 // answered within its goal.
-func (w *worth) price(s *Strain, a Arrival, c *customer) float64 {
+func (w *worth) price(s *Detector, a Arrival, c *customer) float64 {
 	p := s.Workloads[a.Workload].Revenue
 	// Danger: a query with little time left costs as much as any, and earns nothing.
 	left := float64(min(a.Left, s.Workloads[a.Workload].Goal))
@@ -141,7 +141,7 @@
 }
 
 // arrive decides on one query.
-func (w *worth) arrive(now int64, s *Strain, a Arrival) (taken bool, comeBack int64) {
+func (w *worth) arrive(now int64, s *Detector, a Arrival) (taken bool, comeBack int64) {
 	cost := s.costs.of(a.Workload)
 	c := w.customer(now, s, a.Customer, cost)
 	at := class(w.price(s, a, c))
@@ -165,7 +165,7 @@
 }
 
 // customer is the record of the one who asks.
-func (w *worth) customer(now int64, s *Strain, id uint64, cost float64) *customer {
+func (w *worth) customer(now int64, s *Detector, id uint64, cost float64) *customer {
 	if now-w.swept >= customerFor {
 		w.swept = now
 		for id, c := range w.customers {
@@ -196,7 +196,7 @@
 }
 
 // look finds the floor: what is offered above it is what may be taken on, less what was taken on too much.
-func (w *worth) look(now int64, s *Strain) {
+func (w *worth) look(now int64, s *Detector) {
 	span := float64(now - w.looked)
 	w.looked = now
 	may := s.limit.allowed()
@@ -254,7 +254,7 @@
 
 // unseen decides by the best that a query of the workload could be worth. Some have their heads read all the same, as many as
 // cost little, for the customers' floor.
-func (w *worth) unseen(now int64, s *Strain, workload int) (bool, int64) {
+func (w *worth) unseen(now int64, s *Detector, workload int) (bool, int64) {
 	if now-w.looked >= offeredRow {
 		w.look(now, s)
 	}
@@ -272,7 +272,7 @@
 
 // comeBack is how long one that is turned away should stay away: longer the more is offered, and spread.
 // Danger: a crowd that is told one time comes back as a crowd.
-func (w *worth) comeBack(now int64, s *Strain) int64 {
+func (w *worth) comeBack(now int64, s *Detector) int64 {
 	most := min(s.Most, mostBack)
 	if most <= 0 {
 		return 0
--- a/decide/commons/quota.go
+++ b/decide/sharedhealth/quota.go
@@ -1,4 +1,4 @@
-package commons
+package sharedhealth
 
 import (
 	"math"
--- a/decide/commons/quota_test.go
+++ b/decide/sharedhealth/quota_test.go
@@ -1,4 +1,4 @@
-package commons
+package sharedhealth
 
 import (
 	"errors"
@@ -27,7 +27,7 @@
 
 type modelNode struct {
 	name     string
-	c        *Commons
+	c        *Exchange
 	purse    *Purse
 	lives    int
 	asked    *Request
--- a/decide/commons/commons.go
+++ b/decide/sharedhealth/sharedhealth.go
@@ -1,4 +1,4 @@
-// Package commons decides for one aggregator what it tells the others through a shared store, what it believes of
+// Package sharedhealth decides for one aggregator what it tells the others through a shared store, what it believes of
 // what they tell and for how long, and what of a customer's quota it may spend. It does no I/O and reads no clock.
 //
 // Decides: what is published and when, which witnesses count, when hearsay narrows who is eligible, how many
@@ -7,7 +7,7 @@
 // How to call it: New at the start. Then, again and again: Survey with what the aggregator knows itself, Decide, which
 // returns a request to the store when one is due, and Answer or Fail with what became of it; both return an allowance
 // for the aggregator. Calls come from one goroutine, in order of time.
-package commons
+package sharedhealth
 
 import (
 	"math/rand/v2"
@@ -98,8 +98,8 @@
 	Suspected, Put, Passed, Leased, Short                int64
 }
 
-// Commons is one aggregator's part in what is shared.
-type Commons struct {
+// Exchange is one aggregator's part in what is shared.
+type Exchange struct {
 	Terms
 	trust    trust
 	hearsay  *hearsay
@@ -127,9 +127,9 @@
 }
 
 // New makes an aggregator's part at its start.
-func New(now int64, t Terms) *Commons {
+func New(now int64, t Terms) *Exchange {
 	chance := rand.New(rand.NewPCG(t.Seed, uint64(t.Incarnation)))
-	c := &Commons{Terms: t, chance: chance, hearsay: newHearsay(t.Round, t.Rest, chance), ledger: newLedger(now, t.Quotas, t.Aggregators, chance),
+	c := &Exchange{Terms: t, chance: chance, hearsay: newHearsay(t.Round, t.Rest, chance), ledger: newLedger(now, t.Quotas, t.Aggregators, chance),
 		stale: map[string]int{}, surveyed: now, leasedAt: now, highFrom: now,
 		trust: trust{round: t.Round, deadline: t.Deadline, chance: chance, good: now - 2*lostRounds*t.Round}}
 	// Danger: a fleet that starts together would meet the store together.
@@ -138,21 +138,21 @@
 }
 
 // Next is when Decide wants to be called again.
-func (c *Commons) Next() int64 { return c.trust.next }
+func (c *Exchange) Next() int64 { return c.trust.next }
 
 // Survey takes in what the aggregator knows itself; its slices are the caller's again after the next Answer or Fail.
-func (c *Commons) Survey(now int64, s Survey) {
+func (c *Exchange) Survey(now int64, s Survey) {
 	c.ledger.survey(s, now-c.surveyed)
 	c.survey, c.surveyed = s, now
 }
 
 // bounds are the earliest and the latest that the store's clock can show now.
-func (c *Commons) bounds(now int64) (low, high int64) {
+func (c *Exchange) bounds(now int64) (low, high int64) {
 	return c.clock + now - c.received, c.clock + now - c.sent
 }
 
 // Decide returns the round that is due, or nil.
-func (c *Commons) Decide(now int64) *Request {
+func (c *Exchange) Decide(now int64) *Request {
 	if c.trust.look(now); c.asked != nil || now < c.trust.next {
 		return nil
 	}
@@ -194,7 +194,7 @@
 }
 
 // Answer takes in what the store answered to the request under way.
-func (c *Commons) Answer(now int64, reply Reply) Allowance {
+func (c *Exchange) Answer(now int64, reply Reply) Allowance {
 	asked := c.asked
 	c.asked = nil
 	c.figures.Rounds++
@@ -239,7 +239,7 @@
 }
 
 // Fail takes in that the request under way came to nothing.
-func (c *Commons) Fail(now int64, _ error) Allowance {
+func (c *Exchange) Fail(now int64, _ error) Allowance {
 	c.asked = nil
 	c.figures.Rounds++
 	c.figures.Failed++
@@ -252,7 +252,7 @@
 //
 // Danger: a store that was emptied, failed over to an older state or shared with another fleet answers in time and
 // says what no longer holds. This aggregator's own key shows it: only this process writes there.
-func (c *Commons) contradiction(now int64, asked *Request, reply Reply) string {
+func (c *Exchange) contradiction(now int64, asked *Request, reply Reply) string {
 	if c.clock > 0 {
 		if low, high := c.bounds(now); reply.Clock < low-clockBack || reply.Clock > high+clockAhead {
 			return "the store's clock leapt"
@@ -280,7 +280,7 @@
 }
 
 // count keeps the highest number of members of the last while.
-func (c *Commons) count(now int64, live int, first bool) {
+func (c *Exchange) count(now int64, live int, first bool) {
 	if now-c.highFrom > membersFor/2 {
 		c.highs, c.highFrom = [2]int{0, c.highs[0]}, now
 	}
@@ -290,12 +290,12 @@
 }
 
 // Members is how many aggregators are reckoned with: when unsure the more, for shares are the smaller then.
-func (c *Commons) Members(now int64) int {
+func (c *Exchange) Members(now int64) int {
 	return max(c.highs[0], c.highs[1], c.Aggregators, 1)
 }
 
 // read takes in the records of others.
-func (c *Commons) read(now int64, reply Reply) {
+func (c *Exchange) read(now int64, reply Reply) {
 	for _, e := range reply.Entries {
 		if e.Name == c.Name {
 			continue
@@ -315,7 +315,7 @@
 }
 
 // leases turns what the store counted into tokens.
-func (c *Commons) leases(now int64, asked *Request, reply Reply) (leases []Lease) {
+func (c *Exchange) leases(now int64, asked *Request, reply Reply) (leases []Lease) {
 	for i, r := range asked.Reads {
 		if i < len(reply.Counts) && len(reply.Counts[i]) == r.Counts() {
 			c.ledger.read(r, reply.Counts[i])
@@ -344,14 +344,14 @@
 	return leases
 }
 
-func (c *Commons) event(text, name string) {
+func (c *Exchange) event(text, name string) {
 	if len(c.events) < 64 {
 		c.events = append(c.events, Event{text, c.trust.state, name})
 	}
 }
 
 // note tells of a change of state.
-func (c *Commons) note() {
+func (c *Exchange) note() {
 	if c.trust.state != c.was {
 		c.was = c.trust.state
 		c.event("the shared store is "+c.was.String(), "")
@@ -359,14 +359,14 @@
 }
 
 // Events returns what happened since the last call.
-func (c *Commons) Events() []Event {
+func (c *Exchange) Events() []Event {
 	e := c.events
 	c.events = nil
 	return e
 }
 
 // Figures tells how things stand.
-func (c *Commons) Figures(now int64) Figures {
+func (c *Exchange) Figures(now int64) Figures {
 	c.trust.look(now)
 	f := c.figures
 	f.State, f.Age, f.Live = c.trust.state, now-c.trust.good, c.live
--- a/decide/commons/commons_test.go
+++ b/decide/sharedhealth/sharedhealth_test.go
@@ -1,4 +1,4 @@
-package commons
+package sharedhealth
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 // talk is an aggregator's part with a store that does as the test says.
 type talk struct {
 	*testing.T
-	c   *Commons
+	c   *Exchange
 	now int64
 	own []byte // at its presence
 	lag int64  // of the store's clock
--- a/decide/routes/limit.go
+++ b/decide/siterouting/limit.go
@@ -1,4 +1,4 @@
-package routes
+package siterouting
 
 import "math"
 
--- a/decide/routes/purse.go
+++ b/decide/siterouting/purse.go
@@ -1,4 +1,4 @@
-package routes
+package siterouting
 
 const purseFor = 0.5 // seconds of a link's limit that may go at once
 
--- a/decide/routes/routes.go
+++ b/decide/siterouting/siterouting.go
@@ -1,4 +1,4 @@
-// Package routes decides for one site how many of each workload's queries go over which link to other sites. It does
+// Package siterouting decides for one site how many of each workload's queries go over which link to other sites. It does
 // no I/O and reads no clock.
 //
 // Decides: what stays, what goes where, how much of a link is used, who may be asked at all, how a site is left and
@@ -6,7 +6,7 @@
 //
 // How to call it: New at the start. Facts go in by Asked, Carried, Linked, Willing and Evacuate; Decide(now), at intervals,
 // returns a plan; Route is asked for each query that the own site will not serve, and goes by the plan.
-package routes
+package siterouting
 
 import (
 	"cmp"
@@ -120,8 +120,8 @@
 	longCarried, longRefused float64 // fading
 }
 
-// Routes decides for one site.
-type Routes struct {
+// Router decides for one site.
+type Router struct {
 	Terms
 	Solve    func(Problem) (Plan, bool) // the planner; false where it has no answer
 	excess   []float64                  // queries a second of each workload that the own site would not serve
@@ -138,8 +138,8 @@
 }
 
 // New makes a site's routes at its start.
-func New(now int64, t Terms) *Routes {
-	r := &Routes{Terms: t, Solve: Simplex, excess: make([]float64, len(t.Workloads)), missed: make([]float64, len(t.Workloads)),
+func New(now int64, t Terms) *Router {
+	r := &Router{Terms: t, Solve: Simplex, excess: make([]float64, len(t.Workloads)), missed: make([]float64, len(t.Workloads)),
 		links: make([]Figures, len(t.Links)), decided: now}
 	for _, l := range t.Links {
 		r.purses = append(r.purses, newPurse(now, l))
@@ -161,10 +161,10 @@
 }
 
 // Missed tells of a query of the own clients that the own site would not serve, or not within its goal.
-func (r *Routes) Missed(workload int) { r.missed[workload]++ }
+func (r *Router) Missed(workload int) { r.missed[workload]++ }
 
 // Carried tells how a query that went over a link ended there.
-func (r *Routes) Carried(workload, link int, refused bool) {
+func (r *Router) Carried(workload, link int, refused bool) {
 	for _, o := range []*opinion{&r.sites[link], &r.opinions[workload][link]} {
 		o.carried++
 		if refused {
@@ -174,30 +174,30 @@
 }
 
 // Weighed tells how many bytes a query took there and back. Its route had reckoned with what is known of its workload.
-func (r *Routes) Weighed(now int64, workload, link int, bytes float64) {
+func (r *Router) Weighed(now int64, workload, link int, bytes float64) {
 	w := &r.Workloads[workload]
 	r.purses[link].settle(now, r.Links[link], bytes-w.Bytes)
 	w.Bytes += weighSmooth * (bytes - w.Bytes)
 }
 
 // Linked tells a link's figures.
-func (r *Routes) Linked(link int, f Figures) { r.links[link] = f }
+func (r *Router) Linked(link int, f Figures) { r.links[link] = f }
 
 // Willing tells how many queries a second, of all workloads, another site says it would take.
-func (r *Routes) Willing(now int64, link int, rate float64) {
+func (r *Router) Willing(now int64, link int, rate float64) {
 	o := &r.sites[link]
 	o.told, o.toldAt = max(rate, 0), now
 }
 
 // Evacuate leaves the own site, or takes it up again over a ramp.
-func (r *Routes) Evacuate(now int64, dark bool) {
+func (r *Router) Evacuate(now int64, dark bool) {
 	if r.dark != dark {
 		r.dark, r.since = dark, now
 	}
 }
 
 // Local is the share of the own queries that the own site is asked for: none while it is dark, all when it is long light.
-func (r *Routes) Local(now int64) float64 {
+func (r *Router) Local(now int64) float64 {
 	switch {
 	case r.dark:
 		return 0
@@ -209,7 +209,7 @@
 
 // Stays tells whether the own site is asked for a query. Mark is the query's own number in [0, 1), came that it is another
 // site's.
-func (r *Routes) Stays(now int64, mark float64, came bool) bool {
+func (r *Router) Stays(now int64, mark float64, came bool) bool {
 	share := r.Local(now)
 	if r.Policy == Halves && !came {
 		share = min(share, 0.5)
@@ -218,10 +218,10 @@
 }
 
 // Next is when Decide wants to be called again.
-func (r *Routes) Next() int64 { return r.decided + r.Interval }
+func (r *Router) Next() int64 { return r.decided + r.Interval }
 
 // Decide makes a new plan.
-func (r *Routes) Decide(now int64) Plan {
+func (r *Router) Decide(now int64) Plan {
 	span := max(float64(now-r.decided)/1e9, 1e-3)
 	r.decided = now
 	for w := range r.excess {
@@ -250,7 +250,7 @@
 //
 // A site that is short refuses by chance, the dear like the cheap; so what it takes is learned of all workloads together, and
 // the plan fills that with what is worth most. Only a workload that is refused more than the others has a bound of its own.
-func (r *Routes) learn(now int64, l int, span float64) {
+func (r *Router) learn(now int64, l int, span float64) {
 	site := &r.sites[l]
 	if site.told >= 0 && now-site.toldAt > sureFor {
 		site.told = -1
@@ -342,7 +342,7 @@
 	Weight  []float64   // bytes of a query, by workload
 }
 
-func (r *Routes) problem(now int64) Problem {
+func (r *Router) problem(now int64) Problem {
 	p := Problem{}
 	for _, rate := range r.excess {
 		p.Excess = append(p.Excess, headroom*rate+readyRate)
@@ -372,7 +372,7 @@
 //
 // Danger: a plan that jumps with every interval has the far site decline what the near one just sent, and the next
 // plan undo it. Small differences are passed over, growth is slow; limits are kept at once whatever the old plan was.
-func (r *Routes) follow(plan *Plan, p Problem) {
+func (r *Router) follow(plan *Plan, p Problem) {
 	for w := range plan.Rates {
 		for l := range plan.Rates[w] {
 			was, want := r.plan.Rates[w][l], plan.Rates[w][l]
@@ -429,7 +429,7 @@
 //
 // Danger: a query that goes round between sites uses every link and is served nowhere; one whose time is nearly up comes
 // back too late. Neither leaves.
-func (r *Routes) Route(now int64, q Query) int {
+func (r *Router) Route(now int64, q Query) int {
 	if len(q.Visited) >= hopsMost || r.Policy == Halves && q.Declined {
 		return -1
 	}
@@ -450,7 +450,7 @@
 }
 
 // Spend takes the room for one query over a link, if its plan and the link's purse have it now.
-func (r *Routes) Spend(now int64, workload, link int) bool {
+func (r *Router) Spend(now int64, workload, link int) bool {
 	if r.Policy != Planned {
 		return true
 	}
@@ -464,7 +464,7 @@
 }
 
 // Order are the workloads, those worth most first: so they get what room there is.
-func (r *Routes) Order() []int {
+func (r *Router) Order() []int {
 	order := make([]int, len(r.Workloads))
 	for w := range order {
 		order[w] = w
@@ -474,7 +474,7 @@
 }
 
 // fill lets time pass over a route's tokens.
-func (r *Routes) fill(now int64, w, l int) *flow {
+func (r *Router) fill(now int64, w, l int) *flow {
 	f, rate := &r.flows[w][l], r.plan.Rates[w][l]
 	f.tokens = min(f.tokens+rate*float64(now-f.at)/1e9, max(rate*burstFor, burstLeast))
 	f.at = now
--- a/decide/routes/routes_test.go
+++ b/decide/siterouting/siterouting_test.go
@@ -1,4 +1,4 @@
-package routes
+package siterouting
 
 import (
 	"fmt"
@@ -91,7 +91,7 @@
 
 // site is a model of one site: it serves so much of each workload, its own first.
 type site struct {
-	*Routes
+	*Router
 	capacity float64
 	own      float64 // queries a second of each workload
 	carried  []float64
@@ -99,7 +99,7 @@
 }
 
 // goes routes a query and spends its room; -1 for none.
-func (r *Routes) goes(now int64, q Query) int {
+func (r *Router) goes(now int64, q Query) int {
 	if l := r.Route(now, q); l >= 0 && r.Spend(now, q.Workload, l) {
 		return l
 	}
@@ -161,8 +161,8 @@
 // Under constant load the routes settle: after some intervals a plan moves no more than a tenth about its mean.
 func TestSettles(t *testing.T) {
 	for _, c := range []struct{ capacityA, capacityB float64 }{{60, 200}, {60, 110}, {0, 300}, {60, 60}, {95, 120}} {
-		a := &site{Routes: New(0, two("a", "b", 100)), capacity: c.capacityA, own: 50}
-		b := &site{Routes: New(0, two("b", "a", 100)), capacity: c.capacityB, own: 50}
+		a := &site{Router: New(0, two("a", "b", 100)), capacity: c.capacityA, own: 50}
+		b := &site{Router: New(0, two("b", "a", 100)), capacity: c.capacityB, own: 50}
 		play(120, a, b, nil)
 		for _, s := range []*site{a, b} {
 			sum, least, most := 0.0, math.Inf(1), 0.0
@@ -190,8 +190,8 @@
 
 // Under scarcity a link carries what is worth most for what it takes.
 func TestScarceLink(t *testing.T) {
-	a := &site{Routes: New(0, two("a", "b", 50)), capacity: 0, own: 100}
-	b := &site{Routes: New(0, two("b", "a", 50)), capacity: 500, own: 0}
+	a := &site{Router: New(0, two("a", "b", 50)), capacity: 0, own: 100}
+	b := &site{Router: New(0, two("b", "a", 50)), capacity: 500, own: 0}
 	play(60, a, b, nil)
 	last := a.plan.Rates
 	if last[1][0] < 30 || last[0][0] > 5 || last[0][0]+last[1][0] > 40.01 {
@@ -201,8 +201,8 @@
 
 // A site that is short takes what is worth most: of what it refuses by chance nothing is drawn for a workload alone.
 func TestShortSite(t *testing.T) {
-	a := &site{Routes: New(0, two("a", "b", 200)), capacity: 0, own: 20}
-	b := &site{Routes: New(0, two("b", "a", 200)), capacity: 30, own: 5}
+	a := &site{Router: New(0, two("a", "b", 200)), capacity: 0, own: 20}
+	b := &site{Router: New(0, two("b", "a", 200)), capacity: 30, own: 5}
 	play(240, a, b, nil)
 	lookups, reports := 0.0, 0.0
 	for _, sent := range a.sent[120:] {
@@ -274,8 +274,8 @@
 
 // A site that went dark is left at once, and takes its own queries again over a ramp.
 func TestDark(t *testing.T) {
-	a := &site{Routes: New(0, two("a", "b", 500)), capacity: 200, own: 50}
-	b := &site{Routes: New(0, two("b", "a", 500)), capacity: 300, own: 20}
+	a := &site{Router: New(0, two("a", "b", 500)), capacity: 200, own: 50}
+	b := &site{Router: New(0, two("b", "a", 500)), capacity: 300, own: 20}
 	var local []float64
 	play(90, a, b, func(i int) {
 		a.Evacuate(int64(i)*second, i >= 10 && i < 50)
--- a/decide/routes/spare.go
+++ b/decide/siterouting/spare.go
@@ -1,4 +1,4 @@
-package routes
+package siterouting
 
 const (
 	spareSpan  = 2e9  // ns over which a site looks back at itself
--- a/decide/rift/rift.go
+++ b/decide/zonehealth/zonehealth.go
@@ -1,4 +1,4 @@
-// Package rift knows when a whole zone of replicas is out of this aggregator's reach: cut off, or lost. An aggregator that meets each
+// Package zonehealth knows when a whole zone of replicas is out of this aggregator's reach: cut off, or lost. An aggregator that meets each
 // replica once in some seconds would find them out one by one, at the cost of a query each; what fails in one zone and nowhere
 // else it finds out by the first query. It does no I/O, has no clock and is owned by one caller at a time.
 //
@@ -6,7 +6,7 @@
 //
 // Nothing here chooses a replica. Those of a zone out of reach are passed over by a word to the module, as slow ones are, and
 // serve where no other can.
-package rift
+package zonehealth
 
 import (
 	"encoding/json"
@@ -26,7 +26,7 @@
 	tryLeast = 2    // and at least so many
 )
 
-// Terms are what a Rifts is made from.
+// Terms are what a Tracker is made from.
 type Terms struct {
 	Rest int64 // the first rest of a replica that is set aside, ns: the scale of all times here
 	Few  int   // replicas of one zone that have to fail, with none of it heard between
@@ -78,8 +78,8 @@
 	return json.Marshal((*plain)(f))
 }
 
-// Rifts keeps the zones of one aggregator.
-type Rifts struct {
+// Tracker keeps the zones of one aggregator.
+type Tracker struct {
 	terms    Terms
 	chance   *rand.Rand
 	replicas []replica
@@ -89,13 +89,13 @@
 	Figures  *Figures
 }
 
-// New makes a Rifts with no replicas.
-func New(t Terms) *Rifts {
-	return &Rifts{terms: t, chance: rand.New(rand.NewPCG(t.Seed, t.Seed^0x9e3779b97f4a7c15)), next: math.MaxInt64, Figures: &Figures{}}
+// New makes a Tracker with no replicas.
+func New(t Terms) *Tracker {
+	return &Tracker{terms: t, chance: rand.New(rand.NewPCG(t.Seed, t.Seed^0x9e3779b97f4a7c15)), next: math.MaxInt64, Figures: &Figures{}}
 }
 
 // Listed tells that a replica is listed as up, in which zone, and whether anything was known of it before; an empty zone is none.
-func (f *Rifts) Listed(i int, name string, known bool) {
+func (f *Tracker) Listed(i int, name string, known bool) {
 	for len(f.replicas) <= i {
 		f.replicas = append(f.replicas, replica{})
 	}
@@ -120,13 +120,13 @@
 }
 
 // Gone tells that a replica is no longer listed as up.
-func (f *Rifts) Gone(i int) {
+func (f *Tracker) Gone(i int) {
 	if i < len(f.replicas) {
 		f.drop(i)
 	}
 }
 
-func (f *Rifts) drop(i int) {
+func (f *Tracker) drop(i int) {
 	if r := &f.replicas[i]; r.zone > 0 {
 		z := &f.zones[r.zone-1]
 		z.replicas--
@@ -140,7 +140,7 @@
 	}
 }
 
-func (f *Rifts) place(name string) int {
+func (f *Tracker) place(name string) int {
 	empty := -1
 	for i := range f.zones {
 		switch {
@@ -159,7 +159,7 @@
 	return len(f.zones)
 }
 
-func (f *Rifts) zone(i int) int {
+func (f *Tracker) zone(i int) int {
 	if i >= len(f.replicas) {
 		return -1
 	}
@@ -167,7 +167,7 @@
 }
 
 // Sent tells that an execution was sent to a replica. One is enough of a try: the others of its zone wait for what becomes of it.
-func (f *Rifts) Sent(now int64, i int) {
+func (f *Tracker) Sent(now int64, i int) {
 	z := f.zone(i)
 	if z < 0 || !f.zones[z].trying || f.replicas[i].barred {
 		return
@@ -178,7 +178,7 @@
 }
 
 // again puts off the next try.
-func (f *Rifts) again(now int64, z int) {
+func (f *Tracker) again(now int64, z int) {
 	v := &f.zones[z]
 	v.tryAt = now + int64(float64(v.wait)*(0.5+f.chance.Float64()))
 	v.wait = min(2*v.wait, tryMost*f.terms.Rest)
@@ -187,7 +187,7 @@
 }
 
 // Ended tells how an execution at a replica ended, and how long after its send, ns.
-func (f *Rifts) Ended(now int64, i int, result balance.Result, took int64) {
+func (f *Tracker) Ended(now int64, i int, result balance.Result, took int64) {
 	z := f.zone(i)
 	if z < 0 {
 		return
@@ -228,7 +228,7 @@
 }
 
 // Next is when Decide has something to do at the latest; math.MaxInt64 for no such time.
-func (f *Rifts) Next() int64 {
+func (f *Tracker) Next() int64 {
 	if f.stale {
 		return math.MinInt64
 	}
@@ -236,7 +236,7 @@
 }
 
 // Decide appends what the module is to be told now.
-func (f *Rifts) Decide(now int64, words []balance.Word) []balance.Word {
+func (f *Tracker) Decide(now int64, words []balance.Word) []balance.Word {
 	if now < f.Next() {
 		return words
 	}
@@ -285,7 +285,7 @@
 }
 
 // lets draws whether the next replica of a zone is let in for a try: just so many are, any as likely as any other.
-func (f *Rifts) lets(v *zone) bool {
+func (f *Tracker) lets(v *zone) bool {
 	lets := v.open > 0 && f.chance.Float64()*float64(v.rest) < float64(v.open)
 	if v.rest--; lets {
 		v.open--
@@ -294,7 +294,7 @@
 }
 
 // Heed merges what others say of a replica with what is known here.
-func (f *Rifts) Heed(w balance.Word) balance.Word {
+func (f *Tracker) Heed(w balance.Word) balance.Word {
 	if w.Replica < len(f.replicas) && f.replicas[w.Replica].barred {
 		w.Away = math.MaxInt64
 	}
@@ -302,7 +302,7 @@
 }
 
 // Out appends the names of the zones that are out of reach.
-func (f *Rifts) Out(names []string) []string {
+func (f *Tracker) Out(names []string) []string {
 	for _, z := range f.zones {
 		if z.out {
 			names = append(names, z.name)
@@ -312,7 +312,7 @@
 }
 
 // End appends what the module is to be told as nobody knows of zones any longer.
-func (f *Rifts) End(now int64, words []balance.Word) []balance.Word {
+func (f *Tracker) End(now int64, words []balance.Word) []balance.Word {
 	for i := range f.replicas {
 		if f.replicas[i].barred {
 			words = append(words, balance.Word{Replica: i, Away: now})
--- a/decide/rift/rift_test.go
+++ b/decide/zonehealth/zonehealth_test.go
@@ -1,4 +1,4 @@
-package rift
+package zonehealth
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 
 const ms = int64(1e6)
 
-func newRifts(replicas int, zones ...string) *Rifts {
+func newRifts(replicas int, zones ...string) *Tracker {
 	f := New(Terms{Rest: 250 * ms, Few: 3, Seed: 1})
 	for i := range replicas {
 		f.Listed(i, zones[i%len(zones)], false)
@@ -25,7 +25,7 @@
 // heard plays a module that hears the words.
 type heard map[int]bool
 
-func (h heard) decide(t interface{ Fatalf(string, ...any) }, f *Rifts, now int64) {
+func (h heard) decide(t interface{ Fatalf(string, ...any) }, f *Tracker, now int64) {
 	for _, w := range f.Decide(now, nil) {
 		switch {
 		case w.Away == math.MaxInt64 && !h[w.Replica]:
@@ -129,7 +129,7 @@
 	}
 }
 
-func lose(f *Rifts, now int64) {
+func lose(f *Tracker, now int64) {
 	for _, i := range []int{0, 2, 4} {
 		f.Ended(now, i, balance.TimedOut, 110*ms)
 	}
@@ -281,9 +281,9 @@
 // out of reach are let in again at once, not only at the next try.
 func TestLastSoundZoneLeaves(t *testing.T) {
 	now := 1000 * ms
-	for name, leave := range map[string]func(f *Rifts, i int){
-		"no longer listed":      func(f *Rifts, i int) { f.Gone(i) },
-		"listed without a zone": func(f *Rifts, i int) { f.Listed(i, "", true) },
+	for name, leave := range map[string]func(f *Tracker, i int){
+		"no longer listed":      func(f *Tracker, i int) { f.Gone(i) },
+		"listed without a zone": func(f *Tracker, i int) { f.Listed(i, "", true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, h := newRifts(6, "a", "b"), heard{}
--- a/deployment/start.go
+++ b/deployment/start.go
@@ -12,7 +12,7 @@
 	"strconv"
 
 	"willowsill/deployment/fields"
-	"willowsill/transport/roster"
+	"willowsill/transport/discovery"
 )
 
 // Terms are what the deployment states of an aggregator's sockets and of what it may hold. Times in ns.
@@ -32,9 +32,9 @@
 	Listen    string // where clients connect
 	Discovery string
 	Cores     float64
-	Memory    int64       // bytes
-	Sockets   int         // descriptors
-	Known     roster.News // the list as this aggregator last held it
+	Memory    int64          // bytes
+	Sockets   int            // descriptors
+	Known     discovery.News // the list as this aggregator last held it
 	file      string
 	told      map[string]json.RawMessage // the file's keys, as they stand
 }
@@ -153,7 +153,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	if top.Has("known") {
-		if s.Known, err = roster.Decode(top.Text("known"), s.Cells); err != nil {
+		if s.Known, err = discovery.Decode(top.Text("known"), s.Cells); err != nil {
 			return fmt.Errorf("field %q: %w", "known", err)
 		}
 	}
--- a/front/front.go
+++ b/front/front.go
@@ -21,7 +21,7 @@
 	"go.uber.org/zap"
 
 	"willowsill/balance"
-	"willowsill/decide/strain"
+	"willowsill/decide/overload"
 	"willowsill/internal/counters"
 	"willowsill/node"
 )
@@ -34,7 +34,7 @@
 
 // Guard decides, before a query has cost much, whether it is taken on: where the process itself falls behind.
 type Guard interface {
-	Arrive(a strain.Arrival) (taken bool, comeBack int64)
+	Arrive(a overload.Arrival) (taken bool, comeBack int64)
 	Unseen(workload int) (away bool, comeBack int64) // of a request whose first line alone is read
 	Ended(workload int, took int64, answered bool)
 }
@@ -325,8 +325,8 @@
 }
 
 // arrival is what a query's head shows of it.
-func arrival(q node.Query, r *http.Request, now int64) strain.Arrival {
-	a := strain.Arrival{Workload: q.Workload, ID: xxhash.Sum64String(q.ID), Left: q.Until - now, Try: 1}
+func arrival(q node.Query, r *http.Request, now int64) overload.Arrival {
+	a := overload.Arrival{Workload: q.Workload, ID: xxhash.Sum64String(q.ID), Left: q.Until - now, Try: 1}
 	if q.Customer != "" {
 		a.Customer = xxhash.Sum64String(q.Customer)
 	}
--- a/front/gateway/core.go
+++ b/front/gateway/core.go
@@ -13,20 +13,20 @@
 	"go.uber.org/zap"
 
 	"willowsill/balance"
-	"willowsill/decide/crossing"
-	"willowsill/decide/routes"
+	"willowsill/decide/gateway"
+	"willowsill/decide/siterouting"
 	"willowsill/deployment"
 	"willowsill/front"
 	"willowsill/internal/counters"
 	"willowsill/node"
+	"willowsill/transport/discovery"
 	"willowsill/transport/replica"
-	"willowsill/transport/roster"
 	"willowsill/transport/sockets"
 )
 
 // Site is another site and the way there.
 type Site struct {
-	routes.Link
+	siterouting.Link
 	Gateways []string // HOST:PORT of each
 }
 
@@ -37,7 +37,7 @@
 	Deployment deployment.Deployment
 	Terms      deployment.Terms
 	Revenue    map[string]float64 // by workload; 1 where not stated
-	Policy     routes.Policy
+	Policy     siterouting.Policy
 	HTTP2      bool // queries to one gateway share a connection
 	Sites      []Site
 	Local      front.Core // the own site's
@@ -80,9 +80,9 @@
 	hop   *node.Node
 	count *Count
 
-	mu       sync.Mutex // guards crossing, which is asked for no longer than a few µs
-	crossing *crossing.Crossing
-	look     *time.Timer // for the next time that it wants to be asked
+	mu      sync.Mutex // guards gateway, which is asked for no longer than a few µs
+	gateway *gateway.Gateway
+	look    *time.Timer // for the next time that it wants to be asked
 
 	cancel context.CancelFunc
 	ended  sync.WaitGroup
@@ -103,23 +103,23 @@
 		c.names[row] = name
 	}
 	now := p.Clock.Now()
-	t := routes.Terms{Policy: p.Policy, Site: p.Own, Interval: int64(interval)}
+	t := siterouting.Terms{Policy: p.Policy, Site: p.Own, Interval: int64(interval)}
 	for row, w := range p.Deployment.Workloads {
 		revenue, stated := p.Revenue[c.names[row]]
 		if !stated {
 			revenue = 1
 		}
-		t.Workloads = append(t.Workloads, routes.Workload{Name: c.names[row], Revenue: revenue, Bytes: 4 << 10,
+		t.Workloads = append(t.Workloads, siterouting.Workload{Name: c.names[row], Revenue: revenue, Bytes: 4 << 10,
 			Serves: int64(servesOf * float64(w.LatencyGoal))})
 	}
-	var known roster.News
+	var known discovery.News
 	for i, s := range p.Sites {
 		t.Links = append(t.Links, s.Link)
 		for gateway := range s.Gateways {
 			known.Entries = append(known.Entries, s.entry(i, gateway))
 		}
 	}
-	c.crossing = crossing.New(now, t)
+	c.gateway = gateway.New(now, t)
 	d := p.Deployment
 	d.Shards, d.Cells, d.Reach, d.PartsPerCall = len(p.Sites), len(p.Sites), 1, 1
 	d.MaxExecutions, d.Cancels, d.AsksForList = min(carryTwice, d.MaxExecutions), true, false
@@ -177,34 +177,34 @@
 func (c *Core) way(link int) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.crossing.Least(link)
+	return c.gateway.Least(link)
 }
 
 // told takes in how many queries a second another site would take.
 func (c *Core) told(link int, rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.crossing.Told(c.plan.Clock.Now(), link, rate)
+	c.gateway.Told(c.plan.Clock.Now(), link, rate)
 }
 
 // Willing is how many more queries a second this site would take from others.
 func (c *Core) Willing() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.crossing.Willing(c.plan.Clock.Now())
+	return c.gateway.Willing(c.plan.Clock.Now())
 }
 
 // Evacuate leaves the own site, or takes it up again over a ramp.
 func (c *Core) Evacuate(dark bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.crossing.Evacuate(c.plan.Clock.Now(), dark)
+	c.gateway.Evacuate(c.plan.Clock.Now(), dark)
 }
 
 // decide asks what is to be done now, carries it out, and has itself called again in time. It is called with the lock.
 func (c *Core) decide() {
 	now := c.plan.Clock.Now()
-	r := c.crossing.Decide(now)
+	r := c.gateway.Decide(now)
 	for _, g := range r.Going {
 		g.Load.(chan bool) <- true // it has room for the one word that a query gets
 	}
@@ -215,7 +215,7 @@
 		c.plan.Log.Info("the ways were planned simply, for the solver gave no answer")
 	}
 	if c.look != nil {
-		c.look.Reset(time.Duration(max(c.crossing.Next()-now, 0)))
+		c.look.Reset(time.Duration(max(c.gateway.Next()-now, 0)))
 	}
 }
 
@@ -237,7 +237,7 @@
 	if asked {
 		a, ok := c.plan.Local.Serve(ctx, q)
 		c.mu.Lock()
-		c.crossing.Ended(c.plan.Clock.Now(), len(visited(ctx)) == 0, ok && a.Final == balance.Declined)
+		c.gateway.Ended(c.plan.Clock.Now(), len(visited(ctx)) == 0, ok && a.Final == balance.Declined)
 		c.mu.Unlock()
 		if !ok || a.Final != balance.Declined {
 			return a, ok
@@ -257,7 +257,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	mark := float64(xxhash.Sum64String(q.ID)%1000) / 1000
-	return c.crossing.Stays(c.plan.Clock.Now(), mark, len(visited(ctx)) > 0)
+	return c.gateway.Stays(c.plan.Clock.Now(), mark, len(visited(ctx)) > 0)
 }
 
 // leaves takes a way for a query, or tells -1. It waits as long as it is told to.
@@ -266,9 +266,9 @@
 	defer c.mu.Unlock()
 	now := c.plan.Clock.Now()
 	room := make(chan bool, 1)
-	leaving := crossing.Query{Customer: q.Customer, Load: room,
-		Query: routes.Query{Workload: q.Workload, Left: q.Until - now, Visited: visited(ctx), Declined: asked}}
-	link, waits := c.crossing.Leave(now, leaving)
+	leaving := gateway.Query{Customer: q.Customer, Load: room,
+		Query: siterouting.Query{Workload: q.Workload, Left: q.Until - now, Visited: visited(ctx), Declined: asked}}
+	link, waits := c.gateway.Leave(now, leaving)
 	c.decide()
 	if !waits {
 		return link
@@ -280,7 +280,7 @@
 		c.mu.Lock()
 	case <-ctx.Done():
 		c.mu.Lock()
-		if !c.crossing.Withdraw(leaving, link) { // it was told at the last moment
+		if !c.gateway.Withdraw(leaving, link) { // it was told at the last moment
 			got = <-room
 		}
 	}
@@ -306,7 +306,7 @@
 	if len(a.Values) == 1 {
 		bytes = float64(headBytes + len(text) + len(a.Values[0].Value))
 	}
-	c.crossing.Returned(c.plan.Clock.Now(), q.Workload, link, ok && a.Final == balance.Declined, bytes)
+	c.gateway.Returned(c.plan.Clock.Now(), q.Workload, link, ok && a.Final == balance.Declined, bytes)
 	c.decide()
 	c.mu.Unlock()
 	switch {
@@ -364,9 +364,9 @@
 			}
 		}
 		c.mu.Lock()
-		cut := c.crossing.Pinged(now, link, best.took, best.err != nil)
+		cut := c.gateway.Pinged(now, link, best.took, best.err != nil)
 		if rate, e := strconv.ParseFloat(best.willing, 64); e == nil && rate >= 0 {
-			c.crossing.Told(now, link, rate)
+			c.gateway.Told(now, link, rate)
 		}
 		c.mu.Unlock()
 		if cut {
@@ -386,7 +386,7 @@
 	if leaving {
 		e.Standing = balance.Draining
 	}
-	c.hop.News(ctx, roster.News{Entries: []roster.Entry{e}})
+	c.hop.News(ctx, discovery.News{Entries: []discovery.Entry{e}})
 }
 
 // Figures tell how the ways stand.
@@ -394,7 +394,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := map[string]any{}
-	for i, w := range c.crossing.Ways() {
+	for i, w := range c.gateway.Ways() {
 		all[c.plan.Sites[i].Site] = map[string]any{"usable": w.Usable, "delay_ns": w.Delay, "least_ns": w.Least, "limit": w.Limit,
 			"in_flight": w.InFlight}
 	}
@@ -402,9 +402,9 @@
 }
 
 // entry is a gateway in the list that the way's own node is given.
-func (s Site) entry(link, gateway int) roster.Entry {
+func (s Site) entry(link, gateway int) discovery.Entry {
 	address := s.Gateways[gateway]
-	return roster.Entry{Host: s.Site + "/" + address, Dial: address, Cell: link}
+	return discovery.Entry{Host: s.Site + "/" + address, Dial: address, Cell: link}
 }
 
 func (s Site) check() error {
--- a/front/gateway/door.go
+++ b/front/gateway/door.go
@@ -22,7 +22,7 @@
 	"go.uber.org/zap"
 
 	"willowsill/balance"
-	"willowsill/decide/window"
+	"willowsill/decide/deduplication"
 	"willowsill/deployment"
 	"willowsill/front"
 	"willowsill/node"
@@ -43,7 +43,7 @@
 	Front      http.Handler
 	Deployment deployment.Deployment
 	Clock      node.Clock
-	Window     *window.Window
+	Window     *deduplication.Window
 	Count      *Count
 	Log        *zap.Logger
 	Secure     bool // peers show certificates that name their sites
@@ -136,7 +136,7 @@
 		d.mu.Lock()
 		verdict, kept := d.Window.Begin(d.Clock.Now(), id)
 		wait := d.waiting[id]
-		if verdict == window.Fresh {
+		if verdict == deduplication.Fresh {
 			if d.waiting == nil {
 				d.waiting = map[string]chan struct{}{}
 			}
@@ -144,17 +144,17 @@
 		}
 		d.mu.Unlock()
 		switch verdict {
-		case window.Fresh:
+		case deduplication.Fresh:
 			d.run(w, r, id)
 			return
-		case window.Answered:
+		case deduplication.Answered:
 			d.Count.Repeated.Add(1)
 			replay(w, kept)
 			return
-		case window.Full:
+		case deduplication.Full:
 			http.Error(w, "declined", http.StatusServiceUnavailable)
 			return
-		case window.CutOff:
+		case deduplication.CutOff:
 			d.Count.CutOff.Add(1)
 			w.Header().Set(headerRan, "1")
 			http.Error(w, "how it ended is not known", http.StatusInternalServerError)
--- a/front/gateway/gateway_test.go
+++ b/front/gateway/gateway_test.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 
 	"willowsill/balance"
-	"willowsill/decide/routes"
-	"willowsill/decide/window"
+	"willowsill/decide/deduplication"
+	"willowsill/decide/siterouting"
 	"willowsill/deployment"
 	"willowsill/front"
 	"willowsill/internal/counters"
@@ -24,8 +24,8 @@
 	"willowsill/node"
 	"willowsill/standin"
 	"willowsill/standin/link"
+	"willowsill/transport/discovery"
 	"willowsill/transport/replica"
-	"willowsill/transport/roster"
 	"willowsill/transport/sockets"
 )
 
@@ -49,7 +49,7 @@
 
 type world struct {
 	*testing.T
-	policy  routes.Policy
+	policy  siterouting.Policy
 	network *pipes.Network
 	sites   map[string]*site
 	links   map[string]*link.Link // FROM>TO
@@ -69,12 +69,12 @@
 var theTerms = deployment.Terms{MostHeld: 100, Streams: 32, ConnectWithin: 500e6, IdleAfter: 15e9, LongestCutOff: 3e9}
 
 // play plays sites, each with a way to all others, in a bubble of its own time.
-func play(t *testing.T, names []string, do func(*world)) { playBy(t, routes.Planned, names, do) }
+func play(t *testing.T, names []string, do func(*world)) { playBy(t, siterouting.Planned, names, do) }
 
-func playBy(t *testing.T, p routes.Policy, names []string, do func(*world)) {
+func playBy(t *testing.T, p siterouting.Policy, names []string, do func(*world)) {
 	synctest.Test(t, func(t *testing.T) {
 		if p == nowhere {
-			p = routes.Planned
+			p = siterouting.Planned
 		}
 		w := &world{T: t, policy: p, network: &pipes.Network{}, sites: map[string]*site{}, links: map[string]*link.Link{}}
 		for _, from := range names {
@@ -142,7 +142,7 @@
 	lists := &http.Server{Handler: list}
 	go lists.Serve(w.network.Listen("d-" + name + ":1"))
 	d, count := theDeployment(), counters.New(workloads)
-	watch := roster.NewWatch("d-"+name+":1", 1, 0, w.network.Dial, func(ctx context.Context, n roster.News) { s.node.News(ctx, n) })
+	watch := discovery.NewWatch("d-"+name+":1", 1, 0, w.network.Dial, func(ctx context.Context, n discovery.News) { s.node.News(ctx, n) })
 	clock := node.NewClock()
 	if name == "b" { // Danger: a time of day on the wire would be an hour off; only time left may cross
 		clock = clock.Ahead(time.Hour)
@@ -163,7 +163,7 @@
 	p := Plan{Clock: s.node.Clock, Own: name, Deployment: d, Terms: theTerms, Local: s.node, Policy: w.policy, Log: zap.NewNop()}
 	for _, other := range names {
 		if other != name {
-			p.Sites = append(p.Sites, Site{Link: routes.Link{Site: other, Queries: 200, Bytes: 1e7, Cost: 0.01},
+			p.Sites = append(p.Sites, Site{Link: siterouting.Link{Site: other, Queries: 200, Bytes: 1e7, Cost: 0.01},
 				Gateways: []string{"g-" + other + ":1"}})
 		}
 	}
@@ -178,7 +178,7 @@
 	s.core = core
 	f := &front.Front{Core: core, Clock: s.node.Clock, Workload: workloads, Shards: 2, Count: count, Log: zap.NewNop()}
 	s.door = &Door{Willing: core.Willing, Own: name, Front: f, Deployment: d, Clock: s.node.Clock, Count: s.count, Log: zap.NewNop(),
-		Window: window.New(window.Terms{Most: 1000, Bytes: 1 << 20, For: 10e9})}
+		Window: deduplication.New(deduplication.Terms{Most: 1000, Bytes: 1 << 20, For: 10e9})}
 	s.server = s.door.Server(nil)
 	if len(names) > 2 { // sites that say they take none are sent none: here they say nothing
 		s.door.Willing = nil
@@ -482,8 +482,8 @@
 		c := a.core
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if !c.crossing.InOrder() {
-			w.Errorf("left: %+v, %d waiting", c.crossing.Ways(), c.crossing.Waiting())
+		if !c.gateway.InOrder() {
+			w.Errorf("left: %+v, %d waiting", c.gateway.Ways(), c.gateway.Waiting())
 		}
 	})
 }
--- a/front/gateway/history_test.go
+++ b/front/gateway/history_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 
 	"willowsill/balance"
-	"willowsill/decide/window"
+	"willowsill/decide/deduplication"
 	"willowsill/deployment"
 	"willowsill/node"
 )
@@ -55,7 +55,7 @@
 		Deployment: balance.Deployment{Workloads: []balance.Workload{{Effect: balance.OnceOnly}}}}
 	open := func() *Door {
 		door := &Door{Own: "b", Deployment: d, Clock: clock, Count: &Count{}, Log: zap.NewNop(),
-			Window: window.New(window.Terms{Most: 1000, Bytes: 1 << 20, For: 3600e9}),
+			Window: deduplication.New(deduplication.Terms{Most: 1000, Bytes: 1 << 20, For: 3600e9}),
 			Front: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				n := ran.Add(1)
 				if n%7 == 0 {
--- a/front/gateway/long_test.go
+++ b/front/gateway/long_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"willowsill/balance"
-	"willowsill/decide/routes"
+	"willowsill/decide/siterouting"
 	"willowsill/front"
 	"willowsill/node"
 	"willowsill/standin/link"
@@ -20,9 +20,9 @@
 var long = flag.Bool("long", false, "play half an hour of two sites, and three baselines; else a few minutes of the gateway alone")
 
 // nowhere is the policy of a run without a gateway.
-const nowhere routes.Policy = 255
+const nowhere siterouting.Policy = 255
 
-func named(p routes.Policy) string {
+func named(p siterouting.Policy) string {
 	if p == nowhere {
 		return "no gateway"
 	}
@@ -35,7 +35,7 @@
 func (t tally) share() float64 { return float64(t.goal) / float64(max(t.asked, 1)) }
 
 // halfHour plays two sites of which one is dark in the middle, and returns what came of each phase: before, dark, after.
-func halfHour(t *testing.T, p routes.Policy, whole time.Duration) (phases [3]tally, most int, carried int64) {
+func halfHour(t *testing.T, p siterouting.Policy, whole time.Duration) (phases [3]tally, most int, carried int64) {
 	playBy(t, p, []string{"a", "b"}, func(w *world) {
 		far := link.Way{Delay: 80 * time.Millisecond, Jitter: 10 * time.Millisecond, Loss: 0.01, Stall: 200 * time.Millisecond}
 		w.links["a>b"].Set(far, far)
@@ -100,7 +100,7 @@
 						}
 						if name == "a" {
 							s.core.mu.Lock()
-							most = max(most, s.core.crossing.Ways()[0].InFlight)
+							most = max(most, s.core.gateway.Ways()[0].InFlight)
 							s.core.mu.Unlock()
 						}
 					})
@@ -130,13 +130,13 @@
 // TestHalfHour plays two sites with 80 ms of way each and a loss of 1%, one of them dark in the middle: no query is lost,
 // and the gateway serves more than without. With -long it is half an hour, against three baselines.
 func TestHalfHour(t *testing.T) {
-	whole, policies := 3*time.Minute, []routes.Policy{routes.Planned, nowhere}
+	whole, policies := 3*time.Minute, []siterouting.Policy{siterouting.Planned, nowhere}
 	if *long {
-		whole, policies = 30*time.Minute, []routes.Policy{routes.Planned, nowhere, routes.Everything, routes.Halves}
+		whole, policies = 30*time.Minute, []siterouting.Policy{siterouting.Planned, nowhere, siterouting.Everything, siterouting.Halves}
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(table, "| policy\t| phase\t| asked\t| within goal\t| late\t| declined\t| failed\t| lost\t|")
-	shares := map[routes.Policy][3]tally{}
+	shares := map[siterouting.Policy][3]tally{}
 	for _, p := range policies {
 		phases, most, carried := halfHour(t, p, whole)
 		shares[p] = phases
@@ -152,10 +152,10 @@
 	if testing.Verbose() {
 		table.Flush()
 	}
-	if with, without := shares[routes.Planned][1].share(), shares[nowhere][1].share(); with < without+0.1 {
+	if with, without := shares[siterouting.Planned][1].share(), shares[nowhere][1].share(); with < without+0.1 {
 		t.Errorf("while one site is dark %.3f are served within the goal, %.3f without a gateway", with, without)
 	}
-	if before, after := shares[routes.Planned][0].share(), shares[routes.Planned][2].share(); after < before-0.05 {
+	if before, after := shares[siterouting.Planned][0].share(), shares[siterouting.Planned][2].share(); after < before-0.05 {
 		t.Errorf("%.3f before and %.3f after", before, after)
 	}
 }
--- a/front/guard_test.go
+++ b/front/guard_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"willowsill/balance"
-	"willowsill/decide/strain"
+	"willowsill/decide/overload"
 	"willowsill/internal/counters"
 	"willowsill/node"
 )
@@ -18,11 +18,11 @@
 // guard turns away what it is told to, and keeps what it was shown.
 type guard struct {
 	away, unseen bool
-	shown        []strain.Arrival
+	shown        []overload.Arrival
 	ended        []string
 }
 
-func (g *guard) Arrive(a strain.Arrival) (bool, int64) {
+func (g *guard) Arrive(a overload.Arrival) (bool, int64) {
 	g.shown = append(g.shown, a)
 	return !g.away, 700e6
 }
--- a/front/proxyserver/proxyserver.go
+++ b/front/proxyserver/proxyserver.go
@@ -27,8 +27,8 @@
 	"willowsill/front/clienthttp"
 	"willowsill/internal/counters"
 	"willowsill/node"
+	"willowsill/transport/discovery"
 	"willowsill/transport/replicahttp"
-	"willowsill/transport/roster"
 	"willowsill/transport/watch"
 )
 
@@ -209,9 +209,9 @@
 }
 
 // news translates records of replicas for the node.
-func (s *Server) news(records []registry.Record) (n roster.News) {
+func (s *Server) news(records []registry.Record) (n discovery.News) {
 	for _, r := range records {
-		entry := roster.Entry{Host: r.ID, Dial: replicahttp.Dial(r.ID, r.Address), Cell: s.table.Slot(r.Service), Zone: r.Zone,
+		entry := discovery.Entry{Host: r.ID, Dial: replicahttp.Dial(r.ID, r.Address), Cell: s.table.Slot(r.Service), Zone: r.Zone,
 			Distance: s.table.Distance(r.Zone), Channels: s.table.Channels(r.Service)}
 		switch r.Phase {
 		case registry.Draining:
--- a/internal/house/names_test.go
+++ b/internal/house/names_test.go
@@ -17,7 +17,9 @@
 	"muster", "beam", "beacons", "lookout", "gangway", "hail", "crew", "strongbox", "quay", "berth", "shoals", "moored", "sailor"}
 
 // withdrawnPaths are names of folders whose last part is a word of its own elsewhere.
-var withdrawnPaths = []string{"carrier/", "cmd/pressed", "bin/pressed", "decide/chart", "decide/notices", "lab/spread"}
+var withdrawnPaths = []string{"carrier/", "cmd/pressed", "bin/pressed", "decide/chart", "decide/notices", "lab/spread",
+	"decide/rift", "decide/strain", "decide/window", "decide/fair/", "decide/commons", "decide/crossing", "decide/routes", "transport/roster",
+	"cmd/drill", "bin/drill", "balance/again.go", "balance/known.go", "balance/admit.go"}
 
 // history says what things were called then.
 var history = []string{"journal", ".git", "results", "docs/incidents", "CHANGELOG.md", "docs/former-names.md", "internal/house/names_test.go"}
--- a/lab/emulator/aggregator.go
+++ b/lab/emulator/aggregator.go
@@ -236,7 +236,7 @@
 	a.cause(now, agenda.Event{At: now + left + 1, To: a.self, Kind: gone, Query: number})
 	a.cause(now, agenda.Event{At: now + 3*l.Patience, To: a.self, Kind: forgets, Query: number})
 	mark := float64(uint32(number)*2654435761%1000) / 1000
-	if a.gate != nil && !a.gate.crossing.Stays(now, mark, q.carriedIn) {
+	if a.gate != nil && !a.gate.gateway.Stays(now, mark, q.carriedIn) {
 		if !a.goesElsewhere(now, number, q, false) {
 			a.final(now, ending{query: number, final: balance.Declined, comeBack: 1e9})
 		}
@@ -316,7 +316,7 @@
 func (a *aggregator) answer(now int64, e ending) {
 	q := a.queries[e.query]
 	if q != nil && !q.ended && a.gate != nil {
-		a.gate.crossing.Ended(now, !q.carriedIn, e.final == balance.Declined)
+		a.gate.gateway.Ended(now, !q.carriedIn, e.final == balance.Declined)
 		if e.final == balance.Declined && a.goesElsewhere(now, e.query, q, true) {
 			return
 		}
@@ -350,7 +350,7 @@
 	if a.gate == nil {
 		return 0
 	}
-	return a.gate.crossing.Willing(now)
+	return a.gate.gateway.Willing(now)
 }
 
 var (
--- a/lab/emulator/own.go
+++ b/lab/emulator/own.go
@@ -2,7 +2,7 @@
 
 import (
 	"willowsill/balance"
-	"willowsill/decide/strain"
+	"willowsill/decide/overload"
 	"willowsill/lab/emulator/agenda"
 )
 
@@ -15,7 +15,7 @@
 }
 
 // Strains are the ways that an aggregator may know its strain.
-var Strains = append([]string{"none"}, strain.Limits...)
+var Strains = append([]string{"none"}, overload.Limits...)
 
 const readEach = int64(100e6)
 
@@ -24,7 +24,7 @@
 	free    int64
 	waiting []agenda.Event
 	begun   bool // an event is on its way for the next of them
-	strain  *strain.Strain
+	strain  *overload.Detector
 
 	read   int64 // the last reading
 	used   int64 // since then
@@ -42,12 +42,12 @@
 	if a.Own.Strain == "" || a.Own.Strain == "none" {
 		return
 	}
-	t := strain.Terms{Cores: 1, Limit: a.Own.Strain, Fixed: 0.8e9 / float64(a.Own.Query), Target: 10e6, Most: 2e9, Floor: 0.05,
+	t := overload.Terms{Cores: 1, Limit: a.Own.Strain, Fixed: 0.8e9 / float64(a.Own.Query), Target: 10e6, Most: 2e9, Floor: 0.05,
 		Seed: a.Seed*1_000_003 + uint64(a.self)}
 	for _, l := range a.Loads {
-		t.Workloads = append(t.Workloads, strain.Workload{Revenue: l.Revenue, Goal: l.Goal})
+		t.Workloads = append(t.Workloads, overload.Workload{Revenue: l.Revenue, Goal: l.Goal})
 	}
-	p.strain = strain.New(now, t)
+	p.strain = overload.New(now, t)
 	a.cause(now, agenda.Event{At: now + readEach, To: a.self, Kind: reads})
 }
 
@@ -115,7 +115,7 @@
 	taken, comeBack := true, int64(0)
 	if s := a.processor.strain; s != nil {
 		s.Waited(now - e.At)
-		taken, comeBack = s.Arrive(now, strain.Arrival{Workload: load, ID: uint64(e.Value), Left: left, Try: tries + 1})
+		taken, comeBack = s.Arrive(now, overload.Arrival{Workload: load, ID: uint64(e.Value), Left: left, Try: tries + 1})
 	}
 	if taken && left > 0 && left <= a.Tick { // there is no round in its time; on sockets limits are 50 ms longer
 		taken, comeBack = false, 0
@@ -165,7 +165,7 @@
 		oldest = now - p.waiting[0].At
 	}
 	used := min(p.used, now-p.read)
-	p.strain.Read(now, strain.Reading{Span: now - p.read, Wait: p.waited / max(p.taken, 1), Sched: oldest, Late: oldest, Used: used})
+	p.strain.Read(now, overload.Reading{Span: now - p.read, Wait: p.waited / max(p.taken, 1), Sched: oldest, Late: oldest, Used: used})
 	p.used, p.waited, p.taken, p.read = p.used-used, 0, 0, now
 	a.cause(now, agenda.Event{At: now + readEach, To: a.self, Kind: reads})
 }
--- a/lab/emulator/replica.go
+++ b/lab/emulator/replica.go
@@ -36,7 +36,7 @@
 	pings       // the gateway's: pings are due,
 	pinged      // one comes,
 	pingBack    // and is back; Value is the link
-	looks       // crossing wants to be asked
+	looks       // gateway wants to be asked
 	hops        // a round of the hop is due
 	comes       // a query comes from another site
 	goesBack    // and its answer goes back
--- a/lab/emulator/sites.go
+++ b/lab/emulator/sites.go
@@ -4,8 +4,8 @@
 	"fmt"
 
 	"willowsill/balance"
-	"willowsill/decide/crossing"
-	"willowsill/decide/routes"
+	"willowsill/decide/gateway"
+	"willowsill/decide/siterouting"
 	"willowsill/lab/emulator/agenda"
 )
 
@@ -56,17 +56,17 @@
 
 // gate is an aggregator's gateway to the other sites, with the true deciders.
 type gate struct {
-	crossing *crossing.Crossing
-	hop      *balance.Aggregator
-	others   []int // sites, by link
-	numbers  map[*balance.Query]int32
-	trips    map[int32]*balance.Query
-	runs     map[int32][]trip
-	due      int64 // of a round of the hop, 0 for none
-	last     int64
-	look     int64 // when crossing wants to be asked
-	ping     int
-	pinged   map[int]int64 // by link: when the ping that is out left, 0 for none
+	gateway *gateway.Gateway
+	hop     *balance.Aggregator
+	others  []int // sites, by link
+	numbers map[*balance.Query]int32
+	trips   map[int32]*balance.Query
+	runs    map[int32][]trip
+	due     int64 // of a round of the hop, 0 for none
+	last    int64
+	look    int64 // when gateway wants to be asked
+	ping    int
+	pinged  map[int]int64 // by link: when the ping that is out left, 0 for none
 }
 
 type trip struct {
@@ -98,15 +98,15 @@
 	}
 	g := &gate{numbers: map[*balance.Query]int32{}, trips: map[int32]*balance.Query{}, runs: map[int32][]trip{}, pinged: map[int]int64{}}
 	own := a.siteOf(int(a.self))
-	t := routes.Terms{Site: fmt.Sprint("s", own), Interval: 1e9}
-	for i, name := range routes.Policies {
+	t := siterouting.Terms{Site: fmt.Sprint("s", own), Interval: 1e9}
+	for i, name := range siterouting.Policies {
 		if name == a.Route {
-			t.Policy = routes.Policy(i)
+			t.Policy = siterouting.Policy(i)
 		}
 	}
 	d := a.deployment(int(a.self))
 	for _, l := range a.Loads {
-		t.Workloads = append(t.Workloads, routes.Workload{Name: l.Name, Revenue: l.Revenue, Bytes: queryBytes,
+		t.Workloads = append(t.Workloads, siterouting.Workload{Name: l.Name, Revenue: l.Revenue, Bytes: queryBytes,
 			Serves: int64(servesOf * float64(l.Goal))})
 	}
 	var known []balance.Listing
@@ -114,13 +114,13 @@
 		if s == own {
 			continue
 		}
-		t.Links = append(t.Links, routes.Link{Site: fmt.Sprint("s", s), Queries: a.Link.Queries, Bytes: a.Link.Bytes, Cost: 0.05})
+		t.Links = append(t.Links, siterouting.Link{Site: fmt.Sprint("s", s), Queries: a.Link.Queries, Bytes: a.Link.Bytes, Cost: 0.05})
 		for n := s; n < a.Aggregators; n += a.sites() {
 			known = append(known, balance.Listing{Replica: n, New: true, Cell: len(g.others), Standing: balance.Up})
 		}
 		g.others = append(g.others, s)
 	}
-	g.crossing = crossing.New(now, t)
+	g.gateway = gateway.New(now, t)
 	d.Shards, d.Cells, d.Reach, d.MaxExecutions, d.Cancels = len(g.others), len(g.others), 1, min(carryTwice, a.Executions), true
 	d.Budgeted, d.FurtherFree, d.FurtherShare, d.FurtherSpan = true, furtherAny, furtherOf, furtherSpan
 	for i := range d.Workloads {
@@ -157,7 +157,7 @@
 	if g == nil {
 		return false
 	}
-	link, waits := g.crossing.Leave(now, a.leaving(now, number, q, declined))
+	link, waits := g.gateway.Leave(now, a.leaving(now, number, q, declined))
 	if link >= 0 && !waits {
 		a.carry(now, number, q, link)
 	}
@@ -165,12 +165,12 @@
 	return link >= 0
 }
 
-func (a *aggregator) leaving(now int64, number int32, q *asked, declined bool) crossing.Query {
-	r := routes.Query{Workload: q.load, Left: q.at + a.Loads[q.load].Patience - now, Declined: declined}
+func (a *aggregator) leaving(now int64, number int32, q *asked, declined bool) gateway.Query {
+	r := siterouting.Query{Workload: q.load, Left: q.at + a.Loads[q.load].Patience - now, Declined: declined}
 	for _, s := range q.came {
 		r.Visited = append(r.Visited, fmt.Sprint("s", s))
 	}
-	return crossing.Query{Query: r, Customer: a.Loads[q.load].Name, Load: number}
+	return gateway.Query{Query: r, Customer: a.Loads[q.load].Name, Load: number}
 }
 
 // carry hands a query to the hop.
@@ -186,17 +186,17 @@
 	a.hopMoved(now)
 }
 
-// decideGate carries out what crossing asks for.
+// decideGate carries out what gateway asks for.
 func (a *aggregator) decideGate(now int64) {
 	g := a.gate
-	r := g.crossing.Decide(now)
+	r := g.gateway.Decide(now)
 	for _, going := range r.Going {
 		number := going.Load.(int32)
 		if q := a.queries[number]; q != nil && !q.ended {
 			a.carry(now, number, q, going.Link)
 			continue
 		}
-		g.crossing.Returned(now, 0, going.Link, false, 0)
+		g.gateway.Returned(now, 0, going.Link, false, 0)
 	}
 	for _, load := range r.Turned {
 		a.final(now, ending{query: load.(int32), final: balance.Declined, comeBack: 1e9})
@@ -204,10 +204,10 @@
 	a.lookAt(now)
 }
 
-// lookAt has crossing asked again when it wants to be.
+// lookAt has gateway asked again when it wants to be.
 func (a *aggregator) lookAt(now int64) {
 	g := a.gate
-	if at := max(g.crossing.Next(), now+1); g.look <= now || at < g.look {
+	if at := max(g.gateway.Next(), now+1); g.look <= now || at < g.look {
 		g.look = at
 		a.cause(now, agenda.Event{At: at, To: a.self, Kind: looks})
 	}
@@ -233,7 +233,7 @@
 		q := a.queries[number]
 		run := int16(len(g.runs[number]))
 		g.runs[number] = append(g.runs[number], trip{to: s.Replica, sent: now})
-		left := s.CutAt - now - g.crossing.Least(q.link)
+		left := s.CutAt - now - g.gateway.Least(q.link)
 		if left > 0 {
 			came := append(append([]int(nil), q.came...), a.siteOf(int(a.self)))
 			a.tellGate(now, s.Replica, agenda.Event{Kind: comes, Query: number, Number: run,
@@ -254,7 +254,7 @@
 			final = runs[len(runs)-1].final
 		}
 		if q != nil {
-			g.crossing.Returned(now, q.load, q.link, refused, queryBytes)
+			g.gateway.Returned(now, q.load, q.link, refused, queryBytes)
 			a.final(now, ending{query: number, final: final, comeBack: e.ComeBack})
 		}
 	}
@@ -297,13 +297,13 @@
 	case pings:
 		a.pings(now)
 	case pinged:
-		a.tellGate(now, int(e.From), agenda.Event{Kind: pingBack, Value: e.Value, Load: g.crossing.Willing(now)})
+		a.tellGate(now, int(e.From), agenda.Event{Kind: pingBack, Value: e.Value, Load: g.gateway.Willing(now)})
 	case pingBack:
 		link := int(e.Value)
 		if left := g.pinged[link]; left > 0 {
 			g.pinged[link] = 0
-			g.crossing.Pinged(now, link, now-left, false)
-			g.crossing.Told(now, link, e.Load.(float64))
+			g.gateway.Pinged(now, link, now-left, false)
+			g.gateway.Told(now, link, e.Load.(float64))
 		}
 	case comes:
 		c := e.Load.(carried)
@@ -312,7 +312,7 @@
 		b := e.Load.(carriedBack)
 		q := a.queries[e.Query]
 		if q != nil {
-			g.crossing.Told(now, q.link, b.willing)
+			g.gateway.Told(now, q.link, b.willing)
 		}
 		switch b.final {
 		case balance.Whole, balance.Partial:
@@ -335,7 +335,7 @@
 			if now-left < pingWait {
 				continue
 			}
-			g.crossing.Pinged(now, link, now-left, true)
+			g.gateway.Pinged(now, link, now-left, true)
 		}
 		there := (a.Aggregators - site + a.sites() - 1) / a.sites()
 		g.pinged[link] = now
--- a/lab/emulator/stores.go
+++ b/lab/emulator/stores.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strconv"
 
-	"willowsill/decide/commons"
+	"willowsill/decide/sharedhealth"
 	"willowsill/lab/emulator/agenda"
 	"willowsill/lab/emulator/checker"
 )
@@ -30,7 +30,7 @@
 // request and reply are what travels between an aggregator and the store; a message is handed over whole.
 type request struct {
 	name string
-	what *commons.Request
+	what *sharedhealth.Request
 }
 
 // store is a model of the shared store: an entity of its own.
@@ -107,7 +107,7 @@
 }
 
 // carry does what a request asks for.
-func (s *store) carry(now int64, q request) (reply commons.Reply) {
+func (s *store) carry(now int64, q request) (reply sharedhealth.Reply) {
 	st, r := &s.now, q.what
 	reply.Clock = now - origin + storeClock
 	reply.Own = st.presence[q.name]
@@ -139,7 +139,7 @@
 		names := slices.Sorted(maps.Keys(st.findings))
 		s.chance.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 		for _, name := range names[:min(len(names), r.Sample)] {
-			reply.Entries = append(reply.Entries, commons.Entry{Name: name, Text: st.findings[name]})
+			reply.Entries = append(reply.Entries, sharedhealth.Entry{Name: name, Text: st.findings[name]})
 			s.bytes += int64(len(name) + len(st.findings[name]))
 		}
 	}
@@ -163,8 +163,8 @@
 // member is an aggregator's part in what is shared.
 type member struct {
 	name   string
-	shared *commons.Commons
-	purse  *commons.Purse
+	shared *sharedhealth.Exchange
+	purse  *sharedhealth.Purse
 	quotas map[int]int // of loads, by number
 	turn   int64       // the round that is under way, or the last
 	open   bool
@@ -177,7 +177,7 @@
 		return
 	}
 	d := a.deployment(int(a.self))
-	t := commons.Terms{Name: fmt.Sprint("n", a.self), Incarnation: uint64(now), Seed: a.Seed<<20 + uint64(a.self), Round: storeRound,
+	t := sharedhealth.Terms{Name: fmt.Sprint("n", a.self), Incarnation: uint64(now), Seed: a.Seed<<20 + uint64(a.self), Round: storeRound,
 		Deadline: storeWait, Sample: 24, Aggregators: a.Aggregators, Rest: d.Rest(), Health: true}
 	was := a.member
 	a.member = &member{name: t.Name, quotas: map[int]int{}}
@@ -187,12 +187,12 @@
 	for n, l := range a.Loads {
 		if l.Quota > 0 {
 			a.member.quotas[n] = len(t.Quotas)
-			t.Quotas = append(t.Quotas, commons.Quota{Customer: l.Name, Rate: l.Quota, Burst: l.Quota})
+			t.Quotas = append(t.Quotas, sharedhealth.Quota{Customer: l.Name, Rate: l.Quota, Burst: l.Quota})
 		}
 	}
-	a.member.shared = commons.New(now, t)
+	a.member.shared = sharedhealth.New(now, t)
 	if len(t.Quotas) > 0 {
-		a.member.purse = commons.NewPurse(now, t.Quotas, t.Aggregators)
+		a.member.purse = sharedhealth.NewPurse(now, t.Quotas, t.Aggregators)
 	}
 	a.cause(now, agenda.Event{At: a.member.shared.Next(), To: a.self, Kind: shares, Value: a.member.turn})
 }
@@ -216,9 +216,9 @@
 // share begins a round with the store.
 func (a *aggregator) share(now int64) {
 	m := a.member
-	survey := commons.Survey{Findings: a.brain.(*module).aggregator.Findings(now, nil)}
+	survey := sharedhealth.Survey{Findings: a.brain.(*module).aggregator.Findings(now, nil)}
 	for _, f := range survey.Findings {
-		survey.Keys = append(survey.Keys, commons.Key("s-"+strconv.Itoa(f.Replica), a.listing(f.Replica).Started))
+		survey.Keys = append(survey.Keys, sharedhealth.Key("s-"+strconv.Itoa(f.Replica), a.listing(f.Replica).Started))
 	}
 	if m.purse != nil {
 		m.purse.Survey(now, &survey)
@@ -240,7 +240,7 @@
 }
 
 // shared ends a round with what it allows.
-func (a *aggregator) shared(now int64, allowed commons.Allowance) {
+func (a *aggregator) shared(now int64, allowed sharedhealth.Allowance) {
 	m := a.member
 	m.open = false
 	for _, w := range allowed.Words {
@@ -263,14 +263,14 @@
 	case e.Kind == shares && !m.open:
 		a.share(now)
 	case e.Kind == storeTells && m.open:
-		a.shared(now, m.shared.Answer(now, e.Load.(commons.Reply)))
+		a.shared(now, m.shared.Answer(now, e.Load.(sharedhealth.Reply)))
 	case e.Kind == storeLate && m.open:
 		a.shared(now, m.shared.Fail(now, errGone))
 	}
 }
 
 // lie accuses as many sound replicas as a witness may and be heard, and finds the sick ones well.
-func lie(now int64, survey *commons.Survey) {
+func lie(now int64, survey *sharedhealth.Survey) {
 	for i := range survey.Findings {
 		f := &survey.Findings[i]
 		f.Aside, f.Failed, f.Pace = false, 0, 0
--- a/lab/emulator/zones.go
+++ b/lab/emulator/zones.go
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"willowsill/balance"
-	"willowsill/decide/rift"
+	"willowsill/decide/zonehealth"
 )
 
 // zoneOfReplica is the zone that a replica stands in.
@@ -31,7 +31,7 @@
 type watched struct {
 	*module
 	plan  *Plan
-	rifts *rift.Rifts
+	rifts *zonehealth.Tracker
 	words []balance.Word
 	to    map[run]int     // the replica of each execution that is out
 	next  map[int32][]int // by query: executions so far of each part
@@ -45,7 +45,7 @@
 func newWatched(m *module, p *Plan, number int, whole []balance.Listing) *watched {
 	d := p.deployment(number)
 	w := &watched{module: m, plan: p, to: map[run]int{}, next: map[int32][]int{},
-		rifts: rift.New(rift.Terms{Rest: d.Rest(), Few: 3, Seed: d.Seed})}
+		rifts: zonehealth.New(zonehealth.Terms{Rest: d.Rest(), Few: 3, Seed: d.Seed})}
 	for _, l := range whole {
 		w.tell(l, false)
 	}
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"willowsill/balance"
-	"willowsill/decide/routes"
+	"willowsill/decide/siterouting"
 	"willowsill/deployment/script"
 	"willowsill/lab/emulator"
 	"willowsill/lab/emulator/rivals"
@@ -199,7 +199,7 @@
 			{Name: "policy", Kind: script.Text, Unset: "module", Words: policies, Help: "who decides"},
 			{Name: "executions", Kind: script.Whole, Unset: int64(0), Most: 16, Help: "of one part at most; 0 for the fleet's"},
 			{Name: "store", Kind: script.Text, Unset: "none", Words: emulator.Stores, Help: "how the shared store behaves"},
-			{Name: "route", Kind: script.Text, Unset: "none", Words: append([]string{"none"}, routes.Policies...), Help: "by what queries are carried to other sites"},
+			{Name: "route", Kind: script.Text, Unset: "none", Words: append([]string{"none"}, siterouting.Policies...), Help: "by what queries are carried to other sites"},
 			{Name: "strain", Kind: script.Text, Unset: "none", Words: emulator.Strains, Help: "the limit by which aggregators know their own strain"},
 			{Name: "watch_zones", Kind: script.Truth, Unset: false, Help: "aggregators know zones out of reach by few failures"},
 			{Name: "calm", Kind: script.Truth, Unset: false, Help: "no fault befalls anybody"},
--- a/node/book.go
+++ b/node/book.go
@@ -7,7 +7,7 @@
 
 	"willowsill/balance"
 	"willowsill/internal/counters"
-	"willowsill/transport/roster"
+	"willowsill/transport/discovery"
 )
 
 // outcome is one that came up while a round was carried out; the module hears of it afterwards.
@@ -103,7 +103,7 @@
 
 // bookNews books what discovery said; live is false for the list remembered from an earlier life. A replica
 // is known by its host: the address it is dialled at may differ and change.
-func (n *Node) bookNews(now int64, news roster.News, live bool) {
+func (n *Node) bookNews(now int64, news discovery.News, live bool) {
 	for _, err := range news.Oddities {
 		n.count.ListOddities.Add(1)
 		n.log.Warn("an entry of the list was left out", zap.Error(err))
--- a/node/node.go
+++ b/node/node.go
@@ -11,11 +11,11 @@
 	"go.uber.org/zap"
 
 	"willowsill/balance"
-	"willowsill/decide/rift"
+	"willowsill/decide/zonehealth"
 	"willowsill/deployment"
 	"willowsill/internal/counters"
+	"willowsill/transport/discovery"
 	"willowsill/transport/replica"
-	"willowsill/transport/roster"
 	"willowsill/transport/sockets"
 )
 
@@ -87,9 +87,9 @@
 	lateness int64     // how late the loop was lately, ns
 	sweep    int64
 	stopped  bool
-	shared   *shared     // what is shared with other aggregators, nil where nothing is
-	rhythm   *Rhythm     // nil for a round each tick
-	rifts    *rift.Rifts // nil where zones are not watched
+	shared   *shared             // what is shared with other aggregators, nil where nothing is
+	rhythm   *Rhythm             // nil for a round each tick
+	rifts    *zonehealth.Tracker // nil where zones are not watched
 	words    []balance.Word
 	away     []string // zones out of reach, as was logged last
 }
@@ -108,7 +108,7 @@
 	Clock      Clock
 	Deployment deployment.Deployment
 	Terms      deployment.Terms
-	Known      roster.News // the list as it was last held
+	Known      discovery.News // the list as it was last held
 	Budget     *sockets.Budget
 	Count      *counters.Counters
 	Log        *zap.Logger
@@ -149,7 +149,7 @@
 func (n *Node) Ready() <-chan struct{} { return n.ready }
 
 // News hands on what discovery said.
-func (n *Node) News(ctx context.Context, news roster.News) {
+func (n *Node) News(ctx context.Context, news discovery.News) {
 	select {
 	case n.facts <- fact{n.Now(), news}:
 	case <-ctx.Done():
@@ -251,7 +251,7 @@
 		n.depart(now, v.query)
 	case notice:
 		n.bookNotice(now, v)
-	case roster.News:
+	case discovery.News:
 		n.bookNews(now, v, true)
 	case survey:
 		n.survey(now, v)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -12,13 +12,13 @@
 	"go.uber.org/zap"
 
 	"willowsill/balance"
-	"willowsill/decide/strain"
+	"willowsill/decide/overload"
 	"willowsill/deployment"
 	"willowsill/internal/counters"
 	"willowsill/internal/pipes"
 	"willowsill/standin"
+	"willowsill/transport/discovery"
 	"willowsill/transport/replica"
-	"willowsill/transport/roster"
 	"willowsill/transport/sockets"
 )
 
@@ -58,7 +58,7 @@
 			Terms: deployment.Terms{MostHeld: 30, Streams: 32, ConnectWithin: 250e6, IdleAfter: 15e9}}
 		p.Count = counters.New(p.Deployment.Workload)
 		w.count = p.Count
-		watch := roster.NewWatch("d:1", 1, 0, w.network.Dial, func(ctx context.Context, n roster.News) { w.News(ctx, n) })
+		watch := discovery.NewWatch("d:1", 1, 0, w.network.Dial, func(ctx context.Context, n discovery.News) { w.News(ctx, n) })
 		p.Ask = watch.Ask
 		change(&p)
 		w.Node = New(p)
@@ -130,7 +130,7 @@
 		on(t, asIs, value, func(w *world) {
 			waited := 0
 			if at {
-				w.Follow(&Rhythm{Pace: &strain.Pace{Tick: 5e6}, Waited: func(int64) { waited++ }, Stood: func(ns int64) { w.Errorf("stood %d", ns) }})
+				w.Follow(&Rhythm{Pace: &overload.Pace{Tick: 5e6}, Waited: func(int64) { waited++ }, Stood: func(ns int64) { w.Errorf("stood %d", ns) }})
 			}
 			time.Sleep(20 * time.Millisecond)
 			for i := range 3 {
@@ -284,7 +284,7 @@
 func TestAskedList(t *testing.T) {
 	on(t, func(p *Plan) {
 		p.Deployment.AsksForList, p.Deployment.AskWithin = true, 10e9
-		p.Known = roster.News{Entries: []roster.Entry{{Host: "s-0", Dial: "r:9"}}}
+		p.Known = discovery.News{Entries: []discovery.Entry{{Host: "s-0", Dial: "r:9"}}}
 	}, value, func(w *world) {
 		time.Sleep(10 * time.Millisecond)
 		w.expect(w.serve(w.Context(), "q", 2*time.Second), "0 [{0 q.0text} {1 q.1text}] 0 after 50ms")
--- a/node/rhythm.go
+++ b/node/rhythm.go
@@ -3,16 +3,16 @@
 import (
 	"runtime"
 
-	"willowsill/decide/strain"
+	"willowsill/decide/overload"
 )
 
 // Rhythm is when rounds come where they do not wait for the tick, and what is told of the process's own lateness. The loop
 // owns it once it was handed over.
 type Rhythm struct {
-	Pace   *strain.Pace // nil for a round each tick
+	Pace   *overload.Pace // nil for a round each tick
 	Waited func(ns int64)
 	Stood  func(ns int64)
-	beat   strain.Beat
+	beat   overload.Beat
 }
 
 type rhythm struct{ rhythm *Rhythm }
--- a/node/share.go
+++ b/node/share.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"willowsill/decide/commons"
+	"willowsill/decide/sharedhealth"
 )
 
 // What an aggregator shares with others goes through the same bounded queue as all facts. It is asked for and handed
@@ -13,15 +13,15 @@
 
 // shared is what the loop keeps for what is shared.
 type shared struct {
-	purse   *commons.Purse
+	purse   *sharedhealth.Purse
 	quotas  map[string]int // by customer
 	list    int            // rises with every news of the list
 	surveys int            // the list's number at the last survey
 }
 
 type (
-	survey    struct{ reply chan commons.Survey } // has room for one
-	allowance struct{ commons.Allowance }
+	survey    struct{ reply chan sharedhealth.Survey } // has room for one
+	allowance struct{ sharedhealth.Allowance }
 	sharing   struct{ shared *shared }
 )
 
@@ -33,10 +33,10 @@
 }
 
 // Share begins to share, with these quotas, or ends it.
-func (n *Node) Share(on bool, quotas []commons.Quota) {
+func (n *Node) Share(on bool, quotas []sharedhealth.Quota) {
 	var s *shared
 	if on {
-		s = &shared{purse: commons.NewPurse(n.Now(), quotas, n.Aggregators), quotas: map[string]int{}}
+		s = &shared{purse: sharedhealth.NewPurse(n.Now(), quotas, n.Aggregators), quotas: map[string]int{}}
 		for i, q := range quotas {
 			s.quotas[q.Customer] = i
 		}
@@ -64,10 +64,10 @@
 }
 
 // Consult asks what the aggregator knows now; false where it has no time for that, or shares nothing.
-func (n *Node) Consult(ctx context.Context) (commons.Survey, bool) {
-	reply := make(chan commons.Survey, 1)
+func (n *Node) Consult(ctx context.Context) (sharedhealth.Survey, bool) {
+	reply := make(chan sharedhealth.Survey, 1)
 	if !n.offer(survey{reply}) {
-		return commons.Survey{}, false
+		return sharedhealth.Survey{}, false
 	}
 	select {
 	case s, ok := <-reply:
@@ -75,11 +75,11 @@
 	case <-n.ended:
 	case <-ctx.Done():
 	}
-	return commons.Survey{}, false
+	return sharedhealth.Survey{}, false
 }
 
 // Allow hands over what was decided on what is shared; it is dropped where the node is crowded.
-func (n *Node) Allow(a commons.Allowance) { n.offer(allowance{a}) }
+func (n *Node) Allow(a sharedhealth.Allowance) { n.offer(allowance{a}) }
 
 // survey answers Consult.
 func (n *Node) survey(now int64, v survey) {
@@ -87,11 +87,11 @@
 	if n.shared == nil {
 		return
 	}
-	s := commons.Survey{Findings: n.agg.Findings(now, nil)}
+	s := sharedhealth.Survey{Findings: n.agg.Findings(now, nil)}
 	s.Keys = make([]uint64, len(s.Findings))
 	for i, f := range s.Findings {
 		h := n.hosts[f.Replica]
-		s.Keys[i] = commons.Key(h.name, h.born)
+		s.Keys[i] = sharedhealth.Key(h.name, h.born)
 	}
 	n.shared.purse.Survey(now, &s)
 	n.shared.surveys = n.shared.list
--- a/node/share_test.go
+++ b/node/share_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"willowsill/balance"
-	"willowsill/decide/commons"
+	"willowsill/decide/sharedhealth"
 	"willowsill/transport/replica"
 )
 
@@ -17,9 +17,9 @@
 		if _, ok := w.Consult(w.Context()); ok || w.overQuota(w.Now(), "acme") {
 			w.Error("with nothing shared something was told")
 		}
-		w.Share(true, []commons.Quota{{Customer: "acme", Rate: 40}})
+		w.Share(true, []sharedhealth.Quota{{Customer: "acme", Rate: 40}})
 		s, ok := w.Consult(w.Context())
-		if !ok || len(s.Findings) != 2 || s.Keys[0] != commons.Key("s-0", 0) || len(s.Demand) != 1 {
+		if !ok || len(s.Findings) != 2 || s.Keys[0] != sharedhealth.Key("s-0", 0) || len(s.Demand) != 1 {
 			w.Fatalf("%+v, %v", s, ok)
 		}
 		ask := func(id, customer string) {
@@ -30,7 +30,7 @@
 			}
 		}
 		now := w.Now()
-		w.Allow(commons.Allowance{Leases: []commons.Lease{{Tokens: 2, From: now, Until: now + 60e9}}, Locals: []commons.Local{{}}})
+		w.Allow(sharedhealth.Allowance{Leases: []sharedhealth.Lease{{Tokens: 2, From: now, Until: now + 60e9}}, Locals: []sharedhealth.Local{{}}})
 		for _, id := range []string{"a", "b", "c"} {
 			ask(id, "acme")
 		}
@@ -61,7 +61,7 @@
 			w.Share(true, nil)
 			w.Consult(w.Context())
 			word := balance.Word{Replica: 0, Until: w.Now() + 60e9, Suspect: true, Pace: 8, Weight: 4}
-			w.Allow(commons.Allowance{Words: []balance.Word{word}})
+			w.Allow(sharedhealth.Allowance{Words: []balance.Word{word}})
 			synctest.Wait()
 			if got := w.agg.Findings(w.Now(), nil); len(got) != 2 {
 				w.Fatalf("%+v", got)
--- a/node/zones.go
+++ b/node/zones.go
@@ -5,21 +5,21 @@
 
 	"go.uber.org/zap"
 
-	"willowsill/decide/rift"
+	"willowsill/decide/zonehealth"
 )
 
-type zones struct{ rifts *rift.Rifts }
+type zones struct{ rifts *zonehealth.Tracker }
 
 // WatchZones has the loop know zones that are out of reach from now on, by a decider that it owns once it was handed over, or no
 // longer with nil.
-func (n *Node) WatchZones(r *rift.Rifts) {
+func (n *Node) WatchZones(r *zonehealth.Tracker) {
 	select {
 	case n.facts <- fact{n.Now(), zones{r}}:
 	case <-n.ended:
 	}
 }
 
-func (n *Node) watchZones(now int64, r *rift.Rifts) {
+func (n *Node) watchZones(now int64, r *zonehealth.Tracker) {
 	if n.rifts != nil {
 		n.words = n.rifts.End(now, n.words[:0])
 		n.hearZones(now)
--- a/node/zones_test.go
+++ b/node/zones_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"willowsill/decide/rift"
+	"willowsill/decide/zonehealth"
 	"willowsill/standin"
 )
 
@@ -26,7 +26,7 @@
 					w.discovery.Change(host(2+i, "b"))
 				}
 				if on2 {
-					w.WatchZones(rift.New(rift.Terms{Rest: 1e9, Few: 2, Seed: 1}))
+					w.WatchZones(zonehealth.New(zonehealth.Terms{Rest: 1e9, Few: 2, Seed: 1}))
 				}
 				time.Sleep(10 * time.Millisecond)
 				refused := func() int64 { return w.count.Executions.ConnectFailed.Load() }
--- a/transport/roster/roster.go
+++ b/transport/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package roster keeps a watch on the list of replicas. It tells what discovery said and decides nothing.
-package roster
+// Package discovery keeps a watch on the list of replicas. It tells what discovery said and decides nothing.
+package discovery
 
 import (
 	"context"
--- a/transport/roster/roster_test.go
+++ b/transport/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package roster
+package discovery
 
 import (
 	"context"
--- a/transport/machine/machine.go
+++ b/transport/machine/machine.go
@@ -16,7 +16,7 @@
 
 	"go.uber.org/zap"
 
-	"willowsill/decide/strain"
+	"willowsill/decide/overload"
 	"willowsill/internal/counters"
 )
 
@@ -40,7 +40,7 @@
 	log *zap.Logger
 
 	mu     sync.Mutex // guards strain, which is asked for no longer than some µs
-	strain *strain.Strain
+	strain *overload.Detector
 
 	Taken  counters.Count
 	Shed   counters.Count // turned away with their heads read,
@@ -66,8 +66,8 @@
 )
 
 // New makes a watch; Run has it read.
-func New(t strain.Terms, s Sources, log *zap.Logger) *Watch {
-	w := &Watch{Sources: s, log: log, strain: strain.New(s.Now(), t), samples: []metrics.Sample{
+func New(t overload.Terms, s Sources, log *zap.Logger) *Watch {
+	w := &Watch{Sources: s, log: log, strain: overload.New(s.Now(), t), samples: []metrics.Sample{
 		latencies: {Name: "/sched/latencies:seconds"}, collecting: {Name: "/cpu/classes/gc/total:cpu-seconds"},
 		pauses: {Name: "/sched/pauses/total/gc:seconds"}, heap: {Name: "/memory/classes/heap/objects:bytes"}}}
 	w.read(0)
@@ -90,7 +90,7 @@
 		now := w.Now()
 		w.mu.Lock()
 		changed := w.strain.Read(now, r)
-		var figures strain.Figures
+		var figures overload.Figures
 		if changed {
 			figures = w.strain.Figures()
 		}
@@ -105,7 +105,7 @@
 }
 
 // read reads all, and what has changed since it last did.
-func (w *Watch) read(late int64) (r strain.Reading) {
+func (w *Watch) read(late int64) (r overload.Reading) {
 	now := w.Now()
 	metrics.Read(w.samples)
 	r.Span, r.Late = now-w.at, max(late, 0)
@@ -181,7 +181,7 @@
 }
 
 // Arrive asks whether a query is taken on; else its client may come back after so long, ns.
-func (w *Watch) Arrive(a strain.Arrival) (taken bool, comeBack int64) {
+func (w *Watch) Arrive(a overload.Arrival) (taken bool, comeBack int64) {
 	now := w.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -224,7 +224,7 @@
 	f := w.strain.Figures()
 	w.mu.Unlock()
 	return json.Marshal(struct {
-		strain.Figures
+		overload.Figures
 		Taken  *counters.Count `json:"taken"`
 		Shed   *counters.Count `json:"shed"`
 		Unseen *counters.Count `json:"unseen"`
--- a/transport/machine/machine_test.go
+++ b/transport/machine/machine_test.go
@@ -13,13 +13,13 @@
 
 	"go.uber.org/zap"
 
-	"willowsill/decide/strain"
+	"willowsill/decide/overload"
 )
 
 func newWatch(t *testing.T, facts, waited *atomic.Int64) *Watch {
 	t.Helper()
 	began := time.Now()
-	terms := strain.Terms{Cores: 1, Workloads: []strain.Workload{{Revenue: 1, Goal: 250e6}}, Limit: "model", Target: 5e6, Most: 2e9}
+	terms := overload.Terms{Cores: 1, Workloads: []overload.Workload{{Revenue: 1, Goal: 250e6}}, Limit: "model", Target: 5e6, Most: 2e9}
 	if err := terms.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 	for id := range 4 {
 		all.Go(func() {
 			for i := range 200 {
-				taken, _ := w.Arrive(strain.Arrival{ID: uint64(id<<32 + i), Left: 1e9, Try: 1})
+				taken, _ := w.Arrive(overload.Arrival{ID: uint64(id<<32 + i), Left: 1e9, Try: 1})
 				if away, _ := w.Unseen(0); away || !taken {
 					t.Error("turned away on a machine that is not strained")
 				}
--- a/transport/store/count.go
+++ b/transport/store/count.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"sync"
 
-	"willowsill/decide/commons"
+	"willowsill/decide/sharedhealth"
 	"willowsill/internal/counters"
 )
 
@@ -15,18 +15,18 @@
 	BytesRead  counters.Count // of records
 
 	mu      sync.Mutex
-	figures commons.Figures
+	figures sharedhealth.Figures
 }
 
 // show keeps the decider's figures.
-func (c *Count) show(f commons.Figures) {
+func (c *Count) show(f sharedhealth.Figures) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.figures = f
 }
 
 // Figures are those of the last round.
-func (c *Count) Figures() commons.Figures {
+func (c *Count) Figures() sharedhealth.Figures {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.figures
--- a/transport/store/hangup_test.go
+++ b/transport/store/hangup_test.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"willowsill/decide/commons"
+	"willowsill/decide/sharedhealth"
 )
 
 // brokenConn ends its caller's context and then fails, at each write.
@@ -34,13 +34,13 @@
 			far.Close()
 			return &brokenConn{near, end}, nil
 		}}
-		terms := commons.Terms{Name: "n", Incarnation: 7, Round: int64(round), Deadline: int64(deadline), Sample: 24, Aggregators: 1, Rest: 1e9,
+		terms := sharedhealth.Terms{Name: "n", Incarnation: 7, Round: int64(round), Deadline: int64(deadline), Sample: 24, Aggregators: 1, Rest: 1e9,
 			Health: true}
-		k, err := New(place, commons.New(0, terms), &core{}, func() int64 { return 1e9 }, &Count{}, zap.NewNop())
+		k, err := New(place, sharedhealth.New(0, terms), &core{}, func() int64 { return 1e9 }, &Count{}, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := k.carry(ctx, &commons.Request{}); err == nil {
+		if _, err := k.carry(ctx, &sharedhealth.Request{}); err == nil {
 			t.Fatal("a round over a broken connection had no error")
 		}
 		end()
--- a/transport/store/store.go
+++ b/transport/store/store.go
@@ -18,7 +18,7 @@
 	"github.com/gomodule/redigo/redis"
 	"go.uber.org/zap"
 
-	"willowsill/decide/commons"
+	"willowsill/decide/sharedhealth"
 )
 
 const (
@@ -41,15 +41,15 @@
 // Core is the aggregator as a Client sees it. Neither call waits for a socket.
 type Core interface {
 	// Consult asks what the aggregator knows now; false where it has no time for that.
-	Consult(ctx context.Context) (commons.Survey, bool)
+	Consult(ctx context.Context) (sharedhealth.Survey, bool)
 	// Allow hands over what was decided; it may be dropped where the aggregator is crowded.
-	Allow(commons.Allowance)
+	Allow(sharedhealth.Allowance)
 }
 
 // Client keeps an aggregator in touch with the store.
 type Client struct {
 	place  Place
-	common *commons.Commons
+	common *sharedhealth.Exchange
 	core   Core
 	now    func() int64
 	count  *Count
@@ -66,7 +66,7 @@
 }
 
 // New makes a client; the error names what in the place cannot be used. now is the aggregator's clock, ns.
-func New(p Place, c *commons.Commons, core Core, now func() int64, count *Count, log *zap.Logger) (*Client, error) {
+func New(p Place, c *sharedhealth.Exchange, core Core, now func() int64, count *Count, log *zap.Logger) (*Client, error) {
 	k := &Client{place: p, common: c, core: core, now: now, count: count, log: log}
 	var err error
 	if k.secure, err = p.secure(); err != nil {
@@ -195,7 +195,7 @@
 }
 
 // round carries one request out and tells what became of it.
-func (k *Client) round(ctx context.Context, r *commons.Request) {
+func (k *Client) round(ctx context.Context, r *sharedhealth.Request) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.By-k.now()))
 	defer cancel()
 	reply, err := k.carry(ctx, r)
@@ -203,7 +203,7 @@
 	if err == nil && now > r.By { // it came, and too late to reckon with
 		err = context.DeadlineExceeded
 	}
-	var a commons.Allowance
+	var a sharedhealth.Allowance
 	if err != nil {
 		a = k.common.Fail(now, err)
 		k.log.Info("a round with the shared store failed", zap.Error(err))
@@ -241,7 +241,7 @@
 
 // carry sends a request as one pipeline and reads the reply. After an error of the connection it is closed: what might
 // still come on it would be taken for the next round's.
-func (k *Client) carry(ctx context.Context, r *commons.Request) (reply commons.Reply, err error) {
+func (k *Client) carry(ctx context.Context, r *sharedhealth.Request) (reply sharedhealth.Reply, err error) {
 	if k.conn == nil {
 		if err := k.connect(ctx); err != nil {
 			return reply, err
@@ -274,7 +274,7 @@
 }
 
 // ask puts a request's commands into a pipe; their answers go into the reply.
-func (k *Client) ask(p *pipe, r *commons.Request, reply *commons.Reply) error {
+func (k *Client) ask(p *pipe, r *sharedhealth.Request, reply *sharedhealth.Reply) error {
 	place, c, name := k.place, k.common, k.common.Name
 	// Without these the round is none: nothing could be dated or fenced.
 	k.needed = nil
@@ -342,7 +342,7 @@
 				return
 			}
 			for i := 0; i+1 < len(flat); i += 2 {
-				reply.Entries = append(reply.Entries, commons.Entry{Name: string(flat[i]), Text: flat[i+1]})
+				reply.Entries = append(reply.Entries, sharedhealth.Entry{Name: string(flat[i]), Text: flat[i+1]})
 				k.count.BytesRead.Add(int64(len(flat[i]) + len(flat[i+1])))
 			}
 		}, "HRANDFIELD", place.findings(), r.Sample, "WITHVALUES"))
--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -25,7 +25,7 @@
 	"go.uber.org/zap/zaptest/observer"
 
 	"willowsill/balance"
-	"willowsill/decide/commons"
+	"willowsill/decide/sharedhealth"
 	"willowsill/internal/pipes"
 	"willowsill/standin/redis"
 )
@@ -38,18 +38,18 @@
 // core is an aggregator that knows what the test says.
 type core struct {
 	mu      sync.Mutex
-	survey  commons.Survey
-	allowed []commons.Allowance
+	survey  sharedhealth.Survey
+	allowed []sharedhealth.Allowance
 	crowded bool
 }
 
-func (c *core) Consult(context.Context) (commons.Survey, bool) {
+func (c *core) Consult(context.Context) (sharedhealth.Survey, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.survey, !c.crowded
 }
 
-func (c *core) Allow(a commons.Allowance) {
+func (c *core) Allow(a sharedhealth.Allowance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a.Words = slices.Clone(a.Words)
@@ -102,7 +102,7 @@
 func (w *world) now() int64 { return int64(time.Since(w.began)) + 1e9 }
 
 // play plays a test in a bubble of its own time with some aggregators at one server.
-func play(t *testing.T, aggregators int, change func(*Place, *commons.Terms), do func(*world)) {
+func play(t *testing.T, aggregators int, change func(*Place, *sharedhealth.Terms), do func(*world)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{T: t, server: &redis.Server{}, network: &pipes.Network{}, began: time.Now()}
 		l := w.network.Listen("r:1")
@@ -115,15 +115,15 @@
 		ended := make(chan struct{})
 		for i := range aggregators {
 			p := Place{Address: "r:1", Prefix: "t", Dial: w.network.Dial}
-			terms := commons.Terms{Name: fmt.Sprint("n", i), Incarnation: 7, Seed: uint64(i), Round: int64(round),
+			terms := sharedhealth.Terms{Name: fmt.Sprint("n", i), Incarnation: 7, Seed: uint64(i), Round: int64(round),
 				Deadline: int64(deadline), Sample: 24, Aggregators: aggregators, Rest: 1e9, Health: true,
-				Quotas: []commons.Quota{{Customer: "acme", Rate: 40}}}
+				Quotas: []sharedhealth.Quota{{Customer: "acme", Rate: 40}}}
 			if change != nil {
 				change(&p, &terms)
 			}
 			seen, logs := observer.New(zap.InfoLevel)
 			k := &one{core: &core{survey: survey(20)}, logs: logs}
-			client, err := New(p, commons.New(w.now(), terms), k.core, w.now, &Count{}, zap.New(seen))
+			client, err := New(p, sharedhealth.New(w.now(), terms), k.core, w.now, &Count{}, zap.New(seen))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -145,10 +145,10 @@
 	})
 }
 
-func survey(replicas int) (s commons.Survey) {
+func survey(replicas int) (s sharedhealth.Survey) {
 	for i := range replicas {
 		s.Findings = append(s.Findings, balance.Finding{Replica: i, Cell: i / 5})
-		s.Keys = append(s.Keys, commons.Key("s", int64(i)))
+		s.Keys = append(s.Keys, sharedhealth.Key("s", int64(i)))
 	}
 	s.Demand, s.Left = []float64{5}, []float64{0}
 	return s
@@ -298,7 +298,7 @@
 		time.Sleep(2 * round)
 		synctest.Wait()
 		f := w.aggregators[0].count.Figures()
-		if f.Refused == 0 || f.Refused > 3*24 || f.State != commons.Fresh {
+		if f.Refused == 0 || f.Refused > 3*24 || f.State != sharedhealth.Fresh {
 			w.Errorf("a hash of many fields: %+v", f)
 		}
 		w.server.Plant("t:f", "", "a string")
@@ -343,7 +343,7 @@
 func TestPassword(t *testing.T) {
 	for _, c := range []struct{ password, state string }{{"open sesame", "fresh"}, {"wrong", "lost"}} {
 		file := write(t, []byte(c.password+"\n"))
-		play(t, 1, func(p *Place, _ *commons.Terms) { p.User, p.PasswordFile = "willow", file }, func(w *world) {
+		play(t, 1, func(p *Place, _ *sharedhealth.Terms) { p.User, p.PasswordFile = "willow", file }, func(w *world) {
 			w.server.Protect("willow", "open sesame")
 			time.Sleep(40 * round)
 			if synctest.Wait(); w.states() != c.state {
@@ -395,13 +395,13 @@
 		go server.Serve(tls.NewListener(l, &tls.Config{Certificates: []tls.Certificate{good}}))
 		place := Place{Address: l.Addr().String(), Prefix: "t", CAFile: write(t, c.authority), ServerName: c.name,
 			Dial: (&net.Dialer{}).DialContext}
-		k, err := New(place, commons.New(1, commons.Terms{Name: "a", Incarnation: 1, Round: int64(round),
+		k, err := New(place, sharedhealth.New(1, sharedhealth.Terms{Name: "a", Incarnation: 1, Round: int64(round),
 			Deadline: int64(deadline)}), &core{}, func() int64 { return 1 }, &Count{}, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
-		_, err = k.carry(ctx, &commons.Request{Presence: []byte("x"), Lasts: 1e9})
+		_, err = k.carry(ctx, &sharedhealth.Request{Presence: []byte("x"), Lasts: 1e9})
 		if (err == nil) != c.want {
 			t.Errorf("%s: %v", c.name, err)
 		}
@@ -472,15 +472,15 @@
 			defer l.Close()
 			go server.Serve(l)
 			k, err := New(Place{Address: l.Addr().String(), Prefix: "t", Dial: (&net.Dialer{}).DialContext},
-				commons.New(1, commons.Terms{Name: "a", Incarnation: 1, Round: int64(round), Deadline: int64(deadline)}),
+				sharedhealth.New(1, sharedhealth.Terms{Name: "a", Incarnation: 1, Round: int64(round), Deadline: int64(deadline)}),
 				&core{}, func() int64 { return 1 }, &Count{}, zap.NewNop())
 			if err != nil {
 				b.Fatal(err)
 			}
 			defer k.hangUp()
-			record := commons.Record{Incarnation: 1, Sequence: 1, At: 1}
+			record := sharedhealth.Record{Incarnation: 1, Sequence: 1, At: 1}
 			for i := range 4 {
-				record.Testimonies = append(record.Testimonies, commons.Testimony{Key: uint64(i), Verdict: commons.FoundAside})
+				record.Testimonies = append(record.Testimonies, sharedhealth.Testimony{Key: uint64(i), Verdict: sharedhealth.FoundAside})
 			}
 			text := record.Append(nil)
 			for i := range n {
@@ -490,7 +490,7 @@
 			rounds := 0
 			for b.Loop() {
 				rounds++
-				r := &commons.Request{Presence: text, Lasts: 1e9, Findings: text, Sample: 24, Heartbeat: 5, LiveFrom: 1}
+				r := &sharedhealth.Request{Presence: text, Lasts: 1e9, Findings: text, Sample: 24, Heartbeat: 5, LiveFrom: 1}
 				if _, err := k.carry(b.Context(), r); err != nil {
 					b.Fatal(err)
 				}
