--- a/lab/hollow/edges.go
+++ b/lab/hollow/edges.go
@@ -38,7 +38,7 @@
 
 // read follows a co-ordinator's agent in the place of its proxy, until ctx ends.
 func read(ctx context.Context, ip string, a *arrivals) {
-	address := settings.Settings{IP: ip, Ports: []int{firstPort, firstPort + 9}}
+	address := settings.Settings{IP: ip, Ports: ports.Internal()}
 	var held uint64
 	follower := watch.Follower{
 		Report: func() watch.Report {
--- a/lab/hollow/hollow.go
+++ b/lab/hollow/hollow.go
@@ -19,10 +19,11 @@
 
 	"willowsill/decide/clusterstate"
 	"willowsill/decide/relaytree"
+	"willowsill/lab/localsettings"
 )
 
 const (
-	firstPort         = 17080
+	ports             = localsettings.Ports(17080)
 	firstNet, nets    = 16, 200 // the second number of loopback addresses
 	edgesPerProcess   = 400     // each has some ten files open
 	replicasPerServer = 8000    // of a hollow process: one file each
@@ -145,7 +146,7 @@
 	for i := range s.Controllers {
 		ip := fmt.Sprintf("127.%d.0.%d", net, i+1)
 		s.controllers = append(s.controllers, ip)
-		s.control = append(s.control, fmt.Sprintf("%s:%d", ip, firstPort+10))
+		s.control = append(s.control, ports.Control(ip))
 	}
 	for i := range s.Edges {
 		s.edges = append(s.edges, clusterstate.Edge{IP: fmt.Sprintf("127.%d.%d.%d", net, 1+i/250, i%250+1), Zone: s.zone(i)})
--- a/lab/hollow/parts.go
+++ b/lab/hollow/parts.go
@@ -8,13 +8,13 @@
 	"os/exec"
 	"os/signal"
 	"path/filepath"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
 
 	"willowsill/deployment/settings"
 	"willowsill/front/proxyserver"
+	"willowsill/lab/localsettings"
 	"willowsill/transport/agentserver"
 	"willowsill/transport/controlserver"
 	"willowsill/transport/daemon"
@@ -133,26 +133,9 @@
 
 // writeSettings writes a daemon's settings file and returns its name.
 func (s *stage) writeSettings(file, role, ip, zone, data string) (string, error) {
-	var b strings.Builder
-	fmt.Fprintf(&b, "node-name = %q\nip = %q\nzone = %q\ninternal-ports = [%d, %d]\nseed-nodes = [", role+"-"+ip, ip, zone, firstPort,
-		firstPort+9)
-	for _, c := range s.control {
-		fmt.Fprintf(&b, "%q,", c)
-	}
-	fmt.Fprintf(&b, "]\nbootstrap = true\nbeat-interval-ms = %d\n", s.Beat.Milliseconds())
-	if role == "controller" {
-		fmt.Fprintf(&b, "data-dir = %q\n", data)
-	}
-	fmt.Fprintf(&b, "[bind-addrs]\n")
-	switch role {
-	case "controller":
-		fmt.Fprintf(&b, "control = \"%s:%d\"\n", ip, firstPort+10)
-	case "proxy":
-		fmt.Fprintf(&b, "front = \"%s:%d\"\nreadiness = \"%s:%d\"\n", ip, firstPort+11, ip, firstPort+12)
-	}
-	fmt.Fprintf(&b, "[bounds]\ngrace-s = 1\nretry-ratio = 0.2\nretry-window-s = 10\nretry-slack = 40\n")
 	name := settingsFile(file, ip)
-	return name, os.WriteFile(name, []byte(b.String()), 0o600)
+	return name, ports.Write(name, localsettings.Daemon{Role: role, IP: ip, Zone: zone, SeedNodes: s.control, Heartbeat: s.Beat,
+		DataDir: data, GraceS: 1})
 }
 
 // start starts a process of a role, in which so many units share what it spends.
--- a/lab/rehearsal/rehearsal.go
+++ b/lab/rehearsal/rehearsal.go
@@ -21,6 +21,7 @@
 
 	"willowsill/deployment/settings"
 	"willowsill/front/proxyserver"
+	"willowsill/lab/localsettings"
 	"willowsill/standin/systemreplica"
 	"willowsill/transport/agentserver"
 	"willowsill/transport/controlclient"
@@ -40,7 +41,7 @@
 	beat        = 300 * time.Millisecond
 	clients     = 8
 	deadlineMs  = 1500
-	firstPort   = 17080
+	ports       = localsettings.Ports(17080)
 	startWait   = 20 * time.Second
 	settleWait  = 1200 * time.Millisecond // after a loss, before what follows is counted apart
 )
@@ -92,7 +93,7 @@
 	s := &stage{dir: dir, exe: exe, children: map[string]*exec.Cmd{}}
 	defer s.strike()
 	for i := range controllers {
-		s.control = append(s.control, fmt.Sprintf("127.0.1.%d:%d", i+1, firstPort+10))
+		s.control = append(s.control, ports.Control(fmt.Sprintf("127.0.1.%d", i+1)))
 	}
 	for i := range controllers {
 		if err := s.start("controller", fmt.Sprintf("127.0.1.%d", i+1)); err != nil {
@@ -101,8 +102,8 @@
 	}
 	for i := range proxies {
 		ip := fmt.Sprintf("127.0.2.%d", i+1)
-		s.fronts = append(s.fronts, fmt.Sprintf("%s:%d", ip, firstPort+11))
-		s.ready = append(s.ready, fmt.Sprintf("%s:%d", ip, firstPort+12))
+		s.fronts = append(s.fronts, ports.Front(ip))
+		s.ready = append(s.ready, ports.Readiness(ip))
 		for _, role := range []string{"agent", "proxy"} {
 			if err := s.start(role, ip); err != nil {
 				return nil, err
@@ -142,32 +143,15 @@
 	return phases, ctx.Err()
 }
 
-// settings writes a process's settings file.
+// settings writes a process's settings file and returns its name.
 func (s *stage) settings(role, ip string) (string, error) {
-	var b strings.Builder
 	data := filepath.Join(s.dir, role+ip)
 	if err := os.MkdirAll(data, 0o700); err != nil {
 		return "", err
 	}
-	fmt.Fprintf(&b, "node-name = %q\nip = %q\nzone = \"hall\"\ninternal-ports = [%d, %d]\nseed-nodes = [", role+"-"+ip, ip, firstPort,
-		firstPort+9)
-	for _, c := range s.control {
-		fmt.Fprintf(&b, "%q,", c)
-	}
-	fmt.Fprintf(&b, "]\nbootstrap = true\nbeat-interval-ms = %d\n", beat.Milliseconds())
-	if role == "controller" {
-		fmt.Fprintf(&b, "data-dir = %q\n", data)
-	}
-	fmt.Fprintf(&b, "[bind-addrs]\n")
-	switch role {
-	case "controller":
-		fmt.Fprintf(&b, "control = \"%s:%d\"\n", ip, firstPort+10)
-	case "proxy":
-		fmt.Fprintf(&b, "front = \"%s:%d\"\nreadiness = \"%s:%d\"\n", ip, firstPort+11, ip, firstPort+12)
-	}
-	fmt.Fprintf(&b, "[limits]\nmemory-mb = 256\n[bounds]\ngrace-s = 2\nretry-ratio = 0.2\nretry-window-s = 10\nretry-slack = 40\n")
 	file := filepath.Join(data, "local.toml")
-	return file, os.WriteFile(file, []byte(b.String()), 0o600)
+	return file, ports.Write(file, localsettings.Daemon{Role: role, IP: ip, Zone: "hall", SeedNodes: s.control, Heartbeat: beat,
+		DataDir: data, MemoryMB: 256, GraceS: 2})
 }
 
 func (s *stage) start(role, ip string) error {
