--- a/transport/controlserver/resources.go
+++ b/transport/controlserver/resources.go
@@ -59,7 +59,7 @@
 }
 
 // replicas is the resource of heartbeats and departures.
-type replicas struct{ t *Server }
+type replicas struct{ server *Server }
 
 func (h *replicas) serve(w http.ResponseWriter, r *http.Request, id, call string) {
 	if r.Method != http.MethodPost || id == "" {
@@ -85,7 +85,7 @@
 		refuse(w, http.StatusNotFound, "a replica has heartbeat and departure")
 		return
 	}
-	a, ok := h.t.beat(r.Context(), record)
+	a, ok := h.server.beat(r.Context(), record)
 	answer(w, a, ok)
 }
 
@@ -145,12 +145,12 @@
 }
 
 // configuration is the resource of the whole configuration.
-type configuration struct{ t *Server }
+type configuration struct{ server *Server }
 
 func (h *configuration) serve(w http.ResponseWriter, r *http.Request, call string) {
 	switch {
 	case call == "read" && r.Method == http.MethodGet:
-		a, ok := h.t.call(r.Context(), h.t.controller.Read)
+		a, ok := h.server.call(r.Context(), h.server.controller.Read)
 		if ok && a.Status == http.StatusOK {
 			if a.Body, ok = clusterstate.Unpack(a.Body); !ok {
 				refuse(w, http.StatusInternalServerError, "the configuration held here cannot be unpacked")
@@ -177,7 +177,7 @@
 // operators' way refuses could be taken, and they would be told that it holds. 501 has them try again elsewhere,
 // so the order comes through once a version that knows the mode runs.
 func (h *configuration) replace(w http.ResponseWriter, r *http.Request) {
-	if mode := h.t.settings.ConfigMode; !knownMode(mode) {
+	if mode := h.server.settings.ConfigMode; !knownMode(mode) {
 		klog.ErrorS(nil, "the config_mode of the settings is unknown; a configuration is left unanswered", "mode", mode)
 		refuse(w, http.StatusNotImplemented, fmt.Sprintf("config_mode %q is unknown here", mode))
 		return
@@ -198,7 +198,7 @@
 		return
 	}
 	packed := clusterstate.Pack(body)
-	a, ok := h.t.call(r.Context(), func(now int64, id uint64) controller.Out { return h.t.controller.Put(now, id, c.Revision, packed) })
+	a, ok := h.server.call(r.Context(), func(now int64, id uint64) controller.Out { return h.server.controller.Put(now, id, c.Revision, packed) })
 	klog.InfoS("a configuration was sent", "revision", c.Revision, "routes", len(c.Routes), "status", a.Status, "reason", a.Reason)
 	answer(w, a, ok)
 }
