--- a/balance/replicastate.go
+++ b/balance/replicastate.go
@@ -146,7 +146,7 @@
 }
 
 // limitRests finds the shortest rest after which too many parts are lost. Danger: something on the way may forget connections
-// that rest, and drop all that is sent on one without a word. Hung replicas lose as many after short rests and on new connections.
+// that rest, and drop all that is sent on one without a word. Where so many are lost for another reason, new ones cost for nothing.
 func (a *Aggregator) limitRests(now int64) {
 	lost := 0.0
 	for i := restLengths - 1; i >= 0; i-- { // what is lost after a longer rest counts as well
