--- a/balance/balance.go
+++ b/balance/balance.go
@@ -38,12 +38,12 @@
 	fairness      = 1.0        // how much the admission of a workload taken on less than others is widened
 	failRun       = 2          // failures one after the other that set a replica aside: one alone is chance
 	atOnce        = 4          // a reset before this part of a typical time is laid to the query
-	restLeast     = 250 * ms   // the shortest rest of a connection that is told from none,
-	restLengths   = 8          // and how many lengths are told apart, each double the last
-	idleSilences  = 3          // so many parts lost in silence after a rest, and
-	idleLost      = 0.2        // this share of all after rests of that length,
-	idleSpan      = 4000 * ms  // of so long,
-	idleHold      = 32000 * ms // cut such rests short for so long
+	idleLeast     = 250 * ms   // the shortest idle time of a connection that is told from none,
+	idleLengths   = 8          // and how many lengths are told apart, each double the last
+	idleSilences  = 3          // so many parts lost in silence on idle connections, and
+	idleLost      = 0.2        // this share of all on connections idle for as long,
+	idleSpan      = 4000 * ms  // within so long,
+	idleHold      = 32000 * ms // have such connections closed in time for so long
 	holdFirst     = 1000 * ms  // a replica set aside rests so long first, or for the shortest latency goal,
 	holdDoubled   = 8          // and doubled up to so many times that; a quota is for one such rest
 	trickleFull   = 16         // quota at which a replica is back in
@@ -67,9 +67,9 @@
 	most, up        int     // the most holders that a shard ever had; replicas listed as up
 	patience        float64 // typical times until an execution is overdue
 	sent            ring    // executions, for what a replica is usually sent
-	restLimit       int64   // connections are given back that rested longer, ns,
-	limitUntil      int64   // until then
-	rests           []mean  // by length: parts on connections that had rested, those lost in silence among them
+	idleLimit       int64   // connections are closed that are idle for longer, ns,
+	idleUntil       int64   // until then
+	idleTimes       []mean  // by length: parts on idle connections, and those lost in silence among them
 	queries         []*Query
 	handed, further []ring // queries and parts, and executions, for each budget of further ones
 	taken           mean   // queries taken on among those handed over
@@ -87,7 +87,7 @@
 		holders: make([][]int, d.Shards), pointers: slices.Repeat([]int{d.Number}, d.Shards), askWait: askAgain,
 		patience: patience, taken: newMean(timeSpan), left: newMean(timeSpan),
 		slot: slices.Repeat([]mean{newMean(timeSpan)}, max(d.Accounts, 1)),
-		sent: newRing(d.FallSpan), rests: slices.Repeat([]mean{newMean(idleSpan)}, restLengths),
+		sent: newRing(d.FallSpan), idleTimes: slices.Repeat([]mean{newMean(idleSpan)}, idleLengths),
 		handed:  slices.Repeat([]ring{newRing(d.FurtherSpan)}, max(d.Accounts, 1)),
 		further: slices.Repeat([]ring{newRing(d.FurtherSpan)}, max(d.Accounts, 1))}
 	a.Serve(now, d.Workloads)
@@ -205,12 +205,12 @@
 	a.cancels = a.cancels[:0]
 	for i := range a.replicas {
 		r := &a.replicas[i]
-		if until := r.touched + a.restLimit; now < a.limitUntil && r.calls == 0 && !r.given && r.touched > 0 {
+		if until := r.lastUsed + a.idleLimit; now < a.idleUntil && r.calls == 0 && !r.released && r.lastUsed > 0 {
 			r.stale, wake = r.stale || now >= until, min(wake, max(until, now))
 		}
 		// Danger: a connection that died in silence swallows all that is sent on it while the replica is well.
 		if r.stale && r.calls == 0 {
-			r.stale, r.given = false, true
+			r.stale, r.released = false, true
 			a.round.Releases = append(a.round.Releases, i)
 		}
 	}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -105,12 +105,12 @@
 	r.used++
 	a.further[p.shard%len(a.further)].add(now, float64(min(len(p.executions), 1)))
 	a.sent.add(now, 1)
-	rested := now - r.touched
-	if r.calls > 1 || r.given {
-		rested = 0
+	idle := now - r.lastUsed
+	if r.calls > 1 || r.released {
+		idle = 0
 	}
-	r.touched, r.given = now, false
-	p.executions = append(p.executions, execution{call: r.shared, sentAt: now, stood: a.stood, replica: to, rested: rested, slots: r.calls})
+	r.lastUsed, r.released = now, false
+	p.executions = append(p.executions, execution{call: r.shared, sentAt: now, stood: a.stood, replica: to, idle: idle, slots: r.calls})
 	p.stage = out
 	if p.mayHaveRun == never {
 		p.mayHaveRun = now
--- a/balance/replicastate.go
+++ b/balance/replicastate.go
@@ -93,8 +93,8 @@
 	quick             bool                         // and cost no time
 	slot, lately      mean                         // time for each own call, ns; lately over half of its span: what others are told
 	fresh             struct{ sum, n, at float64 } // as slot, but older times count less: what admission goes by
-	touched           int64                        // the last send to it, or its end
-	given             bool                         // its connections were given back since
+	lastUsed          int64                        // the last send to it, or its end
+	released          bool                         // its idle connections were closed since
 	stale             bool                         // its connection is in doubt: nothing is sent until it has been given back
 	hold, since       int64                        // how long the last rest was; the trickle's present quota counts from here
 	quota, used, good int                          // parts a first rest, doubled while it goes well; used of it, fulfilled since it was set
@@ -138,24 +138,24 @@
 	return int64(sum / n * float64(r.calls+1))
 }
 
-// bookRest books a part that was sent after a connection's rest, lost in silence or not.
-func (a *Aggregator) bookRest(now, rested int64, lost float64) {
-	if n := bits.Len64(uint64(rested / restLeast)); n > 0 {
-		a.rests[min(n, restLengths)-1].add(now, lost, 1)
+// bookIdle books a part that was sent on a connection which had been idle so long, lost in silence or not.
+func (a *Aggregator) bookIdle(now, idle int64, lost float64) {
+	if n := bits.Len64(uint64(idle / idleLeast)); n > 0 {
+		a.idleTimes[min(n, idleLengths)-1].add(now, lost, 1)
 	}
 }
 
-// limitRests finds the shortest rest after which too many parts are lost. Danger: something on the way may forget connections
-// that rest, and drop all that is sent on one without a word. Where so many are lost for another reason, new ones cost for nothing.
-func (a *Aggregator) limitRests(now int64) {
+// limitIdle finds the shortest idle time after which too many parts are lost. Danger: something on the way may forget idle
+// connections, and drop all that is sent on one without a word. Where so many are lost for another reason, new ones cost for nothing.
+func (a *Aggregator) limitIdle(now int64) {
 	lost := 0.0
-	for i := restLengths - 1; i >= 0; i-- { // what is lost after a longer rest counts as well
-		if a.rests[i].of(now, 0) < idleLost {
+	for i := idleLengths - 1; i >= 0; i-- { // what is lost after longer ones counts as well
+		if a.idleTimes[i].of(now, 0) < idleLost {
 			continue
 		}
-		lost += a.rests[i].sum.sum(now)
-		if limit := int64(restLeast) << i; lost >= idleSilences && (limit < a.restLimit || now >= a.limitUntil) {
-			a.restLimit, a.limitUntil = limit, now+idleHold
+		lost += a.idleTimes[i].sum.sum(now)
+		if limit := int64(idleLeast) << i; lost >= idleSilences && (limit < a.idleLimit || now >= a.idleUntil) {
+			a.idleLimit, a.idleUntil = limit, now+idleHold
 		}
 	}
 }
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -13,7 +13,7 @@
 	call          *call
 	sentAt, stood int64 // when; and how long the process had stood by then, ns
 	replica       int
-	rested        int64 // how long the connection had not been used, ns; 0 for a new one
+	idle          int64 // how long the connection had not been used, ns; 0 for a new one
 	slots         int   // own calls out there at the send, with this one
 	over, overdue bool  // overdue: given up by this aggregator as too long
 	silent        bool  // its replica has said nothing since
@@ -32,7 +32,7 @@
 	e := &p.executions[execution]
 	e.over = true
 	r := &q.agg.replicas[e.replica]
-	r.touched = now
+	r.lastUsed = now
 	if e.call.parts--; e.call.parts == 0 {
 		r.calls--
 	}
@@ -49,15 +49,15 @@
 	switch result {
 	case Fulfilled:
 		r.heard, r.stale, q.proven = now, false, true
-		q.agg.bookRest(now, e.rested, 0)
+		q.agg.bookIdle(now, e.idle, 0)
 		if own == 0 {
 			q.workload.logs.add(now, math.Log(float64(max(took, ms))), 1)
 			q.workload.look(now)
 		}
 	case TimedOut:
 		if e.silent && own == 0 {
-			q.agg.bookRest(now, e.rested, 1)
-			q.agg.limitRests(now)
+			q.agg.bookIdle(now, e.idle, 1)
+			q.agg.limitIdle(now)
 		}
 	case Full, ConnectFailed:
 		// Danger: a replica that turns all away at once always has the lowest count and draws every part.
