--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,5 +1,5 @@
 // Package balance decides for one aggregator: which replica serves each part of a query, when a part runs
-// again, when a query is answered and whom to decline. Facts go in by calls in order of time, from one goroutine;
+// again, when a query is answered, whom to decline. Facts go in by calls in order of time, by one goroutine;
 // Decide(now), once a tick, returns what to do. No clock is read, no I/O.
 package balance
 
@@ -21,9 +21,9 @@
 	paceSpan      = 16000 * ms // how far back a replica's own times count
 	paceDoubt     = 0.25       // a replica's times are taken together with so many typical ones
 	takenLeast    = 0.02       // the share taken on is reckoned no smaller: some doubt in old times is enough
-	freshGoals    = 2          // shortest latency goals after which a time counts half for admission: so jams pass
-	freshMost     = 2          // of them that a time counts for at most, and that one turned away as full counts for
-	freshDoubt    = 2          // times the doubt above that it is taken together with, of a shard and of a holder
+	freshGoals    = 2          // shortest latency goals after which a time counts half for admission: jams pass
+	freshMost     = 2          // of them that a time counts for at most, and one turned away as full counts for
+	freshDoubt    = 2          // times the doubt above that it is taken together with, by shard and by holder
 	slowMul       = 1.5        // a replica that should take so many times as long as a peer is passed over
 	priorShare    = 6          // a part not yet timed is taken to need its latency goal / this
 	patience      = 7          // an execution is overdue at so many typical times to begin with,
@@ -34,7 +34,7 @@
 	admitShare    = 0.5        // a query is taken on when it should need no more of its latency goal than this
 	crowdShare    = 0.4        // of the shortest goal: sound replicas that need more have no room left
 	wordMost      = 4          // own calls that the word of others on a replica's pace counts for at most
-	overShare     = 0.5        // of admitShare for a query whose customer is over what was agreed: it is worth less
+	overShare     = 0.5        // of admitShare for a query whose customer is over what was agreed: worth less
 	fairness      = 1.0        // how much the admission of a workload taken on less than others is widened
 	failRun       = 2          // failures one after the other that set a replica aside: one alone is chance
 	atOnce        = 4          // a reset before this part of a typical time is laid to the query
@@ -61,7 +61,7 @@
 	replicas        []replica
 	holders         [][]int // by shard
 	pointers        []int   // by shard: the next tied pick
-	slot            []mean  // time for each own call, ns: of all workloads, or of each where shards have accounts
+	slot            []mean  // time for each own call, ns: of all workloads; of each where shards have accounts
 	shortest, rest  int64   // the shortest latency goal of all workloads; the first rest of a replica set aside
 	left            mean    // share of their time after which clients left
 	most, up        int     // the most holders that a shard ever had; replicas listed as up
@@ -94,12 +94,13 @@
 	return a
 }
 
-// Serve states the workloads from now on: a row keeps what was learnt in it; terms may change and rows be added.
+// Serve states the workloads from now on: a row keeps what was learnt; terms may change and rows be added.
 func (a *Aggregator) Serve(now int64, workloads []Workload) {
 	a.Workloads, a.shortest = workloads, math.MaxInt64
 	for i, w := range workloads {
 		if i == len(a.workloads) {
-			a.workloads = append(a.workloads, &workload{row: int64(i), logs: newMean(timeSpan), taken: newMean(timeSpan)})
+			added := &workload{row: int64(i), logs: newMean(timeSpan), taken: newMean(timeSpan)}
+			a.workloads = append(a.workloads, added)
 		}
 		a.workloads[i].Workload, a.shortest = w, min(a.shortest, w.LatencyGoal)
 		a.workloads[i].look(now)
@@ -140,7 +141,8 @@
 		if l.Started != r.started { // a new process: what the old one did says nothing
 			r.letIn()
 		}
-		r.listed, r.cell, r.distance, r.channels, r.started = l.Standing == Up, l.Cell, l.Distance, l.Channels, l.Started
+		r.listed, r.started = l.Standing == Up, l.Started
+		r.cell, r.distance, r.channels = l.Cell, l.Distance, l.Channels
 	}
 	a.holders, a.up = make([][]int, a.Shards), 0
 	for i, r := range a.replicas {
@@ -163,8 +165,8 @@
 	a.askWait = min(2*a.askWait, 8*askAgain, max(a.AskWithin/2, askAgain)) // the rules want to be asked in time
 }
 
-// Stood tells that the process itself has just stood still for so long, ns: nothing was sent, read or decided.
-// Danger: after a pause of its own every replica seems silent, and late. Sound ones would be set aside, and lose their parts.
+// Stood tells that the process itself has just stood still for so long, ns: it sent, read, decided nothing.
+// Danger: after a pause of its own every replica seems silent and late, and sound ones would lose parts.
 func (a *Aggregator) Stood(d int64) { a.stood += max(d, 0) }
 
 // Decide returns what to do now.
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -5,10 +5,10 @@
 
 // Who is eligible, and the pick.
 
-// coldRoom tells whether a cold replica may be sent a part.
-// Danger: right after its start a replica falls over under its usual load, and stays down. It bears a multiple of what it can
-// do now. If each aggregator sends it no more than that share of its own usual traffic, all stay within it together, and a shard
-// of cold ones is not starved. Each part has a lot, drawn once; no burst; what peers that are away should bear makes it less.
+// coldRoom tells whether a cold replica may be sent a part. Danger: right after a start a replica falls over
+// under its usual load and stays down. It bears a multiple of what it can do now: if none sends it more than
+// that share of its own usual traffic, all stay within it together, and a shard of cold ones is not starved.
+// Each part has a lot, drawn once; no burst; what peers that are away should bear makes it less.
 func (a *Aggregator) coldRoom(now int64, r *replica, p *part) bool {
 	if r.started == 0 || now-r.started >= a.ColdRamp {
 		return true
@@ -28,8 +28,8 @@
 // idles tells whether a replica set aside has nothing to do, and a try there costs next to nothing.
 func (r *replica) idles() bool { return r.aside && r.quick && r.calls == 0 && !r.stale }
 
-// trickles tells whether a replica that was set aside may have one more part now. Danger: a once-only part that is lost by such
-// a try cannot run elsewhere, so others come first: it makes one only where none of them has for half the time.
+// trickles tells whether a replica that was set aside may have one more part now. Danger: a once-only part
+// lost by such a try cannot run elsewhere: it makes one only where no other has for half the time.
 func (r *replica) trickles(now, rest int64, effect Effect) bool {
 	if now >= r.since+rest {
 		r.used, r.since = 0, now
@@ -75,7 +75,8 @@
 				!a.coldRoom(now, r, p) ||
 				level < 1 && float64(r.takes(now, prior, doubt, true)) > slowMul*float64(expected) ||
 				level < 2 && slices.ContainsFunc(p.executions, func(e execution) bool { return e.replica == i }) ||
-				(r.calls >= channels || r.channels > 0 && r.calls >= r.channels || r.stale || now < r.jammed) && !overCap {
+				!overCap && (r.calls >= channels || r.channels > 0 && r.calls >= r.channels ||
+					r.stale || now < r.jammed) {
 				continue
 			}
 			cost := priority*r.calls*Distances + r.distance // of the cheapest the nearest, and of those in turn
@@ -110,7 +111,8 @@
 		idle = 0
 	}
 	r.lastUsed, r.released = now, false
-	p.executions = append(p.executions, execution{call: r.shared, sentAt: now, stood: a.stood, replica: to, idle: idle, slots: r.calls})
+	p.executions = append(p.executions, execution{call: r.shared, sentAt: now, stood: a.stood, replica: to,
+		idle: idle, slots: r.calls})
 	p.stage = out
 	if p.mayHaveRun == never {
 		p.mayHaveRun = now
--- a/balance/replicastate.go
+++ b/balance/replicastate.go
@@ -88,23 +88,24 @@
 	calls, channels   int   // own calls in flight: the count that the design goes by; its own cap, 0 for none
 	shared            *call
 	sent              ring                         // executions there over the span of the cold rule
-	fails             int                          // failures since the last fulfilled execution, each sent after the one before was told
+	fails             int                          // failures since the last fulfilled, one after the other
 	failed, jammed    int64                        // the last of these was told; until then it is left alone
 	quick             bool                         // and cost no time
-	slot, lately      mean                         // time for each own call, ns; lately over half of its span: what others are told
+	slot, lately      mean                         // time for each own call, ns; lately half as long, for others
 	fresh             struct{ sum, n, at float64 } // as slot, but older times count less: what admission goes by
 	lastUsed          int64                        // the last send to it, or its end
 	released          bool                         // its idle connections were closed since
-	stale             bool                         // its connection is in doubt: nothing is sent until it has been given back
-	hold, since       int64                        // how long the last rest was; the trickle's present quota counts from here
-	quota, used, good int                          // parts a first rest, doubled while it goes well; used of it, fulfilled since it was set
+	stale             bool                         // its connection is in doubt: nothing is sent until released
+	hold, since       int64                        // how long the last rest was; the quota counts from since
+	quota, used, good int                          // parts a first rest, doubled if well; used; fulfilled of it
 	word              Word                         // of others; it fades by itself
 }
 
 // guess is what a replica not met lately is taken to need for a call, and how many calls' worth that counts.
 // Danger: one old time would bar its shard while it is kept; the more is declined, the less it counts.
 func (a *Aggregator) guess(now int64, w *workload) (prior, doubt float64) {
-	return max(float64(w.middle), a.slot[int(w.row)%len(a.slot)].of(now, 0)), cmp.Or(a.PaceDoubt, paceDoubt) / max(a.taken.of(now, 1), takenLeast)
+	prior = max(float64(w.middle), a.slot[int(w.row)%len(a.slot)].of(now, 0))
+	return prior, cmp.Or(a.PaceDoubt, paceDoubt) / max(a.taken.of(now, 1), takenLeast)
 }
 
 // meet books a time for admission; it counts half after each freshGoals.
@@ -115,7 +116,7 @@
 }
 
 // late is what the holders of a shard needed for a call of late, all together. Danger: where each aggregator
-// meets a replica once in seconds, a jam is over before it is known of each, and would bar the shard long after.
+// meets a replica once in seconds, a jam is over before it is known of each, and would bar the shard after.
 func (a *Aggregator) late(now int64, p *part, prior, doubt float64) float64 {
 	sum, n := freshDoubt*doubt*prior, freshDoubt*doubt
 	for _, h := range a.holders[p.shard] {
@@ -145,8 +146,8 @@
 	}
 }
 
-// limitIdle finds the shortest idle time after which too many parts are lost. Danger: something on the way may forget idle
-// connections, and drop all that is sent on one without a word. Where so many are lost for another reason, new ones cost for nothing.
+// limitIdle finds the shortest idle time after which too many parts are lost. Danger: something may forget
+// idle connections on the way, and drop what is sent on one. With another cause, new ones cost for nothing.
 func (a *Aggregator) limitIdle(now int64) {
 	lost := 0.0
 	for i := idleLengths - 1; i >= 0; i-- { // what is lost after longer ones counts as well
@@ -193,9 +194,9 @@
 	r.aside, r.fails, r.failed, r.hold, r.jammed = false, 0, 0, 0, 0
 }
 
-// Hear takes in what others found of a replica.
-// Danger: hearsay alone must not lock out what is sound. By it a replica is passed over, as one is that was met and found slow: it
-// serves as its peers fill. One that is away has no room, whatever else is heard. A try is put off no further than the longest rest.
+// Hear takes in what others found of a replica. Danger: hearsay alone must not lock out what is sound. By it
+// one is passed over like one met and found slow: it serves as its peers fill. One that is away has no
+// room, whatever else is heard. A try is put off no further than the longest rest.
 func (a *Aggregator) Hear(now int64, w Word) {
 	if w.Replica >= len(a.replicas) || !a.replicas[w.Replica].listed {
 		return
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -74,8 +74,8 @@
 	}
 	// Danger: leaving out what was cut short would show a jammed replica at its best.
 	// How long it took while the process itself stood is not known.
-	if slots := float64(e.slots); own == 0 && (result == Fulfilled || (result == Cancelled || result == TimedOut) &&
-		float64(took) > r.slot.of(now, 0)*slots) {
+	slots, cutShort := float64(e.slots), result == Cancelled || result == TimedOut
+	if own == 0 && (result == Fulfilled || cutShort && float64(took) > r.slot.of(now, 0)*slots) {
 		q.agg.meet(now, r, float64(took), slots)
 		r.slot.add(now, float64(took), slots)
 		r.lately.add(now, float64(took), slots)
@@ -105,8 +105,9 @@
 
 // cut is when an execution is dropped at the replica: where nothing can be cancelled, when it is overdue.
 func (q *Query) cut(now int64, executions int) int64 {
-	if t := now + q.overdue(executions); !q.agg.Cancels && t+q.workload.middle < q.goal &&
-		executions < cmp.Or(q.workload.MaxExecutions, q.agg.MaxExecutions) && q.workload.Effect == Repeatable && !q.agg.Budgeted {
+	a, w := q.agg, q.workload
+	if t := now + q.overdue(executions); !a.Cancels && t+w.middle < q.goal && !a.Budgeted &&
+		executions < cmp.Or(w.MaxExecutions, a.MaxExecutions) && w.Effect == Repeatable {
 		return t
 	}
 	return q.end
@@ -114,8 +115,8 @@
 
 // recall cancels an overdue execution on a replica that is in doubt, so that the part can run elsewhere.
 // Danger: what is cancelled may go on running and jam peers. Only replicas set aside or silent since the send
-// lose their parts. Where a part then comes soon the next recall is sooner, else later. Where none of the shard's holders
-// has answered of late their jam may not be known here yet, so a peer must be expected in less time.
+// lose their parts. Where a part then comes soon the next recall is sooner, else later. Where no holder of
+// the shard has answered of late their jam may not be known here yet, so a peer must be expected sooner.
 func (q *Query) recall(now int64, number int) int64 {
 	a, p := q.agg, &q.parts[number]
 	n := len(p.executions) - 1
@@ -140,7 +141,7 @@
 	if now >= next {
 		left, next = q.end-now, q.end
 	}
-	// Danger: what cannot run again, by the rules or in the time left, must not be taken back: in a jam, work twice.
+	// Danger: what cannot run again, by the rules or in the time left, is not taken back: in a jam, work twice.
 	if (r.aside || r.heard < e.sentAt) && !e.overdue && a.Cancels && q.mayRun(now, p) {
 		answered := func(by int64) bool {
 			return slices.ContainsFunc(a.holders[p.shard], func(h int) bool { return a.replicas[h].heard >= by })
@@ -161,7 +162,8 @@
 // mayRun tells whether the rules allow a part a further execution.
 func (q *Query) mayRun(now int64, p *part) bool {
 	a, w := q.agg, q.workload
-	if len(p.executions) >= cmp.Or(w.MaxExecutions, a.MaxExecutions) || w.Effect == OnceOnly && p.mayHaveRun != never ||
+	if len(p.executions) >= cmp.Or(w.MaxExecutions, a.MaxExecutions) ||
+		w.Effect == OnceOnly && p.mayHaveRun != never ||
 		w.Effect == Tagged && p.mayHaveRun != never && now >= p.mayHaveRun+w.RepeatWindow-a.Tick {
 		return false
 	}
