--- /dev/null
+++ b/internal/house/policy_test.go
@@ -0,0 +1,42 @@
+package house
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"unicode/utf8"
+
+	"github.com/pelletier/go-toml/v2"
+	"github.com/shoenig/test/must"
+)
+
+// The operators' limits on the decision module.
+const (
+	mostPolicyLines      = 920 // in all files, empty lines not counted
+	mostPolicyCharacters = 110 // in a line
+)
+
+// TestPolicySize: the files under `policy` in the deploy file keep to the operators' limits.
+func TestPolicySize(t *testing.T) {
+	const root = "../.."
+	text, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
+	must.NoError(t, err)
+	var deploy struct {
+		Policy []string `toml:"policy"`
+	}
+	must.NoError(t, toml.Unmarshal(text, &deploy))
+	must.SliceNotEmpty(t, deploy.Policy)
+	lines := 0
+	for _, name := range deploy.Policy {
+		source, err := os.ReadFile(filepath.Join(root, name))
+		must.NoError(t, err)
+		for number, line := range strings.Split(string(source), "\n") {
+			if strings.TrimSpace(line) != "" {
+				lines++
+			}
+			must.LessEq(t, mostPolicyCharacters, utf8.RuneCountInString(line), must.Sprintf("%s:%d", name, number+1))
+		}
+	}
+	must.LessEq(t, mostPolicyLines, lines)
+}
