--- a/node/node.go
+++ b/node/node.go
@@ -51,7 +51,7 @@
 // fact is something that happened, on its way to the loop.
 type fact struct {
 	at   int64
-	what any // arrival, departure, notice, roster.News, survey, allowance, sharing, rhythm, serving, zones or stop
+	what any // arrival, departure, notice, discovery.News, survey, allowance, sharing, rhythm, serving, zones or stop
 }
 
 type stop struct{}
