--- a/balance/balance.go
+++ b/balance/balance.go
@@ -136,7 +136,8 @@
 		}
 		r := &a.replicas[l.Replica]
 		if l.New || r.sent.width == 0 { // what another did under this index says nothing
-			*r = replica{slot: newMean(paceSpan), lately: newMean(paceSpan / 2), sent: newRing(a.FallSpan)}
+			*r = replica{slot: newMean(paceSpan), lately: newMean(paceSpan / 2), sent: newRing(a.FallSpan),
+				released: true} // the first connection is a new one
 		}
 		if l.Started != r.started { // a new process: what the old one did says nothing
 			r.letIn()
@@ -207,13 +208,13 @@
 	a.cancels = a.cancels[:0]
 	for i := range a.replicas {
 		r := &a.replicas[i]
-		if until := r.lastUsed + a.idleLimit; now < a.idleUntil && r.calls == 0 && !r.released && r.lastUsed > 0 {
-			r.stale, wake = r.stale || now >= until, min(wake, max(until, now))
-		}
+		until, limited := r.lastUsed+a.idleLimit, now < a.idleUntil && !r.released
 		// Danger: a connection that died in silence swallows all that is sent on it while the replica is well.
-		if r.stale && r.calls == 0 {
+		if r.calls == 0 && (r.stale || limited && now >= until) {
 			r.stale, r.released = false, true
 			a.round.Releases = append(a.round.Releases, i)
+		} else if r.calls == 0 && limited {
+			wake = min(wake, until)
 		}
 	}
 	if a.AsksForList && !a.subscribed {
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -32,6 +32,7 @@
 //	> end QUERY whole|partial|declined|forfeited
 //	> release REPLICA
 //	> subscribe
+//	wake T|none                 when the last decision wants the next one at the latest
 //	> ...                       anything more
 type play struct {
 	t       *testing.T
@@ -44,6 +45,7 @@
 	queries map[string]*Query
 	got     []string
 	line    string
+	wake    int64
 }
 
 var results = map[string]Result{"ok": Fulfilled, "errored": Errored, "full": Full, "timeout": TimedOut,
@@ -203,6 +205,7 @@
 		return "?"
 	}
 	r := p.start().Decide(p.now)
+	p.wake = r.Wake
 	for _, s := range r.Sends {
 		p.got = append(p.got, fmt.Sprintf("send %s.%d %s until %d", name(s.Query), s.Part, p.names[s.Replica],
 			s.CutAt/ms))
@@ -264,6 +267,10 @@
 	case "at":
 		p.now = p.time(words[1])
 		p.decide()
+	case "wake":
+		if want := words[1]; want == "none" && p.wake != 0 || want != "none" && p.wake != p.time(want) {
+			p.fatal("the next round is wanted at %d ms", p.wake/ms)
+		}
 	case "clock":
 		p.now = p.time(words[1])
 	case "take":
--- a/balance/replicastate.go
+++ b/balance/replicastate.go
@@ -143,6 +143,7 @@
 func (a *Aggregator) bookIdle(now, idle int64, lost float64) {
 	if n := bits.Len64(uint64(idle / idleLeast)); n > 0 {
 		a.idleTimes[min(n, idleLengths)-1].add(now, lost, 1)
+		a.limitIdle(now)
 	}
 }
 
@@ -151,12 +152,11 @@
 func (a *Aggregator) limitIdle(now int64) {
 	lost := 0.0
 	for i := idleLengths - 1; i >= 0; i-- { // what is lost after longer ones counts as well
-		if a.idleTimes[i].of(now, 0) < idleLost {
-			continue
-		}
-		lost += a.idleTimes[i].sum.sum(now)
-		if limit := int64(idleLeast) << i; lost >= idleSilences && (limit < a.idleLimit || now >= a.idleUntil) {
-			a.idleLimit, a.idleUntil = limit, now+idleHold
+		if limit := int64(idleLeast) << i; a.idleTimes[i].of(now, 0) >= idleLost {
+			lost += a.idleTimes[i].sum.sum(now)
+			if lost >= idleSilences && (limit < a.idleLimit || now >= a.idleUntil) {
+				a.idleLimit, a.idleUntil = limit, now+idleHold
+			}
 		}
 	}
 }
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -57,7 +57,6 @@
 	case TimedOut:
 		if e.silent && own == 0 {
 			q.agg.bookIdle(now, e.idle, 1)
-			q.agg.limitIdle(now)
 		}
 	case Full, ConnectFailed:
 		// Danger: a replica that turns all away at once always has the lowest count and draws every part.
@@ -127,7 +126,7 @@
 	if now < half {
 		return half
 	}
-	if r.heard < e.sentAt && !e.silent {
+	if r.heard < e.sentAt {
 		e.silent, r.stale = true, true
 	}
 	if !p.spared { // where any so many parts do, another can come in its place
