--- a/balance/admission.go
+++ b/balance/admission.go
@@ -119,8 +119,13 @@
 		need, least = total, w.Floor
 	}
 	// Danger: a query of many parts meets the worst of many replicas, so a crowd would shut out its workload.
-	fair := 1 + fairness*(a.taken.of(now, 0)-w.taken.of(now, 0))
-	limit := admitShare * fair * float64(q.goal-now)
+	fair := 1 + a.taken.of(now, 0) - w.taken.of(now, 0)
+	// Danger: and what is worth little for its many parts would use up the room of what is worth more.
+	parts := float64(len(q.parts))
+	worth := cmp.Or(w.Worth/parts, 1)
+	a.worth.add(now, worth*parts, parts)
+	fair *= math.Pow(worth/a.worth.of(now, 1), 1-a.taken.of(now, 1))
+	limit := min(admitShare*fair, 1) * float64(q.goal-now)
 	if q.over {
 		limit *= overShare
 	}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -35,22 +35,20 @@
 	crowdShare    = 0.4        // of the shortest goal: sound replicas that need more have no room left
 	wordMost      = 4          // own calls that the word of others on a replica's pace counts for at most
 	overShare     = 0.5        // of admitShare for a query whose customer is over what was agreed: worth less
-	fairness      = 1.0        // how much the admission of a workload taken on less than others is widened
 	failRun       = 2          // failures one after the other that set a replica aside: one alone is chance
 	atOnce        = 4          // a reset before this part of a typical time is laid to the query
-	idleLeast     = 250 * ms   // the shortest idle time of a connection that is told from none,
-	idleLengths   = 8          // and how many lengths are told apart, each double the last
-	idleSilences  = 3          // so many parts lost in silence on idle connections, and
-	idleLost      = 0.2        // this share of all on connections idle for as long,
-	idleSpan      = 4000 * ms  // within so long,
-	idleHold      = 32000 * ms // have such connections closed in time for so long
-	holdFirst     = 1000 * ms  // a replica set aside rests so long first, or for the shortest latency goal,
-	holdDoubled   = 8          // and doubled up to so many times that; a quota is for one such rest
-	trickleFull   = 16         // quota at which a replica is back in
-	coldSafety    = 0.9        // share of the cold budget used: the list is late and work is a guess
-	leaveShare    = 0.1        // when more clients than this leave early the goal follows them: a few always do
-	comeBack      = 1000 * ms  // advice to a declined client: a few part times
-	askAgain      = 1000 * ms  // first wait after a failed list call, doubled up to eight times, with chance
+
+	// Connections idle for a length are closed where so many parts, and this share, were lost on such unseen.
+	idleLeast, idleLengths, idleSilences, idleLost = 250 * ms, 8, 3, 0.2   // each length double the last
+	idleSpan, idleHold                             = 4000 * ms, 32000 * ms // lost within; closed for
+
+	holdFirst   = 1000 * ms // a replica set aside rests so long first, or for the shortest latency goal,
+	holdDoubled = 8         // and doubled up to so many times that; a quota is for one such rest
+	trickleFull = 16        // quota at which a replica is back in
+	coldSafety  = 0.9       // share of the cold budget used: the list is late and work is a guess
+	leaveShare  = 0.1       // when more clients than this leave early the goal follows them: a few always do
+	comeBack    = 1000 * ms // advice to a declined client: a few part times
+	askAgain    = 1000 * ms // first wait after a failed list call, doubled up to eight times, with chance
 )
 
 // Aggregator is one instance of the module.
@@ -72,7 +70,7 @@
 	idleTimes       []mean  // by length: parts on idle connections, and those lost in silence among them
 	queries         []*Query
 	handed, further []ring // queries and parts, and executions, for each budget of further ones
-	taken           mean   // queries taken on among those handed over
+	worth, taken    mean   // of a part handed over; queries taken on among those handed over
 	rounds          int
 	round           Round
 	cancels         []Cancel // for the next round
@@ -85,7 +83,7 @@
 func New(now int64, d Deployment) *Aggregator {
 	a := &Aggregator{Deployment: d, chance: chance{x: uint32(d.Seed) | 1, c: uint32(d.Seed>>32)%4294957664 + 1},
 		holders: make([][]int, d.Shards), pointers: slices.Repeat([]int{d.Number}, d.Shards), askWait: askAgain,
-		patience: patience, taken: newMean(timeSpan), left: newMean(timeSpan),
+		patience: patience, worth: newMean(paceSpan), taken: newMean(timeSpan), left: newMean(timeSpan),
 		slot: slices.Repeat([]mean{newMean(timeSpan)}, max(d.Accounts, 1)),
 		sent: newRing(d.FallSpan), idleTimes: slices.Repeat([]mean{newMean(idleSpan)}, idleLengths),
 		handed:  slices.Repeat([]ring{newRing(d.FurtherSpan)}, max(d.Accounts, 1)),
@@ -136,8 +134,7 @@
 		}
 		r := &a.replicas[l.Replica]
 		if l.New || r.sent.width == 0 { // what another did under this index says nothing
-			*r = replica{slot: newMean(paceSpan), lately: newMean(paceSpan / 2), sent: newRing(a.FallSpan),
-				released: true} // the first connection is a new one
+			*r = replica{slot: newMean(paceSpan), lately: newMean(paceSpan / 2), sent: newRing(a.FallSpan)}
 		}
 		if l.Started != r.started { // a new process: what the old one did says nothing
 			r.letIn()
@@ -208,10 +205,10 @@
 	a.cancels = a.cancels[:0]
 	for i := range a.replicas {
 		r := &a.replicas[i]
-		until, limited := r.lastUsed+a.idleLimit, now < a.idleUntil && !r.released
+		until, limited := r.lastUsed+a.idleLimit, now < a.idleUntil && r.connected
 		// Danger: a connection that died in silence swallows all that is sent on it while the replica is well.
 		if r.calls == 0 && (r.stale || limited && now >= until) {
-			r.stale, r.released = false, true
+			r.stale, r.connected = false, false
 			a.round.Releases = append(a.round.Releases, i)
 		} else if r.calls == 0 && limited {
 			wake = min(wake, until)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -107,6 +107,8 @@
 	for _, pair := range pairs {
 		key, value, _ := strings.Cut(pair, "=")
 		switch key {
+		case "worth":
+			w.Worth = p.number(value)
 		case "goal":
 			w.LatencyGoal = p.time(value)
 		case "late":
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -107,10 +107,10 @@
 	a.further[p.shard%len(a.further)].add(now, float64(min(len(p.executions), 1)))
 	a.sent.add(now, 1)
 	idle := now - r.lastUsed
-	if r.calls > 1 || r.released {
+	if r.calls > 1 || !r.connected {
 		idle = 0
 	}
-	r.lastUsed, r.released = now, false
+	r.lastUsed, r.connected = now, true
 	p.executions = append(p.executions, execution{call: r.shared, sentAt: now, stood: a.stood, replica: to,
 		idle: idle, slots: r.calls})
 	p.stage = out
--- a/balance/replicastate.go
+++ b/balance/replicastate.go
@@ -94,7 +94,7 @@
 	slot, lately      mean                         // time for each own call, ns; lately half as long, for others
 	fresh             struct{ sum, n, at float64 } // as slot, but older times count less: what admission goes by
 	lastUsed          int64                        // the last send to it, or its end
-	released          bool                         // its idle connections were closed since
+	connected         bool                         // sent to since its idle connections were last closed
 	stale             bool                         // its connection is in doubt: nothing is sent until released
 	hold, since       int64                        // how long the last rest was; the quota counts from since
 	quota, used, good int                          // parts a first rest, doubled if well; used; fulfilled of it
--- a/balance/types.go
+++ b/balance/types.go
@@ -11,6 +11,7 @@
 
 // Workload is what a deployment states of one kind of query.
 type Workload struct {
+	Worth        float64 // revenue of a whole answer in time, against that of other workloads; 0 where it is not stated
 	LatencyGoal  int64   // an answer within this time earns the full revenue, ns
 	LateShare    float64 // of the revenue, for an answer past the latency goal
 	Floor        float64 // least share of the weight that an answer may be given from
--- a/deployment/deployment.go
+++ b/deployment/deployment.go
@@ -62,6 +62,10 @@
 			LateShare:   c.Number("late_worth"), RepeatWindow: c.MayTime("window"),
 			Floor: floor[i], Need: need[i], PartialShare: partial[i], FollowUp: followUp[i],
 		}
+		c.May("worth", &w.Worth)
+		if w.Worth < 0 {
+			c.Fail("worth", "is below 0")
+		}
 		switch repeat := c.String("repeat"); repeat {
 		case "free":
 			w.Effect = balance.Repeatable
