--- a/balance/admission.go
+++ b/balance/admission.go
@@ -65,20 +65,22 @@
 	q.agg.handed[shard%len(q.agg.handed)].add(q.taken, 1)
 }
 
-// weights sums up the present step: what is in, what may still come, and all of it.
-func (q *Query) weights() (have, open, total float64) {
+// weights sums up the present step: what is in, what is being asked for, what may still be, and all of it.
+func (q *Query) weights() (have, asked, left, total float64) {
 	for i := range q.parts {
 		if p := &q.parts[i]; p.step == q.step {
 			total += p.weight
 			switch p.stage {
 			case in:
 				have += p.weight
-			case unasked, wanted, out:
-				open += p.weight
+			case wanted, out:
+				asked += p.weight
+			case unasked:
+				left += p.weight
 			}
 		}
 	}
-	return have, open, total
+	return have, asked, left, total
 }
 
 // ask marks the cheapest parts to be sent until they weigh need, leaving out those that should take longer
@@ -109,7 +111,7 @@
 	a, w := q.agg, q.workload
 	q.begun++
 	w.look(now)
-	_, total, _ := q.weights()
+	_, _, _, total := q.weights()
 	if q.step > 0 {
 		q.ask(now, total, math.MaxInt64)
 		return
@@ -143,11 +145,6 @@
 	}
 	w.taken.add(now, 1, 1)
 	a.taken.add(now, 1, 1)
-	for i := range q.parts {
-		if p := &q.parts[i]; p.stage == unasked && missing > 1e-9 {
-			p.stage = given
-		}
-	}
 }
 
 // Advice is how long a declined client ought to wait, also one whom the caller has no room for; 0 for none.
@@ -168,7 +165,7 @@
 		}
 		return q.end
 	}
-	have, open, total := q.weights()
+	have, asked, left, total := q.weights()
 	need, floor := w.Need, w.Floor
 	if q.step > 0 {
 		need = total
@@ -178,13 +175,13 @@
 	switch {
 	case whole && (q.step == 0 || q.whole):
 		q.finish(Whole)
-	case whole, enough && have+open < need-slack && open == 0:
+	case whole, enough && asked == 0:
 		q.finish(Partial)
 	case enough && (now >= q.end || now >= q.goal && w.PartialShare*have >= w.LateShare*need):
 		q.finish(Partial)
 	case q.deadly: // a decline would say that trying again does no harm
 		q.finish(Forfeited)
-	case now >= q.end, have+open < floor-slack:
+	case now >= q.end, have+asked+left < floor-slack:
 		q.giveUp()
 	case now < q.goal:
 		return q.goal
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -240,7 +240,7 @@
 		}
 	}
 	p.stage = given
-	if q.step == 0 && q.workload.Floor >= q.workload.Need { // any so many do: ask for another
+	if q.step == 0 { // another may do in its place
 		q.ask(now, p.weight, math.MaxInt64)
 	}
 	return now
