--- a/deployment/start_test.go
+++ b/deployment/start_test.go
@@ -5,6 +5,8 @@
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"willowsill/balance"
 )
 
 const good = `{"name":"n3","listen":"127.0.0.4:8081","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -44,6 +46,28 @@
 	}
 }
 
+// What a deployment states of its rules and of what its workloads are worth reaches the decision module.
+func TestStartRules(t *testing.T) {
+	text := strings.NewReplacer(`"fall":1000,`, `"fall":1500,"ratio_span":10000,"budget_free":10,"extra_per_request":0.2,`,
+		`"repeat":"free"`, `"repeat":"single_shot","worth":3`, `"retry_after":true`, `"retry_after":false`,
+		`"fall_multiple":4`, `"fall_multiple":2.5`).Replace(good)
+	env := environment(t, text)
+	s, err := FromEnvironment(func(k string) string { return env[k] })
+	if err != nil {
+		t.Fatal(err)
+	}
+	d := s.Deployment.Deployment
+	if !d.Budgeted || d.FurtherSpan != 10e9 || d.FurtherFree != 10 || d.FurtherShare != 0.2 {
+		t.Errorf("read the budget %+v", d)
+	}
+	if d.FallSpan != 1500e6 || d.FallMultiple != 2.5 || d.MaxComeBack != 0 {
+		t.Errorf("read the rules %+v", d)
+	}
+	if w := d.Workloads[0]; w.Effect != balance.OnceOnly || w.Worth != 3 {
+		t.Errorf("read the workload %+v", w)
+	}
+}
+
 // Each message names the key or the variable at fault.
 func TestStartFaults(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
@@ -55,6 +79,7 @@
 		"no tick":       {`"tick":5,`, "", `"tick" is missing`},
 		"no tick, 0":    {`"tick":5,`, `"tick":0,`, `"tick" is not above 0`},
 		"form":          {`"tick":5,`, `"tick":"5",`, `"tick" has the wrong form`},
+		"worth":         {`"slo":1500`, `"slo":1500,"worth":-1`, `"worth" is below 0`},
 		"effect":        {`"free"`, `"often"`, `"repeat" is unknown`},
 		"membership":    {`"push"`, `"shout"`, `"membership_mode" is unknown`},
 		"no cells":      {`"cells":6`, `"cells":0`, `"cells" is not above 0`},
--- /dev/null
+++ b/transport/wire/settings_test.go
@@ -0,0 +1,35 @@
+package wire
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/shoenig/test/must"
+)
+
+// decide plays one batch on a fresh adapter and returns what it wrote.
+func decide(t *testing.T, events string) string {
+	t.Helper()
+	var out strings.Builder
+	must.NoError(t, Serve(strings.NewReader(`{"event_type":"TICK","at_time":100,"n":4}`+"\n"+events+"\n"+`{"event_type":"FLUSH"}`+"\n"), &out))
+	return out.String()
+}
+
+// TestDrainsAtOnce: what is listed as draining or gone gets nothing from the batch on that tells of it, however short the
+// time that the rules leave for that (250 ms at the least stated so far).
+func TestDrainsAtOnce(t *testing.T) {
+	for _, state := range []string{"L", "D"} {
+		news := `{"event_type":"POOL","sheet":1,"items":[{"place":0,"lifecycle":"` + state + `","launched":null,"replica":"r:1"}]}
+{"event_type":"MEMBERS","who":1,"scope":"Partial","gen":2,"sheet":1}
+`
+		must.StrContains(t, decide(t, boot+query), `"event_type":"SEND"`)
+		must.StrNotContains(t, decide(t, boot+news+query), `"event_type":"SEND"`)
+	}
+}
+
+// TestUnknownKeysAreIgnored: settings, events and entries may hold keys that the adapter does not know.
+func TestUnknownKeysAreIgnored(t *testing.T) {
+	more := strings.Replace(boot, `"tick":5,`, `"tick":5,"weights":"rough","over_share_worth":0.2,"of_late":{"x":[1]},`, 1)
+	more = strings.Replace(more, `"launched":null,`, `"launched":null,"weight":1.5,"zone":"z","of_late":true,`, 1)
+	must.StrContains(t, decide(t, more+query), `"event_type":"SEND"`)
+}
