--- a/balance/replicastate.go
+++ b/balance/replicastate.go
@@ -139,7 +139,7 @@
 	return int64(sum / n * float64(r.calls+1))
 }
 
-// bookIdle books a part that was sent on a connection which had been idle so long, lost in silence or not.
+// bookIdle books a part that was sent on a connection which had been idle so long, lost on it or not.
 func (a *Aggregator) bookIdle(now, idle int64, lost float64) {
 	if n := bits.Len64(uint64(idle / idleLeast)); n > 0 {
 		a.idleTimes[min(n, idleLengths)-1].add(now, lost, 1)
@@ -148,7 +148,7 @@
 }
 
 // limitIdle finds the shortest idle time after which too many parts are lost. Danger: something may forget
-// idle connections on the way, and drop what is sent on one. With another cause, new ones cost for nothing.
+// idle connections on the way, and drop or reset what is sent on one. With another cause, new ones cost for nothing.
 func (a *Aggregator) limitIdle(now int64) {
 	lost := 0.0
 	for i := idleLengths - 1; i >= 0; i-- { // what is lost after longer ones counts as well
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -65,6 +65,9 @@
 			q.agg.meet(now, r, math.MaxFloat64, 1)
 		}
 	case Reset:
+		// Danger: what closes idle connections on the way would fail most queries, and pass for queries that kill.
+		q.agg.bookIdle(now, e.idle, 1)
+		r.connected = false
 		// Danger: a query that kills its replicas, at once, kills their peers as well if its parts run again.
 		if took < q.workload.middle/atOnce && !q.proven {
 			q.deadly = q.deadly || q.broke > 0 && q.broke != e.replica+1
