--- a/balance/balance.go
+++ b/balance/balance.go
@@ -38,7 +38,7 @@
 	failRun       = 2          // failures one after the other that set a replica aside: one alone is chance
 	atOnce        = 4          // a reset before this part of a typical time is laid to the query
 
-	// Connections idle for a length are closed where so many parts, and this share, were lost on such unseen.
+	// Connections idle for a length are closed where so many parts, and this share, were lost on such.
 	idleLeast, idleLengths, idleSilences, idleLost = 250 * ms, 8, 3, 0.2   // each length double the last
 	idleSpan, idleHold                             = 4000 * ms, 32000 * ms // lost within; closed for
 
