--- a/balance/replicastate.go
+++ b/balance/replicastate.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// limitIdle finds the shortest idle time after which too many parts are lost. Danger: something on the way may
-// forget idle connections, and drop or reset what is sent on one. With another cause, new ones cost in vain.
+// limitIdle finds the shortest idle time after which too many parts are lost. Danger: something may
+// forget idle connections on the way, and drop or reset what is sent on one. Else new ones cost in vain.
 func (a *Aggregator) limitIdle(now int64) {
 	lost := 0.0
 	for i := idleLengths - 1; i >= 0; i-- { // what is lost after longer ones counts as well
