--- a/cmd/willowsill/demo.go
+++ b/cmd/willowsill/demo.go
@@ -23,6 +23,7 @@
 	"willowsill/balance"
 	"willowsill/deployment"
 	"willowsill/deployment/operator"
+	"willowsill/internal/healthcheck"
 	"willowsill/lab/rehearsal"
 	"willowsill/standin"
 	"willowsill/standin/ports"
@@ -231,7 +232,8 @@
 		ended <- run(stop, nil, start, orders, l, dial, zap.NewNop())
 	}()
 	f.fronts = append(f.fronts, "http://"+l.Addr().String())
-	if err := ready(f.fronts[number], ended); err != nil {
+	health := healthcheck.Wait{Client: &http.Client{Timeout: demoHealthPatience}, Every: demoHealthPoll, Within: demoUpWithin, Ended: ended}
+	if err := health.Until(f.fronts[number]); err != nil {
 		end()
 		l.Close()
 		return err
@@ -243,29 +245,6 @@
 	return nil
 }
 
-// ready waits until an aggregator serves. One that ends first has said on ended why.
-func ready(front string, ended <-chan error) error {
-	health := http.Client{Timeout: demoHealthPatience}
-	poll := time.NewTicker(demoHealthPoll)
-	defer poll.Stop()
-	late := time.After(demoUpWithin)
-	for {
-		if r, err := health.Get(front + "/healthz"); err == nil {
-			r.Body.Close()
-			if r.StatusCode == http.StatusOK {
-				return nil
-			}
-		}
-		select {
-		case err := <-ended:
-			return fmt.Errorf("the aggregator at %s ended before it served: %w", front, err)
-		case <-late:
-			return fmt.Errorf("the aggregator at %s did not come up in %v", front, demoUpWithin)
-		case <-poll.C:
-		}
-	}
-}
-
 // ask asks one query and says how it ended.
 func (f *fleet) ask(ctx context.Context, front string) string {
 	ctx, cancel := context.WithTimeout(ctx, demoPatience+demoSlack)
--- a/cmd/willowsill/main.go
+++ b/cmd/willowsill/main.go
@@ -119,7 +119,7 @@
 		core.Close()
 		return err
 	}
-	own := &strained{start: start, core: core, budget: budget, count: count, guard: &front.Guarded{}, log: log}
+	own := &overloadWatch{start: start, core: core, budget: budget, count: count, guard: &front.Guarded{}, log: log}
 	if err := own.follow(orders); err != nil {
 		shares.end()
 		core.Close()
@@ -183,7 +183,7 @@
 // and switches on and off what the script says.
 //
 // Danger: a file that is missing, half-written or wrong must not end what runs well, nor change a part of it.
-func follow(start *deployment.Start, watch *discovery.Watch, shares *sharing, own *strained, areas *zoned, ways *ways,
+func follow(start *deployment.Start, watch *discovery.Watch, shares *sharing, own *overloadWatch, areas *zoned, ways *ways,
 	count *counters.Counters, log *zap.Logger) {
 	count.Reloads.Add(1)
 	next, odd, err := start.Again()
--- a/cmd/willowsill/strained.go
+++ b/cmd/willowsill/overloadwatch.go
@@ -17,8 +17,8 @@
 	"willowsill/transport/sockets"
 )
 
-// strained has the process know its own strain as the operator's script says.
-type strained struct {
+// overloadWatch has the process watch its own load as the operator's script says.
+type overloadWatch struct {
 	start  deployment.Start
 	core   *node.Node
 	budget *sockets.Budget
@@ -30,7 +30,7 @@
 }
 
 // check tells what the orders cannot be here.
-func (s *strained) check(o *operator.Orders) error {
+func (s *overloadWatch) check(o *operator.Orders) error {
 	if o.Strain == nil {
 		return nil
 	}
@@ -41,7 +41,7 @@
 }
 
 // follow makes what runs what the orders say. With an error nothing has changed.
-func (s *strained) follow(o *operator.Orders) error {
+func (s *overloadWatch) follow(o *operator.Orders) error {
 	if s.orders != nil && reflect.DeepEqual(s.orders.Strain, o.Strain) {
 		s.orders = o
 		return nil
@@ -79,7 +79,7 @@
 }
 
 // terms are what the orders and the deployment ask for.
-func (s *strained) terms(o *operator.Strain) (overload.Terms, error) {
+func (s *overloadWatch) terms(o *operator.Strain) (overload.Terms, error) {
 	t := overload.Terms{Cores: s.start.Cores, Limit: o.Limit, Fixed: o.Rate, Target: o.Lateness, Most: s.start.MaxComeBack,
 		Floor: o.Floor, Seed: s.start.Seed, Workloads: make([]overload.Workload, len(s.start.Workloads))}
 	for name := range o.Revenue {
@@ -98,7 +98,7 @@
 }
 
 // end ends it; queries are taken on as they come again, and rounds wait for the tick.
-func (s *strained) end() {
+func (s *overloadWatch) end() {
 	if s.runs == nil {
 		return
 	}
--- /dev/null
+++ b/internal/healthcheck/healthcheck_test.go
@@ -0,0 +1,54 @@
+package healthcheck
+
+import (
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/shoenig/test/must"
+)
+
+const (
+	every = time.Millisecond
+	soon  = 50 * time.Millisecond
+)
+
+// answering is a program that answers 503 to the first questions, and 200 after.
+func answering(t *testing.T, unready int32) (*httptest.Server, *atomic.Int32) {
+	asked := &atomic.Int32{}
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		if asked.Add(1) <= unready {
+			w.WriteHeader(http.StatusServiceUnavailable)
+		}
+	}))
+	t.Cleanup(s.Close)
+	return s, asked
+}
+
+func TestUntilItServes(t *testing.T) {
+	s, asked := answering(t, 3)
+	must.NoError(t, Wait{Client: s.Client(), Every: every, Within: 10 * time.Second}.Until(s.URL))
+	must.Eq(t, 4, asked.Load())
+}
+
+func TestLate(t *testing.T) {
+	s, _ := answering(t, 1<<30)
+	err := Wait{Client: s.Client(), Every: every, Within: soon}.Until(s.URL)
+	var late *LateError
+	must.True(t, errors.As(err, &late))
+	must.Eq(t, soon, late.Within)
+}
+
+func TestEnded(t *testing.T) {
+	s, _ := answering(t, 1<<30)
+	ended := make(chan error, 1)
+	why := errors.New("the port is taken")
+	ended <- why
+	err := Wait{Client: s.Client(), Every: every, Within: 10 * time.Second, Ended: ended}.Until(s.URL)
+	must.ErrorIs(t, err, why)
+	var gone *EndedError
+	must.True(t, errors.As(err, &gone))
+}
--- a/lab/emulator/zones.go
+++ b/lab/emulator/zones.go
@@ -30,11 +30,11 @@
 // watched is the module with a decider of zones out of reach beside it, called as the node calls it.
 type watched struct {
 	*module
-	plan  *Plan
-	rifts *zonehealth.Tracker
-	words []balance.Word
-	to    map[run]int     // the replica of each execution that is out
-	next  map[int32][]int // by query: executions so far of each part
+	plan       *Plan
+	zoneHealth *zonehealth.Tracker
+	words      []balance.Word
+	to         map[run]int     // the replica of each execution that is out
+	next       map[int32][]int // by query: executions so far of each part
 }
 
 type run struct {
@@ -45,7 +45,7 @@
 func newWatched(m *module, p *Plan, number int, whole []balance.Listing) *watched {
 	d := p.deployment(number)
 	w := &watched{module: m, plan: p, to: map[run]int{}, next: map[int32][]int{},
-		rifts: zonehealth.New(zonehealth.Terms{Rest: d.Rest(), Few: 3, Seed: d.Seed})}
+		zoneHealth: zonehealth.New(zonehealth.Terms{Rest: d.Rest(), Few: 3, Seed: d.Seed})}
 	for _, l := range whole {
 		w.tell(l, false)
 	}
@@ -54,9 +54,9 @@
 
 func (w *watched) tell(l balance.Listing, known bool) {
 	if l.Standing == balance.Up {
-		w.rifts.Listed(l.Replica, strconv.Itoa(w.plan.zoneOfReplica(l.Replica)), known)
+		w.zoneHealth.Listed(l.Replica, strconv.Itoa(w.plan.zoneOfReplica(l.Replica)), known)
 	} else {
-		w.rifts.Gone(l.Replica)
+		w.zoneHealth.Gone(l.Replica)
 	}
 }
 
@@ -69,13 +69,13 @@
 	k := run{number, part, execution}
 	if to, out := w.to[k]; out {
 		delete(w.to, k)
-		w.rifts.Ended(now, to, result, took)
+		w.zoneHealth.Ended(now, to, result, took)
 	}
 	w.module.outcome(now, number, part, execution, result, took)
 }
 
 func (w *watched) decide(now int64) round {
-	w.words = w.rifts.Decide(now, w.words[:0])
+	w.words = w.zoneHealth.Decide(now, w.words[:0])
 	for _, word := range w.words {
 		w.aggregator.Hear(now, word)
 	}
@@ -86,9 +86,9 @@
 		}
 		w.to[run{s.query, s.part, w.next[s.query][s.part]}] = s.replica
 		w.next[s.query][s.part]++
-		w.rifts.Sent(now, s.replica)
+		w.zoneHealth.Sent(now, s.replica)
 	}
-	if next := max(w.rifts.Next(), now+w.plan.Tick); next < math.MaxInt64 && (r.wake == 0 || next < r.wake) {
+	if next := max(w.zoneHealth.Next(), now+w.plan.Tick); next < math.MaxInt64 && (r.wake == 0 || next < r.wake) {
 		r.wake = next
 	}
 	return r
--- a/node/book.go
+++ b/node/book.go
@@ -61,8 +61,8 @@
 	n.countEnd(result)
 	q := e.query
 	q.out--
-	if n.rifts != nil {
-		n.rifts.Ended(now, e.replica, result, max(at-e.sentAt, 0))
+	if n.zoneHealth != nil {
+		n.zoneHealth.Ended(now, e.replica, result, max(at-e.sentAt, 0))
 	}
 	q.handle.Outcome(now, e.part, e.number, result, max(at-e.sentAt, 0))
 	n.forget(q)
@@ -141,8 +141,8 @@
 		if !known || e.Dial != "" { // one that has left may come without its address
 			n.pool.Address(i, e.Dial)
 		}
-		if n.rifts != nil && h.up {
-			n.rifts.Listed(i, e.Zone, known)
+		if n.zoneHealth != nil && h.up {
+			n.zoneHealth.Listed(i, e.Zone, known)
 		}
 		listings = append(listings, balance.Listing{Replica: i, New: !known, Cell: e.Cell, Standing: e.Standing,
 			Started: n.Wall(e.Born), Distance: e.Distance, Channels: e.Channels})
@@ -155,8 +155,8 @@
 		if h.gone {
 			n.pool.Leave(i)
 		}
-		if n.rifts != nil && !h.up {
-			n.rifts.Gone(i)
+		if n.zoneHealth != nil && !h.up {
+			n.zoneHealth.Gone(i)
 		}
 	}
 	if whole {
--- a/node/node.go
+++ b/node/node.go
@@ -72,26 +72,26 @@
 	advice  int64 // the module's to a client whom there is no room for, ns
 
 	// Of the loop alone from here.
-	agg      *balance.Aggregator
-	pool     Carrier
-	index    map[string]int // of each replica, by host
-	hosts    []host         // by index
-	queries  map[*balance.Query]*query
-	held     int // queries and parts without an answer
-	out      map[*replica.Ticket]*execution
-	cuts     cuts
-	pending  []outcome // that came up while a round was carried out
-	last     int64     // the last round
-	wake     int64     // when the module wants the next one at the latest, 0 for no such time
-	moved    bool      // something has happened since the last round
-	lateness int64     // how late the loop was lately, ns
-	sweep    int64
-	stopped  bool
-	shared   *shared             // what is shared with other aggregators, nil where nothing is
-	rhythm   *Rhythm             // nil for a round each tick
-	rifts    *zonehealth.Tracker // nil where zones are not watched
-	words    []balance.Word
-	away     []string // zones out of reach, as was logged last
+	agg        *balance.Aggregator
+	pool       Carrier
+	index      map[string]int // of each replica, by host
+	hosts      []host         // by index
+	queries    map[*balance.Query]*query
+	held       int // queries and parts without an answer
+	out        map[*replica.Ticket]*execution
+	cuts       cuts
+	pending    []outcome // that came up while a round was carried out
+	last       int64     // the last round
+	wake       int64     // when the module wants the next one at the latest, 0 for no such time
+	moved      bool      // something has happened since the last round
+	lateness   int64     // how late the loop was lately, ns
+	sweep      int64
+	stopped    bool
+	shared     *shared             // what is shared with other aggregators, nil where nothing is
+	rhythm     *Rhythm             // nil for a round each tick
+	zoneHealth *zonehealth.Tracker // nil where zones are not watched
+	words      []balance.Word
+	away       []string // zones out of reach, as was logged last
 }
 
 // host is the replica that has an index.
@@ -223,8 +223,8 @@
 	if n.wake > 0 {
 		next = min(next, max(n.wake, n.last+n.Tick))
 	}
-	if n.rifts != nil {
-		next = min(next, max(n.rifts.Next(), n.last+n.Tick))
+	if n.zoneHealth != nil {
+		next = min(next, max(n.zoneHealth.Next(), n.last+n.Tick))
 	}
 	return next
 }
@@ -265,7 +265,7 @@
 	case serving:
 		n.serve(now, v)
 	case zones:
-		n.watchZones(now, v.rifts)
+		n.watchZones(now, v.zoneHealth)
 	case stop:
 		n.stopped = true
 	}
--- a/node/send.go
+++ b/node/send.go
@@ -42,8 +42,8 @@
 			Wait: wait, Text: q.Text}, Load: q.Load}
 		q.executions[s.Part] = append(q.executions[s.Part], e)
 		q.out++
-		if n.rifts != nil {
-			n.rifts.Sent(now, s.Replica)
+		if n.zoneHealth != nil {
+			n.zoneHealth.Sent(now, s.Replica)
 		}
 		if wait < 1 {
 			n.later(e, balance.Moot)
--- a/node/share.go
+++ b/node/share.go
@@ -108,8 +108,8 @@
 		return
 	}
 	for _, w := range v.Words {
-		if n.rifts != nil {
-			w = n.rifts.Heed(w)
+		if n.zoneHealth != nil {
+			w = n.zoneHealth.Heed(w)
 		}
 		n.agg.Hear(now, w)
 	}
--- a/node/zones.go
+++ b/node/zones.go
@@ -8,7 +8,7 @@
 	"willowsill/decide/zonehealth"
 )
 
-type zones struct{ rifts *zonehealth.Tracker }
+type zones struct{ zoneHealth *zonehealth.Tracker }
 
 // WatchZones has the loop know zones that are out of reach from now on, by a decider that it owns once it was handed over, or no
 // longer with nil.
@@ -20,11 +20,11 @@
 }
 
 func (n *Node) watchZones(now int64, r *zonehealth.Tracker) {
-	if n.rifts != nil {
-		n.words = n.rifts.End(now, n.words[:0])
+	if n.zoneHealth != nil {
+		n.words = n.zoneHealth.End(now, n.words[:0])
 		n.hearZones(now)
 	}
-	if n.rifts = r; r == nil {
+	if n.zoneHealth = r; r == nil {
 		n.words, n.away = nil, nil
 		n.count.Zones.Put(nil)
 		return
@@ -37,14 +37,14 @@
 	}
 }
 
-// look has the rifts decide, and the module hear of it.
+// checkZones has the zone health tracker decide, and the module hear of it.
 func (n *Node) look(now int64) {
-	if n.rifts == nil || now < n.rifts.Next() {
+	if n.zoneHealth == nil || now < n.zoneHealth.Next() {
 		return
 	}
-	n.words = n.rifts.Decide(now, n.words[:0])
+	n.words = n.zoneHealth.Decide(now, n.words[:0])
 	n.hearZones(now)
-	if out := n.rifts.Out(nil); !slices.Equal(out, n.away) {
+	if out := n.zoneHealth.Out(nil); !slices.Equal(out, n.away) {
 		n.log.Warn("zones out of reach", zap.Strings("zones", out), zap.Strings("before", n.away))
 		n.away = out
 	}
--- a/node/zones_test.go
+++ b/node/zones_test.go
@@ -46,8 +46,8 @@
 				if !on2 {
 					return
 				}
-				if w.rifts.Figures.Found.Load() != 1 || len(w.away) != 1 {
-					w.Errorf("found %d times, out of reach: %v", w.rifts.Figures.Found.Load(), w.away)
+				if w.zoneHealth.Figures.Found.Load() != 1 || len(w.away) != 1 {
+					w.Errorf("found %d times, out of reach: %v", w.zoneHealth.Figures.Found.Load(), w.away)
 				}
 				for i := range 8 {
 					l := w.network.Listen(fmt.Sprint("r:", 2+i))
@@ -57,12 +57,12 @@
 				time.Sleep(6 * time.Second) // the longest wait for a try
 				ask("back", 10)
 				synctest.Wait()
-				if w.rifts.Figures.Back.Load() != 1 || len(w.away) != 0 {
-					w.Errorf("back %d times, out of reach: %v", w.rifts.Figures.Back.Load(), w.away)
+				if w.zoneHealth.Figures.Back.Load() != 1 || len(w.away) != 0 {
+					w.Errorf("back %d times, out of reach: %v", w.zoneHealth.Figures.Back.Load(), w.away)
 				}
 				w.WatchZones(nil)
 				ask("off", 2)
-				if w.rifts != nil {
+				if w.zoneHealth != nil {
 					w.Error("zones are still watched")
 				}
 			})
--- a/standin/lab/lab.go
+++ b/standin/lab/lab.go
@@ -22,6 +22,7 @@
 	"time"
 
 	"willowsill/balance"
+	"willowsill/internal/healthcheck"
 	"willowsill/lab/emulator"
 	"willowsill/standin"
 	"willowsill/standin/ports"
@@ -29,8 +30,9 @@
 )
 
 const (
-	upWithin = 15 * time.Second
-	slack    = 50 * time.Millisecond // that clients wait longer on sockets
+	upWithin   = 15 * time.Second
+	healthPoll = 20 * time.Millisecond
+	slack      = 50 * time.Millisecond // that clients wait longer on sockets
 )
 
 // world is one plan being played.
@@ -102,7 +104,8 @@
 		}
 	}
 	for _, front := range w.fronts {
-		if err := w.ready(front); err != nil {
+		health := healthcheck.Wait{Client: w.client, Every: healthPoll, Within: upWithin}
+		if err := health.Until(front); err != nil {
 			return err
 		}
 	}
@@ -170,18 +173,6 @@
 			"classes": rows, "guarantees": rules}}
 }
 
-func (w *world) ready(front string) error {
-	for until := time.Now().Add(upWithin); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		if r, err := w.client.Get(front + "/healthz"); err == nil {
-			r.Body.Close()
-			if r.StatusCode == http.StatusOK {
-				return nil
-			}
-		}
-	}
-	return fmt.Errorf("the aggregator at %s did not come up", front)
-}
-
 // now is the run's time, ns.
 func (w *world) now() int64 { return int64(time.Since(w.began)) }
 
--- a/standin/sites/sites.go
+++ b/standin/sites/sites.go
@@ -24,6 +24,7 @@
 
 	"github.com/shirou/gopsutil/v4/process"
 
+	"willowsill/internal/healthcheck"
 	"willowsill/standin"
 	"willowsill/standin/link"
 	"willowsill/standin/papers"
@@ -58,11 +59,12 @@
 
 // Shards of each site, and Patience and Goal of its clients.
 const (
-	Shards   = 2
-	Patience = 3 * time.Second
-	Goal     = 1500 * time.Millisecond
-	slack    = 50 * time.Millisecond // that a client waits longer on sockets
-	upWithin = 10 * time.Second
+	Shards     = 2
+	Patience   = 3 * time.Second
+	Goal       = 1500 * time.Millisecond
+	slack      = 50 * time.Millisecond // that a client waits longer on sockets
+	upWithin   = 10 * time.Second
+	healthPoll = 20 * time.Millisecond
 )
 
 // Workloads are a site's, by what a further execution of them means.
@@ -391,15 +393,11 @@
 
 // Ready waits until a process serves.
 func (s *Site) Ready(i int) error {
-	for until := time.Now().Add(upWithin); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		if r, err := s.world.client.Get("http://" + s.fixed[i] + "/healthz"); err == nil {
-			r.Body.Close()
-			if r.StatusCode == http.StatusOK {
-				return nil
-			}
-		}
+	health := healthcheck.Wait{Client: s.world.client, Every: healthPoll, Within: upWithin}
+	if err := health.Until("http://" + s.fixed[i]); err != nil {
+		return fmt.Errorf("process %d of site %s, whose log is %s: %w", i, s.name, s.file(strconv.Itoa(i)+".log"), err)
 	}
-	return fmt.Errorf("process %d of site %s did not come up; its log is %s", i, s.name, s.file(strconv.Itoa(i)+".log"))
+	return nil
 }
 
 // Counters are a process's own, or nil where it does not answer.
