--- a/balance/admission.go
+++ b/balance/admission.go
@@ -175,7 +175,7 @@
 	switch {
 	case whole && (q.step == 0 || q.whole):
 		q.finish(Whole)
-	case whole, enough && asked == 0:
+	case whole, enough && asked == 0 && q.begun > q.step:
 		q.finish(Partial)
 	case enough && (now >= q.end || now >= q.goal && w.PartialShare*have >= w.LateShare*need):
 		q.finish(Partial)
--- a/deployment/deployment.go
+++ b/deployment/deployment.go
@@ -15,6 +15,9 @@
 	Workload map[string]int // row of each workload, by name
 }
 
+// leastWorth is what a workload that is stated to be worth nothing counts for: 0 would say that nothing is stated.
+const leastWorth = 1e-9
+
 // Read reads the operators' statement.
 func Read(boot *fields.Object) (d Deployment, err error) {
 	caps, domain, rules := boot.Object("caps"), boot.Object("domain"), boot.Object("guarantees")
@@ -66,6 +69,9 @@
 		if w.Worth < 0 {
 			c.Fail("worth", "is below 0")
 		}
+		if c.Has("worth") {
+			w.Worth = max(w.Worth, leastWorth)
+		}
 		switch repeat := c.String("repeat"); repeat {
 		case "free":
 			w.Effect = balance.Repeatable
--- a/deployment/start_test.go
+++ b/deployment/start_test.go
@@ -68,6 +68,20 @@
 	}
 }
 
+// A workload stated to be worth nothing is told from one of which nothing is stated.
+func TestStartWorth(t *testing.T) {
+	for stated, want := range map[string]float64{`"slo":1500`: 0, `"slo":1500,"worth":0`: leastWorth, `"slo":1500,"worth":2.5`: 2.5} {
+		env := environment(t, strings.Replace(good, `"slo":1500`, stated, 1))
+		s, err := FromEnvironment(func(k string) string { return env[k] })
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got := s.Workloads[0].Worth; got != want {
+			t.Errorf("%s: read %g, want %g", stated, got, want)
+		}
+	}
+}
+
 // Each message names the key or the variable at fault.
 func TestStartFaults(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
