--- a/deployment/start_test.go
+++ b/deployment/start_test.go
@@ -29,12 +29,19 @@
 		"NODE_DISCOVERY": "127.0.0.1:8500"}
 }
 
-func TestStart(t *testing.T) {
-	env := environment(t, strings.Replace(good, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1))
+// started is what a process is told by a sound configuration.
+func started(t *testing.T, text string) Start {
+	t.Helper()
+	env := environment(t, text)
 	s, err := FromEnvironment(func(k string) string { return env[k] })
 	if err != nil {
 		t.Fatal(err)
 	}
+	return s
+}
+
+func TestStart(t *testing.T) {
+	s := started(t, strings.Replace(good, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1))
 	if s.Seed != 0x8c1f30d27a5be964 || s.Sockets != 1024 || s.Memory != 192<<20 || s.Cores != 1 || s.Listen != "127.0.0.4:8081" {
 		t.Errorf("read %+v", s)
 	}
@@ -51,12 +58,7 @@
 	text := strings.NewReplacer(`"fall":1000,`, `"fall":1500,"ratio_span":10000,"budget_free":10,"extra_per_request":0.2,`,
 		`"repeat":"free"`, `"repeat":"single_shot","worth":3`, `"retry_after":true`, `"retry_after":false`,
 		`"fall_multiple":4`, `"fall_multiple":2.5`).Replace(good)
-	env := environment(t, text)
-	s, err := FromEnvironment(func(k string) string { return env[k] })
-	if err != nil {
-		t.Fatal(err)
-	}
-	d := s.Deployment.Deployment
+	d := started(t, text).Deployment.Deployment
 	if !d.Budgeted || d.FurtherSpan != 10e9 || d.FurtherFree != 10 || d.FurtherShare != 0.2 {
 		t.Errorf("read the budget %+v", d)
 	}
@@ -71,12 +73,7 @@
 // A workload stated to be worth nothing is told from one of which nothing is stated.
 func TestStartWorth(t *testing.T) {
 	for stated, want := range map[string]float64{`"slo":1500`: 0, `"slo":1500,"worth":0`: leastWorth, `"slo":1500,"worth":2.5`: 2.5} {
-		env := environment(t, strings.Replace(good, `"slo":1500`, stated, 1))
-		s, err := FromEnvironment(func(k string) string { return env[k] })
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got := s.Workloads[0].Worth; got != want {
+		if got := started(t, strings.Replace(good, `"slo":1500`, stated, 1)).Workloads[0].Worth; got != want {
 			t.Errorf("%s: read %g, want %g", stated, got, want)
 		}
 	}
--- a/node/route.go
+++ b/node/route.go
@@ -4,7 +4,7 @@
 func (n *Node) round(now int64) {
 	n.moved, n.last = false, now
 	n.count.Rounds.Add(1)
-	n.look(now)
+	n.checkZones(now)
 	r := n.agg.Decide(now)
 	n.wake = r.Wake
 	n.send(now, r.Sends)
--- a/node/zones.go
+++ b/node/zones.go
@@ -38,7 +38,7 @@
 }
 
 // checkZones has the zone health tracker decide, and the module hear of it.
-func (n *Node) look(now int64) {
+func (n *Node) checkZones(now int64) {
 	if n.zoneHealth == nil || now < n.zoneHealth.Next() {
 		return
 	}
--- a/standin/lab/lab.go
+++ b/standin/lab/lab.go
@@ -103,8 +103,8 @@
 			return err
 		}
 	}
+	health := healthcheck.Wait{Client: w.client, Every: healthPoll, Within: upWithin}
 	for _, front := range w.fronts {
-		health := healthcheck.Wait{Client: w.client, Every: healthPoll, Within: upWithin}
 		if err := health.Until(front); err != nil {
 			return err
 		}
--- a/transport/wire/settings_test.go
+++ b/transport/wire/settings_test.go
@@ -7,12 +7,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// decide plays one batch on a fresh adapter and returns what it wrote.
+// decide plays one batch on a fresh adapter, without a fault, and returns what it wrote.
 func decide(t *testing.T, events string) string {
 	t.Helper()
-	var out strings.Builder
-	must.NoError(t, Serve(strings.NewReader(`{"event_type":"TICK","at_time":100,"n":4}`+"\n"+events+"\n"+`{"event_type":"FLUSH"}`+"\n"), &out))
-	return out.String()
+	out, err := serveBatch(events)
+	must.NoError(t, err)
+	return out
 }
 
 // TestDrainsAtOnce: what is listed as draining or gone gets nothing from the batch on that tells of it, however short the
--- a/transport/wire/wire_test.go
+++ b/transport/wire/wire_test.go
@@ -20,6 +20,14 @@
 {"event_type":"KNOCK","who":1,"rid":6,"measure":1,"grace":900,"group_no":3,"slab":1,"grade":"w","write":null}
 `
 
+// serveBatch plays one batch on a fresh adapter and returns what it wrote.
+func serveBatch(events string) (string, error) {
+	in := `{"event_type":"TICK","at_time":100,"n":4}` + "\n" + events + "\n" + `{"event_type":"FLUSH"}` + "\n"
+	var out strings.Builder
+	err := Serve(strings.NewReader(in), &out)
+	return out.String(), err
+}
+
 func TestServe(t *testing.T) {
 	for name, c := range map[string]struct{ in, out, err string }{
 		"empty batch":  {"", `{"event_type":"READY","n":4}`, ""},
@@ -33,14 +41,12 @@
 		"inside":       {"\n{\"event_type\":\"TICK\",\"at_time\":1,\"n\":5}", "", "batch 4: TICK out of place"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			in := `{"event_type":"TICK","at_time":100,"n":4}` + "\n" + c.in + "\n" + `{"event_type":"FLUSH"}` + "\n"
-			var out strings.Builder
-			err := Serve(strings.NewReader(in), &out)
+			out, err := serveBatch(c.in)
 			if (err == nil) != (c.err == "") || err != nil && !strings.HasPrefix(err.Error(), c.err) {
 				t.Fatalf("error %v, want %q", err, c.err)
 			}
-			if !strings.Contains(out.String(), c.out) || c.err != "" && out.Len() > 0 {
-				t.Fatalf("wrote %q, want %q", out.String(), c.out)
+			if !strings.Contains(out, c.out) || c.err != "" && out != "" {
+				t.Fatalf("wrote %q, want %q", out, c.out)
 			}
 		})
 	}
