--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -36,13 +36,13 @@
 //	> subscribe
 //	wake T|none                 when the last decision wants the next one at the latest
 //	> ...                       anything more
-type play struct {
+type scenario struct {
 	t       *testing.T
 	d       Deployment
 	agg     *Aggregator
 	now     int64
-	kinds   map[string]int
-	numbers map[string]int
+	rows    map[string]int
+	indices map[string]int
 	names   []string
 	queries map[string]*Query
 	got     []string
@@ -51,22 +51,22 @@
 }
 
 var results = map[string]Result{"ok": Fulfilled, "errored": Errored, "full": Full, "timeout": TimedOut,
-	"noconn": ConnectFailed, "reset": Reset, "cancelled": Cancelled, "moot": Moot}
+	"noconn": ConnectFailed, "reset": Reset, "cancelled": Cancelled, "moot": Unsent}
 
-func newPlay(t *testing.T) *play {
-	return &play{t: t, kinds: map[string]int{}, numbers: map[string]int{}, queries: map[string]*Query{},
-		d: Deployment{Aggregators: 2, Seed: 7, Tick: 5 * ms, Shards: 4, Cells: 2, Reach: 1, PartsPerCall: 1,
-			MaxExecutions: 3, Cancels: true, MaxComeBack: 2000 * ms,
-			ColdShare: 0.2, ColdRamp: 10000 * ms,
-			FallMultiple: 3, FallSpan: 1000 * ms}}
+func newScenario(t *testing.T) *scenario {
+	return &scenario{t: t, rows: map[string]int{}, indices: map[string]int{}, queries: map[string]*Query{},
+		d: Deployment{Aggregators: 2, Seed: 7, Tick: 5 * ms, Shards: 4, Cells: 2, CellsPerShard: 1, PartsPerCall: 1,
+			MaxExecutions: 3, CanCancel: true, MaxRetryAfter: 2000 * ms,
+			ColdCapacity: 0.2, WarmUpTime: 10000 * ms,
+			OverloadFactor: 3, OverloadSpan: 1000 * ms}}
 }
 
-func (p *play) fatal(format string, args ...any) {
+func (p *scenario) fatal(format string, args ...any) {
 	p.t.Helper()
 	p.t.Fatalf("%q: %s", p.line, fmt.Sprintf(format, args...))
 }
 
-func (p *play) number(s string) float64 {
+func (p *scenario) number(s string) float64 {
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil {
 		p.fatal("%v", err)
@@ -74,28 +74,28 @@
 	return x
 }
 
-func (p *play) time(s string) int64 { return int64(p.number(s) * ms) }
+func (p *scenario) time(s string) int64 { return int64(p.number(s) * ms) }
 
 // start makes the aggregator once the deployment is known.
-func (p *play) start() *Aggregator {
+func (p *scenario) start() *Aggregator {
 	if p.agg == nil {
 		p.agg = New(p.now, p.d)
 	}
 	return p.agg
 }
 
-func (p *play) deploy(key, value string) {
+func (p *scenario) deploy(key, value string) {
 	d, n := &p.d, p.number(value)
 	set := map[string]func(){
-		"aggregators": func() { d.Aggregators = int(n) }, "number": func() { d.Number = int(n) },
+		"aggregators": func() { d.Aggregators = int(n) }, "number": func() { d.Index = int(n) },
 		"shards": func() { d.Shards = int(n) }, "cells": func() { d.Cells = int(n) },
-		"reach": func() { d.Reach = int(n) }, "parts_per_call": func() { d.PartsPerCall = int(n) },
-		"executions": func() { d.MaxExecutions = int(n) }, "cancels": func() { d.Cancels = n > 0 },
+		"reach": func() { d.CellsPerShard = int(n) }, "parts_per_call": func() { d.PartsPerCall = int(n) },
+		"executions": func() { d.MaxExecutions = int(n) }, "cancels": func() { d.CanCancel = n > 0 },
 		"asks":       func() { d.AsksForList = n > 0 },
 		"ask_within": func() { d.AskWithin = int64(n * ms) },
-		"free":       func() { d.Budgeted, d.FurtherFree = true, n },
-		"share":      func() { d.Budgeted, d.FurtherShare = true, n },
-		"span":       func() { d.Budgeted, d.FurtherSpan = true, int64(n*ms) },
+		"free":       func() { d.Budgeted, d.RetrySlack = true, n },
+		"share":      func() { d.Budgeted, d.RetryRatio = true, n },
+		"span":       func() { d.Budgeted, d.RetryWindow = true, int64(n*ms) },
 	}[key]
 	if set == nil {
 		p.fatal("unknown key %s", key)
@@ -103,40 +103,40 @@
 	set()
 }
 
-func (p *play) workload(name string, pairs []string) {
-	p.kinds[name] = len(p.d.Workloads)
+func (p *scenario) workload(name string, pairs []string) {
+	p.rows[name] = len(p.d.Workloads)
 	p.d.Workloads = append(p.d.Workloads, p.terms(pairs))
 }
 
 // serve gives a workload's row to other terms.
-func (p *play) serve(name string, pairs []string) {
+func (p *scenario) serve(name string, pairs []string) {
 	p.d.Workloads = slices.Clone(p.d.Workloads)
-	p.d.Workloads[p.kinds[name]] = p.terms(pairs)
-	p.start().Serve(p.now, p.d.Workloads)
+	p.d.Workloads[p.rows[name]] = p.terms(pairs)
+	p.start().SetWorkloads(p.now, p.d.Workloads)
 }
 
-func (p *play) terms(pairs []string) Workload {
-	w := Workload{LatencyGoal: 1000 * ms, LateShare: 0.3, Floor: 1, Need: 1,
-		PartialShare: 0.9, RepeatWindow: 1000 * ms}
+func (p *scenario) terms(pairs []string) Workload {
+	w := Workload{LatencyGoal: 1000 * ms, LateShare: 0.3, MinCoverage: 1, FullCoverage: 1,
+		PartialShare: 0.9, DedupWindow: 1000 * ms}
 	for _, pair := range pairs {
 		key, value, _ := strings.Cut(pair, "=")
 		switch key {
 		case "worth":
-			w.Worth = p.number(value)
+			w.Value = p.number(value)
 		case "goal":
 			w.LatencyGoal = p.time(value)
 		case "late":
 			w.LateShare = p.number(value)
 		case "floor":
-			w.Floor = p.number(value)
+			w.MinCoverage = p.number(value)
 		case "need":
-			w.Need = p.number(value)
+			w.FullCoverage = p.number(value)
 		case "spare":
-			w.SpareGoal = p.time(value)
+			w.OptionalGoal = p.time(value)
 		case "follow":
-			w.FollowUp = int(p.number(value))
+			w.FollowUpParts = int(p.number(value))
 		case "effect":
-			w.Effect = Effect(slices.Index([]string{"repeatable", "tagged", "once-only"}, value))
+			w.RetrySafety = RetrySafety(slices.Index([]string{"repeatable", "tagged", "once-only"}, value))
 		default:
 			p.fatal("unknown key %s", key)
 		}
@@ -144,42 +144,42 @@
 	return w
 }
 
-func (p *play) listings(words []string) (list []Listing) {
+func (p *scenario) listings(words []string) (list []Listing) {
 	for _, word := range words {
 		f := append(strings.Split(word, ":"), "up", "0")
 		name, other, again := strings.Cut(f[0], "=")
-		_, known := p.numbers[name]
+		_, known := p.indices[name]
 		if again { // it has the index of another, which is gone
-			p.numbers[name] = p.numbers[other]
-			p.names[p.numbers[name]] = name
+			p.indices[name] = p.indices[other]
+			p.names[p.indices[name]] = name
 		} else if !known {
-			p.numbers[name] = len(p.names)
+			p.indices[name] = len(p.names)
 			p.names = append(p.names, name)
 		}
 		place, cap, _ := strings.Cut(f[1], "*")
 		cell, far, _ := strings.Cut(place, "@")
-		l := Listing{Replica: p.numbers[name], New: again || !known, Cell: int(p.number(cell)), Distance: strings.Count(place, "@") + len(far),
-			Standing: Standing(slices.Index([]string{"up", "draining", "gone"}, f[2]))}
+		l := Listing{Replica: p.indices[name], New: again || !known, Cell: int(p.number(cell)), Distance: strings.Count(place, "@") + len(far),
+			Status: Status(slices.Index([]string{"up", "draining", "gone"}, f[2]))}
 		if cap != "" {
-			l.Channels = int(p.number(cap))
+			l.MaxCalls = int(p.number(cap))
 		}
 		if f[2] == "up" && len(f) > 5 {
-			l.Started = p.time(f[3])
+			l.StartedAt = p.time(f[3])
 		}
 		list = append(list, l)
 	}
 	return list
 }
 
-func (p *play) take(name string, claim Claim, words []string) {
+func (p *scenario) take(name string, claim Priority, words []string) {
 	shards := words[2:]
-	q := p.start().Take(p.now, Arrival{Workload: p.kinds[words[0]], Patience: p.time(words[1]),
-		Parts: len(shards), Claim: claim})
+	q := p.start().AddQuery(p.now, Arrival{Workload: p.rows[words[0]], Timeout: p.time(words[1]),
+		Parts: len(shards), Priority: claim})
 	p.queries[name] = q
 	p.step(q, shards)
 }
 
-func (p *play) step(q *Query, shards []string) {
+func (p *scenario) step(q *Query, shards []string) {
 	for _, s := range shards {
 		shard, weight, stated := strings.Cut(s, "*")
 		if !stated {
@@ -189,8 +189,8 @@
 	}
 }
 
-func (p *play) hear(words []string) {
-	w := Word{Replica: p.numbers[words[0]], Until: p.time(words[1])}
+func (p *scenario) hear(words []string) {
+	w := SharedReport{Replica: p.indices[words[0]], Expires: p.time(words[1])}
 	for _, word := range words[2:] {
 		key, value, _ := strings.Cut(word, "=")
 		switch key {
@@ -198,19 +198,19 @@
 			w.Suspect = true
 		case "pace":
 			pace, calls, _ := strings.Cut(value, "*")
-			w.Pace, w.Weight = p.number(pace), p.number(calls)
+			w.Slowdown, w.Weight = p.number(pace), p.number(calls)
 		case "try":
-			w.Try = p.time(value)
+			w.TrialAt = p.time(value)
 		case "away":
-			w.Away = p.time(value)
+			w.DownUntil = p.time(value)
 		default:
 			p.fatal("unknown key %s", key)
 		}
 	}
-	p.start().Hear(p.now, w)
+	p.start().ApplyReport(p.now, w)
 }
 
-func (p *play) decide() {
+func (p *scenario) decide() {
 	name := func(q *Query) string {
 		for n, other := range p.queries {
 			if other == q {
@@ -220,19 +220,19 @@
 		return "?"
 	}
 	r := p.start().Decide(p.now)
-	p.wake = r.Wake
+	p.wake = r.WakeAt
 	for _, s := range r.Sends {
 		p.got = append(p.got, fmt.Sprintf("send %s.%d %s until %d", name(s.Query), s.Part, p.names[s.Replica],
-			s.CutAt/ms))
+			s.Deadline/ms))
 	}
 	for _, c := range r.Cancels {
 		p.got = append(p.got, fmt.Sprintf("cancel %s.%d %d", name(c.Query), c.Part, c.Execution))
 	}
 	for _, e := range r.Endings {
-		final := []string{"whole", "partial", "declined", "forfeited"}[e.Final]
+		final := []string{"whole", "partial", "declined", "forfeited"}[e.Outcome]
 		p.got = append(p.got, fmt.Sprintf("end %s %s", name(e.Query), final))
 	}
-	for _, replica := range r.Releases {
+	for _, replica := range r.CloseIdle {
 		p.got = append(p.got, "release "+p.names[replica])
 	}
 	if r.List == Subscribe {
@@ -241,7 +241,7 @@
 }
 
 // expect takes one asked-for thing off what the last decision returned, in any order.
-func (p *play) expect(want string) {
+func (p *scenario) expect(want string) {
 	if want == "..." {
 		p.got = nil
 		return
@@ -255,7 +255,7 @@
 	p.fatal("not asked for; there was %q", p.got)
 }
 
-func (p *play) command(line string) {
+func (p *scenario) command(line string) {
 	words := strings.Fields(line)
 	if words[0] != ">" && len(p.got) > 0 {
 		p.fatal("before it, nothing of this was expected: %q", p.got)
@@ -274,11 +274,11 @@
 	case "serve":
 		p.serve(words[1], words[2:])
 	case "list":
-		p.start().ListWhole(p.now, p.listings(words[1:]), true)
+		p.start().ReplaceList(p.now, p.listings(words[1:]), true)
 	case "remembered":
-		p.start().ListWhole(p.now, p.listings(words[1:]), false)
+		p.start().ReplaceList(p.now, p.listings(words[1:]), false)
 	case "change":
-		p.start().ListChanged(p.now, p.listings(words[1:]))
+		p.start().UpdateList(p.now, p.listings(words[1:]))
 	case "lost":
 		p.start().ListFailed(p.now)
 	case "at":
@@ -305,9 +305,9 @@
 	case "step":
 		p.step(p.queries[words[1]], words[2:])
 	case "stood":
-		p.start().Stood(p.time(words[1]))
+		p.start().RecordStall(p.time(words[1]))
 	case "leave":
-		p.queries[words[1]].Leave(p.now)
+		p.queries[words[1]].ClientLeft(p.now)
 	default:
 		result, ok := results[words[0]]
 		if !ok {
@@ -316,7 +316,7 @@
 		for _, word := range words[1 : len(words)-1] {
 			name, number, _ := strings.Cut(word, ".")
 			q, part := p.queries[name], int(p.number(number))
-			if !q.Outcome(p.now, part, len(q.parts[part].executions)-1, result, p.time(words[len(words)-1])) {
+			if !q.RecordResult(p.now, part, len(q.parts[part].executions)-1, result, p.time(words[len(words)-1])) {
 				p.fatal("the outcome was not taken")
 			}
 		}
@@ -339,7 +339,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := newPlay(t)
+			p := newScenario(t)
 			for _, line := range strings.Split(string(text), "\n") {
 				line, _, _ = strings.Cut(line, "#")
 				for _, command := range strings.Split(line, ";") {
--- a/balance/types.go
+++ b/balance/types.go
@@ -1,68 +1,68 @@
 package balance
 
-// Effect tells whether a part of a workload may run again.
-type Effect uint8
+// RetrySafety tells whether a part of a workload may run again.
+type RetrySafety uint8
 
 const (
-	Repeatable Effect = iota // may run any number of times
-	Tagged                   // repeats are recognised and dropped, for a while
-	OnceOnly                 // must never run twice
+	Repeatable   RetrySafety = iota // may run any number of times
+	Deduplicated                    // repeats are recognised and dropped, for a while
+	OnceOnly                        // must never run twice
 )
 
 // Workload is what a deployment states of one kind of query.
 type Workload struct {
-	Worth        float64 // revenue of a whole answer in time, against that of other workloads; 0 where it is not stated
-	LatencyGoal  int64   // an answer within this time earns the full revenue, ns
-	LateShare    float64 // of the revenue, for an answer past the latency goal
-	Floor        float64 // least share of the weight that an answer may be given from
-	Need         float64 // share of the weight that makes a whole answer
-	PartialShare float64 // of the revenue, times share / need, for an answer that is not whole
-	FollowUp     int     // parts of a second step, 0 for none
-	Effect       Effect
-	RepeatWindow int64 // tagged: how long repeats are recognised, ns
+	Value         float64 // revenue of a whole answer in time, against that of other workloads; 0 where it is not stated
+	LatencyGoal   int64   // an answer within this time earns the full revenue, ns
+	LateShare     float64 // of the revenue, for an answer past the latency goal
+	MinCoverage   float64 // least share of the weight that an answer may be given from
+	FullCoverage  float64 // share of the weight that makes a whole answer
+	PartialShare  float64 // of the revenue, times share / need, for an answer that is not whole
+	FollowUpParts int     // parts of a second step, 0 for none
+	RetrySafety   RetrySafety
+	DedupWindow   int64 // tagged: how long repeats are recognised, ns
 
 	MaxExecutions int // of one part, 0 for the deployment's
 
-	SpareGoal int64 // a part that an answer can do without has to fit it, ns; 0 for the shortest latency goal of all
+	OptionalGoal int64 // a part that an answer can do without has to fit it, ns; 0 for the shortest latency goal of all
 }
 
 // Deployment is what an aggregator is told at its start and what stays fixed for its life.
 type Deployment struct {
-	Number, Aggregators int    // this aggregator's number from 0, and how many there are
-	Seed                uint64 // of this aggregator's chance
-	Tick                int64  // least time between two rounds, ns
+	Index, Aggregators int    // this aggregator's number from 0, and how many there are
+	Seed               uint64 // of this aggregator's chance
+	Tick               int64  // least time between two rounds, ns
 
 	Workloads []Workload
 
-	Shards, Cells, Reach int // shard s is held by the cells (s + j) mod Cells, j from 0 to Reach - 1
-	PartsPerCall         int // most parts that travel in one call
+	Shards, Cells, CellsPerShard int // shard s is held by the cells (s + j) mod Cells, j from 0 to Reach - 1
+	PartsPerCall                 int // most parts that travel in one call
 
 	MaxExecutions int   // of one part
-	Cancels       bool  // executions may be cancelled
-	MaxComeBack   int64 // longest wait that a declined client honours, ns; 0 where it can't be told any
+	CanCancel     bool  // executions may be cancelled
+	MaxRetryAfter int64 // longest wait that a declined client honours, ns; 0 where it can't be told any
 
-	ColdShare    float64 // of its capacity that a fresh replica starts with, at least
-	ColdRamp     int64   // a fresh replica is warm after this at the latest, ns
-	FallMultiple float64 // of its present capacity that pushes a cold replica over
-	FallSpan     int64   // when kept up for so long, ns
+	ColdCapacity   float64 // of its capacity that a fresh replica starts with, at least
+	WarmUpTime     int64   // a fresh replica is warm after this at the latest, ns
+	OverloadFactor float64 // of its present capacity that pushes a cold replica over
+	OverloadSpan   int64   // when kept up for so long, ns
 
-	PaceDoubt float64 // own calls that the typical time counts for beside a replica's own; 0 for the module's figure
+	PriorWeight float64 // own calls that the typical time counts for beside a replica's own; 0 for the module's figure
 
 	AsksForList bool  // the list must be asked for
 	AskWithin   int64 // unasked for so long, the aggregator counts as told, ns
 
 	Budgeted     bool    // further executions have a budget:
-	FurtherFree  float64 // so many,
-	FurtherShare float64 // and so many for each query or part taken,
-	FurtherSpan  int64   // within any span of this length, ns
-	Accounts     int     // shards that have budgets of their own, each counting parts alone; 0 where all have one
+	RetrySlack   float64 // so many,
+	RetryRatio   float64 // and so many for each query or part taken,
+	RetryWindow  int64   // within any span of this length, ns
+	ShardBudgets int     // shards that have budgets of their own, each counting parts alone; 0 where all have one
 }
 
-// Standing is a replica's state on the list.
-type Standing uint8
+// Status is a replica's state on the list.
+type Status uint8
 
 const (
-	Up Standing = iota
+	Up Status = iota
 	Draining
 	Gone
 )
@@ -70,13 +70,13 @@
 // Listing is one replica as the list names it. Replica is the caller's small index for it; the index of one that
 // is gone may be used again once no execution is out there, and is New then.
 type Listing struct {
-	Replica  int
-	New      bool
-	Cell     int
-	Standing Standing
-	Started  int64 // when it last started, ns; 0 for long ago
-	Channels int   // own calls that may be in flight there, 0 for the module's figure, which holds besides
-	Distance int   // from 0 for the nearest to below Distances; 0 where it is all the same
+	Replica   int
+	New       bool
+	Cell      int
+	Status    Status
+	StartedAt int64 // when it last started, ns; 0 for long ago
+	MaxCalls  int   // own calls that may be in flight there, 0 for the module's figure, which holds besides
+	Distance  int   // from 0 for the nearest to below Distances; 0 where it is all the same
 }
 
 // Distances is how many distances of replicas are told apart.
@@ -85,42 +85,42 @@
 // Arrival is a query as it is handed over; its parts follow by Query.AddPart.
 type Arrival struct {
 	Workload int
-	Patience int64 // time until the client gives up this try, ns
+	Timeout  int64 // time until the client gives up this try, ns
 	Parts    int   // how many its first step has
-	Claim    Claim
+	Priority Priority
 }
 
-// Claim is how much room a query may take where room is short; a later one takes less.
-type Claim int
+// Priority is how much room a query may take where room is short; a later one takes less.
+type Priority int
 
 // The claims.
 const (
-	FirstTry  Claim = iota // of a customer within what was agreed
-	OverQuota              // its customer is over what was agreed: it is worth less
-	Retry                  // its client marks it as a retry: what failed it once may fail it again
+	FirstTry  Priority = iota // of a customer within what was agreed
+	OverQuota                 // its customer is over what was agreed: it is worth less
+	Retry                     // its client marks it as a retry: what failed it once may fail it again
 )
 
 // Finding is what this aggregator has found of a replica by its own executions.
 type Finding struct {
 	Replica, Cell int
-	Aside         bool    // it is set aside
-	Trickle       int64   // Aside: its trickle starts then, ns
-	Failed        int64   // its last failure, if it has fulfilled nothing since; 0 for none
-	Heard         int64   // its last fulfilled execution; 0 for none
-	Pace          float64 // its time for each own call over that of all; 0 where not met lately
-	Met           float64 // own calls that this is known from
+	Ejected       bool    // it is set aside
+	TrialAt       int64   // Aside: its trickle starts then, ns
+	LastFailure   int64   // its last failure, if it has fulfilled nothing since; 0 for none
+	LastSuccess   int64   // its last fulfilled execution; 0 for none
+	Slowdown      float64 // its time for each own call over that of all; 0 where not met lately
+	Samples       float64 // own calls that this is known from
 }
 
-// Word is what others found of a replica, weighed by the caller. It narrows who is eligible; nothing in it chooses, and
+// SharedReport is what others found of a replica, weighed by the caller. It narrows who is eligible; nothing in it chooses, and
 // none sets a replica aside.
-type Word struct {
-	Replica int
-	Until   int64   // it holds so long, ns
-	Suspect bool    // one own failure sets the replica aside
-	Pace    float64 // times the typical that it is said to need,
-	Weight  float64 // counted like so many own calls; 0 for no word on that
-	Try     int64   // where it is set aside: its trickle starts then, 0 for no word
-	Away    int64   // it cannot be reached until then, or could not until now, ns; 0 for no word
+type SharedReport struct {
+	Replica   int
+	Expires   int64   // it holds so long, ns
+	Suspect   bool    // one own failure sets the replica aside
+	Slowdown  float64 // times the typical that it is said to need,
+	Weight    float64 // counted like so many own calls; 0 for no word on that
+	TrialAt   int64   // where it is set aside: its trickle starts then, 0 for no word
+	DownUntil int64   // it cannot be reached until then, or could not until now, ns; 0 for no word
 }
 
 // Result is how an execution ended.
@@ -134,22 +134,22 @@
 	ConnectFailed        // no connection in time
 	Reset                // the connection broke
 	Cancelled            // by this aggregator
-	Moot                 // never left
+	Unsent               // never left
 )
 
 // NeverRan tells whether the result proves that the execution did not run.
 func (r Result) NeverRan() bool {
-	return r == Full || r == ConnectFailed || r == Moot
+	return r == Full || r == ConnectFailed || r == Unsent
 }
 
-// Final is how a query ends.
-type Final uint8
+// Outcome is how a query ends.
+type Outcome uint8
 
 const (
-	Whole     Final = iota // an answer with all that a whole one needs
-	Partial                // an answer from less
-	Declined               // unserved, and trying again does no harm
-	Forfeited              // unserved, without a promise
+	Whole     Outcome = iota // an answer with all that a whole one needs
+	Partial                  // an answer from less
+	Declined                 // unserved, and trying again does no harm
+	Forfeited                // unserved, without a promise
 )
 
 // ListCall is what to ask of the service that keeps the list.
@@ -162,10 +162,10 @@
 
 // Send starts the next execution of a part.
 type Send struct {
-	Query   *Query
-	Part    int
-	Replica int
-	CutAt   int64 // when the execution is dropped, ns
+	Query    *Query
+	Part     int
+	Replica  int
+	Deadline int64 // when the execution is dropped, ns
 }
 
 // Cancel ends the wait for one execution.
@@ -176,19 +176,19 @@
 
 // Ending is a query's final answer; a Whole or Partial one may be the first of two steps.
 type Ending struct {
-	Query    *Query
-	Final    Final
-	ComeBack int64 // Declined: how long the client ought to wait, ns
+	Query      *Query
+	Outcome    Outcome
+	RetryAfter int64 // Declined: how long the client ought to wait, ns
 }
 
 // Round is what one Decide asks for, to be carried out in this order: sends, cancels, endings,
 // releases, list.
 // Its slices are used again by the next Decide.
 type Round struct {
-	Sends    []Send
-	Cancels  []Cancel
-	Endings  []Ending
-	Releases []int // replicas whose idle connections are given back
-	List     ListCall
-	Wake     int64 // when Decide wants to be called again at the latest; 0 for no such time
+	Sends     []Send
+	Cancels   []Cancel
+	Endings   []Ending
+	CloseIdle []int // replicas whose idle connections are given back
+	List      ListCall
+	WakeAt    int64 // when Decide wants to be called again at the latest; 0 for no such time
 }
--- a/cmd/willowctl/main.go
+++ b/cmd/willowctl/main.go
@@ -283,7 +283,7 @@
 func watch(ctx context.Context, f *flags, _ []string) error {
 	book := clusterstate.NewState()
 	return controlclient.Follow(ctx, f.watch, func(n clusterstate.Update) bool {
-		fresh := book.Take(n)
+		fresh := book.Apply(n)
 		at := time.Now().Format(time.RFC3339)
 		if f.json {
 			json.NewEncoder(f.out).Encode(fresh)
--- a/cmd/willowlab/recast_test.go
+++ b/cmd/willowlab/recast_test.go
@@ -14,9 +14,9 @@
 	if err := os.WriteFile(file, []byte(`experiment(name = "a", question = "b?", span = "6s", count_from = "1s", count_until = "5s", seeds = 2)
 fleet(aggregators = 1, replicas = 4, holders = 2)
 queries(rate = 90, parts = 2)
-variant(name = "one", constants = {"balance.channels": 1, "balance.admitShare": 0.05})
+variant(name = "one", constants = {"balance.maxCalls": 1, "balance.admitShare": 0.05})
 variant(name = "module")
-variant(name = "same", constants = {"balance.channels": 32})
+variant(name = "same", constants = {"balance.maxCalls": 32})
 `), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/willowsill/demo.go
+++ b/cmd/willowsill/demo.go
@@ -213,13 +213,13 @@
 
 // aggregator starts the whole program once, but for its process.
 func (f *fleet) aggregator(number int, orders *operator.Orders, dial replica.Dial) error {
-	row := balance.Workload{LatencyGoal: int64(demoGoal), LateShare: 0.3, Floor: 1, Need: 1, PartialShare: 0.9}
+	row := balance.Workload{LatencyGoal: int64(demoGoal), LateShare: 0.3, MinCoverage: 1, FullCoverage: 1, PartialShare: 0.9}
 	start := deployment.Start{Name: fmt.Sprint("n", number), Discovery: f.lists, Sockets: 512,
 		Deployment: deployment.Deployment{Workload: map[string]int{"lookup": 0}, Deployment: balance.Deployment{
-			Number: number, Aggregators: demoAggregators, Seed: uint64(7 + number), Tick: 5e6,
-			Workloads: []balance.Workload{row}, Shards: demoShards, Cells: demoShards, Reach: 1, PartsPerCall: 1,
-			MaxExecutions: 3, Cancels: true, MaxComeBack: 2000e6, ColdShare: 0.2, ColdRamp: 9000e6, FallMultiple: 4,
-			FallSpan: 1000e6}},
+			Index: number, Aggregators: demoAggregators, Seed: uint64(7 + number), Tick: 5e6,
+			Workloads: []balance.Workload{row}, Shards: demoShards, Cells: demoShards, CellsPerShard: 1, PartsPerCall: 1,
+			MaxExecutions: 3, CanCancel: true, MaxRetryAfter: 2000e6, ColdCapacity: 0.2, WarmUpTime: 9000e6, OverloadFactor: 4,
+			OverloadSpan: 1000e6}},
 		Terms: deployment.Terms{MostHeld: 200, Streams: 32, ConnectWithin: 250e6, IdleAfter: 15e9,
 			LongestCutOff: int64(demoPatience)}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/willowsill/main.go
+++ b/cmd/willowsill/main.go
@@ -111,9 +111,9 @@
 
 	var core *node.Node
 	watch := discovery.NewWatch(start.Discovery, start.Cells, start.Known.Sequence, dial,
-		func(ctx context.Context, n discovery.News) { core.News(ctx, n) })
-	core = node.New(node.Plan{Clock: clock, Deployment: start.Deployment, Terms: start.Terms, Known: start.Known,
-		Budget: budget, Count: count, Log: log, Ask: watch.Ask, Dial: dial})
+		func(ctx context.Context, n discovery.News) { core.ApplyList(ctx, n) })
+	core = node.New(node.Options{Clock: clock, Deployment: start.Deployment, Terms: start.Terms, KnownList: start.Known,
+		Budget: budget, Count: count, Log: log, RequestList: watch.Ask, Dial: dial})
 	shares := &sharing{start: start, core: core, dial: dial, count: count, log: log}
 	if err := shares.follow(orders); err != nil {
 		core.Close()
--- a/cmd/willowsill/overloadwatch.go
+++ b/cmd/willowsill/overloadwatch.go
@@ -52,7 +52,7 @@
 	var watch *machine.Watch
 	if o.Strain != nil {
 		terms, _ := s.terms(o.Strain)
-		watch = machine.New(terms, machine.Sources{Now: s.core.Now, Queue: s.core.Waiting,
+		watch = machine.New(terms, machine.Sources{Now: s.core.Now, Queue: s.core.QueueFill,
 			Facts: func() (n, waited int64) { return s.count.Facts.Load(), s.count.DelayTotal.Load() },
 			Client: func() float64 {
 				return float64(s.budget.Taken(sockets.Clients)) / float64(s.budget.Most(sockets.Clients))
@@ -63,11 +63,11 @@
 	if watch == nil {
 		return nil
 	}
-	rhythm := &node.Rhythm{Waited: watch.Waited, Stood: func(ns int64) { watch.Stood.Add(ns) }}
+	rhythm := &node.Schedule{OnWait: watch.Waited, OnStall: func(ns int64) { watch.Stood.Add(ns) }}
 	if o.Strain.AtOnce {
-		rhythm.Pace = &overload.Pace{Tick: s.start.Tick}
+		rhythm.Pace = &overload.Pacer{MaxGap: s.start.Tick}
 	}
-	s.core.Follow(rhythm)
+	s.core.SetSchedule(rhythm)
 	if o.Strain.Shed {
 		guard := front.Guard(watch)
 		s.guard.Store(&guard)
@@ -79,9 +79,9 @@
 }
 
 // terms are what the orders and the deployment ask for.
-func (s *overloadWatch) terms(o *operator.Strain) (overload.Terms, error) {
-	t := overload.Terms{Cores: s.start.Cores, Limit: o.Limit, Fixed: o.Rate, Target: o.Lateness, Most: s.start.MaxComeBack,
-		Floor: o.Floor, Seed: s.start.Seed, Workloads: make([]overload.Workload, len(s.start.Workloads))}
+func (s *overloadWatch) terms(o *operator.Strain) (overload.Config, error) {
+	t := overload.Config{Cores: s.start.Cores, LimitKind: o.Limit, FixedRate: o.Rate, WaitTarget: o.Lateness, MaxRetryAfter: s.start.MaxRetryAfter,
+		CustomerFloor: o.Floor, Seed: s.start.Seed, Workloads: make([]overload.Workload, len(s.start.Workloads))}
 	for name := range o.Revenue {
 		if _, known := s.start.Workload[name]; !known {
 			return t, fmt.Errorf(`key "revenue": %q is no workload of the deployment`, name)
@@ -92,9 +92,9 @@
 		if !stated {
 			revenue = 1
 		}
-		t.Workloads[row] = overload.Workload{Revenue: revenue, Goal: s.start.Workloads[row].LatencyGoal}
+		t.Workloads[row] = overload.Workload{Revenue: revenue, LatencyGoal: s.start.Workloads[row].LatencyGoal}
 	}
-	return t, t.Check()
+	return t, t.Validate()
 }
 
 // end ends it; queries are taken on as they come again, and rounds wait for the tick.
@@ -105,7 +105,7 @@
 	s.guard.Store(nil)
 	s.runs.end()
 	s.runs = nil
-	s.core.Follow(nil)
+	s.core.SetSchedule(nil)
 	s.count.Strain.Put(nil)
 	s.log.Info("the process no longer watches its own strain")
 }
--- a/cmd/willowsill/share.go
+++ b/cmd/willowsill/share.go
@@ -48,7 +48,7 @@
 		return nil
 	}
 	s.log.Info("knowledge is shared through a store", zap.String("address", o.Store.Address))
-	s.core.Share(true, quotas)
+	s.core.SetSharing(true, quotas)
 	s.count.SharedStore.Put(count)
 	s.runs = begin(client.Run)
 	return nil
@@ -56,9 +56,9 @@
 
 // client makes what the orders ask for.
 func (s *sharing) client(o *operator.Orders, count *store.Count) (*store.Client, []sharedhealth.Quota, error) {
-	terms := sharedhealth.Terms{Name: s.start.Name, Incarnation: uint64(time.Now().UnixNano()), Seed: s.start.Seed,
-		Round: o.Store.Round, Deadline: o.Store.Deadline, Sample: o.Store.Sample,
-		Aggregators: s.start.Aggregators, Rest: s.start.Rest(), Health: o.Store.Health}
+	terms := sharedhealth.Config{Name: s.start.Name, Incarnation: uint64(time.Now().UnixNano()), Seed: s.start.Seed,
+		RoundInterval: o.Store.Round, RoundTimeout: o.Store.Deadline, SampleSize: o.Store.Sample,
+		Aggregators: s.start.Aggregators, BaseEjection: s.start.BaseEjection(), HealthEnabled: o.Store.Health}
 	for _, q := range o.Quotas {
 		terms.Quotas = append(terms.Quotas, sharedhealth.Quota(q))
 	}
@@ -76,7 +76,7 @@
 	}
 	s.runs.end()
 	s.runs = nil
-	s.core.Share(false, nil)
+	s.core.SetSharing(false, nil)
 	s.count.SharedStore.Put(nil)
 	s.log.Info("knowledge is no longer shared")
 }
--- a/cmd/willowsill/ways.go
+++ b/cmd/willowsill/ways.go
@@ -67,7 +67,7 @@
 	}
 	plan := gateway.Plan{Clock: clock, Own: o.Site.Name, Deployment: start.Deployment, Terms: start.Terms, Local: own,
 		Dial: dial, Secure: outside, Log: log, Revenue: o.Site.Revenue, HTTP2: o.Site.HTTP2,
-		Policy: siterouting.Policy(max(slices.Index(siterouting.Policies, o.Site.Policy), 0))}
+		Policy: siterouting.Policy(max(slices.Index(siterouting.PolicyNames, o.Site.Policy), 0))}
 	for name := range o.Site.Revenue {
 		if _, known := start.Workload[name]; !known {
 			return nil, nil, fmt.Errorf(`%s: site: key "revenue": %q is no workload of the deployment`, o.File, name)
@@ -77,7 +77,7 @@
 	for _, l := range o.Links {
 		names = append(names, l.To)
 		plan.Sites = append(plan.Sites, gateway.Site{Gateways: l.Gateways,
-			Link: siterouting.Link{Site: l.To, Queries: l.Queries, Bytes: float64(l.Bytes), Cost: l.Cost}})
+			Link: siterouting.Link{Site: l.To, QueryRate: l.Queries, ByteRate: float64(l.Bytes), Cost: l.Cost}})
 	}
 	listener, err := net.Listen("tcp", o.Site.Listen)
 	if err != nil {
@@ -92,7 +92,7 @@
 	w := &ways{orders: o, core: core, served: make(chan struct{}), log: log,
 		wait: time.Duration(max(start.LongestCutOff, leastWait))}
 	w.door = &gateway.Door{Own: o.Site.Name, Sites: names, Deployment: start.Deployment, Clock: clock, Count: figures, Log: log,
-		Secure: true, Willing: core.Willing, Window: deduplication.New(deduplication.Terms{Most: rememberMost, Bytes: rememberBytes, For: int64(rememberFor)}),
+		Secure: true, Willing: core.Willing, Window: deduplication.New(deduplication.Limits{MaxIDs: rememberMost, MaxAnswerBytes: rememberBytes, Retention: int64(rememberFor)}),
 		Front: &front.Front{Core: core, Clock: clock, Workload: start.Workload, Shards: start.Shards, Count: count, Guard: guard, Log: log}}
 	if o.Site.Remember != "" {
 		if err := w.door.Load(o.Site.Remember); err != nil {
--- a/cmd/willowsill/zoned.go
+++ b/cmd/willowsill/zoned.go
@@ -20,8 +20,8 @@
 	orders *operator.Zones
 }
 
-func (z *zoned) terms(o *operator.Zones) zonehealth.Terms {
-	return zonehealth.Terms{Rest: z.start.Rest(), Few: o.Few, Seed: z.start.Seed}
+func (z *zoned) terms(o *operator.Zones) zonehealth.Config {
+	return zonehealth.Config{BaseEjection: z.start.BaseEjection(), MinFailedReplicas: o.Few, Seed: z.start.Seed}
 }
 
 // check tells what the orders cannot be here.
@@ -29,7 +29,7 @@
 	if o.Zones == nil {
 		return nil
 	}
-	if err := z.terms(o.Zones).Check(); err != nil {
+	if err := z.terms(o.Zones).Validate(); err != nil {
 		return fmt.Errorf("%s: zones: %w", o.File, err)
 	}
 	return nil
--- a/decide/clusterstate/bench_test.go
+++ b/decide/clusterstate/bench_test.go
@@ -25,7 +25,7 @@
 	frame, _ := cbor.Marshal(Update{Snapshot: true, Replicas: replicas})
 	var u Update
 	cbor.Unmarshal(frame, &u)
-	s.Take(u)
+	s.Apply(u)
 	return s
 }
 
@@ -62,15 +62,15 @@
 		b.Run(fmt.Sprint(routes, "routes"), func(b *testing.B) {
 			bodies := [][]byte{Pack(manyRoutes(routes, 0)), Pack(manyRoutes(routes, 1))}
 			feeder, follower := NewState(), NewState()
-			feeder.Take(Update{Revision: 1, Body: bodies[1]})
-			follower.Take(feeder.Snapshot())
+			feeder.Apply(Update{Revision: 1, Body: bodies[1]})
+			follower.Apply(feeder.Snapshot())
 			revision := uint64(1)
 			for b.Loop() {
 				revision++
-				fresh := feeder.Take(Update{Revision: revision, Body: bodies[revision%2]})
+				fresh := feeder.Apply(Update{Revision: revision, Body: bodies[revision%2]})
 				frame, _ := cbor.Marshal(fresh)
 				b.ReportMetric(float64(len(frame)), "bytes")
-				follower.Take(fresh)
+				follower.Apply(fresh)
 			}
 			b.ReportMetric(float64(len(bodies[0])), "bytes-packed")
 		})
--- a/decide/clusterstate/clusterstate.go
+++ b/decide/clusterstate/clusterstate.go
@@ -71,10 +71,10 @@
 	return n.Revision == 0 && len(n.Replicas) == 0 && n.Fleet.Empty() && n.Change == nil && n.Rollouts.IsZero()
 }
 
-// ForFollower is the update as it goes on the wire: a fleet is told whole or as a difference, not both.
+// ForWire is the update as it goes on the wire: a fleet is told whole or as a difference, not both.
 // changes tells whether the follower understands differences.
-func (n Update) ForFollower(changes bool) Update {
-	if changes && n.Change != nil {
+func (n Update) ForWire(acceptsChanges bool) Update {
+	if acceptsChanges && n.Change != nil {
 		n.Fleet = Fleet{}
 	} else {
 		n.Change = nil
@@ -84,30 +84,30 @@
 
 // State is what one follower holds.
 type State struct {
-	Revision uint64
-	Raw      []byte // the configuration as the operator sent it
-	Sum      uint64 // its ContentSum; 0 where a feeder of the former version gave it as a patch
-	Fleet    Fleet
-	Rollouts rollout.Set
-	Behind   bool // a patch or a difference came for what is not held: a snapshot is needed
-	packed   []byte
+	Revision      uint64
+	Raw           []byte // the configuration as the operator sent it
+	Sum           uint64 // its ContentSum; 0 where a feeder of the former version gave it as a patch
+	Fleet         Fleet
+	Rollouts      rollout.Set
+	NeedsSnapshot bool // a patch or a difference came for what is not held: a snapshot is needed
+	packedBody    []byte
 	// What Behind tells of: the configuration held is not the one that a patch was for, the fleet held not the feeder's.
-	staleConfiguration, staleFleet bool
-	replicas                       map[string]registry.Record
-	departed                       departed
-	gone                           bool // some of the replicas may be
+	configurationMismatch, fleetMismatch bool
+	replicas                             map[string]registry.Record
+	departed                             departedReplicas
+	mayHoldGone                          bool // some of the replicas may be
 }
 
 // NewState makes an empty one.
 func NewState() *State { return &State{replicas: map[string]registry.Record{}} }
 
-// Take takes an update in and returns what of it is new.
+// Apply takes an update in and returns what of it is new.
 //
 // Danger: a feeder that is behind must not bring back an older configuration, nor a replica that is leaving.
-func (b *State) Take(n Update) (fresh Update) {
+func (b *State) Apply(n Update) (fresh Update) {
 	fresh.Snapshot, fresh.Services = n.Snapshot, n.Services
 	if n.Revision > b.Revision && len(n.Body)+len(n.Patch) > 0 {
-		b.revise(n, &fresh)
+		b.applyConfiguration(n, &fresh)
 	}
 	// Danger: a feeder that is behind must not open a version again that was taken back.
 	if n.Rollouts.Version > b.Rollouts.Version {
@@ -130,31 +130,31 @@
 		if known && !r.Newer(was) && !unsaid {
 			continue
 		}
-		b.gone = b.gone || r.Phase == registry.Gone
+		b.mayHoldGone = b.mayHoldGone || r.Phase == registry.Gone
 		if r.Phase == registry.Gone {
 			b.departed.add(r)
 		}
-		if b.replicas[r.ID] = r; !known || !r.Same(was) {
+		if b.replicas[r.ID] = r; !known || !r.SameForRouting(was) {
 			fresh.Replicas = append(fresh.Replicas, r)
 		}
 	}
-	b.takeFleet(n, &fresh)
-	b.Behind = b.staleConfiguration || b.staleFleet
+	b.applyFleet(n, &fresh)
+	b.NeedsSnapshot = b.configurationMismatch || b.fleetMismatch
 	return fresh
 }
 
-// revise takes a configuration in. Those who follow hold the one before, so a patch is enough for them where
+// applyConfiguration takes a configuration in. Those who follow hold the one before, so a patch is enough for them where
 // it is shorter.
 //
 // Danger: a patch says from which revision it was made, and a follower may hold another content under that one, told by
 // a feeder in error. What the patch would make of it is a content that nobody sent. So the sum of the result counts.
-func (b *State) revise(n Update, fresh *Update) {
+func (b *State) applyConfiguration(n Update, fresh *Update) {
 	raw, ok := []byte(nil), false
 	switch {
 	case len(n.Body) > 0:
 		raw, ok = Unpack(n.Body)
 	case n.Base == b.Revision:
-		raw, ok = Apply(b.Raw, n.Patch)
+		raw, ok = ApplyPatch(b.Raw, n.Patch)
 	}
 	sum := n.Sum
 	if ok && (n.Sum != 0 || len(n.Body) > 0) {
@@ -162,38 +162,38 @@
 		ok = n.Sum == 0 || sum == n.Sum
 	}
 	if !ok {
-		b.staleConfiguration = true
+		b.configurationMismatch = true
 		return
 	}
 	fresh.Revision, fresh.Raw, fresh.Sum, fresh.Base, fresh.Patch = n.Revision, raw, sum, n.Base, n.Patch
 	if len(n.Body) > 0 {
 		fresh.Body = n.Body
 		if b.Revision > 0 {
-			if patch := Patch(b.Raw, raw); len(patch) < len(n.Body) {
+			if patch := MakePatch(b.Raw, raw); len(patch) < len(n.Body) {
 				fresh.Base, fresh.Patch, fresh.Body = b.Revision, patch, nil
 			}
 		}
 	}
-	b.Revision, b.Raw, b.Sum, b.packed, b.staleConfiguration = n.Revision, raw, sum, n.Body, false
+	b.Revision, b.Raw, b.Sum, b.packedBody, b.configurationMismatch = n.Revision, raw, sum, n.Body, false
 }
 
-// takeFleet takes a fleet in, told whole or as a difference.
-func (b *State) takeFleet(n Update, fresh *Update) {
+// applyFleet takes a fleet in, told whole or as a difference.
+func (b *State) applyFleet(n Update, fresh *Update) {
 	fleet := n.Fleet
 	if fleet.Empty() && n.Change != nil {
-		if fleet = b.Fleet.apply(*n.Change); len(fleet.Edges) != n.Change.Count {
-			b.staleFleet = true
+		if fleet = b.Fleet.withChange(*n.Change); len(fleet.Edges) != n.Change.Count {
+			b.fleetMismatch = true
 			return
 		}
 	}
 	if fleet.Empty() {
 		return
 	}
-	b.staleFleet = false
+	b.fleetMismatch = false
 	if fleet.equal(b.Fleet) {
 		return
 	}
-	if change := difference(b.Fleet, fleet); !b.Fleet.Empty() && len(change.Joined)+len(change.Left) < len(fleet.Edges) {
+	if change := fleetDifference(b.Fleet, fleet); !b.Fleet.Empty() && len(change.Joined)+len(change.Left) < len(fleet.Edges) {
 		fresh.Change = &change
 	}
 	b.Fleet, fresh.Fleet = fleet, fleet
@@ -201,28 +201,28 @@
 
 // Snapshot is the whole state.
 func (b *State) Snapshot() Update {
-	if b.packed == nil && b.Revision > 0 {
-		b.packed = Pack(b.Raw)
+	if b.packedBody == nil && b.Revision > 0 {
+		b.packedBody = Pack(b.Raw)
 	}
-	n := Update{Snapshot: true, Revision: b.Revision, Body: b.packed, Sum: b.Sum, Fleet: b.Fleet, Rollouts: b.Rollouts}
+	n := Update{Snapshot: true, Revision: b.Revision, Body: b.packedBody, Sum: b.Sum, Fleet: b.Fleet, Rollouts: b.Rollouts}
 	for _, r := range b.replicas {
 		n.Replicas = append(n.Replicas, r)
 	}
 	// A follower may have been told of replicas by a feeder that was cut off as they departed.
 	for _, id := range b.departed.order {
 		if _, listed := b.replicas[id]; !listed {
-			n.Replicas = append(n.Replicas, registry.Record{ID: id, Phase: registry.Gone, Seq: b.departed.last[id]})
+			n.Replicas = append(n.Replicas, registry.Record{ID: id, Phase: registry.Gone, Seq: b.departed.lastSeq[id]})
 		}
 	}
 	return n
 }
 
-// Forget drops the replicas that are gone for good, so that a state does not grow for ever.
-func (b *State) Forget() {
-	if !b.gone {
+// DropGone drops the replicas that are gone for good, so that a state does not grow for ever.
+func (b *State) DropGone() {
+	if !b.mayHoldGone {
 		return
 	}
-	b.gone = false
+	b.mayHoldGone = false
 	for id, r := range b.replicas {
 		if r.Phase == registry.Gone {
 			delete(b.replicas, id)
--- a/decide/clusterstate/clusterstate_test.go
+++ b/decide/clusterstate/clusterstate_test.go
@@ -17,26 +17,26 @@
 	up := registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 3}
 	leaving := up
 	leaving.Phase, leaving.Seq = registry.Draining, 4
-	fresh := b.Take(Update{Revision: 5, Body: Pack([]byte("five")), Replicas: []registry.Record{up}})
+	fresh := b.Apply(Update{Revision: 5, Body: Pack([]byte("five")), Replicas: []registry.Record{up}})
 	must.Eq(t, 5, fresh.Revision)
 	must.SliceLen(t, 1, fresh.Replicas)
-	must.SliceLen(t, 1, b.Take(Update{Replicas: []registry.Record{leaving}}).Replicas)
+	must.SliceLen(t, 1, b.Apply(Update{Replicas: []registry.Record{leaving}}).Replicas)
 	// A feeder that is behind says nothing new.
-	must.True(t, b.Take(Update{Snapshot: true, Revision: 4, Body: Pack([]byte("four")), Replicas: []registry.Record{up}}).Empty())
+	must.True(t, b.Apply(Update{Snapshot: true, Revision: 4, Body: Pack([]byte("four")), Replicas: []registry.Record{up}}).Empty())
 	must.Eq(t, "five", string(b.Raw))
 	// Nor does one that says again what is known.
-	must.True(t, b.Take(b.Snapshot()).Empty())
+	must.True(t, b.Apply(b.Snapshot()).Empty())
 	// One called silent by the feeder before, by the same call, is there again where the next feeder says
 	// so.
 	silent := registry.Record{ID: "i-2", Service: "s", Address: "a:2", Seq: 7, Phase: registry.Silent}
 	ready := silent
 	ready.Phase = registry.Ready
-	b.Take(Update{Replicas: []registry.Record{silent}})
-	must.True(t, b.Take(Update{Replicas: []registry.Record{ready}}).Empty())
-	must.SliceLen(t, 1, b.Take(Update{Snapshot: true, Replicas: []registry.Record{ready}}).Replicas)
+	b.Apply(Update{Replicas: []registry.Record{silent}})
+	must.True(t, b.Apply(Update{Replicas: []registry.Record{ready}}).Empty())
+	must.SliceLen(t, 1, b.Apply(Update{Snapshot: true, Replicas: []registry.Record{ready}}).Replicas)
 	// A follower of the follower ends up with the same.
 	next := NewState()
-	next.Take(b.Snapshot())
+	next.Apply(b.Snapshot())
 	must.Eq(t, sorted(b.Snapshot()), sorted(next.Snapshot()))
 }
 
@@ -57,10 +57,10 @@
 			pieces[rapid.IntRange(0, len(pieces)-1).Draw(t, "at")] = piece.Draw(t, "new")
 		}
 		b := strings.Join(pieces, "|")
-		got, ok := Apply([]byte(a), Patch([]byte(a), []byte(b)))
+		got, ok := ApplyPatch([]byte(a), MakePatch([]byte(a), []byte(b)))
 		must.True(t, ok)
 		must.Eq(t, b, string(got))
-		Apply([]byte(b), rapid.SliceOf(rapid.Byte()).Draw(t, "junk")) // must not panic
+		ApplyPatch([]byte(b), rapid.SliceOf(rapid.Byte()).Draw(t, "junk")) // must not panic
 	})
 	var long strings.Builder
 	for i := range 3000 {
@@ -68,7 +68,7 @@
 	}
 	a := long.String()
 	b := strings.Replace(a, `"r-7919"`, `"r-other"`, 1)
-	must.Less(t, 100, len(Patch([]byte(a), []byte(b))))
+	must.Less(t, 100, len(MakePatch([]byte(a), []byte(b))))
 	must.Less(t, len(a)/4, len(Pack([]byte(a))))
 }
 
@@ -80,16 +80,16 @@
 		fmt.Fprint(&b, i*i*7919)
 	}
 	long := b.String()
-	feeder.Take(Update{Revision: 1, Body: Pack([]byte(long + "one"))})
-	follower.Take(feeder.Snapshot())
-	second := feeder.Take(Update{Revision: 2, Body: Pack([]byte("x" + long + "two"))})
-	third := feeder.Take(Update{Revision: 3, Body: Pack([]byte("y" + long + "three"))})
+	feeder.Apply(Update{Revision: 1, Body: Pack([]byte(long + "one"))})
+	follower.Apply(feeder.Snapshot())
+	second := feeder.Apply(Update{Revision: 2, Body: Pack([]byte("x" + long + "two"))})
+	third := feeder.Apply(Update{Revision: 3, Body: Pack([]byte("y" + long + "three"))})
 	must.Nil(t, third.Body)
-	must.True(t, follower.Take(third).Empty())
-	must.True(t, follower.Behind)
-	must.Eq(t, 2, follower.Take(second).Revision)
-	must.Eq(t, "y"+long+"three", string(follower.Take(third).Raw))
-	must.False(t, follower.Behind)
+	must.True(t, follower.Apply(third).Empty())
+	must.True(t, follower.NeedsSnapshot)
+	must.Eq(t, 2, follower.Apply(second).Revision)
+	must.Eq(t, "y"+long+"three", string(follower.Apply(third).Raw))
+	must.False(t, follower.NeedsSnapshot)
 	must.Eq(t, feeder.Snapshot(), follower.Snapshot())
 }
 
@@ -104,22 +104,22 @@
 		}
 		return Pack([]byte(b.String() + service))
 	}
-	feeder.Take(Update{Revision: 8, Body: routes("right")})
-	relay.Take(Update{Revision: 8, Body: routes("wrong")})
-	follower.Take(relay.Snapshot())
-	patch := feeder.Take(Update{Revision: 9, Body: routes("right, and more")})
+	feeder.Apply(Update{Revision: 8, Body: routes("right")})
+	relay.Apply(Update{Revision: 8, Body: routes("wrong")})
+	follower.Apply(relay.Snapshot())
+	patch := feeder.Apply(Update{Revision: 9, Body: routes("right, and more")})
 	must.NotNil(t, patch.Patch)
 	for _, state := range []*State{relay, follower} {
 		before := state.Snapshot()
-		must.True(t, state.Take(patch.ForFollower(true)).Empty())
-		must.True(t, state.Behind)
+		must.True(t, state.Apply(patch.ForWire(true)).Empty())
+		must.True(t, state.NeedsSnapshot)
 		must.Eq(t, before, state.Snapshot())
 	}
-	fresh := relay.Take(feeder.Snapshot())
-	must.False(t, relay.Behind)
+	fresh := relay.Apply(feeder.Snapshot())
+	must.False(t, relay.NeedsSnapshot)
 	must.Eq(t, string(feeder.Raw), string(relay.Raw))
 	// What the relay tells its followers is a patch of its own former content: right for one who held that too.
-	must.Eq(t, 9, follower.Take(fresh).Revision)
+	must.Eq(t, 9, follower.Apply(fresh).Revision)
 	must.Eq(t, string(feeder.Raw), string(follower.Raw))
 }
 
@@ -127,11 +127,11 @@
 func TestForget(t *testing.T) {
 	b := NewState()
 	for _, id := range []string{"i-1", "i-2"} {
-		b.Take(Update{Replicas: []registry.Record{{ID: id, Service: "s", Seq: 1}, {ID: "i-stays", Service: "s", Seq: 1}}})
-		b.Forget()
-		b.Take(Update{Replicas: []registry.Record{{ID: id, Service: "s", Seq: 2, Phase: registry.Gone}}})
+		b.Apply(Update{Replicas: []registry.Record{{ID: id, Service: "s", Seq: 1}, {ID: "i-stays", Service: "s", Seq: 1}}})
+		b.DropGone()
+		b.Apply(Update{Replicas: []registry.Record{{ID: id, Service: "s", Seq: 2, Phase: registry.Gone}}})
 		must.SliceContains(t, b.Snapshot().Replicas, registry.Record{ID: id, Service: "s", Seq: 2, Phase: registry.Gone})
-		b.Forget()
+		b.DropGone()
 		must.SliceContains(t, b.Snapshot().Replicas, registry.Record{ID: id, Seq: 2, Phase: registry.Gone})
 		must.MapLen(t, 1, b.replicas)
 	}
--- a/decide/clusterstate/departed_test.go
+++ b/decide/clusterstate/departed_test.go
@@ -17,30 +17,30 @@
 // it was dropped from the state; and the memory of such replicas is bounded.
 func TestDepartedStaysAway(t *testing.T) {
 	s := NewState()
-	s.Take(record("i-1", 4, registry.Ready))
-	s.Take(record("i-1", 4, registry.Gone))
-	s.Forget()
+	s.Apply(record("i-1", 4, registry.Ready))
+	s.Apply(record("i-1", 4, registry.Gone))
+	s.DropGone()
 	stale := record("i-1", 4, registry.Ready)
 	stale.Snapshot = true
-	must.SliceEmpty(t, s.Take(stale).Replicas)
+	must.SliceEmpty(t, s.Apply(stale).Replicas)
 	must.Eq(t, []registry.Record{{ID: "i-1", Phase: registry.Gone, Seq: 4}}, s.Snapshot().Replicas)
-	for i := range 3 * departedKept {
-		s.Take(record(fmt.Sprint("other-", i), 1, registry.Gone))
-		s.Forget()
+	for i := range 3 * maxDeparted {
+		s.Apply(record(fmt.Sprint("other-", i), 1, registry.Gone))
+		s.DropGone()
 	}
-	must.MapLen(t, departedKept, s.departed.last)
-	must.SliceLen(t, departedKept, s.departed.order)
+	must.MapLen(t, maxDeparted, s.departed.lastSeq)
+	must.SliceLen(t, maxDeparted, s.departed.order)
 }
 
 // TestSilentComesBack: a replica that was struck off because it had been silent for long may come back.
 func TestSilentComesBack(t *testing.T) {
 	s := NewState()
-	s.Take(record("i-1", 4, registry.Ready))
-	s.Take(record("i-1", 4, registry.Silent))
-	s.Take(record("i-1", 4, registry.Gone))
-	s.Forget()
-	must.SliceEmpty(t, s.Take(record("i-1", 4, registry.Ready)).Replicas)
-	must.SliceLen(t, 1, s.Take(record("i-1", 60, registry.Ready)).Replicas)
+	s.Apply(record("i-1", 4, registry.Ready))
+	s.Apply(record("i-1", 4, registry.Silent))
+	s.Apply(record("i-1", 4, registry.Gone))
+	s.DropGone()
+	must.SliceEmpty(t, s.Apply(record("i-1", 4, registry.Ready)).Replicas)
+	must.SliceLen(t, 1, s.Apply(record("i-1", 60, registry.Ready)).Replicas)
 	must.SliceLen(t, 1, s.Snapshot().Replicas)
 }
 
@@ -49,14 +49,14 @@
 func TestSnapshotTellsOfDeparted(t *testing.T) {
 	feeder, relay, follower := NewState(), NewState(), NewState()
 	ready, gone := record("i-1", 4, registry.Ready), record("i-1", 4, registry.Gone)
-	feeder.Take(ready)
-	feeder.Take(gone)
-	feeder.Forget()
-	relay.Take(feeder.Snapshot())
-	relay.Forget()
-	follower.Take(ready)
-	fresh := follower.Take(relay.Snapshot())
+	feeder.Apply(ready)
+	feeder.Apply(gone)
+	feeder.DropGone()
+	relay.Apply(feeder.Snapshot())
+	relay.DropGone()
+	follower.Apply(ready)
+	fresh := follower.Apply(relay.Snapshot())
 	must.Eq(t, gone.Replicas, fresh.Replicas)
-	follower.Forget()
-	must.SliceEmpty(t, follower.Take(relay.Snapshot()).Replicas)
+	follower.DropGone()
+	must.SliceEmpty(t, follower.Apply(relay.Snapshot()).Replicas)
 }
--- a/decide/clusterstate/fleet.go
+++ b/decide/clusterstate/fleet.go
@@ -9,35 +9,35 @@
 
 // Differences between fleets. Edges are listed by IP.
 
-func byIP(a, b Edge) int { return cmp.Compare(a.IP, b.IP) }
+func compareByIP(a, b Edge) int { return cmp.Compare(a.IP, b.IP) }
 
 func (f Fleet) equal(o Fleet) bool {
 	return f.Most == o.Most && slices.Equal(f.Edges, o.Edges) && slices.Equal(f.Controllers, o.Controllers) &&
 		slices.Equal(f.Zones, o.Zones)
 }
 
-// apply makes a new fleet of f and a difference.
-func (f Fleet) apply(c FleetChange) Fleet {
+// withChange makes a new fleet of f and a difference.
+func (f Fleet) withChange(c FleetChange) Fleet {
 	edges := slices.DeleteFunc(slices.Clone(f.Edges), func(e Edge) bool {
-		_, joined := slices.BinarySearchFunc(c.Joined, e, byIP)
+		_, joined := slices.BinarySearchFunc(c.Joined, e, compareByIP)
 		_, left := slices.BinarySearch(c.Left, e.IP)
 		return joined || left
 	})
 	edges = append(edges, c.Joined...)
-	slices.SortFunc(edges, byIP)
+	slices.SortFunc(edges, compareByIP)
 	return Fleet{Edges: edges, Most: c.Most, Controllers: c.Controllers, Zones: c.Zones}
 }
 
-// difference makes after of before. An edge whose zone has changed has joined anew.
-func difference(before, after Fleet) FleetChange {
+// fleetDifference makes after of before. An edge whose zone has changed has joined anew.
+func fleetDifference(before, after Fleet) FleetChange {
 	c := FleetChange{Most: after.Most, Controllers: after.Controllers, Zones: after.Zones, Count: len(after.Edges)}
 	for _, e := range after.Edges {
-		if at, found := slices.BinarySearchFunc(before.Edges, e, byIP); !found || before.Edges[at] != e {
+		if at, found := slices.BinarySearchFunc(before.Edges, e, compareByIP); !found || before.Edges[at] != e {
 			c.Joined = append(c.Joined, e)
 		}
 	}
 	for _, e := range before.Edges {
-		if _, found := slices.BinarySearchFunc(after.Edges, e, byIP); !found {
+		if _, found := slices.BinarySearchFunc(after.Edges, e, compareByIP); !found {
 			c.Left = append(c.Left, e.IP)
 		}
 	}
@@ -56,8 +56,8 @@
 	return processes
 }
 
-// InZone are the IPs of a zone's edges.
-func (f Fleet) InZone(zone string) (ips []string) {
+// EdgeIPsInZone are the IPs of a zone's edges.
+func (f Fleet) EdgeIPsInZone(zone string) (ips []string) {
 	for _, e := range f.Edges {
 		if e.Zone == zone {
 			ips = append(ips, e.IP)
--- a/decide/clusterstate/fleet_test.go
+++ b/decide/clusterstate/fleet_test.go
@@ -25,13 +25,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		feeder, relay, edge, former := NewState(), NewState(), NewState(), NewState()
 		for i := range rapid.IntRange(1, 6).Draw(t, "changes") {
-			fresh := feeder.Take(Update{Fleet: drawFleet(t, fmt.Sprint(i, " "))})
-			passed := relay.Take(fresh.ForFollower(true))
-			edge.Take(passed.ForFollower(true))
-			former.Take(fresh.ForFollower(false))
+			fresh := feeder.Apply(Update{Fleet: drawFleet(t, fmt.Sprint(i, " "))})
+			passed := relay.Apply(fresh.ForWire(true))
+			edge.Apply(passed.ForWire(true))
+			former.Apply(fresh.ForWire(false))
 			for _, s := range []*State{relay, edge, former} {
 				must.Eq(t, feeder.Fleet, s.Fleet)
-				must.False(t, s.Behind)
+				must.False(t, s.NeedsSnapshot)
 			}
 		}
 	})
@@ -44,9 +44,9 @@
 	for i := range 300 {
 		f.Edges = append(f.Edges, Edge{IP: fmt.Sprintf("10.0.1.%03d", i)})
 	}
-	feeder.Take(Update{Fleet: f})
+	feeder.Apply(Update{Fleet: f})
 	f.Edges = append(f.Edges[:300:300], Edge{IP: "10.0.2.000"})
-	told := feeder.Take(Update{Fleet: f}).ForFollower(true)
+	told := feeder.Apply(Update{Fleet: f}).ForWire(true)
 	must.SliceEmpty(t, told.Fleet.Edges)
 	must.Eq(t, []Edge{{IP: "10.0.2.000"}}, told.Change.Joined)
 	must.False(t, told.Empty())
@@ -56,13 +56,13 @@
 func TestFleetChangeThatDoesNotFit(t *testing.T) {
 	held := Fleet{Most: 3, Edges: []Edge{{IP: "10.0.0.1"}, {IP: "10.0.0.2"}, {IP: "10.0.0.3"}}}
 	feeder, follower := NewState(), NewState()
-	feeder.Take(Update{Fleet: held})
-	follower.Take(Update{Fleet: Fleet{Most: 1, Edges: []Edge{{IP: "10.0.0.9"}}}})
+	feeder.Apply(Update{Fleet: held})
+	follower.Apply(Update{Fleet: Fleet{Most: 1, Edges: []Edge{{IP: "10.0.0.9"}}}})
 	held.Edges = held.Edges[:2]
-	fresh := feeder.Take(Update{Fleet: held})
-	must.True(t, follower.Take(fresh.ForFollower(true)).Empty())
-	must.True(t, follower.Behind)
-	follower.Take(feeder.Snapshot())
-	must.False(t, follower.Behind)
+	fresh := feeder.Apply(Update{Fleet: held})
+	must.True(t, follower.Apply(fresh.ForWire(true)).Empty())
+	must.True(t, follower.NeedsSnapshot)
+	follower.Apply(feeder.Snapshot())
+	must.False(t, follower.NeedsSnapshot)
 	must.Eq(t, feeder.Fleet, follower.Fleet)
 }
--- a/decide/clusterstate/patch.go
+++ b/decide/clusterstate/patch.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	block    = 32       // bytes that are looked up; shorter stretches in common are sent anew
-	bodyMost = 64 << 20 // bytes of a configuration
-	multiple = 0x9e3779b1
+	blockBytes     = 32       // bytes that are looked up; shorter stretches in common are sent anew
+	maxBodyBytes   = 64 << 20 // bytes of a configuration
+	hashMultiplier = 0x9e3779b1
 )
 
 // ContentSum identifies a configuration's content, the bytes that the operator sent: the first 64 bits of their SHA-256.
@@ -31,16 +31,16 @@
 
 // Unpack is the way back; false where the bytes are no packed configuration.
 func Unpack(packed []byte) ([]byte, bool) {
-	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), bodyMost))
+	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxBodyBytes))
 	return body, err == nil
 }
 
-// Patch says how to make b of a: stretches of a, by offset and length, and new bytes between them. The blocks
+// MakePatch says how to make b of a: stretches of a, by offset and length, and new bytes between them. The blocks
 // of a are found again at any offset of b by a sum that rolls.
-func Patch(a, b []byte) []byte {
-	at := make(map[uint32]int, len(a)/block)
-	for i := 0; i+block <= len(a); i += block {
-		s := sum(a[i : i+block])
+func MakePatch(a, b []byte) []byte {
+	at := make(map[uint32]int, len(a)/blockBytes)
+	for i := 0; i+blockBytes <= len(a); i += blockBytes {
+		s := blockHash(a[i : i+blockBytes])
 		if _, ok := at[s]; !ok {
 			at[s] = i
 		}
@@ -52,17 +52,17 @@
 		out = append(out, b[literal:end]...)
 	}
 	top := uint32(1)
-	for range block {
-		top *= multiple
+	for range blockBytes {
+		top *= hashMultiplier
 	}
 	s := uint32(0)
 	fresh := true
-	for i := 0; i+block <= len(b); {
+	for i := 0; i+blockBytes <= len(b); {
 		if fresh {
-			s, fresh = sum(b[i:i+block]), false
+			s, fresh = blockHash(b[i:i+blockBytes]), false
 		}
-		if from, ok := at[s]; ok && bytes.Equal(a[from:from+block], b[i:i+block]) {
-			n := block
+		if from, ok := at[s]; ok && bytes.Equal(a[from:from+blockBytes], b[i:i+blockBytes]) {
+			n := blockBytes
 			for from+n < len(a) && i+n < len(b) && a[from+n] == b[i+n] {
 				n++
 			}
@@ -76,8 +76,8 @@
 			literal, fresh = i, true
 			continue
 		}
-		if i+block < len(b) {
-			s = s*multiple + uint32(b[i+block]) - top*uint32(b[i])
+		if i+blockBytes < len(b) {
+			s = s*hashMultiplier + uint32(b[i+blockBytes]) - top*uint32(b[i])
 		}
 		i++
 	}
@@ -85,15 +85,15 @@
 	return out
 }
 
-func sum(b []byte) (s uint32) {
+func blockHash(b []byte) (s uint32) {
 	for _, c := range b {
-		s = s*multiple + uint32(c)
+		s = s*hashMultiplier + uint32(c)
 	}
 	return s
 }
 
-// Apply makes b of a and a patch; false where the patch is none for a.
-func Apply(a, patch []byte) (b []byte, ok bool) {
+// ApplyPatch makes b of a and a patch; false where the patch is none for a.
+func ApplyPatch(a, patch []byte) (b []byte, ok bool) {
 	for {
 		n, k := binary.Uvarint(patch)
 		if k <= 0 || n > uint64(len(patch)-k) {
@@ -109,7 +109,7 @@
 		}
 		patch = patch[k:]
 		n, k = binary.Uvarint(patch)
-		if k <= 0 || from > uint64(len(a)) || n > uint64(len(a))-from || len(b)+int(n) > bodyMost {
+		if k <= 0 || from > uint64(len(a)) || n > uint64(len(a))-from || len(b)+int(n) > maxBodyBytes {
 			return nil, false
 		}
 		b, patch = append(b, a[from:from+n]...), patch[k:]
--- a/decide/clusterstate/rollouts_test.go
+++ b/decide/clusterstate/rollouts_test.go
@@ -14,16 +14,16 @@
 	begun, _, _ := rollout.Set{}.Begin(rollout.Order{Service: "s", Target: "v2", OverMs: 9000})
 	reverted, _ := begun.Abort("s", "bad")
 	state := NewState()
-	must.False(t, state.Take(Update{Rollouts: reverted}).Empty())
-	must.True(t, state.Take(Update{Rollouts: begun}).Empty())
-	must.True(t, state.Take(Update{Rollouts: reverted}).Empty())
+	must.False(t, state.Apply(Update{Rollouts: reverted}).Empty())
+	must.True(t, state.Apply(Update{Rollouts: begun}).Empty())
+	must.True(t, state.Apply(Update{Rollouts: reverted}).Empty())
 	must.Eq(t, reverted, state.Snapshot().Rollouts)
 }
 
 // TestVersionStays: a feeder of the former version passes records on without the version; it is not forgotten for that.
 func TestVersionStays(t *testing.T) {
 	state := NewState()
-	state.Take(Update{Replicas: []registry.Record{{ID: "i", Service: "s", Version: "v2", Seq: 1}}})
-	must.SliceEmpty(t, state.Take(Update{Replicas: []registry.Record{{ID: "i", Service: "s", Seq: 2}}}).Replicas)
+	state.Apply(Update{Replicas: []registry.Record{{ID: "i", Service: "s", Version: "v2", Seq: 1}}})
+	must.SliceEmpty(t, state.Apply(Update{Replicas: []registry.Record{{ID: "i", Service: "s", Seq: 2}}}).Replicas)
 	must.Eq(t, "v2", state.Snapshot().Replicas[0].Version)
 }
--- a/decide/clusterstate/selection.go
+++ b/decide/clusterstate/selection.go
@@ -26,10 +26,10 @@
 func (s *Selection) Update(state *State, update Update) Update {
 	before := s.used
 	if update.Raw != nil {
-		s.read(update.Raw)
+		s.setConfiguration(update.Raw)
 	}
 	told := update
-	told.Replicas = s.selected(update.Replicas)
+	told.Replicas = s.filter(update.Replicas)
 	if update.Raw == nil || before == nil { // nothing begins to be used, or all were told before
 		return told
 	}
@@ -47,12 +47,12 @@
 // Snapshot returns all that followers are told, as a whole.
 func (s *Selection) Snapshot(state *State) Update {
 	snapshot := state.Snapshot()
-	snapshot.Replicas = s.selected(snapshot.Replicas)
+	snapshot.Replicas = s.filter(snapshot.Replicas)
 	return snapshot
 }
 
-// read takes in which services a configuration uses.
-func (s *Selection) read(configuration []byte) {
+// setConfiguration takes in which services a configuration uses.
+func (s *Selection) setConfiguration(configuration []byte) {
 	used, err := routeconfig.UsedServices(configuration)
 	if err != nil {
 		used = nil
@@ -66,8 +66,8 @@
 	return used || s.used == nil
 }
 
-// selected are those of the replicas that followers are told of.
-func (s *Selection) selected(all []registry.Record) []registry.Record {
+// filter are those of the replicas that followers are told of.
+func (s *Selection) filter(all []registry.Record) []registry.Record {
 	return slices.DeleteFunc(slices.Clone(all), func(r registry.Record) bool {
 		return r.Phase == registry.Ready && !s.uses(r.Service)
 	})
--- a/decide/clusterstate/selection_test.go
+++ b/decide/clusterstate/selection_test.go
@@ -40,7 +40,7 @@
 func newFeeder() *feeder { return &feeder{NewState(), NewSelection()} }
 
 // take returns what followers are told.
-func (f *feeder) take(n Update) Update { return f.selection.Update(f.State, f.State.Take(n)) }
+func (f *feeder) take(n Update) Update { return f.selection.Update(f.State, f.State.Apply(n)) }
 
 // used are the services that its configuration uses, by name.
 func (f *feeder) used() []string { return slices.Sorted(maps.Keys(f.selection.used)) }
@@ -68,18 +68,18 @@
 	f, follower := newFeeder(), NewState()
 	must.True(t, f.take(replicaUpdate("a1", "a", 1, registry.Ready)).Empty()) // there is no configuration yet
 	f.take(replicaUpdate("b1", "b", 1, registry.Ready))
-	follower.Take(f.snapshot())
+	follower.Apply(f.snapshot())
 	must.MapEmpty(t, follower.replicas)
-	follower.Take(f.take(configuration(1, "a", "c")))
+	follower.Apply(f.take(configuration(1, "a", "c")))
 	must.Eq(t, []string{"a1"}, slices.Collect(maps.Keys(follower.replicas)))
 	must.True(t, f.take(replicaUpdate("b2", "b", 1, registry.Ready)).Empty())
-	follower.Take(f.take(replicaUpdate("c1", "c", 1, registry.Ready)))
+	follower.Apply(f.take(replicaUpdate("c1", "c", 1, registry.Ready)))
 	must.Eq(t, []string{"c1"}, ready(follower, "c"))
 
 	told := f.take(configuration(2, "a", "d", "b"))
 	must.Eq(t, []string{"b"}, told.Services) // d has no replica
 	must.SliceLen(t, 2, told.Replicas)
-	follower.Take(told)
+	follower.Apply(told)
 	must.Eq(t, []string{"b1", "b2"}, ready(follower, "b"))
 	must.Eq(t, []string{"a", "b", "d"}, f.used())
 }
@@ -93,10 +93,10 @@
 		f.take(replicaUpdate("b1", "b", 1, registry.Ready))
 	}
 	ahead.take(configuration(2, "a", "b"))
-	follower.Take(ahead.snapshot())
+	follower.Apply(ahead.snapshot())
 	must.Eq(t, []string{"b1"}, ready(follower, "b"))
-	follower.Take(behind.snapshot())
-	follower.Take(behind.take(replicaUpdate("b1", "b", 2, registry.Draining)))
+	follower.Apply(behind.snapshot())
+	follower.Apply(behind.take(replicaUpdate("b1", "b", 2, registry.Draining)))
 	must.SliceEmpty(t, ready(follower, "b"))
 }
 
@@ -106,10 +106,10 @@
 	f, follower := newFeeder(), NewState()
 	f.take(configuration(1, "a"))
 	f.take(replicaUpdate("b1", "b", 5, registry.Ready))
-	follower.Take(replicaUpdate("b1", "b", 5, registry.Silent))
+	follower.Apply(replicaUpdate("b1", "b", 5, registry.Silent))
 	relay := NewState()
-	relay.Take(replicaUpdate("b1", "b", 5, registry.Silent))
-	follower.Take(relay.Take(f.take(configuration(2, "b"))))
+	relay.Apply(replicaUpdate("b1", "b", 5, registry.Silent))
+	follower.Apply(relay.Apply(f.take(configuration(2, "b"))))
 	must.Eq(t, []string{"b1"}, ready(follower, "b"))
 }
 
@@ -133,7 +133,7 @@
 		truth := map[string]registry.Record{}
 		seq, revision := uint64(0), uint64(0)
 		relay, edge, followed := NewState(), NewState(), 0
-		tell := func(n Update) { edge.Take(relay.Take(n)) }
+		tell := func(n Update) { edge.Apply(relay.Apply(n)) }
 		deliver := func(which int) {
 			told := feeders[which].take(queues[which][0])
 			queues[which] = queues[which][1:]
@@ -182,11 +182,11 @@
 					follow(1 - followed)
 				case 1:
 					edge = NewState()
-					edge.Take(relay.Snapshot())
+					edge.Apply(relay.Snapshot())
 				case 2:
 					relay = NewState()
 					follow(followed)
-					edge.Take(relay.Snapshot())
+					edge.Apply(relay.Snapshot())
 				}
 			}
 			for id, r := range feeders[followed].replicas {
--- a/decide/controller/bench_test.go
+++ b/decide/controller/bench_test.go
@@ -25,15 +25,15 @@
 
 // largeController is a lone controller that knows many replicas and edges.
 func largeController(now int64) *Controller {
-	c := New(now, Start{IP: "10.9.0.1", Life: "1", Seeds: []string{"10.9.0.1"}, Bootstrap: true, BeatEvery: 1000 * ms,
-		Draw: func() float64 { return 0 }})
+	c := New(now, Options{IP: "10.9.0.1", Incarnation: "1", Seeds: []string{"10.9.0.1"}, Bootstrap: true, ReplicaHeartbeatInterval: 1000 * ms,
+		Random: func() float64 { return 0 }})
 	for i := range manyReplicas {
-		c.take(replicaRecord(i, 1), false)
+		c.applyRecord(replicaRecord(i, 1), false)
 	}
 	for i := range manyEdges {
-		c.Edge(now, edgeReport(i))
+		c.HandleEdgeReport(now, edgeReport(i))
 	}
-	c.Tick(now + fleetEvery)
+	c.Tick(now + fleetUpdateInterval)
 	return c
 }
 
@@ -52,7 +52,7 @@
 	for b.Loop() {
 		r := records[n%manyReplicas]
 		r.Seq += uint64(n / manyReplicas)
-		c.Beat(2*ms+int64(n)*10_000, uint64(n), r)
+		c.HandleReplicaCall(2*ms+int64(n)*10_000, uint64(n), r)
 		n++
 	}
 }
@@ -65,14 +65,14 @@
 	for b.Loop() {
 		w := Message{From: "10.9.0.2"}
 		for i := range batch {
-			w.Beats = append(w.Beats, ReplicaHeartbeat{fmt.Sprintf("replica-%06d-0", (n*batch+i)%manyReplicas), uint64(2 + n*batch/manyReplicas)})
+			w.ReplicaHeartbeats = append(w.ReplicaHeartbeats, ReplicaHeartbeat{fmt.Sprintf("replica-%06d-0", (n*batch+i)%manyReplicas), uint64(2 + n*batch/manyReplicas)})
 		}
 		frame, _ := cbor.Marshal(w)
 		var got Message
 		if err := cbor.Unmarshal(frame, &got); err != nil {
 			b.Fatal(err)
 		}
-		c.Take(2*ms+int64(n)*ms, got)
+		c.HandleMessage(2*ms+int64(n)*ms, got)
 		n++
 		b.ReportMetric(float64(len(frame))/batch, "bytes/heartbeat")
 	}
@@ -84,7 +84,7 @@
 	c := largeController(ms)
 	n := 0
 	for b.Loop() {
-		c.Edge(2*ms+int64(n)*1_000_000_000/manyEdges, edgeReport(n%manyEdges))
+		c.HandleEdgeReport(2*ms+int64(n)*1_000_000_000/manyEdges, edgeReport(n%manyEdges))
 		n++
 	}
 }
@@ -98,12 +98,12 @@
 		if n%heardEvery == 0 {
 			b.StopTimer()
 			for i := range manyReplicas {
-				c.take(replicaRecord(i, uint64(2+n)), false)
+				c.applyRecord(replicaRecord(i, uint64(2+n)), false)
 			}
 			b.StartTimer()
 		}
 		n++
-		c.Tick(ms + n*passEvery)
+		c.Tick(ms + n*recordBatchInterval)
 	}
 }
 
--- a/decide/controller/contact.go
+++ b/decide/controller/contact.go
@@ -12,20 +12,20 @@
 // Contact with the other controllers: heartbeats, and what their answers prove.
 
 const (
-	contactWithin = 1600 * ms // contact counts for so long after the heartbeat that was answered: three may be lost
-	settleAfter   = 400 * ms  // what a disk accepted and nobody called committed for so long is settled by a round
-	settleBackup  = 800 * ms  // if the first live member has not done so, any other does after this much longer
+	contactTimeout    = 1600 * ms // contact counts for so long after the heartbeat that was answered: three may be lost
+	settleDelay       = 400 * ms  // what a disk accepted and nobody called committed for so long is settled by a round
+	settleBackupDelay = 800 * ms  // if the first live member has not done so, any other does after this much longer
 )
 
 // neverCurrent is CurrentSince of one that has not been current in this life.
 const neverCurrent = lease.Never
 
-// live tells whether a controller has answered a heartbeat of this one of late; this one itself is always live.
+// isLive tells whether a controller has answered a heartbeat of this one of late; this one itself is always live.
 //
 // Danger: one that is heard but does not hear is of no use to anybody. Were it counted by what is heard of it, it would
 // hold up the duties that its place in the order gives it.
-func (c *Controller) live(ip string) bool {
-	return ip == c.IP || c.now-c.lease.Reached(ip) < contactWithin
+func (c *Controller) isLive(ip string) bool {
+	return ip == c.IP || c.now-c.lease.Reached(ip) < contactTimeout
 }
 
 // InContact tells whether a majority of the members has answered this controller's heartbeats of late. It is what this
@@ -34,14 +34,14 @@
 // Danger: a controller that hears all the others and is heard by none would go on as if nothing had happened: its
 // followers would keep the configuration of the moment at which it was cut off.
 func (c *Controller) InContact() bool {
-	return c.now-c.lease.ReachedSince(c.now, c.ownName(), c.electorate()) < contactWithin
+	return c.now-c.lease.ReachedSince(c.now, c.ownVoter(), c.quorumValue()) < contactTimeout
 }
 
 // CurrentSince is the latest time for which this controller is known to hold all that was acknowledged before it: a
 // majority then held nothing that is not known here to be committed. neverCurrent where there was no such time in this
 // life.
 func (c *Controller) CurrentSince() int64 {
-	return c.lease.CurrentSince(c.now, c.ownName(), c.electorate())
+	return c.lease.CurrentSince(c.now, c.ownVoter(), c.quorumValue())
 }
 
 // Epoch and Revision are those of the newest value known to be committed.
@@ -50,16 +50,16 @@
 // Revision is that of the newest configuration known to be committed.
 func (c *Controller) Revision() uint64 { return c.committed.Revision }
 
-// ownName is this controller's name among the members, empty while its own disk counts for nothing.
-func (c *Controller) ownName() string {
+// ownVoter is this controller's name among the members, empty while its own disk counts for nothing.
+func (c *Controller) ownVoter() string {
 	if c.disk.CaughtUp {
 		return c.IP
 	}
 	return ""
 }
 
-// electorate is the value whose members make up the majority.
-func (c *Controller) electorate() register.Value {
+// quorumValue is the value whose members make up the majority.
+func (c *Controller) quorumValue() register.Value {
 	if len(c.committed.Members) > 0 {
 		return c.committed
 	}
@@ -76,27 +76,27 @@
 
 // sendHeartbeat sends one to all others.
 func (c *Controller) sendHeartbeat() {
-	c.passOn() // a replica that is new in the group has to be known before
-	group, leaving := c.group.News(c.now), c.list.LeavingSum()
-	h := Heartbeat{Group: &group, LeavingReplicas: &leaving, CaughtUp: c.disk.CaughtUp, Epoch: c.committed.Epoch, Revision: c.committed.Revision, Rollouts: c.committed.Rollouts.Version, Leaving: c.leaving,
-		Number: c.lease.Ask(c.now), Accepted: c.disk.Accepted}
-	for _, ip := range c.all() {
-		if number := c.peers[ip].number; number > 0 {
+	c.sendRecordBatch() // a replica that is new in the group has to be known before
+	group, leaving := c.localGroup.Changes(c.now), c.replicas.LeavingSum()
+	h := Heartbeat{Group: &group, LeavingSum: &leaving, CaughtUp: c.disk.CaughtUp, Epoch: c.committed.Epoch, Revision: c.committed.Revision, RolloutsVersion: c.committed.Rollouts.Version, ShuttingDown: c.shuttingDown,
+		Number: c.lease.NextHeartbeat(c.now), Accepted: c.disk.Accepted}
+	for _, ip := range c.peerIPs() {
+		if number := c.peers[ip].heartbeatNumber; number > 0 {
 			h.Received = append(h.Received, Receipt{ip, number})
 		}
 	}
-	if c.now >= c.edgesAt {
-		c.edgesAt = c.now + edgesEvery
+	if c.now >= c.edgeReportAt {
+		c.edgeReportAt = c.now + edgeReportInterval
 		h.Controllers, h.Zone = c.livePeers(), c.Zone
 		h.Edges = c.edgeReports()
-		c.fleet()
+		c.updateFleet()
 	}
-	c.send(Message{Heartbeat: &h}, c.all()...)
+	c.send(Message{Heartbeat: &h}, c.peerIPs()...)
 }
 
 func (c *Controller) livePeers() (ips []string) {
 	for _, ip := range slices.Sorted(maps.Keys(c.peers)) {
-		if c.live(ip) {
+		if c.isLive(ip) {
 			ips = append(ips, ip)
 		}
 	}
@@ -106,85 +106,85 @@
 // edgeReports are the edges that the other controllers are to be told of now.
 func (c *Controller) edgeReports() (reports []EdgeReport) {
 	for _, e := range c.edges {
-		if c.now-e.told > edgeAgain && c.now-e.heard < edgeAgain {
-			e.told = c.now
-			reports = append(reports, EdgeReport{Edge: e.Edge, Suspects: e.said, Age: c.now - e.heard})
+		if c.now-e.reportedAt > edgeReportRepeat && c.now-e.lastHeard < edgeReportRepeat {
+			e.reportedAt = c.now
+			reports = append(reports, EdgeReport{Edge: e.Edge, Suspects: e.suspects, Age: c.now - e.lastHeard})
 		}
 	}
 	return reports
 }
 
-// heartbeat takes one in.
-func (c *Controller) heartbeat(p *peer, w Message) {
+// handleHeartbeat takes one in.
+func (c *Controller) handleHeartbeat(p *peer, w Message) {
 	h := w.Heartbeat
-	if h.Leaving && !p.heartbeat.Leaving {
-		c.dutyAt = c.now // a member that leaves is replaced while it still runs
+	if h.ShuttingDown && !p.heartbeat.ShuttingDown {
+		c.membershipCheckAt = c.now // a member that leaves is replaced while it still runs
 	}
-	p.heartbeat, p.number = *h, h.Number
+	p.heartbeat, p.heartbeatNumber = *h, h.Number
 	p.zone = cmp.Or(h.Zone, p.zone)
-	c.receipts(w.From, h)
+	c.handleReceipts(w.From, h)
 	if h.Group != nil {
-		c.takeGroup(w.From, p, *h.Group)
+		c.handleGroup(w.From, p, *h.Group)
 	}
-	if h.LeavingReplicas != nil {
-		c.compareLeaving(w.From, p, *h.LeavingReplicas)
+	if h.LeavingSum != nil {
+		c.compareLeaving(w.From, p, *h.LeavingSum)
 	}
 	for _, s := range h.Edges {
-		c.sight(s, false)
+		c.recordEdge(s, false)
 	}
 	if len(h.Edges) > 0 {
-		c.fleet()
+		c.updateFleet()
 	}
 	for _, ip := range h.Controllers {
-		c.meet(ip)
+		c.addPeer(ip)
 	}
-	if h.Revision > c.committed.Revision || h.Epoch > c.committed.Epoch || h.Rollouts > c.committed.Rollouts.Version || c.list.Empty() {
-		c.want(w.From)
+	if h.Revision > c.committed.Revision || h.Epoch > c.committed.Epoch || h.RolloutsVersion > c.committed.Rollouts.Version || c.replicas.Empty() {
+		c.requestAll(w.From)
 	}
 }
 
-// receipts takes what a heartbeat proves: which of this controller's own its sender had received.
+// handleReceipts takes what a heartbeat proves: which of this controller's own its sender had received.
 //
 // Danger: a disk that was emptied knows nothing of what a majority decided with its help before. Its word counts for
 // nothing until it has caught up.
-func (c *Controller) receipts(from string, h *Heartbeat) {
+func (c *Controller) handleReceipts(from string, h *Heartbeat) {
 	if !h.CaughtUp {
 		return
 	}
 	for _, r := range h.Received {
 		if r.IP == c.IP {
-			c.lease.Answer(from, r.Number, h.Accepted)
+			c.lease.HandleAnswer(from, r.Number, h.Accepted)
 		}
 	}
 }
 
-// settle has a round confirm what some disk has accepted and nobody has called committed for a while: its writer may
+// settleAccepted has a round confirm what some disk has accepted and nobody has called committed for a while: its writer may
 // have died before it could tell. Until it is settled no controller that knows of it is current.
-func (c *Controller) settle() {
-	if !c.unsettled() {
-		c.unsettledAt = 0
+func (c *Controller) settleAccepted() {
+	if !c.hasUnsettled() {
+		c.unsettledSince = 0
 		return
 	}
-	if c.unsettledAt == 0 {
-		c.unsettledAt = c.now
+	if c.unsettledSince == 0 {
+		c.unsettledSince = c.now
 	}
-	wait := int64(settleAfter)
+	wait := int64(settleDelay)
 	if first := c.firstLiveMember(); first != c.IP {
-		wait += settleBackup + int64(c.Draw()*float64(settleBackup))
+		wait += settleBackupDelay + int64(c.Random()*float64(settleBackupDelay))
 	}
-	if c.now-c.unsettledAt < wait || !c.inContact || !c.disk.CaughtUp || c.proposer.Busy() {
+	if c.now-c.unsettledSince < wait || !c.inContact || !c.disk.CaughtUp || c.proposer.Busy() {
 		return
 	}
-	c.unsettledAt = c.now
-	_, out := c.proposer.Edit(c.now, same)
-	c.carry(out)
+	c.unsettledSince = c.now
+	_, out := c.proposer.Edit(c.now, readOnlyEdit)
+	c.handleProposer(out)
 }
 
-// unsettled tells whether this controller's disk, or that of a live member, has accepted what is not known to be
+// hasUnsettled tells whether this controller's disk, or that of a live member, has accepted what is not known to be
 // committed.
-func (c *Controller) unsettled() bool {
-	return c.lease.OwnUnsettled() || slices.ContainsFunc(c.members(), func(ip string) bool {
-		return c.live(ip) && c.lease.Unsettled(ip)
+func (c *Controller) hasUnsettled() bool {
+	return c.lease.OwnUncommitted() || slices.ContainsFunc(c.members(), func(ip string) bool {
+		return c.isLive(ip) && c.lease.Uncommitted(ip)
 	})
 }
 
@@ -192,24 +192,24 @@
 // is none. One that leaves does not count, else nobody would replace it while it still runs.
 func (c *Controller) firstLiveMember() string {
 	members := c.members()
-	at := slices.IndexFunc(members, func(ip string) bool { return c.live(ip) && !c.leaves(ip) })
+	at := slices.IndexFunc(members, func(ip string) bool { return c.isLive(ip) && !c.isShuttingDown(ip) })
 	if at < 0 {
 		return ""
 	}
 	return members[at]
 }
 
-// leaves tells whether a controller has said that its process is about to end.
-func (c *Controller) leaves(ip string) bool {
+// isShuttingDown tells whether a controller has said that its process is about to end.
+func (c *Controller) isShuttingDown(ip string) bool {
 	if ip == c.IP {
-		return c.leaving
+		return c.shuttingDown
 	}
 	p := c.peers[ip]
-	return p != nil && p.heartbeat.Leaving
+	return p != nil && p.heartbeat.ShuttingDown
 }
 
-// laterOf orders controllers by when they were last in contact.
-func (c *Controller) laterOf(a, b string) int {
+// compareLastReached orders controllers by when they were last in contact.
+func (c *Controller) compareLastReached(a, b string) int {
 	return cmp.Compare(c.lease.Reached(a), c.lease.Reached(b))
 }
 
--- a/decide/controller/contact_test.go
+++ b/decide/controller/contact_test.go
@@ -23,7 +23,7 @@
 		for revision := uint64(1); revision <= 20; revision++ {
 			refused := b.put(lone, 1000+revision, "to the one that is cut off")
 			taken := b.put(other, revision, "to one of the majority")
-			beat := b.beat(lone, registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: revision})
+			beat := b.replicaCall(lone, registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: revision})
 			b.run(1000 * ms)
 			must.Eq(t, 503, b.answers[refused].Status)
 			must.Eq(t, 503, b.answers[beat].Status)
--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -18,147 +18,147 @@
 
 // Times, ns.
 const (
-	ms             = 1_000_000
-	heartbeatEvery = 300 * ms // between two heartbeats to every other controller
-	passEvery      = 100 * ms // between two batches of replicas' records to the others
-	beatsEvery     = 600 * ms // between two batches that say only that replicas were heard
-	answerWithin   = 900 * ms // callers go elsewhere after a second of silence
-	joinEvery      = 250 * ms
-	silentMember   = 2500 * ms  // a member unheard for so long gives its place to a newcomer
-	goneAfter      = 30000 * ms // a controller that is no member and unheard for so long is forgotten
-	edgeWithin     = 20000 * ms // an edge heard of within it counts
-	edgeQuiet      = 7000 * ms  // one that is suspected and unheard for so long does not
-	suspicion      = 4000 * ms  // a watcher's suspicion of another counts for so long
-	suspectedBy    = 2          // watchers, or all that there are
-	mostKept       = 60000 * ms // the number of edges for budgets goes down only after that
-	fleetEvery     = 400 * ms   // between two lists of edges that followers are told
-	edgesEvery     = 900 * ms   // between two lists of controllers, and of what is new of edges
-	edgeAgain      = 5000 * ms  // an edge of which nothing is new is told of again after that
-	wantEvery      = 500 * ms   // between two questions of one kind for what another controller knows
-	beatsPassed    = 2          // heartbeats of a replica of which the others are told one
-	silentBeats    = 5          // heartbeats left out, and a replica has fallen silent
-	keepGone       = 60000 * ms
-	saveAgain      = 200 * ms // after a save that failed
-	listEvery      = 500 * ms // between two saves for the list of replicas alone
-	committedEvery = 500 * ms // between two saves for the revision known to stand alone
+	ms                     = 1_000_000
+	heartbeatInterval      = 300 * ms // between two heartbeats to every other controller
+	recordBatchInterval    = 100 * ms // between two batches of replicas' records to the others
+	heartbeatBatchInterval = 600 * ms // between two batches that say only that replicas were heard
+	answerTimeout          = 900 * ms // callers go elsewhere after a second of silence
+	joinInterval           = 250 * ms
+	silentMemberTimeout    = 2500 * ms  // a member unheard for so long gives its place to a newcomer
+	forgetPeerAfter        = 30000 * ms // a controller that is no member and unheard for so long is forgotten
+	edgeTimeout            = 20000 * ms // an edge heard of within it counts
+	suspectedEdgeTimeout   = 7000 * ms  // one that is suspected and unheard for so long does not
+	suspicionValidity      = 4000 * ms  // a watcher's suspicion of another counts for so long
+	suspicionThreshold     = 2          // watchers, or all that there are
+	maxEdgesRetention      = 60000 * ms // the number of edges for budgets goes down only after that
+	fleetUpdateInterval    = 400 * ms   // between two lists of edges that followers are told
+	edgeReportInterval     = 900 * ms   // between two lists of controllers, and of what is new of edges
+	edgeReportRepeat       = 5000 * ms  // an edge of which nothing is new is told of again after that
+	requestInterval        = 500 * ms   // between two questions of one kind for what another controller knows
+	heartbeatsPerRelay     = 2          // heartbeats of a replica of which the others are told one
+	silentAfterHeartbeats  = 5          // heartbeats left out, and a replica has fallen silent
+	goneRetention          = 60000 * ms
+	saveRetryDelay         = 200 * ms // after a save that failed
+	replicasSaveInterval   = 500 * ms // between two saves for the list of replicas alone
+	committedSaveInterval  = 500 * ms // between two saves for the revision known to stand alone
 )
 
 type peer struct {
-	heard, first int64  // last, and since when without a long silence
-	number       uint64 // of the last heartbeat received
-	heartbeat    Heartbeat
-	zone         string // empty until it has said so
-	group        registry.View
-	groupWantAt  int64 // it is not asked for the whole of its group before
-	leaving      leavingView
+	lastHeard, heardSince int64  // last, and since when without a long silence
+	heartbeatNumber       uint64 // of the last heartbeat received
+	heartbeat             Heartbeat
+	zone                  string // empty until it has said so
+	group                 registry.GroupView
+	groupRequestAt        int64 // it is not asked for the whole of its group before
+	leavingView           leavingView
 }
 
 // edge is what is known of one edge.
 type edge struct {
 	clusterstate.Edge
-	heard int64
-	by    map[string]int64 // who suspects it, and when that was last said
-	told  int64            // when the other controllers were last told of it
-	said  []string         // whom it suspects
+	lastHeard   int64
+	suspectedBy map[string]int64 // who suspects it, and when that was last said
+	reportedAt  int64            // when the other controllers were last told of it
+	suspects    []string         // whom it suspects
 }
 
-type reply struct {
-	to     string
-	answer register.Message
-	after  uint64 // the save that covers it
+type pendingReply struct {
+	to           string
+	answer       register.Message
+	coveringSave uint64 // the save that covers it
 }
 
 type pendingCall struct {
-	id    uint64
-	until int64
+	id       uint64
+	deadline int64
 	// one of:
-	edit    uint64 // of the proposer
-	read    bool
-	order   *order              // of an operator
-	rollout *rolloutCall        // likewise
-	acks    map[string]struct{} // for what must be on the disks of a majority: who has it there
-	asked   uint64
-	replica string // that leaves
+	editID     uint64 // of the proposer
+	read       bool
+	order      *order              // of an operator
+	rollout    *rolloutCall        // likewise
+	acks       map[string]struct{} // for what must be on the disks of a majority: who has it there
+	ackRequest uint64
+	replicaID  string // that leaves
 }
 
 // Controller is the machine.
 type Controller struct {
-	Start
-	disk          register.Disk
-	proposer      *register.Proposer
-	joiner        *register.Joiner
-	list          *registry.Registry
-	group         *registry.Group // whose heartbeats come here
-	state         *clusterstate.State
-	selection     *clusterstate.Selection // of the state, for those who follow
-	committed     register.Value          // the newest value known to be committed
-	configuration register.Order          // of that value
-	lease         *lease.Lease
-	unsettledAt   int64 // since when some disk has held what is not known to be committed; 0 for not
-	peers         map[string]*peer
-	edges         map[string]*edge // by IP
-	most          int
-	mostAt        int64
-	calls         []*pendingCall
-	asks          uint64
-	pass          map[string]registry.Record // for the next batch
-	passed        map[string]int64           // when the others were last told of a replica
-	wantAt        int64
-	began         int64
-	now           int64
+	Options
+	disk                   register.Acceptor
+	proposer               *register.Proposer
+	joiner                 *register.Joiner
+	replicas               *registry.Registry
+	localGroup             *registry.Group // whose heartbeats come here
+	state                  *clusterstate.State
+	selection              *clusterstate.Selection // of the state, for those who follow
+	committed              register.Value          // the newest value known to be committed
+	committedConfiguration register.Order          // of that value
+	lease                  *lease.Lease
+	unsettledSince         int64 // since when some disk has held what is not known to be committed; 0 for not
+	peers                  map[string]*peer
+	edges                  map[string]*edge // by IP
+	maxEdges               int
+	maxEdgesAt             int64
+	calls                  []*pendingCall
+	lastAckRequest         uint64
+	recordBatch            map[string]registry.Record // for the next batch
+	relayedAt              map[string]int64           // when the others were last told of a replica
+	allRequestAt           int64
+	startedAt              int64
+	now                    int64
 
-	listDirty           bool
-	savingList          bool // the save under way has the list
-	leavers             leavers
-	rollouts            rollouts
-	listAt              int64
-	dirty               bool   // the state differs from what was handed out to be saved
-	committedUnsaved    bool   // the configuration known to be committed is in no save yet
-	committedSaveAt     int64  // when a save may be made for that alone
-	saving              uint64 // number of the save under way, 0 for none
-	saves               uint64
-	saveAt              int64 // not before, after a failure
-	replies             []reply
-	heartbeatAt, passAt int64
-	beatsAt             int64
-	urgent              bool // something in the next batch is news to edges
-	joinAt, edgesAt     int64
-	fleetAt             int64 // no list of edges is told before
-	fleetDue            bool  // one may have changed
-	dutyAt              int64
-	asked               bool // what stands, of the register, in this life
-	leaving, inContact  bool
-	out                 Out
+	replicasDirty              bool
+	savingReplicas             bool // the save under way has the list
+	departures                 departures
+	rollouts                   rollouts
+	replicasSaveAt             int64
+	dirty                      bool   // the state differs from what was handed out to be saved
+	committedUnsaved           bool   // the configuration known to be committed is in no save yet
+	committedSaveAt            int64  // when a save may be made for that alone
+	saving                     uint64 // number of the save under way, 0 for none
+	lastSave                   uint64
+	saveRetryAt                int64 // not before, after a failure
+	pendingReplies             []pendingReply
+	heartbeatAt, recordBatchAt int64
+	heartbeatBatchAt           int64
+	batchUrgent                bool // something in the next batch is news to edges
+	joinAt, edgeReportAt       int64
+	fleetUpdateAt              int64 // no list of edges is told before
+	fleetUpdateDue             bool  // one may have changed
+	membershipCheckAt          int64
+	registerRead               bool // what stands, of the register, in this life
+	shuttingDown, inContact    bool
+	effects                    Effects
 }
 
 // New makes a controller.
-func New(now int64, s Start) *Controller {
-	c := &Controller{Start: s, list: registry.New(silentBeats*s.BeatEvery, keepGone),
-		group: registry.NewGroup(groupBeats*s.BeatEvery + s.BeatEvery/2), state: clusterstate.NewState(), selection: clusterstate.NewSelection(),
-		peers: map[string]*peer{}, edges: map[string]*edge{}, pass: map[string]registry.Record{}, passed: map[string]int64{},
-		leavers: newLeavers(), rollouts: newRollouts(s.Rolling), lease: lease.New(s.IP + "/" + s.Life), began: now, now: now}
+func New(now int64, s Options) *Controller {
+	c := &Controller{Options: s, replicas: registry.New(silentAfterHeartbeats*s.ReplicaHeartbeatInterval, goneRetention),
+		localGroup: registry.NewGroup(groupMissedHeartbeats*s.ReplicaHeartbeatInterval + s.ReplicaHeartbeatInterval/2), state: clusterstate.NewState(), selection: clusterstate.NewSelection(),
+		peers: map[string]*peer{}, edges: map[string]*edge{}, recordBatch: map[string]registry.Record{}, relayedAt: map[string]int64{},
+		departures: newDepartures(), rollouts: newRollouts(s.RolloutTerms), lease: lease.New(s.IP + "/" + s.Incarnation), startedAt: now, now: now}
 	seeds := slices.Clone(s.Seeds)
 	slices.Sort(seeds)
 	seeds = slices.Compact(seeds)
 	switch {
-	case s.State != nil:
-		c.disk = register.Disk{State: *s.State, CaughtUp: true}
+	case s.RegisterState != nil:
+		c.disk = register.Acceptor{State: *s.RegisterState, CaughtUp: true}
 	case s.Bootstrap && slices.Contains(seeds, s.IP):
-		c.disk = register.Disk{State: register.State{Value: register.Value{Members: seeds}}, CaughtUp: true}
+		c.disk = register.Acceptor{State: register.State{Value: register.Value{Members: seeds}}, CaughtUp: true}
 		c.dirty = true
 	default:
-		c.joiner = register.NewJoiner(s.IP, s.IP+"/"+s.Life)
+		c.joiner = register.NewJoiner(s.IP, s.IP+"/"+s.Incarnation)
 	}
 	known := c.disk.Value
 	if len(known.Members) == 0 {
 		known = register.Value{}
 	}
-	c.proposer = register.NewProposer(s.IP+"/"+s.Life, known, s.Draw)
-	c.proposer.Seen(c.disk.Promised)
-	c.proposer.Hold(c.disk.State)
-	c.lease.Accepted(now, c.disk.Accepted)
-	for _, m := range slices.Concat(seeds, known.Disks()) {
-		c.meet(m)
+	c.proposer = register.NewProposer(s.IP+"/"+s.Incarnation, known, s.Random)
+	c.proposer.ObserveBallot(c.disk.Promised)
+	c.proposer.CacheState(c.disk.State)
+	c.lease.RecordAccepted(now, c.disk.Accepted)
+	for _, m := range slices.Concat(seeds, known.AllMembers()) {
+		c.addPeer(m)
 	}
 	// What was committed once may be told at once, and who was there: after a loss of all machines edges have nothing
 	// else, and who asks a replica that is gone is told so by whoever has its address now. An edge that knows
@@ -166,18 +166,18 @@
 	//
 	// Danger: the disk may hold a content that it alone accepted and that was refused, under the very revision that is
 	// committed with another one.
-	if v := c.disk.Value; v.Revision > 0 && ConfigurationOf(v) == s.Committed {
-		c.selection.Update(c.state, c.state.Take(clusterstate.Update{Revision: v.Revision, Body: v.Body}))
+	if v := c.disk.Value; v.Revision > 0 && ConfigurationOf(v) == s.CommittedConfiguration {
+		c.selection.Update(c.state, c.state.Apply(clusterstate.Update{Revision: v.Revision, Body: v.Body}))
 	}
-	c.takeRollouts(s.Rollouts)
-	for _, r := range s.List {
-		c.list.Take(now, r)
+	c.applyRollouts(s.Rollouts)
+	for _, r := range s.Replicas {
+		c.replicas.Merge(now, r)
 	}
-	c.state.Take(clusterstate.Update{Replicas: c.list.All()})
+	c.state.Apply(clusterstate.Update{Replicas: c.replicas.All()})
 	return c
 }
 
-func (c *Controller) meet(ip string) *peer {
+func (c *Controller) addPeer(ip string) *peer {
 	if ip == c.IP || ip == "" {
 		return nil
 	}
@@ -201,133 +201,133 @@
 	to = slices.DeleteFunc(slices.Clone(to), func(ip string) bool { return ip == c.IP })
 	if len(to) > 0 {
 		w.From = c.IP
-		c.out.Sends = append(c.out.Sends, Send{to, w})
+		c.effects.Sends = append(c.effects.Sends, Send{to, w})
 	}
 }
 
 func (c *Controller) log(text string, values ...any) {
-	c.out.Log = append(c.out.Log, Line{text, values})
+	c.effects.Log = append(c.effects.Log, LogLine{text, values})
 }
 
-// all are the other controllers.
-func (c *Controller) all() []string { return slices.Sorted(maps.Keys(c.peers)) }
+// peerIPs are the other controllers.
+func (c *Controller) peerIPs() []string { return slices.Sorted(maps.Keys(c.peers)) }
 
-// done ends a call: what has to be saved is handed out, and what may leave does.
-func (c *Controller) done() Out {
-	listDue := c.listDue()
-	if (c.dirty || listDue || c.committedDue()) && c.saving == 0 && c.now >= c.saveAt && c.disk.CaughtUp {
-		c.saves++
-		c.saving, c.dirty = c.saves, false
-		c.committedUnsaved, c.committedSaveAt = false, c.now+committedEvery
-		c.out.Save = &Save{Number: c.saves, State: c.disk.State, Committed: c.configuration, Rollouts: c.rollouts.set}
+// takeEffects ends a call: what has to be saved is handed out, and what may leave does.
+func (c *Controller) takeEffects() Effects {
+	listDue := c.replicasSaveDue()
+	if (c.dirty || listDue || c.committedSaveDue()) && c.saving == 0 && c.now >= c.saveRetryAt && c.disk.CaughtUp {
+		c.lastSave++
+		c.saving, c.dirty = c.lastSave, false
+		c.committedUnsaved, c.committedSaveAt = false, c.now+committedSaveInterval
+		c.effects.Save = &Save{Number: c.lastSave, RegisterState: c.disk.State, CommittedConfiguration: c.committedConfiguration, Rollouts: c.rollouts.set}
 		if listDue {
-			c.listDirty, c.listAt, c.savingList = false, c.now+listEvery, true
-			c.leavers.handedOut(c.now)
-			c.out.Save.List = c.list.All()
+			c.replicasDirty, c.replicasSaveAt, c.savingReplicas = false, c.now+replicasSaveInterval, true
+			c.departures.saveStarted(c.now)
+			c.effects.Save.Replicas = c.replicas.All()
 		}
 	}
-	out := c.out
-	c.out = Out{}
-	out.Whole = out.Update
+	out := c.effects
+	c.effects = Effects{}
+	out.FullUpdate = out.Update
 	out.Update = c.selection.Update(c.state, out.Update)
 	return out
 }
 
 // Tick does what is due.
-func (c *Controller) Tick(now int64) Out {
+func (c *Controller) Tick(now int64) Effects {
 	c.now = now
 	c.checkContact()
-	c.carry(c.proposer.Tick(now))
+	c.handleProposer(c.proposer.Tick(now))
 	for _, t := range slices.Clone(c.calls) {
-		if now >= t.until {
-			c.proposer.Cancel(t.edit)
+		if now >= t.deadline {
+			c.proposer.Cancel(t.editID)
 			c.answer(t, statusUnavailable, nil, "no majority answered in time")
 		}
 	}
-	if c.fleetDue {
-		c.fleet()
+	if c.fleetUpdateDue {
+		c.updateFleet()
 	}
 	if now >= c.heartbeatAt {
-		c.heartbeatAt = now + heartbeatEvery
+		c.heartbeatAt = now + heartbeatInterval
 		c.sendHeartbeat()
-		c.forget()
-		c.state.Forget()
+		c.forgetPeers()
+		c.state.DropGone()
 	}
-	if now >= c.passAt {
-		c.passAt = now + passEvery
-		c.passOn()
-		listening := c.inContact && now-c.began > silentBeats*c.BeatEvery
-		for _, r := range c.list.Tick(now, listening) {
-			c.listDirty = true
-			c.silentHere(r.ID)
+	if now >= c.recordBatchAt {
+		c.recordBatchAt = now + recordBatchInterval
+		c.sendRecordBatch()
+		listening := c.inContact && now-c.startedAt > silentAfterHeartbeats*c.ReplicaHeartbeatInterval
+		for _, r := range c.replicas.Tick(now, listening) {
+			c.replicasDirty = true
+			c.removeFromGroups(r.ID)
 			c.log("a replica has fallen silent", "replica", r.ID, "service", r.Service, "gone", r.Phase == registry.Gone)
-			c.tell(c.state.Take(clusterstate.Update{Replicas: []registry.Record{r}}))
+			c.addUpdate(c.state.Apply(clusterstate.Update{Replicas: []registry.Record{r}}))
 		}
 	}
 	if c.joiner != nil && now >= c.joinAt {
-		c.joinAt = now + joinEvery
-		m := c.joiner.Ask()
-		c.send(Message{Register: &m}, c.joiner.Others(slices.Concat(c.all(), c.members()))...)
+		c.joinAt = now + joinInterval
+		m := c.joiner.Request()
+		c.send(Message{Register: &m}, c.joiner.Targets(slices.Concat(c.peerIPs(), c.members()))...)
 	}
-	if !c.asked && c.disk.CaughtUp && c.inContact {
-		c.asked = true
-		_, out := c.proposer.Edit(now, same)
-		c.carry(out)
+	if !c.registerRead && c.disk.CaughtUp && c.inContact {
+		c.registerRead = true
+		_, out := c.proposer.Edit(now, readOnlyEdit)
+		c.handleProposer(out)
 	}
-	c.settle()
+	c.settleAccepted()
 	c.tickRollouts()
-	if now >= c.dutyAt {
-		c.dutyAt = now + heartbeatEvery
-		c.duty()
+	if now >= c.membershipCheckAt {
+		c.membershipCheckAt = now + heartbeatInterval
+		c.updateMembers()
 	}
-	return c.done()
+	return c.takeEffects()
 }
 
-// Next is when Tick wants to be called at the latest.
-func (c *Controller) Next() int64 {
-	next := min(c.heartbeatAt, c.passAt, c.dutyAt)
+// NextTick is when Tick wants to be called at the latest.
+func (c *Controller) NextTick() int64 {
+	next := min(c.heartbeatAt, c.recordBatchAt, c.membershipCheckAt)
 	if d := c.proposer.Due(); d > 0 {
 		next = min(next, d)
 	}
 	if c.joiner != nil {
 		next = min(next, c.joinAt)
 	}
-	if at := c.rollouts.next(); at > 0 {
+	if at := c.rollouts.nextTick(); at > 0 {
 		next = min(next, at)
 	}
-	if c.fleetDue {
-		next = min(next, c.fleetAt)
+	if c.fleetUpdateDue {
+		next = min(next, c.fleetUpdateAt)
 	}
 	for _, t := range c.calls {
-		next = min(next, t.until)
+		next = min(next, t.deadline)
 	}
 	if c.dirty && c.saving == 0 {
-		next = min(next, max(c.saveAt, c.now))
+		next = min(next, max(c.saveRetryAt, c.now))
 	}
-	if c.listDirty && c.saving == 0 {
-		next = min(next, max(c.saveAt, c.listAt, c.now))
+	if c.replicasDirty && c.saving == 0 {
+		next = min(next, max(c.saveRetryAt, c.replicasSaveAt, c.now))
 	}
 	if c.committedUnsaved && c.saving == 0 {
-		next = min(next, max(c.saveAt, c.committedSaveAt, c.now))
+		next = min(next, max(c.saveRetryAt, c.committedSaveAt, c.now))
 	}
-	if c.saving == 0 && c.leaverWaits() {
-		next = min(next, max(c.saveAt, c.leavers.saveAt, c.now))
+	if c.saving == 0 && c.departureSaveWanted() {
+		next = min(next, max(c.saveRetryAt, c.departures.nextSaveAt, c.now))
 	}
 	return next
 }
 
-// Leave tells that the process is about to end in order.
-func (c *Controller) Leave(now int64) Out {
-	c.now, c.leaving = now, true
+// AnnounceShutdown tells that the process is about to end in order.
+func (c *Controller) AnnounceShutdown(now int64) Effects {
+	c.now, c.shuttingDown = now, true
 	c.sendHeartbeat()
-	return c.done()
+	return c.takeEffects()
 }
 
-// forget lets go of controllers that are no members and have been silent for long.
-func (c *Controller) forget() {
+// forgetPeers lets go of controllers that are no members and have been silent for long.
+func (c *Controller) forgetPeers() {
 	for ip, p := range c.peers {
-		if !slices.Contains(c.members(), ip) && c.now-max(p.heard, c.began) > goneAfter {
-			c.list.GroupGone(ip)
+		if !slices.Contains(c.members(), ip) && c.now-max(p.lastHeard, c.startedAt) > forgetPeerAfter {
+			c.replicas.ForgetGroup(ip)
 			delete(c.peers, ip)
 		}
 	}
--- a/decide/controller/controller_test.go
+++ b/decide/controller/controller_test.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	latency = 10 * ms
-	syncs   = 5 * ms
+	latency      = 10 * ms
+	diskSyncTime = 5 * ms
 )
 
 // server is a controller of the play: its disk outlives it.
 type server struct {
 	*Controller
-	up       bool
-	life     int
-	saved    *Save
-	list     []registry.Record
-	lists    int   // saves that had a list
-	stuck    bool  // its disk answers nothing
-	sync     int64 // how long its disk takes, where that is not syncs
-	next     int64
-	follower *clusterstate.State
-	told     uint64 // the highest revision that its followers were told
+	up              bool
+	incarnation     int
+	saved           *Save
+	savedReplicas   []registry.Record
+	replicasSaves   int   // saves that had a list
+	stuck           bool  // its disk answers nothing
+	diskTime        int64 // how long its disk takes, where that is not syncs
+	nextTickAt      int64
+	edgeState       *clusterstate.State
+	maxRevisionSent uint64 // the highest revision that its followers were told
 }
 
 type event struct {
@@ -44,24 +44,24 @@
 
 // cluster is a few controllers in virtual time. The number-th word among them may be tampered with.
 type cluster struct {
-	t       *testing.T
-	servers map[string]*server
-	names   []string
-	now     int64
-	events  []event
-	order   int
-	words   int
-	tamper  func(number int, w *Message) (copies int, delay int64)
-	cut     func(from, to string) bool
-	answers map[uint64]Answer
-	calls   uint64
-	body    map[uint64]string
-	zones   map[string]string // of the controllers; nil where it does not matter
-	regions locality.Regions
+	t        *testing.T
+	servers  map[string]*server
+	names    []string
+	now      int64
+	events   []event
+	order    int
+	messages int
+	tamper   func(number int, w *Message) (copies int, delay int64)
+	cut      func(from, to string) bool
+	answers  map[uint64]Answer
+	calls    uint64
+	bodies   map[uint64]string
+	zones    map[string]string // of the controllers; nil where it does not matter
+	regions  locality.Regions
 }
 
 func newCluster(t *testing.T, n int) *cluster {
-	b := &cluster{t: t, servers: map[string]*server{}, answers: map[uint64]Answer{}, body: map[uint64]string{}}
+	b := &cluster{t: t, servers: map[string]*server{}, answers: map[uint64]Answer{}, bodies: map[uint64]string{}}
 	for i := range n {
 		name := fmt.Sprint("10.0.0.", i+1)
 		b.names = append(b.names, name)
@@ -75,16 +75,16 @@
 
 func (b *cluster) start(name string, bootstrap bool) {
 	x := b.servers[name]
-	x.up, x.life, x.told, x.next = true, x.life+1, 0, b.now
-	s := Start{IP: name, Life: fmt.Sprint(x.life), Zone: b.zones[name], Regions: b.regions, Seeds: b.names[:3], Bootstrap: bootstrap, BeatEvery: 1000 * ms,
-		Draw: func() float64 { return float64(name[len(name)-1]%8) / 8 }}
+	x.up, x.incarnation, x.maxRevisionSent, x.nextTickAt = true, x.incarnation+1, 0, b.now
+	s := Options{IP: name, Incarnation: fmt.Sprint(x.incarnation), Zone: b.zones[name], Regions: b.regions, Seeds: b.names[:3], Bootstrap: bootstrap, ReplicaHeartbeatInterval: 1000 * ms,
+		Random: func() float64 { return float64(name[len(name)-1]%8) / 8 }}
 	if x.saved != nil {
-		state := x.saved.State
-		s.State, s.Committed, s.Rollouts, s.List = &state, x.saved.Committed, x.saved.Rollouts, x.list
+		state := x.saved.RegisterState
+		s.RegisterState, s.CommittedConfiguration, s.Rollouts, s.Replicas = &state, x.saved.CommittedConfiguration, x.saved.Rollouts, x.savedReplicas
 	}
 	x.Controller = New(b.now, s)
-	x.follower = clusterstate.NewState()
-	x.follower.Take(x.Snapshot())
+	x.edgeState = clusterstate.NewState()
+	x.edgeState.Apply(x.Snapshot())
 }
 
 func (b *cluster) after(d int64, do func()) {
@@ -93,36 +93,36 @@
 }
 
 // carry does what a controller asks for, in the life that asked.
-func (b *cluster) carry(name string, o Out) {
+func (b *cluster) carry(name string, o Effects) {
 	x := b.servers[name]
-	life := x.life
+	life := x.incarnation
 	here := func(do func()) func() {
 		return func() {
-			if x.up && x.life == life {
+			if x.up && x.incarnation == life {
 				do()
 			}
 		}
 	}
 	if s := o.Save; s != nil && !x.stuck {
-		b.after(cmp.Or(x.sync, syncs), here(func() {
-			if x.saved = s; s.List != nil {
-				x.list, x.lists = s.List, x.lists+1
+		b.after(cmp.Or(x.diskTime, diskSyncTime), here(func() {
+			if x.saved = s; s.Replicas != nil {
+				x.savedReplicas, x.replicasSaves = s.Replicas, x.replicasSaves+1
 			}
-			b.carry(name, x.Saved(b.now, s.Number, nil))
+			b.carry(name, x.SaveFinished(b.now, s.Number, nil))
 		}))
 	}
 	for _, s := range o.Sends {
 		for _, to := range s.To {
 			w := s.Message
-			b.words++
+			b.messages++
 			copies, delay := 1, int64(0)
 			if b.tamper != nil {
-				copies, delay = b.tamper(b.words, &w)
+				copies, delay = b.tamper(b.messages, &w)
 			}
 			for range copies {
 				b.after(latency+delay, func() {
 					if y := b.servers[to]; y != nil && y.up && (b.cut == nil || !b.cut(name, to)) {
-						b.carry(to, y.Take(b.now, w))
+						b.carry(to, y.HandleMessage(b.now, w))
 					}
 				})
 			}
@@ -132,18 +132,18 @@
 		b.answers[a.Call] = a
 	}
 	if n := o.Update; !n.Rollouts.IsZero() {
-		must.GreaterEq(b.t, x.follower.Rollouts.Version, n.Rollouts.Version, must.Sprint("followers were taken back"))
-		x.follower.Take(clusterstate.Update{Rollouts: n.Rollouts})
+		must.GreaterEq(b.t, x.edgeState.Rollouts.Version, n.Rollouts.Version, must.Sprint("followers were taken back"))
+		x.edgeState.Apply(clusterstate.Update{Rollouts: n.Rollouts})
 	}
 	if n := o.Update; n.Revision > 0 {
-		must.GreaterEq(b.t, x.told, n.Revision, must.Sprint("followers were taken back"))
-		x.told = n.Revision
-		x.follower.Take(n)                                        // one who follows holds what the controller holds
-		must.Eq(b.t, string(x.state.Raw), string(x.follower.Raw)) // as strings: go-cmp walks slices byte by byte
-		if was, ok := b.body[n.Revision]; ok {
+		must.GreaterEq(b.t, x.maxRevisionSent, n.Revision, must.Sprint("followers were taken back"))
+		x.maxRevisionSent = n.Revision
+		x.edgeState.Apply(n)                                       // one who follows holds what the controller holds
+		must.Eq(b.t, string(x.state.Raw), string(x.edgeState.Raw)) // as strings: go-cmp walks slices byte by byte
+		if was, ok := b.bodies[n.Revision]; ok {
 			must.Eq(b.t, was, string(n.Raw), must.Sprint("a number with two contents"))
 		}
-		b.body[n.Revision] = string(n.Raw)
+		b.bodies[n.Revision] = string(n.Raw)
 	}
 }
 
@@ -166,9 +166,9 @@
 			e.do()
 		}
 		for _, name := range b.names {
-			if x := b.servers[name]; x.up && b.now >= x.next {
+			if x := b.servers[name]; x.up && b.now >= x.nextTickAt {
 				b.carry(name, x.Tick(b.now))
-				x.next = max(x.Next(), b.now+ms)
+				x.nextTickAt = max(x.NextTick(), b.now+ms)
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 	}
 	for _, name := range b.names {
 		if x := b.servers[name]; x.up {
-			next = min(next, x.next)
+			next = min(next, x.nextTickAt)
 		}
 	}
 	steps := max(1, (next-b.now+ms-1)/ms)
@@ -204,23 +204,23 @@
 
 func (b *cluster) put(name string, revision uint64, body string) uint64 {
 	b.calls++
-	b.carry(name, b.servers[name].Put(b.now, b.calls, revision, packedContent(body)))
+	b.carry(name, b.servers[name].PutConfiguration(b.now, b.calls, revision, packedContent(body)))
 	return b.calls
 }
 
 func (b *cluster) read(name string) Answer {
 	b.calls++
 	id := b.calls
-	b.carry(name, b.servers[name].Read(b.now, id))
+	b.carry(name, b.servers[name].ReadConfiguration(b.now, id))
 	b.run(1500 * ms)
 	a := b.answers[id]
 	a.Body, _ = clusterstate.Unpack(a.Body)
 	return a
 }
 
-func (b *cluster) beat(name string, r registry.Record) uint64 {
+func (b *cluster) replicaCall(name string, r registry.Record) uint64 {
 	b.calls++
-	b.carry(name, b.servers[name].Beat(b.now, b.calls, r))
+	b.carry(name, b.servers[name].HandleReplicaCall(b.now, b.calls, r))
 	return b.calls
 }
 
@@ -240,7 +240,7 @@
 	b.run(500 * ms)
 	must.Eq(t, 200, b.answers[id].Status)
 	for _, n := range b.names {
-		must.Eq(t, 7, int(b.servers[n].told))
+		must.Eq(t, 7, int(b.servers[n].maxRevisionSent))
 	}
 }
 
@@ -263,7 +263,7 @@
 		a := b.read(b.names[4])
 		must.Eq(t, 200, a.Status)
 		must.Eq(t, "nine", string(a.Body))
-		return b.words
+		return b.messages
 	}
 	all := play(nil)
 	must.Greater(t, 100, all)
@@ -272,7 +272,7 @@
 		func(*Message) (int, int64) { return 2, 0 },
 		func(*Message) (int, int64) { return 1, 700 * ms },
 		func(w *Message) (int, int64) {
-			w.Committed, w.Heartbeat, w.CommittedBallot = nil, nil, register.Ballot{}
+			w.CommittedValue, w.Heartbeat, w.CommittedBallot = nil, nil, register.Ballot{}
 			return 1, 0
 		},
 	}
@@ -291,13 +291,13 @@
 	}
 }
 
-// loseAllPower has all controllers lose power at once and one its disk, and start again.
-func (b *cluster) loseAllPower(wiped int) {
+// restartAllWipingOne has all controllers lose power at once and one its disk, and start again.
+func (b *cluster) restartAllWipingOne(wiped int) {
 	for _, n := range b.names {
 		b.servers[n].up = false
 	}
 	b.events = nil
-	b.servers[b.names[wiped]].saved, b.servers[b.names[wiped]].list = nil, nil
+	b.servers[b.names[wiped]].saved, b.servers[b.names[wiped]].savedReplicas = nil, nil
 	b.run(500 * ms)
 	for _, n := range b.names {
 		b.start(n, false)
@@ -316,7 +316,7 @@
 			b.run(ms)
 		}
 		must.Eq(t, 200, b.answers[id].Status)
-		b.loseAllPower(wiped)
+		b.restartAllWipingOne(wiped)
 		a := b.read(b.names[(wiped+1)%5])
 		must.Eq(t, "five", string(a.Body))
 		must.True(t, b.servers[b.names[wiped]].disk.CaughtUp)
@@ -353,7 +353,7 @@
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
 	b.servers[b.names[0]].stuck = true
-	beat := b.beat(b.names[0], registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1})
+	beat := b.replicaCall(b.names[0], registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1})
 	put := b.put(b.names[0], 4, "four")
 	b.run(600 * ms)
 	must.Eq(t, 200, b.answers[beat].Status)
@@ -366,44 +366,44 @@
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
 	r := registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1}
-	b.beat(b.names[1], r)
+	b.replicaCall(b.names[1], r)
 	b.run(300 * ms)
 	b.cutOff(b.names[0])
 	b.run(2000 * ms)
 	r.Phase, r.Seq = registry.Draining, 2
-	cut, put := b.beat(b.names[0], r), b.put(b.names[0], 8, "eight")
-	good := b.beat(b.names[3], r)
+	cut, put := b.replicaCall(b.names[0], r), b.put(b.names[0], 8, "eight")
+	good := b.replicaCall(b.names[3], r)
 	b.run(1000 * ms)
 	must.Eq(t, 503, b.answers[cut].Status)
 	must.Eq(t, 503, b.answers[put].Status)
 	must.Eq(t, 200, b.answers[good].Status)
 	for _, n := range b.names[1:] {
-		got, _ := b.servers[n].Controller.list.Get("i-1")
+		got, _ := b.servers[n].Controller.replicas.Get("i-1")
 		must.Eq(t, registry.Draining, got.Phase)
 	}
 }
 
 // TestSaveThatFails: an answer that waits for a save leaves only after one that covers it.
 func TestSaveThatFails(t *testing.T) {
-	c := New(0, Start{IP: "a", Life: "1", Seeds: []string{"a"}, Bootstrap: true, BeatEvery: 1000 * ms, Draw: func() float64 { return 0 }})
+	c := New(0, Options{IP: "a", Incarnation: "1", Seeds: []string{"a"}, Bootstrap: true, ReplicaHeartbeatInterval: 1000 * ms, Random: func() float64 { return 0 }})
 	o := c.Tick(ms)
 	must.NotNil(t, o.Save)
-	c.Saved(2*ms, o.Save.Number, nil)
-	prepare := register.Message{Kind: register.Prepare, Ballot: register.Ballot{N: 50, By: "b/1"}}
-	o = c.Take(3*ms, Message{From: "b", Register: &prepare})
+	c.SaveFinished(2*ms, o.Save.Number, nil)
+	prepare := register.Message{Kind: register.Prepare, Ballot: register.Ballot{Number: 50, Proposer: "b/1"}}
+	o = c.HandleMessage(3*ms, Message{From: "b", Register: &prepare})
 	must.NotNil(t, o.Save)
-	has := func(o Out) bool {
+	has := func(o Effects) bool {
 		return slices.ContainsFunc(o.Sends, func(s Send) bool {
 			return s.Message.Register != nil && s.Message.Register.Kind == register.Promised
 		})
 	}
 	must.False(t, has(o))
-	o = c.Saved(4*ms, o.Save.Number, errors.New("refused"))
+	o = c.SaveFinished(4*ms, o.Save.Number, errors.New("refused"))
 	must.False(t, has(o))
-	o = c.Tick(4*ms + saveAgain)
+	o = c.Tick(4*ms + saveRetryDelay)
 	must.NotNil(t, o.Save)
 	must.False(t, has(o))
-	must.True(t, has(c.Saved(500*ms, o.Save.Number, nil)))
+	must.True(t, has(c.SaveFinished(500*ms, o.Save.Number, nil)))
 }
 
 // TestBeatsGoTogether: that replicas are still there is told in few words; that one is new, or leaves, at once.
@@ -412,7 +412,7 @@
 	b.run(4000 * ms)
 	words, told := 0, int64(0)
 	b.tamper = func(_ int, w *Message) (int, int64) {
-		if len(w.Beats)+len(w.Records) > 0 {
+		if len(w.ReplicaHeartbeats)+len(w.Records) > 0 {
 			words++
 		}
 		for _, r := range w.Records {
@@ -423,16 +423,16 @@
 		return 1, 0
 	}
 	for seq := uint64(1); seq <= 120; seq++ {
-		b.beat(b.names[0], registry.Record{ID: fmt.Sprint("i-", seq%20), Service: "s", Address: "a:1", Seq: seq})
+		b.replicaCall(b.names[0], registry.Record{ID: fmt.Sprint("i-", seq%20), Service: "s", Address: "a:1", Seq: seq})
 		b.run(50 * ms)
 	}
 	must.LessEq(t, 2*(20+6000/600+1), words) // each new one, and then batches, to two others
 	at := b.now
-	b.beat(b.names[0], registry.Record{ID: "i-new", Service: "s", Address: "a:2", Seq: 1})
+	b.replicaCall(b.names[0], registry.Record{ID: "i-new", Service: "s", Address: "a:2", Seq: 1})
 	b.run(300 * ms)
-	must.LessEq(t, passEvery+10*ms, told-at)
+	must.LessEq(t, recordBatchInterval+10*ms, told-at)
 	for _, n := range b.names {
-		r, ok := b.servers[n].Controller.list.Get("i-7")
+		r, ok := b.servers[n].Controller.replicas.Get("i-7")
 		must.True(t, ok)
 		must.Eq(t, registry.Ready, r.Phase)
 	}
--- a/decide/controller/edges_test.go
+++ b/decide/controller/edges_test.go
@@ -10,14 +10,14 @@
 	"willowsill/decide/clusterstate"
 )
 
-// startZone has n edges come to a lone controller, evenly in the given time, and returns how many times followers were
+// joinEdges has n edges come to a lone controller, evenly in the given time, and returns how many times followers were
 // told of edges, the bytes of that to one follower, and what that one holds in the end.
-func startZone(t *testing.T, n int, within int64) (told, size int, follower *clusterstate.State, c *Controller) {
-	c = New(0, Start{IP: "10.9.0.1", Life: "1", Seeds: []string{"10.9.0.1"}, Bootstrap: true, BeatEvery: 1000 * ms,
-		Draw: func() float64 { return 0 }})
+func joinEdges(t *testing.T, n int, within int64) (told, size int, follower *clusterstate.State, c *Controller) {
+	c = New(0, Options{IP: "10.9.0.1", Incarnation: "1", Seeds: []string{"10.9.0.1"}, Bootstrap: true, ReplicaHeartbeatInterval: 1000 * ms,
+		Random: func() float64 { return 0 }})
 	follower = clusterstate.NewState()
-	take := func(o Out) {
-		update := o.Update.ForFollower(true)
+	take := func(o Effects) {
+		update := o.Update.ForWire(true)
 		if update.Fleet.Empty() && update.Change == nil {
 			return
 		}
@@ -25,14 +25,14 @@
 		frame, err := cbor.Marshal(update)
 		must.NoError(t, err)
 		size += len(frame)
-		follower.Take(update)
+		follower.Apply(update)
 	}
 	came := 0
 	for now := int64(0); now < within+1000*ms; now += 10 * ms {
 		for ; came < n && int64(came)*within <= now*int64(n); came++ {
-			take(c.Edge(now, EdgeReport{Edge: clusterstate.Edge{IP: fmt.Sprintf("10.0.%d.%d", came/250, came%250), Zone: "z"}}))
+			take(c.HandleEdgeReport(now, EdgeReport{Edge: clusterstate.Edge{IP: fmt.Sprintf("10.0.%d.%d", came/250, came%250), Zone: "z"}}))
 		}
-		if now >= c.Next() {
+		if now >= c.NextTick() {
 			take(c.Tick(now))
 		}
 	}
@@ -48,8 +48,8 @@
 		otherBytes = 60 // for each update
 	)
 	for _, n := range []int{100, 400} {
-		told, size, follower, c := startZone(t, n, within)
-		must.LessEq(t, int(within/fleetEvery)+2, told)
+		told, size, follower, c := joinEdges(t, n, within)
+		must.LessEq(t, int(within/fleetUpdateInterval)+2, told)
 		must.Eq(t, n, len(follower.Fleet.Edges))
 		must.Eq(t, c.Snapshot().Fleet, follower.Fleet)
 		must.Eq(t, n, follower.Fleet.Most)
@@ -59,7 +59,7 @@
 
 // TestFirstEdgeIsToldAtOnce: a lone edge does not wait for others.
 func TestFirstEdgeIsToldAtOnce(t *testing.T) {
-	_, _, _, c := startZone(t, 3, 0)
-	o := c.Edge(5000*ms, EdgeReport{Edge: clusterstate.Edge{IP: "10.0.9.9"}})
+	_, _, _, c := joinEdges(t, 3, 0)
+	o := c.HandleEdgeReport(5000*ms, EdgeReport{Edge: clusterstate.Edge{IP: "10.0.9.9"}})
 	must.SliceLen(t, 1, o.Update.Change.Joined)
 }
--- a/decide/controller/fields_test.go
+++ b/decide/controller/fields_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// twin is a copy that shares nothing: words go to several controllers.
-func twin(t *testing.T, w Message) (c Message) {
+// deepCopy is a copy that shares nothing: words go to several controllers.
+func deepCopy(t *testing.T, w Message) (c Message) {
 	b, err := cbor.Marshal(w)
 	must.NoError(t, err)
 	must.NoError(t, cbor.Unmarshal(b, &c))
@@ -59,10 +59,10 @@
 		b.run(700 * ms)
 		must.Eq(t, 200, b.answers[first].Status)
 		wiped := b.servers[b.names[4]]
-		wiped.up, wiped.saved, wiped.list = false, nil, nil
+		wiped.up, wiped.saved, wiped.savedReplicas = false, nil, nil
 		b.run(100 * ms)
 		b.start(b.names[4], false)
-		b.beat(b.names[2], registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1, Phase: registry.Draining})
+		b.replicaCall(b.names[2], registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1, Phase: registry.Draining})
 		last := uint64(3)
 		for i, body := range []string{"five", "nine"} {
 			id := b.put(b.names[2+i], uint64(5+4*i), body)
@@ -76,10 +76,10 @@
 		b.run(1000 * ms)
 		a := b.read(b.names[0])
 		must.Eq(t, 200, a.Status)
-		must.Eq(t, map[uint64]string{3: "one", 5: "five", 9: "nine"}[max(last, b.servers[b.names[0]].told)], string(a.Body))
+		must.Eq(t, map[uint64]string{3: "one", 5: "five", 9: "nine"}[max(last, b.servers[b.names[0]].maxRevisionSent)], string(a.Body))
 	}
 	play(func(number int, w *Message) (int, int64) {
-		c := twin(t, *w)
+		c := deepCopy(t, *w)
 		leaves(reflect.ValueOf(&c).Elem(), nil, func(way []int, v reflect.Value) {
 			kind := 0
 			if w.Register != nil {
@@ -110,7 +110,7 @@
 				if number != c.number {
 					return 1, 0
 				}
-				*w = twin(t, *w)
+				*w = deepCopy(t, *w)
 				v, _ := field(reflect.ValueOf(w).Elem(), c.way)
 				switch way {
 				case 0: // dropped
--- a/decide/controller/figures.go
+++ b/decide/controller/figures.go
@@ -2,8 +2,8 @@
 
 import "willowsill/decide/registry"
 
-// Figures are what a controller tells operators of itself. Counts are since its start.
-type Figures struct {
+// Stats are what a controller tells operators of itself. Counts are since its start.
+type Stats struct {
 	InContact   bool // with a majority of the members
 	CaughtUp    bool // its disk counts in majorities
 	Epoch       uint64
@@ -16,9 +16,9 @@
 	Replicas    map[registry.Phase]int
 }
 
-// Figures counts what stands at this moment. It looks at each replica.
-func (c *Controller) Figures() Figures {
-	return Figures{InContact: c.InContact(), CaughtUp: c.disk.CaughtUp, Epoch: c.committed.Epoch, Revision: c.committed.Revision,
-		Members: len(c.members()), Controllers: len(c.peers), Edges: len(c.edges), Calls: len(c.calls), Saves: c.saves,
-		Replicas: c.list.Phases()}
+// Stats counts what stands at this moment. It looks at each replica.
+func (c *Controller) Stats() Stats {
+	return Stats{InContact: c.InContact(), CaughtUp: c.disk.CaughtUp, Epoch: c.committed.Epoch, Revision: c.committed.Revision,
+		Members: len(c.members()), Controllers: len(c.peers), Edges: len(c.edges), Calls: len(c.calls), Saves: c.lastSave,
+		Replicas: c.replicas.Phases()}
 }
--- a/decide/controller/groups_test.go
+++ b/decide/controller/groups_test.go
@@ -10,11 +10,11 @@
 	"willowsill/decide/registry"
 )
 
-// beatEach has so many replicas send their heartbeats for so long, each to the controller that at names, and returns the
+// heartbeatsFrom has so many replicas send their heartbeats for so long, each to the controller that at names, and returns the
 // bytes that controllers sent meanwhile of replicas that say nothing new.
-func (b *cluster) beatEach(replicas int, d int64, at func(replica int) string) (size int) {
+func (b *cluster) heartbeatsFrom(replicas int, d int64, at func(replica int) string) (size int) {
 	b.tamper = func(_ int, w *Message) (int, int64) {
-		if len(w.Beats)+len(w.Records) > 0 || w.Group.Whole || w.Heartbeat != nil && w.Heartbeat.Group != nil {
+		if len(w.ReplicaHeartbeats)+len(w.Records) > 0 || w.FullGroup.Whole || w.Heartbeat != nil && w.Heartbeat.Group != nil {
 			frame, err := cbor.Marshal(w)
 			must.NoError(b.t, err)
 			size += len(frame)
@@ -23,7 +23,7 @@
 	}
 	for end := b.now + d; b.now < end; {
 		for i := range replicas {
-			b.beat(at(i), registry.Record{ID: fmt.Sprint("i-", i), Service: "s", Address: fmt.Sprint("a:", i), Zone: "z", Seq: uint64(b.now / ms)})
+			b.replicaCall(at(i), registry.Record{ID: fmt.Sprint("i-", i), Service: "s", Address: fmt.Sprint("a:", i), Zone: "z", Seq: uint64(b.now / ms)})
 		}
 		b.run(1000 * ms)
 	}
@@ -36,7 +36,7 @@
 	b.t.Helper()
 	for _, name := range b.names {
 		if b.servers[name].up {
-			must.Eq(b.t, replicas, b.servers[name].Controller.list.Phases()[registry.Ready], must.Sprint(name))
+			must.Eq(b.t, replicas, b.servers[name].Controller.replicas.Phases()[registry.Ready], must.Sprint(name))
 		}
 	}
 }
@@ -49,8 +49,8 @@
 		b := newCluster(t, 3)
 		b.run(4000 * ms)
 		home := func(replica int) string { return b.names[replica%3] }
-		b.beatEach(n, 4000*ms, home)
-		sizes[n] = b.beatEach(n, 20000*ms, home)
+		b.heartbeatsFrom(n, 4000*ms, home)
+		sizes[n] = b.heartbeatsFrom(n, 20000*ms, home)
 		b.allReady(n)
 	}
 	t.Log("bytes in 20 s, by replicas: ", sizes)
@@ -63,9 +63,9 @@
 	b := newCluster(t, 3)
 	b.run(4000 * ms)
 	turn := func(replica int) string { return b.names[(int(b.now/(3000*ms))+replica)%3] }
-	b.beatEach(9, 24000*ms, turn)
+	b.heartbeatsFrom(9, 24000*ms, turn)
 	b.allReady(9)
-	b.beatEach(8, 10000*ms, turn)
+	b.heartbeatsFrom(8, 10000*ms, turn)
 	b.allReady(8)
 }
 
@@ -75,7 +75,7 @@
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
 	home := func(replica int) string { return b.names[replica%4] }
-	b.beatEach(12, 4000*ms, home)
+	b.heartbeatsFrom(12, 4000*ms, home)
 	number := 0
 	b.tamper = func(int, *Message) (int, int64) {
 		number++
@@ -83,12 +83,12 @@
 	}
 	b.run(1000 * ms)
 	b.cut = func(from, to string) bool { return from == b.names[1] && to == b.names[2] }
-	b.beatEach(12, 12000*ms, home)
+	b.heartbeatsFrom(12, 12000*ms, home)
 	b.cut = nil
 	wiped := b.servers[b.names[4]]
-	wiped.up, wiped.saved, wiped.list = false, nil, nil
+	wiped.up, wiped.saved, wiped.savedReplicas = false, nil, nil
 	b.start(b.names[4], false)
-	b.beatEach(12, 4000*ms, home)
+	b.heartbeatsFrom(12, 4000*ms, home)
 	b.allReady(12)
 }
 
@@ -110,12 +110,12 @@
 	forgets := b.servers[older].Controller
 	for range 20 {
 		for i := range 6 {
-			b.beat(b.names[0], registry.Record{ID: fmt.Sprint("i-", i), Service: "s", Address: "a:1", Seq: uint64(b.now / ms)})
+			b.replicaCall(b.names[0], registry.Record{ID: fmt.Sprint("i-", i), Service: "s", Address: "a:1", Seq: uint64(b.now / ms)})
 		}
-		forgets.list.GroupGone(b.names[0]) // it would not have known of one
+		forgets.replicas.ForgetGroup(b.names[0]) // it would not have known of one
 		b.run(1000 * ms)
 	}
-	must.Eq(t, 6, forgets.list.Phases()[registry.Ready])
+	must.Eq(t, 6, forgets.replicas.Phases()[registry.Ready])
 }
 
 // TestLostReplicaFallsSilentAfterACut guards against a replica that stays ready for good: it is lost while a controller is cut
@@ -126,16 +126,16 @@
 		b.run(4000 * ms)
 		hears, far := b.names[0], b.names[4]
 		home := func(replica int) string { return b.names[replica%2] }
-		b.beatEach(6, 4000*ms, home)
+		b.heartbeatsFrom(6, 4000*ms, home)
 		b.cutOff(far)
-		b.beatEach(2, 4000*ms, home) // the others are lost
+		b.heartbeatsFrom(2, 4000*ms, home) // the others are lost
 		if restarted {
 			b.servers[hears].up = false
 			b.run(300 * ms)
 			b.start(hears, false)
 		}
 		b.cut = nil
-		b.beatEach(2, (silentBeats+2)*1000*ms, home)
+		b.heartbeatsFrom(2, (silentAfterHeartbeats+2)*1000*ms, home)
 		b.allReady(2)
 	}
 }
@@ -148,7 +148,7 @@
 	far := b.names[4]
 	beat := func(address string, times int) {
 		for range times {
-			b.beat(b.names[0], registry.Record{ID: "i-0", Service: "s", Address: address, Capacity: len(address), Seq: uint64(b.now / ms)})
+			b.replicaCall(b.names[0], registry.Record{ID: "i-0", Service: "s", Address: address, Capacity: len(address), Seq: uint64(b.now / ms)})
 			b.run(1000 * ms)
 		}
 	}
@@ -158,7 +158,7 @@
 	b.cut = nil
 	beat("b:12", 2)
 	for _, name := range b.names {
-		r, _ := b.servers[name].Controller.list.Get("i-0")
+		r, _ := b.servers[name].Controller.replicas.Get("i-0")
 		must.Eq(t, "b:12", r.Address, must.Sprint(name))
 		must.Eq(t, 4, r.Capacity, must.Sprint(name))
 	}
--- a/decide/controller/leavers_test.go
+++ b/decide/controller/leavers_test.go
@@ -27,7 +27,7 @@
 // phases are what each controller's list says of a replica.
 func (b *cluster) phases(id string) (phases []registry.Phase) {
 	for _, name := range b.names {
-		r, _ := b.servers[name].Controller.list.Get(id)
+		r, _ := b.servers[name].Controller.replicas.Get(id)
 		phases = append(phases, r.Phase)
 	}
 	return phases
@@ -46,21 +46,21 @@
 		for _, trouble := range []string{"none", "two stuck disks", "one emptied disk"} {
 			b := newCluster(t, 5)
 			b.run(4000 * ms)
-			b.beat(b.names[0], readyReplica("i-1"))
+			b.replicaCall(b.names[0], readyReplica("i-1"))
 			b.run(1500 * ms)
 			if trouble == "two stuck disks" {
 				b.servers[b.names[(at+1)%5]].stuck, b.servers[b.names[(at+2)%5]].stuck = true, true
 			}
-			b.beat(b.names[at], readyReplica("i-2")) // the list has just been saved
-			b.run(passEvery + 80*ms)
-			must.Eq(t, 200, b.untilAnswered(b.beat(b.names[at], drainingReplica("i-1"))))
+			b.replicaCall(b.names[at], readyReplica("i-2")) // the list has just been saved
+			b.run(recordBatchInterval + 80*ms)
+			must.Eq(t, 200, b.untilAnswered(b.replicaCall(b.names[at], drainingReplica("i-1"))))
 			for _, name := range b.names {
 				b.servers[name].stuck = false
 			}
 			if trouble == "one emptied disk" {
-				b.servers[b.names[at]].saved, b.servers[b.names[at]].list = nil, nil
+				b.servers[b.names[at]].saved, b.servers[b.names[at]].savedReplicas = nil, nil
 			}
-			b.powerLost()
+			b.restartAll()
 			for i, phase := range b.phases("i-1") {
 				must.Eq(t, registry.Draining, phase, must.Sprint(trouble, ", acknowledged by ", at, ", list of ", i))
 			}
@@ -74,20 +74,20 @@
 	b.run(4000 * ms)
 	const replicas = 60
 	for i := range replicas {
-		b.beat(b.names[i%5], readyReplica(fmt.Sprint("i-", i)))
+		b.replicaCall(b.names[i%5], readyReplica(fmt.Sprint("i-", i)))
 	}
 	b.run(1500 * ms)
-	before := b.servers[b.names[0]].saves
+	before := b.servers[b.names[0]].lastSave
 	var calls []uint64
 	for i := range replicas {
-		calls = append(calls, b.beat(b.names[i%5], drainingReplica(fmt.Sprint("i-", i))))
+		calls = append(calls, b.replicaCall(b.names[i%5], drainingReplica(fmt.Sprint("i-", i))))
 		b.run(ms)
 	}
 	b.run(150 * ms)
 	for _, id := range calls {
 		must.Eq(t, 200, b.answers[id].Status)
 	}
-	must.LessEq(t, 5, b.servers[b.names[0]].saves-before) // one each leaversSaveEvery
+	must.LessEq(t, 5, b.servers[b.names[0]].lastSave-before) // one each leaversSaveEvery
 }
 
 // TestDrainBesideStuckDisks: a disk that answers nothing, also the own one, holds no departure up; where no majority
@@ -96,59 +96,59 @@
 	for stuck, status := range []int{200, 200, 200, 503} {
 		b := newCluster(t, 5)
 		b.run(4000 * ms)
-		b.beat(b.names[0], readyReplica("i-1"))
+		b.replicaCall(b.names[0], readyReplica("i-1"))
 		b.run(1500 * ms)
 		for i := range stuck {
 			b.servers[b.names[i]].stuck = true
 		}
-		must.Eq(t, status, b.untilAnswered(b.beat(b.names[0], drainingReplica("i-1"))), must.Sprint(stuck, " disks are stuck"))
+		must.Eq(t, status, b.untilAnswered(b.replicaCall(b.names[0], drainingReplica("i-1"))), must.Sprint(stuck, " disks are stuck"))
 	}
 }
 
 // TestDrainWaitsForASaveThatSucceeds: a disk that refuses the list is asked again, and nothing is acknowledged before.
 func TestDrainWaitsForASaveThatSucceeds(t *testing.T) {
-	c := New(0, Start{IP: "a", Life: "1", Seeds: []string{"a"}, Bootstrap: true, BeatEvery: 1000 * ms, Draw: func() float64 { return 0 }})
+	c := New(0, Options{IP: "a", Incarnation: "1", Seeds: []string{"a"}, Bootstrap: true, ReplicaHeartbeatInterval: 1000 * ms, Random: func() float64 { return 0 }})
 	first := c.Tick(ms)
-	c.Saved(2*ms, first.Save.Number, nil)
+	c.SaveFinished(2*ms, first.Save.Number, nil)
 	now := 3000 * ms
 	c.Tick(int64(now))
-	asked := c.Beat(int64(now), 1, drainingReplica("i-1"))
+	asked := c.HandleReplicaCall(int64(now), 1, drainingReplica("i-1"))
 	must.SliceEmpty(t, asked.Answers)
 	must.NotNil(t, asked.Save)
-	must.SliceLen(t, 1, asked.Save.List)
-	failed := c.Saved(int64(now)+ms, asked.Save.Number, errors.New("full"))
+	must.SliceLen(t, 1, asked.Save.Replicas)
+	failed := c.SaveFinished(int64(now)+ms, asked.Save.Number, errors.New("full"))
 	must.SliceEmpty(t, failed.Answers)
-	again := c.Tick(int64(now) + ms + saveAgain)
+	again := c.Tick(int64(now) + ms + saveRetryDelay)
 	must.NotNil(t, again.Save)
-	must.SliceLen(t, 1, again.Save.List)
+	must.SliceLen(t, 1, again.Save.Replicas)
 	must.SliceEmpty(t, again.Answers)
-	saved := c.Saved(int64(now)+5*ms+saveAgain, again.Save.Number, nil)
+	saved := c.SaveFinished(int64(now)+5*ms+saveRetryDelay, again.Save.Number, nil)
 	must.Eq(t, []Answer{{Call: 1, Status: 200}}, saved.Answers)
 	repeated := drainingReplica("i-1")
 	repeated.Seq++
-	must.Eq(t, []Answer{{Call: 2, Status: 200}}, c.Beat(int64(now)+10*ms+saveAgain, 2, repeated).Answers)
+	must.Eq(t, []Answer{{Call: 2, Status: 200}}, c.HandleReplicaCall(int64(now)+10*ms+saveRetryDelay, 2, repeated).Answers)
 }
 
 // TestListThatWasNotSavedIsSavedAgain: also where nobody waits for it.
 func TestListThatWasNotSavedIsSavedAgain(t *testing.T) {
-	c := New(0, Start{IP: "a", Life: "1", Seeds: []string{"a"}, Bootstrap: true, BeatEvery: 1000 * ms, Draw: func() float64 { return 0 }})
+	c := New(0, Options{IP: "a", Incarnation: "1", Seeds: []string{"a"}, Bootstrap: true, ReplicaHeartbeatInterval: 1000 * ms, Random: func() float64 { return 0 }})
 	first := c.Tick(ms)
-	c.Saved(2*ms, first.Save.Number, nil)
+	c.SaveFinished(2*ms, first.Save.Number, nil)
 	now := int64(3000 * ms)
 	c.Tick(now)
-	told := c.Beat(now, 1, readyReplica("i-1"))
+	told := c.HandleReplicaCall(now, 1, readyReplica("i-1"))
 	must.NotNil(t, told.Save)
-	must.SliceLen(t, 1, told.Save.List)
-	c.Saved(now+ms, told.Save.Number, errors.New("full"))
+	must.SliceLen(t, 1, told.Save.Replicas)
+	c.SaveFinished(now+ms, told.Save.Number, errors.New("full"))
 	var again *Save
-	for at := now + ms; at < now+2000*ms && (again == nil || again.List == nil); at += ms {
+	for at := now + ms; at < now+2000*ms && (again == nil || again.Replicas == nil); at += ms {
 		if out := c.Tick(at); out.Save != nil {
 			again = out.Save
-			c.Saved(at, again.Number, nil)
+			c.SaveFinished(at, again.Number, nil)
 		}
 	}
 	must.NotNil(t, again)
-	must.SliceLen(t, 1, again.List)
+	must.SliceLen(t, 1, again.Replicas)
 }
 
 // TestDepartureIsLearnedByOneThatMissedIt: a departure that is told once is missed by a controller that was cut off, that
@@ -166,7 +166,7 @@
 			b := newCluster(t, 5)
 			taker, missing := b.names[0], b.names[4]
 			b.run(4000 * ms)
-			b.beat(taker, readyReplica("i-1"))
+			b.replicaCall(taker, readyReplica("i-1"))
 			b.run(1500 * ms)
 			b.cutOff(missing)
 			if c.oneLink {
@@ -175,7 +175,7 @@
 			b.run(800 * ms)
 			r := drainingReplica("i-1")
 			r.Phase = phase
-			must.Eq(t, 200, b.untilAnswered(b.beat(taker, r)))
+			must.Eq(t, 200, b.untilAnswered(b.replicaCall(taker, r)))
 			b.run(1800 * ms)
 			b.servers[taker].up = !c.takerLost
 			if !c.oneLink {
@@ -203,24 +203,24 @@
 	}
 	stays := func(d int64) { // one replica stays: a list without any is asked for whole
 		for end := b.now + d; b.now < end; {
-			b.beat(b.names[0], registry.Record{ID: "i-stays", Service: "s", Address: "a:1", Seq: uint64(b.now / ms)})
+			b.replicaCall(b.names[0], registry.Record{ID: "i-stays", Service: "s", Address: "a:1", Seq: uint64(b.now / ms)})
 			b.run(min(1000*ms, end-b.now))
 		}
 	}
 	for i := range 40 {
 		id := fmt.Sprint("i-", i)
-		b.beat(b.names[i%5], readyReplica(id))
+		b.replicaCall(b.names[i%5], readyReplica(id))
 		stays(150 * ms)
-		b.beat(b.names[(i+1)%5], drainingReplica(id))
+		b.replicaCall(b.names[(i+1)%5], drainingReplica(id))
 		stays(int64(800+i) * ms)
 		gone := drainingReplica(id)
 		gone.Phase, gone.Seq = registry.Gone, 3
-		b.beat(b.names[(i+2)%5], gone)
+		b.replicaCall(b.names[(i+2)%5], gone)
 	}
 	stays(200 * ms)
-	must.Eq(t, 40, b.servers[b.names[4]].Controller.list.Phases()[registry.Gone])
-	stays(keepGone + 5000*ms)
-	must.Eq(t, 0, b.servers[b.names[4]].Controller.list.Phases()[registry.Gone])
+	must.Eq(t, 40, b.servers[b.names[4]].Controller.replicas.Phases()[registry.Gone])
+	stays(goneRetention + 5000*ms)
+	must.Eq(t, 0, b.servers[b.names[4]].Controller.replicas.Phases()[registry.Gone])
 	must.Eq(t, 0, asked)
 }
 
@@ -232,7 +232,7 @@
 	b.tamper = func(_ int, w *Message) (int, int64) {
 		if w.From == older && w.Heartbeat != nil {
 			h := *w.Heartbeat
-			h.LeavingReplicas = nil
+			h.LeavingSum = nil
 			w.Heartbeat = &h
 		}
 		if w.From != older && w.WantLeaving != nil {
@@ -241,8 +241,8 @@
 		return 1, 0
 	}
 	b.cut = func(_, to string) bool { return to == older }
-	b.beat(b.names[0], readyReplica("i-1"))
-	must.Eq(t, 200, b.untilAnswered(b.beat(b.names[0], drainingReplica("i-1"))))
+	b.replicaCall(b.names[0], readyReplica("i-1"))
+	must.Eq(t, 200, b.untilAnswered(b.replicaCall(b.names[0], drainingReplica("i-1"))))
 	b.cut = nil
 	b.run(3000 * ms)
 	must.Eq(t, 0, asked)
@@ -258,18 +258,18 @@
 		b := newCluster(t, 5)
 		b.run(3500 * ms)
 		on := true
-		unruly(b, random, &on)
+		disturbMessages(b, random, &on)
 		left := map[uint64]string{}
 		for i := range 12 {
 			id := fmt.Sprint("i-", i)
-			b.beat(b.names[i%5], readyReplica(id))
+			b.replicaCall(b.names[i%5], readyReplica(id))
 		}
 		b.run(700 * ms)
 		for i := range 12 {
 			name := b.names[random.IntN(5)]
 			if x := b.servers[name]; x.up {
 				id := fmt.Sprint("i-", i)
-				left[b.beat(name, drainingReplica(id))] = id
+				left[b.replicaCall(name, drainingReplica(id))] = id
 			}
 			b.run(int64(random.IntN(120)) * ms)
 			other := b.servers[b.names[random.IntN(5)]]
@@ -295,7 +295,7 @@
 			b.servers[name].stuck = false
 		}
 		on, b.cut = false, nil
-		b.powerLost()
+		b.restartAll()
 		for call, id := range left {
 			if b.answers[call].Status != 200 {
 				continue
--- a/decide/controller/members_test.go
+++ b/decide/controller/members_test.go
@@ -14,37 +14,37 @@
 
 // Times and sizes of the tests of membership.
 const (
-	farLatency     = 20 * ms // one way between two regions
-	catchUpSmall   = 4000 * ms
-	catchUpGrown   = 6000 * ms
-	catchUpMargin  = 700 * ms // the process start and the busy processor that virtual time leaves out
-	slowDisk       = 30
-	manyRoutes     = 300 << 10 // bytes of a configuration of 350 routes more
-	settleFirst    = 4000 * ms
-	stepOfMeasure  = 10 * ms
-	longestMeasure = 30_000 * ms
+	farLatency        = 20 * ms // one way between two regions
+	catchUpSmall      = 4000 * ms
+	catchUpGrown      = 6000 * ms
+	catchUpMargin     = 700 * ms // the process start and the busy processor that virtual time leaves out
+	slowDisk          = 30
+	manyRoutes        = 300 << 10 // bytes of a configuration of 350 routes more
+	initialSettleTime = 4000 * ms
+	measureStep       = 10 * ms
+	measureTimeout    = 30_000 * ms
 )
 
 // settledCluster is n members with a configuration, and spare machines that have not started yet.
 func settledCluster(t *testing.T, n, spares int, body []byte) *cluster {
 	b := newCluster(t, n)
 	b.tamper = func(int, *Message) (int, int64) { return 1, farLatency - latency }
-	b.run(settleFirst)
+	b.run(initialSettleTime)
 	must.Eq(t, n, len(b.members()))
 	for i := range spares {
 		name := fmt.Sprint("10.0.1.", i+1)
 		b.names = append(b.names, name)
 		b.servers[name] = &server{}
 	}
-	b.store(t, b.names[n-1], 1, body)
+	b.putAcknowledged(t, b.names[n-1], 1, body)
 	return b
 }
 
-// store has a configuration acknowledged at one of the controllers.
-func (b *cluster) store(t *testing.T, name string, revision uint64, body []byte) {
+// putAcknowledged has a configuration acknowledged at one of the controllers.
+func (b *cluster) putAcknowledged(t *testing.T, name string, revision uint64, body []byte) {
 	id := b.put(name, revision, string(body))
 	for end := b.now + 900*ms; b.answers[id].Status == 0 && b.now < end; {
-		b.run(stepOfMeasure)
+		b.run(measureStep)
 	}
 	must.Eq(t, 200, b.answers[id].Status, must.Sprintf("revision %d at %s", revision, name))
 }
@@ -54,12 +54,12 @@
 	x := b.servers[name]
 	x.up = false
 	if wipe {
-		x.saved, x.list = nil, nil
+		x.saved, x.savedReplicas = nil, nil
 	}
 }
 
-// counts tells whether a machine is a whole member by what every live member holds to stand.
-func (b *cluster) counts(name string) bool {
+// isMember tells whether a machine is a whole member by what every live member holds to stand.
+func (b *cluster) isMember(name string) bool {
 	x := b.servers[name]
 	if !x.up || !x.disk.CaughtUp || x.saved == nil {
 		return false
@@ -77,12 +77,12 @@
 	return true
 }
 
-// untilCounts is the time until a machine counts.
-func (b *cluster) untilCounts(t *testing.T, name string) int64 {
+// untilMember is the time until a machine counts.
+func (b *cluster) untilMember(t *testing.T, name string) int64 {
 	begun := b.now
-	for !b.counts(name) {
-		b.run(stepOfMeasure)
-		must.Less(t, longestMeasure, b.now-begun, must.Sprintf("%s never counts", name))
+	for !b.isMember(name) {
+		b.run(measureStep)
+		must.Less(t, measureTimeout, b.now-begun, must.Sprintf("%s never counts", name))
 	}
 	return b.now - begun
 }
@@ -105,7 +105,7 @@
 func replacements() []replacement {
 	none := func(*cluster, int) {}
 	stalled := func(b *cluster, n int) { b.servers[b.names[n-2]].stuck = true }
-	slow := func(b *cluster, n int) { b.servers[b.names[n-2]].sync = slowDisk * syncs }
+	slow := func(b *cluster, n int) { b.servers[b.names[n-2]].diskTime = slowDisk * diskSyncTime }
 	dies := func(which func(n int) int, wait int64) func(*testing.T, *cluster, int) string {
 		return func(_ *testing.T, b *cluster, n int) string {
 			b.kill(b.names[which(n)], false)
@@ -155,7 +155,7 @@
 // leave ends a process in order: it says so, runs on as a server does, and then is gone.
 func (b *cluster) leave(name string) {
 	x := b.servers[name]
-	b.carry(name, x.Leave(b.now))
+	b.carry(name, x.AnnounceShutdown(b.now))
 	b.after(leaveWait, func() { x.up = false })
 }
 
@@ -176,7 +176,7 @@
 				b := settledCluster(t, n, 1, []byte("one"))
 				r.disks(b, n)
 				b.run(phase)
-				took := b.untilCounts(t, r.play(t, b, n))
+				took := b.untilMember(t, r.play(t, b, n))
 				t.Logf("%d members, %s, phase %d ms: %d ms", n, r.name, phase/ms, took/ms)
 				must.LessEq(t, limit, took, must.Sprintf("%d members, %s", n, r.name))
 			}
@@ -194,12 +194,12 @@
 	b.kill(b.names[0], false)
 	b.run(300 * ms)
 	b.start(b.names[5], false)
-	must.LessEq(t, catchUpSmall-catchUpMargin, b.untilCounts(t, b.names[5]))
+	must.LessEq(t, catchUpSmall-catchUpMargin, b.untilMember(t, b.names[5]))
 	must.Eq(t, string(body), string(b.read(b.names[5]).Body))
 }
 
-// lossPlay is one run of losses one after another, from one seed.
-type lossPlay struct {
+// lossScenario is one run of losses one after another, from one seed.
+type lossScenario struct {
 	*cluster
 	t        *testing.T
 	rng      *rand.Rand
@@ -211,7 +211,7 @@
 }
 
 // checkCopies fails where the live members could make up a majority that never heard of what was acknowledged.
-func (p *lossPlay) checkCopies() {
+func (p *lossScenario) checkCopies() {
 	var newest register.Value
 	for _, name := range p.names {
 		if x := p.servers[name]; x.up && x.disk.CaughtUp && x.committed.Epoch >= newest.Epoch && len(x.committed.Members) > 0 {
@@ -221,7 +221,7 @@
 	others := 0
 	for _, m := range newest.Members {
 		x := p.servers[m]
-		if x.up && x.saved != nil && x.saved.State.Value.Revision < p.revision {
+		if x.up && x.saved != nil && x.saved.RegisterState.Value.Revision < p.revision {
 			others++
 		}
 	}
@@ -229,7 +229,7 @@
 }
 
 // runChecked plays on, with a look at the copies all the while.
-func (p *lossPlay) runChecked(d int64) {
+func (p *lossScenario) runChecked(d int64) {
 	for end := p.now + d; p.now < end; {
 		p.run(min(50*ms, end-p.now))
 		p.checkCopies()
@@ -237,11 +237,11 @@
 }
 
 // change has the next revision acknowledged at a live member.
-func (p *lossPlay) change() {
+func (p *lossScenario) change() {
 	for {
 		name := p.names[p.rng.IntN(len(p.names))]
-		if x := p.servers[name]; x.up && x.disk.CaughtUp && !x.leaving {
-			p.store(p.t, name, p.revision+1, fmt.Append(nil, "revision ", p.revision+1))
+		if x := p.servers[name]; x.up && x.disk.CaughtUp && !x.shuttingDown {
+			p.putAcknowledged(p.t, name, p.revision+1, fmt.Append(nil, "revision ", p.revision+1))
 			p.revision++
 			return
 		}
@@ -249,7 +249,7 @@
 }
 
 // lose loses as many members as the budget allows, and starts their successors.
-func (p *lossPlay) lose() {
+func (p *lossScenario) lose() {
 	var members []string
 	for _, name := range p.names {
 		if x := p.servers[name]; x.up && x.disk.CaughtUp && slices.Contains(x.disk.Value.Members, name) {
@@ -276,7 +276,7 @@
 }
 
 // startLater starts a successor 0.3 to 3 s from now.
-func (p *lossPlay) startLater(name string) {
+func (p *lossScenario) startLater(name string) {
 	wait := 300*ms + p.rng.Int64N(2700*ms)
 	p.started = max(p.started, p.now+wait)
 	p.after(wait, func() { p.start(name, false) })
@@ -284,7 +284,7 @@
 
 // powerLoss stops all machines at once, empties as many disks as the budget allows, and starts all again but
 // those that were removed before.
-func (p *lossPlay) powerLoss() {
+func (p *lossScenario) powerLoss() {
 	var running []string
 	for _, name := range p.names {
 		if p.servers[name].up {
@@ -295,7 +295,7 @@
 	p.events = nil
 	wiped := 0
 	for _, i := range p.rng.Perm(len(running)) {
-		if x := p.servers[running[i]]; wiped < p.budget && x.saved != nil && slices.Contains(x.saved.State.Value.Members, running[i]) {
+		if x := p.servers[running[i]]; wiped < p.budget && x.saved != nil && slices.Contains(x.saved.RegisterState.Value.Members, running[i]) {
 			p.kill(running[i], true)
 			wiped++
 		}
@@ -324,7 +324,7 @@
 		const losses = 3
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			p := &lossPlay{cluster: settledCluster(t, n, losses*budget, []byte("revision 1")), t: t, budget: budget, catchUp: catchUp,
+			p := &lossScenario{cluster: settledCluster(t, n, losses*budget, []byte("revision 1")), t: t, budget: budget, catchUp: catchUp,
 				rng: rand.New(rand.NewPCG(uint64(seed), 49)), revision: 1, spare: n}
 			for range losses {
 				p.change()
@@ -352,14 +352,14 @@
 	for _, wiped := range []int{0, 1} {
 		b := settledCluster(t, 5, 1, []byte("one"))
 		b.cut = func(_, to string) bool { return to == b.names[2] || to == b.names[3] }
-		b.store(t, b.names[4], 2, []byte("two"))
+		b.putAcknowledged(t, b.names[4], 2, []byte("two"))
 		b.cut = nil
 		for _, without := range []int{2, 3} {
 			must.Eq(t, 1, b.servers[b.names[without]].disk.Value.Revision)
 		}
 		b.start(b.names[5], false)
 		b.after(1000*ms, func() { b.leave(b.names[4]) })
-		must.LessEq(t, catchUpSmall-catchUpMargin, b.untilCounts(t, b.names[5]))
+		must.LessEq(t, catchUpSmall-catchUpMargin, b.untilMember(t, b.names[5]))
 		b.run(leaveWait)
 		b.kill(b.names[4], true)
 		for i, name := range b.names {
@@ -388,7 +388,7 @@
 		b.start(b.names[5], false)
 		b.run(1000 * ms)
 		b.leave(b.names[leaver])
-		must.Less(t, leaveWait, b.untilCounts(t, b.names[5]))
+		must.Less(t, leaveWait, b.untilMember(t, b.names[5]))
 		must.True(t, b.servers[b.names[leaver]].up)
 		b.run(3000 * ms)
 		must.SliceLen(t, 5, b.servers[b.names[5]].committed.Members)
@@ -403,14 +403,14 @@
 	b.cutOff(cutOff)
 	b.run(1000 * ms)
 	b.start(b.names[5], false)
-	b.untilCounts(t, b.names[5])
-	b.store(t, b.names[1], 2, []byte("two"))
+	b.untilMember(t, b.names[5])
+	b.putAcknowledged(t, b.names[1], 2, []byte("two"))
 	put := b.put(cutOff, 3, "three")
 	b.run(1000 * ms)
 	must.Eq(t, 503, b.answers[put].Status)
 
 	b.cut = nil
-	b.carry(cutOff, b.servers[cutOff].Leave(b.now)) // it stays a machine beside the members
+	b.carry(cutOff, b.servers[cutOff].AnnounceShutdown(b.now)) // it stays a machine beside the members
 	a := b.read(cutOff)
 	must.Eq(t, 200, a.Status)
 	must.SliceContains(t, []string{"two", "three"}, string(a.Body)) // the put may have come through since, unanswered
@@ -447,22 +447,22 @@
 					b.start(b.names[spare], false)
 					b.run(300 * ms)
 					b.leave(b.names[spare-4])
-					b.untilCounts(t, b.names[spare])
+					b.untilMember(t, b.names[spare])
 					spare++
 				}
 				revision++
-				b.store(t, b.names[0], revision, fmt.Append(nil, "revision ", revision))
+				b.putAcknowledged(t, b.names[0], revision, fmt.Append(nil, "revision ", revision))
 			}
 			b.kill(who, way == "an empty disk")
 			var before register.State
 			if x := b.servers[who]; x.saved != nil {
-				before = x.saved.State
+				before = x.saved.RegisterState
 			}
 			b.run(500 * ms)
 			b.start(who, false)
 			begun := b.now
 			for b.servers[who].committed.Revision < revision || !b.servers[who].disk.CaughtUp || b.servers[who].saved == nil {
-				b.run(stepOfMeasure)
+				b.run(measureStep)
 				must.LessEq(t, catchUpSmall-catchUpMargin, b.now-begun, must.Sprint(way))
 			}
 			t.Logf("%s: up to date after %d ms", way, (b.now-begun)/ms)
@@ -471,7 +471,7 @@
 			must.GreaterEq(t, 0, state.Promised.Compare(before.Promised))
 			must.GreaterEq(t, 0, state.Accepted.Compare(before.Accepted))
 			revision++
-			b.store(t, who, revision, fmt.Append(nil, "revision ", revision))
+			b.putAcknowledged(t, who, revision, fmt.Append(nil, "revision ", revision))
 		})
 	}
 }
@@ -479,12 +479,12 @@
 // TestJoinedTellsAllMembers: a machine that knew only the seeds tells all members, at once, that it is whole.
 func TestJoinedTellsAllMembers(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
-	c := New(0, Start{IP: "n", Life: "1", Seeds: members[2:], BeatEvery: 1000 * ms, Draw: func() float64 { return 0 }})
+	c := New(0, Options{IP: "n", Incarnation: "1", Seeds: members[2:], ReplicaHeartbeatInterval: 1000 * ms, Random: func() float64 { return 0 }})
 	o := c.Tick(ms)
-	ask := c.joiner.Ask()
+	ask := c.joiner.Request()
 	state := register.State{Promised: ask.Ballot, Value: register.Value{Members: members, Revision: 1, Body: []byte("one")}}
 	for _, from := range members[2:] {
-		o = c.Take(20*ms, Message{From: from, Register: &register.Message{Kind: register.Promised, Ballot: ask.Ballot, State: state}})
+		o = c.HandleMessage(20*ms, Message{From: from, Register: &register.Message{Kind: register.Promised, Ballot: ask.Ballot, State: state}})
 	}
 	must.True(t, c.disk.CaughtUp)
 	must.NotNil(t, o.Save)
--- a/decide/controller/orders.go
+++ b/decide/controller/orders.go
@@ -15,16 +15,16 @@
 	statusUnavailable = 503 // has the operator try another controller
 )
 
-// Verdict is what became of an operator's order. It is read off the value that is known to stand on a majority
+// OrderOutcome is what became of an operator's order. It is read off the value that is known to stand on a majority
 // once the order's round has ended, never off an earlier look at a value that may still be replaced.
-type Verdict uint8
+type OrderOutcome uint8
 
 // The verdicts.
 const (
-	Unsettled  Verdict = iota // the value says nothing of the order: it may yet be taken or not
-	InForce                   // the value holds this content under this revision
-	Overtaken                 // a higher revision is held, and no other content was confirmed under this one
-	Conflicted                // another content was confirmed under this revision
+	OutcomeUnknown    OrderOutcome = iota // the value says nothing of the order: it may yet be taken or not
+	OutcomeInForce                        // the value holds this content under this revision
+	OutcomeSuperseded                     // a higher revision is held, and no other content was confirmed under this one
+	OutcomeConflict                       // another content was confirmed under this revision
 )
 
 // order is one configuration as an operator sent it.
@@ -44,7 +44,7 @@
 	if value.Revision == 0 {
 		return register.Order{}
 	}
-	sum, _ := recorded(value).Lookup(value.Revision)
+	sum, _ := ordersWithCurrent(value).Lookup(value.Revision)
 	return register.Order{Revision: value.Revision, Sum: sum}
 }
 
@@ -59,11 +59,11 @@
 	return clusterstate.ContentSum(content)
 }
 
-// recorded returns the orders of a value with the one in force among them.
+// ordersWithCurrent returns the orders of a value with the one in force among them.
 //
 // It guards against a version of the program that keeps no orders: a value that it wrote lacks the newest, whose
 // sum can still be had from the content held.
-func recorded(value register.Value) register.Orders {
+func ordersWithCurrent(value register.Value) register.Orders {
 	if value.Revision == 0 {
 		return value.Orders
 	}
@@ -77,11 +77,11 @@
 // configuration changes where the revision is above the one held. Also an order that comes too late for that is
 // recorded before it is confirmed, lest another content be confirmed under its revision afterwards.
 func (o *order) apply(value register.Value) (next register.Value, changed bool) {
-	orders := recorded(value)
+	orders := ordersWithCurrent(value)
 	if _, known := orders.Lookup(o.Revision); known {
 		return value, false // sent again, or another content came first
 	}
-	if o.Revision <= value.Revision && !orders.Reaches(o.Revision) {
+	if o.Revision <= value.Revision && !orders.Covers(o.Revision) {
 		return value, false // too old to be remembered
 	}
 	if o.Revision > value.Revision {
@@ -91,26 +91,26 @@
 	return value, true
 }
 
-// verdict tells what became of the order by the value that stands.
-func (o *order) verdict(value register.Value) Verdict {
-	sum, known := recorded(value).Lookup(o.Revision)
+// outcome tells what became of the order by the value that stands.
+func (o *order) outcome(value register.Value) OrderOutcome {
+	sum, known := ordersWithCurrent(value).Lookup(o.Revision)
 	switch {
 	case known && sum != o.Sum:
-		return Conflicted
+		return OutcomeConflict
 	case o.Revision > value.Revision:
-		return Unsettled
+		return OutcomeUnknown
 	case o.Revision == value.Revision:
-		return InForce
+		return OutcomeInForce
 	}
-	return Overtaken
+	return OutcomeSuperseded
 }
 
 // answerOrder tells an operator what became of an order.
 func (c *Controller) answerOrder(call *pendingCall, value register.Value) {
-	switch verdict := call.order.verdict(value); verdict {
-	case InForce, Overtaken:
+	switch verdict := call.order.outcome(value); verdict {
+	case OutcomeInForce, OutcomeSuperseded:
 		c.answer(call, statusOK, nil, "")
-	case Conflicted:
+	case OutcomeConflict:
 		c.answer(call, statusConflict, nil, fmt.Sprintf("revision %d was confirmed with another content", call.order.Revision))
 	default:
 		c.answer(call, statusUnavailable, nil, "it is not known what became of the configuration")
--- a/decide/controller/orders_test.go
+++ b/decide/controller/orders_test.go
@@ -27,12 +27,12 @@
 	calls     map[uint64]sentOrder
 	confirmed map[uint64]string
 	refused   map[sentOrder]bool
-	heard     map[uint64]bool
+	collected map[uint64]bool
 }
 
 func newOperators(b *cluster, fail func(string, ...any)) *operators {
 	return &operators{fail: fail, cluster: b, calls: map[uint64]sentOrder{}, confirmed: map[uint64]string{},
-		refused: map[sentOrder]bool{}, heard: map[uint64]bool{}}
+		refused: map[sentOrder]bool{}, collected: map[uint64]bool{}}
 }
 
 // send sends an order to a controller; it is answered to nobody where that is down.
@@ -45,14 +45,14 @@
 	return id
 }
 
-// listen takes in the answers that have come.
-func (o *operators) listen() {
+// collectAnswers takes in the answers that have come.
+func (o *operators) collectAnswers() {
 	for id, s := range o.calls {
 		answer, answered := o.cluster.answers[id]
-		if !answered || o.heard[id] {
+		if !answered || o.collected[id] {
 			continue
 		}
-		o.heard[id] = true
+		o.collected[id] = true
 		switch answer.Status {
 		case 200:
 			if was, ok := o.confirmed[s.revision]; ok && was != s.content {
@@ -82,7 +82,7 @@
 			continue
 		}
 		status := o.cluster.untilAnswered(id)
-		o.listen()
+		o.collectAnswers()
 		if status == 200 || status == 409 {
 			return status
 		}
@@ -91,8 +91,8 @@
 	return 0
 }
 
-// unruly delays, loses and doubles words by the draws of a seed, while it is on.
-func unruly(b *cluster, random *rand.Rand, on *bool) {
+// disturbMessages delays, loses and doubles words by the draws of a seed, while it is on.
+func disturbMessages(b *cluster, random *rand.Rand, on *bool) {
 	b.tamper = func(_ int, w *Message) (int, int64) {
 		if !*on {
 			return 1, 0
@@ -125,7 +125,7 @@
 		b := newCluster(t, 3)
 		b.run(400 * ms)
 		on := true
-		unruly(b, random, &on)
+		disturbMessages(b, random, &on)
 		o := newOperators(b, func(format string, values ...any) { t.Fatalf("seed %d: "+format, append([]any{seed}, values...)...) })
 		one, other := sentOrder{7, "one"}, sentOrder{7, "other"}
 		first := random.IntN(3)
@@ -137,7 +137,7 @@
 			o.send(b.names[random.IntN(3)], []sentOrder{one, other}[random.IntN(2)])
 		}
 		b.run(1200 * ms)
-		o.listen()
+		o.collectAnswers()
 		on = false
 		for at := range 3 {
 			statuses := [2]int{o.answered(one, at), o.answered(other, at)}
@@ -162,7 +162,7 @@
 		must.Eq(t, 200, o.answered(sentOrder{5, "five"}, at))
 		must.Eq(t, 409, o.answered(sentOrder{5, "other"}, at))
 	}
-	b.powerLost()
+	b.restartAll()
 	for at := range b.names {
 		must.Eq(t, 409, o.answered(sentOrder{5, "other"}, at))
 		must.Eq(t, 409, o.answered(sentOrder{9, "other"}, at))
@@ -171,8 +171,8 @@
 	}
 }
 
-// powerLost takes the power from all controllers at once, and has them started again.
-func (b *cluster) powerLost() {
+// restartAll takes the power from all controllers at once, and has them started again.
+func (b *cluster) restartAll() {
 	for _, name := range b.names {
 		b.servers[name].up = false
 	}
@@ -194,7 +194,7 @@
 	must.Eq(t, 200, o.answered(sentOrder{5, "five"}, 1))
 	must.Eq(t, "nine", string(b.read(b.names[2]).Body))
 	must.Eq(t, 409, o.answered(sentOrder{5, "other"}, 3))
-	b.powerLost()
+	b.restartAll()
 	must.Eq(t, 409, o.answered(sentOrder{5, "other"}, 4))
 	must.Eq(t, 200, o.answered(sentOrder{5, "five"}, 0))
 	must.Eq(t, "nine", string(b.read(b.names[2]).Body))
@@ -236,7 +236,7 @@
 			b.run(int64(random.IntN(8)) * ms)
 		}
 		b.run(1000 * ms)
-		o.listen()
+		o.collectAnswers()
 		for i, s := range orders { // as if all answers had been lost
 			must.Eq(t, 200, o.answered(s, i+1))
 		}
@@ -287,7 +287,7 @@
 		b := newCluster(t, 3+2*random.IntN(2))
 		b.run(400 * ms)
 		on := true
-		unruly(b, random, &on)
+		disturbMessages(b, random, &on)
 		o := newOperators(b, r.Fatalf)
 		var sent []sentOrder
 		top := uint64(1)
@@ -319,7 +319,7 @@
 				}
 			}
 			b.run(int64(random.IntN(250)) * ms)
-			o.listen()
+			o.collectAnswers()
 		}
 		on, b.cut = false, nil
 		for _, down := range b.names {
@@ -328,7 +328,7 @@
 			}
 		}
 		b.run(3000 * ms)
-		o.listen()
+		o.collectAnswers()
 		for i, s := range sent {
 			o.answered(s, i)
 		}
--- a/decide/controller/places.go
+++ b/decide/controller/places.go
@@ -9,8 +9,8 @@
 
 // Where the controllers are, and which of them a replica's heartbeats go to.
 
-// zoneOf is the zone of a controller, empty where it has not said so yet.
-func (c *Controller) zoneOf(ip string) string {
+// controllerZone is the zone of a controller, empty where it has not said so yet.
+func (c *Controller) controllerZone(ip string) string {
 	if ip == c.IP {
 		return c.Zone
 	}
@@ -30,8 +30,8 @@
 // Danger: one that is cut off, leaves, or has an empty disk would refuse the heartbeat, or acknowledge what nobody else
 // hears.
 func (c *Controller) heartbeatTarget(r registry.Record) string {
-	targets := slices.DeleteFunc(c.servers(), func(p locality.Process) bool {
-		return c.Regions.Distance(r.Zone, p.Zone) == locality.Beyond || !c.takesCalls(p.IP)
+	targets := slices.DeleteFunc(c.controllerProcesses(), func(p locality.Process) bool {
+		return c.Regions.Distance(r.Zone, p.Zone) == locality.OtherRegion || !c.acceptsReplicaCalls(p.IP)
 	})
 	if len(targets) == 0 {
 		return ""
@@ -40,8 +40,8 @@
 	return targets[0].IP
 }
 
-// servers are this controller and all others that it knows, with their zones.
-func (c *Controller) servers() []locality.Process {
+// controllerProcesses are this controller and all others that it knows, with their zones.
+func (c *Controller) controllerProcesses() []locality.Process {
 	all := []locality.Process{{IP: c.IP, Zone: c.Zone}}
 	for ip, p := range c.peers {
 		all = append(all, locality.Process{IP: ip, Zone: p.zone})
@@ -49,9 +49,9 @@
 	return all
 }
 
-// takesCalls tells whether a controller is known to take the calls of replicas.
-func (c *Controller) takesCalls(ip string) bool {
-	if c.leaves(ip) || !c.live(ip) {
+// acceptsReplicaCalls tells whether a controller is known to take the calls of replicas.
+func (c *Controller) acceptsReplicaCalls(ip string) bool {
+	if c.isShuttingDown(ip) || !c.isLive(ip) {
 		return false
 	}
 	return ip == c.IP || c.peers[ip].heartbeat.CaughtUp
--- a/decide/controller/places_test.go
+++ b/decide/controller/places_test.go
@@ -12,7 +12,7 @@
 
 // newClusterInZones is a cluster whose controllers stand in these zones; west has two of them, east one.
 func newClusterInZones(t *testing.T, zones ...string) *cluster {
-	b := &cluster{t: t, servers: map[string]*server{}, answers: map[uint64]Answer{}, body: map[uint64]string{}, zones: map[string]string{},
+	b := &cluster{t: t, servers: map[string]*server{}, answers: map[uint64]Answer{}, bodies: map[uint64]string{}, zones: map[string]string{},
 		regions: locality.Regions{"west1": "west", "west2": "west", "east1": "east"}}
 	for i, zone := range zones {
 		name := fmt.Sprint("10.0.0.", i+1)
@@ -29,7 +29,7 @@
 // target has a replica send a heartbeat to a controller and returns the one that later ones are to go to.
 func (b *cluster) target(at, replica, zone string) string {
 	b.calls++
-	b.carry(at, b.servers[at].Beat(b.now, b.calls, registry.Record{ID: replica, Service: "s", Address: "a:1", Zone: zone, Seq: b.calls}))
+	b.carry(at, b.servers[at].HandleReplicaCall(b.now, b.calls, registry.Record{ID: replica, Service: "s", Address: "a:1", Zone: zone, Seq: b.calls}))
 	return b.answers[b.calls].HeartbeatTarget
 }
 
@@ -54,14 +54,14 @@
 	must.Between(t, 15, spread[c[0]], 45)
 
 	b.servers[c[2]].up = false
-	b.run(contactWithin + 500*ms)
+	b.run(contactTimeout + 500*ms)
 	must.SliceContains(t, c[:2], b.target(c[3], "i-1", "west2"))
 	b.start(c[2], false)
 	b.run(3000 * ms)
 	must.Eq(t, c[2], b.target(c[3], "i-1", "west2"))
 
 	b.servers[c[3]].up, b.servers[c[4]].up = false, false
-	b.run(contactWithin + 500*ms)
+	b.run(contactTimeout + 500*ms)
 	must.Eq(t, "", b.target(c[0], "i-5", "east1"))
 }
 
@@ -72,12 +72,12 @@
 	b.run(4000 * ms)
 	c := b.names
 	must.Eq(t, c[4], b.target(c[1], "i-1", "west2"))
-	b.carry(c[4], b.servers[c[4]].Leave(b.now))
+	b.carry(c[4], b.servers[c[4]].AnnounceShutdown(b.now))
 	b.run(100 * ms)
 	must.Eq(t, c[0], b.target(c[1], "i-1", "west2"))
 
 	wiped := b.servers[c[0]]
-	wiped.up, wiped.saved, wiped.list = false, nil, nil
+	wiped.up, wiped.saved, wiped.savedReplicas = false, nil, nil
 	b.cut = func(from, to string) bool { return (from == c[2] || from == c[3]) && to == c[0] } // too few for it to catch up
 	b.start(c[0], false)
 	b.run(3000 * ms)
--- a/decide/controller/restart_test.go
+++ b/decide/controller/restart_test.go
@@ -34,15 +34,15 @@
 	b.cut, b.tamper = nil, nil
 	b.run(5000 * ms)
 	server := b.servers[alone]
-	must.Eq(t, "right", string(server.follower.Raw)) // it has learned what stands
-	must.Eq(t, "left", unpacked(t, server.saved.State.Value))
+	must.Eq(t, "right", string(server.edgeState.Raw)) // it has learned what stands
+	must.Eq(t, "left", unpacked(t, server.saved.RegisterState.Value))
 
 	server.up = false
 	b.run(500 * ms)
 	b.start(alone, false)
-	must.Eq(t, "", string(server.follower.Raw)) // what it has on disk was never committed
+	must.Eq(t, "", string(server.edgeState.Raw)) // what it has on disk was never committed
 	b.run(2000 * ms)
-	must.Eq(t, "right", string(server.follower.Raw))
+	must.Eq(t, "right", string(server.edgeState.Raw))
 }
 
 // unpacked returns the configuration in a value of the register.
--- a/decide/controller/rollouts.go
+++ b/decide/controller/rollouts.go
@@ -14,7 +14,7 @@
 // goes to the controller that holds the duty; and the steps that this one takes.
 
 const (
-	evidenceEvery = 150 * ms // between two batches of evidence to the holder of the duty
+	evidenceInterval = 150 * ms // between two batches of evidence to the holder of the duty
 
 	statusUnprocessable = 422 // ends the operator's call
 )
@@ -28,12 +28,12 @@
 	warmAt     map[string]int64 // when a replica is no longer slow from its start, by id
 }
 
-func newRollouts(terms rollout.Terms) rollouts {
+func newRollouts(terms rollout.Bounds) rollouts {
 	return rollouts{manager: rollout.NewManager(terms), pending: map[string][]rollout.Evidence{}, warmAt: map[string]int64{}}
 }
 
-// next is when tickRollouts wants to be called at the latest, 0 for never.
-func (r *rollouts) next() int64 {
+// nextTick is when tickRollouts wants to be called at the latest, 0 for never.
+func (r *rollouts) nextTick() int64 {
 	at := r.manager.Next()
 	if len(r.pending) > 0 && (at == 0 || r.evidenceAt < at) {
 		at = r.evidenceAt
@@ -80,52 +80,52 @@
 // BeginRollout takes an operator's order to move a service's traffic to another version. It is answered once the order is
 // on a majority of disks: 200 also where the same order stands already, 409 where another rollout of the service is
 // active, 422 where nobody knows the service, 503 where no majority answered in time.
-func (c *Controller) BeginRollout(now int64, id uint64, order rollout.Order) Out {
-	return c.callRollouts(now, id, &rolloutCall{beginRollout, order})
+func (c *Controller) BeginRollout(now int64, id uint64, order rollout.Order) Effects {
+	return c.startRolloutCall(now, id, &rolloutCall{beginRollout, order})
 }
 
 // AbortRollout takes the active rollout of a service back: 200 with what stands then, 404 where there never was one.
-func (c *Controller) AbortRollout(now int64, id uint64, service string) Out {
-	return c.callRollouts(now, id, &rolloutCall{abortRollout, rollout.Order{Service: service}})
+func (c *Controller) AbortRollout(now int64, id uint64, service string) Effects {
+	return c.startRolloutCall(now, id, &rolloutCall{abortRollout, rollout.Order{Service: service}})
 }
 
 // ReadRollout answers the newest rollout of a service, as it stands on a majority of disks.
-func (c *Controller) ReadRollout(now int64, id uint64, service string) Out {
-	return c.callRollouts(now, id, &rolloutCall{readRollout, rollout.Order{Service: service}})
+func (c *Controller) ReadRollout(now int64, id uint64, service string) Effects {
+	return c.startRolloutCall(now, id, &rolloutCall{readRollout, rollout.Order{Service: service}})
 }
 
 // ListRollouts answers all rollouts that are kept.
-func (c *Controller) ListRollouts(now int64, id uint64) Out {
-	return c.callRollouts(now, id, &rolloutCall{action: listRollouts})
+func (c *Controller) ListRollouts(now int64, id uint64) Effects {
+	return c.startRolloutCall(now, id, &rolloutCall{action: listRollouts})
 }
 
-func (c *Controller) callRollouts(now int64, id uint64, call *rolloutCall) Out {
+func (c *Controller) startRolloutCall(now int64, id uint64, call *rolloutCall) Effects {
 	c.now = now
-	t := &pendingCall{id: id, until: now + answerWithin, rollout: call}
+	t := &pendingCall{id: id, deadline: now + answerTimeout, rollout: call}
 	c.calls = append(c.calls, t)
 	n, out := c.proposer.Edit(now, call.apply(func(v register.Value) bool { return c.serviceKnown(v, call.order.Service) }))
-	t.edit = n
-	c.carry(out)
-	return c.done()
+	t.editID = n
+	c.handleProposer(out)
+	return c.takeEffects()
 }
 
 // serviceKnown tells whether the configuration names a service or a replica of it is there.
 func (c *Controller) serviceKnown(value register.Value, service string) bool {
-	if len(c.list.OfService(service)) > 0 {
+	if len(c.replicas.ByService(service)) > 0 {
 		return true
 	}
 	content, ok := clusterstate.Unpack(value.Body)
 	if !ok {
 		return false
 	}
-	named, err := routeconfig.NamesService(content, service)
+	named, err := routeconfig.DefinesService(content, service)
 	return err == nil && named
 }
 
 // answerRollout tells an operator what became of a call, by the value that stands.
 func (c *Controller) answerRollout(t *pendingCall, value register.Value) {
 	service := t.rollout.order.Service
-	newest, known := value.Rollouts.Of(service)
+	newest, known := value.Rollouts.NewestOf(service)
 	switch {
 	case t.rollout.action == listRollouts:
 		c.answerRollouts(t, value.Rollouts.Rollouts)
@@ -145,12 +145,12 @@
 }
 
 func (c *Controller) answerRollouts(t *pendingCall, all []rollout.Rollout) {
-	c.out.Answers = append(c.out.Answers, Answer{Call: t.id, Status: statusOK, Rollouts: all})
-	c.forgetCall(t)
+	c.effects.Answers = append(c.effects.Answers, Answer{Call: t.id, Status: statusOK, Rollouts: all})
+	c.removeCall(t)
 }
 
-// takeRollouts takes in rollouts that are known to be committed.
-func (c *Controller) takeRollouts(set rollout.Set) {
+// applyRollouts takes in rollouts that are known to be committed.
+func (c *Controller) applyRollouts(set rollout.Set) {
 	if set.Version <= c.rollouts.set.Version {
 		return
 	}
@@ -161,12 +161,12 @@
 		}
 	}
 	c.rollouts.set = set
-	c.rollouts.manager.Take(c.now, set)
-	c.tell(c.state.Take(clusterstate.Update{Rollouts: set}))
+	c.rollouts.manager.Apply(c.now, set)
+	c.addUpdate(c.state.Apply(clusterstate.Update{Rollouts: set}))
 }
 
-// heardEvidence takes what an edge that follows here has seen, and keeps it for the holder of the duty.
-func (c *Controller) heardEvidence(s EdgeReport) {
+// recordEvidence takes what an edge that follows here has seen, and keeps it for the holder of the duty.
+func (c *Controller) recordEvidence(s EdgeReport) {
 	if len(s.Rollouts) == 0 || s.Edge.IP == "" || len(c.rollouts.manager.Active()) == 0 {
 		return
 	}
@@ -174,8 +174,8 @@
 	c.rollouts.pending[s.Edge.IP] = s.Rollouts
 }
 
-// takeEvidence takes what edges that follow another controller have seen.
-func (c *Controller) takeEvidence(all []EdgeEvidence) {
+// handleEvidence takes what edges that follow another controller have seen.
+func (c *Controller) handleEvidence(all []EdgeEvidence) {
 	for _, e := range all {
 		c.rollouts.manager.Report(c.now, e.IP, e.Rollouts)
 	}
@@ -185,11 +185,11 @@
 func (c *Controller) tickRollouts() {
 	holder := c.firstLiveMember()
 	if len(c.rollouts.pending) > 0 && c.now >= c.rollouts.evidenceAt {
-		c.rollouts.evidenceAt = c.now + evidenceEvery
-		c.passEvidence(holder)
+		c.rollouts.evidenceAt = c.now + evidenceInterval
+		c.sendEvidence(holder)
 	}
-	if holder != c.IP || !c.inContact || !c.disk.CaughtUp || c.leaving {
-		c.rollouts.manager.Wait(c.now)
+	if holder != c.IP || !c.inContact || !c.disk.CaughtUp || c.shuttingDown {
+		c.rollouts.manager.Standby(c.now)
 		return
 	}
 	if at := c.rollouts.manager.Next(); at == 0 || c.now < at {
@@ -201,11 +201,11 @@
 			v.Rollouts = next
 			return v, changed
 		})
-		c.carry(out)
+		c.handleProposer(out)
 	}
 }
 
-func (c *Controller) passEvidence(holder string) {
+func (c *Controller) sendEvidence(holder string) {
 	if holder != "" && holder != c.IP {
 		var batch []EdgeEvidence
 		for ip, evidence := range c.rollouts.pending {
@@ -222,11 +222,11 @@
 	warmAt := map[string]int64{}
 	for _, r := range c.rollouts.manager.Active() {
 		var count rollout.Replicas
-		for _, replica := range c.list.OfService(r.Order.Service) {
+		for _, replica := range c.replicas.ByService(r.Order.Service) {
 			switch {
 			case replica.Leaving():
 				count.Leaving++
-			case r.StandsIn(replica.Version): // also one that is silent for a while
+			case r.AllowsFallback(replica.Version): // also one that is silent for a while
 				count.Others++
 			case replica.Version != r.Order.Target || replica.Phase != registry.Ready:
 			default:
@@ -241,7 +241,7 @@
 	}
 	c.rollouts.warmAt = warmAt
 	for ip, e := range c.edges {
-		if c.now-e.heard < edgeQuiet {
+		if c.now-e.lastHeard < suspectedEdgeTimeout {
 			facts.Edges = append(facts.Edges, ip)
 		}
 	}
--- a/decide/controller/rollouts_test.go
+++ b/decide/controller/rollouts_test.go
@@ -13,8 +13,8 @@
 
 const rolloutConfiguration = `{"revision":7,"routes":[{"name":"r","host":"h","path-prefix":"/","deadline-ms":900,"service":"s"}],"services":[{"name":"s"}]}`
 
-// withRollouts is a cluster with a configuration that names the service s.
-func withRollouts(t *testing.T) *cluster {
+// newRolloutCluster is a cluster with a configuration that names the service s.
+func newRolloutCluster(t *testing.T) *cluster {
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
 	id := b.put(b.names[0], 7, rolloutConfiguration)
@@ -24,7 +24,7 @@
 }
 
 // ask puts a call about rollouts to a controller and waits for its answer.
-func (b *cluster) ask(name string, call func(c *Controller, id uint64) Out) Answer {
+func (b *cluster) ask(name string, call func(c *Controller, id uint64) Effects) Answer {
 	b.calls++
 	id := b.calls
 	b.carry(name, call(b.servers[name].Controller, id))
@@ -33,19 +33,19 @@
 }
 
 func (b *cluster) begin(name, service, target string) Answer {
-	return b.ask(name, func(c *Controller, id uint64) Out {
+	return b.ask(name, func(c *Controller, id uint64) Effects {
 		return c.BeginRollout(b.now, id, rollout.Order{Service: service, Target: target, OverMs: 12000})
 	})
 }
 
 func (b *cluster) readRollout(name, service string) Answer {
-	return b.ask(name, func(c *Controller, id uint64) Out { return c.ReadRollout(b.now, id, service) })
+	return b.ask(name, func(c *Controller, id uint64) Effects { return c.ReadRollout(b.now, id, service) })
 }
 
 // TestRolloutOrders: an order is acknowledged by any controller, again when it is sent again, in conflict with another one
 // that is active; one for a service that nobody knows is refused.
 func TestRolloutOrders(t *testing.T) {
-	b := withRollouts(t)
+	b := newRolloutCluster(t)
 	must.Eq(t, statusNotFound, b.readRollout(b.names[0], "s").Status)
 	must.Eq(t, statusOK, b.begin(b.names[1], "s", "v2").Status)
 	must.Eq(t, statusOK, b.begin(b.names[3], "s", "v2").Status)
@@ -54,10 +54,10 @@
 	read := b.readRollout(b.names[4], "s")
 	must.Eq(t, statusOK, read.Status)
 	must.Eq(t, rollout.Active, read.Rollouts[0].Phase)
-	aborted := b.ask(b.names[2], func(c *Controller, id uint64) Out { return c.AbortRollout(b.now, id, "s") })
+	aborted := b.ask(b.names[2], func(c *Controller, id uint64) Effects { return c.AbortRollout(b.now, id, "s") })
 	must.Eq(t, rollout.Reverted, aborted.Rollouts[0].Phase)
 	must.Eq(t, statusOK, b.begin(b.names[2], "s", "v3").Status)
-	all := b.ask(b.names[0], func(c *Controller, id uint64) Out { return c.ListRollouts(b.now, id) })
+	all := b.ask(b.names[0], func(c *Controller, id uint64) Effects { return c.ListRollouts(b.now, id) })
 	must.SliceLen(t, 2, all.Rollouts)
 }
 
@@ -65,9 +65,9 @@
 // followers are told never goes back.
 func TestRolloutSurvives(t *testing.T) {
 	for wiped := range 5 {
-		b := withRollouts(t)
+		b := newRolloutCluster(t)
 		must.Eq(t, statusOK, b.begin(b.names[2], "s", "v2").Status)
-		b.loseAllPower(wiped)
+		b.restartAllWipingOne(wiped)
 		read := b.readRollout(b.names[(wiped+1)%5], "s")
 		must.Eq(t, statusOK, read.Status)
 		must.Eq(t, "v2", read.Rollouts[0].Order.Target)
@@ -77,7 +77,7 @@
 // TestRolloutIsToldAfterARestart: a controller that starts again tells its followers of a rollout that it knew to be
 // committed before it has reached the others, as it does of the configuration.
 func TestRolloutIsToldAfterARestart(t *testing.T) {
-	b := withRollouts(t)
+	b := newRolloutCluster(t)
 	must.Eq(t, statusOK, b.begin(b.names[0], "s", "v2").Status)
 	b.run(1000 * ms)
 	for _, n := range b.names {
@@ -90,7 +90,7 @@
 
 // TestRolloutWithoutAMajority: where no majority answers nothing is acknowledged.
 func TestRolloutWithoutAMajority(t *testing.T) {
-	b := withRollouts(t)
+	b := newRolloutCluster(t)
 	b.cutOff(b.names[2])
 	must.Eq(t, statusUnavailable, b.begin(b.names[2], "s", "v2").Status)
 }
@@ -99,8 +99,8 @@
 func (b *cluster) edgesReport(feeder string, recorders []*rollout.Recorder) {
 	x := b.servers[feeder]
 	for i, r := range recorders {
-		r.Watch(x.follower.Rollouts, rolloutReplicas())
-		b.carry(feeder, x.Edge(b.now, EdgeReport{Edge: clusterstate.Edge{IP: fmt.Sprint("10.1.0.", i), Zone: "z"}, Rollouts: r.Evidence()}))
+		r.Watch(x.edgeState.Rollouts, rolloutReplicas())
+		b.carry(feeder, x.HandleEdgeReport(b.now, EdgeReport{Edge: clusterstate.Edge{IP: fmt.Sprint("10.1.0.", i), Zone: "z"}, Rollouts: r.Evidence()}))
 	}
 }
 
@@ -123,12 +123,12 @@
 		if round%3 == 0 {
 			seq++
 			for i, r := range rolloutReplicas() {
-				b.beat(b.names[1+i%3], registry.Record{ID: r.ID, Service: "s", Version: r.Version, Address: "a:" + r.ID, Zone: "z", Capacity: 2, Seq: seq})
+				b.replicaCall(b.names[1+i%3], registry.Record{ID: r.ID, Service: "s", Version: r.Version, Address: "a:" + r.ID, Zone: "z", Capacity: 2, Seq: seq})
 			}
 		}
 		for e, r := range recorders {
 			for i, replica := range rolloutReplicas() {
-				newest, known := b.servers[feeder].follower.Rollouts.Of("s")
+				newest, known := b.servers[feeder].edgeState.Rollouts.NewestOf("s")
 				if !known || !newest.Admits(fmt.Sprint("10.1.0.", e), replica.ID, replica.Version) || !r.Sent(replica.ID) {
 					continue
 				}
@@ -142,7 +142,7 @@
 		b.edgesReport(feeder, recorders)
 		b.run(300 * ms)
 		stands := b.servers[feeder].Rollouts()
-		r, _ := stands.Of("s")
+		r, _ := stands.NewestOf("s")
 		if r.Phase != rollout.Active {
 			return r
 		}
@@ -154,7 +154,7 @@
 			b.servers[holder].up = false
 		}
 	}
-	r, _ := b.servers[feeder].Rollouts().Of("s")
+	r, _ := b.servers[feeder].Rollouts().NewestOf("s")
 	return r
 }
 
@@ -163,7 +163,7 @@
 func TestRolloutIsCarriedOn(t *testing.T) {
 	for _, failing := range []int{0, 5} {
 		for _, kill := range []bool{false, true} {
-			b := withRollouts(t)
+			b := newRolloutCluster(t)
 			must.Eq(t, statusOK, b.begin(b.names[2], "s", "v2").Status)
 			r := playRollout(t, b, b.names[4], failing, kill)
 			want := rollout.Complete
--- a/decide/controller/saves_test.go
+++ b/decide/controller/saves_test.go
@@ -20,14 +20,14 @@
 		for i := range replicas {
 			r := readyReplica(fmt.Sprint("i-", i))
 			r.Seq = seq
-			b.beat(b.names[i%5], r)
+			b.replicaCall(b.names[i%5], r)
 		}
 	}
 	heard(1)
 	b.run(2000 * ms)
 	for _, name := range b.names {
-		must.SliceLen(t, replicas, b.servers[name].list)
-		b.servers[name].lists = 0
+		must.SliceLen(t, replicas, b.servers[name].savedReplicas)
+		b.servers[name].replicasSaves = 0
 	}
 	for revision := range uint64(changes) {
 		must.Eq(t, statusOK, b.untilAnswered(b.put(b.names[revision%5], revision+1, fmt.Sprint("body ", revision))))
@@ -35,12 +35,12 @@
 		b.run(1000 * ms)
 	}
 	for _, name := range b.names {
-		must.Eq(t, 0, b.servers[name].lists, must.Sprint("lists saved by ", name))
-		must.Eq(t, newOrder(changes, packedContent(fmt.Sprint("body ", changes-1))).Order, b.servers[name].saved.Committed)
-		must.SliceLen(t, replicas, b.servers[name].list)
+		must.Eq(t, 0, b.servers[name].replicasSaves, must.Sprint("lists saved by ", name))
+		must.Eq(t, newOrder(changes, packedContent(fmt.Sprint("body ", changes-1))).Order, b.servers[name].saved.CommittedConfiguration)
+		must.SliceLen(t, replicas, b.servers[name].savedReplicas)
 	}
-	b.powerLost()
+	b.restartAll()
 	for _, name := range b.names {
-		must.Eq(t, changes, b.servers[name].follower.Revision)
+		must.Eq(t, changes, b.servers[name].edgeState.Revision)
 	}
 }
--- a/decide/controller/verdict_test.go
+++ b/decide/controller/verdict_test.go
@@ -26,40 +26,40 @@
 		name     string
 		order    *order
 		changes  bool
-		verdict  Verdict
+		verdict  OrderOutcome
 		revision uint64
 	}{
-		{"a higher number", packedOrder(12, "twelve"), true, InForce, 12},
-		{"sent again while held", packedOrder(9, "nine"), false, InForce, 9},
-		{"another content under the number held", packedOrder(9, "other"), false, Conflicted, 9},
-		{"sent again once overtaken", packedOrder(5, "five"), false, Overtaken, 9},
-		{"another content under a number that was taken", packedOrder(5, "other"), false, Conflicted, 9},
-		{"a lower number that was never taken", packedOrder(7, "seven"), true, Overtaken, 9},
-		{"the content held under another number", packedOrder(7, "nine"), true, Overtaken, 9},
+		{"a higher number", packedOrder(12, "twelve"), true, OutcomeInForce, 12},
+		{"sent again while held", packedOrder(9, "nine"), false, OutcomeInForce, 9},
+		{"another content under the number held", packedOrder(9, "other"), false, OutcomeConflict, 9},
+		{"sent again once overtaken", packedOrder(5, "five"), false, OutcomeSuperseded, 9},
+		{"another content under a number that was taken", packedOrder(5, "other"), false, OutcomeConflict, 9},
+		{"a lower number that was never taken", packedOrder(7, "seven"), true, OutcomeSuperseded, 9},
+		{"the content held under another number", packedOrder(7, "nine"), true, OutcomeSuperseded, 9},
 	} {
 		next, changed := c.order.apply(held)
 		must.Eq(t, c.changes, changed, must.Sprint(c.name))
-		must.Eq(t, c.verdict, c.order.verdict(next), must.Sprint(c.name))
+		must.Eq(t, c.verdict, c.order.outcome(next), must.Sprint(c.name))
 		must.Eq(t, c.revision, next.Revision, must.Sprint(c.name))
 		again, changed := c.order.apply(next) // a round that is run again
 		must.False(t, changed, must.Sprint(c.name))
 		must.Eq(t, next, again, must.Sprint(c.name))
 	}
-	must.Eq(t, Unsettled, packedOrder(12, "twelve").verdict(held))
+	must.Eq(t, OutcomeUnknown, packedOrder(12, "twelve").outcome(held))
 }
 
 // TestOrderOlderThanTheRecord: what the record reaches no longer is acknowledged, changes nothing and writes nothing.
 func TestOrderOlderThanTheRecord(t *testing.T) {
 	var value register.Value
-	for i := range uint64(register.OrdersKept + 10) {
+	for i := range uint64(register.MaxOrders + 10) {
 		value, _ = packedOrder(100+i, "content").apply(value)
 	}
 	old := packedOrder(102, "other")
 	_, changed := old.apply(value)
 	must.False(t, changed)
-	must.Eq(t, Overtaken, old.verdict(value))
-	must.Eq(t, Conflicted, packedOrder(110, "other").verdict(value))
-	must.Eq(t, Overtaken, packedOrder(110, "content").verdict(value))
+	must.Eq(t, OutcomeSuperseded, old.outcome(value))
+	must.Eq(t, OutcomeConflict, packedOrder(110, "other").outcome(value))
+	must.Eq(t, OutcomeSuperseded, packedOrder(110, "content").outcome(value))
 }
 
 // TestContentIsKnownHoweverItIsPacked: an order that is sent again may reach a version that packs otherwise.
--- a/decide/deduplication/deduplication.go
+++ b/decide/deduplication/deduplication.go
@@ -22,18 +22,18 @@
 type Verdict uint8
 
 const (
-	Fresh    Verdict = iota // run it, and End it
-	Joined                  // it is under way: its answer is this one's as well
-	Answered                // it has ended so
-	CutOff                  // it may have run, and how it ended is not known here
-	Full                    // there is no room to remember it
+	FirstSeen   Verdict = iota // run it, and End it
+	InProgress                 // it is under way: its answer is this one's as well
+	Answered                   // it has ended so
+	Interrupted                // it may have run, and how it ended is not known here
+	Full                       // there is no room to remember it
 )
 
-// Terms bound what is kept.
-type Terms struct {
-	Most  int   // ids
-	Bytes int64 // of answers
-	For   int64 // that an id is remembered after its end, ns
+// Limits bound what is kept.
+type Limits struct {
+	MaxIDs         int   // ids
+	MaxAnswerBytes int64 // of answers
+	Retention      int64 // that an id is remembered after its end, ns
 }
 
 type state uint8
@@ -41,47 +41,47 @@
 const (
 	running state = iota
 	ended
-	cutOff
+	interrupted
 )
 
 type entry struct {
-	id     string
-	state  state
-	at     int64 // it began, or ended
-	answer []byte
+	id        string
+	state     state
+	changedAt int64 // it began, or ended
+	answer    []byte
 }
 
 // Window is the table. Order is the order of what can be forgotten, the oldest first.
 type Window struct {
-	Terms
-	entries map[string]*entry
-	order   []*entry // that are not running
-	bytes   int64
+	Limits
+	entries     map[string]*entry
+	expiryOrder []*entry // that are not running
+	answerBytes int64
 }
 
 // New makes an empty window.
-func New(t Terms) *Window { return &Window{Terms: t, entries: map[string]*entry{}} }
+func New(t Limits) *Window { return &Window{Limits: t, entries: map[string]*entry{}} }
 
 // Begin asks what to do with a query; its answer comes with Answered.
 //
 // Danger: an id that is forgotten too soon lets a repeat run a second time. So where there is no room a new one is
 // turned away unseen, and nothing that may still be repeated is forgotten for it.
 func (w *Window) Begin(now int64, id string) (Verdict, []byte) {
-	w.forget(now)
+	w.expire(now)
 	if e := w.entries[id]; e != nil {
 		switch e.state {
 		case running:
-			return Joined, nil
+			return InProgress, nil
 		case ended:
 			return Answered, e.answer
 		}
-		return CutOff, nil
+		return Interrupted, nil
 	}
-	if len(w.entries) >= w.Most {
+	if len(w.entries) >= w.MaxIDs {
 		return Full, nil
 	}
-	w.entries[id] = &entry{id: id, at: now}
-	return Fresh, nil
+	w.entries[id] = &entry{id: id, changedAt: now}
+	return FirstSeen, nil
 }
 
 // End keeps how a query ended. An answer that there is no room for is kept as cut off: it will not run again.
@@ -90,40 +90,40 @@
 	if e == nil || e.state != running {
 		return
 	}
-	w.forget(now)
-	e.state, e.at, e.answer = ended, now, answer
-	if w.bytes+int64(len(answer)) > w.Bytes {
-		e.state, e.answer = cutOff, nil
+	w.expire(now)
+	e.state, e.changedAt, e.answer = ended, now, answer
+	if w.answerBytes+int64(len(answer)) > w.MaxAnswerBytes {
+		e.state, e.answer = interrupted, nil
 	}
-	w.bytes += int64(len(e.answer))
-	w.order = append(w.order, e)
+	w.answerBytes += int64(len(e.answer))
+	w.expiryOrder = append(w.expiryOrder, e)
 }
 
-// Cut keeps that a query may have run and that nobody knows how it ended.
-func (w *Window) Cut(now int64, id string) {
+// Interrupt keeps that a query may have run and that nobody knows how it ended.
+func (w *Window) Interrupt(now int64, id string) {
 	if e := w.entries[id]; e != nil && e.state == running {
-		e.state, e.at = cutOff, now
-		w.order = append(w.order, e)
+		e.state, e.changedAt = interrupted, now
+		w.expiryOrder = append(w.expiryOrder, e)
 	}
 }
 
-// Undo forgets a query that is known not to have run, so that it may come again.
-func (w *Window) Undo(id string) {
+// Discard forgets a query that is known not to have run, so that it may come again.
+func (w *Window) Discard(id string) {
 	if e := w.entries[id]; e != nil && e.state == running {
 		delete(w.entries, id)
 	}
 }
 
-// forget drops what is old.
-func (w *Window) forget(now int64) {
+// expire drops what is old.
+func (w *Window) expire(now int64) {
 	n := 0
-	for n < len(w.order) && now-w.order[n].at > w.For {
-		delete(w.entries, w.order[n].id)
-		w.bytes -= int64(len(w.order[n].answer))
+	for n < len(w.expiryOrder) && now-w.expiryOrder[n].changedAt > w.Retention {
+		delete(w.entries, w.expiryOrder[n].id)
+		w.answerBytes -= int64(len(w.expiryOrder[n].answer))
 		n++
 	}
 	if n > 0 {
-		w.order = slices.Delete(w.order, 0, n)
+		w.expiryOrder = slices.Delete(w.expiryOrder, 0, n)
 	}
 }
 
@@ -132,22 +132,22 @@
 
 // A snapshot is a byte of form, entries and eight bytes of checksum.
 const (
-	form     = 1
-	sumBytes = 8
-	idMost   = 256
+	formatVersion = 1
+	checksumBytes = 8
+	maxIDBytes    = 256
 
 	fieldEntry                                                  = 1
-	fieldID, fieldState, fieldOld, fieldAnswer protowire.Number = 1, 2, 3, 4
+	fieldID, fieldState, fieldAge, fieldAnswer protowire.Number = 1, 2, 3, 4
 )
 
 // Snapshot encodes all that is remembered, ages against now.
 func (w *Window) Snapshot(now int64) []byte {
-	b := []byte{form}
+	b := []byte{formatVersion}
 	var one []byte
 	put := func(e *entry) {
 		one = protowire.AppendString(protowire.AppendTag(one[:0], fieldID, protowire.BytesType), e.id)
 		one = protowire.AppendVarint(protowire.AppendTag(one, fieldState, protowire.VarintType), uint64(e.state))
-		one = protowire.AppendVarint(protowire.AppendTag(one, fieldOld, protowire.VarintType), uint64(max(now-e.at, 0)))
+		one = protowire.AppendVarint(protowire.AppendTag(one, fieldAge, protowire.VarintType), uint64(max(now-e.changedAt, 0)))
 		one = protowire.AppendBytes(protowire.AppendTag(one, fieldAnswer, protowire.BytesType), e.answer)
 		b = protowire.AppendBytes(protowire.AppendTag(b, fieldEntry, protowire.BytesType), one)
 	}
@@ -158,7 +158,7 @@
 		}
 	}
 	slices.Sort(under)
-	for _, e := range w.order {
+	for _, e := range w.expiryOrder {
 		put(e)
 	}
 	for _, id := range under {
@@ -175,10 +175,10 @@
 //
 // Danger: half of a snapshot would let what the other half knew run again: it is taken whole or not at all.
 func (w *Window) Restore(now, away int64, snapshot []byte) error {
-	if len(snapshot) < 1+sumBytes || snapshot[0] != form {
+	if len(snapshot) < 1+checksumBytes || snapshot[0] != formatVersion {
 		return ErrDamaged
 	}
-	body := snapshot[:len(snapshot)-sumBytes]
+	body := snapshot[:len(snapshot)-checksumBytes]
 	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(snapshot[len(body):]) {
 		return ErrDamaged
 	}
@@ -192,29 +192,29 @@
 		if m < 0 {
 			return ErrDamaged
 		}
-		e, err := restored(inner, now-max(away, 0))
+		e, err := decodeEntry(inner, now-max(away, 0))
 		if err != nil {
 			return err
 		}
 		all = append(all, e)
 		b = b[n+m:]
 	}
-	slices.SortStableFunc(all, func(a, b *entry) int { return int(min(max(a.at-b.at, -1), 1)) })
+	slices.SortStableFunc(all, func(a, b *entry) int { return int(min(max(a.changedAt-b.changedAt, -1), 1)) })
 	for _, e := range all {
-		if now-e.at > w.For || w.entries[e.id] != nil || len(w.entries) >= w.Most {
+		if now-e.changedAt > w.Retention || w.entries[e.id] != nil || len(w.entries) >= w.MaxIDs {
 			continue
 		}
-		if w.bytes+int64(len(e.answer)) > w.Bytes {
-			e.state, e.answer = cutOff, nil
+		if w.answerBytes+int64(len(e.answer)) > w.MaxAnswerBytes {
+			e.state, e.answer = interrupted, nil
 		}
-		w.bytes += int64(len(e.answer))
+		w.answerBytes += int64(len(e.answer))
 		w.entries[e.id] = e
-		w.order = append(w.order, e)
+		w.expiryOrder = append(w.expiryOrder, e)
 	}
 	return nil
 }
 
-func restored(b []byte, made int64) (*entry, error) {
+func decodeEntry(b []byte, snapshotAt int64) (*entry, error) {
 	e := &entry{}
 	for len(b) > 0 {
 		field, kind, n := protowire.ConsumeTag(b)
@@ -226,9 +226,9 @@
 		case kind == protowire.VarintType:
 			v, m := protowire.ConsumeVarint(b)
 			if n = m; n >= 0 && field == fieldState {
-				e.state = state(min(v, uint64(cutOff)))
-			} else if field == fieldOld {
-				e.at = made - int64(min(v, math.MaxInt64/4))
+				e.state = state(min(v, uint64(interrupted)))
+			} else if field == fieldAge {
+				e.changedAt = snapshotAt - int64(min(v, math.MaxInt64/4))
 			}
 		case kind == protowire.BytesType:
 			text, m := protowire.ConsumeBytes(b)
@@ -245,11 +245,11 @@
 		}
 		b = b[n:]
 	}
-	if e.id == "" || len(e.id) > idMost {
+	if e.id == "" || len(e.id) > maxIDBytes {
 		return nil, fmt.Errorf("%w: an id of %d bytes", ErrDamaged, len(e.id))
 	}
 	if e.state == running { // it ran when the process ended
-		e.state = cutOff
+		e.state = interrupted
 	}
 	return e, nil
 }
--- a/decide/deduplication/deduplication_test.go
+++ b/decide/deduplication/deduplication_test.go
@@ -10,7 +10,7 @@
 
 const second = int64(1e9)
 
-var terms = Terms{Most: 20, Bytes: 200, For: 10 * second}
+var terms = Limits{MaxIDs: 20, MaxAnswerBytes: 200, Retention: 10 * second}
 
 // Whatever comes, and whenever a planned restart does: within its time an id runs once, a repeat gets its answer or is
 // told that it is not known, and the bounds are kept.
@@ -27,17 +27,17 @@
 			now += rapid.Int64Range(0, second).Draw(t, "time")
 			id := fmt.Sprint("q", rapid.IntRange(0, 30).Draw(t, "id"))
 			was, known := truth[id]
-			old := known && was.state != "running" && now-was.at > terms.For
+			old := known && was.state != "running" && now-was.at > terms.Retention
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2, 3, 4:
 				verdict, answer := w.Begin(now, id)
 				switch verdict {
-				case Fresh:
+				case FirstSeen:
 					if known && !old {
 						t.Fatalf("%s runs again: %+v, now %d", id, was, now)
 					}
 					truth[id] = life{"running", now, ""}
-				case Joined:
+				case InProgress:
 					if was.state != "running" {
 						t.Fatalf("%s joined %+v", id, was)
 					}
@@ -45,7 +45,7 @@
 					if was.state != "ended" || string(answer) != was.text {
 						t.Fatalf("%s got %q, %+v", id, answer, was)
 					}
-				case CutOff:
+				case Interrupted:
 					if !known || was.state == "running" {
 						t.Fatalf("%s is cut off, %+v", id, was)
 					}
@@ -58,12 +58,12 @@
 				}
 			case 7:
 				if was.state == "running" {
-					w.Undo(id)
+					w.Discard(id)
 					delete(truth, id)
 				}
 			case 8:
 				if was.state == "running" {
-					w.Cut(now, id)
+					w.Interrupt(now, id)
 					truth[id] = life{"cut", now, ""}
 				}
 			case 9: // a planned restart
@@ -79,8 +79,8 @@
 					}
 				}
 			}
-			if w.Len() > terms.Most || w.bytes > terms.Bytes {
-				t.Fatalf("%d ids and %d bytes", w.Len(), w.bytes)
+			if w.Len() > terms.MaxIDs || w.answerBytes > terms.MaxAnswerBytes {
+				t.Fatalf("%d ids and %d bytes", w.Len(), w.answerBytes)
 			}
 		}
 	})
@@ -119,8 +119,8 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		fresh := New(terms)
 		fresh.Restore(0, 0, text)
-		if fresh.Len() > terms.Most || fresh.bytes > terms.Bytes {
-			t.Errorf("%d ids, %d bytes", fresh.Len(), fresh.bytes)
+		if fresh.Len() > terms.MaxIDs || fresh.answerBytes > terms.MaxAnswerBytes {
+			t.Errorf("%d ids, %d bytes", fresh.Len(), fresh.answerBytes)
 		}
 	})
 }
--- a/decide/failuredetector/failuredetector.go
+++ b/decide/failuredetector/failuredetector.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	ms        = 1_000_000
-	watchers  = 2 // of each edge: one alone may be the one at fault
-	beatEvery = 500 * ms
-	suspectAt = 2600 * ms // five beats left out: datagrams are lost now and then
-	slowShare = 2         // a call so many times later than it should have been tells of one's own slowness
+	ms                = 1_000_000
+	watchersPerEdge   = 2 // of each edge: one alone may be the one at fault
+	heartbeatInterval = 500 * ms
+	suspectAfter      = 2600 * ms // five beats left out: datagrams are lost now and then
+	stallFactor       = 2         // a call so many times later than it should have been tells of one's own slowness
 )
 
 // Detector is one edge's.
 type Detector struct {
-	self   string
-	ring   []string
-	heard  map[string]int64
-	beatAt int64
-	last   int64
+	self          string
+	ring          []string
+	lastHeard     map[string]int64
+	nextHeartbeat int64
+	lastTick      int64
 }
 
 // New makes one for an edge, by its IP.
-func New(self string) *Detector { return &Detector{self: self, heard: map[string]int64{}} }
+func New(self string) *Detector { return &Detector{self: self, lastHeard: map[string]int64{}} }
 
 // Ring sorts edges by their places: the hash of what they are called.
 func Ring(ips []string) []string {
@@ -54,7 +54,7 @@
 // Watchers are those that an edge's place names: the next on the ring.
 func Watchers(ring []string, ip string) (names []string) {
 	at := slices.Index(ring, ip)
-	for k := 1; at >= 0 && k <= watchers && k < len(ring); k++ {
+	for k := 1; at >= 0 && k <= watchersPerEdge && k < len(ring); k++ {
 		names = append(names, ring[(at+k)%len(ring)])
 	}
 	return names
@@ -63,32 +63,32 @@
 // Watched are those that an edge is a watcher of: the ones before it on the ring.
 func Watched(ring []string, ip string) (names []string) {
 	at := slices.Index(ring, ip)
-	for k := 1; at >= 0 && k <= watchers && k < len(ring); k++ {
+	for k := 1; at >= 0 && k <= watchersPerEdge && k < len(ring); k++ {
 		names = append(names, ring[(at+len(ring)-k)%len(ring)])
 	}
 	return names
 }
 
-// Fleet tells who is there.
-func (l *Detector) Fleet(now int64, ips []string) {
+// SetEdges tells who is there.
+func (l *Detector) SetEdges(now int64, ips []string) {
 	l.ring = Ring(ips)
 	watched := Watched(l.ring, l.self)
 	for _, ip := range watched {
-		if _, ok := l.heard[ip]; !ok { // it may not know yet that it is watched from here
-			l.heard[ip] = now
+		if _, ok := l.lastHeard[ip]; !ok { // it may not know yet that it is watched from here
+			l.lastHeard[ip] = now
 		}
 	}
-	for ip := range l.heard {
+	for ip := range l.lastHeard {
 		if !slices.Contains(watched, ip) {
-			delete(l.heard, ip)
+			delete(l.lastHeard, ip)
 		}
 	}
 }
 
-// Heard takes a heartbeat.
-func (l *Detector) Heard(now int64, from string) {
-	if _, ok := l.heard[from]; ok {
-		l.heard[from] = now
+// HandleHeartbeat takes a heartbeat.
+func (l *Detector) HandleHeartbeat(now int64, from string) {
+	if _, ok := l.lastHeard[from]; ok {
+		l.lastHeard[from] = now
 	}
 }
 
@@ -97,18 +97,18 @@
 // Danger: one that stood still itself has heard nobody. It would call all that it watches lost; so its own
 // lateness counts for them first.
 func (l *Detector) Tick(now int64) (beats, suspects []string) {
-	if gap := now - l.last; l.last > 0 && gap > slowShare*beatEvery {
-		for ip := range l.heard {
-			l.heard[ip] += gap
+	if gap := now - l.lastTick; l.lastTick > 0 && gap > stallFactor*heartbeatInterval {
+		for ip := range l.lastHeard {
+			l.lastHeard[ip] += gap
 		}
 	}
-	l.last = now
-	if now >= l.beatAt {
-		l.beatAt = now + beatEvery
+	l.lastTick = now
+	if now >= l.nextHeartbeat {
+		l.nextHeartbeat = now + heartbeatInterval
 		beats = Watchers(l.ring, l.self)
 	}
-	for ip, at := range l.heard {
-		if now-at > suspectAt {
+	for ip, at := range l.lastHeard {
+		if now-at > suspectAfter {
 			suspects = append(suspects, ip)
 		}
 	}
--- a/decide/failuredetector/failuredetector_test.go
+++ b/decide/failuredetector/failuredetector_test.go
@@ -21,7 +21,7 @@
 		ring := Ring(fleet(n))
 		for _, ip := range ring {
 			w := Watchers(ring, ip)
-			must.SliceLen(t, min(watchers, n-1), w)
+			must.SliceLen(t, min(watchersPerEdge, n-1), w)
 			must.SliceNotContains(t, w, ip)
 		}
 	}
@@ -44,7 +44,7 @@
 	ips := fleet(4200)
 	detector := New(ips[0])
 	for b.Loop() {
-		detector.Fleet(0, ips)
+		detector.SetEdges(0, ips)
 	}
 }
 
@@ -57,7 +57,7 @@
 	looks := map[string]*Detector{}
 	for _, ip := range ips {
 		looks[ip] = New(ip)
-		looks[ip].Fleet(0, ips)
+		looks[ip].SetEdges(0, ips)
 	}
 	frozen := Watchers(ring, lost)[0]
 	step := func(now int64) (who map[string][]string) {
@@ -68,7 +68,7 @@
 			}
 			beats, suspects := looks[ip].Tick(now)
 			for _, to := range beats {
-				looks[to].Heard(now, ip)
+				looks[to].HandleHeartbeat(now, ip)
 			}
 			for _, s := range suspects {
 				who[s] = append(who[s], ip)
