--- a/decide/fairqueue/fairqueue.go
+++ b/decide/fairqueue/fairqueue.go
@@ -13,38 +13,38 @@
 	"slices"
 )
 
-const customersMost = 4096 // whose turns are remembered; beyond that those who have nothing waiting are forgotten
+const maxCustomers = 4096 // whose turns are remembered; beyond that those who have nothing waiting are forgotten
 
-// Terms bound the queue.
-type Terms struct {
-	Most    int     // queries that wait
-	MostOne float64 // share of them that one customer may have
+// Limits bound the queue.
+type Limits struct {
+	MaxWaiting       int     // queries that wait
+	MaxCustomerShare float64 // share of them that one customer may have
 }
 
 // Item is one query that waits.
 type Item struct {
 	Customer string
 	Weight   float64 // of its customer: twice the weight, twice the turns; at or below 0 counts as 1
-	Until    int64   // it waits no longer, ns
-	Load     any     // the caller's
+	Deadline int64   // it waits no longer, ns
+	Handle   any     // the caller's
 }
 
 type customer struct {
-	name  string
-	turn  float64 // virtual time served
-	items []Item
+	name        string
+	virtualTime float64 // virtual time served
+	items       []Item
 }
 
 // Queue is the queue. Its zero value is not usable; see New.
 type Queue struct {
-	Terms
-	customers map[string]*customer
-	waiting   int
-	turn      float64 // of the last one served: who comes anew starts here, and saves nothing up
+	Limits
+	customers   map[string]*customer
+	waiting     int
+	virtualTime float64 // of the last one served: who comes anew starts here, and saves nothing up
 }
 
 // New makes an empty queue.
-func New(t Terms) *Queue { return &Queue{Terms: t, customers: map[string]*customer{}} }
+func New(t Limits) *Queue { return &Queue{Limits: t, customers: map[string]*customer{}} }
 
 // Len is how many wait.
 func (q *Queue) Len() int { return q.waiting }
@@ -54,16 +54,16 @@
 //
 // Danger: in a full queue that turns newcomers away, the one who filled it would have it to himself.
 func (q *Queue) Push(now int64, it Item) (dropped []Item, taken bool) {
-	if it.Until <= now {
+	if it.Deadline <= now {
 		return nil, false
 	}
-	dropped = q.Late(now)
-	c := q.of(it.Customer)
-	if float64(len(c.items)+1) > max(q.MostOne*float64(q.Most), 1) {
+	dropped = q.Expire(now)
+	c := q.customer(it.Customer)
+	if float64(len(c.items)+1) > max(q.MaxCustomerShare*float64(q.MaxWaiting), 1) {
 		return dropped, false
 	}
-	if q.waiting >= q.Most {
-		longest := q.longest()
+	if q.waiting >= q.MaxWaiting {
+		longest := q.mostWaiting()
 		if longest == nil || len(longest.items) <= len(c.items)+1 {
 			return dropped, false
 		}
@@ -72,7 +72,7 @@
 		q.waiting--
 	}
 	if len(c.items) == 0 {
-		c.turn = max(c.turn, q.turn)
+		c.virtualTime = max(c.virtualTime, q.virtualTime)
 	}
 	c.items = append(c.items, it)
 	q.waiting++
@@ -81,10 +81,10 @@
 
 // Pop takes the next query out, if any waits.
 func (q *Queue) Pop(now int64) (next Item, late []Item, ok bool) {
-	late = q.Late(now)
+	late = q.Expire(now)
 	var first *customer
 	for _, c := range q.customers {
-		if len(c.items) > 0 && (first == nil || cmp.Or(cmp.Compare(c.turn, first.turn), cmp.Compare(c.name, first.name)) < 0) {
+		if len(c.items) > 0 && (first == nil || cmp.Or(cmp.Compare(c.virtualTime, first.virtualTime), cmp.Compare(c.name, first.name)) < 0) {
 			first = c
 		}
 	}
@@ -94,20 +94,20 @@
 	next = first.items[0]
 	first.items = first.items[1:]
 	q.waiting--
-	q.turn = first.turn
+	q.virtualTime = first.virtualTime
 	weight := next.Weight
 	if weight <= 0 {
 		weight = 1
 	}
-	first.turn += 1 / weight
+	first.virtualTime += 1 / weight
 	return next, late, true
 }
 
-// Late takes out all whose time to wait is over.
-func (q *Queue) Late(now int64) (late []Item) {
+// Expire takes out all whose time to wait is over.
+func (q *Queue) Expire(now int64) (late []Item) {
 	for _, c := range q.customers {
 		c.items = slices.DeleteFunc(c.items, func(it Item) bool {
-			over := it.Until <= now
+			over := it.Deadline <= now
 			if over {
 				late = append(late, it)
 			}
@@ -116,7 +116,7 @@
 	}
 	q.waiting -= len(late)
 	slices.SortStableFunc(late, func(a, b Item) int {
-		return cmp.Or(cmp.Compare(a.Until, b.Until), cmp.Compare(a.Customer, b.Customer))
+		return cmp.Or(cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.Customer, b.Customer))
 	})
 	return late
 }
@@ -127,7 +127,7 @@
 	if c == nil {
 		return false
 	}
-	i := slices.IndexFunc(c.items, func(it Item) bool { return it.Load == load })
+	i := slices.IndexFunc(c.items, func(it Item) bool { return it.Handle == load })
 	if i < 0 {
 		return false
 	}
@@ -136,35 +136,35 @@
 	return true
 }
 
-// Next is when the first waiting query is late, or 0 where none waits.
-func (q *Queue) Next() (at int64) {
+// NextDeadline is when the first waiting query is late, or 0 where none waits.
+func (q *Queue) NextDeadline() (at int64) {
 	for _, c := range q.customers {
 		for _, it := range c.items {
-			if at == 0 || it.Until < at {
-				at = it.Until
+			if at == 0 || it.Deadline < at {
+				at = it.Deadline
 			}
 		}
 	}
 	return at
 }
 
-func (q *Queue) of(name string) *customer {
+func (q *Queue) customer(name string) *customer {
 	c := q.customers[name]
 	if c == nil {
-		if len(q.customers) >= customersMost {
+		if len(q.customers) >= maxCustomers {
 			for other, old := range q.customers {
 				if len(old.items) == 0 {
 					delete(q.customers, other)
 				}
 			}
 		}
-		c = &customer{name: name, turn: q.turn}
+		c = &customer{name: name, virtualTime: q.virtualTime}
 		q.customers[name] = c
 	}
 	return c
 }
 
-func (q *Queue) longest() (most *customer) {
+func (q *Queue) mostWaiting() (most *customer) {
 	for _, c := range q.customers {
 		if most == nil || cmp.Or(cmp.Compare(len(c.items), len(most.items)), cmp.Compare(most.name, c.name)) > 0 {
 			most = c
--- a/decide/fairqueue/fairqueue_test.go
+++ b/decide/fairqueue/fairqueue_test.go
@@ -9,16 +9,16 @@
 
 // With all waiting, turns go by weight whatever the crowds: here one customer has fifty times the others' queries.
 func TestTurns(t *testing.T) {
-	q := New(Terms{Most: 1000, MostOne: 1})
+	q := New(Limits{MaxWaiting: 1000, MaxCustomerShare: 1})
 	served := map[string]int{}
 	for i := range 2000 {
 		for range 5 {
-			q.Push(0, Item{Customer: "greedy", Until: 1e9})
+			q.Push(0, Item{Customer: "greedy", Deadline: 1e9})
 		}
 		for _, name := range []string{"b", "c"} {
-			q.Push(0, Item{Customer: name, Weight: 1, Until: 1e9})
+			q.Push(0, Item{Customer: name, Weight: 1, Deadline: 1e9})
 		}
-		q.Push(0, Item{Customer: "double", Weight: 2, Until: 1e9})
+		q.Push(0, Item{Customer: "double", Weight: 2, Deadline: 1e9})
 		if it, _, ok := q.Pop(0); ok && i >= 500 {
 			served[it.Customer]++
 		}
@@ -32,14 +32,14 @@
 
 // A customer that was away saves nothing up: it does not shut the others out when it comes back.
 func TestNothingSavedUp(t *testing.T) {
-	q := New(Terms{Most: 100, MostOne: 1})
+	q := New(Limits{MaxWaiting: 100, MaxCustomerShare: 1})
 	for range 50 {
-		q.Push(0, Item{Customer: "busy", Until: 1e9})
+		q.Push(0, Item{Customer: "busy", Deadline: 1e9})
 		q.Pop(0)
 	}
 	for range 10 {
-		q.Push(0, Item{Customer: "back", Until: 1e9})
-		q.Push(0, Item{Customer: "busy", Until: 1e9})
+		q.Push(0, Item{Customer: "back", Deadline: 1e9})
+		q.Push(0, Item{Customer: "busy", Deadline: 1e9})
 	}
 	busy := 0
 	for range 10 {
@@ -56,14 +56,14 @@
 // queue nobody but the one with the most waiting loses a place.
 func TestOnceEach(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Terms{Most: rapid.IntRange(1, 12).Draw(t, "most"), MostOne: rapid.Float64Range(0.2, 1).Draw(t, "one")}
+		terms := Limits{MaxWaiting: rapid.IntRange(1, 12).Draw(t, "most"), MaxCustomerShare: rapid.Float64Range(0.2, 1).Draw(t, "one")}
 		q, now, number := New(terms), int64(0), 0
 		in := map[int]Item{}
 		leave := func(it Item) {
-			if _, is := in[it.Load.(int)]; !is {
+			if _, is := in[it.Handle.(int)]; !is {
 				t.Fatalf("%v left twice, or never came", it)
 			}
-			delete(in, it.Load.(int))
+			delete(in, it.Handle.(int))
 		}
 		count := func(name string) (n int) {
 			for _, it := range in {
@@ -76,11 +76,11 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += rapid.Int64Range(0, 30).Draw(t, "time")
 			if rapid.IntRange(0, 2).Draw(t, "what") > 0 {
-				it := Item{Customer: fmt.Sprint("c", rapid.IntRange(0, 4).Draw(t, "customer")), Until: now + rapid.Int64Range(0, 200).Draw(t, "wait"),
-					Weight: rapid.Float64Range(0, 3).Draw(t, "weight"), Load: number}
+				it := Item{Customer: fmt.Sprint("c", rapid.IntRange(0, 4).Draw(t, "customer")), Deadline: now + rapid.Int64Range(0, 200).Draw(t, "wait"),
+					Weight: rapid.Float64Range(0, 3).Draw(t, "weight"), Handle: number}
 				dropped, taken := q.Push(now, it)
 				for _, d := range dropped {
-					if d.Until > now && count(d.Customer) <= count(it.Customer) {
+					if d.Deadline > now && count(d.Customer) <= count(it.Customer) {
 						t.Fatalf("%s with %d waiting lost its place to %s with %d", d.Customer, count(d.Customer), it.Customer, count(it.Customer))
 					}
 					leave(d)
@@ -92,13 +92,13 @@
 			} else {
 				it, late, ok := q.Pop(now)
 				for _, l := range late {
-					if l.Until > now {
+					if l.Deadline > now {
 						t.Fatalf("%v is not late at %d", l, now)
 					}
 					leave(l)
 				}
 				if ok {
-					if it.Until <= now {
+					if it.Deadline <= now {
 						t.Fatalf("%v was served late", it)
 					}
 					leave(it)
@@ -112,10 +112,10 @@
 				}
 				delete(in, gone)
 			}
-			if q.Len() != len(in) || q.Len() > terms.Most {
-				t.Fatalf("%d wait, %d should, %d may", q.Len(), len(in), terms.Most)
+			if q.Len() != len(in) || q.Len() > terms.MaxWaiting {
+				t.Fatalf("%d wait, %d should, %d may", q.Len(), len(in), terms.MaxWaiting)
 			}
-			if at := q.Next(); (at == 0) != (len(in) == 0) {
+			if at := q.NextDeadline(); (at == 0) != (len(in) == 0) {
 				t.Fatalf("next at %d with %d waiting", at, len(in))
 			}
 		}
--- a/decide/follower/follower.go
+++ b/decide/follower/follower.go
@@ -12,81 +12,81 @@
 	"willowsill/decide/clusterstate"
 )
 
-// shortTries is how many feeders in a row are left after shortStay: a smaller part of the control servers that is cut off. A
+// maxShortStays is how many feeders in a row are left after shortStay: a smaller part of the control servers that is cut off. A
 // moment without any majority is waited out, for each visit costs a snapshot.
-const shortTries = 4
+const maxShortStays = 4
 
 // Times, ns.
 const (
-	ms            = 1_000_000
-	staleDirect   = 2000 * ms // a control server's word that is older than this counts as that of one that is cut off
-	staleRelayed  = 3000 * ms // a relay's: the relay itself leaves its feeder first, and those below it need not move
-	leastStay     = 1000 * ms // with a feeder that is not fresh, before the next one is tried
-	shortStay     = 250 * ms  // the same with one that says itself that it is cut off
-	longStay      = 4000 * ms // the same once all have been tried: none of them is fresh, and each visit costs a snapshot
-	readyWithout  = 3000 * ms // from the first configuration on: a new edge that finds no fresh feeder for so long is ready
-	behindAllowed = 1000 * ms // from the word of a newer revision until it has to be here
+	ms                    = 1_000_000
+	maxAgeDirect          = 2000 * ms // a control server's word that is older than this counts as that of one that is cut off
+	maxAgeRelayed         = 3000 * ms // a relay's: the relay itself leaves its feeder first, and those below it need not move
+	normalStay            = 1000 * ms // with a feeder that is not fresh, before the next one is tried
+	shortStay             = 250 * ms  // the same with one that says itself that it is cut off
+	longStay              = 4000 * ms // the same once all have been tried: none of them is fresh, and each visit costs a snapshot
+	readyUnconfirmedAfter = 3000 * ms // from the first configuration on: a new edge that finds no fresh feeder for so long is ready
+	maxBehind             = 1000 * ms // from the word of a newer revision until it has to be here
 )
 
 // Follower decides for one edge whom to leave. It is not safe for concurrent use.
 type Follower struct {
 	connectedAt  int64
 	alternatives int // feeders besides this one
-	tried        int // feeders that were left one after the other because none was fresh
-	heard        clusterstate.Freshness
-	heardAt      int64
+	leftInARow   int // feeders that were left one after the other because none was fresh
+	received     clusterstate.Freshness
+	receivedAt   int64
 }
 
 // Connected tells that a feeder is followed from now on, and how many others there are.
 func (f *Follower) Connected(now int64, alternatives int) {
 	f.connectedAt, f.alternatives = now, alternatives
-	f.heard = clusterstate.Freshness{}
+	f.received = clusterstate.Freshness{}
 }
 
-// Heard takes what the feeder said of itself.
-func (f *Follower) Heard(now int64, said clusterstate.Freshness) {
-	f.heard, f.heardAt = said, now
+// HandleFreshness takes what the feeder said of itself.
+func (f *Follower) HandleFreshness(now int64, said clusterstate.Freshness) {
+	f.received, f.receivedAt = said, now
 	if f.fresh(now) {
-		f.tried = 0
+		f.leftInARow = 0
 	}
 }
 
 // Disconnected tells that no feeder is followed any more.
-func (f *Follower) Disconnected() { f.heard = clusterstate.Freshness{} }
+func (f *Follower) Disconnected() { f.received = clusterstate.Freshness{} }
 
-// Leave tells whether the feeder is to be left because what it says is not fresh.
+// ShouldLeave tells whether the feeder is to be left because what it says is not fresh.
 //
 // Danger: a feeder that is cut off from the other control servers goes on saying that it is there, and an edge that
 // stays with it keeps an old configuration.
-func (f *Follower) Leave(now int64) bool {
-	stay := int64(leastStay)
+func (f *Follower) ShouldLeave(now int64) bool {
+	stay := int64(normalStay)
 	switch {
-	case f.tried > f.alternatives:
+	case f.leftInARow > f.alternatives:
 		stay = longStay
-	case f.heard.Known && f.tried <= shortTries:
+	case f.received.Known && f.leftInARow <= maxShortStays:
 		stay = shortStay
 	}
 	if f.alternatives == 0 || f.fresh(now) || now-f.connectedAt < stay {
 		return false
 	}
-	f.tried++
+	f.leftInARow++
 	return true
 }
 
 // fresh tells whether the feeder followed now is.
 func (f *Follower) fresh(now int64) bool {
-	limit := int64(staleDirect)
-	if f.heard.Hops > 0 {
-		limit = staleRelayed
+	limit := int64(maxAgeDirect)
+	if f.received.Hops > 0 {
+		limit = maxAgeRelayed
 	}
-	return f.heard.Known && f.heard.Age+now-f.heardAt < limit
+	return f.received.Known && f.received.Age+now-f.receivedAt < limit
 }
 
 // Freshness is what this edge knows, for itself and for those that follow it.
 func (f *Follower) Freshness(now int64) clusterstate.Freshness {
-	known := f.heard
+	known := f.received
 	if known.Known {
-		known.Age += now - f.heardAt
+		known.Age += now - f.receivedAt
 		known.Hops++
 	}
 	return known
--- a/decide/follower/follower_test.go
+++ b/decide/follower/follower_test.go
@@ -22,16 +22,16 @@
 		leftAt := int64(0)
 		for now := int64(0); now < 10_000*ms && leftAt == 0; now += 300 * ms {
 			age := max(now-4_000*ms, 0) // cut off after four seconds
-			f.Heard(now, said(age, hops))
-			only.Heard(now, said(age, hops))
-			if f.Leave(now) {
+			f.HandleFreshness(now, said(age, hops))
+			only.HandleFreshness(now, said(age, hops))
+			if f.ShouldLeave(now) {
 				leftAt = now
 			}
-			must.False(t, only.Leave(now))
+			must.False(t, only.ShouldLeave(now))
 		}
-		limit := int64(staleDirect)
+		limit := int64(maxAgeDirect)
 		if hops > 0 {
-			limit = staleRelayed
+			limit = maxAgeRelayed
 		}
 		must.Between(t, 4_000*ms+limit, leftAt, 4_300*ms+limit)
 	}
@@ -42,9 +42,9 @@
 func TestNeverVouchedFor(t *testing.T) {
 	var f Follower
 	f.Connected(0, 1)
-	f.Heard(100*ms, clusterstate.Freshness{Revision: 3})
-	must.False(t, f.Leave(900*ms))
-	must.True(t, f.Leave(1000*ms))
+	f.HandleFreshness(100*ms, clusterstate.Freshness{Revision: 3})
+	must.False(t, f.ShouldLeave(900*ms))
+	must.True(t, f.ShouldLeave(1000*ms))
 }
 
 // TestNobodyIsFresh: once all feeders have been tried in vain, each is stayed with for longer; a fresh one ends that.
@@ -53,17 +53,17 @@
 	now := int64(0)
 	for range 4 {
 		f.Connected(now, 3)
-		must.False(t, f.Leave(now+999*ms))
+		must.False(t, f.ShouldLeave(now+999*ms))
 		now += 1000 * ms
-		must.True(t, f.Leave(now))
+		must.True(t, f.ShouldLeave(now))
 	}
 	f.Connected(now, 3)
-	must.False(t, f.Leave(now+3999*ms))
-	must.True(t, f.Leave(now+4000*ms))
+	must.False(t, f.ShouldLeave(now+3999*ms))
+	must.True(t, f.ShouldLeave(now+4000*ms))
 	f.Connected(now, 3)
-	f.Heard(now, said(0, 0))
+	f.HandleFreshness(now, said(0, 0))
 	f.Connected(now, 3)
-	must.True(t, f.Leave(now+1000*ms))
+	must.True(t, f.ShouldLeave(now+1000*ms))
 }
 
 // TestFewShortVisits: of feeders that say themselves that they are cut off the first are left soon; where they all do, the rest are
@@ -74,14 +74,14 @@
 	var stays []int64
 	for range alternatives + 2 {
 		f.Connected(0, alternatives)
-		f.Heard(0, said(5000*ms, 0))
+		f.HandleFreshness(0, said(5000*ms, 0))
 		now := int64(0)
-		for ; !f.Leave(now); now += 10 * ms {
-			f.Heard(now, said(5000*ms+now, 0))
+		for ; !f.ShouldLeave(now); now += 10 * ms {
+			f.HandleFreshness(now, said(5000*ms+now, 0))
 		}
 		stays = append(stays, now)
 	}
-	short, least := int64(shortStay), int64(leastStay)
+	short, least := int64(shortStay), int64(normalStay)
 	must.Eq(t, []int64{short, short, short, short, short, least, least, least, least, longStay}, stays)
 }
 
@@ -89,7 +89,7 @@
 func TestAgeGrows(t *testing.T) {
 	var f Follower
 	f.Connected(0, 3)
-	f.Heard(100, said(50, 1))
+	f.HandleFreshness(100, said(50, 1))
 	must.Eq(t, said(250, 2), f.Freshness(300))
 	f.Disconnected()
 	must.False(t, f.Freshness(400).Known)
@@ -101,14 +101,14 @@
 	var r Readiness
 	must.False(t, r.Ready(0))
 	r.Configured(1000*ms, 7)
-	r.Heard(1000*ms, clusterstate.Freshness{Revision: 7})
+	r.HandleFreshness(1000*ms, clusterstate.Freshness{Revision: 7})
 	must.False(t, r.Ready(1500*ms))
-	r.Heard(1600*ms, said(9_000*ms, 1)) // the feeder is itself cut off
+	r.HandleFreshness(1600*ms, said(9_000*ms, 1)) // the feeder is itself cut off
 	must.False(t, r.Ready(1700*ms))
 	must.True(t, r.Ready(4000*ms))
 	r = Readiness{}
 	r.Configured(1000*ms, 7)
-	r.Heard(1200*ms, said(300*ms, 1))
+	r.HandleFreshness(1200*ms, said(300*ms, 1))
 	must.True(t, r.Ready(1200*ms))
 	must.True(t, r.Ready(100_000*ms)) // all control servers may be gone since: what is known then changes nowhere
 }
@@ -117,16 +117,16 @@
 func TestBehindIsNotReady(t *testing.T) {
 	var r Readiness
 	r.Configured(0, 6)
-	r.Heard(100*ms, clusterstate.Freshness{Known: true, Revision: 7})
+	r.HandleFreshness(100*ms, clusterstate.Freshness{Known: true, Revision: 7})
 	must.False(t, r.Ready(500*ms)) // it was never current
 	r.Configured(600*ms, 7)
-	r.Heard(600*ms, said(0, 1))
+	r.HandleFreshness(600*ms, said(0, 1))
 	must.True(t, r.Ready(600*ms))
-	r.Heard(700*ms, clusterstate.Freshness{Known: true, Revision: 9})
+	r.HandleFreshness(700*ms, clusterstate.Freshness{Known: true, Revision: 9})
 	must.True(t, r.Ready(1600*ms))
 	must.False(t, r.Ready(1700*ms))
 	r.Configured(1800*ms, 9)
-	r.Heard(1800*ms, clusterstate.Freshness{Known: true, Revision: 9})
+	r.HandleFreshness(1800*ms, clusterstate.Freshness{Known: true, Revision: 9})
 	must.True(t, r.Ready(1800*ms))
 }
 
@@ -137,13 +137,13 @@
 	const contact, dial, between, alternatives, smallerPart = 5000 * ms, 100 * ms, 300 * ms, 8, 3
 	f := Follower{}
 	f.Connected(-10_000*ms, alternatives)
-	f.Heard(0, said(300*ms, 1)) // its age was 300 ms as the cut began
+	f.HandleFreshness(0, said(300*ms, 1)) // its age was 300 ms as the cut began
 	now := int64(0)
 	untilLeft := func(hops int) {
-		for !f.Leave(now) {
+		for !f.ShouldLeave(now) {
 			now += 10 * ms
 			if now%between == 0 {
-				f.Heard(now, said(now+300*ms, hops))
+				f.HandleFreshness(now, said(now+300*ms, hops))
 			}
 		}
 	}
@@ -151,7 +151,7 @@
 	for range smallerPart {
 		now += dial
 		f.Connected(now, alternatives)
-		f.Heard(now, said(now+300*ms, 0))
+		f.HandleFreshness(now, said(now+300*ms, 0))
 		untilLeft(0)
 	}
 	must.Less(t, contact, now+dial)
--- a/decide/gateway/gateway.go
+++ b/decide/gateway/gateway.go
@@ -17,131 +17,131 @@
 )
 
 const (
-	pingMissed = 3    // one after the other, and a site's ways are not used
-	lookEach   = 10e6 // ns until it is looked again for room while somebody waits: tokens come with time alone
-	waitMost   = 64   // queries of a workload that wait for room on a link,
-	waitOne    = 0.5  // this share of them of one customer at most,
-	waitShare  = 10   // and each for this part of its time at most
-	smooth     = 0.2  // of the newest delay in the mean
-	pingKept   = 0.95 // of what is known of a way's loss, at each ping
-	cutSent    = 16   // pings that a way which was cut is taken to have had when it is back,
-	cutLost    = 2    // and lost
+	maxMissedPings    = 3    // one after the other, and a site's ways are not used
+	queuePollNs       = 10e6 // ns until it is looked again for room while somebody waits: tokens come with time alone
+	maxWaiting        = 64   // queries of a workload that wait for room on a link,
+	maxCustomerShare  = 0.5  // this share of them of one customer at most,
+	waitTimeDivisor   = 10   // and each for this part of its time at most
+	delaySmoothing    = 0.2  // of the newest delay in the mean
+	pingDecay         = 0.95 // of what is known of a way's loss, at each ping
+	restoredPingsSent = 16   // pings that a way which was cut is taken to have had when it is back,
+	restoredPingsLost = 2    // and lost
 )
 
 // Query is one that may leave.
 type Query struct {
 	siterouting.Query
 	Customer string
-	Load     any // the caller's, by which it is told who goes
+	Handle   any // the caller's, by which it is told who goes
 }
 
-// Going is a query that waited and goes now.
-type Going struct {
-	Link int
-	Load any
+// Departure is a query that waited and goes now.
+type Departure struct {
+	Link   int
+	Handle any
 }
 
-// Round is what one Decide asks for. Its slices are used again by the next.
-type Round struct {
-	Going  []Going
-	Turned []any             // the loads of those that are turned away
-	Plan   *siterouting.Plan // a new one, if there is one
+// Decision is what one Decide asks for. Its slices are used again by the next.
+type Decision struct {
+	Departures []Departure
+	Rejected   []any             // the loads of those that are turned away
+	Plan       *siterouting.Plan // a new one, if there is one
 }
 
-// Way is how the way to another site stands. Times in ns.
-type Way struct {
+// LinkStatus is how the way to another site stands. Times in ns.
+type LinkStatus struct {
 	Usable   bool
 	Delay    int64 // there and back, the mean,
-	Least    int64 // and the least of late
+	MinDelay int64 // and the least of late
 	Limit    int   // queries that may be in flight,
 	InFlight int   // and are
 }
 
-type way struct {
-	mean   float64
-	missed int
-	sent   float64
-	lost   float64
-	known  bool
-	limit  *siterouting.Limit
-	queues []*fairqueue.Queue // by workload
+type linkState struct {
+	meanDelay   float64
+	missedPings int
+	pingsSent   float64
+	pingsLost   float64
+	measured    bool
+	limit       *siterouting.LinkLimit
+	queues      []*fairqueue.Queue // by workload
 }
 
 // Gateway decides for one gateway.
 type Gateway struct {
-	routes *siterouting.Router
-	spare  *siterouting.Spare
-	ways   []way
-	order  []int // workloads, those worth most first
-	look   int64 // when it is to be looked for room, 0 where nobody waits
-	round  Round
+	router    *siterouting.Router
+	spare     *siterouting.SpareCapacity
+	links     []linkState
+	byRevenue []int // workloads, those worth most first
+	pollAt    int64 // when it is to be looked for room, 0 where nobody waits
+	decision  Decision
 }
 
 // New makes one at its start.
-func New(now int64, t siterouting.Terms) *Gateway {
-	c := &Gateway{routes: siterouting.New(now, t), spare: siterouting.NewSpare(now)}
+func New(now int64, t siterouting.Config) *Gateway {
+	c := &Gateway{router: siterouting.New(now, t), spare: siterouting.NewSpareCapacity(now)}
 	for range t.Links {
-		w := way{limit: siterouting.NewLimit(now)}
+		w := linkState{limit: siterouting.NewLinkLimit(now)}
 		for range t.Workloads {
-			w.queues = append(w.queues, fairqueue.New(fairqueue.Terms{Most: waitMost, MostOne: waitOne}))
+			w.queues = append(w.queues, fairqueue.New(fairqueue.Limits{MaxWaiting: maxWaiting, MaxCustomerShare: maxCustomerShare}))
 		}
-		c.ways = append(c.ways, w)
+		c.links = append(c.links, w)
 	}
-	c.order = c.routes.Order()
+	c.byRevenue = c.router.ByRevenue()
 	return c
 }
 
-// Stays tells whether the own site is asked for a query. Mark is the query's own number in [0, 1), came that it is another
+// ServesLocally tells whether the own site is asked for a query. Mark is the query's own number in [0, 1), came that it is another
 // site's.
-func (c *Gateway) Stays(now int64, mark float64, came bool) bool {
-	return c.routes.Stays(now, mark, came)
+func (c *Gateway) ServesLocally(now int64, position float64, fromOtherSite bool) bool {
+	return c.router.ServesLocally(now, position, fromOtherSite)
 }
 
 // Ended tells how a query ended at the own site; own is one of its own clients.
 func (c *Gateway) Ended(now int64, own, declined bool) { c.spare.Ended(now, own, declined) }
 
-// Leave asks for a way for a query that the own site does not serve: the link it goes over, or that it waits and is told by
+// Forward asks for a way for a query that the own site does not serve: the link it goes over, or that it waits and is told by
 // Decide, or -1 and false for neither.
-func (c *Gateway) Leave(now int64, q Query) (link int, waits bool) {
+func (c *Gateway) Forward(now int64, q Query) (link int, waits bool) {
 	if len(q.Visited) == 0 { // the own clients'
-		c.routes.Missed(q.Workload)
+		c.router.CountUnserved(q.Workload)
 	}
-	link = c.routes.Route(now, q.Query)
+	link = c.router.Route(now, q.Query)
 	if link < 0 {
 		return -1, false
 	}
-	w := &c.ways[link]
-	if c.routes.Policy != siterouting.Planned {
-		w.limit.Must()
+	w := &c.links[link]
+	if c.router.Policy != siterouting.Planned {
+		w.limit.Acquire()
 		return link, false
 	}
-	if w.queues[q.Workload].Len() == 0 && c.room(now, q.Workload, link) {
+	if w.queues[q.Workload].Len() == 0 && c.acquire(now, q.Workload, link) {
 		return link, false
 	}
 	// Danger: one customer's crowd would take all the room of a plan, a purse or a limit as it comes free; customers take
 	// turns wherever room is short.
-	dropped, taken := w.queues[q.Workload].Push(now, fairqueue.Item{Customer: q.Customer, Until: now + q.Left/waitShare, Load: q.Load})
-	c.turnAway(dropped)
+	dropped, taken := w.queues[q.Workload].Push(now, fairqueue.Item{Customer: q.Customer, Deadline: now + q.TimeLeft/waitTimeDivisor, Handle: q.Handle})
+	c.reject(dropped)
 	if !taken {
 		return -1, false
 	}
-	c.again(now)
+	c.schedulePoll(now)
 	return link, true
 }
 
 // Withdraw takes a query out that waits on a link; false where it does not wait there any more.
 func (c *Gateway) Withdraw(q Query, link int) bool {
-	return c.ways[link].queues[q.Workload].Remove(q.Customer, q.Load)
+	return c.links[link].queues[q.Workload].Remove(q.Customer, q.Handle)
 }
 
-// room takes the room for one query on a link, if there is some.
-func (c *Gateway) room(now int64, workload, link int) bool {
-	l := c.ways[link].limit
-	if !l.Take() {
+// acquire takes the room for one query on a link, if there is some.
+func (c *Gateway) acquire(now int64, workload, link int) bool {
+	l := c.links[link].limit
+	if !l.TryAcquire() {
 		return false
 	}
-	if !c.routes.Spend(now, workload, link) {
-		l.Give()
+	if !c.router.Spend(now, workload, link) {
+		l.Release()
 		return false
 	}
 	return true
@@ -150,60 +150,64 @@
 // Returned tells that a query that went over a link is back, whether the other site or the way refused it unseen, and how many
 // bytes it took, 0 for not known.
 func (c *Gateway) Returned(now int64, workload, link int, refused bool, bytes float64) {
-	c.ways[link].limit.Give()
-	c.routes.Carried(workload, link, refused)
+	c.links[link].limit.Release()
+	c.router.ObserveResult(workload, link, refused)
 	if bytes > 0 {
-		c.routes.Weighed(now, workload, link, bytes)
+		c.router.ObserveBytes(now, workload, link, bytes)
 	}
-	c.serve(now, link)
+	c.dispatch(now, link)
 }
 
 // Pinged tells of a ping over a link: how long it took, or that it was lost. It returns whether the way counts as cut by it.
 //
 // Danger: a link that is cut says nothing, and queries would wait for their time to pass: some lost pings close it.
 func (c *Gateway) Pinged(now int64, link int, took int64, lost bool) (cut bool) {
-	w := &c.ways[link]
-	w.sent, w.lost = w.sent*pingKept+1, w.lost*pingKept
+	w := &c.links[link]
+	w.pingsSent, w.pingsLost = w.pingsSent*pingDecay+1, w.pingsLost*pingDecay
 	if lost {
-		w.missed++
-		w.lost++
+		w.missedPings++
+		w.pingsLost++
 	} else {
-		if !w.known {
-			w.mean = float64(took)
+		if !w.measured {
+			w.meanDelay = float64(took)
 		}
-		if w.missed >= pingMissed { // the cut was one loss, however many pings it took along
-			w.sent, w.lost = cutSent, cutLost
+		if w.missedPings >= maxMissedPings { // the cut was one loss, however many pings it took along
+			w.pingsSent, w.pingsLost = restoredPingsSent, restoredPingsLost
 		}
-		w.known, w.missed = true, 0
-		w.mean += smooth * (float64(took) - w.mean)
+		w.measured, w.missedPings = true, 0
+		w.meanDelay += delaySmoothing * (float64(took) - w.meanDelay)
 	}
-	w.limit.Delay(now, took, lost)
-	return w.missed == pingMissed
+	w.limit.ObserveDelay(now, took, lost)
+	return w.missedPings == maxMissedPings
 }
 
-// Told takes in how many queries a second another site says it would take.
-func (c *Gateway) Told(now int64, link int, rate float64) { c.routes.Willing(now, link, rate) }
+// ObserveAdvertised takes in how many queries a second another site says it would take.
+func (c *Gateway) ObserveAdvertised(now int64, link int, rate float64) {
+	c.router.ObserveAdvertised(now, link, rate)
+}
 
-// Willing is how many more queries a second this site would take from others.
-func (c *Gateway) Willing(now int64) float64 { return c.spare.Rate(now) * c.routes.Local(now) }
+// AdvertisedRate is how many more queries a second this site would take from others.
+func (c *Gateway) AdvertisedRate(now int64) float64 {
+	return c.spare.Rate(now) * c.router.LocalShare(now)
+}
 
 // Evacuate leaves the own site, or takes it up again over a ramp.
-func (c *Gateway) Evacuate(now int64, dark bool) { c.routes.Evacuate(now, dark) }
+func (c *Gateway) Evacuate(now int64, evacuated bool) { c.router.Evacuate(now, evacuated) }
 
-// Least is the least way to a site and back of late, ns.
-func (c *Gateway) Least(link int) int64 { return c.ways[link].limit.Least() }
+// MinDelay is the least way to a site and back of late, ns.
+func (c *Gateway) MinDelay(link int) int64 { return c.links[link].limit.MinDelay() }
 
-// Ways tell how the ways stand.
-func (c *Gateway) Ways() (all []Way) {
-	for _, w := range c.ways {
-		all = append(all, Way{w.usable(), int64(w.mean), w.limit.Least(), w.limit.Most(), w.limit.InFlight()})
+// Links tell how the ways stand.
+func (c *Gateway) Links() (all []LinkStatus) {
+	for _, w := range c.links {
+		all = append(all, LinkStatus{w.usable(), int64(w.meanDelay), w.limit.MinDelay(), w.limit.Max(), w.limit.InFlight()})
 	}
 	return all
 }
 
 // Waiting is how many wait for room, on all links.
 func (c *Gateway) Waiting() (n int) {
-	for _, w := range c.ways {
+	for _, w := range c.links {
 		for _, q := range w.queues {
 			n += q.Len()
 		}
@@ -211,68 +215,68 @@
 	return n
 }
 
-func (w *way) usable() bool { return w.known && w.missed < pingMissed }
+func (w *linkState) usable() bool { return w.measured && w.missedPings < maxMissedPings }
 
 // Next is when Decide wants to be called again at the latest.
 func (c *Gateway) Next() int64 {
-	if c.look > 0 {
-		return min(c.look, c.routes.Next())
+	if c.pollAt > 0 {
+		return min(c.pollAt, c.router.Next())
 	}
-	return c.routes.Next()
+	return c.router.Next()
 }
 
 // Decide returns who goes and who is turned away now, and a new plan when it is time for one.
-func (c *Gateway) Decide(now int64) Round {
-	if now >= c.routes.Next() {
-		for i := range c.ways {
-			w := &c.ways[i]
+func (c *Gateway) Decide(now int64) Decision {
+	if now >= c.router.Next() {
+		for i := range c.links {
+			w := &c.links[i]
 			loss := 0.0
-			if w.sent > 0 {
-				loss = w.lost / w.sent
+			if w.pingsSent > 0 {
+				loss = w.pingsLost / w.pingsSent
 			}
-			c.routes.Linked(i, siterouting.Figures{Delay: int64(w.mean), Loss: loss, Usable: w.usable()})
+			c.router.ObserveLink(i, siterouting.LinkStats{Delay: int64(w.meanDelay), Loss: loss, Usable: w.usable()})
 		}
-		plan := c.routes.Decide(now)
-		c.round.Plan = &plan
+		plan := c.router.Decide(now)
+		c.decision.Plan = &plan
 	}
-	if c.look > 0 && now >= c.look {
-		for link := range c.ways {
-			c.serve(now, link)
+	if c.pollAt > 0 && now >= c.pollAt {
+		for link := range c.links {
+			c.dispatch(now, link)
 		}
-		c.look = 0
-		c.again(now)
+		c.pollAt = 0
+		c.schedulePoll(now)
 	}
-	r := c.round
-	c.round = Round{}
+	r := c.decision
+	c.decision = Decision{}
 	return r
 }
 
-// again has it looked for room again while somebody waits.
-func (c *Gateway) again(now int64) {
-	if c.look == 0 && c.Waiting() > 0 {
-		c.look = now + lookEach
+// schedulePoll has it looked for room again while somebody waits.
+func (c *Gateway) schedulePoll(now int64) {
+	if c.pollAt == 0 && c.Waiting() > 0 {
+		c.pollAt = now + queuePollNs
 	}
 }
 
-// serve gives what room there is on a link to those who wait, by turns of customers, first to what is worth most.
-func (c *Gateway) serve(now int64, link int) {
-	for _, workload := range c.order {
-		q := c.ways[link].queues[workload]
-		c.turnAway(q.Late(now))
-		for q.Len() > 0 && c.room(now, workload, link) {
+// dispatch gives what room there is on a link to those who wait, by turns of customers, first to what is worth most.
+func (c *Gateway) dispatch(now int64, link int) {
+	for _, workload := range c.byRevenue {
+		q := c.links[link].queues[workload]
+		c.reject(q.Expire(now))
+		for q.Len() > 0 && c.acquire(now, workload, link) {
 			next, _, _ := q.Pop(now)
-			c.round.Going = append(c.round.Going, Going{link, next.Load})
+			c.decision.Departures = append(c.decision.Departures, Departure{link, next.Handle})
 		}
 	}
 }
 
-func (c *Gateway) turnAway(items []fairqueue.Item) {
+func (c *Gateway) reject(items []fairqueue.Item) {
 	for _, it := range items {
-		c.round.Turned = append(c.round.Turned, it.Load)
+		c.decision.Rejected = append(c.decision.Rejected, it.Handle)
 	}
 }
 
-// InOrder tells whether all room that was taken was given back and nobody waits: what holds when no query is under way.
-func (c *Gateway) InOrder() bool {
-	return c.Waiting() == 0 && !slices.ContainsFunc(c.ways, func(w way) bool { return w.limit.InFlight() != 0 })
+// Idle tells whether all room that was taken was given back and nobody waits: what holds when no query is under way.
+func (c *Gateway) Idle() bool {
+	return c.Waiting() == 0 && !slices.ContainsFunc(c.links, func(w linkState) bool { return w.limit.InFlight() != 0 })
 }
--- a/decide/gateway/gateway_test.go
+++ b/decide/gateway/gateway_test.go
@@ -10,9 +10,9 @@
 
 const second = int64(1e9)
 
-func two(queries float64) siterouting.Terms {
-	return siterouting.Terms{Site: "a", Interval: second, Links: []siterouting.Link{{Site: "b", Queries: queries, Bytes: 1e6, Cost: 0.1}},
-		Workloads: []siterouting.Workload{{Name: "look", Revenue: 1, Bytes: 1000, Serves: 50e6}, {Name: "pay", Revenue: 5, Bytes: 1000, Serves: 50e6}}}
+func two(queries float64) siterouting.Config {
+	return siterouting.Config{Site: "a", Interval: second, Links: []siterouting.Link{{Site: "b", QueryRate: queries, ByteRate: 1e6, Cost: 0.1}},
+		Workloads: []siterouting.Workload{{Name: "look", Revenue: 1, Bytes: 1000, ServiceTime: 50e6}, {Name: "pay", Revenue: 5, Bytes: 1000, ServiceTime: 50e6}}}
 }
 
 // Whatever comes in whatever order: each query that waits is told once, and in a tenth of its time; no more are in flight than
@@ -21,32 +21,32 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c, now := New(0, two(rapid.Float64Range(2, 80).Draw(t, "queries"))), int64(0)
 		c.Pinged(now, 0, 80e6, false)
-		c.Told(now, 0, 50)
+		c.ObserveAdvertised(now, 0, 50)
 		type out struct{ workload int }
 		waiting, until := map[int]Query{}, map[int]int64{}
 		var flying []out
 		carry := func() {
 			r := c.Decide(now)
-			for _, g := range r.Going {
-				n := g.Load.(int)
+			for _, g := range r.Departures {
+				n := g.Handle.(int)
 				if _, waits := waiting[n]; !waits {
 					t.Fatalf("query %d goes and does not wait", n)
 				}
 				flying = append(flying, out{waiting[n].Workload})
 				delete(waiting, n)
 			}
-			for _, load := range r.Turned {
+			for _, load := range r.Rejected {
 				if _, waits := waiting[load.(int)]; !waits {
 					t.Fatalf("query %v is turned away and does not wait", load)
 				}
 				delete(waiting, load.(int))
 			}
 			for n := range waiting {
-				if now > until[n]+2*lookEach {
+				if now > until[n]+2*queuePollNs {
 					t.Fatalf("query %d waits %d ms too long", n, (now-until[n])/1e6)
 				}
 			}
-			if w := c.Ways()[0]; w.InFlight > max(w.Limit, len(flying)) || w.InFlight != len(flying) {
+			if w := c.Links()[0]; w.InFlight > max(w.Limit, len(flying)) || w.InFlight != len(flying) {
 				t.Fatalf("%d in flight, %d known of, limit %d", w.InFlight, len(flying), w.Limit)
 			}
 		}
@@ -77,16 +77,16 @@
 				}
 			default:
 				number++
-				q := Query{Customer: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"), Load: number,
-					Query: siterouting.Query{Workload: rapid.IntRange(0, 1).Draw(t, "workload"), Left: 2 * second, Declined: true}}
+				q := Query{Customer: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"), Handle: number,
+					Query: siterouting.Query{Workload: rapid.IntRange(0, 1).Draw(t, "workload"), TimeLeft: 2 * second, Declined: true}}
 				before := len(waiting)
-				waiting[number], until[number] = q, now+q.Left/waitShare
-				link, waits := c.Leave(now, q)
+				waiting[number], until[number] = q, now+q.TimeLeft/waitTimeDivisor
+				link, waits := c.Forward(now, q)
 				if !waits {
 					delete(waiting, number)
 				}
 				if link >= 0 && !waits {
-					if before > 0 && c.ways[0].queues[q.Workload].Len() > 0 {
+					if before > 0 && c.links[0].queues[q.Workload].Len() > 0 {
 						t.Fatalf("query %d goes before those who wait", number)
 					}
 					flying = append(flying, out{q.Workload})
@@ -99,15 +99,15 @@
 		}
 		flying = nil
 		for len(waiting) > 0 {
-			now += lookEach
+			now += queuePollNs
 			carry()
 			for _, one := range flying {
 				c.Returned(now, one.workload, 0, false, 0)
 			}
 			flying = nil
 		}
-		if !c.InOrder() {
-			t.Fatalf("left: %+v, %d waiting", c.Ways(), c.Waiting())
+		if !c.Idle() {
+			t.Fatalf("left: %+v, %d waiting", c.Links(), c.Waiting())
 		}
 	})
 }
@@ -120,7 +120,7 @@
 		c.Decide(now)
 	}
 	goes := func() bool {
-		link, waits := c.Leave(now, Query{Query: siterouting.Query{Workload: 1, Left: 5 * second, Declined: true}, Load: 1})
+		link, waits := c.Forward(now, Query{Query: siterouting.Query{Workload: 1, TimeLeft: 5 * second, Declined: true}, Handle: 1})
 		if link >= 0 && !waits {
 			c.Returned(now, 1, 0, false, 0)
 		}
--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -14,14 +14,14 @@
 	"willowsill/decide/register"
 )
 
-// remembered is how many heartbeats an answer may lag behind the last one that was sent.
-const remembered = 16
+// maxRemembered is how many heartbeats an answer may lag behind the last one that was sent.
+const maxRemembered = 16
 
 // Never is the time of a contact that has not taken place.
 const Never int64 = -1 << 62
 
-// question is a heartbeat that was sent.
-type question struct {
+// heartbeat is a heartbeat that was sent.
+type heartbeat struct {
 	number uint64
 	sent   int64
 }
@@ -45,8 +45,8 @@
 	pending []observation // answers that told of what is not known to be committed yet, oldest first
 }
 
-// settle moves on what the commit of a ballot has decided.
-func (c *contact) settle(committed register.Ballot) {
+// applyCommit moves on what the commit of a ballot has decided.
+func (c *contact) applyCommit(committed register.Ballot) {
 	for len(c.pending) > 0 && c.pending[0].accepted.Compare(committed) <= 0 {
 		c.current = max(c.current, c.pending[0].sent)
 		c.pending = c.pending[1:]
@@ -55,38 +55,38 @@
 
 // Lease records contacts with the other control servers. It is not safe for concurrent use.
 type Lease struct {
-	next      uint64
-	questions []question
-	contacts  map[string]*contact
-	committed register.Ballot // the highest known to be committed
+	lastNumber uint64
+	heartbeats []heartbeat
+	contacts   map[string]*contact
+	committed  register.Ballot // the highest known to be committed
 
-	own []acceptance // by the own disk, of what is not known to be committed, oldest first
+	ownUncommitted []acceptance // by the own disk, of what is not known to be committed, oldest first
 }
 
 // New makes a lease for one life of a process. Numbers of different lives differ, so an answer to an earlier life proves
 // nothing in this one.
 func New(life string) *Lease {
-	return &Lease{next: xxhash.Sum64String(life), contacts: map[string]*contact{}}
+	return &Lease{lastNumber: xxhash.Sum64String(life), contacts: map[string]*contact{}}
 }
 
-// Ask returns the number of a heartbeat that is sent now, ns.
-func (l *Lease) Ask(now int64) uint64 {
-	l.next++
-	l.questions = append(l.questions, question{l.next, now})
-	if len(l.questions) > remembered {
-		l.questions = slices.Delete(l.questions, 0, 1)
+// NextHeartbeat returns the number of a heartbeat that is sent now, ns.
+func (l *Lease) NextHeartbeat(now int64) uint64 {
+	l.lastNumber++
+	l.heartbeats = append(l.heartbeats, heartbeat{l.lastNumber, now})
+	if len(l.heartbeats) > maxRemembered {
+		l.heartbeats = slices.Delete(l.heartbeats, 0, 1)
 	}
-	return l.next
+	return l.lastNumber
 }
 
-// Answer takes the number that a server returned, and what its disk had accepted as it did. Numbers that were never
+// HandleAnswer takes the number that a server returned, and what its disk had accepted as it did. Numbers that were never
 // sent, or long ago, prove nothing.
-func (l *Lease) Answer(from string, number uint64, accepted register.Ballot) {
-	at := slices.IndexFunc(l.questions, func(q question) bool { return q.number == number })
+func (l *Lease) HandleAnswer(from string, number uint64, accepted register.Ballot) {
+	at := slices.IndexFunc(l.heartbeats, func(q heartbeat) bool { return q.number == number })
 	if at < 0 {
 		return
 	}
-	sent := l.questions[at].sent
+	sent := l.heartbeats[at].sent
 	c, ok := l.contacts[from]
 	if !ok {
 		c = &contact{reached: Never, current: Never}
@@ -94,50 +94,50 @@
 	}
 	c.reached = max(c.reached, sent)
 	c.pending = append(c.pending, observation{sent, accepted})
-	c.settle(l.committed)
-	if len(c.pending) > remembered {
+	c.applyCommit(l.committed)
+	if len(c.pending) > maxRemembered {
 		c.pending = c.pending[1:]
 	}
 }
 
-// Accepted tells what the own disk has accepted.
-func (l *Lease) Accepted(now int64, ballot register.Ballot) {
+// RecordAccepted tells what the own disk has accepted.
+func (l *Lease) RecordAccepted(now int64, ballot register.Ballot) {
 	newest := l.committed
-	if n := len(l.own); n > 0 {
-		newest = l.own[n-1].ballot
+	if n := len(l.ownUncommitted); n > 0 {
+		newest = l.ownUncommitted[n-1].ballot
 	}
 	if ballot.Compare(newest) <= 0 {
 		return
 	}
-	if len(l.own) < remembered {
-		l.own = append(l.own, acceptance{ballot, now})
+	if len(l.ownUncommitted) < maxRemembered {
+		l.ownUncommitted = append(l.ownUncommitted, acceptance{ballot, now})
 		return
 	}
-	l.own[len(l.own)-1].ballot = ballot // as if it had been accepted earlier, which errs on the safe side
+	l.ownUncommitted[len(l.ownUncommitted)-1].ballot = ballot // as if it had been accepted earlier, which errs on the safe side
 }
 
-// Commit tells that a value is known to be committed under a ballot.
-func (l *Lease) Commit(ballot register.Ballot) {
+// RecordCommitted tells that a value is known to be committed under a ballot.
+func (l *Lease) RecordCommitted(ballot register.Ballot) {
 	if ballot.Compare(l.committed) <= 0 {
 		return
 	}
 	l.committed = ballot
-	for len(l.own) > 0 && l.own[0].ballot.Compare(ballot) <= 0 {
-		l.own = l.own[1:]
+	for len(l.ownUncommitted) > 0 && l.ownUncommitted[0].ballot.Compare(ballot) <= 0 {
+		l.ownUncommitted = l.ownUncommitted[1:]
 	}
 	for _, c := range l.contacts {
-		c.settle(ballot)
+		c.applyCommit(ballot)
 	}
 }
 
 // Committed is the highest ballot known to be committed.
 func (l *Lease) Committed() register.Ballot { return l.committed }
 
-// OwnUnsettled tells whether the own disk has accepted what is not known to be committed.
-func (l *Lease) OwnUnsettled() bool { return len(l.own) > 0 }
+// OwnUncommitted tells whether the own disk has accepted what is not known to be committed.
+func (l *Lease) OwnUncommitted() bool { return len(l.ownUncommitted) > 0 }
 
-// Unsettled tells whether a server's disk has.
-func (l *Lease) Unsettled(name string) bool {
+// Uncommitted tells whether a server's disk has.
+func (l *Lease) Uncommitted(name string) bool {
 	c, ok := l.contacts[name]
 	return ok && len(c.pending) > 0
 }
@@ -169,8 +169,8 @@
 func (l *Lease) CurrentSince(now int64, self string, v register.Value) int64 {
 	return quorumSince(v, func(name string) int64 {
 		if name == self {
-			if l.OwnUnsettled() {
-				return l.own[0].at
+			if l.OwnUncommitted() {
+				return l.ownUncommitted[0].at
 			}
 			return now
 		}
--- a/decide/lease/lease_test.go
+++ b/decide/lease/lease_test.go
@@ -12,8 +12,8 @@
 
 // known is a ballot that the tests commit at first; newer is above it.
 var (
-	known = register.Ballot{N: 4, By: "a/1"}
-	newer = register.Ballot{N: 5, By: "b/1"}
+	known = register.Ballot{Number: 4, Proposer: "a/1"}
+	newer = register.Ballot{Number: 5, Proposer: "b/1"}
 )
 
 var five = register.Value{Members: []string{"a", "b", "c", "d", "e"}}
@@ -21,17 +21,17 @@
 // TestCountsFromTheQuestion: contact is as old as the heartbeat that was answered, however late the answer comes.
 func TestCountsFromTheQuestion(t *testing.T) {
 	l := lease.New("a/1")
-	l.Commit(known)
-	first, second := l.Ask(100), l.Ask(200)
-	l.Answer("b", second, known)
+	l.RecordCommitted(known)
+	first, second := l.NextHeartbeat(100), l.NextHeartbeat(200)
+	l.HandleAnswer("b", second, known)
 	must.Eq(t, lease.Never, l.ReachedSince(1000, "a", five))
-	l.Answer("c", first, known)
+	l.HandleAnswer("c", first, known)
 	must.Eq(t, 100, l.ReachedSince(1000, "a", five))
 	must.Eq(t, 100, l.CurrentSince(1000, "a", five))
-	l.Answer("c", second, newer)
+	l.HandleAnswer("c", second, newer)
 	must.Eq(t, 200, l.ReachedSince(1000, "a", five))
 	must.Eq(t, 100, l.CurrentSince(1000, "a", five))
-	l.Answer("c", first, known) // late or again: nothing goes back
+	l.HandleAnswer("c", first, known) // late or again: nothing goes back
 	must.Eq(t, 200, l.ReachedSince(1000, "a", five))
 }
 
@@ -39,25 +39,25 @@
 // holds what may not be committed is not current by its own word.
 func TestOwnDiskCounts(t *testing.T) {
 	l := lease.New("a/1")
-	l.Commit(known)
-	n := l.Ask(100)
-	l.Answer("b", n, known)
-	l.Answer("c", n, known)
+	l.RecordCommitted(known)
+	n := l.NextHeartbeat(100)
+	l.HandleAnswer("b", n, known)
+	l.HandleAnswer("c", n, known)
 	must.Eq(t, 100, l.ReachedSince(500, "a", five))
 	must.Eq(t, lease.Never, l.ReachedSince(500, "", five))
-	l.Accepted(50, newer)
+	l.RecordAccepted(50, newer)
 	must.Eq(t, 50, l.CurrentSince(500, "a", five)) // until then it held nothing newer
-	l.Answer("d", n, known)
+	l.HandleAnswer("d", n, known)
 	must.Eq(t, 100, l.ReachedSince(500, "", five))
 }
 
 // TestOtherLife: an answer to the heartbeats of an earlier life proves nothing.
 func TestOtherLife(t *testing.T) {
 	earlier, now := lease.New("a/1"), lease.New("a/2")
-	n := earlier.Ask(1)
-	now.Ask(100)
-	now.Answer("b", n, known)
-	now.Answer("c", 0, known)
+	n := earlier.NextHeartbeat(1)
+	now.NextHeartbeat(100)
+	now.HandleAnswer("b", n, known)
+	now.HandleAnswer("c", 0, known)
 	must.Eq(t, lease.Never, now.Reached("b"))
 	must.Eq(t, lease.Never, now.Reached("c"))
 }
@@ -66,9 +66,9 @@
 func TestBothSetsOfMembers(t *testing.T) {
 	l := lease.New("a/1")
 	v := register.Value{Members: []string{"a", "b", "f"}, Prior: []string{"a", "b", "c"}}
-	l.Answer("f", l.Ask(100), known)
+	l.HandleAnswer("f", l.NextHeartbeat(100), known)
 	must.Eq(t, lease.Never, l.ReachedSince(500, "a", v))
-	l.Answer("c", l.Ask(200), known)
+	l.HandleAnswer("c", l.NextHeartbeat(200), known)
 	must.Eq(t, 100, l.ReachedSince(500, "a", v))
 }
 
@@ -79,10 +79,10 @@
 		l := lease.New("z/1")
 		at := map[string]int64{}
 		for now := int64(1); now < 20; now++ {
-			n := l.Ask(now)
+			n := l.NextHeartbeat(now)
 			for _, name := range names {
 				if rapid.IntRange(0, 3).Draw(t, "answers") == 0 {
-					l.Answer(name, n, known)
+					l.HandleAnswer(name, n, known)
 					at[name] = now
 				}
 			}
@@ -112,19 +112,19 @@
 		l := lease.New("a/1")
 		for n := uint64(1); n < 100; n++ {
 			now := int64(n) * 100
-			ballot := register.Ballot{N: n, By: "b/1"}
-			l.Accepted(now, ballot)
-			number := l.Ask(now)
-			l.Answer("b", number, ballot)
-			l.Answer("c", number, ballot)
-			must.True(t, l.OwnUnsettled())
-			must.True(t, l.Unsettled("b"))
+			ballot := register.Ballot{Number: n, Proposer: "b/1"}
+			l.RecordAccepted(now, ballot)
+			number := l.NextHeartbeat(now)
+			l.HandleAnswer("b", number, ballot)
+			l.HandleAnswer("c", number, ballot)
+			must.True(t, l.OwnUncommitted())
+			must.True(t, l.Uncommitted("b"))
 			if n <= lag {
 				continue
 			}
-			l.Commit(register.Ballot{N: n - lag, By: "b/1"})
-			must.Eq(t, lag > 0, l.Unsettled("b"))
-			must.Eq(t, lag > 0, l.OwnUnsettled())
+			l.RecordCommitted(register.Ballot{Number: n - lag, Proposer: "b/1"})
+			must.Eq(t, lag > 0, l.Uncommitted("b"))
+			must.Eq(t, lag > 0, l.OwnUncommitted())
 			must.Eq(t, now-int64(lag)*100, l.CurrentSince(now, "a", five))
 		}
 	}
--- a/decide/lending/explore_test.go
+++ b/decide/lending/explore_test.go
@@ -19,16 +19,16 @@
 	exploredFaults = 1   // notes late, lost or doubled, and restarts, all together
 )
 
-var exploredTerms = Terms{Loan: 4, Window: 3, Margin: 1, Fresh: 1}
+var exploredTerms = Timing{Loan: 4, Window: 3, Margin: 1, MaxRequestAge: 1}
 
 // explored is one state.
 type explored struct {
 	now     int64
-	holders [exploredEdges]Holder
+	holders [exploredEdges]Account
 	relay   Relay
 	spent   [exploredEdges][]int64 // when
-	up      [exploredEdges][]Note
-	down    [exploredEdges][]Note
+	up      [exploredEdges][]Message
+	down    [exploredEdges][]Message
 	said    [exploredEdges]bool    // in this tick
 	told    [exploredEdges]float64 // the limit that the proxy has told the part of it that spends,
 	applied [exploredEdges]float64 // and the one that it goes by: a limit takes effect within a tick
@@ -38,8 +38,8 @@
 func startExplored() *explored {
 	w := &explored{now: 100, relay: *NewRelay(exploredTerms)}
 	for i := range w.holders {
-		w.holders[i] = *NewHolder(0, exploredTerms)
-		w.holders[i].Share(exploredOwn)
+		w.holders[i] = *NewAccount(0, exploredTerms)
+		w.holders[i].SetShare(exploredOwn)
 		w.told[i], w.applied[i] = exploredOwn, exploredOwn
 	}
 	return w
@@ -50,14 +50,14 @@
 	for i := range c.holders {
 		c.spent[i] = slices.DeleteFunc(slices.Clone(w.spent[i]), func(at int64) bool { return w.now-at >= exploredTerms.Window })
 		h := &c.holders[i]
-		h.lent, h.borrowed, h.wants.sent = slices.Clone(h.lent), slices.Clone(h.borrowed), maps.Clone(h.wants.sent)
-		if h.asked != nil {
-			a := *h.asked
-			h.asked = &a
+		h.lent, h.borrowed, h.requests.sent = slices.Clone(h.lent), slices.Clone(h.borrowed), maps.Clone(h.requests.sent)
+		if h.pending != nil {
+			a := *h.pending
+			h.pending = &a
 		}
 		c.up[i], c.down[i] = slices.Clone(w.up[i]), slices.Clone(w.down[i])
 	}
-	c.relay.stock, c.relay.wants.sent, c.relay.asked = slices.Clone(c.relay.stock), maps.Clone(c.relay.wants.sent), maps.Clone(c.relay.asked)
+	c.relay.available, c.relay.requests.sent, c.relay.pending = slices.Clone(c.relay.available), maps.Clone(c.relay.requests.sent), maps.Clone(c.relay.pending)
 	return &c
 }
 
@@ -71,49 +71,51 @@
 		}
 	}
 	amounts := func(all []amount) {
-		all = current(w.now, all)
-		slices.SortFunc(all, func(x, y amount) int { return cmp.Or(cmp.Compare(x.until, y.until), cmp.Compare(x.size, y.size)) })
+		all = unexpired(w.now, all)
+		slices.SortFunc(all, func(x, y amount) int {
+			return cmp.Or(cmp.Compare(x.expiresAt, y.expiresAt), cmp.Compare(x.value, y.value))
+		})
 		put(int64(len(all)))
 		for _, a := range all {
-			put(a.until-w.now, int64(4*a.size))
+			put(a.expiresAt-w.now, int64(4*a.value))
 		}
 	}
-	sent := func(wants *wants) {
+	sent := func(wants *sentRequests) {
 		for back := range uint64(6) {
-			at, open := wants.sent[wants.last-back]
+			at, open := wants.sent[wants.lastNumber-back]
 			put(-1)
 			if open && w.now-at <= exploredTerms.Loan {
 				put(w.now - at)
 			}
 		}
 	}
-	notes := func(all []Note, wants, loans *wants) {
+	notes := func(all []Message, wants, loans *sentRequests) {
 		put(int64(len(all)))
 		for _, n := range all {
-			put(int64(len(n.Wants)), int64(len(n.Loans)))
-			for _, v := range n.Wants {
-				put(int64(wants.last-v.Number), int64(4*v.Amount))
+			put(int64(len(n.Requests)), int64(len(n.Loans)))
+			for _, v := range n.Requests {
+				put(int64(wants.lastNumber-v.Number), int64(4*v.Amount))
 			}
 			for _, l := range n.Loans {
-				put(int64(loans.last-l.Answers), int64(4*l.Amount), l.For)
+				put(int64(loans.lastNumber-l.Answers), int64(4*l.Amount), l.Duration)
 			}
 		}
 	}
 	put(int64(w.faults))
-	amounts(w.relay.stock)
-	sent(&w.relay.wants)
+	amounts(w.relay.available)
+	sent(&w.relay.requests)
 	for i := range w.holders {
 		h := &w.holders[i]
-		put(int64(4*w.told[i]), int64(4*w.applied[i]), min(w.now-h.began, exploredTerms.Loan+exploredTerms.Window+1), int64(h.own), int64(4*h.reserved))
+		put(int64(4*w.told[i]), int64(4*w.applied[i]), min(w.now-h.startedAt, exploredTerms.Loan+exploredTerms.Window+1), int64(h.own), int64(4*h.reserved))
 		amounts(h.lent)
 		amounts(h.borrowed)
-		sent(&h.wants)
-		if h.asked != nil && w.now-h.asked.at <= exploredTerms.Fresh {
-			put(1, w.now-h.asked.at, int64(w.relay.wants.last-h.asked.Number), int64(4*h.asked.Amount))
+		sent(&h.requests)
+		if h.pending != nil && w.now-h.pending.at <= exploredTerms.MaxRequestAge {
+			put(1, w.now-h.pending.at, int64(w.relay.requests.lastNumber-h.pending.Number), int64(4*h.pending.Amount))
 		}
 		put(-2)
-		if a, waits := w.relay.asked[Neighbor(fmt.Sprint(i))]; waits && w.now-a.at <= exploredTerms.Fresh {
-			put(2, w.now-a.at, int64(h.wants.last-a.Number), int64(4*a.Amount))
+		if a, waits := w.relay.pending[Neighbor(fmt.Sprint(i))]; waits && w.now-a.at <= exploredTerms.MaxRequestAge {
+			put(2, w.now-a.at, int64(h.requests.lastNumber-a.Number), int64(4*a.Amount))
 		}
 		put(-3)
 		for _, at := range w.spent[i] {
@@ -125,8 +127,8 @@
 		if w.said[i] {
 			put(5)
 		}
-		notes(w.up[i], &h.wants, &w.relay.wants)
-		notes(w.down[i], &w.relay.wants, &h.wants)
+		notes(w.up[i], &h.requests, &w.relay.requests)
+		notes(w.down[i], &w.relay.requests, &h.requests)
 	}
 	return xxhash.Sum64(key)
 }
@@ -184,7 +186,7 @@
 	}
 	fault("restart", func(c *explored) {
 		c.up[edge], c.down[edge] = nil, nil
-		c.holders[edge] = *NewHolder(c.now, exploredTerms)
+		c.holders[edge] = *NewAccount(c.now, exploredTerms)
 		c.told[edge], c.applied[edge] = 0, 0
 	})
 	if w.said[edge] || len(w.up[edge])+len(w.down[edge]) > 0 {
@@ -200,7 +202,7 @@
 
 func (w *explored) report(edge int) {
 	w.said[edge], w.applied[edge] = true, w.told[edge] // what is used is read after the limit told last
-	w.up[edge] = append(w.up[edge], w.holders[edge].Note(w.now, Use{w.used(edge), w.used(edge) > 0}))
+	w.up[edge] = append(w.up[edge], w.holders[edge].NextMessage(w.now, Usage{w.used(edge), w.used(edge) > 0}))
 	w.told[edge] = w.holders[edge].Limit(w.now)
 }
 
@@ -208,8 +210,8 @@
 	w.now++
 	w.said = [exploredEdges]bool{}
 	for i := range w.holders { // one that has just started owns nothing for a window, as the routing table has it
-		if h := &w.holders[i]; w.now-h.began > exploredTerms.Window {
-			h.Share(exploredOwn)
+		if h := &w.holders[i]; w.now-h.startedAt > exploredTerms.Window {
+			h.SetShare(exploredOwn)
 		}
 		w.applied[i], w.told[i] = w.told[i], w.holders[i].Limit(w.now)
 	}
@@ -217,16 +219,16 @@
 
 func (w *explored) hear(edge int) {
 	from := Neighbor(fmt.Sprint(edge))
-	w.relay.Heard(w.now, from, w.up[edge][0])
+	w.relay.Handle(w.now, from, w.up[edge][0])
 	w.up[edge] = w.up[edge][1:]
-	if n := w.relay.Note(w.now, from); !n.Empty() {
+	if n := w.relay.NextMessage(w.now, from); !n.Empty() {
 		w.down[edge] = append(w.down[edge], n)
 	}
 }
 
 func (w *explored) answer(edge int) {
 	if len(w.down[edge]) > 0 {
-		w.holders[edge].Heard(w.now, w.down[edge][0])
+		w.holders[edge].Handle(w.now, w.down[edge][0])
 		w.down[edge] = w.down[edge][1:]
 	}
 }
--- a/decide/lending/lending.go
+++ b/decide/lending/lending.go
@@ -18,55 +18,55 @@
 import "time"
 
 const (
-	keepShare = 0.5  // of its own share that an edge never lends
-	spareLent = 0.5  // of what an edge has to spare that one loan is for
-	leastLoan = 0.25 // less is not worth a message
-	wantShare = 4    // times its own share that an edge that is short asks for
+	keepShare     = 0.5  // of its own share that an edge never lends
+	lentShare     = 0.5  // of what an edge has to spare that one loan is for
+	minLoan       = 0.25 // less is not worth a message
+	requestFactor = 4    // times its own share that an edge that is short asks for
 )
 
-// Terms are the times that all processes go by, ns.
-type Terms struct {
-	Loan   int64 // a loan may be used so long after the want that it answers was sent
-	Window int64 // what is used counts against the bound for so long
-	Margin int64 // a borrower stops so long before its loan ends, as its own limits take effect late
-	Fresh  int64 // a want is answered up to this age
+// Timing are the times that all processes go by, ns.
+type Timing struct {
+	Loan          int64 // a loan may be used so long after the want that it answers was sent
+	Window        int64 // what is used counts against the bound for so long
+	Margin        int64 // a borrower stops so long before its loan ends, as its own limits take effect late
+	MaxRequestAge int64 // a want is answered up to this age
 }
 
-// DefaultTerms are the terms for a bound that is judged over windows of the given length.
-func DefaultTerms(window int64) Terms {
-	return Terms{Loan: int64(10 * time.Second), Window: window, Margin: int64(1500 * time.Millisecond), Fresh: int64(3 * time.Second)}
+// DefaultTiming are the terms for a bound that is judged over windows of the given length.
+func DefaultTiming(window int64) Timing {
+	return Timing{Loan: int64(10 * time.Second), Window: window, Margin: int64(1500 * time.Millisecond), MaxRequestAge: int64(3 * time.Second)}
 }
 
-// Note is what one process says to the next one on the tree: what it would borrow, and what it lends.
-type Note struct {
-	Wants []Want `cbor:"1,keyasint,omitempty"`
-	Loans []Loan `cbor:"2,keyasint,omitempty"`
+// Message is what one process says to the next one on the tree: what it would borrow, and what it lends.
+type Message struct {
+	Requests []LoanRequest `cbor:"1,keyasint,omitempty"`
+	Loans    []Loan        `cbor:"2,keyasint,omitempty"`
 }
 
 // Empty tells whether there is nothing to say.
-func (n Note) Empty() bool { return len(n.Wants) == 0 && len(n.Loans) == 0 }
+func (n Message) Empty() bool { return len(n.Requests) == 0 && len(n.Loans) == 0 }
 
-// Want asks for a loan.
-type Want struct {
+// LoanRequest asks for a loan.
+type LoanRequest struct {
 	Number uint64  `cbor:"1,keyasint"` // of the sender's wants; a loan that answers it names it
 	Amount float64 `cbor:"2,keyasint"`
 }
 
 // Loan answers a want.
 type Loan struct {
-	Answers uint64  `cbor:"1,keyasint"` // the want's number
-	Amount  float64 `cbor:"2,keyasint"`
-	For     int64   `cbor:"3,keyasint"` // ns that it may be used, from when the want was sent
+	Answers  uint64  `cbor:"1,keyasint"` // the want's number
+	Amount   float64 `cbor:"2,keyasint"`
+	Duration int64   `cbor:"3,keyasint"` // ns that it may be used, from when the want was sent
 }
 
-// wants numbers the wants that a process has sent and keeps when each was.
-type wants struct {
-	last uint64
-	sent map[uint64]int64
+// sentRequests numbers the wants that a process has sent and keeps when each was.
+type sentRequests struct {
+	lastNumber uint64
+	sent       map[uint64]int64
 }
 
 // next numbers a want that is sent now.
-func (w *wants) next(now int64, t Terms) uint64 {
+func (w *sentRequests) next(now int64, t Timing) uint64 {
 	if w.sent == nil {
 		w.sent = map[uint64]int64{}
 	}
@@ -75,34 +75,34 @@
 			delete(w.sent, number)
 		}
 	}
-	w.last++
-	w.sent[w.last] = now
-	return w.last
+	w.lastNumber++
+	w.sent[w.lastNumber] = now
+	return w.lastNumber
 }
 
 // until returns how long a loan may be used; false where it answers no want that is open. The want is closed with it.
-func (w *wants) until(l Loan) (until int64, ok bool) {
+func (w *sentRequests) until(l Loan) (until int64, ok bool) {
 	at, ok := w.sent[l.Answers]
 	delete(w.sent, l.Answers)
-	return at + l.For, ok
+	return at + l.Duration, ok
 }
 
-// asked is a want of another process, and when it came.
-type asked struct {
-	Want
+// receivedRequest is a want of another process, and when it came.
+type receivedRequest struct {
+	LoanRequest
 	at int64
 }
 
 // amount is a part of the bound that is held until a time.
 type amount struct {
-	size  float64
-	until int64
+	value     float64
+	expiresAt int64
 }
 
-// current are the amounts whose time is not over.
-func current(now int64, all []amount) (left []amount) {
+// unexpired are the amounts whose time is not over.
+func unexpired(now int64, all []amount) (left []amount) {
 	for _, a := range all {
-		if a.until > now {
+		if a.expiresAt > now {
 			left = append(left, a)
 		}
 	}
@@ -111,7 +111,7 @@
 
 func sum(all []amount) (total float64) {
 	for _, a := range all {
-		total += a.size
+		total += a.value
 	}
 	return total
 }
--- a/decide/locality/locality.go
+++ b/decide/locality/locality.go
@@ -19,22 +19,22 @@
 
 // The distances, from the nearest.
 const (
-	SameZone   Distance = iota
-	SameRegion          // another zone of the region
-	Beyond              // another region, or a zone of which nothing is known
+	SameZone    Distance = iota
+	SameRegion           // another zone of the region
+	OtherRegion          // another region, or a zone of which nothing is known
 )
 
 // Distance says how far two zones are from each other. A zone without a name is far from all.
 func (r Regions) Distance(a, b string) Distance {
 	switch {
 	case a == "" || b == "":
-		return Beyond
+		return OtherRegion
 	case a == b:
 		return SameZone
 	case r[a] != "" && r[a] == r[b]:
 		return SameRegion
 	}
-	return Beyond
+	return OtherRegion
 }
 
 // Process is one that serves callers.
--- a/decide/locality/locality_test.go
+++ b/decide/locality/locality_test.go
@@ -14,8 +14,8 @@
 		from, to string
 		want     Distance
 	}{
-		{"a1", "a1", SameZone}, {"a1", "a2", SameRegion}, {"a1", "b1", Beyond}, {"a1", "", Beyond}, {"", "", Beyond},
-		{"alone", "alone", SameZone}, {"alone", "unlisted", Beyond}, {"unlisted", "unlisted", SameZone},
+		{"a1", "a1", SameZone}, {"a1", "a2", SameRegion}, {"a1", "b1", OtherRegion}, {"a1", "", OtherRegion}, {"", "", OtherRegion},
+		{"alone", "alone", SameZone}, {"alone", "unlisted", OtherRegion}, {"unlisted", "unlisted", SameZone},
 	} {
 		must.Eq(t, c.want, regions.Distance(c.from, c.to), must.Sprint(c.from, " to ", c.to))
 	}
@@ -29,7 +29,7 @@
 	for i := range 300 {
 		caller := fmt.Sprint("caller ", i)
 		regions.Order(caller, "a1", all)
-		for k, want := range []Distance{SameZone, SameZone, SameZone, SameRegion, Beyond, Beyond} {
+		for k, want := range []Distance{SameZone, SameZone, SameZone, SameRegion, OtherRegion, OtherRegion} {
 			must.Eq(t, want, regions.Distance("a1", all[k].Zone))
 		}
 		first[all[0].IP]++
--- a/decide/overload/limit.go
+++ b/decide/overload/limit.go
@@ -6,115 +6,115 @@
 	"slices"
 )
 
-const smooth = 0.2 // of a new value that is believed at once
+const smoothing = 0.2 // of a new value that is believed at once
 
-// limit says how much work may be taken on, ns of the processor a second.
-type limit interface {
-	// next takes in a reading, the pressure, and the work a second that was taken on in it.
-	next(r *Reading, pressure, work float64, c *costs)
+// limiter says how much work may be taken on, ns of the processor a second.
+type limiter interface {
+	// update takes in a reading, the pressure, and the work a second that was taken on in it.
+	update(r *Reading, pressure, work float64, c *costs)
 	allowed() float64
 }
 
-// limits are the ways to find it.
-var limits = map[string]func(t *Terms) limit{
-	"fixed":    func(t *Terms) limit { return &fixed{rate: t.Fixed} },
-	"gradient": func(t *Terms) limit { return &gradient{target: float64(t.Target), now: math.Inf(1)} },
-	"aimd":     func(*Terms) limit { return &aimd{now: math.Inf(1)} },
-	"model":    func(t *Terms) limit { return &model{cores: t.Cores, trim: 1, now: math.Inf(1)} },
+// limiters are the ways to find it.
+var limiters = map[string]func(t *Config) limiter{
+	"fixed":    func(t *Config) limiter { return &fixed{queriesPerSecond: t.FixedRate} },
+	"gradient": func(t *Config) limiter { return &gradient{waitTarget: float64(t.WaitTarget), limit: math.Inf(1)} },
+	"aimd":     func(*Config) limiter { return &aimd{limit: math.Inf(1)} },
+	"model":    func(t *Config) limiter { return &model{cores: t.Cores, trim: 1, limit: math.Inf(1)} },
 }
 
-// Limits are their names.
-var Limits = slices.Sorted(maps.Keys(limits))
+// LimitKinds are their names.
+var LimitKinds = slices.Sorted(maps.Keys(limiters))
 
 // fixed is a rate of queries that somebody has set: the baseline.
-type fixed struct{ rate, now float64 }
+type fixed struct{ queriesPerSecond, limit float64 }
 
-func (f *fixed) next(_ *Reading, _, _ float64, c *costs) {
+func (f *fixed) update(_ *Reading, _, _ float64, c *costs) {
 	mean := 0.0
 	for _, q := range c.query {
 		mean += q / float64(len(c.query))
 	}
-	f.now = f.rate * mean
+	f.limit = f.queriesPerSecond * mean
 }
-func (f *fixed) allowed() float64 { return f.now }
+func (f *fixed) allowed() float64 { return f.limit }
 
 // gradient follows what is served, less as the wait grows over what is borne.
-type gradient struct{ target, wait, now float64 }
+type gradient struct{ waitTarget, wait, limit float64 }
 
 const (
-	gradientLeast = 0.5 // of what was served, at least
-	gradientRoom  = 1.1 // and so much more while nothing waits
+	gradientMinFactor = 0.5 // of what was served, at least
+	gradientMaxFactor = 1.1 // and so much more while nothing waits
 )
 
-func (g *gradient) next(r *Reading, _, work float64, _ *costs) {
-	g.wait += smooth * (float64(max(r.Wait, r.Sched/4)) - g.wait)
-	by := min(max(g.target/max(g.wait, 1), gradientLeast), gradientRoom)
-	if by < 1 || !math.IsInf(g.now, 1) {
-		if math.IsInf(g.now, 1) {
-			g.now = work
+func (g *gradient) update(r *Reading, _, work float64, _ *costs) {
+	g.wait += smoothing * (float64(max(r.MeanWait, r.SchedLatency/4)) - g.wait)
+	by := min(max(g.waitTarget/max(g.wait, 1), gradientMinFactor), gradientMaxFactor)
+	if by < 1 || !math.IsInf(g.limit, 1) {
+		if math.IsInf(g.limit, 1) {
+			g.limit = work
 		}
-		g.now = min(max(g.now+smooth*(work*by-g.now), g.now*gradientLeast), 2*max(work, g.now))
+		g.limit = min(max(g.limit+smoothing*(work*by-g.limit), g.limit*gradientMinFactor), 2*max(work, g.limit))
 	}
-	if by >= gradientRoom && work < 0.5*g.now {
-		g.now *= gradientRoom
+	if by >= gradientMaxFactor && work < 0.5*g.limit {
+		g.limit *= gradientMaxFactor
 	}
 }
-func (g *gradient) allowed() float64 { return g.now }
+func (g *gradient) allowed() float64 { return g.limit }
 
 // aimd takes off a share while what comes waits longer than is borne, and adds a little while it does not, as CoDel goes by
 // the wait alone.
-type aimd struct{ now float64 }
+type aimd struct{ limit float64 }
 
 const (
-	aimdCut  = 0.85
-	aimdRise = 0.02
+	aimdDecrease = 0.85
+	aimdIncrease = 0.02
 )
 
-func (a *aimd) next(_ *Reading, pressure, work float64, _ *costs) {
+func (a *aimd) update(_ *Reading, pressure, work float64, _ *costs) {
 	switch {
-	case pressure >= toStrained:
-		a.now = aimdCut * min(a.now, max(work, 1e6))
-	case pressure < toBusy && work < 0.5*a.now:
-		a.now = math.Inf(1)
-	case pressure < toStrained:
-		a.now += aimdRise * max(work, 1e6)
+	case pressure >= overloadedPressure:
+		a.limit = aimdDecrease * min(a.limit, max(work, 1e6))
+	case pressure < busyPressure && work < 0.5*a.limit:
+		a.limit = math.Inf(1)
+	case pressure < overloadedPressure:
+		a.limit += aimdIncrease * max(work, 1e6)
 	}
 }
-func (a *aimd) allowed() float64 { return a.now }
+func (a *aimd) allowed() float64 { return a.limit }
 
 // model goes by the processor time there is and what queries cost, trimmed by the wait: a neighbour may have the processor, and
 // the costs may be off.
-type model struct{ cores, trim, now float64 }
+type model struct{ cores, trim, limit float64 }
 
 const (
-	modelUse   = 0.9  // of the processor
-	trimLeast  = 0.05 // of that
-	trimMost   = 1.2  // the more is served together, the less each costs
-	triedOf    = 0.95 // of what was taken on that is done where nothing holds it up
-	trimEnough = 0.85 // of the processor, under which more is only taken off for a neighbour
-	trimEase   = 0.98 // of it that is left after a stretch, down to that
-	trimUnder  = 0.9  // of what was done, while what comes waits too long
-	trimRise   = 0.03 // a stretch, while nothing does
+	modelCPUShare     = 0.9  // of the processor
+	minTrim           = 0.05 // of that
+	maxTrim           = 1.2  // the more is served together, the less each costs
+	completedShare    = 0.95 // of what was taken on that is done where nothing holds it up
+	trimDecreaseAbove = 0.85 // of the processor, under which more is only taken off for a neighbour
+	trimDecrease      = 0.98 // of it that is left after a stretch, down to that
+	trimBelowDone     = 0.9  // of what was done, while what comes waits too long
+	trimIncrease      = 0.03 // a stretch, while nothing does
 )
 
-func (m *model) next(r *Reading, pressure, work float64, c *costs) {
+func (m *model) update(r *Reading, pressure, work float64, c *costs) {
 	if !c.known() {
 		return
 	}
 	switch {
-	case pressure >= toStrained:
+	case pressure >= overloadedPressure:
 		// Danger: with a neighbour on the processor much less can be done than the cores allow. What was done where more was
 		// taken on is what there is, and a little less lets the wait end. Where all that was taken on was done, the wait may have
 		// another reason, and taking on ever less would not end it.
-		all := modelUse * m.cores * 1e9
-		if done, tried := float64(r.Used)*1e9/float64(max(r.Span, 1))/all, work/all; done < triedOf*tried {
-			m.trim += smooth * (min(max(trimUnder*done, trimLeast), trimMost) - m.trim)
-		} else if m.trim > trimEnough {
-			m.trim *= trimEase
+		all := modelCPUShare * m.cores * 1e9
+		if done, tried := float64(r.CPUTime)*1e9/float64(max(r.Span, 1))/all, work/all; done < completedShare*tried {
+			m.trim += smoothing * (min(max(trimBelowDone*done, minTrim), maxTrim) - m.trim)
+		} else if m.trim > trimDecreaseAbove {
+			m.trim *= trimDecrease
 		}
-	case pressure < toBusy || work > 0.8*m.now: // only what is tried shows that there is more
-		m.trim = min(m.trim+trimRise, trimMost)
+	case pressure < busyPressure || work > 0.8*m.limit: // only what is tried shows that there is more
+		m.trim = min(m.trim+trimIncrease, maxTrim)
 	}
-	m.now = m.trim * max(modelUse-c.idle, 0.1) * m.cores * 1e9
+	m.limit = m.trim * max(modelCPUShare-c.uncounted, 0.1) * m.cores * 1e9
 }
-func (m *model) allowed() float64 { return m.now }
+func (m *model) allowed() float64 { return m.limit }
--- a/decide/register/admission_test.go
+++ b/decide/register/admission_test.go
@@ -12,13 +12,13 @@
 func TestNewcomerMustAnswerItsRound(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		members := Value{Members: []string{"a", "b", "c"}}
-		disks := map[string]*Disk{"d": {CaughtUp: whole}}
+		disks := map[string]*Acceptor{"d": {CaughtUp: whole}}
 		for _, name := range members.Members {
-			disks[name] = &Disk{State{Value: members}, true}
+			disks[name] = &Acceptor{State{Value: members}, true}
 		}
 		p := NewProposer("a/1", members, func() float64 { return 0.5 })
 		now := int64(0)
-		var done []Done
+		var done []EditResult
 		carry := func(out Out) {
 			for len(out.To) > 0 {
 				var next Out
@@ -41,7 +41,7 @@
 		must.SliceEmpty(t, none.To)
 		carry(out)
 		for range 8 {
-			now += resendAfter
+			now += resendInterval
 			carry(p.Tick(now))
 		}
 		must.SliceLen(t, 2, done)
--- a/decide/register/copy.go
+++ b/decide/register/copy.go
@@ -20,26 +20,26 @@
 // Key appends what tells this proposer's state from another's: two with the same key do the same from here on,
 // whenever their timers fire.
 func (p *Proposer) Key(b []byte) []byte {
-	b = appendText(b, p.name)
+	b = appendString(b, p.name)
 	b = append(b, byte(p.phase))
-	b = p.asked.Key(p.ballot.Key(p.stood.Key(b)))
-	b = binary.AppendUvarint(b, p.highest)
-	b = p.held.Accepted.Key(b)
-	b = p.known.Key(b)
-	if p.phase == preparing || p.phase == asking || p.phase == accepting {
+	b = p.queryBallot.Key(p.ballot.Key(p.membersCommitted.Key(b)))
+	b = binary.AppendUvarint(b, p.highestNumber)
+	b = p.heldState.Accepted.Key(b)
+	b = p.newestKnown.Key(b)
+	if p.phase == preparing || p.phase == querying || p.phase == accepting {
 		b = appendStates(b, p.answers)
 	}
 	if p.phase == accepting {
 		b = p.next.Key(b)
 		for _, name := range slices.Sorted(maps.Keys(p.accepted)) {
-			b = appendText(b, name)
+			b = appendString(b, name)
 		}
 	}
-	b = append(b, byte(len(p.admits)))
-	for _, name := range p.admits {
-		b = appendText(b, name)
+	b = append(b, byte(len(p.newMembers)))
+	for _, name := range p.newMembers {
+		b = appendString(b, name)
 	}
-	if p.waited && len(p.admits) > 0 && p.phase == preparing {
+	if p.newMembersOverdue && len(p.newMembers) > 0 && p.phase == preparing {
 		b = append(b, 1)
 	}
 	b = append(b, byte(len(p.running)), byte(len(p.waiting)))
@@ -53,8 +53,8 @@
 func (p *Proposer) Awaits(from string, m Message) bool {
 	was, has := p.answers[from]
 	switch m.Kind {
-	case Holds:
-		return p.phase == asking && m.Ballot == p.asked && !(has && was.Accepted == m.State.Accepted)
+	case Reported:
+		return p.phase == querying && m.Ballot == p.queryBallot && !(has && was.Accepted == m.State.Accepted)
 	case Promised:
 		return p.phase == preparing && m.Ballot == p.ballot && !(has && was.Accepted == m.State.Accepted)
 	case Accepted:
@@ -65,11 +65,11 @@
 	return false
 }
 
-// Asks tells whether a question is still this proposer's.
-func (p *Proposer) Asks(m Message) bool {
+// IsOutstanding tells whether a question is still this proposer's.
+func (p *Proposer) IsOutstanding(m Message) bool {
 	switch m.Kind {
 	case Query:
-		return p.phase == asking && m.Ballot == p.asked
+		return p.phase == querying && m.Ballot == p.queryBallot
 	case Prepare:
 		return p.phase == preparing && m.Ballot == p.ballot
 	case Accept:
@@ -81,7 +81,7 @@
 // Awaits tells whether an answer would do anything here.
 func (j *Joiner) Awaits(from string, m Message) bool {
 	_, has := j.answers[from]
-	return m.Kind == Promised && m.Ballot == j.ballot && !has || m.Kind == Refused && m.State.Promised.N >= j.ballot.N
+	return m.Kind == Promised && m.Ballot == j.ballot && !has || m.Kind == Refused && m.State.Promised.Number >= j.ballot.Number
 }
 
 // Copy is a joiner that goes its own way from here.
@@ -93,20 +93,22 @@
 
 // Key appends what tells this joiner's state from another's.
 func (j *Joiner) Key(b []byte) []byte {
-	return appendStates(j.ballot.Key(appendText(b, j.self)), j.answers)
+	return appendStates(j.ballot.Key(appendString(b, j.self)), j.answers)
 }
 
 // Key appends a message's every field.
 func (m Message) Key(b []byte) []byte {
 	b = append(b, byte(m.Kind))
-	if m.Same {
+	if m.BodyOmitted {
 		b = append(b, 1)
 	}
-	return m.Value.Key(m.State.Key(m.Have.Key(m.Ballot.Key(b))))
+	return m.Value.Key(m.State.Key(m.Held.Key(m.Ballot.Key(b))))
 }
 
 // Key appends what tells a ballot from another.
-func (b Ballot) Key(to []byte) []byte { return appendText(binary.AppendUvarint(to, b.N), b.By) }
+func (b Ballot) Key(to []byte) []byte {
+	return appendString(binary.AppendUvarint(to, b.Number), b.Proposer)
+}
 
 // Key appends what tells a state from another.
 func (s State) Key(b []byte) []byte { return s.Value.Key(s.Accepted.Key(s.Promised.Key(b))) }
@@ -116,22 +118,22 @@
 	b = binary.AppendUvarint(binary.AppendUvarint(b, v.Epoch), v.Revision)
 	b = append(b, byte(len(v.Members)), byte(len(v.Prior)), byte(v.Size))
 	for _, m := range v.Members {
-		b = appendText(b, m)
+		b = appendString(b, m)
 	}
 	for _, m := range v.Prior {
-		b = appendText(b, m)
+		b = appendString(b, m)
 	}
-	return v.Rollouts.Key(appendText(appendText(b, string(v.Body)), string(v.Orders)))
+	return v.Rollouts.Key(appendString(appendString(b, string(v.Body)), string(v.Orders)))
 }
 
 func appendStates(b []byte, states map[string]State) []byte {
 	b = append(b, byte(len(states)))
 	for _, name := range slices.Sorted(maps.Keys(states)) {
-		b = states[name].Key(appendText(b, name))
+		b = states[name].Key(appendString(b, name))
 	}
 	return b
 }
 
-func appendText(b []byte, s string) []byte {
+func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
--- a/decide/register/example_test.go
+++ b/decide/register/example_test.go
@@ -9,9 +9,9 @@
 // A write goes through a question, a promise and a take; here three disks answer each at once.
 func Example() {
 	members := register.Value{Members: []string{"a", "b", "c"}}
-	disks := map[string]*register.Disk{}
+	disks := map[string]*register.Acceptor{}
 	for _, name := range members.Members {
-		disks[name] = &register.Disk{State: register.State{Value: members}, CaughtUp: true}
+		disks[name] = &register.Acceptor{State: register.State{Value: members}, CaughtUp: true}
 	}
 	p := register.NewProposer("a/1", members, func() float64 { return 0.5 })
 	_, out := p.Edit(0, func(v register.Value) (register.Value, bool) {
--- a/decide/register/learns_test.go
+++ b/decide/register/learns_test.go
@@ -13,8 +13,8 @@
 	p := NewProposer("c/2", Value{}, func() float64 { return 0 })
 	_, out := p.Edit(0, func(v Value) (Value, bool) { return v, false })
 	must.SliceEmpty(t, out.To)
-	must.True(t, p.Learns(members))
-	p.Know(members)
-	must.Eq(t, members.Members, p.Tick(resendAfter).To)
-	must.False(t, p.Learns(Value{Members: []string{"x"}}))
+	must.True(t, p.WouldLearn(members))
+	p.Learn(members)
+	must.Eq(t, members.Members, p.Tick(resendInterval).To)
+	must.False(t, p.WouldLearn(Value{Members: []string{"x"}}))
 }
--- a/decide/register/orders.go
+++ b/decide/register/orders.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// OrdersKept is how many orders a value remembers, the highest revisions.
-const OrdersKept = 256
+// MaxOrders is how many orders a value remembers, the highest revisions.
+const MaxOrders = 256
 
 // sumBytes is the length of one sum in a record.
 const sumBytes = 8
@@ -43,37 +43,37 @@
 // where it is remembered no longer (see Reaches).
 func (o Orders) Lookup(revision uint64) (sum uint64, known bool) {
 	all := o.All()
-	i, known := position(all, revision)
+	i, known := findRevision(all, revision)
 	if !known {
 		return 0, false
 	}
 	return all[i].Sum, true
 }
 
-// Reaches tells whether the record goes back as far as a revision: if it does and Lookup knows nothing of the
+// Covers tells whether the record goes back as far as a revision: if it does and Lookup knows nothing of the
 // revision, then no order was confirmed under it.
-func (o Orders) Reaches(revision uint64) bool {
+func (o Orders) Covers(revision uint64) bool {
 	all := o.All()
-	return len(all) < OrdersKept || revision > all[0].Revision
+	return len(all) < MaxOrders || revision > all[0].Revision
 }
 
 // Add returns the record with an order whose revision it does not hold yet. Past OrdersKept the lowest revision
 // is left out.
 func (o Orders) Add(order Order) Orders {
 	all := o.All()
-	i, known := position(all, order.Revision)
+	i, known := findRevision(all, order.Revision)
 	if known {
 		return o
 	}
 	all = slices.Insert(all, i, order)
-	if len(all) > OrdersKept {
-		all = all[len(all)-OrdersKept:]
+	if len(all) > MaxOrders {
+		all = all[len(all)-MaxOrders:]
 	}
 	return packOrders(all)
 }
 
-// position is where a revision stands, or belongs, in orders sorted by revision.
-func position(all []Order, revision uint64) (int, bool) {
+// findRevision is where a revision stands, or belongs, in orders sorted by revision.
+func findRevision(all []Order, revision uint64) (int, bool) {
 	return slices.BinarySearchFunc(all, revision, func(o Order, revision uint64) int {
 		switch {
 		case o.Revision < revision:
--- a/decide/register/orders_test.go
+++ b/decide/register/orders_test.go
@@ -14,9 +14,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var orders Orders
 		model := map[uint64]uint64{}
-		for range rapid.IntRange(0, 2*OrdersKept).Draw(t, "orders") {
+		for range rapid.IntRange(0, 2*MaxOrders).Draw(t, "orders") {
 			order := Order{rapid.Uint64Range(0, 1500).Draw(t, "revision"), rapid.Uint64().Draw(t, "sum")}
-			if _, known := orders.Lookup(order.Revision); !known && !orders.Reaches(order.Revision) {
+			if _, known := orders.Lookup(order.Revision); !known && !orders.Covers(order.Revision) {
 				continue
 			}
 			before := string(orders)
@@ -28,14 +28,14 @@
 			orders = next
 		}
 		all := orders.All()
-		must.LessEq(t, OrdersKept, len(all))
-		must.Eq(t, min(OrdersKept, len(model)), len(all))
+		must.LessEq(t, MaxOrders, len(all))
+		must.Eq(t, min(MaxOrders, len(model)), len(all))
 		for revision, sum := range model {
 			got, known := orders.Lookup(revision)
 			if known {
 				must.Eq(t, sum, got)
 			} else {
-				must.False(t, orders.Reaches(revision))
+				must.False(t, orders.Covers(revision))
 			}
 		}
 	})
@@ -44,11 +44,11 @@
 // TestOrdersAreSmall: the record travels with each Accept.
 func TestOrdersAreSmall(t *testing.T) {
 	var orders Orders
-	for i := range uint64(3 * OrdersKept) {
+	for i := range uint64(3 * MaxOrders) {
 		orders = orders.Add(Order{1_000_000 + 90*i, i})
 	}
 	must.LessEq(t, 2600, len(orders))
-	must.Eq(t, OrdersKept, len(orders.All()))
+	must.Eq(t, MaxOrders, len(orders.All()))
 }
 
 // TestOrdersThatAreMalformed: bytes that are no record, from a disk or the wire, do no harm.
@@ -56,8 +56,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		orders := Orders(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"))
 		orders.Lookup(rapid.Uint64().Draw(t, "revision"))
-		orders.Reaches(7)
-		must.LessEq(t, OrdersKept, len(orders.Add(Order{7, 7}).All()))
+		orders.Covers(7)
+		must.LessEq(t, MaxOrders, len(orders.Add(Order{7, 7}).All()))
 	})
 }
 
@@ -85,13 +85,13 @@
 func TestKnownValueComesWithoutOrders(t *testing.T) {
 	seeds := Value{Members: []string{"a"}, Revision: 7, Body: []byte("seven"), Orders: Orders{}.Add(Order{7, 1})}
 	held := State{Promised: Ballot{3, "x"}, Accepted: Ballot{3, "x"}, Value: seeds}
-	disk := Disk{held, true}
+	disk := Acceptor{held, true}
 	p := NewProposer("b/1", seeds, func() float64 { return 0 })
-	p.Hold(held)
+	p.CacheState(held)
 	var seen Value
 	_, out := p.Edit(0, func(v Value) (Value, bool) { seen = v; return v, false })
 	answer, _, _ := disk.Step(out.Send)
-	must.True(t, answer.Same)
+	must.True(t, answer.BodyOmitted)
 	must.SliceEmpty(t, answer.State.Value.Orders)
 	done := p.Step(0, "a", answer)
 	must.SliceLen(t, 1, done.Done)
--- a/decide/register/register.go
+++ b/decide/register/register.go
@@ -18,12 +18,14 @@
 
 // Ballot orders rounds.
 type Ballot struct {
-	N  uint64 `cbor:"1,keyasint,omitempty"`
-	By string `cbor:"2,keyasint,omitempty"`
+	Number   uint64 `cbor:"1,keyasint,omitempty"`
+	Proposer string `cbor:"2,keyasint,omitempty"`
 }
 
 // Compare orders ballots.
-func (b Ballot) Compare(o Ballot) int { return cmp.Or(cmp.Compare(b.N, o.N), cmp.Compare(b.By, o.By)) }
+func (b Ballot) Compare(o Ballot) int {
+	return cmp.Or(cmp.Compare(b.Number, o.Number), cmp.Compare(b.Proposer, o.Proposer))
+}
 
 // Value is what the register holds. It is never changed in place.
 type Value struct {
@@ -56,32 +58,32 @@
 	Promised                 // answer to Prepare: what was accepted so far
 	Accepted                 // answer to Accept
 	Refused                  // answer to either: State.Promised is above
-	Holds                    // answer to Query
+	Reported                 // answer to Query
 )
 
 // Message goes between a proposer and a disk.
 type Message struct {
-	Kind   Kind   `cbor:"1,keyasint"`
-	Ballot Ballot `cbor:"2,keyasint,omitempty"` // of a Query the number and the asker's life: handed back, and no ballot
-	State  State  `cbor:"4,keyasint,omitempty"`
-	Have   Ballot `cbor:"6,keyasint,omitempty"` // of a question: what the asker holds; what was accepted under it comes without its body and orders
-	Same   bool   `cbor:"7,keyasint,omitempty"` // of an answer: it came so
-	Value  Value  `cbor:"5,keyasint,omitempty"`
+	Kind        Kind   `cbor:"1,keyasint"`
+	Ballot      Ballot `cbor:"2,keyasint,omitempty"` // of a Query the number and the asker's life: handed back, and no ballot
+	State       State  `cbor:"4,keyasint,omitempty"`
+	Held        Ballot `cbor:"6,keyasint,omitempty"` // of a question: what the asker holds; what was accepted under it comes without its body and orders
+	BodyOmitted bool   `cbor:"7,keyasint,omitempty"` // of an answer: it came so
+	Value       Value  `cbor:"5,keyasint,omitempty"`
 }
 
-// Disk is one member's part. CaughtUp tells whether it may answer.
+// Acceptor is one member's part. CaughtUp tells whether it may answer.
 //
 // Danger: a disk that came back empty has forgotten what it promised and took. Were it counted, a majority
 // could be found that never heard of an acknowledged value. It is whole again once a snapshot from a majority
 // of the others is saved.
-type Disk struct {
+type Acceptor struct {
 	State
 	CaughtUp bool
 }
 
 // Step takes a message that asks something. save tells that the state has changed: the answer must not leave
 // before a sync that covers it. Answers to a Query must not overtake such a sync either.
-func (d *Disk) Step(m Message) (answer Message, save, ok bool) {
+func (d *Acceptor) Step(m Message) (answer Message, save, ok bool) {
 	if !d.CaughtUp {
 		return Message{}, false, false
 	}
@@ -92,7 +94,7 @@
 		}
 		save = m.Ballot != d.Promised
 		d.Promised = m.Ballot
-		return d.told(m, Message{Kind: Promised, Ballot: m.Ballot}), save, true
+		return d.withState(m, Message{Kind: Promised, Ballot: m.Ballot}), save, true
 	case Accept:
 		if m.Ballot.Compare(d.Promised) < 0 {
 			return Message{Kind: Refused, Ballot: m.Ballot, State: State{Promised: d.Promised}}, false, true
@@ -101,16 +103,16 @@
 		d.Promised, d.Accepted, d.Value = m.Ballot, m.Ballot, m.Value
 		return Message{Kind: Accepted, Ballot: m.Ballot}, save, true
 	case Query:
-		return d.told(m, Message{Kind: Holds, Ballot: m.Ballot}), false, true
+		return d.withState(m, Message{Kind: Reported, Ballot: m.Ballot}), false, true
 	}
 	return Message{}, false, false
 }
 
-// told puts the state into an answer.
-func (d *Disk) told(question, answer Message) Message {
+// withState puts the state into an answer.
+func (d *Acceptor) withState(question, answer Message) Message {
 	answer.State = d.State
-	if question.Have == d.Accepted && len(d.Value.Body) > 0 {
-		answer.State.Value.Body, answer.State.Value.Orders, answer.Same = nil, nil, true
+	if question.Held == d.Accepted && len(d.Value.Body) > 0 {
+		answer.State.Value.Body, answer.State.Value.Orders, answer.BodyOmitted = nil, nil, true
 	}
 	return answer
 }
@@ -132,8 +134,8 @@
 	return majority(v.Members, in) && (len(v.Prior) == 0 || majority(v.Prior, in))
 }
 
-// Disks are all that a round on the value may need.
-func (v Value) Disks() []string {
+// AllMembers are all that a round on the value may need.
+func (v Value) AllMembers() []string {
 	all := slices.Concat(v.Members, v.Prior)
 	slices.Sort(all)
 	return slices.Compact(all)
--- a/decide/register/register_test.go
+++ b/decide/register/register_test.go
@@ -12,7 +12,7 @@
 
 // site is one machine: what its disk holds outlives its processes, unless it is wiped.
 type site struct {
-	disk     Disk
+	disk     Acceptor
 	proposer *Proposer
 	joiner   *Joiner
 	up       bool
@@ -50,7 +50,7 @@
 		known = x.disk.Value
 	}
 	x.proposer = NewProposer(own, known, s.rng.Float64)
-	x.proposer.Seen(x.disk.Promised)
+	x.proposer.ObserveBallot(x.disk.Promised)
 	s.puts[name] = map[uint64]uint64{}
 }
 
@@ -93,9 +93,9 @@
 		}
 	default:
 		if x.joiner != nil {
-			if state, done := x.joiner.Take(p.from, p.m); done {
-				x.disk, x.joiner = Disk{state, true}, nil
-				x.proposer.Know(state.Value)
+			if state, done := x.joiner.HandleAnswer(p.from, p.m); done {
+				x.disk, x.joiner = Acceptor{state, true}, nil
+				x.proposer.Learn(state.Value)
 			}
 		}
 		s.carry(p.to, x.proposer.Step(s.now, p.from, p.m))
@@ -144,7 +144,7 @@
 		for i, n := range s.names {
 			s.sites[n] = &site{}
 			if i < 3 {
-				s.sites[n].disk = Disk{State{Value: seeds}, true}
+				s.sites[n].disk = Acceptor{State{Value: seeds}, true}
 			}
 			s.start(n, seeds)
 		}
@@ -166,13 +166,13 @@
 				x.up, x.joiner = false, nil
 			case k < 30 && s.whole() == len(s.names) && wiped < 4: // one at a time, as the budget says
 				wiped++
-				x.disk, x.up, x.joiner = Disk{}, false, nil
+				x.disk, x.up, x.joiner = Acceptor{}, false, nil
 			case k < 70 && !x.up:
 				s.start(n, seeds)
 			case k < 150 && x.up:
 				s.carry(n, x.proposer.Tick(s.now))
 				if x.joiner != nil {
-					s.send(n, x.joiner.Others(s.names), x.joiner.Ask())
+					s.send(n, x.joiner.Targets(s.names), x.joiner.Request())
 				}
 			default:
 				if len(s.wire) == 0 {
@@ -202,7 +202,7 @@
 				x := s.sites[n]
 				s.carry(n, x.proposer.Tick(s.now))
 				if x.joiner != nil {
-					s.send(n, x.joiner.Others(s.names), x.joiner.Ask())
+					s.send(n, x.joiner.Targets(s.names), x.joiner.Request())
 				}
 			}
 			for len(s.wire) > 0 {
@@ -229,7 +229,7 @@
 
 // TestEmptyDiskCountsForNothing: a disk that forgot must not make up a majority that never heard of a value.
 func TestEmptyDiskCountsForNothing(t *testing.T) {
-	d := Disk{}
+	d := Acceptor{}
 	_, _, ok := d.Step(Message{Kind: Prepare, Ballot: Ballot{9, "x"}})
 	must.False(t, ok)
 	d.CaughtUp = true
@@ -244,16 +244,16 @@
 func TestJoinerBinds(t *testing.T) {
 	members := []string{"a", "b", "c"}
 	j := NewJoiner("c", "c/2")
-	other := Disk{State{Promised: Ballot{7, "p"}, Value: Value{Members: members}}, true}
-	a, _, _ := other.Step(j.Ask())
+	other := Acceptor{State{Promised: Ballot{7, "p"}, Value: Value{Members: members}}, true}
+	a, _, _ := other.Step(j.Request())
 	must.Eq(t, Refused, a.Kind)
-	_, done := j.Take("a", a)
+	_, done := j.HandleAnswer("a", a)
 	must.False(t, done)
-	a, _, _ = other.Step(j.Ask())
+	a, _, _ = other.Step(j.Request())
 	must.Eq(t, Promised, a.Kind)
-	_, done = j.Take("a", a)
+	_, done = j.HandleAnswer("a", a)
 	must.False(t, done)
-	state, done := j.Take("b", a)
+	state, done := j.HandleAnswer("b", a)
 	must.True(t, done)
 	must.Eq(t, Ballot{8, "c/2"}, state.Promised)
 	late, _, _ := other.Step(Message{Kind: Accept, Ballot: Ballot{7, "p"}})
@@ -264,14 +264,14 @@
 // the same numbers, and what the first had half written must not pass for what the second wrote.
 func TestBallotsOfTwoLives(t *testing.T) {
 	seeds := Value{Members: []string{"a", "b", "c"}}
-	disks := map[string]*Disk{}
+	disks := map[string]*Acceptor{}
 	for _, n := range seeds.Members {
-		disks[n] = &Disk{State{Value: seeds}, true}
+		disks[n] = &Acceptor{State{Value: seeds}, true}
 	}
 	half := func() float64 { return 0.5 }
 	// drive carries a proposer's messages to those disks that answer, until it asks for a message that stop says
 	// is the last.
-	drive := func(p *Proposer, out Out, reach func(to string, m Message) bool) (done []Done) {
+	drive := func(p *Proposer, out Out, reach func(to string, m Message) bool) (done []EditResult) {
 		for len(out.To) > 0 {
 			var next Out
 			for _, to := range out.To {
--- a/decide/registry/group_test.go
+++ b/decide/registry/group_test.go
@@ -10,41 +10,41 @@
 
 // TestGroupIsToldInChanges: who joins and who leaves is told once, and the view agrees after each.
 func TestGroupIsToldInChanges(t *testing.T) {
-	g, v := NewGroup(3*second), &View{}
-	must.True(t, v.Take(g.News(0)))
+	g, v := NewGroup(3*second), &GroupView{}
+	must.True(t, v.Apply(g.Changes(0)))
 	for i := range 50 {
-		g.Heard(0, Call{ID: fmt.Sprint("i-", i), Seq: 1})
+		g.RecordHeartbeat(0, Heartbeat{ID: fmt.Sprint("i-", i), Seq: 1})
 	}
-	news := g.News(0)
+	news := g.Changes(0)
 	must.SliceLen(t, 50, news.Joined)
-	must.True(t, v.Take(news))
+	must.True(t, v.Apply(news))
 	for i := range 49 { // the last one is not heard any more
-		g.Heard(2*second, Call{ID: fmt.Sprint("i-", i), Seq: 2})
+		g.RecordHeartbeat(2*second, Heartbeat{ID: fmt.Sprint("i-", i), Seq: 2})
 	}
-	news = g.News(2 * second)
+	news = g.Changes(2 * second)
 	must.SliceEmpty(t, news.Joined)
-	must.True(t, v.Take(news))
-	news = g.News(4 * second)
-	must.Eq(t, []Unheard{{Call{ID: "i-49", Seq: 1}, 4 * second}}, news.Left)
-	must.True(t, v.Take(news))
-	g.Leave(4*second, "i-7")
-	must.SliceLen(t, 1, g.News(4*second).Left)
+	must.True(t, v.Apply(news))
+	news = g.Changes(4 * second)
+	must.Eq(t, []LeftMember{{Heartbeat{ID: "i-49", Seq: 1}, 4 * second}}, news.Left)
+	must.True(t, v.Apply(news))
+	g.Remove(4*second, "i-7")
+	must.SliceLen(t, 1, g.Changes(4*second).Left)
 }
 
 // TestViewNoticesLosses: whatever news are lost, doubled or late, a view that agrees holds the group, and one that does not
 // comes to agree by the whole of it.
 func TestViewNoticesLosses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g, v := NewGroup(5), &View{}
-		var late []GroupNews
+		g, v := NewGroup(5), &GroupView{}
+		var late []GroupUpdate
 		for now := range int64(rapid.IntRange(1, 40).Draw(t, "steps")) {
 			id := fmt.Sprint("i-", rapid.IntRange(0, 6).Draw(t, "id"))
 			if rapid.IntRange(0, 4).Draw(t, "what") > 0 {
-				g.Heard(now, Call{ID: id, Seq: uint64(now)})
+				g.RecordHeartbeat(now, Heartbeat{ID: id, Seq: uint64(now)})
 			} else {
-				g.Leave(now, id)
+				g.Remove(now, id)
 			}
-			news := g.News(now)
+			news := g.Changes(now)
 			switch rapid.IntRange(0, 4).Draw(t, "way") {
 			case 0:
 				continue // lost
@@ -52,21 +52,21 @@
 				late = append(late, news)
 				continue
 			case 2:
-				v.Take(news)
+				v.Apply(news)
 			case 3:
 				for _, n := range late {
-					v.Take(n)
+					v.Apply(n)
 				}
 				late = nil
 			}
-			if v.Take(news) {
-				must.MapLen(t, len(g.members), v.contents)
+			if v.Apply(news) {
+				must.MapLen(t, len(g.members), v.contentHashes)
 				for id := range g.members {
-					must.MapContainsKey(t, v.contents, id)
+					must.MapContainsKey(t, v.contentHashes, id)
 				}
 			}
 			if rapid.Bool().Draw(t, "whole") {
-				must.True(t, v.Take(g.All()))
+				must.True(t, v.Apply(g.Whole()))
 			}
 		}
 	})
@@ -77,11 +77,11 @@
 func TestHeardWithTheGroup(t *testing.T) {
 	reg := New(4*second, 60*second)
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
-		reg.Take(0, Record{ID: id, Service: "s", Address: "a:1", Seq: 1})
+		reg.Merge(0, Record{ID: id, Service: "s", Address: "a:1", Seq: 1})
 	}
-	must.True(t, reg.Join(0, "c1", Call{ID: "i-1", Seq: 2}))
-	must.True(t, reg.Join(0, "c1", Call{ID: "i-2", Seq: 2}))
-	must.False(t, reg.Join(0, "c1", Call{ID: "i-9", Seq: 2})) // not known here
+	must.True(t, reg.JoinGroup(0, "c1", Heartbeat{ID: "i-1", Seq: 2}))
+	must.True(t, reg.JoinGroup(0, "c1", Heartbeat{ID: "i-2", Seq: 2}))
+	must.False(t, reg.JoinGroup(0, "c1", Heartbeat{ID: "i-9", Seq: 2})) // not known here
 	silent := func(now int64) (ids []string) {
 		for _, r := range reg.Tick(now, true) {
 			ids = append(ids, r.ID)
@@ -96,7 +96,7 @@
 			must.SliceEmpty(t, silent(now))
 		}
 		if now == 6*second {
-			reg.Leave(now, "c1", Unheard{Call{ID: "i-2", Seq: 7}, 3 * second})
+			reg.LeaveGroup(now, "c1", LeftMember{Heartbeat{ID: "i-2", Seq: 7}, 3 * second})
 		}
 		if now == 7*second {
 			must.SliceEmpty(t, silent(now))
@@ -107,15 +107,15 @@
 	}
 	must.SliceEmpty(t, silent(23*second))
 	must.Eq(t, []string{"i-1"}, silent(24*second))
-	must.False(t, reg.Join(24*second, "c1", Call{ID: "i-1", Seq: 3})) // its record is needed
+	must.False(t, reg.JoinGroup(24*second, "c1", Heartbeat{ID: "i-1", Seq: 3})) // its record is needed
 }
 
 // TestNoBlameWhileDeaf: a controller that heard nobody blames no replica for its group's silence.
 func TestNoBlameWhileDeaf(t *testing.T) {
 	reg := New(4*second, 60*second)
 	reg.Tick(0, true)
-	reg.Take(0, Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1})
-	reg.Join(0, "c1", Call{ID: "i-1", Seq: 1})
+	reg.Merge(0, Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1})
+	reg.JoinGroup(0, "c1", Heartbeat{ID: "i-1", Seq: 1})
 	reg.GroupHeard(second, "c1")
 	must.SliceEmpty(t, reg.Tick(20*second, false))
 	must.SliceEmpty(t, reg.Tick(21*second, true))
@@ -125,10 +125,10 @@
 // TestGroupGone: what a controller's group was heard by last counts on once that controller is forgotten.
 func TestGroupGone(t *testing.T) {
 	reg := New(4*second, 60*second)
-	reg.Take(0, Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1})
-	reg.Join(0, "c1", Call{ID: "i-1", Seq: 1})
+	reg.Merge(0, Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1})
+	reg.JoinGroup(0, "c1", Heartbeat{ID: "i-1", Seq: 1})
 	reg.GroupHeard(8*second, "c1")
-	reg.GroupGone("c1")
+	reg.ForgetGroup("c1")
 	must.SliceEmpty(t, reg.Tick(11*second, true))
 	must.SliceLen(t, 1, reg.Tick(13*second, true))
 }
--- a/decide/registry/leaving.go
+++ b/decide/registry/leaving.go
@@ -10,13 +10,13 @@
 // What a list knows of replicas that leave, summed up, so that two lists can be compared with a few bytes and brought to
 // agree whoever was told first. A replica says once that it departs, and never calls again.
 
-// leavingParts is how many parts the leaving replicas are divided into. Two lists exchange the records of the parts in
+// leavingBuckets is how many parts the leaving replicas are divided into. Two lists exchange the records of the parts in
 // which they differ.
-const leavingParts = 64
+const leavingBuckets = 64
 
 // LeavingSums are sums of the replicas that are known to leave, one for each part. Lists with the same sums know of
 // the same replicas in the same phases.
-type LeavingSums [leavingParts]uint64
+type LeavingSums [leavingBuckets]uint64
 
 // AgedRecord is a record and how long ago its replica was heard, ns. The age keeps those that are gone from being
 // remembered for longer each time that one list tells another.
@@ -28,8 +28,8 @@
 // leavingHash is a record's share of its part's sum; shares are put together and taken out by exclusive or.
 func leavingHash(r Record) uint64 { return xxhash.Sum64String(r.Phase.String() + " " + r.ID) }
 
-// leavingPart is the part that a replica belongs to, whatever its phase.
-func leavingPart(id string) int { return int(sumOf(id) % leavingParts) }
+// leavingBucket is the part that a replica belongs to, whatever its phase.
+func leavingBucket(id string) int { return int(idHash(id) % leavingBuckets) }
 
 // leavingReplicas are the ids of the replicas of a list that leave, and their sums.
 type leavingReplicas struct {
@@ -41,7 +41,7 @@
 func (l *leavingReplicas) add(r Record) {
 	if r.Leaving() {
 		l.ids[r.ID] = struct{}{}
-		l.sums[leavingPart(r.ID)] ^= leavingHash(r)
+		l.sums[leavingBucket(r.ID)] ^= leavingHash(r)
 	}
 }
 
@@ -49,7 +49,7 @@
 func (l *leavingReplicas) remove(r Record) {
 	if r.Leaving() {
 		delete(l.ids, r.ID)
-		l.sums[leavingPart(r.ID)] ^= leavingHash(r)
+		l.sums[leavingBucket(r.ID)] ^= leavingHash(r)
 	}
 }
 
@@ -64,10 +64,10 @@
 	return sum
 }
 
-// LeavingUnlike returns the replicas that leave, by id, of the parts in which this list differs from another one.
-func (reg *Registry) LeavingUnlike(now int64, other LeavingSums) (records []AgedRecord) {
+// LeavingDifference returns the replicas that leave, by id, of the parts in which this list differs from another one.
+func (reg *Registry) LeavingDifference(now int64, other LeavingSums) (records []AgedRecord) {
 	for id := range reg.leaving.ids {
-		if part := leavingPart(id); reg.leaving.sums[part] != other[part] {
+		if part := leavingBucket(id); reg.leaving.sums[part] != other[part] {
 			e := reg.entries[id]
 			records = append(records, AgedRecord{e.Record, now - e.heard})
 		}
@@ -76,15 +76,15 @@
 	return records
 }
 
-// TakeAged takes in what another list knows of a replica that leaves, unless that is about to be forgotten: lists
+// MergeAged takes in what another list knows of a replica that leaves, unless that is about to be forgotten: lists
 // forget it within moments of each other.
-func (reg *Registry) TakeAged(now int64, r AgedRecord) (news, changed bool) {
+func (reg *Registry) MergeAged(now int64, r AgedRecord) (news, changed bool) {
 	if r.Age < 0 || r.Age > reg.KeepGone-reg.SilentAfter {
 		return false, false
 	}
-	news, changed = reg.Take(now-r.Age, r.Record)
+	news, changed = reg.Merge(now-r.Age, r.Record)
 	if news {
-		reg.due = min(reg.due, reg.dueOf(reg.entries[r.Record.ID]))
+		reg.nextCheck = min(reg.nextCheck, reg.checkTime(reg.entries[r.Record.ID]))
 	}
 	return news, changed
 }
--- a/decide/registry/leaving_test.go
+++ b/decide/registry/leaving_test.go
@@ -19,17 +19,17 @@
 			at := lists[rapid.IntRange(0, 1).Draw(t, "list")]
 			id := fmt.Sprint("i-", rapid.IntRange(0, 20).Draw(t, "id"))
 			r := Record{ID: id, Service: "s", Address: "a:1", Seq: uint64(i), Phase: Phase(rapid.IntRange(0, 3).Draw(t, "phase"))}
-			at.Take(now, r)
+			at.Merge(now, r)
 			at.Tick(now, true)
 			fresh := New(4*second, 20*second)
 			for _, r := range at.All() {
-				fresh.Take(now, r)
+				fresh.Merge(now, r)
 			}
 			must.Eq(t, fresh.LeavingSums(), at.LeavingSums())
 		}
 		for _, pair := range [][2]*Registry{{lists[0], lists[1]}, {lists[1], lists[0]}} {
-			for _, r := range pair[0].LeavingUnlike(now, pair[1].LeavingSums()) {
-				pair[1].TakeAged(now, r)
+			for _, r := range pair[0].LeavingDifference(now, pair[1].LeavingSums()) {
+				pair[1].MergeAged(now, r)
 			}
 		}
 		for i := range lists {
@@ -39,7 +39,7 @@
 				must.True(t, r.Phase != Draining || other.Phase >= Draining, must.Sprint(r, other))
 			}
 		}
-		must.SliceEmpty(t, lists[0].LeavingUnlike(now, lists[0].LeavingSums()))
+		must.SliceEmpty(t, lists[0].LeavingDifference(now, lists[0].LeavingSums()))
 	})
 }
 
@@ -47,11 +47,11 @@
 // one alone would.
 func TestGoneAreForgottenWhoeverTells(t *testing.T) {
 	lists := []*Registry{New(4*second, 20*second), New(4*second, 20*second), New(4*second, 20*second)}
-	lists[0].Take(0, Record{ID: "i-1", Phase: Gone, Seq: 1})
+	lists[0].Merge(0, Record{ID: "i-1", Phase: Gone, Seq: 1})
 	for now := int64(0); now < 30*second; now += second / 2 {
 		for i, from := range lists {
-			for _, r := range from.LeavingUnlike(now, LeavingSums{}) {
-				lists[(i+1)%3].TakeAged(now, r)
+			for _, r := range from.LeavingDifference(now, LeavingSums{}) {
+				lists[(i+1)%3].MergeAged(now, r)
 			}
 		}
 		for i, list := range lists {
--- a/decide/registry/registry.go
+++ b/decide/registry/registry.go
@@ -62,8 +62,8 @@
 	return cmp.Or(cmp.Compare(r.Seq, o.Seq), cmp.Compare(r.Phase, o.Phase)) > 0
 }
 
-// Same tells whether two records say the same of where a replica is and whether it may be sent anything.
-func (r Record) Same(o Record) bool {
+// SameForRouting tells whether two records say the same of where a replica is and whether it may be sent anything.
+func (r Record) SameForRouting(o Record) bool {
 	return r.Service == o.Service && r.Address == o.Address && r.Phase == o.Phase && r.Zone == o.Zone &&
 		r.Capacity == o.Capacity && r.Version == o.Version
 }
@@ -83,8 +83,8 @@
 	KeepGone    int64 // the gone are remembered for so long, ns
 	entries     map[string]*entry
 	groups      map[string]int64 // when a controller's group was heard last
-	looked      int64            // when Tick was called last
-	due         int64            // before it nobody can have fallen silent, or been so for long enough to be gone
+	lastTick    int64            // when Tick was called last
+	nextCheck   int64            // before it nobody can have fallen silent, or been so for long enough to be gone
 	leaving     leavingReplicas
 }
 
@@ -94,9 +94,9 @@
 		leaving: leavingReplicas{ids: map[string]struct{}{}}}
 }
 
-// Take takes a record in. news tells whether it said anything new at all, changed whether edges need to hear
+// Merge takes a record in. news tells whether it said anything new at all, changed whether edges need to hear
 // of it.
-func (reg *Registry) Take(now int64, r Record) (news, changed bool) {
+func (reg *Registry) Merge(now int64, r Record) (news, changed bool) {
 	e := reg.entries[r.ID]
 	if e == nil {
 		reg.entries[r.ID] = &entry{Record: r, heard: now}
@@ -112,7 +112,7 @@
 		r.Phase, r.Seq = Gone, seq
 	}
 	r.Version = cmp.Or(r.Version, e.Version)
-	changed = !r.Same(e.Record)
+	changed = !r.SameForRouting(e.Record)
 	reg.replace(e, r)
 	if r.Phase != Silent {
 		e.heard = now
@@ -136,14 +136,14 @@
 // Danger: a controller that stood still or was cut off has heard nobody. Were the replicas blamed for that,
 // all would be struck off at once.
 func (reg *Registry) Tick(now int64, listening bool) (changed []Record) {
-	gap := now - reg.looked
-	reg.looked = now
+	gap := now - reg.lastTick
+	reg.lastTick = now
 	// Danger: to look at each of many replicas ten times a second would cost more than all of their heartbeats. Whoever
 	// is heard after a look is due later than it, and nobody is ever due earlier than at the look before.
-	if listening && now < reg.due {
+	if listening && now < reg.nextCheck {
 		return nil
 	}
-	reg.due = now + min(reg.SilentAfter, reg.KeepGone)
+	reg.nextCheck = now + min(reg.SilentAfter, reg.KeepGone)
 	if !listening {
 		for group, at := range reg.groups {
 			reg.groups[group] = min(at+gap, now)
@@ -163,44 +163,44 @@
 			}
 		case !listening:
 			e.heard = min(e.heard+gap, now)
-		case now-reg.heard(e) > reg.SilentAfter:
+		case now-reg.lastHeard(e) > reg.SilentAfter:
 			silent := e.Record
 			silent.Phase = Silent
 			reg.replace(e, silent)
 			changed = append(changed, silent)
 		}
-		reg.due = min(reg.due, reg.dueOf(e))
+		reg.nextCheck = min(reg.nextCheck, reg.checkTime(e))
 	}
 	return changed
 }
 
-// dueOf is the last time at which an entry that is not heard again is still as it is.
-func (reg *Registry) dueOf(e *entry) int64 {
+// checkTime is the last time at which an entry that is not heard again is still as it is.
+func (reg *Registry) checkTime(e *entry) int64 {
 	if e.Phase >= Silent {
 		return e.heard + reg.KeepGone
 	}
-	return reg.heard(e) + reg.SilentAfter
+	return reg.lastHeard(e) + reg.SilentAfter
 }
 
-// heard is when an entry was heard last, by itself or with its group.
-func (reg *Registry) heard(e *entry) int64 {
+// lastHeard is when an entry was heard last, by itself or with its group.
+func (reg *Registry) lastHeard(e *entry) int64 {
 	if e.group == "" {
 		return e.heard
 	}
 	return max(e.heard, reg.groups[e.group])
 }
 
-// Join takes in that a replica is in a controller's group; false where it is not known here as ready and as what the call
+// JoinGroup takes in that a replica is in a controller's group; false where it is not known here as ready and as what the call
 // said, so that its record is needed.
 //
 // Danger: a replica says once that its address has changed. A controller that was cut off meanwhile would send its edges to
 // the old address, which may be another's, for as long as the replica is heard.
-func (reg *Registry) Join(now int64, group string, c Call) bool {
+func (reg *Registry) JoinGroup(now int64, group string, c Heartbeat) bool {
 	e := reg.entries[c.ID]
 	if e == nil || e.Phase != Ready {
 		return false
 	}
-	if c.Content != 0 && c.Seq > e.Seq && c.Content != contentOf(e.Record) {
+	if c.ContentHash != 0 && c.Seq > e.Seq && c.ContentHash != contentHash(e.Record) {
 		return false
 	}
 	e.Seq = max(e.Seq, c.Seq)
@@ -208,24 +208,24 @@
 	return true
 }
 
-// Leave takes in that a replica has left a controller's group, where it is still in that one.
-func (reg *Registry) Leave(now int64, group string, u Unheard) {
-	e := reg.entries[u.Call.ID]
+// LeaveGroup takes in that a replica has left a controller's group, where it is still in that one.
+func (reg *Registry) LeaveGroup(now int64, group string, u LeftMember) {
+	e := reg.entries[u.Last.ID]
 	if e == nil || e.group != group {
 		return
 	}
 	e.group = ""
-	e.Seq = max(e.Seq, u.Call.Seq)
-	e.heard = max(e.heard, now-u.For)
-	reg.due = min(reg.due, reg.dueOf(e))
+	e.Seq = max(e.Seq, u.Last.Seq)
+	e.heard = max(e.heard, now-u.SilentFor)
+	reg.nextCheck = min(reg.nextCheck, reg.checkTime(e))
 }
 
-// WholeGroup takes in that these replicas are in a controller's group and no others. Others that were count as heard when
+// RetainGroup takes in that these replicas are in a controller's group and no others. Others that were count as heard when
 // the group was heard last.
 //
 // Danger: that a replica has left may have been told while nothing came through. It would count as heard with the group for
 // ever, though nobody hears it.
-func (reg *Registry) WholeGroup(group string, calls []Call) {
+func (reg *Registry) RetainGroup(group string, calls []Heartbeat) {
 	in := make(map[string]struct{}, len(calls))
 	for _, c := range calls {
 		in[c.ID] = struct{}{}
@@ -233,20 +233,20 @@
 	for id, e := range reg.entries {
 		if _, stays := in[id]; e.group == group && !stays {
 			reg.ungroup(e)
-			reg.due = min(reg.due, reg.dueOf(e))
+			reg.nextCheck = min(reg.nextCheck, reg.checkTime(e))
 		}
 	}
 }
 
 // ungroup takes an entry out of its group, where it is in one. It counts as heard when the group was heard last.
-func (reg *Registry) ungroup(e *entry) { e.heard, e.group = reg.heard(e), "" }
+func (reg *Registry) ungroup(e *entry) { e.heard, e.group = reg.lastHeard(e), "" }
 
 // GroupHeard takes in that a controller's group was heard, and is as it is held here.
 func (reg *Registry) GroupHeard(now int64, group string) { reg.groups[group] = now }
 
-// GroupGone forgets a controller's group. Its replicas count as heard with it for the last time.
-func (reg *Registry) GroupGone(group string) {
-	reg.WholeGroup(group, nil)
+// ForgetGroup forgets a controller's group. Its replicas count as heard with it for the last time.
+func (reg *Registry) ForgetGroup(group string) {
+	reg.RetainGroup(group, nil)
 	delete(reg.groups, group)
 }
 
@@ -259,8 +259,8 @@
 	return all
 }
 
-// OfService is what is known of a service's replicas. It looks at all replicas.
-func (reg *Registry) OfService(service string) (records []Record) {
+// ByService is what is known of a service's replicas. It looks at all replicas.
+func (reg *Registry) ByService(service string) (records []Record) {
 	for _, e := range reg.entries {
 		if e.Service == service {
 			records = append(records, e.Record)
--- a/decide/registry/registry_test.go
+++ b/decide/registry/registry_test.go
@@ -31,10 +31,10 @@
 		}
 		first, second := New(4*second, 60*second), New(4*second, 60*second)
 		for _, i := range rng.Perm(len(told)) {
-			first.Take(0, told[i])
+			first.Merge(0, told[i])
 		}
 		for _, i := range append(rng.Perm(len(told)), rng.Perm(len(told))...) {
-			second.Take(0, told[i])
+			second.Merge(0, told[i])
 		}
 		a, _ := first.Get("i-1")
 		b, _ := second.Get("i-1")
@@ -47,7 +47,7 @@
 	m := New(4*second, 60*second)
 	m.Tick(0, true)
 	r := Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1}
-	m.Take(0, r)
+	m.Merge(0, r)
 	must.SliceEmpty(t, m.Tick(2*second, true))
 	// A controller that heard nobody blames nobody.
 	must.SliceEmpty(t, m.Tick(9*second, false))
@@ -55,17 +55,17 @@
 	must.SliceLen(t, 1, m.Tick(14*second, true))
 	must.Zero(t, m.Count())
 	other := New(4*second, 60*second)
-	other.Take(0, r)
+	other.Merge(0, r)
 	other.Tick(5*second, true)
 	must.SliceEmpty(t, other.Tick(60*second, true))
 	gone := other.Tick(61*second, true)
 	must.SliceLen(t, 1, gone)
 	must.Eq(t, Gone, gone[0].Phase)
 	must.SliceEmpty(t, other.All())
-	_, changed := m.Take(14*second, r)
+	_, changed := m.Merge(14*second, r)
 	must.False(t, changed) // an old call that comes late
 	r.Seq = 2
-	_, changed = m.Take(14*second, r)
+	_, changed = m.Merge(14*second, r)
 	must.True(t, changed)
 	must.Eq(t, 1, m.Count())
 }
@@ -73,13 +73,13 @@
 // TestDepartureNamesTheIdAlone: it ends what is known under that id.
 func TestDepartureNamesTheIdAlone(t *testing.T) {
 	m := New(4*second, 60*second)
-	m.Take(0, Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 7})
-	_, changed := m.Take(0, Record{ID: "i-1", Phase: Gone})
+	m.Merge(0, Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 7})
+	_, changed := m.Merge(0, Record{ID: "i-1", Phase: Gone})
 	must.True(t, changed)
 	r, _ := m.Get("i-1")
 	must.Eq(t, Gone, r.Phase)
 	must.Eq(t, "s", r.Service)
-	_, changed = m.Take(0, Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 9})
+	_, changed = m.Merge(0, Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 9})
 	must.False(t, changed)
 }
 
@@ -92,7 +92,7 @@
 		for _, order := range [][]Record{{ready, leaving}, {leaving, ready}} {
 			m := New(4*second, 60*second)
 			for _, r := range order {
-				m.Take(0, r)
+				m.Merge(0, r)
 			}
 			r, _ := m.Get("i-1")
 			must.Eq(t, leaves, r.Phase)
@@ -111,13 +111,13 @@
 			if rapid.IntRange(0, 3).Draw(t, "beat") == 0 {
 				r := Record{ID: fmt.Sprint("i-", rapid.IntRange(0, 4).Draw(t, "id")), Service: "s", Address: "a:1", Seq: uint64(i),
 					Phase: Phase(rapid.IntRange(0, 3).Draw(t, "phase"))}
-				newsOfSpare, changedOfSpare := spare.Take(now, r)
-				news, changed := eager.Take(now, r)
+				newsOfSpare, changedOfSpare := spare.Merge(now, r)
+				news, changed := eager.Merge(now, r)
 				must.Eq(t, news, newsOfSpare)
 				must.Eq(t, changed, changedOfSpare)
 			}
 			listening := rapid.IntRange(0, 5).Draw(t, "listening") > 0
-			eager.due = 0
+			eager.nextCheck = 0
 			must.Eq(t, sorted(eager.Tick(now, listening)), sorted(spare.Tick(now, listening)))
 			must.Eq(t, eager.Count() == 0, spare.Empty())
 		}
@@ -137,11 +137,11 @@
 	looks, due := 0, int64(0)
 	for now := int64(0); now < 60*second; now += second / 10 {
 		if now%beat == 0 {
-			m.Take(now, Record{ID: "i-1", Service: "s", Address: "a:1", Seq: uint64(now/beat) + 1})
+			m.Merge(now, Record{ID: "i-1", Service: "s", Address: "a:1", Seq: uint64(now/beat) + 1})
 		}
 		must.SliceEmpty(t, m.Tick(now, true))
-		if m.due != due {
-			looks, due = looks+1, m.due
+		if m.nextCheck != due {
+			looks, due = looks+1, m.nextCheck
 		}
 	}
 	must.LessEq(t, 20, looks)
--- a/decide/relaytree/relaytree.go
+++ b/decide/relaytree/relaytree.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	heads     = 2 // of a zone: they follow controllers
-	below     = 5 // edges that follow one, at the most while all ways up are whole
-	branchKey = "/branch"
+	headsPerZone     = 2 // of a zone: they follow controllers
+	branching        = 5 // edges that follow one, at the most while all ways up are whole
+	branchHashSuffix = "/branch"
 )
 
 // Feeder is a process that an edge may follow for updates: a controller, or the agent of another edge.
@@ -43,12 +43,12 @@
 		}
 	}
 	ring := failuredetector.Ring(ips)
-	if at := slices.Index(ring, self); at >= heads {
-		for _, ip := range above(self, ring[:at]) {
+	if at := slices.Index(ring, self); at >= headsPerZone {
+		for _, ip := range ancestors(self, ring[:at]) {
 			order = append(order, Feeder{IP: ip})
 		}
 		// The other head, where the way up fails.
-		for _, ip := range ring[:heads] {
+		for _, ip := range ring[:headsPerZone] {
 			if !slices.ContainsFunc(order, func(o Feeder) bool { return o.IP == ip }) {
 				order = append(order, Feeder{IP: ip})
 			}
@@ -67,30 +67,30 @@
 	return order
 }
 
-// above are the edges on self's way up to its head, the nearest first. before are the edges that stand before
+// ancestors are the edges on self's way up to its head, the nearest first. before are the edges that stand before
 // it in the order of the ring; the first of them are the heads.
 //
 // Danger: were followers counted off along the ring, each edge that joins would give a share of all the edges
 // after it another feeder (nine, of 300 in six zones), and each of those would be sent the whole state again.
-func above(self string, before []string) (way []string) {
-	head, branches := branchesOf(self)
+func ancestors(self string, before []string) (way []string) {
+	head, branches := treePath(self)
 	way = []string{before[head]}
 	// Of those that share the first steps, the first in the order of the ring stands where these steps lead.
-	steps := uint64(below)
-	for _, ip := range before[heads:] {
-		otherHead, other := branchesOf(ip)
+	steps := uint64(branching)
+	for _, ip := range before[headsPerZone:] {
+		otherHead, other := treePath(ip)
 		if otherHead == head && other%steps == branches%steps {
 			way = append(way, ip)
-			steps *= below
+			steps *= branching
 		}
 	}
 	slices.Reverse(way)
 	return way
 }
 
-// branchesOf spells an edge's way down its zone's tree: its head, then one of the branches at each step, the
+// treePath spells an edge's way down its zone's tree: its head, then one of the branches at each step, the
 // first step in the lowest digit.
-func branchesOf(ip string) (head int, branches uint64) {
-	hash := xxhash.Sum64String(ip + branchKey)
-	return int(hash % heads), hash / heads
+func treePath(ip string) (head int, branches uint64) {
+	hash := xxhash.Sum64String(ip + branchHashSuffix)
+	return int(hash % headsPerZone), hash / headsPerZone
 }
--- a/decide/relaytree/relaytree_test.go
+++ b/decide/relaytree/relaytree_test.go
@@ -38,7 +38,7 @@
 			must.LessEq(t, 2, k, must.Sprint(z))
 		}
 		for ip, k := range under {
-			must.LessEq(t, below, k, must.Sprint(ip))
+			must.LessEq(t, branching, k, must.Sprint(ip))
 		}
 		for ip := range first {
 			steps := 0
--- a/decide/rollout/copy.go
+++ b/decide/rollout/copy.go
@@ -12,7 +12,7 @@
 // answers, so whoever copies reports none.
 func (m *Manager) Copy() *Manager {
 	c := *m
-	c.active = make(map[uint64]*tracked, len(m.active))
+	c.active = make(map[uint64]*trackedRollout, len(m.active))
 	for number, t := range m.active {
 		own := *t
 		own.edges = make(map[string]*edgeView, len(t.edges))
@@ -28,18 +28,18 @@
 // Key appends what tells this manager's state from another's at the same time.
 func (m *Manager) Key(b []byte) []byte {
 	b = binary.AppendUvarint(b, m.version)
-	if m.holds {
-		b = binary.AppendVarint(b, m.since)
+	if m.isHolder {
+		b = binary.AppendVarint(b, m.holderSince)
 	}
 	for _, number := range slices.Sorted(maps.Keys(m.active)) {
 		t := m.active[number]
-		for _, at := range []int64{t.began, t.since, t.stageSince, t.proposed} {
+		for _, at := range []int64{t.startedAt, t.stepSince, t.stageSince, t.proposedAt} {
 			b = binary.AppendVarint(b, at)
 		}
-		b = append(b, byte(t.others))
+		b = append(b, byte(t.maxOthers))
 		for _, ip := range slices.Sorted(maps.Keys(t.edges)) {
 			v := t.edges[ip]
-			b = append(binary.AppendVarint(append(b, ip...), v.at), byte(v.evidence.Version), byte(v.evidence.OldOut))
+			b = append(binary.AppendVarint(append(b, ip...), v.at), byte(v.evidence.Version), byte(v.evidence.OldInFlight))
 		}
 	}
 	return b
--- a/decide/rollout/fleet_test.go
+++ b/decide/rollout/fleet_test.go
@@ -48,7 +48,7 @@
 	trial                     int // of the target version's requests, those before it got more than its trial
 }
 
-func newFleet(seed uint64, bad badness, terms Terms) *fleet {
+func newFleet(seed uint64, bad badness, terms Bounds) *fleet {
 	f := &fleet{draw: rand.New(rand.NewPCG(seed, 1)), now: 1000 * ms, manager: NewManager(terms), bad: bad}
 	f.set, _, _ = Set{}.Begin(order)
 	for i := range fleetReplicas {
@@ -59,14 +59,14 @@
 		r.Watch(f.set, f.replicas)
 		f.recorders = append(f.recorders, r)
 	}
-	f.manager.Take(f.now, f.set)
+	f.manager.Apply(f.now, f.set)
 	return f
 }
 
 // request is one request of a drawn edge on a drawn route to a replica that is open to it.
 func (f *fleet) request(began int64) {
 	e := f.draw.IntN(fleetEdges)
-	rollout, _ := f.set.Of("s")
+	rollout, _ := f.set.NewestOf("s")
 	var open []Replica
 	for _, r := range f.replicas {
 		if (r.Version == "v1" || f.now-began >= newReady) && rollout.Admits(fmt.Sprint("edge", e), r.ID, r.Version) {
@@ -112,7 +112,7 @@
 				f.manager.Report(f.now, fmt.Sprint("edge", e), r.Evidence())
 			}
 		}
-		rollout, _ := f.set.Of("s")
+		rollout, _ := f.set.NewestOf("s")
 		ready := Replicas{Others: fleetReplicas}
 		if f.now-began >= newReady {
 			ready.Target, ready.Warm = fleetReplicas, fleetReplicas
@@ -125,14 +125,14 @@
 			for _, r := range f.recorders {
 				r.Watch(f.set, f.replicas)
 			}
-			f.manager.Take(f.now, f.set)
+			f.manager.Apply(f.now, f.set)
 		}
-		if rollout, _ = f.set.Of("s"); rollout.Phase != Active {
+		if rollout, _ = f.set.NewestOf("s"); rollout.Phase != Active {
 			return rollout
 		}
 		f.now += fleetTick
 	}
-	rollout, _ := f.set.Of("s")
+	rollout, _ := f.set.NewestOf("s")
 	return rollout
 }
 
@@ -156,7 +156,7 @@
 	} {
 		t.Run(bad.name, func(t *testing.T) {
 			for seed := range seeds {
-				f := newFleet(100*seed, bad, Terms{})
+				f := newFleet(100*seed, bad, Bounds{})
 				r := f.play()
 				if bad.share == 0 || bad.trouble {
 					must.Eq(t, Complete, r.Phase, must.Sprint("seed ", seed, ": ", r.Reason))
@@ -172,7 +172,7 @@
 
 // TestAGoodVersionIsInTime: it is complete before its term.
 func TestAGoodVersionIsInTime(t *testing.T) {
-	f := newFleet(7, badness{}, Terms{})
+	f := newFleet(7, badness{}, Bounds{})
 	began := f.now
 	must.Eq(t, Complete, f.play().Phase)
 	must.LessEq(t, order.OverMs*ms, f.now-began)
@@ -183,7 +183,7 @@
 func TestTrialFollowsTheExposureShare(t *testing.T) {
 	term := float64(order.OverMs * ms / fleetTick * perTick)
 	for _, share := range []float64{0.03, 0.05, 0.1, 0.2} {
-		f := newFleet(11, badness{}, Terms{ExposureShare: share})
+		f := newFleet(11, badness{}, Bounds{ExposureShare: share})
 		must.Eq(t, Complete, f.play().Phase)
 		must.LessEq(t, 0.9*share*term, float64(f.trial), must.Sprint("share ", share))
 		must.GreaterEq(t, 0.3*share*term, float64(f.trial), must.Sprint("share ", share))
--- a/decide/rollout/rollout.go
+++ b/decide/rollout/rollout.go
@@ -51,8 +51,8 @@
 	Others int `cbor:"2,keyasint,omitempty"` // of the pairs with any other replica of the service
 }
 
-// wholeShare opens every pair.
-const wholeShare = 1000
+// fullShare opens every pair.
+const fullShare = 1000
 
 // Rollout is one rollout as the register holds it. It is never changed in place.
 type Rollout struct {
@@ -82,22 +82,22 @@
 	}
 	switch {
 	case target:
-		return place(edge, replica) < r.Shares.Target
+		return pairPosition(edge, replica) < r.Shares.Target
 	case slices.Contains(r.Reverted, version):
 		return false
 	}
-	return place(edge, replica) < r.Shares.Others
+	return pairPosition(edge, replica) < r.Shares.Others
 }
 
-// StandsIn tells whether a replica of this version may be sent to where no replica is admitted at all: a service must not
+// AllowsFallback tells whether a replica of this version may be sent to where no replica is admitted at all: a service must not
 // rest because the replicas of its version are away.
-func (r *Rollout) StandsIn(version string) bool {
+func (r *Rollout) AllowsFallback(version string) bool {
 	return version != r.Order.Target && !slices.Contains(r.Reverted, version)
 }
 
-// place is where a pair stands among all pairs, in thousandths.
-func place(edge, replica string) int {
-	return int(xxhash.Sum64String(edge+" "+replica) % wholeShare)
+// pairPosition is where a pair stands among all pairs, in thousandths.
+func pairPosition(edge, replica string) int {
+	return int(xxhash.Sum64String(edge+" "+replica) % fullShare)
 }
 
 // Switching tells whether the replicas of other versions get nothing new though the rollout is not complete yet.
--- a/decide/rollout/set.go
+++ b/decide/rollout/set.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// mostKept is how many rollouts a Set keeps: those that are active, and of the rest the last ones.
-const mostKept = 128
+// maxKept is how many rollouts a Set keeps: those that are active, and of the rest the last ones.
+const maxKept = 128
 
 // Set is the state of all rollouts. It is never changed in place.
 type Set struct {
@@ -17,8 +17,8 @@
 // IsZero tells whether no rollout was ever begun.
 func (s Set) IsZero() bool { return s.Version == 0 }
 
-// Of returns the newest rollout of a service; false where there is none.
-func (s Set) Of(service string) (Rollout, bool) {
+// NewestOf returns the newest rollout of a service; false where there is none.
+func (s Set) NewestOf(service string) (Rollout, bool) {
 	for _, r := range slices.Backward(s.Rollouts) {
 		if r.Order.Service == service {
 			return r, true
@@ -46,29 +46,29 @@
 	return active
 }
 
-// Verdict is what became of an operator's order.
-type Verdict uint8
+// BeginResult is what became of an operator's order.
+type BeginResult uint8
 
 // The verdicts.
 const (
-	Taken Verdict = iota + 1 // the rollout stands, begun now or before
-	Busy                     // another rollout of the service is active
+	Accepted BeginResult = iota + 1 // the rollout stands, begun now or before
+	Busy                            // another rollout of the service is active
 )
 
 // Begin takes an order in. The same order sent again is the rollout that it began, whatever became of it since.
-func (s Set) Begin(o Order) (next Set, verdict Verdict, changed bool) {
-	was, known := s.Of(o.Service)
+func (s Set) Begin(o Order) (next Set, verdict BeginResult, changed bool) {
+	was, known := s.NewestOf(o.Service)
 	switch {
 	case known && was.Order == o:
-		return s, Taken, false
+		return s, Accepted, false
 	case known && was.Phase == Active:
 		return s, Busy, false
 	}
-	begun := Rollout{Order: o, Number: s.lastNumber() + 1, Phase: Active, Shares: plan[stageWait].shares, Reason: "begun"}
+	begun := Rollout{Order: o, Number: s.lastNumber() + 1, Phase: Active, Shares: plan[stageWait].initialShares, Reason: "begun"}
 	if known {
-		begun.Reverted = was.takenBack(o.Target)
+		begun.Reverted = was.blockedVersions(o.Target)
 	}
-	return s.with(begun), Taken, true
+	return s.with(begun), Accepted, true
 }
 
 // Apply makes a change where the rollout still is as the one who decided it saw it.
@@ -82,7 +82,7 @@
 
 // Abort takes a service's rollout back on an operator's word; false where none is active.
 func (s Set) Abort(service, reason string) (next Set, changed bool) {
-	r, known := s.Of(service)
+	r, known := s.NewestOf(service)
 	if !known || r.Phase != Active {
 		return s, false
 	}
@@ -106,24 +106,24 @@
 		return next
 	}
 	next.Rollouts = append(next.Rollouts, r)
-	if len(next.Rollouts) > mostKept {
+	if len(next.Rollouts) > maxKept {
 		oldest := slices.IndexFunc(next.Rollouts, func(o Rollout) bool { return o.Phase != Active })
 		next.Rollouts = slices.Delete(next.Rollouts, max(oldest, 0), max(oldest, 0)+1)
 	}
 	return next
 }
 
-// mostReverted is how many versions that were taken back a rollout names.
-const mostReverted = 8
+// maxReverted is how many versions that were taken back a rollout names.
+const maxReverted = 8
 
-// takenBack are the versions of the service that must get nothing once a rollout to target follows this one.
-func (r *Rollout) takenBack(target string) []string {
+// blockedVersions are the versions of the service that must get nothing once a rollout to target follows this one.
+func (r *Rollout) blockedVersions(target string) []string {
 	versions := slices.Clone(r.Reverted)
 	if r.Phase == Reverted {
 		versions = append(versions, r.Order.Target)
 	}
 	versions = slices.DeleteFunc(versions, func(v string) bool { return v == target })
-	return versions[max(len(versions)-mostReverted, 0):]
+	return versions[max(len(versions)-maxReverted, 0):]
 }
 
 // Change is one step of a rollout.
--- a/decide/rollout/set_test.go
+++ b/decide/rollout/set_test.go
@@ -12,15 +12,15 @@
 // begun is a Set with one rollout.
 func begun(t *testing.T) (Set, Rollout) {
 	set, verdict, changed := Set{}.Begin(order)
-	must.Eq(t, Taken, verdict)
+	must.Eq(t, Accepted, verdict)
 	must.True(t, changed)
-	r, known := set.Of("s")
+	r, known := set.NewestOf("s")
 	must.True(t, known)
 	return set, r
 }
 
 func ended(t *testing.T, set Set, phase Phase) Set {
-	r, _ := set.Of("s")
+	r, _ := set.NewestOf("s")
 	next, changed := set.Apply(Change{Rollout: r, Phase: phase})
 	must.True(t, changed)
 	return next
@@ -32,7 +32,7 @@
 	set, _ := begun(t)
 	other := Order{Service: "s", Target: "v3", OverMs: 14000}
 	_, verdict, changed := set.Begin(order)
-	must.Eq(t, Taken, verdict)
+	must.Eq(t, Accepted, verdict)
 	must.False(t, changed)
 	_, verdict, changed = set.Begin(other)
 	must.Eq(t, Busy, verdict)
@@ -40,12 +40,12 @@
 	for _, phase := range []Phase{Complete, Reverted} {
 		over := ended(t, set, phase)
 		_, verdict, changed = over.Begin(order)
-		must.Eq(t, Taken, verdict)
+		must.Eq(t, Accepted, verdict)
 		must.False(t, changed)
 		next, verdict, changed := over.Begin(other)
-		must.Eq(t, Taken, verdict)
+		must.Eq(t, Accepted, verdict)
 		must.True(t, changed)
-		r, _ := next.Of("s")
+		r, _ := next.NewestOf("s")
 		must.Eq(t, "v3", r.Order.Target)
 		must.Eq(t, Active, r.Phase)
 	}
@@ -54,14 +54,14 @@
 // TestStepOfAFormerDutyChangesNothing: a step decided on a state that another one has replaced is not taken.
 func TestStepOfAFormerDutyChangesNothing(t *testing.T) {
 	set, seen := begun(t)
-	set, changed := set.Apply(Change{Rollout: seen, Phase: Active, Stage: stageCanary, Shares: plan[stageCanary].shares})
+	set, changed := set.Apply(Change{Rollout: seen, Phase: Active, Stage: stageCanary, Shares: plan[stageCanary].initialShares})
 	must.True(t, changed)
 	for _, phase := range []Phase{Active, Complete, Reverted} {
 		_, changed = set.Apply(Change{Rollout: seen, Phase: phase})
 		must.False(t, changed)
 	}
 	set = ended(t, set, Reverted)
-	r, _ := set.Of("s")
+	r, _ := set.NewestOf("s")
 	_, changed = set.Apply(Change{Rollout: r, Phase: Complete})
 	must.False(t, changed)
 	_, changed = set.Abort("s", "late")
@@ -73,30 +73,30 @@
 func TestAVersionTakenBackStaysShut(t *testing.T) {
 	set, _ := begun(t)
 	set = ended(t, set, Reverted)
-	r, _ := set.Of("s")
+	r, _ := set.NewestOf("s")
 	must.False(t, r.Admits("e", "a", "v2"))
-	must.False(t, r.StandsIn("v2"))
+	must.False(t, r.AllowsFallback("v2"))
 	must.True(t, r.Admits("e", "a", "v1"))
 	set, _, _ = set.Begin(Order{Service: "s", Target: "v3", OverMs: 1000})
-	r, _ = set.Of("s")
+	r, _ = set.NewestOf("s")
 	must.False(t, r.Admits("e", "a", "v2"))
-	must.False(t, r.StandsIn("v2"))
+	must.False(t, r.AllowsFallback("v2"))
 	set = ended(t, set, Complete)
-	r, _ = set.Of("s")
+	r, _ = set.NewestOf("s")
 	must.False(t, r.Admits("e", "a", "v2"))
-	must.False(t, r.StandsIn("v2"))
+	must.False(t, r.AllowsFallback("v2"))
 	must.True(t, r.Admits("e", "a", "v3"))
-	must.True(t, r.StandsIn("v1"))
+	must.True(t, r.AllowsFallback("v1"))
 	set, _, _ = set.Begin(Order{Service: "s", Target: "v2", OverMs: 1000})
-	r, _ = set.Of("s")
-	r.Shares.Target = wholeShare
+	r, _ = set.NewestOf("s")
+	r.Shares.Target = fullShare
 	must.True(t, r.Admits("e", "a", "v2"))
 }
 
 // TestSharesOpenMore: a larger share opens all that a smaller one opens, and about its part of the pairs.
 func TestSharesOpenMore(t *testing.T) {
 	open := func(share int) (pairs map[string]bool) {
-		r := Rollout{Order: order, Phase: Active, Shares: Shares{Target: share, Others: wholeShare}}
+		r := Rollout{Order: order, Phase: Active, Shares: Shares{Target: share, Others: fullShare}}
 		pairs = map[string]bool{}
 		for e := range 60 {
 			for i := range 8 {
@@ -115,21 +115,21 @@
 	}
 	must.Between(t, 24, len(small), 96)
 	must.Between(t, 140, len(large), 250)
-	must.MapLen(t, 480, open(wholeShare))
+	must.MapLen(t, 480, open(fullShare))
 	must.MapEmpty(t, open(0))
 }
 
 // TestKept: the Set does not grow for ever, and what is active stays.
 func TestKept(t *testing.T) {
 	set, _ := begun(t)
-	for n := range 3 * mostKept {
+	for n := range 3 * maxKept {
 		service := fmt.Sprint("other", n)
 		set, _, _ = set.Begin(Order{Service: service, Target: "v2", OverMs: 1000})
-		r, _ := set.Of(service)
+		r, _ := set.NewestOf(service)
 		set, _ = set.Apply(Change{Rollout: r, Phase: Complete})
 	}
-	must.SliceLen(t, mostKept, set.Rollouts)
-	r, known := set.Of("s")
+	must.SliceLen(t, maxKept, set.Rollouts)
+	r, known := set.NewestOf("s")
 	must.True(t, known)
 	must.Eq(t, Active, r.Phase)
 }
--- a/decide/routeconfig/diff.go
+++ b/decide/routeconfig/diff.go
@@ -15,13 +15,13 @@
 	if a.Limits != b.Limits {
 		lines = append(lines, fmt.Sprintf("limits %+v -> %+v", a.Limits, b.Limits))
 	}
-	was, is := labelled(a.Routes, b.Routes)
-	lines = append(lines, changes("route", was, is)...)
-	return append(lines, changes("service", a.Services, b.Services)...)
+	was, is := routesByLabel(a.Routes, b.Routes)
+	lines = append(lines, diffEntries("route", was, is)...)
+	return append(lines, diffEntries("service", a.Services, b.Services)...)
 }
 
-// labelled returns the routes of two configurations by a label that is the same for the same route, unique among them.
-func labelled(before, after []Route) (was, is map[string]Route) {
+// routesByLabel returns the routes of two configurations by a label that is the same for the same route, unique among them.
+func routesByLabel(before, after []Route) (was, is map[string]Route) {
 	label := func(r *Route) string { return r.Name + " " + r.Host + r.Prefix }
 	was, is = map[string]Route{}, map[string]Route{}
 	labels := map[RouteID]string{}
@@ -49,7 +49,7 @@
 // movedRoutes returns the routes that are in one place before and in another after, by the place after. A route is
 // taken to have moved where its name is that of one route alone on either side.
 func movedRoutes(before, after []Route) map[RouteID]RouteID {
-	left, come := byName(before, after), byName(after, before)
+	left, come := unmatchedByName(before, after), unmatchedByName(after, before)
 	moved := map[RouteID]RouteID{}
 	for name, ids := range come {
 		if from := left[name]; name != "" && len(ids) == 1 && len(from) == 1 {
@@ -59,8 +59,8 @@
 	return moved
 }
 
-// byName returns, by name, the routes of one configuration whose place is none in another.
-func byName(routes, others []Route) map[string][]RouteID {
+// unmatchedByName returns, by name, the routes of one configuration whose place is none in another.
+func unmatchedByName(routes, others []Route) map[string][]RouteID {
 	stays := map[RouteID]struct{}{}
 	for i := range others {
 		stays[others[i].ID()] = struct{}{}
@@ -74,8 +74,8 @@
 	return places
 }
 
-// changes compares two sets by label and field by field.
-func changes[T any](kind string, was, is map[string]T) (lines []string) {
+// diffEntries compares two sets by label and field by field.
+func diffEntries[T any](kind string, was, is map[string]T) (lines []string) {
 	names := slices.Sorted(maps.Keys(was))
 	for n := range is {
 		if _, ok := was[n]; !ok {
--- a/decide/routeconfig/read.go
+++ b/decide/routeconfig/read.go
@@ -61,15 +61,15 @@
 	case !has.revision, !has.routes, !has.services:
 		return nil, ErrInvalid.Errorf("revision, routes or services is missing")
 	}
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
-	c.index()
+	c.indexRoutes()
 	return c, nil
 }
 
-// number reads a whole number that may be written with a fraction of 0.
-func number(d *jx.Decoder, key string) (int64, error) {
+// readInteger reads a whole number that may be written with a fraction of 0.
+func readInteger(d *jx.Decoder, key string) (int64, error) {
 	f, err := d.Float64()
 	if err != nil || f != math.Trunc(f) || math.Abs(f) > 1<<53 {
 		return 0, ErrInvalid.Errorf("%s is no whole number", key)
@@ -77,7 +77,7 @@
 	return int64(f), nil
 }
 
-func text(d *jx.Decoder, key string) (string, error) {
+func readString(d *jx.Decoder, key string) (string, error) {
 	s, err := d.Str()
 	if err != nil {
 		return "", ErrInvalid.Wrapf(err, "%s is no text", key)
@@ -92,30 +92,30 @@
 		var n int64
 		switch key {
 		case "name":
-			r.Name, err = text(d, key)
+			r.Name, err = readString(d, key)
 		case "host":
-			r.Host, err = text(d, key)
+			r.Host, err = readString(d, key)
 		case "path-prefix":
-			r.Prefix, err = text(d, key)
+			r.Prefix, err = readString(d, key)
 		case "route-kind":
-			kind, err = text(d, key)
+			kind, err = readString(d, key)
 		case "deadline-ms":
-			r.DeadlineMs, err = number(d, key)
+			r.DeadlineMs, err = readInteger(d, key)
 		case "target-ms":
-			r.TargetMs, err = number(d, key)
+			r.TargetMs, err = readInteger(d, key)
 		case "rank":
-			r.Rank, err = number(d, key)
+			r.Rank, err = readInteger(d, key)
 		case "max-tries":
-			n, err = number(d, key)
+			n, err = readInteger(d, key)
 			r.Tries = max(int(n), 1)
 		case "result-count":
-			n, err = number(d, key)
+			n, err = readInteger(d, key)
 			r.ResultCount = int(n)
 		case "min-coverage":
 			r.MinCoverage, err = d.Float64()
 		case "service":
 			var s string
-			s, err = text(d, key)
+			s, err = readString(d, key)
 			r.Targets = append(r.Targets, Target{s, 1})
 		case "weighted-split":
 			err = d.Arr(func(d *jx.Decoder) error {
@@ -123,7 +123,7 @@
 				err := d.Obj(func(d *jx.Decoder, key string) (err error) {
 					switch key {
 					case "service":
-						t.Service, err = text(d, key)
+						t.Service, err = readString(d, key)
 					case "weight":
 						t.Weight, err = d.Float64()
 					default:
@@ -136,7 +136,7 @@
 			})
 		case "fanout":
 			err = d.Arr(func(d *jx.Decoder) error {
-				s, err := text(d, key)
+				s, err := readString(d, key)
 				r.Fanout = append(r.Fanout, s)
 				return err
 			})
@@ -168,12 +168,12 @@
 	err = d.Obj(func(d *jx.Decoder, key string) (err error) {
 		switch key {
 		case "name":
-			s.Name, err = text(d, key)
+			s.Name, err = readString(d, key)
 		case "health-path":
-			s.Health, err = text(d, key)
+			s.Health, err = readString(d, key)
 		case "max-conns":
 			var n int64
-			n, err = number(d, key)
+			n, err = readInteger(d, key)
 			s.MaxConns = int(n)
 		default:
 			err = d.Skip()
@@ -188,15 +188,15 @@
 		var n int64
 		switch key {
 		case "max-header-bytes":
-			n, err = number(d, key)
+			n, err = readInteger(d, key)
 			l.HeaderBytes = int(n)
 		case "max-body-bytes":
-			n, err = number(d, key)
+			n, err = readInteger(d, key)
 			l.BodyBytes = int(n)
 		case "header-read-ms":
-			l.HeaderReadMs, err = number(d, key)
+			l.HeaderReadMs, err = readInteger(d, key)
 		case "idle-timeout-ms":
-			l.IdleTimeoutMs, err = number(d, key)
+			l.IdleTimeoutMs, err = readInteger(d, key)
 		default:
 			err = d.Skip()
 		}
--- a/decide/routeconfig/routeconfig.go
+++ b/decide/routeconfig/routeconfig.go
@@ -14,11 +14,11 @@
 
 // Configuration is one version of the configuration.
 type Configuration struct {
-	Revision uint64
-	Routes   []Route
-	Services map[string]Service
-	Limits   Limits
-	hosts    map[string][]*Route // by host, the longest prefix first
+	Revision     uint64
+	Routes       []Route
+	Services     map[string]Service
+	Limits       Limits
+	routesByHost map[string][]*Route // by host, the longest prefix first
 }
 
 // Route says which requests go where. Times in ms.
@@ -66,15 +66,15 @@
 // ErrInvalid is the class of all that is wrong with a configuration.
 var ErrInvalid = oops.Code("configuration_invalid")
 
-// index sorts the routes by host, longest prefix first.
-func (c *Configuration) index() {
-	c.hosts = map[string][]*Route{}
+// indexRoutes sorts the routes by host, longest prefix first.
+func (c *Configuration) indexRoutes() {
+	c.routesByHost = map[string][]*Route{}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		host := strings.ToLower(r.Host)
-		c.hosts[host] = append(c.hosts[host], r)
+		c.routesByHost[host] = append(c.routesByHost[host], r)
 	}
-	for _, rs := range c.hosts {
+	for _, rs := range c.routesByHost {
 		slices.SortFunc(rs, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 }
@@ -82,12 +82,12 @@
 // Find is the route of a request: the longest prefix of its host that begins the path, nil where there is
 // none.
 func (c *Configuration) Find(host, path string) *Route {
-	rs, ok := c.hosts[host]
+	rs, ok := c.routesByHost[host]
 	if !ok {
 		if i := strings.LastIndexByte(host, ':'); i > 0 {
 			host = host[:i]
 		}
-		rs = c.hosts[strings.ToLower(host)]
+		rs = c.routesByHost[strings.ToLower(host)]
 	}
 	for _, r := range rs {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -118,8 +118,8 @@
 	return ""
 }
 
-// check says what is wrong with a configuration that could be read.
-func (c *Configuration) check() error {
+// validate says what is wrong with a configuration that could be read.
+func (c *Configuration) validate() error {
 	seen := map[RouteID]string{}
 	for i := range c.Routes {
 		r := &c.Routes[i]
--- a/decide/routeconfig/used.go
+++ b/decide/routeconfig/used.go
@@ -40,8 +40,8 @@
 	})
 }
 
-// NamesService tells whether a configuration names a service among its services. Like UsedServices it reads nothing else.
-func NamesService(body []byte, service string) (named bool, err error) {
+// DefinesService tells whether a configuration names a service among its services. Like UsedServices it reads nothing else.
+func DefinesService(body []byte, service string) (named bool, err error) {
 	err = jx.DecodeBytes(body).Obj(func(d *jx.Decoder, key string) error {
 		if key != "services" {
 			return d.Skip()
--- a/decide/routingtable/rollouts.go
+++ b/decide/routingtable/rollouts.go
@@ -8,15 +8,15 @@
 
 // Rollouts at an edge: which replicas of a service it may send to, by their versions.
 
-// rollouts is what a table holds of them.
-type rollouts struct {
+// rolloutTable is what a table holds of them.
+type rolloutTable struct {
 	set      rollout.Set
 	newest   map[string]*rollout.Rollout // of each service
 	admitted map[string]bool             // services with a rollout of which a ready replica is admitted
 }
 
-// takeRollouts takes in rollouts, and has all replicas listed anew of services whose rollout or replicas have changed.
-func (t *Table) takeRollouts(n clusterstate.Update, c *Change) {
+// applyRollouts takes in rollouts, and has all replicas listed anew of services whose rollout or replicas have changed.
+func (t *Table) applyRollouts(n clusterstate.Update, c *Change) {
 	touched := map[string]bool{}
 	if n.Rollouts.Version > t.rollouts.set.Version {
 		for _, r := range n.Rollouts.Rollouts {
@@ -36,7 +36,7 @@
 	}
 	c.Rollouts = true
 	t.rollouts.admitted = map[string]bool{}
-	for _, r := range t.known {
+	for _, r := range t.replicas {
 		if newest := t.rollouts.newest[r.Service]; newest != nil && r.Phase == registry.Ready && newest.Admits(t.settings.IP, r.ID, r.Version) {
 			t.rollouts.admitted[r.Service] = true
 		}
@@ -52,7 +52,7 @@
 	if newest == nil || newest.Admits(t.settings.IP, r.ID, r.Version) {
 		return true
 	}
-	return !t.rollouts.admitted[r.Service] && newest.StandsIn(r.Version)
+	return !t.rollouts.admitted[r.Service] && newest.AllowsFallback(r.Version)
 }
 
 // Rollouts returns those that this edge goes by, and the replicas of the services that have an active one.
@@ -61,7 +61,7 @@
 	for _, r := range t.rollouts.set.Active() {
 		active[r.Order.Service] = true
 	}
-	for _, r := range t.known {
+	for _, r := range t.replicas {
 		if active[r.Service] {
 			replicas = append(replicas, rollout.Replica{ID: r.ID, Service: r.Service, Version: r.Version, Distance: uint8(t.Distance(r.Zone))})
 		}
--- a/decide/routingtable/rollouts_test.go
+++ b/decide/routingtable/rollouts_test.go
@@ -27,24 +27,24 @@
 // sent to are shut; a service whose replicas of the one version are away is served by the others, but for what was taken back.
 func TestRolloutAtAnEdge(t *testing.T) {
 	table := New(0, testSettings())
-	table.Take(0, clusterstate.Update{Revision: 1, Raw: body(1, "a")})
-	table.Take(0, clusterstate.Update{Replicas: []registry.Record{versioned("old", "v1", registry.Ready, 1), versioned("new", "v2", registry.Ready, 1)}})
+	table.Apply(0, clusterstate.Update{Revision: 1, Raw: body(1, "a")})
+	table.Apply(0, clusterstate.Update{Replicas: []registry.Record{versioned("old", "v1", registry.Ready, 1), versioned("new", "v2", registry.Ready, 1)}})
 	set, _, _ := rollout.Set{}.Begin(rollout.Order{Service: "s1", Target: "v2", OverMs: 9000})
-	c := table.Take(0, clusterstate.Update{Rollouts: set})
+	c := table.Apply(0, clusterstate.Update{Rollouts: set})
 	must.True(t, c.Rollouts)
 	must.Eq(t, map[string]bool{"old": true, "new": false}, admittedOf(table, c))
 
-	r, _ := set.Of("s1")
+	r, _ := set.NewestOf("s1")
 	complete, _ := set.Apply(rollout.Change{Rollout: r, Phase: rollout.Complete})
-	c = table.Take(0, clusterstate.Update{Rollouts: complete})
+	c = table.Apply(0, clusterstate.Update{Rollouts: complete})
 	must.Eq(t, map[string]bool{"old": false, "new": true}, admittedOf(table, c))
-	must.False(t, table.Take(0, clusterstate.Update{Rollouts: set}).Rollouts) // an older one
-	c = table.Take(0, clusterstate.Update{Replicas: []registry.Record{versioned("new", "v2", registry.Silent, 2)}})
+	must.False(t, table.Apply(0, clusterstate.Update{Rollouts: set}).Rollouts) // an older one
+	c = table.Apply(0, clusterstate.Update{Replicas: []registry.Record{versioned("new", "v2", registry.Silent, 2)}})
 	must.Eq(t, true, admittedOf(table, c)["old"])
 
 	table = New(0, testSettings())
-	table.Take(0, clusterstate.Update{Revision: 1, Raw: body(1, "a")})
+	table.Apply(0, clusterstate.Update{Revision: 1, Raw: body(1, "a")})
 	reverted, _ := set.Abort("s1", "bad")
-	c = table.Take(0, clusterstate.Update{Rollouts: reverted, Replicas: []registry.Record{versioned("new", "v2", registry.Ready, 1)}})
+	c = table.Apply(0, clusterstate.Update{Rollouts: reverted, Replicas: []registry.Record{versioned("new", "v2", registry.Ready, 1)}})
 	must.Eq(t, map[string]bool{"new": false}, admittedOf(table, c))
 }
--- a/decide/routingtable/routingtable.go
+++ b/decide/routingtable/routingtable.go
@@ -23,59 +23,59 @@
 const (
 	ms = 1_000_000
 
-	tick         = 1 * ms // least time between two rounds: a small part of the shortest latency goal
-	shards       = 1024   // services that may be known at a time
-	wayShare     = 12     // 1 / this of a gathered answer's latency goal is kept for the network to the client and back
-	paceDoubt    = 1.5    // calls: an edge meets a replica seldom, and the best of many seldom met looks quick by chance
-	lateShare    = 0.4    // of the worth, for an answer past its latency goal: the configuration does not state it
-	partialShare = 1      // of the worth, times the share that is in: what is gathered in part is worth having
-	comeBack     = 1000 * ms
-	ratioShare   = 0.7 // of the ratio of retries that is used: others count requests a little differently
-	slackShare   = 0.6 // of the retries beyond the ratio, for the same reason
-	fallSpan     = 1000 * ms
-	fewerAfter   = 60000 * ms // the number of edges goes down only after that
-	fullCold     = 1          // no rule binds what a cold replica is sent
-	rest         = 60000 * ms // a row or a shard that was given back is given to no other route or service before
-	freeGoal     = 60000 * ms // latency goal of such a row: what all workloads go by is the shortest goal of any
+	minRoundInterval  = 1 * ms // least time between two rounds: a small part of the shortest latency goal
+	maxShards         = 1024   // services that may be known at a time
+	networkShare      = 12     // 1 / this of a gathered answer's latency goal is kept for the network to the client and back
+	paceDoubt         = 1.5    // calls: an edge meets a replica seldom, and the best of many seldom met looks quick by chance
+	lateValueShare    = 0.4    // of the worth, for an answer past its latency goal: the configuration does not state it
+	partialValueShare = 1      // of the worth, times the share that is in: what is gathered in part is worth having
+	maxRetryAfter     = 1000 * ms
+	retryRatioShare   = 0.7 // of the ratio of retries that is used: others count requests a little differently
+	retrySlackShare   = 0.6 // of the retries beyond the ratio, for the same reason
+	unboundedSpan     = 1000 * ms
+	edgeCountHold     = 60000 * ms // the number of edges goes down only after that
+	coldUnlimited     = 1          // no rule binds what a cold replica is sent
+	reuseDelay        = 60000 * ms // a row or a shard that was given back is given to no other route or service before
+	unusedRowGoal     = 60000 * ms // latency goal of such a row: what all workloads go by is the shortest goal of any
 )
 
 // Deployment returns what the module is told at the start.
 func Deployment(s settings.Settings, seed uint64) balance.Deployment {
-	d := balance.Deployment{Number: int(xxhash.Sum64String(s.IP) % shards), Aggregators: 1, Seed: seed, Tick: tick,
-		Shards: shards, Cells: shards, Reach: 1, PartsPerCall: 1, MaxExecutions: 1, Cancels: true, MaxComeBack: comeBack,
-		ColdShare: fullCold, FallMultiple: fullCold, FallSpan: fallSpan, PaceDoubt: paceDoubt,
-		Budgeted: true, FurtherShare: ratioShare * s.Bounds.RetryRatio, FurtherSpan: s.Bounds.RetryWindow(),
-		Accounts: shards}
+	d := balance.Deployment{Index: int(xxhash.Sum64String(s.IP) % maxShards), Aggregators: 1, Seed: seed, Tick: minRoundInterval,
+		Shards: maxShards, Cells: maxShards, CellsPerShard: 1, PartsPerCall: 1, MaxExecutions: 1, CanCancel: true, MaxRetryAfter: maxRetryAfter,
+		ColdCapacity: coldUnlimited, OverloadFactor: coldUnlimited, OverloadSpan: unboundedSpan, PriorWeight: paceDoubt,
+		Budgeted: true, RetryRatio: retryRatioShare * s.Bounds.RetryRatio, RetryWindow: s.Bounds.RetryWindow(),
+		ShardBudgets: maxShards}
 	if s.Bounds.RetryWindow() == 0 { // no rule bounds them
-		d.Budgeted, d.FurtherSpan = false, fallSpan
+		d.Budgeted, d.RetryWindow = false, unboundedSpan
 	}
 	return d
 }
 
 // Workload is the module's view of a route.
 func Workload(r *routeconfig.Route) balance.Workload {
-	w := balance.Workload{LatencyGoal: r.TargetMs * ms, LateShare: lateShare, Need: 1, Floor: 1, PartialShare: partialShare,
+	w := balance.Workload{LatencyGoal: r.TargetMs * ms, LateShare: lateValueShare, FullCoverage: 1, MinCoverage: 1, PartialShare: partialValueShare,
 		MaxExecutions: r.Tries}
 	if r.Unsafe {
-		w.Effect, w.MaxExecutions = balance.OnceOnly, 1
+		w.RetrySafety, w.MaxExecutions = balance.OnceOnly, 1
 	}
 	if len(r.Fanout) > 0 {
-		w.Floor = min(max(r.MinCoverage, 1/float64(len(r.Fanout))), 1)
+		w.MinCoverage = min(max(r.MinCoverage, 1/float64(len(r.Fanout))), 1)
 		// Danger: the aim counts from when the client begins to connect, and on thin links a request waits behind
 		// answers of others. What is answered in part at the last moment of the aim, as seen from here, comes late
 		// there and earns neither.
-		w.LatencyGoal -= w.LatencyGoal / wayShare
-		w.SpareGoal = w.LatencyGoal
+		w.LatencyGoal -= w.LatencyGoal / networkShare
+		w.OptionalGoal = w.LatencyGoal
 	}
 	return w
 }
 
-// ComeBack is how long one declined client is told to wait, ns: between half of what the module advises and all
+// RetryAfter is how long one declined client is told to wait, ns: between half of what the module advises and all
 // of it, by a draw from 0 up to 1.
 //
 // Danger: clients that are all told the same come back together, and are declined together.
-func ComeBack(advice int64, draw float64) int64 {
-	return advice - int64(draw*float64(advice)/2)
+func RetryAfter(advice int64, random float64) int64 {
+	return advice - int64(random*float64(advice)/2)
 }
 
 // State is what a front needs to turn a request into a query. It is never changed in place, but for the positions of
@@ -83,7 +83,7 @@
 type State struct {
 	Config *routeconfig.Configuration
 	Rows   map[routeconfig.RouteID]int // of each route
-	Slots  map[string]int              // of each service: the module's shard
+	Shards map[string]int              // of each service: the module's shard
 	Splits Splits
 }
 
@@ -101,12 +101,12 @@
 
 // Change is what an update changes for the module and the front.
 type Change struct {
-	Workloads   []balance.Workload // nil where they are as before
-	State       *State             // nil likewise
-	Replicas    []registry.Record  // changed ones; Slot tells their shards
-	Rollouts    bool               // the rollouts, or replicas of services that have one, are others
-	FurtherFree float64
-	Err         error
+	Workloads  []balance.Workload // nil where they are as before
+	State      *State             // nil likewise
+	Replicas   []registry.Record  // changed ones; Slot tells their shards
+	Rollouts   bool               // the rollouts, or replicas of services that have one, are others
+	RetrySlack float64
+	Err        error
 }
 
 // shard is one of the module's.
@@ -118,79 +118,79 @@
 // Table holds the numbers of workloads and shards, and the replicas that the module knows. It is for one goroutine at a
 // time.
 type Table struct {
-	settings  settings.Settings
-	began     int64
-	config    *routeconfig.Configuration
-	rows      map[routeconfig.RouteID]int
-	free      []freeRow // the longest free first
-	workloads []balance.Workload
-	slots     map[string]int
-	shards    [shards]shard
-	unlisted  map[string]bool // services with a new shard, whose replicas the module may not know
-	edges     int             // the highest number of edges of late
-	edgesAt   int64
-	known     map[string]registry.Record
-	splits    Splits
-	shared    map[string]int // channels by service, as they were last told
-	rollouts  rollouts
+	settings     settings.Settings
+	startedAt    int64
+	config       *routeconfig.Configuration
+	rows         map[routeconfig.RouteID]int
+	freeRows     []freeRow // the longest free first
+	workloads    []balance.Workload
+	shardOf      map[string]int
+	shards       [maxShards]shard
+	newlySharded map[string]bool // services with a new shard, whose replicas the module may not know
+	edges        int             // the highest number of edges of late
+	edgesSince   int64
+	replicas     map[string]registry.Record
+	splits       Splits
+	lastMaxCalls map[string]int // channels by service, as they were last told
+	rollouts     rolloutTable
 }
 
 // New makes the table of a process that starts now.
 func New(now int64, s settings.Settings) *Table {
-	return &Table{settings: s, began: now, rows: map[routeconfig.RouteID]int{}, slots: map[string]int{}, known: map[string]registry.Record{},
-		unlisted: map[string]bool{}}
+	return &Table{settings: s, startedAt: now, rows: map[routeconfig.RouteID]int{}, shardOf: map[string]int{}, replicas: map[string]registry.Record{},
+		newlySharded: map[string]bool{}}
 }
 
-// Slot returns the shard of a service, false where it has none.
-func (t *Table) Slot(service string) (slot int, found bool) {
-	slot, found = t.slots[service]
+// Shard returns the shard of a service, false where it has none.
+func (t *Table) Shard(service string) (slot int, found bool) {
+	slot, found = t.shardOf[service]
 	return slot, found
 }
 
-// place gives a service a shard, where it has none and one is free.
+// assignShard gives a service a shard, where it has none and one is free.
 //
 // Danger: a service without a shard of its own must share none: its requests would go to another's replicas. And a part
 // that waits for a replica, or whose request is still being read, was routed by the configuration before: a shard that
 // another service got at once would have it sent to that one. So shards rest as rows do.
-func (t *Table) place(now int64, service string) {
-	if _, placed := t.slots[service]; placed {
+func (t *Table) assignShard(now int64, service string) {
+	if _, placed := t.shardOf[service]; placed {
 		return
 	}
 	for slot := range t.shards {
-		if s := &t.shards[slot]; !s.used && (s.freeSince == 0 || now-s.freeSince >= rest) {
-			t.slots[service] = slot
+		if s := &t.shards[slot]; !s.used && (s.freeSince == 0 || now-s.freeSince >= reuseDelay) {
+			t.shardOf[service] = slot
 			s.used = true
-			t.unlisted[service] = true
+			t.newlySharded[service] = true
 			return
 		}
 	}
 }
 
-// giveShardsBack frees the shards of services that neither the configuration nor a replica names.
-func (t *Table) giveShardsBack(now int64) {
+// releaseShards frees the shards of services that neither the configuration nor a replica names.
+func (t *Table) releaseShards(now int64) {
 	held := map[string]bool{}
-	for _, r := range t.known {
+	for _, r := range t.replicas {
 		held[r.Service] = true
 	}
-	for name, slot := range t.slots {
+	for name, slot := range t.shardOf {
 		if _, configured := t.config.Services[name]; !configured && !held[name] {
-			delete(t.slots, name)
+			delete(t.shardOf, name)
 			t.shards[slot] = shard{freeSince: max(now, 1)}
 		}
 	}
 }
 
-// newlyPlaced returns the replicas, known before, of services that have just been given a shard.
-func (t *Table) newlyPlaced() (records []registry.Record) {
-	if len(t.unlisted) == 0 {
+// newlyShardedReplicas returns the replicas, known before, of services that have just been given a shard.
+func (t *Table) newlyShardedReplicas() (records []registry.Record) {
+	if len(t.newlySharded) == 0 {
 		return nil
 	}
-	for _, r := range t.known {
-		if t.unlisted[r.Service] {
+	for _, r := range t.replicas {
+		if t.newlySharded[r.Service] {
 			records = append(records, r)
 		}
 	}
-	clear(t.unlisted)
+	clear(t.newlySharded)
 	return records
 }
 
@@ -202,69 +202,69 @@
 	return int(locality.Regions(t.settings.Zones).Distance(t.settings.Zone, zone))
 }
 
-// Channels returns how many parts this edge may have in flight at a replica of a service, 0 for no limit: its share of the
+// MaxCalls returns how many parts this edge may have in flight at a replica of a service, 0 for no limit: its share of the
 // connections that the replica takes from all edges.
 //
 // Danger: a replica that hangs draws parts from every edge until each has filled its channels, and resets the
 // connections beyond what it takes; whether what came with them ran, nobody knows.
-func (t *Table) Channels(service string) int {
+func (t *Table) MaxCalls(service string) int {
 	if t.config == nil || t.edges == 0 || t.config.Services[service].MaxConns <= 0 {
 		return 0
 	}
 	return max(t.config.Services[service].MaxConns/t.edges, 1)
 }
 
-// shares returns whether Channels of any service has changed since the last call.
-func (t *Table) shares() (changed bool) {
+// maxCallsChanged returns whether Channels of any service has changed since the last call.
+func (t *Table) maxCallsChanged() (changed bool) {
 	now := map[string]int{}
 	if t.config != nil {
 		for name := range t.config.Services {
-			now[name] = t.Channels(name)
+			now[name] = t.MaxCalls(name)
 		}
 	}
-	changed = !maps.Equal(now, t.shared)
-	t.shared = now
+	changed = !maps.Equal(now, t.lastMaxCalls)
+	t.lastMaxCalls = now
 	return changed
 }
 
-// Take takes an update in and returns what it changes. A configuration that cannot be read leaves the former in force.
-func (t *Table) Take(now int64, n clusterstate.Update) (c Change) {
+// Apply takes an update in and returns what it changes. A configuration that cannot be read leaves the former in force.
+func (t *Table) Apply(now int64, n clusterstate.Update) (c Change) {
 	if len(n.Raw) > 0 && (t.config == nil || n.Revision > t.config.Revision) {
 		next, err := routeconfig.Read(n.Raw)
 		if err != nil {
 			c.Err = err
 		} else {
-			t.serve(now, next, &c)
+			t.applyConfiguration(now, next, &c)
 		}
 	}
 	for _, r := range n.Replicas {
 		if r.Service != "" {
-			t.place(now, r.Service)
+			t.assignShard(now, r.Service)
 		}
 	}
-	c.Replicas = t.newlyPlaced()
+	c.Replicas = t.newlyShardedReplicas()
 	for _, r := range n.Replicas {
-		if t.known[r.ID] = r; r.Service != "" {
+		if t.replicas[r.ID] = r; r.Service != "" {
 			c.Replicas = append(c.Replicas, r)
 		}
 		if r.Phase == registry.Gone {
-			delete(t.known, r.ID)
+			delete(t.replicas, r.ID)
 		}
 	}
-	t.takeRollouts(n, &c)
+	t.applyRollouts(n, &c)
 	// Danger: controllers that have all just started know of few edges, and each of those would take the others'
 	// shares.
-	if m := n.Fleet.Most; m >= t.edges || m > 0 && now-t.edgesAt > fewerAfter {
-		t.edges, t.edgesAt = m, now
+	if m := n.Fleet.Most; m >= t.edges || m > 0 && now-t.edgesSince > edgeCountHold {
+		t.edges, t.edgesSince = m, now
 	}
-	if (c.State != nil || !n.Fleet.Empty()) && t.shares() { // all are listed anew, with their caps
-		for _, r := range t.known {
+	if (c.State != nil || !n.Fleet.Empty()) && t.maxCallsChanged() { // all are listed anew, with their caps
+		for _, r := range t.replicas {
 			if r.Service != "" {
 				c.Replicas = append(c.Replicas, r)
 			}
 		}
 	}
-	c.FurtherFree = t.Free(now)
+	c.RetrySlack = t.RetrySlack(now)
 	return c
 }
 
@@ -279,38 +279,38 @@
 // Danger: a request whose body is still being read was routed by the configuration before. Were its row given to another
 // route meanwhile, an unsafe request would be taken on that one's terms and could run twice.
 func (t *Table) newRow(now int64) int {
-	if len(t.free) > 0 && now-t.free[0].since >= rest {
-		row := t.free[0].row
-		t.free = t.free[1:]
+	if len(t.freeRows) > 0 && now-t.freeRows[0].since >= reuseDelay {
+		row := t.freeRows[0].row
+		t.freeRows = t.freeRows[1:]
 		return row
 	}
 	t.workloads = append(t.workloads, balance.Workload{})
 	return len(t.workloads) - 1
 }
 
-// giveRowsBack gives the rows back of routes that are gone, or that may no longer be repeated as before.
-func (t *Table) giveRowsBack(now int64, next *routeconfig.Configuration) {
+// releaseRows gives the rows back of routes that are gone, or that may no longer be repeated as before.
+func (t *Table) releaseRows(now int64, next *routeconfig.Configuration) {
 	stays := map[routeconfig.RouteID]*routeconfig.Route{}
 	for i := range next.Routes {
 		stays[next.Routes[i].ID()] = &next.Routes[i]
 	}
 	for id, row := range t.rows {
-		if r := stays[id]; r == nil || Workload(r).Effect != t.workloads[row].Effect {
+		if r := stays[id]; r == nil || Workload(r).RetrySafety != t.workloads[row].RetrySafety {
 			delete(t.rows, id)
-			t.free = append(t.free, freeRow{row, now})
-			t.workloads[row].LatencyGoal = freeGoal
+			t.freeRows = append(t.freeRows, freeRow{row, now})
+			t.workloads[row].LatencyGoal = unusedRowGoal
 		}
 	}
 }
 
-// serve puts a configuration in force: rows of routes and shards of services that stay keep their numbers.
+// applyConfiguration puts a configuration in force: rows of routes and shards of services that stay keep their numbers.
 //
 // Danger: two routes in one row have one's terms for both. Where these say that the requests of an unsafe route may be
 // repeated, they run twice. So rows are kept by what no two routes share.
-func (t *Table) serve(now int64, next *routeconfig.Configuration, c *Change) {
+func (t *Table) applyConfiguration(now int64, next *routeconfig.Configuration, c *Change) {
 	t.config = next
 	t.workloads = slices.Clone(t.workloads)
-	t.giveRowsBack(now, next)
+	t.releaseRows(now, next)
 	for i := range next.Routes {
 		r := &next.Routes[i]
 		row, ok := t.rows[r.ID()]
@@ -321,10 +321,10 @@
 		t.workloads[row] = Workload(r)
 	}
 	for name := range next.Services {
-		t.place(now, name)
+		t.assignShard(now, name)
 	}
-	t.giveShardsBack(now)
-	state := &State{Config: next, Rows: maps.Clone(t.rows), Slots: maps.Clone(t.slots), Splits: t.splitsOf(next)}
+	t.releaseShards(now)
+	state := &State{Config: next, Rows: maps.Clone(t.rows), Shards: maps.Clone(t.shardOf), Splits: t.splitsOf(next)}
 	c.State, c.Workloads = state, t.workloads
 }
 
@@ -346,20 +346,20 @@
 	return splits
 }
 
-// Free returns this edge's share of the retries beyond the ratio.
+// RetrySlack returns this edge's share of the retries beyond the ratio.
 //
 // Danger: an edge that starts anew does not know what it spent before, and one that does not know how many
 // there are could take all for itself. Neither has any for so long.
-func (t *Table) Free(now int64) float64 {
-	if t.edges == 0 || now-t.began <= t.settings.Bounds.RetryWindow() {
+func (t *Table) RetrySlack(now int64) float64 {
+	if t.edges == 0 || now-t.startedAt <= t.settings.Bounds.RetryWindow() {
 		return 0
 	}
-	return slackShare * t.settings.Bounds.RetrySlack / float64(t.edges)
+	return retrySlackShare * t.settings.Bounds.RetrySlack / float64(t.edges)
 }
 
-// Replicas returns how many replicas are ready.
-func (t *Table) Replicas() (n int) {
-	for _, r := range t.known {
+// ReadyReplicas returns how many replicas are ready.
+func (t *Table) ReadyReplicas() (n int) {
+	for _, r := range t.replicas {
 		if r.Phase == registry.Ready {
 			n++
 		}
@@ -367,5 +367,5 @@
 	return n
 }
 
-// Edges returns how many edges share the budget of retries.
-func (t *Table) Edges() int { return t.edges }
+// EdgeCount returns how many edges share the budget of retries.
+func (t *Table) EdgeCount() int { return t.edges }
--- a/decide/routingtable/routingtable_test.go
+++ b/decide/routingtable/routingtable_test.go
@@ -37,36 +37,36 @@
 // TestRowsStay: a route keeps its row, with what was learnt in it, for as long as it is there.
 func TestRowsStay(t *testing.T) {
 	p := New(0, testSettings())
-	c := p.Take(0, clusterstate.Update{Revision: 1, Raw: body(1, "a", "b")})
+	c := p.Apply(0, clusterstate.Update{Revision: 1, Raw: body(1, "a", "b")})
 	must.NoError(t, c.Err)
 	b := rowOf(t, c, "/b/")
-	c = p.Take(0, clusterstate.Update{Revision: 2, Raw: body(2, "b", "c")})
+	c = p.Apply(0, clusterstate.Update{Revision: 2, Raw: body(2, "b", "c")})
 	must.Eq(t, b, rowOf(t, c, "/b/"))
-	must.Eq(t, 0.5, c.Workloads[b].Floor)
-	must.Eq(t, balance.Repeatable, c.Workloads[b].Effect)
-	must.Nil(t, p.Take(0, clusterstate.Update{Revision: 1, Raw: body(1, "a")}).State)
+	must.Eq(t, 0.5, c.Workloads[b].MinCoverage)
+	must.Eq(t, balance.Repeatable, c.Workloads[b].RetrySafety)
+	must.Nil(t, p.Apply(0, clusterstate.Update{Revision: 1, Raw: body(1, "a")}).State)
 }
 
 // TestRowsRest: the row of a route that is gone is given to no other one for as long as a request may be under way that was
 // routed before, and then it is, so that rows do not become ever more.
 func TestRowsRest(t *testing.T) {
 	p := New(0, testSettings())
-	c := p.Take(0, clusterstate.Update{Revision: 1, Raw: body(1, "a")})
+	c := p.Apply(0, clusterstate.Update{Revision: 1, Raw: body(1, "a")})
 	a := rowOf(t, c, "/a/")
-	c = p.Take(0, clusterstate.Update{Revision: 2, Raw: body(2, "b")})
+	c = p.Apply(0, clusterstate.Update{Revision: 2, Raw: body(2, "b")})
 	must.NotEq(t, a, rowOf(t, c, "/b/"))
 	must.Less(t, c.Workloads[a].LatencyGoal, c.Workloads[rowOf(t, c, "/b/")].LatencyGoal) // and makes no goal shorter
-	c = p.Take(rest-1, clusterstate.Update{Revision: 3, Raw: body(3, "b", "c")})
+	c = p.Apply(reuseDelay-1, clusterstate.Update{Revision: 3, Raw: body(3, "b", "c")})
 	must.NotEq(t, a, rowOf(t, c, "/c/"))
-	c = p.Take(rest, clusterstate.Update{Revision: 4, Raw: body(4, "b", "c", "d")})
+	c = p.Apply(reuseDelay, clusterstate.Update{Revision: 4, Raw: body(4, "b", "c", "d")})
 	must.Eq(t, a, rowOf(t, c, "/d/"))
-	now, revision := int64(rest), 5
+	now, revision := int64(reuseDelay), 5
 	for range 500 { // a route in place of another each second
 		now += 1000 * ms
-		c = p.Take(now, clusterstate.Update{Revision: uint64(revision), Raw: body(revision, fmt.Sprint("r", revision))})
+		c = p.Apply(now, clusterstate.Update{Revision: uint64(revision), Raw: body(revision, fmt.Sprint("r", revision))})
 		revision++
 	}
-	must.LessEq(t, rest/(1000*ms)+5, len(c.Workloads))
+	must.LessEq(t, reuseDelay/(1000*ms)+5, len(c.Workloads))
 }
 
 // TestRowOfAnotherKind: a route that may be repeated no more, or may be from now on, gets a row of its own.
@@ -75,7 +75,7 @@
 	kind := func(revision int, kind string) int {
 		raw := fmt.Appendf(nil, `{"revision":%d,"routes":[{"name":"r","host":"h","path-prefix":"/","route-kind":%q,"deadline-ms":1000,"service":"s1"}],
 "services":[{"name":"s1"}]}`, revision, kind)
-		return rowOf(t, p.Take(0, clusterstate.Update{Revision: uint64(revision), Raw: raw}), "/")
+		return rowOf(t, p.Apply(0, clusterstate.Update{Revision: uint64(revision), Raw: raw}), "/")
 	}
 	first := kind(1, "unsafe")
 	must.Eq(t, first, kind(2, "unsafe"))
@@ -86,8 +86,8 @@
 // more than there are.
 func TestBudgetOfAll(t *testing.T) {
 	p := New(0, testSettings())
-	must.Zero(t, p.Take(1, clusterstate.Update{Fleet: clusterstate.Fleet{Most: 9}}).FurtherFree)
-	free := p.Free(11_000 * ms)
+	must.Zero(t, p.Apply(1, clusterstate.Update{Fleet: clusterstate.Fleet{Most: 9}}).RetrySlack)
+	free := p.RetrySlack(11_000 * ms)
 	must.Positive(t, free)
 	must.LessEq(t, 60, 9*free)
 }
@@ -96,16 +96,16 @@
 func TestShardsComeBack(t *testing.T) {
 	p := New(0, testSettings())
 	now := int64(0)
-	for i := range 3 * shards {
+	for i := range 3 * maxShards {
 		id := fmt.Sprint("i-", i)
-		p.Take(now, clusterstate.Update{Replicas: []registry.Record{{ID: id, Service: fmt.Sprint("t", i), Address: "a:1", Seq: 1}}})
-		_, found := p.Slot(fmt.Sprint("t", i))
+		p.Apply(now, clusterstate.Update{Replicas: []registry.Record{{ID: id, Service: fmt.Sprint("t", i), Address: "a:1", Seq: 1}}})
+		_, found := p.Shard(fmt.Sprint("t", i))
 		must.True(t, found)
-		p.Take(now, clusterstate.Update{Replicas: []registry.Record{{ID: id, Phase: registry.Gone, Seq: 2}}})
-		p.Take(now, clusterstate.Update{Revision: uint64(i + 1), Raw: body(i+1, "a")})
+		p.Apply(now, clusterstate.Update{Replicas: []registry.Record{{ID: id, Phase: registry.Gone, Seq: 2}}})
+		p.Apply(now, clusterstate.Update{Revision: uint64(i + 1), Raw: body(i+1, "a")})
 		now += 1000 * ms
 	}
-	must.MapLen(t, 2, p.slots)
+	must.MapLen(t, 2, p.shardOf)
 }
 
 // TestShardsRest: the shard of a service that is gone is given to no other one for as long as a part may wait that was
@@ -114,16 +114,16 @@
 	p := New(0, testSettings())
 	cut := func(now int64, revision int, service string) int {
 		raw := fmt.Appendf(nil, `{"revision":%d,"routes":[],"services":[{"name":%q}]}`, revision, service)
-		p.Take(now, clusterstate.Update{Revision: uint64(revision), Raw: raw})
-		slot, found := p.Slot(service)
+		p.Apply(now, clusterstate.Update{Revision: uint64(revision), Raw: raw})
+		slot, found := p.Shard(service)
 		must.True(t, found)
 		return slot
 	}
 	first := cut(0, 1, "one")
 	cut(1000*ms, 2, "two") // one is gone from here on
 	must.NotEq(t, first, cut(2000*ms, 3, "three"))
-	must.NotEq(t, first, cut(1000*ms+rest-1, 4, "four"))
-	must.Eq(t, first, cut(1000*ms+rest, 5, "five"))
+	must.NotEq(t, first, cut(1000*ms+reuseDelay-1, 4, "four"))
+	must.Eq(t, first, cut(1000*ms+reuseDelay, 5, "five"))
 }
 
 // TestMoreServicesThanShards: a service for which no shard is left shares none; once one is free, its replicas that were
@@ -131,26 +131,26 @@
 func TestMoreServicesThanShards(t *testing.T) {
 	p := New(0, testSettings())
 	taken := map[int]bool{}
-	for i := range shards + 1 {
+	for i := range maxShards + 1 {
 		service := fmt.Sprint("t", i)
-		p.Take(0, clusterstate.Update{Replicas: []registry.Record{{ID: "i-" + service, Service: service, Address: "a:1", Seq: 1}}})
-		if slot, found := p.Slot(service); found {
+		p.Apply(0, clusterstate.Update{Replicas: []registry.Record{{ID: "i-" + service, Service: service, Address: "a:1", Seq: 1}}})
+		if slot, found := p.Shard(service); found {
 			must.False(t, taken[slot], must.Sprint(service))
 			taken[slot] = true
 		}
 	}
-	must.Eq(t, shards, len(taken))
-	last := fmt.Sprint("t", shards)
-	_, found := p.Slot(last)
+	must.Eq(t, maxShards, len(taken))
+	last := fmt.Sprint("t", maxShards)
+	_, found := p.Shard(last)
 	must.False(t, found)
-	p.Take(0, clusterstate.Update{Replicas: []registry.Record{{ID: "i-t0", Phase: registry.Gone, Seq: 2}}})
+	p.Apply(0, clusterstate.Update{Replicas: []registry.Record{{ID: "i-t0", Phase: registry.Gone, Seq: 2}}})
 	raw := fmt.Appendf(nil, `{"revision":1,"routes":[],"services":[{"name":%q}]}`, last)
-	p.Take(0, clusterstate.Update{Revision: 1, Raw: raw})
-	_, found = p.Slot(last)
+	p.Apply(0, clusterstate.Update{Revision: 1, Raw: raw})
+	_, found = p.Shard(last)
 	must.False(t, found) // the free one rests
 	raw = fmt.Appendf(nil, `{"revision":2,"routes":[],"services":[{"name":%q}]}`, last)
-	c := p.Take(rest+ms, clusterstate.Update{Revision: 2, Raw: raw})
-	_, found = p.Slot(last)
+	c := p.Apply(reuseDelay+ms, clusterstate.Update{Revision: 2, Raw: raw})
+	_, found = p.Shard(last)
 	must.True(t, found)
 	must.SliceLen(t, 1, c.Replicas)
 	must.Eq(t, "i-"+last, c.Replicas[0].ID)
@@ -170,17 +170,17 @@
 func TestClientsWay(t *testing.T) {
 	gathered := Workload(&routeconfig.Route{TargetMs: 120, DeadlineMs: 600, Fanout: []string{"a", "b"}, MinCoverage: 0.5})
 	must.Eq(t, 110*ms, gathered.LatencyGoal)
-	must.Eq(t, gathered.LatencyGoal, gathered.SpareGoal)
+	must.Eq(t, gathered.LatencyGoal, gathered.OptionalGoal)
 	plain := Workload(&routeconfig.Route{TargetMs: 800, DeadlineMs: 4000})
 	must.Eq(t, 800*ms, plain.LatencyGoal)
-	must.Eq(t, 0, plain.SpareGoal)
+	must.Eq(t, 0, plain.OptionalGoal)
 }
 
 // TestComeBackSpreads: clients that are declined together are not told to come back together.
 func TestComeBackSpreads(t *testing.T) {
-	must.Eq(t, 1000*ms, ComeBack(1000*ms, 0))
-	must.Eq(t, 750*ms, ComeBack(1000*ms, 0.5))
-	must.Eq(t, 0, ComeBack(0, 0.7))
+	must.Eq(t, 1000*ms, RetryAfter(1000*ms, 0))
+	must.Eq(t, 750*ms, RetryAfter(1000*ms, 0.5))
+	must.Eq(t, 0, RetryAfter(0, 0.7))
 }
 
 // TestShareOfConnections: what a replica takes from all is shared by the edges; when their number or the configuration changes all
@@ -188,17 +188,17 @@
 func TestShareOfConnections(t *testing.T) {
 	p := New(0, testSettings())
 	raw := []byte(`{"revision":1,"routes":[],"services":[{"name":"s1","max-conns":76},{"name":"s2"}]}`)
-	p.Take(0, clusterstate.Update{Revision: 1, Raw: raw, Replicas: []registry.Record{{ID: "i-1", Service: "s1", Seq: 1}, {ID: "i-2", Service: "s2", Seq: 1}}})
-	must.Eq(t, 0, p.Channels("s1")) // how many edges there are is not known yet
-	c := p.Take(0, clusterstate.Update{Fleet: clusterstate.Fleet{Most: 9}, Replicas: []registry.Record{{ID: "i-2", Service: "s2", Seq: 2, Phase: registry.Gone}}})
-	must.Eq(t, 8, p.Channels("s1"))
-	must.Eq(t, 0, p.Channels("s2"))
+	p.Apply(0, clusterstate.Update{Revision: 1, Raw: raw, Replicas: []registry.Record{{ID: "i-1", Service: "s1", Seq: 1}, {ID: "i-2", Service: "s2", Seq: 1}}})
+	must.Eq(t, 0, p.MaxCalls("s1")) // how many edges there are is not known yet
+	c := p.Apply(0, clusterstate.Update{Fleet: clusterstate.Fleet{Most: 9}, Replicas: []registry.Record{{ID: "i-2", Service: "s2", Seq: 2, Phase: registry.Gone}}})
+	must.Eq(t, 8, p.MaxCalls("s1"))
+	must.Eq(t, 0, p.MaxCalls("s2"))
 	must.SliceLen(t, 2, c.Replicas)
 	must.Eq(t, registry.Gone, c.Replicas[0].Phase)
 	must.Eq(t, "i-1", c.Replicas[1].ID)
-	must.SliceEmpty(t, p.Take(0, clusterstate.Update{Fleet: clusterstate.Fleet{Most: 9}}).Replicas)
-	p.Take(0, clusterstate.Update{Fleet: clusterstate.Fleet{Most: 200}})
-	must.Eq(t, 1, p.Channels("s1"))
+	must.SliceEmpty(t, p.Apply(0, clusterstate.Update{Fleet: clusterstate.Fleet{Most: 9}}).Replicas)
+	p.Apply(0, clusterstate.Update{Fleet: clusterstate.Fleet{Most: 200}})
+	must.Eq(t, 1, p.MaxCalls("s1"))
 }
 
 // TestSplitGoesOn: a weighted split is shared evenly over any run of requests, also where the configuration changes with
@@ -210,12 +210,12 @@
 	for i := range requests {
 		raw := fmt.Appendf(nil, `{"revision":%d,"routes":[{"name":"split","host":"h","path-prefix":"/","deadline-ms":%d,
 "weighted-split":[{"service":"s1","weight":1},{"service":"s2","weight":3}]}],"services":[{"name":"s1"},{"name":"s2"}]}`, i+1, 1000+i)
-		c := p.Take(0, clusterstate.Update{Revision: uint64(i + 1), Raw: raw})
+		c := p.Apply(0, clusterstate.Update{Revision: uint64(i + 1), Raw: raw})
 		must.NoError(t, c.Err)
 		counts[c.State.Service(c.State.Config.Find("h", "/x"))]++
 	}
 	must.Between(t, requests/4-3, counts["s1"], requests/4+3)
 	must.MapLen(t, 1, p.splits)
-	p.Take(0, clusterstate.Update{Revision: requests + 1, Raw: body(requests+1, "a")})
+	p.Apply(0, clusterstate.Update{Revision: requests + 1, Raw: body(requests+1, "a")})
 	must.MapEmpty(t, p.splits)
 }
--- a/decide/sharedhealth/quota_test.go
+++ b/decide/sharedhealth/quota_test.go
@@ -8,39 +8,39 @@
 	"testing"
 )
 
-// model explores a fleet of a few aggregators with the true deciders and purses against a store whose rounds are
+// fleetModel explores a fleet of a few aggregators with the true deciders and purses against a store whose rounds are
 // delayed, lost on the way there or back, and which falls back to an older state; aggregators restart.
-type model struct {
-	t        *testing.T
-	chance   *rand.Rand
-	now      int64
-	quota    Quota
-	nodes    []*modelNode
-	tokens   map[string]int64
-	presence map[string][]byte
-	saved    []map[string]int64
-	spent    []int64 // times
-	fallen   []int64 // times at which the store went back
-	faults   bool
-	steps    int
+type fleetModel struct {
+	t         *testing.T
+	rng       *rand.Rand
+	now       int64
+	quota     Quota
+	nodes     []*modelNode
+	tokens    map[string]int64
+	presence  map[string][]byte
+	snapshots []map[string]int64
+	spent     []int64 // times
+	rollbacks []int64 // times at which the store went back
+	faults    bool
+	steps     int
 }
 
 type modelNode struct {
-	name     string
-	c        *Exchange
-	purse    *Purse
-	lives    int
-	asked    *Request
-	reply    *Reply // on its way back
-	replyAt  int64
-	carryAt  int64
-	restarts []int64
+	name             string
+	exchange         *Exchange
+	budget           *QuotaBudget
+	starts           int
+	pending          *Request
+	reply            *Reply // on its way back
+	replyArrivesAt   int64
+	requestArrivesAt int64
+	restarts         []int64
 }
 
-const modelRound = 500 * ms
+const modelRoundInterval = 500 * ms
 
-func newModel(t *testing.T, seed uint64, faults bool) *model {
-	m := &model{t: t, chance: rand.New(rand.NewPCG(seed, 3)), now: 100e9, faults: faults, tokens: map[string]int64{},
+func newModel(t *testing.T, seed uint64, faults bool) *fleetModel {
+	m := &fleetModel{t: t, rng: rand.New(rand.NewPCG(seed, 3)), now: 100e9, faults: faults, tokens: map[string]int64{},
 		presence: map[string][]byte{}, quota: Quota{"a", float64(2 + seed%30), float64(seed % 3 * 20)}}
 	for i := range 4 {
 		n := &modelNode{name: fmt.Sprint("n", i)}
@@ -50,28 +50,28 @@
 	return m
 }
 
-func (m *model) start(n *modelNode) {
-	n.lives++
-	n.c = New(m.now, Terms{Name: n.name, Incarnation: uint64(m.now), Seed: uint64(n.lives), Round: modelRound,
-		Deadline: 150 * ms, Aggregators: 4, Rest: 1e9, Quotas: []Quota{m.quota}})
-	n.purse = NewPurse(m.now, []Quota{m.quota}, 4)
-	n.asked, n.reply = nil, nil
+func (m *fleetModel) start(n *modelNode) {
+	n.starts++
+	n.exchange = New(m.now, Config{Name: n.name, Incarnation: uint64(m.now), Seed: uint64(n.starts), RoundInterval: modelRoundInterval,
+		RoundTimeout: 150 * ms, Aggregators: 4, BaseEjection: 1e9, Quotas: []Quota{m.quota}})
+	n.budget = NewQuotaBudget(m.now, []Quota{m.quota}, 4)
+	n.pending, n.reply = nil, nil
 	n.restarts = append(n.restarts, m.now)
 }
 
-const modelClock = int64(1.7e18)
+const modelStoreTime = int64(1.7e18)
 
-func (m *model) carry(n *modelNode) *Reply {
-	r := &Reply{Clock: modelClock + m.now, Own: m.presence[n.name], Live: len(m.nodes)}
-	m.presence[n.name] = n.asked.Presence
-	for _, q := range n.asked.Reads {
-		counts := make([]int64, q.Counts())
+func (m *fleetModel) serve(n *modelNode) *Reply {
+	r := &Reply{StoreTime: modelStoreTime + m.now, OwnPresence: m.presence[n.name], LiveMembers: len(m.nodes)}
+	m.presence[n.name] = n.pending.Presence
+	for _, q := range n.pending.CountReads {
+		counts := make([]int64, q.Windows())
 		for i := range counts {
 			counts[i] = m.tokens[fmt.Sprint(q.Window-1-int64(i))]
 		}
 		r.Counts = append(r.Counts, counts)
 	}
-	for _, t := range n.asked.Takes {
+	for _, t := range n.pending.TokenRequests {
 		key := fmt.Sprint(t.Window)
 		m.tokens[key] += t.Units
 		r.Totals = append(r.Totals, m.tokens[key])
@@ -80,33 +80,33 @@
 }
 
 // step does one thing that may happen next.
-func (m *model) step() {
+func (m *fleetModel) step() {
 	m.steps++
-	n := m.nodes[m.chance.IntN(len(m.nodes))]
-	if n.asked != nil && m.now >= n.asked.By {
-		n.asked, n.reply = nil, nil
-		a := n.c.Fail(m.now, errors.New("late"))
-		n.purse.Receive(m.now, a.Leases, a.Locals)
+	n := m.nodes[m.rng.IntN(len(m.nodes))]
+	if n.pending != nil && m.now >= n.pending.Deadline {
+		n.pending, n.reply = nil, nil
+		a := n.exchange.HandleFailure(m.now, errors.New("late"))
+		n.budget.Apply(m.now, a.Leases, a.LocalRates)
 	}
-	switch x := m.chance.IntN(100); {
+	switch x := m.rng.IntN(100); {
 	case x < 30:
-		m.now += m.chance.Int64N(5 * ms)
+		m.now += m.rng.Int64N(5 * ms)
 	case x < 65: // a greedy customer
-		if n.purse.Spend(m.now, 0) {
-			m.spend()
+		if n.budget.Spend(m.now, 0) {
+			m.recordSpend()
 		}
 	case x < 90:
-		m.round(n)
+		m.advanceRound(n)
 	case !m.faults:
-	case x < 92 && n.asked != nil: // lost there, or on the way back
-		n.carryAt, n.replyAt = 1<<62, 1<<62
-	case x < 94 && m.chance.IntN(60) == 0:
+	case x < 92 && n.pending != nil: // lost there, or on the way back
+		n.requestArrivesAt, n.replyArrivesAt = 1<<62, 1<<62
+	case x < 94 && m.rng.IntN(60) == 0:
 		m.start(n)
-	case x < 96 && m.chance.IntN(50) == 0:
-		m.saved = append(m.saved, maps.Clone(m.tokens))
-	case x < 98 && m.chance.IntN(250) == 0 && len(m.saved) > 0:
-		m.tokens = maps.Clone(m.saved[len(m.saved)-1])
-		m.fallen = append(m.fallen, m.now)
+	case x < 96 && m.rng.IntN(50) == 0:
+		m.snapshots = append(m.snapshots, maps.Clone(m.tokens))
+	case x < 98 && m.rng.IntN(250) == 0 && len(m.snapshots) > 0:
+		m.tokens = maps.Clone(m.snapshots[len(m.snapshots)-1])
+		m.rollbacks = append(m.rollbacks, m.now)
 	}
 	for len(m.tokens) > 200 {
 		for k := range m.tokens {
@@ -116,49 +116,49 @@
 	}
 }
 
-// round moves a node's round a step on.
-func (m *model) round(n *modelNode) {
+// advanceRound moves a node's round a step on.
+func (m *fleetModel) advanceRound(n *modelNode) {
 	delay := func() int64 {
-		if m.faults && m.chance.IntN(10) == 0 {
-			return m.chance.Int64N(400 * ms)
+		if m.faults && m.rng.IntN(10) == 0 {
+			return m.rng.Int64N(400 * ms)
 		}
-		return m.chance.Int64N(4 * ms)
+		return m.rng.Int64N(4 * ms)
 	}
 	switch {
-	case n.asked == nil:
-		if m.now < n.c.Next() {
+	case n.pending == nil:
+		if m.now < n.exchange.Next() {
 			return
 		}
 		s := Survey{}
-		n.purse.Survey(m.now, &s)
-		n.c.Survey(m.now, s)
-		if n.asked = n.c.Decide(m.now); n.asked != nil {
-			n.carryAt, n.reply = m.now+delay(), nil
+		n.budget.AppendSurvey(m.now, &s)
+		n.exchange.RecordSurvey(m.now, s)
+		if n.pending = n.exchange.Decide(m.now); n.pending != nil {
+			n.requestArrivesAt, n.reply = m.now+delay(), nil
 		}
-	case n.reply == nil && m.now >= n.carryAt:
-		n.reply, n.replyAt = m.carry(n), m.now+delay()
-	case n.reply != nil && m.now >= n.replyAt && m.now < n.asked.By:
-		a := n.c.Answer(m.now, *n.reply)
-		n.asked, n.reply = nil, nil
-		n.purse.Receive(m.now, a.Leases, a.Locals)
+	case n.reply == nil && m.now >= n.requestArrivesAt:
+		n.reply, n.replyArrivesAt = m.serve(n), m.now+delay()
+	case n.reply != nil && m.now >= n.replyArrivesAt && m.now < n.pending.Deadline:
+		a := n.exchange.HandleReply(m.now, *n.reply)
+		n.pending, n.reply = nil, nil
+		n.budget.Apply(m.now, a.Leases, a.LocalRates)
 	}
 }
 
-// spend books a token and checks the bounds over the last spans of time.
-func (m *model) spend() {
+// recordSpend books a token and checks the bounds over the last spans of time.
+func (m *fleetModel) recordSpend() {
 	m.spent = append(m.spent, m.now)
-	w := windows(m.quota, len(m.nodes)).window
+	w := newQuotaWindow(m.quota, len(m.nodes)).length
 	for _, span := range []int64{w, 3 * w, 10 * w} {
 		from, n := m.now-span, 0
 		for i := len(m.spent) - 1; i >= 0 && m.spent[i] >= from; i-- {
 			n++
 		}
 		// What leases allow, and the shares of the first rounds, before any were asked for.
-		limit := m.quota.Rate*float64(span+2*w)/1e9 + m.quota.Burst + m.quota.Rate*float64(4*modelRound)/1e9 +
+		limit := m.quota.Rate*float64(span+2*w)/1e9 + m.quota.Burst + m.quota.Rate*float64(4*modelRoundInterval)/1e9 +
 			float64(len(m.nodes))
 		if m.faults {
 			events := 0
-			for _, at := range m.fallen {
+			for _, at := range m.rollbacks {
 				if at >= from-2*w {
 					events++
 				}
@@ -219,12 +219,12 @@
 
 // A rate of one's own starts from what was leased, moves in small steps, and ends when leases come again.
 func TestLocalSteps(t *testing.T) {
-	l := newLedger(0, []Quota{{"a", 40, 0}}, 10, rand.New(rand.NewPCG(1, 1)))
-	l.rows[0].rate = 20
+	l := newLeaseManager(0, []Quota{{"a", 40, 0}}, 10, rand.New(rand.NewPCG(1, 1)))
+	l.states[0].rate = 20
 	was := 20.0
 	for now := int64(10e9); now <= 200e9; now += 10e9 {
-		for _, x := range l.locals(now, false, 10) {
-			if step := was - x.Rate; step < 0 || step > stepMost*was+1e-9 {
+		for _, x := range l.localRates(now, false, 10) {
+			if step := was - x.Rate; step < 0 || step > maxRateStep*was+1e-9 {
 				t.Errorf("from %v to %v", was, x.Rate)
 			}
 			was = x.Rate
@@ -233,17 +233,17 @@
 	if was > 4.5 {
 		t.Errorf("it ends at %v, a tenth of the rate is 4", was)
 	}
-	if end := l.locals(210e9, true, 10); len(end) != 1 || end[0].Rate != 0 {
+	if end := l.localRates(210e9, true, 10); len(end) != 1 || end[0].Rate != 0 {
 		t.Errorf("with leases again: %+v", end)
 	}
 }
 
 // Danger: a dead carrier leaves a rate that was meant for a moment; after a while the share holds.
 func TestPurseAlone(t *testing.T) {
-	p := NewPurse(0, []Quota{{"a", 100, 0}}, 10)
-	p.Receive(0, nil, []Local{{0, 90}})
+	p := NewQuotaBudget(0, []Quota{{"a", 100, 0}}, 10)
+	p.Apply(0, nil, []LocalRate{{0, 90}})
 	n := 0
-	for now := int64(silentFor) + 1e9; now < silentFor+11e9; now += 5 * ms {
+	for now := int64(silenceTimeoutNs) + 1e9; now < silenceTimeoutNs+11e9; now += 5 * ms {
 		if p.Spend(now, 0) {
 			n++
 		}
--- a/decide/sharedhealth/record.go
+++ b/decide/sharedhealth/record.go
@@ -13,17 +13,17 @@
 // A record is one byte of form, fields in the wire form of protocol buffers, and four bytes of checksum over all
 // before. A reader passes over fields that it does not know; a form that it does not know it refuses whole.
 const (
-	formNow     = 1
-	sumBytes    = 4
-	recordMost  = 4 << 10 // bytes: what is longer was not written by this program
-	findingMost = 64      // in one record, the gravest first
-	nameMost    = 128     // bytes of an aggregator's name
+	currentFormat  = 1
+	checksumBytes  = 4
+	maxRecordBytes = 4 << 10 // bytes: what is longer was not written by this program
+	maxFindings    = 64      // in one record, the gravest first
+	maxNameBytes   = 128     // bytes of an aggregator's name
 
-	fieldIncarnation, fieldSequence, fieldAt, fieldReplicas, fieldAccused, fieldFinding = 1, 2, 3, 4, 5, 6
-	fieldKey, fieldVerdict, fieldPace, fieldOld                                         = 1, 2, 3, 4
+	fieldIncarnation, fieldSequence, fieldWrittenAt, fieldReplicas, fieldFailingReplicas, fieldFinding = 1, 2, 3, 4, 5, 6
+	fieldKey, fieldVerdict, fieldSlowdown, fieldAge                                                    = 1, 2, 3, 4
 
-	paceUnit = 16 // a pace travels in sixteenths
-	paceMost = 64 // times the typical
+	slowdownScale      = 16 // a pace travels in sixteenths
+	maxEncodedSlowdown = 64 // times the typical
 )
 
 // Verdict is what an aggregator found of a replica.
@@ -32,32 +32,32 @@
 const (
 	FoundSlow    Verdict = iota + 1 // it serves, and takes long
 	FoundFailing                    // one failure since it last served
-	FoundAside                      // set aside for failures
-	FoundWell                       // it served lately, and nothing has failed since
+	FoundEjected                    // set aside for failures
+	FoundHealthy                    // it served lately, and nothing has failed since
 	verdictEnd
 )
 
-// Testimony is one aggregator's finding on one replica, as it travels.
-type Testimony struct {
-	Key     uint64 // of the replica's incarnation: see Key
-	Verdict Verdict
-	Pace    float64 // its time for a call over the typical one, 0 where not known
-	Old     int64   // since it was found, at the time of writing, ns
+// Finding is one aggregator's finding on one replica, as it travels.
+type Finding struct {
+	Key      uint64 // of the replica's incarnation: see Key
+	Verdict  Verdict
+	Slowdown float64 // its time for a call over the typical one, 0 where not known
+	Age      int64   // since it was found, at the time of writing, ns
 }
 
 // Record is what one aggregator tells. Incarnation and Sequence fence it: what an earlier process of that name left
 // behind has a lower incarnation, and an older state of the store a lower sequence.
 type Record struct {
-	Incarnation uint64
-	Sequence    uint64
-	At          int64 // the store's clock when it was written, as its writer reckons it, ns
-	Replicas    int   // how many it knows
-	Accused     int   // on how many of them it has a failure to tell, be they in the record or not
-	Testimonies []Testimony
+	Incarnation     uint64
+	Sequence        uint64
+	WrittenAt       int64 // the store's clock when it was written, as its writer reckons it, ns
+	Replicas        int   // how many it knows
+	FailingReplicas int   // on how many of them it has a failure to tell, be they in the record or not
+	Findings        []Finding
 }
 
-// Key names a replica's incarnation to all aggregators alike: its host and when it started, ms of Unix time.
-func Key(host string, born int64) uint64 {
+// ReplicaKey names a replica's incarnation to all aggregators alike: its host and when it started, ms of Unix time.
+func ReplicaKey(host string, born int64) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	d.WriteString(host)
@@ -68,7 +68,7 @@
 // Append encodes a record behind b.
 func (r Record) Append(b []byte) []byte {
 	from := len(b)
-	b = append(b, formNow)
+	b = append(b, currentFormat)
 	number := func(field protowire.Number, v uint64) {
 		if v != 0 {
 			b = protowire.AppendVarint(protowire.AppendTag(b, field, protowire.VarintType), v)
@@ -76,19 +76,19 @@
 	}
 	number(fieldIncarnation, r.Incarnation)
 	number(fieldSequence, r.Sequence)
-	number(fieldAt, uint64(max(r.At, 0)))
+	number(fieldWrittenAt, uint64(max(r.WrittenAt, 0)))
 	number(fieldReplicas, uint64(r.Replicas))
-	number(fieldAccused, uint64(r.Accused))
+	number(fieldFailingReplicas, uint64(r.FailingReplicas))
 	var one []byte
-	for _, t := range r.Testimonies[:min(len(r.Testimonies), findingMost)] {
+	for _, t := range r.Findings[:min(len(r.Findings), maxFindings)] {
 		one = protowire.AppendTag(one[:0], fieldKey, protowire.Fixed64Type)
 		one = protowire.AppendFixed64(one, t.Key)
 		one = protowire.AppendVarint(protowire.AppendTag(one, fieldVerdict, protowire.VarintType), uint64(t.Verdict))
-		if pace := uint64(math.Round(min(max(t.Pace, 0), paceMost) * paceUnit)); pace > 0 {
-			one = protowire.AppendVarint(protowire.AppendTag(one, fieldPace, protowire.VarintType), pace)
+		if pace := uint64(math.Round(min(max(t.Slowdown, 0), maxEncodedSlowdown) * slowdownScale)); pace > 0 {
+			one = protowire.AppendVarint(protowire.AppendTag(one, fieldSlowdown, protowire.VarintType), pace)
 		}
-		if old := uint64(max(t.Old, 0) / ms); old > 0 {
-			one = protowire.AppendVarint(protowire.AppendTag(one, fieldOld, protowire.VarintType), old)
+		if old := uint64(max(t.Age, 0) / ms); old > 0 {
+			one = protowire.AppendVarint(protowire.AppendTag(one, fieldAge, protowire.VarintType), old)
 		}
 		b = protowire.AppendBytes(protowire.AppendTag(b, fieldFinding, protowire.BytesType), one)
 	}
@@ -96,11 +96,11 @@
 }
 
 var (
-	errLong  = fmt.Errorf("a record is over %d bytes", recordMost)
-	errShort = errors.New("a record is cut short")
-	errSum   = errors.New("a record's checksum does not fit")
-	errForm  = errors.New("a record is of a form that is not known here")
-	errField = errors.New("a record's fields are malformed")
+	errTooLong   = fmt.Errorf("a record is over %d bytes", maxRecordBytes)
+	errTruncated = errors.New("a record is cut short")
+	errChecksum  = errors.New("a record's checksum does not fit")
+	errFormat    = errors.New("a record is of a form that is not known here")
+	errField     = errors.New("a record's fields are malformed")
 )
 
 // Decode reads a record.
@@ -109,67 +109,67 @@
 // is refused whole, and nothing is made room for before its length is known to be there.
 func Decode(b []byte) (r Record, err error) {
 	switch {
-	case len(b) > recordMost:
-		return r, errLong
-	case len(b) < 1+sumBytes:
-		return r, errShort
+	case len(b) > maxRecordBytes:
+		return r, errTooLong
+	case len(b) < 1+checksumBytes:
+		return r, errTruncated
 	}
-	body, sum := b[:len(b)-sumBytes], binary.LittleEndian.Uint32(b[len(b)-sumBytes:])
+	body, sum := b[:len(b)-checksumBytes], binary.LittleEndian.Uint32(b[len(b)-checksumBytes:])
 	switch {
 	case uint32(xxhash.Sum64(body)) != sum:
-		return r, errSum
-	case body[0] != formNow:
-		return r, errForm
+		return r, errChecksum
+	case body[0] != currentFormat:
+		return r, errFormat
 	}
-	err = fields(body[1:], func(field protowire.Number, v uint64, inner []byte) error {
+	err = eachField(body[1:], func(field protowire.Number, v uint64, inner []byte) error {
 		switch field {
 		case fieldIncarnation:
 			r.Incarnation = v
 		case fieldSequence:
 			r.Sequence = v
-		case fieldAt:
-			r.At = int64(v)
+		case fieldWrittenAt:
+			r.WrittenAt = int64(v)
 		case fieldReplicas:
 			r.Replicas = int(min(v, math.MaxInt32))
-		case fieldAccused:
-			r.Accused = int(min(v, math.MaxInt32))
+		case fieldFailingReplicas:
+			r.FailingReplicas = int(min(v, math.MaxInt32))
 		case fieldFinding:
-			if len(r.Testimonies) == findingMost {
+			if len(r.Findings) == maxFindings {
 				return errField
 			}
-			t, err := testimony(inner)
+			t, err := decodeFinding(inner)
 			if t.Verdict > 0 && t.Verdict < verdictEnd { // a later version may have more
-				r.Testimonies = append(r.Testimonies, t)
+				r.Findings = append(r.Findings, t)
 			}
 			return err
 		}
 		return nil
 	})
-	if err == nil && (r.At < 0 || r.Incarnation == 0) {
+	if err == nil && (r.WrittenAt < 0 || r.Incarnation == 0) {
 		err = errField
 	}
 	return r, err
 }
 
-func testimony(b []byte) (t Testimony, err error) {
-	err = fields(b, func(field protowire.Number, v uint64, _ []byte) error {
+func decodeFinding(b []byte) (t Finding, err error) {
+	err = eachField(b, func(field protowire.Number, v uint64, _ []byte) error {
 		switch field {
 		case fieldKey:
 			t.Key = v
 		case fieldVerdict:
 			t.Verdict = Verdict(min(v, math.MaxUint8))
-		case fieldPace:
-			t.Pace = float64(min(v, paceMost*paceUnit)) / paceUnit
-		case fieldOld:
-			t.Old = int64(min(v, 1<<32)) * ms
+		case fieldSlowdown:
+			t.Slowdown = float64(min(v, maxEncodedSlowdown*slowdownScale)) / slowdownScale
+		case fieldAge:
+			t.Age = int64(min(v, 1<<32)) * ms
 		}
 		return nil
 	})
 	return t, err
 }
 
-// fields walks over the fields of a message; numbers of any width come as v, bytes as inner.
-func fields(b []byte, each func(field protowire.Number, v uint64, inner []byte) error) error {
+// eachField walks over the fields of a message; numbers of any width come as v, bytes as inner.
+func eachField(b []byte, each func(field protowire.Number, v uint64, inner []byte) error) error {
 	for len(b) > 0 {
 		field, form, n := protowire.ConsumeTag(b)
 		if n < 0 {
