--- a/decide/sharedhealth/record_test.go
+++ b/decide/sharedhealth/record_test.go
@@ -11,24 +11,24 @@
 	"pgregory.net/rapid"
 )
 
-func someRecord(t *rapid.T) Record {
+func randomRecord(t *rapid.T) Record {
 	r := Record{Incarnation: rapid.Uint64Min(1).Draw(t, "incarnation"), Sequence: rapid.Uint64().Draw(t, "sequence"),
-		At: rapid.Int64Min(0).Draw(t, "at"), Replicas: rapid.IntRange(0, 1000).Draw(t, "replicas"),
-		Accused: rapid.IntRange(0, 1000).Draw(t, "accused")}
-	for range rapid.IntRange(0, findingMost).Draw(t, "findings") {
-		r.Testimonies = append(r.Testimonies, Testimony{Key: rapid.Uint64().Draw(t, "key"),
-			Verdict: Verdict(rapid.IntRange(1, int(verdictEnd)-1).Draw(t, "verdict")),
-			Pace:    float64(rapid.IntRange(0, paceMost*paceUnit).Draw(t, "pace")) / paceUnit,
-			Old:     rapid.Int64Range(0, 1<<31).Draw(t, "old") * ms})
+		WrittenAt: rapid.Int64Min(0).Draw(t, "at"), Replicas: rapid.IntRange(0, 1000).Draw(t, "replicas"),
+		FailingReplicas: rapid.IntRange(0, 1000).Draw(t, "accused")}
+	for range rapid.IntRange(0, maxFindings).Draw(t, "findings") {
+		r.Findings = append(r.Findings, Finding{Key: rapid.Uint64().Draw(t, "key"),
+			Verdict:  Verdict(rapid.IntRange(1, int(verdictEnd)-1).Draw(t, "verdict")),
+			Slowdown: float64(rapid.IntRange(0, maxEncodedSlowdown*slowdownScale).Draw(t, "pace")) / slowdownScale,
+			Age:      rapid.Int64Range(0, 1<<31).Draw(t, "old") * ms})
 	}
 	return r
 }
 
 func TestRecordThereAndBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := someRecord(t)
+		r := randomRecord(t)
 		text := r.Append(nil)
-		if len(text) > recordMost {
+		if len(text) > maxRecordBytes {
 			t.Fatalf("%d bytes", len(text))
 		}
 		got, err := Decode(text)
@@ -41,7 +41,7 @@
 // Danger: what is cut, flipped or too long is refused whole.
 func TestRecordDamaged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text := someRecord(t).Append(nil)
+		text := randomRecord(t).Append(nil)
 		if _, err := Decode(text[:rapid.IntRange(0, len(text)-1).Draw(t, "cut")]); err == nil {
 			t.Fatal("a record cut short was read")
 		}
@@ -51,62 +51,62 @@
 			t.Fatal("a record with a flipped bit was read")
 		}
 	})
-	if _, err := Decode(make([]byte, recordMost+1)); err != errLong {
+	if _, err := Decode(make([]byte, maxRecordBytes+1)); err != errTooLong {
 		t.Errorf("a long record: %v", err)
 	}
 }
 
-func summed(body []byte) []byte {
+func withChecksum(body []byte) []byte {
 	return binary.LittleEndian.AppendUint32(body, uint32(xxhash.Sum64(body)))
 }
 
 // A later version may have more fields and more verdicts; they are passed over.
 func TestRecordOfLaterVersion(t *testing.T) {
-	r := Record{Incarnation: 3, Sequence: 9, At: 5, Testimonies: []Testimony{{Key: 7, Verdict: FoundAside}}}
+	r := Record{Incarnation: 3, Sequence: 9, WrittenAt: 5, Findings: []Finding{{Key: 7, Verdict: FoundEjected}}}
 	body := r.Append(nil)
-	body = body[:len(body)-sumBytes]
+	body = body[:len(body)-checksumBytes]
 	body = protowire.AppendString(protowire.AppendTag(body, 40, protowire.BytesType), "what is this")
 	body = protowire.AppendFixed32(protowire.AppendTag(body, 41, protowire.Fixed32Type), 8)
 	odd := protowire.AppendVarint(protowire.AppendTag(nil, fieldVerdict, protowire.VarintType), 200)
 	body = protowire.AppendBytes(protowire.AppendTag(body, fieldFinding, protowire.BytesType), odd)
-	got, err := Decode(summed(body))
+	got, err := Decode(withChecksum(body))
 	if err != nil || !reflect.DeepEqual(got, r) {
 		t.Errorf("got %+v, %v", got, err)
 	}
-	other := append([]byte{formNow + 1}, body[1:]...)
-	if _, err := Decode(summed(other)); err != errForm {
+	other := append([]byte{currentFormat + 1}, body[1:]...)
+	if _, err := Decode(withChecksum(other)); err != errFormat {
 		t.Errorf("another form: %v", err)
 	}
 	many := Record{Incarnation: 1}.Append(nil)
-	many = many[:len(many)-sumBytes]
-	for range findingMost + 1 {
-		one := protowire.AppendVarint(protowire.AppendTag(nil, fieldVerdict, protowire.VarintType), uint64(FoundWell))
+	many = many[:len(many)-checksumBytes]
+	for range maxFindings + 1 {
+		one := protowire.AppendVarint(protowire.AppendTag(nil, fieldVerdict, protowire.VarintType), uint64(FoundHealthy))
 		many = protowire.AppendBytes(protowire.AppendTag(many, fieldFinding, protowire.BytesType), one)
 	}
-	if _, err := Decode(summed(many)); err != errField {
+	if _, err := Decode(withChecksum(many)); err != errField {
 		t.Errorf("more findings than a record has: %v", err)
 	}
-	if _, err := Decode(summed(Record{Sequence: 1}.Append(nil)[:3])); err == nil {
+	if _, err := Decode(withChecksum(Record{Sequence: 1}.Append(nil)[:3])); err == nil {
 		t.Error("a record without an incarnation was read")
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Record{Incarnation: 3, Sequence: 9, At: 5, Testimonies: []Testimony{{7, FoundAside, 2, 5 * ms}}}.Append(nil), true)
+	f.Add(Record{Incarnation: 3, Sequence: 9, WrittenAt: 5, Findings: []Finding{{7, FoundEjected, 2, 5 * ms}}}.Append(nil), true)
 	f.Add([]byte{1, 2, 3}, false)
 	f.Fuzz(func(t *testing.T, text []byte, sum bool) {
 		if sum { // past the checksum, to the fields
-			text = summed(append([]byte{formNow}, text...))
+			text = withChecksum(append([]byte{currentFormat}, text...))
 		}
 		r, err := Decode(text)
 		if err != nil {
 			return
 		}
-		if len(r.Testimonies) > findingMost || r.Incarnation == 0 || r.At < 0 || r.Replicas < 0 || r.Accused < 0 {
+		if len(r.Findings) > maxFindings || r.Incarnation == 0 || r.WrittenAt < 0 || r.Replicas < 0 || r.FailingReplicas < 0 {
 			t.Fatalf("took %+v", r)
 		}
-		for _, e := range r.Testimonies {
-			if e.Verdict == 0 || e.Verdict >= verdictEnd || math.IsNaN(e.Pace) || e.Pace < 0 || e.Pace > paceMost || e.Old < 0 {
+		for _, e := range r.Findings {
+			if e.Verdict == 0 || e.Verdict >= verdictEnd || math.IsNaN(e.Slowdown) || e.Slowdown < 0 || e.Slowdown > maxEncodedSlowdown || e.Age < 0 {
 				t.Fatalf("took %+v", e)
 			}
 		}
@@ -114,16 +114,16 @@
 }
 
 func TestKey(t *testing.T) {
-	first, again := Key("s-1", 5), Key("s-1", 5)
-	if first == Key("s-1", 6) || first == Key("s-2", 5) || first != again {
+	first, again := ReplicaKey("s-1", 5), ReplicaKey("s-1", 5)
+	if first == ReplicaKey("s-1", 6) || first == ReplicaKey("s-2", 5) || first != again {
 		t.Error("keys do not tell incarnations apart")
 	}
 }
 
 func BenchmarkRecord(b *testing.B) {
-	r := Record{Incarnation: 3, Sequence: 9, At: 1.7e18, Replicas: 300, Accused: 2}
+	r := Record{Incarnation: 3, Sequence: 9, WrittenAt: 1.7e18, Replicas: 300, FailingReplicas: 2}
 	for i := range 4 {
-		r.Testimonies = append(r.Testimonies, Testimony{Key("s", int64(i)), FoundAside, 2.5, 1200 * ms})
+		r.Findings = append(r.Findings, Finding{ReplicaKey("s", int64(i)), FoundEjected, 2.5, 1200 * ms})
 	}
 	b.ReportMetric(float64(len(r.Append(nil))), "bytes")
 	for b.Loop() {
--- a/decide/sharedhealth/sharedhealth.go
+++ b/decide/sharedhealth/sharedhealth.go
@@ -19,342 +19,342 @@
 const ms = 1_000_000 // ns
 
 const (
-	presenceRounds = 20  // an aggregator's own key lasts so many rounds
-	liveRounds     = 6   // without a heartbeat, and an aggregator is not counted
-	sweepEach      = 16  // rounds between two sweeps of what others left behind, by chance
-	goneAfter      = 60  // rounds after which what another left behind is swept
-	fieldsSwept    = 16  // findings of aggregators long gone that one sweep removes
-	clockBack      = 1e9 // ns that the store's clock may fall before that is a contradiction
-	clockAhead     = 5e9 // ns that it may leap
+	presenceTTLRounds     = 20  // an aggregator's own key lasts so many rounds
+	maxHeartbeatAgeRounds = 6   // without a heartbeat, and an aggregator is not counted
+	sweepEveryRounds      = 16  // rounds between two sweeps of what others left behind, by chance
+	goneAfterRounds       = 60  // rounds after which what another left behind is swept
+	maxFieldsPerSweep     = 16  // findings of aggregators long gone that one sweep removes
+	maxClockBackNs        = 1e9 // ns that the store's clock may fall before that is a contradiction
+	maxClockAheadNs       = 5e9 // ns that it may leap
 )
 
-// Terms are what an aggregator is told of the store. Times in ns.
-type Terms struct {
-	Name        string // of this aggregator, no other's
-	Incarnation uint64 // of this process: higher than that of the one before under the same name
-	Seed        uint64
-	Round       int64
-	Deadline    int64
-	Sample      int   // most aggregators that are read in one round
-	Aggregators int   // that there are, as the deployment states it
-	Rest        int64 // the first rest of a replica that is set aside
-	Health      bool
-	Quotas      []Quota
+// Config are what an aggregator is told of the store. Times in ns.
+type Config struct {
+	Name          string // of this aggregator, no other's
+	Incarnation   uint64 // of this process: higher than that of the one before under the same name
+	Seed          uint64
+	RoundInterval int64
+	RoundTimeout  int64
+	SampleSize    int   // most aggregators that are read in one round
+	Aggregators   int   // that there are, as the deployment states it
+	BaseEjection  int64 // the first rest of a replica that is set aside
+	HealthEnabled bool
+	Quotas        []Quota
 }
 
 // Request is one round with the store, to be carried out in one go: nothing in it depends on what comes back.
 type Request struct {
-	Sent      int64
-	By        int64 // or it has failed
-	Presence  []byte
-	Lasts     int64  // of the presence, ns
-	Findings  []byte // nil: there is nothing to tell, and what was told before goes
-	Sample    int    // records to read, by chance; 0 for none
-	Heartbeat int64  // score of this aggregator among the members, the store's ms; 0 while its clock is not known
-	LiveFrom  int64  // lowest score that counts as living
-	SweepTo   int64  // scores up to this are removed; 0 for no sweep
-	Drop      []string
-	Reads     []Read
-	Takes     []Take
+	SentAt         int64
+	Deadline       int64 // or it has failed
+	Presence       []byte
+	PresenceTTL    int64  // of the presence, ns
+	Findings       []byte // nil: there is nothing to tell, and what was told before goes
+	SampleSize     int    // records to read, by chance; 0 for none
+	HeartbeatScore int64  // score of this aggregator among the members, the store's ms; 0 while its clock is not known
+	MinLiveScore   int64  // lowest score that counts as living
+	SweepMaxScore  int64  // scores up to this are removed; 0 for no sweep
+	DropFindings   []string
+	CountReads     []CountRead
+	TokenRequests  []TokenRequest
 }
 
 // Entry is a record of another aggregator as the store holds it.
 type Entry struct {
 	Name string
-	Text []byte
+	Data []byte
 }
 
 // Reply is what the store answered.
 type Reply struct {
-	Clock   int64  // the store's, ns of Unix time
-	Own     []byte // what stood at this aggregator's presence before it was set; nil for nothing
-	Live    int
-	Entries []Entry
-	Counts  [][]int64 // of each Read
-	Totals  []int64   // of each Take, after it
-	Odd     int       // parts of the answer that could not be used
+	StoreTime     int64  // the store's, ns of Unix time
+	OwnPresence   []byte // what stood at this aggregator's presence before it was set; nil for nothing
+	LiveMembers   int
+	Entries       []Entry
+	Counts        [][]int64 // of each Read
+	Totals        []int64   // of each Take, after it
+	UnusableParts int       // parts of the answer that could not be used
 }
 
-// Allowance is what the aggregator is told: words to the decision module, tokens to its purse.
-type Allowance struct {
-	Words  []balance.Word
-	Leases []Lease
-	Locals []Local
+// RoundResult is what the aggregator is told: words to the decision module, tokens to its purse.
+type RoundResult struct {
+	Reports    []balance.SharedReport
+	Leases     []Lease
+	LocalRates []LocalRate
 }
 
 // Event is something that staff ought to hear of.
 type Event struct {
-	Text  string
-	State State
-	Name  string // of an aggregator, or empty
+	Message    string
+	State      State
+	Aggregator string // of an aggregator, or empty
 }
 
-// Figures are counts since the start, but for State, Age and Live.
-type Figures struct {
-	State                                                State
-	Age                                                  int64 // of the last good round, ns
-	Live                                                 int
-	Rounds, Failed, Contradictions, Refused, Heard, Told int64
-	Suspected, Put, Passed, Leased, Short                int64
+// Stats are counts since the start, but for State, Age and Live.
+type Stats struct {
+	State                                                                                  State
+	LastGoodRoundAge                                                                       int64 // of the last good round, ns
+	LiveMembers                                                                            int
+	Rounds, FailedRounds, Contradictions, RecordsRefused, RecordsMerged, FindingsPublished int64
+	Suspected, TrialsMoved, PassedOver, TokensLeased, LeasesShort                          int64
 }
 
 // Exchange is one aggregator's part in what is shared.
 type Exchange struct {
-	Terms
-	trust    trust
-	hearsay  *hearsay
-	ledger   *ledger
-	chance   *rand.Rand
-	survey   Survey
-	surveyed int64
-	asked    *Request // under way
-	sequence uint64
-	written  uint64 // the last sequence that the store has taken,
-	wroteAs  uint64 // under this incarnation
-	wroteAt  int64
-	clock    int64 // the store's, at the last good round; 0 for not known
-	received int64 // when that came
-	sent     int64 // when that round left
-	live     int
-	highs    [2]int // the highest number of members of this span and the last
-	highFrom int64
-	leasedAt int64
-	leasing  bool           // the round under way asks for tokens
-	stale    map[string]int // fields of aggregators long gone, by rounds that they were seen
-	events   []Event
-	figures  Figures
-	was      State
+	Config
+	monitor              storeMonitor
+	gossip               *gossip
+	leaseManager         *leaseManager
+	rng                  *rand.Rand
+	survey               Survey
+	surveyedAt           int64
+	pending              *Request // under way
+	sequence             uint64
+	confirmedSequence    uint64 // the last sequence that the store has taken,
+	confirmedIncarnation uint64 // under this incarnation
+	confirmedAt          int64
+	storeTime            int64 // the store's, at the last good round; 0 for not known
+	storeTimeReceivedAt  int64 // when that came
+	storeTimeRequestedAt int64 // when that round left
+	liveMembers          int
+	peakMembers          [2]int // the highest number of members of this span and the last
+	peakSince            int64
+	lastLeaseUpdate      int64
+	requestedTokens      bool           // the round under way asks for tokens
+	staleFields          map[string]int // fields of aggregators long gone, by rounds that they were seen
+	events               []Event
+	figures              Stats
+	reportedState        State
 }
 
 // New makes an aggregator's part at its start.
-func New(now int64, t Terms) *Exchange {
-	chance := rand.New(rand.NewPCG(t.Seed, uint64(t.Incarnation)))
-	c := &Exchange{Terms: t, chance: chance, hearsay: newHearsay(t.Round, t.Rest, chance), ledger: newLedger(now, t.Quotas, t.Aggregators, chance),
-		stale: map[string]int{}, surveyed: now, leasedAt: now, highFrom: now,
-		trust: trust{round: t.Round, deadline: t.Deadline, chance: chance, good: now - 2*lostRounds*t.Round}}
+func New(now int64, config Config) *Exchange {
+	chance := rand.New(rand.NewPCG(config.Seed, uint64(config.Incarnation)))
+	c := &Exchange{Config: config, rng: chance, gossip: newGossip(config.RoundInterval, config.BaseEjection, chance), leaseManager: newLeaseManager(now, config.Quotas, config.Aggregators, chance),
+		staleFields: map[string]int{}, surveyedAt: now, lastLeaseUpdate: now, peakSince: now,
+		monitor: storeMonitor{interval: config.RoundInterval, timeout: config.RoundTimeout, rng: chance, lastGood: now - 2*unreachableAfterRounds*config.RoundInterval}}
 	// Danger: a fleet that starts together would meet the store together.
-	c.trust.next = now + int64(float64(t.Round)*chance.Float64())
+	c.monitor.nextRound = now + int64(float64(config.RoundInterval)*chance.Float64())
 	return c
 }
 
 // Next is when Decide wants to be called again.
-func (c *Exchange) Next() int64 { return c.trust.next }
+func (c *Exchange) Next() int64 { return c.monitor.nextRound }
 
-// Survey takes in what the aggregator knows itself; its slices are the caller's again after the next Answer or Fail.
-func (c *Exchange) Survey(now int64, s Survey) {
-	c.ledger.survey(s, now-c.surveyed)
-	c.survey, c.surveyed = s, now
+// RecordSurvey takes in what the aggregator knows itself; its slices are the caller's again after the next Answer or Fail.
+func (c *Exchange) RecordSurvey(now int64, s Survey) {
+	c.leaseManager.recordSurvey(s, now-c.surveyedAt)
+	c.survey, c.surveyedAt = s, now
 }
 
-// bounds are the earliest and the latest that the store's clock can show now.
-func (c *Exchange) bounds(now int64) (low, high int64) {
-	return c.clock + now - c.received, c.clock + now - c.sent
+// storeTimeBounds are the earliest and the latest that the store's clock can show now.
+func (c *Exchange) storeTimeBounds(now int64) (low, high int64) {
+	return c.storeTime + now - c.storeTimeReceivedAt, c.storeTime + now - c.storeTimeRequestedAt
 }
 
 // Decide returns the round that is due, or nil.
 func (c *Exchange) Decide(now int64) *Request {
-	if c.trust.look(now); c.asked != nil || now < c.trust.next {
+	if c.monitor.advance(now); c.pending != nil || now < c.monitor.nextRound {
 		return nil
 	}
 	c.sequence++
-	r := &Request{Sent: now, By: now + c.Deadline, Lasts: presenceRounds * c.Round}
+	r := &Request{SentAt: now, Deadline: now + c.RoundTimeout, PresenceTTL: presenceTTLRounds * c.RoundInterval}
 	var low, high int64
-	if c.clock > 0 {
-		low, high = c.bounds(now)
-		r.Heartbeat = low / ms
-		r.LiveFrom = (low - liveRounds*c.Round) / ms
-		if c.chance.IntN(sweepEach) == 0 {
-			r.SweepTo = (low - goneAfter*c.Round) / ms
-			for name, seen := range c.stale {
-				if seen > 1 && len(r.Drop) < fieldsSwept {
-					r.Drop = append(r.Drop, name)
+	if c.storeTime > 0 {
+		low, high = c.storeTimeBounds(now)
+		r.HeartbeatScore = low / ms
+		r.MinLiveScore = (low - maxHeartbeatAgeRounds*c.RoundInterval) / ms
+		if c.rng.IntN(sweepEveryRounds) == 0 {
+			r.SweepMaxScore = (low - goneAfterRounds*c.RoundInterval) / ms
+			for name, seen := range c.staleFields {
+				if seen > 1 && len(r.DropFindings) < maxFieldsPerSweep {
+					r.DropFindings = append(r.DropFindings, name)
 				}
 			}
-			clear(c.stale)
+			clear(c.staleFields)
 		}
 	}
-	own := Record{Incarnation: c.Incarnation, Sequence: c.sequence, At: low, Replicas: len(c.survey.Findings)}
+	own := Record{Incarnation: c.Incarnation, Sequence: c.sequence, WrittenAt: low, Replicas: len(c.survey.Findings)}
 	r.Presence = own.Append(nil)
-	if c.Health {
-		r.Sample = c.Sample
-		if c.clock > 0 {
-			record := c.hearsay.testify(now, c.survey)
-			record.Incarnation, record.Sequence, record.At = own.Incarnation, own.Sequence, own.At
-			if len(record.Testimonies) > 0 {
+	if c.HealthEnabled {
+		r.SampleSize = c.SampleSize
+		if c.storeTime > 0 {
+			record := c.gossip.buildRecord(now, c.survey)
+			record.Incarnation, record.Sequence, record.WrittenAt = own.Incarnation, own.Sequence, own.WrittenAt
+			if len(record.Findings) > 0 {
 				r.Findings = record.Append(nil)
-				c.figures.Told += int64(len(record.Testimonies))
+				c.figures.FindingsPublished += int64(len(record.Findings))
 			}
 		}
 	}
-	if c.leasing = c.clock > 0 && c.trust.believed(); c.leasing {
-		r.Reads, r.Takes = c.ledger.asks(low, high, c.Round)
+	if c.requestedTokens = c.storeTime > 0 && c.monitor.usable(); c.requestedTokens {
+		r.CountReads, r.TokenRequests = c.leaseManager.buildRequests(low, high, c.RoundInterval)
 	}
-	c.asked = r
+	c.pending = r
 	return r
 }
 
-// Answer takes in what the store answered to the request under way.
-func (c *Exchange) Answer(now int64, reply Reply) Allowance {
-	asked := c.asked
-	c.asked = nil
+// HandleReply takes in what the store answered to the request under way.
+func (c *Exchange) HandleReply(now int64, reply Reply) RoundResult {
+	asked := c.pending
+	c.pending = nil
 	c.figures.Rounds++
-	c.figures.Refused += int64(reply.Odd)
+	c.figures.RecordsRefused += int64(reply.UnusableParts)
 	as := c.Incarnation
-	contradiction := c.contradiction(now, asked, reply)
+	contradiction := c.findContradiction(now, asked, reply)
 	if contradiction != "" {
 		c.figures.Contradictions++
-		c.event(contradiction, "")
+		c.addEvent(contradiction, "")
 	}
-	first := c.clock == 0
-	c.clock, c.received, c.sent = reply.Clock, now, asked.Sent
-	c.written, c.wroteAs, c.wroteAt = c.sequence, as, now
-	c.trust.succeeded(now, now-asked.Sent, contradiction != "")
-	c.count(now, reply.Live, first)
-	c.read(now, reply)
-	var a Allowance
+	first := c.storeTime == 0
+	c.storeTime, c.storeTimeReceivedAt, c.storeTimeRequestedAt = reply.StoreTime, now, asked.SentAt
+	c.confirmedSequence, c.confirmedIncarnation, c.confirmedAt = c.sequence, as, now
+	c.monitor.roundSucceeded(now, now-asked.SentAt, contradiction != "")
+	c.updateMembers(now, reply.LiveMembers, first)
+	c.mergeRecords(now, reply)
+	var a RoundResult
 	if contradiction == "" {
-		a.Leases = c.leases(now, asked, reply)
+		a.Leases = c.collectLeases(now, asked, reply)
 	}
-	if c.trust.believed() && c.Health {
-		a.Words = slices.Clone(c.hearsay.weigh(now, c.survey, c.Members(now))) // it goes to another goroutine
-		for _, w := range a.Words {
-			c.figures.count(w)
+	if c.monitor.usable() && c.HealthEnabled {
+		a.Reports = slices.Clone(c.gossip.evaluate(now, c.survey, c.Members(now))) // it goes to another goroutine
+		for _, w := range a.Reports {
+			c.figures.countReport(w)
 		}
 	}
 	// Danger: who leases and lets in its share as well spends twice; who does neither has nothing for a round.
-	a.Locals = c.ledger.locals(now, c.leasing && contradiction == "", c.Members(now))
-	c.note()
+	a.LocalRates = c.leaseManager.localRates(now, c.requestedTokens && contradiction == "", c.Members(now))
+	c.reportStateChange()
 	return a
 }
 
-func (f *Figures) count(w balance.Word) {
+func (f *Stats) countReport(w balance.SharedReport) {
 	for _, x := range []struct {
 		n  *int64
 		is bool
-	}{{&f.Suspected, w.Suspect}, {&f.Put, w.Try > 0}, {&f.Passed, w.Weight > 0}} {
+	}{{&f.Suspected, w.Suspect}, {&f.TrialsMoved, w.TrialAt > 0}, {&f.PassedOver, w.Weight > 0}} {
 		if x.is {
 			*x.n++
 		}
 	}
 }
 
-// Fail takes in that the request under way came to nothing.
-func (c *Exchange) Fail(now int64, _ error) Allowance {
-	c.asked = nil
+// HandleFailure takes in that the request under way came to nothing.
+func (c *Exchange) HandleFailure(now int64, _ error) RoundResult {
+	c.pending = nil
 	c.figures.Rounds++
-	c.figures.Failed++
-	c.trust.failed(now)
-	c.note()
-	return Allowance{Locals: c.ledger.locals(now, false, c.Members(now))}
+	c.figures.FailedRounds++
+	c.monitor.roundFailed(now)
+	c.reportStateChange()
+	return RoundResult{LocalRates: c.leaseManager.localRates(now, false, c.Members(now))}
 }
 
-// contradiction tells what in an answer cannot be, or nothing.
+// findContradiction tells what in an answer cannot be, or nothing.
 //
 // Danger: a store that was emptied, failed over to an older state or shared with another fleet answers in time and
 // says what no longer holds. This aggregator's own key shows it: only this process writes there.
-func (c *Exchange) contradiction(now int64, asked *Request, reply Reply) string {
-	if c.clock > 0 {
-		if low, high := c.bounds(now); reply.Clock < low-clockBack || reply.Clock > high+clockAhead {
+func (c *Exchange) findContradiction(now int64, asked *Request, reply Reply) string {
+	if c.storeTime > 0 {
+		if low, high := c.storeTimeBounds(now); reply.StoreTime < low-maxClockBackNs || reply.StoreTime > high+maxClockAheadNs {
 			return "the store's clock leapt"
 		}
 	}
-	if reply.Own == nil {
-		if c.written > 0 && now-c.wroteAt < asked.Lasts/2 {
+	if reply.OwnPresence == nil {
+		if c.confirmedSequence > 0 && now-c.confirmedAt < asked.PresenceTTL/2 {
 			return "the store has lost what it held"
 		}
 		return ""
 	}
-	own, err := Decode(reply.Own)
+	own, err := Decode(reply.OwnPresence)
 	switch {
 	case err != nil:
 		return "this aggregator's own key holds what it did not write"
-	case own.Incarnation > c.Incarnation && c.written == 0: // a clock that went back, or a process before this one
+	case own.Incarnation > c.Incarnation && c.confirmedSequence == 0: // a clock that went back, or a process before this one
 		c.Incarnation = own.Incarnation + 1
 		return ""
 	case own.Incarnation > c.Incarnation:
 		return "another process goes by this aggregator's name"
-	case c.written > 0 && (own.Incarnation < c.wroteAs || own.Incarnation == c.wroteAs && own.Sequence < c.written):
+	case c.confirmedSequence > 0 && (own.Incarnation < c.confirmedIncarnation || own.Incarnation == c.confirmedIncarnation && own.Sequence < c.confirmedSequence):
 		return "the store went back to an older state"
 	}
 	return ""
 }
 
-// count keeps the highest number of members of the last while.
-func (c *Exchange) count(now int64, live int, first bool) {
-	if now-c.highFrom > membersFor/2 {
-		c.highs, c.highFrom = [2]int{0, c.highs[0]}, now
+// updateMembers keeps the highest number of members of the last while.
+func (c *Exchange) updateMembers(now int64, live int, first bool) {
+	if now-c.peakSince > membersWindowNs/2 {
+		c.peakMembers, c.peakSince = [2]int{0, c.peakMembers[0]}, now
 	}
-	if c.live = live; !first {
-		c.highs[0] = max(c.highs[0], live)
+	if c.liveMembers = live; !first {
+		c.peakMembers[0] = max(c.peakMembers[0], live)
 	}
 }
 
 // Members is how many aggregators are reckoned with: when unsure the more, for shares are the smaller then.
 func (c *Exchange) Members(now int64) int {
-	return max(c.highs[0], c.highs[1], c.Aggregators, 1)
+	return max(c.peakMembers[0], c.peakMembers[1], c.Aggregators, 1)
 }
 
-// read takes in the records of others.
-func (c *Exchange) read(now int64, reply Reply) {
+// mergeRecords takes in the records of others.
+func (c *Exchange) mergeRecords(now int64, reply Reply) {
 	for _, e := range reply.Entries {
 		if e.Name == c.Name {
 			continue
 		}
-		r, err := Decode(e.Text)
-		if err != nil || len(e.Name) > nameMost {
-			c.figures.Refused++
-			c.event("a record was refused", e.Name)
+		r, err := Decode(e.Data)
+		if err != nil || len(e.Name) > maxNameBytes {
+			c.figures.RecordsRefused++
+			c.addEvent("a record was refused", e.Name)
 			continue
 		}
-		if c.hearsay.record(now, reply.Clock, e.Name, r) {
-			c.figures.Heard++
-		} else if reply.Clock-r.At > goneAfter*c.Round && len(c.stale) < recordsMost {
-			c.stale[e.Name]++
+		if c.gossip.mergeRecord(now, reply.StoreTime, e.Name, r) {
+			c.figures.RecordsMerged++
+		} else if reply.StoreTime-r.WrittenAt > goneAfterRounds*c.RoundInterval && len(c.staleFields) < maxPeerRecords {
+			c.staleFields[e.Name]++
 		}
 	}
 }
 
-// leases turns what the store counted into tokens.
-func (c *Exchange) leases(now int64, asked *Request, reply Reply) (leases []Lease) {
-	for i, r := range asked.Reads {
-		if i < len(reply.Counts) && len(reply.Counts[i]) == r.Counts() {
-			c.ledger.read(r, reply.Counts[i])
+// collectLeases turns what the store counted into tokens.
+func (c *Exchange) collectLeases(now int64, asked *Request, reply Reply) (leases []Lease) {
+	for i, r := range asked.CountReads {
+		if i < len(reply.Counts) && len(reply.Counts[i]) == r.Windows() {
+			c.leaseManager.applyCounts(r, reply.Counts[i])
 		}
 	}
 	if len(c.Quotas) == 0 {
 		return nil
 	}
 	brought := make([]float64, len(c.Quotas))
-	for i, t := range asked.Takes {
+	for i, t := range asked.TokenRequests {
 		if i >= len(reply.Totals) || t.Units < 0 || reply.Totals[i] < t.Units {
 			continue
 		}
-		tokens := c.ledger.granted(t, reply.Totals[i], reply.Clock)
-		if tokens < float64(t.Units)/unit {
-			c.figures.Short++
+		tokens := c.leaseManager.applyGrant(t, reply.Totals[i], reply.StoreTime)
+		if tokens < float64(t.Units)/unitsPerToken {
+			c.figures.LeasesShort++
 		}
-		if l, good := c.ledger.lease(now, asked.Sent, reply.Clock, t, tokens); good {
+		if l, good := c.leaseManager.makeLease(now, asked.SentAt, reply.StoreTime, t, tokens); good {
 			leases = append(leases, l)
 			brought[t.Quota] += tokens
-			c.figures.Leased += int64(tokens)
+			c.figures.TokensLeased += int64(tokens)
 		}
 	}
-	c.ledger.leased(now-c.leasedAt, brought)
-	c.leasedAt = now
+	c.leaseManager.recordLeaseRate(now-c.lastLeaseUpdate, brought)
+	c.lastLeaseUpdate = now
 	return leases
 }
 
-func (c *Exchange) event(text, name string) {
+func (c *Exchange) addEvent(text, name string) {
 	if len(c.events) < 64 {
-		c.events = append(c.events, Event{text, c.trust.state, name})
+		c.events = append(c.events, Event{text, c.monitor.state, name})
 	}
 }
 
-// note tells of a change of state.
-func (c *Exchange) note() {
-	if c.trust.state != c.was {
-		c.was = c.trust.state
-		c.event("the shared store is "+c.was.String(), "")
+// reportStateChange tells of a change of state.
+func (c *Exchange) reportStateChange() {
+	if c.monitor.state != c.reportedState {
+		c.reportedState = c.monitor.state
+		c.addEvent("the shared store is "+c.reportedState.String(), "")
 	}
 }
 
@@ -365,10 +365,10 @@
 	return e
 }
 
-// Figures tells how things stand.
-func (c *Exchange) Figures(now int64) Figures {
-	c.trust.look(now)
+// Stats tells how things stand.
+func (c *Exchange) Stats(now int64) Stats {
+	c.monitor.advance(now)
 	f := c.figures
-	f.State, f.Age, f.Live = c.trust.state, now-c.trust.good, c.live
+	f.State, f.LastGoodRoundAge, f.LiveMembers = c.monitor.state, now-c.monitor.lastGood, c.liveMembers
 	return f
 }
--- a/decide/siterouting/planner.go
+++ b/decide/siterouting/planner.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	tolerance = 1e-9
-	sizeMost  = 4096 // coefficients: what is larger is planned simply
+	tolerance       = 1e-9
+	maxCoefficients = 4096 // coefficients: what is larger is planned simply
 )
 
-// way is a workload over a link.
-type way struct{ workload, link int }
+// route is a workload over a link.
+type route struct{ workload, link int }
 
-func (p Problem) ways() (all []way) {
-	for w := range p.Worth {
-		for l := range p.Worth[w] {
-			if p.Worth[w][l] > 0 && p.Takes[w][l] > 0 && p.Excess[w] > 0 && p.Queries[l] > 0 &&
-				(p.Weight[w] == 0 || p.Bytes[l] > 0) {
-				all = append(all, way{w, l})
+func (p Problem) routes() (all []route) {
+	for w := range p.Value {
+		for l := range p.Value[w] {
+			if p.Value[w][l] > 0 && p.Capacity[w][l] > 0 && p.Excess[w] > 0 && p.QueryRate[l] > 0 &&
+				(p.QueryBytes[w] == 0 || p.ByteRate[l] > 0) {
+				all = append(all, route{w, l})
 			}
 		}
 	}
 	return all
 }
 
-func (p Problem) empty() Plan {
-	rates := make([][]float64, len(p.Worth))
+func (p Problem) emptyPlan() Plan {
+	rates := make([][]float64, len(p.Value))
 	for w := range rates {
-		rates[w] = make([]float64, len(p.Queries))
+		rates[w] = make([]float64, len(p.QueryRate))
 	}
 	return Plan{Rates: rates}
 }
 
-// value is what a plan's rates earn.
-func (p Problem) value(rates [][]float64) (sum float64) {
+// planValue is what a plan's rates earn.
+func (p Problem) planValue(rates [][]float64) (sum float64) {
 	for w := range rates {
 		for l, rate := range rates[w] {
-			sum += rate * p.Worth[w][l]
+			sum += rate * p.Value[w][l]
 		}
 	}
 	return sum
@@ -49,58 +49,58 @@
 
 // Greedy fills the ways one by one, those first that earn most for the larger share of a link that a query takes.
 func Greedy(p Problem) Plan {
-	plan := p.empty()
-	excess, queries, bytes := slices.Clone(p.Excess), slices.Clone(p.Queries), slices.Clone(p.Bytes)
-	all := p.ways()
-	price := func(v way) float64 {
-		share := max(1/p.Queries[v.link], p.Weight[v.workload]/max(p.Bytes[v.link], tolerance))
-		return p.Worth[v.workload][v.link] / share
+	plan := p.emptyPlan()
+	excess, queries, bytes := slices.Clone(p.Excess), slices.Clone(p.QueryRate), slices.Clone(p.ByteRate)
+	all := p.routes()
+	price := func(v route) float64 {
+		share := max(1/p.QueryRate[v.link], p.QueryBytes[v.workload]/max(p.ByteRate[v.link], tolerance))
+		return p.Value[v.workload][v.link] / share
 	}
-	slices.SortStableFunc(all, func(a, b way) int { return cmp.Compare(price(b), price(a)) })
+	slices.SortStableFunc(all, func(a, b route) int { return cmp.Compare(price(b), price(a)) })
 	for _, v := range all {
-		rate := min(excess[v.workload], p.Takes[v.workload][v.link], queries[v.link])
-		if weight := p.Weight[v.workload]; weight > 0 {
+		rate := min(excess[v.workload], p.Capacity[v.workload][v.link], queries[v.link])
+		if weight := p.QueryBytes[v.workload]; weight > 0 {
 			rate = min(rate, bytes[v.link]/weight)
 		}
 		rate = max(rate, 0)
 		plan.Rates[v.workload][v.link] = rate
 		excess[v.workload] -= rate
 		queries[v.link] -= rate
-		bytes[v.link] -= rate * p.Weight[v.workload]
+		bytes[v.link] -= rate * p.QueryBytes[v.workload]
 	}
-	plan.Value = p.value(plan.Rates)
+	plan.Value = p.planValue(plan.Rates)
 	return plan
 }
 
 // Simplex solves the problem as a linear program: the most revenue, each limit a row with its slack.
 func Simplex(p Problem) (plan Plan, solved bool) {
-	all := p.ways()
-	if plan = p.empty(); len(all) == 0 {
+	all := p.routes()
+	if plan = p.emptyPlan(); len(all) == 0 {
 		return plan, true
 	}
-	rows := len(p.Excess) + 2*len(p.Queries) + len(all)
+	rows := len(p.Excess) + 2*len(p.QueryRate) + len(all)
 	columns := len(all) + rows
-	if rows*columns > sizeMost {
+	if rows*columns > maxCoefficients {
 		return plan, false
 	}
 	a, b, c := mat.NewDense(rows, columns, nil), make([]float64, rows), make([]float64, columns)
 	for i, v := range all {
-		c[i] = -p.Worth[v.workload][v.link]
+		c[i] = -p.Value[v.workload][v.link]
 		a.Set(v.workload, i, 1)
 		a.Set(len(p.Excess)+v.link, i, 1)
 		// Bytes count in shares of the link's limit, so that all rows are of one size.
-		if limit := p.Bytes[v.link]; limit > 0 {
-			a.Set(len(p.Excess)+len(p.Queries)+v.link, i, p.Weight[v.workload]/limit)
+		if limit := p.ByteRate[v.link]; limit > 0 {
+			a.Set(len(p.Excess)+len(p.QueryRate)+v.link, i, p.QueryBytes[v.workload]/limit)
 		}
-		row := len(p.Excess) + 2*len(p.Queries) + i
+		row := len(p.Excess) + 2*len(p.QueryRate) + i
 		a.Set(row, i, 1)
-		b[row] = p.Takes[v.workload][v.link]
+		b[row] = p.Capacity[v.workload][v.link]
 	}
 	copy(b, p.Excess)
-	copy(b[len(p.Excess):], p.Queries)
-	for l, limit := range p.Bytes {
-		if b[len(p.Excess)+len(p.Queries)+l] = 0; limit > 0 {
-			b[len(p.Excess)+len(p.Queries)+l] = 1
+	copy(b[len(p.Excess):], p.QueryRate)
+	for l, limit := range p.ByteRate {
+		if b[len(p.Excess)+len(p.QueryRate)+l] = 0; limit > 0 {
+			b[len(p.Excess)+len(p.QueryRate)+l] = 1
 		}
 	}
 	basis := make([]int, rows) // all slack: nothing is carried
@@ -114,10 +114,10 @@
 	}
 	for i, v := range all {
 		if math.IsNaN(x[i]) || x[i] < -1e-6 {
-			return p.empty(), false
+			return p.emptyPlan(), false
 		}
 		plan.Rates[v.workload][v.link] = max(x[i], 0)
 	}
-	plan.Value = p.value(plan.Rates)
+	plan.Value = p.planValue(plan.Rates)
 	return plan, true
 }
--- a/decide/siterouting/purse.go
+++ b/decide/siterouting/purse.go
@@ -1,40 +1,40 @@
 package siterouting
 
-const purseFor = 0.5 // seconds of a link's limit that may go at once
+const budgetBurstSeconds = 0.5 // seconds of a link's limit that may go at once
 
-// purse is what may still cross a link now, in queries and in bytes. Plans are made a second apart and each workload has
+// linkBudget is what may still cross a link now, in queries and in bytes. Plans are made a second apart and each workload has
 // tokens of its own, so together they could cross at once; the purse is the link's own limit, whatever was planned.
-type purse struct {
+type linkBudget struct {
 	queries, bytes float64
-	at             int64
+	updatedAt      int64
 }
 
-func newPurse(now int64, l Link) purse {
-	return purse{queries: max(purseFor*l.Queries, 1), bytes: purseFor * l.Bytes, at: now}
+func newLinkBudget(now int64, l Link) linkBudget {
+	return linkBudget{queries: max(budgetBurstSeconds*l.QueryRate, 1), bytes: budgetBurstSeconds * l.ByteRate, updatedAt: now}
 }
 
-// fill lets time pass. A debt of bytes, of a query that was longer than was reckoned with, is paid back first.
-func (p *purse) fill(now int64, l Link) {
-	span := float64(now-p.at) / 1e9
-	p.at = now
-	p.queries = min(p.queries+l.Queries*span, max(purseFor*l.Queries, 1))
-	p.bytes = min(p.bytes+l.Bytes*span, purseFor*l.Bytes)
+// refill lets time pass. A debt of bytes, of a query that was longer than was reckoned with, is paid back first.
+func (p *linkBudget) refill(now int64, l Link) {
+	span := float64(now-p.updatedAt) / 1e9
+	p.updatedAt = now
+	p.queries = min(p.queries+l.QueryRate*span, max(budgetBurstSeconds*l.QueryRate, 1))
+	p.bytes = min(p.bytes+l.ByteRate*span, budgetBurstSeconds*l.ByteRate)
 }
 
-// holds tells whether a query may cross. Danger: a query longer than half a second's bytes would never cross if all of them
+// allows tells whether a query may cross. Danger: a query longer than half a second's bytes would never cross if all of them
 // had to be there; it crosses from a full purse, into debt.
-func (p *purse) holds(now int64, l Link, bytes float64) bool {
-	p.fill(now, l)
-	return p.queries >= 1 && p.bytes >= min(bytes, purseFor*l.Bytes)
+func (p *linkBudget) allows(now int64, l Link, bytes float64) bool {
+	p.refill(now, l)
+	return p.queries >= 1 && p.bytes >= min(bytes, budgetBurstSeconds*l.ByteRate)
 }
 
-func (p *purse) take(bytes float64) {
+func (p *linkBudget) spend(bytes float64) {
 	p.queries--
 	p.bytes -= bytes
 }
 
-// settle takes or gives back what a query took beside what was reckoned with.
-func (p *purse) settle(now int64, l Link, more float64) {
-	p.fill(now, l)
-	p.bytes = min(p.bytes-more, purseFor*l.Bytes)
+// correct takes or gives back what a query took beside what was reckoned with.
+func (p *linkBudget) correct(now int64, l Link, more float64) {
+	p.refill(now, l)
+	p.bytes = min(p.bytes-more, budgetBurstSeconds*l.ByteRate)
 }
--- a/decide/siterouting/siterouting.go
+++ b/decide/siterouting/siterouting.go
@@ -15,52 +15,52 @@
 )
 
 const (
-	hopsMost     = 2    // links that a query may cross
-	fade         = 0.5  // of the newest interval in a rate
-	riseMost     = 1.0  // of a link's rate, in an interval: a plan grows no faster, but for the first few queries,
-	fallMost     = 0.5  // and shrinks no faster, but where the other site or the link says so
-	band         = 0.1  // of a rate: a plan that differs by less is not followed
-	returnShare  = 0.2  // of a link, kept for what the other site may have to send this way
-	burstFor     = 1.0  // seconds of a route's rate that may go at once, and
-	burstLeast   = 3.0  // queries at least: they come by chance
-	headroom     = 1.25 // times the excess is planned for, for the same reason
-	refusedMost  = 0.25 // of what was carried there: with more refused a site is asked for less,
-	judgeOf      = 8    // queries at least that this is drawn from,
-	judgeFor     = 5    // or what came in so many intervals
-	unevenBy     = 0.3  // more of a workload refused than of the others: then it is the workload's own,
-	refusedAll   = 0.9  // or so much of it where there are no others,
-	usedLeast    = 0.5  // of what a site is thought to take: with less sent, its answers say nothing of more
-	longKept     = 0.8  // of what this is drawn from is kept at each judgement
-	backOff      = 0.8  // times what it took, then
-	forward      = 0.04 // more each interval, else;
-	forwardTold  = 0.2  // or so much where the site says itself what it takes,
-	forwardFirst = 1.0  // and as much until it has refused once, or when nothing was refused for long
-	forgotten    = 60   // intervals without a refusal: that is long
-	rampFor      = 20e9 // ns over which an evacuated site takes its own queries again
-	sureFor      = 5e9  // ns that what another site said of itself holds
-	spareWays    = 2.0  // times the way there and back that a query must have left beyond the far site's time
-	leastRate    = 0.2  // queries a second: enough to find out whether a site takes any
-	firstRate    = 4.0  // queries a second that a site not tried yet is thought to take, and that a plan may begin with
-	weighSmooth  = 0.05 // of the newest query's bytes in its workload's mean
-	readyRate    = 4.0  // queries a second that are planned for beyond that, so that the first ones need not wait for a plan
-	anyRate      = 1e9  // of a workload that is not refused more than others
-	lossDiscount = 4.0  // a link that loses a share of its queries counts for so much less of its limit
+	maxHops              = 2    // links that a query may cross
+	rateSmoothing        = 0.5  // of the newest interval in a rate
+	maxRise              = 1.0  // of a link's rate, in an interval: a plan grows no faster, but for the first few queries,
+	maxFall              = 0.5  // and shrinks no faster, but where the other site or the link says so
+	deadBand             = 0.1  // of a rate: a plan that differs by less is not followed
+	reverseReserve       = 0.2  // of a link, kept for what the other site may have to send this way
+	burstSeconds         = 1.0  // seconds of a route's rate that may go at once, and
+	minBurst             = 3.0  // queries at least: they come by chance
+	headroom             = 1.25 // times the excess is planned for, for the same reason
+	maxRefusedShare      = 0.25 // of what was carried there: with more refused a site is asked for less,
+	minSample            = 8    // queries at least that this is drawn from,
+	maxSampleIntervals   = 5    // or what came in so many intervals
+	unevenMargin         = 0.3  // more of a workload refused than of the others: then it is the workload's own,
+	nearlyAllRefused     = 0.9  // or so much of it where there are no others,
+	minUsedShare         = 0.5  // of what a site is thought to take: with less sent, its answers say nothing of more
+	longTermDecay        = 0.8  // of what this is drawn from is kept at each judgement
+	backoffFactor        = 0.8  // times what it took, then
+	growthStep           = 0.04 // more each interval, else;
+	advertisedGrowthStep = 0.2  // or so much where the site says itself what it takes,
+	initialGrowthStep    = 1.0  // and as much until it has refused once, or when nothing was refused for long
+	refusalMemory        = 60   // intervals without a refusal: that is long
+	returnRampNs         = 20e9 // ns over which an evacuated site takes its own queries again
+	advertisedTTLNs      = 5e9  // ns that what another site said of itself holds
+	minRoundTrips        = 2.0  // times the way there and back that a query must have left beyond the far site's time
+	minRate              = 0.2  // queries a second: enough to find out whether a site takes any
+	initialRate          = 4.0  // queries a second that a site not tried yet is thought to take, and that a plan may begin with
+	bytesSmoothing       = 0.05 // of the newest query's bytes in its workload's mean
+	standbyRate          = 4.0  // queries a second that are planned for beyond that, so that the first ones need not wait for a plan
+	unlimitedRate        = 1e9  // of a workload that is not refused more than others
+	lossDiscount         = 4.0  // a link that loses a share of its queries counts for so much less of its limit
 )
 
 // Workload is what is told of one kind of query. Revenue is of one served within its goal; Bytes are there and back.
 type Workload struct {
-	Name    string
-	Revenue float64
-	Bytes   float64
-	Serves  int64 // the time that a site takes for one, typically, ns
+	Name        string
+	Revenue     float64
+	Bytes       float64
+	ServiceTime int64 // the time that a site takes for one, typically, ns
 }
 
 // Link is one way to another site.
 type Link struct {
-	Site    string
-	Queries float64 // a second, at most
-	Bytes   float64 // a second, at most
-	Cost    float64 // of one query carried, in revenue
+	Site      string
+	QueryRate float64 // a second, at most
+	ByteRate  float64 // a second, at most
+	Cost      float64 // of one query carried, in revenue
 }
 
 // Policy is what routes go by.
@@ -68,16 +68,16 @@
 
 // All but Planned are baselines to measure it against: they know no plan and no limit of a link.
 const (
-	Planned    Policy = iota
-	Everything        // all that the own site declines leaves
-	Halves            // half of the own queries leave before they are asked here, and no others
+	Planned     Policy = iota
+	AllDeclined        // all that the own site declines leaves
+	HalfOfOwn          // half of the own queries leave before they are asked here, and no others
 )
 
-// Policies are the names of policies, in their order.
-var Policies = []string{"plan", "all", "half"}
+// PolicyNames are the names of policies, in their order.
+var PolicyNames = []string{"plan", "all", "half"}
 
-// Terms are what a site is told. Times in ns.
-type Terms struct {
+// Config are what a site is told. Times in ns.
+type Config struct {
 	Policy    Policy
 	Site      string
 	Workloads []Workload
@@ -85,8 +85,8 @@
 	Interval  int64 // between two plans
 }
 
-// Figures are a link's at present.
-type Figures struct {
+// LinkStats are a link's at present.
+type LinkStats struct {
 	Delay  int64   // there and back, ns
 	Loss   float64 // share of queries that came to nothing on the way
 	Usable bool
@@ -94,78 +94,78 @@
 
 // Plan is what goes where: queries a second of each workload over each link.
 type Plan struct {
-	Rates   [][]float64 // by workload, then link
-	Local   float64     // share of the own queries that the own site is asked for
-	Value   float64     // revenue a second that the plan expects to save
-	Greedy  bool        // the solver gave no answer in time, and the plan is the simple one
-	Changed bool
+	Rates      [][]float64 // by workload, then link
+	LocalShare float64     // share of the own queries that the own site is asked for
+	Value      float64     // revenue a second that the plan expects to save
+	Greedy     bool        // the solver gave no answer in time, and the plan is the simple one
+	Changed    bool
 }
 
-type flow struct {
-	tokens float64
-	at     int64
+type tokenBucket struct {
+	tokens    float64
+	updatedAt int64
 }
 
-// opinion is what is known of how much another site takes, of a workload or of all.
-type opinion struct {
-	told    float64 // as it said, queries a second; below 0 for nothing said
-	toldAt  int64
-	learned float64 // as its answers show
-	calm    int     // intervals since it refused last, 0 for never
-	carried float64 // since it was judged last
-	refused float64
-	waited  int     // intervals since then
-	span    float64 // and seconds
+// estimate is what is known of how much another site takes, of a workload or of all.
+type estimate struct {
+	advertised   float64 // as it said, queries a second; below 0 for nothing said
+	advertisedAt int64
+	learned      float64 // as its answers show
+	sinceRefusal int     // intervals since it refused last, 0 for never
+	carried      float64 // since it was judged last
+	refused      float64
+	intervals    int     // intervals since then
+	seconds      float64 // and seconds
 
 	longCarried, longRefused float64 // fading
 }
 
 // Router decides for one site.
 type Router struct {
-	Terms
-	Solve    func(Problem) (Plan, bool) // the planner; false where it has no answer
-	excess   []float64                  // queries a second of each workload that the own site would not serve
-	missed   []float64                  // in this interval
-	links    []Figures
-	sites    []opinion   // of all workloads, by link
-	opinions [][]opinion // by workload, then link
-	plan     Plan
-	flows    [][]flow
-	purses   []purse // by link
-	decided  int64
-	dark     bool
-	since    int64 // it is dark, or light again, since then; 0 for always light
+	Config
+	Solve               func(Problem) (Plan, bool) // the planner; false where it has no answer
+	excess              []float64                  // queries a second of each workload that the own site would not serve
+	unserved            []float64                  // in this interval
+	linkStats           []LinkStats
+	siteEstimates       []estimate   // of all workloads, by link
+	estimates           [][]estimate // by workload, then link
+	plan                Plan
+	buckets             [][]tokenBucket
+	linkBudgets         []linkBudget // by link
+	decidedAt           int64
+	evacuated           bool
+	evacuationChangedAt int64 // it is dark, or light again, since then; 0 for always light
 }
 
 // New makes a site's routes at its start.
-func New(now int64, t Terms) *Router {
-	r := &Router{Terms: t, Solve: Simplex, excess: make([]float64, len(t.Workloads)), missed: make([]float64, len(t.Workloads)),
-		links: make([]Figures, len(t.Links)), decided: now}
+func New(now int64, t Config) *Router {
+	r := &Router{Config: t, Solve: Simplex, excess: make([]float64, len(t.Workloads)), unserved: make([]float64, len(t.Workloads)),
+		linkStats: make([]LinkStats, len(t.Links)), decidedAt: now}
 	for _, l := range t.Links {
-		r.purses = append(r.purses, newPurse(now, l))
+		r.linkBudgets = append(r.linkBudgets, newLinkBudget(now, l))
 	}
-	r.plan.Local = 1
+	r.plan.LocalShare = 1
 	for range t.Links {
-		r.sites = append(r.sites, opinion{told: -1, learned: firstRate})
+		r.siteEstimates = append(r.siteEstimates, estimate{advertised: -1, learned: initialRate})
 	}
 	for range t.Workloads {
-		row := make([]opinion, len(t.Links))
+		row := make([]estimate, len(t.Links))
 		for i := range row {
-			row[i] = opinion{told: -1, learned: anyRate}
+			row[i] = estimate{advertised: -1, learned: unlimitedRate}
 		}
-		r.opinions = append(r.opinions, row)
-		r.flows = append(r.flows, make([]flow, len(t.Links)))
+		r.estimates = append(r.estimates, row)
+		r.buckets = append(r.buckets, make([]tokenBucket, len(t.Links)))
 		r.plan.Rates = append(r.plan.Rates, make([]float64, len(t.Links)))
 	}
 	return r
 }
 
-// Missed tells of a query of the own clients that the own site would not serve, or not within its goal.
-func (r *Router) Missed(workload int) { r.missed[workload]++ }
+// CountUnserved tells of a query of the own clients that the own site would not serve, or not within its goal.
+func (r *Router) CountUnserved(workload int) { r.unserved[workload]++ }
 
-// Carried tells how a query that went over a link ended there.
-func (r *Router) Carried(workload, link int, refused bool) {
-	for _, o := range []*opinion{&r.sites[link], &r.opinions[workload][link]} {
+// ObserveResult tells how a query that went over a link ended there.
+func (r *Router) ObserveResult(workload, link int, refused bool) {
+	for _, o := range []*estimate{&r.siteEstimates[link], &r.estimates[workload][link]} {
 		o.carried++
 		if refused {
 			o.refused++
@@ -173,63 +173,63 @@
 	}
 }
 
-// Weighed tells how many bytes a query took there and back. Its route had reckoned with what is known of its workload.
-func (r *Router) Weighed(now int64, workload, link int, bytes float64) {
+// ObserveBytes tells how many bytes a query took there and back. Its route had reckoned with what is known of its workload.
+func (r *Router) ObserveBytes(now int64, workload, link int, bytes float64) {
 	w := &r.Workloads[workload]
-	r.purses[link].settle(now, r.Links[link], bytes-w.Bytes)
-	w.Bytes += weighSmooth * (bytes - w.Bytes)
+	r.linkBudgets[link].correct(now, r.Links[link], bytes-w.Bytes)
+	w.Bytes += bytesSmoothing * (bytes - w.Bytes)
 }
 
-// Linked tells a link's figures.
-func (r *Router) Linked(link int, f Figures) { r.links[link] = f }
+// ObserveLink tells a link's figures.
+func (r *Router) ObserveLink(link int, f LinkStats) { r.linkStats[link] = f }
 
-// Willing tells how many queries a second, of all workloads, another site says it would take.
-func (r *Router) Willing(now int64, link int, rate float64) {
-	o := &r.sites[link]
-	o.told, o.toldAt = max(rate, 0), now
+// ObserveAdvertised tells how many queries a second, of all workloads, another site says it would take.
+func (r *Router) ObserveAdvertised(now int64, link int, rate float64) {
+	o := &r.siteEstimates[link]
+	o.advertised, o.advertisedAt = max(rate, 0), now
 }
 
 // Evacuate leaves the own site, or takes it up again over a ramp.
-func (r *Router) Evacuate(now int64, dark bool) {
-	if r.dark != dark {
-		r.dark, r.since = dark, now
+func (r *Router) Evacuate(now int64, evacuated bool) {
+	if r.evacuated != evacuated {
+		r.evacuated, r.evacuationChangedAt = evacuated, now
 	}
 }
 
-// Local is the share of the own queries that the own site is asked for: none while it is dark, all when it is long light.
-func (r *Router) Local(now int64) float64 {
+// LocalShare is the share of the own queries that the own site is asked for: none while it is dark, all when it is long light.
+func (r *Router) LocalShare(now int64) float64 {
 	switch {
-	case r.dark:
+	case r.evacuated:
 		return 0
-	case r.since == 0:
+	case r.evacuationChangedAt == 0:
 		return 1
 	}
-	return min(float64(now-r.since)/rampFor, 1)
+	return min(float64(now-r.evacuationChangedAt)/returnRampNs, 1)
 }
 
-// Stays tells whether the own site is asked for a query. Mark is the query's own number in [0, 1), came that it is another
+// ServesLocally tells whether the own site is asked for a query. Mark is the query's own number in [0, 1), came that it is another
 // site's.
-func (r *Router) Stays(now int64, mark float64, came bool) bool {
-	share := r.Local(now)
-	if r.Policy == Halves && !came {
+func (r *Router) ServesLocally(now int64, position float64, fromOtherSite bool) bool {
+	share := r.LocalShare(now)
+	if r.Policy == HalfOfOwn && !fromOtherSite {
 		share = min(share, 0.5)
 	}
-	return mark < share
+	return position < share
 }
 
 // Next is when Decide wants to be called again.
-func (r *Router) Next() int64 { return r.decided + r.Interval }
+func (r *Router) Next() int64 { return r.decidedAt + r.Interval }
 
 // Decide makes a new plan.
 func (r *Router) Decide(now int64) Plan {
-	span := max(float64(now-r.decided)/1e9, 1e-3)
-	r.decided = now
+	span := max(float64(now-r.decidedAt)/1e9, 1e-3)
+	r.decidedAt = now
 	for w := range r.excess {
-		r.excess[w] += fade * (r.missed[w]/span - r.excess[w])
-		r.missed[w] = 0
+		r.excess[w] += rateSmoothing * (r.unserved[w]/span - r.excess[w])
+		r.unserved[w] = 0
 	}
 	for l := range r.Links {
-		r.learn(now, l, span)
+		r.updateEstimates(now, l, span)
 	}
 	p := r.problem(now)
 	plan, solved := r.Solve(p)
@@ -237,180 +237,180 @@
 		plan = Greedy(p)
 		plan.Greedy = true
 	}
-	plan.Local = r.Local(now)
-	r.follow(&plan, p)
+	plan.LocalShare = r.LocalShare(now)
+	r.smooth(&plan, p)
 	r.plan = plan
 	return plan
 }
 
-// learn draws what another site takes from how it answered.
+// updateEstimates draws what another site takes from how it answered.
 //
 // Danger: two sites that are both short would hand each other what neither serves. A site that refuses is asked for
 // less at once and for more only slowly, so what goes to and fro dies down.
 //
 // A site that is short refuses by chance, the dear like the cheap; so what it takes is learned of all workloads together, and
 // the plan fills that with what is worth most. Only a workload that is refused more than the others has a bound of its own.
-func (r *Router) learn(now int64, l int, span float64) {
-	site := &r.sites[l]
-	if site.told >= 0 && now-site.toldAt > sureFor {
-		site.told = -1
-	}
-	site.waited++
-	site.span += span
-	if site.carried < judgeOf && site.waited < judgeFor {
+func (r *Router) updateEstimates(now int64, l int, span float64) {
+	site := &r.siteEstimates[l]
+	if site.advertised >= 0 && now-site.advertisedAt > advertisedTTLNs {
+		site.advertised = -1
+	}
+	site.intervals++
+	site.seconds += span
+	if site.carried < minSample && site.intervals < maxSampleIntervals {
 		return
 	}
-	var all opinion
-	for w := range r.opinions {
-		o := &r.opinions[w][l]
-		o.longCarried, o.longRefused = longKept*o.longCarried+o.carried, longKept*o.longRefused+o.refused
+	var all estimate
+	for w := range r.estimates {
+		o := &r.estimates[w][l]
+		o.longCarried, o.longRefused = longTermDecay*o.longCarried+o.carried, longTermDecay*o.longRefused+o.refused
 		all.longCarried += o.longCarried
 		all.longRefused += o.longRefused
 	}
-	for w := range r.opinions {
-		o := &r.opinions[w][l]
-		o.span, o.waited = site.span, site.waited
-		own := o.uneven(all)
+	for w := range r.estimates {
+		o := &r.estimates[w][l]
+		o.seconds, o.intervals = site.seconds, site.intervals
+		own := o.refusedMoreThanOthers(all)
 		if own { // its refusals say nothing of the site
 			site.carried, site.refused = site.carried-o.carried, site.refused-o.refused
 		}
-		o.judge(own && o.refused > refusedMost*o.carried, forward)
-		if o.calm > forgotten {
-			*o = opinion{told: -1, learned: anyRate}
+		o.update(own && o.refused > maxRefusedShare*o.carried, growthStep)
+		if o.sinceRefusal > refusalMemory {
+			*o = estimate{advertised: -1, learned: unlimitedRate}
 		}
 	}
-	step := forward
-	if site.told >= 0 {
-		step = forwardTold
+	step := growthStep
+	if site.advertised >= 0 {
+		step = advertisedGrowthStep
 	}
-	if site.learned < firstRate {
-		step = forwardFirst
+	if site.learned < initialRate {
+		step = initialGrowthStep
 	}
-	site.judge(site.refused > refusedMost*site.carried, step)
+	site.update(site.refused > maxRefusedShare*site.carried, step)
 }
 
-// uneven tells whether a workload is refused for its own sake: more than the others, or nearly always where there are none.
-func (o *opinion) uneven(all opinion) bool {
+// refusedMoreThanOthers tells whether a workload is refused for its own sake: more than the others, or nearly always where there are none.
+func (o *estimate) refusedMoreThanOthers(all estimate) bool {
 	carried, refused := all.longCarried-o.longCarried, all.longRefused-o.longRefused
-	if o.longCarried < judgeOf {
+	if o.longCarried < minSample {
 		return false
 	}
-	if carried < judgeOf {
-		return o.longRefused > refusedAll*o.longCarried
+	if carried < minSample {
+		return o.longRefused > nearlyAllRefused*o.longCarried
 	}
-	return o.longRefused/o.longCarried > max(refusedMost, refused/carried+unevenBy)
+	return o.longRefused/o.longCarried > max(maxRefusedShare, refused/carried+unevenMargin)
 }
 
-// judge moves what was learned by what came since it was judged last.
-func (o *opinion) judge(refuses bool, step float64) {
-	if o.calm > 0 {
-		o.calm += o.waited
+// update moves what was learned by what came since it was judged last.
+func (o *estimate) update(refuses bool, step float64) {
+	if o.sinceRefusal > 0 {
+		o.sinceRefusal += o.intervals
 	}
-	if rate := o.carried / o.span; o.carried > 0 {
+	if rate := o.carried / o.seconds; o.carried > 0 {
 		if refuses {
-			o.learned = max(min(o.learned, rate)*backOff, leastRate)
-			o.calm = 1
-		} else if rate > usedLeast*o.learned { // what is not used says nothing
-			if o.calm == 0 || o.calm > forgotten {
-				step = forwardFirst
+			o.learned = max(min(o.learned, rate)*backoffFactor, minRate)
+			o.sinceRefusal = 1
+		} else if rate > minUsedShare*o.learned { // what is not used says nothing
+			if o.sinceRefusal == 0 || o.sinceRefusal > refusalMemory {
+				step = initialGrowthStep
 			}
-			step *= float64(o.waited)
-			o.learned = min(max(o.learned, rate)*(1+step)+leastRate*step, anyRate)
+			step *= float64(o.intervals)
+			o.learned = min(max(o.learned, rate)*(1+step)+minRate*step, unlimitedRate)
 		}
 	}
-	o.carried, o.refused, o.waited, o.span = 0, 0, 0, 0
+	o.carried, o.refused, o.intervals, o.seconds = 0, 0, 0, 0
 }
 
-// takes is how many queries a second a site is thought to take.
-func (o *opinion) takes() float64 {
+// capacity is how many queries a second a site is thought to take.
+func (o *estimate) capacity() float64 {
 	switch {
-	case o.told >= 0 && o.calm == 0: // it has refused nothing yet: its word is all there is
-		return o.told
-	case o.told >= 0:
-		return min(o.told, o.learned)
+	case o.advertised >= 0 && o.sinceRefusal == 0: // it has refused nothing yet: its word is all there is
+		return o.advertised
+	case o.advertised >= 0:
+		return min(o.advertised, o.learned)
 	}
 	return o.learned
 }
 
 // Problem is what a planner solves: the greatest revenue within the excess, what others take, and the links.
 type Problem struct {
-	Worth   [][]float64 // of one query of a workload over a link, what it costs taken off; 0 or less for never
-	Excess  []float64   // queries a second, by workload
-	Takes   [][]float64 // by workload and link, at most
-	Queries []float64   // by link, at most
-	Bytes   []float64   // by link, at most
-	Weight  []float64   // bytes of a query, by workload
+	Value      [][]float64 // of one query of a workload over a link, what it costs taken off; 0 or less for never
+	Excess     []float64   // queries a second, by workload
+	Capacity   [][]float64 // by workload and link, at most
+	QueryRate  []float64   // by link, at most
+	ByteRate   []float64   // by link, at most
+	QueryBytes []float64   // bytes of a query, by workload
 }
 
 func (r *Router) problem(now int64) Problem {
 	p := Problem{}
 	for _, rate := range r.excess {
-		p.Excess = append(p.Excess, headroom*rate+readyRate)
+		p.Excess = append(p.Excess, headroom*rate+standbyRate)
 	}
-	for _, l := range r.links {
+	for _, l := range r.linkStats {
 		share := 0.0
 		if l.Usable {
-			share = (1 - returnShare) * max(1-lossDiscount*l.Loss, 0)
+			share = (1 - reverseReserve) * max(1-lossDiscount*l.Loss, 0)
 		}
-		i := len(p.Queries)
-		p.Queries = append(p.Queries, min(share*r.Links[i].Queries, r.sites[i].takes()))
-		p.Bytes = append(p.Bytes, share*r.Links[i].Bytes)
+		i := len(p.QueryRate)
+		p.QueryRate = append(p.QueryRate, min(share*r.Links[i].QueryRate, r.siteEstimates[i].capacity()))
+		p.ByteRate = append(p.ByteRate, share*r.Links[i].ByteRate)
 	}
 	for w, load := range r.Workloads {
-		p.Weight = append(p.Weight, load.Bytes)
+		p.QueryBytes = append(p.QueryBytes, load.Bytes)
 		worth, takes := make([]float64, len(r.Links)), make([]float64, len(r.Links))
 		for l := range r.Links {
-			worth[l] = load.Revenue*(1-r.links[l].Loss) - r.Links[l].Cost
-			takes[l] = min(r.opinions[w][l].learned, r.sites[l].takes())
+			worth[l] = load.Revenue*(1-r.linkStats[l].Loss) - r.Links[l].Cost
+			takes[l] = min(r.estimates[w][l].learned, r.siteEstimates[l].capacity())
 		}
-		p.Worth, p.Takes = append(p.Worth, worth), append(p.Takes, takes)
+		p.Value, p.Capacity = append(p.Value, worth), append(p.Capacity, takes)
 	}
 	return p
 }
 
-// follow moves from the old plan to the new one in steps.
+// smooth moves from the old plan to the new one in steps.
 //
 // Danger: a plan that jumps with every interval has the far site decline what the near one just sent, and the next
 // plan undo it. Small differences are passed over, growth is slow; limits are kept at once whatever the old plan was.
-func (r *Router) follow(plan *Plan, p Problem) {
+func (r *Router) smooth(plan *Plan, p Problem) {
 	for w := range plan.Rates {
 		for l := range plan.Rates[w] {
 			was, want := r.plan.Rates[w][l], plan.Rates[w][l]
-			rate := min(max(want, was*(1-fallMost)), was*(1+riseMost)+firstRate)
-			if math.Abs(want-was) <= band*was {
+			rate := min(max(want, was*(1-maxFall)), was*(1+maxRise)+initialRate)
+			if math.Abs(want-was) <= deadBand*was {
 				rate = was
 			}
-			plan.Rates[w][l] = min(rate, p.Takes[w][l])
-			if p.Worth[w][l] <= 0 {
+			plan.Rates[w][l] = min(rate, p.Capacity[w][l])
+			if p.Value[w][l] <= 0 {
 				plan.Rates[w][l] = 0
 			}
 		}
 	}
 	// The limits hold for what is followed, not only for what was planned; what is worth least goes first.
-	for l := range p.Queries {
+	for l := range p.QueryRate {
 		queries, bytes := 0.0, 0.0
 		order := make([]int, len(plan.Rates))
 		for w := range plan.Rates {
 			order[w] = w
 			queries += plan.Rates[w][l]
-			bytes += plan.Rates[w][l] * p.Weight[w]
+			bytes += plan.Rates[w][l] * p.QueryBytes[w]
 		}
-		slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(p.Worth[a][l], p.Worth[b][l]) })
+		slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(p.Value[a][l], p.Value[b][l]) })
 		for _, w := range order {
-			over := max(queries-p.Queries[l], 0)
-			if p.Weight[w] > 0 {
-				over = max(over, (bytes-p.Bytes[l])/p.Weight[w])
+			over := max(queries-p.QueryRate[l], 0)
+			if p.QueryBytes[w] > 0 {
+				over = max(over, (bytes-p.ByteRate[l])/p.QueryBytes[w])
 			}
 			less := min(over, plan.Rates[w][l])
 			plan.Rates[w][l] -= less
 			queries -= less
-			bytes -= less * p.Weight[w]
+			bytes -= less * p.QueryBytes[w]
 		}
 	}
 	plan.Value = 0
 	for w := range plan.Rates {
 		for l, rate := range plan.Rates[w] {
-			plan.Value += rate * p.Worth[w][l]
+			plan.Value += rate * p.Value[w][l]
 			plan.Changed = plan.Changed || rate != r.plan.Rates[w][l]
 		}
 	}
@@ -419,7 +419,7 @@
 // Query is one that the own site does not serve.
 type Query struct {
 	Workload int
-	Left     int64    // of its client's time, ns
+	TimeLeft int64    // of its client's time, ns
 	Visited  []string // sites that it came through, the own one left out
 	Declined bool     // the own site was asked, and declined it
 }
@@ -430,19 +430,19 @@
 // Danger: a query that goes round between sites uses every link and is served nowhere; one whose time is nearly up comes
 // back too late. Neither leaves.
 func (r *Router) Route(now int64, q Query) int {
-	if len(q.Visited) >= hopsMost || r.Policy == Halves && q.Declined {
+	if len(q.Visited) >= maxHops || r.Policy == HalfOfOwn && q.Declined {
 		return -1
 	}
 	best, most := -1, 0.0
 	for l, link := range r.Links {
-		if link.Site == r.Site || slices.Contains(q.Visited, link.Site) || !r.links[l].Usable ||
-			q.Left < int64(spareWays*float64(r.links[l].Delay))+r.Workloads[q.Workload].Serves {
+		if link.Site == r.Site || slices.Contains(q.Visited, link.Site) || !r.linkStats[l].Usable ||
+			q.TimeLeft < int64(minRoundTrips*float64(r.linkStats[l].Delay))+r.Workloads[q.Workload].ServiceTime {
 			continue
 		}
 		if r.Policy != Planned {
 			return l
 		}
-		if f := r.fill(now, q.Workload, l); r.plan.Rates[q.Workload][l] > 0 && (best < 0 || f.tokens > most) {
+		if f := r.refill(now, q.Workload, l); r.plan.Rates[q.Workload][l] > 0 && (best < 0 || f.tokens > most) {
 			best, most = l, f.tokens
 		}
 	}
@@ -454,17 +454,17 @@
 	if r.Policy != Planned {
 		return true
 	}
-	f := r.fill(now, workload, link)
-	if f.tokens < 1 || !r.purses[link].holds(now, r.Links[link], r.Workloads[workload].Bytes) {
+	f := r.refill(now, workload, link)
+	if f.tokens < 1 || !r.linkBudgets[link].allows(now, r.Links[link], r.Workloads[workload].Bytes) {
 		return false
 	}
 	f.tokens--
-	r.purses[link].take(r.Workloads[workload].Bytes)
+	r.linkBudgets[link].spend(r.Workloads[workload].Bytes)
 	return true
 }
 
-// Order are the workloads, those worth most first: so they get what room there is.
-func (r *Router) Order() []int {
+// ByRevenue are the workloads, those worth most first: so they get what room there is.
+func (r *Router) ByRevenue() []int {
 	order := make([]int, len(r.Workloads))
 	for w := range order {
 		order[w] = w
@@ -473,11 +473,11 @@
 	return order
 }
 
-// fill lets time pass over a route's tokens.
-func (r *Router) fill(now int64, w, l int) *flow {
-	f, rate := &r.flows[w][l], r.plan.Rates[w][l]
-	f.tokens = min(f.tokens+rate*float64(now-f.at)/1e9, max(rate*burstFor, burstLeast))
-	f.at = now
+// refill lets time pass over a route's tokens.
+func (r *Router) refill(now int64, w, l int) *tokenBucket {
+	f, rate := &r.buckets[w][l], r.plan.Rates[w][l]
+	f.tokens = min(f.tokens+rate*float64(now-f.updatedAt)/1e9, max(rate*burstSeconds, minBurst))
+	f.updatedAt = now
 	if rate == 0 {
 		f.tokens = 0
 	}
--- a/decide/siterouting/siterouting_test.go
+++ b/decide/siterouting/siterouting_test.go
@@ -15,18 +15,18 @@
 	rate := rapid.Float64Range(0, 200)
 	var p Problem
 	for range links {
-		p.Queries = append(p.Queries, rate.Draw(t, "queries"))
-		p.Bytes = append(p.Bytes, 1000*rate.Draw(t, "bytes"))
+		p.QueryRate = append(p.QueryRate, rate.Draw(t, "queries"))
+		p.ByteRate = append(p.ByteRate, 1000*rate.Draw(t, "bytes"))
 	}
 	for range workloads {
 		p.Excess = append(p.Excess, rate.Draw(t, "excess"))
-		p.Weight = append(p.Weight, rapid.Float64Range(0, 5000).Draw(t, "weight"))
+		p.QueryBytes = append(p.QueryBytes, rapid.Float64Range(0, 5000).Draw(t, "weight"))
 		var worth, takes []float64
 		for range links {
 			worth = append(worth, rapid.Float64Range(-1, 10).Draw(t, "worth"))
 			takes = append(takes, rate.Draw(t, "takes"))
 		}
-		p.Worth, p.Takes = append(p.Worth, worth), append(p.Takes, takes)
+		p.Value, p.Capacity = append(p.Value, worth), append(p.Capacity, takes)
 	}
 	return p
 }
@@ -37,22 +37,22 @@
 		sum := 0.0
 		for l, rate := range rates[w] {
 			sum += rate
-			if rate < 0 || rate > p.Takes[w][l]+grain || rate > 0 && p.Worth[w][l] <= 0 {
-				t.Fatalf("%s: %v of workload %d over link %d, %v are taken, worth %v", name, rate, w, l, p.Takes[w][l], p.Worth[w][l])
+			if rate < 0 || rate > p.Capacity[w][l]+grain || rate > 0 && p.Value[w][l] <= 0 {
+				t.Fatalf("%s: %v of workload %d over link %d, %v are taken, worth %v", name, rate, w, l, p.Capacity[w][l], p.Value[w][l])
 			}
 		}
 		if sum > p.Excess[w]+grain {
 			t.Fatalf("%s: %v of an excess of %v", name, sum, p.Excess[w])
 		}
 	}
-	for l := range p.Queries {
+	for l := range p.QueryRate {
 		queries, bytes := 0.0, 0.0
 		for w := range rates {
 			queries += rates[w][l]
-			bytes += rates[w][l] * p.Weight[w]
+			bytes += rates[w][l] * p.QueryBytes[w]
 		}
-		if queries > p.Queries[l]+grain || bytes > p.Bytes[l]*(1+grain)+1 {
-			t.Fatalf("%s: over link %d %v of %v queries, %v of %v bytes", name, l, queries, p.Queries[l], bytes, p.Bytes[l])
+		if queries > p.QueryRate[l]+grain || bytes > p.ByteRate[l]*(1+grain)+1 {
+			t.Fatalf("%s: over link %d %v of %v queries, %v of %v bytes", name, l, queries, p.QueryRate[l], bytes, p.ByteRate[l])
 		}
 	}
 }
@@ -76,16 +76,16 @@
 
 // Where a cheap query blocks the link that a dear one needs, the simple plan loses and the solver's does not.
 func TestWorthOfSolver(t *testing.T) {
-	p := Problem{Worth: [][]float64{{3, 2.9}, {2.5, 0}}, Excess: []float64{100, 100}, Takes: [][]float64{{100, 100}, {100, 0}},
-		Queries: []float64{100, 100}, Bytes: []float64{1e9, 1e9}, Weight: []float64{1, 1}}
+	p := Problem{Value: [][]float64{{3, 2.9}, {2.5, 0}}, Excess: []float64{100, 100}, Capacity: [][]float64{{100, 100}, {100, 0}},
+		QueryRate: []float64{100, 100}, ByteRate: []float64{1e9, 1e9}, QueryBytes: []float64{1, 1}}
 	best, solved := Simplex(p)
 	if simple := Greedy(p); !solved || math.Abs(best.Value-540) > 1 || simple.Value > 301 {
 		t.Errorf("%v, %v and %v", solved, best.Value, simple.Value)
 	}
 }
 
-func two(name, other string, queries float64) Terms {
-	return Terms{Site: name, Interval: second, Workloads: []Workload{{"lookup", 1, 1000, 50e6}, {"report", 4, 4000, 100e6}},
+func two(name, other string, queries float64) Config {
+	return Config{Site: name, Interval: second, Workloads: []Workload{{"lookup", 1, 1000, 50e6}, {"report", 4, 4000, 100e6}},
 		Links: []Link{{other, queries, 1e6, 0.1}}}
 }
 
@@ -113,7 +113,7 @@
 	sites := []*site{a, b}
 	now := int64(0)
 	for _, s := range sites {
-		s.Linked(0, Figures{Delay: 160e6, Usable: true})
+		s.ObserveLink(0, LinkStats{Delay: 160e6, Usable: true})
 		s.carried = make([]float64, 2)
 	}
 	for i := range intervals {
@@ -123,20 +123,20 @@
 		now += second
 		next := [][]float64{make([]float64, 2), make([]float64, 2)}
 		for n, s := range sites {
-			room, far := s.capacity*s.Local(now), sites[1-n]
+			room, far := s.capacity*s.LocalShare(now), sites[1-n]
 			var excess [2]int
 			for w := range 2 { // its own first
 				served := min(s.own, room)
 				room -= served
 				excess[w] = int(s.own - served)
 				for range excess[w] {
-					s.Missed(w)
+					s.CountUnserved(w)
 				}
 			}
 			for k := range slots { // through the interval
 				for w := range 2 {
 					if k*excess[w]/slots < (k+1)*excess[w]/slots &&
-						s.goes(now-second+int64(k)*second/slots, Query{Workload: w, Left: 2 * second}) == 0 {
+						s.goes(now-second+int64(k)*second/slots, Query{Workload: w, TimeLeft: 2 * second}) == 0 {
 						next[n][w]++
 					}
 				}
@@ -144,7 +144,7 @@
 			for k := range slots { // then what the other one sent
 				for w := range 2 {
 					if came := int(s.carried[w]); k*came/slots < (k+1)*came/slots {
-						far.Carried(w, 0, room < 1)
+						far.ObserveResult(w, 0, room < 1)
 						room = max(room-1, 0)
 					}
 				}
@@ -216,14 +216,14 @@
 // A workload that a site always refuses is not sent there for long, and the others are.
 func TestRefusedWorkload(t *testing.T) {
 	r, now := New(0, two("a", "b", 200)), int64(0)
-	r.Linked(0, Figures{Delay: 20e6, Usable: true})
+	r.ObserveLink(0, LinkStats{Delay: 20e6, Usable: true})
 	var sent [2]int
 	for i := range 120 {
 		for w := range 2 {
 			for k := range 20 {
-				r.Missed(w)
-				if r.goes(now+int64(k)*second/20, Query{Workload: w, Left: 2 * second}) == 0 {
-					r.Carried(w, 0, w == 1)
+				r.CountUnserved(w)
+				if r.goes(now+int64(k)*second/20, Query{Workload: w, TimeLeft: 2 * second}) == 0 {
+					r.ObserveResult(w, 0, w == 1)
 					if i >= 60 {
 						sent[w]++
 					}
@@ -243,29 +243,29 @@
 func TestPurse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := two("a", "b", rapid.Float64Range(1, 100).Draw(t, "queries"))
-		terms.Links[0].Bytes = rapid.Float64Range(1e4, 1e6).Draw(t, "bytes")
+		terms.Links[0].ByteRate = rapid.Float64Range(1e4, 1e6).Draw(t, "bytes")
 		r, now := New(0, terms), int64(0)
 		for w := range r.plan.Rates { // a plan gone wrong
 			r.plan.Rates[w][0] = 1e4
 		}
-		r.Linked(0, Figures{Usable: true})
+		r.ObserveLink(0, LinkStats{Usable: true})
 		queries, bytes, longest := 0.0, 0.0, 0.0
 		for range rapid.IntRange(1, 300).Draw(t, "turns") {
 			now += rapid.Int64Range(0, second/5).Draw(t, "later")
 			w := rapid.IntRange(0, 1).Draw(t, "workload")
-			if r.goes(now, Query{Workload: w, Left: 9 * second}) != 0 {
+			if r.goes(now, Query{Workload: w, TimeLeft: 9 * second}) != 0 {
 				continue
 			}
 			real := rapid.Float64Range(100, 50000).Draw(t, "real")
 			longest = max(longest, real, r.Workloads[w].Bytes)
-			r.Weighed(now, w, 0, real)
+			r.ObserveBytes(now, w, 0, real)
 			queries++
 			bytes += real
 			span := float64(now) / 1e9
-			if most := terms.Links[0].Queries*(span+purseFor) + 1; queries > most {
+			if most := terms.Links[0].QueryRate*(span+budgetBurstSeconds) + 1; queries > most {
 				t.Fatalf("%v queries in %v s, at most %v", queries, span, most)
 			}
-			if most := terms.Links[0].Bytes*(span+purseFor) + longest; bytes > most {
+			if most := terms.Links[0].ByteRate*(span+budgetBurstSeconds) + longest; bytes > most {
 				t.Fatalf("%v bytes in %v s, at most %v", bytes, span, most)
 			}
 		}
@@ -279,7 +279,7 @@
 	var local []float64
 	play(90, a, b, func(i int) {
 		a.Evacuate(int64(i)*second, i >= 10 && i < 50)
-		local = append(local, a.Local(int64(i)*second+1))
+		local = append(local, a.LocalShare(int64(i)*second+1))
 	})
 	if local[9] != 1 || local[11] != 0 || local[49] != 0 || local[55] <= 0 || local[55] >= 1 || local[80] != 1 {
 		t.Errorf("the own share goes %v", local)
@@ -297,7 +297,7 @@
 func TestRouteBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		links := rapid.IntRange(1, 4).Draw(t, "links")
-		terms := Terms{Site: "s9", Interval: second, Workloads: []Workload{{"lookup", 1, 1000, 50e6}}}
+		terms := Config{Site: "s9", Interval: second, Workloads: []Workload{{"lookup", 1, 1000, 50e6}}}
 		for i := range links {
 			terms.Links = append(terms.Links, Link{fmt.Sprint("s", rapid.SampledFrom([]int{i, 9}).Draw(t, "site")), 50, 1e6, 0.1})
 		}
@@ -307,14 +307,14 @@
 		for range rapid.IntRange(1, 20).Draw(t, "turns") {
 			for l := range links {
 				usable[l], delay[l] = rapid.Bool().Draw(t, "usable"), rapid.Int64Range(0, 400e6).Draw(t, "delay")
-				r.Linked(l, Figures{Delay: delay[l], Usable: usable[l], Loss: rapid.Float64Range(0, 0.3).Draw(t, "loss")})
+				r.ObserveLink(l, LinkStats{Delay: delay[l], Usable: usable[l], Loss: rapid.Float64Range(0, 0.3).Draw(t, "loss")})
 				if rapid.Bool().Draw(t, "told") {
-					r.Willing(now, l, rapid.Float64Range(0, 100).Draw(t, "willing"))
+					r.ObserveAdvertised(now, l, rapid.Float64Range(0, 100).Draw(t, "willing"))
 				}
 			}
 			for range rapid.IntRange(0, 60).Draw(t, "missed") {
-				r.Missed(0)
-				q := Query{Left: rapid.Int64Range(0, 2*second).Draw(t, "left")}
+				r.CountUnserved(0)
+				q := Query{TimeLeft: rapid.Int64Range(0, 2*second).Draw(t, "left")}
 				for range rapid.IntRange(0, 3).Draw(t, "hops") {
 					q.Visited = append(q.Visited, fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "visited")))
 				}
@@ -323,7 +323,7 @@
 					continue
 				}
 				spent[l]++
-				if terms.Links[l].Site == "s9" || !usable[l] || len(q.Visited) >= hopsMost || q.Left < 2*delay[l] {
+				if terms.Links[l].Site == "s9" || !usable[l] || len(q.Visited) >= maxHops || q.TimeLeft < 2*delay[l] {
 					t.Fatalf("%+v over link %d, delay %d, usable %v", q, l, delay[l], usable[l])
 				}
 				for _, v := range q.Visited {
@@ -336,11 +336,11 @@
 			r.Decide(now)
 			for l := range links {
 				rate := r.plan.Rates[0][l]
-				if rate > 50*(1-returnShare)+1e-6 {
+				if rate > 50*(1-reverseReserve)+1e-6 {
 					t.Fatalf("a rate of %v over a link of 50", rate)
 				}
 				allowed[l] += rate
-				if most := allowed[l] + max(rate, 50) + burstLeast; spent[l] > most {
+				if most := allowed[l] + max(rate, 50) + minBurst; spent[l] > most {
 					t.Fatalf("%v queries over link %d, at most %v", spent[l], l, most)
 				}
 			}
@@ -350,7 +350,7 @@
 
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ workloads, links int }{{2, 1}, {4, 3}, {6, 5}} {
-		t := Terms{Site: "s", Interval: second}
+		t := Config{Site: "s", Interval: second}
 		for w := range size.workloads {
 			t.Workloads = append(t.Workloads, Workload{fmt.Sprint("w", w), float64(1 + w), 1000, 50e6})
 		}
@@ -359,7 +359,7 @@
 		}
 		r := New(0, t)
 		for l := range size.links {
-			r.Linked(l, Figures{Usable: true})
+			r.ObserveLink(l, LinkStats{Usable: true})
 		}
 		for w := range size.workloads {
 			r.excess[w] = 50
--- a/decide/siterouting/spare_test.go
+++ b/decide/siterouting/spare_test.go
@@ -4,7 +4,7 @@
 
 // A site that declines its own takes nothing from others within a few spans, and more again only when it is quiet.
 func TestSpare(t *testing.T) {
-	s, now := NewSpare(0), int64(0)
+	s, now := NewSpareCapacity(0), int64(0)
 	span := func(served, declined int) float64 {
 		for range served {
 			s.Ended(now, true, false)
@@ -12,7 +12,7 @@
 		for range declined {
 			s.Ended(now, true, true)
 		}
-		now += spareSpan
+		now += spareWindowNs
 		return s.Rate(now)
 	}
 	for range 10 {
@@ -35,45 +35,45 @@
 		s.Ended(now, false, true)
 	}
 	was := s.Rate(now)
-	if now += spareSpan; s.Rate(now) < was {
+	if now += spareWindowNs; s.Rate(now) < was {
 		t.Errorf("declining others' it would take %.1f for %.1f", s.Rate(now), was)
 	}
 }
 
 func TestLimit(t *testing.T) {
-	l, now := NewLimit(0), int64(0)
+	l, now := NewLinkLimit(0), int64(0)
 	turn := func(delay int64, lost bool) {
-		for l.Take() {
+		for l.TryAcquire() {
 		}
 		now += 50e6
-		l.Delay(now, delay, lost)
+		l.ObserveDelay(now, delay, lost)
 		for l.InFlight() > 0 {
-			l.Give()
+			l.Release()
 		}
 	}
 	for range 400 {
 		turn(80e6, false)
 	}
-	wide := l.Most()
-	if wide < 20 || l.Least() != 80e6 {
-		t.Errorf("at its least delay %d may be in flight, least %d", wide, l.Least())
+	wide := l.Max()
+	if wide < 20 || l.MinDelay() != 80e6 {
+		t.Errorf("at its least delay %d may be in flight, least %d", wide, l.MinDelay())
 	}
 	for range 150 {
 		turn(400e6, false)
 	}
-	if narrow := l.Most(); narrow > limitFirst {
+	if narrow := l.Max(); narrow > initialLimit {
 		t.Errorf("with a delay five times as long %d", narrow)
 	}
 	for range 1000 { // the way has changed for good: after a while that is its least delay
 		turn(400e6, false)
 	}
-	if l.Least() != 400e6 || l.Most() <= limitFirst {
-		t.Errorf("on a longer way the least is %d, the limit %d", l.Least(), l.Most())
+	if l.MinDelay() != 400e6 || l.Max() <= initialLimit {
+		t.Errorf("on a longer way the least is %d, the limit %d", l.MinDelay(), l.Max())
 	}
 	for range 2000 {
 		turn(0, true)
 	}
-	if l.Most() != limitLeast {
-		t.Errorf("with all lost %d", l.Most())
+	if l.Max() != minLimit {
+		t.Errorf("with all lost %d", l.Max())
 	}
 }
--- a/decide/weightedsplit/weightedsplit.go
+++ b/decide/weightedsplit/weightedsplit.go
@@ -20,8 +20,8 @@
 // Sequence gives the positions of one route's requests at one edge, each from 0 up to 1. It may be used from any
 // goroutine.
 type Sequence struct {
-	start float64
-	given atomic.Uint64
+	start  float64
+	issued atomic.Uint64
 }
 
 // New begins the sequence of a route at an edge. Where it begins depends on both: edges that began alike would all send
@@ -32,7 +32,7 @@
 
 // Next returns where in the route's weights the next request falls.
 func (s *Sequence) Next() float64 {
-	count := s.given.Add(1) - 1
+	count := s.issued.Add(1) - 1
 	_, position := math.Modf(s.start + float64(count)*goldenRatio)
 	return position
 }
--- a/decide/weightedsplit/weightedsplit_test.go
+++ b/decide/weightedsplit/weightedsplit_test.go
@@ -94,7 +94,7 @@
 // TestPositions: each lies from 0 up to 1, also after very many.
 func TestPositions(t *testing.T) {
 	sequence := New("10.0.0.1", "split")
-	sequence.given.Store(1 << 40)
+	sequence.issued.Store(1 << 40)
 	for range 1000 {
 		position := sequence.Next()
 		must.GreaterEq(t, 0, position)
--- a/decide/zonehealth/zonehealth.go
+++ b/decide/zonehealth/zonehealth.go
@@ -19,128 +19,128 @@
 )
 
 const (
-	tooLong  = 4    // an execution that the shortest latency goal / this brought nothing of counts as failed
-	tryAfter = 1    // rests until a zone is tried,
-	tryMost  = 2    // doubled up to so many rests
-	trySome  = 0.25 // of its replicas are let in for a try,
-	tryLeast = 2    // and at least so many
+	failureDivisor   = 4    // an execution that the shortest latency goal / this brought nothing of counts as failed
+	firstTrialDelay  = 1    // rests until a zone is tried,
+	maxTrialDelay    = 2    // doubled up to so many rests
+	trialShare       = 0.25 // of its replicas are let in for a try,
+	minTrialReplicas = 2    // and at least so many
 )
 
-// Terms are what a Tracker is made from.
-type Terms struct {
-	Rest int64 // the first rest of a replica that is set aside, ns: the scale of all times here
-	Few  int   // replicas of one zone that have to fail, with none of it heard between
-	Seed uint64
+// Config are what a Tracker is made from.
+type Config struct {
+	BaseEjection      int64 // the first rest of a replica that is set aside, ns: the scale of all times here
+	MinFailedReplicas int   // replicas of one zone that have to fail, with none of it heard between
+	Seed              uint64
 }
 
-// Check tells what is wrong with the terms.
-func (t Terms) Check() error {
-	if t.Rest <= 0 {
-		return fmt.Errorf("the rest is %d ns, not above 0", t.Rest)
+// Validate tells what is wrong with the terms.
+func (t Config) Validate() error {
+	if t.BaseEjection <= 0 {
+		return fmt.Errorf("the rest is %d ns, not above 0", t.BaseEjection)
 	}
-	if t.Few < 2 {
-		return fmt.Errorf("%d failed replicas tell nothing of a zone, two do at least", t.Few)
+	if t.MinFailedReplicas < 2 {
+		return fmt.Errorf("%d failed replicas tell nothing of a zone, two do at least", t.MinFailedReplicas)
 	}
 	return nil
 }
 
 type replica struct {
-	zone   int  // index of its zone + 1, 0 for one that is not listed or has none
-	failed int  // the zone's turn in which it was last counted as failed
-	barred bool // the module has been told that it is out of reach
-	anew   bool // listed since its zone went out of reach, and nothing has failed there since
+	zone        int  // index of its zone + 1, 0 for one that is not listed or has none
+	failedEpoch int  // the zone's turn in which it was last counted as failed
+	excluded    bool // the module has been told that it is out of reach
+	newlyListed bool // listed since its zone went out of reach, and nothing has failed there since
 }
 
 type zone struct {
-	name     string
-	replicas int // listed
-	turn     int // rises with each answer: failures of earlier turns do not count
-	failures int // replicas that failed in this turn
-	heard    int64
-	out      bool
-	wait     int64 // until the next try, ns
-	tryAt    int64 // the next try
-	trying   bool  // some are let in, and nothing has been sent to them yet
-	open     int   // trying: replicas still to be let in, of
-	rest     int   // so many still to be drawn from
+	name           string
+	replicas       int // listed
+	epoch          int // rises with each answer: failures of earlier turns do not count
+	failedReplicas int // replicas that failed in this turn
+	lastReached    int64
+	unreachable    bool
+	trialDelay     int64 // until the next try, ns
+	trialAt        int64 // the next try
+	inTrial        bool  // some are let in, and nothing has been sent to them yet
+	admissionsLeft int   // trying: replicas still to be let in, of
+	drawsLeft      int   // so many still to be drawn from
 }
 
-// Figures may be read at any time.
-type Figures struct {
-	Found counters.Count `json:"found"` // how often a zone was found out of reach,
-	Back  counters.Count `json:"back"`  // and one of those answered again
-	Tries counters.Count `json:"tries"`
+// Stats may be read at any time.
+type Stats struct {
+	FoundUnreachable counters.Count `json:"found"` // how often a zone was found out of reach,
+	Recovered        counters.Count `json:"back"`  // and one of those answered again
+	Trials           counters.Count `json:"tries"`
 }
 
 // MarshalJSON encodes the present values.
-func (f *Figures) MarshalJSON() ([]byte, error) {
-	type plain Figures
+func (f *Stats) MarshalJSON() ([]byte, error) {
+	type plain Stats
 	return json.Marshal((*plain)(f))
 }
 
 // Tracker keeps the zones of one aggregator.
 type Tracker struct {
-	terms    Terms
-	chance   *rand.Rand
-	replicas []replica
-	zones    []zone
-	stale    bool  // the module's words are to be looked over
-	next     int64 // the soonest try, math.MaxInt64 for none
-	Figures  *Figures
+	config    Config
+	rng       *rand.Rand
+	replicas  []replica
+	zones     []zone
+	changed   bool  // the module's words are to be looked over
+	nextTrial int64 // the soonest try, math.MaxInt64 for none
+	Figures   *Stats
 }
 
 // New makes a Tracker with no replicas.
-func New(t Terms) *Tracker {
-	return &Tracker{terms: t, chance: rand.New(rand.NewPCG(t.Seed, t.Seed^0x9e3779b97f4a7c15)), next: math.MaxInt64, Figures: &Figures{}}
+func New(t Config) *Tracker {
+	return &Tracker{config: t, rng: rand.New(rand.NewPCG(t.Seed, t.Seed^0x9e3779b97f4a7c15)), nextTrial: math.MaxInt64, Figures: &Stats{}}
 }
 
-// Listed tells that a replica is listed as up, in which zone, and whether anything was known of it before; an empty zone is none.
-func (f *Tracker) Listed(i int, name string, known bool) {
+// ReplicaListed tells that a replica is listed as up, in which zone, and whether anything was known of it before; an empty zone is none.
+func (f *Tracker) ReplicaListed(i int, zoneName string, known bool) {
 	for len(f.replicas) <= i {
 		f.replicas = append(f.replicas, replica{})
 	}
 	r, z := &f.replicas[i], 0
-	if name != "" {
-		z = f.place(name)
+	if zoneName != "" {
+		z = f.zoneNumber(zoneName)
 	}
 	if r.zone == z && known {
 		return
 	}
-	f.drop(i)
+	f.removeFromZone(i)
 	if !known {
-		r.barred = false // the module has forgotten it
+		r.excluded = false // the module has forgotten it
 	}
 	if r.zone = z; z > 0 {
 		f.zones[z-1].replicas++
 		// Danger: a zone that was lost comes back with new processes; found out by tries alone it would bear nothing for seconds.
-		r.anew, f.stale = true, true
-	} else if r.barred {
-		f.stale = true
+		r.newlyListed, f.changed = true, true
+	} else if r.excluded {
+		f.changed = true
 	}
 }
 
-// Gone tells that a replica is no longer listed as up.
-func (f *Tracker) Gone(i int) {
+// ReplicaGone tells that a replica is no longer listed as up.
+func (f *Tracker) ReplicaGone(i int) {
 	if i < len(f.replicas) {
-		f.drop(i)
+		f.removeFromZone(i)
 	}
 }
 
-func (f *Tracker) drop(i int) {
+func (f *Tracker) removeFromZone(i int) {
 	if r := &f.replicas[i]; r.zone > 0 {
 		z := &f.zones[r.zone-1]
 		z.replicas--
-		if r.failed == z.turn {
-			z.failures--
+		if r.failedEpoch == z.epoch {
+			z.failedReplicas--
 		}
-		r.zone, r.failed = 0, -1
+		r.zone, r.failedEpoch = 0, -1
 		// Danger: with its last replica a zone is no longer one that can take over. If it was the last such zone, the
 		// zones out of reach are to be let in again; that their own replicas are unchanged must not hide it.
-		f.stale = f.stale || r.barred || z.replicas == 0
+		f.changed = f.changed || r.excluded || z.replicas == 0
 	}
 }
 
-func (f *Tracker) place(name string) int {
+func (f *Tracker) zoneNumber(name string) int {
 	empty := -1
 	for i := range f.zones {
 		switch {
@@ -152,131 +152,131 @@
 	}
 	// Danger: a list that names new zones all day would grow this for as long as the process runs.
 	if empty >= 0 {
-		f.zones[empty] = zone{name: name, turn: 1}
+		f.zones[empty] = zone{name: name, epoch: 1}
 		return empty + 1
 	}
-	f.zones = append(f.zones, zone{name: name, turn: 1})
+	f.zones = append(f.zones, zone{name: name, epoch: 1})
 	return len(f.zones)
 }
 
-func (f *Tracker) zone(i int) int {
+func (f *Tracker) zoneIndex(i int) int {
 	if i >= len(f.replicas) {
 		return -1
 	}
 	return f.replicas[i].zone - 1
 }
 
-// Sent tells that an execution was sent to a replica. One is enough of a try: the others of its zone wait for what becomes of it.
-func (f *Tracker) Sent(now int64, i int) {
-	z := f.zone(i)
-	if z < 0 || !f.zones[z].trying || f.replicas[i].barred {
+// ExecutionSent tells that an execution was sent to a replica. One is enough of a try: the others of its zone wait for what becomes of it.
+func (f *Tracker) ExecutionSent(now int64, i int) {
+	z := f.zoneIndex(i)
+	if z < 0 || !f.zones[z].inTrial || f.replicas[i].excluded {
 		return
 	}
-	f.zones[z].trying = false
-	f.Figures.Tries.Add(1)
-	f.again(now, z)
+	f.zones[z].inTrial = false
+	f.Figures.Trials.Add(1)
+	f.scheduleTrial(now, z)
 }
 
-// again puts off the next try.
-func (f *Tracker) again(now int64, z int) {
+// scheduleTrial puts off the next try.
+func (f *Tracker) scheduleTrial(now int64, z int) {
 	v := &f.zones[z]
-	v.tryAt = now + int64(float64(v.wait)*(0.5+f.chance.Float64()))
-	v.wait = min(2*v.wait, tryMost*f.terms.Rest)
-	f.next = min(f.next, v.tryAt)
-	f.stale = true
+	v.trialAt = now + int64(float64(v.trialDelay)*(0.5+f.rng.Float64()))
+	v.trialDelay = min(2*v.trialDelay, maxTrialDelay*f.config.BaseEjection)
+	f.nextTrial = min(f.nextTrial, v.trialAt)
+	f.changed = true
 }
 
-// Ended tells how an execution at a replica ended, and how long after its send, ns.
-func (f *Tracker) Ended(now int64, i int, result balance.Result, took int64) {
-	z := f.zone(i)
+// ExecutionEnded tells how an execution at a replica ended, and how long after its send, ns.
+func (f *Tracker) ExecutionEnded(now int64, i int, result balance.Result, took int64) {
+	z := f.zoneIndex(i)
 	if z < 0 {
 		return
 	}
 	v, r := &f.zones[z], &f.replicas[i]
 	switch result {
 	case balance.Fulfilled, balance.Errored, balance.Full: // it can be reached
-		v.turn++
-		v.failures, v.heard = 0, now
-		if v.out {
-			v.out, v.trying, f.stale = false, false, true
-			f.Figures.Back.Add(1)
+		v.epoch++
+		v.failedReplicas, v.lastReached = 0, now
+		if v.unreachable {
+			v.unreachable, v.inTrial, f.changed = false, false, true
+			f.Figures.Recovered.Add(1)
 		}
 		return
 	case balance.ConnectFailed, balance.Reset:
 	default:
-		if took < f.terms.Rest/tooLong {
+		if took < f.config.BaseEjection/failureDivisor {
 			return
 		}
 	}
 	// Danger: what was sent before the zone was last heard and fails now is one replica's trouble, or that of the way there.
-	if now-took < v.heard || r.failed == v.turn {
+	if now-took < v.lastReached || r.failedEpoch == v.epoch {
 		return
 	}
-	if r.failed = v.turn; r.anew {
-		r.anew, f.stale = false, true
+	if r.failedEpoch = v.epoch; r.newlyListed {
+		r.newlyListed, f.changed = false, true
 	}
-	if v.failures++; v.failures >= f.terms.Few && !v.out {
-		v.out, v.wait, v.trying = true, tryAfter*f.terms.Rest, false
+	if v.failedReplicas++; v.failedReplicas >= f.config.MinFailedReplicas && !v.unreachable {
+		v.unreachable, v.trialDelay, v.inTrial = true, firstTrialDelay*f.config.BaseEjection, false
 		for i := range f.replicas {
 			if f.replicas[i].zone == z+1 {
-				f.replicas[i].anew = false
+				f.replicas[i].newlyListed = false
 			}
 		}
-		f.Figures.Found.Add(1)
-		f.again(now, z)
+		f.Figures.FoundUnreachable.Add(1)
+		f.scheduleTrial(now, z)
 	}
 }
 
 // Next is when Decide has something to do at the latest; math.MaxInt64 for no such time.
 func (f *Tracker) Next() int64 {
-	if f.stale {
+	if f.changed {
 		return math.MinInt64
 	}
-	return f.next
+	return f.nextTrial
 }
 
 // Decide appends what the module is to be told now.
-func (f *Tracker) Decide(now int64, words []balance.Word) []balance.Word {
+func (f *Tracker) Decide(now int64, words []balance.SharedReport) []balance.SharedReport {
 	if now < f.Next() {
 		return words
 	}
-	f.next = math.MaxInt64
+	f.nextTrial = math.MaxInt64
 	sound := 0
 	for z := range f.zones {
 		v := &f.zones[z]
 		// Danger: those let in may all be full or set aside; with no others drawn the zone would be out for ever.
-		if v.out && now >= v.tryAt {
-			v.trying, v.tryAt, f.stale = true, now+v.wait, true
+		if v.unreachable && now >= v.trialAt {
+			v.inTrial, v.trialAt, f.changed = true, now+v.trialDelay, true
 		}
-		if v.out {
-			f.next = min(f.next, v.tryAt)
+		if v.unreachable {
+			f.nextTrial = min(f.nextTrial, v.trialAt)
 		}
-		v.open, v.rest = 0, v.replicas
-		if v.trying {
-			v.open = min(max(tryLeast, int(trySome*float64(v.replicas))), v.replicas)
+		v.admissionsLeft, v.drawsLeft = 0, v.replicas
+		if v.inTrial {
+			v.admissionsLeft = min(max(minTrialReplicas, int(trialShare*float64(v.replicas))), v.replicas)
 		}
-		if v.replicas > 0 && !v.out {
+		if v.replicas > 0 && !v.unreachable {
 			sound++
 		}
 	}
-	if !f.stale {
+	if !f.changed {
 		return words
 	}
-	f.stale = false
+	f.changed = false
 	for i := range f.replicas {
 		r := &f.replicas[i]
 		bar := false
 		// Danger: where no zone is sound the trouble is this aggregator's own, and none is worse than another.
 		if r.zone > 0 && sound > 0 {
 			v := &f.zones[r.zone-1]
-			lets := f.lets(v)
-			bar = v.out && !r.anew && !lets
+			lets := f.drawForTrial(v)
+			bar = v.unreachable && !r.newlyListed && !lets
 		}
-		if bar != r.barred {
-			r.barred = bar
-			w := balance.Word{Replica: i, Away: now}
+		if bar != r.excluded {
+			r.excluded = bar
+			w := balance.SharedReport{Replica: i, DownUntil: now}
 			if bar {
-				w.Away = math.MaxInt64
+				w.DownUntil = math.MaxInt64
 			}
 			words = append(words, w)
 		}
@@ -284,38 +284,38 @@
 	return words
 }
 
-// lets draws whether the next replica of a zone is let in for a try: just so many are, any as likely as any other.
-func (f *Tracker) lets(v *zone) bool {
-	lets := v.open > 0 && f.chance.Float64()*float64(v.rest) < float64(v.open)
-	if v.rest--; lets {
-		v.open--
+// drawForTrial draws whether the next replica of a zone is let in for a try: just so many are, any as likely as any other.
+func (f *Tracker) drawForTrial(v *zone) bool {
+	lets := v.admissionsLeft > 0 && f.rng.Float64()*float64(v.drawsLeft) < float64(v.admissionsLeft)
+	if v.drawsLeft--; lets {
+		v.admissionsLeft--
 	}
 	return lets
 }
 
-// Heed merges what others say of a replica with what is known here.
-func (f *Tracker) Heed(w balance.Word) balance.Word {
-	if w.Replica < len(f.replicas) && f.replicas[w.Replica].barred {
-		w.Away = math.MaxInt64
+// MergeZoneState merges what others say of a replica with what is known here.
+func (f *Tracker) MergeZoneState(w balance.SharedReport) balance.SharedReport {
+	if w.Replica < len(f.replicas) && f.replicas[w.Replica].excluded {
+		w.DownUntil = math.MaxInt64
 	}
 	return w
 }
 
-// Out appends the names of the zones that are out of reach.
-func (f *Tracker) Out(names []string) []string {
+// UnreachableZones appends the names of the zones that are out of reach.
+func (f *Tracker) UnreachableZones(names []string) []string {
 	for _, z := range f.zones {
-		if z.out {
+		if z.unreachable {
 			names = append(names, z.name)
 		}
 	}
 	return names
 }
 
-// End appends what the module is to be told as nobody knows of zones any longer.
-func (f *Tracker) End(now int64, words []balance.Word) []balance.Word {
+// ReleaseAll appends what the module is to be told as nobody knows of zones any longer.
+func (f *Tracker) ReleaseAll(now int64, words []balance.SharedReport) []balance.SharedReport {
 	for i := range f.replicas {
-		if f.replicas[i].barred {
-			words = append(words, balance.Word{Replica: i, Away: now})
+		if f.replicas[i].excluded {
+			words = append(words, balance.SharedReport{Replica: i, DownUntil: now})
 		}
 	}
 	return words
--- a/decide/zonehealth/zonehealth_test.go
+++ b/decide/zonehealth/zonehealth_test.go
@@ -13,24 +13,24 @@
 
 const ms = int64(1e6)
 
-func newRifts(replicas int, zones ...string) *Tracker {
-	f := New(Terms{Rest: 250 * ms, Few: 3, Seed: 1})
+func newTestTracker(replicas int, zones ...string) *Tracker {
+	f := New(Config{BaseEjection: 250 * ms, MinFailedReplicas: 3, Seed: 1})
 	for i := range replicas {
-		f.Listed(i, zones[i%len(zones)], false)
+		f.ReplicaListed(i, zones[i%len(zones)], false)
 	}
 	f.Decide(0, nil)
 	return f
 }
 
-// heard plays a module that hears the words.
-type heard map[int]bool
+// excludedReplicas plays a module that hears the words.
+type excludedReplicas map[int]bool
 
-func (h heard) decide(t interface{ Fatalf(string, ...any) }, f *Tracker, now int64) {
+func (h excludedReplicas) apply(t interface{ Fatalf(string, ...any) }, f *Tracker, now int64) {
 	for _, w := range f.Decide(now, nil) {
 		switch {
-		case w.Away == math.MaxInt64 && !h[w.Replica]:
+		case w.DownUntil == math.MaxInt64 && !h[w.Replica]:
 			h[w.Replica] = true
-		case w.Away == now && h[w.Replica]:
+		case w.DownUntil == now && h[w.Replica]:
 			delete(h, w.Replica)
 		default:
 			t.Fatalf("at %d ms: %+v, where barred is %v", now/ms, w, h[w.Replica])
@@ -38,8 +38,8 @@
 	}
 }
 
-// zone counts those barred of the replicas whose number leaves this rest.
-func (h heard) zone(rest, of int) (n int) {
+// count counts those barred of the replicas whose number leaves this rest.
+func (h excludedReplicas) count(rest, of int) (n int) {
 	for i := range h {
 		if i%of == rest {
 			n++
@@ -61,7 +61,7 @@
 		"three time-outs":                           {[]end{{0, balance.TimedOut, 110}, {2, balance.TimedOut, 110}, {4, balance.TimedOut, 110}}, true},
 		"three refused connections, at once":        {[]end{{0, balance.ConnectFailed, 1}, {2, balance.ConnectFailed, 1}, {4, balance.ConnectFailed, 1}}, true},
 		"three resets":                              {[]end{{0, balance.Reset, 1}, {2, balance.Reset, 1}, {4, balance.Reset, 1}}, true},
-		"parts that waited for their connection":    {[]end{{0, balance.Moot, 110}, {2, balance.Moot, 110}, {4, balance.Moot, 110}}, true},
+		"parts that waited for their connection":    {[]end{{0, balance.Unsent, 110}, {2, balance.Unsent, 110}, {4, balance.Unsent, 110}}, true},
 		"parts that were taken back late":           {[]end{{0, balance.Cancelled, 110}, {2, balance.Cancelled, 110}, {4, balance.Cancelled, 110}}, true},
 		"parts that were cancelled soon":            {[]end{{0, balance.Cancelled, 20}, {2, balance.Cancelled, 20}, {4, balance.Cancelled, 20}}, false},
 		"two only":                                  {[]end{{0, balance.TimedOut, 110}, {2, balance.TimedOut, 110}}, false},
@@ -73,14 +73,14 @@
 		"an answer of the other zone tells nothing": {[]end{{0, balance.TimedOut, 110}, {2, balance.TimedOut, 110}, {1, balance.Fulfilled, 5}, {4, balance.TimedOut, 110}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, h := newRifts(12, "a", "b"), heard{}
+			f, h := newTestTracker(12, "a", "b"), excludedReplicas{}
 			now := 1000 * ms
 			for _, e := range c.ends {
-				f.Ended(now, e.replica, e.result, e.took*ms)
-				h.decide(t, f, now)
+				f.ExecutionEnded(now, e.replica, e.result, e.took*ms)
+				h.apply(t, f, now)
 				now += ms
 			}
-			if out := fmt.Sprint(f.Out(nil)); (out == "[a]") != c.out || h.zone(0, 2) != map[bool]int{true: 6}[c.out] || h.zone(1, 2) != 0 {
+			if out := fmt.Sprint(f.UnreachableZones(nil)); (out == "[a]") != c.out || h.count(0, 2) != map[bool]int{true: 6}[c.out] || h.count(1, 2) != 0 {
 				t.Errorf("out of reach: %s, barred: %v", out, h)
 			}
 		})
@@ -89,28 +89,28 @@
 
 // What was sent before the zone was last heard tells of single replicas, not of the zone.
 func TestOldSends(t *testing.T) {
-	f := newRifts(12, "a", "b")
-	f.Ended(1000*ms, 6, balance.Fulfilled, 5*ms)
+	f := newTestTracker(12, "a", "b")
+	f.ExecutionEnded(1000*ms, 6, balance.Fulfilled, 5*ms)
 	for _, i := range []int{0, 2, 4} {
-		f.Ended(1050*ms, i, balance.TimedOut, 110*ms)
+		f.ExecutionEnded(1050*ms, i, balance.TimedOut, 110*ms)
 	}
-	if len(f.Out(nil)) > 0 {
+	if len(f.UnreachableZones(nil)) > 0 {
 		t.Error("found out of reach by what was sent before it was heard")
 	}
 }
 
 // Where all zones fail alike the trouble is this aggregator's own, and nothing is passed over.
 func TestOwnTrouble(t *testing.T) {
-	f, h := newRifts(12, "a", "b"), heard{}
+	f, h := newTestTracker(12, "a", "b"), excludedReplicas{}
 	for i := range 6 {
-		f.Ended(1000*ms, i, balance.TimedOut, 110*ms)
+		f.ExecutionEnded(1000*ms, i, balance.TimedOut, 110*ms)
 	}
-	h.decide(t, f, 1000*ms)
-	if len(f.Out(nil)) != 2 || len(h) > 0 {
-		t.Errorf("out of reach: %v, barred: %v", f.Out(nil), h)
+	h.apply(t, f, 1000*ms)
+	if len(f.UnreachableZones(nil)) != 2 || len(h) > 0 {
+		t.Errorf("out of reach: %v, barred: %v", f.UnreachableZones(nil), h)
 	}
-	f.Ended(1010*ms, 7, balance.Fulfilled, 5*ms) // the second zone is back: now the first is worse than it
-	if h.decide(t, f, 1010*ms); h.zone(0, 2) != 6 || h.zone(1, 2) != 0 {
+	f.ExecutionEnded(1010*ms, 7, balance.Fulfilled, 5*ms) // the second zone is back: now the first is worse than it
+	if h.apply(t, f, 1010*ms); h.count(0, 2) != 6 || h.count(1, 2) != 0 {
 		t.Errorf("barred: %v", h)
 	}
 }
@@ -118,10 +118,10 @@
 // Where there is one zone, or none is named, nothing is ever passed over.
 func TestOneZone(t *testing.T) {
 	for _, name := range []string{"a", ""} {
-		f, h := newRifts(12, name), heard{}
+		f, h := newTestTracker(12, name), excludedReplicas{}
 		for i := range 12 {
-			f.Ended(1000*ms, i, balance.TimedOut, 110*ms)
-			h.decide(t, f, 1000*ms)
+			f.ExecutionEnded(1000*ms, i, balance.TimedOut, 110*ms)
+			h.apply(t, f, 1000*ms)
 		}
 		if len(h) > 0 {
 			t.Errorf("zone %q: barred: %v", name, h)
@@ -129,20 +129,20 @@
 	}
 }
 
-func lose(f *Tracker, now int64) {
+func failZone(f *Tracker, now int64) {
 	for _, i := range []int{0, 2, 4} {
-		f.Ended(now, i, balance.TimedOut, 110*ms)
+		f.ExecutionEnded(now, i, balance.TimedOut, 110*ms)
 	}
 }
 
 // Where nothing is sent to those that were let in others are drawn.
 func TestTryGoesOn(t *testing.T) {
-	f, h := newRifts(100, "a", "b"), heard{}
-	lose(f, 1000*ms)
-	h.decide(t, f, 1000*ms)
+	f, h := newTestTracker(100, "a", "b"), excludedReplicas{}
+	failZone(f, 1000*ms)
+	h.apply(t, f, 1000*ms)
 	met := map[int]bool{}
 	for range 30 {
-		h.decide(t, f, f.Next())
+		h.apply(t, f, f.Next())
 		for i := 0; i < 100; i += 2 {
 			met[i] = met[i] || !h[i]
 		}
@@ -155,15 +155,15 @@
 // A zone is tried by some of its replicas until one part goes there; that one brings all back, or the next try comes later.
 func TestTries(t *testing.T) {
 	for _, replicas := range []int{8, 16, 100} {
-		t.Run(strconv.Itoa(replicas), func(t *testing.T) { tries(t, replicas) })
+		t.Run(strconv.Itoa(replicas), func(t *testing.T) { checkTrials(t, replicas) })
 	}
 }
 
-func tries(t *testing.T, replicas int) {
-	f, h := newRifts(replicas, "a", "b"), heard{}
+func checkTrials(t *testing.T, replicas int) {
+	f, h := newTestTracker(replicas, "a", "b"), excludedReplicas{}
 	now := 1000 * ms
-	lose(f, now)
-	h.decide(t, f, now)
+	failZone(f, now)
+	h.apply(t, f, now)
 	var waits []int64
 	for range 6 {
 		due := f.Next()
@@ -171,25 +171,25 @@
 			t.Fatalf("the next try is due at %d ms, at %d ms", due/ms, now/ms)
 		}
 		waits = append(waits, (due-now)/ms)
-		if h.decide(t, f, due-1); h.zone(0, 2) != replicas/2 {
-			t.Fatalf("before the try %d are barred", h.zone(0, 2))
+		if h.apply(t, f, due-1); h.count(0, 2) != replicas/2 {
+			t.Fatalf("before the try %d are barred", h.count(0, 2))
 		}
-		h.decide(t, f, due)
-		open := replicas/2 - h.zone(0, 2)
+		h.apply(t, f, due)
+		open := replicas/2 - h.count(0, 2)
 		if open != max(2, replicas/8) {
 			t.Fatalf("for a try %d of %d are let in", open, replicas/2)
 		}
 		now = due + 100*ms
 		for i := 0; i < replicas; i += 2 {
 			if !h[i] {
-				f.Sent(now, i)
-				f.Sent(now, i) // a second part of the same round
-				f.Ended(now+110*ms, i, balance.TimedOut, 110*ms)
+				f.ExecutionSent(now, i)
+				f.ExecutionSent(now, i) // a second part of the same round
+				f.ExecutionEnded(now+110*ms, i, balance.TimedOut, 110*ms)
 				break
 			}
 		}
-		if h.decide(t, f, now); h.zone(0, 2) != replicas/2 {
-			t.Fatalf("after the try's part was sent %d are barred", h.zone(0, 2))
+		if h.apply(t, f, now); h.count(0, 2) != replicas/2 {
+			t.Fatalf("after the try's part was sent %d are barred", h.count(0, 2))
 		}
 	}
 	for i, w := range waits {
@@ -197,12 +197,12 @@
 			t.Errorf("waits of %v ms: number %d is not between %d and %d", waits, i, least, 3*least)
 		}
 	}
-	if f.Figures.Tries.Load() != 6 || f.Figures.Found.Load() != 1 {
-		t.Errorf("%d tries, found %d times", f.Figures.Tries.Load(), f.Figures.Found.Load())
+	if f.Figures.Trials.Load() != 6 || f.Figures.FoundUnreachable.Load() != 1 {
+		t.Errorf("%d tries, found %d times", f.Figures.Trials.Load(), f.Figures.FoundUnreachable.Load())
 	}
-	f.Ended(now+ms, 0, balance.Fulfilled, ms)
-	if h.decide(t, f, now+ms); len(h) > 0 || len(f.Out(nil)) > 0 || f.Figures.Back.Load() != 1 {
-		t.Errorf("after an answer %v is out of reach and %v barred", f.Out(nil), h)
+	f.ExecutionEnded(now+ms, 0, balance.Fulfilled, ms)
+	if h.apply(t, f, now+ms); len(h) > 0 || len(f.UnreachableZones(nil)) > 0 || f.Figures.Recovered.Load() != 1 {
+		t.Errorf("after an answer %v is out of reach and %v barred", f.UnreachableZones(nil), h)
 	}
 	if f.Next() != math.MaxInt64 {
 		t.Errorf("something is due at %d", f.Next())
@@ -211,52 +211,52 @@
 
 // A replica that the list names anew is let in though its zone is out, until it fails as well.
 func TestAnew(t *testing.T) {
-	f, h := newRifts(12, "a", "b"), heard{}
+	f, h := newTestTracker(12, "a", "b"), excludedReplicas{}
 	now := 1000 * ms
-	lose(f, now)
-	h.decide(t, f, now)
-	f.Gone(6)
-	h.decide(t, f, now)
-	f.Listed(6, "a", true)
-	f.Listed(20, "a", false)
-	if h.decide(t, f, now); h[6] || h[20] || h.zone(0, 2) != 5 {
+	failZone(f, now)
+	h.apply(t, f, now)
+	f.ReplicaGone(6)
+	h.apply(t, f, now)
+	f.ReplicaListed(6, "a", true)
+	f.ReplicaListed(20, "a", false)
+	if h.apply(t, f, now); h[6] || h[20] || h.count(0, 2) != 5 {
 		t.Fatalf("barred: %v", h)
 	}
-	f.Ended(now+200*ms, 6, balance.TimedOut, 110*ms)
-	if h.decide(t, f, now+200*ms); !h[6] || h[20] {
+	f.ExecutionEnded(now+200*ms, 6, balance.TimedOut, 110*ms)
+	if h.apply(t, f, now+200*ms); !h[6] || h[20] {
 		t.Errorf("barred: %v", h)
 	}
-	f.Ended(now+210*ms, 20, balance.Fulfilled, 10*ms)
-	if h.decide(t, f, now+210*ms); len(h) > 0 {
+	f.ExecutionEnded(now+210*ms, 20, balance.Fulfilled, 10*ms)
+	if h.apply(t, f, now+210*ms); len(h) > 0 {
 		t.Errorf("barred: %v", h)
 	}
 }
 
 // A replica under an index that was used again starts with nothing held against it, here and at the module.
 func TestUsedAgain(t *testing.T) {
-	f, h := newRifts(12, "a", "b"), heard{}
-	lose(f, 1000*ms)
-	h.decide(t, f, 1000*ms)
-	f.Gone(2)
-	f.Listed(2, "b", false)
+	f, h := newTestTracker(12, "a", "b"), excludedReplicas{}
+	failZone(f, 1000*ms)
+	h.apply(t, f, 1000*ms)
+	f.ReplicaGone(2)
+	f.ReplicaListed(2, "b", false)
 	delete(h, 2) // the module has begun a new record
-	if h.decide(t, f, 1000*ms); h[2] || h.zone(0, 2) != 5 {
+	if h.apply(t, f, 1000*ms); h[2] || h.count(0, 2) != 5 {
 		t.Errorf("barred: %v", h)
 	}
 }
 
 func TestEnd(t *testing.T) {
-	f, h := newRifts(12, "a", "b"), heard{}
-	lose(f, 1000*ms)
-	h.decide(t, f, 1000*ms)
-	if w := f.Heed(balance.Word{Replica: 0, Pace: 3}); w.Away != math.MaxInt64 || w.Pace != 3 {
+	f, h := newTestTracker(12, "a", "b"), excludedReplicas{}
+	failZone(f, 1000*ms)
+	h.apply(t, f, 1000*ms)
+	if w := f.MergeZoneState(balance.SharedReport{Replica: 0, Slowdown: 3}); w.DownUntil != math.MaxInt64 || w.Slowdown != 3 {
 		t.Errorf("what others say of one out of reach came to %+v", w)
 	}
-	if w := f.Heed(balance.Word{Replica: 1}); w.Away != 0 {
+	if w := f.MergeZoneState(balance.SharedReport{Replica: 1}); w.DownUntil != 0 {
 		t.Errorf("what others say of one in reach came to %+v", w)
 	}
-	for _, w := range f.End(1100*ms, nil) {
-		if w.Away != 1100*ms || !h[w.Replica] {
+	for _, w := range f.ReleaseAll(1100*ms, nil) {
+		if w.DownUntil != 1100*ms || !h[w.Replica] {
 			t.Errorf("%+v", w)
 		}
 		delete(h, w.Replica)
@@ -267,12 +267,12 @@
 }
 
 func TestTerms(t *testing.T) {
-	for _, terms := range []Terms{{Rest: 0, Few: 3}, {Rest: ms, Few: 1}} {
-		if terms.Check() == nil {
+	for _, terms := range []Config{{BaseEjection: 0, MinFailedReplicas: 3}, {BaseEjection: ms, MinFailedReplicas: 1}} {
+		if terms.Validate() == nil {
 			t.Errorf("%+v passes", terms)
 		}
 	}
-	if err := (Terms{Rest: ms, Few: 2}).Check(); err != nil {
+	if err := (Config{BaseEjection: ms, MinFailedReplicas: 2}).Validate(); err != nil {
 		t.Error(err)
 	}
 }
@@ -282,21 +282,21 @@
 func TestLastSoundZoneLeaves(t *testing.T) {
 	now := 1000 * ms
 	for name, leave := range map[string]func(f *Tracker, i int){
-		"no longer listed":      func(f *Tracker, i int) { f.Gone(i) },
-		"listed without a zone": func(f *Tracker, i int) { f.Listed(i, "", true) },
+		"no longer listed":      func(f *Tracker, i int) { f.ReplicaGone(i) },
+		"listed without a zone": func(f *Tracker, i int) { f.ReplicaListed(i, "", true) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, h := newRifts(6, "a", "b"), heard{}
+			f, h := newTestTracker(6, "a", "b"), excludedReplicas{}
 			for _, i := range []int{0, 2, 4} {
-				f.Ended(now, i, balance.ConnectFailed, ms)
+				f.ExecutionEnded(now, i, balance.ConnectFailed, ms)
 			}
-			if h.decide(t, f, now); h.zone(0, 2) != 3 {
+			if h.apply(t, f, now); h.count(0, 2) != 3 {
 				t.Fatalf("barred: %v", h)
 			}
 			for _, i := range []int{1, 3, 5} {
 				leave(f, i)
 			}
-			if h.decide(t, f, now); len(h) != 0 {
+			if h.apply(t, f, now); len(h) != 0 {
 				t.Errorf("barred while no zone is sound: %v", h)
 			}
 		})
@@ -308,7 +308,7 @@
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"", "a", "b", "c"}
-		f, h := New(Terms{Rest: 250 * ms, Few: rapid.IntRange(2, 4).Draw(t, "few"), Seed: rapid.Uint64().Draw(t, "seed")}), heard{}
+		f, h := New(Config{BaseEjection: 250 * ms, MinFailedReplicas: rapid.IntRange(2, 4).Draw(t, "few"), Seed: rapid.Uint64().Draw(t, "seed")}), excludedReplicas{}
 		zone, listed := map[int]string{}, map[int]bool{}
 		now := 1000 * ms
 		t.Repeat(map[string]func(*rapid.T){
@@ -318,22 +318,22 @@
 				if !known {
 					delete(h, i)
 				}
-				f.Listed(i, z, known)
+				f.ReplicaListed(i, z, known)
 				zone[i], listed[i] = z, true
 			},
 			"gone": func(t *rapid.T) {
 				i := rapid.IntRange(0, 14).Draw(t, "replica")
-				f.Gone(i)
+				f.ReplicaGone(i)
 				delete(listed, i)
 			},
-			"sent": func(t *rapid.T) { f.Sent(now, rapid.IntRange(0, 14).Draw(t, "replica")) },
+			"sent": func(t *rapid.T) { f.ExecutionSent(now, rapid.IntRange(0, 14).Draw(t, "replica")) },
 			"ended": func(t *rapid.T) {
 				i := rapid.IntRange(0, 14).Draw(t, "replica")
 				r := rapid.SampledFrom([]balance.Result{balance.Fulfilled, balance.TimedOut, balance.TimedOut, balance.ConnectFailed,
-					balance.Moot, balance.Cancelled, balance.Full}).Draw(t, "result")
-				f.Ended(now, i, r, rapid.Int64Range(0, 200).Draw(t, "took")*ms)
+					balance.Unsent, balance.Cancelled, balance.Full}).Draw(t, "result")
+				f.ExecutionEnded(now, i, r, rapid.Int64Range(0, 200).Draw(t, "took")*ms)
 				if r == balance.Fulfilled && listed[i] && zone[i] != "" {
-					h.decide(t, f, now)
+					h.apply(t, f, now)
 					for k := range h {
 						if listed[k] && zone[k] == zone[i] {
 							t.Fatalf("replica %d is barred after an answer of %d, both in zone %s", k, i, zone[i])
@@ -343,9 +343,9 @@
 			},
 			"later": func(t *rapid.T) { now += rapid.Int64Range(1, 2000).Draw(t, "ms") * ms },
 			"": func(t *rapid.T) {
-				h.decide(t, f, now)
+				h.apply(t, f, now)
 				out := map[string]bool{}
-				for _, z := range f.Out(nil) {
+				for _, z := range f.UnreachableZones(nil) {
 					out[z] = true
 				}
 				sound := false
@@ -367,14 +367,14 @@
 
 // What comes with every execution costs no memory, and hardly any time.
 func TestCost(t *testing.T) {
-	f := newRifts(1000, "a", "b", "c")
-	words := make([]balance.Word, 0, 1000)
+	f := newTestTracker(1000, "a", "b", "c")
+	words := make([]balance.SharedReport, 0, 1000)
 	now := 1000 * ms
 	if n := testing.AllocsPerRun(1000, func() {
 		now += ms
-		f.Sent(now, 7)
-		f.Ended(now, 7, balance.Fulfilled, 5*ms)
-		f.Ended(now, 8, balance.TimedOut, 110*ms)
+		f.ExecutionSent(now, 7)
+		f.ExecutionEnded(now, 7, balance.Fulfilled, 5*ms)
+		f.ExecutionEnded(now, 8, balance.TimedOut, 110*ms)
 		words = f.Decide(now, words[:0])
 	}); n > 0 {
 		t.Errorf("%v allocations an execution", n)
@@ -382,12 +382,12 @@
 }
 
 func BenchmarkExecution(b *testing.B) {
-	f := newRifts(1000, "a", "b", "c")
+	f := newTestTracker(1000, "a", "b", "c")
 	now := 1000 * ms
 	for b.Loop() {
 		now += ms
-		f.Sent(now, 7)
-		f.Ended(now, 7, balance.Fulfilled, 5*ms)
+		f.ExecutionSent(now, 7)
+		f.ExecutionEnded(now, 7, balance.Fulfilled, 5*ms)
 		f.Decide(now, nil)
 	}
 }
@@ -395,16 +395,16 @@
 func BenchmarkFound(b *testing.B) {
 	for _, n := range []int{200, 1000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			f := newRifts(n, "a", "b", "c")
-			words := make([]balance.Word, 0, n)
+			f := newTestTracker(n, "a", "b", "c")
+			words := make([]balance.SharedReport, 0, n)
 			now := 1000 * ms
 			for b.Loop() {
 				now += 1000 * ms
 				for _, i := range []int{0, 3, 6} {
-					f.Ended(now, i, balance.ConnectFailed, ms)
+					f.ExecutionEnded(now, i, balance.ConnectFailed, ms)
 				}
 				words = f.Decide(now, words[:0])
-				f.Ended(now+ms, 9, balance.Fulfilled, ms)
+				f.ExecutionEnded(now+ms, 9, balance.Fulfilled, ms)
 				words = f.Decide(now+ms, words[:0])
 			}
 		})
@@ -413,17 +413,17 @@
 
 // Zones that come and go leave nothing behind.
 func TestManyNames(t *testing.T) {
-	f, h := newRifts(12, "a", "b"), heard{}
+	f, h := newTestTracker(12, "a", "b"), excludedReplicas{}
 	for i := range 1000 {
-		f.Gone(3)
-		f.Listed(3, fmt.Sprint("z", i), true)
-		h.decide(t, f, 1000*ms)
+		f.ReplicaGone(3)
+		f.ReplicaListed(3, fmt.Sprint("z", i), true)
+		h.apply(t, f, 1000*ms)
 	}
 	if len(f.zones) > 3 {
 		t.Errorf("%d zones are kept", len(f.zones))
 	}
-	lose(f, 2000*ms)
-	if h.decide(t, f, 2000*ms); h.zone(0, 2) != 6 || len(h) != 6 {
+	failZone(f, 2000*ms)
+	if h.apply(t, f, 2000*ms); h.count(0, 2) != 6 || len(h) != 6 {
 		t.Errorf("barred: %v", h)
 	}
 }
--- a/deployment/deployment.go
+++ b/deployment/deployment.go
@@ -23,23 +23,23 @@
 	caps, domain, rules := boot.Object("caps"), boot.Object("domain"), boot.Object("guarantees")
 	d.Workload = map[string]int{}
 	d.Deployment = balance.Deployment{
-		Number: boot.Int("index"), Aggregators: boot.Int("balancers"), Tick: boot.Time("tick"),
-		Shards: domain.Int("slices"), Cells: domain.Int("cells"), Reach: domain.Int("in_a_row"),
+		Index: boot.Int("index"), Aggregators: boot.Int("balancers"), Tick: boot.Time("tick"),
+		Shards: domain.Int("slices"), Cells: domain.Int("cells"), CellsPerShard: domain.Int("in_a_row"),
 		PartsPerCall:  domain.Int("parts_a_call"),
 		MaxExecutions: caps.Int("max_attempts"),
-		Cancels:       caps.Bool("cancel"),
-		MaxComeBack:   caps.MayTime("max_retry_after"),
-		ColdShare:     rules.Number("cold_from"),
-		ColdRamp:      rules.Time("ramp_time"), FallMultiple: rules.Number("fall_multiple"),
-		FallSpan:    rules.Time("fall"),
-		AsksForList: boot.String("membership_mode") == "ask", AskWithin: rules.MayTime("must_ask_in"),
-		Budgeted: rules.Has("ratio_span"), FurtherSpan: rules.MayTime("ratio_span"),
+		CanCancel:     caps.Bool("cancel"),
+		MaxRetryAfter: caps.MayTime("max_retry_after"),
+		ColdCapacity:  rules.Number("cold_from"),
+		WarmUpTime:    rules.Time("ramp_time"), OverloadFactor: rules.Number("fall_multiple"),
+		OverloadSpan: rules.Time("fall"),
+		AsksForList:  boot.String("membership_mode") == "ask", AskWithin: rules.MayTime("must_ask_in"),
+		Budgeted: rules.Has("ratio_span"), RetryWindow: rules.MayTime("ratio_span"),
 	}
 	if !caps.Bool("retry_after") {
-		d.MaxComeBack = 0
+		d.MaxRetryAfter = 0
 	}
-	rules.May("budget_free", &d.FurtherFree)
-	rules.May("extra_per_request", &d.FurtherShare)
+	rules.May("budget_free", &d.RetrySlack)
+	rules.May("extra_per_request", &d.RetryRatio)
 
 	var need, floor, partial []float64
 	var followUp []int
@@ -62,23 +62,23 @@
 		c := &fields.Object{Raw: raw}
 		w := balance.Workload{
 			LatencyGoal: c.Time("slo"),
-			LateShare:   c.Number("late_worth"), RepeatWindow: c.MayTime("window"),
-			Floor: floor[i], Need: need[i], PartialShare: partial[i], FollowUp: followUp[i],
+			LateShare:   c.Number("late_worth"), DedupWindow: c.MayTime("window"),
+			MinCoverage: floor[i], FullCoverage: need[i], PartialShare: partial[i], FollowUpParts: followUp[i],
 		}
-		c.May("worth", &w.Worth)
-		if w.Worth < 0 {
+		c.May("worth", &w.Value)
+		if w.Value < 0 {
 			c.Fail("worth", "is below 0")
 		}
 		if c.Has("worth") {
-			w.Worth = max(w.Worth, leastWorth)
+			w.Value = max(w.Value, leastWorth)
 		}
 		switch repeat := c.String("repeat"); repeat {
 		case "free":
-			w.Effect = balance.Repeatable
+			w.RetrySafety = balance.Repeatable
 		case "guarded":
-			w.Effect = balance.Tagged
+			w.RetrySafety = balance.Deduplicated
 		case "single_shot":
-			w.Effect = balance.OnceOnly
+			w.RetrySafety = balance.OnceOnly
 		default:
 			c.Fail("repeat", "is unknown")
 		}
--- a/deployment/operator/functions.go
+++ b/deployment/operator/functions.go
@@ -84,7 +84,7 @@
 			{Name: "shed", Kind: script.Truth, Unset: true, Help: "under strain, queries worth least are turned away"},
 			{Name: "at_once", Kind: script.Truth, Unset: true, Help: "rounds do not wait for the tick where they cost little"},
 			{Name: "revenue", Kind: script.Shares, Unset: map[string]float64{}, Most: 1e9, Help: "of a query served within its goal, by workload; else 1"},
-			{Name: "limit", Kind: script.Text, Unset: "model", Words: overload.Limits, Help: "how what can be served is found; all but model are baselines"},
+			{Name: "limit", Kind: script.Text, Unset: "model", Words: overload.LimitKinds, Help: "how what can be served is found; all but model are baselines"},
 			{Name: "rate", Kind: script.Number, Unset: 1000.0, Least: 0.1, Most: 1e7, Help: "queries a second, for the fixed limit"},
 			{Name: "lateness", Kind: script.Span, Unset: 10 * milli, Least: 1e6, Most: 1e9, Help: "of the process itself that is borne"},
 			{Name: "floor", Kind: script.Number, Unset: 0.05, Most: 0.5, Help: "share of what can be served that customers are given by turns"},
--- a/deployment/start.go
+++ b/deployment/start.go
@@ -172,7 +172,7 @@
 	}{{"most_held", int64(s.MostHeld)}, {"streams_per_conn", int64(s.Streams)},
 		{"connect_timeout", s.ConnectWithin}, {"conn_idle", s.IdleAfter},
 		{"max_attempts", int64(s.MaxExecutions)}, {"tick", s.Tick}, {"slices", int64(s.Shards)},
-		{"cells", int64(s.Cells)}, {"in_a_row", int64(s.Reach)}, {"parts_a_call", int64(s.PartsPerCall)},
+		{"cells", int64(s.Cells)}, {"in_a_row", int64(s.CellsPerShard)}, {"parts_a_call", int64(s.PartsPerCall)},
 		{"classes", int64(len(s.Workloads))}} {
 		if c.value <= 0 {
 			return fmt.Errorf("settings: field %q is not above 0", c.key)
@@ -187,7 +187,7 @@
 		if c.Err != nil {
 			return fmt.Errorf("settings: classes: %w", c.Err)
 		}
-		if s.Workloads[i].FollowUp > 0 { // the protocol with clients and replicas has no form for it
+		if s.Workloads[i].FollowUpParts > 0 { // the protocol with clients and replicas has no form for it
 			return errors.New(`settings: field "follow_up": a second step is not served on sockets`)
 		}
 	}
--- a/deployment/start_test.go
+++ b/deployment/start_test.go
@@ -48,7 +48,7 @@
 	if s.Terms != (Terms{MostHeld: 277, Streams: 32, ConnectWithin: 250e6, IdleAfter: 15e9, LongestCutOff: 3e9}) {
 		t.Errorf("read the terms %+v", s.Terms)
 	}
-	if s.Tick != 5e6 || s.Number != 1 || s.Workload["report"] != 0 || s.Workloads[0].LatencyGoal != 1500e6 {
+	if s.Tick != 5e6 || s.Index != 1 || s.Workload["report"] != 0 || s.Workloads[0].LatencyGoal != 1500e6 {
 		t.Errorf("read the deployment %+v", s.Deployment)
 	}
 }
@@ -59,13 +59,13 @@
 		`"repeat":"free"`, `"repeat":"single_shot","worth":3`, `"retry_after":true`, `"retry_after":false`,
 		`"fall_multiple":4`, `"fall_multiple":2.5`).Replace(good)
 	d := started(t, text).Deployment.Deployment
-	if !d.Budgeted || d.FurtherSpan != 10e9 || d.FurtherFree != 10 || d.FurtherShare != 0.2 {
+	if !d.Budgeted || d.RetryWindow != 10e9 || d.RetrySlack != 10 || d.RetryRatio != 0.2 {
 		t.Errorf("read the budget %+v", d)
 	}
-	if d.FallSpan != 1500e6 || d.FallMultiple != 2.5 || d.MaxComeBack != 0 {
+	if d.OverloadSpan != 1500e6 || d.OverloadFactor != 2.5 || d.MaxRetryAfter != 0 {
 		t.Errorf("read the rules %+v", d)
 	}
-	if w := d.Workloads[0]; w.Effect != balance.OnceOnly || w.Worth != 3 {
+	if w := d.Workloads[0]; w.RetrySafety != balance.OnceOnly || w.Value != 3 {
 		t.Errorf("read the workload %+v", w)
 	}
 }
@@ -73,7 +73,7 @@
 // A workload stated to be worth nothing is told from one of which nothing is stated.
 func TestStartWorth(t *testing.T) {
 	for stated, want := range map[string]float64{`"slo":1500`: 0, `"slo":1500,"worth":0`: leastWorth, `"slo":1500,"worth":2.5`: 2.5} {
-		if got := started(t, strings.Replace(good, `"slo":1500`, stated, 1)).Workloads[0].Worth; got != want {
+		if got := started(t, strings.Replace(good, `"slo":1500`, stated, 1)).Workloads[0].Value; got != want {
 			t.Errorf("%s: read %g, want %g", stated, got, want)
 		}
 	}
--- a/front/clienthttp/callers_test.go
+++ b/front/clienthttp/callers_test.go
@@ -30,7 +30,7 @@
 }
 
 func (c *echoCore) Serve(ctx context.Context, q node.Query) (node.Answer, bool) {
-	r := q.Load.(*replicahttp.Request)
+	r := q.Payload.(*replicahttp.Request)
 	c.mu.Lock()
 	c.asked = append(c.asked, r)
 	c.mu.Unlock()
@@ -47,7 +47,7 @@
 	}
 	r.Answers[q.Parts[0].Shard] = &replicahttp.Answer{Status: 200, Seal: "seal-" + r.Attempt, Whole: true, Body: []byte("for " + r.Attempt),
 		Header: http.Header{replicahttp.HeaderAttempt: {r.Attempt}, replicahttp.HeaderSeal: {"seal-" + r.Attempt}}}
-	return node.Answer{Final: balance.Whole, Values: []node.Value{{Shard: q.Parts[0].Shard}}}, true
+	return node.Answer{Outcome: balance.Whole, Values: []node.Value{{Shard: q.Parts[0].Shard}}}, true
 }
 
 // serveClients serves clients on a port of its own.
--- a/front/clienthttp/clienthttp.go
+++ b/front/clienthttp/clienthttp.go
@@ -102,7 +102,7 @@
 	req := &replicahttp.Request{Attempt: attempt, Method: r.Method, Body: body, Head: head(r, target, len(body)),
 		Answers: map[int]*replicahttp.Answer{}}
 	row, known := state.Rows[route.ID()]
-	query := node.Query{ID: attempt, Workload: row, Until: until, Load: req}
+	query := node.Query{ID: attempt, Workload: row, Deadline: until, Payload: req}
 	var served bool
 	// Danger: a route without a row of its own would be served on another's terms.
 	if query.Parts, served = parts(state, route); !served || !known {
@@ -118,7 +118,7 @@
 		return
 	}
 	draw := float64(uint32(xxhash.Sum64String(attempt))) / drawBits
-	answer.ComeBack = routingtable.ComeBack(answer.ComeBack, draw)
+	answer.RetryAfter = routingtable.RetryAfter(answer.RetryAfter, draw)
 	if len(route.Fanout) > 0 {
 		gathered(w, route, req, query.Parts, answer)
 	} else {
@@ -135,7 +135,7 @@
 		services = []string{state.Service(route)}
 	}
 	for _, service := range services {
-		slot, found := state.Slots[service]
+		slot, found := state.Shards[service]
 		if !found {
 			return nil, false
 		}
@@ -197,8 +197,8 @@
 // unserved answers a query that brought nothing: a promise where it has not run and never will, none
 // otherwise.
 func unserved(w http.ResponseWriter, a node.Answer) {
-	if a.Final == balance.Declined {
-		refuse(w, http.StatusServiceUnavailable, a.ComeBack)
+	if a.Outcome == balance.Declined {
+		refuse(w, http.StatusServiceUnavailable, a.RetryAfter)
 		return
 	}
 	refuse(w, http.StatusBadGateway, 0)
@@ -208,7 +208,7 @@
 //
 // Danger: 503 promises a client that its request has not run and never will. A replica's own 503 without a proof promises
 // nothing, and a client would repeat an unsafe request that has run.
-func passes(got *replicahttp.Answer, final balance.Final) bool {
+func passes(got *replicahttp.Answer, final balance.Outcome) bool {
 	if got == nil || !got.Whole {
 		return false
 	}
@@ -224,7 +224,7 @@
 // plain passes one replica's answer on unchanged, also its failure where there is nothing better.
 func plain(w http.ResponseWriter, req *replicahttp.Request, shard int, a node.Answer) {
 	got := req.Answers[shard]
-	if !passes(got, a.Final) {
+	if !passes(got, a.Outcome) {
 		unserved(w, a)
 		return
 	}
@@ -244,7 +244,7 @@
 
 // gathered merges the parts that are in.
 func gathered(w http.ResponseWriter, route *routeconfig.Route, req *replicahttp.Request, parts []node.Part, a node.Answer) {
-	if a.Final > balance.Partial {
+	if a.Outcome > balance.Partial {
 		unserved(w, a)
 		return
 	}
--- a/front/clienthttp/clienthttp_test.go
+++ b/front/clienthttp/clienthttp_test.go
@@ -32,14 +32,14 @@
 type core struct {
 	asked   node.Query
 	answers map[int]*replicahttp.Answer
-	final   balance.Final
+	final   balance.Outcome
 	wait    int64
 }
 
 func (c *core) Serve(_ context.Context, q node.Query) (node.Answer, bool) {
 	c.asked = q
-	a := node.Answer{Final: c.final, ComeBack: c.wait}
-	r := q.Load.(*replicahttp.Request)
+	a := node.Answer{Outcome: c.final, RetryAfter: c.wait}
+	r := q.Payload.(*replicahttp.Request)
 	for _, p := range q.Parts {
 		if got := c.answers[p.Shard]; got != nil {
 			r.Answers[p.Shard] = got
@@ -55,7 +55,7 @@
 	ch, err := routeconfig.Read([]byte(configuration))
 	must.NoError(t, err)
 	q := &Handler{Core: c, Now: func() int64 { return 1000 }}
-	q.Serve(&routingtable.State{Config: ch, Rows: map[routeconfig.RouteID]int{{Host: "h", Prefix: "/a/"}: 4, {Host: "h", Prefix: "/b/"}: 9}, Slots: map[string]int{"s0": 0, "s1": 1, "s2": 2}})
+	q.Serve(&routingtable.State{Config: ch, Rows: map[routeconfig.RouteID]int{{Host: "h", Prefix: "/a/"}: 4, {Host: "h", Prefix: "/b/"}: 9}, Shards: map[string]int{"s0": 0, "s1": 1, "s2": 2}})
 	return q
 }
 
@@ -90,7 +90,7 @@
 	must.Eq(t, record('d')+record('d'), w.Body.String())
 	must.Eq(t, 4, c.asked.Workload)
 	must.SliceLen(t, 3, c.asked.Parts)
-	must.Eq(t, 1000+700*millisecond, c.asked.Until)
+	must.Eq(t, 1000+700*millisecond, c.asked.Deadline)
 }
 
 // TestWhatReplicasGet: the request unchanged, but for what concerns one connection or is this side's to say.
@@ -103,7 +103,7 @@
 	must.Eq(t, "ok", w.Body.String())
 	must.Eq(t, "", w.Header().Get("Connection"))
 	must.SliceLen(t, 2, w.Header()["X-More"])
-	r := c.asked.Load.(*replicahttp.Request)
+	r := c.asked.Payload.(*replicahttp.Request)
 	head := string(r.Head)
 	must.StrHasPrefix(t, "POST /b/a%2Fb?x=%20 HTTP/1.1\r\nHost: h\r\n", head)
 	must.StrContains(t, head, replicahttp.HeaderAttempt+": try-1\r\n")
@@ -158,7 +158,7 @@
 	c := &core{}
 	handler := handlerOf(t, c)
 	state := *handler.state.Load()
-	state.Slots = map[string]int{"s1": 1, "s2": 2}
+	state.Shards = map[string]int{"s1": 1, "s2": 2}
 	handler.Serve(&state)
 	for _, r := range []*http.Request{request("GET", "/a/q", ""), request("POST", "/b/x", "body")} {
 		w := httptest.NewRecorder()
--- a/front/clienthttp/routes_test.go
+++ b/front/clienthttp/routes_test.go
@@ -41,7 +41,7 @@
 		now := int64(0)
 		for revision := range rapid.IntRange(1, 4).Draw(t, "configurations") {
 			now += int64(rapid.IntRange(1, 100_000).Draw(t, "ms until the next")) * millisecond
-			change := table.Take(now, clusterstate.Update{Revision: uint64(revision + 1), Raw: drawnConfiguration(t, revision+1)})
+			change := table.Apply(now, clusterstate.Update{Revision: uint64(revision + 1), Raw: drawnConfiguration(t, revision+1)})
 			must.NoError(t, change.Err)
 			handler.Serve(change.State)
 			taken := map[int]bool{}
@@ -65,7 +65,7 @@
 {"name":"r","host":"h","path-prefix":"/b/","deadline-ms":1000,"weighted-split":[{"service":"s1","weight":9},{"service":"s2","weight":1}]}],
 "services":[{"name":"s1"},{"name":"s2"}]}`
 	services := func(between int) (chosen []string) {
-		change := routingtable.New(0, settings.Settings{IP: "10.0.0.1"}).Take(0, clusterstate.Update{Revision: 1, Raw: []byte(raw)})
+		change := routingtable.New(0, settings.Settings{IP: "10.0.0.1"}).Apply(0, clusterstate.Update{Revision: 1, Raw: []byte(raw)})
 		must.NoError(t, change.Err)
 		own, other := &change.State.Config.Routes[0], &change.State.Config.Routes[1]
 		for range 30 {
--- a/front/front.go
+++ b/front/front.go
@@ -214,7 +214,7 @@
 		f.limit(w, restWait)
 	}
 	f.farewell(w)
-	f.write(w, node.Answer{Final: balance.Declined, ComeBack: a.comeBack})
+	f.write(w, node.Answer{Outcome: balance.Declined, RetryAfter: a.comeBack})
 }
 
 // discard reads a body away, and tells whether it was there as a whole, with nothing behind it.
@@ -251,7 +251,7 @@
 		return f.Core.Serve(r.Context(), q)
 	}()
 	if guard != nil {
-		guard.Ended(q.Workload, f.Clock.Now()-began, ok && a.Final <= balance.Partial)
+		guard.Ended(q.Workload, f.Clock.Now()-began, ok && a.Outcome <= balance.Partial)
 	}
 	if !ok { // an empty answer would be one that no replica gave
 		panic(http.ErrAbortHandler)
@@ -290,7 +290,7 @@
 		return q, bad("the body has a length and an encoding")
 	}
 	q.Workload, q.ID, q.Customer = row, r.Header.Get("X-Trace-Id"), r.Header.Get("X-Customer")
-	q.Again = r.Header.Get(HeaderRetry) == "1"
+	q.Retry = r.Header.Get(HeaderRetry) == "1"
 	if !plain(q.ID) {
 		return q, bad("X-Trace-Id is missing or malformed")
 	}
@@ -298,7 +298,7 @@
 	if err != nil || wait > waitMost {
 		return q, bad("X-Expires-In-Ms is missing or malformed")
 	}
-	q.Until = began + int64(wait)*unit
+	q.Deadline = began + int64(wait)*unit
 
 	if guard != nil {
 		if taken, comeBack := guard.Arrive(arrival(q, r, f.Clock.Now())); !taken {
@@ -330,12 +330,12 @@
 
 // arrival is what a query's head shows of it.
 func arrival(q node.Query, r *http.Request, now int64) overload.Arrival {
-	a := overload.Arrival{Workload: q.Workload, ID: xxhash.Sum64String(q.ID), Left: q.Until - now, Try: 1}
+	a := overload.Arrival{Workload: q.Workload, ID: xxhash.Sum64String(q.ID), TimeLeft: q.Deadline - now, Attempt: 1}
 	if q.Customer != "" {
 		a.Customer = xxhash.Sum64String(q.Customer)
 	}
 	if n, err := strconv.Atoi(r.Header.Get("X-Try")); err == nil {
-		a.Try = n
+		a.Attempt = n
 	}
 	return a
 }
@@ -400,9 +400,9 @@
 
 // write writes an answer, whole and with its length.
 func (f *Front) write(w http.ResponseWriter, a node.Answer) {
-	switch a.Final {
+	switch a.Outcome {
 	case balance.Whole, balance.Partial:
-		m := answer{AllIn: a.Final == balance.Whole, Matches: make([]match, len(a.Values))}
+		m := answer{AllIn: a.Outcome == balance.Whole, Matches: make([]match, len(a.Values))}
 		for i, v := range a.Values {
 			m.Matches[i] = match{v.Shard, v.Value}
 		}
@@ -424,8 +424,8 @@
 		}
 		control.SetWriteDeadline(time.Time{})
 	case balance.Declined:
-		if a.ComeBack > 0 {
-			w.Header().Set("Retry-After", seconds(a.ComeBack))
+		if a.RetryAfter > 0 {
+			w.Header().Set("Retry-After", seconds(a.RetryAfter))
 		}
 		http.Error(w, "declined", http.StatusServiceUnavailable)
 	default:
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -126,10 +126,10 @@
 				if got := fmt.Sprint(q.ID, q.Workload, string(q.Text), q.Parts); got != "9b1f1c41e77d0[{3 0.25} {9 0.75}]" {
 					t.Errorf("the core got %s", got)
 				}
-				if left := q.Until - makeClock.Now(); left > 480e6 {
+				if left := q.Deadline - makeClock.Now(); left > 480e6 {
 					t.Errorf("the client has %d ns left", left)
 				}
-				return node.Answer{Final: balance.Whole}, true
+				return node.Answer{Outcome: balance.Whole}, true
 			})
 			f.Clock = makeClock
 			w := httptest.NewRecorder()
@@ -148,8 +148,8 @@
 func TestRetryMark(t *testing.T) {
 	for value, marked := range map[string]bool{"1": true, "": false, "0": false, "true": false} {
 		f := makeFront(func(_ context.Context, q node.Query) (node.Answer, bool) {
-			must.Eq(t, marked, q.Again, must.Sprint(value))
-			return node.Answer{Final: balance.Declined}, true
+			must.Eq(t, marked, q.Retry, must.Sprint(value))
+			return node.Answer{Outcome: balance.Declined}, true
 		})
 		f.ServeHTTP(httptest.NewRecorder(), request("POST", "/lookup", goodBody, "X-Second-Try: "+value))
 	}
@@ -184,12 +184,12 @@
 		answer node.Answer
 		want   string
 	}{
-		"whole": {node.Answer{Final: balance.Whole, Values: []node.Value{{Shard: 3, Value: `5be2"<é`}, {Shard: 9}}},
+		"whole": {node.Answer{Outcome: balance.Whole, Values: []node.Value{{Shard: 3, Value: `5be2"<é`}, {Shard: 9}}},
 			`200  {"all_in":true,"matches":[{"segment":3,"payload":"5be2\"<é"},{"segment":9,"payload":""}]}`},
-		"partial":   {node.Answer{Final: balance.Partial, Values: []node.Value{{Shard: 3, Value: "a"}}}, `200  {"all_in":false,"matches":[{"segment":3,"payload":"a"}]}`},
-		"declined":  {node.Answer{Final: balance.Declined}, "503  declined"},
-		"come back": {node.Answer{Final: balance.Declined, ComeBack: 1_000_000_001}, "503 1.001 declined"},
-		"forfeited": {node.Answer{Final: balance.Forfeited}, "500  no answer"},
+		"partial":   {node.Answer{Outcome: balance.Partial, Values: []node.Value{{Shard: 3, Value: "a"}}}, `200  {"all_in":false,"matches":[{"segment":3,"payload":"a"}]}`},
+		"declined":  {node.Answer{Outcome: balance.Declined}, "503  declined"},
+		"come back": {node.Answer{Outcome: balance.Declined, RetryAfter: 1_000_000_001}, "503 1.001 declined"},
+		"forfeited": {node.Answer{Outcome: balance.Forfeited}, "500  no answer"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := httptest.NewRecorder()
@@ -256,7 +256,7 @@
 }
 
 func whole(context.Context, node.Query) (node.Answer, bool) {
-	return node.Answer{Final: balance.Whole}, true
+	return node.Answer{Outcome: balance.Whole}, true
 }
 
 func TestClientLeaves(t *testing.T) {
@@ -283,8 +283,8 @@
 func TestSlowRequest(t *testing.T) {
 	var until, began int64
 	on(t, func(_ context.Context, q node.Query) (node.Answer, bool) {
-		until = q.Until
-		return node.Answer{Final: balance.Whole}, true
+		until = q.Deadline
+		return node.Answer{Outcome: balance.Whole}, true
 	}, func(s *Server, dial func() *client) {
 		c := dial()
 		for range 2 { // on a new connection, and on one that has stood idle
@@ -372,7 +372,7 @@
 func TestIDTwice(t *testing.T) {
 	on(t, func(context.Context, node.Query) (node.Answer, bool) {
 		time.Sleep(100 * time.Millisecond)
-		return node.Answer{Final: balance.Whole}, true
+		return node.Answer{Outcome: balance.Whole}, true
 	}, func(s *Server, dial func() *client) {
 		first, second := dial(), dial()
 		first.send()
@@ -475,7 +475,7 @@
 func TestStop(t *testing.T) {
 	on(t, func(_ context.Context, q node.Query) (node.Answer, bool) {
 		time.Sleep(150 * time.Millisecond)
-		return node.Answer{Final: balance.Whole}, true
+		return node.Answer{Outcome: balance.Whole}, true
 	}, func(s *Server, dial func() *client) {
 		underWay, idle, fresh := dial(), dial(), dial()
 		idle.send()
--- a/front/gateway/core.go
+++ b/front/gateway/core.go
@@ -103,14 +103,14 @@
 		c.names[row] = name
 	}
 	now := p.Clock.Now()
-	t := siterouting.Terms{Policy: p.Policy, Site: p.Own, Interval: int64(interval)}
+	t := siterouting.Config{Policy: p.Policy, Site: p.Own, Interval: int64(interval)}
 	for row, w := range p.Deployment.Workloads {
 		revenue, stated := p.Revenue[c.names[row]]
 		if !stated {
 			revenue = 1
 		}
 		t.Workloads = append(t.Workloads, siterouting.Workload{Name: c.names[row], Revenue: revenue, Bytes: 4 << 10,
-			Serves: int64(servesOf * float64(w.LatencyGoal))})
+			ServiceTime: int64(servesOf * float64(w.LatencyGoal))})
 	}
 	var known discovery.News
 	for i, s := range p.Sites {
@@ -121,16 +121,16 @@
 	}
 	c.gateway = gateway.New(now, t)
 	d := p.Deployment
-	d.Shards, d.Cells, d.Reach, d.PartsPerCall = len(p.Sites), len(p.Sites), 1, 1
-	d.MaxExecutions, d.Cancels, d.AsksForList = min(carryTwice, d.MaxExecutions), true, false
-	d.Budgeted, d.FurtherFree, d.FurtherShare, d.FurtherSpan = true, furtherAny, furtherOf, furtherIn
+	d.Shards, d.Cells, d.CellsPerShard, d.PartsPerCall = len(p.Sites), len(p.Sites), 1, 1
+	d.MaxExecutions, d.CanCancel, d.AsksForList = min(carryTwice, d.MaxExecutions), true, false
+	d.Budgeted, d.RetrySlack, d.RetryRatio, d.RetryWindow = true, furtherAny, furtherOf, furtherIn
 	d.Workloads = append([]balance.Workload(nil), d.Workloads...)
 	for i := range d.Workloads { // a site's answer is whole for the way there, whatever it holds
-		d.Workloads[i].Need, d.Workloads[i].Floor, d.Workloads[i].FollowUp = 1, 1, 0
+		d.Workloads[i].FullCoverage, d.Workloads[i].MinCoverage, d.Workloads[i].FollowUpParts = 1, 1, 0
 	}
-	c.hop = node.New(node.Plan{Clock: p.Clock, Deployment: d, Terms: p.Terms, Known: known,
-		Budget: sockets.NewBudget(tripsMost), Count: counters.New(d.Workload), Log: p.Log, Ask: func() {}, Dial: p.Dial,
-		Carry: func(tell func(any), now func() int64) node.Carrier {
+	c.hop = node.New(node.Options{Clock: p.Clock, Deployment: d, Terms: p.Terms, KnownList: known,
+		Budget: sockets.NewBudget(tripsMost), Count: counters.New(d.Workload), Log: p.Log, RequestList: func() {}, Dial: p.Dial,
+		NewTransport: func(tell func(any), now func() int64) node.Transport {
 			pool := c.pool(tripsMost, tell, now)
 			pool.from, pool.way, pool.told = p.Own, c.way, c.told
 			return pool
@@ -177,21 +177,21 @@
 func (c *Core) way(link int) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gateway.Least(link)
+	return c.gateway.MinDelay(link)
 }
 
 // told takes in how many queries a second another site would take.
 func (c *Core) told(link int, rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gateway.Told(c.plan.Clock.Now(), link, rate)
+	c.gateway.ObserveAdvertised(c.plan.Clock.Now(), link, rate)
 }
 
 // Willing is how many more queries a second this site would take from others.
 func (c *Core) Willing() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gateway.Willing(c.plan.Clock.Now())
+	return c.gateway.AdvertisedRate(c.plan.Clock.Now())
 }
 
 // Evacuate leaves the own site, or takes it up again over a ramp.
@@ -205,10 +205,10 @@
 func (c *Core) decide() {
 	now := c.plan.Clock.Now()
 	r := c.gateway.Decide(now)
-	for _, g := range r.Going {
-		g.Load.(chan bool) <- true // it has room for the one word that a query gets
+	for _, g := range r.Departures {
+		g.Handle.(chan bool) <- true // it has room for the one word that a query gets
 	}
-	for _, load := range r.Turned {
+	for _, load := range r.Rejected {
 		load.(chan bool) <- false
 	}
 	if r.Plan != nil && r.Plan.Greedy {
@@ -232,14 +232,14 @@
 // Danger: only a decline says that nothing has run and trying elsewhere does no harm. What may have run here is
 // answered as it ended here.
 func (c *Core) Serve(ctx context.Context, q node.Query) (node.Answer, bool) {
-	declined := node.Answer{Final: balance.Declined}
+	declined := node.Answer{Outcome: balance.Declined}
 	asked := c.stays(ctx, q)
 	if asked {
 		a, ok := c.plan.Local.Serve(ctx, q)
 		c.mu.Lock()
-		c.gateway.Ended(c.plan.Clock.Now(), len(visited(ctx)) == 0, ok && a.Final == balance.Declined)
+		c.gateway.Ended(c.plan.Clock.Now(), len(visited(ctx)) == 0, ok && a.Outcome == balance.Declined)
 		c.mu.Unlock()
-		if !ok || a.Final != balance.Declined {
+		if !ok || a.Outcome != balance.Declined {
 			return a, ok
 		}
 		declined = a
@@ -257,7 +257,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	mark := float64(xxhash.Sum64String(q.ID)%1000) / 1000
-	return c.gateway.Stays(c.plan.Clock.Now(), mark, len(visited(ctx)) > 0)
+	return c.gateway.ServesLocally(c.plan.Clock.Now(), mark, len(visited(ctx)) > 0)
 }
 
 // leaves takes a way for a query, or tells -1. It waits as long as it is told to.
@@ -266,9 +266,9 @@
 	defer c.mu.Unlock()
 	now := c.plan.Clock.Now()
 	room := make(chan bool, 1)
-	leaving := gateway.Query{Customer: q.Customer, Load: room,
-		Query: siterouting.Query{Workload: q.Workload, Left: q.Until - now, Visited: visited(ctx), Declined: asked}}
-	link, waits := c.gateway.Leave(now, leaving)
+	leaving := gateway.Query{Customer: q.Customer, Handle: room,
+		Query: siterouting.Query{Workload: q.Workload, TimeLeft: q.Deadline - now, Visited: visited(ctx), Declined: asked}}
+	link, waits := c.gateway.Forward(now, leaving)
 	c.decide()
 	if !waits {
 		return link
@@ -297,34 +297,34 @@
 	var a node.Answer
 	ok := true
 	if err == nil {
-		a, ok = c.hop.Serve(ctx, node.Query{ID: q.ID + "\x00", Workload: q.Workload, Until: q.Until,
-			Parts: []node.Part{{Shard: link, Weight: 1}},
-			Load:  &load{workload: c.names[q.Workload], customer: q.Customer, again: q.Again, visited: visited(ctx), body: text, link: link}})
+		a, ok = c.hop.Serve(ctx, node.Query{ID: q.ID + "\x00", Workload: q.Workload, Deadline: q.Deadline,
+			Parts:   []node.Part{{Shard: link, Weight: 1}},
+			Payload: &load{workload: c.names[q.Workload], customer: q.Customer, again: q.Retry, visited: visited(ctx), body: text, link: link}})
 	}
 	c.mu.Lock()
 	bytes := 0.0
 	if len(a.Values) == 1 {
 		bytes = float64(headBytes + len(text) + len(a.Values[0].Value))
 	}
-	c.gateway.Returned(c.plan.Clock.Now(), q.Workload, link, ok && a.Final == balance.Declined, bytes)
+	c.gateway.Returned(c.plan.Clock.Now(), q.Workload, link, ok && a.Outcome == balance.Declined, bytes)
 	c.decide()
 	c.mu.Unlock()
 	switch {
 	case err != nil || !ok:
 		return declined, err != nil || ok
-	case a.Final == balance.Declined:
+	case a.Outcome == balance.Declined:
 		c.count.Refused.Add(1)
-		declined.ComeBack = max(declined.ComeBack, a.ComeBack)
+		declined.RetryAfter = max(declined.RetryAfter, a.RetryAfter)
 		return declined, true
-	case a.Final == balance.Forfeited || len(a.Values) != 1:
+	case a.Outcome == balance.Forfeited || len(a.Values) != 1:
 		c.count.Failed.Add(1)
-		return node.Answer{Final: balance.Forfeited}, true
+		return node.Answer{Outcome: balance.Forfeited}, true
 	}
 	answer, err := decode(q, a.Values[0].Value)
 	if err != nil {
 		c.count.Failed.Add(1)
 		c.plan.Log.Warn("a site answered what does not fit", zap.String("site", c.plan.Sites[link].Site), zap.Error(err))
-		return node.Answer{Final: balance.Forfeited}, true
+		return node.Answer{Outcome: balance.Forfeited}, true
 	}
 	c.count.Returned.Add(1)
 	return answer, true
@@ -366,7 +366,7 @@
 		c.mu.Lock()
 		cut := c.gateway.Pinged(now, link, best.took, best.err != nil)
 		if rate, e := strconv.ParseFloat(best.willing, 64); e == nil && rate >= 0 {
-			c.gateway.Told(now, link, rate)
+			c.gateway.ObserveAdvertised(now, link, rate)
 		}
 		c.mu.Unlock()
 		if cut {
@@ -386,7 +386,7 @@
 	if leaving {
 		e.Standing = balance.Draining
 	}
-	c.hop.News(ctx, discovery.News{Entries: []discovery.Entry{e}})
+	c.hop.ApplyList(ctx, discovery.News{Entries: []discovery.Entry{e}})
 }
 
 // Figures tell how the ways stand.
@@ -394,8 +394,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := map[string]any{}
-	for i, w := range c.gateway.Ways() {
-		all[c.plan.Sites[i].Site] = map[string]any{"usable": w.Usable, "delay_ns": w.Delay, "least_ns": w.Least, "limit": w.Limit,
+	for i, w := range c.gateway.Links() {
+		all[c.plan.Sites[i].Site] = map[string]any{"usable": w.Usable, "delay_ns": w.Delay, "least_ns": w.MinDelay, "limit": w.Limit,
 			"in_flight": w.InFlight}
 	}
 	return all
--- a/front/gateway/door.go
+++ b/front/gateway/door.go
@@ -83,7 +83,7 @@
 	r = r.WithContext(context.WithValue(r.Context(), visitedKey{}, came))
 	row, known := d.Deployment.Workload[strings.TrimPrefix(r.URL.Path, "/")]
 	d.willing(w)
-	if !known || d.Deployment.Workloads[row].Effect == balance.Repeatable {
+	if !known || d.Deployment.Workloads[row].RetrySafety == balance.Repeatable {
 		d.Front.ServeHTTP(w, r)
 		return
 	}
@@ -136,7 +136,7 @@
 		d.mu.Lock()
 		verdict, kept := d.Window.Begin(d.Clock.Now(), id)
 		wait := d.waiting[id]
-		if verdict == deduplication.Fresh {
+		if verdict == deduplication.FirstSeen {
 			if d.waiting == nil {
 				d.waiting = map[string]chan struct{}{}
 			}
@@ -144,7 +144,7 @@
 		}
 		d.mu.Unlock()
 		switch verdict {
-		case deduplication.Fresh:
+		case deduplication.FirstSeen:
 			d.run(w, r, id)
 			return
 		case deduplication.Answered:
@@ -154,7 +154,7 @@
 		case deduplication.Full:
 			http.Error(w, "declined", http.StatusServiceUnavailable)
 			return
-		case deduplication.CutOff:
+		case deduplication.Interrupted:
 			d.Count.CutOff.Add(1)
 			w.Header().Set(headerRan, "1")
 			http.Error(w, "how it ended is not known", http.StatusInternalServerError)
@@ -178,9 +178,9 @@
 		d.mu.Lock()
 		switch now := d.Clock.Now(); {
 		case !ended: // it ended in a panic
-			d.Window.Cut(now, id)
+			d.Window.Interrupt(now, id)
 		case k.status == http.StatusServiceUnavailable || k.status >= 400 && k.status < 500: // it never ran
-			d.Window.Undo(id)
+			d.Window.Discard(id)
 		default:
 			d.Window.End(now, id, k.whole())
 		}
--- a/front/gateway/door_test.go
+++ b/front/gateway/door_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	d = &Door{Own: "b", Sites: []string{"a"}, Front: http.NotFoundHandler(), Clock: node.NewClock(), Count: &Count{},
-		Log: zap.NewNop(), Secure: true, Window: deduplication.New(deduplication.Terms{Most: 9, Bytes: 999, For: 1e9})}
+		Log: zap.NewNop(), Secure: true, Window: deduplication.New(deduplication.Limits{MaxIDs: 9, MaxAnswerBytes: 999, Retention: 1e9})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 	f.Fuzz(func(t *testing.T, sites, id, workload, left string) {
 		in := false
 		d := &Door{Own: "b", Sites: []string{"a"}, Count: &Count{}, Log: zap.NewNop(), Clock: node.NewClock(), Deployment: theDeployment(),
-			Window: deduplication.New(deduplication.Terms{Most: 9, Bytes: 99, For: 1e9}),
+			Window: deduplication.New(deduplication.Limits{MaxIDs: 9, MaxAnswerBytes: 99, Retention: 1e9}),
 			Front:  http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { in = true })}
 		r := &http.Request{Method: "POST", URL: &url.URL{Path: "/" + workload}, Body: http.NoBody, Header: http.Header{
 			headerVisited: {sites}, "X-Trace-Id": {id}, "X-Expires-In-Ms": {left}, "X-Qos": {workload}}}
@@ -191,7 +191,7 @@
 func TestKeepsake(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "ids")
 	door := func() *Door {
-		return &Door{Clock: node.NewClock(), Window: deduplication.New(deduplication.Terms{Most: 9, Bytes: 999, For: 60e9})}
+		return &Door{Clock: node.NewClock(), Window: deduplication.New(deduplication.Limits{MaxIDs: 9, MaxAnswerBytes: 999, Retention: 60e9})}
 	}
 	first := door()
 	if err := first.Load(file); err != nil {
@@ -210,7 +210,7 @@
 	if v, text := second.Window.Begin(second.Clock.Now(), "done"); v != deduplication.Answered || string(text) != "200x" {
 		t.Errorf("%v %s", v, text)
 	}
-	if v, _ := second.Window.Begin(second.Clock.Now(), "under way"); v != deduplication.CutOff {
+	if v, _ := second.Window.Begin(second.Clock.Now(), "under way"); v != deduplication.Interrupted {
 		t.Errorf("what was under way: %v", v)
 	}
 	text, _ := os.ReadFile(file)
--- a/front/gateway/gateway_test.go
+++ b/front/gateway/gateway_test.go
@@ -58,12 +58,12 @@
 var workloads = map[string]int{"look": 0, "book": 1, "pay": 2}
 
 func theDeployment() deployment.Deployment {
-	row := balance.Workload{LatencyGoal: 1500e6, LateShare: 0.3, Floor: 1, Need: 1, PartialShare: 0.9, RepeatWindow: 10e9}
+	row := balance.Workload{LatencyGoal: 1500e6, LateShare: 0.3, MinCoverage: 1, FullCoverage: 1, PartialShare: 0.9, DedupWindow: 10e9}
 	rows := []balance.Workload{row, row, row}
-	rows[1].Effect, rows[2].Effect = balance.Tagged, balance.OnceOnly
+	rows[1].RetrySafety, rows[2].RetrySafety = balance.Deduplicated, balance.OnceOnly
 	return deployment.Deployment{Workload: workloads, Deployment: balance.Deployment{Aggregators: 1, Tick: 5e6,
-		Workloads: rows, Shards: 2, Cells: 1, Reach: 1, PartsPerCall: 1, MaxExecutions: 3, Cancels: true, MaxComeBack: 2000e6,
-		ColdShare: 0.2, ColdRamp: 9000e6, FallMultiple: 4, FallSpan: 1000e6}}
+		Workloads: rows, Shards: 2, Cells: 1, CellsPerShard: 1, PartsPerCall: 1, MaxExecutions: 3, CanCancel: true, MaxRetryAfter: 2000e6,
+		ColdCapacity: 0.2, WarmUpTime: 9000e6, OverloadFactor: 4, OverloadSpan: 1000e6}}
 }
 
 var theTerms = deployment.Terms{MostHeld: 100, Streams: 32, ConnectWithin: 500e6, IdleAfter: 15e9, LongestCutOff: 3e9}
@@ -142,13 +142,13 @@
 	lists := &http.Server{Handler: list}
 	go lists.Serve(w.network.Listen("d-" + name + ":1"))
 	d, count := theDeployment(), counters.New(workloads)
-	watch := discovery.NewWatch("d-"+name+":1", 1, 0, w.network.Dial, func(ctx context.Context, n discovery.News) { s.node.News(ctx, n) })
+	watch := discovery.NewWatch("d-"+name+":1", 1, 0, w.network.Dial, func(ctx context.Context, n discovery.News) { s.node.ApplyList(ctx, n) })
 	clock := node.NewClock()
 	if name == "b" { // Danger: a time of day on the wire would be an hour off; only time left may cross
-		clock = clock.Ahead(time.Hour)
+		clock = clock.Shifted(time.Hour)
 	}
-	s.node = node.New(node.Plan{Clock: clock, Deployment: d, Terms: theTerms, Budget: sockets.NewBudget(256),
-		Count: count, Log: zap.NewNop(), Ask: watch.Ask, Dial: w.network.Dial})
+	s.node = node.New(node.Options{Clock: clock, Deployment: d, Terms: theTerms, Budget: sockets.NewBudget(256),
+		Count: count, Log: zap.NewNop(), RequestList: watch.Ask, Dial: w.network.Dial})
 	ctx, stop := context.WithCancel(w.Context())
 	watched := make(chan struct{})
 	go func() {
@@ -163,7 +163,7 @@
 	p := Plan{Clock: s.node.Clock, Own: name, Deployment: d, Terms: theTerms, Local: s.node, Policy: w.policy, Log: zap.NewNop()}
 	for _, other := range names {
 		if other != name {
-			p.Sites = append(p.Sites, Site{Link: siterouting.Link{Site: other, Queries: 200, Bytes: 1e7, Cost: 0.01},
+			p.Sites = append(p.Sites, Site{Link: siterouting.Link{Site: other, QueryRate: 200, ByteRate: 1e7, Cost: 0.01},
 				Gateways: []string{"g-" + other + ":1"}})
 		}
 	}
@@ -178,7 +178,7 @@
 	s.core = core
 	f := &front.Front{Core: core, Clock: s.node.Clock, Workload: workloads, Shards: 2, Count: count, Log: zap.NewNop()}
 	s.door = &Door{Willing: core.Willing, Own: name, Front: f, Deployment: d, Clock: s.node.Clock, Count: s.count, Log: zap.NewNop(),
-		Window: deduplication.New(deduplication.Terms{Most: 1000, Bytes: 1 << 20, For: 10e9})}
+		Window: deduplication.New(deduplication.Limits{MaxIDs: 1000, MaxAnswerBytes: 1 << 20, Retention: 10e9})}
 	s.server = s.door.Server(nil)
 	if len(names) > 2 { // sites that say they take none are sent none: here they say nothing
 		s.door.Willing = nil
@@ -195,7 +195,7 @@
 // ask asks a site one query as a client and says how it ended.
 func (s *site) ask(ctx context.Context, id, workload string, patience time.Duration) string {
 	began := time.Now()
-	a, ok := s.core.Serve(ctx, node.Query{ID: id, Workload: workloads[workload], Until: s.node.Clock.Now() + int64(patience),
+	a, ok := s.core.Serve(ctx, node.Query{ID: id, Workload: workloads[workload], Deadline: s.node.Clock.Now() + int64(patience),
 		Text: []byte("t"), Parts: []node.Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
 	if took := time.Since(began); took > patience {
 		return fmt.Sprint("late: ", took)
@@ -203,7 +203,7 @@
 	if !ok {
 		return "left"
 	}
-	text := [...]string{"whole", "partial", "declined", "forfeited"}[a.Final]
+	text := [...]string{"whole", "partial", "declined", "forfeited"}[a.Outcome]
 	for _, v := range a.Values {
 		text += " " + v.Value
 	}
@@ -457,14 +457,14 @@
 				all.Go(func() {
 					began := time.Now()
 					answer, ok := a.core.Serve(w.Context(), node.Query{ID: fmt.Sprintf("%s-%d-%d", c, i, n), Customer: c,
-						Until: a.node.Clock.Now() + 3e9, Text: []byte("t"), Parts: []node.Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
+						Deadline: a.node.Clock.Now() + 3e9, Text: []byte("t"), Parts: []node.Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
 					mu.Lock()
 					defer mu.Unlock()
 					asked[c]++
 					if took := time.Since(began); !ok || took > 3*time.Second {
 						w.Errorf("%v after %v", ok, took)
 					}
-					if answer.Final == balance.Whole {
+					if answer.Outcome == balance.Whole {
 						served[c]++
 					}
 				})
@@ -482,8 +482,8 @@
 		c := a.core
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if !c.gateway.InOrder() {
-			w.Errorf("left: %+v, %d waiting", c.gateway.Ways(), c.gateway.Waiting())
+		if !c.gateway.Idle() {
+			w.Errorf("left: %+v, %d waiting", c.gateway.Links(), c.gateway.Waiting())
 		}
 	})
 }
--- a/front/gateway/history_test.go
+++ b/front/gateway/history_test.go
@@ -52,10 +52,10 @@
 	clock := node.NewClock()
 	var ran atomic.Int64
 	d := deployment.Deployment{Workload: map[string]int{"pay": 0},
-		Deployment: balance.Deployment{Workloads: []balance.Workload{{Effect: balance.OnceOnly}}}}
+		Deployment: balance.Deployment{Workloads: []balance.Workload{{RetrySafety: balance.OnceOnly}}}}
 	open := func() *Door {
 		door := &Door{Own: "b", Deployment: d, Clock: clock, Count: &Count{}, Log: zap.NewNop(),
-			Window: deduplication.New(deduplication.Terms{Most: 1000, Bytes: 1 << 20, For: 3600e9}),
+			Window: deduplication.New(deduplication.Limits{MaxIDs: 1000, MaxAnswerBytes: 1 << 20, Retention: 3600e9}),
 			Front: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				n := ran.Add(1)
 				if n%7 == 0 {
--- a/front/gateway/long_test.go
+++ b/front/gateway/long_test.go
@@ -76,7 +76,7 @@
 							core = s.node
 						}
 						a, ok := core.Serve(w.Context(), node.Query{ID: fmt.Sprint(name, i), Workload: workload,
-							Until: s.node.Clock.Now() + int64(patience), Text: []byte("t"),
+							Deadline: s.node.Clock.Now() + int64(patience), Text: []byte("t"),
 							Parts: []node.Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
 						took := time.Since(asked)
 						mu.Lock()
@@ -89,18 +89,18 @@
 						switch {
 						case !ok || took > patience:
 							row.lost++
-						case a.Final == balance.Whole && took <= 1500*time.Millisecond:
+						case a.Outcome == balance.Whole && took <= 1500*time.Millisecond:
 							row.goal++
-						case a.Final == balance.Whole:
+						case a.Outcome == balance.Whole:
 							row.late++
-						case a.Final == balance.Declined:
+						case a.Outcome == balance.Declined:
 							row.declined++
 						default:
 							row.failed++
 						}
 						if name == "a" {
 							s.core.mu.Lock()
-							most = max(most, s.core.gateway.Ways()[0].InFlight)
+							most = max(most, s.core.gateway.Links()[0].InFlight)
 							s.core.mu.Unlock()
 						}
 					})
@@ -132,7 +132,7 @@
 func TestHalfHour(t *testing.T) {
 	whole, policies := 3*time.Minute, []siterouting.Policy{siterouting.Planned, nowhere}
 	if *long {
-		whole, policies = 30*time.Minute, []siterouting.Policy{siterouting.Planned, nowhere, siterouting.Everything, siterouting.Halves}
+		whole, policies = 30*time.Minute, []siterouting.Policy{siterouting.Planned, nowhere, siterouting.AllDeclined, siterouting.HalfOfOwn}
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(table, "| policy\t| phase\t| asked\t| within goal\t| late\t| declined\t| failed\t| lost\t|")
--- a/front/gateway/pool.go
+++ b/front/gateway/pool.go
@@ -91,7 +91,7 @@
 	if err := json.Unmarshal([]byte(text), &b); err != nil {
 		return node.Answer{}, fmt.Errorf("%w: %w", errAnswer, err)
 	}
-	a := node.Answer{Final: balance.Partial}
+	a := node.Answer{Outcome: balance.Partial}
 	asked := map[int]bool{}
 	for _, p := range q.Parts {
 		asked[p.Shard] = true
@@ -104,7 +104,7 @@
 		a.Values = append(a.Values, node.Value{Shard: m.Segment, Value: m.Payload})
 	}
 	if b.AllIn {
-		a.Final = balance.Whole
+		a.Outcome = balance.Whole
 	}
 	if len(a.Values) == 0 {
 		return node.Answer{}, errAnswer
@@ -171,16 +171,16 @@
 	return p
 }
 
-func (p *pool) Address(gateway int, dial string) {
+func (p *pool) SetAddress(gateway int, dial string) {
 	for len(p.rows) <= gateway {
 		p.rows, p.gone = append(p.rows, ""), append(p.gone, false)
 	}
 	p.rows[gateway], p.gone[gateway] = dial, false
 }
 
-func (p *pool) Leave(gateway int) { p.gone[gateway] = true }
+func (p *pool) Retire(gateway int) { p.gone[gateway] = true }
 
-func (p *pool) Left(gateway int) bool {
+func (p *pool) Drained(gateway int) bool {
 	for _, t := range p.out {
 		if t.gateway == gateway {
 			return false
@@ -189,7 +189,7 @@
 	return true
 }
 
-func (p *pool) Call(gateway int, tickets []*replica.Ticket) bool {
+func (p *pool) Send(gateway int, tickets []*replica.Ticket) bool {
 	if p.under+len(tickets) > p.most {
 		return false
 	}
@@ -285,7 +285,7 @@
 	return true
 }
 
-func (p *pool) GiveUp(ticket *replica.Ticket, _ bool) bool {
+func (p *pool) Abandon(ticket *replica.Ticket, _ bool) bool {
 	if p.Withdraw(ticket) {
 		return true
 	}
@@ -296,10 +296,10 @@
 	return false
 }
 
-func (p *pool) Release(int) { p.client.CloseIdleConnections() }
-func (p *pool) Sweep()      {}
+func (p *pool) CloseIdle(int) { p.client.CloseIdleConnections() }
+func (p *pool) Sweep()        {}
 
-func (p *pool) Note(v any) ([]replica.Report, error) {
+func (p *pool) Handle(v any) ([]replica.Report, error) {
 	e := v.(ended)
 	p.under--
 	if p.out[e.trip.ticket] != e.trip { // it was given up
@@ -316,4 +316,4 @@
 	p.client.CloseIdleConnections()
 }
 
-func (p *pool) Open() int { return p.under }
+func (p *pool) OpenConnections() int { return p.under }
--- a/front/guard_test.go
+++ b/front/guard_test.go
@@ -42,7 +42,7 @@
 func counted(n *int) func(context.Context, node.Query) (node.Answer, bool) {
 	return func(context.Context, node.Query) (node.Answer, bool) {
 		*n++
-		return node.Answer{Final: balance.Whole, Values: []node.Value{{Shard: 3, Value: "x"}}}, true
+		return node.Answer{Outcome: balance.Whole, Values: []node.Value{{Shard: 3, Value: "x"}}}, true
 	}
 }
 
@@ -85,8 +85,8 @@
 		if got := d.said(); !strings.HasPrefix(got, "200") {
 			t.Errorf("got %q", got)
 		}
-		if a := g.shown[0]; len(g.shown) != 4 || a.Workload != 1 || a.Try != 2 || a.Customer == 0 || a.ID == g.shown[1].ID ||
-			a.Left < 880e6 || a.Left > 900e6 {
+		if a := g.shown[0]; len(g.shown) != 4 || a.Workload != 1 || a.Attempt != 2 || a.Customer == 0 || a.ID == g.shown[1].ID ||
+			a.TimeLeft < 880e6 || a.TimeLeft > 900e6 {
 			t.Errorf("shown %+v", g.shown)
 		}
 		if row := s.front.Count.Workloads["lookup"]; served != 1 || row.Taken.Load() != 3 || row.Declined.Load() != 3 ||
--- a/front/proxyserver/callers_test.go
+++ b/front/proxyserver/callers_test.go
@@ -170,13 +170,13 @@
 	set := settings.Settings{IP: "127.0.0.1", Bounds: settings.Bounds{RetryRatio: 1, RetrySlack: 600, RetryWindowS: 10}}
 	clock := node.NewClock()
 	table, count := routingtable.New(clock.Now(), set), counters.New(nil)
-	n := node.New(node.Plan{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
-		Terms: deployment.Terms{MostHeld: maxHeld}, Count: count, Log: zap.NewNop(), Ask: func() {},
-		Carry: func(tell func(any), now func() int64) node.Carrier { return replicahttp.NewPool(tell, now) }})
+	n := node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
+		Terms: deployment.Terms{MostHeld: maxHeld}, Count: count, Log: zap.NewNop(), RequestList: func() {},
+		NewTransport: func(tell func(any), now func() int64) node.Transport { return replicahttp.NewPool(tell, now) }})
 	// Danger: a node that goes on after its test may reach another test's replica, which has got the port.
 	t.Cleanup(n.Close)
 	h := &Server{settings: set, node: n, counters: count, table: table}
-	c := table.Take(clock.Now(), clusterstate.Update{Revision: 1, Raw: []byte(callersConfiguration),
+	c := table.Apply(clock.Now(), clusterstate.Update{Revision: 1, Raw: []byte(callersConfiguration),
 		Replicas: []registry.Record{{ID: s.id, Service: "s", Address: ln.Addr().String(), Seq: 1, Capacity: 8}}})
 	must.NoError(t, c.Err)
 	h.served = c.Workloads
@@ -185,7 +185,7 @@
 	}
 	h.free = 600
 	h.serving()
-	n.News(context.Background(), h.news(c.Replicas))
+	n.ApplyList(context.Background(), h.news(c.Replicas))
 	q := &clienthttp.Handler{Core: n, Now: clock.Now}
 	q.Serve(c.State)
 	clients, err := net.Listen("tcp", "127.0.0.1:0")
--- a/front/proxyserver/evidence.go
+++ b/front/proxyserver/evidence.go
@@ -67,8 +67,8 @@
 		switch {
 		case end.Took == 0:
 			return rollout.Unknown
-		case end.Fresh:
-			return rollout.AnsweredFresh
+		case end.NewConnection:
+			return rollout.AnsweredOnNewConnection
 		}
 		return rollout.Answered
 	case balance.Errored, balance.TimedOut, balance.Reset:
--- a/front/proxyserver/evidence_test.go
+++ b/front/proxyserver/evidence_test.go
@@ -18,7 +18,7 @@
 		b.take(clusterstate.Update{Replicas: []registry.Record{
 			{ID: "s1", Service: "s1", Address: "s1:80", Version: "v2", Seq: 5, Capacity: 4}, {ID: "s1-2", Service: "s1", Address: "s1-2:80", Version: "v1", Seq: 5, Capacity: 4}}})
 		set, _, _ := rollout.Set{}.Begin(rollout.Order{Service: "s1", Target: "v2", OverMs: 9000})
-		newest, _ := set.Of("s1")
+		newest, _ := set.NewestOf("s1")
 		whole, _ := set.Apply(rollout.Change{Rollout: newest, Phase: rollout.Active, Shares: rollout.Shares{Target: 1000}})
 		b.take(clusterstate.Update{Rollouts: whole})
 		request := func(attempt string) {
@@ -34,8 +34,8 @@
 		must.SliceLen(b.t, 1, evidence)
 		must.Eq(b.t, whole.Version, evidence[0].Version)
 		must.Eq(b.t, "s1", evidence[0].Counts[0].Replica)
-		must.SliceLen(b.t, 1, evidence[0].Counts[0].Took)
-		must.True(b.t, evidence[0].Counts[0].Fresh)
+		must.SliceLen(b.t, 1, evidence[0].Counts[0].Buckets)
+		must.True(b.t, evidence[0].Counts[0].NewConnection)
 
 		reverted, _ := whole.Abort("s1", "bad")
 		b.take(clusterstate.Update{Rollouts: reverted})
--- a/front/proxyserver/figures_test.go
+++ b/front/proxyserver/figures_test.go
@@ -28,11 +28,11 @@
 	set := settings.Settings{IP: "127.0.0.1"}
 	clock := node.NewClock()
 	s := &Server{settings: set, counters: counters.New(nil), state: clusterstate.NewState(), table: routingtable.New(clock.Now(), set),
-		account:  lending.NewHolder(clock.Now(), lending.DefaultTerms(set.Bounds.RetryWindow())),
+		account:  lending.NewAccount(clock.Now(), lending.DefaultTiming(set.Bounds.RetryWindow())),
 		evidence: newEvidence(1), servers: &clienthttp.Servers{}, handler: &clienthttp.Handler{}}
-	s.node = node.New(node.Plan{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
-		Terms: deployment.Terms{MostHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), Ask: func() {}, Observer: s.evidence,
-		Carry: func(tell func(any), now func() int64) node.Carrier {
+	s.node = node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
+		Terms: deployment.Terms{MostHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), RequestList: func() {}, Observer: s.evidence,
+		NewTransport: func(tell func(any), now func() int64) node.Transport {
 			s.pool = replicahttp.NewPool(tell, now)
 			return s.pool
 		}})
--- a/front/proxyserver/proxyserver.go
+++ b/front/proxyserver/proxyserver.go
@@ -66,9 +66,9 @@
 	routes    []routeconfig.Route         // that are served
 	rowOf     map[routeconfig.RouteID]int // the row of each
 	served    []balance.Workload
-	account   *lending.Holder // of retries beyond the ratio
-	evidence  *evidence       // of rollouts
-	free      float64         // of these, what the node was told last
+	account   *lending.Account // of retries beyond the ratio
+	evidence  *evidence        // of rollouts
+	free      float64          // of these, what the node was told last
 
 	knows   atomic.Bool // a configuration and a snapshot were there once
 	leaving atomic.Bool
@@ -80,11 +80,11 @@
 	s := &Server{settings: local, counters: counters.New(nil), state: clusterstate.NewState()}
 	clock := node.NewClock()
 	s.table = routingtable.New(clock.Now(), local)
-	s.account = lending.NewHolder(clock.Now(), lending.DefaultTerms(local.Bounds.RetryWindow()))
+	s.account = lending.NewAccount(clock.Now(), lending.DefaultTiming(local.Bounds.RetryWindow()))
 	s.evidence = newEvidence(seed)
-	s.node = node.New(node.Plan{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(local, seed)},
-		Terms: deployment.Terms{MostHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), Ask: func() {}, Observer: s.evidence,
-		Carry: func(tell func(any), now func() int64) node.Carrier {
+	s.node = node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(local, seed)},
+		Terms: deployment.Terms{MostHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), RequestList: func() {}, Observer: s.evidence,
+		NewTransport: func(tell func(any), now func() int64) node.Transport {
 			s.pool = replicahttp.NewPool(tell, now)
 			return s.pool
 		}})
@@ -179,7 +179,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fresh, s.freshAt = fresh, s.node.Now()
-	s.readiness.Heard(s.freshAt, fresh)
+	s.readiness.HandleFreshness(s.freshAt, fresh)
 }
 
 // take merges an update from the agent into the state and puts what is new in force. It returns false where the update
@@ -187,8 +187,8 @@
 func (s *Server) take(update clusterstate.Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	update = s.state.Take(update)
-	change := s.table.Take(s.node.Now(), update)
+	update = s.state.Apply(update)
+	change := s.table.Apply(s.node.Now(), update)
 	if change.Err != nil {
 		klog.ErrorS(change.Err, "a configuration cannot be used", "revision", update.Revision)
 	}
@@ -197,7 +197,7 @@
 		s.renewRows(change.State.Config.Routes, change.State.Rows)
 		s.evidence.serve(change.State.Rows)
 	}
-	s.account.Share(change.FurtherFree)
+	s.account.SetShare(change.RetrySlack)
 	if !s.renewFree(s.node.Now()) && change.State != nil {
 		s.serving()
 	}
@@ -205,7 +205,7 @@
 		s.evidence.watch(s.table.Rollouts())
 	}
 	if len(change.Replicas) > 0 {
-		s.node.News(context.Background(), s.news(change.Replicas))
+		s.node.ApplyList(context.Background(), s.news(change.Replicas))
 	}
 	if change.State != nil {
 		s.servers.Limit(s.address, change.State.Config.Limits)
@@ -214,8 +214,8 @@
 		s.readiness.Configured(s.node.Now(), change.State.Config.Revision)
 		s.knows.Store(true)
 	}
-	s.state.Forget()
-	return !s.state.Behind
+	s.state.DropGone()
+	return !s.state.NeedsSnapshot
 }
 
 // renewRows gives each route that is new, or has taken another's row, counts that begin at 0.
@@ -234,19 +234,19 @@
 
 // serving tells the node which workloads are served, and how many retries this edge may make beyond its ratio.
 func (s *Server) serving() {
-	s.node.Serving(node.Serving{Workloads: s.served, Rows: s.rows, FurtherFree: s.free})
+	s.node.Serving(node.WorkloadSet{Workloads: s.served, Counters: s.rows, RetrySlack: s.free})
 }
 
 // news translates records of replicas for the node.
 func (s *Server) news(records []registry.Record) (n discovery.News) {
 	for _, r := range records {
-		slot, found := s.table.Slot(r.Service)
+		slot, found := s.table.Shard(r.Service)
 		if !found {
 			klog.InfoS("a replica is not used: its service has no shard", "replica", r.ID, "service", r.Service)
 			continue
 		}
 		entry := discovery.Entry{Host: r.ID, Dial: replicahttp.Dial(r.ID, r.Address), Cell: slot, Zone: r.Zone,
-			Distance: s.table.Distance(r.Zone), Channels: s.table.Channels(r.Service)}
+			Distance: s.table.Distance(r.Zone), Channels: s.table.MaxCalls(r.Service)}
 		switch r.Phase {
 		case registry.Ready:
 			if !s.table.Admits(r) { // what it has under way goes on
--- a/front/proxyserver/proxyserver_bench_test.go
+++ b/front/proxyserver/proxyserver_bench_test.go
@@ -65,9 +65,9 @@
 	clock := node.NewClock()
 	p := routingtable.New(clock.Now(), s)
 	count := counters.New(nil)
-	n := node.New(node.Plan{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(s, 1)},
-		Terms: deployment.Terms{MostHeld: maxHeld}, Count: count, Log: zap.NewNop(), Ask: func() {},
-		Carry: func(tell func(any), now func() int64) node.Carrier {
+	n := node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(s, 1)},
+		Terms: deployment.Terms{MostHeld: maxHeld}, Count: count, Log: zap.NewNop(), RequestList: func() {},
+		NewTransport: func(tell func(any), now func() int64) node.Transport {
 			pool := replicahttp.NewPool(tell, now)
 			pool.Dial = func(context.Context, string, string) (net.Conn, error) {
 				return &answerer{replies: make(chan []byte, 4)}, nil
@@ -79,7 +79,7 @@
 	for i := range 16 {
 		notice.Replicas = append(notice.Replicas, registry.Record{ID: fmt.Sprint("i-", i), Service: fmt.Sprint("s", i%4), Address: "10.0.0.1:80", Seq: 1})
 	}
-	c := p.Take(clock.Now(), notice)
+	c := p.Apply(clock.Now(), notice)
 	must.NoError(b, c.Err)
 	h.served = c.Workloads
 	for range c.Workloads {
@@ -87,7 +87,7 @@
 	}
 	h.free = 0
 	h.serving()
-	n.News(context.Background(), h.news(c.Replicas))
+	n.ApplyList(context.Background(), h.news(c.Replicas))
 	q := &clienthttp.Handler{Core: n, Now: clock.Now}
 	q.Serve(c.State)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/front/proxyserver/retries.go
+++ b/front/proxyserver/retries.go
@@ -25,7 +25,7 @@
 		case <-ticker.C:
 			s.mu.Lock()
 			now := s.node.Now()
-			s.account.Share(s.table.Free(now))
+			s.account.SetShare(s.table.RetrySlack(now))
 			s.renewFree(now)
 			s.mu.Unlock()
 		}
@@ -48,35 +48,35 @@
 //
 // Danger: what is used has to be read after the node goes by the limit that it was told last, or a loan would give away
 // what is used meanwhile. The node takes both in one queue.
-func (s *Server) lend() *lending.Note {
+func (s *Server) lend() *lending.Message {
 	ctx, cancel := context.WithTimeout(context.Background(), usedWithin)
 	defer cancel()
-	used, ok := s.node.FurtherUsed(ctx)
+	used, ok := s.node.RetriesUsed(ctx)
 	if !ok {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.node.Now()
-	note := s.account.Note(now, lending.Use{Amount: used.Free, Any: used.Any})
+	note := s.account.NextMessage(now, lending.Usage{Amount: used.Slack, Any: used.Any})
 	s.renewFree(now)
 	if note.Empty() {
 		return nil
 	}
 	for _, loan := range note.Loans {
-		klog.InfoS("retries are lent", "amount", loan.Amount, "for_ms", time.Duration(loan.For).Milliseconds())
+		klog.InfoS("retries are lent", "amount", loan.Amount, "for_ms", time.Duration(loan.Duration).Milliseconds())
 	}
 	return &note
 }
 
 // borrow takes in what others lend to this edge and want of it.
-func (s *Server) borrow(note lending.Note) {
+func (s *Server) borrow(note lending.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.node.Now()
-	s.account.Heard(now, note)
+	s.account.Handle(now, note)
 	s.renewFree(now)
 	for _, loan := range note.Loans {
-		klog.InfoS("retries are borrowed", "amount", loan.Amount, "for_ms", time.Duration(loan.For).Milliseconds())
+		klog.InfoS("retries are borrowed", "amount", loan.Amount, "for_ms", time.Duration(loan.Duration).Milliseconds())
 	}
 }
--- a/front/proxyserver/tally.go
+++ b/front/proxyserver/tally.go
@@ -45,7 +45,7 @@
 
 func (s *Server) logTotals(after, before totals) {
 	s.mu.Lock()
-	now, replicas, edges, free := s.node.Now(), s.table.Replicas(), s.table.Edges(), s.free
+	now, replicas, edges, free := s.node.Now(), s.table.ReadyReplicas(), s.table.EdgeCount(), s.free
 	lent, borrowed := s.account.Lent(now), s.account.Borrowed(now)
 	s.mu.Unlock()
 	klog.InfoS("served", "sent", after.sent-before.sent, "fulfilled", after.fulfilled-before.fulfilled,
--- a/lab/controllercheck/promises.go
+++ b/lab/controllercheck/promises.go
@@ -87,7 +87,7 @@
 		w.breaks("%s takes its followers back from %d to %d", m.name, m.seen, u.Revision)
 	}
 	m.seen = u.Revision
-	m.follower.Take(u)
+	m.follower.Apply(u)
 	if content, known := w.confirmed[u.Revision]; known && string(m.follower.Raw) != content {
 		w.breaks("%s tells another content of %d than was acknowledged", m.name, u.Revision)
 	}
@@ -119,10 +119,10 @@
 		if disk == nil {
 			continue
 		}
-		value := disk.State.Value
+		value := disk.RegisterState.Value
 		holds := func(member string) bool {
 			m := w.machines[member]
-			return m != nil && (m.disk == nil || m.disk.State.Value.Revision >= revision)
+			return m != nil && (m.disk == nil || m.disk.RegisterState.Value.Revision >= revision)
 		}
 		if value.Revision >= revision && value.Quorum(holds) {
 			return
--- a/lab/controllercheck/world.go
+++ b/lab/controllercheck/world.go
@@ -86,11 +86,11 @@
 	w := &world{scope: s, play: p, machines: map[string]*machine{}, calls: map[uint64]call{}, confirmed: map[uint64]string{1: "first"},
 		epochs: map[uint64][]string{}, newest: 1}
 	value := register.Value{Epoch: 1, Members: s.Members, Revision: 1, Body: clusterstate.Pack([]byte("first")), Size: len(s.Members)}
-	ballot := register.Ballot{N: 1, By: "before"}
+	ballot := register.Ballot{Number: 1, Proposer: "before"}
 	for _, name := range s.Members {
 		state := register.State{Promised: ballot, Accepted: ballot, Value: value}
 		m := w.add(name)
-		m.disk = &controller.Save{State: state, Committed: controller.ConfigurationOf(value)}
+		m.disk = &controller.Save{RegisterState: state, CommittedConfiguration: controller.ConfigurationOf(value)}
 		m.list = []registry.Record{{ID: "r", Service: "s", Address: "r:1", Seq: 1}}
 		w.boot(m)
 	}
@@ -116,21 +116,21 @@
 func (w *world) boot(m *machine) {
 	m.life++
 	m.up, m.seen, m.epoch = true, 0, 0
-	start := controller.Start{IP: m.name, Life: fmt.Sprint(m.life), Seeds: w.scope.Members[:3], BeatEvery: second,
-		Draw: func() float64 { return float64(m.name[0]%8) / 8 }}
+	start := controller.Options{IP: m.name, Incarnation: fmt.Sprint(m.life), Seeds: w.scope.Members[:3], ReplicaHeartbeatInterval: second,
+		Random: func() float64 { return float64(m.name[0]%8) / 8 }}
 	if m.disk != nil {
-		state := m.disk.State
-		start.State, start.Committed, start.List = &state, m.disk.Committed, m.list
+		state := m.disk.RegisterState
+		start.RegisterState, start.CommittedConfiguration, start.Replicas = &state, m.disk.CommittedConfiguration, m.list
 	}
 	m.machine = controller.New(w.now, start)
 	m.follower = clusterstate.NewState()
-	m.follower.Take(m.machine.Snapshot())
+	m.follower.Apply(m.machine.Snapshot())
 	w.tick(m)
 }
 
 // tick has a machine's timer go off when it is due. Timers have no deviations: a message that is late has the same effect.
 func (w *world) tick(m *machine) {
-	w.at(max(m.machine.Next(), w.now+millisecond), &event{to: m.name, life: m.life, happen: func() {
+	w.at(max(m.machine.NextTick(), w.now+millisecond), &event{to: m.name, life: m.life, happen: func() {
 		w.carry(m, m.machine.Tick(w.now))
 		w.tick(m)
 	}})
@@ -209,14 +209,14 @@
 }
 
 // carry does what a controller asks for.
-func (w *world) carry(m *machine, o controller.Out) {
+func (w *world) carry(m *machine, o controller.Effects) {
 	if s := o.Save; s != nil {
 		saved := func(err error) {
-			w.carry(m, m.machine.Saved(w.now, s.Number, err))
+			w.carry(m, m.machine.SaveFinished(w.now, s.Number, err))
 		}
 		w.at(w.now+syncTime, &event{to: m.name, life: m.life, fate: true, happen: func() {
-			if m.disk = s; s.List != nil {
-				m.list = s.List
+			if m.disk = s; s.Replicas != nil {
+				m.list = s.Replicas
 			}
 			saved(nil)
 		}, fail: func() { saved(fmt.Errorf("refused")) }})
@@ -227,7 +227,7 @@
 			// Heartbeats have deviations as well: contact, duties and readiness go by them.
 			w.at(w.now+latency, &event{to: to, fate: true, happen: func() {
 				if y := w.machines[to]; !y.deaf {
-					w.carry(y, y.machine.Take(w.now, s.Message))
+					w.carry(y, y.machine.HandleMessage(w.now, s.Message))
 				}
 			}})
 			if w.machines[to] == nil {
@@ -247,8 +247,8 @@
 
 // deafen has the machine that the scope names hear nobody once it has begun to change the members. The others hear it, and
 // one of them takes the duty over.
-func (w *world) deafen(m *machine, log []controller.Line) {
-	begins := slices.ContainsFunc(log, func(l controller.Line) bool { return l.Text == changingMembers })
+func (w *world) deafen(m *machine, log []controller.LogLine) {
+	begins := slices.ContainsFunc(log, func(l controller.LogLine) bool { return l.Text == changingMembers })
 	if !begins || m.name != w.scope.Deaf || w.deafened {
 		return
 	}
@@ -278,7 +278,7 @@
 	}
 	switch a.Do {
 	case Leave:
-		w.carry(m, m.machine.Leave(w.now))
+		w.carry(m, m.machine.AnnounceShutdown(w.now))
 		w.at(w.now+leaveWait, &event{happen: func() { m.up, m.gone = false, true }})
 	case Remove:
 		m.up, m.gone = false, true
@@ -294,12 +294,12 @@
 	w.calls[id] = call{a, w.now}
 	switch a.Do {
 	case Order:
-		w.carry(m, m.machine.Put(w.now, id, a.Revision, clusterstate.Pack([]byte(a.Content))))
+		w.carry(m, m.machine.PutConfiguration(w.now, id, a.Revision, clusterstate.Pack([]byte(a.Content))))
 	case Read:
-		w.carry(m, m.machine.Read(w.now, id))
+		w.carry(m, m.machine.ReadConfiguration(w.now, id))
 	case Drain:
 		r := registry.Record{ID: a.Replica, Service: "s", Address: a.Replica + ":1", Phase: registry.Draining, Seq: 2}
-		w.carry(m, m.machine.Beat(w.now, id, r))
+		w.carry(m, m.machine.HandleReplicaCall(w.now, id, r))
 	}
 }
 
--- a/lab/controlsim/clients.go
+++ b/lab/controlsim/clients.go
@@ -223,7 +223,9 @@
 	o.seen.Tries = append(o.seen.Tries, try)
 	revision, body := o.seen.Revision, o.body
 	w.call("operator", to, func(s *server, answer func(controller.Answer)) {
-		s.call(func(now int64, id uint64) controller.Out { return s.controller.Put(now, id, revision, body) }, answer)
+		s.call(func(now int64, id uint64) controller.Effects {
+			return s.controller.PutConfiguration(now, id, revision, body)
+		}, answer)
 	}, func(status int, _ []byte) {
 		o.seen.Tries[index].Answered, o.seen.Tries[index].Status = w.now, status
 		w.tell("operator", "order %d (%s): %s answers %d", o.seen.Number, o.seen.Content, to, status)
@@ -260,7 +262,7 @@
 func (w *world) readTry(index int, to string, once bool, pause int64) {
 	sent := w.now
 	w.call("operator", to, func(s *server, answer func(controller.Answer)) {
-		s.call(s.controller.Read, answer)
+		s.call(s.controller.ReadConfiguration, answer)
 	}, func(status int, body []byte) {
 		r := &w.history.Reads[index]
 		r.Tries = append(r.Tries, checker.Try{Controller: to, Sent: sent, Answered: w.now, Status: status})
@@ -310,7 +312,7 @@
 	}
 	target := ""
 	w.call("replica", r.controller, func(s *server, answer func(controller.Answer)) {
-		s.call(func(now int64, id uint64) controller.Out { return s.controller.Beat(now, id, record) }, func(a controller.Answer) {
+		s.call(func(now int64, id uint64) controller.Effects { return s.controller.HandleReplicaCall(now, id, record) }, func(a controller.Answer) {
 			target = a.HeartbeatTarget
 			answer(a)
 		})
--- a/lab/controlsim/disk.go
+++ b/lab/controlsim/disk.go
@@ -50,8 +50,8 @@
 		d.world.after(refusedAfter, func() { m.dispatch(life, func() { done(errDiskFull) }) })
 		return
 	}
-	next := &image{state: s.State, committed: s.Committed, rollouts: s.Rollouts, list: s.List}
-	if s.List == nil && d.written != nil {
+	next := &image{state: s.RegisterState, committed: s.CommittedConfiguration, rollouts: s.Rollouts, list: s.Replicas}
+	if s.Replicas == nil && d.written != nil {
 		next.list = d.written.list
 	}
 	d.written = next
--- a/lab/controlsim/edge.go
+++ b/lab/controlsim/edge.go
@@ -162,7 +162,7 @@
 	if n.update == nil || n.update.Snapshot {
 		e.relay.publish(news{fresh: e.rule.decide.Freshness(now)})
 	}
-	if e.rule.decide.Leave(now) {
+	if e.rule.decide.ShouldLeave(now) {
 		e.leave(lost)
 		return
 	}
@@ -177,13 +177,13 @@
 
 // take takes a notice in and passes on what is new; false where the whole book is needed.
 func (e *edge) take(n clusterstate.Update) bool {
-	fresh := e.state.Take(n)
+	fresh := e.state.Apply(n)
 	if fresh.Empty() {
-		return !e.state.Behind
+		return !e.state.NeedsSnapshot
 	}
 	e.note(fresh)
 	if f := fresh.Fleet; !f.Empty() {
-		e.detector.Fleet(e.machine.clock(), f.InZone(e.zone))
+		e.detector.SetEdges(e.machine.clock(), f.EdgeIPsInZone(e.zone))
 		e.findFeeders()
 	}
 	now := e.machine.clock()
@@ -191,8 +191,8 @@
 	if fresh.Revision > 0 {
 		e.rule.readiness.Configured(now, fresh.Revision)
 	}
-	e.state.Forget()
-	return !e.state.Behind
+	e.state.DropGone()
+	return !e.state.NeedsSnapshot
 }
 
 // note writes down what is in force here now.
@@ -211,7 +211,7 @@
 // tellProxy tells the proxy beside the agent how fresh the agent's state is.
 func (e *edge) tellProxy() {
 	now := e.machine.clock()
-	e.rule.readiness.Heard(now, e.rule.decide.Freshness(now))
+	e.rule.readiness.HandleFreshness(now, e.rule.decide.Freshness(now))
 }
 
 // askReady does what the platform does: it asks whether this edge is ready.
@@ -264,7 +264,7 @@
 	for _, name := range to {
 		if o := e.world.edges[name]; o != nil {
 			from := e.machine.name
-			e.world.network.datagram(e.machine, o.machine, func() { o.detector.Heard(o.machine.clock(), from) })
+			e.world.network.datagram(e.machine, o.machine, func() { o.detector.HandleHeartbeat(o.machine.clock(), from) })
 		}
 	}
 }
--- a/lab/controlsim/follow.go
+++ b/lab/controlsim/follow.go
@@ -46,7 +46,7 @@
 // heard takes how fresh the feeder says that it is.
 func (f *following) heard(now int64, fresh clusterstate.Freshness) {
 	f.lastHeard = now
-	f.decide.Heard(now, fresh)
+	f.decide.HandleFreshness(now, fresh)
 }
 
 // due tells that a report is to be sent, and what becomes of the feeder with it.
--- a/lab/controlsim/planted/planted.go
+++ b/lab/controlsim/planted/planted.go
@@ -37,15 +37,15 @@
 }
 
 const (
-	contactWas = "return c.now-c.lease.ReachedSince(c.now, c.ownName(), c.electorate()) < contactWithin"
-	currentWas = "return c.lease.CurrentSince(c.now, c.ownName(), c.electorate())"
-	contactIs  = `members, heard := c.electorate().Members, 0
+	contactWas = "return c.now-c.lease.ReachedSince(c.now, c.ownVoter(), c.quorumValue()) < contactTimeout"
+	currentWas = "return c.lease.CurrentSince(c.now, c.ownVoter(), c.quorumValue())"
+	contactIs  = `members, lastHeard := c.quorumValue().Members, 0
 	for _, m := range members {
-		if p := c.peers[m]; m == c.IP || p != nil && p.heard > 0 && c.now-p.heard < contactWithin {
-			heard++
+		if p := c.peers[m]; m == c.IP || p != nil && p.lastHeard > 0 && c.now-p.lastHeard < contactTimeout {
+			lastHeard++
 		}
 	}
-	return 2*heard > len(members)`
+	return 2*lastHeard > len(members)`
 	currentIs = `if c.InContact() {
 		return c.now
 	}
@@ -64,7 +64,7 @@
 	mutant(controlsim.CutOffAlone, 5, "an edge stays with a feeder that is not fresh", behind,
 		edit(followerFile, "if f.alternatives == 0 || f.fresh(now) || now-f.connectedAt < stay {", "if stay > 0 {")),
 	mutant(controlsim.CutOffAlone, 5, "an edge is ready with its first configuration", []string{checker.ReadyOld},
-		edit(readinessFile, "return r.wasFresh || now-r.firstAt >= readyWithout", "return true")),
+		edit(readinessFile, "return r.wasFresh || now-r.configuredAt >= readyUnconfirmedAfter", "return true")),
 	mutant(controlsim.OneNumber, 3, "whatever is not above the revision held is confirmed", []string{checker.TwoContents},
 		edit(ordersFile, "case known && sum != o.Sum:", "case known && sum != o.Sum && o.Revision > value.Revision:")),
 	mutant(controlsim.OneNumber, 3, "an order that was overtaken is refused", []string{checker.RefusedAgain, checker.RefusedTaken},
@@ -76,10 +76,10 @@
 	mutant(controlsim.SecondLoss, 20, "answers leave before the sync", lost,
 		edit(diskFile, "	if after == 0 {\n", "	if after >= 0 {\n")),
 	mutant(controlsim.LongLife, 5, "a controller starts again with its first state", lost,
-		edit(controllerFile, "c.disk = register.Disk{State: *s.State, CaughtUp: true}",
-			"c.disk = register.Disk{State: register.State{Value: register.Value{Members: s.State.Value.Members, Epoch: s.State.Value.Epoch}}, CaughtUp: true}")),
+		edit(controllerFile, "c.disk = register.Acceptor{State: *s.RegisterState, CaughtUp: true}",
+			"c.disk = register.Acceptor{RegisterState: register.RegisterState{Value: register.Value{Members: s.RegisterState.Value.Members, Epoch: s.RegisterState.Value.Epoch}}, CaughtUp: true}")),
 	mutant(controlsim.TwoHalves, 5, "a read is answered from what is known here", lost,
-		edit(callersFile, "	n, out := c.proposer.Edit(now, same)\n", "	if c.committed.Revision > 0 {\n		c.answer(t, statusOK, c.committed.Body, \"\")\n		return c.done()\n	}\n	n, out := c.proposer.Edit(now, same)\n")),
+		edit(callersFile, "	n, out := c.proposer.Edit(now, readOnlyEdit)\n", "	if c.committed.Revision > 0 {\n		c.answer(t, statusOK, c.committed.Body, \"\")\n		return c.takeEffects()\n	}\n	n, out := c.proposer.Edit(now, readOnlyEdit)\n")),
 	mutant(controlsim.TwoHalves, 5, "half of the members are enough", []string{checker.TwoContents, checker.Lost, checker.Linear},
 		edit(registerFile, "return 2*n > len(members)", "return 2*n >= len(members)")),
 	mutant(controlsim.EverythingDark, 5, "answers leave before the sync, and everything goes dark", lost,
@@ -89,9 +89,9 @@
 	mutant(controlsim.DepartureFirst, 5, "a late beat brings a replica back", []string{checker.GoneAgain, checker.DrainUnknown},
 		edit(registryFile, "if o.Phase == Gone || o.Phase == Draining && r.Phase == Ready {", "if o.Phase == Draining && r.Phase == Ready {")),
 	mutant(controlsim.DepartureFirst, 5, "a departure is acknowledged before anybody else has it", []string{checker.GoneAgain, checker.DrainUnknown, checker.CutOff},
-		edit(callersFile, "if r.Phase == registry.Ready {\n		c.out", "if true {\n		c.out")),
+		edit(callersFile, "if r.Phase == registry.Ready {\n		c.effects", "if true {\n		c.effects")),
 	mutant(controlsim.DepartureMissed, 18, "a departure is told once", []string{checker.GoneAgain, checker.DrainUnknown},
-		edit(leavingFile, "if sum == c.list.LeavingSum() {", "if sum != 1 {")),
+		edit(leavingFile, "if sum == c.replicas.LeavingSum() {", "if sum != 1 {")),
 	mutant(controlsim.LongLife, 26, "a controller that starts again calls itself current", []string{checker.ReadyOld, checker.Behind},
 		edit(contactFile, currentWas, "return c.now")),
 }
--- a/lab/controlsim/server.go
+++ b/lab/controlsim/server.go
@@ -74,7 +74,7 @@
 // publish tells all who follow. Each takes differences between fleets.
 func (f *feed) publish(n news) {
 	if n.update != nil {
-		told := n.update.ForFollower(true)
+		told := n.update.ForWire(true)
 		n.update = &told
 	}
 	for _, l := range slices.Clone(f.links) {
@@ -104,11 +104,11 @@
 	w, m := s.world, s.machine
 	w.lives++
 	draw := rand.New(rand.NewPCG(w.plan.Seed, 1000+uint64(w.lives)))
-	start := controller.Start{IP: m.name, Life: fmt.Sprint("life", w.lives), Zone: s.zone, Regions: w.regions, Seeds: firstSeeds(), Bootstrap: s.bootstrap, BeatEvery: heartbeats,
-		Draw: draw.Float64}
+	start := controller.Options{IP: m.name, Incarnation: fmt.Sprint("life", w.lives), Zone: s.zone, Regions: w.regions, Seeds: firstSeeds(), Bootstrap: s.bootstrap, ReplicaHeartbeatInterval: heartbeats,
+		Random: draw.Float64}
 	if found := s.disk.open(); found != nil {
 		state := found.state
-		start.State, start.Committed, start.Rollouts, start.List = &state, found.committed, found.rollouts, found.list
+		start.RegisterState, start.CommittedConfiguration, start.Rollouts, start.Replicas = &state, found.committed, found.rollouts, found.list
 	}
 	if !s.bootstrap {
 		start.Seeds = w.seeds()
@@ -123,7 +123,7 @@
 
 // tick has the controller do what is due, and sets the timer for what comes next.
 func (s *server) tick() {
-	if now := s.machine.clock(); now >= s.controller.Next() {
+	if now := s.machine.clock(); now >= s.controller.NextTick() {
 		s.carry(s.controller.Tick(now))
 	}
 	s.noteCurrent()
@@ -132,7 +132,7 @@
 
 func (s *server) wake() {
 	w, m := s.world, s.machine
-	at := w.now + max(m.trueSpan(s.controller.Next()-m.clock()), tickLeast)
+	at := w.now + max(m.trueSpan(s.controller.NextTick()-m.clock()), tickLeast)
 	if s.tickAt > w.now && s.tickAt <= at {
 		return
 	}
@@ -149,7 +149,7 @@
 }
 
 // take carries out a call of the controller.
-func (s *server) take(o controller.Out) {
+func (s *server) take(o controller.Effects) {
 	s.carry(o)
 	s.tick()
 }
@@ -168,7 +168,7 @@
 	return fresh
 }
 
-func (s *server) carry(o controller.Out) {
+func (s *server) carry(o controller.Effects) {
 	for _, l := range o.Log {
 		if s.world.trace != nil {
 			s.world.tell(s.machine.name, "%s %v", l.Text, l.Values)
@@ -176,7 +176,7 @@
 	}
 	if o.Save != nil {
 		number := o.Save.Number
-		s.disk.save(s.machine, *o.Save, func(err error) { s.take(s.controller.Saved(s.machine.clock(), number, err)) })
+		s.disk.save(s.machine, *o.Save, func(err error) { s.take(s.controller.SaveFinished(s.machine.clock(), number, err)) })
 	}
 	for _, send := range o.Sends {
 		for _, to := range send.To {
@@ -245,7 +245,7 @@
 }
 
 func (s *server) acceptPeer(c *connection) {
-	c.listen(1, func(m any) { s.take(s.controller.Take(s.machine.clock(), m.(controller.Message))) }, func() {})
+	c.listen(1, func(m any) { s.take(s.controller.HandleMessage(s.machine.clock(), m.(controller.Message))) }, func() {})
 }
 
 // acceptFollower feeds an edge from its first report on.
@@ -255,7 +255,7 @@
 		return news{&whole, s.freshness()}
 	}, func(r report) {
 		for _, e := range r.all {
-			s.take(s.controller.Edge(s.machine.clock(), e))
+			s.take(s.controller.HandleEdgeReport(s.machine.clock(), e))
 		}
 	})
 }
@@ -297,9 +297,9 @@
 	life := m.life
 	m.dispatch(life, func() {
 		s.leaving = true
-		s.take(s.controller.Leave(m.clock()))
+		s.take(s.controller.AnnounceShutdown(m.clock()))
 		m.timer(leaveWait, func() {
-			s.carry(s.controller.Leave(m.clock()))
+			s.carry(s.controller.AnnounceShutdown(m.clock()))
 			s.world.at(s.world.now+millisecond, func() {
 				if m.life == life {
 					m.stop(false)
@@ -311,7 +311,7 @@
 }
 
 // call puts a call to the controller.
-func (s *server) call(in func(now int64, id uint64) controller.Out, answer func(controller.Answer)) {
+func (s *server) call(in func(now int64, id uint64) controller.Effects, answer func(controller.Answer)) {
 	s.lastCall++
 	s.calls[s.lastCall] = answer
 	s.take(in(s.machine.clock(), s.lastCall))
--- a/lab/emulator/aggregator.go
+++ b/lab/emulator/aggregator.go
@@ -67,10 +67,10 @@
 // wake begins anew, with nothing but the list.
 func (a *aggregator) wake(now int64) {
 	for _, l := range a.list {
-		a.watch.Listed(now, l.Replica, l.Cell, l.Standing == balance.Up)
+		a.watch.Listed(now, l.Replica, l.Cell, l.Status == balance.Up)
 	}
 	if a.Policy == "module" {
-		whole := slices.DeleteFunc(slices.Clone(a.list), func(l balance.Listing) bool { return l.Standing == balance.Gone })
+		whole := slices.DeleteFunc(slices.Clone(a.list), func(l balance.Listing) bool { return l.Status == balance.Gone })
 		for i := range whole {
 			whole[i].New = true
 		}
@@ -172,12 +172,12 @@
 	case listed:
 		if e.Seq > a.news[e.Query] {
 			a.news[e.Query] = e.Seq
-			l := balance.Listing{Replica: int(e.Query), Cell: a.shardOf(int(e.Query)), Standing: balance.Standing(e.Result), Started: e.Value}
+			l := balance.Listing{Replica: int(e.Query), Cell: a.shardOf(int(e.Query)), Status: balance.Status(e.Result), StartedAt: e.Value}
 			*a.listing(l.Replica) = l
 			if a.down {
 				return
 			}
-			a.watch.Listed(now, l.Replica, l.Cell, l.Standing == balance.Up)
+			a.watch.Listed(now, l.Replica, l.Cell, l.Status == balance.Up)
 			a.trace(now, "the list has replica %d %s", e.Query, [...]string{"up", "draining", "gone"}[e.Result])
 			a.brain.list(now, l)
 			a.moved(now)
@@ -236,7 +236,7 @@
 	a.cause(now, agenda.Event{At: now + left + 1, To: a.self, Kind: gone, Query: number})
 	a.cause(now, agenda.Event{At: now + 3*l.Patience, To: a.self, Kind: forgets, Query: number})
 	mark := float64(uint32(number)*2654435761%1000) / 1000
-	if a.gate != nil && !a.gate.gateway.Stays(now, mark, q.carriedIn) {
+	if a.gate != nil && !a.gate.gateway.ServesLocally(now, mark, q.carriedIn) {
 		if !a.goesElsewhere(now, number, q, false) {
 			a.final(now, ending{query: number, final: balance.Declined, comeBack: 1e9})
 		}
@@ -350,7 +350,7 @@
 	if a.gate == nil {
 		return 0
 	}
-	return a.gate.gateway.Willing(now)
+	return a.gate.gateway.AdvertisedRate(now)
 }
 
 var (
--- a/lab/emulator/brain.go
+++ b/lab/emulator/brain.go
@@ -22,7 +22,7 @@
 
 type ending struct {
 	query    int32
-	final    balance.Final
+	final    balance.Outcome
 	comeBack int64
 }
 
@@ -52,12 +52,12 @@
 
 func newModule(now int64, d balance.Deployment, whole []balance.Listing) *module {
 	m := &module{aggregator: balance.New(now, d), queries: map[int32]*balance.Query{}, numbers: map[*balance.Query]int32{}}
-	m.aggregator.ListWhole(now, whole, true)
+	m.aggregator.ReplaceList(now, whole, true)
 	return m
 }
 
 func (m *module) list(now int64, l balance.Listing) {
-	m.aggregator.ListChanged(now, []balance.Listing{l})
+	m.aggregator.UpdateList(now, []balance.Listing{l})
 }
 
 func (m *module) take(now int64, number int32, load int, patience int64, over bool, shards []int, weights []float64) {
@@ -65,7 +65,7 @@
 	if over {
 		claim = balance.OverQuota
 	}
-	q := m.aggregator.Take(now, balance.Arrival{Workload: load, Patience: patience, Parts: len(shards), Claim: claim})
+	q := m.aggregator.AddQuery(now, balance.Arrival{Workload: load, Timeout: patience, Parts: len(shards), Priority: claim})
 	for i, s := range shards {
 		q.AddPart(s, weights[i])
 	}
@@ -74,21 +74,21 @@
 
 func (m *module) outcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
 	if q := m.queries[number]; q != nil {
-		q.Outcome(now, part, execution, result, took)
+		q.RecordResult(now, part, execution, result, took)
 	}
 }
 
 func (m *module) decide(now int64) round {
 	r := m.aggregator.Decide(now)
-	out := round{sends: m.round.sends[:0], giveUps: m.round.giveUps[:0], endings: m.round.endings[:0], wake: r.Wake}
+	out := round{sends: m.round.sends[:0], giveUps: m.round.giveUps[:0], endings: m.round.endings[:0], wake: r.WakeAt}
 	for _, s := range r.Sends {
-		out.sends = append(out.sends, send{m.numbers[s.Query], s.Part, s.Replica, s.CutAt})
+		out.sends = append(out.sends, send{m.numbers[s.Query], s.Part, s.Replica, s.Deadline})
 	}
 	for _, c := range r.Cancels {
 		out.giveUps = append(out.giveUps, giveUp{m.numbers[c.Query], c.Part, c.Execution})
 	}
 	for _, e := range r.Endings {
-		out.endings = append(out.endings, ending{m.numbers[e.Query], e.Final, e.ComeBack})
+		out.endings = append(out.endings, ending{m.numbers[e.Query], e.Outcome, e.RetryAfter})
 	}
 	m.round = out
 	return out
@@ -115,7 +115,7 @@
 	return r
 }
 
-func (r rival) list(_ int64, l balance.Listing) { r.List(l.Replica, l.Cell, l.Standing == balance.Up) }
+func (r rival) list(_ int64, l balance.Listing) { r.List(l.Replica, l.Cell, l.Status == balance.Up) }
 
 func (r rival) take(now int64, number int32, load int, patience int64, _ bool, shards []int, weights []float64) {
 	r.Take(now, number, load, patience, shards, weights)
@@ -153,7 +153,7 @@
 }
 
 func (b *broken) list(now int64, l balance.Listing) {
-	if b.how == "drain ignored" && l.Standing != balance.Up {
+	if b.how == "drain ignored" && l.Status != balance.Up {
 		return
 	}
 	b.brain.list(now, l)
