--- a/lab/emulator/own.go
+++ b/lab/emulator/own.go
@@ -15,7 +15,7 @@
 }
 
 // Strains are the ways that an aggregator may know its strain.
-var Strains = append([]string{"none"}, overload.Limits...)
+var Strains = append([]string{"none"}, overload.LimitKinds...)
 
 const readEach = int64(100e6)
 
@@ -42,10 +42,10 @@
 	if a.Own.Strain == "" || a.Own.Strain == "none" {
 		return
 	}
-	t := overload.Terms{Cores: 1, Limit: a.Own.Strain, Fixed: 0.8e9 / float64(a.Own.Query), Target: 10e6, Most: 2e9, Floor: 0.05,
+	t := overload.Config{Cores: 1, LimitKind: a.Own.Strain, FixedRate: 0.8e9 / float64(a.Own.Query), WaitTarget: 10e6, MaxRetryAfter: 2e9, CustomerFloor: 0.05,
 		Seed: a.Seed*1_000_003 + uint64(a.self)}
 	for _, l := range a.Loads {
-		t.Workloads = append(t.Workloads, overload.Workload{Revenue: l.Revenue, Goal: l.Goal})
+		t.Workloads = append(t.Workloads, overload.Workload{Revenue: l.Revenue, LatencyGoal: l.Goal})
 	}
 	p.strain = overload.New(now, t)
 	a.cause(now, agenda.Event{At: now + readEach, To: a.self, Kind: reads})
@@ -114,8 +114,8 @@
 	left := e.Value + a.Loads[load].Patience - now
 	taken, comeBack := true, int64(0)
 	if s := a.processor.strain; s != nil {
-		s.Waited(now - e.At)
-		taken, comeBack = s.Arrive(now, overload.Arrival{Workload: load, ID: uint64(e.Value), Left: left, Try: tries + 1})
+		s.RecordWait(now - e.At)
+		taken, comeBack = s.Admit(now, overload.Arrival{Workload: load, ID: uint64(e.Value), TimeLeft: left, Attempt: tries + 1})
 	}
 	if taken && left > 0 && left <= a.Tick { // there is no round in its time; on sockets limits are 50 ms longer
 		taken, comeBack = false, 0
@@ -140,7 +140,7 @@
 }
 
 // insists has a client ask again: as it was told, or, where it was told nothing, soon.
-func (a *aggregator) insists(now int64, number int32, q *asked, final balance.Final, comeBack int64) {
+func (a *aggregator) insists(now int64, number int32, q *asked, final balance.Outcome, comeBack int64) {
 	l := &a.Loads[q.load]
 	if final != balance.Declined && final != balance.Forfeited || q.tries >= 3 {
 		return
@@ -165,14 +165,14 @@
 		oldest = now - p.waiting[0].At
 	}
 	used := min(p.used, now-p.read)
-	p.strain.Read(now, overload.Reading{Span: now - p.read, Wait: p.waited / max(p.taken, 1), Sched: oldest, Late: oldest, Used: used})
+	p.strain.Observe(now, overload.Reading{Span: now - p.read, MeanWait: p.waited / max(p.taken, 1), SchedLatency: oldest, TimerLateness: oldest, CPUTime: used})
 	p.used, p.waited, p.taken, p.read = p.used-used, 0, 0, now
 	a.cause(now, agenda.Event{At: now + readEach, To: a.self, Kind: reads})
 }
 
 // served tells strain how a query ended that was taken on.
-func (a *aggregator) served(now int64, q *asked, final balance.Final) {
+func (a *aggregator) served(now int64, q *asked, final balance.Outcome) {
 	if a.processor != nil && a.processor.strain != nil {
-		a.processor.strain.Ended(q.load, now-q.at, final <= balance.Partial)
+		a.processor.strain.RecordEnd(q.load, now-q.at, final <= balance.Partial)
 	}
 }
--- a/lab/emulator/plan.go
+++ b/lab/emulator/plan.go
@@ -68,7 +68,7 @@
 	Parts    int     // each of another shard
 	Goal     int64
 	Patience int64
-	Effect   balance.Effect
+	Effect   balance.RetrySafety
 	Window   int64 // tagged: how long repeats are recognised
 	Floor    float64
 	Revenue  float64
--- a/lab/emulator/replica.go
+++ b/lab/emulator/replica.go
@@ -269,7 +269,7 @@
 }
 
 // tell has the list tell all aggregators of a change, each in its own time.
-func (r *replica) tell(now int64, standing balance.Standing) {
+func (r *replica) tell(now int64, standing balance.Status) {
 	for a := range r.Aggregators {
 		if r.siteOf(a) != r.siteOfReplica(r.number) {
 			continue
--- a/lab/emulator/rivals/rivals.go
+++ b/lab/emulator/rivals/rivals.go
@@ -23,7 +23,7 @@
 	Shards     int
 	Executions int
 	Floor      float64
-	Effect     []balance.Effect                           // by workload
+	Effect     []balance.RetrySafety                      // by workload
 	Truth      func(replica int) (wait int64, sound bool) // for the oracle alone: what a part there would wait
 }
 
@@ -44,7 +44,7 @@
 // Ending is a final answer.
 type Ending struct {
 	Query int32
-	Final balance.Final
+	Final balance.Outcome
 }
 
 type replica struct {
@@ -181,7 +181,7 @@
 }
 
 // over tells whether a query ends now, and how.
-func (r *Rival) over(now int64, q *query) (balance.Final, bool) {
+func (r *Rival) over(now int64, q *query) (balance.Outcome, bool) {
 	done, open, ran := 0.0, false, false
 	for i := range q.parts {
 		p := &q.parts[i]
--- a/lab/emulator/rivals/rivals_test.go
+++ b/lab/emulator/rivals/rivals_test.go
@@ -9,8 +9,8 @@
 const ms = int64(1e6)
 
 // four holders of one shard; the second is up to nothing good where a test says so.
-func four(policy string, effect balance.Effect) *Rival {
-	r := New(Terms{Policy: policy, Seed: 1, Shards: 1, Executions: 3, Floor: 1, Effect: []balance.Effect{effect},
+func four(policy string, effect balance.RetrySafety) *Rival {
+	r := New(Terms{Policy: policy, Seed: 1, Shards: 1, Executions: 3, Floor: 1, Effect: []balance.RetrySafety{effect},
 		Truth: func(replica int) (int64, bool) { return int64(10-replica) * ms, replica != 3 }})
 	for i := range 4 {
 		r.List(i, 0, true)
--- a/lab/emulator/run.go
+++ b/lab/emulator/run.go
@@ -94,7 +94,7 @@
 }
 
 // End books an answer. What a client got by asking again, try by try, earns nothing more: it was late for its first.
-func (t *Tally) End(asked, ended int64, load, tries int, final balance.Final) {
+func (t *Tally) End(asked, ended int64, load, tries int, final balance.Outcome) {
 	l := &t.plan.Loads[load]
 	took := ended - asked
 	inGoal := final == balance.Whole && took <= l.Goal && tries == 0
@@ -186,7 +186,7 @@
 		r.speed = math.Exp(p.Unlike * r.chance.NormFloat64())
 		r.watch.Full = float64(p.Workers) * 1e9 / (float64(p.Work) * r.speed * math.Exp(p.Spread*p.Spread/2))
 		w.backs = append(w.backs, r)
-		whole = append(whole, balance.Listing{Replica: i, New: true, Cell: p.shardOf(i), Standing: balance.Up})
+		whole = append(whole, balance.Listing{Replica: i, New: true, Cell: p.shardOf(i), Status: balance.Up})
 	}
 	if p.Policy == "oracle" {
 		w.truths = make([]truth, p.Replicas)
@@ -276,19 +276,19 @@
 
 // deployment is what the module is told.
 func (p *Plan) deployment(number int) balance.Deployment {
-	d := balance.Deployment{Number: number, Aggregators: p.Aggregators, Seed: p.Seed*1_000_003 + uint64(number), Tick: p.Tick,
-		Shards: p.Shards(), Cells: p.Shards(), Reach: 1, PartsPerCall: 1, MaxExecutions: p.Executions, Cancels: p.Cancels,
-		MaxComeBack: 2e9, ColdShare: p.ColdShare, ColdRamp: p.ColdRamp, FallMultiple: p.FallMultiple, FallSpan: p.FallSpan,
-		Budgeted: p.Budgeted, FurtherFree: p.Free, FurtherShare: p.Share, FurtherSpan: p.BudgetSpan}
+	d := balance.Deployment{Index: number, Aggregators: p.Aggregators, Seed: p.Seed*1_000_003 + uint64(number), Tick: p.Tick,
+		Shards: p.Shards(), Cells: p.Shards(), CellsPerShard: 1, PartsPerCall: 1, MaxExecutions: p.Executions, CanCancel: p.Cancels,
+		MaxRetryAfter: 2e9, ColdCapacity: p.ColdShare, WarmUpTime: p.ColdRamp, OverloadFactor: p.FallMultiple, OverloadSpan: p.FallSpan,
+		Budgeted: p.Budgeted, RetrySlack: p.Free, RetryRatio: p.Share, RetryWindow: p.BudgetSpan}
 	switch p.Break {
 	case "budget off":
 		d.Budgeted = false
 	case "cold guard off":
-		d.ColdShare, d.ColdRamp, d.FallMultiple = 1, 1, 1e9
+		d.ColdCapacity, d.WarmUpTime, d.OverloadFactor = 1, 1, 1e9
 	}
 	for _, l := range p.Loads {
-		d.Workloads = append(d.Workloads, balance.Workload{LatencyGoal: l.Goal, LateShare: 0.3, Floor: l.Floor, Need: 1,
-			PartialShare: 0.9, Effect: l.Effect, RepeatWindow: l.Window})
+		d.Workloads = append(d.Workloads, balance.Workload{LatencyGoal: l.Goal, LateShare: 0.3, MinCoverage: l.Floor, FullCoverage: 1,
+			PartialShare: 0.9, RetrySafety: l.Effect, DedupWindow: l.Window})
 	}
 	return d
 }
--- a/lab/emulator/sites.go
+++ b/lab/emulator/sites.go
@@ -73,7 +73,7 @@
 	to    int
 	sent  int64
 	over  bool
-	final balance.Final
+	final balance.Outcome
 }
 
 // carried is a query on its way to another site, and carriedBack its answer.
@@ -86,7 +86,7 @@
 }
 
 type carriedBack struct {
-	final    balance.Final
+	final    balance.Outcome
 	willing  float64
 	comeBack int64
 }
@@ -98,8 +98,8 @@
 	}
 	g := &gate{numbers: map[*balance.Query]int32{}, trips: map[int32]*balance.Query{}, runs: map[int32][]trip{}, pinged: map[int]int64{}}
 	own := a.siteOf(int(a.self))
-	t := siterouting.Terms{Site: fmt.Sprint("s", own), Interval: 1e9}
-	for i, name := range siterouting.Policies {
+	t := siterouting.Config{Site: fmt.Sprint("s", own), Interval: 1e9}
+	for i, name := range siterouting.PolicyNames {
 		if name == a.Route {
 			t.Policy = siterouting.Policy(i)
 		}
@@ -107,27 +107,27 @@
 	d := a.deployment(int(a.self))
 	for _, l := range a.Loads {
 		t.Workloads = append(t.Workloads, siterouting.Workload{Name: l.Name, Revenue: l.Revenue, Bytes: queryBytes,
-			Serves: int64(servesOf * float64(l.Goal))})
+			ServiceTime: int64(servesOf * float64(l.Goal))})
 	}
 	var known []balance.Listing
 	for s := range a.sites() {
 		if s == own {
 			continue
 		}
-		t.Links = append(t.Links, siterouting.Link{Site: fmt.Sprint("s", s), Queries: a.Link.Queries, Bytes: a.Link.Bytes, Cost: 0.05})
+		t.Links = append(t.Links, siterouting.Link{Site: fmt.Sprint("s", s), QueryRate: a.Link.Queries, ByteRate: a.Link.Bytes, Cost: 0.05})
 		for n := s; n < a.Aggregators; n += a.sites() {
-			known = append(known, balance.Listing{Replica: n, New: true, Cell: len(g.others), Standing: balance.Up})
+			known = append(known, balance.Listing{Replica: n, New: true, Cell: len(g.others), Status: balance.Up})
 		}
 		g.others = append(g.others, s)
 	}
 	g.gateway = gateway.New(now, t)
-	d.Shards, d.Cells, d.Reach, d.MaxExecutions, d.Cancels = len(g.others), len(g.others), 1, min(carryTwice, a.Executions), true
-	d.Budgeted, d.FurtherFree, d.FurtherShare, d.FurtherSpan = true, furtherAny, furtherOf, furtherSpan
+	d.Shards, d.Cells, d.CellsPerShard, d.MaxExecutions, d.CanCancel = len(g.others), len(g.others), 1, min(carryTwice, a.Executions), true
+	d.Budgeted, d.RetrySlack, d.RetryRatio, d.RetryWindow = true, furtherAny, furtherOf, furtherSpan
 	for i := range d.Workloads {
-		d.Workloads[i].Need, d.Workloads[i].Floor = 1, 1
+		d.Workloads[i].FullCoverage, d.Workloads[i].MinCoverage = 1, 1
 	}
 	g.hop = balance.New(now, d)
-	g.hop.ListWhole(now, known, true)
+	g.hop.ReplaceList(now, known, true)
 	a.gate = g
 	a.cause(now, agenda.Event{At: now + pingEach/10, To: a.self, Kind: pings})
 	a.lookAt(now)
@@ -157,7 +157,7 @@
 	if g == nil {
 		return false
 	}
-	link, waits := g.gateway.Leave(now, a.leaving(now, number, q, declined))
+	link, waits := g.gateway.Forward(now, a.leaving(now, number, q, declined))
 	if link >= 0 && !waits {
 		a.carry(now, number, q, link)
 	}
@@ -166,11 +166,11 @@
 }
 
 func (a *aggregator) leaving(now int64, number int32, q *asked, declined bool) gateway.Query {
-	r := siterouting.Query{Workload: q.load, Left: q.at + a.Loads[q.load].Patience - now, Declined: declined}
+	r := siterouting.Query{Workload: q.load, TimeLeft: q.at + a.Loads[q.load].Patience - now, Declined: declined}
 	for _, s := range q.came {
 		r.Visited = append(r.Visited, fmt.Sprint("s", s))
 	}
-	return gateway.Query{Query: r, Customer: a.Loads[q.load].Name, Load: number}
+	return gateway.Query{Query: r, Customer: a.Loads[q.load].Name, Handle: number}
 }
 
 // carry hands a query to the hop.
@@ -180,7 +180,7 @@
 	if a.Route == "plan" { // the baselines know no limit
 		a.watch.Crossed(now, link, a.Link.Queries)
 	}
-	h := g.hop.Take(now, balance.Arrival{Workload: q.load, Patience: q.at + a.Loads[q.load].Patience - now, Parts: 1})
+	h := g.hop.AddQuery(now, balance.Arrival{Workload: q.load, Timeout: q.at + a.Loads[q.load].Patience - now, Parts: 1})
 	h.AddPart(link, 1)
 	g.trips[number], g.numbers[h] = h, number
 	a.hopMoved(now)
@@ -190,15 +190,15 @@
 func (a *aggregator) decideGate(now int64) {
 	g := a.gate
 	r := g.gateway.Decide(now)
-	for _, going := range r.Going {
-		number := going.Load.(int32)
+	for _, going := range r.Departures {
+		number := going.Handle.(int32)
 		if q := a.queries[number]; q != nil && !q.ended {
 			a.carry(now, number, q, going.Link)
 			continue
 		}
 		g.gateway.Returned(now, 0, going.Link, false, 0)
 	}
-	for _, load := range r.Turned {
+	for _, load := range r.Rejected {
 		a.final(now, ending{query: load.(int32), final: balance.Declined, comeBack: 1e9})
 	}
 	a.lookAt(now)
@@ -233,7 +233,7 @@
 		q := a.queries[number]
 		run := int16(len(g.runs[number]))
 		g.runs[number] = append(g.runs[number], trip{to: s.Replica, sent: now})
-		left := s.CutAt - now - g.gateway.Least(q.link)
+		left := s.Deadline - now - g.gateway.MinDelay(q.link)
 		if left > 0 {
 			came := append(append([]int(nil), q.came...), a.siteOf(int(a.self)))
 			a.tellGate(now, s.Replica, agenda.Event{Kind: comes, Query: number, Number: run,
@@ -241,7 +241,7 @@
 		} else {
 			a.tripOver(now, number, int(run), balance.ConnectFailed, balance.Declined)
 		}
-		a.cause(now, agenda.Event{At: s.CutAt, To: a.self, Kind: tripLate, Query: number, Number: run})
+		a.cause(now, agenda.Event{At: s.Deadline, To: a.self, Kind: tripLate, Query: number, Number: run})
 	}
 	for _, c := range r.Cancels {
 		a.tripOver(now, g.numbers[c.Query], c.Execution, balance.Cancelled, balance.Declined)
@@ -249,30 +249,30 @@
 	for _, e := range r.Endings {
 		number := g.numbers[e.Query]
 		q := a.queries[number]
-		final, refused := e.Final, e.Final == balance.Declined
+		final, refused := e.Outcome, e.Outcome == balance.Declined
 		if runs := g.runs[number]; final == balance.Whole && len(runs) > 0 {
 			final = runs[len(runs)-1].final
 		}
 		if q != nil {
 			g.gateway.Returned(now, q.load, q.link, refused, queryBytes)
-			a.final(now, ending{query: number, final: final, comeBack: e.ComeBack})
+			a.final(now, ending{query: number, final: final, comeBack: e.RetryAfter})
 		}
 	}
-	if r.Wake > 0 {
-		a.hopAt(now, max(r.Wake, now+a.Tick))
+	if r.WakeAt > 0 {
+		a.hopAt(now, max(r.WakeAt, now+a.Tick))
 	}
 	a.decideGate(now)
 }
 
 // tripOver books how a trip ended.
-func (a *aggregator) tripOver(now int64, number int32, run int, result balance.Result, final balance.Final) {
+func (a *aggregator) tripOver(now int64, number int32, run int, result balance.Result, final balance.Outcome) {
 	g := a.gate
 	runs, h := g.runs[number], g.trips[number]
 	if h == nil || run >= len(runs) || runs[run].over {
 		return
 	}
 	runs[run].over, runs[run].final = true, final
-	h.Outcome(now, 0, run, result, now-runs[run].sent)
+	h.RecordResult(now, 0, run, result, now-runs[run].sent)
 	a.hopMoved(now)
 }
 
@@ -297,13 +297,13 @@
 	case pings:
 		a.pings(now)
 	case pinged:
-		a.tellGate(now, int(e.From), agenda.Event{Kind: pingBack, Value: e.Value, Load: g.gateway.Willing(now)})
+		a.tellGate(now, int(e.From), agenda.Event{Kind: pingBack, Value: e.Value, Load: g.gateway.AdvertisedRate(now)})
 	case pingBack:
 		link := int(e.Value)
 		if left := g.pinged[link]; left > 0 {
 			g.pinged[link] = 0
 			g.gateway.Pinged(now, link, now-left, false)
-			g.gateway.Told(now, link, e.Load.(float64))
+			g.gateway.ObserveAdvertised(now, link, e.Load.(float64))
 		}
 	case comes:
 		c := e.Load.(carried)
@@ -312,7 +312,7 @@
 		b := e.Load.(carriedBack)
 		q := a.queries[e.Query]
 		if q != nil {
-			g.gateway.Told(now, q.link, b.willing)
+			g.gateway.ObserveAdvertised(now, q.link, b.willing)
 		}
 		switch b.final {
 		case balance.Whole, balance.Partial:
--- a/lab/emulator/stores.go
+++ b/lab/emulator/stores.go
@@ -109,50 +109,50 @@
 // carry does what a request asks for.
 func (s *store) carry(now int64, q request) (reply sharedhealth.Reply) {
 	st, r := &s.now, q.what
-	reply.Clock = now - origin + storeClock
-	reply.Own = st.presence[q.name]
+	reply.StoreTime = now - origin + storeClock
+	reply.OwnPresence = st.presence[q.name]
 	st.presence[q.name] = r.Presence
 	s.commands += 4
 	s.bytes += int64(2 * len(r.Presence))
-	if r.Heartbeat > 0 {
+	if r.HeartbeatScore > 0 {
 		s.commands += 2
-		st.members[q.name] = r.Heartbeat
+		st.members[q.name] = r.HeartbeatScore
 		for _, at := range st.members {
-			if at >= r.LiveFrom {
-				reply.Live++
+			if at >= r.MinLiveScore {
+				reply.LiveMembers++
 			}
 		}
 	}
-	if r.SweepTo > 0 {
+	if r.SweepMaxScore > 0 {
 		s.commands++
-		maps.DeleteFunc(st.members, func(_ string, at int64) bool { return at <= r.SweepTo })
+		maps.DeleteFunc(st.members, func(_ string, at int64) bool { return at <= r.SweepMaxScore })
 	}
 	if delete(st.findings, q.name); r.Findings != nil {
 		st.findings[q.name] = r.Findings
 		s.bytes += int64(len(r.Findings))
 	}
-	for _, name := range r.Drop {
+	for _, name := range r.DropFindings {
 		delete(st.findings, name)
 	}
-	if r.Sample > 0 {
+	if r.SampleSize > 0 {
 		s.commands++
 		names := slices.Sorted(maps.Keys(st.findings))
 		s.chance.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-		for _, name := range names[:min(len(names), r.Sample)] {
-			reply.Entries = append(reply.Entries, sharedhealth.Entry{Name: name, Text: st.findings[name]})
+		for _, name := range names[:min(len(names), r.SampleSize)] {
+			reply.Entries = append(reply.Entries, sharedhealth.Entry{Name: name, Data: st.findings[name]})
 			s.bytes += int64(len(name) + len(st.findings[name]))
 		}
 	}
 	key := func(quota int, window int64) string { return fmt.Sprint(quota, ":", window) }
-	for _, q := range r.Reads {
-		counts := make([]int64, q.Counts())
+	for _, q := range r.CountReads {
+		counts := make([]int64, q.Windows())
 		for i := range counts {
 			counts[i] = st.tokens[key(q.Quota, q.Window-1-int64(i))]
 		}
 		s.commands++
 		reply.Counts = append(reply.Counts, counts)
 	}
-	for _, take := range r.Takes {
+	for _, take := range r.TokenRequests {
 		s.commands += 2
 		st.tokens[key(take.Quota, take.Window)] += take.Units
 		reply.Totals = append(reply.Totals, st.tokens[key(take.Quota, take.Window)])
@@ -164,7 +164,7 @@
 type member struct {
 	name   string
 	shared *sharedhealth.Exchange
-	purse  *sharedhealth.Purse
+	purse  *sharedhealth.QuotaBudget
 	quotas map[int]int // of loads, by number
 	turn   int64       // the round that is under way, or the last
 	open   bool
@@ -177,8 +177,8 @@
 		return
 	}
 	d := a.deployment(int(a.self))
-	t := sharedhealth.Terms{Name: fmt.Sprint("n", a.self), Incarnation: uint64(now), Seed: a.Seed<<20 + uint64(a.self), Round: storeRound,
-		Deadline: storeWait, Sample: 24, Aggregators: a.Aggregators, Rest: d.Rest(), Health: true}
+	t := sharedhealth.Config{Name: fmt.Sprint("n", a.self), Incarnation: uint64(now), Seed: a.Seed<<20 + uint64(a.self), RoundInterval: storeRound,
+		RoundTimeout: storeWait, SampleSize: 24, Aggregators: a.Aggregators, BaseEjection: d.BaseEjection(), HealthEnabled: true}
 	was := a.member
 	a.member = &member{name: t.Name, quotas: map[int]int{}}
 	if was != nil {
@@ -192,7 +192,7 @@
 	}
 	a.member.shared = sharedhealth.New(now, t)
 	if len(t.Quotas) > 0 {
-		a.member.purse = sharedhealth.NewPurse(now, t.Quotas, t.Aggregators)
+		a.member.purse = sharedhealth.NewQuotaBudget(now, t.Quotas, t.Aggregators)
 	}
 	a.cause(now, agenda.Event{At: a.member.shared.Next(), To: a.self, Kind: shares, Value: a.member.turn})
 }
@@ -218,15 +218,15 @@
 	m := a.member
 	survey := sharedhealth.Survey{Findings: a.brain.(*module).aggregator.Findings(now, nil)}
 	for _, f := range survey.Findings {
-		survey.Keys = append(survey.Keys, sharedhealth.Key("s-"+strconv.Itoa(f.Replica), a.listing(f.Replica).Started))
+		survey.Keys = append(survey.Keys, sharedhealth.ReplicaKey("s-"+strconv.Itoa(f.Replica), a.listing(f.Replica).StartedAt))
 	}
 	if m.purse != nil {
-		m.purse.Survey(now, &survey)
+		m.purse.AppendSurvey(now, &survey)
 	}
 	if a.Store == "liar" && a.self == 0 && now >= origin+a.From && now < origin+a.Until {
 		lie(now, &survey)
 	}
-	m.shared.Survey(now, survey)
+	m.shared.RecordSurvey(now, survey)
 	r := m.shared.Decide(now)
 	m.turn++
 	if r == nil {
@@ -236,18 +236,18 @@
 	m.open = true
 	a.cause(now, agenda.Event{At: now + storeWay, To: int32(a.Aggregators + a.Replicas), Kind: storeHears, Value: m.turn,
 		Load: request{m.name, r}})
-	a.cause(now, agenda.Event{At: r.By, To: a.self, Kind: storeLate, Value: m.turn})
+	a.cause(now, agenda.Event{At: r.Deadline, To: a.self, Kind: storeLate, Value: m.turn})
 }
 
 // shared ends a round with what it allows.
-func (a *aggregator) shared(now int64, allowed sharedhealth.Allowance) {
+func (a *aggregator) shared(now int64, allowed sharedhealth.RoundResult) {
 	m := a.member
 	m.open = false
-	for _, w := range allowed.Words {
-		a.brain.(*module).aggregator.Hear(now, w)
+	for _, w := range allowed.Reports {
+		a.brain.(*module).aggregator.ApplyReport(now, w)
 	}
 	if m.purse != nil {
-		m.purse.Receive(now, allowed.Leases, allowed.Locals)
+		m.purse.Apply(now, allowed.Leases, allowed.LocalRates)
 	}
 	a.moved(now)
 	a.cause(now, agenda.Event{At: m.shared.Next(), To: a.self, Kind: shares, Value: m.turn})
@@ -263,9 +263,9 @@
 	case e.Kind == shares && !m.open:
 		a.share(now)
 	case e.Kind == storeTells && m.open:
-		a.shared(now, m.shared.Answer(now, e.Load.(sharedhealth.Reply)))
+		a.shared(now, m.shared.HandleReply(now, e.Load.(sharedhealth.Reply)))
 	case e.Kind == storeLate && m.open:
-		a.shared(now, m.shared.Fail(now, errGone))
+		a.shared(now, m.shared.HandleFailure(now, errGone))
 	}
 }
 
@@ -273,10 +273,10 @@
 func lie(now int64, survey *sharedhealth.Survey) {
 	for i := range survey.Findings {
 		f := &survey.Findings[i]
-		f.Aside, f.Failed, f.Pace = false, 0, 0
-		f.Heard = now
+		f.Ejected, f.LastFailure, f.Slowdown = false, 0, 0
+		f.LastSuccess = now
 		if i%3 == 1 {
-			f.Aside, f.Failed, f.Heard = true, now, 0
+			f.Ejected, f.LastFailure, f.LastSuccess = true, now, 0
 		}
 	}
 }
--- a/lab/emulator/zones.go
+++ b/lab/emulator/zones.go
@@ -32,7 +32,7 @@
 	*module
 	plan       *Plan
 	zoneHealth *zonehealth.Tracker
-	words      []balance.Word
+	words      []balance.SharedReport
 	to         map[run]int     // the replica of each execution that is out
 	next       map[int32][]int // by query: executions so far of each part
 }
@@ -45,7 +45,7 @@
 func newWatched(m *module, p *Plan, number int, whole []balance.Listing) *watched {
 	d := p.deployment(number)
 	w := &watched{module: m, plan: p, to: map[run]int{}, next: map[int32][]int{},
-		zoneHealth: zonehealth.New(zonehealth.Terms{Rest: d.Rest(), Few: 3, Seed: d.Seed})}
+		zoneHealth: zonehealth.New(zonehealth.Config{BaseEjection: d.BaseEjection(), MinFailedReplicas: 3, Seed: d.Seed})}
 	for _, l := range whole {
 		w.tell(l, false)
 	}
@@ -53,10 +53,10 @@
 }
 
 func (w *watched) tell(l balance.Listing, known bool) {
-	if l.Standing == balance.Up {
-		w.zoneHealth.Listed(l.Replica, strconv.Itoa(w.plan.zoneOfReplica(l.Replica)), known)
+	if l.Status == balance.Up {
+		w.zoneHealth.ReplicaListed(l.Replica, strconv.Itoa(w.plan.zoneOfReplica(l.Replica)), known)
 	} else {
-		w.zoneHealth.Gone(l.Replica)
+		w.zoneHealth.ReplicaGone(l.Replica)
 	}
 }
 
@@ -69,7 +69,7 @@
 	k := run{number, part, execution}
 	if to, out := w.to[k]; out {
 		delete(w.to, k)
-		w.zoneHealth.Ended(now, to, result, took)
+		w.zoneHealth.ExecutionEnded(now, to, result, took)
 	}
 	w.module.outcome(now, number, part, execution, result, took)
 }
@@ -77,7 +77,7 @@
 func (w *watched) decide(now int64) round {
 	w.words = w.zoneHealth.Decide(now, w.words[:0])
 	for _, word := range w.words {
-		w.aggregator.Hear(now, word)
+		w.aggregator.ApplyReport(now, word)
 	}
 	r := w.module.decide(now)
 	for _, s := range r.sends {
@@ -86,7 +86,7 @@
 		}
 		w.to[run{s.query, s.part, w.next[s.query][s.part]}] = s.replica
 		w.next[s.query][s.part]++
-		w.zoneHealth.Sent(now, s.replica)
+		w.zoneHealth.ExecutionSent(now, s.replica)
 	}
 	if next := max(w.zoneHealth.Next(), now+w.plan.Tick); next < math.MaxInt64 && (r.wake == 0 || next < r.wake) {
 		r.wake = next
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -154,7 +154,7 @@
 		{Name: "retry", Kind: script.Number, Unset: 0.0, Most: 1, Help: "share of declined ones that are asked again when told to"},
 	}, Order: func(e *Experiment, c script.Call) error {
 		l := emulator.Load{Name: c.Text("name"), Rate: c.Number("rate"), Parts: int(c.Whole("parts")), Goal: c.Whole("goal"),
-			Patience: c.Whole("patience"), Effect: balance.Effect(slices.Index(effects, c.Text("effect"))), Window: c.Whole("window"),
+			Patience: c.Whole("patience"), Effect: balance.RetrySafety(slices.Index(effects, c.Text("effect"))), Window: c.Whole("window"),
 			Floor: c.Number("floor"), Revenue: c.Number("revenue"), Skew: c.Number("skew"), Burst: c.Number("burst"),
 			At: c.Whole("burst_at"), Quota: c.Number("quota"), Wave: c.Number("wave"), Day: c.Whole("day"),
 			Every: c.Whole("every"), For: c.Whole("burst_for"), Retry: c.Number("retry"), Insist: c.Number("insist")}
@@ -199,13 +199,13 @@
 			{Name: "policy", Kind: script.Text, Unset: "module", Words: policies, Help: "who decides"},
 			{Name: "executions", Kind: script.Whole, Unset: int64(0), Most: 16, Help: "of one part at most; 0 for the fleet's"},
 			{Name: "store", Kind: script.Text, Unset: "none", Words: emulator.Stores, Help: "how the shared store behaves"},
-			{Name: "route", Kind: script.Text, Unset: "none", Words: append([]string{"none"}, siterouting.Policies...), Help: "by what queries are carried to other sites"},
+			{Name: "route", Kind: script.Text, Unset: "none", Words: append([]string{"none"}, siterouting.PolicyNames...), Help: "by what queries are carried to other sites"},
 			{Name: "strain", Kind: script.Text, Unset: "none", Words: emulator.Strains, Help: "the limit by which aggregators know their own strain"},
 			{Name: "watch_zones", Kind: script.Truth, Unset: false, Help: "aggregators know zones out of reach by few failures"},
 			{Name: "calm", Kind: script.Truth, Unset: false, Help: "no fault befalls anybody"},
 			{Name: "list_delay", Kind: script.Span, Unset: int64(0), Most: 600e9, Help: "0s for the fleet's"},
 			{Name: "constants", Kind: script.Shares, Unset: map[string]float64(nil), Least: -1e15, Most: 1e15,
-				Help: "of deciders that are other: {\"balance.coldSafety\": 0.7}; times in ns"},
+				Help: "of deciders that are other: {\"balance.warmUpSafety\": 0.7}; times in ns"},
 		}, Order: func(e *Experiment, c script.Call) error {
 			other := c.Shares("constants")
 			v := Variant{Name: c.Text("name"), Constants: other, True: c.Text("policy") == "module" && c.Text("store") == "none" &&
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -203,11 +203,11 @@
 
 // Variants played by two programs come to the table that one would make, in the script's order.
 func TestJoin(t *testing.T) {
-	e, err := read(t, good+`variant(name = "other", constants = {"balance.channels": 3})`)
+	e, err := read(t, good+`variant(name = "other", constants = {"balance.maxCalls": 3})`)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := e.Variants[2]; v.True || v.Constants["balance.channels"] != 3 {
+	if v := e.Variants[2]; v.True || v.Constants["balance.maxCalls"] != 3 {
 		t.Errorf("%+v", v)
 	}
 	whole, err := e.Play(Emulated(), nil)
--- a/lab/experiment/recast/recast.go
+++ b/lab/experiment/recast/recast.go
@@ -19,7 +19,7 @@
 	"strings"
 )
 
-// Constants are values by name, as in "balance.coldSafety": the package's folder in the module, and the constant. Times are in ns.
+// Constants are values by name, as in "balance.warmUpSafety": the package's folder in the module, and the constant. Times are in ns.
 type Constants map[string]float64
 
 // text is a value as Go is told it: whole ones stay whole, for a constant may be needed so.
--- a/lab/modelcheck/step.go
+++ b/lab/modelcheck/step.go
@@ -120,8 +120,8 @@
 	case eventAsk:
 		i := int(e.of)
 		m := t.w.machines[i]
-		for _, to := range m.joiner.Others(s.names) {
-			t.send(i, s.number[to], m.joiner.Ask())
+		for _, to := range m.joiner.Targets(s.names) {
+			t.send(i, s.number[to], m.joiner.Request())
 		}
 	case eventSync:
 		t.sync(int(e.of))
@@ -243,13 +243,13 @@
 func (t *transition) isRelevant(p *message) bool {
 	m, from := t.w.machines[p.to], t.names[p.from]
 	if p.m.Kind == committedNotice {
-		return m.proposer.Learns(p.m.Value)
+		return m.proposer.WouldLearn(p.m.Value)
 	}
 	if p.m.Kind > register.Query {
 		return p.life == 0 && t.LateAnswers || p.life == m.life && (m.proposer.Awaits(from, p.m) || m.joiner != nil && m.joiner.Awaits(from, p.m))
 	}
 	asker := t.w.machines[p.from]
-	if asker.proposer.Asks(p.m) || asker.joiner != nil && asker.joiner.Ask().Ballot == p.m.Ballot {
+	if asker.proposer.IsOutstanding(p.m) || asker.joiner != nil && asker.joiner.Request().Ballot == p.m.Ballot {
 		return true
 	}
 	switch p.m.Kind {
@@ -267,7 +267,7 @@
 		return
 	}
 	if p.m.Kind == committedNotice {
-		t.machine(p.to).proposer.Know(p.m.Value)
+		t.machine(p.to).proposer.Learn(p.m.Value)
 		return
 	}
 	if p.m.Kind <= register.Query {
@@ -276,10 +276,10 @@
 	}
 	m := t.machine(p.to)
 	if m.joiner != nil {
-		if state, done := m.joiner.Take(t.names[p.from], p.m); done {
-			m.disk, m.joiner = register.Disk{State: state, CaughtUp: true}, nil
-			m.proposer.Know(state.Value)
-			m.proposer.Seen(state.Promised)
+		if state, done := m.joiner.HandleAnswer(t.names[p.from], p.m); done {
+			m.disk, m.joiner = register.Acceptor{State: state, CaughtUp: true}, nil
+			m.proposer.Learn(state.Value)
+			m.proposer.ObserveBallot(state.Promised)
 			if !t.SlowDisks {
 				m.saved, m.savedCaughtUp = m.disk.State, true
 			}
@@ -292,13 +292,13 @@
 func (t *transition) ask(from, to int, q register.Message) {
 	m := t.machine(to)
 	if q.Kind != register.Query {
-		m.proposer.Seen(q.Ballot)
+		m.proposer.ObserveBallot(q.Ballot)
 	}
 	answer, _, ok := m.disk.Step(q)
 	if !ok {
 		return
 	}
-	m.proposer.Hold(m.disk.State)
+	m.proposer.CacheState(m.disk.State)
 	clean := m.savedCaughtUp && same(m.saved, m.disk.State)
 	if t.SlowDisks && !clean && !t.AnswerBeforeSync {
 		life := 0
@@ -416,17 +416,17 @@
 }
 
 var kinds = map[register.Kind]string{register.Prepare: "prepare", register.Accept: "accept", register.Query: "query",
-	register.Promised: "promised", register.Accepted: "accepted", register.Refused: "refused", register.Holds: "holds", committedNotice: "what stands"}
+	register.Promised: "promised", register.Accepted: "accepted", register.Refused: "refused", register.Reported: "holds", committedNotice: "what stands"}
 
 // Describe returns a message in a few words, for a trace.
 func Describe(m register.Message) string {
-	text := fmt.Sprintf("%s %d %s", kinds[m.Kind], m.Ballot.N, m.Ballot.By)
+	text := fmt.Sprintf("%s %d %s", kinds[m.Kind], m.Ballot.Number, m.Ballot.Proposer)
 	v := m.Value
-	if m.Kind == register.Promised || m.Kind == register.Holds {
+	if m.Kind == register.Promised || m.Kind == register.Reported {
 		v = m.State.Value
-		text += fmt.Sprintf(", accepted under %d %s", m.State.Accepted.N, m.State.Accepted.By)
+		text += fmt.Sprintf(", accepted under %d %s", m.State.Accepted.Number, m.State.Accepted.Proposer)
 	}
-	if m.Kind == committedNotice || m.Kind == register.Accept || m.Kind == register.Promised || m.Kind == register.Holds {
+	if m.Kind == committedNotice || m.Kind == register.Accept || m.Kind == register.Promised || m.Kind == register.Reported {
 		text += fmt.Sprintf(", revision %d %q, members %v", v.Revision, v.Body, v.Members)
 		if len(v.Prior) > 0 {
 			text += fmt.Sprintf(" after %v", v.Prior)
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -90,10 +90,10 @@
 
 // machine is one controller. It is never changed in place.
 type machine struct {
-	disk          register.Disk  // as its process knows it
-	saved         register.State // as the disk holds it
-	savedCaughtUp bool           // whether the saved state counts for a majority
-	held          []uint32       // answers that wait for the next sync
+	disk          register.Acceptor // as its process knows it
+	saved         register.State    // as the disk holds it
+	savedCaughtUp bool              // whether the saved state counts for a majority
+	held          []uint32          // answers that wait for the next sync
 	proposer      *register.Proposer
 	joiner        *register.Joiner
 	life          int
@@ -161,7 +161,7 @@
 func (x *exploration) restart(m *machine, name string) {
 	m.life++
 	own := x.life(name, m.life)
-	m.disk, m.held, m.joiner, m.op, m.rounds, m.last = register.Disk{State: m.saved, CaughtUp: m.savedCaughtUp}, nil, nil, 0, 0, register.Ballot{}
+	m.disk, m.held, m.joiner, m.op, m.rounds, m.last = register.Acceptor{State: m.saved, CaughtUp: m.savedCaughtUp}, nil, nil, 0, 0, register.Ballot{}
 	known := register.Value{Members: x.Members}
 	if m.savedCaughtUp {
 		known = m.saved.Value
@@ -169,8 +169,8 @@
 		m.joiner = register.NewJoiner(name, own)
 	}
 	m.proposer = register.NewProposer(own, known, fixedDraw)
-	m.proposer.Seen(m.saved.Promised)
-	m.proposer.Hold(m.saved)
+	m.proposer.ObserveBallot(m.saved.Promised)
+	m.proposer.CacheState(m.saved)
 }
 
 func (m *machine) rehash(key []byte) []byte {
--- a/lab/rolloutcheck/rolloutcheck.go
+++ b/lab/rolloutcheck/rolloutcheck.go
@@ -73,14 +73,14 @@
 	var before rollout.Set
 	set, _, _ := rollout.Set{}.Begin(rollout.Order{Service: "s", Target: "v2", OverMs: 4000})
 	for _, shares := range []rollout.Shares{{Target: 50, Others: 1000}, {Target: 300, Others: 1000}, {Target: 1000, Others: 400}, {Target: 1000}} {
-		r, _ := set.Of("s")
+		r, _ := set.NewestOf("s")
 		before = set
 		set, _ = set.Apply(rollout.Change{Rollout: r, Phase: rollout.Active, Stage: r.Stage + 1, Shares: shares})
 	}
 	w := world{now: 1, set: set}
 	for i := range w.managers {
-		w.managers[i] = rollout.NewManager(rollout.Terms{})
-		w.managers[i].Take(second, set)
+		w.managers[i] = rollout.NewManager(rollout.Bounds{})
+		w.managers[i].Apply(second, set)
 	}
 	for i := range w.edges {
 		w.edges[i].set = before
@@ -123,7 +123,7 @@
 
 // mayUseOld tells whether an edge may begin to send to a replica of the old version.
 func (w *world) mayUseOld(e int) bool {
-	r, _ := w.edges[e].set.Of("s")
+	r, _ := w.edges[e].set.NewestOf("s")
 	for i := range replicas {
 		if r.Admits(edgeNames[e], fmt.Sprint("old", i), "v1") {
 			return true
@@ -241,11 +241,11 @@
 func (w *world) report(e int) {
 	edge := &w.edges[e]
 	edge.seq++
-	if r, _ := edge.set.Of("s"); r.Phase != rollout.Active {
+	if r, _ := edge.set.NewestOf("s"); r.Phase != rollout.Active {
 		return
 	}
-	w.managers[w.holder].Report(w.nanoseconds(), edgeNames[e], []rollout.Evidence{{Number: number, Life: 1, Seq: edge.seq,
-		Version: edge.set.Version, OldOut: edge.oldOut}})
+	w.managers[w.holder].Report(w.nanoseconds(), edgeNames[e], []rollout.Evidence{{Number: number, Incarnation: 1, Seq: edge.seq,
+		Version: edge.set.Version, OldInFlight: edge.oldOut}})
 }
 
 func (w *world) nanoseconds() int64 { return int64(w.now) * second }
@@ -268,7 +268,7 @@
 		w.edges[e].acted = false
 	}
 	facts := rollout.Facts{Edges: edgeNames[:], Replicas: map[uint64]rollout.Replicas{number: {Target: replicas, Warm: replicas, Others: replicas}}}
-	w.managers[1-w.holder].Wait(w.nanoseconds())
+	w.managers[1-w.holder].Standby(w.nanoseconds())
 	for _, change := range w.managers[w.holder].Decide(w.nanoseconds(), facts) {
 		w.proposed[w.holder] = &change
 	}
@@ -284,13 +284,13 @@
 func (w *world) take(set rollout.Set) {
 	w.set = set
 	for _, m := range w.managers {
-		m.Take(w.nanoseconds(), set)
+		m.Apply(w.nanoseconds(), set)
 	}
 }
 
 // broken names the invariant that is broken, empty for none. before is the phase in the state before.
 func (w *world) broken(before rollout.Phase) string {
-	r, _ := w.set.Of("s")
+	r, _ := w.set.NewestOf("s")
 	if before != rollout.Active && r.Phase != before {
 		return fmt.Sprintf("a rollout that was %s is %s", before, r.Phase)
 	}
@@ -301,7 +301,7 @@
 		if r.Phase == rollout.Complete && before == rollout.Active && (w.edges[e].oldOut > 0 || w.mayUseOld(e)) {
 			return "complete while edge " + edgeNames[e] + " uses the old version"
 		}
-		if held, _ := w.edges[e].set.Of("s"); held.Phase == rollout.Reverted && held.Admits(edgeNames[e], "new0", "v2") {
+		if held, _ := w.edges[e].set.NewestOf("s"); held.Phase == rollout.Reverted && held.Admits(edgeNames[e], "new0", "v2") {
 			return "a version that was taken back is open at edge " + edgeNames[e]
 		}
 	}
@@ -318,12 +318,12 @@
 	for queue := []world{first}; len(queue) > 0; {
 		w := queue[0]
 		queue = queue[1:]
-		before, _ := w.set.Of("s")
+		before, _ := w.set.NewestOf("s")
 		for _, n := range w.next() {
 			if broken := n.broken(before.Phase); broken != "" {
 				return Result{States: len(seen), Broken: broken, Trace: n.trace.events()}
 			}
-			after, _ := n.set.Of("s")
+			after, _ := n.set.NewestOf("s")
 			if key := n.key(); !seen[key] {
 				seen[key] = true
 				if after.Phase == rollout.Active || n.proposed != [managers]*rollout.Change{} {
--- a/node/admit.go
+++ b/node/admit.go
@@ -11,11 +11,11 @@
 	ID       string
 	Workload int
 	Customer string // whose it is, empty where that is not told
-	Again    bool   // its client marks it as a retry
-	Until    int64  // when its client gives up
+	Retry    bool   // its client marks it as a retry
+	Deadline int64  // when its client gives up
 	Text     []byte
 	Parts    []Part
-	Load     any // what a carrier of another kind than frames needs
+	Payload  any // what a carrier of another kind than frames needs
 }
 
 // Part is one part of a query.
@@ -27,14 +27,14 @@
 // query is one that the node holds.
 type query struct {
 	Query
-	came       int64
+	arrivedAt  int64
 	handle     *balance.Query
 	answer     chan Answer // has room for the one answer
 	executions [][]*execution
 	values     []string // of the parts that are in
-	in         []bool
-	out        int // executions without an outcome
-	over       bool
+	answered   []bool
+	running    int // executions without an outcome
+	ended      bool
 }
 
 type (
@@ -47,26 +47,26 @@
 //
 // Danger: more queries than the loop can take would fill the queue and keep outcomes out.
 func (n *Node) Serve(ctx context.Context, asked Query) (Answer, bool) {
-	if len(n.facts) >= queueLength/frontShare {
-		return n.crowded(), true
+	if len(n.events) >= queueLength/arrivalDivisor {
+		return n.declineUnseen(), true
 	}
-	q := &query{Query: asked, came: n.Now(), answer: make(chan Answer, 1),
+	q := &query{Query: asked, arrivedAt: n.Now(), answer: make(chan Answer, 1),
 		executions: make([][]*execution, len(asked.Parts)),
-		values:     make([]string, len(asked.Parts)), in: make([]bool, len(asked.Parts))}
-	n.facts <- fact{q.came, arrival{q}}
+		values:     make([]string, len(asked.Parts)), answered: make([]bool, len(asked.Parts))}
+	n.events <- event{q.arrivedAt, arrival{q}}
 	select {
 	case a := <-q.answer:
 		return a, true
 	case <-ctx.Done():
-		n.facts <- fact{n.Now(), departure{q}}
+		n.events <- event{n.Now(), departure{q}}
 		return Answer{}, false
 	}
 }
 
-// crowded is the answer to a query that the module never sees.
-func (n *Node) crowded() Answer {
+// declineUnseen is the answer to a query that the module never sees.
+func (n *Node) declineUnseen() Answer {
 	n.count.Crowded.Add(1)
-	return Answer{Final: balance.Declined, ComeBack: n.advice}
+	return Answer{Outcome: balance.Declined, RetryAfter: n.retryAfter}
 }
 
 // admit hands a query to the module, or declines it where the node holds as much as it may, or where its
@@ -74,12 +74,12 @@
 func (n *Node) admit(now int64, q *query) {
 	count := n.rows[q.Workload]
 	count.Taken.Add(1)
-	patience := q.Until - now - n.lateness
+	patience := q.Deadline - now - n.lateness
 	// Danger: a round a tick later would answer a client whose time is up by then.
-	if n.held >= n.terms.MostHeld || patience <= max(n.last+n.gap()-now, 0) {
+	if n.held >= n.terms.MostHeld || patience <= max(n.lastRound+n.roundGap()-now, 0) {
 		count.Declined.Add(1)
-		q.over = true
-		q.answer <- n.crowded()
+		q.ended = true
+		q.answer <- n.declineUnseen()
 		return
 	}
 	claim := balance.FirstTry
@@ -87,13 +87,13 @@
 		count.Over.Add(1)
 		claim = balance.OverQuota
 	}
-	if q.Again {
+	if q.Retry {
 		claim = balance.Retry
 	}
-	if n.rhythm != nil {
-		n.rhythm.Waited(now - q.came)
+	if n.schedule != nil {
+		n.schedule.OnWait(now - q.arrivedAt)
 	}
-	q.handle = n.agg.Take(now, balance.Arrival{Workload: q.Workload, Patience: patience, Parts: len(q.Parts), Claim: claim})
+	q.handle = n.agg.AddQuery(now, balance.Arrival{Workload: q.Workload, Timeout: patience, Parts: len(q.Parts), Priority: claim})
 	for _, p := range q.Parts {
 		q.handle.AddPart(p.Shard, p.Weight)
 	}
@@ -102,35 +102,35 @@
 	n.count.HeldHighest.Show(int64(n.held))
 }
 
-// depart ends a query whose client has left.
-func (n *Node) depart(now int64, q *query) {
-	if q.over {
+// clientLeft ends a query whose client has left.
+func (n *Node) clientLeft(now int64, q *query) {
+	if q.ended {
 		return
 	}
 	n.rows[q.Workload].Left.Add(1)
-	q.handle.Leave(now)
-	n.end(q)
+	q.handle.ClientLeft(now)
+	n.endQuery(q)
 }
 
-// end marks a query as over. What is still out is the module's to cancel; what has not left yet must not.
+// endQuery marks a query as over. What is still out is the module's to cancel; what has not left yet must not.
 //
 // Danger: a call that waits for its connection would be sent after the answer.
-func (n *Node) end(q *query) {
-	q.over = true
+func (n *Node) endQuery(q *query) {
+	q.ended = true
 	n.held -= 1 + len(q.Parts)
 	for _, executions := range q.executions {
 		for _, e := range executions {
-			if !e.over && n.pool.Withdraw(e.ticket) {
-				n.later(e, balance.Moot)
+			if !e.ended && n.transport.Withdraw(e.ticket) {
+				n.endLater(e, balance.Unsent)
 			}
 		}
 	}
-	n.forget(q)
+	n.release(q)
 }
 
-// forget lets go of a query that is over once its last outcome is in.
-func (n *Node) forget(q *query) {
-	if q.over && q.out == 0 {
+// release lets go of a query that is over once its last outcome is in.
+func (n *Node) release(q *query) {
+	if q.ended && q.running == 0 {
 		delete(n.queries, q.handle)
 	}
 }
--- a/node/further_test.go
+++ b/node/further_test.go
@@ -21,18 +21,18 @@
 		}
 		return value(ctx, p)
 	}
-	budgeted := func(p *Plan) {
-		p.Deployment.Budgeted, p.Deployment.Accounts, p.Deployment.FurtherFree, p.Deployment.FurtherSpan = true, 2, 9, 10e9
+	budgeted := func(p *Options) {
+		p.Deployment.Budgeted, p.Deployment.ShardBudgets, p.Deployment.RetrySlack, p.Deployment.RetryWindow = true, 2, 9, 10e9
 	}
-	on(t, budgeted, failsOnce, func(w *world) {
-		used, ok := w.FurtherUsed(w.Context())
+	runNode(t, budgeted, failsOnce, func(w *fixture) {
+		used, ok := w.RetriesUsed(w.Context())
 		must.True(t, ok)
-		must.Eq(t, Further{}, used)
+		must.Eq(t, RetryUse{}, used)
 		t.Log(w.serve(w.Context(), "a", 2*time.Second))
-		used, _ = w.FurtherUsed(w.Context())
-		must.Eq(t, Further{2, true}, used)
+		used, _ = w.RetriesUsed(w.Context())
+		must.Eq(t, RetryUse{2, true}, used)
 		time.Sleep(12 * time.Second)
-		used, _ = w.FurtherUsed(w.Context())
-		must.Eq(t, Further{}, used)
+		used, _ = w.RetriesUsed(w.Context())
+		must.Eq(t, RetryUse{}, used)
 	})
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -22,8 +22,8 @@
 	"willowsill/transport/sockets"
 )
 
-// world is a node with stand-ins for all that is around it: two replicas, each holding both shards.
-type world struct {
+// fixture is a node with stand-ins for all that is around it: two replicas, each holding both shards.
+type fixture struct {
 	*testing.T
 	*Node
 	network   *pipes.Network
@@ -38,10 +38,10 @@
 	return standin.Host{Host: fmt.Sprint("s-", i), Dial: fmt.Sprint("r:", i), Health: health}
 }
 
-// on plays a test in a bubble of its own time. In the end nothing may be left running, held or taken.
-func on(t *testing.T, change func(*Plan), answer answerer, play func(*world)) {
+// runNode plays a test in a bubble of its own time. In the end nothing may be left running, held or taken.
+func runNode(t *testing.T, change func(*Options), answer answerer, play func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{T: t, network: &pipes.Network{}, discovery: standin.NewDiscovery(listed(0, "active"), listed(1, "active"))}
+		w := &fixture{T: t, network: &pipes.Network{}, discovery: standin.NewDiscovery(listed(0, "active"), listed(1, "active"))}
 		for i := range 2 {
 			l := w.network.Listen(fmt.Sprint("r:", i))
 			w.listeners = append(w.listeners, l)
@@ -49,17 +49,17 @@
 		}
 		lists := &http.Server{Handler: w.discovery}
 		go lists.Serve(w.network.Listen("d:1"))
-		row := balance.Workload{LatencyGoal: 1000e6, LateShare: 0.3, Floor: 1, Need: 1, PartialShare: 0.9}
-		p := Plan{Clock: NewClock(), Log: zap.NewNop(), Budget: sockets.NewBudget(64), Dial: w.network.Dial,
+		row := balance.Workload{LatencyGoal: 1000e6, LateShare: 0.3, MinCoverage: 1, FullCoverage: 1, PartialShare: 0.9}
+		p := Options{Clock: NewClock(), Log: zap.NewNop(), Budget: sockets.NewBudget(64), Dial: w.network.Dial,
 			Deployment: deployment.Deployment{Workload: map[string]int{"lookup": 0}, Deployment: balance.Deployment{
-				Aggregators: 1, Tick: 5e6, Workloads: []balance.Workload{row}, Shards: 2, Cells: 1, Reach: 1,
-				PartsPerCall: 1, MaxExecutions: 3, Cancels: true, MaxComeBack: 2000e6, ColdShare: 0.2,
-				ColdRamp: 9000e6, FallMultiple: 4, FallSpan: 1000e6}},
+				Aggregators: 1, Tick: 5e6, Workloads: []balance.Workload{row}, Shards: 2, Cells: 1, CellsPerShard: 1,
+				PartsPerCall: 1, MaxExecutions: 3, CanCancel: true, MaxRetryAfter: 2000e6, ColdCapacity: 0.2,
+				WarmUpTime: 9000e6, OverloadFactor: 4, OverloadSpan: 1000e6}},
 			Terms: deployment.Terms{MostHeld: 30, Streams: 32, ConnectWithin: 250e6, IdleAfter: 15e9}}
 		p.Count = counters.New(p.Deployment.Workload)
 		w.count = p.Count
-		watch := discovery.NewWatch("d:1", 1, 0, w.network.Dial, func(ctx context.Context, n discovery.News) { w.News(ctx, n) })
-		p.Ask = watch.Ask
+		watch := discovery.NewWatch("d:1", 1, 0, w.network.Dial, func(ctx context.Context, n discovery.News) { w.ApplyList(ctx, n) })
+		p.RequestList = watch.Ask
 		change(&p)
 		w.Node = New(p)
 		ctx, stop := context.WithCancel(t.Context())
@@ -78,25 +78,25 @@
 		for _, l := range w.listeners {
 			l.Close()
 		}
-		if w.held != 0 || len(w.queries) != 0 || len(w.out) != 0 || p.Budget.Taken(sockets.Replicas) != 0 {
-			t.Errorf("left: %d held, %d queries, %d executions, %d descriptors", w.held, len(w.queries), len(w.out),
+		if w.held != 0 || len(w.queries) != 0 || len(w.running) != 0 || p.Budget.Taken(sockets.Replicas) != 0 {
+			t.Errorf("left: %d held, %d queries, %d executions, %d descriptors", w.held, len(w.queries), len(w.running),
 				p.Budget.Taken(sockets.Replicas))
 		}
 	})
 }
 
 // serve asks for both shards and says how it went.
-func (w *world) serve(ctx context.Context, id string, patience time.Duration) string {
+func (w *fixture) serve(ctx context.Context, id string, patience time.Duration) string {
 	began := time.Now()
-	a, ok := w.Serve(ctx, Query{ID: id, Until: w.Now() + int64(patience), Text: []byte("text"),
+	a, ok := w.Serve(ctx, Query{ID: id, Deadline: w.Now() + int64(patience), Text: []byte("text"),
 		Parts: []Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
 	if !ok {
 		return "left"
 	}
-	return fmt.Sprint(a.Final, a.Values, a.ComeBack/1e6, " after ", time.Since(began).Truncate(10*time.Millisecond))
+	return fmt.Sprint(a.Outcome, a.Values, a.RetryAfter/1e6, " after ", time.Since(began).Truncate(10*time.Millisecond))
 }
 
-func (w *world) expect(got, want string) {
+func (w *fixture) expect(got, want string) {
 	w.Helper()
 	if got != want {
 		w.Errorf("got %q, want %q", got, want)
@@ -113,10 +113,10 @@
 	return replica.Reply{}, false
 }
 
-func asIs(*Plan) {}
+func asIs(*Options) {}
 
 func TestQuery(t *testing.T) {
-	on(t, asIs, value, func(w *world) {
+	runNode(t, asIs, value, func(w *fixture) {
 		w.expect(w.serve(w.Context(), "q", 2*time.Second), "0 [{0 q.0text} {1 q.1text}] 0 after 50ms")
 		if x := &w.count.Executions; x.Sent.Load() != 2 || x.Fulfilled.Load() != 2 {
 			w.Errorf("%d sent, %d fulfilled", x.Sent.Load(), x.Fulfilled.Load())
@@ -127,10 +127,10 @@
 // With a rhythm a query that comes just after a round does not wait for the next tick, on its way out or back.
 func TestRhythm(t *testing.T) {
 	for _, at := range []bool{false, true} {
-		on(t, asIs, value, func(w *world) {
+		runNode(t, asIs, value, func(w *fixture) {
 			waited := 0
 			if at {
-				w.Follow(&Rhythm{Pace: &overload.Pace{Tick: 5e6}, Waited: func(int64) { waited++ }, Stood: func(ns int64) { w.Errorf("stood %d", ns) }})
+				w.SetSchedule(&Schedule{Pace: &overload.Pacer{MaxGap: 5e6}, OnWait: func(int64) { waited++ }, OnStall: func(ns int64) { w.Errorf("stood %d", ns) }})
 			}
 			time.Sleep(20 * time.Millisecond)
 			for i := range 3 {
@@ -147,7 +147,7 @@
 				if waited != 6 {
 					w.Errorf("told of %d queries", waited)
 				}
-				w.Follow(nil)
+				w.SetSchedule(nil)
 				time.Sleep(time.Millisecond)
 			}
 		})
@@ -155,7 +155,7 @@
 }
 
 func TestSharedCall(t *testing.T) {
-	on(t, func(p *Plan) { p.Deployment.PartsPerCall = 8 }, value, func(w *world) {
+	runNode(t, func(p *Options) { p.Deployment.PartsPerCall = 8 }, value, func(w *fixture) {
 		w.discovery.Change(listed(1, "leaving"))
 		time.Sleep(10 * time.Millisecond)
 		w.expect(w.serve(w.Context(), "q", 2*time.Second), "0 [{0 q.0text} {1 q.1text}] 0 after 50ms")
@@ -168,7 +168,7 @@
 // An answer must come before the client's time is up, whatever replicas do; with or without cancels.
 func TestSilentReplicas(t *testing.T) {
 	for _, cancels := range []bool{true, false} {
-		on(t, func(p *Plan) { p.Deployment.Cancels = cancels }, silent, func(w *world) {
+		runNode(t, func(p *Options) { p.Deployment.CanCancel = cancels }, silent, func(w *fixture) {
 			got := w.serve(w.Context(), "q", 500*time.Millisecond)
 			if !strings.HasPrefix(got, "2 []") || !strings.HasSuffix(got, "after 480ms") {
 				w.Errorf("got %q", got)
@@ -180,24 +180,24 @@
 
 func TestErrorThenPeer(t *testing.T) {
 	first := true
-	on(t, asIs, func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
+	runNode(t, asIs, func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
 		if p.Shard == 0 && first {
 			first = false
 			return replica.Reply{ID: p.ID, End: replica.Failed}, true
 		}
 		return value(ctx, p)
-	}, func(w *world) {
+	}, func(w *fixture) {
 		w.expect(w.serve(w.Context(), "q", 2*time.Second), "0 [{0 q.0text} {1 q.1text}] 0 after 50ms")
 	})
 }
 
 func TestClientLeaves(t *testing.T) {
 	given := make(chan string, 8)
-	on(t, asIs, func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
+	runNode(t, asIs, func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
 		<-ctx.Done()
 		given <- p.ID
 		return replica.Reply{}, false
-	}, func(w *world) {
+	}, func(w *fixture) {
 		ctx, leave := context.WithTimeout(w.Context(), 100*time.Millisecond)
 		defer leave()
 		w.expect(w.serve(ctx, "q", 2*time.Second), "left")
@@ -211,29 +211,29 @@
 
 // Danger: a part that waits for its connection must not be sent once its query has its answer.
 func TestNothingAfterTheAnswer(t *testing.T) {
-	on(t, func(p *Plan) { p.Terms.ConnectWithin, p.Deployment.Cancels = 5e9, false }, value, func(w *world) {
+	runNode(t, func(p *Options) { p.Terms.ConnectWithin, p.Deployment.CanCancel = 5e9, false }, value, func(w *fixture) {
 		w.network.Silence("r:0")
 		w.network.Silence("r:1")
 		w.serve(w.Context(), "q", 300*time.Millisecond)
 		time.Sleep(10 * time.Millisecond)
 		synctest.Wait()
-		if len(w.out) != 0 {
-			w.Errorf("%d executions wait to be sent", len(w.out))
+		if len(w.running) != 0 {
+			w.Errorf("%d executions wait to be sent", len(w.running))
 		}
 		ctx, leave := context.WithTimeout(w.Context(), 100*time.Millisecond)
 		defer leave()
 		w.expect(w.serve(ctx, "r", 2*time.Second), "left")
 		time.Sleep(10 * time.Millisecond) // long before they would be dropped
 		synctest.Wait()
-		if len(w.out) != 0 {
-			w.Errorf("%d executions wait to be sent for a client that has left", len(w.out))
+		if len(w.running) != 0 {
+			w.Errorf("%d executions wait to be sent for a client that has left", len(w.running))
 		}
 	})
 }
 
 // Danger: more than may be held is declined at once, and what is held is still served.
 func TestFlood(t *testing.T) {
-	on(t, asIs, value, func(w *world) {
+	runNode(t, asIs, value, func(w *fixture) {
 		answers := make(chan string, 40)
 		for i := range cap(answers) {
 			go func() { answers <- w.serve(w.Context(), fmt.Sprint("q", i), 2*time.Second) }()
@@ -256,13 +256,13 @@
 }
 
 func TestTimeIsUp(t *testing.T) {
-	on(t, asIs, value, func(w *world) {
+	runNode(t, asIs, value, func(w *fixture) {
 		w.expect(w.serve(w.Context(), "q", 0), "2 [] 1000 after 0s")
 	})
 }
 
 func TestNoReplicas(t *testing.T) {
-	on(t, asIs, value, func(w *world) {
+	runNode(t, asIs, value, func(w *fixture) {
 		w.discovery.Change(listed(0, "left"))
 		w.discovery.Change(listed(1, "leaving"))
 		synctest.Wait()
@@ -276,7 +276,7 @@
 // Danger: a machine that has vanished takes no bytes and says nothing; its part must run at the peer in time, and
 // the next query's must not wait there again.
 func TestReplicaVanishes(t *testing.T) {
-	on(t, asIs, value, func(w *world) {
+	runNode(t, asIs, value, func(w *fixture) {
 		w.listeners = append(w.listeners, w.network.Listen("r:0")) // nobody accepts there any more
 		for i, most := range []time.Duration{time.Second, 100 * time.Millisecond} {
 			id, began := fmt.Sprint("q", i), time.Now()
@@ -290,10 +290,10 @@
 
 // What was known from an earlier life serves until discovery speaks; where it must be asked it is.
 func TestAskedList(t *testing.T) {
-	on(t, func(p *Plan) {
+	runNode(t, func(p *Options) {
 		p.Deployment.AsksForList, p.Deployment.AskWithin = true, 10e9
-		p.Known = discovery.News{Entries: []discovery.Entry{{Host: "s-0", Dial: "r:9"}}}
-	}, value, func(w *world) {
+		p.KnownList = discovery.News{Entries: []discovery.Entry{{Host: "s-0", Dial: "r:9"}}}
+	}, value, func(w *fixture) {
 		time.Sleep(10 * time.Millisecond)
 		w.expect(w.serve(w.Context(), "q", 2*time.Second), "0 [{0 q.0text} {1 q.1text}] 0 after 50ms")
 		if w.count.ListNews.Load() < 2 || w.count.ListFailures.Load() != 0 {
@@ -304,7 +304,7 @@
 
 // Danger: where replicas are replaced all day, what is kept of each would grow for as long as the process runs.
 func TestReplicasReplaced(t *testing.T) {
-	on(t, asIs, value, func(w *world) {
+	runNode(t, asIs, value, func(w *fixture) {
 		for i := 2; i < 40; i++ {
 			l := w.network.Listen(fmt.Sprint("r:", i))
 			w.listeners = append(w.listeners, l)
@@ -315,19 +315,19 @@
 			id := fmt.Sprint("q", i)
 			w.expect(w.serve(w.Context(), id, 2*time.Second), fmt.Sprintf("0 [{0 %[1]s.0text} {1 %[1]s.1text}] 0 after 50ms", id))
 			w.discovery.Change(listed(i-2, "left"))
-			time.Sleep(2 * sweepEvery)
+			time.Sleep(2 * sweepInterval)
 		}
 		w.discovery.Change(listed(100, "left")) // nobody ever knew it
 		time.Sleep(10 * time.Millisecond)
-		if synctest.Wait(); len(w.hosts) > 4 || len(w.index) != 2 || w.pool.Open() > 2 {
-			w.Errorf("%d indices, %d hosts and %d connections are kept", len(w.hosts), len(w.index), w.pool.Open())
+		if synctest.Wait(); len(w.hosts) > 4 || len(w.indices) != 2 || w.transport.OpenConnections() > 2 {
+			w.Errorf("%d indices, %d hosts and %d connections are kept", len(w.hosts), len(w.indices), w.transport.OpenConnections())
 		}
 	})
 }
 
 // A replica that dies with parts out is no end for the query.
 func TestReplicaDies(t *testing.T) {
-	on(t, asIs, value, func(w *world) {
+	runNode(t, asIs, value, func(w *fixture) {
 		go func() {
 			time.Sleep(20 * time.Millisecond)
 			w.listeners[0].Close()
@@ -339,17 +339,17 @@
 // The module's times keep further from the clients' the later the loop is, but one stall is soon forgotten.
 func TestLateLoop(t *testing.T) {
 	n := &Node{count: counters.New(nil)}
-	n.late(20e6)
-	n.late(1e6)
+	n.recordLateness(20e6)
+	n.recordLateness(1e6)
 	if n.lateness < 19e6 || n.lateness > 20e6 {
 		t.Errorf("%d ns late", n.lateness)
 	}
-	n.late(3e9)
+	n.recordLateness(3e9)
 	if n.lateness != longDelay {
 		t.Errorf("after a stall %d ns late", n.lateness)
 	}
-	for range 10 * fade {
-		n.late(0)
+	for range 10 * latenessDecay {
+		n.recordLateness(0)
 	}
 	if n.lateness > 1e6 {
 		t.Errorf("long after it %d ns late", n.lateness)
@@ -359,14 +359,14 @@
 func TestClock(t *testing.T) {
 	c := NewClock()
 	now, wall := c.Now(), time.Now().UnixMilli()
-	if d := c.Wall(wall) - now; d < -2e6 || d > 1e9 || c.Wall(0) != 0 || c.Wall(wall-3_600_000) <= 0 {
+	if d := c.FromUnixMilli(wall) - now; d < -2e6 || d > 1e9 || c.FromUnixMilli(0) != 0 || c.FromUnixMilli(wall-3_600_000) <= 0 {
 		t.Errorf("the present is %d ns off", d)
 	}
 }
 
 // Danger: what comes right after a round, with less than a tick left, would be answered a round late.
 func TestNoRoundInTime(t *testing.T) {
-	on(t, asIs, value, func(w *world) {
+	runNode(t, asIs, value, func(w *fixture) {
 		first := make(chan string)
 		go func() { first <- w.serve(w.Context(), "q", time.Second) }()
 		synctest.Wait() // its round is now
--- a/node/relay.go
+++ b/node/relay.go
@@ -4,9 +4,9 @@
 
 // Answer is what a client gets, once.
 type Answer struct {
-	Final    balance.Final
-	Values   []Value // Whole and Partial
-	ComeBack int64   // Declined: how long the client ought to wait, ns; 0 for no advice
+	Outcome    balance.Outcome
+	Values     []Value // Whole and Partial
+	RetryAfter int64   // Declined: how long the client ought to wait, ns; 0 for no advice
 }
 
 // Value is a part's, as a replica gave it.
@@ -19,16 +19,16 @@
 func (n *Node) relay(e balance.Ending) {
 	q := n.queries[e.Query]
 	count := n.rows[q.Workload]
-	a := Answer{Final: e.Final, ComeBack: e.ComeBack}
-	switch e.Final {
+	a := Answer{Outcome: e.Outcome, RetryAfter: e.RetryAfter}
+	switch e.Outcome {
 	case balance.Whole, balance.Partial:
 		a.Values = make([]Value, 0, len(q.Parts))
-		for i, in := range q.in {
+		for i, in := range q.answered {
 			if in {
 				a.Values = append(a.Values, Value{q.Parts[i].Shard, q.values[i]})
 			}
 		}
-		if e.Final == balance.Whole {
+		if e.Outcome == balance.Whole {
 			count.Whole.Add(1)
 		} else {
 			count.Partial.Add(1)
@@ -39,5 +39,5 @@
 		count.Forfeited.Add(1)
 	}
 	q.answer <- a
-	n.end(q)
+	n.endQuery(q)
 }
--- a/node/rhythm.go
+++ b/node/rhythm.go
@@ -6,87 +6,87 @@
 	"willowsill/decide/overload"
 )
 
-// Rhythm is when rounds come where they do not wait for the tick, and what is told of the process's own lateness. The loop
+// Schedule is when rounds come where they do not wait for the tick, and what is told of the process's own lateness. The loop
 // owns it once it was handed over.
-type Rhythm struct {
-	Pace   *overload.Pace // nil for a round each tick
-	Waited func(ns int64)
-	Stood  func(ns int64)
-	beat   overload.Beat
+type Schedule struct {
+	Pace          *overload.Pacer // nil for a round each tick
+	OnWait        func(ns int64)
+	OnStall       func(ns int64)
+	stallDetector overload.StallDetector
 }
 
-type rhythm struct{ rhythm *Rhythm }
+type scheduleChange struct{ rhythm *Schedule }
 
-// Follow has the loop follow a rhythm from now on, or none.
-func (n *Node) Follow(r *Rhythm) {
+// SetSchedule has the loop follow a rhythm from now on, or none.
+func (n *Node) SetSchedule(r *Schedule) {
 	select {
-	case n.facts <- fact{n.Now(), rhythm{r}}:
-	case <-n.ended:
+	case n.events <- event{n.Now(), scheduleChange{r}}:
+	case <-n.done:
 	}
 }
 
-// Waiting is the share of the loop's queue that is full.
-func (n *Node) Waiting() float64 { return float64(len(n.facts)) / queueLength }
+// QueueFill is the share of the loop's queue that is full.
+func (n *Node) QueueFill() float64 { return float64(len(n.events)) / queueLength }
 
-// gap is how long after one round the next may come.
-func (n *Node) gap() int64 {
-	if n.rhythm == nil || n.rhythm.Pace == nil {
+// roundGap is how long after one round the next may come.
+func (n *Node) roundGap() int64 {
+	if n.schedule == nil || n.schedule.Pace == nil {
 		return n.Tick
 	}
-	return n.rhythm.Pace.Gap()
+	return n.schedule.Pace.Gap()
 }
 
-// gather has goroutines that are ready run before the round, and takes in what they bring: a round for many facts costs hardly
+// yieldAndDrain has goroutines that are ready run before the round, and takes in what they bring: a round for many facts costs hardly
 // more than one for a single fact. Where nobody else is ready it costs nothing, and nothing waits; a timer would wake
 // the loop a millisecond late.
-func (n *Node) gather() {
-	if n.rhythm == nil || n.rhythm.Pace == nil {
+func (n *Node) yieldAndDrain() {
+	if n.schedule == nil || n.schedule.Pace == nil {
 		return
 	}
-	for range n.rhythm.Pace.Yields() {
+	for range n.schedule.Pace.Yields() {
 		runtime.Gosched()
-		if !n.drain() {
+		if !n.drainQueue() {
 			return
 		}
 	}
 }
 
-// took notes what a round cost that began at a time.
-func (n *Node) took(began int64) {
-	if n.rhythm != nil && n.rhythm.Pace != nil {
-		n.rhythm.Pace.Took(n.Now() - began)
+// recordRound notes what a round cost that began at a time.
+func (n *Node) recordRound(began int64) {
+	if n.schedule != nil && n.schedule.Pace != nil {
+		n.schedule.Pace.RecordRound(n.Now() - began)
 	}
 }
 
-// woken is called as the loop comes round, and returns when.
+// recordWake is called as the loop comes round, and returns when.
 //
 // Danger: what waited in the machine while the process stood comes in only now. Were it booked first, or overdue executions
 // looked at, replicas would be blamed for it.
-func (n *Node) woken() int64 {
-	if n.rhythm == nil {
+func (n *Node) recordWake() int64 {
+	if n.schedule == nil {
 		return 0
 	}
 	now := n.Now()
-	n.stood(n.rhythm.beat.Woken(now))
+	n.recordStall(n.schedule.stallDetector.Wake(now))
 	return now
 }
 
-// sleeps is called before the loop waits until next, and returns until when it may.
-func (n *Node) sleeps(next, woken int64) int64 {
-	if n.rhythm == nil || woken == 0 {
+// prepareSleep is called before the loop waits until next, and returns until when it may.
+func (n *Node) prepareSleep(next, woken int64) int64 {
+	if n.schedule == nil || woken == 0 {
 		return next
 	}
-	stood, wake := n.rhythm.beat.Sleeps(n.Now(), woken, len(n.out) > 0)
-	n.stood(stood)
+	stood, wake := n.schedule.stallDetector.Sleep(n.Now(), woken, len(n.running) > 0)
+	n.recordStall(stood)
 	if wake > 0 {
 		next = min(next, wake)
 	}
 	return next
 }
 
-func (n *Node) stood(ns int64) {
+func (n *Node) recordStall(ns int64) {
 	if ns > 0 {
-		n.agg.Stood(ns)
-		n.rhythm.Stood(ns)
+		n.agg.RecordStall(ns)
+		n.schedule.OnStall(ns)
 	}
 }
--- a/node/send.go
+++ b/node/send.go
@@ -15,14 +15,14 @@
 	part, number int
 	replica      int
 	sentAt       int64
-	cutAt        int64
+	deadline     int64
 	ticket       *replica.Ticket
-	over         bool
+	ended        bool
 	observed     string // the replica's host, where the observer wants to hear of the end
 }
 
-// answeredIn is the time, ns, that the replica took: how long a connection takes to open says nothing of it. 0 where none was up.
-func (e *execution) answeredIn(at int64) int64 {
+// responseTime is the time, ns, that the replica took: how long a connection takes to open says nothing of it. 0 where none was up.
+func (e *execution) responseTime(at int64) int64 {
 	connected := e.ticket.Connected.Load()
 	if connected == 0 {
 		return 0
@@ -43,23 +43,23 @@
 	filling := map[int]*call{}
 	for _, s := range sends {
 		q := n.queries[s.Query]
-		e := &execution{query: q, part: s.Part, number: len(q.executions[s.Part]), replica: s.Replica, sentAt: now, cutAt: s.CutAt}
+		e := &execution{query: q, part: s.Part, number: len(q.executions[s.Part]), replica: s.Replica, sentAt: now, deadline: s.Deadline}
 		// The replica is told less than the true wait, so that it takes the part for given up no later than
 		// this side does.
-		wait := (s.CutAt - now) / waitUnit
+		wait := (s.Deadline - now) / waitUnit
 		shard := q.Parts[s.Part].Shard
 		e.ticket = &replica.Ticket{Part: replica.Part{ID: q.ID + "." + strconv.Itoa(shard), Shard: shard,
-			Wait: wait, Text: q.Text}, Load: q.Load}
+			Wait: wait, Text: q.Text}, Load: q.Payload}
 		q.executions[s.Part] = append(q.executions[s.Part], e)
 		if e.number > 0 {
-			n.furtherAt[shard%max(n.Accounts, 1)] = now
+			n.lastRetryAt[shard%max(n.ShardBudgets, 1)] = now
 		}
-		q.out++
+		q.running++
 		if n.zoneHealth != nil {
-			n.zoneHealth.Sent(now, s.Replica)
+			n.zoneHealth.ExecutionSent(now, s.Replica)
 		}
 		if wait < 1 {
-			n.later(e, balance.Moot)
+			n.endLater(e, balance.Unsent)
 			continue
 		}
 		c := filling[s.Replica]
@@ -69,17 +69,17 @@
 			calls = append(calls, c)
 		}
 		c.tickets = append(c.tickets, e.ticket)
-		n.out[e.ticket] = e
-		heap.Push(&n.cuts, e)
+		n.running[e.ticket] = e
+		heap.Push(&n.deadlines, e)
 	}
 	for _, c := range calls {
-		if n.pool.Call(c.replica, c.tickets) {
+		if n.transport.Send(c.replica, c.tickets) {
 			n.count.Executions.Sent.Add(int64(len(c.tickets)))
 			n.observeSent(c.replica, c.tickets)
 			continue
 		}
 		for _, t := range c.tickets { // no descriptor left for a connection
-			n.later(n.out[t], balance.ConnectFailed)
+			n.endLater(n.running[t], balance.ConnectFailed)
 		}
 	}
 }
@@ -91,34 +91,34 @@
 	}
 	for _, t := range tickets {
 		if host := n.hosts[to].name; n.observer.Sent(host) {
-			n.out[t].observed = host
+			n.running[t].observed = host
 		}
 	}
 }
 
 // cancel carries out one cancel of the module.
 func (n *Node) cancel(c balance.Cancel) {
-	if e := n.queries[c.Query].executions[c.Part][c.Execution]; !e.over {
-		n.giveUp(e, balance.Cancelled, true)
+	if e := n.queries[c.Query].executions[c.Part][c.Execution]; !e.ended {
+		n.abandon(e, balance.Cancelled, true)
 	}
 }
 
-// giveUp ends the wait for an execution that is out. One that never left proves that it did not run.
-func (n *Node) giveUp(e *execution, result balance.Result, tell bool) {
-	if unsent := n.pool.GiveUp(e.ticket, tell); unsent {
-		result = balance.Moot
+// abandon ends the wait for an execution that is out. One that never left proves that it did not run.
+func (n *Node) abandon(e *execution, result balance.Result, tell bool) {
+	if unsent := n.transport.Abandon(e.ticket, tell); unsent {
+		result = balance.Unsent
 	}
-	n.later(e, result)
+	n.endLater(e, result)
 }
 
-// cuts holds the executions that are out by when they are dropped, soonest first.
-type cuts []*execution
+// deadlineHeap holds the executions that are out by when they are dropped, soonest first.
+type deadlineHeap []*execution
 
-func (c cuts) Len() int           { return len(c) }
-func (c cuts) Less(i, j int) bool { return c[i].cutAt < c[j].cutAt }
-func (c cuts) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
-func (c *cuts) Push(x any)        { *c = append(*c, x.(*execution)) }
-func (c *cuts) Pop() any {
+func (c deadlineHeap) Len() int           { return len(c) }
+func (c deadlineHeap) Less(i, j int) bool { return c[i].deadline < c[j].deadline }
+func (c deadlineHeap) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
+func (c *deadlineHeap) Push(x any)        { *c = append(*c, x.(*execution)) }
+func (c *deadlineHeap) Pop() any {
 	old := *c
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -127,12 +127,12 @@
 }
 
 // next is when the next execution is to be dropped; those that are over are let go on the way.
-func (c *cuts) next() int64 {
-	for len(*c) > 0 && (*c)[0].over {
+func (c *deadlineHeap) next() int64 {
+	for len(*c) > 0 && (*c)[0].ended {
 		heap.Pop(c)
 	}
 	if len(*c) == 0 {
 		return math.MaxInt64
 	}
-	return (*c)[0].cutAt
+	return (*c)[0].deadline
 }
--- a/node/share.go
+++ b/node/share.go
@@ -9,86 +9,86 @@
 // What an aggregator shares with others goes through the same bounded queue as all facts. It is asked for and handed
 // over by store.Client, and is the first to be dropped.
 
-const shareMost = queueLength / 8 // facts that wait: beyond that nothing is shared
+const sharingQueueLimit = queueLength / 8 // facts that wait: beyond that nothing is shared
 
 // shared is what the loop keeps for what is shared.
 type shared struct {
-	purse   *sharedhealth.Purse
-	quotas  map[string]int // by customer
-	list    int            // rises with every news of the list
-	surveys int            // the list's number at the last survey
+	tokens        *sharedhealth.QuotaBudget
+	quotas        map[string]int // by customer
+	listVersion   int            // rises with every news of the list
+	surveyVersion int            // the list's number at the last survey
 }
 
 type (
-	survey    struct{ reply chan sharedhealth.Survey } // has room for one
-	allowance struct{ sharedhealth.Allowance }
-	sharing   struct{ shared *shared }
+	surveyRequest struct{ reply chan sharedhealth.Survey } // has room for one
+	sharedUpdate  struct{ sharedhealth.RoundResult }
+	sharingChange struct{ shared *shared }
 )
 
-// listMoved has words on replicas that were known before passed over: an index may stand for another now.
-func (s *shared) listMoved() {
+// listChanged has words on replicas that were known before passed over: an index may stand for another now.
+func (s *shared) listChanged() {
 	if s != nil {
-		s.list++
+		s.listVersion++
 	}
 }
 
-// Share begins to share, with these quotas, or ends it.
-func (n *Node) Share(on bool, quotas []sharedhealth.Quota) {
+// SetSharing begins to share, with these quotas, or ends it.
+func (n *Node) SetSharing(on bool, quotas []sharedhealth.Quota) {
 	var s *shared
 	if on {
-		s = &shared{purse: sharedhealth.NewPurse(n.Now(), quotas, n.Aggregators), quotas: map[string]int{}}
+		s = &shared{tokens: sharedhealth.NewQuotaBudget(n.Now(), quotas, n.Aggregators), quotas: map[string]int{}}
 		for i, q := range quotas {
 			s.quotas[q.Customer] = i
 		}
 	}
 	select {
-	case n.facts <- fact{n.Now(), sharing{s}}:
-	case <-n.ended:
+	case n.events <- event{n.Now(), sharingChange{s}}:
+	case <-n.done:
 	}
 }
 
-func (n *Node) share(v sharing) { n.shared = v.shared }
+func (n *Node) setSharing(v sharingChange) { n.shared = v.shared }
 
-// offer puts a fact in the queue where there is plenty of room. Danger: what others say must never keep out what
+// tryEnqueue puts a fact in the queue where there is plenty of room. Danger: what others say must never keep out what
 // replicas and clients say.
-func (n *Node) offer(what any) bool {
-	if len(n.facts) >= shareMost {
+func (n *Node) tryEnqueue(what any) bool {
+	if len(n.events) >= sharingQueueLimit {
 		return false
 	}
 	select {
-	case n.facts <- fact{n.Now(), what}:
+	case n.events <- event{n.Now(), what}:
 		return true
 	default:
 		return false
 	}
 }
 
-// ask puts a question to the loop and waits for the answer; false where the loop has no time for it, or closes the reply
+// request puts a question to the loop and waits for the answer; false where the loop has no time for it, or closes the reply
 // without one.
-func ask[T any](ctx context.Context, n *Node, question any, reply <-chan T) (answer T, ok bool) {
-	if !n.offer(question) {
+func request[T any](ctx context.Context, n *Node, question any, reply <-chan T) (answer T, ok bool) {
+	if !n.tryEnqueue(question) {
 		return answer, false
 	}
 	select {
 	case answer, ok = <-reply:
 		return answer, ok
-	case <-n.ended:
+	case <-n.done:
 	case <-ctx.Done():
 	}
 	return answer, false
 }
 
-// Consult asks what the aggregator knows now; false where it has no time for that, or shares nothing.
-func (n *Node) Consult(ctx context.Context) (sharedhealth.Survey, bool) {
+// Survey asks what the aggregator knows now; false where it has no time for that, or shares nothing.
+func (n *Node) Survey(ctx context.Context) (sharedhealth.Survey, bool) {
 	reply := make(chan sharedhealth.Survey, 1)
-	return ask(ctx, n, survey{reply}, reply)
+	return request(ctx, n, surveyRequest{reply}, reply)
 }
 
-// Allow hands over what was decided on what is shared; it is dropped where the node is crowded.
-func (n *Node) Allow(a sharedhealth.Allowance) { n.offer(allowance{a}) }
+// ApplyShared hands over what was decided on what is shared; it is dropped where the node is crowded.
+func (n *Node) ApplyShared(a sharedhealth.RoundResult) { n.tryEnqueue(sharedUpdate{a}) }
 
-// survey answers Consult.
-func (n *Node) survey(now int64, v survey) {
+// answerSurvey answers Consult.
+func (n *Node) answerSurvey(now int64, v surveyRequest) {
 	defer close(v.reply)
 	if n.shared == nil {
 		return
@@ -97,27 +97,27 @@
 	s.Keys = make([]uint64, len(s.Findings))
 	for i, f := range s.Findings {
 		h := n.hosts[f.Replica]
-		s.Keys[i] = sharedhealth.Key(h.name, h.born)
+		s.Keys[i] = sharedhealth.ReplicaKey(h.name, h.startedMs)
 	}
-	n.shared.purse.Survey(now, &s)
-	n.shared.surveys = n.shared.list
+	n.shared.tokens.AppendSurvey(now, &s)
+	n.shared.surveyVersion = n.shared.listVersion
 	v.reply <- s
 }
 
-// allow carries out what was decided on what is shared.
-func (n *Node) allow(now int64, v allowance) {
+// applyShared carries out what was decided on what is shared.
+func (n *Node) applyShared(now int64, v sharedUpdate) {
 	if n.shared == nil {
 		return
 	}
-	n.shared.purse.Receive(now, v.Leases, v.Locals)
-	if n.shared.surveys != n.shared.list {
+	n.shared.tokens.Apply(now, v.Leases, v.LocalRates)
+	if n.shared.surveyVersion != n.shared.listVersion {
 		return
 	}
-	for _, w := range v.Words {
+	for _, w := range v.Reports {
 		if n.zoneHealth != nil {
-			w = n.zoneHealth.Heed(w)
+			w = n.zoneHealth.MergeZoneState(w)
 		}
-		n.agg.Hear(now, w)
+		n.agg.ApplyReport(now, w)
 	}
 }
 
@@ -127,5 +127,5 @@
 		return false
 	}
 	quota, has := n.shared.quotas[customer]
-	return has && !n.shared.purse.Spend(now, quota)
+	return has && !n.shared.tokens.Spend(now, quota)
 }
--- a/node/zones.go
+++ b/node/zones.go
@@ -8,31 +8,31 @@
 	"willowsill/decide/zonehealth"
 )
 
-type zones struct{ zoneHealth *zonehealth.Tracker }
+type zonesChange struct{ zoneHealth *zonehealth.Tracker }
 
 // WatchZones has the loop know zones that are out of reach from now on, by a decider that it owns once it was handed over, or no
 // longer with nil.
 func (n *Node) WatchZones(r *zonehealth.Tracker) {
 	select {
-	case n.facts <- fact{n.Now(), zones{r}}:
-	case <-n.ended:
+	case n.events <- event{n.Now(), zonesChange{r}}:
+	case <-n.done:
 	}
 }
 
 func (n *Node) watchZones(now int64, r *zonehealth.Tracker) {
 	if n.zoneHealth != nil {
-		n.words = n.zoneHealth.End(now, n.words[:0])
-		n.hearZones(now)
+		n.reports = n.zoneHealth.ReleaseAll(now, n.reports[:0])
+		n.applyZoneReports(now)
 	}
 	if n.zoneHealth = r; r == nil {
-		n.words, n.away = nil, nil
+		n.reports, n.unreachable = nil, nil
 		n.count.Zones.Put(nil)
 		return
 	}
 	n.count.Zones.Put(r.Figures)
 	for i, h := range n.hosts {
 		if h.name != "" && h.up {
-			r.Listed(i, h.zone, true)
+			r.ReplicaListed(i, h.zone, true)
 		}
 	}
 }
@@ -42,16 +42,16 @@
 	if n.zoneHealth == nil || now < n.zoneHealth.Next() {
 		return
 	}
-	n.words = n.zoneHealth.Decide(now, n.words[:0])
-	n.hearZones(now)
-	if out := n.zoneHealth.Out(nil); !slices.Equal(out, n.away) {
-		n.log.Warn("zones out of reach", zap.Strings("zones", out), zap.Strings("before", n.away))
-		n.away = out
+	n.reports = n.zoneHealth.Decide(now, n.reports[:0])
+	n.applyZoneReports(now)
+	if out := n.zoneHealth.UnreachableZones(nil); !slices.Equal(out, n.unreachable) {
+		n.log.Warn("zones out of reach", zap.Strings("zones", out), zap.Strings("before", n.unreachable))
+		n.unreachable = out
 	}
 }
 
-func (n *Node) hearZones(now int64) {
-	for _, w := range n.words {
-		n.agg.Hear(now, w)
+func (n *Node) applyZoneReports(now int64) {
+	for _, w := range n.reports {
+		n.agg.ApplyReport(now, w)
 	}
 }
--- a/node/zones_test.go
+++ b/node/zones_test.go
@@ -14,7 +14,7 @@
 func TestZones(t *testing.T) {
 	for _, on2 := range []bool{false, true} {
 		t.Run(fmt.Sprint("watched ", on2), func(t *testing.T) {
-			on(t, asIs, value, func(w *world) {
+			runNode(t, asIs, value, func(w *fixture) {
 				host := func(i int, zone string) standin.Host {
 					h := listed(i, "active")
 					h.Site = zone
@@ -26,7 +26,7 @@
 					w.discovery.Change(host(2+i, "b"))
 				}
 				if on2 {
-					w.WatchZones(zonehealth.New(zonehealth.Terms{Rest: 1e9, Few: 2, Seed: 1}))
+					w.WatchZones(zonehealth.New(zonehealth.Config{BaseEjection: 1e9, MinFailedReplicas: 2, Seed: 1}))
 				}
 				time.Sleep(10 * time.Millisecond)
 				refused := func() int64 { return w.count.Executions.ConnectFailed.Load() }
@@ -46,8 +46,8 @@
 				if !on2 {
 					return
 				}
-				if w.zoneHealth.Figures.Found.Load() != 1 || len(w.away) != 1 {
-					w.Errorf("found %d times, out of reach: %v", w.zoneHealth.Figures.Found.Load(), w.away)
+				if w.zoneHealth.Figures.FoundUnreachable.Load() != 1 || len(w.unreachable) != 1 {
+					w.Errorf("found %d times, out of reach: %v", w.zoneHealth.Figures.FoundUnreachable.Load(), w.unreachable)
 				}
 				for i := range 8 {
 					l := w.network.Listen(fmt.Sprint("r:", 2+i))
@@ -57,8 +57,8 @@
 				time.Sleep(6 * time.Second) // the longest wait for a try
 				ask("back", 10)
 				synctest.Wait()
-				if w.zoneHealth.Figures.Back.Load() != 1 || len(w.away) != 0 {
-					w.Errorf("back %d times, out of reach: %v", w.zoneHealth.Figures.Back.Load(), w.away)
+				if w.zoneHealth.Figures.Recovered.Load() != 1 || len(w.unreachable) != 0 {
+					w.Errorf("back %d times, out of reach: %v", w.zoneHealth.Figures.Recovered.Load(), w.unreachable)
 				}
 				w.WatchZones(nil)
 				ask("off", 2)
--- a/standin/lab/lab.go
+++ b/standin/lab/lab.go
@@ -219,7 +219,7 @@
 	w.tally.End(due, ended, load, 0, final)
 }
 
-func (w *world) post(front, id string, l *emulator.Load, shards []int) balance.Final {
+func (w *world) post(front, id string, l *emulator.Load, shards []int) balance.Outcome {
 	type segment struct {
 		Segment int     `json:"segment"`
 		Boost   float64 `json:"boost"`
--- a/transport/agentserver/agentserver.go
+++ b/transport/agentserver/agentserver.go
@@ -133,21 +133,21 @@
 func (s *Server) take(update clusterstate.Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fresh := s.state.Take(update)
+	fresh := s.state.Apply(update)
 	if fresh.Empty() {
-		return !s.state.Behind
+		return !s.state.NeedsSnapshot
 	}
 	if fresh.Revision > 0 {
 		klog.InfoS("a configuration has come", "revision", fresh.Revision, "bytes", len(fresh.Raw), "sent", len(fresh.Body)+len(fresh.Patch))
 	}
 	if f := fresh.Fleet; !f.Empty() {
-		s.detector.Fleet(s.now(), f.InZone(s.settings.Zone))
+		s.detector.SetEdges(s.now(), f.EdgeIPsInZone(s.settings.Zone))
 	}
 	known := s.upstream.Freshness()
 	s.proxy.Publish(&fresh, known)
 	s.relay.Publish(&fresh, known)
-	s.state.Forget()
-	return !s.state.Behind
+	s.state.DropGone()
+	return !s.state.NeedsSnapshot
 }
 
 // attend feeds one follower until its link ends, and keeps its reports.
@@ -211,7 +211,7 @@
 		}
 		host, _, _ := net.SplitHostPort(from.String())
 		s.mu.Lock()
-		s.detector.Heard(s.now(), host)
+		s.detector.HandleHeartbeat(s.now(), host)
 		s.mu.Unlock()
 	}
 }
--- a/transport/agentserver/agentserver_test.go
+++ b/transport/agentserver/agentserver_test.go
@@ -37,7 +37,7 @@
 }
 
 // report sends a report and returns what the agent says to this follower of loans, nil for nothing.
-func (f follower) report(note *lending.Note) (said *lending.Note) {
+func (f follower) report(note *lending.Message) (said *lending.Message) {
 	f.Helper()
 	f.Say(watch.Report{Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: f.ip}}, Lending: note})
 	for {
@@ -63,15 +63,15 @@
 		must.Nil(t, short.report(nil))
 		must.Nil(t, idle.report(nil))
 		must.Nil(t, s.report().Lending)
-		must.Nil(t, short.report(&lending.Note{Wants: []lending.Want{{Number: 7, Amount: 3}}}))
-		must.Eq(t, 3, s.report().Lending.Wants[0].Amount)
+		must.Nil(t, short.report(&lending.Message{Requests: []lending.LoanRequest{{Number: 7, Amount: 3}}}))
+		must.Eq(t, 3, s.report().Lending.Requests[0].Amount)
 		asked := idle.report(nil)
-		must.Eq(t, 3, asked.Wants[0].Amount)
-		must.Nil(t, idle.report(&lending.Note{Loans: []lending.Loan{{Answers: asked.Wants[0].Number, Amount: 2, For: window}}}).Loans)
-		lent := short.report(&lending.Note{Wants: []lending.Want{{Number: 8, Amount: 3}}})
+		must.Eq(t, 3, asked.Requests[0].Amount)
+		must.Nil(t, idle.report(&lending.Message{Loans: []lending.Loan{{Answers: asked.Requests[0].Number, Amount: 2, Duration: window}}}).Loans)
+		lent := short.report(&lending.Message{Requests: []lending.LoanRequest{{Number: 8, Amount: 3}}})
 		must.Eq(t, 8, lent.Loans[0].Answers)
 		must.Eq(t, 2, lent.Loans[0].Amount)
-		must.Less(t, window, lent.Loans[0].For)
-		must.Nil(t, short.report(&lending.Note{Wants: []lending.Want{{Number: 9, Amount: 3}}}))
+		must.Less(t, window, lent.Loans[0].Duration)
+		must.Nil(t, short.report(&lending.Message{Requests: []lending.LoanRequest{{Number: 9, Amount: 3}}}))
 	})
 }
--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -49,7 +49,7 @@
 	settings   settings.Settings
 	base       time.Time
 	controller *controller.Controller
-	inputs     chan func(now int64) controller.Out
+	inputs     chan func(now int64) controller.Effects
 	saves      chan controller.Save
 	mesh       *peer.Mesh
 	feed       watch.Feed
@@ -66,11 +66,11 @@
 // Run runs a controller until ctx ends.
 func Run(ctx context.Context, local settings.Settings) error {
 	s := &Server{settings: local, base: time.Now().Add(-time.Hour), loans: watch.NewLoans(local.Bounds.RetryWindow()),
-		inputs: make(chan func(int64) controller.Out, inputQueue),
+		inputs: make(chan func(int64) controller.Effects, inputQueue),
 		saves:  make(chan controller.Save, 1), calls: map[uint64]chan controller.Answer{}}
 	life := strconv.FormatUint(rand.Uint64(), 36)
-	start := controller.Start{IP: local.IP, Life: life, Zone: local.Zone, Regions: local.Zones, Seeds: local.SeedIPs(), Bootstrap: local.Bootstrap,
-		BeatEvery: local.BeatMs * int64(time.Millisecond), Rolling: rollout.Terms{ExposureShare: local.Bounds.ExposureShare}, Draw: rand.Float64}
+	start := controller.Options{IP: local.IP, Incarnation: life, Zone: local.Zone, Regions: local.Zones, Seeds: local.SeedIPs(), Bootstrap: local.Bootstrap,
+		ReplicaHeartbeatInterval: local.BeatMs * int64(time.Millisecond), RolloutTerms: rollout.Bounds{ExposureShare: local.Bounds.ExposureShare}, Random: rand.Float64}
 	store, found, err := statestore.Open(local.DataDir)
 	if errors.Is(err, statestore.ErrNewerFormat) {
 		return ErrControlServer.Wrap(err) // the file stays for the version that wrote it
@@ -82,7 +82,7 @@
 		start.Bootstrap = false
 		os.Remove(statestore.Path(local.DataDir))
 	}
-	start.State, start.Committed, start.Rollouts, start.List = found.State, found.Committed, found.Rollouts, found.List
+	start.RegisterState, start.CommittedConfiguration, start.Rollouts, start.Replicas = found.State, found.Committed, found.Rollouts, found.List
 	klog.InfoS("controller", "ip", local.IP, "bootstrap", local.Bootstrap, "found", found.State != nil, "committed", found.Committed.Revision, "sum", found.Committed.Sum,
 		"replicas", len(found.List))
 	s.controller = controller.New(s.now(), start)
@@ -164,7 +164,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			s.carry(s.controller.Leave(s.now()))
+			s.carry(s.controller.AnnounceShutdown(s.now()))
 			return
 		case in := <-s.inputs:
 			s.carry(in(s.now()))
@@ -173,16 +173,16 @@
 			}
 		case <-timer.C:
 		}
-		if now := s.now(); now >= s.controller.Next() {
+		if now := s.now(); now >= s.controller.NextTick() {
 			s.carry(s.controller.Tick(now))
 		}
 		s.noteCurrent()
-		timer.Reset(min(max(time.Duration(s.controller.Next()-s.now()), time.Millisecond), longestPoll))
+		timer.Reset(min(max(time.Duration(s.controller.NextTick()-s.now()), time.Millisecond), longestPoll))
 	}
 }
 
 // carry carries out what the controller asks for: log lines, saves, messages, answers and updates.
-func (s *Server) carry(o controller.Out) {
+func (s *Server) carry(o controller.Effects) {
 	for _, l := range o.Log {
 		klog.InfoS(l.Text, l.Values...)
 	}
@@ -212,8 +212,8 @@
 		s.noteCurrent()
 		s.feed.Publish(&o.Update, s.freshness())
 	}
-	if !o.Whole.Empty() {
-		s.operators.Publish(&o.Whole, s.freshness())
+	if !o.FullUpdate.Empty() {
+		s.operators.Publish(&o.FullUpdate, s.freshness())
 	}
 }
 
@@ -231,7 +231,7 @@
 		if err == nil {
 			err = store.Save(save)
 		}
-		s.inputs <- func(now int64) controller.Out { return s.controller.Saved(now, save.Number, err) }
+		s.inputs <- func(now int64) controller.Effects { return s.controller.SaveFinished(now, save.Number, err) }
 	}
 }
 
@@ -242,24 +242,24 @@
 		if err := link.Receive(&message, 0); err != nil {
 			return
 		}
-		s.inputs <- func(now int64) controller.Out { return s.controller.Take(now, message) }
+		s.inputs <- func(now int64) controller.Effects { return s.controller.HandleMessage(now, message) }
 	}
 }
 
 // follower serves one follower, an agent or an operator's watch, until its link ends.
 func (s *Server) follower(link *peer.Link) {
 	watch.Attend(link, func(report watch.Report) {
-		s.inputs <- func(int64) controller.Out {
+		s.inputs <- func(int64) controller.Effects {
 			if report.Operator() {
-				s.operators.Join(link, report, s.controller.WholeSnapshot(), s.freshness())
+				s.operators.Join(link, report, s.controller.FullSnapshot(), s.freshness())
 			} else {
 				s.feed.Join(link, report, s.controller.Snapshot(), s.freshness())
 			}
-			return controller.Out{}
+			return controller.Effects{}
 		}
 	}, func(report watch.Report) {
 		for _, edge := range report.All() {
-			s.inputs <- func(now int64) controller.Out { return s.controller.Edge(now, edge) }
+			s.inputs <- func(now int64) controller.Effects { return s.controller.HandleEdgeReport(now, edge) }
 		}
 		s.loans.Reported(link, report, s.freshness())
 	})
@@ -268,7 +268,7 @@
 }
 
 // call puts a call to the controller and waits for its answer; false where ctx ended first.
-func (s *Server) call(ctx context.Context, in func(now int64, call uint64) controller.Out) (controller.Answer, bool) {
+func (s *Server) call(ctx context.Context, in func(now int64, call uint64) controller.Effects) (controller.Answer, bool) {
 	c := make(chan controller.Answer, 1)
 	s.mu.Lock()
 	s.lastCall++
@@ -276,7 +276,7 @@
 	s.calls[id] = c
 	s.mu.Unlock()
 	select {
-	case s.inputs <- func(now int64) controller.Out { return in(now, id) }:
+	case s.inputs <- func(now int64) controller.Effects { return in(now, id) }:
 	case <-ctx.Done():
 		return controller.Answer{}, false
 	}
@@ -293,5 +293,5 @@
 
 // beat hands a heartbeat or a departure of a replica to the controller and waits for its answer.
 func (s *Server) beat(ctx context.Context, r registry.Record) (controller.Answer, bool) {
-	return s.call(ctx, func(now int64, id uint64) controller.Out { return s.controller.Beat(now, id, r) })
+	return s.call(ctx, func(now int64, id uint64) controller.Effects { return s.controller.HandleReplicaCall(now, id, r) })
 }
--- a/transport/controlserver/figures.go
+++ b/transport/controlserver/figures.go
@@ -14,10 +14,10 @@
 
 // figures tells this process's own figures: the loop is asked for what it knows, since it alone may look.
 func (s *Server) figures(told metrics.Figures) {
-	answer := make(chan controller.Figures, 1)
-	ask := func(int64) controller.Out {
-		answer <- s.controller.Figures()
-		return controller.Out{}
+	answer := make(chan controller.Stats, 1)
+	ask := func(int64) controller.Effects {
+		answer <- s.controller.Stats()
+		return controller.Effects{}
 	}
 	s.answered.tell(told)
 	timeout := time.After(figuresTimeout)
@@ -37,7 +37,7 @@
 	}
 }
 
-func tell(told metrics.Figures, f controller.Figures) {
+func tell(told metrics.Figures, f controller.Stats) {
 	told.Flag("willowsill_controller_in_contact", f.InContact)
 	told.Flag("willowsill_controller_disk_caught_up", f.CaughtUp)
 	told.Gauge("willowsill_membership_epoch", float64(f.Epoch))
--- a/transport/controlserver/resources.go
+++ b/transport/controlserver/resources.go
@@ -175,7 +175,7 @@
 func (h *configuration) serve(w http.ResponseWriter, r *http.Request, call string) {
 	switch {
 	case call == "read" && r.Method == http.MethodGet:
-		a, ok := h.server.call(r.Context(), h.server.controller.Read)
+		a, ok := h.server.call(r.Context(), h.server.controller.ReadConfiguration)
 		if ok && a.Status == http.StatusOK {
 			if a.Body, ok = clusterstate.Unpack(a.Body); !ok {
 				refuse(w, http.StatusInternalServerError, "the configuration held here cannot be unpacked")
@@ -223,7 +223,9 @@
 		return
 	}
 	packed := clusterstate.Pack(body)
-	a, ok := h.server.call(r.Context(), func(now int64, id uint64) controller.Out { return h.server.controller.Put(now, id, c.Revision, packed) })
+	a, ok := h.server.call(r.Context(), func(now int64, id uint64) controller.Effects {
+		return h.server.controller.PutConfiguration(now, id, c.Revision, packed)
+	})
 	klog.InfoS("a configuration was sent", "revision", c.Revision, "routes", len(c.Routes), "status", a.Status, "reason", a.Reason)
 	answer(w, a, ok)
 }
--- a/transport/controlserver/resources_test.go
+++ b/transport/controlserver/resources_test.go
@@ -16,21 +16,21 @@
 // newTestServer is a server whose controller is its only member; it has no sockets and its disk saves at once.
 func newTestServer(t *testing.T, mode string) *Server {
 	s := &Server{settings: settings.Settings{ConfigMode: mode}, calls: map[uint64]chan controller.Answer{},
-		inputs: make(chan func(int64) controller.Out, inputQueue), saves: make(chan controller.Save, 1)}
-	s.controller = controller.New(0, controller.Start{IP: "10.0.0.1", Life: "1", Seeds: []string{"10.0.0.1"}, Bootstrap: true,
-		BeatEvery: 1_000_000_000, Draw: func() float64 { return 0 }})
+		inputs: make(chan func(int64) controller.Effects, inputQueue), saves: make(chan controller.Save, 1)}
+	s.controller = controller.New(0, controller.Options{IP: "10.0.0.1", Incarnation: "1", Seeds: []string{"10.0.0.1"}, Bootstrap: true,
+		ReplicaHeartbeatInterval: 1_000_000_000, Random: func() float64 { return 0 }})
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go func() {
 		now := int64(0)
-		save := func(out controller.Out) {
+		save := func(out controller.Effects) {
 			for {
 				s.carry(out)
 				if out.Save == nil {
 					return
 				}
 				number := (<-s.saves).Number
-				out = s.controller.Saved(now, number, nil)
+				out = s.controller.SaveFinished(now, number, nil)
 			}
 		}
 		save(s.controller.Tick(now))
@@ -92,7 +92,7 @@
 	must.StrContains(t, told, "willowsill_configuration_revision 7\n")
 	must.StrContains(t, told, "willowsill_replicas{phase=\"ready\"} 0\n")
 	must.StrContains(t, told, "willowsill_control_calls_total{call=\"configuration/replace\",status=\"200\"} 1\n")
-	must.Eq(t, "willowsill_controller_up 0\n", text(&Server{inputs: make(chan func(int64) controller.Out)}))
+	must.Eq(t, "willowsill_controller_up 0\n", text(&Server{inputs: make(chan func(int64) controller.Effects)}))
 }
 
 // TestInvalidOrders: what is invalid gets 400 and is in force nowhere; the configuration before stays.
--- a/transport/controlserver/rollouts.go
+++ b/transport/controlserver/rollouts.go
@@ -35,9 +35,9 @@
 	case call == "history" && r.Method == http.MethodGet:
 		h.call(r.Context(), w, control.ListRollouts, encodeRollouts)
 	case named && service != "" && ofService == "read" && r.Method == http.MethodGet:
-		h.call(r.Context(), w, func(now int64, id uint64) controller.Out { return control.ReadRollout(now, id, service) }, encodeNewest)
+		h.call(r.Context(), w, func(now int64, id uint64) controller.Effects { return control.ReadRollout(now, id, service) }, encodeNewest)
 	case named && service != "" && ofService == "abort" && r.Method == http.MethodPost:
-		h.call(r.Context(), w, func(now int64, id uint64) controller.Out { return control.AbortRollout(now, id, service) }, encodeNewest)
+		h.call(r.Context(), w, func(now int64, id uint64) controller.Effects { return control.AbortRollout(now, id, service) }, encodeNewest)
 	default:
 		refuse(w, http.StatusNotFound, "rollouts have begin (POST), history (GET), SERVICE/read (GET) and SERVICE/abort (POST)")
 	}
@@ -60,11 +60,11 @@
 		return
 	}
 	klog.InfoS("a rollout was ordered", "service", order.Service, "target", order.Target, "overMs", order.OverMs)
-	h.call(r.Context(), w, func(now int64, id uint64) controller.Out { return h.server.controller.BeginRollout(now, id, order) }, encodeNewest)
+	h.call(r.Context(), w, func(now int64, id uint64) controller.Effects { return h.server.controller.BeginRollout(now, id, order) }, encodeNewest)
 }
 
 // call puts a call to the controller and answers it.
-func (h *rollouts) call(ctx context.Context, w http.ResponseWriter, in func(now int64, id uint64) controller.Out, encode func([]rollout.Rollout) []byte) {
+func (h *rollouts) call(ctx context.Context, w http.ResponseWriter, in func(now int64, id uint64) controller.Effects, encode func([]rollout.Rollout) []byte) {
 	a, ok := h.server.call(ctx, in)
 	if ok && a.Status == http.StatusOK {
 		a.Body = encode(a.Rollouts)
--- a/transport/discovery/discovery.go
+++ b/transport/discovery/discovery.go
@@ -29,7 +29,7 @@
 	Dial     string
 	Cell     int
 	Zone     string // empty where it has none
-	Standing balance.Standing
+	Standing balance.Status
 	Born     int64 // ms of Unix time, 0 for long ago
 	Distance int   // below balance.Distances, 0 for near
 	Channels int   // parts that this co-ordinator may have in flight there, 0 for no word
--- a/transport/machine/machine.go
+++ b/transport/machine/machine.go
@@ -66,7 +66,7 @@
 )
 
 // New makes a watch; Run has it read.
-func New(t overload.Terms, s Sources, log *zap.Logger) *Watch {
+func New(t overload.Config, s Sources, log *zap.Logger) *Watch {
 	w := &Watch{Sources: s, log: log, strain: overload.New(s.Now(), t), samples: []metrics.Sample{
 		latencies: {Name: "/sched/latencies:seconds"}, collecting: {Name: "/cpu/classes/gc/total:cpu-seconds"},
 		pauses: {Name: "/sched/pauses/total/gc:seconds"}, heap: {Name: "/memory/classes/heap/objects:bytes"}}}
@@ -89,15 +89,15 @@
 		r := w.read(int64(late))
 		now := w.Now()
 		w.mu.Lock()
-		changed := w.strain.Read(now, r)
-		var figures overload.Figures
+		changed := w.strain.Observe(now, r)
+		var figures overload.Stats
 		if changed {
-			figures = w.strain.Figures()
+			figures = w.strain.Stats()
 		}
 		w.mu.Unlock()
 		if changed {
 			w.log.Info("the process's own strain", zap.String("level", figures.Level), zap.String("cause", figures.Cause),
-				zap.Float64("pressure", figures.Pressure), zap.Float64("cores_used", figures.Used))
+				zap.Float64("pressure", figures.Pressure), zap.Float64("cores_used", figures.CoresUsed))
 		}
 		due = time.Now().Add(each)
 		timer.Reset(each)
@@ -108,29 +108,29 @@
 func (w *Watch) read(late int64) (r overload.Reading) {
 	now := w.Now()
 	metrics.Read(w.samples)
-	r.Span, r.Late = now-w.at, max(late, 0)
+	r.Span, r.TimerLateness = now-w.at, max(late, 0)
 	var all syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &all) == nil {
 		used := all.Utime.Nano() + all.Stime.Nano()
-		r.Used, w.used = used-w.used, used
+		r.CPUTime, w.used = used-w.used, used
 	}
-	r.Sched = since(&w.samples[latencies], &w.buckets, 0.99)
-	r.Pause = since(&w.samples[pauses], &w.pauses, 1)
+	r.SchedLatency = since(&w.samples[latencies], &w.buckets, 0.99)
+	r.MaxGCPause = since(&w.samples[pauses], &w.pauses, 1)
 	if s := w.samples[collecting].Value; s.Kind() == metrics.KindFloat64 {
 		gc := s.Float64()
-		r.GC, w.gc = (gc-w.gc)*1e9/float64(max(r.Used, int64(each)/100)), gc
+		r.GCShare, w.gc = (gc-w.gc)*1e9/float64(max(r.CPUTime, int64(each)/100)), gc
 	}
 	if s := w.samples[heap].Value; s.Kind() == metrics.KindUint64 {
-		r.Heap = float64(s.Uint64()) / float64(max(w.Memory, 1))
+		r.HeapShare = float64(s.Uint64()) / float64(max(w.Memory, 1))
 	}
 	n, waited := w.Facts()
 	if n > w.facts {
-		r.Wait = (waited - w.waited) / (n - w.facts)
+		r.MeanWait = (waited - w.waited) / (n - w.facts)
 	}
 	w.facts, w.waited = n, waited
 	withheld := withheld()
-	r.Throttled, w.withheld = withheld-w.withheld, withheld
-	r.Queue, r.Descriptors = w.Queue(), w.Client()
+	r.ThrottledTime, w.withheld = withheld-w.withheld, withheld
+	r.QueueShare, r.DescriptorShare = w.Queue(), w.Client()
 	w.at = now
 	return r
 }
@@ -185,7 +185,7 @@
 	now := w.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if taken, comeBack = w.strain.Arrive(now, a); taken {
+	if taken, comeBack = w.strain.Admit(now, a); taken {
 		w.Taken.Add(1)
 	} else {
 		w.Shed.Add(1)
@@ -198,7 +198,7 @@
 	now := w.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if away, comeBack = w.strain.Unseen(now, workload); away {
+	if away, comeBack = w.strain.RejectUnread(now, workload); away {
 		w.Unsaid.Add(1)
 	}
 	return away, comeBack
@@ -208,23 +208,23 @@
 func (w *Watch) Ended(workload int, took int64, answered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.strain.Ended(workload, took, answered)
+	w.strain.RecordEnd(workload, took, answered)
 }
 
 // Waited tells how long a query waited for the loop, ns.
 func (w *Watch) Waited(ns int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.strain.Waited(ns)
+	w.strain.RecordWait(ns)
 }
 
 // MarshalJSON tells how it stands, for the counters.
 func (w *Watch) MarshalJSON() ([]byte, error) {
 	w.mu.Lock()
-	f := w.strain.Figures()
+	f := w.strain.Stats()
 	w.mu.Unlock()
 	return json.Marshal(struct {
-		overload.Figures
+		overload.Stats
 		Taken  *counters.Count `json:"taken"`
 		Shed   *counters.Count `json:"shed"`
 		Unseen *counters.Count `json:"unseen"`
--- a/transport/machine/machine_test.go
+++ b/transport/machine/machine_test.go
@@ -19,8 +19,8 @@
 func newWatch(t *testing.T, facts, waited *atomic.Int64) *Watch {
 	t.Helper()
 	began := time.Now()
-	terms := overload.Terms{Cores: 1, Workloads: []overload.Workload{{Revenue: 1, Goal: 250e6}}, Limit: "model", Target: 5e6, Most: 2e9}
-	if err := terms.Check(); err != nil {
+	terms := overload.Config{Cores: 1, Workloads: []overload.Workload{{Revenue: 1, LatencyGoal: 250e6}}, LimitKind: "model", WaitTarget: 5e6, MaxRetryAfter: 2e9}
+	if err := terms.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	return New(terms, Sources{Now: func() int64 { return int64(time.Since(began)) + 1e9 }, Queue: func() float64 { return 0.1 },
@@ -48,13 +48,13 @@
 	runtime.GC()
 	r := w.read(int64(7 * time.Millisecond))
 	runtime.KeepAlive(held)
-	if r.Used < 30e6 || r.Used > int64(runtime.NumCPU())*r.Span+10e6 || r.Span < 60e6 || r.Wait != 3e6 || r.Late != 7e6 || r.Queue != 0.1 || r.Descriptors != 0.2 {
+	if r.CPUTime < 30e6 || r.CPUTime > int64(runtime.NumCPU())*r.Span+10e6 || r.Span < 60e6 || r.MeanWait != 3e6 || r.TimerLateness != 7e6 || r.QueueShare != 0.1 || r.DescriptorShare != 0.2 {
 		t.Errorf("%+v", r)
 	}
-	if r.Heap < 0.12 || r.Heap > 1 || r.Pause <= 0 || r.GC <= 0 {
+	if r.HeapShare < 0.12 || r.HeapShare > 1 || r.MaxGCPause <= 0 || r.GCShare <= 0 {
 		t.Errorf("%+v", r)
 	}
-	if r = w.read(0); r.Wait != 0 || r.Span > 1e9 {
+	if r = w.read(0); r.MeanWait != 0 || r.Span > 1e9 {
 		t.Errorf("with nothing new: %+v", r)
 	}
 }
@@ -65,7 +65,7 @@
 	w := newWatch(t, &facts, &waited)
 	cost := testing.Benchmark(func(b *testing.B) {
 		for range b.N {
-			w.strain.Read(w.Now(), w.read(0))
+			w.strain.Observe(w.Now(), w.read(0))
 		}
 	})
 	if ns := cost.NsPerOp(); ns*int64(time.Second/each) > 5e6*4 { // a build with the race detector takes four times as long
@@ -84,7 +84,7 @@
 	for id := range 4 {
 		all.Go(func() {
 			for i := range 200 {
-				taken, _ := w.Arrive(overload.Arrival{ID: uint64(id<<32 + i), Left: 1e9, Try: 1})
+				taken, _ := w.Arrive(overload.Arrival{ID: uint64(id<<32 + i), TimeLeft: 1e9, Attempt: 1})
 				if away, _ := w.Unseen(0); away || !taken {
 					t.Error("turned away on a machine that is not strained")
 				}
--- a/transport/replica/pool.go
+++ b/transport/replica/pool.go
@@ -69,27 +69,27 @@
 	return &Pool{Terms: t, tell: tell, budget: budget, count: count}
 }
 
-// Address tells where a replica listens from now on.
-func (p *Pool) Address(replica int, dial string) {
+// SetAddress tells where a replica listens from now on.
+func (p *Pool) SetAddress(replica int, dial string) {
 	for len(p.replicas) <= replica {
 		p.replicas = append(p.replicas, &line{})
 	}
 	if l := p.replicas[replica]; l.dial != dial {
 		l.dial = dial
-		p.Leave(replica)
+		p.Retire(replica)
 	}
 }
 
-// Leave takes all connections to a replica out of use; what is out there may still come.
-func (p *Pool) Leave(replica int) {
+// Retire takes all connections to a replica out of use; what is out there may still come.
+func (p *Pool) Retire(replica int) {
 	p.replicas[replica].retire(func(*connection) bool { return true })
 }
 
-// Left tells whether nothing is out at a replica, and no connection to it is left.
-func (p *Pool) Left(replica int) bool { return len(p.replicas[replica].conns) == 0 }
+// Drained tells whether nothing is out at a replica, and no connection to it is left.
+func (p *Pool) Drained(replica int) bool { return len(p.replicas[replica].conns) == 0 }
 
-// Call sends tickets to a replica as one call. It returns false if there is no room for a connection.
-func (p *Pool) Call(replica int, tickets []*Ticket) bool {
+// Send sends tickets to a replica as one call. It returns false if there is no room for a connection.
+func (p *Pool) Send(replica int, tickets []*Ticket) bool {
 	l, now := p.replicas[replica], p.Now()
 	c := p.choose(l, tickets, now)
 	if c == nil {
@@ -124,7 +124,7 @@
 	}
 	if !p.budget.Take(sockets.Replicas) {
 		for replica := range p.replicas { // for the calls to come: a connection ends in its own time
-			p.Release(replica)
+			p.CloseIdle(replica)
 		}
 		return nil
 	}
@@ -149,8 +149,8 @@
 	}
 }
 
-// Release gives back the connections to a replica that carry nothing now.
-func (p *Pool) Release(replica int) {
+// CloseIdle gives back the connections to a replica that carry nothing now.
+func (p *Pool) CloseIdle(replica int) {
 	p.replicas[replica].retire(func(c *connection) bool { return c.calls == 0 })
 }
 
@@ -183,9 +183,9 @@
 	return unsent
 }
 
-// GiveUp ends the wait for a ticket, which the pool will not report from then on. With tell the replica
+// Abandon ends the wait for a ticket, which the pool will not report from then on. With tell the replica
 // hears of it. It returns true if the part never left and was withdrawn.
-func (p *Pool) GiveUp(t *Ticket, tell bool) (unsent bool) {
+func (p *Pool) Abandon(t *Ticket, tell bool) (unsent bool) {
 	if p.Withdraw(t) {
 		return true
 	}
@@ -215,8 +215,8 @@
 	c.line.tidy()
 }
 
-// Note takes in what a connection had to tell and returns the tickets that it ended.
-func (p *Pool) Note(n Notice) (reports []Report) {
+// Handle takes in what a connection had to tell and returns the tickets that it ended.
+func (p *Pool) Handle(n Notice) (reports []Report) {
 	c := n.conn
 	if n.down {
 		p.budget.Give(sockets.Replicas)
@@ -286,5 +286,5 @@
 	}
 }
 
-// Open counts the connections that have not ended.
-func (p *Pool) Open() int { return p.budget.Taken(sockets.Replicas) }
+// OpenConnections counts the connections that have not ended.
+func (p *Pool) OpenConnections() int { return p.budget.Taken(sockets.Replicas) }
--- a/transport/replica/pool_test.go
+++ b/transport/replica/pool_test.go
@@ -34,12 +34,12 @@
 		b.Pool = NewPool(Terms{Streams: 2, ConnectWithin: 250e6, IdleAfter: 15e9, Dial: b.network.Dial,
 			Now: func() int64 { return int64(time.Since(base)) }},
 			func(n Notice) { b.ticks <- n }, sockets.NewBudget(64), counters.New(nil))
-		b.Address(0, address)
+		b.SetAddress(0, address)
 		play(b)
 		b.Close()
 		synctest.Wait()
 		b.reports()
-		if open := b.Open(); open != 0 {
+		if open := b.OpenConnections(); open != 0 {
 			t.Errorf("%d connections are left open", open)
 		}
 	})
@@ -50,7 +50,7 @@
 	for _, id := range ids {
 		tickets = append(tickets, &Ticket{Part: Part{ID: id, Shard: 1, Wait: 100, Text: []byte("t")}})
 	}
-	if !b.Call(0, tickets) {
+	if !b.Send(0, tickets) {
 		b.Fatal("no room")
 	}
 	return tickets
@@ -62,7 +62,7 @@
 		synctest.Wait()
 		select {
 		case n := <-b.ticks:
-			for _, r := range b.Note(n) {
+			for _, r := range b.Handle(n) {
 				all = append(all, fmt.Sprint(r.Ticket.ID, " ", r.Result, " ", r.Value))
 			}
 		default:
@@ -182,7 +182,7 @@
 			c := accept(l)
 			b.next(c)
 			b.next(c)
-			if b.GiveUp(tickets[0], true) {
+			if b.Abandon(tickets[0], true) {
 				b.Error("what was sent counts as unsent")
 			}
 			if got := b.next(c); got != "Aa.1" {
@@ -199,7 +199,7 @@
 			b.network.Silence(address)
 			tickets := append(b.call("a.1"), b.call("a.2", "a.3")...)
 			time.Sleep(time.Millisecond)
-			if !b.Withdraw(tickets[1]) || !b.GiveUp(tickets[0], true) {
+			if !b.Withdraw(tickets[1]) || !b.Abandon(tickets[0], true) {
 				b.Error("what waits for its connection counts as sent")
 			}
 			time.Sleep(time.Second)
@@ -213,7 +213,7 @@
 			}
 			tickets := b.call("a.1", "b.1")
 			synctest.Wait()
-			if !b.GiveUp(tickets[0], true) {
+			if !b.Abandon(tickets[0], true) {
 				b.Error("what waits for its connection counts as sent")
 			}
 			for range pipes.Backlog {
@@ -232,7 +232,7 @@
 			tickets := b.call("a.1")
 			b.next(accept(l))
 			time.Sleep(time.Second)
-			b.GiveUp(tickets[0], false)
+			b.Abandon(tickets[0], false)
 			b.call("b.1")
 			if got := b.next(accept(l)); got != "Rb.1 1 d=100 1\nt" {
 				b.Errorf("the next part is %q on a new connection", got)
@@ -243,7 +243,7 @@
 			tickets := b.call("a.1")
 			first := accept(l)
 			b.next(first)
-			b.GiveUp(tickets[0], false)
+			b.Abandon(tickets[0], false)
 			b.call("a.1")
 			second := accept(l)
 			b.next(second)
@@ -286,10 +286,10 @@
 			b.call("a.1")
 			c := accept(l)
 			b.next(c)
-			b.Release(0) // it still carries something
+			b.CloseIdle(0) // it still carries something
 			b.reply(c, "a.1", Ran)
 			b.expect("a.1 " + fulfilled + " v")
-			b.Release(0)
+			b.CloseIdle(0)
 			if got := b.next(c); got != io.EOF.Error() {
 				b.Errorf("a connection given back brings %q", got)
 			}
@@ -300,7 +300,7 @@
 			c := accept(l)
 			b.next(c)
 			other := b.network.Listen("r:2")
-			b.Address(0, "r:2")
+			b.SetAddress(0, "r:2")
 			b.call("a.2")
 			b.next(accept(other))
 			b.reply(c, "a.1", Ran)
@@ -363,7 +363,7 @@
 				conn := accept(l)
 				b.next(conn)
 				go io.WriteString(conn, reply+behind)
-				if got := b.Note(<-b.ticks); len(got) != 1 || got[0].Result != balance.Fulfilled {
+				if got := b.Handle(<-b.ticks); len(got) != 1 || got[0].Result != balance.Fulfilled {
 					b.Fatalf("reported %v", got)
 				}
 				b.call("a.2") // before anything behind the answer was booked
@@ -386,17 +386,17 @@
 		room := 0
 		for i := 0; ; i++ {
 			ticket := &Ticket{Part: Part{ID: fmt.Sprint("a.", i)}}
-			if !b.Call(0, []*Ticket{ticket}) {
+			if !b.Send(0, []*Ticket{ticket}) {
 				break
 			}
 			first = append(first, ticket)
 			room++
 		}
-		if most := b.Open() * b.Streams; room != most || room == 0 {
-			t.Errorf("room for %d, at %d connections", room, b.Open())
+		if most := b.OpenConnections() * b.Streams; room != most || room == 0 {
+			t.Errorf("room for %d, at %d connections", room, b.OpenConnections())
 		}
 		for _, ticket := range first {
-			b.GiveUp(ticket, false)
+			b.Abandon(ticket, false)
 		}
 		b.reports()
 		b.call("b.1")
--- a/transport/replicahttp/fuzz_test.go
+++ b/transport/replicahttp/fuzz_test.go
@@ -141,17 +141,17 @@
 		dialled = true
 		return near, nil
 	}
-	pool.Address(0, Dial("i-1", "r:1"))
+	pool.SetAddress(0, Dial("i-1", "r:1"))
 	for i := range fuzzExchanges {
 		id := fmt.Sprint("id", i)
 		r := &Request{Attempt: id, Method: http.MethodGet, Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\n" + HeaderAttempt + ": " + id + "\r\n")}
 		ticket := &replica.Ticket{Load: r}
-		pool.Call(0, []*replica.Ticket{ticket})
+		pool.Send(0, []*replica.Ticket{ticket})
 		ended := 0
 		for until := time.Now().Add(fuzzPatience); ended == 0 && time.Now().Before(until); time.Sleep(fuzzStep) {
 			synctest.Wait()
 			for len(notes) > 0 {
-				reports, _ := pool.Note(<-notes)
+				reports, _ := pool.Handle(<-notes)
 				ended += len(reports)
 				for _, report := range reports {
 					must.EqOp(t, ticket, report.Ticket)
@@ -164,7 +164,7 @@
 		}
 		must.LessEq(t, 1, ended)
 		if ended == 0 {
-			pool.GiveUp(ticket, true)
+			pool.Abandon(ticket, true)
 			must.MapEmpty(t, r.Answers)
 		}
 	}
@@ -173,10 +173,10 @@
 	far.Close()
 	synctest.Wait()
 	for len(notes) > 0 {
-		pool.Note(<-notes)
+		pool.Handle(<-notes)
 		synctest.Wait()
 	}
-	must.Zero(t, pool.Open())
+	must.Zero(t, pool.OpenConnections())
 	return given
 }
 
--- a/transport/replicahttp/replicahttp.go
+++ b/transport/replicahttp/replicahttp.go
@@ -103,32 +103,32 @@
 // Dial is how a replica is named to Address: its id and where it listens.
 func Dial(id, address string) string { return id + " " + address }
 
-// Address tells where a replica is reached from now on.
-func (p *Pool) Address(i int, dial string) {
+// SetAddress tells where a replica is reached from now on.
+func (p *Pool) SetAddress(i int, dial string) {
 	for len(p.lines) <= i {
 		p.lines = append(p.lines, &line{})
 	}
 	id, address, _ := strings.Cut(dial, " ")
 	if l := p.lines[i]; l.id != id || l.address != address {
-		p.Release(i)
+		p.CloseIdle(i)
 		p.lines[i] = &line{id: id, address: address}
 	}
 	p.lines[i].gone = false
 }
 
-// Leave takes the idle connections to a replica away; what is out there may still come.
-func (p *Pool) Leave(i int) {
+// Retire takes the idle connections to a replica away; what is out there may still come.
+func (p *Pool) Retire(i int) {
 	if i < len(p.lines) {
 		p.lines[i].gone = true
-		p.Release(i)
+		p.CloseIdle(i)
 	}
 }
 
-// Left tells whether nothing is out at a replica.
-func (p *Pool) Left(i int) bool { return i >= len(p.lines) || p.lines[i].out == 0 }
+// Drained tells whether nothing is out at a replica.
+func (p *Pool) Drained(i int) bool { return i >= len(p.lines) || p.lines[i].out == 0 }
 
-// Call sends a part. Each ticket is a call of its own here.
-func (p *Pool) Call(i int, tickets []*replica.Ticket) bool {
+// Send sends a part. Each ticket is a call of its own here.
+func (p *Pool) Send(i int, tickets []*replica.Ticket) bool {
 	for _, t := range tickets {
 		l := p.lines[i]
 		e := &exchange{ticket: t}
@@ -177,8 +177,8 @@
 	return true
 }
 
-// GiveUp ends the wait for a part: its connection is closed, by which most replicas drop it.
-func (p *Pool) GiveUp(t *replica.Ticket, _ bool) bool {
+// Abandon ends the wait for a part: its connection is closed, by which most replicas drop it.
+func (p *Pool) Abandon(t *replica.Ticket, _ bool) bool {
 	if p.Withdraw(t) {
 		return true
 	}
@@ -197,8 +197,8 @@
 	}
 }
 
-// Release closes the connections to a replica that carry nothing.
-func (p *Pool) Release(i int) {
+// CloseIdle closes the connections to a replica that carry nothing.
+func (p *Pool) CloseIdle(i int) {
 	if i >= len(p.lines) {
 		return
 	}
@@ -225,12 +225,12 @@
 func (p *Pool) Close() {
 	p.ended = true
 	for i := range p.lines {
-		p.Release(i)
+		p.CloseIdle(i)
 	}
 }
 
-// Open is how many connections have not ended.
-func (p *Pool) Open() int { return p.open }
+// OpenConnections is how many connections have not ended.
+func (p *Pool) OpenConnections() int { return p.open }
 
 // notice is what a connection's goroutines tell: an exchange is over, or the connection is.
 type notice struct {
@@ -244,8 +244,8 @@
 	at     int64
 }
 
-// Note takes what a connection had to tell.
-func (p *Pool) Note(v any) (ended []replica.Report, trouble error) {
+// Handle takes what a connection had to tell.
+func (p *Pool) Handle(v any) (ended []replica.Report, trouble error) {
 	n := v.(notice)
 	c := n.conn
 	if n.over != nil {
--- a/transport/replicahttp/replicahttp_test.go
+++ b/transport/replicahttp/replicahttp_test.go
@@ -93,17 +93,17 @@
 		d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			return n.Dial(ctx, network, address)
 		}
-		d.Address(0, Dial("i-1", "r:1"))
+		d.SetAddress(0, Dial("i-1", "r:1"))
 		defer l.Close()
 		defer func() { // also where play has failed
 			d.Pool.Close()
 			synctest.Wait()
 			for len(d.notes) > 0 {
-				d.Note(<-d.notes)
+				d.Handle(<-d.notes)
 				synctest.Wait()
 			}
 			if !t.Failed() {
-				must.Zero(t, d.Open())
+				must.Zero(t, d.OpenConnections())
 			}
 		}()
 		play(d)
@@ -122,14 +122,14 @@
 	r := &Request{Attempt: id, Method: method, Body: []byte("body"), Answers: map[int]*Answer{},
 		Head: []byte(method + " /a/b?c HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": " + id + "\r\nContent-Length: 4\r\n")}
 	t := &replica.Ticket{Part: replica.Part{Shard: 3, Wait: 700}, Load: r}
-	must.True(d.t, d.Call(0, []*replica.Ticket{t}))
+	must.True(d.t, d.Send(0, []*replica.Ticket{t}))
 	synctest.Wait()
 	for {
 		synctest.Wait()
 		if len(d.notes) == 0 {
 			d.t.Fatal("nothing came of a part")
 		}
-		reports, _ := d.Note(<-d.notes)
+		reports, _ := d.Handle(<-d.notes)
 		if len(reports) > 0 {
 			must.Eq(d.t, t, reports[0].Ticket)
 			return reports[0].Result, r.Answers[3]
@@ -141,7 +141,7 @@
 func (d *poolTest) settle() {
 	synctest.Wait()
 	for len(d.notes) > 0 {
-		d.Note(<-d.notes)
+		d.Handle(<-d.notes)
 		synctest.Wait()
 	}
 }
@@ -216,13 +216,13 @@
 		l.Silence("r:1")
 		dial := d.Dial
 		d.Dial = l.Dial
-		must.True(t, d.Call(0, []*replica.Ticket{ticket}))
+		must.True(t, d.Send(0, []*replica.Ticket{ticket}))
 		synctest.Wait()
-		must.True(t, d.GiveUp(ticket, true))
+		must.True(t, d.Abandon(ticket, true))
 		time.Sleep(2 * dialWait)
 		d.settle()
 		d.Dial = dial
-		must.True(t, d.Left(0))
+		must.True(t, d.Drained(0))
 		must.SliceEmpty(t, s.heads)
 	})
 }
--- a/transport/replicahttp/reuse_test.go
+++ b/transport/replicahttp/reuse_test.go
@@ -21,11 +21,11 @@
 	withPool(t, s, func(d *poolTest) {
 		r := &Request{Attempt: "x1", Method: "GET", Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": x1\r\n")}
 		ticket := &replica.Ticket{Load: r}
-		must.True(t, d.Call(0, []*replica.Ticket{ticket}))
+		must.True(t, d.Send(0, []*replica.Ticket{ticket}))
 		synctest.Wait()
 		must.Eq(t, 1, len(d.notes)) // the answer is there, and the loop has not heard of it
-		must.False(t, d.GiveUp(ticket, true))
-		reports, _ := d.Note(<-d.notes)
+		must.False(t, d.Abandon(ticket, true))
+		reports, _ := d.Handle(<-d.notes)
 		must.SliceEmpty(t, reports)
 		must.MapEmpty(t, r.Answers)
 		result, _ := d.ask("x2")
@@ -60,8 +60,8 @@
 		for _, opening := range []time.Duration{300 * time.Millisecond, 0} {
 			ticket := &replica.Ticket{Load: &Request{Attempt: "x1", Method: "GET", Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": x1\r\n")}}
 			before := d.now()
-			must.True(t, d.Call(0, []*replica.Ticket{ticket}))
-			d.Note(<-d.notes)
+			must.True(t, d.Send(0, []*replica.Ticket{ticket}))
+			d.Handle(<-d.notes)
 			must.Eq(t, before+int64(opening), ticket.Connected.Load())
 		}
 	})
--- a/transport/replicahttp/write_test.go
+++ b/transport/replicahttp/write_test.go
@@ -117,7 +117,7 @@
 		began := time.Now()
 		d.Pool = NewPool(func(v any) { d.notes <- v }, func() int64 { return int64(time.Since(began)) })
 		d.Dial = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
-		d.Address(0, Dial("i-1", "r:1"))
+		d.SetAddress(0, Dial("i-1", "r:1"))
 		defer func() {
 			far.Close()
 			near.Close()
@@ -131,17 +131,17 @@
 		must.Eq(t, balance.Full, result)
 		second := &replica.Ticket{Load: &Request{Attempt: "x2", Method: "GET", Head: []byte("GET /other HTTP/1.1\r\n"),
 			Answers: map[int]*Answer{}}}
-		d.Call(0, []*replica.Ticket{second})
+		d.Send(0, []*replica.Ticket{second})
 		synctest.Wait()
 		play(far, conn, func() (ended []replica.Report) {
 			close(wait)
 			synctest.Wait()
 			for len(d.notes) > 0 {
-				reports, _ := d.Note(<-d.notes)
+				reports, _ := d.Handle(<-d.notes)
 				ended = append(ended, reports...)
 				synctest.Wait()
 			}
-			must.Zero(t, d.Open())
+			must.Zero(t, d.OpenConnections())
 			return ended
 		})
 	})
--- a/transport/statestore/format_test.go
+++ b/transport/statestore/format_test.go
@@ -31,7 +31,7 @@
 	dir, _ := copyOf(t, formerFile)
 	b, found, err := Open(dir)
 	must.NoError(t, err)
-	want := register.State{Promised: register.Ballot{N: 8, By: "10.0.0.1/x"}, Accepted: register.Ballot{N: 3, By: "10.0.0.2/y"},
+	want := register.State{Promised: register.Ballot{Number: 8, Proposer: "10.0.0.1/x"}, Accepted: register.Ballot{Number: 3, Proposer: "10.0.0.2/y"},
 		Value: register.Value{Epoch: 2, Members: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, Prior: []string{"10.0.0.1", "10.0.0.2"},
 			Revision: 3, Body: []byte("body"), Size: 3}}
 	must.Eq(t, want, *found.State)
@@ -93,7 +93,7 @@
 	largest := int64(0)
 	for n := uint64(1); n <= saves; n++ {
 		s := save(n)
-		s.State.Value.Body = make([]byte, body)
+		s.RegisterState.Value.Body = make([]byte, body)
 		must.NoError(t, b.Save(s))
 		info, err := os.Stat(Path(dir))
 		must.NoError(t, err)
@@ -113,7 +113,7 @@
 	dir := t.TempDir()
 	b, _, err := Open(dir)
 	must.NoError(t, err)
-	must.NoError(t, b.Save(controller.Save{State: save(1).State, List: []registry.Record{{ID: "i-1"}}}))
+	must.NoError(t, b.Save(controller.Save{RegisterState: save(1).RegisterState, Replicas: []registry.Record{{ID: "i-1"}}}))
 	for n := uint64(2); n <= 9; n++ {
 		must.NoError(t, b.Save(save(n)))
 	}
--- a/transport/statestore/statestore.go
+++ b/transport/statestore/statestore.go
@@ -153,13 +153,13 @@
 // Danger: a new file lasts only once the folder that holds its name is synced as well.
 func (b *Store) Save(s controller.Save) error {
 	n := b.number + 1
-	text, err := seal(n, kept{s.State, s.Committed.Revision, s.Committed.Sum, s.Rollouts})
+	text, err := seal(n, kept{s.RegisterState, s.CommittedConfiguration.Revision, s.CommittedConfiguration.Sum, s.Rollouts})
 	if err != nil {
 		return ErrStore.Wrapf(err, "encoding")
 	}
 	var list []byte
-	if s.List != nil {
-		if list, err = seal(n, s.List); err != nil {
+	if s.Replicas != nil {
+		if list, err = seal(n, s.Replicas); err != nil {
 			return ErrStore.Wrapf(err, "encoding")
 		}
 	}
--- a/transport/statestore/statestore_test.go
+++ b/transport/statestore/statestore_test.go
@@ -15,7 +15,7 @@
 )
 
 func save(n uint64) controller.Save {
-	return controller.Save{Number: n, Committed: register.Order{Revision: n, Sum: 100 + n}, State: register.State{Accepted: register.Ballot{N: n, By: "a"},
+	return controller.Save{Number: n, CommittedConfiguration: register.Order{Revision: n, Sum: 100 + n}, RegisterState: register.State{Accepted: register.Ballot{Number: n, Proposer: "a"},
 		Value: register.Value{Members: []string{"a"}, Revision: n, Body: make([]byte, 300)}}}
 }
 
@@ -25,7 +25,7 @@
 	b, found, err := Open(dir)
 	must.NoError(t, err)
 	must.Nil(t, found.State)
-	must.NoError(t, b.Save(controller.Save{State: save(1).State, List: []registry.Record{{ID: "i-1"}}}))
+	must.NoError(t, b.Save(controller.Save{RegisterState: save(1).RegisterState, Replicas: []registry.Record{{ID: "i-1"}}}))
 	must.NoError(t, b.Save(save(2)))
 	before, err := os.ReadFile(Path(dir))
 	must.NoError(t, err)
@@ -51,7 +51,7 @@
 			_, found, err = Open(torn)
 			must.NoError(t, err)
 			must.Eq(t, 4, found.State.Value.Revision)
-			must.Eq(t, save(4).Committed, found.Committed)
+			must.Eq(t, save(4).CommittedConfiguration, found.Committed)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	must.NoError(t, err)
 	for n := uint64(1); n < 30; n++ {
 		s := save(n)
-		s.State.Value.Body = make([]byte, 1<<20)
+		s.RegisterState.Value.Body = make([]byte, 1<<20)
 		must.NoError(t, b.Save(s))
 	}
 	must.NoError(t, b.Close())
@@ -83,7 +83,7 @@
 	must.NoError(t, err)
 	for n := uint64(1); n <= 3; n++ {
 		s := save(n)
-		s.State.Value.Body = bytes.Repeat([]byte{byte(n)}, 40)
+		s.RegisterState.Value.Body = bytes.Repeat([]byte{byte(n)}, 40)
 		must.NoError(t, b.Save(s))
 	}
 	must.NoError(t, b.Close())
@@ -105,7 +105,7 @@
 		n := found.State.Value.Revision
 		must.GreaterEq(t, least, n, must.Sprint(what, where))
 		must.Eq(t, bytes.Repeat([]byte{byte(n)}, 40), found.State.Value.Body, must.Sprint(what, where))
-		must.Eq(t, n, found.State.Accepted.N)
+		must.Eq(t, n, found.State.Accepted.Number)
 	}
 	for i := range text {
 		check(text[:i], 0, "cut at ", i)
@@ -132,7 +132,7 @@
 		most := int64(0)
 		for n := uint64(1); n <= 100_000; n++ {
 			s := save(n)
-			s.State.Value.Body = make([]byte, 4000)
+			s.RegisterState.Value.Body = make([]byte, 4000)
 			must.NoError(b, box.Save(s))
 			if n%1000 == 0 {
 				info, err := os.Stat(Path(dir))
@@ -158,7 +158,7 @@
 	committed, _, _ := rollout.Set{}.Begin(rollout.Order{Service: "s", Target: "v2", OverMs: 9000})
 	accepted, _ := committed.Abort("s", "an operator's word")
 	next := save(3)
-	next.State.Value.Rollouts, next.Rollouts = accepted, committed
+	next.RegisterState.Value.Rollouts, next.Rollouts = accepted, committed
 	must.NoError(t, b.Save(next))
 	must.NoError(t, b.Close())
 	_, found, err := Open(dir)
--- a/transport/store/count.go
+++ b/transport/store/count.go
@@ -15,18 +15,18 @@
 	BytesRead  counters.Count // of records
 
 	mu      sync.Mutex
-	figures sharedhealth.Figures
+	figures sharedhealth.Stats
 }
 
 // show keeps the decider's figures.
-func (c *Count) show(f sharedhealth.Figures) {
+func (c *Count) show(f sharedhealth.Stats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.figures = f
 }
 
-// Figures are those of the last round.
-func (c *Count) Figures() sharedhealth.Figures {
+// Stats are those of the last round.
+func (c *Count) Stats() sharedhealth.Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.figures
@@ -34,12 +34,12 @@
 
 // MarshalJSON encodes the present values.
 func (c *Count) MarshalJSON() ([]byte, error) {
-	f := c.Figures()
+	f := c.Stats()
 	return json.Marshal(map[string]any{
-		"state": f.State.String(), "age_ns": f.Age, "aggregators": f.Live, "rounds": f.Rounds, "failed": f.Failed,
-		"contradictions": f.Contradictions, "refused": f.Refused, "records_heard": f.Heard, "findings_told": f.Told,
-		"suspected": f.Suspected, "tries_moved": f.Put, "passed_over": f.Passed,
-		"tokens_leased": f.Leased, "leases_short": f.Short, "unsurveyed": c.Unsurveyed.Load(), "odd": c.Odd.Load(),
+		"state": f.State.String(), "age_ns": f.LastGoodRoundAge, "aggregators": f.LiveMembers, "rounds": f.Rounds, "failed": f.FailedRounds,
+		"contradictions": f.Contradictions, "refused": f.RecordsRefused, "records_heard": f.RecordsMerged, "findings_told": f.FindingsPublished,
+		"suspected": f.Suspected, "tries_moved": f.TrialsMoved, "passed_over": f.PassedOver,
+		"tokens_leased": f.TokensLeased, "leases_short": f.LeasesShort, "unsurveyed": c.Unsurveyed.Load(), "odd": c.Odd.Load(),
 		"bytes_read": c.BytesRead.Load(),
 	})
 }
--- a/transport/store/hangup_test.go
+++ b/transport/store/hangup_test.go
@@ -95,8 +95,8 @@
 
 // newClient is a client of that store, alone.
 func newClient(t *testing.T, place Place) *Client {
-	terms := sharedhealth.Terms{Name: "n", Incarnation: 7, Round: int64(round), Deadline: int64(deadline), Sample: 24, Aggregators: 1, Rest: 1e9,
-		Health: true}
+	terms := sharedhealth.Config{Name: "n", Incarnation: 7, RoundInterval: int64(round), RoundTimeout: int64(deadline), SampleSize: 24, Aggregators: 1, BaseEjection: 1e9,
+		HealthEnabled: true}
 	k, err := New(place, sharedhealth.New(0, terms), &core{}, func() int64 { return 1e9 }, &Count{}, zap.NewNop())
 	must.NoError(t, err)
 	return k
--- a/transport/store/store.go
+++ b/transport/store/store.go
@@ -40,10 +40,10 @@
 
 // Core is the aggregator as a Client sees it. Neither call waits for a socket.
 type Core interface {
-	// Consult asks what the aggregator knows now; false where it has no time for that.
-	Consult(ctx context.Context) (sharedhealth.Survey, bool)
-	// Allow hands over what was decided; it may be dropped where the aggregator is crowded.
-	Allow(sharedhealth.Allowance)
+	// Survey asks what the aggregator knows now; false where it has no time for that.
+	Survey(ctx context.Context) (sharedhealth.Survey, bool)
+	// ApplyShared hands over what was decided; it may be dropped where the aggregator is crowded.
+	ApplyShared(sharedhealth.RoundResult)
 }
 
 // Client keeps an aggregator in touch with the store.
@@ -183,8 +183,8 @@
 			return
 		case <-timer.C:
 		}
-		if survey, ok := k.core.Consult(ctx); ok {
-			k.common.Survey(k.now(), survey)
+		if survey, ok := k.core.Survey(ctx); ok {
+			k.common.RecordSurvey(k.now(), survey)
 		} else {
 			k.count.Unsurveyed.Add(1)
 		}
@@ -196,25 +196,25 @@
 
 // round carries one request out and tells what became of it.
 func (k *Client) round(ctx context.Context, r *sharedhealth.Request) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.By-k.now()))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.Deadline-k.now()))
 	defer cancel()
 	reply, err := k.carry(ctx, r)
 	now := k.now()
-	if err == nil && now > r.By { // it came, and too late to reckon with
+	if err == nil && now > r.Deadline { // it came, and too late to reckon with
 		err = context.DeadlineExceeded
 	}
-	var a sharedhealth.Allowance
+	var a sharedhealth.RoundResult
 	if err != nil {
-		a = k.common.Fail(now, err)
+		a = k.common.HandleFailure(now, err)
 		k.log.Info("a round with the shared store failed", zap.Error(err))
 	} else {
-		a = k.common.Answer(now, reply)
+		a = k.common.HandleReply(now, reply)
 	}
-	k.core.Allow(a)
+	k.core.ApplyShared(a)
 	for _, e := range k.common.Events() {
-		k.log.Warn(e.Text, zap.Stringer("state", e.State), zap.String("of", e.Name))
+		k.log.Warn(e.Message, zap.Stringer("state", e.State), zap.String("of", e.Aggregator))
 	}
-	k.count.show(k.common.Figures(now))
+	k.count.show(k.common.Stats(now))
 }
 
 // The keys, behind the prefix.
@@ -287,7 +287,7 @@
 	// Without the others it goes on.
 	odd := func(err error) bool {
 		if err != nil {
-			reply.Odd++
+			reply.UnusableParts++
 			k.count.Odd.Add(1)
 			k.log.Warn("a part of the shared store's answer cannot be used", zap.Error(err))
 		}
@@ -301,7 +301,7 @@
 				err = errOdd
 			}
 			if need(err) {
-				reply.Clock = pair[0]*int64(time.Second) + pair[1]*int64(time.Microsecond)
+				reply.StoreTime = pair[0]*int64(time.Second) + pair[1]*int64(time.Microsecond)
 			}
 		}, "TIME"),
 		p.send(func(answer any, err error) {
@@ -310,46 +310,46 @@
 				return
 			}
 			if need(err) {
-				reply.Own = bytes.Clone(text)
+				reply.OwnPresence = bytes.Clone(text)
 			}
 		}, "GET", place.presence(name)),
-		p.send(func(_ any, err error) { need(err) }, "SET", place.presence(name), r.Presence, "PX", r.Lasts/milli),
+		p.send(func(_ any, err error) { need(err) }, "SET", place.presence(name), r.Presence, "PX", r.PresenceTTL/milli),
 	}
-	if r.Heartbeat > 0 {
-		steps = append(steps, p.send(none, "ZADD", place.members(), r.Heartbeat, name),
+	if r.HeartbeatScore > 0 {
+		steps = append(steps, p.send(none, "ZADD", place.members(), r.HeartbeatScore, name),
 			p.send(func(answer any, err error) {
 				if n, err := redis.Int64(answer, err); odd(err) {
-					reply.Live = int(min(max(n, 0), 1<<20))
+					reply.LiveMembers = int(min(max(n, 0), 1<<20))
 				}
-			}, "ZCOUNT", place.members(), r.LiveFrom, "+inf"))
+			}, "ZCOUNT", place.members(), r.MinLiveScore, "+inf"))
 	}
-	if r.SweepTo > 0 {
-		steps = append(steps, p.send(none, "ZREMRANGEBYSCORE", place.members(), "-inf", r.SweepTo))
+	if r.SweepMaxScore > 0 {
+		steps = append(steps, p.send(none, "ZREMRANGEBYSCORE", place.members(), "-inf", r.SweepMaxScore))
 	}
 	switch {
 	case r.Findings != nil:
 		steps = append(steps, p.send(none, "HSET", place.findings(), name, r.Findings))
-	case r.Sample > 0:
+	case r.SampleSize > 0:
 		steps = append(steps, p.send(none, "HDEL", place.findings(), name))
 	}
-	if len(r.Drop) > 0 {
-		steps = append(steps, p.send(none, "HDEL", redis.Args{place.findings()}.AddFlat(r.Drop)...))
+	if len(r.DropFindings) > 0 {
+		steps = append(steps, p.send(none, "HDEL", redis.Args{place.findings()}.AddFlat(r.DropFindings)...))
 	}
-	if r.Sample > 0 {
+	if r.SampleSize > 0 {
 		steps = append(steps, p.send(func(answer any, err error) {
 			flat, err := redis.ByteSlices(answer, err)
 			if !odd(err) {
 				return
 			}
 			for i := 0; i+1 < len(flat); i += 2 {
-				reply.Entries = append(reply.Entries, sharedhealth.Entry{Name: string(flat[i]), Text: flat[i+1]})
+				reply.Entries = append(reply.Entries, sharedhealth.Entry{Name: string(flat[i]), Data: flat[i+1]})
 				k.count.BytesRead.Add(int64(len(flat[i]) + len(flat[i+1])))
 			}
-		}, "HRANDFIELD", place.findings(), r.Sample, "WITHVALUES"))
+		}, "HRANDFIELD", place.findings(), r.SampleSize, "WITHVALUES"))
 	}
-	reply.Counts = make([][]int64, len(r.Reads))
-	for i, q := range r.Reads {
-		keys := make([]any, q.Counts())
+	reply.Counts = make([][]int64, len(r.CountReads))
+	for i, q := range r.CountReads {
+		keys := make([]any, q.Windows())
 		for j := range keys {
 			keys[j] = place.tokens(c.Quotas[q.Quota].Customer, q.Window-1-int64(j))
 		}
@@ -359,14 +359,14 @@
 			}
 		}, "MGET", keys...))
 	}
-	reply.Totals = make([]int64, len(r.Takes))
-	for i, t := range r.Takes {
+	reply.Totals = make([]int64, len(r.TokenRequests))
+	for i, t := range r.TokenRequests {
 		key := place.tokens(c.Quotas[t.Quota].Customer, t.Window)
 		steps = append(steps, p.send(func(answer any, err error) {
 			if n, err := redis.Int64(answer, err); odd(err) {
 				reply.Totals[i] = n
 			}
-		}, "INCRBY", key, t.Units), p.send(none, "PEXPIRE", key, t.Expire/milli))
+		}, "INCRBY", key, t.Units), p.send(none, "PEXPIRE", key, t.TTL/milli))
 	}
 	return errors.Join(steps...)
 }
--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -39,20 +39,20 @@
 type core struct {
 	mu      sync.Mutex
 	survey  sharedhealth.Survey
-	allowed []sharedhealth.Allowance
+	allowed []sharedhealth.RoundResult
 	crowded bool
 }
 
-func (c *core) Consult(context.Context) (sharedhealth.Survey, bool) {
+func (c *core) Survey(context.Context) (sharedhealth.Survey, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.survey, !c.crowded
 }
 
-func (c *core) Allow(a sharedhealth.Allowance) {
+func (c *core) ApplyShared(a sharedhealth.RoundResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a.Words = slices.Clone(a.Words)
+	a.Reports = slices.Clone(a.Reports)
 	c.allowed = append(c.allowed, a)
 }
 
@@ -75,7 +75,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n := len(c.allowed); n > 0 {
-		for _, w := range c.allowed[n-1].Words {
+		for _, w := range c.allowed[n-1].Reports {
 			if w.Weight > 0 {
 				all = append(all, w.Replica)
 			}
@@ -102,7 +102,7 @@
 func (w *world) now() int64 { return int64(time.Since(w.began)) + 1e9 }
 
 // play plays a test in a bubble of its own time with some aggregators at one server.
-func play(t *testing.T, aggregators int, change func(*Place, *sharedhealth.Terms), do func(*world)) {
+func play(t *testing.T, aggregators int, change func(*Place, *sharedhealth.Config), do func(*world)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{T: t, server: &redis.Server{}, network: &pipes.Network{}, began: time.Now()}
 		l := w.network.Listen("r:1")
@@ -115,8 +115,8 @@
 		ended := make(chan struct{})
 		for i := range aggregators {
 			p := Place{Address: "r:1", Prefix: "t", Dial: w.network.Dial}
-			terms := sharedhealth.Terms{Name: fmt.Sprint("n", i), Incarnation: 7, Seed: uint64(i), Round: int64(round),
-				Deadline: int64(deadline), Sample: 24, Aggregators: aggregators, Rest: 1e9, Health: true,
+			terms := sharedhealth.Config{Name: fmt.Sprint("n", i), Incarnation: 7, Seed: uint64(i), RoundInterval: int64(round),
+				RoundTimeout: int64(deadline), SampleSize: 24, Aggregators: aggregators, BaseEjection: 1e9, HealthEnabled: true,
 				Quotas: []sharedhealth.Quota{{Customer: "acme", Rate: 40}}}
 			if change != nil {
 				change(&p, &terms)
@@ -148,13 +148,13 @@
 func survey(replicas int) (s sharedhealth.Survey) {
 	for i := range replicas {
 		s.Findings = append(s.Findings, balance.Finding{Replica: i, Cell: i / 5})
-		s.Keys = append(s.Keys, sharedhealth.Key("s", int64(i)))
+		s.Keys = append(s.Keys, sharedhealth.ReplicaKey("s", int64(i)))
 	}
-	s.Demand, s.Left = []float64{5}, []float64{0}
+	s.Demand, s.TokensLeft = []float64{5}, []float64{0}
 	return s
 }
 
-func (k *one) state() string { return k.count.Figures().State.String() }
+func (k *one) state() string { return k.count.Stats().State.String() }
 
 func (w *world) states() string {
 	all := ""
@@ -169,14 +169,14 @@
 	play(t, 3, nil, func(w *world) {
 		time.Sleep(4 * round)
 		for _, k := range w.aggregators[:2] {
-			k.core.finds(balance.Finding{Replica: 3, Aside: true, Failed: w.now()})
+			k.core.finds(balance.Finding{Replica: 3, Ejected: true, LastFailure: w.now()})
 		}
 		time.Sleep(4 * round)
 		synctest.Wait()
 		if got := w.aggregators[2].core.passed(); len(got) != 1 || got[0] != 3 || w.states() != "fresh fresh fresh" {
 			w.Errorf("passed over %v, %s", got, w.states())
 		}
-		if f := w.aggregators[2].count.Figures(); f.Live != 3 || f.Heard == 0 || f.Refused != 0 {
+		if f := w.aggregators[2].count.Stats(); f.LiveMembers != 3 || f.RecordsMerged == 0 || f.RecordsRefused != 0 {
 			w.Errorf("%+v", f)
 		}
 		for _, k := range w.aggregators[:2] {
@@ -297,8 +297,8 @@
 		}
 		time.Sleep(2 * round)
 		synctest.Wait()
-		f := w.aggregators[0].count.Figures()
-		if f.Refused == 0 || f.Refused > 3*24 || f.State != sharedhealth.Fresh {
+		f := w.aggregators[0].count.Stats()
+		if f.RecordsRefused == 0 || f.RecordsRefused > 3*24 || f.State != sharedhealth.Fresh {
 			w.Errorf("a hash of many fields: %+v", f)
 		}
 		w.server.Plant("t:f", "", "a string")
@@ -312,7 +312,7 @@
 		w.server.Plant("t:a:n0", "", strings.Repeat("x", 10<<20))
 		time.Sleep(4 * round)
 		synctest.Wait()
-		if k := w.aggregators[0]; k.count.Figures().Failed == 0 {
+		if k := w.aggregators[0]; k.count.Stats().FailedRounds == 0 {
 			w.Errorf("ten megabytes at its own key: %s", k.state())
 		}
 	})
@@ -343,7 +343,7 @@
 func TestPassword(t *testing.T) {
 	for _, c := range []struct{ password, state string }{{"open sesame", "fresh"}, {"wrong", "lost"}} {
 		file := write(t, []byte(c.password+"\n"))
-		play(t, 1, func(p *Place, _ *sharedhealth.Terms) { p.User, p.PasswordFile = "willow", file }, func(w *world) {
+		play(t, 1, func(p *Place, _ *sharedhealth.Config) { p.User, p.PasswordFile = "willow", file }, func(w *world) {
 			w.server.Protect("willow", "open sesame")
 			time.Sleep(40 * round)
 			if synctest.Wait(); w.states() != c.state {
@@ -395,13 +395,13 @@
 		go server.Serve(tls.NewListener(l, &tls.Config{Certificates: []tls.Certificate{good}}))
 		place := Place{Address: l.Addr().String(), Prefix: "t", CAFile: write(t, c.authority), ServerName: c.name,
 			Dial: (&net.Dialer{}).DialContext}
-		k, err := New(place, sharedhealth.New(1, sharedhealth.Terms{Name: "a", Incarnation: 1, Round: int64(round),
-			Deadline: int64(deadline)}), &core{}, func() int64 { return 1 }, &Count{}, zap.NewNop())
+		k, err := New(place, sharedhealth.New(1, sharedhealth.Config{Name: "a", Incarnation: 1, RoundInterval: int64(round),
+			RoundTimeout: int64(deadline)}), &core{}, func() int64 { return 1 }, &Count{}, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
-		_, err = k.carry(ctx, &sharedhealth.Request{Presence: []byte("x"), Lasts: 1e9})
+		_, err = k.carry(ctx, &sharedhealth.Request{Presence: []byte("x"), PresenceTTL: 1e9})
 		if (err == nil) != c.want {
 			t.Errorf("%s: %v", c.name, err)
 		}
@@ -472,15 +472,15 @@
 			defer l.Close()
 			go server.Serve(l)
 			k, err := New(Place{Address: l.Addr().String(), Prefix: "t", Dial: (&net.Dialer{}).DialContext},
-				sharedhealth.New(1, sharedhealth.Terms{Name: "a", Incarnation: 1, Round: int64(round), Deadline: int64(deadline)}),
+				sharedhealth.New(1, sharedhealth.Config{Name: "a", Incarnation: 1, RoundInterval: int64(round), RoundTimeout: int64(deadline)}),
 				&core{}, func() int64 { return 1 }, &Count{}, zap.NewNop())
 			if err != nil {
 				b.Fatal(err)
 			}
 			defer k.hangUp()
-			record := sharedhealth.Record{Incarnation: 1, Sequence: 1, At: 1}
+			record := sharedhealth.Record{Incarnation: 1, Sequence: 1, WrittenAt: 1}
 			for i := range 4 {
-				record.Testimonies = append(record.Testimonies, sharedhealth.Testimony{Key: uint64(i), Verdict: sharedhealth.FoundAside})
+				record.Findings = append(record.Findings, sharedhealth.Finding{Key: uint64(i), Verdict: sharedhealth.FoundEjected})
 			}
 			text := record.Append(nil)
 			for i := range n {
@@ -490,7 +490,7 @@
 			rounds := 0
 			for b.Loop() {
 				rounds++
-				r := &sharedhealth.Request{Presence: text, Lasts: 1e9, Findings: text, Sample: 24, Heartbeat: 5, LiveFrom: 1}
+				r := &sharedhealth.Request{Presence: text, PresenceTTL: 1e9, Findings: text, SampleSize: 24, HeartbeatScore: 5, MinLiveScore: 1}
 				if _, err := k.carry(b.Context(), r); err != nil {
 					b.Fatal(err)
 				}
--- a/transport/watch/loans.go
+++ b/transport/watch/loans.go
@@ -21,7 +21,7 @@
 
 // NewLoans makes Loans of a bound that is judged over a window of so many ns.
 func NewLoans(window int64) *Loans {
-	return &Loans{began: time.Now(), relay: lending.NewRelay(lending.DefaultTerms(window))}
+	return &Loans{began: time.Now(), relay: lending.NewRelay(lending.DefaultTiming(window))}
 }
 
 func (l *Loans) now() int64 { return int64(time.Since(l.began)) }
@@ -31,9 +31,9 @@
 	from := lending.Neighbor(report.Self.Edge.IP)
 	l.mu.Lock()
 	if report.Lending != nil {
-		l.relay.Heard(l.now(), from, *report.Lending)
+		l.relay.Handle(l.now(), from, *report.Lending)
 	}
-	note := l.relay.Note(l.now(), from)
+	note := l.relay.NextMessage(l.now(), from)
 	l.mu.Unlock()
 	if note.Empty() {
 		return
@@ -44,17 +44,17 @@
 }
 
 // Heard takes in what the feeder says.
-func (l *Loans) Heard(note lending.Note) {
+func (l *Loans) Heard(note lending.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.relay.Heard(l.now(), feeder, note)
+	l.relay.Handle(l.now(), feeder, note)
 }
 
 // Report is what the feeder is told, nil for nothing.
-func (l *Loans) Report() *lending.Note {
+func (l *Loans) Report() *lending.Message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	note := l.relay.Note(l.now(), feeder)
+	note := l.relay.NextMessage(l.now(), feeder)
 	if note.Empty() {
 		return nil
 	}
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -37,7 +37,7 @@
 	Update    *clusterstate.Update    `cbor:"1,keyasint,omitempty"`
 	InContact bool                    `cbor:"2,keyasint,omitempty"` // in contact with a majority; for followers of the former version
 	Freshness *clusterstate.Freshness `cbor:"3,keyasint,omitempty"` // nil from a feeder of the former version
-	Lending   *lending.Note           `cbor:"4,keyasint,omitempty"` // for this follower alone
+	Lending   *lending.Message        `cbor:"4,keyasint,omitempty"` // for this follower alone
 }
 
 // inContactWithin is the age up to which followers of the former version are told that the feeder is in contact.
@@ -61,7 +61,7 @@
 	Below    []controller.EdgeReport `cbor:"2,keyasint,omitempty"`
 	Revision uint64                  `cbor:"3,keyasint,omitempty"` // of the configuration held; its body need not come again
 	Changes  bool                    `cbor:"4,keyasint,omitempty"` // takes differences between fleets
-	Lending  *lending.Note           `cbor:"5,keyasint,omitempty"`
+	Lending  *lending.Message        `cbor:"5,keyasint,omitempty"`
 }
 
 // Operator tells whether this is an operator who looks on, and no edge.
@@ -135,7 +135,7 @@
 // in the log, where that fails.
 func encode(update *clusterstate.Update, fresh clusterstate.Freshness, changes bool) peer.Frame {
 	if update != nil {
-		told := update.ForFollower(changes)
+		told := update.ForWire(changes)
 		update = &told
 	}
 	frame, err := peer.Encode(newMessage(update, fresh))
@@ -180,7 +180,7 @@
 	Addresses func() []string                    // feeders to try, the best first
 	Take      func(clusterstate.Update) bool     // false where it cannot be used and a snapshot is needed
 	Sign      func(fresh clusterstate.Freshness) // a message came, and said this of the feeder; nil where nobody wants it
-	Note      func(lending.Note)                 // the feeder said what it lends and wants; nil where nobody wants it
+	Note      func(lending.Message)              // the feeder said what it lends and wants; nil where nobody wants it
 
 	mu     sync.Mutex // guards what follows
 	base   time.Time
@@ -217,13 +217,13 @@
 func (f *Follower) heard(fresh clusterstate.Freshness) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.decide.Heard(f.now(), fresh)
+	f.decide.HandleFreshness(f.now(), fresh)
 }
 
 func (f *Follower) leave() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.decide.Leave(f.now())
+	return f.decide.ShouldLeave(f.now())
 }
 
 // report sends a report and returns the time until the next. What a Follower's Take is given may hold differences between
--- a/transport/watch/watch_test.go
+++ b/transport/watch/watch_test.go
@@ -24,11 +24,11 @@
 		defer follower.Close()
 		var f Feed
 		book := clusterstate.NewState()
-		book.Take(clusterstate.Update{Replicas: []registry.Record{{ID: "i-1", Seq: 1}}})
+		book.Apply(clusterstate.Update{Replicas: []registry.Record{{ID: "i-1", Seq: 1}}})
 		fresh, old := clusterstate.Freshness{Known: true, Age: 5}, clusterstate.Freshness{Known: true, Age: int64(time.Minute)}
 		f.Publish(&clusterstate.Update{Revision: 9}, fresh) // nobody follows yet
 		f.Join(feeder, Report{}, book.Snapshot(), fresh)
-		n := book.Take(clusterstate.Update{Replicas: []registry.Record{{ID: "i-2", Seq: 1}}})
+		n := book.Apply(clusterstate.Update{Replicas: []registry.Record{{ID: "i-2", Seq: 1}}})
 		f.Publish(&n, fresh)
 		f.Publish(nil, old)
 		var p Message
@@ -122,7 +122,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var f Feed
 		feeder := clusterstate.NewState()
-		feeder.Take(clusterstate.Update{Fleet: clusterstate.Fleet{Most: 2, Edges: []clusterstate.Edge{{IP: "10.0.0.1"}, {IP: "10.0.0.2"}}}})
+		feeder.Apply(clusterstate.Update{Fleet: clusterstate.Fleet{Most: 2, Edges: []clusterstate.Edge{{IP: "10.0.0.1"}, {IP: "10.0.0.2"}}}})
 		join := func(changes bool) *peer.Link {
 			near, far := net.Pipe()
 			link, follower := peer.Over(near), peer.Over(far)
@@ -131,7 +131,7 @@
 			return follower
 		}
 		former, newer := join(false), join(true)
-		update := feeder.Take(clusterstate.Update{Fleet: clusterstate.Fleet{Most: 3,
+		update := feeder.Apply(clusterstate.Update{Fleet: clusterstate.Fleet{Most: 3,
 			Edges: []clusterstate.Edge{{IP: "10.0.0.1"}, {IP: "10.0.0.2"}, {IP: "10.0.0.3"}}}})
 		f.Publish(&update, clusterstate.Freshness{})
 		for link, whole := range map[*peer.Link]bool{former: true, newer: false} {
@@ -140,7 +140,7 @@
 			for range 2 {
 				last = Message{}
 				must.NoError(t, link.Receive(&last, time.Second))
-				must.False(t, held.Take(*last.Update).Empty())
+				must.False(t, held.Apply(*last.Update).Empty())
 			}
 			must.Eq(t, whole, last.Update.Change == nil)
 			must.Eq(t, !whole, last.Update.Fleet.Empty())
--- a/transport/wire/wire.go
+++ b/transport/wire/wire.go
@@ -154,7 +154,7 @@
 		var id uint64
 		f.Into("rid", &id)
 		if r, ok := in.requests[id]; ok && f.Err == nil && !r.over && r.part < 0 {
-			r.query.Leave(h.now)
+			r.query.ClientLeft(h.now)
 			in.end(r.held)
 		}
 	case "FIRED":
@@ -218,14 +218,14 @@
 			f.Fail("items", "has an entry that is no object")
 			break
 		}
-		l := balance.Listing{Cell: e.Int("place"), Started: e.MayTime("launched")}
+		l := balance.Listing{Cell: e.Int("place"), StartedAt: e.MayTime("launched")}
 		switch e.String("lifecycle") {
 		case "U":
-			l.Standing = balance.Up
+			l.Status = balance.Up
 		case "L":
-			l.Standing = balance.Draining
+			l.Status = balance.Draining
 		case "D":
-			l.Standing = balance.Gone
+			l.Status = balance.Gone
 		default:
 			e.Fail("lifecycle", "is unknown")
 		}
@@ -240,11 +240,11 @@
 	}
 	switch scope {
 	case "Partial":
-		in.agg.ListChanged(h.now, listings)
+		in.agg.UpdateList(h.now, listings)
 	case "Complete":
-		in.agg.ListWhole(h.now, listings, true)
+		in.agg.ReplaceList(h.now, listings, true)
 	case "Persisted":
-		in.agg.ListWhole(h.now, listings, false)
+		in.agg.ReplaceList(h.now, listings, false)
 	default:
 		return fmt.Errorf("field %q is unknown", "scope")
 	}
@@ -293,14 +293,14 @@
 	if !ok {
 		f.Fail("grade", "is not among the classes")
 	}
-	a := balance.Arrival{Workload: w, Patience: f.Time("grace"), Parts: int(measure)}
+	a := balance.Arrival{Workload: w, Timeout: f.Time("grace"), Parts: int(measure)}
 	if f.Has("resent") && f.Bool("resent") {
-		a.Claim = balance.Retry
+		a.Priority = balance.Retry
 	}
 	if f.Err != nil {
 		return f.Err
 	}
-	q := &held{id: id, group: group, query: in.agg.Take(now, a)}
+	q := &held{id: id, group: group, query: in.agg.AddQuery(now, a)}
 	in.requests[id] = request{q, -1}
 	in.groups[group] = q
 	in.handles[q.query] = q
@@ -321,7 +321,7 @@
 	if !ok || r.part < 0 {
 		return fmt.Errorf("request %d is not held", id)
 	}
-	if r.query.Outcome(now, r.part, execution, result, took) {
+	if r.query.RecordResult(now, r.part, execution, result, took) {
 		r.out--
 	}
 	in.forget(r.held)
@@ -351,7 +351,7 @@
 	codes := [...]string{
 		balance.Fulfilled: "ok", balance.Errored: "error", balance.Full: "full", balance.TimedOut: "timeout",
 		balance.ConnectFailed: "connect_failed", balance.Reset: "reset", balance.Cancelled: "cancelled",
-		balance.Moot: "moot",
+		balance.Unsent: "moot",
 	}
 	how := f.String("how")
 	for r, code := range codes {
@@ -381,7 +381,7 @@
 		q := in.handles[s.Query]
 		q.out++
 		fmt.Fprintf(h.out, `{"event_type":"SEND","who":%d,"rid":%d,"cut_at":%s,"replica":%s}`+"\n",
-			who, q.parts[s.Part], ms(s.CutAt), in.addresses[s.Replica])
+			who, q.parts[s.Part], ms(s.Deadline), in.addresses[s.Replica])
 	}
 	for _, c := range round.Cancels {
 		fmt.Fprintf(h.out, `{"event_type":"WITHDRAW","who":%d,"rid":%d,"attempt":%d}`+"\n",
@@ -389,13 +389,13 @@
 	}
 	for _, e := range round.Endings {
 		q := in.handles[e.Query]
-		switch e.Final {
+		switch e.Outcome {
 		case balance.Whole, balance.Partial:
 			fmt.Fprintf(h.out, `{"event_type":"MERGE","who":%d,"rid":%d,"whole":%t}`+"\n",
-				who, q.id, e.Final == balance.Whole)
+				who, q.id, e.Outcome == balance.Whole)
 		case balance.Declined:
 			fmt.Fprintf(h.out, `{"event_type":"REFUSE","who":%d,"rid":%d,"not_before_for":%s}`+"\n",
-				who, q.id, ms(e.ComeBack))
+				who, q.id, ms(e.RetryAfter))
 		case balance.Forfeited:
 			fmt.Fprintf(h.out, `{"event_type":"FINISH_ERROR","who":%d,"rid":%d}`+"\n", who, q.id)
 		}
@@ -403,14 +403,14 @@
 			in.end(q)
 		}
 	}
-	for _, replica := range round.Releases {
+	for _, replica := range round.CloseIdle {
 		fmt.Fprintf(h.out, `{"event_type":"RELEASE","who":%d,"replica":%s}`+"\n", who, in.addresses[replica])
 	}
 	if round.List == balance.Subscribe {
 		fmt.Fprintf(h.out, `{"event_type":"WATCH","who":%d,"whole":true}`+"\n", who)
 	}
-	if round.Wake > 0 && (in.timer == 0 || round.Wake < in.timer) {
-		in.timer = h.now + (max(round.Wake-h.now, 0)+999)/1e3*1e3 // the wire counts in microseconds
+	if round.WakeAt > 0 && (in.timer == 0 || round.WakeAt < in.timer) {
+		in.timer = h.now + (max(round.WakeAt-h.now, 0)+999)/1e3*1e3 // the wire counts in microseconds
 		fmt.Fprintf(h.out, `{"event_type":"DEFER","who":%d,"in":%s,"token":"%s"}`+"\n",
 			who, ms(in.timer-h.now), wakeToken)
 	}
