--- a/lab/controlsim/planted/planted.go
+++ b/lab/controlsim/planted/planted.go
@@ -77,7 +77,7 @@
 		edit(diskFile, "	if after == 0 {\n", "	if after >= 0 {\n")),
 	mutant(controlsim.LongLife, 5, "a controller starts again with its first state", lost,
 		edit(controllerFile, "c.disk = register.Acceptor{State: *s.RegisterState, CaughtUp: true}",
-			"c.disk = register.Acceptor{RegisterState: register.RegisterState{Value: register.Value{Members: s.RegisterState.Value.Members, Epoch: s.RegisterState.Value.Epoch}}, CaughtUp: true}")),
+			"c.disk = register.Acceptor{State: register.State{Value: register.Value{Members: s.RegisterState.Value.Members, Epoch: s.RegisterState.Value.Epoch}}, CaughtUp: true}")),
 	mutant(controlsim.TwoHalves, 5, "a read is answered from what is known here", lost,
 		edit(callersFile, "	n, out := c.proposer.Edit(now, readOnlyEdit)\n", "	if c.committed.Revision > 0 {\n		c.answer(t, statusOK, c.committed.Body, \"\")\n		return c.takeEffects()\n	}\n	n, out := c.proposer.Edit(now, readOnlyEdit)\n")),
 	mutant(controlsim.TwoHalves, 5, "half of the members are enough", []string{checker.TwoContents, checker.Lost, checker.Linear},
