--- a/decide/sharedhealth/fuzz_test.go
+++ b/decide/sharedhealth/fuzz_test.go
@@ -7,8 +7,8 @@
 	"willowsill/balance"
 )
 
-// FuzzCommons drives an aggregator's part with any order of facts and any answers of the store: it never panics, asks for one
-// round at a time, and its words and tokens stay within bounds.
+// FuzzCommons drives an Exchange with any order of calls and any answers of the store. It must not panic, must have one
+// request pending at a time, and its shared reports and leases must stay within bounds.
 func FuzzCommons(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 9, 0, 1, 2, 200, 3, 0, 1, 4, 7}, []byte("x"))
 	f.Add([]byte{1, 2, 0, 1, 2, 0, 1, 2, 0, 1, 2, 5, 5, 1, 2}, Record{Incarnation: 4, Sequence: 1, WrittenAt: testStoreTime}.Append(nil))
@@ -18,15 +18,15 @@
 		p := NewQuotaBudget(testNow, c.Quotas, 4)
 		now, own, s := testNow, []byte(nil), healthySurvey(10, 5)
 		var asked *Request
-		take := func(a RoundResult) {
+		apply := func(a RoundResult) {
 			for _, w := range a.Reports {
 				if w.Replica < 0 || w.Replica >= 10 || w.Slowdown > maxReportedSlowdown || w.Expires > now+reportValidRounds*testRound {
-					t.Fatalf("odd word %+v", w)
+					t.Fatalf("shared report out of bounds: %+v", w)
 				}
 			}
 			for _, l := range a.Leases {
 				if l.Tokens <= 0 || l.Tokens > 10*60+20 || l.Until <= now {
-					t.Fatalf("odd lease %+v at %d", l, now)
+					t.Fatalf("lease out of bounds: %+v at %d", l, now)
 				}
 			}
 			p.Apply(now, a.Leases, a.LocalRates)
@@ -42,7 +42,7 @@
 			case 1, 2:
 				r := c.Decide(now)
 				if r != nil && asked != nil {
-					t.Fatal("two rounds at a time")
+					t.Fatal("two requests pending at a time")
 				}
 				if r != nil {
 					asked = r
@@ -63,11 +63,11 @@
 					reply.StoreTime -= int64(step) << 30
 				}
 				own, asked = asked.Presence, nil
-				take(c.HandleReply(now, reply))
+				apply(c.HandleReply(now, reply))
 			case 6:
 				if asked != nil {
 					asked = nil
-					take(c.HandleFailure(now, errors.New("gone")))
+					apply(c.HandleFailure(now, errors.New("gone")))
 				}
 			case 7:
 				p.Spend(now, 0)
--- a/decide/sharedhealth/gossip.go
+++ b/decide/sharedhealth/gossip.go
@@ -10,132 +10,136 @@
 )
 
 const (
-	recordMaxAgeRounds  = 4      // rounds that a record counts: then its writer is silent on it, or gone
-	reportValidRounds   = 3      // rounds that a word holds without being said again
-	minReporters        = 2      // independent ones at least, for anything
-	immediateReporters  = 4      // that are believed at once
-	maxFailingShare     = 0.4    // of its replicas: a witness that accuses more is itself in trouble
-	minFailing          = 3      // accused at least, for that
-	maxPassedOverShare  = 1. / 3 // of a cell's replicas that hearsay may have passed over at a time, one at least
-	trialsPerEjection   = 2.0    // that all aggregators together make in a rest at a replica set aside
-	maxDelayEjections   = 8      // rests that a try is put off by at most
-	minSlowdown         = 2.0    // times the typical is slow where it was met often,
-	slowdownMargin      = 1.5    // and so much more over the number of calls where it was not: any part may be a heavy one
-	healthyForNs        = 2e9    // ns since it last served: still well
-	maxReportedSlowdown = 8.0    // the highest pace that is gone by
-	maxPeerRecords      = 1024   // that are kept of others, the newest
-	findingMaxAgeNs     = 8e9    // ns: an older finding is no news
-	unlistedRetentionNs = 60e9   // ns that one off the list is remembered
-	relapseWindowNs     = 20e9   // ns: spoken against again within so long, it is not yet mended, and each time
-	relapseExtensionNs  = 4e9    // ns longer a word holds, whoever finds it well,
-	maxRelapses         = 3      // so many times at most
-	releaseSpreadNs     = 6e9    // ns, by chance, that a word holds on when nobody says it any more
+	recordMaxAgeRounds  = 4      // rounds for which a peer's record counts; then the peer has removed it or is gone
+	reportValidRounds   = 3      // rounds for which a shared report holds without being renewed
+	minReporters        = 2      // peers that must agree before their findings have any effect
+	immediateReporters  = 4      // peers that are believed at once if no peer contradicts them
+	maxFailingShare     = 0.4    // share of its replicas: a peer that reports more as failing is in trouble itself
+	minFailing          = 3      // replicas that a peer has to report as failing before maxFailingShare applies
+	maxPassedOverShare  = 1. / 3 // share of a cell's replicas that peers' findings may exclude at a time, but at least one
+	trialsPerEjection   = 2.0    // trials that all aggregators together make during one ejection of a replica
+	maxDelayEjections   = 8      // base ejections by which a trial is delayed at most
+	minSlowdown         = 2.0    // slowdown from which a replica is slow if it was called many times
+	slowdownMargin      = 1.5    // added to minSlowdown after division by the number of calls: any single one may be expensive
+	healthyForNs        = 2e9    // ns since its last answer for which a replica counts as healthy
+	maxReportedSlowdown = 8.0    // the highest slowdown that is used
+	maxPeerRecords      = 1024   // peers whose newest record is kept
+	findingMaxAgeNs     = 8e9    // ns: older findings against a replica are neither published nor counted
+	unlistedRetentionNs = 60e9   // ns for which a replica that is no longer listed is remembered
+	relapseWindowNs     = 20e9   // ns: a replica that is accused again within this time has relapsed
+	relapseExtensionNs  = 4e9    // ns by which each relapse extends a shared report, even if peers find the replica healthy
+	maxRelapses         = 3      // relapses that extend a shared report
+	releaseSpreadNs     = 6e9    // ns within which shared reports end at random after peers stop accusing a replica
 )
 
 // Survey is what this aggregator knows itself at one time.
 type Survey struct {
 	Findings   []balance.Finding
-	Keys       []uint64  // of each finding's replica
-	Demand     []float64 // queries of each quota's customer since the survey before
-	TokensLeft []float64 // tokens of each that the purse still holds
+	Keys       []uint64  // ReplicaKey of each finding's replica
+	Demand     []float64 // queries of each quota's customer since the last survey
+	TokensLeft []float64 // unspent leased tokens of each quota
 }
 
-// peerRecord is another aggregator's last record.
+// peerRecord is the newest record of a peer.
 type peerRecord struct {
 	Record
-	receivedAt int64 // when it was read here
-	initialAge int64 // how old it was then by the store's clock, ns
+	receivedAt int64 // when it was read
+	initialAge int64 // how old it was at that time by the store's clock, ns
 }
 
-// replicaHistory is what is kept of one replica.
+// replicaHistory is what is remembered about one replica.
 type replicaHistory struct {
-	movedTrialAt    int64                // the rest whose end was put off last
-	accusedSince    int64                // it has been spoken against since then, 0 for not
-	lastReport      balance.SharedReport // the last on its pace; Weight 0 for none that still holds
-	lastReportUntil int64                // that holds so long without being said again
-	releaseDelay    int64                // after it was last said
-	lastAccused     int64                // it was last spoken against
-	relapses        int                  // times that this began anew soon after
-	lastListed      int64                // it was last on the list
+	movedTrialAt    int64                // the time to which a trial was last delayed
+	accusedSince    int64                // since when peers accuse it; 0 if they do not
+	lastReport      balance.SharedReport // latest shared report on its slowdown; Weight is 0 if it no longer holds
+	lastReportUntil int64                // end of lastReport if peers do not accuse the replica again
+	releaseDelay    int64                // ns for which lastReport holds after the last accusation
+	lastAccused     int64                // when peers last accused it
+	relapses        int                  // relapses in a row
+	lastListed      int64                // when it was last listed
 }
 
-// gossip weighs what others found. The zero value is not usable; see newHearsay.
+// gossip evaluates the findings of peers. The zero value is not usable; see newGossip. accused holds the replicas that
+// a peer found failing or slow: if this aggregator finds one of them healthy, it publishes that.
 type gossip struct {
 	roundInterval, baseEjection int64
 	rng                         *rand.Rand
 	peers                       map[string]*peerRecord
 	histories                   map[uint64]*replicaHistory
-	accused                     map[uint64]bool // by another lately: whoever finds them well says so
+	accused                     map[uint64]bool
 	reports                     []balance.SharedReport
 	verdicts                    map[uint64]*verdictCounts
 }
 
-// verdictCounts is what the witnesses say of one replica.
+// verdictCounts counts the peers' verdicts on one replica.
 type verdictCounts struct {
 	ejected, failing, slow, healthy int
 	slowdowns                       []float64
-	accusationAges, healthyAges     []int64 // how old the findings are, against it and for it
+	accusationAges, healthyAges     []int64 // ages of the findings against the replica and in its favor, ns
 }
 
-// accusers is how many speak against it.
+// accusers returns the number of findings against the replica.
 func (c *verdictCounts) accusers() int { return c.ejected + c.failing + c.slow }
 
-func newGossip(round, rest int64, chance *rand.Rand) *gossip {
-	return &gossip{roundInterval: round, baseEjection: rest, rng: chance, peers: map[string]*peerRecord{},
+func newGossip(roundInterval, baseEjection int64, rng *rand.Rand) *gossip {
+	return &gossip{roundInterval: roundInterval, baseEjection: baseEjection, rng: rng, peers: map[string]*peerRecord{},
 		histories: map[uint64]*replicaHistory{}, accused: map[uint64]bool{}, verdicts: map[uint64]*verdictCounts{}}
 }
 
-// mergeRecord is one that was read; clock is the store's time then. It tells whether it was taken.
+// mergeRecord stores a peer's record that was read when the store's clock showed the given time. It reports whether the
+// record was accepted.
 //
-// Danger: what a restart or an older copy of the store left behind must not be heard again: only what is higher in
-// incarnation, or the same with a higher sequence, replaces what is known.
-func (h *gossip) mergeRecord(now, clock int64, name string, r Record) bool {
-	age := clock - r.WrittenAt
-	if age < -h.roundInterval || age > recordMaxAgeRounds*h.roundInterval {
+// Danger: a record left by an earlier process or an older state of the store must not be used again. Only a record with
+// a higher incarnation, or of the same incarnation with no lower sequence, replaces the stored one.
+func (g *gossip) mergeRecord(now, storeTime int64, name string, r Record) bool {
+	age := storeTime - r.WrittenAt
+	if age < -g.roundInterval || age > recordMaxAgeRounds*g.roundInterval {
 		return false
 	}
-	was := h.peers[name]
-	if was != nil && (r.Incarnation < was.Incarnation ||
-		r.Incarnation == was.Incarnation && r.Sequence < was.Sequence) {
+	known := g.peers[name]
+	if known != nil && (r.Incarnation < known.Incarnation ||
+		r.Incarnation == known.Incarnation && r.Sequence < known.Sequence) {
 		return false
 	}
-	if was == nil && len(h.peers) >= maxPeerRecords {
+	if known == nil && len(g.peers) >= maxPeerRecords {
 		return false
 	}
-	h.peers[name] = &peerRecord{r, now, max(age, 0)}
+	g.peers[name] = &peerRecord{r, now, max(age, 0)}
 	return true
 }
 
-// recordAge is how old a witness's record is.
-func (h *gossip) recordAge(now int64, w *peerRecord) int64 { return now - w.receivedAt + w.initialAge }
+// recordAge returns the age of a peer's record, ns.
+func (g *gossip) recordAge(now int64, peer *peerRecord) int64 {
+	return now - peer.receivedAt + peer.initialAge
+}
 
-// credible tells whether a witness is heard on what fails. Danger: one that is itself cut off or starved finds most
-// replicas failing, and would have all others leave what is sound.
-func (w *peerRecord) credible() bool {
-	return w.FailingReplicas < minFailing || float64(w.FailingReplicas) <= maxFailingShare*float64(w.Replicas)
+// credible reports whether a peer's findings of failures count. Danger: a peer that is itself cut off or short of
+// processor time finds most replicas failing, and would make all others avoid replicas that are healthy.
+func (p *peerRecord) credible() bool {
+	return p.FailingReplicas < minFailing || float64(p.FailingReplicas) <= maxFailingShare*float64(p.Replicas)
 }
 
-// countVerdicts counts what is said of each replica.
-func (h *gossip) countVerdicts(now int64) {
-	clear(h.verdicts)
-	clear(h.accused)
-	for name, w := range h.peers {
-		if h.recordAge(now, w) > recordMaxAgeRounds*h.roundInterval {
-			delete(h.peers, name)
+// countVerdicts counts the peers' verdicts on each replica.
+func (g *gossip) countVerdicts(now int64) {
+	clear(g.verdicts)
+	clear(g.accused)
+	for name, peer := range g.peers {
+		if g.recordAge(now, peer) > recordMaxAgeRounds*g.roundInterval {
+			delete(g.peers, name)
 			continue
 		}
-		for _, t := range w.Findings {
-			c := h.verdicts[t.Key]
+		for _, t := range peer.Findings {
+			c := g.verdicts[t.Key]
 			if c == nil {
 				c = &verdictCounts{}
-				h.verdicts[t.Key] = c
+				g.verdicts[t.Key] = c
 			}
-			old := t.Age + h.recordAge(now, w)
+			age := t.Age + g.recordAge(now, peer)
 			switch {
 			case t.Verdict == FoundHealthy:
-				c.healthyAges = append(c.healthyAges, old)
+				c.healthyAges = append(c.healthyAges, age)
 				continue
-			case !w.credible() || old > findingMaxAgeNs:
+			case !peer.credible() || age > findingMaxAgeNs:
 				continue
 			case t.Verdict == FoundEjected:
 				c.ejected++
@@ -144,120 +148,123 @@
 			case t.Verdict == FoundSlow:
 				c.slow++
 			}
-			// A failure costs a further execution, however fast it came.
+			// A failure costs a further execution, however fast it came, so it counts as the highest slowdown.
 			if t.Verdict != FoundSlow {
 				t.Slowdown = maxReportedSlowdown
 			}
 			c.slowdowns = append(c.slowdowns, t.Slowdown)
-			c.accusationAges = append(c.accusationAges, old)
-			h.accused[t.Key] = true
+			c.accusationAges = append(c.accusationAges, age)
+			g.accused[t.Key] = true
 		}
 	}
-	// Danger: in the first seconds of a trouble more have met the replica before it than since. Who found it well
-	// counts only where that is later than what half of those found who speak against it.
-	for _, c := range h.verdicts {
+	// Danger: in the first seconds of a fault more peers have met the replica before the fault than since. A finding in
+	// its favor counts only if it is newer than the median of the findings against it.
+	for _, c := range g.verdicts {
 		slices.Sort(c.accusationAges)
-		for _, old := range c.healthyAges {
-			if len(c.accusationAges) == 0 || old < c.accusationAges[len(c.accusationAges)/2] {
+		for _, age := range c.healthyAges {
+			if len(c.accusationAges) == 0 || age < c.accusationAges[len(c.accusationAges)/2] {
 				c.healthy++
 			}
 		}
 	}
 }
 
-// evaluate makes words of what the witnesses say; live is how many aggregators there are.
-func (h *gossip) evaluate(now int64, s Survey, aggregators int) []balance.SharedReport {
-	h.reports = h.reports[:0]
-	h.countVerdicts(now)
+// evaluate derives shared reports from the peers' findings in a fleet of this many aggregators.
+func (g *gossip) evaluate(now int64, s Survey, aggregators int) []balance.SharedReport {
+	g.reports = g.reports[:0]
+	g.countVerdicts(now)
 	cells := map[int]*cellCounts{}
 	for i, f := range s.Findings {
 		if cells[f.Cell] == nil {
 			cells[f.Cell] = &cellCounts{}
 		}
 		cells[f.Cell].listed++
-		r := h.histories[s.Keys[i]]
+		r := g.histories[s.Keys[i]]
 		if r == nil {
 			r = &replicaHistory{}
-			h.histories[s.Keys[i]] = r
+			g.histories[s.Keys[i]] = r
 		}
 		r.lastListed = now
 	}
-	selfCut := h.selfImpaired(s)
-	for _, i := range h.mostAccusedFirst(s) {
-		f, said := s.Findings[i], h.verdicts[s.Keys[i]]
-		if said == nil {
-			said = &verdictCounts{}
+	impaired := g.selfImpaired(s)
+	for _, i := range g.mostAccusedFirst(s) {
+		f, counts := s.Findings[i], g.verdicts[s.Keys[i]]
+		if counts == nil {
+			counts = &verdictCounts{}
 		}
-		r, c := h.histories[s.Keys[i]], cells[f.Cell]
-		w := balance.SharedReport{Replica: f.Replica, Expires: now + reportValidRounds*h.roundInterval}
-		against := said.accusers()
-		if against < minReporters || against <= said.healthy {
-			r.accusedSince = 0
-			// Danger: as the last testimony fades a hundred aggregators would try the replica at once, and lose a
-			// query each. So they come back one by one; what the first finds the others hear.
-			mended := said.healthy > against && now >= r.lastAccused+int64(r.relapses)*relapseExtensionNs
-			if r.lastReport.Weight > 0 && !mended && now < r.lastReportUntil && c.passedOver < c.maxPassedOver() {
-				c.passedOver++
-				w.Slowdown, w.Weight = r.lastReport.Slowdown, r.lastReport.Weight
+		history, cell := g.histories[s.Keys[i]], cells[f.Cell]
+		report := balance.SharedReport{Replica: f.Replica, Expires: now + reportValidRounds*g.roundInterval}
+		accusers := counts.accusers()
+		if accusers < minReporters || accusers <= counts.healthy {
+			history.accusedSince = 0
+			// Danger: when the last accusation expires, a hundred aggregators would try the replica at once and lose a
+			// query each. So their shared reports end one after the other, and the first ones publish what they find.
+			recovered := counts.healthy > accusers && now >= history.lastAccused+int64(history.relapses)*relapseExtensionNs
+			if history.lastReport.Weight > 0 && !recovered && now < history.lastReportUntil && cell.passedOver < cell.maxPassedOver() {
+				cell.passedOver++
+				report.Slowdown, report.Weight = history.lastReport.Slowdown, history.lastReport.Weight
 			} else {
-				r.lastReport.Weight = 0
+				history.lastReport.Weight = 0
 			}
 		} else {
-			if r.accusedSince == 0 {
-				// Danger: one that fails and recovers by turns is found well by some in each good turn.
-				if r.accusedSince = now; r.lastAccused > 0 && now-r.lastAccused < relapseWindowNs {
-					r.relapses = min(r.relapses+1, maxRelapses)
+			if history.accusedSince == 0 {
+				// Danger: a replica that fails and recovers by turns is found healthy by some peers in each good phase.
+				if history.accusedSince = now; history.lastAccused > 0 && now-history.lastAccused < relapseWindowNs {
+					history.relapses = min(history.relapses+1, maxRelapses)
 				} else {
-					r.relapses = 0
+					history.relapses = 0
 				}
 			}
-			r.lastAccused = now
-			w.Suspect = said.ejected+said.failing >= minReporters
-			// Danger: where every replica fails now and then, at any time some aggregator has just met that. Those
-			// who find it well need a round to say so; only two that set it aside are believed at once, or several
-			// whom nobody contradicts.
-			if (said.ejected >= minReporters || against >= immediateReporters && said.healthy == 0 || now-r.accusedSince >= h.roundInterval/2) &&
-				c.passedOver < c.maxPassedOver() {
-				c.passedOver++
-				slices.Sort(said.slowdowns)
-				w.Slowdown, w.Weight = min(said.slowdowns[len(said.slowdowns)/2], maxReportedSlowdown), float64(against)
-				if r.lastReport.Weight == 0 {
-					r.releaseDelay = int64(h.rng.Float64() * releaseSpreadNs)
+			history.lastAccused = now
+			report.Suspect = counts.ejected+counts.failing >= minReporters
+			// Danger: where every replica fails now and then, some aggregator has just met a failure at any time, and
+			// those that find the replica healthy need a round to publish that. So accusations count at once only if
+			// two peers have ejected the replica, or if several peers accuse it and none contradicts; otherwise they
+			// count after half a round.
+			if (counts.ejected >= minReporters || accusers >= immediateReporters && counts.healthy == 0 ||
+				now-history.accusedSince >= g.roundInterval/2) &&
+				cell.passedOver < cell.maxPassedOver() {
+				cell.passedOver++
+				slices.Sort(counts.slowdowns)
+				report.Slowdown, report.Weight = min(counts.slowdowns[len(counts.slowdowns)/2], maxReportedSlowdown), float64(accusers)
+				if history.lastReport.Weight == 0 {
+					history.releaseDelay = int64(g.rng.Float64() * releaseSpreadNs)
 				}
-				r.lastReport, r.lastReportUntil = w, now+r.releaseDelay+int64(r.relapses)*relapseExtensionNs
+				history.lastReport, history.lastReportUntil = report, now+history.releaseDelay+int64(history.relapses)*relapseExtensionNs
 			}
 		}
 		switch {
 		case !f.Ejected:
-		case said.healthy >= minReporters && said.healthy > against && !selfCut:
-			// Others have seen it well: the rest ends soon, not for all at once.
-			if f.TrialAt > now+h.baseEjection/2 {
-				w.TrialAt = now + int64(h.rng.Float64()*float64(h.baseEjection)/2)
+		case counts.healthy >= minReporters && counts.healthy > accusers && !impaired:
+			// Peers have found it healthy: its ejection ends soon, but not for all aggregators at once.
+			if f.TrialAt > now+g.baseEjection/2 {
+				report.TrialAt = now + int64(g.rng.Float64()*float64(g.baseEjection)/2)
 			}
-		case said.ejected >= minReporters && f.TrialAt > now && r.movedTrialAt != f.TrialAt:
-			// Danger: a hundred aggregators that all try a replica when its rest is over hold it down, and each
-			// loses a query by it. A few tries a rest are enough to find out, and all hear of them.
-			if put := min(float64(aggregators)/trialsPerEjection, maxDelayEjections) - 1; put > 0 {
-				w.TrialAt = f.TrialAt + int64(h.rng.Float64()*put*float64(h.baseEjection))
-				r.movedTrialAt = w.TrialAt
+		case counts.ejected >= minReporters && f.TrialAt > now && history.movedTrialAt != f.TrialAt:
+			// Danger: a hundred aggregators that all try a replica when its ejection ends keep it overloaded, and each
+			// loses a query. A few trials in each ejection are enough, because all aggregators learn their outcome.
+			if delay := min(float64(aggregators)/trialsPerEjection, maxDelayEjections) - 1; delay > 0 {
+				report.TrialAt = f.TrialAt + int64(g.rng.Float64()*delay*float64(g.baseEjection))
+				history.movedTrialAt = report.TrialAt
 			}
 		}
-		if w.Suspect || w.Weight > 0 || w.TrialAt > 0 {
-			h.reports = append(h.reports, w)
+		if report.Suspect || report.Weight > 0 || report.TrialAt > 0 {
+			g.reports = append(g.reports, report)
 		}
 	}
-	for key, r := range h.histories {
+	for key, r := range g.histories {
 		if now-r.lastListed > unlistedRetentionNs {
-			delete(h.histories, key)
+			delete(g.histories, key)
 		}
 	}
-	return h.reports
+	return g.reports
 }
 
-// cellCounts is what is reckoned of the replicas of a cell.
+// cellCounts counts a cell's replicas: all that are listed, and those that shared reports exclude.
 type cellCounts struct{ listed, passedOver int }
 
-// maxPassedOver is how many of them hearsay may have passed over: never one that is alone.
+// maxPassedOver returns how many replicas of the cell shared reports may exclude. A cell's only replica is never
+// excluded.
 func (c *cellCounts) maxPassedOver() int {
 	if c.listed < 2 {
 		return 0
@@ -265,27 +272,29 @@
 	return max(int(maxPassedOverShare*float64(c.listed)), 1)
 }
 
-// mostAccusedFirst are the findings on replicas that are or were spoken of, those that most speak against first.
-func (h *gossip) mostAccusedFirst(s Survey) (order []int) {
+// mostAccusedFirst returns the indexes of the findings on replicas that peers report on or that a shared report
+// excludes, in descending order of accusers.
+func (g *gossip) mostAccusedFirst(s Survey) (order []int) {
 	for i, key := range s.Keys {
-		if h.verdicts[key] != nil || h.histories[key].lastReport.Weight > 0 {
+		if g.verdicts[key] != nil || g.histories[key].lastReport.Weight > 0 {
 			order = append(order, i)
 		}
 	}
-	against := func(i int) int {
-		if c := h.verdicts[s.Keys[i]]; c != nil {
+	accusers := func(i int) int {
+		if c := g.verdicts[s.Keys[i]]; c != nil {
 			return c.accusers()
 		}
 		return 0
 	}
-	slices.SortStableFunc(order, func(i, j int) int { return cmp.Compare(against(j), against(i)) })
+	slices.SortStableFunc(order, func(i, j int) int { return cmp.Compare(accusers(j), accusers(i)) })
 	return order
 }
 
-// selfImpaired tells whether this aggregator itself finds most failing: then others' good word is not for it.
-func (h *gossip) selfImpaired(s Survey) bool {
-	accused := countFailing(s)
-	return accused >= minFailing && float64(accused) > maxFailingShare*float64(len(s.Findings))
+// selfImpaired reports whether this aggregator itself finds too many replicas failing. Then peers' findings in favor of
+// a replica do not apply to it.
+func (g *gossip) selfImpaired(s Survey) bool {
+	failing := countFailing(s)
+	return failing >= minFailing && float64(failing) > maxFailingShare*float64(len(s.Findings))
 }
 
 func countFailing(s Survey) (n int) {
@@ -297,14 +306,15 @@
 	return n
 }
 
-// buildRecord makes this aggregator's record: the gravest first, and what others accuse and it finds well.
-func (h *gossip) buildRecord(now int64, s Survey) Record {
+// buildRecord makes this aggregator's record, with the most severe findings first. It includes replicas that peers
+// accuse and this aggregator finds healthy.
+func (g *gossip) buildRecord(now int64, s Survey) Record {
 	r := Record{Replicas: len(s.Findings), FailingReplicas: countFailing(s)}
 	for i, f := range s.Findings {
 		t := Finding{Key: s.Keys[i], Slowdown: f.Slowdown}
-		well := f.LastSuccess > f.LastFailure && f.LastSuccess > now-healthyForNs
+		healthy := f.LastSuccess > f.LastFailure && f.LastSuccess > now-healthyForNs
 		switch {
-		case f.Ejected && !(well && f.LastFailure == 0):
+		case f.Ejected && !(healthy && f.LastFailure == 0):
 			t.Verdict, t.Age = FoundEjected, now-max(f.LastFailure, f.LastSuccess)
 			if f.LastFailure > 0 {
 				t.Age = now - f.LastFailure
@@ -313,17 +323,18 @@
 			t.Verdict, t.Age = FoundFailing, now-f.LastFailure
 		case f.Samples > 0 && f.Slowdown >= minSlowdown+slowdownMargin/f.Samples && now-f.LastSuccess < findingMaxAgeNs:
 			t.Verdict, t.Age = FoundSlow, max(now-f.LastSuccess, 0)
-		case h.accused[t.Key] && well:
+		case g.accused[t.Key] && healthy:
 			t.Verdict, t.Age = FoundHealthy, now-f.LastSuccess
 		default:
 			continue
 		}
 		r.Findings = append(r.Findings, t)
 	}
-	grave := func(t Finding) float64 {
-		return map[Verdict]float64{FoundEjected: 4000, FoundFailing: 3000, FoundHealthy: 2000, FoundSlow: 1000}[t.Verdict] + math.Min(t.Slowdown, 999)
+	severity := func(t Finding) float64 {
+		return map[Verdict]float64{FoundEjected: 4000, FoundFailing: 3000, FoundHealthy: 2000, FoundSlow: 1000}[t.Verdict] +
+			math.Min(t.Slowdown, 999)
 	}
-	slices.SortStableFunc(r.Findings, func(a, b Finding) int { return cmp.Compare(grave(b), grave(a)) })
+	slices.SortStableFunc(r.Findings, func(a, b Finding) int { return cmp.Compare(severity(b), severity(a)) })
 	r.Findings = r.Findings[:min(len(r.Findings), maxFindings)]
 	return r
 }
--- a/decide/sharedhealth/gossip_test.go
+++ b/decide/sharedhealth/gossip_test.go
@@ -20,7 +20,7 @@
 
 func newTestGossip() *gossip { return newGossip(testRound, testRest, rand.New(rand.NewPCG(1, 2))) }
 
-// healthySurvey is a survey of sound replicas in cells of so many.
+// healthySurvey returns a survey of healthy replicas in cells of the given size.
 func healthySurvey(replicas, cell int) (s Survey) {
 	for i := range replicas {
 		s.Findings = append(s.Findings, balance.Finding{Replica: i, Cell: i / cell, LastSuccess: testNow - 5e9})
@@ -29,9 +29,9 @@
 	return s
 }
 
-func (h *gossip) receive(name string, r Record) {
+func (g *gossip) receive(name string, r Record) {
 	r.Incarnation, r.WrittenAt = max(r.Incarnation, 1), testStoreTime-100*ms
-	h.mergeRecord(testNow, testStoreTime, name, r)
+	g.mergeRecord(testNow, testStoreTime, name, r)
 }
 
 func accusingRecord(keys ...uint64) (r Record) {
@@ -55,16 +55,16 @@
 	h, s := newTestGossip(), healthySurvey(20, 5)
 	h.receive("b", accusingRecord(s.Keys[3]))
 	if w := h.evaluate(testNow, s, 10); len(w) != 0 {
-		t.Errorf("on one witness: %+v", w)
+		t.Errorf("with findings of one peer: %+v", w)
 	}
 	h.receive("c", accusingRecord(s.Keys[3]))
 	w := h.evaluate(testNow, s, 10)
 	if got := passedOver(w); !slices.Equal(got, []int{3}) || !w[0].Suspect || w[0].Expires <= testNow {
-		t.Errorf("on two witnesses: %+v", w)
+		t.Errorf("with findings of two peers: %+v", w)
 	}
 }
 
-// Danger: one that is itself cut off finds most failing; it is not heard on that.
+// Danger: a peer that is itself cut off finds most replicas failing. Its findings of failures must not count.
 func TestCutOffWitness(t *testing.T) {
 	h, s := newTestGossip(), healthySurvey(20, 5)
 	for _, name := range []string{"b", "c", "d"} {
@@ -73,14 +73,14 @@
 		h.receive(name, r)
 	}
 	if w := h.evaluate(testNow, s, 10); len(w) != 0 {
-		t.Errorf("heard those who accuse nine of twenty: %+v", w)
+		t.Errorf("findings of peers that accuse nine of twenty replicas were used: %+v", w)
 	}
 }
 
-// Danger: what a restart or an older store left behind must not be heard again.
+// Danger: a record left by an earlier process or an older state of the store must not be used again.
 func TestFenced(t *testing.T) {
 	h := newTestGossip()
-	take := func(incarnation, sequence uint64, at int64) bool {
+	accept := func(incarnation, sequence uint64, at int64) bool {
 		return h.mergeRecord(testNow, testStoreTime, "b", Record{Incarnation: incarnation, Sequence: sequence, WrittenAt: at})
 	}
 	for i, c := range []struct {
@@ -90,13 +90,13 @@
 	}{{5, 9, testStoreTime, true}, {5, 8, testStoreTime, false}, {4, 99, testStoreTime, false}, {5, 9, testStoreTime, true}, {5, 10, testStoreTime, true},
 		{6, 1, testStoreTime, true}, {5, 11, testStoreTime, false}, {6, 2, testStoreTime - recordMaxAgeRounds*testRound - 1, false},
 		{6, 2, testStoreTime + testRound + 1, false}} {
-		if got := take(c.incarnation, c.sequence, c.at); got != c.want {
-			t.Errorf("%d: %+v was taken: %v", i, c, got)
+		if got := accept(c.incarnation, c.sequence, c.at); got != c.want {
+			t.Errorf("%d: %+v was accepted: %v", i, c, got)
 		}
 	}
 }
 
-// A record counts for a few rounds, then its writer is silent on it.
+// A peer's record counts for a few rounds only.
 func TestForgotten(t *testing.T) {
 	h, s := newTestGossip(), healthySurvey(20, 5)
 	h.receive("b", accusingRecord(s.Keys[3]))
@@ -118,17 +118,17 @@
 	}
 	s.Findings[3].TrialAt = w[0].TrialAt
 	if w := h.evaluate(testNow, s, 100); len(w) != 1 || w[0].TrialAt != 0 {
-		t.Errorf("the same rest is put off again: %+v", w)
+		t.Errorf("the trial of the same ejection is delayed again: %+v", w)
 	}
 	for _, name := range []string{"d", "e", "f"} {
 		h.receive(name, Record{Replicas: 20, Findings: []Finding{{Key: s.Keys[3], Verdict: FoundHealthy}}})
 	}
 	if w := h.evaluate(testNow, s, 100); len(w) != 1 || w[0].TrialAt < testNow || w[0].TrialAt > testNow+testRest/2 {
-		t.Errorf("seen well by more: %+v", w)
+		t.Errorf("found healthy by more peers: %+v", w)
 	}
 }
 
-// Danger: where every replica fails now and then, one failure each at two aggregators is no trouble yet.
+// Danger: where every replica fails now and then, one failure each at two aggregators does not show a fault yet.
 func TestSingleFailures(t *testing.T) {
 	h, s := newTestGossip(), healthySurvey(20, 5)
 	for _, name := range []string{"b", "c"} {
@@ -140,25 +140,27 @@
 		t.Errorf("at once: %+v", w)
 	}
 	if w := h.evaluate(testNow+testRound, s, 10); len(passedOver(w)) != 1 {
-		t.Errorf("a round later, and nobody finds it well: %+v", w)
+		t.Errorf("a round later, and no peer finds it healthy: %+v", w)
 	}
 	for _, name := range []string{"d", "e", "f"} {
 		h.receive(name, Record{Replicas: 20, Findings: []Finding{{Key: s.Keys[3], Verdict: FoundHealthy}}})
 	}
 	if w := h.evaluate(testNow+testRound, s, 10); len(w) != 0 {
-		t.Errorf("more find it well: %+v", w)
+		t.Errorf("more peers find it healthy: %+v", w)
 	}
 }
 
-// Whatever others say: hearsay has no more than a third of a cell passed over and never one that is alone, never on
-// one witness or against as many who find it well, but for a while after; words hold for a few rounds, and no try is put off far.
+// Checks, for any findings of peers: shared reports exclude at most a third of a cell's replicas and never a cell's
+// only one; none excludes a replica on the findings of one peer, or where as many peers find it healthy, except for a
+// while after more peers accused it; a shared report holds for a few rounds, and no trial is delayed by more than
+// maxDelayEjections.
 func TestHearsayBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newTestGossip()
 		cell := rapid.IntRange(1, 6).Draw(t, "holders")
 		s := healthySurvey(cell*rapid.IntRange(1, 4).Draw(t, "cells"), cell)
 		now, clock := testNow, testStoreTime
-		spoken := map[int]int64{} // when it was last rightly spoken against
+		justifiedAt := map[int]int64{} // by replica: when the findings last justified its exclusion
 		for turn := range rapid.IntRange(1, 8).Draw(t, "turns") {
 			for i := range s.Findings {
 				f := &s.Findings[i]
@@ -167,8 +169,8 @@
 					f.LastFailure, f.TrialAt = now, now+rapid.Int64Range(0, 8).Draw(t, "rest")*testRest
 				}
 			}
-			against, well := map[int]int{}, map[int]int{}
-			ages, wells := map[int][]int64{}, map[int][]int64{}
+			accusers, healthy := map[int]int{}, map[int]int{}
+			accusationAges, healthyAges := map[int][]int64{}, map[int][]int64{}
 			for n := range rapid.IntRange(0, 6).Draw(t, "witnesses") {
 				r := Record{Incarnation: 1, Sequence: uint64(turn), WrittenAt: clock, Replicas: len(s.Findings)}
 				for i := range s.Findings {
@@ -181,49 +183,50 @@
 				}
 				h.mergeRecord(now, clock, fmt.Sprint("w", n), r)
 			}
-			for _, w := range h.peers { // with those of earlier turns that still count
+			for _, w := range h.peers { // including records of earlier turns that still count
 				if h.recordAge(now, w) > recordMaxAgeRounds*testRound {
 					continue
 				}
-				for _, said := range w.Findings {
-					i := slices.Index(s.Keys, said.Key)
-					if said.Verdict == FoundHealthy {
-						wells[i] = append(wells[i], h.recordAge(now, w))
+				for _, finding := range w.Findings {
+					i := slices.Index(s.Keys, finding.Key)
+					if finding.Verdict == FoundHealthy {
+						healthyAges[i] = append(healthyAges[i], h.recordAge(now, w))
 					} else if w.credible() {
-						against[i]++
-						ages[i] = append(ages[i], h.recordAge(now, w))
+						accusers[i]++
+						accusationAges[i] = append(accusationAges[i], h.recordAge(now, w))
 					}
 				}
 			}
-			for i, all := range wells { // who found it well before others found it failing says nothing against them
-				slices.Sort(ages[i])
+			// A finding in favor counts only if it is newer than the median of those against the replica.
+			for i, all := range healthyAges {
+				slices.Sort(accusationAges[i])
 				for _, age := range all {
-					if n := len(ages[i]); n == 0 || age < ages[i][n/2] {
-						well[i]++
+					if n := len(accusationAges[i]); n == 0 || age < accusationAges[i][n/2] {
+						healthy[i]++
 					}
 				}
 			}
-			over := map[int]int{}
+			excluded := map[int]int{}
 			for _, w := range h.evaluate(now, s, 100) {
 				if w.Replica < 0 || w.Replica >= len(s.Findings) || w.Slowdown > maxReportedSlowdown || w.Expires > now+reportValidRounds*testRound {
-					t.Fatalf("odd word %+v", w)
+					t.Fatalf("shared report out of bounds: %+v", w)
 				}
 				if f := s.Findings[w.Replica]; w.TrialAt > 0 && (!f.Ejected || w.TrialAt > f.TrialAt+maxDelayEjections*testRest) {
-					t.Fatalf("a try at %+v is put off to %d ms from now", f, (w.TrialAt-now)/ms)
+					t.Fatalf("a trial of %+v is delayed to %d ms from now", f, (w.TrialAt-now)/ms)
 				}
 				if w.Weight > 0 {
-					over[s.Findings[w.Replica].Cell]++
-					if against[w.Replica] >= minReporters && against[w.Replica] > well[w.Replica] {
-						spoken[w.Replica] = now
+					excluded[s.Findings[w.Replica].Cell]++
+					if accusers[w.Replica] >= minReporters && accusers[w.Replica] > healthy[w.Replica] {
+						justifiedAt[w.Replica] = now
 					}
-					if at, is := spoken[w.Replica]; !is || now-at > releaseSpreadNs+maxRelapses*relapseExtensionNs {
-						t.Fatalf("passed over with %d against and %d for it", against[w.Replica], well[w.Replica])
+					if at, is := justifiedAt[w.Replica]; !is || now-at > releaseSpreadNs+maxRelapses*relapseExtensionNs {
+						t.Fatalf("excluded with %d findings against it and %d in favor", accusers[w.Replica], healthy[w.Replica])
 					}
 				}
 			}
-			for _, n := range over {
+			for _, n := range excluded {
 				if n > max(cell/3, 1) || cell == 1 {
-					t.Fatalf("of %d holders %d are passed over by hearsay", cell, n)
+					t.Fatalf("of %d replicas of a cell %d are excluded by shared reports", cell, n)
 				}
 			}
 			now, clock = now+testRound, clock+testRound
@@ -234,10 +237,14 @@
 func TestTrust(t *testing.T) {
 	c := rand.New(rand.NewPCG(4, 4))
 	tr := storeMonitor{interval: testRound, timeout: 150 * ms, rng: c, lastGood: testNow - 2*unreachableAfterRounds*testRound}
-	now, told := testNow, ""
-	note := func() { told += tr.state.String() + " " }
-	good := func(took int64, odd bool) { now += testRound; tr.roundSucceeded(now, took, odd); note() }
-	bad := func() { now += testRound; tr.roundFailed(now); note() }
+	now, states := testNow, ""
+	addState := func() { states += tr.state.String() + " " }
+	good := func(duration int64, contradicted bool) {
+		now += testRound
+		tr.roundSucceeded(now, duration, contradicted)
+		addState()
+	}
+	bad := func() { now += testRound; tr.roundFailed(now); addState() }
 	for range 3 {
 		good(2*ms, false)
 	}
@@ -258,12 +265,12 @@
 	want := "back back fresh slow fresh " +
 		"slow slow slow slow stale stale stale stale stale stale stale stale lost " +
 		"back back fresh distrusted distrusted back back fresh "
-	if told != want {
-		t.Errorf("got  %s\nwant %s", told, want)
+	if states != want {
+		t.Errorf("got  %s\nwant %s", states, want)
 	}
 }
 
-// Danger: those who lost a store together must not come back together.
+// Danger: aggregators that lose the store together must not return to it together.
 func TestSpread(t *testing.T) {
 	var waits []int64
 	for i := range 200 {
@@ -275,6 +282,6 @@
 	}
 	slices.Sort(waits)
 	if spread := waits[190] - waits[10]; spread < 20*testRound || waits[199] > maxBackoffNs+testRound {
-		t.Errorf("from %d to %d ms", waits[0]/ms, waits[199]/ms)
+		t.Errorf("waits from %d to %d ms", waits[0]/ms, waits[199]/ms)
 	}
 }
--- a/decide/sharedhealth/quota.go
+++ b/decide/sharedhealth/quota.go
@@ -7,52 +7,53 @@
 )
 
 const (
-	minWindow            = 10 * int64(time.Second) // a quota is counted in windows of so long at least,
-	tokensPerAggregator  = 10                      // or as long as so many of its queries take at each aggregator
-	maxWindow            = 6 * minWindow           // and no longer than that
-	requestShareDecrease = 0.7                     // times what is asked for after a refusal,
-	requestShareIncrease = 0.1                     // more of the need after a grant,
-	minRequestShare      = 0.01                    // and never less than that
-	earlyGrantShare      = 0.2                     // of a window's tokens that may be leased before their time
-	unitsPerToken        = 1000                    // of a token: what the store counts in
-	savedWindows         = 8                       // windows that unspent tokens are saved over
-	leaseAheadFrom       = 0.5                     // of a window: from there on the next one's are leased as well
-	leaseHeadroom        = 1.25                    // a lease is for so many times the queries that are expected
-	demandSmoothing      = 0.3                     // of the newest survey in what is expected
-	maxRateStep          = 0.25                    // of the larger of two rates: how far a local rate moves in a window
-	membersWindowNs      = 60e9                    // ns that the highest number of aggregators is reckoned with
+	minWindow            = 10 * int64(time.Second) // ns: the shortest window in which a quota's tokens are counted
+	tokensPerAggregator  = 10                      // tokens for each aggregator that a window is long enough for, up to maxWindow
+	maxWindow            = 6 * minWindow           // ns: the longest window
+	requestShareDecrease = 0.7                     // factor on the requested share of the need after a rejection
+	requestShareIncrease = 0.1                     // added to the requested share of the need after a full grant
+	minRequestShare      = 0.01                    // lowest share of the need that is requested
+	earlyGrantShare      = 0.2                     // share of a window's tokens that may be leased ahead of time
+	unitsPerToken        = 1000                    // the store counts in thousandths of a token
+	savedWindows         = 8                       // number of windows over which unspent tokens accumulate
+	leaseAheadFrom       = 0.5                     // share of a window after which the next one's tokens are requested too
+	leaseHeadroom        = 1.25                    // factor on the expected queries for which tokens are requested
+	demandSmoothing      = 0.3                     // weight of the newest value in the averages of demand and leased tokens
+	maxRateStep          = 0.25                    // largest change of a local rate in a window, as a share of the larger rate
+	membersWindowNs      = 60e9                    // ns for which the highest number of aggregators seen counts
 )
 
-// Quota is what one customer may ask for over all aggregators.
+// Quota is the number of queries that one customer may send to all aggregators together.
 type Quota struct {
 	Customer string
 	Rate     float64 // queries a second
-	Burst    float64 // queries that may be saved up
+	Burst    float64 // queries that may accumulate unused
 }
 
-// quotaWindow is a quota with its windows, which all aggregators must reckon alike.
+// quotaWindow is a quota with the length of its windows. All aggregators must compute the same values.
 type quotaWindow struct {
 	Quota
 	length int64 // ns
-	base   int64 // what a window bears without what was saved, in units
+	base   int64 // units that a window provides, apart from those carried over
 }
 
-// newQuotaWindow makes a quota's row for the number of aggregators that the deployment states.
+// newQuotaWindow returns a quota's windows for the number of aggregators that the deployment states.
 //
-// Danger: where many aggregators each have a query now and then, short windows leave most tokens with those who have
-// none just then.
+// Danger: where each of many aggregators gets a query only now and then, short windows leave most tokens with
+// aggregators that have no query at that time.
 func newQuotaWindow(q Quota, aggregators int) quotaWindow {
 	seconds := math.Ceil(tokensPerAggregator * float64(max(aggregators, 1)) / q.Rate)
 	w := min(max(minWindow, int64(seconds)*int64(time.Second)), maxWindow)
 	return quotaWindow{q, w, int64(q.Rate * float64(w) / 1e9 * unitsPerToken)}
 }
 
-// TokenRequest asks the store for tokens of one window: Units are added to the window's count. Below 0 they are given back.
+// TokenRequest asks the store for tokens of one window by adding Units to the window's count. Negative Units return
+// tokens.
 type TokenRequest struct {
 	Quota  int
-	Window int64 // its number: the store's clock over the window's length
+	Window int64 // number of the window: the store's time divided by the window's length
 	Units  int64
-	TTL    int64 // after this the count may go, ns
+	TTL    int64 // ns after which the store may delete the count
 }
 
 // Lease is a number of tokens that may be spent between two times of this aggregator's own clock.
@@ -62,42 +63,44 @@
 	From, Until int64
 }
 
-// LocalRate is the rate at which a customer is let in by this aggregator's own reckoning; 0 while leases come.
+// LocalRate is the rate at which this aggregator admits a customer's queries without leases; 0 while it gets leases.
 type LocalRate struct {
 	Quota int
 	Rate  float64 // tokens a second
 }
 
-// leaseManager leases tokens of each quota from the store, and reckons a share where there is no store to ask.
+// leaseManager leases tokens of each quota from the store. While the store cannot be used it sets local rates instead.
 type leaseManager struct {
 	rng     *rand.Rand
 	windows []quotaWindow
 	states  []leaseState
 }
 
+// leaseState is what is known about the tokens of one quota.
 type leaseState struct {
-	demand         float64 // queries expected in a second
-	tokensLeft     float64 // in the purse, at the last survey
-	carryWindow    int64   // the newest that saved is known for, 0 for none
-	carriedUnits   int64   // units that this window has beyond its base
-	leasedByWindow map[int64]float64
-	requestShare   float64        // share of what is needed that is asked for
-	toReturn       []TokenRequest // that were counted and brought nothing: they are taken back, once
-	rate           float64        // tokens leased a second, lately; or the local rate
+	demand         float64           // queries a second that are expected
+	tokensLeft     float64           // unspent tokens at the last survey
+	carryWindow    int64             // the newest window for which carriedUnits is known; 0 for none
+	carriedUnits   int64             // units that this window has in addition to its base
+	leasedByWindow map[int64]float64 // tokens leased, by window
+	requestShare   float64           // share of the needed tokens that is requested
+	toReturn       []TokenRequest    // units counted by the store but not granted, to be returned in the next round
+	rate           float64           // tokens leased a second, smoothed; or the local rate while usesLocalRate
 	usesLocalRate  bool
-	steppedAt      int64 // the local rate moved last
+	steppedAt      int64 // when the local rate last changed
 }
 
-func newLeaseManager(now int64, quotas []Quota, aggregators int, chance *rand.Rand) *leaseManager {
-	l := &leaseManager{rng: chance, states: make([]leaseState, len(quotas))}
-	for i, q := range quotas { // as a purse begins
+func newLeaseManager(now int64, quotas []Quota, aggregators int, rng *rand.Rand) *leaseManager {
+	l := &leaseManager{rng: rng, states: make([]leaseState, len(quotas))}
+	for i, q := range quotas { // a QuotaBudget starts in the same way
 		l.windows = append(l.windows, newQuotaWindow(q, aggregators))
-		l.states[i] = leaseState{requestShare: 1, leasedByWindow: map[int64]float64{}, rate: q.localShare(aggregators), usesLocalRate: true, steppedAt: now}
+		l.states[i] = leaseState{requestShare: 1, leasedByWindow: map[int64]float64{}, rate: q.localShare(aggregators),
+			usesLocalRate: true, steppedAt: now}
 	}
 	return l
 }
 
-// recordSurvey takes in what was asked for and what is left, over a span of time.
+// recordSurvey records the demand in a span of time, ns, and the unspent tokens.
 func (l *leaseManager) recordSurvey(s Survey, span int64) {
 	for i := range l.states {
 		if i < len(s.Demand) && span > 0 {
@@ -108,45 +111,49 @@
 	}
 }
 
-// buildRequests are the counts to read and the tokens to take in the next round; clock is the store's time, in bounds.
-func (l *leaseManager) buildRequests(low, high, every int64) (reads []CountRead, takes []TokenRequest) {
+// buildRequests returns the counts to read and the tokens to request in the next round. The store's time is between low
+// and high; interval is the time from this round to the next, ns.
+func (l *leaseManager) buildRequests(low, high, interval int64) (reads []CountRead, requests []TokenRequest) {
 	for i, q := range l.windows {
 		a, length := &l.states[i], q.length
 		w := low / length
 		if a.carryWindow != w && q.Burst > 0 && w == high/length {
 			reads = append(reads, CountRead{i, w})
 		}
-		for _, back := range a.toReturn {
-			if back.Window >= w {
-				takes = append(takes, back)
+		for _, returned := range a.toReturn {
+			if returned.Window >= w {
+				requests = append(requests, returned)
 			}
 		}
 		a.toReturn = a.toReturn[:0]
-		span := float64(min(2*every, length)) / 1e9
+		span := float64(min(2*interval, length)) / 1e9
 		need := math.Ceil(a.demand*span*leaseHeadroom - a.tokensLeft)
 		if a.demand > 0 && a.tokensLeft < 1 {
 			need = max(need, 1)
 		}
-		if most := float64(q.base+a.carriedUnits) / unitsPerToken; need > most {
-			need = most
+		if limit := float64(q.base+a.carriedUnits) / unitsPerToken; need > limit {
+			need = limit
 		}
 		if units := l.requestUnits(a, need); units > 0 {
-			takes = append(takes, TokenRequest{i, w, units, (savedWindows + 2) * length})
+			requests = append(requests, TokenRequest{i, w, units, (savedWindows + 2) * length})
 		}
-		if into := float64(high%length) / float64(length); into >= leaseAheadFrom && a.demand > 0 {
-			ahead := min(max(math.Ceil(a.demand*span*leaseHeadroom), 1)-a.leasedByWindow[w+1], earlyGrantShare*float64(q.base)/unitsPerToken)
+		if elapsed := float64(high%length) / float64(length); elapsed >= leaseAheadFrom && a.demand > 0 {
+			ahead := min(max(math.Ceil(a.demand*span*leaseHeadroom), 1)-a.leasedByWindow[w+1],
+				earlyGrantShare*float64(q.base)/unitsPerToken)
 			if units := l.requestUnits(a, ahead); units > 0 {
-				takes = append(takes, TokenRequest{i, w + 1, units, (savedWindows + 3) * length})
+				requests = append(requests, TokenRequest{i, w + 1, units, (savedWindows + 3) * length})
 			}
 		}
 	}
-	return reads, takes
+	return reads, requests
 }
 
-// requestUnits is how much of a need is asked for now, in units: whole tokens, by chance where it is less than one.
+// requestUnits returns how much of a need is requested now, in units. It requests whole tokens and rounds a fraction up
+// or down at random.
 //
-// Danger: what a hundred aggregators ask in vain stands in the count until they take it back; where each asked for all
-// it needs at every round, nobody would get what the time brings. So each asks for less after a refusal.
+// Danger: tokens that a hundred aggregators request in vain stay in the window's count until they are returned. If each
+// requested all that it needs in every round, none would get the tokens that become available. So each requests a
+// smaller share after a rejection.
 func (l *leaseManager) requestUnits(a *leaseState, need float64) int64 {
 	if need <= 0 {
 		return 0
@@ -155,43 +162,46 @@
 	return int64(tokens) * unitsPerToken
 }
 
-// CountRead asks the store for a quota's counts of the windows before one, the newest first.
+// CountRead asks the store for a quota's counts of the windows before the given one, the newest first.
 type CountRead struct {
 	Quota  int
 	Window int64
 }
 
-// Windows is how many windows a Read goes back.
+// Windows returns how many windows a CountRead covers.
 func (CountRead) Windows() int { return savedWindows }
 
-// applyCounts takes in the counts of the windows before: what they left unspent is saved, up to the burst.
+// applyCounts derives the unspent tokens of earlier windows from their counts. They are carried over, up to the burst.
 //
-// All aggregators reckon the same: a window's count can still rise after its end, but what is granted then is
-// expired when it comes, for its holder's clock is never behind the store's.
+// All aggregators compute the same result. The count of a window can still rise after its end, but tokens granted so
+// late have expired when they arrive, because the lease holder's estimate of the store's time is never behind that
+// time.
 func (l *leaseManager) applyCounts(r CountRead, counts []int64) {
 	a, q := &l.states[r.Quota], l.windows[r.Quota]
-	saved := int64(0)
+	carried := int64(0)
 	for i := len(counts) - 1; i >= 0; i-- {
-		saved = min(max(saved+q.base-max(counts[i], 0), 0), int64(q.Burst*unitsPerToken))
+		carried = min(max(carried+q.base-max(counts[i], 0), 0), int64(q.Burst*unitsPerToken))
 	}
-	a.carryWindow, a.carriedUnits = r.Window, saved
+	a.carryWindow, a.carriedUnits = r.Window, carried
 }
 
-// applyGrant is what a take brought, total being the window's count after it. Danger: counts that were lost by the
-// store are granted a second time; no more than a window's worth each time, and a falling count is a contradiction.
-func (l *leaseManager) applyGrant(t TokenRequest, total, clock int64) float64 {
+// applyGrant returns the tokens that a request brought, where total is the window's count after it. Danger: if the
+// store loses counts, their tokens are granted a second time. That is limited to the tokens of one window each time,
+// and a store that fell back to lower counts is treated as contradicting itself.
+func (l *leaseManager) applyGrant(t TokenRequest, total, storeTime int64) float64 {
 	a, q := &l.states[t.Quota], l.windows[t.Quota]
-	// A window's tokens come as its time goes by: who asks first does not have them all.
-	into := float64(clock-t.Window*q.length) / float64(q.length)
-	limit := int64(min(max(into, 0)+earlyGrantShare, 1) * float64(q.base))
+	// A window's tokens become available as its time passes, so that the first aggregator to ask does not get them all.
+	elapsed := float64(storeTime-t.Window*q.length) / float64(q.length)
+	limit := int64(min(max(elapsed, 0)+earlyGrantShare, 1) * float64(q.base))
 	if a.carryWindow == t.Window {
 		limit += a.carriedUnits
 	}
 	units := min(max(limit-(total-t.Units), 0), t.Units)
-	// Danger: what is asked in vain stays counted and would shut out who asks later. What the store may not have
-	// heard is not taken back, for it would then count for less than was granted.
-	if rest := t.Units - units; rest > 0 {
-		a.toReturn = append(a.toReturn, TokenRequest{t.Quota, t.Window, -rest, t.TTL})
+	// Danger: units requested in vain stay in the count and would block later requests, so they are returned. Units of
+	// a request that the store may not have received are never returned, because the count would then be lower than
+	// what was granted.
+	if rejected := t.Units - units; rejected > 0 {
+		a.toReturn = append(a.toReturn, TokenRequest{t.Quota, t.Window, -rejected, t.TTL})
 		a.requestShare = max(a.requestShare*requestShareDecrease, minRequestShare)
 	} else {
 		a.requestShare = min(a.requestShare+requestShareIncrease, 1)
@@ -199,8 +209,9 @@
 	return float64(units) / unitsPerToken
 }
 
-// makeLease makes a lease of what was granted. sent is when the round left, clock what the store told in it.
-func (l *leaseManager) makeLease(now, sent, clock int64, t TokenRequest, tokens float64) (Lease, bool) {
+// makeLease converts granted tokens into a lease and reports whether it can still be used. sent is the time at which
+// the round was sent, storeTime the store's clock in its reply.
+func (l *leaseManager) makeLease(now, sent, storeTime int64, t TokenRequest, tokens float64) (Lease, bool) {
 	a, length := &l.states[t.Quota], l.windows[t.Quota].length
 	for w := range a.leasedByWindow {
 		if w < t.Window-2 {
@@ -208,26 +219,28 @@
 		}
 	}
 	a.leasedByWindow[t.Window] += tokens
-	// The store's time is at most clock + now - sent: by that reckoning no lease outlives its window.
-	from, until := sent+t.Window*length-clock, sent+(t.Window+1)*length-clock
+	// The store's time is now at most clock + now - sent. Computed from that bound, no lease outlives its window.
+	from, until := sent+t.Window*length-storeTime, sent+(t.Window+1)*length-storeTime
 	return Lease{t.Quota, tokens, from, until}, tokens > 0 && until > now
 }
 
-// localShare is what one of so many aggregators may let in by itself, tokens a second.
+// localShare returns the rate at which one of this many aggregators may admit queries on its own, tokens a second.
 func (q Quota) localShare(aggregators int) float64 { return q.Rate / float64(max(aggregators, 1)) }
 
-// localRates moves the local rates: towards the share while the store does not lease, and to none when it does.
+// localRates moves the local rates towards the local share while the store grants no leases, and resets them to 0 when
+// it does. It returns the rates that have changed.
 //
-// Danger: a store that goes would cut every customer to a hundredth where demand is uneven, or let each in a
-// hundred times where nobody counts: the rate starts from what was leased lately and moves in small steps.
-func (l *leaseManager) localRates(now int64, leasing bool, aggregators int) (out []LocalRate) {
+// Danger: when the store fails, a switch to equal shares among a hundred aggregators would cut a customer whose queries
+// all reach one of them to a hundredth of its quota, and no limit would admit its quota a hundred times. So a rate
+// starts from what was leased recently and moves in small steps.
+func (l *leaseManager) localRates(now int64, leasing bool, aggregators int) (changed []LocalRate) {
 	for i, q := range l.windows {
 		a := &l.states[i]
-		was, wasLocal := a.rate, a.usesLocalRate
+		previousRate, wasLocal := a.rate, a.usesLocalRate
 		if leasing {
 			if a.usesLocalRate {
 				a.usesLocalRate = false
-				out = append(out, LocalRate{i, 0})
+				changed = append(changed, LocalRate{i, 0})
 			}
 			continue
 		}
@@ -241,14 +254,15 @@
 			a.rate += min(max(share-a.rate, -step), step)
 			a.steppedAt = now
 		}
-		if a.rate != was || !wasLocal {
-			out = append(out, LocalRate{i, a.rate})
+		if a.rate != previousRate || !wasLocal {
+			changed = append(changed, LocalRate{i, a.rate})
 		}
 	}
-	return out
+	return changed
 }
 
-// recordLeaseRate notes the rate at which tokens come, for the time when they no longer do.
+// recordLeaseRate updates the smoothed rates of leased tokens with those of the last span, ns, by quota. When leases end,
+// the local rate starts from it.
 func (l *leaseManager) recordLeaseRate(span int64, tokens []float64) {
 	for i := range l.states {
 		if span > 0 {
@@ -257,46 +271,49 @@
 	}
 }
 
-// QuotaBudget holds what this aggregator may spend of each quota. It belongs to the one who admits queries and asks
-// nobody: Spend takes no lock and no time.
+// QuotaBudget holds what this aggregator may spend of each quota. It belongs to the goroutine that admits queries, and
+// Spend takes no lock and never waits.
 type QuotaBudget struct {
 	customers    []customerBudget
-	lastReceived int64 // the last allowance, or the start
+	lastReceived int64 // when the last round result arrived, or the start
 }
 
+// customerBudget is what may be spent of one quota.
 type customerBudget struct {
 	leases       []Lease
-	localRate    float64 // local, tokens a second
-	savedTokens  float64 // of the local rate
+	localRate    float64 // tokens a second that may be spent without a lease
+	savedTokens  float64 // tokens accumulated at the local rate
 	updatedAt    int64
-	demand       float64 // since the last survey
-	fallbackRate float64 // tokens a second, where nothing is heard
+	demand       float64 // queries since the last survey
+	fallbackRate float64 // tokens a second while no round results arrive
 }
 
 const (
-	maxLeases        = 32   // that a pocket holds
-	silenceTimeoutNs = 10e9 // ns without an allowance: then the share holds
-	maxSavedTokens   = 1.0  // tokens that a local rate saves up, or half a second's
+	maxLeases        = 32   // leases that a customerBudget holds
+	silenceTimeoutNs = 10e9 // ns without a round result after which fallbackRate applies
+	maxSavedTokens   = 1.0  // tokens that accumulate at a local rate; half a second's worth of it if that is more
 )
 
-// NewQuotaBudget makes a purse for one of so many aggregators; until it hears more it lets in its share.
+// NewQuotaBudget returns the budget of one of this many aggregators. It admits queries at the local share until a round
+// result says otherwise.
 func NewQuotaBudget(now int64, quotas []Quota, aggregators int) *QuotaBudget {
-	p := &QuotaBudget{lastReceived: now}
+	b := &QuotaBudget{lastReceived: now}
 	for _, q := range quotas {
 		share := q.localShare(aggregators)
-		p.customers = append(p.customers, customerBudget{localRate: share, fallbackRate: share, updatedAt: now})
+		b.customers = append(b.customers, customerBudget{localRate: share, fallbackRate: share, updatedAt: now})
 	}
-	return p
+	return b
 }
 
-// Spend takes one query of a customer in and tells whether it is within its quota.
+// Spend counts a query of a customer and reports whether it is within the quota.
 //
-// Danger: with a dead carrier nobody would have tokens, or an old rate would hold for ever: then the share does.
-func (p *QuotaBudget) Spend(now int64, quota int) bool {
-	r := &p.customers[quota]
+// Danger: if the client of the store stops, there would be no tokens at all, or an outdated local rate would apply
+// forever. After silenceTimeoutNs fallbackRate applies instead.
+func (b *QuotaBudget) Spend(now int64, quota int) bool {
+	r := &b.customers[quota]
 	r.demand++
 	r.advance(now)
-	if now-p.lastReceived > silenceTimeoutNs {
+	if now-b.lastReceived > silenceTimeoutNs {
 		r.localRate = r.fallbackRate
 	}
 	for i := range r.leases {
@@ -312,7 +329,7 @@
 	return false
 }
 
-// advance lets time pass.
+// advance removes expired leases and adds the tokens of the local rate up to now.
 func (r *customerBudget) advance(now int64) {
 	kept := r.leases[:0]
 	for _, l := range r.leases {
@@ -325,16 +342,16 @@
 	r.updatedAt = now
 }
 
-// Apply takes in what was allowed.
-func (p *QuotaBudget) Apply(now int64, leases []Lease, locals []LocalRate) {
-	p.lastReceived = now
+// Apply adds new leases and sets local rates from a round result.
+func (b *QuotaBudget) Apply(now int64, leases []Lease, locals []LocalRate) {
+	b.lastReceived = now
 	for _, l := range leases {
-		if r := &p.customers[l.Quota]; len(r.leases) < maxLeases {
+		if r := &b.customers[l.Quota]; len(r.leases) < maxLeases {
 			r.leases = append(r.leases, l)
 		}
 	}
 	for _, l := range locals {
-		r := &p.customers[l.Quota]
+		r := &b.customers[l.Quota]
 		r.advance(now)
 		if r.localRate = l.Rate; l.Rate == 0 {
 			r.savedTokens = 0
@@ -342,10 +359,10 @@
 	}
 }
 
-// AppendSurvey adds to s what was asked for since the last one, and what is left.
-func (p *QuotaBudget) AppendSurvey(now int64, s *Survey) {
-	for i := range p.customers {
-		r := &p.customers[i]
+// AppendSurvey appends to s, for each quota, the queries since the last survey and the unspent leased tokens.
+func (b *QuotaBudget) AppendSurvey(now int64, s *Survey) {
+	for i := range b.customers {
+		r := &b.customers[i]
 		r.advance(now)
 		left := 0.0
 		for _, l := range r.leases {
--- a/decide/sharedhealth/quota_test.go
+++ b/decide/sharedhealth/quota_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// fleetModel explores a fleet of a few aggregators with the true deciders and purses against a store whose rounds are
-// delayed, lost on the way there or back, and which falls back to an older state; aggregators restart.
+// fleetModel explores a fleet of a few aggregators, with real Exchanges and QuotaBudgets, against a store. Requests and
+// replies are delayed and lost, the store falls back to older states, and aggregators restart.
 type fleetModel struct {
 	t         *testing.T
 	rng       *rand.Rand
@@ -19,8 +19,8 @@
 	tokens    map[string]int64
 	presence  map[string][]byte
 	snapshots []map[string]int64
-	spent     []int64 // times
-	rollbacks []int64 // times at which the store went back
+	spent     []int64 // times at which a token was spent
+	rollbacks []int64 // times at which the store fell back to an older state
 	faults    bool
 	steps     int
 }
@@ -31,7 +31,7 @@
 	budget           *QuotaBudget
 	starts           int
 	pending          *Request
-	reply            *Reply // on its way back
+	reply            *Reply // on its way back; nil while the request has not arrived
 	replyArrivesAt   int64
 	requestArrivesAt int64
 	restarts         []int64
@@ -79,7 +79,7 @@
 	return r
 }
 
-// step does one thing that may happen next.
+// step does one randomly chosen thing.
 func (m *fleetModel) step() {
 	m.steps++
 	n := m.nodes[m.rng.IntN(len(m.nodes))]
@@ -91,14 +91,14 @@
 	switch x := m.rng.IntN(100); {
 	case x < 30:
 		m.now += m.rng.Int64N(5 * ms)
-	case x < 65: // a greedy customer
+	case x < 65: // a greedy customer sends a query
 		if n.budget.Spend(m.now, 0) {
 			m.recordSpend()
 		}
 	case x < 90:
 		m.advanceRound(n)
 	case !m.faults:
-	case x < 92 && n.pending != nil: // lost there, or on the way back
+	case x < 92 && n.pending != nil: // the request or its reply is lost
 		n.requestArrivesAt, n.replyArrivesAt = 1<<62, 1<<62
 	case x < 94 && m.rng.IntN(60) == 0:
 		m.start(n)
@@ -116,7 +116,7 @@
 	}
 }
 
-// advanceRound moves a node's round a step on.
+// advanceRound moves a node's round one step forward.
 func (m *fleetModel) advanceRound(n *modelNode) {
 	delay := func() int64 {
 		if m.faults && m.rng.IntN(10) == 0 {
@@ -144,7 +144,7 @@
 	}
 }
 
-// recordSpend books a token and checks the bounds over the last spans of time.
+// recordSpend records a spent token and checks the bounds over several spans of time up to now.
 func (m *fleetModel) recordSpend() {
 	m.spent = append(m.spent, m.now)
 	w := newQuotaWindow(m.quota, len(m.nodes)).length
@@ -153,7 +153,8 @@
 		for i := len(m.spent) - 1; i >= 0 && m.spent[i] >= from; i-- {
 			n++
 		}
-		// What leases allow, and the shares of the first rounds, before any were asked for.
+		// The limit is what leases allow, and the local shares of the first rounds, in which no tokens can be requested
+		// yet.
 		limit := m.quota.Rate*float64(span+2*w)/1e9 + m.quota.Burst + m.quota.Rate*float64(4*modelRoundInterval)/1e9 +
 			float64(len(m.nodes))
 		if m.faults {
@@ -183,7 +184,7 @@
 	}
 }
 
-// TestLeases explores over a million steps: the bound on what is spent is never passed over.
+// TestLeases explores over a million steps: the bound on spent tokens always holds.
 func TestLeases(t *testing.T) {
 	const seeds, steps = 40, 100_000
 	explored, spent := 0, 0
@@ -200,7 +201,7 @@
 	}
 }
 
-// With a good store a quota is nearly used up by who asks for more than it allows.
+// If the store works, a customer that asks for more than its quota gets nearly all of it.
 func TestLeasesAreUsed(t *testing.T) {
 	m := newModel(t, 10, false)
 	for range 100_000 {
@@ -217,7 +218,7 @@
 	}
 }
 
-// A rate of one's own starts from what was leased, moves in small steps, and ends when leases come again.
+// A local rate starts from what was leased, moves in small steps, and ends when there are leases again.
 func TestLocalSteps(t *testing.T) {
 	l := newLeaseManager(0, []Quota{{"a", 40, 0}}, 10, rand.New(rand.NewPCG(1, 1)))
 	l.states[0].rate = 20
@@ -238,7 +239,8 @@
 	}
 }
 
-// Danger: a dead carrier leaves a rate that was meant for a moment; after a while the share holds.
+// Danger: if round results stop arriving, a local rate would apply forever that was meant for a moment. After a while
+// the local share applies instead.
 func TestPurseAlone(t *testing.T) {
 	p := NewQuotaBudget(0, []Quota{{"a", 100, 0}}, 10)
 	p.Apply(0, nil, []LocalRate{{0, 90}})
--- a/decide/sharedhealth/record.go
+++ b/decide/sharedhealth/record.go
@@ -10,103 +10,105 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// A record is one byte of form, fields in the wire form of protocol buffers, and four bytes of checksum over all
-// before. A reader passes over fields that it does not know; a form that it does not know it refuses whole.
+// An encoded record is a byte for the format, fields in the wire format of protocol buffers, and a checksum of four
+// bytes over all of that. A reader skips fields that it does not know, and rejects a record of a format that it does
+// not know.
 const (
 	currentFormat  = 1
 	checksumBytes  = 4
-	maxRecordBytes = 4 << 10 // bytes: what is longer was not written by this program
-	maxFindings    = 64      // in one record, the gravest first
-	maxNameBytes   = 128     // bytes of an aggregator's name
+	maxRecordBytes = 4 << 10 // a longer value was not written by this program
+	maxFindings    = 64      // in one record; the most severe ones are kept
+	maxNameBytes   = 128     // of an aggregator's name
 
 	fieldIncarnation, fieldSequence, fieldWrittenAt, fieldReplicas, fieldFailingReplicas, fieldFinding = 1, 2, 3, 4, 5, 6
 	fieldKey, fieldVerdict, fieldSlowdown, fieldAge                                                    = 1, 2, 3, 4
 
-	slowdownScale      = 16 // a pace travels in sixteenths
-	maxEncodedSlowdown = 64 // times the typical
+	slowdownScale      = 16 // a slowdown is encoded in sixteenths
+	maxEncodedSlowdown = 64 // the highest slowdown that can be encoded
 )
 
-// Verdict is what an aggregator found of a replica.
+// Verdict is an aggregator's assessment of a replica.
 type Verdict uint8
 
 const (
-	FoundSlow    Verdict = iota + 1 // it serves, and takes long
-	FoundFailing                    // one failure since it last served
-	FoundEjected                    // set aside for failures
-	FoundHealthy                    // it served lately, and nothing has failed since
+	FoundSlow    Verdict = iota + 1 // it answers, but slowly
+	FoundFailing                    // it has failed since it last answered
+	FoundEjected                    // it is ejected for failures
+	FoundHealthy                    // it answered recently and has not failed since
 	verdictEnd
 )
 
-// Finding is one aggregator's finding on one replica, as it travels.
+// Finding is one aggregator's assessment of one replica in a record.
 type Finding struct {
-	Key      uint64 // of the replica's incarnation: see Key
+	Key      uint64 // identifies the replica's incarnation: see ReplicaKey
 	Verdict  Verdict
-	Slowdown float64 // its time for a call over the typical one, 0 where not known
-	Age      int64   // since it was found, at the time of writing, ns
+	Slowdown float64 // its time for a call relative to the typical one; 0 if not known
+	Age      int64   // how long before the record was written this was observed, ns
 }
 
-// Record is what one aggregator tells. Incarnation and Sequence fence it: what an earlier process of that name left
-// behind has a lower incarnation, and an older state of the store a lower sequence.
+// Record is what one aggregator publishes. Incarnation and Sequence tell which of two records is newer: one left by an
+// earlier process of that name has a lower incarnation, and one from an older state of the store has a lower sequence.
 type Record struct {
 	Incarnation     uint64
 	Sequence        uint64
-	WrittenAt       int64 // the store's clock when it was written, as its writer reckons it, ns
-	Replicas        int   // how many it knows
-	FailingReplicas int   // on how many of them it has a failure to tell, be they in the record or not
+	WrittenAt       int64 // the store's time when the record was written, as its writer estimates it, ns
+	Replicas        int   // number of replicas that the writer knows
+	FailingReplicas int   // how many of them are ejected or failed last, including those left out of Findings
 	Findings        []Finding
 }
 
-// ReplicaKey names a replica's incarnation to all aggregators alike: its host and when it started, ms of Unix time.
-func ReplicaKey(host string, born int64) uint64 {
+// ReplicaKey identifies a replica's incarnation in the same way for all aggregators: by its host and its start time in
+// ms of Unix time.
+func ReplicaKey(host string, startedMs int64) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	d.WriteString(host)
-	d.Write(binary.LittleEndian.AppendUint64(nil, uint64(born)))
+	d.Write(binary.LittleEndian.AppendUint64(nil, uint64(startedMs)))
 	return d.Sum64()
 }
 
-// Append encodes a record behind b.
+// Append encodes the record and appends it to b.
 func (r Record) Append(b []byte) []byte {
 	from := len(b)
 	b = append(b, currentFormat)
-	number := func(field protowire.Number, v uint64) {
+	appendNumber := func(field protowire.Number, v uint64) {
 		if v != 0 {
 			b = protowire.AppendVarint(protowire.AppendTag(b, field, protowire.VarintType), v)
 		}
 	}
-	number(fieldIncarnation, r.Incarnation)
-	number(fieldSequence, r.Sequence)
-	number(fieldWrittenAt, uint64(max(r.WrittenAt, 0)))
-	number(fieldReplicas, uint64(r.Replicas))
-	number(fieldFailingReplicas, uint64(r.FailingReplicas))
-	var one []byte
+	appendNumber(fieldIncarnation, r.Incarnation)
+	appendNumber(fieldSequence, r.Sequence)
+	appendNumber(fieldWrittenAt, uint64(max(r.WrittenAt, 0)))
+	appendNumber(fieldReplicas, uint64(r.Replicas))
+	appendNumber(fieldFailingReplicas, uint64(r.FailingReplicas))
+	var encoded []byte
 	for _, t := range r.Findings[:min(len(r.Findings), maxFindings)] {
-		one = protowire.AppendTag(one[:0], fieldKey, protowire.Fixed64Type)
-		one = protowire.AppendFixed64(one, t.Key)
-		one = protowire.AppendVarint(protowire.AppendTag(one, fieldVerdict, protowire.VarintType), uint64(t.Verdict))
-		if pace := uint64(math.Round(min(max(t.Slowdown, 0), maxEncodedSlowdown) * slowdownScale)); pace > 0 {
-			one = protowire.AppendVarint(protowire.AppendTag(one, fieldSlowdown, protowire.VarintType), pace)
+		encoded = protowire.AppendTag(encoded[:0], fieldKey, protowire.Fixed64Type)
+		encoded = protowire.AppendFixed64(encoded, t.Key)
+		encoded = protowire.AppendVarint(protowire.AppendTag(encoded, fieldVerdict, protowire.VarintType), uint64(t.Verdict))
+		if scaled := uint64(math.Round(min(max(t.Slowdown, 0), maxEncodedSlowdown) * slowdownScale)); scaled > 0 {
+			encoded = protowire.AppendVarint(protowire.AppendTag(encoded, fieldSlowdown, protowire.VarintType), scaled)
 		}
-		if old := uint64(max(t.Age, 0) / ms); old > 0 {
-			one = protowire.AppendVarint(protowire.AppendTag(one, fieldAge, protowire.VarintType), old)
+		if ageMs := uint64(max(t.Age, 0) / ms); ageMs > 0 {
+			encoded = protowire.AppendVarint(protowire.AppendTag(encoded, fieldAge, protowire.VarintType), ageMs)
 		}
-		b = protowire.AppendBytes(protowire.AppendTag(b, fieldFinding, protowire.BytesType), one)
+		b = protowire.AppendBytes(protowire.AppendTag(b, fieldFinding, protowire.BytesType), encoded)
 	}
 	return binary.LittleEndian.AppendUint32(b, uint32(xxhash.Sum64(b[from:])))
 }
 
 var (
-	errTooLong   = fmt.Errorf("a record is over %d bytes", maxRecordBytes)
-	errTruncated = errors.New("a record is cut short")
-	errChecksum  = errors.New("a record's checksum does not fit")
-	errFormat    = errors.New("a record is of a form that is not known here")
-	errField     = errors.New("a record's fields are malformed")
+	errTooLong   = fmt.Errorf("the record is longer than %d bytes", maxRecordBytes)
+	errTruncated = errors.New("the record is truncated")
+	errChecksum  = errors.New("the record's checksum does not match")
+	errFormat    = errors.New("the record has an unknown format")
+	errField     = errors.New("the record's fields are malformed")
 )
 
-// Decode reads a record.
+// Decode decodes a record.
 //
-// Danger: whatever the store gives back may be cut, old, of another program or hostile: what does not fit in every way
-// is refused whole, and nothing is made room for before its length is known to be there.
+// Danger: a value from the store may be truncated, outdated, written by another program or hostile. Decode rejects a
+// record that is malformed anywhere, and allocates nothing for data whose length it has not checked.
 func Decode(b []byte) (r Record, err error) {
 	switch {
 	case len(b) > maxRecordBytes:
@@ -138,7 +140,7 @@
 				return errField
 			}
 			t, err := decodeFinding(inner)
-			if t.Verdict > 0 && t.Verdict < verdictEnd { // a later version may have more
+			if t.Verdict > 0 && t.Verdict < verdictEnd { // a later version may have more verdicts
 				r.Findings = append(r.Findings, t)
 			}
 			return err
@@ -168,7 +170,7 @@
 	return t, err
 }
 
-// eachField walks over the fields of a message; numbers of any width come as v, bytes as inner.
+// eachField calls each for every field of an encoded message. v holds a number of any width, inner holds bytes.
 func eachField(b []byte, each func(field protowire.Number, v uint64, inner []byte) error) error {
 	for len(b) > 0 {
 		field, form, n := protowire.ConsumeTag(b)
--- a/decide/sharedhealth/record_test.go
+++ b/decide/sharedhealth/record_test.go
@@ -38,7 +38,7 @@
 	})
 }
 
-// Danger: what is cut, flipped or too long is refused whole.
+// Danger: a record that is truncated, has a flipped bit or is too long must be rejected as a whole.
 func TestRecordDamaged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := randomRecord(t).Append(nil)
@@ -60,15 +60,15 @@
 	return binary.LittleEndian.AppendUint32(body, uint32(xxhash.Sum64(body)))
 }
 
-// A later version may have more fields and more verdicts; they are passed over.
+// A later version may have more fields and more verdicts; both are skipped.
 func TestRecordOfLaterVersion(t *testing.T) {
 	r := Record{Incarnation: 3, Sequence: 9, WrittenAt: 5, Findings: []Finding{{Key: 7, Verdict: FoundEjected}}}
 	body := r.Append(nil)
 	body = body[:len(body)-checksumBytes]
 	body = protowire.AppendString(protowire.AppendTag(body, 40, protowire.BytesType), "what is this")
 	body = protowire.AppendFixed32(protowire.AppendTag(body, 41, protowire.Fixed32Type), 8)
-	odd := protowire.AppendVarint(protowire.AppendTag(nil, fieldVerdict, protowire.VarintType), 200)
-	body = protowire.AppendBytes(protowire.AppendTag(body, fieldFinding, protowire.BytesType), odd)
+	laterVerdict := protowire.AppendVarint(protowire.AppendTag(nil, fieldVerdict, protowire.VarintType), 200)
+	body = protowire.AppendBytes(protowire.AppendTag(body, fieldFinding, protowire.BytesType), laterVerdict)
 	got, err := Decode(withChecksum(body))
 	if err != nil || !reflect.DeepEqual(got, r) {
 		t.Errorf("got %+v, %v", got, err)
@@ -77,13 +77,13 @@
 	if _, err := Decode(withChecksum(other)); err != errFormat {
 		t.Errorf("another form: %v", err)
 	}
-	many := Record{Incarnation: 1}.Append(nil)
-	many = many[:len(many)-checksumBytes]
+	tooMany := Record{Incarnation: 1}.Append(nil)
+	tooMany = tooMany[:len(tooMany)-checksumBytes]
 	for range maxFindings + 1 {
 		one := protowire.AppendVarint(protowire.AppendTag(nil, fieldVerdict, protowire.VarintType), uint64(FoundHealthy))
-		many = protowire.AppendBytes(protowire.AppendTag(many, fieldFinding, protowire.BytesType), one)
+		tooMany = protowire.AppendBytes(protowire.AppendTag(tooMany, fieldFinding, protowire.BytesType), one)
 	}
-	if _, err := Decode(withChecksum(many)); err != errField {
+	if _, err := Decode(withChecksum(tooMany)); err != errField {
 		t.Errorf("more findings than a record has: %v", err)
 	}
 	if _, err := Decode(withChecksum(Record{Sequence: 1}.Append(nil)[:3])); err == nil {
@@ -95,7 +95,7 @@
 	f.Add(Record{Incarnation: 3, Sequence: 9, WrittenAt: 5, Findings: []Finding{{7, FoundEjected, 2, 5 * ms}}}.Append(nil), true)
 	f.Add([]byte{1, 2, 3}, false)
 	f.Fuzz(func(t *testing.T, text []byte, sum bool) {
-		if sum { // past the checksum, to the fields
+		if sum { // with a valid checksum the decoder gets to the fields
 			text = withChecksum(append([]byte{currentFormat}, text...))
 		}
 		r, err := Decode(text)
@@ -103,11 +103,11 @@
 			return
 		}
 		if len(r.Findings) > maxFindings || r.Incarnation == 0 || r.WrittenAt < 0 || r.Replicas < 0 || r.FailingReplicas < 0 {
-			t.Fatalf("took %+v", r)
+			t.Fatalf("accepted %+v", r)
 		}
 		for _, e := range r.Findings {
 			if e.Verdict == 0 || e.Verdict >= verdictEnd || math.IsNaN(e.Slowdown) || e.Slowdown < 0 || e.Slowdown > maxEncodedSlowdown || e.Age < 0 {
-				t.Fatalf("took %+v", e)
+				t.Fatalf("accepted %+v", e)
 			}
 		}
 	})
--- a/decide/sharedhealth/sharedhealth_test.go
+++ b/decide/sharedhealth/sharedhealth_test.go
@@ -8,13 +8,13 @@
 	"willowsill/balance"
 )
 
-// storeSession is an aggregator's part with a store that does as the test says.
+// storeSession runs one aggregator's Exchange against a store whose answers the test chooses.
 type storeSession struct {
 	*testing.T
 	exchange    *Exchange
 	now         int64
-	ownPresence []byte // at its presence
-	clockOffset int64  // of the store's clock
+	ownPresence []byte // the store's value of the aggregator's presence key
+	clockOffset int64  // how far the store's clock is ahead, ns
 }
 
 func newStoreSession(t *testing.T) *storeSession {
@@ -22,7 +22,7 @@
 		RoundTimeout: 150 * ms, SampleSize: 24, Aggregators: 4, BaseEjection: testRest, HealthEnabled: true})}
 }
 
-// round plays one round; change may change what the store answers.
+// round plays one round. If change is not nil, it may alter the store's answer.
 func (x *storeSession) round(s Survey, change func(*Reply)) (RoundResult, *Request) {
 	x.Helper()
 	x.now = max(x.now, x.exchange.Next())
@@ -50,7 +50,7 @@
 	x.exchange.Events()
 }
 
-// Danger: each of these answers in time and says what no longer holds.
+// Danger: each of these stores answers in time, but with data that no longer holds.
 func TestContradictions(t *testing.T) {
 	other := Record{Incarnation: 99, Sequence: 1, WrittenAt: testStoreTime}.Append(nil)
 	for name, c := range map[string]struct {
@@ -66,8 +66,8 @@
 		}, "older state"},
 		"a twin":       {func(x *storeSession, r *Reply) { r.OwnPresence = other }, "another process"},
 		"garbled":      {func(x *storeSession, r *Reply) { r.OwnPresence = []byte("what") }, "did not write"},
-		"clock back":   {func(x *storeSession, r *Reply) { r.StoreTime -= 2 * maxClockBackNs }, "clock leapt"},
-		"clock onward": {func(x *storeSession, r *Reply) { r.StoreTime += 2 * maxClockAheadNs }, "clock leapt"},
+		"clock back":   {func(x *storeSession, r *Reply) { r.StoreTime -= 2 * maxClockBackNs }, "clock jumped"},
+		"clock onward": {func(x *storeSession, r *Reply) { r.StoreTime += 2 * maxClockAheadNs }, "clock jumped"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x, s := newStoreSession(t), healthySurvey(20, 5)
@@ -77,7 +77,7 @@
 				t.Errorf("the store is %v", x.exchange.monitor.state)
 			}
 			if e := x.exchange.Events(); len(e) == 0 || !strings.Contains(e[0].Message, c.want) {
-				t.Errorf("said %v, want %s", e, c.want)
+				t.Errorf("events %v, want %s", e, c.want)
 			}
 			if f := x.exchange.Stats(x.now); f.Contradictions != 1 {
 				t.Errorf("%d contradictions", f.Contradictions)
@@ -90,25 +90,26 @@
 				}
 			})
 			if len(a.Reports) != 0 {
-				t.Errorf("a distrusted store was heard: %+v", a.Reports)
+				t.Errorf("findings from a distrusted store were used: %+v", a.Reports)
 			}
 		})
 	}
 }
 
-// A process whose clock went back at its start takes an incarnation above that of the one before.
+// A process that starts after its clock was set back chooses an incarnation above that of the process before.
 func TestIncarnationAfterRestart(t *testing.T) {
 	x := newStoreSession(t)
 	x.ownPresence = Record{Incarnation: 70, Sequence: 900, WrittenAt: testStoreTime}.Append(nil)
 	x.round(Survey{}, nil)
-	_, asked := x.round(Survey{}, nil) // the store held what the first round wrote, below the one before: no trouble
+	// The store holds what the first round wrote, under a lower incarnation than before: that is no contradiction.
+	_, asked := x.round(Survey{}, nil)
 	own, err := Decode(asked.Presence)
 	if err != nil || own.Incarnation != 71 || x.exchange.Stats(x.now).Contradictions != 0 {
-		t.Errorf("writes %+v, %v, %d contradictions", own, err, x.exchange.Stats(x.now).Contradictions)
+		t.Errorf("published %+v, %v, %d contradictions", own, err, x.exchange.Stats(x.now).Contradictions)
 	}
 }
 
-// What others hold at the store may be anything: each odd entry is refused by itself.
+// The store may hold anything under a peer's name. Each entry that cannot be decoded is rejected on its own.
 func TestOddEntries(t *testing.T) {
 	x, s := newStoreSession(t), healthySurvey(20, 5)
 	x.reachFresh(s)
@@ -122,39 +123,39 @@
 			Entry{strings.Repeat("n", maxNameBytes+1), accusingRecord(s.Keys[4]).Append(nil)}, Entry{"a", []byte("own")})
 	})
 	if got := passedOver(a.Reports); len(got) != 1 || got[0] != 3 || x.exchange.Stats(x.now).RecordsRefused != 4 {
-		t.Errorf("passed over %v, %d refused", got, x.exchange.Stats(x.now).RecordsRefused)
+		t.Errorf("excluded %v, %d records rejected", got, x.exchange.Stats(x.now).RecordsRefused)
 	}
 }
 
-// Its own findings travel, the gravest first.
+// An aggregator publishes its own findings, the most severe first.
 func TestTestimony(t *testing.T) {
 	x, s := newStoreSession(t), healthySurvey(20, 5)
 	s.Findings[1] = balance.Finding{Replica: 1, Ejected: true, LastFailure: testNow, TrialAt: testNow + testRest}
 	s.Findings[6].Slowdown, s.Findings[6].Samples = 4, 2
-	s.Findings[7].Slowdown, s.Findings[7].Samples = 3, 1 // one heavy part is no slow replica
+	s.Findings[7].Slowdown, s.Findings[7].Samples = 3, 1 // a single expensive call does not make a replica slow
 	x.reachFresh(s)
 	_, asked := x.round(s, nil)
 	r, err := Decode(asked.Findings)
 	if err != nil || len(r.Findings) != 2 || r.FailingReplicas != 1 || r.Replicas != 20 {
-		t.Fatalf("told %+v, %v", r, err)
+		t.Fatalf("published %+v, %v", r, err)
 	}
 	if a, b := r.Findings[0], r.Findings[1]; a.Key != s.Keys[1] || a.Verdict != FoundEjected || b.Key != s.Keys[6] ||
 		b.Verdict != FoundSlow || b.Slowdown != 4 {
-		t.Errorf("told %+v", r.Findings)
+		t.Errorf("published %+v", r.Findings)
 	}
 	if _, asked := x.round(healthySurvey(20, 5), nil); asked.Findings != nil {
-		t.Error("with nothing to tell something was told")
+		t.Error("findings were published although there were none")
 	}
 }
 
-// When unsure, there are more aggregators.
+// In doubt, more aggregators are planned with.
 func TestMembers(t *testing.T) {
 	x := newStoreSession(t)
 	x.reachFresh(Survey{})
 	for _, c := range []struct{ live, want int }{{4, 4}, {90, 90}, {3, 90}, {0, 90}} {
 		x.round(Survey{}, func(r *Reply) { r.LiveMembers = c.live })
 		if got := x.exchange.Members(x.now); got != c.want {
-			t.Errorf("with %d seen, %d are reckoned with, want %d", c.live, got, c.want)
+			t.Errorf("with %d seen, %d are planned with, want %d", c.live, got, c.want)
 		}
 	}
 	x.now += 3 * membersWindowNs
@@ -162,11 +163,11 @@
 	x.now += membersWindowNs
 	x.round(Survey{}, func(r *Reply) { r.LiveMembers = 2 })
 	if got := x.exchange.Members(x.now); got != 4 {
-		t.Errorf("long after, %d are reckoned with, as the deployment states 4", got)
+		t.Errorf("long after, %d are planned with, although the deployment states 4", got)
 	}
 }
 
-// The store lost at any time: no words, and quotas go on by shares.
+// While the store cannot be reached there are no shared reports, and its state becomes Unreachable.
 func TestLost(t *testing.T) {
 	x, s := newStoreSession(t), healthySurvey(20, 5)
 	x.reachFresh(s)
@@ -176,7 +177,7 @@
 		if r := x.exchange.Decide(x.now); r != nil {
 			x.now = r.Deadline
 			if a := x.exchange.HandleFailure(x.now, errors.New("gone")); len(a.Reports) != 0 {
-				t.Errorf("words %+v", a.Reports)
+				t.Errorf("shared reports %+v", a.Reports)
 			}
 		}
 	}
--- a/decide/sharedhealth/storemonitor.go
+++ b/decide/sharedhealth/storemonitor.go
@@ -2,16 +2,16 @@
 
 import "math/rand/v2"
 
-// State is how the store is regarded.
+// State is the condition of the store as this aggregator sees it.
 type State uint8
 
 const (
-	Unreachable State = iota // not reached for long, or never yet: nothing of it holds
-	Recovering               // reached again: told to, not yet believed
-	Fresh                    // rounds come in time
-	Slow                     // rounds come, and take long: fewer are asked
-	Stale                    // the last good round is too old to go by
-	Distrusted               // what it gave contradicts what it held: told to, not believed for a while
+	Unreachable State = iota // no good round for long, or none yet: nothing read from the store is used
+	Recovering               // rounds succeed again: the store is written to, but not used yet
+	Fresh                    // rounds succeed in time
+	Slow                     // rounds take long or the last one failed: they are sent less often
+	Stale                    // the last good round is too old for its data to be used
+	Distrusted               // a reply contradicted earlier ones: the store is written to, but not used for a while
 )
 
 var stateNames = [...]string{"lost", "back", "fresh", "slow", "stale", "distrusted"}
@@ -19,82 +19,82 @@
 func (s State) String() string { return stateNames[s] }
 
 const (
-	slowRoundShare         = 0.5  // of the deadline: a round that takes longer is slow
-	slowIntervalFactor     = 2    // times the round between rounds while the store is slow
-	staleAfterRounds       = 4    // without a good one, and what was heard is too old
-	unreachableAfterRounds = 12   // without a good one, and the store is given up
-	recoveryRounds         = 3    // good ones until a store that came back is believed
-	distrustNs             = 10e9 // ns that a contradiction is held against the store
-	maxBackoffNs           = 30e9 // ns: the longest wait between tries
-	intervalJitter         = 0.25 // of a round, either way, so that aggregators do not fall into step
+	slowRoundShare         = 0.5  // of the timeout: a round that takes longer is slow
+	slowIntervalFactor     = 2    // factor on the interval between rounds while the store is slow
+	staleAfterRounds       = 4    // intervals without a good round until the store's data is too old to use
+	unreachableAfterRounds = 12   // intervals without a good round until the store counts as unreachable
+	recoveryRounds         = 3    // good rounds until the data of a recovering store is used
+	distrustNs             = 10e9 // ns for which a contradiction makes the store distrusted
+	maxBackoffNs           = 30e9 // ns: the longest wait between attempts while rounds fail
+	intervalJitter         = 0.25 // of the interval, either way, so that the aggregators' rounds do not synchronize
 )
 
-// storeMonitor is the state machine of the store. It knows rounds and no contents.
+// storeMonitor derives the store's state from the outcome of rounds. It does not know their contents.
 type storeMonitor struct {
 	interval, timeout int64
 	rng               *rand.Rand
 	state             State
-	lastGood          int64 // the last good round, or the start
-	failures          int   // since then
-	goodRounds        int   // since it came back, or the last contradiction
-	distrustedUntil   int64 // a contradiction is held against it until then
-	nextRound         int64 // round
+	lastGood          int64 // time of the last good round; long before the start while there was none
+	failures          int   // failed rounds since the last good one
+	goodRounds        int   // good rounds since the store began to recover or last contradicted itself
+	distrustedUntil   int64 // a contradiction makes the store distrusted until then
+	nextRound         int64 // time at which the next round is due
 }
 
-// roundSucceeded books a round that came in time; contradicted tells that what it gave cannot be.
-func (t *storeMonitor) roundSucceeded(now, took int64, contradicted bool) {
-	if t.advance(now); t.state == Unreachable || t.state == Stale {
-		t.state, t.goodRounds = Recovering, 0
+// roundSucceeded records a round that was answered in time. If contradicted is set, its reply contradicts earlier ones.
+func (m *storeMonitor) roundSucceeded(now, duration int64, contradicted bool) {
+	if m.advance(now); m.state == Unreachable || m.state == Stale {
+		m.state, m.goodRounds = Recovering, 0
 	}
-	t.lastGood, t.failures = now, 0
-	t.goodRounds++
+	m.lastGood, m.failures = now, 0
+	m.goodRounds++
 	if contradicted {
-		t.distrustedUntil, t.goodRounds = now+distrustNs, 0
+		m.distrustedUntil, m.goodRounds = now+distrustNs, 0
 	}
-	late := float64(took) > slowRoundShare*float64(t.timeout)
+	slow := float64(duration) > slowRoundShare*float64(m.timeout)
 	switch {
-	case now < t.distrustedUntil:
-		t.state = Distrusted
-	case t.state == Distrusted || t.state == Recovering && t.goodRounds < recoveryRounds:
-		if t.state == Distrusted {
-			t.goodRounds = 0
+	case now < m.distrustedUntil:
+		m.state = Distrusted
+	case m.state == Distrusted || m.state == Recovering && m.goodRounds < recoveryRounds:
+		if m.state == Distrusted {
+			m.goodRounds = 0
 		}
-		t.state = Recovering
-	case late:
-		t.state = Slow
+		m.state = Recovering
+	case slow:
+		m.state = Slow
 	default:
-		t.state = Fresh
+		m.state = Fresh
 	}
-	wait := float64(t.interval)
-	if t.state == Slow || late {
+	wait := float64(m.interval)
+	if m.state == Slow || slow {
 		wait *= slowIntervalFactor
 	}
-	t.nextRound = now + int64(wait*(1-intervalJitter+2*intervalJitter*t.rng.Float64()))
+	m.nextRound = now + int64(wait*(1-intervalJitter+2*intervalJitter*m.rng.Float64()))
 }
 
-// roundFailed books a round that did not come, and puts the next off.
+// roundFailed records a failed round and schedules the next one.
 //
-// Danger: a hundred aggregators that lose a store together would come back together and fell it again: the wait
-// is drawn from the whole of a doubling span.
-func (t *storeMonitor) roundFailed(now int64) {
-	t.failures++
-	span := min(float64(t.interval)*float64(uint64(1)<<min(t.failures, 16)), maxBackoffNs)
-	t.nextRound = now + int64(span*t.rng.Float64()) + t.interval/2
-	t.advance(now)
-	if t.state == Fresh {
-		t.state = Slow
+// Danger: a hundred aggregators that lose the store together would return together and overload it again. So each draws
+// its wait from the whole of a range that doubles with every failure.
+func (m *storeMonitor) roundFailed(now int64) {
+	m.failures++
+	span := min(float64(m.interval)*float64(uint64(1)<<min(m.failures, 16)), maxBackoffNs)
+	m.nextRound = now + int64(span*m.rng.Float64()) + m.interval/2
+	m.advance(now)
+	if m.state == Fresh {
+		m.state = Slow
 	}
 }
 
-// advance lets time pass.
-func (t *storeMonitor) advance(now int64) {
-	switch age := now - t.lastGood; {
-	case age > unreachableAfterRounds*t.interval:
-		t.state = Unreachable
-	case age > staleAfterRounds*t.interval && t.state != Unreachable:
-		t.state = Stale
+// advance updates the state for the time that has passed.
+func (m *storeMonitor) advance(now int64) {
+	switch age := now - m.lastGood; {
+	case age > unreachableAfterRounds*m.interval:
+		m.state = Unreachable
+	case age > staleAfterRounds*m.interval && m.state != Unreachable:
+		m.state = Stale
 	}
 }
 
-// usable tells whether what the store says may be acted on.
-func (t *storeMonitor) usable() bool { return t.state == Fresh || t.state == Slow }
+// usable reports whether decisions may rely on the store's data.
+func (m *storeMonitor) usable() bool { return m.state == Fresh || m.state == Slow }
