--- a/decide/overload/cost.go
+++ b/decide/overload/cost.go
@@ -1,25 +1,27 @@
 package overload
 
-// What queries cost the process is learned from the processor time of each stretch and what ended and was turned away in it:
-// a step towards what explains the difference, shared out by each kind's own part of it (normalized least mean squares).
+// Query costs are learned from the processor time used in each interval and the queries that ended or were rejected in
+// it. Each interval moves the estimates a step towards values that explain the time used; each kind of query moves in
+// proportion to its own part of that time (normalized least mean squares).
 const (
-	initialQueryCost  = 300e3 // ns of a query, until it is known
-	initialRejectCost = 40e3
-	initialUnreadCost = 8e3
-	maxRejectShare    = 0.6 // of a query's cost that turning one away is at most taken for, and one unseen of that
-	minCost           = 1e3 // ns
-	maxCost           = 50e6
-	learningRate      = 0.15 // of the difference that one stretch is believed
-	fullWeightQueries = 20.0 // queries in a stretch that count in full
-	knownAfterQueries = 200  // queries
+	initialQueryCost  = 300e3 // ns for a query, until costs are known
+	initialRejectCost = 40e3  // ns for rejecting a query whose head was read, until costs are known
+	initialUnreadCost = 8e3   // ns for rejecting a query unread, until costs are known
+	maxRejectShare    = 0.6   // of the cheapest query: highest cost of a rejection; and of that: of an unread rejection
+	minCost           = 1e3   // ns
+	maxCost           = 50e6  // ns
+	learningRate      = 0.15  // share of the difference that one interval corrects
+	fullWeightQueries = 20.0  // an interval with at least this many queries counts in full
+	knownAfterQueries = 200   // estimates count as known after this many queries
 )
 
+// costs holds the estimated processor time of each kind of query.
 type costs struct {
 	query        []float64 // ns, by workload
-	reject       float64   // of one turned away with its head read,
-	rejectUnread float64   // and without
-	uncounted    float64   // share of the stretch that goes into nothing that is counted here
-	observed     float64
+	reject       float64   // ns, for rejecting a query whose head was read
+	rejectUnread float64   // ns, for rejecting a query unread
+	uncounted    float64   // processor time used while there are no queries, as a share of the interval
+	observed     float64   // number of queries that the estimates are based on
 }
 
 func newCosts(workloads int) costs {
@@ -32,19 +34,20 @@
 
 func (c *costs) ofQuery(workload int) float64 { return c.query[workload] }
 
-// known tells whether enough was seen to go by.
+// known reports whether the estimates are based on enough queries to be used.
 func (c *costs) known() bool { return c.observed >= knownAfterQueries }
 
-// learn takes in one stretch. Danger: what a stretch with little in it used says nothing of queries; the more came, the more
-// it counts. A first guess that is far off gives way fast.
-func (c *costs) learn(r *Reading, done []float64, refused, unseen float64) {
+// learn updates the estimates from one interval. Danger: the time used in an interval with few queries says nothing
+// about queries, so an interval counts for more the more queries it has. Until costs are known the steps are larger, to
+// correct a wrong initial value fast.
+func (c *costs) learn(r *Reading, ended []float64, rejected, rejectedUnread float64) {
 	total, power, expected := 0.0, 0.0, c.uncounted*float64(r.Span)
 	each := func(n float64, cost *float64) {
 		total += n
 		expected += n * *cost
 		power += n * *cost * n * *cost
 	}
-	c.forEachKind(done, refused, unseen, each)
+	c.forEachKind(ended, rejected, rejectedUnread, each)
 	if total == 0 {
 		c.uncounted += smoothing * (min(float64(r.CPUTime)/float64(max(r.Span, 1)), 0.5) - c.uncounted)
 		return
@@ -54,23 +57,23 @@
 		step = max(step, 0.5*min(total/fullWeightQueries, 1))
 	}
 	c.observed += total
-	off := (float64(r.CPUTime) - expected) * step / max(power, 1)
-	c.forEachKind(done, refused, unseen, func(n float64, cost *float64) {
-		*cost = min(max(*cost+off*n**cost**cost, minCost), maxCost)
+	correction := (float64(r.CPUTime) - expected) * step / max(power, 1)
+	c.forEachKind(ended, rejected, rejectedUnread, func(n float64, cost *float64) {
+		*cost = min(max(*cost+correction*n**cost**cost, minCost), maxCost)
 	})
-	least := maxCost
+	cheapest := maxCost
 	for _, q := range c.query {
-		least = min(least, q)
+		cheapest = min(cheapest, q)
 	}
-	c.reject = min(c.reject, maxRejectShare*least)
+	c.reject = min(c.reject, maxRejectShare*cheapest)
 	c.rejectUnread = min(c.rejectUnread, maxRejectShare*c.reject)
 }
 
-// forEachKind calls f with how many there were of each kind, and its cost.
-func (c *costs) forEachKind(done []float64, refused, unseen float64, f func(n float64, cost *float64)) {
-	for w, n := range done {
+// forEachKind calls f with the number of queries of each kind and their cost.
+func (c *costs) forEachKind(ended []float64, rejected, rejectedUnread float64, f func(n float64, cost *float64)) {
+	for w, n := range ended {
 		f(n, &c.query[w])
 	}
-	f(refused, &c.reject)
-	f(unseen, &c.rejectUnread)
+	f(rejected, &c.reject)
+	f(rejectedUnread, &c.rejectUnread)
 }
--- a/decide/overload/limit.go
+++ b/decide/overload/limit.go
@@ -6,27 +6,27 @@
 	"slices"
 )
 
-const smoothing = 0.2 // of a new value that is believed at once
+const smoothing = 0.2 // weight of a new value in a moving average
 
-// limiter says how much work may be taken on, ns of the processor a second.
+// limiter computes how much work may be admitted, in ns of processor time a second.
 type limiter interface {
-	// update takes in a reading, the pressure, and the work a second that was taken on in it.
+	// update processes a reading, the pressure, and the work admitted a second in the reading's interval.
 	update(r *Reading, pressure, work float64, c *costs)
 	allowed() float64
 }
 
-// limiters are the ways to find it.
-var limiters = map[string]func(t *Config) limiter{
-	"fixed":    func(t *Config) limiter { return &fixed{queriesPerSecond: t.FixedRate} },
-	"gradient": func(t *Config) limiter { return &gradient{waitTarget: float64(t.WaitTarget), limit: math.Inf(1)} },
+// limiters are the ways to compute the limit, by name.
+var limiters = map[string]func(c *Config) limiter{
+	"fixed":    func(c *Config) limiter { return &fixed{queriesPerSecond: c.FixedRate} },
+	"gradient": func(c *Config) limiter { return &gradient{waitTarget: float64(c.WaitTarget), limit: math.Inf(1)} },
 	"aimd":     func(*Config) limiter { return &aimd{limit: math.Inf(1)} },
-	"model":    func(t *Config) limiter { return &model{cores: t.Cores, trim: 1, limit: math.Inf(1)} },
+	"model":    func(c *Config) limiter { return &model{cores: c.Cores, trim: 1, limit: math.Inf(1)} },
 }
 
-// LimitKinds are their names.
+// LimitKinds are the names of the ways to compute the limit.
 var LimitKinds = slices.Sorted(maps.Keys(limiters))
 
-// fixed is a rate of queries that somebody has set: the baseline.
+// fixed admits a configured rate of queries. It is a baseline.
 type fixed struct{ queriesPerSecond, limit float64 }
 
 func (f *fixed) update(_ *Reading, _, _ float64, c *costs) {
@@ -38,36 +38,36 @@
 }
 func (f *fixed) allowed() float64 { return f.limit }
 
-// gradient follows what is served, less as the wait grows over what is borne.
+// gradient follows the work that is admitted, and lowers the limit in proportion as the wait exceeds the target.
 type gradient struct{ waitTarget, wait, limit float64 }
 
 const (
-	gradientMinFactor = 0.5 // of what was served, at least
-	gradientMaxFactor = 1.1 // and so much more while nothing waits
+	gradientMinFactor = 0.5 // lowest ratio of the limit to the admitted work
+	gradientMaxFactor = 1.1 // highest ratio, while nothing waits
 )
 
 func (g *gradient) update(r *Reading, _, work float64, _ *costs) {
 	g.wait += smoothing * (float64(max(r.MeanWait, r.SchedLatency/4)) - g.wait)
-	by := min(max(g.waitTarget/max(g.wait, 1), gradientMinFactor), gradientMaxFactor)
-	if by < 1 || !math.IsInf(g.limit, 1) {
+	ratio := min(max(g.waitTarget/max(g.wait, 1), gradientMinFactor), gradientMaxFactor)
+	if ratio < 1 || !math.IsInf(g.limit, 1) {
 		if math.IsInf(g.limit, 1) {
 			g.limit = work
 		}
-		g.limit = min(max(g.limit+smoothing*(work*by-g.limit), g.limit*gradientMinFactor), 2*max(work, g.limit))
+		g.limit = min(max(g.limit+smoothing*(work*ratio-g.limit), g.limit*gradientMinFactor), 2*max(work, g.limit))
 	}
-	if by >= gradientMaxFactor && work < 0.5*g.limit {
+	if ratio >= gradientMaxFactor && work < 0.5*g.limit {
 		g.limit *= gradientMaxFactor
 	}
 }
 func (g *gradient) allowed() float64 { return g.limit }
 
-// aimd takes off a share while what comes waits longer than is borne, and adds a little while it does not, as CoDel goes by
-// the wait alone.
+// aimd multiplies the limit by a factor below 1 while waits exceed the target and otherwise adds a little. Like CoDel
+// it goes by the wait alone.
 type aimd struct{ limit float64 }
 
 const (
-	aimdDecrease = 0.85
-	aimdIncrease = 0.02
+	aimdDecrease = 0.85 // factor on the limit while waits exceed the target
+	aimdIncrease = 0.02 // of the admitted work, added to the limit while they do not
 )
 
 func (a *aimd) update(_ *Reading, pressure, work float64, _ *costs) {
@@ -82,19 +82,20 @@
 }
 func (a *aimd) allowed() float64 { return a.limit }
 
-// model goes by the processor time there is and what queries cost, trimmed by the wait: a neighbour may have the processor, and
-// the costs may be off.
+// model derives the limit from the available processor time and the costs of queries. It multiplies that by a
+// correction, trim, which follows the wait: other processes on the machine may use the processor, and the costs may be
+// wrong.
 type model struct{ cores, trim, limit float64 }
 
 const (
-	modelCPUShare     = 0.9  // of the processor
-	minTrim           = 0.05 // of that
-	maxTrim           = 1.2  // the more is served together, the less each costs
-	completedShare    = 0.95 // of what was taken on that is done where nothing holds it up
-	trimDecreaseAbove = 0.85 // of the processor, under which more is only taken off for a neighbour
-	trimDecrease      = 0.98 // of it that is left after a stretch, down to that
-	trimBelowDone     = 0.9  // of what was done, while what comes waits too long
-	trimIncrease      = 0.03 // a stretch, while nothing does
+	modelCPUShare     = 0.9  // share of the processor that is planned for
+	minTrim           = 0.05 // lowest trim
+	maxTrim           = 1.2  // highest trim; it exceeds 1 because queries that are served together cost less each
+	completedShare    = 0.95 // share of the admitted work that gets done if nothing holds it up
+	trimDecreaseAbove = 0.85 // trim falls below this only if other processes take up the processor
+	trimDecrease      = 0.98 // factor on trim after an interval with long waits in which all admitted work got done
+	trimBelowDone     = 0.9  // target for trim while waits are long, relative to the work that got done
+	trimIncrease      = 0.03 // added to trim after an interval in which nothing waited
 )
 
 func (m *model) update(r *Reading, pressure, work float64, c *costs) {
@@ -103,16 +104,16 @@
 	}
 	switch {
 	case pressure >= overloadedPressure:
-		// Danger: with a neighbour on the processor much less can be done than the cores allow. What was done where more was
-		// taken on is what there is, and a little less lets the wait end. Where all that was taken on was done, the wait may have
-		// another reason, and taking on ever less would not end it.
-		all := modelCPUShare * m.cores * 1e9
-		if done, tried := float64(r.CPUTime)*1e9/float64(max(r.Span, 1))/all, work/all; done < completedShare*tried {
+		// Danger: if other processes use the processor, much less work can be done than the cores allow. If less got
+		// done than was admitted, the capacity is what got done, and a limit a little below it lets the wait end. If
+		// all admitted work got done, the wait may have another cause, and an ever lower limit would not end it.
+		planned := modelCPUShare * m.cores * 1e9
+		if done, requested := float64(r.CPUTime)*1e9/float64(max(r.Span, 1))/planned, work/planned; done < completedShare*requested {
 			m.trim += smoothing * (min(max(trimBelowDone*done, minTrim), maxTrim) - m.trim)
 		} else if m.trim > trimDecreaseAbove {
 			m.trim *= trimDecrease
 		}
-	case pressure < busyPressure || work > 0.8*m.limit: // only what is tried shows that there is more
+	case pressure < busyPressure || work > 0.8*m.limit: // only load close to the limit shows whether more is possible
 		m.trim = min(m.trim+trimIncrease, maxTrim)
 	}
 	m.limit = m.trim * max(modelCPUShare-c.uncounted, 0.1) * m.cores * 1e9
--- a/decide/overload/overload_test.go
+++ b/decide/overload/overload_test.go
@@ -13,7 +13,7 @@
 
 const readingInterval = int64(100e6)
 
-// Whatever comes while nothing presses, nobody is turned away, however many come and whatever they cost.
+// While nothing causes pressure no query is rejected, however many arrive and whatever they cost.
 func TestCalm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := int64(1e9)
@@ -22,11 +22,11 @@
 			for range rapid.IntRange(0, 300).Draw(t, "queries") {
 				a := Arrival{Workload: rapid.IntRange(0, 1).Draw(t, "workload"), Customer: uint64(rapid.IntRange(0, 3).Draw(t, "customer")),
 					ID: 1, TimeLeft: 1e9, Attempt: 1}
-				if taken, _ := s.Admit(now, a); !taken {
-					t.Fatal("a query was turned away")
+				if admitted, _ := s.Admit(now, a); !admitted {
+					t.Fatal("a query was rejected")
 				}
-				if away, _ := s.RejectUnread(now, a.Workload); away {
-					t.Fatal("a query was turned away unseen")
+				if rejected, _ := s.RejectUnread(now, a.Workload); rejected {
+					t.Fatal("a query was rejected unread")
 				}
 				s.RecordEnd(a.Workload, 50e6, true)
 			}
@@ -38,7 +38,7 @@
 	})
 }
 
-// Each signal alone strains, and is named; a processor in full use alone does not.
+// Each signal alone makes the process overloaded and is named as the cause, except a processor in full use.
 func TestSignals(t *testing.T) {
 	for cause, r := range map[string]Reading{
 		"facts wait for the loop":         {MeanWait: 20e6},
@@ -69,7 +69,8 @@
 	}
 }
 
-// A level is left only when what made it has been away for a while, one at a time: at the edge nothing flaps.
+// A level is left only after the pressure has been low for a while, one level at a time, so that it does not flap when
+// the pressure varies around a threshold.
 func TestLevels(t *testing.T) {
 	s := New(0, testConfig())
 	now, changes := int64(0), 0
@@ -86,7 +87,7 @@
 		t.Fatalf("%v", s.Level())
 	}
 	changes = 0
-	for i := range 100 { // to both sides of the edge
+	for i := range 100 { // on both sides of the threshold
 		read(int64(4e6 + i%2*2e6))
 	}
 	if changes > 0 {
@@ -98,7 +99,7 @@
 		seen = append(seen, s.Level())
 	}
 	if seen = slices.Compact(seen); !slices.Equal(seen, []Level{Overloaded, Busy, Calm}) || s.Cause() != "" {
-		t.Errorf("left by way of %v, for %q", seen, s.Cause())
+		t.Errorf("levels %v, cause %q", seen, s.Cause())
 	}
 	for range 3 {
 		read(200e6)
@@ -108,7 +109,8 @@
 	}
 }
 
-// overloadedDetector is one that is strained, with so much of each workload offered for a second, a thousandth of a second each.
+// overloadedDetector returns a Detector after two seconds of overload, in which offer is called a thousand times a
+// second. Each query costs a millisecond.
 func overloadedDetector(t *testing.T, change func(*Config), offer func(s *Detector, now int64)) *Detector {
 	t.Helper()
 	w := testConfig()
@@ -133,7 +135,7 @@
 	return s
 }
 
-// admittedShare offers one kind of query many times and tells the share taken on.
+// admittedShare offers the same query many times and returns the share that is admitted.
 func admittedShare(s *Detector, now int64, a Arrival) float64 {
 	n := 0.0
 	const tries = 400
@@ -146,9 +148,10 @@
 	return n / tries
 }
 
-// What is turned away first: the cheap before the dear, its repeats before itself, what has no time left before all.
+// Cheap queries are rejected before valuable ones, repeats before the original, and queries without time left before
+// all others.
 func TestOrder(t *testing.T) {
-	// Twice of what can be served is offered, half of it dear.
+	// Twice of what can be served is offered, half of it of the valuable workload.
 	s := overloadedDetector(t, nil, func(s *Detector, now int64) {
 		for w := range 2 {
 			s.Admit(now, Arrival{Workload: w, ID: uint64(now) + uint64(w)<<60, TimeLeft: 1e9, Attempt: 1})
@@ -156,49 +159,50 @@
 	})
 	now := int64(3e9)
 	at := func(a Arrival) float64 { return priceClass(s.pricing.price(s, a, nil)) }
-	dear, cheap := at(Arrival{Workload: 1, TimeLeft: 1e9, Attempt: 1}), at(Arrival{Workload: 0, TimeLeft: 1e9, Attempt: 1})
-	again, hurried := at(Arrival{Workload: 0, TimeLeft: 1e9, Attempt: 2}), at(Arrival{Workload: 0, TimeLeft: 5e6, Attempt: 1})
+	valuable, cheap := at(Arrival{Workload: 1, TimeLeft: 1e9, Attempt: 1}), at(Arrival{Workload: 0, TimeLeft: 1e9, Attempt: 1})
+	repeated, hurried := at(Arrival{Workload: 0, TimeLeft: 1e9, Attempt: 2}), at(Arrival{Workload: 0, TimeLeft: 5e6, Attempt: 1})
 	s.pricing.rememberRejected(77)
 	known := at(Arrival{Workload: 0, TimeLeft: 1e9, Attempt: 1, ID: 77})
-	if !(dear > cheap && cheap > again && again == known && again > hurried) {
-		t.Errorf("dear %v, cheap %v, again %v, known %v, hurried %v", dear, cheap, again, known, hurried)
+	if !(valuable > cheap && cheap > repeated && repeated == known && repeated > hurried) {
+		t.Errorf("price classes: valuable %v, cheap %v, repeated %v, known id %v, hurried %v", valuable, cheap, repeated, known, hurried)
 	}
-	if s.pricing.floor <= cheap-1 || s.pricing.floor > dear+1 {
-		t.Errorf("the floor is at %v, cheap ones at %v, dear ones at %v", s.pricing.floor, cheap, dear)
+	if s.pricing.floor <= cheap-1 || s.pricing.floor > valuable+1 {
+		t.Errorf("the floor is at %v, cheap queries at %v, valuable ones at %v", s.pricing.floor, cheap, valuable)
 	}
-	s.pricing.customers = map[uint64]*customer{} // no floor of theirs
+	s.pricing.customers = map[uint64]*customer{} // no guaranteed shares
 	if a, b := admittedShare(s, now, Arrival{Workload: 1, TimeLeft: 1e9, Attempt: 1}), admittedShare(s, now, Arrival{Workload: 0, TimeLeft: 1e9, Attempt: 1}); a < 0.9 || b > 0.2 {
-		t.Errorf("taken on: %.2f of the dear, %.2f of the cheap", a, b)
+		t.Errorf("admitted: %.2f of the valuable, %.2f of the cheap queries", a, b)
 	}
 }
 
-// A customer whose queries are worth least is served its floor; without one it would be locked out.
+// A customer whose queries are worth least gets its guaranteed share. Without such a share
+// none of its queries is served.
 func TestFloor(t *testing.T) {
 	for floor, want := range map[float64][2]float64{0.1: {0.02, 0.2}, 0: {0, 0}} {
-		var meek, asked float64
+		var modest, asked float64
 		overloadedDetector(t, func(w *Config) { w.CustomerFloor = floor }, func(s *Detector, now int64) {
 			for range 2 {
 				s.Admit(now, Arrival{Workload: 1, Customer: 1, ID: uint64(now), TimeLeft: 1e9, Attempt: 1})
 			}
 			if ok, _ := s.Admit(now, Arrival{Workload: 0, Customer: 2, ID: uint64(now), TimeLeft: 1e9, Attempt: 1}); now > 2e9 {
 				if asked++; ok {
-					meek++
+					modest++
 				}
 			}
 		})
-		if share := meek / asked; share < want[0] || share > want[1] {
-			t.Errorf("with a floor of %v %.3f of the meek one's are taken on", floor, share)
+		if share := modest / asked; share < want[0] || share > want[1] {
+			t.Errorf("with a guaranteed share of %v, %.3f of the second customer's queries are admitted", floor, share)
 		}
 	}
 }
 
-// A customer that asks for much more than its share makes its own queries worth less, not those of others.
+// A customer that asks for much more than its share lowers the price of its own queries, not of others'.
 func TestGreedy(t *testing.T) {
 	var got, asked [3]float64
 	overloadedDetector(t, func(w *Config) { w.CustomerFloor = 0 }, func(s *Detector, now int64) {
 		for customer, n := range []int{1: 3, 2: 1} {
 			for i := range n {
-				if customer == 2 && now/(readingInterval/100)%5 > 0 { // two hundred a second of what can be a thousand
+				if customer == 2 && now/(readingInterval/100)%5 > 0 { // two hundred a second, where a thousand can be served
 					continue
 				}
 				ok, _ := s.Admit(now, Arrival{Workload: 0, Customer: uint64(customer), ID: uint64(now) + uint64(i)<<50, TimeLeft: 1e9, Attempt: 1})
@@ -211,19 +215,19 @@
 			}
 		}
 	})
-	if greedy, meek := got[1]/asked[1], got[2]/asked[2]; meek < 0.9 || greedy > 0.5 {
-		t.Errorf("taken on: %.2f of the meek one's, %.2f of the greedy one's", meek, greedy)
+	if greedy, modest := got[1]/asked[1], got[2]/asked[2]; modest < 0.9 || greedy > 0.5 {
+		t.Errorf("admitted: %.2f of the modest customer's queries, %.2f of the greedy one's", modest, greedy)
 	}
 }
 
-// Those turned away are told different times, longer the more is offered, and none where none can be told.
+// Clients of rejected queries get different retry times, longer ones the more is offered, and none if MaxRetryAfter is 0.
 func TestComeBack(t *testing.T) {
 	times := map[int][]int64{}
 	for _, over := range []int{2, 6} {
 		s := overloadedDetector(t, func(w *Config) { w.MaxRetryAfter = 60e9 }, func(s *Detector, now int64) {
 			for i := range over {
-				if ok, back := s.Admit(now, Arrival{Workload: 0, ID: uint64(now) + uint64(i)<<50, TimeLeft: 1e9, Attempt: 1}); !ok && now > 2e9 {
-					times[over] = append(times[over], back)
+				if ok, retryAfter := s.Admit(now, Arrival{Workload: 0, ID: uint64(now) + uint64(i)<<50, TimeLeft: 1e9, Attempt: 1}); !ok && now > 2e9 {
+					times[over] = append(times[over], retryAfter)
 				}
 			}
 		})
@@ -232,22 +236,22 @@
 		}
 		slices.Sort(times[over])
 		if n := len(times[over]); n < 300 || times[over][n-1] < 2*times[over][0] || times[over][0] <= 0 {
-			t.Errorf("%d times: %v to %v", over, times[over][0], times[over][n-1])
+			t.Errorf("at %d times the capacity: retry after %v to %v", over, times[over][0], times[over][n-1])
 		}
 	}
 	if a, b := times[2][len(times[2])/2], times[6][len(times[6])/2]; b < 2*a {
-		t.Errorf("the middle at twice %d, at six times %d", a, b)
+		t.Errorf("median retry time at twice the capacity %d, at six times %d", a, b)
 	}
 	overloadedDetector(t, func(w *Config) { w.MaxRetryAfter = 0 }, func(s *Detector, now int64) {
 		for range 4 {
-			if _, back := s.Admit(now, Arrival{Workload: 0, TimeLeft: 1e9, Attempt: 1}); back != 0 {
-				t.Fatalf("told to come back in %d where none can be told", back)
+			if _, retryAfter := s.Admit(now, Arrival{Workload: 0, TimeLeft: 1e9, Attempt: 1}); retryAfter != 0 {
+				t.Fatalf("retry time %d although clients cannot be sent one", retryAfter)
 			}
 		}
 	})
 }
 
-// What is remembered is bounded.
+// The memory for rejected ids and customers is bounded.
 func TestBounds(t *testing.T) {
 	s := New(1e9, testConfig())
 	for i := range 20000 {
@@ -262,14 +266,14 @@
 	}
 	s.pricing.touchCustomer(1e9+2*customerIdleNs, s, 1, 1e6)
 	if n := len(s.pricing.customers); n > 2 {
-		t.Errorf("%d customers that ask nothing", n)
+		t.Errorf("%d customers are kept although all but one are idle", n)
 	}
 	if err := (&Config{LimitKind: "none", WaitTarget: 1, Cores: 1}).Validate(); err == nil {
-		t.Error("a limit of no kind")
+		t.Error("an unknown limit was accepted")
 	}
 }
 
-// The costs of two workloads are told apart, and follow when they change.
+// The costs of two workloads are told apart, and the estimates follow when they change.
 func TestCosts(t *testing.T) {
 	c := newCosts(2)
 	true0, true1, refusal := 80e3, 700e3, 20e3
@@ -293,7 +297,7 @@
 	}
 }
 
-// A round comes at once while it costs little, and waits for more the more it costs, up to the tick.
+// A round runs at once while rounds are short, and waits the longer the more time they take, up to MaxGap.
 func TestPace(t *testing.T) {
 	p := Pacer{MaxGap: 5e6}
 	for cost, want := range map[int64][2]int64{20e3: {0, 0}, 500e3: {1e6, 3e6}, 50e6: {5e6, 5e6}} {
@@ -301,31 +305,32 @@
 			p.RecordRound(cost)
 		}
 		if g := p.Gap(); g < want[0] || g > want[1] {
-			t.Errorf("rounds of %d ns: a gap of %d", cost, g)
+			t.Errorf("after rounds of %d ns the gap is %d", cost, g)
 		}
 	}
 }
 
-// What the loop comes late to its beat is the process's own; a fact that wakes it early, or a wait without a beat, is not.
+// A wake-up later than the loop asked for is a stall of the process. A fact that wakes it early, or a wait without a
+// deadline, is not.
 func TestBeat(t *testing.T) {
 	var b StallDetector
 	if b.Wake(5e9) != 0 {
-		t.Error("before the first beat")
+		t.Error("a stall was reported before the first Sleep")
 	}
 	_, wake := b.Sleep(5e9, 5e9, true)
 	if wake <= 5e9 || wake > 5e9+20e6 {
 		t.Errorf("woken at %d", wake)
 	}
 	if b.Wake(wake-1) != 0 || b.Wake(wake+1e6) != 0 {
-		t.Error("in time, and it stood")
+		t.Error("woken in time, but a stall was reported")
 	}
-	if stood := b.Wake(wake + 700e6); stood != 700e6 {
-		t.Errorf("stood %d", stood)
+	if stalled := b.Wake(wake + 700e6); stalled != 700e6 {
+		t.Errorf("stalled for %d", stalled)
 	}
-	if stood, wake := b.Sleep(6e9, 6e9-400e6, false); stood < 390e6 || wake != 0 {
-		t.Errorf("in a round it stood %d, woken at %d", stood, wake)
+	if stalled, wake := b.Sleep(6e9, 6e9-400e6, false); stalled < 390e6 || wake != 0 {
+		t.Errorf("after a long round: stalled for %d, next wake-up at %d", stalled, wake)
 	}
 	if b.Wake(60e9) != 0 {
-		t.Error("with nothing out there is no beat to be late to")
+		t.Error("a stall was reported although no wake-up was due")
 	}
 }
--- a/decide/overload/pacer.go
+++ b/decide/overload/pacer.go
@@ -1,26 +1,27 @@
 package overload
 
-// Pacer decides when a loop's next round comes. A fact that comes alone should not wait for others; facts that come together
-// are worth one round. So a round comes at once, after others that are ready to run have had their turn and brought what they
-// have: under load that gathers as many facts as a tick would. Only rounds that cost the loop much of its time wait for more.
+// Pacer decides when an event loop runs its next round. A fact that arrives alone should not wait for others; facts
+// that arrive together are best processed in one round. So a round runs at once, after other goroutines that are ready
+// have run and delivered their facts: under load that collects as many facts as a fixed tick would. Only when rounds
+// take up much of the loop's time are they delayed to collect more.
 type Pacer struct {
-	MaxGap      int64 // ns: the longest wait
-	meanRoundNs float64
+	MaxGap      int64   // ns: longest time from the start of one round to the next
+	meanRoundNs float64 // duration of a round, smoothed
 }
 
 const (
-	maxRoundShare     = 0.25 // of the loop's time that rounds may take
-	roundSmoothing    = 0.05
-	yieldsBeforeRound = 3          // times that others may run first; more gathered no more
-	minGap            = int64(1e6) // ns: a shorter wait is none, for timers go by the millisecond
+	maxRoundShare     = 0.25       // share of the loop's time that rounds may take
+	roundSmoothing    = 0.05       // weight of the newest round in the mean
+	yieldsBeforeRound = 3          // times that other goroutines may run before a round; more did not collect more facts
+	minGap            = int64(1e6) // ns: a shorter gap is treated as none, because timers have a resolution of a millisecond
 )
 
-// RecordRound tells how long a round took, ns.
+// RecordRound records how long a round took, ns.
 func (p *Pacer) RecordRound(ns int64) {
 	p.meanRoundNs += roundSmoothing * (float64(ns) - p.meanRoundNs)
 }
 
-// Gap is how long after the beginning of one round the next may come, ns.
+// Gap returns how long after the start of one round the next may start, ns.
 func (p *Pacer) Gap() int64 {
 	gap := int64(p.meanRoundNs / maxRoundShare)
 	if gap < minGap {
@@ -29,20 +30,20 @@
 	return min(gap, p.MaxGap)
 }
 
-// Yields is how often others may run before a round, as long as they bring something.
+// Yields returns how often other goroutines may run before a round, as long as they deliver facts.
 func (p *Pacer) Yields() int { return yieldsBeforeRound }
 
-// StallDetector tells from when a loop came round how long the process itself stood. The loop says when it wants to be woken at the
-// latest; what it comes later than that is nobody else's doing.
+// StallDetector measures how long the process itself stalled. An event loop states when it must be woken at the latest;
+// if it is woken later, the process or its machine is the cause and not a replica.
 type StallDetector struct{ due int64 }
 
 const (
-	wakeInterval     = int64(10 * 1e6) // ns
-	timerSlack       = int64(5 * 1e6)  // ns that a timer may be late on a machine that is well
-	roundStallSlacks = 2               // of the slack that a round may take before it counts as standing
+	wakeInterval     = int64(10 * 1e6) // ns between wake-ups while executions are outstanding
+	timerSlack       = int64(5 * 1e6)  // ns that a timer may be late on a healthy machine
+	roundStallSlacks = 2               // a round that takes longer than this many times timerSlack counts as a stall
 )
 
-// Wake is told that the loop has come round, and tells for how long it has stood, ns.
+// Wake is called when the loop was woken. It returns for how long the process stalled, ns.
 func (b *StallDetector) Wake(now int64) (stalled int64) {
 	if b.due == 0 || now <= b.due+timerSlack {
 		return 0
@@ -50,8 +51,9 @@
 	return now - b.due
 }
 
-// Sleep is told that the loop is about to wait, since when it was awake, and whether executions are out, for which a beat is
-// needed. It tells for how long it stood while awake, and when it must be woken; 0 for no such time.
+// Sleep is called when the loop is about to wait. The loop was awake since awakeSince; while executions are outstanding
+// it needs regular wake-ups. Sleep returns for how long the process stalled while awake, ns, and when the loop must be
+// woken, which is 0 for no such time.
 func (b *StallDetector) Sleep(now, awakeSince int64, outstanding bool) (stalled, wakeAt int64) {
 	if now-awakeSince > roundStallSlacks*timerSlack {
 		stalled = now - awakeSince - timerSlack
--- a/decide/overload/pricing.go
+++ b/decide/overload/pricing.go
@@ -6,62 +6,64 @@
 )
 
 const (
-	priceClasses        = 48                     // of prices, two to a doubling
-	middleClass         = priceClasses / 2       // the class of what is worth 1 for a ms
-	rateWindow          = int64(200 * 1e6)       // ns over which what is offered is known
-	rateSlot            = int64(20 * 1e6)        // and in steps of
-	backlogRecoveryNs   = 300 * 1e6              // ns in which what waits is made up for,
-	maxBacklogShare     = 0.5                    // with so much of what may be taken on at most
-	waitSmoothing       = 0.05                   // of one wait that is believed
-	idleWaitDecay       = 0.8                    // of it that is left after a step in which nobody waited
-	sheddingWaitTargets = 4.0                    // targets of it that turn some away before a reading says so
-	burstFactor         = 1.5                    // of the rate over the whole span that the newest rows must have to be believed alone
-	floorSmoothing      = 0.3                    // of what the floor is off that a step mends,
-	maxFloorRise        = 6.0                    // classes that it rises at most in a step
-	maxFloorFall        = 0.5                    // and falls: what is turned away comes back, and must not come back all together
-	repeatValueShare    = 0.5                    // of its worth that a repeat has left
-	neededDurations     = 1.2                    // a query needs so many usual times to be surely answered
-	maxRejectedIDs      = 4096                   // ids of those turned away that are known again, twice at most
-	maxCustomers        = 1024                   // that are known at a time
-	customerIdleNs      = int64(10 * 1e9)        // ns after which one that asks nothing is forgotten
-	maxSavedSeconds     = 1.0                    // seconds of its floor that a customer may save up
-	baseRetryAfter      = int64(250 * 1e6)       // ns that a client is told to stay away at least,
-	maxRetryAfter       = int64(8 * 1e9)         // and at most
-	readHeadsShare      = 0.03                   // of the processor that may go into reading the heads of what is turned away anyhow
-	noFloor             = float64(-priceClasses) // a floor under all prices
+	priceClasses        = 48                     // number of price classes, two for each doubling of the price
+	middleClass         = priceClasses / 2       // class of a price of 1 for each ms of processor time
+	rateWindow          = int64(200 * 1e6)       // ns over which a rate is measured
+	rateSlot            = int64(20 * 1e6)        // ns: length of one slot of that time
+	backlogRecoveryNs   = 300 * 1e6              // ns within which the backlog is to be worked off
+	maxBacklogShare     = 0.5                    // share of the allowed work by which the backlog lowers the target at most
+	waitSmoothing       = 0.05                   // weight of one wait in the mean
+	idleWaitDecay       = 0.8                    // factor on the mean wait after a step without any recorded wait
+	sheddingWaitTargets = 4.0                    // wait targets: a longer mean wait starts shedding before the next reading
+	burstFactor         = 1.5                    // ratio to the whole window's rate from which the newest slots' rate counts alone
+	floorSmoothing      = 0.3                    // share of the floor's distance from its target that a step corrects
+	maxFloorRise        = 6.0                    // classes by which the floor rises in a step at most
+	maxFloorFall        = 0.5                    // classes by which it falls in a step at most: rejected queries must not all return at once
+	repeatValueShare    = 0.5                    // share of its value that a repeated query keeps
+	neededDurations     = 1.2                    // mean durations that a query must have left to be surely answered
+	maxRejectedIDs      = 4096                   // rejected ids kept in each of two generations
+	maxCustomers        = 1024                   // number of customers that are tracked at a time
+	customerIdleNs      = int64(10 * 1e9)        // ns without a query after which a customer is forgotten
+	maxSavedSeconds     = 1.0                    // seconds' worth of its guaranteed share that a customer may accumulate
+	baseRetryAfter      = int64(250 * 1e6)       // ns: half of the longest retry time while what is offered can be served
+	maxRetryAfter       = int64(8 * 1e9)         // ns: the longest retry time
+	readHeadsShare      = 0.03                   // share of the processor for reading the heads of queries that are then rejected
+	noFloor             = float64(-priceClasses) // a floor below all prices
 )
 
-// pricing prices arrivals and keeps the floor.
+// pricing sets the prices of arriving queries and the floor, the price below which they are rejected.
 type pricing struct {
 	rng             *rand.Rand
-	floor           float64 // in classes: an arrival is taken on if its class and a lot of 0 to 1 come to more
-	updatedAt       int64
-	backlog         float64 // work taken on beyond what may be, ns
-	meanWait        float64 // that those who come have, ns
-	waitSeen        bool    // of one since the last look
-	offered         [priceClasses]slidingRate
-	rejected        slidingRate // turned away with heads read
-	rejectedUnread  slidingRate // and without
-	meanDuration    []float64
-	answeredShare   []float64 // share of those taken on
-	rejectedIDs     [2]map[uint64]struct{}
+	floor           float64                   // as a class: a query is admitted if its class plus a random number in [0, 1) reaches it
+	updatedAt       int64                     // when the floor was last computed
+	backlog         float64                   // admitted work in excess of what was allowed, ns
+	meanWait        float64                   // mean wait of what arrives, ns
+	waitSeen        bool                      // a wait was recorded since updatedAt
+	offered         [priceClasses]slidingRate // work a second that is offered, by price class
+	rejected        slidingRate               // queries a second that are rejected after their heads were read
+	rejectedUnread  slidingRate               // queries a second that are rejected unread
+	meanDuration    []float64                 // of answered queries, by workload, ns
+	answeredShare   []float64                 // of admitted queries, by workload
+	rejectedIDs     [2]map[uint64]struct{}    // of recently rejected queries: the current generation and the one before
 	customers       map[uint64]*customer
-	sweptAt         int64
-	activeCustomers float64 // customers that asked of late
+	sweptAt         int64   // when idle customers were last removed
+	activeCustomers float64 // number of customers with recent queries
 }
 
+// customer is what is tracked of one customer.
 type customer struct {
-	budget   float64 // work that its floor has left, ns
+	budget   float64 // work that its guaranteed share still allows, ns
 	lastSeen int64
-	demand   float64 // work a second that it asks for of late
+	demand   float64 // work a second that it asks for, averaged over about a second
 }
 
-// slidingRate is how much comes a second: sums in a ring of rows.
+// slidingRate is an amount a second over a sliding window, summed in a ring of slots.
 type slidingRate struct {
 	slots  [rateWindow / rateSlot]float64
 	newest int64
 }
 
+// advance clears the slots that were last used a whole window ago.
 func (r *slidingRate) advance(now int64) {
 	n := now / rateSlot
 	for r.newest = max(r.newest, n-int64(len(r.slots))); r.newest < n; r.newest++ {
@@ -74,7 +76,8 @@
 	r.slots[r.newest%int64(len(r.slots))] += v
 }
 
-// perSecond is the rate. Danger: a burst that began just now is as strong as the rows that it fills, not as the whole span.
+// perSecond returns the rate. Danger: averaged over the whole window, a burst that has just begun would be
+// underestimated. If the newest slots have a much higher rate, that one is returned.
 func (r *slidingRate) perSecond(now int64) float64 {
 	r.advance(now)
 	whole, recent := 0.0, 0.0
@@ -84,7 +87,7 @@
 			recent += v
 		}
 	}
-	last := now % rateSlot // of the newest row
+	last := now % rateSlot // time elapsed in the newest slot
 	long, short := 1e9*whole/float64(rateWindow-rateSlot+last), 1e9*recent/float64(2*rateSlot+last)
 	if short > burstFactor*long {
 		return short
@@ -92,204 +95,210 @@
 	return long
 }
 
-func newPricing(now int64, t *Config, chance *rand.Rand) pricing {
-	w := pricing{rng: chance, floor: noFloor, updatedAt: now, meanDuration: make([]float64, len(t.Workloads)),
-		answeredShare: make([]float64, len(t.Workloads)), customers: map[uint64]*customer{}, sweptAt: now,
+func newPricing(now int64, config *Config, rng *rand.Rand) pricing {
+	p := pricing{rng: rng, floor: noFloor, updatedAt: now, meanDuration: make([]float64, len(config.Workloads)),
+		answeredShare: make([]float64, len(config.Workloads)), customers: map[uint64]*customer{}, sweptAt: now,
 		rejectedIDs: [2]map[uint64]struct{}{{}, {}}, activeCustomers: 1}
-	for i := range w.meanDuration {
-		w.meanDuration[i], w.answeredShare[i] = float64(t.Workloads[i].LatencyGoal)/4, 1
+	for i := range p.meanDuration {
+		p.meanDuration[i], p.answeredShare[i] = float64(config.Workloads[i].LatencyGoal)/4, 1
 	}
-	return w
+	return p
 }
 
-// priceClass is where a price stands, revenue for a ms of the processor.
+// priceClass returns the class of a price, in revenue for each ms of processor time.
 func priceClass(price float64) float64 {
 	return min(max(2*math.Log2(max(price, 1e-12))+middleClass, 0), priceClasses-1)
 }
 
-// price is what a query should earn for each ms that it costs: its revenue, by its customer's share, by the chance that it is
-// answered within its goal.
-func (w *pricing) price(s *Detector, a Arrival, c *customer) float64 {
-	p := s.Workloads[a.Workload].Revenue
-	// Danger: a query with little time left costs as much as any, and earns nothing.
-	left := float64(min(a.TimeLeft, s.Workloads[a.Workload].LatencyGoal))
-	p *= min(max(left/(neededDurations*w.meanDuration[a.Workload]), 0), 1) * max(w.answeredShare[a.Workload], 0.1)
-	if fair := s.capacity() / w.activeCustomers; c != nil && c.demand > fair {
-		p *= fair / c.demand
+// price returns what a query is expected to earn for each ms of processor time: its revenue, times the probability that
+// it is answered within its latency goal, reduced if its customer asks for more than a fair share or if it is a repeat.
+func (p *pricing) price(d *Detector, a Arrival, c *customer) float64 {
+	value := d.Workloads[a.Workload].Revenue
+	// Danger: a query with little time left costs as much as any other and earns nothing.
+	timeLeft := float64(min(a.TimeLeft, d.Workloads[a.Workload].LatencyGoal))
+	value *= min(max(timeLeft/(neededDurations*p.meanDuration[a.Workload]), 0), 1) * max(p.answeredShare[a.Workload], 0.1)
+	if fairShare := d.capacity() / p.activeCustomers; c != nil && c.demand > fairShare {
+		value *= fairShare / c.demand
 	}
-	if a.Attempt > 1 || w.wasRejected(a.ID) {
-		p *= repeatValueShare
+	if a.Attempt > 1 || p.wasRejected(a.ID) {
+		value *= repeatValueShare
 	}
-	return p / (s.costs.ofQuery(a.Workload) / 1e6)
+	return value / (d.costs.ofQuery(a.Workload) / 1e6)
 }
 
-func (w *pricing) wasRejected(id uint64) bool {
-	for _, some := range w.rejectedIDs {
-		if _, is := some[id]; is {
+// wasRejected reports whether a query with this id was rejected recently.
+func (p *pricing) wasRejected(id uint64) bool {
+	for _, generation := range p.rejectedIDs {
+		if _, is := generation[id]; is {
 			return true
 		}
 	}
 	return false
 }
 
-// rememberRejected keeps the id of a query that is turned away.
-func (w *pricing) rememberRejected(id uint64) {
-	if len(w.rejectedIDs[0]) >= maxRejectedIDs {
-		w.rejectedIDs[0], w.rejectedIDs[1] = map[uint64]struct{}{}, w.rejectedIDs[0]
+// rememberRejected stores the id of a rejected query.
+func (p *pricing) rememberRejected(id uint64) {
+	if len(p.rejectedIDs[0]) >= maxRejectedIDs {
+		p.rejectedIDs[0], p.rejectedIDs[1] = map[uint64]struct{}{}, p.rejectedIDs[0]
 	}
-	w.rejectedIDs[0][id] = struct{}{}
+	p.rejectedIDs[0][id] = struct{}{}
 }
 
 // admit decides on one query.
-func (w *pricing) admit(now int64, s *Detector, a Arrival) (admitted bool, retryAfter int64) {
-	cost := s.costs.ofQuery(a.Workload)
-	c := w.touchCustomer(now, s, a.Customer, cost)
-	at := priceClass(w.price(s, a, c))
-	w.offered[int(at)].add(now, cost)
-	if now-w.updatedAt >= rateSlot {
-		w.updateFloor(now, s)
+func (p *pricing) admit(now int64, d *Detector, a Arrival) (admitted bool, retryAfter int64) {
+	cost := d.costs.ofQuery(a.Workload)
+	c := p.touchCustomer(now, d, a.Customer, cost)
+	class := priceClass(p.price(d, a, c))
+	p.offered[int(class)].add(now, cost)
+	if now-p.updatedAt >= rateSlot {
+		p.updateFloor(now, d)
 	}
-	admitted = !s.shedding() || math.Floor(at)+w.rng.Float64() >= w.floor
-	// Danger: what is worth least would be locked out for as long as the strain lasts. A customer has a floor of its own.
-	if !admitted && c.budget >= cost && a.TimeLeft > int64(w.meanDuration[a.Workload]) {
+	admitted = !d.shedding() || math.Floor(class)+p.rng.Float64() >= p.floor
+	// Danger: no query of a customer whose queries are worth least would be served for as long as the overload lasts. So
+	// each customer has a guaranteed share.
+	if !admitted && c.budget >= cost && a.TimeLeft > int64(p.meanDuration[a.Workload]) {
 		c.budget -= cost
 		admitted = true
 	}
 	if !admitted {
-		w.rejected.add(now, 1)
-		w.rememberRejected(a.ID)
-		return false, w.retryAfter(now, s)
+		p.rejected.add(now, 1)
+		p.rememberRejected(a.ID)
+		return false, p.retryAfter(now, d)
 	}
-	w.backlog += cost
+	p.backlog += cost
 	return true, 0
 }
 
-// touchCustomer is the record of the one who asks.
-func (w *pricing) touchCustomer(now int64, s *Detector, id uint64, cost float64) *customer {
-	if now-w.sweptAt >= customerIdleNs {
-		w.sweptAt = now
-		for id, c := range w.customers {
+// touchCustomer returns the record of a query's customer, brought up to date for a query of this cost.
+func (p *pricing) touchCustomer(now int64, d *Detector, id uint64, cost float64) *customer {
+	if now-p.sweptAt >= customerIdleNs {
+		p.sweptAt = now
+		for id, c := range p.customers {
 			if now-c.lastSeen >= customerIdleNs {
-				delete(w.customers, id)
+				delete(p.customers, id)
 			}
 		}
-		w.activeCustomers = float64(max(len(w.customers), 1))
+		p.activeCustomers = float64(max(len(p.customers), 1))
 	}
-	c := w.customers[id]
+	c := p.customers[id]
 	if c == nil {
-		if len(w.customers) >= maxCustomers { // the rest share one record
+		if len(p.customers) >= maxCustomers { // all further customers share one record
 			id = 0
-			c = w.customers[0]
+			c = p.customers[0]
 		}
 		if c == nil {
 			c = &customer{lastSeen: now}
-			w.customers[id] = c
-			w.activeCustomers = max(w.activeCustomers, float64(len(w.customers)))
+			p.customers[id] = c
+			p.activeCustomers = max(p.activeCustomers, float64(len(p.customers)))
 		}
 	}
-	since := float64(now-c.lastSeen) / 1e9
-	c.demand = c.demand*math.Exp(-since) + cost // over about a second
-	own := s.CustomerFloor * s.capacity() / w.activeCustomers
-	c.budget = min(c.budget+since*own, max(maxSavedSeconds*own, cost))
+	elapsed := float64(now-c.lastSeen) / 1e9
+	c.demand = c.demand*math.Exp(-elapsed) + cost // averaged over about a second
+	guaranteed := d.CustomerFloor * d.capacity() / p.activeCustomers
+	c.budget = min(c.budget+elapsed*guaranteed, max(maxSavedSeconds*guaranteed, cost))
 	c.lastSeen = now
 	return c
 }
 
-// updateFloor finds the floor: what is offered above it is what may be taken on, less what was taken on too much.
-func (w *pricing) updateFloor(now int64, s *Detector) {
-	span := float64(now - w.updatedAt)
-	w.updatedAt = now
-	may := s.limit.allowed()
-	w.backlog = max(w.backlog-may*span/1e9, 0)
-	if math.IsInf(may, 1) || math.IsNaN(w.backlog) {
-		w.backlog = 0
+// updateFloor moves the floor towards the price above which the offered work equals the allowed work less a part for the
+// backlog.
+func (p *pricing) updateFloor(now int64, d *Detector) {
+	span := float64(now - p.updatedAt)
+	p.updatedAt = now
+	allowed := d.limit.allowed()
+	p.backlog = max(p.backlog-allowed*span/1e9, 0)
+	if math.IsInf(allowed, 1) || math.IsNaN(p.backlog) {
+		p.backlog = 0
 	}
-	if !w.waitSeen {
-		w.meanWait *= idleWaitDecay
+	if !p.waitSeen {
+		p.meanWait *= idleWaitDecay
 	}
-	w.waitSeen = false
-	// Danger: what waits unseen, in the machine's own queues, is no smaller for that. What waits costs a share of what may be
-	// taken on, and not all of it: the dearest come in time even so.
-	behind := max(w.backlog/max(may, 1)*1e9, w.meanWait-float64(s.WaitTarget))
-	room := max(may*(1-min(max(behind, 0)/backlogRecoveryNs, maxBacklogShare))-s.costs.reject*w.rejected.perSecond(now)-
-		s.costs.rejectUnread*w.rejectedUnread.perSecond(now), 0)
+	p.waitSeen = false
+	// Danger: work that waits in the operating system's queues is not part of the backlog, so the mean wait counts too.
+	// The backlog takes up no more than a part of the allowed work, so that the most valuable queries are still
+	// answered in time.
+	behind := max(p.backlog/max(allowed, 1)*1e9, p.meanWait-float64(d.WaitTarget))
+	remaining := max(allowed*(1-min(max(behind, 0)/backlogRecoveryNs, maxBacklogShare))-d.costs.reject*p.rejected.perSecond(now)-
+		d.costs.rejectUnread*p.rejectedUnread.perSecond(now), 0)
 	target := noFloor
 	for i := priceClasses - 1; i >= 0; i-- {
-		offered := w.offered[i].perSecond(now)
-		if offered > room { // of this class a share: the lot decides
-			target = float64(i) + 1 - room/offered
+		offered := p.offered[i].perSecond(now)
+		if offered > remaining { // a random share of this class is admitted
+			target = float64(i) + 1 - remaining/offered
 			break
 		}
-		room -= offered
+		remaining -= offered
 	}
 	steps := span / float64(rateSlot)
-	switch near := floorSmoothing * min(steps, 1) * (target - w.floor); {
-	case target > w.floor+1:
-		w.floor = min(target, max(w.floor, 0)+maxFloorRise)
-	case target > w.floor:
-		w.floor += near
+	switch step := floorSmoothing * min(steps, 1) * (target - p.floor); {
+	case target > p.floor+1:
+		p.floor = min(target, max(p.floor, 0)+maxFloorRise)
+	case target > p.floor:
+		p.floor += step
 	default:
-		w.floor += max(near, -maxFloorFall*steps)
+		p.floor += max(step, -maxFloorFall*steps)
 	}
-	if w.floor < 0 {
-		w.floor = noFloor
+	if p.floor < 0 {
+		p.floor = noFloor
 	}
 }
 
-// recordWait takes in how long one that came waited.
-func (w *pricing) recordWait(ns int64) {
-	w.meanWait += waitSmoothing * (float64(ns) - w.meanWait)
-	w.waitSeen = true
+// recordWait records how long something that arrived has waited.
+func (p *pricing) recordWait(ns int64) {
+	p.meanWait += waitSmoothing * (float64(ns) - p.meanWait)
+	p.waitSeen = true
 }
 
-// recordEnd books how a query went that was taken on.
-func (w *pricing) recordEnd(workload int, duration int64, answered bool) {
+// recordEnd records the outcome of an admitted query.
+func (p *pricing) recordEnd(workload int, duration int64, answered bool) {
 	share := 0.0
 	if answered {
 		share = 1
-		w.meanDuration[workload] += smoothing / 4 * (float64(duration) - w.meanDuration[workload])
+		p.meanDuration[workload] += smoothing / 4 * (float64(duration) - p.meanDuration[workload])
 	}
-	w.answeredShare[workload] += smoothing / 10 * (share - w.answeredShare[workload])
+	p.answeredShare[workload] += smoothing / 10 * (share - p.answeredShare[workload])
 }
 
-// rejectUnread decides by the best that a query of the workload could be worth. Some have their heads read all the same, as many as
-// cost little, for the customers' floor.
-func (w *pricing) rejectUnread(now int64, s *Detector, workload int) (bool, int64) {
-	if now-w.updatedAt >= rateSlot {
-		w.updateFloor(now, s)
+// rejectUnread decides by the highest price that a query of the workload can have. Some queries have their heads read
+// all the same, as many as cost little, because their customers may have a guaranteed share left.
+func (p *pricing) rejectUnread(now int64, d *Detector, workload int) (bool, int64) {
+	if now-p.updatedAt >= rateSlot {
+		p.updateFloor(now, d)
 	}
-	best := priceClass(s.Workloads[workload].Revenue / (s.costs.ofQuery(workload) / 1e6))
-	if math.Floor(best)+1 >= w.floor {
+	best := priceClass(d.Workloads[workload].Revenue / (d.costs.ofQuery(workload) / 1e6))
+	if math.Floor(best)+1 >= p.floor {
 		return false, 0
 	}
-	w.offered[int(best)].add(now, s.costs.ofQuery(workload))
-	if keep := readHeadsShare * s.Cores * 1e9 / max(s.costs.reject*(w.rejectedUnread.perSecond(now)+w.rejected.perSecond(now)), 1); w.rng.Float64() < keep {
+	p.offered[int(best)].add(now, d.costs.ofQuery(workload))
+	if readShare := readHeadsShare * d.Cores * 1e9 /
+		max(d.costs.reject*(p.rejectedUnread.perSecond(now)+p.rejected.perSecond(now)), 1); p.rng.Float64() < readShare {
 		return false, 0
 	}
-	w.rejectedUnread.add(now, 1)
-	return true, w.retryAfter(now, s)
+	p.rejectedUnread.add(now, 1)
+	return true, p.retryAfter(now, d)
 }
 
-// retryAfter is how long one that is turned away should stay away: longer the more is offered, and spread.
-// Danger: a crowd that is told one time comes back as a crowd.
-func (w *pricing) retryAfter(now int64, s *Detector) int64 {
-	most := min(s.MaxRetryAfter, maxRetryAfter)
-	if most <= 0 {
+// retryAfter returns the time after which the client of a rejected query should retry, ns. It is random, and longer the
+// more work is offered. Danger: clients that all get the same time come back as a crowd.
+func (p *pricing) retryAfter(now int64, d *Detector) int64 {
+	longest := min(d.MaxRetryAfter, maxRetryAfter)
+	if longest <= 0 {
 		return 0
 	}
 	offered := 0.0
-	for i := range w.offered {
-		offered += w.offered[i].perSecond(now)
+	for i := range p.offered {
+		offered += p.offered[i].perSecond(now)
 	}
-	over := max(offered/max(s.capacity(), 1), 1)
-	high := min(int64(2*float64(baseRetryAfter)*over), most)
-	return high/3 + int64(w.rng.Float64()*float64(high-high/3))
+	loadFactor := max(offered/max(d.capacity(), 1), 1)
+	upper := min(int64(2*float64(baseRetryAfter)*loadFactor), longest)
+	return upper/3 + int64(p.rng.Float64()*float64(upper-upper/3))
 }
 
-// floorPrice is the price under which all is turned away, revenue for a second of the processor; 0 for none.
-func (w *pricing) floorPrice() float64 {
-	if w.floor <= 0 {
+// floorPrice returns the price below which queries are rejected, in revenue for a second of processor time; 0 if there
+// is no floor.
+func (p *pricing) floorPrice() float64 {
+	if p.floor <= 0 {
 		return 0
 	}
-	return 1000 * math.Exp2((w.floor-middleClass)/2)
+	return 1000 * math.Exp2((p.floor-middleClass)/2)
 }
--- a/decide/overload/simulation_test.go
+++ b/decide/overload/simulation_test.go
@@ -6,20 +6,21 @@
 	"testing"
 )
 
-// simulatedProcess is a process on one processor: what comes is worked on in its order, and its clients leave when their time is up.
+// simulatedProcess is a process on one processor. It serves queries in order of arrival, and clients leave when their
+// time is up.
 type simulatedProcess struct {
-	detector         *Detector // nil for a process that does not know its strain
+	detector         *Detector // nil for a process without overload detection
 	rng              *rand.Rand
-	cost             []float64 // ns of a query, by workload
-	rejectCost       float64
-	unreadRejectCost float64                 // ns of one refused unseen
-	stolen           func(now int64) float64 // share of the processor that a neighbour has
+	cost             []float64               // ns of a query, by workload
+	rejectCost       float64                 // ns of rejecting a query whose head was read
+	unreadRejectCost float64                 // ns of rejecting a query unread
+	stolen           func(now int64) float64 // share of the processor that other processes use
 
 	waiting                  []waitingQuery
 	now, freeAt              int64
 	used                     float64
 	waitSum, waitCount       float64
-	earned, offered          float64
+	earned, offered          float64 // revenue within the goal, and of all queries that arrived
 	served                   []int
 	rejected, rejectedUnread int
 	late                     int
@@ -36,17 +37,18 @@
 	workload int
 }
 
-// play has queries come for a span, and returns the revenue within the goal, and what came.
-func (m *simulatedProcess) play(span int64, kinds []load, goal int64, revenue []float64) {
+// play lets queries arrive for a span of time and adds up the revenue within the goal and the revenue of all that
+// arrived.
+func (m *simulatedProcess) play(span int64, loads []load, goal int64, revenue []float64) {
 	end := m.now + span
-	next := make([]int64, len(kinds))
-	for i, k := range kinds {
+	next := make([]int64, len(loads))
+	for i, k := range loads {
 		next[i] = m.now + int64(m.rng.ExpFloat64()*1e9/k.rate)
 	}
-	read, last := m.now+100e6, m.now
+	nextReading, last := m.now+100e6, m.now
 	for {
 		soonest := 0
-		for i := range kinds {
+		for i := range loads {
 			if next[i] < next[soonest] {
 				soonest = i
 			}
@@ -55,20 +57,20 @@
 		if len(m.waiting) > 0 {
 			start = max(m.freeAt, m.waiting[0].at)
 		}
-		switch m.now = min(next[soonest], read, start, end); m.now {
+		switch m.now = min(next[soonest], nextReading, start, end); m.now {
 		case end:
 			return
 		case start:
-			one := m.waiting[0]
+			query := m.waiting[0]
 			m.waiting = m.waiting[1:]
-			m.serve(start, one.at, one.load, goal, revenue)
+			m.serve(start, query.at, query.load, goal, revenue)
 		case next[soonest]:
-			k := kinds[soonest]
+			k := loads[soonest]
 			next[soonest] += int64(m.rng.ExpFloat64() * 1e9 / k.rate)
 			m.offered += revenue[k.workload]
 			m.waiting = append(m.waiting, waitingQuery{m.now, k})
 		default:
-			read += 100e6
+			nextReading += 100e6
 			if m.detector != nil {
 				wait, used := 0.0, min(m.used, float64(m.now-last))
 				if m.waitCount > 0 {
@@ -82,7 +84,7 @@
 	}
 }
 
-// serve has the processor come to a query.
+// serve processes the query that is next in line.
 func (m *simulatedProcess) serve(start, at int64, k load, goal int64, revenue []float64) {
 	slow := 1.0
 	if m.stolen != nil {
@@ -92,16 +94,16 @@
 		m.freeAt = start + int64(cost*slow)
 		m.used += cost
 	}
-	m.waitSum += float64(start - at) // what waits in the machine's queue is seen as it is come to
+	m.waitSum += float64(start - at) // a query's wait is known only when its turn comes
 	m.waitCount++
 	if m.detector != nil {
 		m.detector.RecordWait(start - at)
-		if away, _ := m.detector.RejectUnread(start, k.workload); away {
+		if rejected, _ := m.detector.RejectUnread(start, k.workload); rejected {
 			m.rejectedUnread++
 			work(m.unreadRejectCost)
 			return
 		}
-		if taken, _ := m.detector.Admit(start, Arrival{Workload: k.workload, Customer: k.customer, ID: m.rng.Uint64(), TimeLeft: 4*goal - (start - at)}); !taken {
+		if admitted, _ := m.detector.Admit(start, Arrival{Workload: k.workload, Customer: k.customer, ID: m.rng.Uint64(), TimeLeft: 4*goal - (start - at)}); !admitted {
 			m.rejected++
 			work(m.rejectCost)
 			return
@@ -124,10 +126,10 @@
 	}
 }
 
-func newSimulatedProcess(limit string, known bool) *simulatedProcess {
+func newSimulatedProcess(limit string, detects bool) *simulatedProcess {
 	m := &simulatedProcess{rng: rand.New(rand.NewPCG(3, 4)), cost: []float64{300e3, 300e3}, rejectCost: 30e3, unreadRejectCost: 5e3, now: 1e9, freeAt: 1e9,
 		served: make([]int, 2)}
-	if known {
+	if detects {
 		m.detector = New(m.now, Config{Cores: 1, Workloads: []Workload{{1, 250e6}, {10, 250e6}}, LimitKind: limit, FixedRate: 2000, WaitTarget: 5e6,
 			MaxRetryAfter: 2e9, CustomerFloor: 0.05, Seed: 7})
 	}
@@ -136,7 +138,7 @@
 
 var revenues = []float64{1, 10}
 
-// oldestWait is how long what came last has waited.
+// oldestWait returns how long the query that is next in line has waited.
 func oldestWait(m *simulatedProcess) int64 {
 	if len(m.waiting) == 0 {
 		return 0
@@ -144,31 +146,33 @@
 	return m.now - m.waiting[0].at
 }
 
-// playBurst plays ten times of what can be served for 5 s, and tells what share of a perfect shedder's revenue is kept.
-func playBurst(m *simulatedProcess, times float64) (kept, dear float64) {
+// playBurst offers the given multiple of the usual load for 5 s. It returns the revenue as a share of what a perfect
+// shedder keeps, and the share of the valuable queries that are served.
+func playBurst(m *simulatedProcess, times float64) (kept, valuable float64) {
 	calm := []load{{1500, 1, 0}, {150, 1, 1}}
 	m.play(20e9, calm, 250e6, revenues)
 	m.earned, m.offered, m.served = 0, 0, make([]int, 2)
 	m.rejected, m.rejectedUnread, m.late = 0, 0, 0
 	high := []load{{1500 * times, 1, 0}, {150 * times, 1, 1}}
 	m.play(5e9, high, 250e6, revenues)
-	room := 5e9 / 300e3
-	best := min(room, 750*times)*10 + min(max(room-750*times, 0), 7500*times)
-	return m.earned / best, float64(m.served[1]) / min(750*times, room)
+	capacity := 5e9 / 300e3
+	best := min(capacity, 750*times)*10 + min(max(capacity-750*times, 0), 7500*times)
+	return m.earned / best, float64(m.served[1]) / min(750*times, capacity)
 }
 
-// Ten times what can be served: by the model's limit most of what a perfect shedder keeps is kept, whose refusals cost nothing, and
-// of the dear workload nearly all. No other limit keeps more, and a process that does not know its strain keeps next to nothing.
+// At up to ten times the usual load, which takes half of the processor, the limit "model" keeps most of the revenue that
+// a perfect shedder keeps, whose rejections cost nothing, and serves nearly all of the valuable workload. No other limit
+// keeps more, and a process without overload detection keeps next to nothing.
 func TestBurst(t *testing.T) {
 	kept := map[string]float64{}
 	for _, limit := range append([]string{""}, LimitKinds...) {
 		for _, times := range []float64{2, 5, 10} {
 			m := newSimulatedProcess(limit, limit != "")
-			all, dear := playBurst(m, times)
-			t.Logf("%-9s %4gx: kept %.3f, dear %.3f, refused %d, unseen %d, late %d", limit, times, all, dear, m.rejected, m.rejectedUnread, m.late)
-			kept[limit] = all
-			if limit == "model" && (all < 0.8 || dear < 0.88) {
-				t.Errorf("%gx: kept %.3f, and of the dear %.3f", times, all, dear)
+			share, valuable := playBurst(m, times)
+			t.Logf("%-9s %4gx: kept %.3f, valuable %.3f, rejected %d, unread %d, late %d", limit, times, share, valuable, m.rejected, m.rejectedUnread, m.late)
+			kept[limit] = share
+			if limit == "model" && (share < 0.8 || valuable < 0.88) {
+				t.Errorf("%gx: kept %.3f, and of the valuable queries %.3f", times, share, valuable)
 			}
 		}
 	}
@@ -178,11 +182,11 @@
 		}
 	}
 	if kept[""] > 0.1 {
-		t.Errorf("without it %.3f is kept", kept[""])
+		t.Errorf("without overload detection %.3f is kept", kept[""])
 	}
 }
 
-// A neighbour takes half of the processor: what is taken on goes down to what is left, and up again.
+// When another process takes half of the processor, admission falls to what is left, and rises again afterwards.
 func TestNeighbour(t *testing.T) {
 	m := newSimulatedProcess("model", true)
 	m.stolen = func(now int64) float64 {
@@ -193,22 +197,23 @@
 	}
 	high := []load{{4000, 1, 0}, {400, 1, 1}}
 	m.play(20e9, high, 250e6, revenues)
-	count := func(span int64) (dear, late float64) {
+	count := func(span int64) (valuable, late float64) {
 		m.served, m.late, m.rejected = make([]int, 2), 0, 0
 		m.play(span, high, 250e6, revenues)
 		return float64(m.served[1]) / (400 * float64(span) / 1e9), float64(m.late) / float64(max(m.served[0]+m.served[1], 1))
 	}
 	m.play(2e9, high, 250e6, revenues)
-	if dear, late := count(8e9); dear < 0.93 || late > 0.05 {
-		t.Errorf("with half of the processor %.3f of the dear, %.3f late", dear, late)
+	if valuable, late := count(8e9); valuable < 0.93 || late > 0.05 {
+		t.Errorf("with half of the processor %.3f of the valuable queries served, %.3f late", valuable, late)
 	}
 	m.play(2e9, high, 250e6, revenues)
-	if dear, _ := count(5e9); dear < 0.95 || m.served[0] < 8000 {
-		t.Errorf("with all of it again %.3f of the dear, and %d cheap ones", dear, m.served[0])
+	if valuable, _ := count(5e9); valuable < 0.95 || m.served[0] < 8000 {
+		t.Errorf("with all of it again %.3f of the valuable queries and %d cheap ones served", valuable, m.served[0])
 	}
 }
 
-// After the crowd all is served again within seconds, and it stays so: what was learned in it does not keep others out.
+// After a crowd everything is served again within seconds and from then on: what was learned during the crowd does not
+// cause rejections.
 func TestAfter(t *testing.T) {
 	m := newSimulatedProcess("model", true)
 	playBurst(m, 10)
@@ -217,6 +222,6 @@
 	m.rejected, m.rejectedUnread, m.late = 0, 0, 0
 	m.play(20e9, calm, 250e6, revenues)
 	if m.rejected+m.rejectedUnread+m.late > 0 || m.detector.Level() > Busy {
-		t.Errorf("%d refused, %d unseen, %d late, %v for %q", m.rejected, m.rejectedUnread, m.late, m.detector.Level(), m.detector.Cause())
+		t.Errorf("%d rejected, %d rejected unread, %d late, %v for %q", m.rejected, m.rejectedUnread, m.late, m.detector.Level(), m.detector.Cause())
 	}
 }
--- a/decide/zonehealth/zonehealth.go
+++ b/decide/zonehealth/zonehealth.go
@@ -1,11 +1,12 @@
-// Package zonehealth knows when a whole zone of replicas is out of this aggregator's reach: cut off, or lost. An aggregator that meets each
-// replica once in some seconds would find them out one by one, at the cost of a query each; what fails in one zone and nowhere
-// else it finds out by the first query. It does no I/O, has no clock and is owned by one caller at a time.
+// Package zonehealth detects that a whole zone of replicas is unreachable for this aggregator, because of a network
+// partition or an outage. An aggregator sends to each replica only once in some seconds, and would find the failed
+// replicas one by one, at the cost of a query each. Failures in one zone and in no other are detected here with the
+// first query. The package does no I/O, has no clock and is used by one caller at a time.
 //
-// Decides: which zones are out of reach; by how many of their replicas, and when, one is tried again.
+// Decides: which zones are unreachable; when one is tried again, and with how many of its replicas.
 //
-// Nothing here chooses a replica. Those of a zone out of reach are passed over by a word to the module, as slow ones are, and
-// serve where no other can.
+// Nothing here chooses a replica. The replicas of an unreachable zone are excluded by a shared report to the balance
+// module, as slow ones are, and serve only where no other replica can.
 package zonehealth
 
 import (
@@ -19,291 +20,303 @@
 )
 
 const (
-	failureDivisor   = 4    // an execution that the shortest latency goal / this brought nothing of counts as failed
-	firstTrialDelay  = 1    // rests until a zone is tried,
-	maxTrialDelay    = 2    // doubled up to so many rests
-	trialShare       = 0.25 // of its replicas are let in for a try,
-	minTrialReplicas = 2    // and at least so many
+	failureDivisor   = 4    // an execution without an answer counts as failed from BaseEjection divided by this on
+	firstTrialDelay  = 1    // multiples of BaseEjection until an unreachable zone is tried for the first time
+	maxTrialDelay    = 2    // multiples of BaseEjection that the interval between trials doubles up to
+	trialShare       = 0.25 // share of the zone's replicas that are admitted for a trial
+	minTrialReplicas = 2    // least number of replicas that are admitted for a trial
 )
 
-// Config are what a Tracker is made from.
+// Config holds a Tracker's settings.
 type Config struct {
-	BaseEjection      int64 // the first rest of a replica that is set aside, ns: the scale of all times here
-	MinFailedReplicas int   // replicas of one zone that have to fail, with none of it heard between
+	BaseEjection      int64 // how long a replica is ejected when it starts to fail, ns; all times here scale with it
+	MinFailedReplicas int   // failed replicas, without an answer in between, from which a zone counts as unreachable
 	Seed              uint64
 }
 
-// Validate tells what is wrong with the terms.
-func (t Config) Validate() error {
-	if t.BaseEjection <= 0 {
-		return fmt.Errorf("the rest is %d ns, not above 0", t.BaseEjection)
+// Validate reports settings that cannot be used.
+func (c Config) Validate() error {
+	if c.BaseEjection <= 0 {
+		return fmt.Errorf("the base ejection is %d ns, not above 0", c.BaseEjection)
 	}
-	if t.MinFailedReplicas < 2 {
-		return fmt.Errorf("%d failed replicas tell nothing of a zone, two do at least", t.MinFailedReplicas)
+	if c.MinFailedReplicas < 2 {
+		return fmt.Errorf("%d failed replicas do not show that a zone is unreachable; at least two are needed", c.MinFailedReplicas)
 	}
 	return nil
 }
 
+// replica is the state of one replica.
 type replica struct {
-	zone        int  // index of its zone + 1, 0 for one that is not listed or has none
-	failedEpoch int  // the zone's turn in which it was last counted as failed
-	excluded    bool // the module has been told that it is out of reach
-	newlyListed bool // listed since its zone went out of reach, and nothing has failed there since
+	zone        int  // index of its zone plus 1; 0 if it is not listed or has no zone
+	failedEpoch int  // the zone's epoch in which it was last counted as failed
+	excluded    bool // the last report on it to the balance module excludes it
+	newlyListed bool // it was listed after its zone became unreachable, and has not failed since
 }
 
+// zone is the state of one zone.
 type zone struct {
 	name           string
-	replicas       int // listed
-	epoch          int // rises with each answer: failures of earlier turns do not count
-	failedReplicas int // replicas that failed in this turn
-	lastReached    int64
+	replicas       int   // number of listed replicas
+	epoch          int   // incremented by each answer; failures of earlier epochs do not count
+	failedReplicas int   // number of replicas that failed in this epoch
+	lastReached    int64 // when a replica last answered
 	unreachable    bool
-	trialDelay     int64 // until the next try, ns
-	trialAt        int64 // the next try
-	inTrial        bool  // some are let in, and nothing has been sent to them yet
-	admissionsLeft int   // trying: replicas still to be let in, of
-	drawsLeft      int   // so many still to be drawn from
+	trialDelay     int64 // from now to the next trial, ns
+	trialAt        int64 // time of the next trial
+	inTrial        bool  // some replicas are admitted for a trial, and nothing has been sent to them yet
+	admissionsLeft int   // during a trial: replicas still to be admitted
+	drawsLeft      int   // during a trial: replicas that may still be drawn
 }
 
-// Stats may be read at any time.
+// Stats are counters. They may be read at any time.
 type Stats struct {
-	FoundUnreachable counters.Count `json:"found"` // how often a zone was found out of reach,
-	Recovered        counters.Count `json:"back"`  // and one of those answered again
-	Trials           counters.Count `json:"tries"`
+	FoundUnreachable counters.Count `json:"found"` // times that a zone became unreachable
+	Recovered        counters.Count `json:"back"`  // times that an unreachable zone answered again
+	Trials           counters.Count `json:"tries"` // executions sent as a trial to an unreachable zone
 }
 
-// MarshalJSON encodes the present values.
+// MarshalJSON encodes the current values.
 func (f *Stats) MarshalJSON() ([]byte, error) {
 	type plain Stats
 	return json.Marshal((*plain)(f))
 }
 
-// Tracker keeps the zones of one aggregator.
+// Tracker tracks which zones one aggregator can reach.
 type Tracker struct {
 	config    Config
 	rng       *rand.Rand
 	replicas  []replica
 	zones     []zone
-	changed   bool  // the module's words are to be looked over
-	nextTrial int64 // the soonest try, math.MaxInt64 for none
+	changed   bool  // which replicas are excluded has to be decided again
+	nextTrial int64 // time of the earliest trial; math.MaxInt64 for none
 	Figures   *Stats
 }
 
-// New makes a Tracker with no replicas.
-func New(t Config) *Tracker {
-	return &Tracker{config: t, rng: rand.New(rand.NewPCG(t.Seed, t.Seed^0x9e3779b97f4a7c15)), nextTrial: math.MaxInt64, Figures: &Stats{}}
+// New returns a Tracker without replicas.
+func New(config Config) *Tracker {
+	return &Tracker{config: config, rng: rand.New(rand.NewPCG(config.Seed, config.Seed^0x9e3779b97f4a7c15)), nextTrial: math.MaxInt64,
+		Figures: &Stats{}}
 }
 
-// ReplicaListed tells that a replica is listed as up, in which zone, and whether anything was known of it before; an empty zone is none.
-func (f *Tracker) ReplicaListed(i int, zoneName string, known bool) {
-	for len(f.replicas) <= i {
-		f.replicas = append(f.replicas, replica{})
+// ReplicaListed records that a replica is listed as up, in which zone, and whether the balance module already knew it.
+// An empty zone name stands for no zone.
+func (t *Tracker) ReplicaListed(i int, zoneName string, known bool) {
+	for len(t.replicas) <= i {
+		t.replicas = append(t.replicas, replica{})
 	}
-	r, z := &f.replicas[i], 0
+	r, z := &t.replicas[i], 0
 	if zoneName != "" {
-		z = f.zoneNumber(zoneName)
+		z = t.zoneNumber(zoneName)
 	}
 	if r.zone == z && known {
 		return
 	}
-	f.removeFromZone(i)
+	t.removeFromZone(i)
 	if !known {
-		r.excluded = false // the module has forgotten it
+		r.excluded = false // the balance module has no state of it
 	}
 	if r.zone = z; z > 0 {
-		f.zones[z-1].replicas++
-		// Danger: a zone that was lost comes back with new processes; found out by tries alone it would bear nothing for seconds.
-		r.newlyListed, f.changed = true, true
+		t.zones[z-1].replicas++
+		// Danger: a zone that was lost comes back with new processes. If only trials revealed that, the zone would
+		// serve nothing for seconds.
+		r.newlyListed, t.changed = true, true
 	} else if r.excluded {
-		f.changed = true
+		t.changed = true
 	}
 }
 
-// ReplicaGone tells that a replica is no longer listed as up.
-func (f *Tracker) ReplicaGone(i int) {
-	if i < len(f.replicas) {
-		f.removeFromZone(i)
+// ReplicaGone records that a replica is no longer listed as up.
+func (t *Tracker) ReplicaGone(i int) {
+	if i < len(t.replicas) {
+		t.removeFromZone(i)
 	}
 }
 
-func (f *Tracker) removeFromZone(i int) {
-	if r := &f.replicas[i]; r.zone > 0 {
-		z := &f.zones[r.zone-1]
+func (t *Tracker) removeFromZone(i int) {
+	if r := &t.replicas[i]; r.zone > 0 {
+		z := &t.zones[r.zone-1]
 		z.replicas--
 		if r.failedEpoch == z.epoch {
 			z.failedReplicas--
 		}
 		r.zone, r.failedEpoch = 0, -1
-		// Danger: with its last replica a zone is no longer one that can take over. If it was the last such zone, the
-		// zones out of reach are to be let in again; that their own replicas are unchanged must not hide it.
-		f.changed = f.changed || r.excluded || z.replicas == 0
+		// Danger: a zone that loses its last replica cannot take over from others. If it was the last reachable zone,
+		// the replicas of the unreachable zones must be admitted again, although nothing has changed for them.
+		t.changed = t.changed || r.excluded || z.replicas == 0
 	}
 }
 
-func (f *Tracker) zoneNumber(name string) int {
+// zoneNumber returns the index of a zone plus 1. It adds the zone if it is new.
+func (t *Tracker) zoneNumber(name string) int {
 	empty := -1
-	for i := range f.zones {
+	for i := range t.zones {
 		switch {
-		case f.zones[i].name == name:
+		case t.zones[i].name == name:
 			return i + 1
-		case f.zones[i].replicas == 0:
+		case t.zones[i].replicas == 0:
 			empty = i
 		}
 	}
-	// Danger: a list that names new zones all day would grow this for as long as the process runs.
+	// Danger: a replica list that names new zones all the time would make zones grow without limit, so the entry of a
+	// zone without replicas is reused.
 	if empty >= 0 {
-		f.zones[empty] = zone{name: name, epoch: 1}
+		t.zones[empty] = zone{name: name, epoch: 1}
 		return empty + 1
 	}
-	f.zones = append(f.zones, zone{name: name, epoch: 1})
-	return len(f.zones)
+	t.zones = append(t.zones, zone{name: name, epoch: 1})
+	return len(t.zones)
 }
 
-func (f *Tracker) zoneIndex(i int) int {
-	if i >= len(f.replicas) {
+// zoneIndex returns the index of a replica's zone, or -1 for none.
+func (t *Tracker) zoneIndex(i int) int {
+	if i >= len(t.replicas) {
 		return -1
 	}
-	return f.replicas[i].zone - 1
+	return t.replicas[i].zone - 1
 }
 
-// ExecutionSent tells that an execution was sent to a replica. One is enough of a try: the others of its zone wait for what becomes of it.
-func (f *Tracker) ExecutionSent(now int64, i int) {
-	z := f.zoneIndex(i)
-	if z < 0 || !f.zones[z].inTrial || f.replicas[i].excluded {
+// ExecutionSent records that an execution was sent to a replica. One is enough for a trial: the zone's other replicas
+// are not used until its outcome is known.
+func (t *Tracker) ExecutionSent(now int64, i int) {
+	z := t.zoneIndex(i)
+	if z < 0 || !t.zones[z].inTrial || t.replicas[i].excluded {
 		return
 	}
-	f.zones[z].inTrial = false
-	f.Figures.Trials.Add(1)
-	f.scheduleTrial(now, z)
+	t.zones[z].inTrial = false
+	t.Figures.Trials.Add(1)
+	t.scheduleTrial(now, z)
 }
 
-// scheduleTrial puts off the next try.
-func (f *Tracker) scheduleTrial(now int64, z int) {
-	v := &f.zones[z]
-	v.trialAt = now + int64(float64(v.trialDelay)*(0.5+f.rng.Float64()))
-	v.trialDelay = min(2*v.trialDelay, maxTrialDelay*f.config.BaseEjection)
-	f.nextTrial = min(f.nextTrial, v.trialAt)
-	f.changed = true
+// scheduleTrial sets the time of the next trial.
+func (t *Tracker) scheduleTrial(now int64, z int) {
+	v := &t.zones[z]
+	v.trialAt = now + int64(float64(v.trialDelay)*(0.5+t.rng.Float64()))
+	v.trialDelay = min(2*v.trialDelay, maxTrialDelay*t.config.BaseEjection)
+	t.nextTrial = min(t.nextTrial, v.trialAt)
+	t.changed = true
 }
 
-// ExecutionEnded tells how an execution at a replica ended, and how long after its send, ns.
-func (f *Tracker) ExecutionEnded(now int64, i int, result balance.Result, took int64) {
-	z := f.zoneIndex(i)
+// ExecutionEnded records how an execution at a replica ended, and how long after it was sent, ns.
+func (t *Tracker) ExecutionEnded(now int64, i int, result balance.Result, took int64) {
+	z := t.zoneIndex(i)
 	if z < 0 {
 		return
 	}
-	v, r := &f.zones[z], &f.replicas[i]
+	v, r := &t.zones[z], &t.replicas[i]
 	switch result {
-	case balance.Fulfilled, balance.Errored, balance.Full: // it can be reached
+	case balance.Fulfilled, balance.Errored, balance.Full: // the zone can be reached
 		v.epoch++
 		v.failedReplicas, v.lastReached = 0, now
 		if v.unreachable {
-			v.unreachable, v.inTrial, f.changed = false, false, true
-			f.Figures.Recovered.Add(1)
+			v.unreachable, v.inTrial, t.changed = false, false, true
+			t.Figures.Recovered.Add(1)
 		}
 		return
 	case balance.ConnectFailed, balance.Reset:
 	default:
-		if took < f.config.BaseEjection/failureDivisor {
+		if took < t.config.BaseEjection/failureDivisor {
 			return
 		}
 	}
-	// Danger: what was sent before the zone was last heard and fails now is one replica's trouble, or that of the way there.
+	// Danger: an execution that was sent before the zone last answered and fails now shows a fault of one replica or of
+	// the path to it.
 	if now-took < v.lastReached || r.failedEpoch == v.epoch {
 		return
 	}
 	if r.failedEpoch = v.epoch; r.newlyListed {
-		r.newlyListed, f.changed = false, true
+		r.newlyListed, t.changed = false, true
 	}
-	if v.failedReplicas++; v.failedReplicas >= f.config.MinFailedReplicas && !v.unreachable {
-		v.unreachable, v.trialDelay, v.inTrial = true, firstTrialDelay*f.config.BaseEjection, false
-		for i := range f.replicas {
-			if f.replicas[i].zone == z+1 {
-				f.replicas[i].newlyListed = false
+	if v.failedReplicas++; v.failedReplicas >= t.config.MinFailedReplicas && !v.unreachable {
+		v.unreachable, v.trialDelay, v.inTrial = true, firstTrialDelay*t.config.BaseEjection, false
+		for i := range t.replicas {
+			if t.replicas[i].zone == z+1 {
+				t.replicas[i].newlyListed = false
 			}
 		}
-		f.Figures.FoundUnreachable.Add(1)
-		f.scheduleTrial(now, z)
+		t.Figures.FoundUnreachable.Add(1)
+		t.scheduleTrial(now, z)
 	}
 }
 
-// Next is when Decide has something to do at the latest; math.MaxInt64 for no such time.
-func (f *Tracker) Next() int64 {
-	if f.changed {
+// Next returns the time by which Decide must be called; math.MaxInt64 for no such time.
+func (t *Tracker) Next() int64 {
+	if t.changed {
 		return math.MinInt64
 	}
-	return f.nextTrial
+	return t.nextTrial
 }
 
-// Decide appends what the module is to be told now.
-func (f *Tracker) Decide(now int64, words []balance.SharedReport) []balance.SharedReport {
-	if now < f.Next() {
-		return words
+// Decide appends the shared reports that the balance module needs now.
+func (t *Tracker) Decide(now int64, reports []balance.SharedReport) []balance.SharedReport {
+	if now < t.Next() {
+		return reports
 	}
-	f.nextTrial = math.MaxInt64
-	sound := 0
-	for z := range f.zones {
-		v := &f.zones[z]
-		// Danger: those let in may all be full or set aside; with no others drawn the zone would be out for ever.
+	t.nextTrial = math.MaxInt64
+	reachable := 0
+	for z := range t.zones {
+		v := &t.zones[z]
+		// Danger: the admitted replicas may all be full or ejected. If others were not drawn then, the zone would stay
+		// unreachable forever.
 		if v.unreachable && now >= v.trialAt {
-			v.inTrial, v.trialAt, f.changed = true, now+v.trialDelay, true
+			v.inTrial, v.trialAt, t.changed = true, now+v.trialDelay, true
 		}
 		if v.unreachable {
-			f.nextTrial = min(f.nextTrial, v.trialAt)
+			t.nextTrial = min(t.nextTrial, v.trialAt)
 		}
 		v.admissionsLeft, v.drawsLeft = 0, v.replicas
 		if v.inTrial {
 			v.admissionsLeft = min(max(minTrialReplicas, int(trialShare*float64(v.replicas))), v.replicas)
 		}
 		if v.replicas > 0 && !v.unreachable {
-			sound++
+			reachable++
 		}
 	}
-	if !f.changed {
-		return words
+	if !t.changed {
+		return reports
 	}
-	f.changed = false
-	for i := range f.replicas {
-		r := &f.replicas[i]
-		bar := false
-		// Danger: where no zone is sound the trouble is this aggregator's own, and none is worse than another.
-		if r.zone > 0 && sound > 0 {
-			v := &f.zones[r.zone-1]
-			lets := f.drawForTrial(v)
-			bar = v.unreachable && !r.newlyListed && !lets
+	t.changed = false
+	for i := range t.replicas {
+		r := &t.replicas[i]
+		exclude := false
+		// Danger: if no zone is reachable, the fault is this aggregator's own and no zone is worse than another.
+		if r.zone > 0 && reachable > 0 {
+			v := &t.zones[r.zone-1]
+			admitted := t.drawForTrial(v)
+			exclude = v.unreachable && !r.newlyListed && !admitted
 		}
-		if bar != r.excluded {
-			r.excluded = bar
-			w := balance.SharedReport{Replica: i, DownUntil: now}
-			if bar {
-				w.DownUntil = math.MaxInt64
+		if exclude != r.excluded {
+			r.excluded = exclude
+			report := balance.SharedReport{Replica: i, DownUntil: now}
+			if exclude {
+				report.DownUntil = math.MaxInt64
 			}
-			words = append(words, w)
+			reports = append(reports, report)
 		}
 	}
-	return words
+	return reports
 }
 
-// drawForTrial draws whether the next replica of a zone is let in for a try: just so many are, any as likely as any other.
-func (f *Tracker) drawForTrial(v *zone) bool {
-	lets := v.admissionsLeft > 0 && f.rng.Float64()*float64(v.drawsLeft) < float64(v.admissionsLeft)
-	if v.drawsLeft--; lets {
+// drawForTrial draws whether the next replica of a zone is admitted for a trial. It admits exactly the wanted number,
+// each replica with the same probability.
+func (t *Tracker) drawForTrial(v *zone) bool {
+	admitted := v.admissionsLeft > 0 && t.rng.Float64()*float64(v.drawsLeft) < float64(v.admissionsLeft)
+	if v.drawsLeft--; admitted {
 		v.admissionsLeft--
 	}
-	return lets
+	return admitted
 }
 
-// MergeZoneState merges what others say of a replica with what is known here.
-func (f *Tracker) MergeZoneState(w balance.SharedReport) balance.SharedReport {
-	if w.Replica < len(f.replicas) && f.replicas[w.Replica].excluded {
-		w.DownUntil = math.MaxInt64
+// MergeZoneState adds to a shared report on a replica that its zone is unreachable.
+func (t *Tracker) MergeZoneState(report balance.SharedReport) balance.SharedReport {
+	if report.Replica < len(t.replicas) && t.replicas[report.Replica].excluded {
+		report.DownUntil = math.MaxInt64
 	}
-	return w
+	return report
 }
 
-// UnreachableZones appends the names of the zones that are out of reach.
-func (f *Tracker) UnreachableZones(names []string) []string {
-	for _, z := range f.zones {
+// UnreachableZones appends the names of the zones that are unreachable.
+func (t *Tracker) UnreachableZones(names []string) []string {
+	for _, z := range t.zones {
 		if z.unreachable {
 			names = append(names, z.name)
 		}
@@ -311,12 +324,12 @@
 	return names
 }
 
-// ReleaseAll appends what the module is to be told as nobody knows of zones any longer.
-func (f *Tracker) ReleaseAll(now int64, words []balance.SharedReport) []balance.SharedReport {
-	for i := range f.replicas {
-		if f.replicas[i].excluded {
-			words = append(words, balance.SharedReport{Replica: i, DownUntil: now})
+// ReleaseAll appends shared reports that admit all replicas again, for when zones are no longer watched.
+func (t *Tracker) ReleaseAll(now int64, reports []balance.SharedReport) []balance.SharedReport {
+	for i := range t.replicas {
+		if t.replicas[i].excluded {
+			reports = append(reports, balance.SharedReport{Replica: i, DownUntil: now})
 		}
 	}
-	return words
+	return reports
 }
--- a/decide/zonehealth/zonehealth_test.go
+++ b/decide/zonehealth/zonehealth_test.go
@@ -22,7 +22,7 @@
 	return f
 }
 
-// excludedReplicas plays a module that hears the words.
+// excludedReplicas plays the balance module: it holds the replicas that the Tracker's reports exclude.
 type excludedReplicas map[int]bool
 
 func (h excludedReplicas) apply(t interface{ Fatalf(string, ...any) }, f *Tracker, now int64) {
@@ -33,15 +33,15 @@
 		case w.DownUntil == now && h[w.Replica]:
 			delete(h, w.Replica)
 		default:
-			t.Fatalf("at %d ms: %+v, where barred is %v", now/ms, w, h[w.Replica])
+			t.Fatalf("at %d ms: %+v, where excluded is %v", now/ms, w, h[w.Replica])
 		}
 	}
 }
 
-// count counts those barred of the replicas whose number leaves this rest.
-func (h excludedReplicas) count(rest, of int) (n int) {
+// count returns the number of excluded replicas whose index leaves this remainder.
+func (h excludedReplicas) count(remainder, modulus int) (n int) {
 	for i := range h {
-		if i%of == rest {
+		if i%modulus == remainder {
 			n++
 		}
 	}
@@ -81,13 +81,13 @@
 				now += ms
 			}
 			if out := fmt.Sprint(f.UnreachableZones(nil)); (out == "[a]") != c.out || h.count(0, 2) != map[bool]int{true: 6}[c.out] || h.count(1, 2) != 0 {
-				t.Errorf("out of reach: %s, barred: %v", out, h)
+				t.Errorf("unreachable: %s, excluded: %v", out, h)
 			}
 		})
 	}
 }
 
-// What was sent before the zone was last heard tells of single replicas, not of the zone.
+// Executions that were sent before the zone last answered show faults of single replicas, not of the zone.
 func TestOldSends(t *testing.T) {
 	f := newTestTracker(12, "a", "b")
 	f.ExecutionEnded(1000*ms, 6, balance.Fulfilled, 5*ms)
@@ -95,11 +95,11 @@
 		f.ExecutionEnded(1050*ms, i, balance.TimedOut, 110*ms)
 	}
 	if len(f.UnreachableZones(nil)) > 0 {
-		t.Error("found out of reach by what was sent before it was heard")
+		t.Error("found unreachable by executions that were sent before it answered")
 	}
 }
 
-// Where all zones fail alike the trouble is this aggregator's own, and nothing is passed over.
+// If all zones fail alike, the fault is this aggregator's own and no replica is excluded.
 func TestOwnTrouble(t *testing.T) {
 	f, h := newTestTracker(12, "a", "b"), excludedReplicas{}
 	for i := range 6 {
@@ -107,15 +107,15 @@
 	}
 	h.apply(t, f, 1000*ms)
 	if len(f.UnreachableZones(nil)) != 2 || len(h) > 0 {
-		t.Errorf("out of reach: %v, barred: %v", f.UnreachableZones(nil), h)
+		t.Errorf("unreachable: %v, excluded: %v", f.UnreachableZones(nil), h)
 	}
-	f.ExecutionEnded(1010*ms, 7, balance.Fulfilled, 5*ms) // the second zone is back: now the first is worse than it
+	f.ExecutionEnded(1010*ms, 7, balance.Fulfilled, 5*ms) // the second zone answers again, so only the first is worse
 	if h.apply(t, f, 1010*ms); h.count(0, 2) != 6 || h.count(1, 2) != 0 {
-		t.Errorf("barred: %v", h)
+		t.Errorf("excluded: %v", h)
 	}
 }
 
-// Where there is one zone, or none is named, nothing is ever passed over.
+// If there is only one zone, or none is named, no replica is ever excluded.
 func TestOneZone(t *testing.T) {
 	for _, name := range []string{"a", ""} {
 		f, h := newTestTracker(12, name), excludedReplicas{}
@@ -124,7 +124,7 @@
 			h.apply(t, f, 1000*ms)
 		}
 		if len(h) > 0 {
-			t.Errorf("zone %q: barred: %v", name, h)
+			t.Errorf("zone %q: excluded: %v", name, h)
 		}
 	}
 }
@@ -135,24 +135,25 @@
 	}
 }
 
-// Where nothing is sent to those that were let in others are drawn.
+// If nothing is sent to the replicas admitted for a trial, others are drawn.
 func TestTryGoesOn(t *testing.T) {
 	f, h := newTestTracker(100, "a", "b"), excludedReplicas{}
 	failZone(f, 1000*ms)
 	h.apply(t, f, 1000*ms)
-	met := map[int]bool{}
+	admitted := map[int]bool{}
 	for range 30 {
 		h.apply(t, f, f.Next())
 		for i := 0; i < 100; i += 2 {
-			met[i] = met[i] || !h[i]
+			admitted[i] = admitted[i] || !h[i]
 		}
 	}
-	if len(met) != 50 {
-		t.Errorf("after 30 draws %d of 50 had been let in", len(met))
+	if len(admitted) != 50 {
+		t.Errorf("after 30 draws %d of 50 replicas had been admitted", len(admitted))
 	}
 }
 
-// A zone is tried by some of its replicas until one part goes there; that one brings all back, or the next try comes later.
+// A zone is tried with some of its replicas until one execution is sent there. If that one succeeds, all replicas are
+// admitted again; otherwise the next trial comes later.
 func TestTries(t *testing.T) {
 	for _, replicas := range []int{8, 16, 100} {
 		t.Run(strconv.Itoa(replicas), func(t *testing.T) { checkTrials(t, replicas) })
@@ -168,16 +169,16 @@
 	for range 6 {
 		due := f.Next()
 		if due <= now || due == math.MaxInt64 {
-			t.Fatalf("the next try is due at %d ms, at %d ms", due/ms, now/ms)
+			t.Fatalf("the next trial is due at %d ms, at %d ms", due/ms, now/ms)
 		}
 		waits = append(waits, (due-now)/ms)
 		if h.apply(t, f, due-1); h.count(0, 2) != replicas/2 {
-			t.Fatalf("before the try %d are barred", h.count(0, 2))
+			t.Fatalf("before the trial %d replicas are excluded", h.count(0, 2))
 		}
 		h.apply(t, f, due)
 		open := replicas/2 - h.count(0, 2)
 		if open != max(2, replicas/8) {
-			t.Fatalf("for a try %d of %d are let in", open, replicas/2)
+			t.Fatalf("for a trial %d of %d replicas are admitted", open, replicas/2)
 		}
 		now = due + 100*ms
 		for i := 0; i < replicas; i += 2 {
@@ -189,7 +190,7 @@
 			}
 		}
 		if h.apply(t, f, now); h.count(0, 2) != replicas/2 {
-			t.Fatalf("after the try's part was sent %d are barred", h.count(0, 2))
+			t.Fatalf("after the trial was sent %d replicas are excluded", h.count(0, 2))
 		}
 	}
 	for i, w := range waits {
@@ -198,18 +199,18 @@
 		}
 	}
 	if f.Figures.Trials.Load() != 6 || f.Figures.FoundUnreachable.Load() != 1 {
-		t.Errorf("%d tries, found %d times", f.Figures.Trials.Load(), f.Figures.FoundUnreachable.Load())
+		t.Errorf("%d trials, found unreachable %d times", f.Figures.Trials.Load(), f.Figures.FoundUnreachable.Load())
 	}
 	f.ExecutionEnded(now+ms, 0, balance.Fulfilled, ms)
 	if h.apply(t, f, now+ms); len(h) > 0 || len(f.UnreachableZones(nil)) > 0 || f.Figures.Recovered.Load() != 1 {
-		t.Errorf("after an answer %v is out of reach and %v barred", f.UnreachableZones(nil), h)
+		t.Errorf("after an answer %v is unreachable and %v excluded", f.UnreachableZones(nil), h)
 	}
 	if f.Next() != math.MaxInt64 {
 		t.Errorf("something is due at %d", f.Next())
 	}
 }
 
-// A replica that the list names anew is let in though its zone is out, until it fails as well.
+// A replica that is listed after its zone became unreachable is admitted until it fails as well.
 func TestAnew(t *testing.T) {
 	f, h := newTestTracker(12, "a", "b"), excludedReplicas{}
 	now := 1000 * ms
@@ -220,28 +221,29 @@
 	f.ReplicaListed(6, "a", true)
 	f.ReplicaListed(20, "a", false)
 	if h.apply(t, f, now); h[6] || h[20] || h.count(0, 2) != 5 {
-		t.Fatalf("barred: %v", h)
+		t.Fatalf("excluded: %v", h)
 	}
 	f.ExecutionEnded(now+200*ms, 6, balance.TimedOut, 110*ms)
 	if h.apply(t, f, now+200*ms); !h[6] || h[20] {
-		t.Errorf("barred: %v", h)
+		t.Errorf("excluded: %v", h)
 	}
 	f.ExecutionEnded(now+210*ms, 20, balance.Fulfilled, 10*ms)
 	if h.apply(t, f, now+210*ms); len(h) > 0 {
-		t.Errorf("barred: %v", h)
+		t.Errorf("excluded: %v", h)
 	}
 }
 
-// A replica under an index that was used again starts with nothing held against it, here and at the module.
+// When a replica's index is used again, the new replica starts with nothing held against it, in the Tracker and in the
+// balance module.
 func TestUsedAgain(t *testing.T) {
 	f, h := newTestTracker(12, "a", "b"), excludedReplicas{}
 	failZone(f, 1000*ms)
 	h.apply(t, f, 1000*ms)
 	f.ReplicaGone(2)
 	f.ReplicaListed(2, "b", false)
-	delete(h, 2) // the module has begun a new record
+	delete(h, 2) // the balance module starts a new record for the index
 	if h.apply(t, f, 1000*ms); h[2] || h.count(0, 2) != 5 {
-		t.Errorf("barred: %v", h)
+		t.Errorf("excluded: %v", h)
 	}
 }
 
@@ -250,10 +252,10 @@
 	failZone(f, 1000*ms)
 	h.apply(t, f, 1000*ms)
 	if w := f.MergeZoneState(balance.SharedReport{Replica: 0, Slowdown: 3}); w.DownUntil != math.MaxInt64 || w.Slowdown != 3 {
-		t.Errorf("what others say of one out of reach came to %+v", w)
+		t.Errorf("the shared report on an unreachable replica became %+v", w)
 	}
 	if w := f.MergeZoneState(balance.SharedReport{Replica: 1}); w.DownUntil != 0 {
-		t.Errorf("what others say of one in reach came to %+v", w)
+		t.Errorf("the shared report on a reachable replica became %+v", w)
 	}
 	for _, w := range f.ReleaseAll(1100*ms, nil) {
 		if w.DownUntil != 1100*ms || !h[w.Replica] {
@@ -262,14 +264,14 @@
 		delete(h, w.Replica)
 	}
 	if len(h) > 0 {
-		t.Errorf("still barred: %v", h)
+		t.Errorf("still excluded: %v", h)
 	}
 }
 
 func TestTerms(t *testing.T) {
 	for _, terms := range []Config{{BaseEjection: 0, MinFailedReplicas: 3}, {BaseEjection: ms, MinFailedReplicas: 1}} {
 		if terms.Validate() == nil {
-			t.Errorf("%+v passes", terms)
+			t.Errorf("%+v was accepted", terms)
 		}
 	}
 	if err := (Config{BaseEjection: ms, MinFailedReplicas: 2}).Validate(); err != nil {
@@ -277,8 +279,8 @@
 	}
 }
 
-// The last sound zone leaves the list while another is out of reach: nothing is left to take over, so the replicas
-// out of reach are let in again at once, not only at the next try.
+// If the last reachable zone leaves the list while another is unreachable, no zone is left to take over. The
+// unreachable replicas must be admitted again at once, not only at the next trial.
 func TestLastSoundZoneLeaves(t *testing.T) {
 	now := 1000 * ms
 	for name, leave := range map[string]func(f *Tracker, i int){
@@ -291,20 +293,21 @@
 				f.ExecutionEnded(now, i, balance.ConnectFailed, ms)
 			}
 			if h.apply(t, f, now); h.count(0, 2) != 3 {
-				t.Fatalf("barred: %v", h)
+				t.Fatalf("excluded: %v", h)
 			}
 			for _, i := range []int{1, 3, 5} {
 				leave(f, i)
 			}
 			if h.apply(t, f, now); len(h) != 0 {
-				t.Errorf("barred while no zone is sound: %v", h)
+				t.Errorf("excluded while no zone is reachable: %v", h)
 			}
 		})
 	}
 }
 
-// Whatever comes in whatever order: the words fit what the module was told before; only zones found out of reach are passed over;
-// some zone with replicas is never; and after an answer nothing of its zone is.
+// Checks, for any order of calls: each report changes the state that the balance module holds; only replicas of
+// unreachable zones are excluded; some zone with replicas never is; and after an answer no replica of that zone is
+// excluded.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"", "a", "b", "c"}
@@ -336,7 +339,7 @@
 					h.apply(t, f, now)
 					for k := range h {
 						if listed[k] && zone[k] == zone[i] {
-							t.Fatalf("replica %d is barred after an answer of %d, both in zone %s", k, i, zone[i])
+							t.Fatalf("replica %d is excluded after an answer of %d, both in zone %s", k, i, zone[i])
 						}
 					}
 				}
@@ -348,13 +351,13 @@
 				for _, z := range f.UnreachableZones(nil) {
 					out[z] = true
 				}
-				sound := false
+				reachable := false
 				for i := range listed {
-					sound = sound || zone[i] != "" && !out[zone[i]]
+					reachable = reachable || zone[i] != "" && !out[zone[i]]
 				}
 				for i := range h {
-					if !listed[i] || !out[zone[i]] || !sound {
-						t.Fatalf("replica %d of zone %q is barred; out of reach: %v; one sound: %v", i, zone[i], out, sound)
+					if !listed[i] || !out[zone[i]] || !reachable {
+						t.Fatalf("replica %d of zone %q is excluded; unreachable: %v; a reachable zone: %v", i, zone[i], out, reachable)
 					}
 				}
 				if f.Next() <= now {
@@ -365,7 +368,7 @@
 	})
 }
 
-// What comes with every execution costs no memory, and hardly any time.
+// The calls made for every execution allocate nothing.
 func TestCost(t *testing.T) {
 	f := newTestTracker(1000, "a", "b", "c")
 	words := make([]balance.SharedReport, 0, 1000)
@@ -411,7 +414,7 @@
 	}
 }
 
-// Zones that come and go leave nothing behind.
+// Zones that come and go leave no entries behind.
 func TestManyNames(t *testing.T) {
 	f, h := newTestTracker(12, "a", "b"), excludedReplicas{}
 	for i := range 1000 {
@@ -424,6 +427,6 @@
 	}
 	failZone(f, 2000*ms)
 	if h.apply(t, f, 2000*ms); h.count(0, 2) != 6 || len(h) != 6 {
-		t.Errorf("barred: %v", h)
+		t.Errorf("excluded: %v", h)
 	}
 }
