--- a/decide/overload/overload_test.go
+++ b/decide/overload/overload_test.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// A customer whose queries are worth least gets its guaranteed share. Without such a share
-// none of its queries is served.
+// A customer whose queries are worth least gets its guaranteed share. Without such a share none of its queries is
+// served.
 func TestFloor(t *testing.T) {
 	for floor, want := range map[float64][2]float64{0.1: {0.02, 0.2}, 0: {0, 0}} {
 		var modest, asked float64
--- a/decide/sharedhealth/sharedhealth_test.go
+++ b/decide/sharedhealth/sharedhealth_test.go
@@ -84,9 +84,9 @@
 			}
 			a, _ := x.round(s, func(r *Reply) {
 				for _, name := range []string{"b", "c"} {
-					heard := accusingRecord(s.Keys[3])
-					heard.Incarnation, heard.WrittenAt = 1, r.StoreTime
-					r.Entries = append(r.Entries, Entry{name, heard.Append(nil)})
+					record := accusingRecord(s.Keys[3])
+					record.Incarnation, record.WrittenAt = 1, r.StoreTime
+					r.Entries = append(r.Entries, Entry{name, record.Append(nil)})
 				}
 			})
 			if len(a.Reports) != 0 {
@@ -115,9 +115,9 @@
 	x.reachFresh(s)
 	a, _ := x.round(s, func(r *Reply) {
 		for _, name := range []string{"b", "c"} {
-			heard := accusingRecord(s.Keys[3], 12345)
-			heard.Incarnation, heard.WrittenAt = 1, r.StoreTime
-			r.Entries = append(r.Entries, Entry{name, heard.Append(nil)})
+			record := accusingRecord(s.Keys[3], 12345)
+			record.Incarnation, record.WrittenAt = 1, r.StoreTime
+			r.Entries = append(r.Entries, Entry{name, record.Append(nil)})
 		}
 		r.Entries = append(r.Entries, Entry{"d", nil}, Entry{"e", make([]byte, 1<<20)}, Entry{"f", []byte("garbled")},
 			Entry{strings.Repeat("n", maxNameBytes+1), accusingRecord(s.Keys[4]).Append(nil)}, Entry{"a", []byte("own")})
