--- a/decide/clusterstate/bench_test.go
+++ b/decide/clusterstate/bench_test.go
@@ -11,8 +11,7 @@
 	"willowsill/decide/registry"
 )
 
-// What docs/CAPACITY.md reckons with: what an agent's state costs at the size to come.
-
+// manyReplicas is the number of replicas for which docs/CAPACITY.md gives the cost of an agent's state.
 const manyReplicas = 93_000
 
 func largeState() *State {
@@ -29,7 +28,7 @@
 	return s
 }
 
-// BenchmarkSnapshot is what an agent spends on one from its feeder, decoding included, and the heap that stays.
+// BenchmarkSnapshot measures how long an agent takes to decode and apply a snapshot, and the heap that the state keeps.
 func BenchmarkSnapshot(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
@@ -56,21 +55,21 @@
 	return []byte(b.String())
 }
 
-// BenchmarkConfigurationChange is one route of so many that changes: making the patch, and taking it in.
+// BenchmarkConfigurationChange changes one route of 100, 1,000 and 10,000: an upstream makes the patch and an edge applies it.
 func BenchmarkConfigurationChange(b *testing.B) {
 	for _, routes := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(routes, "routes"), func(b *testing.B) {
 			bodies := [][]byte{Pack(manyRoutes(routes, 0)), Pack(manyRoutes(routes, 1))}
-			feeder, follower := NewState(), NewState()
-			feeder.Apply(Update{Revision: 1, Body: bodies[1]})
-			follower.Apply(feeder.Snapshot())
+			upstream, edge := NewState(), NewState()
+			upstream.Apply(Update{Revision: 1, Body: bodies[1]})
+			edge.Apply(upstream.Snapshot())
 			revision := uint64(1)
 			for b.Loop() {
 				revision++
-				fresh := feeder.Apply(Update{Revision: revision, Body: bodies[revision%2]})
+				fresh := upstream.Apply(Update{Revision: revision, Body: bodies[revision%2]})
 				frame, _ := cbor.Marshal(fresh)
 				b.ReportMetric(float64(len(frame)), "bytes")
-				follower.Apply(fresh)
+				edge.Apply(fresh)
 			}
 			b.ReportMetric(float64(len(bodies[0])), "bytes-packed")
 		})
--- a/decide/clusterstate/clusterstate.go
+++ b/decide/clusterstate/clusterstate.go
@@ -1,9 +1,9 @@
-// Package clusterstate is what edges are told: the configuration in force, the replicas, and who else is there. A
-// State takes updates in any order, any number of times, from any feeder, and says what of them is new; that
-// much goes on to those who follow it. So a follower that changes its feeder takes a snapshot and then
-// changes, and never goes back.
+// Package clusterstate holds what an edge knows of the cluster: the configuration in force, the replicas, the other edges
+// and the controllers. A State accepts updates in any order, any number of times and from any upstream, and returns the
+// part that is new, which goes on to the downstream edges. So an edge that changes its upstream applies a snapshot,
+// then changes, and never returns to older data.
 //
-// Decides: what an edge holds to be the newest of configuration and replicas.
+// Decides: which configuration and which replica records an edge holds as the newest.
 package clusterstate
 
 import (
@@ -14,37 +14,37 @@
 	"willowsill/decide/rollout"
 )
 
-// Update is a whole state or a change to one.
+// Update is a snapshot of a whole state or a change to one. A configuration comes either whole, in Body, or as a Patch.
 type Update struct {
 	Snapshot bool              `cbor:"1,keyasint,omitempty"`
-	Revision uint64            `cbor:"2,keyasint,omitempty"` // of Body
-	Body     []byte            `cbor:"3,keyasint,omitempty"` // the configuration, packed; or
-	Base     uint64            `cbor:"6,keyasint,omitempty"` // the revision that Patch makes it of
-	Patch    []byte            `cbor:"7,keyasint,omitempty"`
-	Sum      uint64            `cbor:"10,keyasint,omitempty"` // ContentSum of the configuration; 0 from a feeder of the former version
-	Raw      []byte            `cbor:"-"`                     // as the operator sent it; of what Take returns
+	Revision uint64            `cbor:"2,keyasint,omitempty"`  // revision of the configuration; 0 where the update has none
+	Body     []byte            `cbor:"3,keyasint,omitempty"`  // the whole configuration, compressed by Pack
+	Base     uint64            `cbor:"6,keyasint,omitempty"`  // the revision that Patch applies to
+	Patch    []byte            `cbor:"7,keyasint,omitempty"`  // makes the configuration from the one at revision Base
+	Sum      uint64            `cbor:"10,keyasint,omitempty"` // ContentSum of the configuration; 0 from an upstream of the previous version
+	Raw      []byte            `cbor:"-"`                     // the configuration as the operator sent it; set by State.Apply
 	Replicas []registry.Record `cbor:"4,keyasint,omitempty"`
-	Fleet    Fleet             `cbor:"5,keyasint,omitempty"` // whole, where it has changed
-	Change   *FleetChange      `cbor:"8,keyasint,omitempty"` // the same as a difference, where that is shorter
-	Services []string          `cbor:"9,keyasint,omitempty"` // begin to be used: all of their replicas are among Replicas
-	Rollouts rollout.Set       `cbor:"11,keyasint,omitzero"` // whole, where it has changed
+	Fleet    Fleet             `cbor:"5,keyasint,omitempty"` // the whole fleet, where it has changed
+	Change   *FleetChange      `cbor:"8,keyasint,omitempty"` // the same change as a difference, where that is shorter
+	Services []string          `cbor:"9,keyasint,omitempty"` // services that the routes begin to use; Replicas has all of their replicas
+	Rollouts rollout.Set       `cbor:"11,keyasint,omitzero"` // all rollouts, where any has changed
 }
 
-// Fleet is who else is there.
+// Fleet lists the edges and the controllers.
 type Fleet struct {
-	Edges       []Edge   `cbor:"1,keyasint,omitempty"` // by IP
-	Most        int      `cbor:"2,keyasint,omitempty"` // edges that there were of late at the most
-	Controllers []string `cbor:"3,keyasint,omitempty"` // by IP
-	Zones       []string `cbor:"4,keyasint,omitempty"` // of Controllers, in their order; empty from a feeder of the former version
+	Edges       []Edge   `cbor:"1,keyasint,omitempty"` // sorted by IP
+	Most        int      `cbor:"2,keyasint,omitempty"` // highest recent number of edges; 0 where the fleet is unknown
+	Controllers []string `cbor:"3,keyasint,omitempty"` // IPs, sorted
+	Zones       []string `cbor:"4,keyasint,omitempty"` // zone of each of Controllers, in their order; empty from an upstream of the previous version
 }
 
-// Freshness says how recent a feeder's state is known to be.
+// Freshness says how recent an upstream's state is known to be.
 type Freshness struct {
-	Known    bool   `cbor:"1,keyasint,omitempty"` // a control server in contact with a majority has vouched for it in this life
-	Age      int64  `cbor:"2,keyasint,omitempty"` // ns since it was known to hold all that had been acknowledged
-	Epoch    uint64 `cbor:"3,keyasint,omitempty"` // of the members of the control state
-	Revision uint64 `cbor:"4,keyasint,omitempty"` // of the newest configuration known to be committed
-	Hops     int    `cbor:"5,keyasint,omitempty"` // relays between the control server that said so and the reader
+	Known    bool   `cbor:"1,keyasint,omitempty"` // since the upstream started, a controller in contact with a majority has confirmed its state
+	Age      int64  `cbor:"2,keyasint,omitempty"` // ns since the state was known to include everything acknowledged
+	Epoch    uint64 `cbor:"3,keyasint,omitempty"` // epoch of the register's members
+	Revision uint64 `cbor:"4,keyasint,omitempty"` // newest configuration known to be committed
+	Hops     int    `cbor:"5,keyasint,omitempty"` // number of relays between that controller and the reader
 }
 
 // Edge is one machine that serves clients.
@@ -53,179 +53,181 @@
 	Zone string `cbor:"2,keyasint,omitempty"`
 }
 
-// FleetChange makes of the fleet that a follower was told last the one that its feeder holds now.
+// FleetChange turns the fleet last sent to a downstream edge into the one that its upstream holds now.
 type FleetChange struct {
 	Joined      []Edge   `cbor:"1,keyasint,omitempty"`
 	Left        []string `cbor:"2,keyasint,omitempty"` // IPs
 	Most        int      `cbor:"3,keyasint,omitempty"` // as in Fleet
-	Controllers []string `cbor:"4,keyasint,omitempty"` // as in Fleet: all of them
+	Controllers []string `cbor:"4,keyasint,omitempty"` // all controllers, as in Fleet
 	Zones       []string `cbor:"6,keyasint,omitempty"` // as in Fleet
-	Count       int      `cbor:"5,keyasint,omitempty"` // of the edges afterwards; another count, and a snapshot is needed
+	Count       int      `cbor:"5,keyasint,omitempty"` // number of edges afterwards; a receiver that gets another number needs a snapshot
 }
 
-// Empty tells whether a fleet says nothing.
+// Empty reports whether the fleet is unknown.
 func (f Fleet) Empty() bool { return f.Most == 0 }
 
-// Empty tells whether an update says nothing.
-func (n Update) Empty() bool {
-	return n.Revision == 0 && len(n.Replicas) == 0 && n.Fleet.Empty() && n.Change == nil && n.Rollouts.IsZero()
+// Empty reports whether the update changes nothing.
+func (u Update) Empty() bool {
+	return u.Revision == 0 && len(u.Replicas) == 0 && u.Fleet.Empty() && u.Change == nil && u.Rollouts.IsZero()
 }
 
-// ForWire is the update as it goes on the wire: a fleet is told whole or as a difference, not both.
-// changes tells whether the follower understands differences.
-func (n Update) ForWire(acceptsChanges bool) Update {
-	if acceptsChanges && n.Change != nil {
-		n.Fleet = Fleet{}
+// ForWire returns the update as it is sent, with the fleet either whole or as a difference. acceptsChanges says whether
+// the receiver understands differences.
+func (u Update) ForWire(acceptsChanges bool) Update {
+	if acceptsChanges && u.Change != nil {
+		u.Fleet = Fleet{}
 	} else {
-		n.Change = nil
+		u.Change = nil
 	}
-	return n
+	return u
 }
 
-// State is what one follower holds.
+// State is what one edge or controller holds of the cluster.
 type State struct {
 	Revision      uint64
 	Raw           []byte // the configuration as the operator sent it
-	Sum           uint64 // its ContentSum; 0 where a feeder of the former version gave it as a patch
+	Sum           uint64 // ContentSum of Raw; 0 where an upstream of the previous version sent the configuration as a patch
 	Fleet         Fleet
 	Rollouts      rollout.Set
-	NeedsSnapshot bool // a patch or a difference came for what is not held: a snapshot is needed
-	packedBody    []byte
-	// What Behind tells of: the configuration held is not the one that a patch was for, the fleet held not the feeder's.
+	NeedsSnapshot bool   // a patch or a difference did not fit what is held
+	packedBody    []byte // Raw compressed by Pack; nil until it is needed
+	// The two reasons for NeedsSnapshot: the held configuration is not the one that a patch was made from, or the held
+	// fleet is not the one that a difference was made from.
 	configurationMismatch, fleetMismatch bool
-	replicas                             map[string]registry.Record
+	replicas                             map[string]registry.Record // by replica ID
 	departed                             departedReplicas
-	mayHoldGone                          bool // some of the replicas may be
+	mayHoldGone                          bool // replicas may have records in phase Gone, which DropGone deletes
 }
 
-// NewState makes an empty one.
+// NewState returns a state that holds nothing.
 func NewState() *State { return &State{replicas: map[string]registry.Record{}} }
 
-// Apply takes an update in and returns what of it is new.
+// Apply merges an update into the state and returns the part of it that is new.
 //
-// Danger: a feeder that is behind must not bring back an older configuration, nor a replica that is leaving.
-func (b *State) Apply(n Update) (fresh Update) {
-	fresh.Snapshot, fresh.Services = n.Snapshot, n.Services
-	if n.Revision > b.Revision && len(n.Body)+len(n.Patch) > 0 {
-		b.applyConfiguration(n, &fresh)
-	}
-	// Danger: a feeder that is behind must not open a version again that was taken back.
-	if n.Rollouts.Version > b.Rollouts.Version {
-		b.Rollouts, fresh.Rollouts = n.Rollouts, n.Rollouts
-	}
-	for _, r := range n.Replicas {
-		if b.departed.covers(r) {
+// Danger: an upstream that is behind must not bring back an older configuration, nor a replica that is leaving.
+func (s *State) Apply(update Update) (fresh Update) {
+	fresh.Snapshot, fresh.Services = update.Snapshot, update.Services
+	if update.Revision > s.Revision && len(update.Body)+len(update.Patch) > 0 {
+		s.applyConfiguration(update, &fresh)
+	}
+	// Danger: an upstream that is behind must not readmit a version that was reverted.
+	if update.Rollouts.Version > s.Rollouts.Version {
+		s.Rollouts, fresh.Rollouts = update.Rollouts, update.Rollouts
+	}
+	for _, r := range update.Replicas {
+		if s.departed.covers(r) {
 			continue
 		}
-		was, known := b.replicas[r.ID]
-		r.Version = cmp.Or(r.Version, was.Version)
-		if known && r.Phase == registry.Gone && r.Service == "" { // the id alone
-			seq := max(r.Seq, was.Seq)
-			r = was
+		held, known := s.replicas[r.ID]
+		r.Version = cmp.Or(r.Version, held.Version)
+		if known && r.Phase == registry.Gone && r.Service == "" { // a departure that carries the ID alone
+			seq := max(r.Seq, held.Seq)
+			r = held
 			r.Phase, r.Seq = registry.Gone, seq
 		}
-		// Danger: the feeder before may have called a replica silent by the very call that this one heard. That one
-		// is told of here for what it says next alone, and would stay struck off.
-		unsaid := (n.Snapshot || slices.Contains(n.Services, r.Service)) && was.Phase == registry.Silent && r.Phase == registry.Ready && r.Seq == was.Seq
-		if known && !r.Newer(was) && !unsaid {
+		// Danger: the previous upstream may have reported the replica silent under the same call number under which this
+		// upstream lists it as ready. An upstream sends a record only when it changes, so without this exception the
+		// replica would stay silent here.
+		listedAsReady := (update.Snapshot || slices.Contains(update.Services, r.Service)) && held.Phase == registry.Silent && r.Phase == registry.Ready && r.Seq == held.Seq
+		if known && !r.Newer(held) && !listedAsReady {
 			continue
 		}
-		b.mayHoldGone = b.mayHoldGone || r.Phase == registry.Gone
+		s.mayHoldGone = s.mayHoldGone || r.Phase == registry.Gone
 		if r.Phase == registry.Gone {
-			b.departed.add(r)
+			s.departed.add(r)
 		}
-		if b.replicas[r.ID] = r; !known || !r.SameForRouting(was) {
+		if s.replicas[r.ID] = r; !known || !r.SameForRouting(held) {
 			fresh.Replicas = append(fresh.Replicas, r)
 		}
 	}
-	b.applyFleet(n, &fresh)
-	b.NeedsSnapshot = b.configurationMismatch || b.fleetMismatch
+	s.applyFleet(update, &fresh)
+	s.NeedsSnapshot = s.configurationMismatch || s.fleetMismatch
 	return fresh
 }
 
-// applyConfiguration takes a configuration in. Those who follow hold the one before, so a patch is enough for them where
-// it is shorter.
+// applyConfiguration replaces the held configuration by a newer one. Downstream edges hold the previous one, so fresh
+// gets a patch where that is shorter than the body.
 //
-// Danger: a patch says from which revision it was made, and a follower may hold another content under that one, told by
-// a feeder in error. What the patch would make of it is a content that nobody sent. So the sum of the result counts.
-func (b *State) applyConfiguration(n Update, fresh *Update) {
+// Danger: a patch names the revision that it was made from, and another content may be held under that number, which an
+// upstream sent in error. The patch would turn it into a content that nobody sent, so the sum of the result is checked.
+func (s *State) applyConfiguration(update Update, fresh *Update) {
 	raw, ok := []byte(nil), false
 	switch {
-	case len(n.Body) > 0:
-		raw, ok = Unpack(n.Body)
-	case n.Base == b.Revision:
-		raw, ok = ApplyPatch(b.Raw, n.Patch)
+	case len(update.Body) > 0:
+		raw, ok = Unpack(update.Body)
+	case update.Base == s.Revision:
+		raw, ok = ApplyPatch(s.Raw, update.Patch)
 	}
-	sum := n.Sum
-	if ok && (n.Sum != 0 || len(n.Body) > 0) {
+	sum := update.Sum
+	if ok && (update.Sum != 0 || len(update.Body) > 0) {
 		sum = ContentSum(raw)
-		ok = n.Sum == 0 || sum == n.Sum
+		ok = update.Sum == 0 || sum == update.Sum
 	}
 	if !ok {
-		b.configurationMismatch = true
+		s.configurationMismatch = true
 		return
 	}
-	fresh.Revision, fresh.Raw, fresh.Sum, fresh.Base, fresh.Patch = n.Revision, raw, sum, n.Base, n.Patch
-	if len(n.Body) > 0 {
-		fresh.Body = n.Body
-		if b.Revision > 0 {
-			if patch := MakePatch(b.Raw, raw); len(patch) < len(n.Body) {
-				fresh.Base, fresh.Patch, fresh.Body = b.Revision, patch, nil
+	fresh.Revision, fresh.Raw, fresh.Sum, fresh.Base, fresh.Patch = update.Revision, raw, sum, update.Base, update.Patch
+	if len(update.Body) > 0 {
+		fresh.Body = update.Body
+		if s.Revision > 0 {
+			if patch := MakePatch(s.Raw, raw); len(patch) < len(update.Body) {
+				fresh.Base, fresh.Patch, fresh.Body = s.Revision, patch, nil
 			}
 		}
 	}
-	b.Revision, b.Raw, b.Sum, b.packedBody, b.configurationMismatch = n.Revision, raw, sum, n.Body, false
+	s.Revision, s.Raw, s.Sum, s.packedBody, s.configurationMismatch = update.Revision, raw, sum, update.Body, false
 }
 
-// applyFleet takes a fleet in, told whole or as a difference.
-func (b *State) applyFleet(n Update, fresh *Update) {
-	fleet := n.Fleet
-	if fleet.Empty() && n.Change != nil {
-		if fleet = b.Fleet.withChange(*n.Change); len(fleet.Edges) != n.Change.Count {
-			b.fleetMismatch = true
+// applyFleet replaces the held fleet by the one of the update, which is either whole or a difference.
+func (s *State) applyFleet(update Update, fresh *Update) {
+	fleet := update.Fleet
+	if fleet.Empty() && update.Change != nil {
+		if fleet = s.Fleet.withChange(*update.Change); len(fleet.Edges) != update.Change.Count {
+			s.fleetMismatch = true
 			return
 		}
 	}
 	if fleet.Empty() {
 		return
 	}
-	b.fleetMismatch = false
-	if fleet.equal(b.Fleet) {
+	s.fleetMismatch = false
+	if fleet.equal(s.Fleet) {
 		return
 	}
-	if change := fleetDifference(b.Fleet, fleet); !b.Fleet.Empty() && len(change.Joined)+len(change.Left) < len(fleet.Edges) {
+	if change := fleetDifference(s.Fleet, fleet); !s.Fleet.Empty() && len(change.Joined)+len(change.Left) < len(fleet.Edges) {
 		fresh.Change = &change
 	}
-	b.Fleet, fresh.Fleet = fleet, fleet
+	s.Fleet, fresh.Fleet = fleet, fleet
 }
 
-// Snapshot is the whole state.
-func (b *State) Snapshot() Update {
-	if b.packedBody == nil && b.Revision > 0 {
-		b.packedBody = Pack(b.Raw)
+// Snapshot returns the whole state as one update.
+func (s *State) Snapshot() Update {
+	if s.packedBody == nil && s.Revision > 0 {
+		s.packedBody = Pack(s.Raw)
 	}
-	n := Update{Snapshot: true, Revision: b.Revision, Body: b.packedBody, Sum: b.Sum, Fleet: b.Fleet, Rollouts: b.Rollouts}
-	for _, r := range b.replicas {
-		n.Replicas = append(n.Replicas, r)
+	snapshot := Update{Snapshot: true, Revision: s.Revision, Body: s.packedBody, Sum: s.Sum, Fleet: s.Fleet, Rollouts: s.Rollouts}
+	for _, r := range s.replicas {
+		snapshot.Replicas = append(snapshot.Replicas, r)
 	}
-	// A follower may have been told of replicas by a feeder that was cut off as they departed.
-	for _, id := range b.departed.order {
-		if _, listed := b.replicas[id]; !listed {
-			n.Replicas = append(n.Replicas, registry.Record{ID: id, Phase: registry.Gone, Seq: b.departed.lastSeq[id]})
+	// The receiver may hold departed replicas as ready, from an upstream that was cut off when they departed.
+	for _, id := range s.departed.order {
+		if _, listed := s.replicas[id]; !listed {
+			snapshot.Replicas = append(snapshot.Replicas, registry.Record{ID: id, Phase: registry.Gone, Seq: s.departed.lastSeq[id]})
 		}
 	}
-	return n
+	return snapshot
 }
 
-// DropGone drops the replicas that are gone for good, so that a state does not grow for ever.
-func (b *State) DropGone() {
-	if !b.mayHoldGone {
+// DropGone deletes the records of replicas that are gone, so that the state does not grow without bound.
+func (s *State) DropGone() {
+	if !s.mayHoldGone {
 		return
 	}
-	b.mayHoldGone = false
-	for id, r := range b.replicas {
+	s.mayHoldGone = false
+	for id, r := range s.replicas {
 		if r.Phase == registry.Gone {
-			delete(b.replicas, id)
+			delete(s.replicas, id)
 		}
 	}
 }
--- a/decide/clusterstate/clusterstate_test.go
+++ b/decide/clusterstate/clusterstate_test.go
@@ -12,41 +12,43 @@
 	"willowsill/decide/registry"
 )
 
+// TestNeverBack guards against an upstream that is behind, or that repeats what is known, taking a state back.
 func TestNeverBack(t *testing.T) {
-	b := NewState()
+	s := NewState()
 	up := registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 3}
 	leaving := up
 	leaving.Phase, leaving.Seq = registry.Draining, 4
-	fresh := b.Apply(Update{Revision: 5, Body: Pack([]byte("five")), Replicas: []registry.Record{up}})
+	fresh := s.Apply(Update{Revision: 5, Body: Pack([]byte("five")), Replicas: []registry.Record{up}})
 	must.Eq(t, 5, fresh.Revision)
 	must.SliceLen(t, 1, fresh.Replicas)
-	must.SliceLen(t, 1, b.Apply(Update{Replicas: []registry.Record{leaving}}).Replicas)
-	// A feeder that is behind says nothing new.
-	must.True(t, b.Apply(Update{Snapshot: true, Revision: 4, Body: Pack([]byte("four")), Replicas: []registry.Record{up}}).Empty())
-	must.Eq(t, "five", string(b.Raw))
-	// Nor does one that says again what is known.
-	must.True(t, b.Apply(b.Snapshot()).Empty())
-	// One called silent by the feeder before, by the same call, is there again where the next feeder says
-	// so.
+	must.SliceLen(t, 1, s.Apply(Update{Replicas: []registry.Record{leaving}}).Replicas)
+	// An upstream that is behind changes nothing.
+	must.True(t, s.Apply(Update{Snapshot: true, Revision: 4, Body: Pack([]byte("four")), Replicas: []registry.Record{up}}).Empty())
+	must.Eq(t, "five", string(s.Raw))
+	// Nor does one that repeats what is known.
+	must.True(t, s.Apply(s.Snapshot()).Empty())
+	// A replica that the previous upstream reported silent, under the same call number, is ready again once the snapshot
+	// of the next upstream lists it.
 	silent := registry.Record{ID: "i-2", Service: "s", Address: "a:2", Seq: 7, Phase: registry.Silent}
 	ready := silent
 	ready.Phase = registry.Ready
-	b.Apply(Update{Replicas: []registry.Record{silent}})
-	must.True(t, b.Apply(Update{Replicas: []registry.Record{ready}}).Empty())
-	must.SliceLen(t, 1, b.Apply(Update{Snapshot: true, Replicas: []registry.Record{ready}}).Replicas)
-	// A follower of the follower ends up with the same.
+	s.Apply(Update{Replicas: []registry.Record{silent}})
+	must.True(t, s.Apply(Update{Replicas: []registry.Record{ready}}).Empty())
+	must.SliceLen(t, 1, s.Apply(Update{Snapshot: true, Replicas: []registry.Record{ready}}).Replicas)
+	// A downstream edge ends up with the same state.
 	next := NewState()
-	next.Apply(b.Snapshot())
-	must.Eq(t, sorted(b.Snapshot()), sorted(next.Snapshot()))
+	next.Apply(s.Snapshot())
+	must.Eq(t, sorted(s.Snapshot()), sorted(next.Snapshot()))
 }
 
-func sorted(n Update) Update {
-	slices.SortFunc(n.Replicas, func(a, b registry.Record) int { return strings.Compare(a.ID, b.ID) })
-	return n
+// sorted returns the update with its replicas sorted by ID, so that updates can be compared.
+func sorted(u Update) Update {
+	slices.SortFunc(u.Replicas, func(a, b registry.Record) int { return strings.Compare(a.ID, b.ID) })
+	return u
 }
 
-// TestPatch: a patch makes just what it was made for, is short where little changed, and is told apart where
-// it does not fit.
+// TestPatch checks that a patch reproduces the new content exactly, that it is short where little has changed, and that
+// arbitrary bytes in place of a patch do not panic.
 func TestPatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		piece := rapid.StringMatching(`[a-c]{0,60}`)
@@ -72,31 +74,32 @@
 	must.Less(t, len(a)/4, len(Pack([]byte(a))))
 }
 
-// TestBehind: a follower that does not hold the base says so, and a snapshot mends it.
+// TestBehind: a state that gets a patch for a revision that it does not hold reports that it needs a snapshot, until it
+// has the missing revision.
 func TestBehind(t *testing.T) {
-	feeder, follower := NewState(), NewState()
+	upstream, edge := NewState(), NewState()
 	var b strings.Builder
 	for i := range 500 {
 		fmt.Fprint(&b, i*i*7919)
 	}
 	long := b.String()
-	feeder.Apply(Update{Revision: 1, Body: Pack([]byte(long + "one"))})
-	follower.Apply(feeder.Snapshot())
-	second := feeder.Apply(Update{Revision: 2, Body: Pack([]byte("x" + long + "two"))})
-	third := feeder.Apply(Update{Revision: 3, Body: Pack([]byte("y" + long + "three"))})
+	upstream.Apply(Update{Revision: 1, Body: Pack([]byte(long + "one"))})
+	edge.Apply(upstream.Snapshot())
+	second := upstream.Apply(Update{Revision: 2, Body: Pack([]byte("x" + long + "two"))})
+	third := upstream.Apply(Update{Revision: 3, Body: Pack([]byte("y" + long + "three"))})
 	must.Nil(t, third.Body)
-	must.True(t, follower.Apply(third).Empty())
-	must.True(t, follower.NeedsSnapshot)
-	must.Eq(t, 2, follower.Apply(second).Revision)
-	must.Eq(t, "y"+long+"three", string(follower.Apply(third).Raw))
-	must.False(t, follower.NeedsSnapshot)
-	must.Eq(t, feeder.Snapshot(), follower.Snapshot())
+	must.True(t, edge.Apply(third).Empty())
+	must.True(t, edge.NeedsSnapshot)
+	must.Eq(t, 2, edge.Apply(second).Revision)
+	must.Eq(t, "y"+long+"three", string(edge.Apply(third).Raw))
+	must.False(t, edge.NeedsSnapshot)
+	must.Eq(t, upstream.Snapshot(), edge.Snapshot())
 }
 
-// TestPatchOfAnotherContent guards against a content in force that nobody sent: a patch that is applied to another content
-// than the one that it was made from, though both have the same revision.
+// TestPatchOfAnotherContent guards against a configuration that nobody sent: a patch is applied to another content than
+// the one that it was made from, because both have the same revision.
 func TestPatchOfAnotherContent(t *testing.T) {
-	feeder, relay, follower := NewState(), NewState(), NewState()
+	upstream, relay, edge := NewState(), NewState(), NewState()
 	routes := func(service string) []byte {
 		var b strings.Builder
 		for i := range 500 {
@@ -104,35 +107,35 @@
 		}
 		return Pack([]byte(b.String() + service))
 	}
-	feeder.Apply(Update{Revision: 8, Body: routes("right")})
+	upstream.Apply(Update{Revision: 8, Body: routes("right")})
 	relay.Apply(Update{Revision: 8, Body: routes("wrong")})
-	follower.Apply(relay.Snapshot())
-	patch := feeder.Apply(Update{Revision: 9, Body: routes("right, and more")})
+	edge.Apply(relay.Snapshot())
+	patch := upstream.Apply(Update{Revision: 9, Body: routes("right, and more")})
 	must.NotNil(t, patch.Patch)
-	for _, state := range []*State{relay, follower} {
+	for _, state := range []*State{relay, edge} {
 		before := state.Snapshot()
 		must.True(t, state.Apply(patch.ForWire(true)).Empty())
 		must.True(t, state.NeedsSnapshot)
 		must.Eq(t, before, state.Snapshot())
 	}
-	fresh := relay.Apply(feeder.Snapshot())
+	fresh := relay.Apply(upstream.Snapshot())
 	must.False(t, relay.NeedsSnapshot)
-	must.Eq(t, string(feeder.Raw), string(relay.Raw))
-	// What the relay tells its followers is a patch of its own former content: right for one who held that too.
-	must.Eq(t, 9, follower.Apply(fresh).Revision)
-	must.Eq(t, string(feeder.Raw), string(follower.Raw))
+	must.Eq(t, string(upstream.Raw), string(relay.Raw))
+	// The relay sends on a patch from its own previous content, which fits an edge that holds that content too.
+	must.Eq(t, 9, edge.Apply(fresh).Revision)
+	must.Eq(t, string(upstream.Raw), string(edge.Raw))
 }
 
-// TestForget: of the gone the snapshot keeps the id and the last call alone, whenever they come.
+// TestForget: once the gone are dropped, a snapshot has only the ID and the last call number of each.
 func TestForget(t *testing.T) {
-	b := NewState()
+	s := NewState()
 	for _, id := range []string{"i-1", "i-2"} {
-		b.Apply(Update{Replicas: []registry.Record{{ID: id, Service: "s", Seq: 1}, {ID: "i-stays", Service: "s", Seq: 1}}})
-		b.DropGone()
-		b.Apply(Update{Replicas: []registry.Record{{ID: id, Service: "s", Seq: 2, Phase: registry.Gone}}})
-		must.SliceContains(t, b.Snapshot().Replicas, registry.Record{ID: id, Service: "s", Seq: 2, Phase: registry.Gone})
-		b.DropGone()
-		must.SliceContains(t, b.Snapshot().Replicas, registry.Record{ID: id, Seq: 2, Phase: registry.Gone})
-		must.MapLen(t, 1, b.replicas)
+		s.Apply(Update{Replicas: []registry.Record{{ID: id, Service: "s", Seq: 1}, {ID: "i-stays", Service: "s", Seq: 1}}})
+		s.DropGone()
+		s.Apply(Update{Replicas: []registry.Record{{ID: id, Service: "s", Seq: 2, Phase: registry.Gone}}})
+		must.SliceContains(t, s.Snapshot().Replicas, registry.Record{ID: id, Service: "s", Seq: 2, Phase: registry.Gone})
+		s.DropGone()
+		must.SliceContains(t, s.Snapshot().Replicas, registry.Record{ID: id, Seq: 2, Phase: registry.Gone})
+		must.MapLen(t, 1, s.replicas)
 	}
 }
--- a/decide/clusterstate/departed.go
+++ b/decide/clusterstate/departed.go
@@ -6,31 +6,31 @@
 	"willowsill/decide/registry"
 )
 
-// maxDeparted is how many departed replicas are remembered, the last ones.
+// maxDeparted is the number of departed replicas that a state remembers; the oldest are forgotten first.
 const maxDeparted = 1024
 
-// departedReplicas remembers replicas that are gone, with the number of the last call that is known of each. One that has said
-// that it is gone never calls again; one that was struck off after a long silence may come back with a later call.
+// departedReplicas remembers replicas that are gone, with the highest call number known of each. A replica that announced
+// its departure never calls again; one that was dropped after a long silence may come back with a higher number.
 //
-// Danger: a feeder that was cut off lists replicas that have departed since. An edge that has forgotten them would take
-// them back from it, and send to an address that may be another's by now.
+// Danger: an upstream that was cut off still lists replicas that have departed since. An edge that had forgotten them
+// would accept them again, and send requests to an address that may by now belong to another replica.
 type departedReplicas struct {
-	lastSeq map[string]uint64 // number of the last call, by id
-	order   []string          // the same ids, oldest first
+	lastSeq map[string]uint64 // highest call number, by replica ID
+	order   []string          // the same IDs, oldest departure first
 }
 
-// covers tells whether a record says nothing that is newer than the replica's end.
+// covers reports whether the replica is known to be gone and the record is no newer than its departure.
 func (d *departedReplicas) covers(r registry.Record) bool {
 	last, ok := d.lastSeq[r.ID]
 	return ok && r.Seq <= last
 }
 
-// add takes in that a replica is gone.
+// add remembers a replica that is gone.
 func (d *departedReplicas) add(r registry.Record) {
 	if d.lastSeq == nil {
 		d.lastSeq = map[string]uint64{}
 	}
-	if _, again := d.lastSeq[r.ID]; again {
+	if _, known := d.lastSeq[r.ID]; known {
 		d.lastSeq[r.ID] = max(d.lastSeq[r.ID], r.Seq)
 		return
 	}
--- a/decide/clusterstate/departed_test.go
+++ b/decide/clusterstate/departed_test.go
@@ -9,12 +9,13 @@
 	"willowsill/decide/registry"
 )
 
+// record returns an update with one replica.
 func record(id string, seq uint64, phase registry.Phase) Update {
 	return Update{Replicas: []registry.Record{{ID: id, Service: "s", Address: "a:1", Seq: seq, Phase: phase}}}
 }
 
-// TestDepartedStaysAway: a replica that has departed is not taken back from a feeder that has not heard of it, also after
-// it was dropped from the state; and the memory of such replicas is bounded.
+// TestDepartedStaysAway: an upstream that does not know of a departure does not bring the replica back, even after its
+// record was dropped from the state. The number of departures that a state remembers is bounded.
 func TestDepartedStaysAway(t *testing.T) {
 	s := NewState()
 	s.Apply(record("i-1", 4, registry.Ready))
@@ -32,7 +33,7 @@
 	must.SliceLen(t, maxDeparted, s.departed.order)
 }
 
-// TestSilentComesBack: a replica that was struck off because it had been silent for long may come back.
+// TestSilentComesBack: a replica that was dropped after a long silence is accepted again under a higher call number.
 func TestSilentComesBack(t *testing.T) {
 	s := NewState()
 	s.Apply(record("i-1", 4, registry.Ready))
@@ -44,19 +45,19 @@
 	must.SliceLen(t, 1, s.Snapshot().Replicas)
 }
 
-// TestSnapshotTellsOfDeparted: a follower that began with a feeder that was cut off lists a replica that has departed;
-// the snapshot of the next feeder takes it away, with all that is known of it, also by way of a relay.
+// TestSnapshotTellsOfDeparted: an edge whose first upstream was cut off holds a departed replica as ready. The snapshot of
+// its next upstream, here a relay, removes the replica, and the edge passes the departure on with the whole record.
 func TestSnapshotTellsOfDeparted(t *testing.T) {
-	feeder, relay, follower := NewState(), NewState(), NewState()
+	upstream, relay, edge := NewState(), NewState(), NewState()
 	ready, gone := record("i-1", 4, registry.Ready), record("i-1", 4, registry.Gone)
-	feeder.Apply(ready)
-	feeder.Apply(gone)
-	feeder.DropGone()
-	relay.Apply(feeder.Snapshot())
+	upstream.Apply(ready)
+	upstream.Apply(gone)
+	upstream.DropGone()
+	relay.Apply(upstream.Snapshot())
 	relay.DropGone()
-	follower.Apply(ready)
-	fresh := follower.Apply(relay.Snapshot())
+	edge.Apply(ready)
+	fresh := edge.Apply(relay.Snapshot())
 	must.Eq(t, gone.Replicas, fresh.Replicas)
-	follower.DropGone()
-	must.SliceEmpty(t, follower.Apply(relay.Snapshot()).Replicas)
+	edge.DropGone()
+	must.SliceEmpty(t, edge.Apply(relay.Snapshot()).Replicas)
 }
--- a/decide/clusterstate/fleet.go
+++ b/decide/clusterstate/fleet.go
@@ -7,8 +7,7 @@
 	"willowsill/decide/locality"
 )
 
-// Differences between fleets. Edges are listed by IP.
-
+// compareByIP orders edges as Fleet.Edges and FleetChange.Joined are sorted.
 func compareByIP(a, b Edge) int { return cmp.Compare(a.IP, b.IP) }
 
 func (f Fleet) equal(o Fleet) bool {
@@ -16,7 +15,7 @@
 		slices.Equal(f.Zones, o.Zones)
 }
 
-// withChange makes a new fleet of f and a difference.
+// withChange returns the fleet that results from applying a difference to f.
 func (f Fleet) withChange(c FleetChange) Fleet {
 	edges := slices.DeleteFunc(slices.Clone(f.Edges), func(e Edge) bool {
 		_, joined := slices.BinarySearchFunc(c.Joined, e, compareByIP)
@@ -28,7 +27,7 @@
 	return Fleet{Edges: edges, Most: c.Most, Controllers: c.Controllers, Zones: c.Zones}
 }
 
-// fleetDifference makes after of before. An edge whose zone has changed has joined anew.
+// fleetDifference returns the change that turns before into after. An edge whose zone has changed is among Joined.
 func fleetDifference(before, after Fleet) FleetChange {
 	c := FleetChange{Most: after.Most, Controllers: after.Controllers, Zones: after.Zones, Count: len(after.Edges)}
 	for _, e := range after.Edges {
@@ -44,7 +43,7 @@
 	return c
 }
 
-// ControlServers are the controllers with their zones, as far as these are known.
+// ControlServers returns the controllers with their zones, which are empty where the upstream did not send them.
 func (f Fleet) ControlServers() []locality.Process {
 	processes := make([]locality.Process, len(f.Controllers))
 	for i, ip := range f.Controllers {
@@ -56,7 +55,7 @@
 	return processes
 }
 
-// EdgeIPsInZone are the IPs of a zone's edges.
+// EdgeIPsInZone returns the IPs of the zone's edges, sorted.
 func (f Fleet) EdgeIPsInZone(zone string) (ips []string) {
 	for _, e := range f.Edges {
 		if e.Zone == zone {
--- a/decide/clusterstate/fleet_test.go
+++ b/decide/clusterstate/fleet_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawFleet draws edges by IP, each in one of two zones.
+// drawFleet draws a fleet of up to twelve edges in two zones.
 func drawFleet(t *rapid.T, name string) Fleet {
 	f := Fleet{Most: rapid.IntRange(1, 9).Draw(t, name+" most"), Controllers: []string{"10.9.0.1"}}
 	for i := range 12 {
@@ -19,50 +19,51 @@
 	return f
 }
 
-// TestFleetChanges: a follower that takes what its feeder takes in as new, whole or as differences, holds the same
-// fleet; so does the follower's follower; and one that understands only whole lists does too.
+// TestFleetChanges: a relay, an edge downstream of it, and an edge of the previous version, which understands only whole
+// fleets, all hold the same fleet as their upstream after each change.
 func TestFleetChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		feeder, relay, edge, former := NewState(), NewState(), NewState(), NewState()
+		upstream, relay, edge, oldEdge := NewState(), NewState(), NewState(), NewState()
 		for i := range rapid.IntRange(1, 6).Draw(t, "changes") {
-			fresh := feeder.Apply(Update{Fleet: drawFleet(t, fmt.Sprint(i, " "))})
-			passed := relay.Apply(fresh.ForWire(true))
-			edge.Apply(passed.ForWire(true))
-			former.Apply(fresh.ForWire(false))
-			for _, s := range []*State{relay, edge, former} {
-				must.Eq(t, feeder.Fleet, s.Fleet)
+			fresh := upstream.Apply(Update{Fleet: drawFleet(t, fmt.Sprint(i, " "))})
+			relayed := relay.Apply(fresh.ForWire(true))
+			edge.Apply(relayed.ForWire(true))
+			oldEdge.Apply(fresh.ForWire(false))
+			for _, s := range []*State{relay, edge, oldEdge} {
+				must.Eq(t, upstream.Fleet, s.Fleet)
 				must.False(t, s.NeedsSnapshot)
 			}
 		}
 	})
 }
 
-// TestFleetChangeIsShort: one edge among many that joins is told without the others.
+// TestFleetChangeIsShort: when one edge joins many, the update lists that edge alone.
 func TestFleetChangeIsShort(t *testing.T) {
-	feeder := NewState()
+	upstream := NewState()
 	f := Fleet{Most: 301}
 	for i := range 300 {
 		f.Edges = append(f.Edges, Edge{IP: fmt.Sprintf("10.0.1.%03d", i)})
 	}
-	feeder.Apply(Update{Fleet: f})
+	upstream.Apply(Update{Fleet: f})
 	f.Edges = append(f.Edges[:300:300], Edge{IP: "10.0.2.000"})
-	told := feeder.Apply(Update{Fleet: f}).ForWire(true)
-	must.SliceEmpty(t, told.Fleet.Edges)
-	must.Eq(t, []Edge{{IP: "10.0.2.000"}}, told.Change.Joined)
-	must.False(t, told.Empty())
+	sent := upstream.Apply(Update{Fleet: f}).ForWire(true)
+	must.SliceEmpty(t, sent.Fleet.Edges)
+	must.Eq(t, []Edge{{IP: "10.0.2.000"}}, sent.Change.Joined)
+	must.False(t, sent.Empty())
 }
 
-// TestFleetChangeThatDoesNotFit: a follower that holds another list says that it needs a snapshot, and one mends it.
+// TestFleetChangeThatDoesNotFit: an edge that gets a difference from a fleet that it does not hold reports that it needs a
+// snapshot, until it has one.
 func TestFleetChangeThatDoesNotFit(t *testing.T) {
 	held := Fleet{Most: 3, Edges: []Edge{{IP: "10.0.0.1"}, {IP: "10.0.0.2"}, {IP: "10.0.0.3"}}}
-	feeder, follower := NewState(), NewState()
-	feeder.Apply(Update{Fleet: held})
-	follower.Apply(Update{Fleet: Fleet{Most: 1, Edges: []Edge{{IP: "10.0.0.9"}}}})
+	upstream, edge := NewState(), NewState()
+	upstream.Apply(Update{Fleet: held})
+	edge.Apply(Update{Fleet: Fleet{Most: 1, Edges: []Edge{{IP: "10.0.0.9"}}}})
 	held.Edges = held.Edges[:2]
-	fresh := feeder.Apply(Update{Fleet: held})
-	must.True(t, follower.Apply(fresh.ForWire(true)).Empty())
-	must.True(t, follower.NeedsSnapshot)
-	follower.Apply(feeder.Snapshot())
-	must.False(t, follower.NeedsSnapshot)
-	must.Eq(t, feeder.Fleet, follower.Fleet)
+	fresh := upstream.Apply(Update{Fleet: held})
+	must.True(t, edge.Apply(fresh.ForWire(true)).Empty())
+	must.True(t, edge.NeedsSnapshot)
+	edge.Apply(upstream.Snapshot())
+	must.False(t, edge.NeedsSnapshot)
+	must.Eq(t, upstream.Fleet, edge.Fleet)
 }
--- a/decide/clusterstate/patch.go
+++ b/decide/clusterstate/patch.go
@@ -9,18 +9,20 @@
 )
 
 const (
-	blockBytes     = 32       // bytes that are looked up; shorter stretches in common are sent anew
-	maxBodyBytes   = 64 << 20 // bytes of a configuration
-	hashMultiplier = 0x9e3779b1
+	blockBytes     = 32         // size of the blocks that MakePatch looks up; shorter common stretches are sent as literals
+	maxBodyBytes   = 64 << 20   // limit for an unpacked or patched configuration
+	hashMultiplier = 0x9e3779b1 // of the rolling hash over a block
 )
 
-// ContentSum identifies a configuration's content, the bytes that the operator sent: the first 64 bits of their SHA-256.
+// ContentSum identifies the content of a configuration by the first 64 bits of the SHA-256 of the bytes that the operator
+// sent.
 func ContentSum(content []byte) uint64 {
 	sum := sha256.Sum256(content)
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// Pack makes a configuration short for the wire and the disk: routes repeat each other's words.
+// Pack compresses a configuration with DEFLATE for the wire and the disk. Routes repeat much of each other's
+// text.
 func Pack(body []byte) []byte {
 	var b bytes.Buffer
 	w, _ := flate.NewWriter(&b, flate.DefaultCompression)
@@ -29,20 +31,21 @@
 	return b.Bytes()
 }
 
-// Unpack is the way back; false where the bytes are no packed configuration.
+// Unpack reverses Pack, and returns false where the bytes are not a packed configuration. It unpacks at most maxBodyBytes.
 func Unpack(packed []byte) ([]byte, bool) {
 	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxBodyBytes))
 	return body, err == nil
 }
 
-// MakePatch says how to make b of a: stretches of a, by offset and length, and new bytes between them. The blocks
-// of a are found again at any offset of b by a sum that rolls.
+// MakePatch returns a patch that turns a into b. Literals, each preceded by its length, alternate with copies from
+// a, each an offset and a length; all of these numbers are varints. A rolling hash finds the blocks of a at any offset of
+// b.
 func MakePatch(a, b []byte) []byte {
 	at := make(map[uint32]int, len(a)/blockBytes)
 	for i := 0; i+blockBytes <= len(a); i += blockBytes {
-		s := blockHash(a[i : i+blockBytes])
-		if _, ok := at[s]; !ok {
-			at[s] = i
+		hash := blockHash(a[i : i+blockBytes])
+		if _, ok := at[hash]; !ok {
+			at[hash] = i
 		}
 	}
 	var out []byte
@@ -51,17 +54,17 @@
 		out = binary.AppendUvarint(out, uint64(end-literal))
 		out = append(out, b[literal:end]...)
 	}
-	top := uint32(1)
+	outgoing := uint32(1) // factor of the byte that leaves the rolling hash
 	for range blockBytes {
-		top *= hashMultiplier
+		outgoing *= hashMultiplier
 	}
-	s := uint32(0)
-	fresh := true
+	hash := uint32(0)
+	rehash := true // the hash does not belong to the block at i and is computed from scratch
 	for i := 0; i+blockBytes <= len(b); {
-		if fresh {
-			s, fresh = blockHash(b[i:i+blockBytes]), false
+		if rehash {
+			hash, rehash = blockHash(b[i:i+blockBytes]), false
 		}
-		if from, ok := at[s]; ok && bytes.Equal(a[from:from+blockBytes], b[i:i+blockBytes]) {
+		if from, ok := at[hash]; ok && bytes.Equal(a[from:from+blockBytes], b[i:i+blockBytes]) {
 			n := blockBytes
 			for from+n < len(a) && i+n < len(b) && a[from+n] == b[i+n] {
 				n++
@@ -73,11 +76,11 @@
 			out = binary.AppendUvarint(out, uint64(from))
 			out = binary.AppendUvarint(out, uint64(n))
 			i += n
-			literal, fresh = i, true
+			literal, rehash = i, true
 			continue
 		}
 		if i+blockBytes < len(b) {
-			s = s*hashMultiplier + uint32(b[i+blockBytes]) - top*uint32(b[i])
+			hash = hash*hashMultiplier + uint32(b[i+blockBytes]) - outgoing*uint32(b[i])
 		}
 		i++
 	}
@@ -85,14 +88,15 @@
 	return out
 }
 
-func blockHash(b []byte) (s uint32) {
-	for _, c := range b {
-		s = s*hashMultiplier + uint32(c)
+func blockHash(block []byte) (hash uint32) {
+	for _, c := range block {
+		hash = hash*hashMultiplier + uint32(c)
 	}
-	return s
+	return hash
 }
 
-// ApplyPatch makes b of a and a patch; false where the patch is none for a.
+// ApplyPatch applies a patch of MakePatch to a. It returns false where the patch is malformed, reaches beyond a, or makes
+// more than maxBodyBytes.
 func ApplyPatch(a, patch []byte) (b []byte, ok bool) {
 	for {
 		n, k := binary.Uvarint(patch)
--- a/decide/clusterstate/rollouts_test.go
+++ b/decide/clusterstate/rollouts_test.go
@@ -9,7 +9,8 @@
 	"willowsill/decide/rollout"
 )
 
-// TestRolloutsNeverGoBack: a feeder that is behind does not bring back an older step; a snapshot has the newest.
+// TestRolloutsNeverGoBack: an upstream that is behind does not bring back an older set of rollouts, and a snapshot has the
+// newest one.
 func TestRolloutsNeverGoBack(t *testing.T) {
 	begun, _, _ := rollout.Set{}.Begin(rollout.Order{Service: "s", Target: "v2", OverMs: 9000})
 	reverted, _ := begun.Abort("s", "bad")
@@ -20,7 +21,8 @@
 	must.Eq(t, reverted, state.Snapshot().Rollouts)
 }
 
-// TestVersionStays: a feeder of the former version passes records on without the version; it is not forgotten for that.
+// TestVersionStays guards against losing a replica's software version: an upstream of the previous release passes records
+// on without it, and the version known before is kept.
 func TestVersionStays(t *testing.T) {
 	state := NewState()
 	state.Apply(Update{Replicas: []registry.Record{{ID: "i", Service: "s", Version: "v2", Seq: 1}}})
--- a/decide/clusterstate/selection.go
+++ b/decide/clusterstate/selection.go
@@ -7,51 +7,52 @@
 	"willowsill/decide/routeconfig"
 )
 
-// Selection says which replicas a controller's followers are told of: those that the configuration's routes use. All
-// edges serve all routes, so one selection fits all followers, and relays pass on what they are told.
+// Selection decides which replicas a controller sends to edges: those of the services that the configuration's routes
+// use. All edges serve all routes, so one selection fits all of them, and relays pass on whatever they receive.
 //
-// That a replica drains, is silent or gone is told of all replicas, whatever uses them.
+// Records of replicas that are draining, silent or gone are sent whatever the routes use.
 //
-// Danger: a follower may hold a newer configuration than its feeder, which has yet to hear that it stands. A replica that
-// this one uses could then drain without a word to the follower.
+// Danger: an edge may hold a newer configuration than its upstream controller, which has yet to learn that it is
+// committed. If that configuration uses a service that the controller's does not, the edge must still learn that a
+// replica of it drains.
 type Selection struct {
-	used map[string]struct{} // services; nil where the configuration cannot be read: then all are
+	used map[string]struct{} // services that the routes use; nil where the configuration cannot be read, and then all are selected
 }
 
-// NewSelection is that of a controller that knows of no configuration: no replica is used yet.
+// NewSelection returns the selection of a controller without a configuration: no service is used yet.
 func NewSelection() *Selection { return &Selection{used: map[string]struct{}{}} }
 
-// Update returns what followers are told of an update that the state has taken in. With a configuration come all
-// replicas of the services that it begins to use, so that it is never in force without them.
+// Update returns what edges are sent of an update that the state has just applied. A new configuration comes together
+// with all replicas of the services that it begins to use, so that it is never in force without them.
 func (s *Selection) Update(state *State, update Update) Update {
 	before := s.used
 	if update.Raw != nil {
 		s.setConfiguration(update.Raw)
 	}
-	told := update
-	told.Replicas = s.filter(update.Replicas)
-	if update.Raw == nil || before == nil { // nothing begins to be used, or all were told before
-		return told
+	selected := update
+	selected.Replicas = s.filter(update.Replicas)
+	if update.Raw == nil || before == nil { // no service begins to be used, or all replicas were sent before
+		return selected
 	}
 	for _, r := range state.replicas {
-		if _, known := before[r.Service]; !known && s.uses(r.Service) {
-			told.Replicas = append(told.Replicas, r)
-			told.Services = append(told.Services, r.Service)
+		if _, usedBefore := before[r.Service]; !usedBefore && s.uses(r.Service) {
+			selected.Replicas = append(selected.Replicas, r)
+			selected.Services = append(selected.Services, r.Service)
 		}
 	}
-	slices.Sort(told.Services)
-	told.Services = slices.Compact(told.Services)
-	return told
+	slices.Sort(selected.Services)
+	selected.Services = slices.Compact(selected.Services)
+	return selected
 }
 
-// Snapshot returns all that followers are told, as a whole.
+// Snapshot returns the snapshot of the state with the selected replicas only.
 func (s *Selection) Snapshot(state *State) Update {
 	snapshot := state.Snapshot()
 	snapshot.Replicas = s.filter(snapshot.Replicas)
 	return snapshot
 }
 
-// setConfiguration takes in which services a configuration uses.
+// setConfiguration reads which services the routes of a configuration use.
 func (s *Selection) setConfiguration(configuration []byte) {
 	used, err := routeconfig.UsedServices(configuration)
 	if err != nil {
@@ -60,13 +61,13 @@
 	s.used = used
 }
 
-// uses tells whether a service is used.
+// uses reports whether a route sends requests to the service, or may do so because the configuration is unreadable.
 func (s *Selection) uses(service string) bool {
 	_, used := s.used[service]
 	return used || s.used == nil
 }
 
-// filter are those of the replicas that followers are told of.
+// filter returns the records that edges are sent: ready replicas of used services, and all that are not ready.
 func (s *Selection) filter(all []registry.Record) []registry.Record {
 	return slices.DeleteFunc(slices.Clone(all), func(r registry.Record) bool {
 		return r.Phase == registry.Ready && !s.uses(r.Service)
--- a/decide/clusterstate/selection_test.go
+++ b/decide/clusterstate/selection_test.go
@@ -13,9 +13,10 @@
 	"willowsill/decide/registry"
 )
 
-// configuration is one whose routes use these services: one by itself, two by weights, the others as shards.
+// configuration returns an update with a configuration whose routes use these services: the first directly, the second in
+// a weighted split with the first, each further one as a shard of a fanout.
 func configuration(revision uint64, services ...string) Update {
-	route := func(what string) string { return `{"name":"r","host":"h","path-prefix":"/p/",` + what + `}` }
+	route := func(services string) string { return `{"name":"r","host":"h","path-prefix":"/p/",` + services + `}` }
 	var routes []string
 	for i, s := range services {
 		switch i {
@@ -31,27 +32,28 @@
 	return Update{Revision: revision, Body: Pack([]byte(body))}
 }
 
-// feeder is a controller's state with its selection.
-type feeder struct {
+// controller is the state of a controller with its selection.
+type controller struct {
 	*State
 	selection *Selection
 }
 
-func newFeeder() *feeder { return &feeder{NewState(), NewSelection()} }
+func newController() *controller { return &controller{NewState(), NewSelection()} }
 
-// take returns what followers are told.
-func (f *feeder) take(n Update) Update { return f.selection.Update(f.State, f.State.Apply(n)) }
+// apply applies an update and returns what edges are sent of it.
+func (c *controller) apply(u Update) Update { return c.selection.Update(c.State, c.State.Apply(u)) }
 
-// used are the services that its configuration uses, by name.
-func (f *feeder) used() []string { return slices.Sorted(maps.Keys(f.selection.used)) }
+// used returns the names of the services that the configuration uses, sorted.
+func (c *controller) used() []string { return slices.Sorted(maps.Keys(c.selection.used)) }
 
-func (f *feeder) snapshot() Update { return f.selection.Snapshot(f.State) }
+// snapshot returns the snapshot that edges are sent.
+func (c *controller) snapshot() Update { return c.selection.Snapshot(c.State) }
 
 func replicaUpdate(id, service string, seq uint64, phase registry.Phase) Update {
 	return Update{Replicas: []registry.Record{{ID: id, Service: service, Address: "a:1", Seq: seq, Phase: phase}}}
 }
 
-// ready are the replicas of a service that a state holds as ready.
+// ready returns the IDs of the service's replicas that the state holds as ready, sorted.
 func ready(s *State, service string) (ids []string) {
 	for id, r := range s.replicas {
 		if r.Service == service && r.Phase == registry.Ready {
@@ -62,88 +64,88 @@
 	return ids
 }
 
-// TestToldOfWhatIsUsed: followers hold the replicas of the services that the configuration uses and no others; one that
-// begins to use a service comes with its replicas, in one update.
+// TestToldOfWhatIsUsed: edges hold the replicas of the services that the configuration uses and no others. A configuration
+// that begins to use a service comes with the service's replicas in one update.
 func TestToldOfWhatIsUsed(t *testing.T) {
-	f, follower := newFeeder(), NewState()
-	must.True(t, f.take(replicaUpdate("a1", "a", 1, registry.Ready)).Empty()) // there is no configuration yet
-	f.take(replicaUpdate("b1", "b", 1, registry.Ready))
-	follower.Apply(f.snapshot())
-	must.MapEmpty(t, follower.replicas)
-	follower.Apply(f.take(configuration(1, "a", "c")))
-	must.Eq(t, []string{"a1"}, slices.Collect(maps.Keys(follower.replicas)))
-	must.True(t, f.take(replicaUpdate("b2", "b", 1, registry.Ready)).Empty())
-	follower.Apply(f.take(replicaUpdate("c1", "c", 1, registry.Ready)))
-	must.Eq(t, []string{"c1"}, ready(follower, "c"))
-
-	told := f.take(configuration(2, "a", "d", "b"))
-	must.Eq(t, []string{"b"}, told.Services) // d has no replica
-	must.SliceLen(t, 2, told.Replicas)
-	follower.Apply(told)
-	must.Eq(t, []string{"b1", "b2"}, ready(follower, "b"))
-	must.Eq(t, []string{"a", "b", "d"}, f.used())
+	c, edge := newController(), NewState()
+	must.True(t, c.apply(replicaUpdate("a1", "a", 1, registry.Ready)).Empty()) // there is no configuration yet
+	c.apply(replicaUpdate("b1", "b", 1, registry.Ready))
+	edge.Apply(c.snapshot())
+	must.MapEmpty(t, edge.replicas)
+	edge.Apply(c.apply(configuration(1, "a", "c")))
+	must.Eq(t, []string{"a1"}, slices.Collect(maps.Keys(edge.replicas)))
+	must.True(t, c.apply(replicaUpdate("b2", "b", 1, registry.Ready)).Empty())
+	edge.Apply(c.apply(replicaUpdate("c1", "c", 1, registry.Ready)))
+	must.Eq(t, []string{"c1"}, ready(edge, "c"))
+
+	update := c.apply(configuration(2, "a", "d", "b"))
+	must.Eq(t, []string{"b"}, update.Services) // d has no replica
+	must.SliceLen(t, 2, update.Replicas)
+	edge.Apply(update)
+	must.Eq(t, []string{"b1", "b2"}, ready(edge, "b"))
+	must.Eq(t, []string{"a", "b", "d"}, c.used())
 }
 
-// TestLeaversAreToldWhateverIsUsed: that a replica drains reaches a follower that holds a newer configuration than its
-// feeder, which does not use the replica's service yet.
+// TestLeaversAreToldWhateverIsUsed: an edge that holds a newer configuration than its upstream controller learns that a
+// replica drains, though the controller's configuration does not use the replica's service yet.
 func TestLeaversAreToldWhateverIsUsed(t *testing.T) {
-	ahead, behind, follower := newFeeder(), newFeeder(), NewState()
-	for _, f := range []*feeder{ahead, behind} {
-		f.take(configuration(1, "a"))
-		f.take(replicaUpdate("b1", "b", 1, registry.Ready))
+	ahead, behind, edge := newController(), newController(), NewState()
+	for _, c := range []*controller{ahead, behind} {
+		c.apply(configuration(1, "a"))
+		c.apply(replicaUpdate("b1", "b", 1, registry.Ready))
 	}
-	ahead.take(configuration(2, "a", "b"))
-	follower.Apply(ahead.snapshot())
-	must.Eq(t, []string{"b1"}, ready(follower, "b"))
-	follower.Apply(behind.snapshot())
-	follower.Apply(behind.take(replicaUpdate("b1", "b", 2, registry.Draining)))
-	must.SliceEmpty(t, ready(follower, "b"))
+	ahead.apply(configuration(2, "a", "b"))
+	edge.Apply(ahead.snapshot())
+	must.Eq(t, []string{"b1"}, ready(edge, "b"))
+	edge.Apply(behind.snapshot())
+	edge.Apply(behind.apply(replicaUpdate("b1", "b", 2, registry.Draining)))
+	must.SliceEmpty(t, ready(edge, "b"))
 }
 
-// TestSilentElsewhere: a replica that another feeder called silent by its last call is ready again as a configuration
-// begins to use its service.
+// TestSilentElsewhere: a replica that an earlier upstream reported silent, under its last call number, is ready again when a
+// configuration begins to use its service.
 func TestSilentElsewhere(t *testing.T) {
-	f, follower := newFeeder(), NewState()
-	f.take(configuration(1, "a"))
-	f.take(replicaUpdate("b1", "b", 5, registry.Ready))
-	follower.Apply(replicaUpdate("b1", "b", 5, registry.Silent))
+	c, edge := newController(), NewState()
+	c.apply(configuration(1, "a"))
+	c.apply(replicaUpdate("b1", "b", 5, registry.Ready))
+	edge.Apply(replicaUpdate("b1", "b", 5, registry.Silent))
 	relay := NewState()
 	relay.Apply(replicaUpdate("b1", "b", 5, registry.Silent))
-	follower.Apply(relay.Apply(f.take(configuration(2, "b"))))
-	must.Eq(t, []string{"b1"}, ready(follower, "b"))
+	edge.Apply(relay.Apply(c.apply(configuration(2, "b"))))
+	must.Eq(t, []string{"b1"}, ready(edge, "b"))
 }
 
-// TestUnreadableConfiguration: where it cannot be told what a configuration uses, followers are told of all.
+// TestUnreadableConfiguration: where the used services cannot be read from a configuration, edges are sent all replicas.
 func TestUnreadableConfiguration(t *testing.T) {
-	f := newFeeder()
-	f.take(replicaUpdate("a1", "a", 1, registry.Ready))
-	told := f.take(Update{Revision: 1, Body: Pack([]byte("no configuration"))})
-	must.SliceLen(t, 1, told.Replicas)
-	must.False(t, f.take(replicaUpdate("b1", "b", 1, registry.Ready)).Empty())
+	c := newController()
+	c.apply(replicaUpdate("a1", "a", 1, registry.Ready))
+	update := c.apply(Update{Revision: 1, Body: Pack([]byte("no configuration"))})
+	must.SliceLen(t, 1, update.Replicas)
+	must.False(t, c.apply(replicaUpdate("b1", "b", 1, registry.Ready)).Empty())
 }
 
-// TestSelectionByLot: two feeders hear of configurations and replicas at different times; a relay changes between them, and
-// an edge follows the relay or comes anew. Once all have heard all, the edge holds as ready just those of the replicas that
-// it has use for, and never one that its feeder knows to drain or to be gone.
+// TestSelectionByLot: two controllers learn of configurations and replicas at different times, a relay switches between
+// them, and relay and edge restart. The edge never holds a replica as ready that the current controller knows not to be,
+// and once both controllers know everything it holds exactly the ready replicas of the used services.
 func TestSelectionByLot(t *testing.T) {
 	services := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
-		feeders := []*feeder{newFeeder(), newFeeder()}
-		queues := make([][]Update, len(feeders)) // what each has yet to hear
+		controllers := []*controller{newController(), newController()}
+		queues := make([][]Update, len(controllers)) // updates that each has yet to receive
 		truth := map[string]registry.Record{}
 		seq, revision := uint64(0), uint64(0)
-		relay, edge, followed := NewState(), NewState(), 0
-		tell := func(n Update) { edge.Apply(relay.Apply(n)) }
+		relay, edge, current := NewState(), NewState(), 0 // current is the controller that the relay follows
+		send := func(u Update) { edge.Apply(relay.Apply(u)) }
 		deliver := func(which int) {
-			told := feeders[which].take(queues[which][0])
+			update := controllers[which].apply(queues[which][0])
 			queues[which] = queues[which][1:]
-			if which == followed {
-				tell(told)
+			if which == current {
+				send(update)
 			}
 		}
 		follow := func(which int) {
-			followed = which
-			tell(feeders[which].snapshot())
+			current = which
+			send(controllers[which].snapshot())
 		}
 		change := func(r registry.Record) {
 			truth[r.ID] = r
@@ -179,17 +181,17 @@
 			case 6:
 				switch rapid.IntRange(0, 2).Draw(t, "move") {
 				case 0:
-					follow(1 - followed)
+					follow(1 - current)
 				case 1:
 					edge = NewState()
 					edge.Apply(relay.Snapshot())
 				case 2:
 					relay = NewState()
-					follow(followed)
+					follow(current)
 					edge.Apply(relay.Snapshot())
 				}
 			}
-			for id, r := range feeders[followed].replicas {
+			for id, r := range controllers[current].replicas {
 				if r.Phase != registry.Ready && edge.replicas[id].Service != "" {
 					must.NotEq(t, registry.Ready, edge.replicas[id].Phase, must.Sprint(id))
 				}
@@ -200,7 +202,7 @@
 				deliver(which)
 			}
 		}
-		for _, service := range feeders[followed].used() {
+		for _, service := range controllers[current].used() {
 			var want []string
 			for id, r := range truth {
 				if r.Service == service && r.Phase == registry.Ready {
--- a/decide/register/admission_test.go
+++ b/decide/register/admission_test.go
@@ -7,12 +7,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestNewcomerMustAnswerItsRound: a machine becomes a member only in a round that its own disk has promised. One
-// that was whole and has lost its disk since stays outside, and what else the round carries stands.
+// TestNewcomerMustAnswerItsRound: a machine becomes a member only in a round that it has promised itself. One that has lost
+// its disk since it was proposed does not become a member, and the round's other edits are committed.
 func TestNewcomerMustAnswerItsRound(t *testing.T) {
-	for _, whole := range []bool{true, false} {
+	for _, caughtUp := range []bool{true, false} {
 		members := Value{Members: []string{"a", "b", "c"}}
-		disks := map[string]*Acceptor{"d": {CaughtUp: whole}}
+		disks := map[string]*Acceptor{"d": {CaughtUp: caughtUp}}
 		for _, name := range members.Members {
 			disks[name] = &Acceptor{State{Value: members}, true}
 		}
@@ -37,18 +37,18 @@
 			}
 		}
 		_, out := p.Edit(now, swap("c", "d"))
-		_, none := p.Edit(now, put(7, "seven"))
-		must.SliceEmpty(t, none.To)
+		_, queued := p.Edit(now, put(7, "seven"))
+		must.SliceEmpty(t, queued.To)
 		carry(out)
 		for range 8 {
 			now += resendInterval
 			carry(p.Tick(now))
 		}
 		must.SliceLen(t, 2, done)
-		stands := done[1].Value
-		must.Eq(t, 7, stands.Revision)
-		must.Eq(t, whole, slices.Contains(stands.Members, "d"))
-		must.Eq(t, !whole, slices.Contains(stands.Members, "c"))
-		must.SliceEmpty(t, stands.Prior)
+		committed := done[1].Value
+		must.Eq(t, 7, committed.Revision)
+		must.Eq(t, caughtUp, slices.Contains(committed.Members, "d"))
+		must.Eq(t, !caughtUp, slices.Contains(committed.Members, "c"))
+		must.SliceEmpty(t, committed.Prior)
 	}
 }
--- a/decide/register/copy.go
+++ b/decide/register/copy.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Copies and keys, for those who play every order of events. Times are no part of a key: whoever explores
-// has each timer fire at any moment.
+// This file serves the model checker in lab/modelcheck, which plays every order of events. It copies states, and compares
+// them by keys. Times are not part of a key, since the model checker lets each timer fire at any moment.
 
-// Copy is a proposer that goes its own way from here.
+// Copy returns an independent copy of the proposer.
 func (p *Proposer) Copy() *Proposer {
 	c := *p
 	c.answers, c.accepted = maps.Clone(p.answers), maps.Clone(p.accepted)
@@ -17,8 +17,8 @@
 	return &c
 }
 
-// Key appends what tells this proposer's state from another's: two with the same key do the same from here on,
-// whenever their timers fire.
+// Key appends to b an encoding of the proposer's state. Two proposers with the same key behave alike from here on, if their
+// timers fire at the same moments.
 func (p *Proposer) Key(b []byte) []byte {
 	b = appendString(b, p.name)
 	b = append(b, byte(p.phase))
@@ -49,14 +49,14 @@
 	return b
 }
 
-// Awaits tells whether an answer would do more here than raise the number of the next ballot.
+// Awaits reports whether handling the answer would change more than the number of the next ballot.
 func (p *Proposer) Awaits(from string, m Message) bool {
-	was, has := p.answers[from]
+	held, answered := p.answers[from]
 	switch m.Kind {
 	case Reported:
-		return p.phase == querying && m.Ballot == p.queryBallot && !(has && was.Accepted == m.State.Accepted)
+		return p.phase == querying && m.Ballot == p.queryBallot && !(answered && held.Accepted == m.State.Accepted)
 	case Promised:
-		return p.phase == preparing && m.Ballot == p.ballot && !(has && was.Accepted == m.State.Accepted)
+		return p.phase == preparing && m.Ballot == p.ballot && !(answered && held.Accepted == m.State.Accepted)
 	case Accepted:
 		return p.phase == accepting && m.Ballot == p.ballot && !p.accepted[from]
 	case Refused:
@@ -65,7 +65,7 @@
 	return false
 }
 
-// IsOutstanding tells whether a question is still this proposer's.
+// IsOutstanding reports whether the request belongs to the phase that the proposer is in.
 func (p *Proposer) IsOutstanding(m Message) bool {
 	switch m.Kind {
 	case Query:
@@ -78,25 +78,25 @@
 	return false
 }
 
-// Awaits tells whether an answer would do anything here.
+// Awaits reports whether handling the answer would change the joiner.
 func (j *Joiner) Awaits(from string, m Message) bool {
-	_, has := j.answers[from]
-	return m.Kind == Promised && m.Ballot == j.ballot && !has || m.Kind == Refused && m.State.Promised.Number >= j.ballot.Number
+	_, answered := j.answers[from]
+	return m.Kind == Promised && m.Ballot == j.ballot && !answered || m.Kind == Refused && m.State.Promised.Number >= j.ballot.Number
 }
 
-// Copy is a joiner that goes its own way from here.
+// Copy returns an independent copy of the joiner.
 func (j *Joiner) Copy() *Joiner {
 	c := *j
 	c.answers = maps.Clone(j.answers)
 	return &c
 }
 
-// Key appends what tells this joiner's state from another's.
+// Key appends to b an encoding of the joiner's state.
 func (j *Joiner) Key(b []byte) []byte {
 	return appendStates(j.ballot.Key(appendString(b, j.self)), j.answers)
 }
 
-// Key appends a message's every field.
+// Key appends to b an encoding of every field of the message.
 func (m Message) Key(b []byte) []byte {
 	b = append(b, byte(m.Kind))
 	if m.BodyOmitted {
@@ -105,15 +105,15 @@
 	return m.Value.Key(m.State.Key(m.Held.Key(m.Ballot.Key(b))))
 }
 
-// Key appends what tells a ballot from another.
-func (b Ballot) Key(to []byte) []byte {
-	return appendString(binary.AppendUvarint(to, b.Number), b.Proposer)
+// Key appends to dst an encoding of the ballot.
+func (b Ballot) Key(dst []byte) []byte {
+	return appendString(binary.AppendUvarint(dst, b.Number), b.Proposer)
 }
 
-// Key appends what tells a state from another.
+// Key appends to b an encoding of the state.
 func (s State) Key(b []byte) []byte { return s.Value.Key(s.Accepted.Key(s.Promised.Key(b))) }
 
-// Key appends what tells a value from another.
+// Key appends to b an encoding of the value.
 func (v Value) Key(b []byte) []byte {
 	b = binary.AppendUvarint(binary.AppendUvarint(b, v.Epoch), v.Revision)
 	b = append(b, byte(len(v.Members)), byte(len(v.Prior)), byte(v.Size))
--- a/decide/register/example_test.go
+++ b/decide/register/example_test.go
@@ -6,12 +6,12 @@
 	"willowsill/decide/register"
 )
 
-// A write goes through a question, a promise and a take; here three disks answer each at once.
+// A write consists of a Query, a Prepare and an Accept. Here each of three acceptors answers at once.
 func Example() {
 	members := register.Value{Members: []string{"a", "b", "c"}}
-	disks := map[string]*register.Acceptor{}
+	acceptors := map[string]*register.Acceptor{}
 	for _, name := range members.Members {
-		disks[name] = &register.Acceptor{State: register.State{Value: members}, CaughtUp: true}
+		acceptors[name] = &register.Acceptor{State: register.State{Value: members}, CaughtUp: true}
 	}
 	p := register.NewProposer("a/1", members, func() float64 { return 0.5 })
 	_, out := p.Edit(0, func(v register.Value) (register.Value, bool) {
@@ -19,9 +19,9 @@
 		return v, true
 	})
 	for len(out.Done) == 0 {
-		ask := out
-		for _, name := range ask.To {
-			answer, _, _ := disks[name].Step(ask.Send) // a true disk syncs before it answers
+		request := out
+		for _, name := range request.To {
+			answer, _, _ := acceptors[name].Step(request.Send) // a real acceptor syncs before it answers
 			if o := p.Step(0, name, answer); len(o.To)+len(o.Done) > 0 {
 				out = o
 				break
--- a/decide/register/learns_test.go
+++ b/decide/register/learns_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestEmptiedDiskLearnsMembers: a proposer that knows no members learns them also where they have never changed, and then
-// carries its edits.
+// TestEmptiedDiskLearnsMembers: a proposer that knows no members learns members that have never changed, whose epoch is 0,
+// and then carries its edits.
 func TestEmptiedDiskLearnsMembers(t *testing.T) {
 	members := Value{Members: []string{"a", "b", "c"}}
 	p := NewProposer("c/2", Value{}, func() float64 { return 0 })
--- a/decide/register/orders.go
+++ b/decide/register/orders.go
@@ -5,42 +5,42 @@
 	"slices"
 )
 
-// MaxOrders is how many orders a value remembers, the highest revisions.
+// MaxOrders is the number of orders that a value remembers, those with the highest revisions.
 const MaxOrders = 256
 
-// sumBytes is the length of one sum in a record.
+// sumBytes is the length of one sum in packed Orders.
 const sumBytes = 8
 
-// Order names one order of an operator: the revision that it carried and a sum of its content.
+// Order identifies a configuration that an operator sent: its revision and a sum of its content.
 type Order struct {
 	Revision uint64
 	Sum      uint64
 }
 
-// Orders is the record of the orders that were confirmed: one content a revision. It is a part of the value, so
-// it is as durable as the configuration and every proposer decides by the same one. It travels with each Accept
-// and is packed for that: by ascending revision the difference to the one before as a varint, then the sum in 8
-// bytes, 9 to 10 bytes an order and 2.5 KB at most. It is never changed in place.
+// Orders is the packed list of the orders that were confirmed, with one content for each revision. It is part of the value,
+// so it is as durable as the configuration, and every proposer decides by the same list. Each Accept carries it, so it is
+// packed: by ascending revision, the difference to the previous revision as a varint, then the sum in 8 bytes. That takes 9
+// to 10 bytes for an order and at most 2.5 KB. It is never changed in place.
 type Orders []byte
 
-// All unpacks the record. What is malformed, and all behind it, is left out.
+// All unpacks the list. A malformed entry and all after it are left out.
 func (o Orders) All() []Order {
 	var all []Order
 	revision := uint64(0)
 	for rest := []byte(o); len(rest) > 0; {
-		step, size := binary.Uvarint(rest)
-		if size <= 0 || len(rest) < size+sumBytes || step == 0 && len(all) > 0 || revision+step < revision {
+		delta, size := binary.Uvarint(rest)
+		if size <= 0 || len(rest) < size+sumBytes || delta == 0 && len(all) > 0 || revision+delta < revision {
 			break
 		}
-		revision += step
+		revision += delta
 		all = append(all, Order{revision, binary.BigEndian.Uint64(rest[size:])})
 		rest = rest[size+sumBytes:]
 	}
 	return all
 }
 
-// Lookup returns the sum of the content that was confirmed under a revision. known is false where none was, or
-// where it is remembered no longer (see Reaches).
+// Lookup returns the sum of the content that was confirmed under a revision. known is false where none was confirmed, or
+// where it is no longer remembered (see Covers).
 func (o Orders) Lookup(revision uint64) (sum uint64, known bool) {
 	all := o.All()
 	i, known := findRevision(all, revision)
@@ -50,15 +50,15 @@
 	return all[i].Sum, true
 }
 
-// Covers tells whether the record goes back as far as a revision: if it does and Lookup knows nothing of the
-// revision, then no order was confirmed under it.
+// Covers reports whether the list goes back as far as a revision. If it does and Lookup does not know the revision, then no
+// order was confirmed under it.
 func (o Orders) Covers(revision uint64) bool {
 	all := o.All()
 	return len(all) < MaxOrders || revision > all[0].Revision
 }
 
-// Add returns the record with an order whose revision it does not hold yet. Past OrdersKept the lowest revision
-// is left out.
+// Add returns the list with the order added, or unchanged where it has the revision already. Of more than MaxOrders the
+// lowest revision is left out.
 func (o Orders) Add(order Order) Orders {
 	all := o.All()
 	i, known := findRevision(all, order.Revision)
@@ -72,7 +72,8 @@
 	return packOrders(all)
 }
 
-// findRevision is where a revision stands, or belongs, in orders sorted by revision.
+// findRevision returns the index of a revision in orders sorted by revision, or where it would be inserted, and whether it
+// is there.
 func findRevision(all []Order, revision uint64) (int, bool) {
 	return slices.BinarySearchFunc(all, revision, func(o Order, revision uint64) int {
 		switch {
--- a/decide/register/orders_test.go
+++ b/decide/register/orders_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestOrdersKnowEachRevision adds orders in any sequence and compares with a map: the highest OrdersKept revisions
-// are known with the sum that came first, and Reaches tells where that ends.
+// TestOrdersKnowEachRevision adds orders in random sequence and compares with a map: the highest MaxOrders revisions are known
+// with the sum that came first, and Covers is false for those left out.
 func TestOrdersKnowEachRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var orders Orders
@@ -21,7 +21,7 @@
 			}
 			before := string(orders)
 			next := orders.Add(order)
-			must.Eq(t, before, string(orders), must.Sprint("a record was changed in place"))
+			must.Eq(t, before, string(orders), must.Sprint("a list was changed in place"))
 			if _, known := model[order.Revision]; !known {
 				model[order.Revision] = order.Sum
 			}
@@ -41,7 +41,7 @@
 	})
 }
 
-// TestOrdersAreSmall: the record travels with each Accept.
+// TestOrdersAreSmall bounds the packed size, since each Accept carries the list.
 func TestOrdersAreSmall(t *testing.T) {
 	var orders Orders
 	for i := range uint64(3 * MaxOrders) {
@@ -51,7 +51,7 @@
 	must.Eq(t, MaxOrders, len(orders.All()))
 }
 
-// TestOrdersThatAreMalformed: bytes that are no record, from a disk or the wire, do no harm.
+// TestOrdersThatAreMalformed: arbitrary bytes in place of a list, from a disk or the wire, cause no panic.
 func TestOrdersThatAreMalformed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		orders := Orders(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"))
@@ -61,7 +61,8 @@
 	})
 }
 
-// TestValueOfAnOlderVersion: a value without orders is read, and one with orders is read by who knows none.
+// TestValueOfAnOlderVersion: this version decodes a value without orders, and an older version, whose value has no such
+// field, decodes one with orders.
 func TestValueOfAnOlderVersion(t *testing.T) {
 	older := struct {
 		Members  []string `cbor:"2,keyasint,omitempty"`
@@ -80,8 +81,8 @@
 	must.Eq(t, 7, older.Revision)
 }
 
-// TestKnownValueComesWithoutOrders: a disk leaves the record out where the asker holds the same value, and the
-// proposer puts its own in its place.
+// TestKnownValueComesWithoutOrders: an acceptor omits the orders where the asker holds the same value, and the proposer fills
+// in its own.
 func TestKnownValueComesWithoutOrders(t *testing.T) {
 	seeds := Value{Members: []string{"a"}, Revision: 7, Body: []byte("seven"), Orders: Orders{}.Add(Order{7, 1})}
 	held := State{Promised: Ballot{3, "x"}, Accepted: Ballot{3, "x"}, Value: seeds}
--- a/decide/register/proposer.go
+++ b/decide/register/proposer.go
@@ -5,111 +5,113 @@
 	"slices"
 )
 
-// Times of a round, ns. A round that meets another's waits a while that differs by proposer, so that one gets
-// through.
+// Times of a round, in ns. A proposer whose round collided with another's backs off for a random time, so that one of them
+// gets through.
 const (
 	ms              = 1_000_000
-	resendInterval  = 250 * ms // what has no answer is sent again
-	backoffStep     = 30 * ms  // after a refusal, times the draw and the number of refusals
-	maxBackoffSteps = 8        // refusals that lengthen the rest
+	resendInterval  = 250 * ms // a request without an answer is sent again after this time
+	backoffStep     = 30 * ms  // backoff for each refusal in a row, multiplied by a random factor from 0.5 to 1.5
+	maxBackoffSteps = 8        // further refusals do not lengthen the backoff
 )
 
-// Edit is a change that waits for a round: from the value that stands to the next. It returns false where
-// nothing is to change; then the value that stands is confirmed.
+// Edit computes the next value from the committed one. It returns false where nothing is to change; then the round only
+// confirms that the value is committed. A round may call it several times.
 type Edit func(Value) (Value, bool)
 
-// EditResult is what became of an edit: the value that stands now, known to be on a majority, and the ballot that
-// it was taken under.
+// EditResult is the outcome of an edit: the value that is now known to be committed, and the ballot under which it was
+// accepted.
 type EditResult struct {
 	ID     uint64
 	Ballot Ballot
 	Value  Value
 }
 
-// Out is what a step asks for.
+// Out is what a proposer asks its caller to do.
 type Out struct {
-	To   []string // the disks that Send goes to
+	To   []string // members to send Send to; empty where nothing is to be sent
 	Send Message
-	Done []EditResult
+	Done []EditResult // edits that have ended
 }
 
+// phase is the stage of a proposer's round.
 type phase uint8
 
 const (
-	idle phase = iota
-	querying
-	preparing
-	accepting
-	backingOff
+	idle       phase = iota // no edit is running or waiting
+	querying                // a Query asks whether the value is committed already
+	preparing               // acceptors are asked for promises
+	accepting               // acceptors are asked to accept the next value
+	backingOff              // waits for due to start again
 )
 
+// pendingEdit is an edit that has not ended.
 type pendingEdit struct {
 	id    uint64
 	apply Edit
 }
 
-// Proposer carries edits through rounds, all that wait in one.
+// Proposer carries edits through rounds. One round carries all edits that are waiting when it starts.
 type Proposer struct {
-	name              string // of this life of the process: no two lives share ballots
-	heldState         State  // whose body is here
-	newestKnown       Value  // the latest value seen; its members are asked first
+	name              string // unique to this incarnation of the process, so that no two incarnations share ballots
+	heldState         State  // newest state known with body and orders, which answers to requests may therefore omit
+	newestKnown       Value  // newest value seen; requests go to its members first
 	random            func() float64
 	phase             phase
-	ballot            Ballot
-	highestNumber     uint64           // ballot number seen
-	queryBallot       Ballot           // the question that binds nobody: its number, in this life
-	answers           map[string]State // of this round
-	accepted          map[string]bool
-	next              Value    // that is being written
-	membersCommitted  Ballot   // of a change of members known to stand
-	newMembers        []string // machines that the edits of this round make members, to be asked as well
-	newMembersOverdue bool     // a resend has passed since those were asked
-	running           []pendingEdit
-	waiting           []pendingEdit
-	refusals          int
-	due               int64 // when to send again, or to begin again
+	ballot            Ballot           // ballot of the current round
+	highestNumber     uint64           // highest ballot number seen
+	queryBallot       Ballot           // identifies the last Query; it is not a ballot and needs no promise
+	answers           map[string]State // states in the answers to this phase's Query or Prepare, by member
+	accepted          map[string]bool  // members that have accepted next
+	next              Value            // the value that the round writes
+	membersCommitted  Ballot           // ballot under which a change of members is known to be committed
+	newMembers        []string         // machines that the edits of this round make members; they are asked for promises too
+	newMembersOverdue bool             // newMembers have had resendInterval to promise
+	running           []pendingEdit    // edits that the round carries
+	waiting           []pendingEdit    // edits for the next round
+	refusals          int              // refusals since the last round that succeeded
+	due               int64            // when Tick sends again or starts again
 	lastEditID        uint64
 }
 
-// NewProposer makes one that begins with a value it knows of, at least its members. draw gives numbers from 0
-// up to 1.
+// NewProposer returns a proposer that starts with a value of which at least the members are known. random returns numbers
+// in [0, 1).
 //
-// Danger: a process that starts again may have forgotten ballots that others promised it. Were one used twice
-// for two values, both could be taken. So name is new in each life.
+// Danger: a process that restarts may have forgotten ballots that others promised it. If one were used again for another
+// value, both values could be accepted under it. So name must be new in each incarnation of the process.
 func NewProposer(name string, known Value, random func() float64) *Proposer {
 	return &Proposer{name: name, newestKnown: known, random: random}
 }
 
-// Learn tells of a value seen elsewhere: what a disk holds or a peer announced. Its members are asked from
-// then on.
+// Learn informs the proposer of a value from elsewhere: from the own disk or from a peer. If it is newer, requests go to its
+// members from then on.
 func (p *Proposer) Learn(v Value) {
 	if p.WouldLearn(v) {
 		p.newestKnown = v
 	}
 }
 
-// WouldLearn tells whether Know would say anything new.
+// WouldLearn reports whether Learn would change anything.
 //
-// Danger: a proposer on an emptied disk knows no members. Where they have never changed their epoch is 0, and were the
-// epoch alone compared, it would know none for ever and carry no edit.
+// Danger: a proposer on an emptied disk knows no members. As long as they have never changed, their epoch is 0. If only
+// epochs were compared, the proposer would never learn any members and could carry no edit.
 func (p *Proposer) WouldLearn(v Value) bool {
 	return v.Epoch > p.newestKnown.Epoch || len(p.newestKnown.Members) == 0 && len(v.Members) > 0
 }
 
-// CacheState tells of a state held here, so that its body need not come again.
+// CacheState informs the proposer of a state on the own disk, so that answers can omit its body and orders.
 func (p *Proposer) CacheState(s State) {
 	if s.Accepted.Compare(p.heldState.Accepted) > 0 && p.phase == idle {
 		p.heldState = s
 	}
 }
 
-// ObserveBallot tells of a ballot, so that the next is above it.
+// ObserveBallot informs the proposer of a ballot, so that its next one is higher.
 func (p *Proposer) ObserveBallot(b Ballot) { p.highestNumber = max(p.highestNumber, b.Number) }
 
-// Busy tells whether an edit waits or runs.
+// Busy reports whether a round is under way or due.
 func (p *Proposer) Busy() bool { return p.phase != idle }
 
-// Edit takes one in and returns its number.
+// Edit adds an edit and returns its ID, by which Out.Done reports its result.
 func (p *Proposer) Edit(now int64, e Edit) (uint64, Out) {
 	p.lastEditID++
 	p.waiting = append(p.waiting, pendingEdit{p.lastEditID, e})
@@ -120,24 +122,25 @@
 	return id, Out{}
 }
 
-// Cancel withdraws an edit whose caller has stopped waiting, unless its value is being written already: then it may
-// be committed, and nobody can tell.
+// Cancel withdraws an edit whose caller has stopped waiting. Once its value is being written it is too late, since nobody
+// can tell whether the value will be committed.
 //
-// Danger: a proposer that is cut off would keep edits for as long as that lasts, and write them over all that was
-// changed meanwhile.
+// Danger: without Cancel, a proposer that is cut off from the majority would keep its edits until it is reconnected, and
+// then overwrite what was changed meanwhile.
 func (p *Proposer) Cancel(id uint64) {
-	is := func(e pendingEdit) bool { return e.id == id }
-	p.waiting = slices.DeleteFunc(p.waiting, is)
+	matches := func(e pendingEdit) bool { return e.id == id }
+	p.waiting = slices.DeleteFunc(p.waiting, matches)
 	if p.phase == accepting {
 		return
 	}
-	p.running = slices.DeleteFunc(p.running, is)
+	p.running = slices.DeleteFunc(p.running, matches)
 	if len(p.running)+len(p.waiting) == 0 && len(p.next.Prior) == 0 {
 		p.phase, p.refusals = idle, 0
 	}
 }
 
-// startQuery starts with a question that binds nobody: mostly the value stands already, and nothing changes it.
+// startQuery starts to carry the waiting edits. It begins with a Query, which needs no promises: mostly the value is
+// committed already and no edit changes it, so the Query is enough.
 func (p *Proposer) startQuery(now int64) Out {
 	p.running, p.waiting = append(p.running, p.waiting...), nil
 	if len(p.running) == 0 || len(p.newestKnown.Members) == 0 {
@@ -146,14 +149,14 @@
 		}
 		return Out{}
 	}
-	// Danger: an answer to a former life of this process may still come. Its question had the same number, and what
-	// it tells may be older than what was acknowledged since.
+	// Danger: an answer to a Query of this process's previous incarnation may still arrive. That Query may have had the
+	// same number, and the state in the answer may be older than what was acknowledged since. So the name is compared too.
 	p.queryBallot = Ballot{p.queryBallot.Number + 1, p.name}
 	p.phase, p.answers, p.due = querying, map[string]State{}, now+resendInterval
 	return Out{To: p.newestKnown.AllMembers(), Send: p.request()}
 }
 
-// startPrepare starts the round proper.
+// startPrepare starts a round with a new ballot.
 func (p *Proposer) startPrepare(now int64) Out {
 	p.highestNumber++
 	p.ballot = Ballot{p.highestNumber, p.name}
@@ -162,17 +165,17 @@
 	return Out{To: p.prepareTargets(), Send: p.request()}
 }
 
-// prepareTargets are the disks that a round proper asks.
+// prepareTargets returns the members that a Prepare goes to.
 func (p *Proposer) prepareTargets() []string {
 	all := slices.Concat(p.newestKnown.AllMembers(), p.newMembers)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// newMembersPromised tells whether the machines that a change makes members have promised in this round.
+// newMembersPromised reports whether all machines that a change makes members have promised in this round.
 //
-// It guards against a machine that was whole when it was last heard of and has lost its disk since: made a
-// member, it would be one that answers nothing, and several such leave no majority that ever answers.
+// Danger: a machine may have lost its disk since it last announced that it had caught up. As a member it would answer
+// nothing, and with several such members no majority would ever answer.
 func (p *Proposer) newMembersPromised(before, after Value) bool {
 	for _, m := range addedMembers(before, after) {
 		if _, ok := p.answers[m]; !ok {
@@ -182,12 +185,12 @@
 	return true
 }
 
-// addedMembers are the machines that a change makes members.
+// addedMembers returns the machines that a change makes members.
 func addedMembers(before, after Value) []string {
 	return slices.DeleteFunc(slices.Clone(after.Members), func(m string) bool { return slices.Contains(before.Members, m) })
 }
 
-// request is what disks are asked in this phase.
+// request returns the Query or Prepare of this phase.
 func (p *Proposer) request() Message {
 	if p.phase == querying {
 		return Message{Kind: Query, Ballot: p.queryBallot, Held: p.heldState.Accepted}
@@ -195,13 +198,13 @@
 	return Message{Kind: Prepare, Ballot: p.ballot, Held: p.heldState.Accepted}
 }
 
-// Step takes an answer of a disk.
+// Step handles the answer of an acceptor.
 func (p *Proposer) Step(now int64, from string, m Message) Out {
 	p.ObserveBallot(m.State.Promised)
 	p.ObserveBallot(m.State.Accepted)
 	if m.BodyOmitted {
 		if m.State.Accepted != p.heldState.Accepted {
-			return Out{} // an answer to a question of before
+			return Out{} // it answers an earlier request, and the omitted body is no longer held
 		}
 		m.State.Value.Body, m.State.Value.Orders = p.heldState.Value.Body, p.heldState.Value.Orders
 	}
@@ -223,25 +226,26 @@
 	return Out{}
 }
 
-// readNewest is the value accepted under the highest ballot, and whether the disks that answered suffice for its
-// members.
+// readNewest returns the state accepted under the highest ballot among the answers. enough says whether the answers include
+// a quorum of its members and of the newest members known. more.To are further members to ask.
 //
-// Danger: the members that were asked may not be those that the value names; a majority of the ones alone
-// would miss what the others hold. More are asked until they meet.
+// Danger: the members that were asked may not be the members that the value names, and a majority of the former alone could
+// miss what the latter hold. So more members are asked until there is a quorum of both.
 func (p *Proposer) readNewest() (best State, enough bool, more Out) {
 	best = highestAccepted(p.answers)
-	in := func(m string) bool { _, ok := p.answers[m]; return ok }
-	// A value without prior members follows the one with them, and one of a later epoch all before: where it
-	// came about at all, its members are the ones to ask.
+	answered := func(m string) bool { _, ok := p.answers[m]; return ok }
+	// A value of a later epoch follows all values of earlier epochs, and within an epoch the value without prior members
+	// follows the one with them. If such a value was committed, its members are the ones to ask.
 	if v := best.Value; v.Epoch > p.newestKnown.Epoch || v.Epoch == p.newestKnown.Epoch && len(v.Prior) < len(p.newestKnown.Prior) ||
 		v.Epoch == p.newestKnown.Epoch && len(v.Prior) > 0 && len(p.newestKnown.Prior) == 0 && !slices.Equal(v.Members, p.newestKnown.Members) {
 		p.newestKnown = v
-		more.To = slices.DeleteFunc(v.AllMembers(), in)
+		more.To = slices.DeleteFunc(v.AllMembers(), answered)
 	}
-	return best, p.newestKnown.Quorum(in) && (best.Value.Epoch < p.newestKnown.Epoch || best.Value.Quorum(in)), more
+	return best, p.newestKnown.Quorum(answered) && (best.Value.Epoch < p.newestKnown.Epoch || best.Value.Quorum(answered)), more
 }
 
-// highestAccepted is the state accepted under the highest ballot.
+// highestAccepted returns the state accepted under the highest ballot. A state without members, as a new machine has, gives
+// way to any other.
 func highestAccepted(states map[string]State) (best State) {
 	for _, s := range states {
 		if s.Accepted.Compare(best.Accepted) > 0 || len(best.Value.Members) == 0 {
@@ -251,6 +255,8 @@
 	return best
 }
 
+// handleReported evaluates the answers to a Query. If no edit changes the value and a quorum holds it, the edits are done;
+// otherwise a round follows.
 func (p *Proposer) handleReported(now int64) Out {
 	best, enough, more := p.readNewest()
 	if !enough {
@@ -268,13 +274,13 @@
 			p.newMembers = append(p.newMembers, addedMembers(best.Value, next)...)
 		}
 	}
-	stands := best.Value.Quorum(p.reportedAccepted(best.Accepted))
-	if !changes && stands {
+	committed := best.Value.Quorum(p.reportedAccepted(best.Accepted))
+	if !changes && committed {
 		p.heldState = State{Accepted: best.Accepted, Value: best.Value}
 		return p.finish(now, best.Value)
 	}
 	if !changes {
-		// The rest of the answers may yet show that it stands; the resend goes on to a round.
+		// The missing answers may yet show that the value is committed. If they do not come, Tick starts a round.
 		if len(p.answers) < len(p.newestKnown.AllMembers()) {
 			return Out{}
 		}
@@ -282,11 +288,12 @@
 	return p.startPrepare(now)
 }
 
-// reportedAccepted tells of a disk whether it answered that it holds what was accepted under b.
+// reportedAccepted returns a function that reports whether a member answered that it accepted the value of ballot b.
 func (p *Proposer) reportedAccepted(b Ballot) func(string) bool {
 	return func(m string) bool { s, ok := p.answers[m]; return ok && s.Accepted == b }
 }
 
+// handlePromised evaluates the promises. Once they suffice, it applies the edits and asks the members to accept the result.
 func (p *Proposer) handlePromised(now int64) Out {
 	best, enough, more := p.readNewest()
 	if !enough {
@@ -298,9 +305,9 @@
 	if slices.ContainsFunc(p.newMembers, func(m string) bool { _, ok := p.answers[m]; return !ok }) && !p.newMembersOverdue {
 		return more
 	}
-	// What is known to stand with its prior members needs them no longer: the change of members is over. That it
-	// stands is known where a quorum of both holds it; else it is written once more as it is, and the next round
-	// drops them.
+	// A change of members ends once the value with the prior members is known to be committed, that is where quorums of
+	// both sets have accepted it: then the prior members are dropped. Otherwise the value is written once more as it is,
+	// and the next round drops them.
 	v := best.Value
 	if len(v.Prior) > 0 && (best.Accepted == p.membersCommitted || v.Quorum(p.reportedAccepted(best.Accepted))) {
 		v.Prior = nil
@@ -316,29 +323,31 @@
 	return Out{To: p.acceptTargets(best.Value), Send: Message{Kind: Accept, Ballot: p.ballot, Value: v}}
 }
 
-// acceptTargets are the disks that a write must reach: of the value read and of the value written.
+// acceptTargets returns the members that an Accept goes to: those of the value read and those of the value written.
 func (p *Proposer) acceptTargets(read Value) []string {
 	all := slices.Concat(read.AllMembers(), p.next.AllMembers())
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
+// handleAccepted ends the round once a quorum has accepted the value.
 func (p *Proposer) handleAccepted(now int64) Out {
-	in := func(m string) bool { return p.accepted[m] }
-	if !p.next.Quorum(in) || !p.valueRead().Quorum(in) {
+	hasAccepted := func(m string) bool { return p.accepted[m] }
+	if !p.next.Quorum(hasAccepted) || !p.valueRead().Quorum(hasAccepted) {
 		return Out{}
 	}
 	p.newestKnown, p.heldState = p.next, State{Accepted: p.ballot, Value: p.next}
-	if len(p.next.Prior) > 0 { // the members' change stands now; one more round lets the old ones go
+	if len(p.next.Prior) > 0 { // the change of members is committed; one more round drops the prior members
 		p.refusals, p.membersCommitted, p.newMembers = 0, p.ballot, nil
 		return p.startPrepare(now)
 	}
 	return p.finish(now, p.next)
 }
 
-// valueRead is the value that the round found.
+// valueRead returns the value that the promises of the round reported as the newest.
 func (p *Proposer) valueRead() Value { return highestAccepted(p.answers).Value }
 
+// finish reports the running edits as done, with v as the committed value, and starts on those waiting.
 func (p *Proposer) finish(now int64, v Value) Out {
 	out := Out{}
 	for _, e := range p.running {
@@ -353,13 +362,13 @@
 	return out
 }
 
-// Tick sends again what has no answer, and begins again after a rest.
+// Tick repeats requests that have no answer, and starts again after a backoff.
 func (p *Proposer) Tick(now int64) Out {
 	if p.phase == idle || now < p.due {
 		return Out{}
 	}
-	missing := func(in func(string) bool, all []string) []string { return slices.DeleteFunc(slices.Clone(all), in) }
-	has := func(m string) bool { _, ok := p.answers[m]; return ok }
+	missing := func(has func(string) bool, all []string) []string { return slices.DeleteFunc(slices.Clone(all), has) }
+	answered := func(m string) bool { _, ok := p.answers[m]; return ok }
 	p.due = now + resendInterval
 	switch p.phase {
 	case querying, preparing:
@@ -367,13 +376,13 @@
 			if _, enough, _ := p.readNewest(); enough {
 				return p.startPrepare(now)
 			}
-			return Out{To: missing(has, p.newestKnown.AllMembers()), Send: p.request()}
+			return Out{To: missing(answered, p.newestKnown.AllMembers()), Send: p.request()}
 		}
 		p.newMembersOverdue = true
 		if _, enough, _ := p.readNewest(); enough {
 			return p.handlePromised(now)
 		}
-		return Out{To: missing(has, p.prepareTargets()), Send: p.request()}
+		return Out{To: missing(answered, p.prepareTargets()), Send: p.request()}
 	case accepting:
 		return Out{To: missing(func(m string) bool { return p.accepted[m] }, p.acceptTargets(p.valueRead())),
 			Send: Message{Kind: Accept, Ballot: p.ballot, Value: p.next}}
@@ -381,7 +390,7 @@
 	return p.startQuery(now)
 }
 
-// Due is when Tick wants to be called, 0 for never.
+// Due returns when Tick is to be called next, or 0 where it need not be called.
 func (p *Proposer) Due() int64 {
 	if p.phase == idle {
 		return 0
@@ -389,27 +398,27 @@
 	return p.due
 }
 
-// Joiner brings a disk that came back empty, or is new, to where it counts. It asks the others as a round
-// does: what they promise it, no older round can undo any more.
+// Joiner brings an acceptor with an empty disk, which is new or has lost its data, to the state from which it counts. It asks
+// the other members for promises as a round does, so that no older round can complete after they have answered.
 //
-// Danger: states that were merely looked at may have moved on since; a value that the empty disk took before
-// it was emptied, and that a late message completes afterwards, would stand on one disk too few.
+// Danger: if their states were only queried, an older round could still complete afterwards. It might count an acceptance
+// that this disk gave before it was emptied, and its value would then be on one disk fewer than a majority.
 type Joiner struct {
 	self    string
 	ballot  Ballot
 	answers map[string]State
 }
 
-// NewJoiner makes one. name is that of this life of the process, as for a proposer.
+// NewJoiner returns a joiner for the member self. name must be new in each incarnation of the process, as for a proposer.
 func NewJoiner(self, name string) *Joiner {
 	return &Joiner{self, Ballot{1, name}, map[string]State{}}
 }
 
-// Request is what the others are asked.
+// Request returns the Prepare that goes to the other members.
 func (j *Joiner) Request() Message { return Message{Kind: Prepare, Ballot: j.ballot} }
 
-// HandleAnswer takes an answer in. done tells that a majority of the others has promised; the state is then to be
-// saved, and the disk is whole once it is.
+// HandleAnswer handles an answer to Request. done says that a majority has promised; the acceptor counts once the returned
+// state is saved.
 func (j *Joiner) HandleAnswer(from string, m Message) (state State, done bool) {
 	switch {
 	case m.Kind == Refused && m.State.Promised.Number >= j.ballot.Number:
@@ -420,16 +429,16 @@
 	}
 	j.answers[from] = m.State
 	best := highestAccepted(j.answers)
-	in := func(m string) bool { _, ok := j.answers[m]; return ok }
+	answered := func(m string) bool { _, ok := j.answers[m]; return ok }
 	best.Promised = j.ballot
-	return best, best.Value.Quorum(in)
+	return best, best.Value.Quorum(answered)
 }
 
-// Targets are the disks to ask besides those given.
+// Targets returns the members that Request goes to: those given and those that the answers named, without self.
 func (j *Joiner) Targets(known []string) []string {
 	all := map[string]bool{}
-	for _, k := range known {
-		all[k] = true
+	for _, m := range known {
+		all[m] = true
 	}
 	for _, s := range j.answers {
 		for _, m := range s.Value.AllMembers() {
--- a/decide/register/register_test.go
+++ b/decide/register/register_test.go
@@ -10,67 +10,68 @@
 	"pgregory.net/rapid"
 )
 
-// site is one machine: what its disk holds outlives its processes, unless it is wiped.
-type site struct {
+// machine holds a disk, which outlives the processes that run there unless it is wiped, and the running process.
+type machine struct {
 	disk     Acceptor
 	proposer *Proposer
 	joiner   *Joiner
 	up       bool
-	life     int
+	starts   int // number of processes that have run
 }
 
+// packet is a message on its way.
 type packet struct {
 	from, to string
-	life     int // of the sender: what a dead process had on the way may still come
+	starts   int // which process of the sender sent it; packets of a killed process may still arrive
 	m        Message
 }
 
-// sea is a set of machines whose messages are lost, doubled and reordered as the draws say.
-type sea struct {
-	t     *rapid.T
-	rng   *rand.Rand
-	sites map[string]*site
-	names []string
-	wire  []packet
-	now   int64
-	acked map[uint64]bool   // revisions whose put was acknowledged
-	body  map[uint64]string // what was ever told to stand under a revision
-	floor uint64            // the highest acknowledged
-	puts  map[string]map[uint64]uint64
+// cluster is a set of machines whose messages are lost, duplicated and reordered at random.
+type cluster struct {
+	t        *rapid.T
+	rng      *rand.Rand
+	machines map[string]*machine
+	names    []string
+	network  []packet
+	now      int64
+	acked    map[uint64]bool              // revisions whose put was acknowledged
+	body     map[uint64]string            // the body reported as committed under each revision
+	floor    uint64                       // highest revision acknowledged
+	puts     map[string]map[uint64]uint64 // floor at the start of each edit, by machine and edit ID
 }
 
-func (s *sea) start(name string, known Value) {
-	x := s.sites[name]
-	x.up, x.life = true, x.life+1
-	own := fmt.Sprint(name, "/", x.life)
+func (s *cluster) start(name string, known Value) {
+	x := s.machines[name]
+	x.up, x.starts = true, x.starts+1
+	incarnation := fmt.Sprint(name, "/", x.starts)
 	if !x.disk.CaughtUp {
-		x.joiner = NewJoiner(name, own)
+		x.joiner = NewJoiner(name, incarnation)
 	}
 	if len(x.disk.Value.Members) > 0 {
 		known = x.disk.Value
 	}
-	x.proposer = NewProposer(own, known, s.rng.Float64)
+	x.proposer = NewProposer(incarnation, known, s.rng.Float64)
 	x.proposer.ObserveBallot(x.disk.Promised)
 	s.puts[name] = map[uint64]uint64{}
 }
 
-func (s *sea) send(from string, to []string, m Message) {
+func (s *cluster) send(from string, to []string, m Message) {
 	for _, t := range to {
-		s.wire = append(s.wire, packet{from, t, s.sites[from].life, m})
+		s.network = append(s.network, packet{from, t, s.machines[from].starts, m})
 	}
 }
 
-// carry does what a proposer asks for, and checks what it says stands.
-func (s *sea) carry(name string, o Out) {
+// carry does what a proposer asks for, and checks the values that it reports as committed.
+func (s *cluster) carry(name string, o Out) {
 	for _, d := range o.Done {
 		v := d.Value
 		if was, ok := s.body[v.Revision]; ok && was != string(v.Body) {
-			s.t.Fatalf("revision %d stands with %q and with %q", v.Revision, was, v.Body)
+			s.t.Fatalf("revision %d is committed with the bodies %q and %q", v.Revision, was, v.Body)
 		}
 		s.body[v.Revision] = string(v.Body)
 		begun := s.puts[name][d.ID]
 		if v.Revision < begun {
-			s.t.Fatalf("an edit that began after revision %d was acknowledged found %d standing", begun, v.Revision)
+			s.t.Fatalf("an edit that began after revision %d was acknowledged found revision %d", begun, v.Revision)
 		}
 		if v.Revision > s.floor {
 			s.floor = v.Revision
@@ -81,14 +82,14 @@
 	}
 }
 
-func (s *sea) deliver(p packet) {
-	x := s.sites[p.to]
+func (s *cluster) deliver(p packet) {
+	x := s.machines[p.to]
 	if x == nil || !x.up {
 		return
 	}
 	switch p.m.Kind {
 	case Prepare, Accept, Query:
-		if a, _, ok := x.disk.Step(p.m); ok { // a sync comes before the answer
+		if a, _, ok := x.disk.Step(p.m); ok { // as if synced before the answer
 			s.send(p.to, []string{p.from}, a)
 		}
 	default:
@@ -102,13 +103,14 @@
 	}
 }
 
-func (s *sea) edit(name string, e Edit) {
-	x := s.sites[name]
+func (s *cluster) edit(name string, e Edit) {
+	x := s.machines[name]
 	id, out := x.proposer.Edit(s.now, e)
 	s.puts[name][id] = s.floor
 	s.carry(name, out)
 }
 
+// put returns an edit that sets the body, unless the value has this revision or a higher one.
 func put(revision uint64, body string) Edit {
 	return func(v Value) (Value, bool) {
 		if revision <= v.Revision {
@@ -119,6 +121,7 @@
 	}
 }
 
+// swap returns an edit that replaces a member, or adds one where out is empty.
 func swap(out, in string) Edit {
 	return func(v Value) (Value, bool) {
 		if len(v.Prior) > 0 || slices.Contains(v.Members, in) || out != "" && !slices.Contains(v.Members, out) {
@@ -131,20 +134,20 @@
 	}
 }
 
-// TestNothingAcknowledgedIsLost plays disks that are killed, wiped one at a time and replaced, operators that
-// send two contents under one number, and a network that loses, doubles and reorders. What was told to stand
-// once stands from then on, and no number ever has two contents.
+// TestNothingAcknowledgedIsLost runs machines that are killed, wiped one at a time and replaced, operators that send two
+// contents under one revision, and a network that loses, duplicates and reorders messages. A value once reported as
+// committed stays so, and no revision ever has two contents.
 func TestNothingAcknowledgedIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		s := &sea{t: t, rng: rand.New(rand.NewPCG(seed, 1)), sites: map[string]*site{}, acked: map[uint64]bool{},
+		s := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 1)), machines: map[string]*machine{}, acked: map[uint64]bool{},
 			body: map[uint64]string{}, puts: map[string]map[uint64]uint64{}}
 		s.names = []string{"a", "b", "c", "d", "e", "f"}
 		seeds := Value{Members: []string{"a", "b", "c"}}
 		for i, n := range s.names {
-			s.sites[n] = &site{}
+			s.machines[n] = &machine{}
 			if i < 3 {
-				s.sites[n].disk = Acceptor{State{Value: seeds}, true}
+				s.machines[n].disk = Acceptor{State{Value: seeds}, true}
 			}
 			s.start(n, seeds)
 		}
@@ -152,7 +155,7 @@
 		for step := range 3000 {
 			s.now += 2 * ms
 			n := s.names[s.rng.IntN(len(s.names))]
-			x := s.sites[n]
+			x := s.machines[n]
 			switch k := s.rng.IntN(1000); {
 			case k < 12 && x.up:
 				s.edit(n, put(uint64(step/40+1), fmt.Sprint(n, step)))
@@ -164,7 +167,7 @@
 				s.edit(n, swap(s.names[s.rng.IntN(6)], s.names[s.rng.IntN(6)]))
 			case k < 28:
 				x.up, x.joiner = false, nil
-			case k < 30 && s.whole() == len(s.names) && wiped < 4: // one at a time, as the budget says
+			case k < 30 && s.caughtUp() == len(s.names) && wiped < 4: // one at a time: the fault budget allows no more
 				wiped++
 				x.disk, x.up, x.joiner = Acceptor{}, false, nil
 			case k < 70 && !x.up:
@@ -175,51 +178,52 @@
 					s.send(n, x.joiner.Targets(s.names), x.joiner.Request())
 				}
 			default:
-				if len(s.wire) == 0 {
+				if len(s.network) == 0 {
 					continue
 				}
-				i := s.rng.IntN(len(s.wire))
-				p := s.wire[i]
-				if s.rng.IntN(12) > 0 { // else it comes again
-					s.wire = slices.Delete(s.wire, i, i+1)
+				i := s.rng.IntN(len(s.network))
+				p := s.network[i]
+				if s.rng.IntN(12) > 0 { // otherwise it is delivered twice
+					s.network = slices.Delete(s.network, i, i+1)
 				}
 				if s.rng.IntN(12) > 0 {
 					s.deliver(p)
 				}
 			}
 		}
-		// Left in peace, it comes to rest, and a read finds what was acknowledged.
+		// Without further faults a write must succeed.
 		for _, n := range s.names {
-			if !s.sites[n].up {
+			if !s.machines[n].up {
 				s.start(n, seeds)
 			}
 		}
-		s.wire = nil
+		s.network = nil
 		s.edit("a", put(1000, "last"))
 		for range 4000 {
 			s.now += 10 * ms
 			for _, n := range s.names {
-				x := s.sites[n]
+				x := s.machines[n]
 				s.carry(n, x.proposer.Tick(s.now))
 				if x.joiner != nil {
 					s.send(n, x.joiner.Targets(s.names), x.joiner.Request())
 				}
 			}
-			for len(s.wire) > 0 {
-				p := s.wire[0]
-				s.wire = s.wire[1:]
+			for len(s.network) > 0 {
+				p := s.network[0]
+				s.network = s.network[1:]
 				s.deliver(p)
 			}
 			if s.floor == 1000 {
 				return
 			}
 		}
-		t.Fatalf("no round came through in peace")
+		t.Fatalf("no round succeeded without faults")
 	})
 }
 
-func (s *sea) whole() (n int) {
-	for _, x := range s.sites {
+// caughtUp returns the number of acceptors that count.
+func (s *cluster) caughtUp() (n int) {
+	for _, x := range s.machines {
 		if x.disk.CaughtUp {
 			n++
 		}
@@ -227,7 +231,8 @@
 	return n
 }
 
-// TestEmptyDiskCountsForNothing: a disk that forgot must not make up a majority that never heard of a value.
+// TestEmptyDiskCountsForNothing: an acceptor that has lost its state does not answer, so that it is in no majority that does
+// not know a committed value.
 func TestEmptyDiskCountsForNothing(t *testing.T) {
 	d := Acceptor{}
 	_, _, ok := d.Step(Message{Kind: Prepare, Ballot: Ballot{9, "x"}})
@@ -240,7 +245,7 @@
 	must.Eq(t, Refused, a.Kind)
 }
 
-// TestJoinerBinds: what the others tell a joiner, no older round can undo.
+// TestJoinerBinds: no round with an older ballot can complete at a member that has promised the joiner.
 func TestJoinerBinds(t *testing.T) {
 	members := []string{"a", "b", "c"}
 	j := NewJoiner("c", "c/2")
@@ -260,8 +265,8 @@
 	must.Eq(t, Refused, late.Kind)
 }
 
-// TestBallotsOfTwoLives: a proposer that is no member keeps nothing on a disk. Its second life begins with
-// the same numbers, and what the first had half written must not pass for what the second wrote.
+// TestBallotsOfTwoLives: a proposer that is not a member has no disk, so its second incarnation starts with the same ballot
+// numbers as the first. A value that the first wrote to a minority must not be mistaken for what the second wrote.
 func TestBallotsOfTwoLives(t *testing.T) {
 	seeds := Value{Members: []string{"a", "b", "c"}}
 	disks := map[string]*Acceptor{}
@@ -269,8 +274,7 @@
 		disks[n] = &Acceptor{State{Value: seeds}, true}
 	}
 	half := func() float64 { return 0.5 }
-	// drive carries a proposer's messages to those disks that answer, until it asks for a message that stop says
-	// is the last.
+	// drive carries messages between a proposer and the acceptors that reach says are reachable, until there are none.
 	drive := func(p *Proposer, out Out, reach func(to string, m Message) bool) (done []EditResult) {
 		for len(out.To) > 0 {
 			var next Out
@@ -300,7 +304,7 @@
 	reader := NewProposer("e/1", seeds, half)
 	_, out = reader.Edit(0, func(v Value) (Value, bool) { return v, false })
 	notC := func(to string, _ Message) bool { return to != "c" }
-	must.SliceEmpty(t, drive(reader, out, notC)) // it may stand, and may not
+	must.SliceEmpty(t, drive(reader, out, notC)) // whether y is committed is unknown without the answer of c
 	done = drive(reader, reader.Tick(300*ms), notC)
 	must.SliceLen(t, 1, done)
 	must.Eq(t, "y", string(done[0].Value.Body))
--- a/decide/registry/group_test.go
+++ b/decide/registry/group_test.go
@@ -8,35 +8,35 @@
 	"pgregory.net/rapid"
 )
 
-// TestGroupIsToldInChanges: who joins and who leaves is told once, and the view agrees after each.
+// TestGroupIsToldInChanges: an update has each replica that joins or leaves once, and the view agrees after each update.
 func TestGroupIsToldInChanges(t *testing.T) {
 	g, v := NewGroup(3*second), &GroupView{}
 	must.True(t, v.Apply(g.Changes(0)))
 	for i := range 50 {
 		g.RecordHeartbeat(0, Heartbeat{ID: fmt.Sprint("i-", i), Seq: 1})
 	}
-	news := g.Changes(0)
-	must.SliceLen(t, 50, news.Joined)
-	must.True(t, v.Apply(news))
-	for i := range 49 { // the last one is not heard any more
+	update := g.Changes(0)
+	must.SliceLen(t, 50, update.Joined)
+	must.True(t, v.Apply(update))
+	for i := range 49 { // the last one sends no more heartbeats
 		g.RecordHeartbeat(2*second, Heartbeat{ID: fmt.Sprint("i-", i), Seq: 2})
 	}
-	news = g.Changes(2 * second)
-	must.SliceEmpty(t, news.Joined)
-	must.True(t, v.Apply(news))
-	news = g.Changes(4 * second)
-	must.Eq(t, []LeftMember{{Heartbeat{ID: "i-49", Seq: 1}, 4 * second}}, news.Left)
-	must.True(t, v.Apply(news))
+	update = g.Changes(2 * second)
+	must.SliceEmpty(t, update.Joined)
+	must.True(t, v.Apply(update))
+	update = g.Changes(4 * second)
+	must.Eq(t, []LeftMember{{Heartbeat{ID: "i-49", Seq: 1}, 4 * second}}, update.Left)
+	must.True(t, v.Apply(update))
 	g.Remove(4*second, "i-7")
 	must.SliceLen(t, 1, g.Changes(4*second).Left)
 }
 
-// TestViewNoticesLosses: whatever news are lost, doubled or late, a view that agrees holds the group, and one that does not
-// comes to agree by the whole of it.
+// TestViewNoticesLosses: updates are lost, duplicated or delayed. A view for which Apply returns true has exactly the members
+// of the group, and the whole group brings any view to agree.
 func TestViewNoticesLosses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, v := NewGroup(5), &GroupView{}
-		var late []GroupUpdate
+		var delayed []GroupUpdate
 		for now := range int64(rapid.IntRange(1, 40).Draw(t, "steps")) {
 			id := fmt.Sprint("i-", rapid.IntRange(0, 6).Draw(t, "id"))
 			if rapid.IntRange(0, 4).Draw(t, "what") > 0 {
@@ -44,22 +44,22 @@
 			} else {
 				g.Remove(now, id)
 			}
-			news := g.Changes(now)
+			update := g.Changes(now)
 			switch rapid.IntRange(0, 4).Draw(t, "way") {
 			case 0:
 				continue // lost
 			case 1:
-				late = append(late, news)
+				delayed = append(delayed, update)
 				continue
 			case 2:
-				v.Apply(news)
+				v.Apply(update)
 			case 3:
-				for _, n := range late {
-					v.Apply(n)
+				for _, u := range delayed {
+					v.Apply(u)
 				}
-				late = nil
+				delayed = nil
 			}
-			if v.Apply(news) {
+			if v.Apply(update) {
 				must.MapLen(t, len(g.members), v.contentHashes)
 				for id := range g.members {
 					must.MapContainsKey(t, v.contentHashes, id)
@@ -72,8 +72,8 @@
 	})
 }
 
-// TestHeardWithTheGroup: replicas of a group that is heard do not fall silent; one that leaves it does in its own time, and
-// all do once the group is no longer heard.
+// TestHeardWithTheGroup: replicas do not fall silent while their group is confirmed. One that leaves the group falls silent
+// SilentAfter its last heartbeat, and all do once the group is no longer confirmed.
 func TestHeardWithTheGroup(t *testing.T) {
 	reg := New(4*second, 60*second)
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
@@ -110,7 +110,7 @@
 	must.False(t, reg.JoinGroup(24*second, "c1", Heartbeat{ID: "i-1", Seq: 3})) // its record is needed
 }
 
-// TestNoBlameWhileDeaf: a controller that heard nobody blames no replica for its group's silence.
+// TestNoBlameWhileDeaf: while a controller cannot receive heartbeats, no replica of a group falls silent.
 func TestNoBlameWhileDeaf(t *testing.T) {
 	reg := New(4*second, 60*second)
 	reg.Tick(0, true)
@@ -122,7 +122,7 @@
 	must.SliceLen(t, 1, reg.Tick(26*second, true))
 }
 
-// TestGroupGone: what a controller's group was heard by last counts on once that controller is forgotten.
+// TestGroupGone: once a controller is forgotten, the replicas of its group count as heard when the group was last confirmed.
 func TestGroupGone(t *testing.T) {
 	reg := New(4*second, 60*second)
 	reg.Merge(0, Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1})
--- a/decide/registry/leaving.go
+++ b/decide/registry/leaving.go
@@ -7,37 +7,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// What a list knows of replicas that leave, summed up, so that two lists can be compared with a few bytes and brought to
-// agree whoever was told first. A replica says once that it departs, and never calls again.
+// A replica announces its departure once and never calls again, so a controller that misses it must learn of it from another
+// controller. For this, registries compare sums of their leaving replicas and exchange the records where the sums differ.
 
-// leavingBuckets is how many parts the leaving replicas are divided into. Two lists exchange the records of the parts in
-// which they differ.
+// leavingBuckets is the number of buckets into which leaving replicas are divided. Two registries exchange the records of
+// the buckets in which they differ.
 const leavingBuckets = 64
 
-// LeavingSums are sums of the replicas that are known to leave, one for each part. Lists with the same sums know of
-// the same replicas in the same phases.
+// LeavingSums has a sum of the replicas known to leave for each bucket. Registries with the same sums know the same leaving
+// replicas in the same phases.
 type LeavingSums [leavingBuckets]uint64
 
-// AgedRecord is a record and how long ago its replica was heard, ns. The age keeps those that are gone from being
-// remembered for longer each time that one list tells another.
+// AgedRecord is a record and the time since its replica was heard, in ns. Because of the age, a registry that gets the record
+// of a gone replica from another one does not remember it for longer than that one.
 type AgedRecord struct {
 	Record Record `cbor:"1,keyasint"`
 	Age    int64  `cbor:"2,keyasint,omitempty"`
 }
 
-// leavingHash is a record's share of its part's sum; shares are put together and taken out by exclusive or.
+// leavingHash returns the hash of a record that is combined into its bucket's sum by exclusive or, and taken out in the same
+// way.
 func leavingHash(r Record) uint64 { return xxhash.Sum64String(r.Phase.String() + " " + r.ID) }
 
-// leavingBucket is the part that a replica belongs to, whatever its phase.
+// leavingBucket returns the bucket of a replica, which does not depend on its phase.
 func leavingBucket(id string) int { return int(idHash(id) % leavingBuckets) }
 
-// leavingReplicas are the ids of the replicas of a list that leave, and their sums.
+// leavingReplicas are the IDs of a registry's leaving replicas, and their sums.
 type leavingReplicas struct {
 	sums LeavingSums
 	ids  map[string]struct{}
 }
 
-// add takes in an entry's record, where it says that the replica leaves.
+// add adds the record of an entry, if the replica leaves.
 func (l *leavingReplicas) add(r Record) {
 	if r.Leaving() {
 		l.ids[r.ID] = struct{}{}
@@ -45,7 +46,7 @@
 	}
 }
 
-// remove takes out a record that add took in.
+// remove removes a record that was passed to add.
 func (l *leavingReplicas) remove(r Record) {
 	if r.Leaving() {
 		delete(l.ids, r.ID)
@@ -53,38 +54,38 @@
 	}
 }
 
-// LeavingSums are those of this list.
+// LeavingSums returns the sums of this registry.
 func (reg *Registry) LeavingSums() LeavingSums { return reg.leaving.sums }
 
-// LeavingSum is one sum of all parts.
+// LeavingSum returns one sum over all buckets.
 func (reg *Registry) LeavingSum() (sum uint64) {
-	for _, part := range reg.leaving.sums {
-		sum ^= part
+	for _, s := range reg.leaving.sums {
+		sum ^= s
 	}
 	return sum
 }
 
-// LeavingDifference returns the replicas that leave, by id, of the parts in which this list differs from another one.
+// LeavingDifference returns the leaving replicas of the buckets in which this registry differs from another, sorted by ID.
 func (reg *Registry) LeavingDifference(now int64, other LeavingSums) (records []AgedRecord) {
 	for id := range reg.leaving.ids {
-		if part := leavingBucket(id); reg.leaving.sums[part] != other[part] {
+		if bucket := leavingBucket(id); reg.leaving.sums[bucket] != other[bucket] {
 			e := reg.entries[id]
-			records = append(records, AgedRecord{e.Record, now - e.heard})
+			records = append(records, AgedRecord{e.Record, now - e.heardAt})
 		}
 	}
 	slices.SortFunc(records, func(a, b AgedRecord) int { return cmp.Compare(a.Record.ID, b.Record.ID) })
 	return records
 }
 
-// MergeAged takes in what another list knows of a replica that leaves, unless that is about to be forgotten: lists
-// forget it within moments of each other.
-func (reg *Registry) MergeAged(now int64, r AgedRecord) (news, changed bool) {
+// MergeAged merges another registry's record of a leaving replica, unless the record is so old that registries are about to
+// forget it. Different registries forget it at slightly different times.
+func (reg *Registry) MergeAged(now int64, r AgedRecord) (newer, changed bool) {
 	if r.Age < 0 || r.Age > reg.KeepGone-reg.SilentAfter {
 		return false, false
 	}
-	news, changed = reg.Merge(now-r.Age, r.Record)
-	if news {
+	newer, changed = reg.Merge(now-r.Age, r.Record)
+	if newer {
 		reg.nextCheck = min(reg.nextCheck, reg.checkTime(reg.entries[r.Record.ID]))
 	}
-	return news, changed
+	return newer, changed
 }
--- a/decide/registry/registry.go
+++ b/decide/registry/registry.go
@@ -1,28 +1,29 @@
-// Package registry is the list of replicas: it takes their heartbeats, which come by several controllers in any order,
-// and says which replicas are ready, draining, silent or gone. It reads no clock.
+// Package registry is a controller's list of replicas. It merges the records from their calls (heartbeats, drains and
+// departures), which arrive through several controllers in any order, and decides which replicas are ready, draining,
+// silent or gone. It reads no clock.
 //
-// Records merge by their call number, so that any number of controllers come to the same list whatever
-// reaches them first.
+// Records merge by their call number, so that any number of controllers arrive at the same list, in whatever order the
+// records reach them.
 //
-// Decides: which replicas are there, and when a silent one counts as gone.
+// Decides: which replicas exist, in which phase each is, and when a silent one counts as gone.
 package registry
 
 import (
 	"cmp"
 )
 
-// Phase of a replica. At the same call number the later one holds.
+// Phase is the stage of a replica's life. Of two records with the same call number, the one with the later phase is newer.
 type Phase uint8
 
-// The phases in the order that they come.
+// The phases in order.
 const (
-	Ready Phase = iota
-	Draining
-	Silent // no beat for too long; a later beat undoes it
-	Gone   // has said so
+	Ready    Phase = iota
+	Draining       // has announced that it leaves
+	Silent         // sent no heartbeat for too long; the next heartbeat makes it ready again
+	Gone           // has announced its departure, or was silent for too long
 )
 
-// String names the phase.
+// String returns the phase's name in lower case.
 func (p Phase) String() string {
 	switch p {
 	case Ready:
@@ -35,7 +36,7 @@
 	return "gone"
 }
 
-// Record is what is known of one replica, by one of its calls.
+// Record is what one call of a replica says of it.
 type Record struct {
 	ID       string `cbor:"1,keyasint"`
 	Service  string `cbor:"2,keyasint,omitempty"`
@@ -43,12 +44,13 @@
 	Zone     string `cbor:"4,keyasint,omitempty"`
 	Capacity int    `cbor:"5,keyasint,omitempty"`
 	Phase    Phase  `cbor:"6,keyasint,omitempty"`
-	Seq      uint64 `cbor:"7,keyasint,omitempty"`
-	WarmMs   int64  `cbor:"8,keyasint,omitempty"` // how much longer it is slow from its start, ms
-	Version  string `cbor:"9,keyasint,omitempty"` // of its software; empty where one of the former version passed it on
+	Seq      uint64 `cbor:"7,keyasint,omitempty"` // call number, which grows with each call of the replica
+	WarmMs   int64  `cbor:"8,keyasint,omitempty"` // remaining warm-up time, ms
+	Version  string `cbor:"9,keyasint,omitempty"` // software version; empty where a process of the previous release passed the record on
 }
 
-// Newer tells whether r says more than o of the same replica. What is leaving stays so, whatever comes late.
+// Newer reports whether r supersedes o, a record of the same replica. A replica that leaves is never ready again, whatever
+// arrives late.
 func (r Record) Newer(o Record) bool {
 	if o.Phase == Gone || o.Phase == Draining && r.Phase == Ready {
 		return false
@@ -62,51 +64,51 @@
 	return cmp.Or(cmp.Compare(r.Seq, o.Seq), cmp.Compare(r.Phase, o.Phase)) > 0
 }
 
-// SameForRouting tells whether two records say the same of where a replica is and whether it may be sent anything.
+// SameForRouting reports whether two records of a replica agree in everything by which edges send requests.
 func (r Record) SameForRouting(o Record) bool {
 	return r.Service == o.Service && r.Address == o.Address && r.Phase == o.Phase && r.Zone == o.Zone &&
 		r.Capacity == o.Capacity && r.Version == o.Version
 }
 
-// Leaving tells whether a replica has said that it leaves or has left. It is not ready again after that.
+// Leaving reports whether the replica drains or is gone. It is never ready again after that.
 func (r Record) Leaving() bool { return r.Phase == Draining || r.Phase == Gone }
 
+// entry is the record of a replica, and when the replica was heard.
 type entry struct {
 	Record
-	heard int64
-	group string // the controller in whose group it is, empty for none
+	heardAt int64  // ns; last call received here, or reported by another controller
+	group   string // the controller in whose group the replica is; empty for none
 }
 
 // Registry is one controller's list.
 type Registry struct {
-	SilentAfter int64 // a replica unheard for so long has fallen silent, ns
-	KeepGone    int64 // the gone are remembered for so long, ns
-	entries     map[string]*entry
-	groups      map[string]int64 // when a controller's group was heard last
-	lastTick    int64            // when Tick was called last
-	nextCheck   int64            // before it nobody can have fallen silent, or been so for long enough to be gone
+	SilentAfter int64             // a replica without a heartbeat for this time falls silent, ns
+	KeepGone    int64             // gone and silent replicas are forgotten after this time, ns
+	entries     map[string]*entry // by replica ID
+	groups      map[string]int64  // when each controller's group was last confirmed, by controller
+	lastTick    int64
+	nextCheck   int64 // until this time no replica can fall silent or be forgotten
 	leaving     leavingReplicas
 }
 
-// New makes an empty list.
+// New returns an empty registry.
 func New(silentAfter, keepGone int64) *Registry {
 	return &Registry{SilentAfter: silentAfter, KeepGone: keepGone, entries: map[string]*entry{}, groups: map[string]int64{},
 		leaving: leavingReplicas{ids: map[string]struct{}{}}}
 }
 
-// Merge takes a record in. news tells whether it said anything new at all, changed whether edges need to hear
-// of it.
-func (reg *Registry) Merge(now int64, r Record) (news, changed bool) {
+// Merge merges a record into the registry. newer says whether it superseded the one held, changed whether edges need it.
+func (reg *Registry) Merge(now int64, r Record) (newer, changed bool) {
 	e := reg.entries[r.ID]
 	if e == nil {
-		reg.entries[r.ID] = &entry{Record: r, heard: now}
+		reg.entries[r.ID] = &entry{Record: r, heardAt: now}
 		reg.leaving.add(r)
 		return true, true
 	}
 	if !r.Newer(e.Record) {
 		return false, false
 	}
-	if r.Phase == Gone && r.Service == "" { // a departure names the id alone
+	if r.Phase == Gone && r.Service == "" { // a departure that carries the ID alone
 		seq := max(r.Seq, e.Seq)
 		r = e.Record
 		r.Phase, r.Seq = Gone, seq
@@ -115,12 +117,12 @@
 	changed = !r.SameForRouting(e.Record)
 	reg.replace(e, r)
 	if r.Phase != Silent {
-		e.heard = now
+		e.heardAt = now
 	}
 	return true, changed
 }
 
-// replace puts a newer record in the place of an entry's own. Only the ready are in groups.
+// replace replaces an entry's record by a newer one. Only ready replicas stay in a group.
 func (reg *Registry) replace(e *entry, r Record) {
 	if r.Phase != Ready {
 		reg.ungroup(e)
@@ -130,16 +132,17 @@
 	reg.leaving.add(r)
 }
 
-// Tick marks who has fallen silent since the last call, or been silent for so long that it is gone, and
-// returns their records. listening tells whether this controller is in a state to hear them.
+// Tick marks the replicas that have fallen silent since the previous Tick, forgets those that have been silent or gone for
+// KeepGone, and returns the records that edges need. listening says whether this controller was able to receive
+// heartbeats.
 //
-// Danger: a controller that stood still or was cut off has heard nobody. Were the replicas blamed for that,
-// all would be struck off at once.
+// Danger: a controller that was suspended or cut off has received no heartbeats. Without listening, it would mark all
+// replicas as silent at once.
 func (reg *Registry) Tick(now int64, listening bool) (changed []Record) {
 	gap := now - reg.lastTick
 	reg.lastTick = now
-	// Danger: to look at each of many replicas ten times a second would cost more than all of their heartbeats. Whoever
-	// is heard after a look is due later than it, and nobody is ever due earlier than at the look before.
+	// Danger: checking each of many replicas ten times a second would cost more than handling all of their heartbeats. A
+	// heartbeat only moves a replica's check time to later, so no replica is due before nextCheck.
 	if listening && now < reg.nextCheck {
 		return nil
 	}
@@ -152,17 +155,17 @@
 	for id, e := range reg.entries {
 		switch {
 		case e.Phase == Gone || e.Phase == Silent:
-			if now-e.heard > reg.KeepGone {
+			if now-e.heardAt > reg.KeepGone {
 				delete(reg.entries, id)
 				reg.leaving.remove(e.Record)
-				if e.Phase == Silent { // edges must not keep for ever what will never come back
+				if e.Phase == Silent { // edges must not keep a replica for ever that does not come back
 					e.Phase = Gone
 					changed = append(changed, e.Record)
 				}
 				continue
 			}
 		case !listening:
-			e.heard = min(e.heard+gap, now)
+			e.heardAt = min(e.heardAt+gap, now)
 		case now-reg.lastHeard(e) > reg.SilentAfter:
 			silent := e.Record
 			silent.Phase = Silent
@@ -174,83 +177,83 @@
 	return changed
 }
 
-// checkTime is the last time at which an entry that is not heard again is still as it is.
+// checkTime returns until when the entry keeps its phase if the replica is not heard again.
 func (reg *Registry) checkTime(e *entry) int64 {
 	if e.Phase >= Silent {
-		return e.heard + reg.KeepGone
+		return e.heardAt + reg.KeepGone
 	}
 	return reg.lastHeard(e) + reg.SilentAfter
 }
 
-// lastHeard is when an entry was heard last, by itself or with its group.
+// lastHeard returns when the replica was last heard, by itself or as a member of a group that was confirmed.
 func (reg *Registry) lastHeard(e *entry) int64 {
 	if e.group == "" {
-		return e.heard
+		return e.heardAt
 	}
-	return max(e.heard, reg.groups[e.group])
+	return max(e.heardAt, reg.groups[e.group])
 }
 
-// JoinGroup takes in that a replica is in a controller's group; false where it is not known here as ready and as what the call
-// said, so that its record is needed.
+// JoinGroup puts a replica into a controller's group. It returns false where the replica is not known here as ready with the
+// content of the heartbeat; then its record is needed.
 //
-// Danger: a replica says once that its address has changed. A controller that was cut off meanwhile would send its edges to
-// the old address, which may be another's, for as long as the replica is heard.
-func (reg *Registry) JoinGroup(now int64, group string, c Heartbeat) bool {
-	e := reg.entries[c.ID]
+// Danger: a replica sends a changed address once. A controller that was cut off then would keep sending its edges to the old
+// address, which may now belong to another replica, for as long as the replica counts as heard.
+func (reg *Registry) JoinGroup(now int64, group string, heartbeat Heartbeat) bool {
+	e := reg.entries[heartbeat.ID]
 	if e == nil || e.Phase != Ready {
 		return false
 	}
-	if c.ContentHash != 0 && c.Seq > e.Seq && c.ContentHash != contentHash(e.Record) {
+	if heartbeat.ContentHash != 0 && heartbeat.Seq > e.Seq && heartbeat.ContentHash != contentHash(e.Record) {
 		return false
 	}
-	e.Seq = max(e.Seq, c.Seq)
-	e.heard, e.group = now, group
+	e.Seq = max(e.Seq, heartbeat.Seq)
+	e.heardAt, e.group = now, group
 	return true
 }
 
-// LeaveGroup takes in that a replica has left a controller's group, where it is still in that one.
-func (reg *Registry) LeaveGroup(now int64, group string, u LeftMember) {
-	e := reg.entries[u.Last.ID]
+// LeaveGroup takes a replica out of a controller's group, unless it is in another one by now.
+func (reg *Registry) LeaveGroup(now int64, group string, left LeftMember) {
+	e := reg.entries[left.Last.ID]
 	if e == nil || e.group != group {
 		return
 	}
 	e.group = ""
-	e.Seq = max(e.Seq, u.Last.Seq)
-	e.heard = max(e.heard, now-u.SilentFor)
+	e.Seq = max(e.Seq, left.Last.Seq)
+	e.heardAt = max(e.heardAt, now-left.SilentFor)
 	reg.nextCheck = min(reg.nextCheck, reg.checkTime(e))
 }
 
-// RetainGroup takes in that these replicas are in a controller's group and no others. Others that were count as heard when
-// the group was heard last.
+// RetainGroup takes all replicas but the given ones out of a controller's group. They count as heard when the group was last
+// confirmed.
 //
-// Danger: that a replica has left may have been told while nothing came through. It would count as heard with the group for
-// ever, though nobody hears it.
-func (reg *Registry) RetainGroup(group string, calls []Heartbeat) {
-	in := make(map[string]struct{}, len(calls))
-	for _, c := range calls {
-		in[c.ID] = struct{}{}
+// Danger: the message that a replica has left the group may have been lost while the controllers were cut off from each
+// other. The replica would count as heard with the group for ever, though no controller receives its heartbeats.
+func (reg *Registry) RetainGroup(group string, members []Heartbeat) {
+	retained := make(map[string]struct{}, len(members))
+	for _, m := range members {
+		retained[m.ID] = struct{}{}
 	}
 	for id, e := range reg.entries {
-		if _, stays := in[id]; e.group == group && !stays {
+		if _, stays := retained[id]; e.group == group && !stays {
 			reg.ungroup(e)
 			reg.nextCheck = min(reg.nextCheck, reg.checkTime(e))
 		}
 	}
 }
 
-// ungroup takes an entry out of its group, where it is in one. It counts as heard when the group was heard last.
-func (reg *Registry) ungroup(e *entry) { e.heard, e.group = reg.lastHeard(e), "" }
+// ungroup takes an entry out of its group, if any. It counts as heard when the group was last confirmed.
+func (reg *Registry) ungroup(e *entry) { e.heardAt, e.group = reg.lastHeard(e), "" }
 
-// GroupHeard takes in that a controller's group was heard, and is as it is held here.
+// GroupHeard confirms a controller's group: a message from that controller agrees with the group as it is held here.
 func (reg *Registry) GroupHeard(now int64, group string) { reg.groups[group] = now }
 
-// ForgetGroup forgets a controller's group. Its replicas count as heard with it for the last time.
+// ForgetGroup forgets a controller's group. Its replicas count as heard when the group was last confirmed.
 func (reg *Registry) ForgetGroup(group string) {
 	reg.RetainGroup(group, nil)
 	delete(reg.groups, group)
 }
 
-// All is the whole list.
+// All returns all records, in no particular order.
 func (reg *Registry) All() []Record {
 	all := make([]Record, 0, len(reg.entries))
 	for _, e := range reg.entries {
@@ -259,7 +262,7 @@
 	return all
 }
 
-// ByService is what is known of a service's replicas. It looks at all replicas.
+// ByService returns the records of a service's replicas. It scans all entries.
 func (reg *Registry) ByService(service string) (records []Record) {
 	for _, e := range reg.entries {
 		if e.Service == service {
@@ -269,7 +272,7 @@
 	return records
 }
 
-// Get is what is known of one replica.
+// Get returns the record of one replica.
 func (reg *Registry) Get(id string) (Record, bool) {
 	if e := reg.entries[id]; e != nil {
 		return e.Record, true
@@ -277,7 +280,7 @@
 	return Record{}, false
 }
 
-// Empty tells whether there is none that has not fallen silent; it looks at one where there are any.
+// Empty reports whether no replica is ready or draining. It stops at the first that is.
 func (reg *Registry) Empty() bool {
 	for _, e := range reg.entries {
 		if e.Phase < Silent {
@@ -296,7 +299,7 @@
 	return counts
 }
 
-// Count is how many are not gone.
+// Count returns the number of replicas that are ready or draining.
 func (reg *Registry) Count() (n int) {
 	for _, e := range reg.entries {
 		if e.Phase < Silent {
--- a/decide/routingtable/rollouts.go
+++ b/decide/routingtable/rollouts.go
@@ -6,32 +6,30 @@
 	"willowsill/decide/rollout"
 )
 
-// Rollouts at an edge: which replicas of a service it may send to, by their versions.
-
-// rolloutTable is what a table holds of them.
+// rolloutTable is the part of a Table that decides which versions of a service the edge may send requests to.
 type rolloutTable struct {
 	set      rollout.Set
-	newest   map[string]*rollout.Rollout // of each service
-	admitted map[string]bool             // services with a rollout of which a ready replica is admitted
+	newest   map[string]*rollout.Rollout // newest rollout of each service
+	admitted map[string]bool             // services with a rollout that admits at least one ready replica
 }
 
-// applyRollouts takes in rollouts, and has all replicas listed anew of services whose rollout or replicas have changed.
-func (t *Table) applyRollouts(n clusterstate.Update, c *Change) {
-	touched := map[string]bool{}
-	if n.Rollouts.Version > t.rollouts.set.Version {
-		for _, r := range n.Rollouts.Rollouts {
+// applyRollouts applies new rollouts, and adds to the change all replicas of services whose rollout or replicas have changed.
+func (t *Table) applyRollouts(update clusterstate.Update, c *Change) {
+	affected := map[string]bool{}
+	if update.Rollouts.Version > t.rollouts.set.Version {
+		for _, r := range update.Rollouts.Rollouts {
 			if r.Changed > t.rollouts.set.Version {
-				touched[r.Order.Service] = true
+				affected[r.Order.Service] = true
 			}
 		}
-		t.rollouts.set, t.rollouts.newest = n.Rollouts, n.Rollouts.Newest()
+		t.rollouts.set, t.rollouts.newest = update.Rollouts, update.Rollouts.Newest()
 	}
-	for _, r := range n.Replicas {
+	for _, r := range update.Replicas {
 		if t.rollouts.newest[r.Service] != nil {
-			touched[r.Service] = true
+			affected[r.Service] = true
 		}
 	}
-	if len(touched) == 0 {
+	if len(affected) == 0 {
 		return
 	}
 	c.Rollouts = true
@@ -40,13 +38,14 @@
 		if newest := t.rollouts.newest[r.Service]; newest != nil && r.Phase == registry.Ready && newest.Admits(t.settings.IP, r.ID, r.Version) {
 			t.rollouts.admitted[r.Service] = true
 		}
-		if touched[r.Service] {
+		if affected[r.Service] {
 			c.Replicas = append(c.Replicas, r)
 		}
 	}
 }
 
-// Admits tells whether the rollout of a replica's service, where there is one, lets this edge begin to send to the replica.
+// Admits reports whether the rollout of the replica's service, if any, lets this edge send requests to the replica. If it
+// admits no ready replica at all, a version that may stand in for the admitted one is used.
 func (t *Table) Admits(r registry.Record) bool {
 	newest := t.rollouts.newest[r.Service]
 	if newest == nil || newest.Admits(t.settings.IP, r.ID, r.Version) {
@@ -55,7 +54,7 @@
 	return !t.rollouts.admitted[r.Service] && newest.AllowsFallback(r.Version)
 }
 
-// Rollouts returns those that this edge goes by, and the replicas of the services that have an active one.
+// Rollouts returns the set of rollouts in effect at this edge, and the replicas of services with an active rollout.
 func (t *Table) Rollouts() (set rollout.Set, replicas []rollout.Replica) {
 	active := map[string]bool{}
 	for _, r := range t.rollouts.set.Active() {
--- a/decide/routingtable/rollouts_test.go
+++ b/decide/routingtable/rollouts_test.go
@@ -10,11 +10,12 @@
 	"willowsill/decide/rollout"
 )
 
+// versioned returns the record of a replica of the service s1.
 func versioned(id, version string, phase registry.Phase, seq uint64) registry.Record {
 	return registry.Record{ID: id, Service: "s1", Address: "a:" + id, Version: version, Phase: phase, Seq: seq}
 }
 
-// admittedOf are the replicas of an answer that the table admits, by id.
+// admittedOf says for each replica of a change, by ID, whether the table admits it.
 func admittedOf(table *Table, c Change) map[string]bool {
 	admitted := map[string]bool{}
 	for _, r := range c.Replicas {
@@ -23,8 +24,8 @@
 	return admitted
 }
 
-// TestRolloutAtAnEdge: with each step all replicas of the service are listed anew, and those of the version that may not be
-// sent to are shut; a service whose replicas of the one version are away is served by the others, but for what was taken back.
+// TestRolloutAtAnEdge: each step of a rollout lists all replicas of the service, and those of a version that gets no requests
+// are not admitted. If the admitted version has no ready replica, the other version serves, unless it was reverted.
 func TestRolloutAtAnEdge(t *testing.T) {
 	table := New(0, testSettings())
 	table.Apply(0, clusterstate.Update{Revision: 1, Raw: body(1, "a")})
@@ -38,7 +39,7 @@
 	complete, _ := set.Apply(rollout.Change{Rollout: r, Phase: rollout.Complete})
 	c = table.Apply(0, clusterstate.Update{Rollouts: complete})
 	must.Eq(t, map[string]bool{"old": false, "new": true}, admittedOf(table, c))
-	must.False(t, table.Apply(0, clusterstate.Update{Rollouts: set}).Rollouts) // an older one
+	must.False(t, table.Apply(0, clusterstate.Update{Rollouts: set}).Rollouts) // an older set changes nothing
 	c = table.Apply(0, clusterstate.Update{Replicas: []registry.Record{versioned("new", "v2", registry.Silent, 2)}})
 	must.Eq(t, true, admittedOf(table, c)["old"])
 
--- a/decide/routingtable/routingtable.go
+++ b/decide/routingtable/routingtable.go
@@ -1,8 +1,9 @@
-// Package routingtable translates the cluster state (configuration, replicas, number of edges) for the decision module:
-// a route is a workload, a service a shard, and each replica holds the one shard of its service. It does no I/O.
+// Package routingtable translates the cluster state (configuration, replicas, number of edges) into the terms of package
+// balance: a route is a workload, a service is a shard, and each replica holds the one shard of its service. Workloads and
+// shards are numbered; the number of a workload is called its row. The package does no I/O.
 //
-// Decides: what a route's answers are worth late and in part, which row and shard stand for what, and this
-// edge's share of the budget of retries.
+// Decides: the value of a route's late and partial answers, which row or shard stands for which route or service, and this
+// edge's share of the retry budget.
 package routingtable
 
 import (
@@ -23,36 +24,36 @@
 const (
 	ms = 1_000_000
 
-	minRoundInterval  = 1 * ms // least time between two rounds: a small part of the shortest latency goal
-	maxShards         = 1024   // services that may be known at a time
-	networkShare      = 12     // 1 / this of a gathered answer's latency goal is kept for the network to the client and back
-	paceDoubt         = 1.5    // calls: an edge meets a replica seldom, and the best of many seldom met looks quick by chance
-	lateValueShare    = 0.4    // of the worth, for an answer past its latency goal: the configuration does not state it
-	partialValueShare = 1      // of the worth, times the share that is in: what is gathered in part is worth having
-	maxRetryAfter     = 1000 * ms
-	retryRatioShare   = 0.7 // of the ratio of retries that is used: others count requests a little differently
-	retrySlackShare   = 0.6 // of the retries beyond the ratio, for the same reason
-	unboundedSpan     = 1000 * ms
-	edgeCountHold     = 60000 * ms // the number of edges goes down only after that
-	coldUnlimited     = 1          // no rule binds what a cold replica is sent
-	reuseDelay        = 60000 * ms // a row or a shard that was given back is given to no other route or service before
-	unusedRowGoal     = 60000 * ms // latency goal of such a row: what all workloads go by is the shortest goal of any
+	minRoundInterval   = 1 * ms     // minimum time between two rounds of the balancer, a small part of the shortest latency goal
+	maxShards          = 1024       // maximum number of services at a time
+	networkShare       = 12         // this fraction (1/12) of a gathered answer's latency goal is reserved for the network to the client and back
+	latencyPriorWeight = 1.5        // weight, in calls, of the typical latency beside that measured at a replica; with few calls to each, the fastest of many replicas seems fast by chance
+	lateValueShare     = 0.4        // share of an answer's value that is left after its latency goal; the configuration has no setting for it
+	partialValueShare  = 1          // share of an answer's value per share of the parts, for a partial answer
+	maxRetryAfter      = 1000 * ms  // maximum time that a declined client is asked to wait
+	retryRatioShare    = 0.7        // share of the allowed retry ratio that is used, since other machines count requests slightly differently
+	retrySlackShare    = 0.6        // share of the allowed retry slack that is used, for the same reason
+	unboundedSpan      = 1000 * ms  // window of settings of the balancer that no rule bounds
+	edgeCountHold      = 60000 * ms // time for which a lower number of edges is ignored
+	coldUnlimited      = 1          // setting of the balancer that does not limit requests to cold replicas, since no rule applies to them
+	reuseDelay         = 60000 * ms // time before a released row or shard is given to another route or service
+	unusedRowGoal      = 60000 * ms // latency goal of a released row: long, since the balancer uses the shortest goal of all workloads
 )
 
-// Deployment returns what the module is told at the start.
+// Deployment returns the settings with which the balancer starts.
 func Deployment(s settings.Settings, seed uint64) balance.Deployment {
 	d := balance.Deployment{Index: int(xxhash.Sum64String(s.IP) % maxShards), Aggregators: 1, Seed: seed, Tick: minRoundInterval,
 		Shards: maxShards, Cells: maxShards, CellsPerShard: 1, PartsPerCall: 1, MaxExecutions: 1, CanCancel: true, MaxRetryAfter: maxRetryAfter,
-		ColdCapacity: coldUnlimited, OverloadFactor: coldUnlimited, OverloadSpan: unboundedSpan, PriorWeight: paceDoubt,
+		ColdCapacity: coldUnlimited, OverloadFactor: coldUnlimited, OverloadSpan: unboundedSpan, PriorWeight: latencyPriorWeight,
 		Budgeted: true, RetryRatio: retryRatioShare * s.Bounds.RetryRatio, RetryWindow: s.Bounds.RetryWindow(),
 		ShardBudgets: maxShards}
-	if s.Bounds.RetryWindow() == 0 { // no rule bounds them
+	if s.Bounds.RetryWindow() == 0 { // no rule bounds retries
 		d.Budgeted, d.RetryWindow = false, unboundedSpan
 	}
 	return d
 }
 
-// Workload is the module's view of a route.
+// Workload returns the workload of a route.
 func Workload(r *routeconfig.Route) balance.Workload {
 	w := balance.Workload{LatencyGoal: r.TargetMs * ms, LateShare: lateValueShare, FullCoverage: 1, MinCoverage: 1, PartialShare: partialValueShare,
 		MaxExecutions: r.Tries}
@@ -61,36 +62,36 @@
 	}
 	if len(r.Fanout) > 0 {
 		w.MinCoverage = min(max(r.MinCoverage, 1/float64(len(r.Fanout))), 1)
-		// Danger: the aim counts from when the client begins to connect, and on thin links a request waits behind
-		// answers of others. What is answered in part at the last moment of the aim, as seen from here, comes late
-		// there and earns neither.
+		// Danger: the latency goal counts from when the client starts to connect, and on slow links a request waits behind
+		// answers to others. A partial answer that is sent exactly at the goal, as measured here, would be late at the
+		// client, and so neither complete nor in time.
 		w.LatencyGoal -= w.LatencyGoal / networkShare
 		w.OptionalGoal = w.LatencyGoal
 	}
 	return w
 }
 
-// RetryAfter is how long one declined client is told to wait, ns: between half of what the module advises and all
-// of it, by a draw from 0 up to 1.
+// RetryAfter returns how long a declined client is asked to wait, in ns: a random time from half of the advice of the
+// balancer to all of it. random is in [0, 1).
 //
-// Danger: clients that are all told the same come back together, and are declined together.
+// Danger: clients that all wait for the same time return together, and are declined together.
 func RetryAfter(advice int64, random float64) int64 {
 	return advice - int64(random*float64(advice)/2)
 }
 
-// State is what a front needs to turn a request into a query. It is never changed in place, but for the positions of
-// its splits.
+// State is what the client-facing server needs to turn a request into a query. It is never changed in place, except for the
+// positions of its splits.
 type State struct {
 	Config *routeconfig.Configuration
-	Rows   map[routeconfig.RouteID]int // of each route
-	Shards map[string]int              // of each service: the module's shard
+	Rows   map[routeconfig.RouteID]int // row of each route
+	Shards map[string]int              // shard of each service
 	Splits Splits
 }
 
-// Splits are the sequences of the routes that have a weighted split.
+// Splits holds the sequence of each route that has a weighted split.
 type Splits map[routeconfig.RouteID]*weightedsplit.Sequence
 
-// Service returns the service that a route's next request goes to; a fanout has none.
+// Service returns the service to which a route's next request goes, or an empty name for a fanout.
 func (s *State) Service(route *routeconfig.Route) string {
 	position := 0.0
 	if split := s.Splits[route.ID()]; split != nil {
@@ -99,66 +100,66 @@
 	return route.Pick(position)
 }
 
-// Change is what an update changes for the module and the front.
+// Change is what an update changes for the balancer and the client-facing server.
 type Change struct {
-	Workloads  []balance.Workload // nil where they are as before
-	State      *State             // nil likewise
-	Replicas   []registry.Record  // changed ones; Slot tells their shards
-	Rollouts   bool               // the rollouts, or replicas of services that have one, are others
-	RetrySlack float64
-	Err        error
+	Workloads  []balance.Workload // nil where they are unchanged
+	State      *State             // nil where it is unchanged
+	Replicas   []registry.Record  // replicas to list again; Table.Shard has their shards
+	Rollouts   bool               // the rollouts, or replicas of services with a rollout, have changed
+	RetrySlack float64            // as Table.RetrySlack
+	Err        error              // why a new configuration was not applied
 }
 
-// shard is one of the module's.
+// shard says whether a shard number is in use.
 type shard struct {
 	used      bool
-	freeSince int64 // 0 for ever
+	freeSince int64 // ns; 0 where it was never used
 }
 
-// Table holds the numbers of workloads and shards, and the replicas that the module knows. It is for one goroutine at a
-// time.
+// Table holds the rows of routes, the shards of services, and the known replicas. It is not safe for concurrent use.
 type Table struct {
 	settings     settings.Settings
 	startedAt    int64
 	config       *routeconfig.Configuration
 	rows         map[routeconfig.RouteID]int
-	freeRows     []freeRow // the longest free first
+	freeRows     []freeRow // earliest released first
 	workloads    []balance.Workload
 	shardOf      map[string]int
 	shards       [maxShards]shard
-	newlySharded map[string]bool // services with a new shard, whose replicas the module may not know
-	edges        int             // the highest number of edges of late
-	edgesSince   int64
+	newlySharded map[string]bool // services that just got a shard, whose replicas the balancer may not have been given
+	edges        int             // number of edges, which falls only after edgeCountHold
+	edgesSince   int64           // when edges was last confirmed or raised, ns
 	replicas     map[string]registry.Record
 	splits       Splits
-	lastMaxCalls map[string]int // channels by service, as they were last told
+	lastMaxCalls map[string]int // MaxCalls by service at the previous call of maxCallsChanged
 	rollouts     rolloutTable
 }
 
-// New makes the table of a process that starts now.
+// New returns the table of a process that starts at now.
 func New(now int64, s settings.Settings) *Table {
 	return &Table{settings: s, startedAt: now, rows: map[routeconfig.RouteID]int{}, shardOf: map[string]int{}, replicas: map[string]registry.Record{},
 		newlySharded: map[string]bool{}}
 }
 
-// Shard returns the shard of a service, false where it has none.
-func (t *Table) Shard(service string) (slot int, found bool) {
-	slot, found = t.shardOf[service]
-	return slot, found
+// Shard returns the shard of a service, or false where it has none.
+func (t *Table) Shard(service string) (shard int, found bool) {
+	shard, found = t.shardOf[service]
+	return shard, found
 }
 
-// assignShard gives a service a shard, where it has none and one is free.
+// assignShard gives a service a shard, unless it has one already or none is free.
 //
-// Danger: a service without a shard of its own must share none: its requests would go to another's replicas. And a part
-// that waits for a replica, or whose request is still being read, was routed by the configuration before: a shard that
-// another service got at once would have it sent to that one. So shards rest as rows do.
+// Danger: a service without a shard of its own must not share another's, or its requests would go to that service's replicas.
+// A part that waits for a replica, or whose request is still being read, was routed by the previous configuration. If its
+// shard were given to another service at once, the part would be sent to that service. So a released shard stays unused for
+// reuseDelay.
 func (t *Table) assignShard(now int64, service string) {
-	if _, placed := t.shardOf[service]; placed {
+	if _, assigned := t.shardOf[service]; assigned {
 		return
 	}
-	for slot := range t.shards {
-		if s := &t.shards[slot]; !s.used && (s.freeSince == 0 || now-s.freeSince >= reuseDelay) {
-			t.shardOf[service] = slot
+	for number := range t.shards {
+		if s := &t.shards[number]; !s.used && (s.freeSince == 0 || now-s.freeSince >= reuseDelay) {
+			t.shardOf[service] = number
 			s.used = true
 			t.newlySharded[service] = true
 			return
@@ -166,21 +167,21 @@
 	}
 }
 
-// releaseShards frees the shards of services that neither the configuration nor a replica names.
+// releaseShards releases the shards of services that are neither in the configuration nor have a known replica.
 func (t *Table) releaseShards(now int64) {
-	held := map[string]bool{}
+	hasReplica := map[string]bool{}
 	for _, r := range t.replicas {
-		held[r.Service] = true
+		hasReplica[r.Service] = true
 	}
-	for name, slot := range t.shardOf {
-		if _, configured := t.config.Services[name]; !configured && !held[name] {
+	for name, number := range t.shardOf {
+		if _, configured := t.config.Services[name]; !configured && !hasReplica[name] {
 			delete(t.shardOf, name)
-			t.shards[slot] = shard{freeSince: max(now, 1)}
+			t.shards[number] = shard{freeSince: max(now, 1)}
 		}
 	}
 }
 
-// newlyShardedReplicas returns the replicas, known before, of services that have just been given a shard.
+// newlyShardedReplicas returns the replicas that were known already of services that have just got a shard.
 func (t *Table) newlyShardedReplicas() (records []registry.Record) {
 	if len(t.newlySharded) == 0 {
 		return nil
@@ -194,19 +195,19 @@
 	return records
 }
 
-// Distance is how far a replica's zone is from this edge: 0 in its own, 1 in its region, 2 beyond.
+// Distance returns the distance of a replica's zone from this edge: 0 for its own zone, 1 for its region, 2 for others.
 func (t *Table) Distance(zone string) int {
-	if zone == "" { // nothing speaks against it
+	if zone == "" { // a replica without a zone counts as near
 		return int(locality.SameZone)
 	}
 	return int(locality.Regions(t.settings.Zones).Distance(t.settings.Zone, zone))
 }
 
-// MaxCalls returns how many parts this edge may have in flight at a replica of a service, 0 for no limit: its share of the
-// connections that the replica takes from all edges.
+// MaxCalls returns how many calls this edge may have in flight at a replica of the service, or 0 for no limit: its share of
+// the connections that the replica accepts from all edges.
 //
-// Danger: a replica that hangs draws parts from every edge until each has filled its channels, and resets the
-// connections beyond what it takes; whether what came with them ran, nobody knows.
+// Danger: a replica that hangs collects calls from every edge. It resets connections beyond its limit, and then nobody knows
+// whether the requests on them were executed. So the edges divide that limit among themselves.
 func (t *Table) MaxCalls(service string) int {
 	if t.config == nil || t.edges == 0 || t.config.Services[service].MaxConns <= 0 {
 		return 0
@@ -214,7 +215,7 @@
 	return max(t.config.Services[service].MaxConns/t.edges, 1)
 }
 
-// maxCallsChanged returns whether Channels of any service has changed since the last call.
+// maxCallsChanged reports whether MaxCalls of any service has changed since the previous call.
 func (t *Table) maxCallsChanged() (changed bool) {
 	now := map[string]int{}
 	if t.config != nil {
@@ -227,23 +228,24 @@
 	return changed
 }
 
-// Apply takes an update in and returns what it changes. A configuration that cannot be read leaves the former in force.
-func (t *Table) Apply(now int64, n clusterstate.Update) (c Change) {
-	if len(n.Raw) > 0 && (t.config == nil || n.Revision > t.config.Revision) {
-		next, err := routeconfig.Read(n.Raw)
+// Apply applies an update and returns what it changes. If a new configuration cannot be read, the previous one stays in
+// force.
+func (t *Table) Apply(now int64, update clusterstate.Update) (c Change) {
+	if len(update.Raw) > 0 && (t.config == nil || update.Revision > t.config.Revision) {
+		next, err := routeconfig.Read(update.Raw)
 		if err != nil {
 			c.Err = err
 		} else {
 			t.applyConfiguration(now, next, &c)
 		}
 	}
-	for _, r := range n.Replicas {
+	for _, r := range update.Replicas {
 		if r.Service != "" {
 			t.assignShard(now, r.Service)
 		}
 	}
 	c.Replicas = t.newlyShardedReplicas()
-	for _, r := range n.Replicas {
+	for _, r := range update.Replicas {
 		if t.replicas[r.ID] = r; r.Service != "" {
 			c.Replicas = append(c.Replicas, r)
 		}
@@ -251,13 +253,13 @@
 			delete(t.replicas, r.ID)
 		}
 	}
-	t.applyRollouts(n, &c)
-	// Danger: controllers that have all just started know of few edges, and each of those would take the others'
-	// shares.
-	if m := n.Fleet.Most; m >= t.edges || m > 0 && now-t.edgesSince > edgeCountHold {
-		t.edges, t.edgesSince = m, now
+	t.applyRollouts(update, &c)
+	// Danger: controllers that have all just started know few of the edges. If the lower number counted at once, each edge
+	// would use the shares of others.
+	if edges := update.Fleet.Most; edges >= t.edges || edges > 0 && now-t.edgesSince > edgeCountHold {
+		t.edges, t.edgesSince = edges, now
 	}
-	if (c.State != nil || !n.Fleet.Empty()) && t.maxCallsChanged() { // all are listed anew, with their caps
+	if (c.State != nil || !update.Fleet.Empty()) && t.maxCallsChanged() { // all replicas are listed again with their new limits
 		for _, r := range t.replicas {
 			if r.Service != "" {
 				c.Replicas = append(c.Replicas, r)
@@ -268,16 +270,16 @@
 	return c
 }
 
-// freeRow is a row that no route has any more, and since when.
+// freeRow is a row that no route has any more.
 type freeRow struct {
 	row   int
-	since int64
+	since int64 // when it was released, ns
 }
 
 // newRow returns a row for a route that has none.
 //
-// Danger: a request whose body is still being read was routed by the configuration before. Were its row given to another
-// route meanwhile, an unsafe request would be taken on that one's terms and could run twice.
+// Danger: a request whose body is still being read was routed by the previous configuration. If its row were given to another
+// route meanwhile, an unsafe request could be handled as that route's requests are, and be executed twice.
 func (t *Table) newRow(now int64) int {
 	if len(t.freeRows) > 0 && now-t.freeRows[0].since >= reuseDelay {
 		row := t.freeRows[0].row
@@ -288,7 +290,7 @@
 	return len(t.workloads) - 1
 }
 
-// releaseRows gives the rows back of routes that are gone, or that may no longer be repeated as before.
+// releaseRows releases the rows of routes that are gone, or whose requests differ from before in whether they may be retried.
 func (t *Table) releaseRows(now int64, next *routeconfig.Configuration) {
 	stays := map[routeconfig.RouteID]*routeconfig.Route{}
 	for i := range next.Routes {
@@ -303,10 +305,10 @@
 	}
 }
 
-// applyConfiguration puts a configuration in force: rows of routes and shards of services that stay keep their numbers.
+// applyConfiguration puts a configuration in force. Routes and services that remain keep their rows and shards.
 //
-// Danger: two routes in one row have one's terms for both. Where these say that the requests of an unsafe route may be
-// repeated, they run twice. So rows are kept by what no two routes share.
+// Danger: if two routes had the same row, the workload of one would apply to both, and requests of an unsafe route might be
+// retried. So rows are kept by RouteID, which no two routes share.
 func (t *Table) applyConfiguration(now int64, next *routeconfig.Configuration, c *Change) {
 	t.config = next
 	t.workloads = slices.Clone(t.workloads)
@@ -328,8 +330,8 @@
 	c.State, c.Workloads = state, t.workloads
 }
 
-// splitsOf returns the sequences of a configuration's weighted splits. One that was there before goes on: each change
-// of the configuration would otherwise begin it anew, and changes may come more often than requests.
+// splitsOf returns the sequences of a configuration's weighted splits. The sequence of a route that remains continues. If each
+// new configuration restarted it and configurations came more often than requests, the shares would be wrong.
 func (t *Table) splitsOf(next *routeconfig.Configuration) Splits {
 	splits := Splits{}
 	for i := range next.Routes {
@@ -346,10 +348,10 @@
 	return splits
 }
 
-// RetrySlack returns this edge's share of the retries beyond the ratio.
+// RetrySlack returns this edge's share of the retry slack: the retries that all edges together may send beyond the retry ratio.
 //
-// Danger: an edge that starts anew does not know what it spent before, and one that does not know how many
-// there are could take all for itself. Neither has any for so long.
+// Danger: an edge that has restarted does not know what it has spent, and one that does not know the number of edges could
+// spend everything. So an edge has no slack for its first retry window, nor while the number of edges is unknown.
 func (t *Table) RetrySlack(now int64) float64 {
 	if t.edges == 0 || now-t.startedAt <= t.settings.Bounds.RetryWindow() {
 		return 0
@@ -357,7 +359,7 @@
 	return retrySlackShare * t.settings.Bounds.RetrySlack / float64(t.edges)
 }
 
-// ReadyReplicas returns how many replicas are ready.
+// ReadyReplicas returns the number of ready replicas.
 func (t *Table) ReadyReplicas() (n int) {
 	for _, r := range t.replicas {
 		if r.Phase == registry.Ready {
@@ -367,5 +369,5 @@
 	return n
 }
 
-// EdgeCount returns how many edges share the budget of retries.
+// EdgeCount returns the number of edges that share the retry budget.
 func (t *Table) EdgeCount() int { return t.edges }
