--- a/decide/registry/group.go
+++ b/decide/registry/group.go
@@ -23,7 +23,8 @@
 // HeartbeatOf returns the heartbeat from which a record comes.
 func HeartbeatOf(r Record) Heartbeat { return Heartbeat{r.ID, r.Seq, contentHash(r)} }
 
-// contentHash hashes the fields that may change while a replica is ready. The version is not among them.
+// contentHash hashes the fields that may change while a replica is ready. The version is not among them: it stays the
+// same as long as the replica lives.
 func contentHash(r Record) uint64 {
 	var hash xxhash.Digest
 	hash.Reset()
