--- a/balance/admission.go
+++ b/balance/admission.go
@@ -4,48 +4,46 @@
 import "math"
 import "slices"
 
-// Which queries are taken on, and how each ends.
-
 type stage uint8
 
-const unrequested, queued, running, answered, abandoned stage = 0, 1, 2, 3, 4 // given: up
+const unrequested, queued, running, answered, abandoned stage = 0, 1, 2, 3, 4 // of a part
 
 type part struct {
 	shard, step int
 	weight      float64
 	stage       stage
-	queuedAt    int64   // wanted since
-	draw        float64 // a cold replica takes it when its share is above that
-	estimate    int64   // how long it should take, when it was last offered to be asked for
-	mayHaveRun  int64   // when the first execution that may have run was sent
+	queuedAt    int64   // since when it waits for a replica
+	draw        float64 // random number: a cold replica takes the part if its share is above this
+	estimate    int64   // expected time when the parts were last ranked by request, ns
+	mayHaveRun  int64   // send time of the first execution that may have run
 	executions  []execution
-	replaced    bool // another part was asked for, should this one not come
+	replaced    bool // another part was requested in case this one does not come
 }
 
-// Query is the handle to one query that was taken.
+// Query is the handle of one query that was handed over.
 type Query struct {
 	agg                       *Aggregator
 	workload                  *workload
-	resetBy                   int  // the replica that it was last reset by at once, + 1
-	deadly, fulfilled         bool // it was reset at once by two replicas, or a retry by one; a part of it was fulfilled
+	resetBy                   int  // 1 + the replica that last reset it at once; 0 for none
+	deadly, fulfilled         bool // two replicas, or one for a retry, reset it at once; a part was fulfilled
 	parts                     []part
 	size                      int
-	arrivedAt, goal, deadline int64 // when; latest time for an answer within the latency goal, and for any
-	step, stepsStarted        int   // 0, or 1 for the second; steps whose parts were asked for
-	firstWhole, open          bool  // of the first step; it wants an answer yet
+	arrivedAt, goal, deadline int64 // arrival; latest time for an answer within the latency goal, and for any
+	step, stepsStarted        int   // 0, or 1 in the second step; steps whose parts were requested
+	firstWhole, open          bool  // the first step had a whole answer; the final answer is pending
 	priority                  Priority
 }
 
 // Open tells whether the query still wants a final answer.
 func (q *Query) Open() bool { return q.open }
 
-// AddQuery takes a query; its parts are added to the handle.
+// AddQuery hands over a query; its parts are added to the handle.
 func (a *Aggregator) AddQuery(now int64, arrival Arrival) *Query {
 	w := a.workloads[arrival.Workload]
 	q := &Query{agg: a, workload: w, size: arrival.Parts, arrivedAt: now, open: true, priority: arrival.Priority}
 	q.deadline = now + max(arrival.Timeout-marginTicks*a.Tick, 0)
 	q.goal = now + max(w.LatencyGoal-marginTicks*a.Tick, 0)
-	if w.LateShare == 0 { // what earns nothing is only load
+	if w.LateShare == 0 { // a late answer would earn nothing
 		q.deadline = min(q.deadline, q.goal)
 	}
 	q.goal = min(q.goal, q.deadline)
@@ -57,15 +55,15 @@
 	return q
 }
 
-// AddPart adds one part: right after Take, or as a second step's after the first answer.
+// AddPart adds one part: of the first step right after AddQuery, of a second step after the first answer.
 func (q *Query) AddPart(shard int, weight float64) {
 	q.parts = append(q.parts, part{shard: shard, weight: weight, step: q.step, mayHaveRun: never,
 		draw: q.agg.rng.next()})
 	q.agg.arrivals[shard%len(q.agg.arrivals)].add(q.arrivedAt, 1)
 }
 
-// weights sums up the present step: what is in, what is being asked for, what may still be, and all of it.
-func (q *Query) weights() (have, asked, left, total float64) {
+// weights sums up the weights of the current step: answered, requested, not requested yet, and all.
+func (q *Query) weights() (have, requested, available, total float64) {
 	for i := range q.parts {
 		if p := &q.parts[i]; p.step == q.step {
 			total += p.weight
@@ -73,27 +71,27 @@
 			case answered:
 				have += p.weight
 			case queued, running:
-				asked += p.weight
+				requested += p.weight
 			case unrequested:
-				left += p.weight
+				available += p.weight
 			}
 		}
 	}
-	return have, asked, left, total
+	return have, requested, available, total
 }
 
-// request marks the cheapest parts to be sent until they weigh need, leaving out those that should take longer
-// than limit; it returns the weight still missing.
+// request queues the parts that should be fastest until they weigh need, and none that should take more than
+// limit, ns; it returns the weight that is still missing.
 func (q *Query) request(now int64, need float64, limit int64) float64 {
-	var offers []*part
+	var candidates []*part
 	for i := range q.parts {
 		if p := &q.parts[i]; p.step == q.step && p.stage == unrequested {
 			p.estimate, _ = q.agg.bestEstimate(now, p, q.workload, false)
-			offers = append(offers, p)
+			candidates = append(candidates, p)
 		}
 	}
-	slices.SortStableFunc(offers, func(x, y *part) int { return cmp.Compare(x.estimate, y.estimate) })
-	for _, p := range offers {
+	slices.SortStableFunc(candidates, func(x, y *part) int { return cmp.Compare(x.estimate, y.estimate) })
+	for _, p := range candidates {
 		if need <= 1e-9 || p.estimate > limit {
 			break
 		}
@@ -103,9 +101,9 @@
 	return need
 }
 
-// start asks for the parts of the present step, or declines the query.
-// Danger: work beyond what the replicas can do fills their queues with parts that come too late. So a query
-// that should be late is declined before it costs anything, and a part is left out where an answer allows.
+// start requests the parts of the current step, or declines the query. Danger: work beyond the capacity of
+// replicas fills their queues with parts that come too late. So a query that would be late is declined before
+// it costs anything, and parts are left out if the answer allows that.
 func (q *Query) start(now int64) {
 	a, w := q.agg, q.workload
 	q.stepsStarted++
@@ -119,20 +117,20 @@
 	if w.MinCoverage < w.FullCoverage {
 		need, least = total, w.MinCoverage
 	}
-	// Danger: a query of many parts meets the worst of many replicas, so a crowd would shut out its workload.
+	// Danger: a query of many parts meets the slowest of many replicas: overload would shut out its workload.
 	fair := 1 + a.admitted.at(now, 0) - w.admitted.at(now, 0)
-	// Danger: and what is worth little for its many parts would use up the room of what is worth more.
+	// Danger: queries with little value per part would use up the capacity for those with more.
 	parts := float64(len(q.parts))
-	worth := cmp.Or(w.Value/parts, 1)
-	a.value.add(now, worth*parts, parts)
-	fair *= math.Pow(worth/a.value.at(now, 1), 1-a.admitted.at(now, 1))
+	value := cmp.Or(w.Value/parts, 1)
+	a.value.add(now, value*parts, parts)
+	fair *= math.Pow(value/a.value.at(now, 1), 1-a.admitted.at(now, 1))
 	limit := min(admitShare*fair, 1) * float64(q.goal-now) * [...]float64{1, excessShare, retryShare}[q.priority]
 	missing := q.request(now, min(least, total), int64(limit)) + need - least
 	if need > least {
 		missing = q.request(now, missing, int64(min(limit, admitShare*float64(cmp.Or(w.OptionalGoal, a.minGoal)))))
 	}
 	if need-missing < least-epsilon {
-		if q.priority == FirstTry { // Danger: one customer's excess would pass for want of room, and loosen all limits
+		if q.priority == FirstTry { // Danger: one customer's excess would seem like overload and loosen all limits
 			w.admitted.add(now, 0, 1)
 			a.admitted.add(now, 0, 1)
 		}
@@ -143,16 +141,16 @@
 	a.admitted.add(now, 1, 1)
 }
 
-// RetryAfter is how long a declined client ought to wait, also one whom the caller has no room for; 0 for none.
+// RetryAfter is the wait advised to declined clients, ns, also to those that the caller declines; 0 for none.
 func (a *Aggregator) RetryAfter() int64 { return min(retryAfter, a.MaxRetryAfter) }
 
-// ready tells whether the query is open and the parts of its present step are there.
+// ready tells whether the query is open and has the parts of its current step.
 func (q *Query) ready() bool {
 	n := len(q.parts)
 	return q.open && n > 0 && n >= q.size && q.parts[n-1].step == q.step
 }
 
-// settle ends the query if its time has come, and returns when to look again.
+// settle ends the query or its first step if it is time, and returns when to check again.
 func (q *Query) settle(now int64) int64 {
 	w := q.workload
 	if !q.ready() {
@@ -161,7 +159,7 @@
 		}
 		return q.deadline
 	}
-	have, asked, left, total := q.weights()
+	have, requested, available, total := q.weights()
 	need, floor := w.FullCoverage, w.MinCoverage
 	if q.step > 0 {
 		need = total
@@ -171,13 +169,13 @@
 	switch {
 	case whole && (q.step == 0 || q.firstWhole):
 		q.finish(Whole)
-	case whole, enough && asked == 0 && q.stepsStarted > q.step:
+	case whole, enough && requested == 0 && q.stepsStarted > q.step:
 		q.finish(Partial)
 	case enough && (now >= q.deadline || now >= q.goal && w.PartialShare*have >= w.LateShare*need):
 		q.finish(Partial)
-	case q.deadly: // a decline would say that trying again does no harm
+	case q.deadly: // a decline would promise that a retry does no harm
 		q.finish(Forfeited)
-	case now >= q.deadline, have+asked+left < floor-epsilon:
+	case now >= q.deadline, have+requested+available < floor-epsilon:
 		q.fail()
 	case now < q.goal:
 		return q.goal
@@ -185,38 +183,38 @@
 	return q.deadline
 }
 
-// finish ends the query, or its first step.
-func (q *Query) finish(final Outcome) {
+// finish answers the query, or its first step.
+func (q *Query) finish(outcome Outcome) {
 	a := q.agg
-	e := Ending{Query: q, Outcome: final}
-	if final == Declined {
+	e := Ending{Query: q, Outcome: outcome}
+	if outcome == Declined {
 		e.RetryAfter = a.RetryAfter()
 	}
 	a.round.Endings = append(a.round.Endings, e)
-	if final <= Partial && q.step == 0 && q.workload.FollowUpParts > 0 {
-		q.firstWhole, q.step = final == Whole, 1
+	if outcome <= Partial && q.step == 0 && q.workload.FollowUpParts > 0 {
+		q.firstWhole, q.step = outcome == Whole, 1
 		return
 	}
 	q.close()
 }
 
-// fail ends the query unserved: declined where trying again does no harm.
+// fail ends the query without an answer: declined if a retry does no harm, else forfeited.
 func (q *Query) fail() {
-	final := Declined
+	outcome := Declined
 	ran := slices.ContainsFunc(q.parts, func(p part) bool { return p.mayHaveRun != never })
 	if ran && q.workload.RetrySafety != Repeatable {
-		final = Forfeited
+		outcome = Forfeited
 	}
-	q.finish(final)
+	q.finish(outcome)
 }
 
-// ClientLeft tells that the client has gone. Danger: where many go before the time told, later answers are lost.
+// ClientLeft ends a query whose client has left. Danger: if many leave early, answers after that are lost.
 func (q *Query) ClientLeft(now int64) {
 	q.agg.leftAfter.add(now, float64(now-q.arrivedAt)/float64(max(q.deadline-q.arrivedAt, 1)), 1)
 	q.close()
 }
 
-// close ends the query and cancels what is still out, so that replicas that can stop do.
+// close ends the query and cancels its executions, so that replicas stop if they can.
 func (q *Query) close() {
 	q.open = false
 	for i := 0; q.agg.CanCancel && i < len(q.parts); i++ {
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,124 +1,125 @@
-// Package balance decides for one aggregator: which replica serves each part of a query, when a part runs
-// again, when a query is answered, whom to decline. Facts go in by calls in order of time, by one goroutine;
-// Decide(now), once a tick, returns what to do. No clock is read, no I/O.
+// Package balance decides for one aggregator which replica serves each part of a query, when a part runs
+// again, when a query is answered and which queries are declined. One goroutine reports events in order of
+// time and calls Decide, once a tick, which returns the actions. The package reads no clock and does no I/O.
 package balance
 
 import "math"
 import "slices"
 
 const (
-	ms, never = 1_000_000, -1 // ns; no time
-
-	baseCost    = 2    // Base Reference Cost of every replica: the source's default
-	maxCalls    = 32   // own calls in flight at one server: the source's default
-	maxCost     = 127  // channels x priority stay within it: the source's requirement
-	waitDivisor = 10   // a part waits at most its time budget / this for a channel: the design page's tenth
-	epsilon     = 1e-6 // weights sum to 1 but for rounding
-	marginTicks = 3    // ticks kept free before a goal or a client's end, for the way back and a late round
-
-	ringBuckets   = 8          // buckets in a ring: the span is known to an eighth
-	shortWindow   = 4000 * ms  // how far back part times count: dozens of them, and it follows a jam
-	longWindow    = 16000 * ms // how far back a replica's own times count
-	priorWeight   = 0.25       // a replica's times are taken together with so many typical ones
-	minAdmitted   = 0.02       // the share taken on is reckoned no smaller: some doubt in old times is enough
-	halfLifeGoals = 2          // shortest latency goals after which a time counts half for admission: jams pass
-	maxTimeGoals  = 2          // of them that a time counts for at most, and one turned away as full counts for
-	priorFactor   = 2          // times the doubt above that it is taken together with, by shard and by holder
-	slowFactor    = 1.5        // a replica that should take so many times as long as a peer is passed over
-	priorShare    = 6          // a part not yet timed is taken to need its latency goal / this
-	overdueStart  = 7          // an execution is overdue at so many typical times to begin with,
-	overdueStep   = 1.12       // times or over this after each recall that did not help, or did,
-	soonFactor    = 2          // it helped if the part then came within so many typical times
-	overdueMin    = 4          // at least: ordinary parts take up to three
-	overdueMax    = 14         // and at most: what is hung is found before clients leave
-	admitShare    = 0.5        // a query is taken on when it should need no more of its latency goal than this
-	crowdShare    = 0.4        // of the shortest goal: sound replicas that need more have no room left
-	maxWeight     = 4          // own calls that the word of others on a replica's pace counts for at most
-	excessShare   = 0.5        // of admitShare for a query whose customer is over what was agreed: worth less
-	retryShare    = 0.35       // and for a marked retry: a query that fails wherever it goes comes back as one
-	maxFails      = 2          // failures one after the other that set a replica aside: one alone is chance
-	fastResetPart = 4          // a reset before this part of a typical time is laid to the query
-
-	// Connections idle for a length are closed where so many parts, and this share, were lost on such.
-	idleMin, idleBuckets, idleMinLosses, idleLossShare = 250 * ms, 8, 3, 0.2   // each length double the last
-	idleWindow, idleLimitFor                           = 4000 * ms, 32000 * ms // lost within; closed for
-
-	firstEjection  = 1000 * ms // a replica set aside rests so long first, or for the shortest latency goal,
-	ejectionGrowth = 8         // and doubled up to so many times that; a quota is for one such rest
-	readmitQuota   = 16        // quota at which a replica is back in
-	warmUpSafety   = 0.9       // share of the cold budget used: the list is late and work is a guess
-	leaveShare     = 0.1       // when more clients than this leave early the goal follows them: a few always do
-	retryAfter     = 1000 * ms // advice to a declined client: a few part times
-	listRetry      = 1000 * ms // first wait after a failed list call, doubled up to eight times, with chance
+	ms, never = 1_000_000, -1 // a millisecond in ns; "no time" where a time is kept
+
+	baseCost    = 2    // Base Reference Cost of every replica: the algorithm's stated default
+	maxCalls    = 32   // own calls in flight at one replica: the algorithm's stated default
+	maxCost     = 127  // maxCalls * baseCost must stay within it: a requirement of the algorithm
+	waitDivisor = 10   // a part waits for a replica for at most its time budget / this, as the design states
+	epsilon     = 1e-6 // tolerance for sums of weights, which make 1 but for rounding
+	marginTicks = 3    // ticks kept free before a goal or a deadline, for the way back and a late round
+
+	ringBuckets   = 8          // buckets in the window of a ring, which is thus exact to an eighth
+	shortWindow   = 4000 * ms  // window for part times: dozens of them, and it follows congestion
+	longWindow    = 16000 * ms // window for the times of one replica
+	priorWeight   = 0.25       // weight of the prior time beside a replica's own times, in own calls
+	minAdmitted   = 0.02       // lower bound of the admitted share in priorTime, to bound the prior's weight
+	halfLifeGoals = 2          // half-life of times for admission, in shortest goals: congestion passes
+	maxTimeGoals  = 2          // cap of a time for admission, in shortest goals; Full counts as the cap
+	priorFactor   = 2          // the prior weighs this many times more in admission, by shard and by holder
+	slowFactor    = 1.5        // a replica slower than the best by this factor is passed over
+	priorShare    = 6          // part time of a workload without samples: its latency goal / this
+	overdueStart  = 7          // initial overdueFactor: executions are overdue after this many typical times
+	overdueStep   = 1.12       // overdueFactor is multiplied by it after a useless recall, else divided
+	soonFactor    = 2          // a recall helped if the part then took less than this many typical times
+	overdueMin    = 4          // lower bound of overdueFactor: ordinary parts take up to 3 typical times
+	overdueMax    = 14         // upper bound of overdueFactor: hung executions are found before clients leave
+	admitShare    = 0.5        // a query is admitted if it should need no more than this share of its goal
+	crowdShare    = 0.4        // healthy replicas that need more than this share of minGoal are full
+	maxWeight     = 4          // cap of the weight of a shared report on slowdown, in own calls
+	excessShare   = 0.5        // times admitShare for a customer over quota, whose queries are worth less
+	retryShare    = 0.35       // times admitShare for marked retries: queries that always fail return as such
+	maxFails      = 2          // consecutive failures that eject a replica: a single one may be chance
+	fastResetPart = 4          // a reset within a typical part time / this is blamed on the query
+
+	// Connections that are idle for idleMin << n or longer are closed for idleLimitFor, if idleMinLosses parts
+	// and a share of idleLossShare were lost on such connections within idleWindow.
+	idleMin, idleBuckets, idleMinLosses, idleLossShare = 250 * ms, 8, 3, 0.2
+	idleWindow, idleLimitFor                           = 4000 * ms, 32000 * ms
+
+	firstEjection  = 1000 * ms // longest first ejection; the shortest latency goal if that is less
+	ejectionGrowth = 8         // longest ejection over the first one; each is twice the one before
+	readmitQuota   = 16        // trial quota at which an ejected replica is readmitted
+	warmUpSafety   = 0.9       // share of a cold replica's limit in use: the list is late and work is a guess
+	leaveShare     = 0.1       // if more clients than this leave early the goal moves forward: a few always do
+	retryAfter     = 1000 * ms // wait advised to a declined client: a few part times
+	listRetry      = 1000 * ms // first wait after a failed list call; it doubles up to 8 times this, with jitter
 )
 
-// Aggregator is one instance of the module.
+// Aggregator is the state of one aggregator, without its connections and queues.
 type Aggregator struct {
 	Deployment
 	rng                 rng
 	workloads           []*workload
 	replicas            []replica
-	holders             [][]int // by shard
-	nextTied            []int   // by shard: the next tied pick
-	callTime            []mean  // time for each own call, ns: of all workloads; of each where shards have accounts
-	minGoal, ejection   int64   // the shortest latency goal of all workloads; the first rest of a replica set aside
+	holders             [][]int // by shard: the replicas that hold it
+	nextTied            []int   // by shard: where pick starts among tied replicas
+	callTime            []mean  // time per own call, ns: of all workloads, or of each if there are ShardBudgets
+	minGoal, ejection   int64   // shortest latency goal of all workloads; length of a first ejection, ns
 	leftAfter           mean    // share of their time after which clients left
-	maxHolders, upCount int     // the most holders that a shard ever had; replicas listed as up
-	overdueFactor       float64 // typical times until an execution is overdue
-	sent                ring    // executions, for what a replica is usually sent
-	idleLimit           int64   // connections are closed that are idle for longer, ns,
-	idleLimitUntil      int64   // until then
-	idleLosses          []mean  // by length: parts on idle connections, and those lost in silence among them
+	maxHolders, upCount int     // most holders that a shard ever had; replicas listed as up
+	overdueFactor       float64 // typical part times after which an execution is overdue
+	sent                ring    // executions sent, from which a replica's usual load is derived
+	idleLimit           int64   // connections that are idle for longer are closed, ns
+	idleLimitUntil      int64   // when idleLimit ceases to apply
+	idleLosses          []mean  // share of parts lost, by the time that their connection had been idle
 	queries             []*Query
-	arrivals, retries   []ring // queries and parts, and executions, for each budget of further ones
-	value, admitted     mean   // of a part handed over; queries taken on among those handed over
+	arrivals, retries   []ring // by retry budget: queries and parts handed over; further executions
+	value, admitted     mean   // value per part handed over; share of queries admitted
 	rounds              int
 	round               Round
 	cancels             []Cancel // for the next round
-	stalled             int64    // how long the process itself stood still, all in all, ns
+	stalled             int64    // total time in which the process itself stood still, ns
 	subscribed          bool
-	listAt, listWait    int64 // when to ask for the list, and how much later after a failure
+	listAt, listWait    int64 // when to call for the list; wait after the next failure, ns
 }
 
-// New makes an aggregator at its start.
+// New returns an aggregator that knows no replicas yet.
 func New(now int64, d Deployment) *Aggregator {
 	a := &Aggregator{Deployment: d, rng: rng{x: uint32(d.Seed) | 1, c: uint32(d.Seed>>32)%4294957664 + 1},
 		holders: make([][]int, d.Shards), nextTied: slices.Repeat([]int{d.Index}, d.Shards), listWait: listRetry,
-		overdueFactor: overdueStart, value: newMean(longWindow), admitted: newMean(shortWindow), leftAfter: newMean(shortWindow),
-		callTime: slices.Repeat([]mean{newMean(shortWindow)}, max(d.ShardBudgets, 1)),
-		sent:     newRing(d.OverloadSpan), idleLosses: slices.Repeat([]mean{newMean(idleWindow)}, idleBuckets),
+		value: newMean(longWindow), admitted: newMean(shortWindow), sent: newRing(d.OverloadSpan),
+		callTime: slices.Repeat([]mean{newMean(shortWindow)}, max(d.ShardBudgets, 1)), overdueFactor: overdueStart,
+		leftAfter: newMean(shortWindow), idleLosses: slices.Repeat([]mean{newMean(idleWindow)}, idleBuckets),
 		arrivals: slices.Repeat([]ring{newRing(d.RetryWindow)}, max(d.ShardBudgets, 1)),
 		retries:  slices.Repeat([]ring{newRing(d.RetryWindow)}, max(d.ShardBudgets, 1))}
 	a.SetWorkloads(now, d.Workloads)
 	return a
 }
 
-// SetWorkloads states the workloads from now on: a row keeps what was learnt; terms may change and rows be added.
-// Danger: a row may pass to another route, and a once-only query under way would run again by its terms.
+// SetWorkloads replaces the terms of the workloads and may add rows; what was learnt of a row stays. Danger:
+// a row may pass to another route, whose terms could let a once-only query that is under way run again.
 func (a *Aggregator) SetWorkloads(now int64, workloads []Workload) {
 	a.Workloads, a.minGoal = workloads, math.MaxInt64
 	for i, w := range workloads {
 		if i == len(a.workloads) {
-			logs, taken := newMean(shortWindow), newMean(shortWindow)
-			a.workloads = append(a.workloads, &workload{row: int64(i), logTimes: &logs, admitted: &taken})
+			times, admitted := newMean(shortWindow), newMean(shortWindow)
+			a.workloads = append(a.workloads, &workload{row: int64(i), logTimes: &times, admitted: &admitted})
 		}
-		next := *a.workloads[i] // queries under way keep the terms that they were taken on
+		next := *a.workloads[i] // a copy: queries under way keep their terms
 		next.Workload, a.workloads[i], a.minGoal = w, &next, min(a.minGoal, w.LatencyGoal)
 		next.updateTypical(now)
 	}
 	a.ejection = a.BaseEjection()
 }
 
-// BaseEjection is the first rest of a replica set aside, ns. Danger: a second locks out a service of goals below it.
+// BaseEjection is the length of a first ejection, ns. Danger: 1 s would lock out services with shorter goals.
 func (d Deployment) BaseEjection() int64 {
-	rest := int64(firstEjection)
+	ejection := int64(firstEjection)
 	for _, w := range d.Workloads {
-		rest = min(rest, w.LatencyGoal)
+		ejection = min(ejection, w.LatencyGoal)
 	}
-	return rest
+	return ejection
 }
 
-// ReplaceList replaces the list; live is false for one remembered from an earlier life.
+// ReplaceList replaces the list of replicas; live is false for a list that an earlier process saved.
 func (a *Aggregator) ReplaceList(now int64, list []Listing, live bool) {
 	for i := range a.replicas {
 		a.replicas[i].listed = false
@@ -128,7 +129,7 @@
 	a.subscribed = was || live
 }
 
-// UpdateList takes in changed entries.
+// UpdateList applies changed entries of the list and recomputes which replicas hold each shard.
 func (a *Aggregator) UpdateList(now int64, list []Listing) {
 	a.subscribed, a.listWait = true, listRetry
 	for _, l := range list {
@@ -136,10 +137,10 @@
 			a.replicas = append(a.replicas, replica{})
 		}
 		r := &a.replicas[l.Replica]
-		if l.New || r.sent.width == 0 { // what another did under this index says nothing
+		if l.New || r.sent.width == 0 { // nothing is known of it: the index may have been another's
 			*r = replica{callTime: newMean(longWindow), recent: newMean(longWindow / 2), sent: newRing(a.OverloadSpan)}
 		}
-		if l.StartedAt != r.startedAt { // a new process: what the old one did says nothing
+		if l.StartedAt != r.startedAt { // the failures were those of its previous process
 			r.readmit()
 		}
 		r.listed, r.startedAt = l.Status == Up, l.StartedAt
@@ -159,18 +160,18 @@
 	}
 }
 
-// ListFailed tells that a list call failed or the subscription dropped.
+// ListFailed records that a call for the list failed or that the subscription ended.
 func (a *Aggregator) ListFailed(now int64) {
-	// Danger: aggregators that ask in step after a common restart keep the list service down.
+	// Danger: aggregators that retry in step after a common restart would keep the list service down.
 	a.subscribed, a.listAt = false, now+int64(float64(a.listWait)*(0.5+a.rng.next()))
-	a.listWait = min(2*a.listWait, 8*listRetry, max(a.AskWithin/2, listRetry)) // the rules want to be asked in time
+	a.listWait = min(2*a.listWait, 8*listRetry, max(a.AskWithin/2, listRetry)) // to call within AskWithin
 }
 
-// RecordStall tells that the process itself has just stood still for so long, ns: it sent, read, decided nothing.
-// Danger: after a pause of its own every replica seems silent and late, and sound ones would lose parts.
+// RecordStall adds time, ns, in which the process itself stood still: it could not send, read or decide.
+// Danger: after such a pause all replicas seem silent and slow, and healthy ones would lose their parts.
 func (a *Aggregator) RecordStall(d int64) { a.stalled += max(d, 0) }
 
-// Decide returns what to do now.
+// Decide returns the actions that are due now.
 func (a *Aggregator) Decide(now int64) *Round {
 	a.rounds++
 	r := &a.round
@@ -185,15 +186,15 @@
 		}
 		for i := 0; q.ready() && i < len(q.parts); i++ {
 			switch p := &q.parts[i]; {
-			case p.step < q.step: // its step is answered
+			case p.step < q.step: // a part of the first step, which is answered
 			case p.stage == running:
 				wake = min(wake, q.recall(now, i))
 			case p.stage == queued:
 				wake = min(wake, a.dispatch(now, q, i))
 			}
 		}
-		// Danger: one round brings one answer; a first step answered at the last moment is forfeited in the next.
-		if q.ready() { // what was given up just now may end it: a client is not kept waiting for nothing
+		// Danger: a query has one answer a round: one whose first step ends at its deadline fails in the next.
+		if q.ready() { // a part abandoned just now may end it: its client must not wait in vain
 			wake = min(wake, q.settle(now))
 		} else if q.open {
 			wake = min(wake, q.deadline)
@@ -209,7 +210,7 @@
 	for i := range a.replicas {
 		r := &a.replicas[i]
 		until, limited := r.lastUsed+a.idleLimit, now < a.idleLimitUntil && r.connected
-		// Danger: a connection that died in silence swallows all that is sent on it while the replica is well.
+		// Danger: a connection that died silently loses all that is sent on it, while the replica is healthy.
 		if r.calls == 0 && (r.stale || limited && now >= until) {
 			r.stale, r.connected = false, false
 			a.round.CloseIdle = append(a.round.CloseIdle, i)
@@ -229,21 +230,21 @@
 	return &a.round
 }
 
-// dispatch sends a wanted part, or gives it up; it returns when to look again.
+// dispatch sends a queued part or abandons it, and returns when to check again.
 func (a *Aggregator) dispatch(now int64, q *Query, number int) int64 {
 	p := &q.parts[number]
 	if len(p.executions) == 0 || q.mayRetry(now, p) {
-		late := p.queuedAt + (q.deadline-q.arrivedAt)/waitDivisor
-		if to := a.pick(now, p, q.workload, now >= late); to >= 0 {
+		waitEnd := p.queuedAt + (q.deadline-q.arrivedAt)/waitDivisor
+		if to := a.pick(now, p, q.workload, now >= waitEnd); to >= 0 {
 			a.send(now, q, number, to)
 			return q.deadline
 		}
-		if now < late {
-			return min(late, now+4*a.Tick)
+		if now < waitEnd {
+			return min(waitEnd, now+4*a.Tick)
 		}
 	}
 	p.stage = abandoned
-	if q.step == 0 { // another may do in its place
+	if q.step == 0 { // another part may replace it
 		q.request(now, p.weight, math.MaxInt64)
 	}
 	return now
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -10,32 +10,34 @@
 	"testing"
 )
 
-// A scenario is a text file, a command a line or several with ; between; # starts a comment, times are in ms.
+// A scenario is a text file with a command a line, or several separated by ;. # starts a comment. Times are in ms.
 //
-//	deploy KEY=VALUE ...        the deployment; left out keys have the defaults of newPlay
-//	workload NAME KEY=VALUE ... one more workload
-//	serve NAME KEY=VALUE ...    its row has these terms from now on
-//	list|change|remembered REPLICA[=OLD]:CELL[@][*CHANNELS][:STANDING[:STARTED]] ...   a whole list, changes, or an old list;
-//	                            @ stands behind the cell of one that is far, with a > more for further ones;
-//	                            with =OLD it has the index of one that is gone
-//	lost                        a list call failed
-//	at T                        sets the clock, and decides; what is asked for must follow in lines with >
-//	take QUERY WORKLOAD PATIENCE SHARD[*WEIGHT] ...   hands over a query; weights are even unless stated
-//	step QUERY SHARD ...        the parts of a second step
-//	ok|errored|full|timeout|noconn|reset|cancelled|moot QUERY.PART ... TOOK   the parts' last executions ended
-//	leave QUERY                 the client went
-//	stood T                     the process itself has just stood for so long
-//	flood N QUERY ...           take, N times, with a number behind the name
-//	hear REPLICA UNTIL [suspect] [pace=X*CALLS] [try=T] [away=T]   what others found of it
-//	over QUERY WORKLOAD ...     as take, of a customer over what was agreed
-//	again QUERY WORKLOAD ...    as take, marked as a retry
+//	deploy KEY=VALUE ...        sets the deployment; keys that are left out have the defaults of newScenario
+//	workload NAME KEY=VALUE ... adds a workload
+//	serve NAME KEY=VALUE ...    gives the row of a workload these terms from now on
+//	list|change|remembered REPLICA[=OLD]:CELL[@][*CALLS][:STATUS[:STARTED]] ...
+//	                            reports a whole list, changed entries, or a list saved by an earlier process;
+//	                            @ behind the cell marks a distant replica, and each > after it a more distant one;
+//	                            =OLD gives the replica the index of one that is gone; CALLS is its call limit
+//	lost                        reports a failed list call
+//	at T                        sets the clock and calls Decide; the actions must follow in lines that start with >
+//	clock T                     sets the clock
+//	take QUERY WORKLOAD TIMEOUT SHARD[*WEIGHT] ...   hands over a query; weights are equal unless stated
+//	over QUERY WORKLOAD ...     like take, for a customer over quota
+//	again QUERY WORKLOAD ...    like take, for a query that is marked as a retry
+//	flood N QUERY ...           does take N times, with a number appended to the name
+//	step QUERY SHARD ...        adds the parts of a second step
+//	ok|errored|full|timeout|noconn|reset|cancelled|moot QUERY.PART ... TOOK   reports results of the last executions
+//	leave QUERY                 reports that the client has left
+//	stood T                     reports that the process itself has just stood still for T
+//	hear REPLICA EXPIRES [suspect] [pace=SLOWDOWN*WEIGHT] [try=TRIALAT] [away=DOWNUNTIL]   applies a shared report
 //	> send QUERY.PART REPLICA [until T]
 //	> cancel QUERY.PART EXECUTION
 //	> end QUERY whole|partial|declined|forfeited
-//	> release REPLICA
+//	> release REPLICA           the idle connections to the replica are to be closed
 //	> subscribe
-//	wake T|none                 when the last decision wants the next one at the latest
-//	> ...                       anything more
+//	> ...                       accepts all remaining actions
+//	wake T|none                 checks when the last Decide wants the next one at the latest
 type scenario struct {
 	t       *testing.T
 	d       Deployment
@@ -76,7 +78,7 @@
 
 func (p *scenario) time(s string) int64 { return int64(p.number(s) * ms) }
 
-// start makes the aggregator once the deployment is known.
+// start returns the aggregator, which it creates on first use, when the deployment is known.
 func (p *scenario) start() *Aggregator {
 	if p.agg == nil {
 		p.agg = New(p.now, p.d)
@@ -108,7 +110,7 @@
 	p.d.Workloads = append(p.d.Workloads, p.terms(pairs))
 }
 
-// serve gives a workload's row to other terms.
+// serve gives the row of a workload new terms.
 func (p *scenario) serve(name string, pairs []string) {
 	p.d.Workloads = slices.Clone(p.d.Workloads)
 	p.d.Workloads[p.rows[name]] = p.terms(pairs)
@@ -149,7 +151,7 @@
 		f := append(strings.Split(word, ":"), "up", "0")
 		name, other, again := strings.Cut(f[0], "=")
 		_, known := p.indices[name]
-		if again { // it has the index of another, which is gone
+		if again { // it takes over the index of a replica that is gone
 			p.indices[name] = p.indices[other]
 			p.names[p.indices[name]] = name
 		} else if !known {
@@ -240,7 +242,7 @@
 	}
 }
 
-// expect takes one asked-for thing off what the last decision returned, in any order.
+// expect removes one action from those of the last Decide, in any order.
 func (p *scenario) expect(want string) {
 	if want == "..." {
 		p.got = nil
@@ -252,13 +254,13 @@
 			return
 		}
 	}
-	p.fatal("not asked for; there was %q", p.got)
+	p.fatal("not among the remaining actions %q", p.got)
 }
 
 func (p *scenario) command(line string) {
 	words := strings.Fields(line)
 	if words[0] != ">" && len(p.got) > 0 {
-		p.fatal("before it, nothing of this was expected: %q", p.got)
+		p.fatal("unexpected actions before this command: %q", p.got)
 	}
 	p.line = line
 	switch words[0] {
@@ -286,7 +288,7 @@
 		p.decide()
 	case "wake":
 		if want := words[1]; want == "none" && p.wake != 0 || want != "none" && p.wake != p.time(want) {
-			p.fatal("the next round is wanted at %d ms", p.wake/ms)
+			p.fatal("the next Decide is wanted at %d ms", p.wake/ms)
 		}
 	case "clock":
 		p.now = p.time(words[1])
@@ -317,13 +319,13 @@
 			name, number, _ := strings.Cut(word, ".")
 			q, part := p.queries[name], int(p.number(number))
 			if !q.RecordResult(p.now, part, len(q.parts[part].executions)-1, result, p.time(words[len(words)-1])) {
-				p.fatal("the outcome was not taken")
+				p.fatal("RecordResult refused the result")
 			}
 		}
 	}
 	for i := 0; p.agg != nil && i < len(p.agg.replicas); i++ {
 		if p.agg.replicas[i].calls < 0 {
-			p.fatal("the count of %s fell below zero", p.names[i])
+			p.fatal("the calls in flight at %s fell below zero", p.names[i])
 		}
 	}
 }
@@ -349,7 +351,7 @@
 				}
 			}
 			if len(p.got) > 0 {
-				t.Fatalf("at the end nothing of this was expected: %q", p.got)
+				t.Fatalf("unexpected actions at the end: %q", p.got)
 			}
 		})
 	}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -6,7 +6,8 @@
 	"willowsill/balance"
 )
 
-// Facts go in by calls, Decide says what to do: here one query of one part, two replicas, and an answer.
+// The caller reports events and carries out what Decide returns: here a query of one part, for which there are two
+// replicas, is sent and answered.
 func Example() {
 	const ms = 1_000_000
 	a := balance.New(0, balance.Deployment{Aggregators: 1, Tick: 5 * ms, Shards: 1, Cells: 1, CellsPerShard: 1, PartsPerCall: 1, MaxExecutions: 2,
--- a/balance/types.go
+++ b/balance/types.go
@@ -1,64 +1,64 @@
 package balance
 
-// RetrySafety tells whether a part of a workload may run again.
+// RetrySafety states whether a part of a workload may run more than once.
 type RetrySafety uint8
 
 const (
-	Repeatable   RetrySafety = iota // may run any number of times
-	Deduplicated                    // repeats are recognised and dropped, for a while
-	OnceOnly                        // must never run twice
+	Repeatable   RetrySafety = iota // it may run any number of times
+	Deduplicated                    // replicas recognise and drop repeats, for DedupWindow
+	OnceOnly                        // it must never run twice
 )
 
-// Workload is what a deployment states of one kind of query.
+// Workload holds the terms of one kind of query. Weights are shares of the answer; revenue is relative.
 type Workload struct {
-	Value         float64 // revenue of a whole answer in time, against that of other workloads; 0 where it is not stated
+	Value         float64 // revenue of a whole answer in time, relative to other workloads; 0 if it is not stated
 	LatencyGoal   int64   // an answer within this time earns the full revenue, ns
-	LateShare     float64 // of the revenue, for an answer past the latency goal
-	MinCoverage   float64 // least share of the weight that an answer may be given from
-	FullCoverage  float64 // share of the weight that makes a whole answer
-	PartialShare  float64 // of the revenue, times share / need, for an answer that is not whole
-	FollowUpParts int     // parts of a second step, 0 for none
+	LateShare     float64 // share of the revenue that an answer after the latency goal earns
+	MinCoverage   float64 // least weight of the parts of a valid answer
+	FullCoverage  float64 // least weight of the parts of a whole answer
+	PartialShare  float64 // an answer of less weight earns this share of the revenue, times weight / FullCoverage
+	FollowUpParts int     // number of parts of a second step, 0 if there is none
 	RetrySafety   RetrySafety
-	DedupWindow   int64 // tagged: how long repeats are recognised, ns
+	DedupWindow   int64 // how long replicas recognise repeats of a Deduplicated part, ns
 
-	MaxExecutions int // of one part, 0 for the deployment's
+	MaxExecutions int // limit of executions of one part, 0 for that of the deployment
 
-	OptionalGoal int64 // a part that an answer can do without has to fit it, ns; 0 for the shortest latency goal of all
+	OptionalGoal int64 // time that an optional part must fit, ns; 0 for the shortest latency goal of all workloads
 }
 
-// Deployment is what an aggregator is told at its start and what stays fixed for its life.
+// Deployment is the configuration of an aggregator, which is fixed for the life of the process.
 type Deployment struct {
-	Index, Aggregators int    // this aggregator's number from 0, and how many there are
-	Seed               uint64 // of this aggregator's chance
+	Index, Aggregators int    // this aggregator's number, from 0, and the number of all
+	Seed               uint64 // of this aggregator's random numbers
 	Tick               int64  // least time between two rounds, ns
 
 	Workloads []Workload
 
-	Shards, Cells, CellsPerShard int // shard s is held by the cells (s + j) mod Cells, j from 0 to Reach - 1
-	PartsPerCall                 int // most parts that travel in one call
+	Shards, Cells, CellsPerShard int // shard s is held by the cells (s + j) mod Cells, j from 0 to CellsPerShard - 1
+	PartsPerCall                 int // most parts that may travel in one call to a replica
 
-	MaxExecutions int   // of one part
-	CanCancel     bool  // executions may be cancelled
-	MaxRetryAfter int64 // longest wait that a declined client honours, ns; 0 where it can't be told any
+	MaxExecutions int   // limit of executions of one part
+	CanCancel     bool  // replicas can cancel executions
+	MaxRetryAfter int64 // longest wait that declined clients honour, ns; 0 if they cannot be told a wait
 
-	ColdCapacity   float64 // of its capacity that a fresh replica starts with, at least
-	WarmUpTime     int64   // a fresh replica is warm after this at the latest, ns
-	OverloadFactor float64 // of its present capacity that pushes a cold replica over
-	OverloadSpan   int64   // when kept up for so long, ns
+	ColdCapacity   float64 // least share of its capacity that a replica has right after its start
+	WarmUpTime     int64   // longest time until a started replica has its full capacity, ns
+	OverloadFactor float64 // a cold replica collapses under this multiple of its present capacity
+	OverloadSpan   int64   // how long such a load must last to make it collapse, ns
 
-	PriorWeight float64 // own calls that the typical time counts for beside a replica's own; 0 for the module's figure
+	PriorWeight float64 // weight of the typical time beside a replica's own times, in own calls; 0 for the default
 
-	AsksForList bool  // the list must be asked for
-	AskWithin   int64 // unasked for so long, the aggregator counts as told, ns
+	AsksForList bool  // the list is only sent on request
+	AskWithin   int64 // without a request for so long, the aggregator counts as informed of the list, ns
 
-	Budgeted     bool    // further executions have a budget:
-	RetrySlack   float64 // so many,
-	RetryRatio   float64 // and so many for each query or part taken,
-	RetryWindow  int64   // within any span of this length, ns
-	ShardBudgets int     // shards that have budgets of their own, each counting parts alone; 0 where all have one
+	Budgeted     bool    // retries (further executions of a part) have budgets
+	RetrySlack   float64 // retries that a budget allows within RetryWindow, whatever the traffic
+	RetryRatio   float64 // further retries that it allows for each query or part handed over
+	RetryWindow  int64   // length of any window in which the budget holds, ns
+	ShardBudgets int     // number of shards with a budget of their own, which counts parts only; 0 for one common budget
 }
 
-// Status is a replica's state on the list.
+// Status is the state of a replica on the list.
 type Status uint8
 
 const (
@@ -67,60 +67,59 @@
 	Gone
 )
 
-// Listing is one replica as the list names it. Replica is the caller's small index for it; the index of one that
-// is gone may be used again once no execution is out there, and is New then.
+// Listing is the entry of one replica on the list. Replica is a small index that the caller assigns. The index
+// of a removed replica may be used again once no execution is under way there; New is then true.
 type Listing struct {
 	Replica   int
 	New       bool
 	Cell      int
 	Status    Status
-	StartedAt int64 // when it last started, ns; 0 for long ago
-	MaxCalls  int   // own calls that may be in flight there, 0 for the module's figure, which holds besides
-	Distance  int   // from 0 for the nearest to below Distances; 0 where it is all the same
+	StartedAt int64 // when its process last started, ns; 0 for long ago
+	MaxCalls  int   // limit of own calls in flight there, in addition to the limit of this package; 0 for none
+	Distance  int   // from 0, the nearest, to Distances - 1; 0 if distance is irrelevant
 }
 
-// Distances is how many distances of replicas are told apart.
+// Distances is the number of classes of distance between an aggregator and a replica.
 const Distances = 3
 
-// Arrival is a query as it is handed over; its parts follow by Query.AddPart.
+// Arrival is a query that is handed over; its parts follow with Query.AddPart.
 type Arrival struct {
 	Workload int
-	Timeout  int64 // time until the client gives up this try, ns
-	Parts    int   // how many its first step has
+	Timeout  int64 // time until the client gives up this attempt, ns
+	Parts    int   // number of parts of the first step
 	Priority Priority
 }
 
-// Priority is how much room a query may take where room is short; a later one takes less.
+// Priority says how much capacity a query may take under overload; later values take less.
 type Priority int
 
-// The claims.
 const (
-	FirstTry  Priority = iota // of a customer within what was agreed
-	OverQuota                 // its customer is over what was agreed: it is worth less
-	Retry                     // its client marks it as a retry: what failed it once may fail it again
+	FirstTry  Priority = iota // a first attempt, within the customer's quota
+	OverQuota                 // its customer is over quota, so the query is worth less
+	Retry                     // its client marks it as a retry: what made it fail before may do so again
 )
 
-// Finding is what this aggregator has found of a replica by its own executions.
+// Finding is what this aggregator found of a replica by its own executions.
 type Finding struct {
 	Replica, Cell int
-	Ejected       bool    // it is set aside
-	TrialAt       int64   // Aside: its trickle starts then, ns
-	LastFailure   int64   // its last failure, if it has fulfilled nothing since; 0 for none
-	LastSuccess   int64   // its last fulfilled execution; 0 for none
-	Slowdown      float64 // its time for each own call over that of all; 0 where not met lately
-	Samples       float64 // own calls that this is known from
+	Ejected       bool    // it is ejected after failures
+	TrialAt       int64   // start of the trial quota of an ejected replica, ns
+	LastFailure   int64   // time of its last failure, if it has fulfilled nothing since; 0 for none
+	LastSuccess   int64   // time of its last fulfilled execution; 0 for none
+	Slowdown      float64 // its time per own call over that of all replicas; 0 if unknown
+	Samples       float64 // number of own calls from which Slowdown is known
 }
 
-// SharedReport is what others found of a replica, weighed by the caller. It narrows who is eligible; nothing in it chooses, and
-// none sets a replica aside.
+// SharedReport is what other aggregators found of a replica, weighted by the caller. It can make a replica less
+// eligible, but it never selects one and never ejects one by itself.
 type SharedReport struct {
 	Replica   int
-	Expires   int64   // it holds so long, ns
-	Suspect   bool    // one own failure sets the replica aside
-	Slowdown  float64 // times the typical that it is said to need,
-	Weight    float64 // counted like so many own calls; 0 for no word on that
-	TrialAt   int64   // where it is set aside: its trickle starts then, 0 for no word
-	DownUntil int64   // it cannot be reached until then, or could not until now, ns; 0 for no word
+	Expires   int64   // the report holds until then, ns
+	Suspect   bool    // a single failure seen by this aggregator ejects the replica
+	Slowdown  float64 // time that it is said to need, over the typical time
+	Weight    float64 // weight of Slowdown, in own calls; 0 if it is not reported
+	TrialAt   int64   // start of the trials, if the replica is ejected, ns; 0 if it is not reported
+	DownUntil int64   // it is unreachable until then, or was until now, ns; 0 if it is not reported
 }
 
 // Result is how an execution ended.
@@ -129,12 +128,12 @@
 const (
 	Fulfilled     Result = iota
 	Errored              // the replica answered with an error
-	Full                 // turned away unseen
+	Full                 // the replica rejected it before looking at it
 	TimedOut             // no reply in time
 	ConnectFailed        // no connection in time
 	Reset                // the connection broke
-	Cancelled            // by this aggregator
-	Unsent               // never left
+	Cancelled            // this aggregator cancelled it
+	Unsent               // it was never sent
 )
 
 // NeverRan tells whether the result proves that the execution did not run.
@@ -146,13 +145,13 @@
 type Outcome uint8
 
 const (
-	Whole     Outcome = iota // an answer with all that a whole one needs
-	Partial                  // an answer from less
-	Declined                 // unserved, and trying again does no harm
-	Forfeited                // unserved, without a promise
+	Whole     Outcome = iota // an answer of FullCoverage
+	Partial                  // an answer of less, but at least MinCoverage
+	Declined                 // no answer, and a retry does no harm
+	Forfeited                // no answer, and no promise that a retry does no harm
 )
 
-// ListCall is what to ask of the service that keeps the list.
+// ListCall is a request to the service that keeps the list of replicas.
 type ListCall uint8
 
 const (
@@ -160,35 +159,34 @@
 	Subscribe
 )
 
-// Send starts the next execution of a part.
+// Send asks for the next execution of a part.
 type Send struct {
 	Query    *Query
 	Part     int
 	Replica  int
-	Deadline int64 // when the execution is dropped, ns
+	Deadline int64 // when the replica drops the execution, ns
 }
 
-// Cancel ends the wait for one execution.
+// Cancel asks to cancel one execution.
 type Cancel struct {
 	Query           *Query
 	Part, Execution int
 }
 
-// Ending is a query's final answer; a Whole or Partial one may be the first of two steps.
+// Ending is the answer to a query. A Whole or Partial one may be the first of two answers.
 type Ending struct {
 	Query      *Query
 	Outcome    Outcome
-	RetryAfter int64 // Declined: how long the client ought to wait, ns
+	RetryAfter int64 // Declined: how long the client should wait, ns
 }
 
-// Round is what one Decide asks for, to be carried out in this order: sends, cancels, endings,
-// releases, list.
-// Its slices are used again by the next Decide.
+// Round holds the actions that one Decide asks for, to be carried out in this order: Sends, Cancels, Endings,
+// CloseIdle, List. The next Decide reuses its slices.
 type Round struct {
 	Sends     []Send
 	Cancels   []Cancel
 	Endings   []Ending
-	CloseIdle []int // replicas whose idle connections are given back
+	CloseIdle []int // replicas whose idle connections are to be closed
 	List      ListCall
-	WakeAt    int64 // when Decide wants to be called again at the latest; 0 for no such time
+	WakeAt    int64 // latest time for the next Decide, ns; 0 if there is none
 }
--- a/front/proxyserver/proxyserver.go
+++ b/front/proxyserver/proxyserver.go
@@ -234,7 +234,7 @@
 
 // serving tells the node which workloads are served, and how many retries this edge may make beyond its ratio.
 func (s *Server) serving() {
-	s.node.Serving(node.WorkloadSet{Workloads: s.served, Counters: s.rows, RetrySlack: s.free})
+	s.node.SetWorkloads(node.WorkloadSet{Workloads: s.served, Counters: s.rows, RetrySlack: s.free})
 }
 
 // news translates records of replicas for the node.
--- a/node/admit.go
+++ b/node/admit.go
@@ -10,12 +10,12 @@
 type Query struct {
 	ID       string
 	Workload int
-	Customer string // whose it is, empty where that is not told
+	Customer string // empty if unknown
 	Retry    bool   // its client marks it as a retry
-	Deadline int64  // when its client gives up
+	Deadline int64  // when its client gives up, ns of the node's clock
 	Text     []byte
 	Parts    []Part
-	Payload  any // what a carrier of another kind than frames needs
+	Payload  any // data for a transport that does not send Text in frames
 }
 
 // Part is one part of a query.
@@ -24,16 +24,16 @@
 	Weight float64 // share of the whole answer
 }
 
-// query is one that the node holds.
+// query is the state of a query that the node holds.
 type query struct {
 	Query
 	arrivedAt  int64
 	handle     *balance.Query
-	answer     chan Answer // has room for the one answer
+	answer     chan Answer // buffered for the one answer, so that the loop never blocks
 	executions [][]*execution
-	values     []string // of the parts that are in
+	values     []string // by part, set once it is answered
 	answered   []bool
-	running    int // executions without an outcome
+	running    int // executions without a result
 	ended      bool
 }
 
@@ -42,10 +42,10 @@
 	departure struct{ query *query }
 )
 
-// Serve takes a query through the node and returns its one answer. When ctx ends first the client has left;
-// the answer then has no reader.
+// Serve runs a query through the node and returns its answer; false means that ctx ended first, because the
+// client left, and that there is no answer.
 //
-// Danger: more queries than the loop can take would fill the queue and keep outcomes out.
+// Danger: more queries than the loop can handle would fill the queue and keep results of executions out.
 func (n *Node) Serve(ctx context.Context, asked Query) (Answer, bool) {
 	if len(n.events) >= queueLength/arrivalDivisor {
 		return n.declineUnseen(), true
@@ -63,37 +63,37 @@
 	}
 }
 
-// declineUnseen is the answer to a query that the module never sees.
+// declineUnseen counts and returns the answer to a query that the module never sees.
 func (n *Node) declineUnseen() Answer {
 	n.count.Crowded.Add(1)
 	return Answer{Outcome: balance.Declined, RetryAfter: n.retryAfter}
 }
 
-// admit hands a query to the module, or declines it where the node holds as much as it may, or where its
-// client's time is up before a round can come.
+// admit hands a query to the module, or declines it if the node holds as much as it may or if the client's
+// deadline comes before the next round can.
 func (n *Node) admit(now int64, q *query) {
 	count := n.rows[q.Workload]
 	count.Taken.Add(1)
-	patience := q.Deadline - now - n.lateness
-	// Danger: a round a tick later would answer a client whose time is up by then.
-	if n.held >= n.terms.MostHeld || patience <= max(n.lastRound+n.roundGap()-now, 0) {
+	timeout := q.Deadline - now - n.lateness
+	// Danger: in a round after its deadline the client would be answered too late.
+	if n.held >= n.terms.MostHeld || timeout <= max(n.lastRound+n.roundGap()-now, 0) {
 		count.Declined.Add(1)
 		q.ended = true
 		q.answer <- n.declineUnseen()
 		return
 	}
-	claim := balance.FirstTry
+	priority := balance.FirstTry
 	if n.overQuota(now, q.Customer) {
 		count.Over.Add(1)
-		claim = balance.OverQuota
+		priority = balance.OverQuota
 	}
 	if q.Retry {
-		claim = balance.Retry
+		priority = balance.Retry
 	}
 	if n.schedule != nil {
 		n.schedule.OnWait(now - q.arrivedAt)
 	}
-	q.handle = n.agg.AddQuery(now, balance.Arrival{Workload: q.Workload, Timeout: patience, Parts: len(q.Parts), Priority: claim})
+	q.handle = n.agg.AddQuery(now, balance.Arrival{Workload: q.Workload, Timeout: timeout, Parts: len(q.Parts), Priority: priority})
 	for _, p := range q.Parts {
 		q.handle.AddPart(p.Shard, p.Weight)
 	}
@@ -112,9 +112,10 @@
 	n.endQuery(q)
 }
 
-// endQuery marks a query as over. What is still out is the module's to cancel; what has not left yet must not.
+// endQuery marks a query as ended and withdraws executions that are not sent yet. Those that are sent are
+// cancelled by the module.
 //
-// Danger: a call that waits for its connection would be sent after the answer.
+// Danger: a call that still waits for its connection would be sent after the answer.
 func (n *Node) endQuery(q *query) {
 	q.ended = true
 	n.held -= 1 + len(q.Parts)
@@ -128,7 +129,7 @@
 	n.release(q)
 }
 
-// release lets go of a query that is over once its last outcome is in.
+// release forgets a query that has ended, once it has the results of all its executions.
 func (n *Node) release(q *query) {
 	if q.ended && q.running == 0 {
 		delete(n.queries, q.handle)
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,6 @@
-// Package node takes queries through the stages behind a front: admit, route, send, relay and book. One
-// goroutine owns the decision module and the state of every query; facts come to it through one bounded
-// queue, and nothing in it waits for a socket.
+// Package node runs one aggregator: it takes queries from a front, asks the decision module (package balance)
+// what to do, sends parts to replicas and returns the answers. One goroutine, the loop, owns the module and the
+// state of every query. Events reach it through one bounded queue, and nothing in it waits for a socket.
 package node
 
 import (
@@ -20,27 +20,27 @@
 )
 
 const (
-	queueLength    = 1024            // facts that may wait for the loop
-	arrivalDivisor = 2               // queries fill no more than this part of it, so that outcomes have room
-	sweepInterval  = time.Second     // between two looks for idle connections
-	clockOffset    = 1 << 20 * 1e9   // ns: a replica that started before this process still did so after 0
-	latenessDecay  = 256             // facts over which lateness fades
-	longDelay      = 50 * int64(1e6) // ns that a fact may wait for the loop before that is logged
+	queueLength    = 1024            // events that may wait for the loop
+	arrivalDivisor = 2               // queries may fill 1/2 of the queue, so that results of executions still fit
+	sweepInterval  = time.Second     // time between two searches for idle connections
+	clockOffset    = 1 << 20 * 1e9   // ns; replicas that started before this process still have a start time above 0
+	latenessDecay  = 256             // each event lowers an old lateness by 1/256
+	longDelay      = 50 * int64(1e6) // ns; an event that waits longer is logged, and lateness is capped to this
 )
 
-// Clock tells monotonic time in whole ns from an arbitrary start.
+// Clock is a monotonic clock in whole ns with an arbitrary start.
 type Clock struct{ base time.Time }
 
-// NewClock starts a clock.
+// NewClock returns a clock that already shows clockOffset.
 func NewClock() Clock { return Clock{time.Now().Add(-clockOffset)} }
 
-// Shifted is a clock that shows so much more: two processes have no start in common.
+// Shifted returns a clock that is ahead by d, like the clock of another process, which has another start.
 func (c Clock) Shifted(d time.Duration) Clock { return Clock{c.base.Add(-d)} }
 
-// Now is the present time.
+// Now returns the time that the clock shows.
 func (c Clock) Now() int64 { return int64(time.Since(c.base)) }
 
-// FromUnixMilli turns ms of Unix time into this clock's time; 0 stays 0.
+// FromUnixMilli converts ms of Unix time to the time of this clock; 0 stays 0.
 func (c Clock) FromUnixMilli(ms int64) int64 {
 	if ms == 0 {
 		return 0
@@ -48,92 +48,93 @@
 	return max(int64(time.UnixMilli(ms).Sub(c.base.Round(0))), 1)
 }
 
-// event is something that happened, on its way to the loop.
+// event is what the queue of the loop carries: its time, ns, and one of the types that handle distinguishes.
 type event struct {
 	at      int64
-	payload any // arrival, departure, notice, discovery.News, survey, allowance, sharing, rhythm, serving, zones or stop
+	payload any
 }
 
 type stop struct{}
 
-// Node is one aggregator on sockets.
+// Node is one aggregator with its connections.
 type Node struct {
 	Clock
 	deployment.Deployment
 	terms       deployment.Terms
-	rows        []*counters.Workload // as the deployment numbers them
+	rows        []*counters.Workload // by row of the workload
 	log         *zap.Logger
 	count       *counters.Counters
-	requestList func() // starts a watch of the list
+	requestList func() // starts a subscription to the list of replicas
 	events      chan event
 	done        chan struct{}
-	ready       chan struct{} // closed once a list with a replica is there
+	ready       chan struct{} // closed once a list with a replica that is up was applied
 	isReady     bool
-	retryAfter  int64 // the module's to a client whom there is no room for, ns
+	retryAfter  int64 // wait advised to clients whom the node itself declines, ns
 
-	// Of the loop alone from here.
+	// Only the loop uses the fields from here on.
 	agg            *balance.Aggregator
 	transport      Transport
-	indices        map[string]int // of each replica, by host
+	indices        map[string]int // of the replicas, by host
 	hosts          []host         // by index
 	queries        map[*balance.Query]*query
-	held           int // queries and parts without an answer
-	running        map[*replica.Ticket]*execution
-	deadlines      deadlineHeap
-	pendingResults []pendingResult // that came up while a round was carried out
-	lastRound      int64           // the last round
-	wakeAt         int64           // when the module wants the next one at the latest, 0 for no such time
-	changed        bool            // something has happened since the last round
-	lateness       int64           // how late the loop was lately, ns
-	nextSweep      int64
-	lastRetryAt    map[int]int64 // when a part was last sent that had been sent before, by budget
+	held           int                            // queries without an answer, and their parts
+	running        map[*replica.Ticket]*execution // executions without a result
+	deadlines      deadlineHeap                   // of running executions
+	pendingResults []pendingResult                // results that arose during a round
+	lastRound      int64                          // when the last round began, ns
+	wakeAt         int64                          // latest time for the next round, as the module asked, ns; 0 for none
+	changed        bool                           // an event came since the last round
+	lateness       int64                          // recent delay of the loop, ns; see recordLateness
+	nextSweep      int64                          // time of the next Transport.Sweep, ns
+	lastRetryAt    map[int]int64                  // by retry budget: when a part was last sent again, ns
 	stopped        bool
-	shared         *shared             // what is shared with other aggregators, nil where nothing is
-	schedule       *Schedule           // nil for a round each tick
-	zoneHealth     *zonehealth.Tracker // nil where zones are not watched
-	observer       Observer            // nil where nobody wants it
-	reports        []balance.SharedReport
-	unreachable    []string // zones out of reach, as was logged last
+	shared         *shared                // state of sharing with other aggregators; nil if it is off
+	schedule       *Schedule              // nil for at most one round a tick
+	zoneHealth     *zonehealth.Tracker    // nil if zones are not watched
+	observer       Observer               // nil for none
+	reports        []balance.SharedReport // buffer for reports of the zone tracker
+	unreachable    []string               // zones that were last logged as unreachable
 }
 
-// host is the replica that has an index.
+// host is the replica to which an index is assigned.
 type host struct {
-	name      string // empty where the index can be used again
-	zone      string // empty where it has none
+	name      string // empty if the index is free
+	zone      string // empty if the replica has none
 	up        bool   // listed as up
-	gone      bool   // off the list
-	startedMs int64  // ms of Unix time, 0 for long ago
+	gone      bool   // not listed any more
+	startedMs int64  // start of its process, ms of Unix time; 0 for long ago
 }
 
-// Observer is told of executions at replicas, by the loop; it must not wait. Sent tells whether it wants to hear of the end.
+// Observer is notified of executions at replicas, on the loop, so it must not block. Ended is only called for
+// executions for which Sent returned true.
 type Observer interface {
 	Sent(host string) (wanted bool)
 	Ended(host string, end Execution)
 }
 
-// Execution is one that has ended, as an Observer is told of it.
+// Execution is an execution that has ended, as reported to an Observer.
 type Execution struct {
 	Workload      int
 	Result        balance.Result
-	Took          int64 // ns from when its connection was up; 0 where it never was
+	Took          int64 // time from when its connection was established, ns; 0 if it never was
 	NewConnection bool  // a connection was opened for it
 }
 
-// Options is what a node is made from.
+// Options configure a node.
 type Options struct {
 	Clock       Clock
 	Deployment  deployment.Deployment
 	Terms       deployment.Terms
-	KnownList   discovery.News // the list as it was last held
+	KnownList   discovery.News // the last list that an earlier process knew
 	Budget      *sockets.Budget
 	Count       *counters.Counters
 	Log         *zap.Logger
-	RequestList func() // asks for a watch of the list; it must not wait
+	RequestList func() // starts a subscription to the list; it must not block
 	Dial        replica.Dial
 
-	Observer Observer // is told of executions; nil where nobody wants it
+	Observer Observer // may be nil
 
-	// NewTransport makes what takes parts to replicas; nil for frames on connections made with Dial.
+	// NewTransport creates the transport to replicas; nil for framed messages on connections made with Dial.
 	NewTransport func(tell func(any), now func() int64) Transport
 }
 
@@ -158,15 +159,15 @@
 			IdleAfter: p.Terms.IdleAfter, Now: n.Now, Dial: p.Dial}, func(v replica.Notice) { tell(v) }, p.Budget, p.Count)}
 	}
 	n.applyList(n.Now(), p.KnownList, false)
-	n.changed = true // the first round is for the list, which may have to be asked for
+	n.changed = true // the first round may have to request the list
 	go n.run()
 	return n
 }
 
-// Ready is closed once the node can serve.
+// Ready is closed once the node can serve queries.
 func (n *Node) Ready() <-chan struct{} { return n.ready }
 
-// ApplyList hands on what discovery said.
+// ApplyList queues an update of the list of replicas.
 func (n *Node) ApplyList(ctx context.Context, news discovery.News) {
 	select {
 	case n.events <- event{n.Now(), news}:
@@ -174,21 +175,21 @@
 	}
 }
 
-// Close ends the node; no query may be under way any more. It returns when all connections have ended.
+// Close stops the node and waits until all connections have ended. No query may be under way any more.
 func (n *Node) Close() {
 	n.events <- event{n.Now(), stop{}}
 	<-n.done
 }
 
-// run is the loop: facts, then a round when one is due.
+// run is the loop: it handles events and starts a round when one is due.
 func (n *Node) run() {
 	defer close(n.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for next := n.Now(); !n.stopped; {
 		select {
-		case f := <-n.events:
-			n.handle(f)
+		case e := <-n.events:
+			n.handle(e)
 		case <-timer.C:
 			n.recordLateness(n.Now() - next)
 		}
@@ -214,25 +215,25 @@
 	n.recordPending()
 }
 
-// drainQueue takes the facts that wait, and tells whether there were any.
+// drainQueue handles the events that are waiting, and tells whether there were any.
 func (n *Node) drainQueue() bool {
-	some := len(n.events)
-	for range some {
+	waiting := len(n.events)
+	for range waiting {
 		n.handle(<-n.events)
 	}
-	return some > 0
+	return waiting > 0
 }
 
-// recordLateness notes how late the loop was, which the simulator has no word for: the module's times are kept that much
-// further from the clients'. Old lateness fades.
+// recordLateness records by how much the loop was late, ns. The module assumes that it is called on time, so
+// its deadlines are moved ahead of those of the clients by this much. Old values decay.
 //
-// Danger: after one long stall of the machine queries would seem to have no time left.
-func (n *Node) recordLateness(by int64) {
-	n.lateness = max(min(by, longDelay), n.lateness-n.lateness/latenessDecay)
-	n.count.DelayHighest.Show(by)
+// Danger: without the decay and the cap, queries would seem to have no time left after one long stall.
+func (n *Node) recordLateness(delay int64) {
+	n.lateness = max(min(delay, longDelay), n.lateness-n.lateness/latenessDecay)
+	n.count.DelayHighest.Show(delay)
 }
 
-// nextRoundAt is when the next round has to come: rounds stand a tick apart at least, or as the rhythm has it.
+// nextRoundAt is when the next round is due: rounds are at least a tick apart, or as the schedule allows.
 func (n *Node) nextRoundAt() int64 {
 	next := int64(math.MaxInt64)
 	if n.changed {
@@ -247,22 +248,22 @@
 	return next
 }
 
-// handle takes one fact in. How long it waited is measured, for the simulator knows no such delay.
-func (n *Node) handle(f event) {
+// handle handles one event, and measures how long it waited: the simulator of the module has no such delay.
+func (n *Node) handle(e event) {
 	now := n.Now()
-	delay := now - f.at
+	delay := now - e.at
 	n.count.Facts.Add(1)
 	n.count.DelayTotal.Add(delay)
-	switch f.payload.(type) {
-	case surveyRequest, sharedUpdate, retryUseRequest: // no query waits for them
+	switch e.payload.(type) {
+	case surveyRequest, sharedUpdate, retryUseRequest: // their delay affects no query
 	default:
 		n.count.Delay.Show(delay)
 	}
 	n.recordLateness(delay)
 	if delay > longDelay {
-		n.log.Warn("a fact waited long for the loop", zap.Duration("delay", time.Duration(delay)))
+		n.log.Warn("an event waited long for the loop", zap.Duration("delay", time.Duration(delay)))
 	}
-	switch v := f.payload.(type) {
+	switch v := e.payload.(type) {
 	case arrival:
 		n.admit(now, v.query)
 	case departure:
@@ -273,16 +274,16 @@
 		n.applyList(now, v, true)
 	case retryUseRequest:
 		v.reply <- n.retryUse(now)
-		return // nothing has happened
+		return // a request changes nothing
 	case surveyRequest:
 		n.answerSurvey(now, v)
-		return // nothing has happened
+		return // a request changes nothing
 	case sharedUpdate:
 		n.applyShared(now, v)
 	case sharingChange:
 		n.setSharing(v)
 	case scheduleChange:
-		n.schedule = v.rhythm
+		n.schedule = v.schedule
 	case workloadsChange:
 		n.applyWorkloads(now, v)
 	case zonesChange:
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -22,7 +22,7 @@
 	"willowsill/transport/sockets"
 )
 
-// fixture is a node with stand-ins for all that is around it: two replicas, each holding both shards.
+// fixture is a node with stand-ins for everything around it: two replicas, which both hold both shards.
 type fixture struct {
 	*testing.T
 	*Node
@@ -38,8 +38,9 @@
 	return standin.Host{Host: fmt.Sprint("s-", i), Dial: fmt.Sprint("r:", i), Health: health}
 }
 
-// runNode plays a test in a bubble of its own time. In the end nothing may be left running, held or taken.
-func runNode(t *testing.T, change func(*Options), answer answerer, play func(*fixture)) {
+// runNode runs a test of a node in a synctest bubble. At the end the node must hold no query, no execution and no
+// descriptor.
+func runNode(t *testing.T, change func(*Options), answer answerer, run func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &fixture{T: t, network: &pipes.Network{}, discovery: standin.NewDiscovery(listed(0, "active"), listed(1, "active"))}
 		for i := range 2 {
@@ -47,8 +48,8 @@
 			w.listeners = append(w.listeners, l)
 			go (&standin.Replica{Answer: answer}).Serve(l)
 		}
-		lists := &http.Server{Handler: w.discovery}
-		go lists.Serve(w.network.Listen("d:1"))
+		discoveryServer := &http.Server{Handler: w.discovery}
+		go discoveryServer.Serve(w.network.Listen("d:1"))
 		row := balance.Workload{LatencyGoal: 1000e6, LateShare: 0.3, MinCoverage: 1, FullCoverage: 1, PartialShare: 0.9}
 		p := Options{Clock: NewClock(), Log: zap.NewNop(), Budget: sockets.NewBudget(64), Dial: w.network.Dial,
 			Deployment: deployment.Deployment{Workload: map[string]int{"lookup": 0}, Deployment: balance.Deployment{
@@ -70,22 +71,22 @@
 		}()
 		<-w.Ready()
 		time.Sleep(10 * time.Millisecond) // the first rounds are over
-		play(w)
+		run(w)
 		stop()
 		<-watched
 		w.Close()
-		lists.Close()
+		discoveryServer.Close()
 		for _, l := range w.listeners {
 			l.Close()
 		}
 		if w.held != 0 || len(w.queries) != 0 || len(w.running) != 0 || p.Budget.Taken(sockets.Replicas) != 0 {
-			t.Errorf("left: %d held, %d queries, %d executions, %d descriptors", w.held, len(w.queries), len(w.running),
+			t.Errorf("left over: %d held, %d queries, %d executions, %d descriptors", w.held, len(w.queries), len(w.running),
 				p.Budget.Taken(sockets.Replicas))
 		}
 	})
 }
 
-// serve asks for both shards and says how it went.
+// serve sends a query for both shards and describes the answer and the time that it took.
 func (w *fixture) serve(ctx context.Context, id string, patience time.Duration) string {
 	began := time.Now()
 	a, ok := w.Serve(ctx, Query{ID: id, Deadline: w.Now() + int64(patience), Text: []byte("text"),
@@ -124,13 +125,14 @@
 	})
 }
 
-// With a rhythm a query that comes just after a round does not wait for the next tick, on its way out or back.
+// With a schedule, a query that comes just after a round does not wait for the next tick, neither at its arrival nor
+// for its answer.
 func TestRhythm(t *testing.T) {
-	for _, at := range []bool{false, true} {
+	for _, scheduled := range []bool{false, true} {
 		runNode(t, asIs, value, func(w *fixture) {
 			waited := 0
-			if at {
-				w.SetSchedule(&Schedule{Pace: &overload.Pacer{MaxGap: 5e6}, OnWait: func(int64) { waited++ }, OnStall: func(ns int64) { w.Errorf("stood %d", ns) }})
+			if scheduled {
+				w.SetSchedule(&Schedule{Pace: &overload.Pacer{MaxGap: 5e6}, OnWait: func(int64) { waited++ }, OnStall: func(ns int64) { w.Errorf("a stall of %d ns was reported", ns) }})
 			}
 			time.Sleep(20 * time.Millisecond)
 			for i := range 3 {
@@ -138,14 +140,14 @@
 				time.Sleep(time.Millisecond)
 				began := time.Now()
 				got := w.serve(w.Context(), fmt.Sprint("q", i), 2*time.Second)
-				if took := time.Since(began); (took == 50*time.Millisecond) != at || !strings.HasPrefix(got, "0 ") {
-					w.Errorf("with a rhythm %v: %s, %v", at, got, took)
+				if took := time.Since(began); (took == 50*time.Millisecond) != scheduled || !strings.HasPrefix(got, "0 ") {
+					w.Errorf("with a schedule %v: %s, %v", scheduled, got, took)
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
-			if at {
+			if scheduled {
 				if waited != 6 {
-					w.Errorf("told of %d queries", waited)
+					w.Errorf("OnWait was called for %d queries", waited)
 				}
 				w.SetSchedule(nil)
 				time.Sleep(time.Millisecond)
@@ -160,12 +162,12 @@
 		time.Sleep(10 * time.Millisecond)
 		w.expect(w.serve(w.Context(), "q", 2*time.Second), "0 [{0 q.0text} {1 q.1text}] 0 after 50ms")
 		if n := w.count.ConnectionsOpened.Load(); n != 1 {
-			w.Errorf("%d connections, and one replica is leaving", n)
+			w.Errorf("%d connections were opened, although one of two replicas is leaving", n)
 		}
 	})
 }
 
-// An answer must come before the client's time is up, whatever replicas do; with or without cancels.
+// A query must be answered before its client's deadline even if replicas never answer, with and without cancels.
 func TestSilentReplicas(t *testing.T) {
 	for _, cancels := range []bool{true, false} {
 		runNode(t, func(p *Options) { p.Deployment.CanCancel = cancels }, silent, func(w *fixture) {
@@ -192,10 +194,10 @@
 }
 
 func TestClientLeaves(t *testing.T) {
-	given := make(chan string, 8)
+	cancelled := make(chan string, 8)
 	runNode(t, asIs, func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
 		<-ctx.Done()
-		given <- p.ID
+		cancelled <- p.ID
 		return replica.Reply{}, false
 	}, func(w *fixture) {
 		ctx, leave := context.WithTimeout(w.Context(), 100*time.Millisecond)
@@ -203,13 +205,13 @@
 		w.expect(w.serve(ctx, "q", 2*time.Second), "left")
 		time.Sleep(20 * time.Millisecond)
 		synctest.Wait()
-		if len(given) != 2 {
-			w.Errorf("%d parts were given up", len(given))
+		if len(cancelled) != 2 {
+			w.Errorf("%d parts were cancelled at replicas", len(cancelled))
 		}
 	})
 }
 
-// Danger: a part that waits for its connection must not be sent once its query has its answer.
+// Danger: a part that still waits for its connection must not be sent once its query is answered or its client has left.
 func TestNothingAfterTheAnswer(t *testing.T) {
 	runNode(t, func(p *Options) { p.Terms.ConnectWithin, p.Deployment.CanCancel = 5e9, false }, value, func(w *fixture) {
 		w.network.Silence("r:0")
@@ -223,7 +225,7 @@
 		ctx, leave := context.WithTimeout(w.Context(), 100*time.Millisecond)
 		defer leave()
 		w.expect(w.serve(ctx, "r", 2*time.Second), "left")
-		time.Sleep(10 * time.Millisecond) // long before they would be dropped
+		time.Sleep(10 * time.Millisecond) // long before their deadline
 		synctest.Wait()
 		if len(w.running) != 0 {
 			w.Errorf("%d executions wait to be sent for a client that has left", len(w.running))
@@ -231,7 +233,7 @@
 	})
 }
 
-// Danger: more than may be held is declined at once, and what is held is still served.
+// Danger: queries beyond the limit of held queries are declined at once, and those that are held are still served.
 func TestFlood(t *testing.T) {
 	runNode(t, asIs, value, func(w *fixture) {
 		answers := make(chan string, 40)
@@ -241,7 +243,7 @@
 		served := 0
 		for range cap(answers) {
 			switch a := <-answers; a {
-			case "2 [] 1000 after 0s": // by the node or by the module, and each is told when to come back
+			case "2 [] 1000 after 0s": // declined by the node or by the module, each with a retry-after
 			default:
 				served++
 				if !strings.HasPrefix(a, "0 [{0 ") {
@@ -250,7 +252,7 @@
 			}
 		}
 		if crowded := w.count.Crowded.Load(); crowded == 0 || served == 0 {
-			w.Errorf("%d declined for want of room, %d served", crowded, served)
+			w.Errorf("%d declined because the node holds too much, %d served", crowded, served)
 		}
 	})
 }
@@ -273,22 +275,22 @@
 	})
 }
 
-// Danger: a machine that has vanished takes no bytes and says nothing; its part must run at the peer in time, and
-// the next query's must not wait there again.
+// Danger: a machine that has vanished accepts no bytes and answers nothing. Its part must run at the peer in time, and
+// the part of the next query must not wait there again.
 func TestReplicaVanishes(t *testing.T) {
 	runNode(t, asIs, value, func(w *fixture) {
-		w.listeners = append(w.listeners, w.network.Listen("r:0")) // nobody accepts there any more
-		for i, most := range []time.Duration{time.Second, 100 * time.Millisecond} {
+		w.listeners = append(w.listeners, w.network.Listen("r:0")) // nothing accepts connections there any more
+		for i, limit := range []time.Duration{time.Second, 100 * time.Millisecond} {
 			id, began := fmt.Sprint("q", i), time.Now()
 			got := w.serve(w.Context(), id, 3*time.Second)
-			if !strings.HasPrefix(got, fmt.Sprintf("0 [{0 %[1]s.0text} {1 %[1]s.1text}]", id)) || time.Since(began) > most {
-				w.Errorf("the query %s got %q", id, got)
+			if !strings.HasPrefix(got, fmt.Sprintf("0 [{0 %[1]s.0text} {1 %[1]s.1text}]", id)) || time.Since(began) > limit {
+				w.Errorf("query %s: got %q after %v", id, got, time.Since(began))
 			}
 		}
 	})
 }
 
-// What was known from an earlier life serves until discovery speaks; where it must be asked it is.
+// A list saved by an earlier process is used until discovery answers, and the list is requested where that is required.
 func TestAskedList(t *testing.T) {
 	runNode(t, func(p *Options) {
 		p.Deployment.AsksForList, p.Deployment.AskWithin = true, 10e9
@@ -297,12 +299,12 @@
 		time.Sleep(10 * time.Millisecond)
 		w.expect(w.serve(w.Context(), "q", 2*time.Second), "0 [{0 q.0text} {1 q.1text}] 0 after 50ms")
 		if w.count.ListNews.Load() < 2 || w.count.ListFailures.Load() != 0 {
-			w.Errorf("%d answers, %d failures", w.count.ListNews.Load(), w.count.ListFailures.Load())
+			w.Errorf("%d list updates, %d failures", w.count.ListNews.Load(), w.count.ListFailures.Load())
 		}
 	})
 }
 
-// Danger: where replicas are replaced all day, what is kept of each would grow for as long as the process runs.
+// Danger: if replicas are replaced all day, the state kept of each would grow as long as the process runs.
 func TestReplicasReplaced(t *testing.T) {
 	runNode(t, asIs, value, func(w *fixture) {
 		for i := 2; i < 40; i++ {
@@ -317,15 +319,15 @@
 			w.discovery.Change(listed(i-2, "left"))
 			time.Sleep(2 * sweepInterval)
 		}
-		w.discovery.Change(listed(100, "left")) // nobody ever knew it
+		w.discovery.Change(listed(100, "left")) // it was never listed before
 		time.Sleep(10 * time.Millisecond)
 		if synctest.Wait(); len(w.hosts) > 4 || len(w.indices) != 2 || w.transport.OpenConnections() > 2 {
-			w.Errorf("%d indices, %d hosts and %d connections are kept", len(w.hosts), len(w.indices), w.transport.OpenConnections())
+			w.Errorf("%d hosts, %d indices and %d connections are kept", len(w.hosts), len(w.indices), w.transport.OpenConnections())
 		}
 	})
 }
 
-// A replica that dies with parts out is no end for the query.
+// A query is still answered if a replica dies while parts run there.
 func TestReplicaDies(t *testing.T) {
 	runNode(t, asIs, value, func(w *fixture) {
 		go func() {
@@ -336,23 +338,24 @@
 	})
 }
 
-// The module's times keep further from the clients' the later the loop is, but one stall is soon forgotten.
+// The later the loop is, the further the module's deadlines are moved ahead of the clients', but one stall is soon
+// forgotten.
 func TestLateLoop(t *testing.T) {
 	n := &Node{count: counters.New(nil)}
 	n.recordLateness(20e6)
 	n.recordLateness(1e6)
 	if n.lateness < 19e6 || n.lateness > 20e6 {
-		t.Errorf("%d ns late", n.lateness)
+		t.Errorf("lateness %d ns", n.lateness)
 	}
 	n.recordLateness(3e9)
 	if n.lateness != longDelay {
-		t.Errorf("after a stall %d ns late", n.lateness)
+		t.Errorf("lateness %d ns after a stall", n.lateness)
 	}
 	for range 10 * latenessDecay {
 		n.recordLateness(0)
 	}
 	if n.lateness > 1e6 {
-		t.Errorf("long after it %d ns late", n.lateness)
+		t.Errorf("lateness %d ns long after the stall", n.lateness)
 	}
 }
 
@@ -360,21 +363,21 @@
 	c := NewClock()
 	now, wall := c.Now(), time.Now().UnixMilli()
 	if d := c.FromUnixMilli(wall) - now; d < -2e6 || d > 1e9 || c.FromUnixMilli(0) != 0 || c.FromUnixMilli(wall-3_600_000) <= 0 {
-		t.Errorf("the present is %d ns off", d)
+		t.Errorf("the present time is converted with an error of %d ns", d)
 	}
 }
 
-// Danger: what comes right after a round, with less than a tick left, would be answered a round late.
+// Danger: a query that comes right after a round, with less than a tick left, would be answered a round too late.
 func TestNoRoundInTime(t *testing.T) {
 	runNode(t, asIs, value, func(w *fixture) {
 		first := make(chan string)
 		go func() { first <- w.serve(w.Context(), "q", time.Second) }()
-		synctest.Wait() // its round is now
+		synctest.Wait() // the round of the first query has just been
 		for _, left := range []time.Duration{time.Millisecond, 4 * time.Millisecond} {
 			began := time.Now()
 			w.expect(w.serve(w.Context(), fmt.Sprint(left), left), "2 [] 1000 after 0s")
 			if took := time.Since(began); took > left {
-				w.Errorf("answered after %v, its client had %v", took, left)
+				w.Errorf("answered after %v, although the client waits %v", took, left)
 			}
 		}
 		w.expect(<-first, "0 [{0 q.0text} {1 q.1text}] 0 after 50ms")
--- a/node/relay.go
+++ b/node/relay.go
@@ -2,20 +2,20 @@
 
 import "willowsill/balance"
 
-// Answer is what a client gets, once.
+// Answer is the one answer to a query.
 type Answer struct {
 	Outcome    balance.Outcome
-	Values     []Value // Whole and Partial
-	RetryAfter int64   // Declined: how long the client ought to wait, ns; 0 for no advice
+	Values     []Value // of a Whole or Partial answer
+	RetryAfter int64   // wait advised to the client of a Declined query, ns; 0 for none
 }
 
-// Value is a part's, as a replica gave it.
+// Value is the value of one part, as a replica returned it.
 type Value struct {
 	Shard int
 	Value string
 }
 
-// relay hands the module's ending of a query to its front.
+// relay sends the answer of the module to the caller of Serve, and ends the query.
 func (n *Node) relay(e balance.Ending) {
 	q := n.queries[e.Query]
 	count := n.rows[q.Workload]
--- a/node/results.go
+++ b/node/results.go
@@ -10,19 +10,19 @@
 	"willowsill/transport/discovery"
 )
 
-// pendingResult is one that came up while a round was carried out; the module hears of it afterwards.
+// pendingResult is a result that arose during a round; the module is told after the round.
 type pendingResult struct {
 	execution *execution
 	result    balance.Result
 }
 
-// endLater ends an execution now and tells the module after the round.
+// endLater ends an execution now and queues its result for recordPending.
 func (n *Node) endLater(e *execution, result balance.Result) {
 	e.ended = true
 	n.pendingResults = append(n.pendingResults, pendingResult{e, result})
 }
 
-// recordPending books what has come up meanwhile.
+// recordPending records the results that are queued in pendingResults.
 func (n *Node) recordPending() {
 	now := n.Now()
 	for _, o := range n.pendingResults {
@@ -31,7 +31,7 @@
 	n.pendingResults = n.pendingResults[:0]
 }
 
-// handleTransport books what the carrier had to tell.
+// handleTransport lets the transport handle its event and records the results that it reports.
 func (n *Node) handleTransport(now int64, v transportEvent) {
 	reports, err := n.transport.Handle(v.payload)
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// endOverdue drops the executions whose time is up.
+// endOverdue ends the executions whose deadline has passed.
 func (n *Node) endOverdue(now int64) {
 	for n.deadlines.next() <= now {
 		n.abandon(n.deadlines[0], balance.TimedOut, false)
@@ -54,7 +54,7 @@
 	n.recordPending()
 }
 
-// recordResult tells the module how an execution ended, once.
+// recordResult reports the end of an execution to the module and the observers. It is called once for each.
 func (n *Node) recordResult(now int64, e *execution, result balance.Result, at int64) {
 	e.ended = true
 	delete(n.running, e.ticket)
@@ -81,7 +81,7 @@
 	}[result].Add(1)
 }
 
-// assignIndex gives a new host an index.
+// assignIndex assigns a free index to a new host.
 func (n *Node) assignIndex(name string) int {
 	i := slices.IndexFunc(n.hosts, func(h host) bool { return h.name == "" })
 	if i < 0 {
@@ -92,9 +92,9 @@
 	return i
 }
 
-// freeIndices gives back the indices of replicas that are off the list, once nothing is out there.
+// freeIndices frees the indices of replicas that are no longer listed, once nothing is under way there.
 //
-// Danger: where replicas are replaced all day, all that is kept of each would grow for as long as the process runs.
+// Danger: if replicas are replaced all day, the state kept of each would grow as long as the process runs.
 func (n *Node) freeIndices() {
 	for i, h := range n.hosts {
 		if h.gone && h.name != "" && n.transport.Drained(i) {
@@ -104,8 +104,8 @@
 	}
 }
 
-// applyList books what discovery said; live is false for the list remembered from an earlier life. A replica
-// is known by its host: the address it is dialled at may differ and change.
+// applyList applies an update of the list; live is false for a list that an earlier process saved. A replica is
+// identified by its host, for the address at which it is dialled may differ and change.
 func (n *Node) applyList(now int64, news discovery.News, live bool) {
 	for _, err := range news.Oddities {
 		n.count.ListOddities.Add(1)
@@ -124,13 +124,13 @@
 	whole := news.Whole || !live
 	if whole {
 		for i := range n.hosts {
-			n.hosts[i].gone, n.hosts[i].up = true, false // unless it is named
+			n.hosts[i].gone, n.hosts[i].up = true, false // until its entry below says otherwise
 		}
 	}
 	listings := make([]balance.Listing, 0, len(news.Entries))
 	for _, e := range news.Entries {
 		i, known := n.indices[e.Host]
-		if !known && e.Standing == balance.Gone { // nothing was ever known of it
+		if !known && e.Standing == balance.Gone { // it was never known here
 			continue
 		}
 		if !known {
@@ -141,7 +141,7 @@
 		if e.Standing != balance.Gone {
 			h.startedMs, h.zone = e.Born, e.Zone
 		}
-		if !known || e.Dial != "" { // one that has left may come without its address
+		if !known || e.Dial != "" { // the entry of one that has left may lack the address
 			n.transport.SetAddress(i, e.Dial)
 		}
 		if n.zoneHealth != nil && h.up {
--- a/node/retries.go
+++ b/node/retries.go
@@ -2,35 +2,34 @@
 
 import "context"
 
-// RetryUse is what a node has used of its further executions in the span that they are counted over, in the budget of
-// which it has used most.
+// RetryUse is what a node has used, within the retry window, of the retry budget of which it has used most.
 type RetryUse struct {
-	Slack float64 // beyond the share of what was handed over; below 0 where that share is not used up
-	Any   bool    // there was one at all
+	Slack float64 // retries beyond the ratio of what was handed over; below 0 if that is not used up
+	Any   bool    // there was a retry in the window
 }
 
-// retryUseRequest asks for it.
-type retryUseRequest struct{ reply chan RetryUse } // has room for one
+// retryUseRequest asks the loop for the current RetryUse; reply is buffered for one.
+type retryUseRequest struct{ reply chan RetryUse }
 
-// RetriesUsed returns what is used now, after all that was given to Serving before took effect; false where the node has
-// no time for that.
+// RetriesUsed returns the current use, with all workload sets applied that were set before; false if the loop is
+// too busy to answer.
 func (n *Node) RetriesUsed(ctx context.Context) (used RetryUse, ok bool) {
 	asked := retryUseRequest{make(chan RetryUse, 1)}
 	return request(ctx, n, asked, asked.reply)
 }
 
-// retryUse looks at the budgets in which there was a further execution of late.
+// retryUse compares the budgets that had a retry within the window.
 //
-// Danger: each of them has the same limit. A limit that is lowered by what one has left would be below what another has
-// used already.
+// Danger: all budgets have the same limit. If it were lowered by what one budget has left, it would be below what
+// another has already used.
 func (n *Node) retryUse(now int64) (used RetryUse) {
 	for budget, last := range n.lastRetryAt {
 		if now-last >= n.RetryWindow {
 			delete(n.lastRetryAt, budget)
 			continue
 		}
-		if free := n.agg.SlackUsed(now, budget); !used.Any || free > used.Slack {
-			used = RetryUse{free, true}
+		if slack := n.agg.SlackUsed(now, budget); !used.Any || slack > used.Slack {
+			used = RetryUse{slack, true}
 		}
 	}
 	return used
--- a/node/retries_test.go
+++ b/node/retries_test.go
@@ -10,7 +10,8 @@
 	"willowsill/transport/replica"
 )
 
-// What is used is that of the budget with the most of it, whichever shard it is of, and is forgotten after its span.
+// The reported use is that of the budget with the highest use, whichever shard it belongs to, and it expires after the
+// retry window.
 func TestFurtherUsed(t *testing.T) {
 	sent := 0
 	failsOnce := func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
--- a/node/round.go
+++ b/node/round.go
@@ -1,6 +1,6 @@
 package node
 
-// round lets the module decide and carries out what it asks for, in its order.
+// round lets the module decide and carries out the actions in the order that it requires.
 func (n *Node) round(now int64) {
 	n.changed, n.lastRound = false, now
 	n.count.Rounds.Add(1)
--- a/node/schedule.go
+++ b/node/schedule.go
@@ -6,29 +6,29 @@
 	"willowsill/decide/overload"
 )
 
-// Schedule is when rounds come where they do not wait for the tick, and what is told of the process's own lateness. The loop
-// owns it once it was handed over.
+// Schedule allows rounds before the next tick and receives measurements of the lateness of the process. The loop
+// owns it once it is set.
 type Schedule struct {
-	Pace          *overload.Pacer // nil for a round each tick
-	OnWait        func(ns int64)
-	OnStall       func(ns int64)
+	Pace          *overload.Pacer // nil for at most one round a tick
+	OnWait        func(ns int64)  // called with the time that a query waited for the loop
+	OnStall       func(ns int64)  // called with each time that the process stood still
 	stallDetector overload.StallDetector
 }
 
-type scheduleChange struct{ rhythm *Schedule }
+type scheduleChange struct{ schedule *Schedule }
 
-// SetSchedule has the loop follow a rhythm from now on, or none.
-func (n *Node) SetSchedule(r *Schedule) {
+// SetSchedule sets the schedule of the rounds; nil for at most one round a tick.
+func (n *Node) SetSchedule(s *Schedule) {
 	select {
-	case n.events <- event{n.Now(), scheduleChange{r}}:
+	case n.events <- event{n.Now(), scheduleChange{s}}:
 	case <-n.done:
 	}
 }
 
-// QueueFill is the share of the loop's queue that is full.
+// QueueFill is the share of the queue of the loop that is full.
 func (n *Node) QueueFill() float64 { return float64(len(n.events)) / queueLength }
 
-// roundGap is how long after one round the next may come.
+// roundGap is the least time between two rounds, ns.
 func (n *Node) roundGap() int64 {
 	if n.schedule == nil || n.schedule.Pace == nil {
 		return n.Tick
@@ -36,9 +36,9 @@
 	return n.schedule.Pace.Gap()
 }
 
-// yieldAndDrain has goroutines that are ready run before the round, and takes in what they bring: a round for many facts costs hardly
-// more than one for a single fact. Where nobody else is ready it costs nothing, and nothing waits; a timer would wake
-// the loop a millisecond late.
+// yieldAndDrain lets goroutines that are ready run before the round and handles the events that they bring, for
+// a round costs little more for many events than for one. If no goroutine is ready this costs nothing. Waiting
+// with a timer instead would wake the loop a millisecond late.
 func (n *Node) yieldAndDrain() {
 	if n.schedule == nil || n.schedule.Pace == nil {
 		return
@@ -51,17 +51,17 @@
 	}
 }
 
-// recordRound notes what a round cost that began at a time.
+// recordRound tells the pacer what a round cost that began at the given time.
 func (n *Node) recordRound(began int64) {
 	if n.schedule != nil && n.schedule.Pace != nil {
 		n.schedule.Pace.RecordRound(n.Now() - began)
 	}
 }
 
-// recordWake is called as the loop comes round, and returns when.
+// recordWake is called when the loop wakes up; it records a stall and returns the time.
 //
-// Danger: what waited in the machine while the process stood comes in only now. Were it booked first, or overdue executions
-// looked at, replicas would be blamed for it.
+// Danger: events that waited in the machine while the process stood still are read only now. If they or overdue
+// executions were handled before the stall is recorded, replicas would be blamed for it.
 func (n *Node) recordWake() int64 {
 	if n.schedule == nil {
 		return 0
@@ -71,13 +71,14 @@
 	return now
 }
 
-// prepareSleep is called before the loop waits until next, and returns until when it may.
+// prepareSleep is called before the loop sleeps until next. It records a stall since woken, and returns next or an
+// earlier time that the stall detector needs.
 func (n *Node) prepareSleep(next, woken int64) int64 {
 	if n.schedule == nil || woken == 0 {
 		return next
 	}
-	stood, wake := n.schedule.stallDetector.Sleep(n.Now(), woken, len(n.running) > 0)
-	n.recordStall(stood)
+	stall, wake := n.schedule.stallDetector.Sleep(n.Now(), woken, len(n.running) > 0)
+	n.recordStall(stall)
 	if wake > 0 {
 		next = min(next, wake)
 	}
--- a/node/send.go
+++ b/node/send.go
@@ -9,19 +9,20 @@
 	"willowsill/transport/replica"
 )
 
-// execution is one run of a part at a replica, numbered from 0.
+// execution is one run of a part at a replica.
 type execution struct {
 	query        *query
-	part, number int
+	part, number int // index of the part; number of the execution of this part, from 0
 	replica      int
 	sentAt       int64
 	deadline     int64
 	ticket       *replica.Ticket
 	ended        bool
-	observed     string // the replica's host, where the observer wants to hear of the end
+	observed     string // host of the replica, if the observer wants to be notified of the end
 }
 
-// responseTime is the time, ns, that the replica took: how long a connection takes to open says nothing of it. 0 where none was up.
+// responseTime is the time from when its connection was established, ns, for the time to connect says nothing about
+// the replica; 0 if it never was.
 func (e *execution) responseTime(at int64) int64 {
 	connected := e.ticket.Connected.Load()
 	if connected == 0 {
@@ -30,10 +31,10 @@
 	return max(at-connected, 1)
 }
 
-const waitUnit = 1e6 // ns: replicas are told in whole ms how long a part is waited for
+// waitUnit is a millisecond in ns, the unit in which replicas are told how long a part may take.
+const waitUnit = 1e6
 
-// send starts executions. What goes to the same replica in one round travels in calls of as many parts as
-// the deployment allows.
+// send starts executions. Parts for the same replica in one round share calls, each of up to PartsPerCall parts.
 func (n *Node) send(now int64, sends []balance.Send) {
 	type call struct {
 		replica int
@@ -44,8 +45,7 @@
 	for _, s := range sends {
 		q := n.queries[s.Query]
 		e := &execution{query: q, part: s.Part, number: len(q.executions[s.Part]), replica: s.Replica, sentAt: now, deadline: s.Deadline}
-		// The replica is told less than the true wait, so that it takes the part for given up no later than
-		// this side does.
+		// Rounding down makes the replica give the part up no later than this side does.
 		wait := (s.Deadline - now) / waitUnit
 		shard := q.Parts[s.Part].Shard
 		e.ticket = &replica.Ticket{Part: replica.Part{ID: q.ID + "." + strconv.Itoa(shard), Shard: shard,
@@ -78,13 +78,13 @@
 			n.observeSent(c.replica, c.tickets)
 			continue
 		}
-		for _, t := range c.tickets { // no descriptor left for a connection
+		for _, t := range c.tickets { // the limit of descriptors left none for a connection
 			n.endLater(n.running[t], balance.ConnectFailed)
 		}
 	}
 }
 
-// observeSent tells the observer what went to a replica.
+// observeSent notifies the observer of parts that were sent to a replica.
 func (n *Node) observeSent(to int, tickets []*replica.Ticket) {
 	if n.observer == nil {
 		return
@@ -96,14 +96,15 @@
 	}
 }
 
-// cancel carries out one cancel of the module.
+// cancel carries out a Cancel of the module.
 func (n *Node) cancel(c balance.Cancel) {
 	if e := n.queries[c.Query].executions[c.Part][c.Execution]; !e.ended {
 		n.abandon(e, balance.Cancelled, true)
 	}
 }
 
-// abandon ends the wait for an execution that is out. One that never left proves that it did not run.
+// abandon ends the wait for an execution. If it was never sent, its result is Unsent, which proves that it did
+// not run. With tell the replica is notified.
 func (n *Node) abandon(e *execution, result balance.Result, tell bool) {
 	if unsent := n.transport.Abandon(e.ticket, tell); unsent {
 		result = balance.Unsent
@@ -111,7 +112,7 @@
 	n.endLater(e, result)
 }
 
-// deadlineHeap holds the executions that are out by when they are dropped, soonest first.
+// deadlineHeap is a heap of executions by deadline, earliest first.
 type deadlineHeap []*execution
 
 func (c deadlineHeap) Len() int           { return len(c) }
@@ -126,7 +127,7 @@
 	return e
 }
 
-// next is when the next execution is to be dropped; those that are over are let go on the way.
+// next is the earliest deadline of an execution that has not ended. It removes those that have.
 func (c *deadlineHeap) next() int64 {
 	for len(*c) > 0 && (*c)[0].ended {
 		heap.Pop(c)
--- a/node/share.go
+++ b/node/share.go
@@ -6,33 +6,32 @@
 	"willowsill/decide/sharedhealth"
 )
 
-// What an aggregator shares with others goes through the same bounded queue as all facts. It is asked for and handed
-// over by store.Client, and is the first to be dropped.
+// sharingQueueLimit is the queue length from which events of sharing are dropped. store.Client exchanges findings and
+// quotas with other aggregators through the same bounded queue as all events, and these are the first to be dropped.
+const sharingQueueLimit = queueLength / 8
 
-const sharingQueueLimit = queueLength / 8 // facts that wait: beyond that nothing is shared
-
-// shared is what the loop keeps for what is shared.
+// shared is the state that the loop keeps for sharing with other aggregators.
 type shared struct {
 	tokens        *sharedhealth.QuotaBudget
-	quotas        map[string]int // by customer
-	listVersion   int            // rises with every news of the list
-	surveyVersion int            // the list's number at the last survey
+	quotas        map[string]int // index of the quota, by customer
+	listVersion   int            // rises with every update of the list
+	surveyVersion int            // listVersion at the last survey
 }
 
 type (
-	surveyRequest struct{ reply chan sharedhealth.Survey } // has room for one
+	surveyRequest struct{ reply chan sharedhealth.Survey } // reply is buffered for one
 	sharedUpdate  struct{ sharedhealth.RoundResult }
 	sharingChange struct{ shared *shared }
 )
 
-// listChanged has words on replicas that were known before passed over: an index may stand for another now.
+// listChanged invalidates reports that are based on earlier surveys: an index may stand for another replica now.
 func (s *shared) listChanged() {
 	if s != nil {
 		s.listVersion++
 	}
 }
 
-// SetSharing begins to share, with these quotas, or ends it.
+// SetSharing starts sharing, with the given quotas, or ends it.
 func (n *Node) SetSharing(on bool, quotas []sharedhealth.Quota) {
 	var s *shared
 	if on {
@@ -49,45 +48,45 @@
 
 func (n *Node) setSharing(v sharingChange) { n.shared = v.shared }
 
-// tryEnqueue puts a fact in the queue where there is plenty of room. Danger: what others say must never keep out what
-// replicas and clients say.
-func (n *Node) tryEnqueue(what any) bool {
+// tryEnqueue queues an event if the queue is short. Danger: events of sharing must never keep out events of
+// replicas and clients.
+func (n *Node) tryEnqueue(payload any) bool {
 	if len(n.events) >= sharingQueueLimit {
 		return false
 	}
 	select {
-	case n.events <- event{n.Now(), what}:
+	case n.events <- event{n.Now(), payload}:
 		return true
 	default:
 		return false
 	}
 }
 
-// request puts a question to the loop and waits for the answer; false where the loop has no time for it, or closes the reply
-// without one.
-func request[T any](ctx context.Context, n *Node, question any, reply <-chan T) (answer T, ok bool) {
-	if !n.tryEnqueue(question) {
-		return answer, false
+// request queues a request to the loop and waits for the reply; false if the loop is too busy or closes the reply
+// channel without a reply.
+func request[T any](ctx context.Context, n *Node, payload any, reply <-chan T) (value T, ok bool) {
+	if !n.tryEnqueue(payload) {
+		return value, false
 	}
 	select {
-	case answer, ok = <-reply:
-		return answer, ok
+	case value, ok = <-reply:
+		return value, ok
 	case <-n.done:
 	case <-ctx.Done():
 	}
-	return answer, false
+	return value, false
 }
 
-// Survey asks what the aggregator knows now; false where it has no time for that, or shares nothing.
+// Survey returns what the aggregator currently knows; false if the loop is too busy or sharing is off.
 func (n *Node) Survey(ctx context.Context) (sharedhealth.Survey, bool) {
 	reply := make(chan sharedhealth.Survey, 1)
 	return request(ctx, n, surveyRequest{reply}, reply)
 }
 
-// ApplyShared hands over what was decided on what is shared; it is dropped where the node is crowded.
+// ApplyShared queues the result of a sharing round; it is dropped if the loop is too busy.
 func (n *Node) ApplyShared(a sharedhealth.RoundResult) { n.tryEnqueue(sharedUpdate{a}) }
 
-// answerSurvey answers Consult.
+// answerSurvey replies to Survey.
 func (n *Node) answerSurvey(now int64, v surveyRequest) {
 	defer close(v.reply)
 	if n.shared == nil {
@@ -104,7 +103,7 @@
 	v.reply <- s
 }
 
-// applyShared carries out what was decided on what is shared.
+// applyShared applies the quotas of a sharing round, and its reports unless the list has changed since the survey.
 func (n *Node) applyShared(now int64, v sharedUpdate) {
 	if n.shared == nil {
 		return
@@ -113,15 +112,15 @@
 	if n.shared.surveyVersion != n.shared.listVersion {
 		return
 	}
-	for _, w := range v.Reports {
+	for _, report := range v.Reports {
 		if n.zoneHealth != nil {
-			w = n.zoneHealth.MergeZoneState(w)
+			report = n.zoneHealth.MergeZoneState(report)
 		}
-		n.agg.ApplyReport(now, w)
+		n.agg.ApplyReport(now, report)
 	}
 }
 
-// overQuota tells whether a customer is over its quota, as far as is known here.
+// overQuota takes a token of the customer and tells whether none was left, as far as is known here.
 func (n *Node) overQuota(now int64, customer string) bool {
 	if n.shared == nil {
 		return false
--- a/node/share_test.go
+++ b/node/share_test.go
@@ -11,11 +11,12 @@
 	"willowsill/transport/replica"
 )
 
-// What is shared reaches the module and the purse through the loop; with nothing shared, nobody is asked.
+// Shared quotas reach the token budgets through the loop. While sharing is off, a survey fails and no customer is over
+// quota.
 func TestShare(t *testing.T) {
 	runNode(t, asIs, value, func(w *fixture) {
 		if _, ok := w.Survey(w.Context()); ok || w.overQuota(w.Now(), "acme") {
-			w.Error("with nothing shared something was told")
+			w.Error("a survey or a quota was in effect while sharing is off")
 		}
 		w.SetSharing(true, []sharedhealth.Quota{{Customer: "acme", Rate: 40}})
 		s, ok := w.Survey(w.Context())
@@ -37,7 +38,7 @@
 		ask("d", "unknown")
 		ask("e", "")
 		if over := w.count.Workloads["lookup"].Over.Load(); over != 1 {
-			w.Errorf("%d of three queries with two tokens are over the quota", over)
+			w.Errorf("%d of three queries with two tokens are over quota", over)
 		}
 		if s, _ := w.Survey(w.Context()); s.Demand[0] != 3 || s.TokensLeft[0] != 0 {
 			w.Errorf("%+v", s)
@@ -45,12 +46,12 @@
 		w.SetSharing(false, nil)
 		synctest.Wait()
 		if w.shared != nil {
-			w.Error("it is still shared")
+			w.Error("sharing is still on")
 		}
 	})
 }
 
-// Words reach the replica they are on, and none that has taken its index meanwhile.
+// Shared reports are applied to the replica that they are about, never to another one that has got its index since.
 func TestWords(t *testing.T) {
 	var asked []string
 	runNode(t, func(p *Options) { p.Deployment.Shards, p.Deployment.Workloads[0].FullCoverage = 2, 1 },
@@ -60,8 +61,8 @@
 		}, func(w *fixture) {
 			w.SetSharing(true, nil)
 			w.Survey(w.Context())
-			word := balance.SharedReport{Replica: 0, Expires: w.Now() + 60e9, Suspect: true, Slowdown: 8, Weight: 4}
-			w.ApplyShared(sharedhealth.RoundResult{Reports: []balance.SharedReport{word}})
+			report := balance.SharedReport{Replica: 0, Expires: w.Now() + 60e9, Suspect: true, Slowdown: 8, Weight: 4}
+			w.ApplyShared(sharedhealth.RoundResult{Reports: []balance.SharedReport{report}})
 			synctest.Wait()
 			if got := w.agg.Findings(w.Now(), nil); len(got) != 2 {
 				w.Fatalf("%+v", got)
@@ -70,21 +71,21 @@
 			w.discovery.Change(listed(0, "left"))
 			time.Sleep(10 * time.Millisecond)
 			if synctest.Wait(); w.shared.surveyVersion == w.shared.listVersion {
-				w.Error("words that were weighed for an older list would still count")
+				w.Error("reports that are based on an older list would still be applied")
 			}
 		})
 }
 
-// Danger: what others say must never keep out what replicas and clients say.
+// Danger: events of sharing must never keep out events of replicas and clients.
 func TestOfferedLast(t *testing.T) {
 	n := &Node{Clock: NewClock(), events: make(chan event, queueLength), done: make(chan struct{})}
 	for range sharingQueueLimit {
 		n.events <- event{}
 	}
 	if _, ok := n.Survey(t.Context()); ok || n.tryEnqueue(sharedUpdate{}) {
-		t.Error("a crowded queue took what is shared")
+		t.Error("an event of sharing entered a long queue")
 	}
 	if len(n.events) != sharingQueueLimit {
-		t.Errorf("%d facts wait", len(n.events))
+		t.Errorf("%d events wait", len(n.events))
 	}
 }
--- a/node/transport.go
+++ b/node/transport.go
@@ -2,27 +2,27 @@
 
 import "willowsill/transport/replica"
 
-// Transport takes parts to replicas and brings back what became of them. Its methods are for the loop alone; what its
-// goroutines have to tell comes through the loop's queue to Note. A ticket's end is seen just once: Note reports it, or
-// the loop gives it up.
+// Transport sends parts to replicas and reports how they ended. Only the loop calls it; its goroutines send their
+// events through the queue of the loop to Handle. The end of a ticket is seen once: either Handle reports it, or
+// Withdraw or Abandon returns it to the loop.
 type Transport interface {
-	SetAddress(replica int, dial string)              // where a replica is reached from now on
-	Retire(replica int)                               // nothing new goes there
-	Drained(replica int) bool                         // nothing is out there, and nothing held
-	Send(replica int, tickets []*replica.Ticket) bool // false without room
-	Withdraw(t *replica.Ticket) bool                  // true where it never left, and never will
-	Abandon(t *replica.Ticket, tell bool) bool        // the same, and else the wait for it ends
-	CloseIdle(replica int)                            // idle connections are given back
-	Handle(v any) (ended []replica.Report, trouble error)
-	Sweep()
+	SetAddress(replica int, dial string)                  // sets the address of a replica for new connections
+	Retire(replica int)                                   // sends nothing new there
+	Drained(replica int) bool                             // no execution is under way there and no connection is left
+	Send(replica int, tickets []*replica.Ticket) bool     // false if there is no capacity for a connection
+	Withdraw(t *replica.Ticket) bool                      // true if the part was not sent, and never will be
+	Abandon(t *replica.Ticket, tell bool) bool            // like Withdraw, but a part that was sent is abandoned
+	CloseIdle(replica int)                                // closes idle connections
+	Handle(v any) (ended []replica.Report, trouble error) // handles an event of its own goroutines
+	Sweep()                                               // closes connections that were idle for too long
 	Close()
 	OpenConnections() int // connections that have not ended
 }
 
-// transportEvent is what a carrier has to tell.
+// transportEvent carries an event of a transport to its Handle.
 type transportEvent struct{ payload any }
 
-// frameTransport carries parts in frames, as the platform's replicas take them.
+// frameTransport sends parts in framed messages, the protocol of the platform's replicas.
 type frameTransport struct{ *replica.Pool }
 
 func (f frameTransport) Handle(v any) ([]replica.Report, error) {
--- a/node/workloads.go
+++ b/node/workloads.go
@@ -5,17 +5,17 @@
 	"willowsill/internal/counters"
 )
 
-// WorkloadSet is what a node serves from a moment on, where that may change in its life.
+// WorkloadSet is the set of workloads that a node serves, and its share of the retry budgets.
 type WorkloadSet struct {
-	Workloads  []balance.Workload   // by row; rows are added and never taken away
-	Counters   []*counters.Workload // of the same length
-	RetrySlack float64              // this co-ordinator's share of the free further executions of each budget
+	Workloads  []balance.Workload   // by row; rows may be added but never removed
+	Counters   []*counters.Workload // by row, one for each workload
+	RetrySlack float64              // this proxy's share of the retry slack of each budget
 }
 
 type workloadsChange struct{ WorkloadSet }
 
-// Serving has the loop serve this from now on. A query handed over afterwards may name the new rows.
-func (n *Node) Serving(s WorkloadSet) {
+// SetWorkloads replaces the workloads. Queries that are handed over afterwards may use the new rows.
+func (n *Node) SetWorkloads(s WorkloadSet) {
 	select {
 	case n.events <- event{n.Now(), workloadsChange{s}}:
 	case <-n.done:
--- a/node/zones.go
+++ b/node/zones.go
@@ -10,48 +10,48 @@
 
 type zonesChange struct{ zoneHealth *zonehealth.Tracker }
 
-// WatchZones has the loop know zones that are out of reach from now on, by a decider that it owns once it was handed over, or no
-// longer with nil.
-func (n *Node) WatchZones(r *zonehealth.Tracker) {
+// WatchZones makes the loop watch for unreachable zones with the given tracker, which it then owns; nil ends the
+// watch.
+func (n *Node) WatchZones(tracker *zonehealth.Tracker) {
 	select {
-	case n.events <- event{n.Now(), zonesChange{r}}:
+	case n.events <- event{n.Now(), zonesChange{tracker}}:
 	case <-n.done:
 	}
 }
 
-func (n *Node) watchZones(now int64, r *zonehealth.Tracker) {
+func (n *Node) watchZones(now int64, tracker *zonehealth.Tracker) {
 	if n.zoneHealth != nil {
 		n.reports = n.zoneHealth.ReleaseAll(now, n.reports[:0])
 		n.applyZoneReports(now)
 	}
-	if n.zoneHealth = r; r == nil {
+	if n.zoneHealth = tracker; tracker == nil {
 		n.reports, n.unreachable = nil, nil
 		n.count.Zones.Put(nil)
 		return
 	}
-	n.count.Zones.Put(r.Figures)
+	n.count.Zones.Put(tracker.Figures)
 	for i, h := range n.hosts {
 		if h.name != "" && h.up {
-			r.ReplicaListed(i, h.zone, true)
+			tracker.ReplicaListed(i, h.zone, true)
 		}
 	}
 }
 
-// checkZones has the zone health tracker decide, and the module hear of it.
+// checkZones runs the zone tracker if it is due, applies its reports and logs changes.
 func (n *Node) checkZones(now int64) {
 	if n.zoneHealth == nil || now < n.zoneHealth.Next() {
 		return
 	}
 	n.reports = n.zoneHealth.Decide(now, n.reports[:0])
 	n.applyZoneReports(now)
-	if out := n.zoneHealth.UnreachableZones(nil); !slices.Equal(out, n.unreachable) {
-		n.log.Warn("zones out of reach", zap.Strings("zones", out), zap.Strings("before", n.unreachable))
-		n.unreachable = out
+	if unreachable := n.zoneHealth.UnreachableZones(nil); !slices.Equal(unreachable, n.unreachable) {
+		n.log.Warn("unreachable zones changed", zap.Strings("zones", unreachable), zap.Strings("before", n.unreachable))
+		n.unreachable = unreachable
 	}
 }
 
 func (n *Node) applyZoneReports(now int64) {
-	for _, w := range n.reports {
-		n.agg.ApplyReport(now, w)
+	for _, report := range n.reports {
+		n.agg.ApplyReport(now, report)
 	}
 }
--- a/node/zones_test.go
+++ b/node/zones_test.go
@@ -10,10 +10,11 @@
 	"willowsill/standin"
 )
 
-// A zone whose replicas refuse connections is found out by two of them and passed over; a try later it is back in.
+// A zone whose replicas refuse connections is recognised after two of them and then avoided. It is used again after a
+// trial that succeeds.
 func TestZones(t *testing.T) {
-	for _, on2 := range []bool{false, true} {
-		t.Run(fmt.Sprint("watched ", on2), func(t *testing.T) {
+	for _, watched := range []bool{false, true} {
+		t.Run(fmt.Sprint("watched ", watched), func(t *testing.T) {
 			runNode(t, asIs, value, func(w *fixture) {
 				host := func(i int, zone string) standin.Host {
 					h := listed(i, "active")
@@ -22,17 +23,17 @@
 				}
 				w.discovery.Change(host(0, "a"))
 				w.discovery.Change(host(1, "a"))
-				for i := range 8 { // nobody listens there
+				for i := range 8 { // nothing listens there
 					w.discovery.Change(host(2+i, "b"))
 				}
-				if on2 {
+				if watched {
 					w.WatchZones(zonehealth.New(zonehealth.Config{BaseEjection: 1e9, MinFailedReplicas: 2, Seed: 1}))
 				}
 				time.Sleep(10 * time.Millisecond)
 				refused := func() int64 { return w.count.Executions.ConnectFailed.Load() }
 				ask := func(name string, n int) {
 					for i := range n {
-						if got := w.serve(w.Context(), fmt.Sprint(name, i), 2*time.Second); got[0] != '0' && on2 {
+						if got := w.serve(w.Context(), fmt.Sprint(name, i), 2*time.Second); got[0] != '0' && watched {
 							w.Errorf("%s%d: %s", name, i, got)
 						}
 					}
@@ -40,25 +41,25 @@
 				ask("first", 2)
 				early := refused()
 				ask("more", 8)
-				if late := refused() - early; early < 2 || (late == 0) != on2 {
-					w.Errorf("refused %d times by the first queries and %d times by the next", early, late)
+				if late := refused() - early; early < 2 || (late == 0) != watched {
+					w.Errorf("%d connections were refused to the first queries and %d to the next", early, late)
 				}
-				if !on2 {
+				if !watched {
 					return
 				}
 				if w.zoneHealth.Figures.FoundUnreachable.Load() != 1 || len(w.unreachable) != 1 {
-					w.Errorf("found %d times, out of reach: %v", w.zoneHealth.Figures.FoundUnreachable.Load(), w.unreachable)
+					w.Errorf("found unreachable %d times, unreachable now: %v", w.zoneHealth.Figures.FoundUnreachable.Load(), w.unreachable)
 				}
 				for i := range 8 {
 					l := w.network.Listen(fmt.Sprint("r:", 2+i))
 					w.listeners = append(w.listeners, l)
 					go (&standin.Replica{Answer: value}).Serve(l)
 				}
-				time.Sleep(6 * time.Second) // the longest wait for a try
+				time.Sleep(6 * time.Second) // the longest wait for a trial
 				ask("back", 10)
 				synctest.Wait()
 				if w.zoneHealth.Figures.Recovered.Load() != 1 || len(w.unreachable) != 0 {
-					w.Errorf("back %d times, out of reach: %v", w.zoneHealth.Figures.Recovered.Load(), w.unreachable)
+					w.Errorf("found reachable again %d times, unreachable now: %v", w.zoneHealth.Figures.Recovered.Load(), w.unreachable)
 				}
 				w.WatchZones(nil)
 				ask("off", 2)
