--- a/balance/balance.go
+++ b/balance/balance.go
@@ -9,10 +9,10 @@
 const (
 	ms, never = 1_000_000, -1 // a millisecond in ns; "no time" where a time is kept
 
-	baseCost    = 2    // Base Reference Cost of every replica: the algorithm's stated default
-	maxCalls    = 32   // own calls in flight at one replica: the algorithm's stated default
+	baseCost    = 2 // Base Reference Cost of each replica: default of the Running Execution Cost algorithm
+	maxCalls    = 32   // own calls in flight at one replica: the algorithm's default
 	maxCost     = 127  // maxCalls * baseCost must stay within it: a requirement of the algorithm
-	waitDivisor = 10   // a part waits for a replica for at most its time budget / this, as the design states
+	waitDivisor = 10 // longest wait of a part for a free replica: its query's time / this, as in the design
 	epsilon     = 1e-6 // tolerance for sums of weights, which make 1 but for rounding
 	marginTicks = 3    // ticks kept free before a goal or a deadline, for the way back and a late round
 
@@ -94,8 +94,8 @@
 	return a
 }
 
-// SetWorkloads replaces the terms of the workloads and may add rows; what was learnt of a row stays. Danger:
-// a row may pass to another route, whose terms could let a once-only query that is under way run again.
+// SetWorkloads replaces the terms of the workloads and may add rows; what was learnt of a row is kept.
+// Danger: a row may pass to another route, whose terms could let a once-only query under way run again.
 func (a *Aggregator) SetWorkloads(now int64, workloads []Workload) {
 	a.Workloads, a.minGoal = workloads, math.MaxInt64
 	for i, w := range workloads {
--- a/node/send.go
+++ b/node/send.go
@@ -78,7 +78,7 @@
 			n.observeSent(c.replica, c.tickets)
 			continue
 		}
-		for _, t := range c.tickets { // the limit of descriptors left none for a connection
+		for _, t := range c.tickets { // no file descriptor was left for a connection
 			n.endLater(n.running[t], balance.ConnectFailed)
 		}
 	}
