--- a/balance/balance.go
+++ b/balance/balance.go
@@ -9,10 +9,10 @@
 const (
 	ms, never = 1_000_000, -1 // a millisecond in ns; "no time" where a time is kept
 
-	baseCost    = 2 // Base Reference Cost of each replica: default of the Running Execution Cost algorithm
+	baseCost    = 2    // Base Reference Cost of each replica: default of the Running Execution Cost algorithm
 	maxCalls    = 32   // own calls in flight at one replica: the algorithm's default
 	maxCost     = 127  // maxCalls * baseCost must stay within it: a requirement of the algorithm
-	waitDivisor = 10 // longest wait of a part for a free replica: its query's time / this, as in the design
+	waitDivisor = 10   // longest wait of a part for a free replica: its query's time / this, as in the design
 	epsilon     = 1e-6 // tolerance for sums of weights, which make 1 but for rounding
 	marginTicks = 3    // ticks kept free before a goal or a deadline, for the way back and a late round
 
