--- a/decide/lending/account.go
+++ b/decide/lending/account.go
@@ -1,92 +1,92 @@
 package lending
 
-// Account is an edge's account. It is not safe for concurrent use.
+// Account tracks what an edge owns, lends and borrows. It is not safe for concurrent use.
 type Account struct {
-	terms     Timing
+	timing    Timing
 	startedAt int64
 	own       float64
-	lent      []amount // until it is taken back
-	reserved  float64  // of a loan that is not told yet
-	borrowed  []amount
+	lent      []amount // lent to others, until the time at which it is taken back
+	reserved  float64  // amount of a loan that is prepared but not sent yet
+	borrowed  []amount // borrowed from others
 	requests  sentRequests
-	pending   *receivedRequest // the newest want that came, nil once it is answered
+	pending   *receivedRequest // newest received request; nil if there is none or it is answered
 }
 
-// NewAccount makes the account of an edge that starts now.
-func NewAccount(now int64, t Timing) *Account { return &Account{terms: t, startedAt: now} }
+// NewAccount returns the account of an edge that starts now.
+func NewAccount(now int64, timing Timing) *Account { return &Account{timing: timing, startedAt: now} }
 
-// SetShare tells how much the edge owns.
-func (h *Account) SetShare(own float64) { h.own = own }
+// SetShare sets how much the edge owns.
+func (a *Account) SetShare(own float64) { a.own = own }
 
 // Limit returns how much the edge may have used in a window that ends now.
 //
-// Danger: an edge that was restarted does not know what it lent before.
-func (h *Account) Limit(now int64) float64 {
-	own := h.own
-	if now-h.startedAt <= h.terms.Loan+h.terms.Window {
+// Danger: an edge that has restarted doesn't know what it lent before, so it may use only the part that is never lent.
+func (a *Account) Limit(now int64) float64 {
+	own := a.own
+	if now-a.startedAt <= a.timing.Loan+a.timing.Window {
 		own *= keepShare
 	}
-	return max(own-sum(unexpired(now, h.lent))-h.reserved, 0) + h.Borrowed(now)
+	return max(own-sum(unexpired(now, a.lent))-a.reserved, 0) + a.Borrowed(now)
 }
 
-// Lent returns how much of the edge's share others hold now.
-func (h *Account) Lent(now int64) float64 { return sum(unexpired(now, h.lent)) }
+// Lent returns how much of the edge's share is lent to others now.
+func (a *Account) Lent(now int64) float64 { return sum(unexpired(now, a.lent)) }
 
 // Borrowed returns how much of others' shares the edge may use now.
-func (h *Account) Borrowed(now int64) float64 { return sum(unexpired(now+h.terms.Margin, h.borrowed)) }
+func (a *Account) Borrowed(now int64) float64 { return sum(unexpired(now+a.timing.Margin, a.borrowed)) }
 
-// Handle takes in what the relay says.
-func (h *Account) Handle(now int64, n Message) {
-	for _, l := range n.Loans {
-		if until, ok := h.requests.until(l); ok && until > now {
-			h.borrowed = append(h.borrowed, amount{l.Amount, until})
+// Handle applies a message from the relay.
+func (a *Account) Handle(now int64, m Message) {
+	for _, loan := range m.Loans {
+		if expiresAt, ok := a.requests.match(loan); ok && expiresAt > now {
+			a.borrowed = append(a.borrowed, amount{loan.Amount, expiresAt})
 		}
 	}
-	for _, w := range n.Requests {
-		h.pending = &receivedRequest{w, now}
+	for _, request := range m.Requests {
+		a.pending = &receivedRequest{request, now}
 	}
 }
 
 // Usage is what an edge has used in the window that ends now.
 type Usage struct {
-	Amount float64 // below 0 where the edge has room that is not of the bound, such as the ratio of its retries
-	Any    bool    // there was use at all, on whosever account: else the edge needs nothing, however little it has
+	Amount float64 // amount used; negative if the edge may still use something that doesn't count against the bound, such as retries within its ratio
+	Any    bool    // anything was used, whether or not it counts against the bound; without use the edge requests nothing, however small its limit is
 }
 
-// NextMessage returns what the edge says to the relay. use is read after the last Limit had taken effect.
-func (h *Account) NextMessage(now int64, use Usage) (n Message) {
-	h.lent, h.borrowed = unexpired(now, h.lent), unexpired(now, h.borrowed)
-	reserved := h.reserved
-	h.reserved = 0
-	if use.Any && use.Amount+1 > h.Limit(now) {
-		h.pending = nil
-		if h.own > 0 {
-			n.Requests = []LoanRequest{{h.requests.next(now, h.terms), requestFactor * h.own}}
+// NextMessage returns the next message to the relay. The usage has to be measured after the last value of Limit took effect.
+func (a *Account) NextMessage(now int64, usage Usage) (m Message) {
+	a.lent, a.borrowed = unexpired(now, a.lent), unexpired(now, a.borrowed)
+	reserved := a.reserved
+	a.reserved = 0
+	if usage.Any && usage.Amount+1 > a.Limit(now) {
+		a.pending = nil
+		if a.own > 0 {
+			m.Requests = []LoanRequest{{a.requests.next(now, a.timing), requestFactor * a.own}}
 		}
-		return n
+		return m
 	}
-	if h.pending == nil || now-h.pending.at > h.terms.MaxRequestAge {
-		h.pending = nil
-		return n
+	if a.pending == nil || now-a.pending.at > a.timing.MaxRequestAge {
+		a.pending = nil
+		return m
 	}
-	// Danger: what was used before the limit fell would count besides what the borrower uses. So a loan is reserved
-	// first, and told when the edge is known to have kept to what is left.
-	if reserved > 0 && use.Amount <= h.Limit(now)-reserved {
-		h.lent = append(h.lent, amount{reserved, now + h.terms.Loan + h.terms.Window})
-		n.Loans = []Loan{{h.pending.Number, reserved, h.terms.Loan}}
-		h.pending = nil
-		return n
+	// Danger: what was used before the limit was reduced would add to what the borrower uses. So a loan is first reserved,
+	// and it is sent only when the edge has been seen to stay within the reduced limit.
+	if reserved > 0 && usage.Amount <= a.Limit(now)-reserved {
+		a.lent = append(a.lent, amount{reserved, now + a.timing.Loan + a.timing.Window})
+		m.Loans = []Loan{{a.pending.Number, reserved, a.timing.Loan}}
+		a.pending = nil
+		return m
 	}
-	h.reserved = h.loanAmount(now, max(use.Amount, 0))
-	return n
+	a.reserved = a.loanAmount(now, max(usage.Amount, 0))
+	return m
 }
 
-// loanAmount is how much the edge would lend to whom it was asked by.
-func (h *Account) loanAmount(now int64, used float64) float64 {
-	lendable := (1-keepShare)*h.own - sum(h.lent)
-	unused := h.Limit(now) - h.Borrowed(now) - used
-	if size := min(h.pending.Amount, lendable, lentShare*unused); size >= minLoan {
-		return size
+// loanAmount returns how much the edge can lend for the pending request.
+func (a *Account) loanAmount(now int64, used float64) float64 {
+	lendable := (1-keepShare)*a.own - sum(a.lent)
+	unused := a.Limit(now) - a.Borrowed(now) - used
+	if amount := min(a.pending.Amount, lendable, lentShare*unused); amount >= minLoan {
+		return amount
 	}
 	return 0
 }
--- a/decide/lending/explore_test.go
+++ b/decide/lending/explore_test.go
@@ -12,48 +12,51 @@
 	"github.com/shoenig/test/must"
 )
 
-// The scope of the exploration: two edges below one agent, of which one may restart once; notes late, lost or doubled.
+// The scope of the exploration: two edges below one agent, and one fault, either the restart of an edge or a message that is
+// delayed, lost or duplicated.
 const (
 	exploredEdges  = 2
-	exploredOwn    = 2.0 // of each edge
-	exploredFaults = 1   // notes late, lost or doubled, and restarts, all together
+	exploredOwn    = 2.0 // share of each edge
+	exploredFaults = 1   // faults in total
 )
 
-var exploredTerms = Timing{Loan: 4, Window: 3, Margin: 1, MaxRequestAge: 1}
+var exploredTiming = Timing{Loan: 4, Window: 3, Margin: 1, MaxRequestAge: 1}
 
-// explored is one state.
+// explored is one state of the exploration.
 type explored struct {
-	now     int64
-	holders [exploredEdges]Account
-	relay   Relay
-	spent   [exploredEdges][]int64 // when
-	up      [exploredEdges][]Message
-	down    [exploredEdges][]Message
-	said    [exploredEdges]bool    // in this tick
-	told    [exploredEdges]float64 // the limit that the proxy has told the part of it that spends,
-	applied [exploredEdges]float64 // and the one that it goes by: a limit takes effect within a tick
-	faults  int
+	now      int64
+	accounts [exploredEdges]Account // the edges' accounts
+	relay    Relay
+	spent    [exploredEdges][]int64   // times at which each edge used something
+	up       [exploredEdges][]Message // messages on the way from each edge to the agent
+	down     [exploredEdges][]Message // messages on the way from the agent to each edge
+	reported [exploredEdges]bool      // the edge has reported in this tick
+	passed   [exploredEdges]float64   // newest limit that the proxy has passed to its component that uses the budget
+	applied  [exploredEdges]float64   // limit that this component applies; a new one takes effect within a tick
+	faults   int                      // faults so far
 }
 
+// startExplored returns the first state.
 func startExplored() *explored {
-	w := &explored{now: 100, relay: *NewRelay(exploredTerms)}
-	for i := range w.holders {
-		w.holders[i] = *NewAccount(0, exploredTerms)
-		w.holders[i].SetShare(exploredOwn)
-		w.told[i], w.applied[i] = exploredOwn, exploredOwn
+	w := &explored{now: 100, relay: *NewRelay(exploredTiming)}
+	for i := range w.accounts {
+		w.accounts[i] = *NewAccount(0, exploredTiming)
+		w.accounts[i].SetShare(exploredOwn)
+		w.passed[i], w.applied[i] = exploredOwn, exploredOwn
 	}
 	return w
 }
 
+// clone returns an independent copy.
 func (w *explored) clone() *explored {
 	c := *w
-	for i := range c.holders {
-		c.spent[i] = slices.DeleteFunc(slices.Clone(w.spent[i]), func(at int64) bool { return w.now-at >= exploredTerms.Window })
-		h := &c.holders[i]
-		h.lent, h.borrowed, h.requests.sent = slices.Clone(h.lent), slices.Clone(h.borrowed), maps.Clone(h.requests.sent)
-		if h.pending != nil {
-			a := *h.pending
-			h.pending = &a
+	for i := range c.accounts {
+		c.spent[i] = slices.DeleteFunc(slices.Clone(w.spent[i]), func(at int64) bool { return w.now-at >= exploredTiming.Window })
+		account := &c.accounts[i]
+		account.lent, account.borrowed, account.requests.sent = slices.Clone(account.lent), slices.Clone(account.borrowed), maps.Clone(account.requests.sent)
+		if account.pending != nil {
+			a := *account.pending
+			account.pending = &a
 		}
 		c.up[i], c.down[i] = slices.Clone(w.up[i]), slices.Clone(w.down[i])
 	}
@@ -61,8 +64,8 @@
 	return &c
 }
 
-// key is the same for states that go on alike: times count from now, wants by how many their sender has sent since, and
-// what is over is left out.
+// key is equal for states that continue alike. Times are relative to now, request numbers are relative to the sender's
+// newest one, and expired data is left out.
 func (w *explored) key() uint64 {
 	key := make([]byte, 0, 256)
 	put := func(values ...int64) {
@@ -80,21 +83,21 @@
 			put(a.expiresAt-w.now, int64(4*a.value))
 		}
 	}
-	sent := func(wants *sentRequests) {
+	sent := func(requests *sentRequests) {
 		for back := range uint64(6) {
-			at, open := wants.sent[wants.lastNumber-back]
+			at, open := requests.sent[requests.lastNumber-back]
 			put(-1)
-			if open && w.now-at <= exploredTerms.Loan {
+			if open && w.now-at <= exploredTiming.Loan {
 				put(w.now - at)
 			}
 		}
 	}
-	notes := func(all []Message, wants, loans *sentRequests) {
+	messages := func(all []Message, requests, loans *sentRequests) {
 		put(int64(len(all)))
 		for _, n := range all {
 			put(int64(len(n.Requests)), int64(len(n.Loans)))
 			for _, v := range n.Requests {
-				put(int64(wants.lastNumber-v.Number), int64(4*v.Amount))
+				put(int64(requests.lastNumber-v.Number), int64(4*v.Amount))
 			}
 			for _, l := range n.Loans {
 				put(int64(loans.lastNumber-l.Answers), int64(4*l.Amount), l.Duration)
@@ -104,46 +107,46 @@
 	put(int64(w.faults))
 	amounts(w.relay.available)
 	sent(&w.relay.requests)
-	for i := range w.holders {
-		h := &w.holders[i]
-		put(int64(4*w.told[i]), int64(4*w.applied[i]), min(w.now-h.startedAt, exploredTerms.Loan+exploredTerms.Window+1), int64(h.own), int64(4*h.reserved))
-		amounts(h.lent)
-		amounts(h.borrowed)
-		sent(&h.requests)
-		if h.pending != nil && w.now-h.pending.at <= exploredTerms.MaxRequestAge {
-			put(1, w.now-h.pending.at, int64(w.relay.requests.lastNumber-h.pending.Number), int64(4*h.pending.Amount))
+	for i := range w.accounts {
+		account := &w.accounts[i]
+		put(int64(4*w.passed[i]), int64(4*w.applied[i]), min(w.now-account.startedAt, exploredTiming.Loan+exploredTiming.Window+1), int64(account.own), int64(4*account.reserved))
+		amounts(account.lent)
+		amounts(account.borrowed)
+		sent(&account.requests)
+		if account.pending != nil && w.now-account.pending.at <= exploredTiming.MaxRequestAge {
+			put(1, w.now-account.pending.at, int64(w.relay.requests.lastNumber-account.pending.Number), int64(4*account.pending.Amount))
 		}
 		put(-2)
-		if a, waits := w.relay.pending[Neighbor(fmt.Sprint(i))]; waits && w.now-a.at <= exploredTerms.MaxRequestAge {
-			put(2, w.now-a.at, int64(h.requests.lastNumber-a.Number), int64(4*a.Amount))
+		if a, waits := w.relay.pending[Neighbor(fmt.Sprint(i))]; waits && w.now-a.at <= exploredTiming.MaxRequestAge {
+			put(2, w.now-a.at, int64(account.requests.lastNumber-a.Number), int64(4*a.Amount))
 		}
 		put(-3)
 		for _, at := range w.spent[i] {
-			if w.now-at < exploredTerms.Window {
+			if w.now-at < exploredTiming.Window {
 				put(w.now - at)
 			}
 		}
 		put(-4)
-		if w.said[i] {
+		if w.reported[i] {
 			put(5)
 		}
-		notes(w.up[i], &h.requests, &w.relay.requests)
-		notes(w.down[i], &w.relay.requests, &h.requests)
+		messages(w.up[i], &account.requests, &w.relay.requests)
+		messages(w.down[i], &w.relay.requests, &account.requests)
 	}
 	return xxhash.Sum64(key)
 }
 
-// used is what an edge has used in the window that ends now.
+// used returns what an edge has used in the window that ends now.
 func (w *explored) used(edge int) (n float64) {
 	for _, at := range w.spent[edge] {
-		if w.now-at < exploredTerms.Window {
+		if w.now-at < exploredTiming.Window {
 			n++
 		}
 	}
 	return n
 }
 
-// next are the states that may follow, by what happens.
+// next returns the states that may follow, by event.
 func (w *explored) next() map[string]*explored {
 	all := map[string]*explored{}
 	add := func(what string, edge int, change func(*explored)) {
@@ -152,7 +155,7 @@
 		all[fmt.Sprint(what, " ", edge)] = c
 	}
 	add("tick", 0, (*explored).tick)
-	for i := range w.holders {
+	for i := range w.accounts {
 		if w.used(i)+1 <= w.applied[i] {
 			add("spend", i, func(c *explored) {
 				for c.used(i)+1 <= c.applied[i] {
@@ -160,17 +163,17 @@
 				}
 			})
 		}
-		if w.applied[i] != w.told[i] {
-			add("limit takes effect", i, func(c *explored) { c.applied[i] = c.told[i] })
+		if w.applied[i] != w.passed[i] {
+			add("limit takes effect", i, func(c *explored) { c.applied[i] = c.passed[i] })
 		}
-		if !w.said[i] && len(w.up[i])+len(w.down[i]) == 0 {
-			add("report", i, func(c *explored) { c.report(i); c.hear(i); c.answer(i) })
+		if !w.reported[i] && len(w.up[i])+len(w.down[i]) == 0 {
+			add("report", i, func(c *explored) { c.report(i); c.deliverReport(i); c.deliverAnswer(i) })
 		}
 		if len(w.up[i]) > 0 {
-			add("hear late", i, func(c *explored) { c.hear(i); c.answer(i) })
+			add("hear late", i, func(c *explored) { c.deliverReport(i); c.deliverAnswer(i) })
 		}
 		if len(w.down[i]) > 0 {
-			add("answer late", i, func(c *explored) { c.answer(i) })
+			add("answer late", i, func(c *explored) { c.deliverAnswer(i) })
 		}
 		if w.faults < exploredFaults {
 			w.faulty(i, add)
@@ -179,45 +182,52 @@
 	return all
 }
 
-// faulty are the states that follow a fault.
+// faulty adds the states that follow after a fault.
 func (w *explored) faulty(edge int, add func(string, int, func(*explored))) {
 	fault := func(what string, change func(*explored)) {
 		add(what, edge, func(c *explored) { c.faults++; change(c) })
 	}
 	fault("restart", func(c *explored) {
 		c.up[edge], c.down[edge] = nil, nil
-		c.holders[edge] = *NewAccount(c.now, exploredTerms)
-		c.told[edge], c.applied[edge] = 0, 0
+		c.accounts[edge] = *NewAccount(c.now, exploredTiming)
+		c.passed[edge], c.applied[edge] = 0, 0
 	})
-	if w.said[edge] || len(w.up[edge])+len(w.down[edge]) > 0 {
+	if w.reported[edge] || len(w.up[edge])+len(w.down[edge]) > 0 {
 		return
 	}
 	fault("report is late", func(c *explored) { c.report(edge) })
 	fault("report is lost", func(c *explored) { c.report(edge); c.up[edge] = nil })
 	fault("report is doubled", func(c *explored) { c.report(edge); c.up[edge] = append(c.up[edge], c.up[edge]...) })
-	fault("answer is late", func(c *explored) { c.report(edge); c.hear(edge) })
-	fault("answer is lost", func(c *explored) { c.report(edge); c.hear(edge); c.down[edge] = nil })
-	fault("answer is doubled", func(c *explored) { c.report(edge); c.hear(edge); c.down[edge] = append(c.down[edge], c.down[edge]...) })
+	fault("answer is late", func(c *explored) { c.report(edge); c.deliverReport(edge) })
+	fault("answer is lost", func(c *explored) { c.report(edge); c.deliverReport(edge); c.down[edge] = nil })
+	fault("answer is doubled", func(c *explored) {
+		c.report(edge)
+		c.deliverReport(edge)
+		c.down[edge] = append(c.down[edge], c.down[edge]...)
+	})
 }
 
+// report lets an edge report to the agent and apply its newest limit.
 func (w *explored) report(edge int) {
-	w.said[edge], w.applied[edge] = true, w.told[edge] // what is used is read after the limit told last
-	w.up[edge] = append(w.up[edge], w.holders[edge].NextMessage(w.now, Usage{w.used(edge), w.used(edge) > 0}))
-	w.told[edge] = w.holders[edge].Limit(w.now)
+	w.reported[edge], w.applied[edge] = true, w.passed[edge] // the usage is measured after the newest limit has taken effect
+	w.up[edge] = append(w.up[edge], w.accounts[edge].NextMessage(w.now, Usage{w.used(edge), w.used(edge) > 0}))
+	w.passed[edge] = w.accounts[edge].Limit(w.now)
 }
 
+// tick advances the time. Limits take effect and are renewed.
 func (w *explored) tick() {
 	w.now++
-	w.said = [exploredEdges]bool{}
-	for i := range w.holders { // one that has just started owns nothing for a window, as the routing table has it
-		if h := &w.holders[i]; w.now-h.startedAt > exploredTerms.Window {
-			h.SetShare(exploredOwn)
+	w.reported = [exploredEdges]bool{}
+	for i := range w.accounts { // an edge that has just started owns nothing for one window, as in the routing table
+		if account := &w.accounts[i]; w.now-account.startedAt > exploredTiming.Window {
+			account.SetShare(exploredOwn)
 		}
-		w.applied[i], w.told[i] = w.told[i], w.holders[i].Limit(w.now)
+		w.applied[i], w.passed[i] = w.passed[i], w.accounts[i].Limit(w.now)
 	}
 }
 
-func (w *explored) hear(edge int) {
+// deliverReport delivers a message of an edge to the agent, which answers.
+func (w *explored) deliverReport(edge int) {
 	from := Neighbor(fmt.Sprint(edge))
 	w.relay.Handle(w.now, from, w.up[edge][0])
 	w.up[edge] = w.up[edge][1:]
@@ -226,20 +236,22 @@
 	}
 }
 
-func (w *explored) answer(edge int) {
+// deliverAnswer delivers the next message of the agent to an edge, if there is one.
+func (w *explored) deliverAnswer(edge int) {
 	if len(w.down[edge]) > 0 {
-		w.holders[edge].Handle(w.now, w.down[edge][0])
+		w.accounts[edge].Handle(w.now, w.down[edge][0])
 		w.down[edge] = w.down[edge][1:]
 	}
 }
 
-// found is a state and how it was reached.
+// found is a state with the path that leads to it.
 type found struct {
 	*explored
 	before *found
 	what   string
 }
 
+// trace returns the events that led to the state.
 func (f *found) trace() (events []string) {
 	for ; f.before != nil; f = f.before {
 		events = append([]string{f.what}, events...)
@@ -247,8 +259,8 @@
 	return events
 }
 
-// explore visits every state within depth events, breadth first, and returns how many there are, whether that was all,
-// and whether any edge used more than it owns.
+// explore visits every state within depth events, breadth first. It returns the number of states, whether these are all, and
+// whether any edge used more than it owns.
 func explore(t *testing.T, start *explored, depth int) (states int, all, borrowed bool) {
 	seen, layer := map[uint64]bool{}, []*found{{explored: start}}
 	for ; len(layer) > 0 && depth > 0; depth-- {
@@ -262,7 +274,7 @@
 				seen[k] = true
 				reached := &found{w, f, what}
 				if used := w.used(0) + w.used(1); used > exploredEdges*exploredOwn {
-					t.Fatalf("%v of %v are used after %q", used, exploredEdges*exploredOwn, reached.trace())
+					t.Fatalf("the edges use %v of a bound of %v after events %q", used, exploredEdges*exploredOwn, reached.trace())
 				}
 				borrowed = borrowed || w.used(0) > exploredOwn
 				following = append(following, reached)
@@ -273,12 +285,12 @@
 	return len(seen), len(layer) == 0, borrowed
 }
 
-var deeper = flag.Int("deeper", 0, "events beyond those that an exploration goes to usually")
+var deeper = flag.Int("deeper", 0, "additional events that an exploration goes to")
 
-// TestSumHolds explores every order of events in a small scope: what both edges have used in any window is never more than
-// the whole bound. It also shows that loans are used at all.
+// TestSumHolds explores every order of events in a small scope: the use of both edges in any window never exceeds the total
+// bound. It also checks that loans are used at all.
 func TestSumHolds(t *testing.T) {
-	borrows := []string{"spend 0", "report 0", "report 1", "tick 0", "report 0", "report 1", "tick 0"} // edge 1 is about to tell of its loan
+	borrows := []string{"spend 0", "report 0", "report 1", "tick 0", "report 0", "report 1", "tick 0"} // edge 1 is about to send its loan
 	for name, c := range map[string]struct {
 		first         []string
 		faults, depth int
--- a/decide/lending/lending.go
+++ b/decide/lending/lending.go
@@ -1,114 +1,116 @@
-// Package lending keeps a bound on what all edges use together, such as the retries beyond their ratio. Each edge owns an
-// even share. What an edge does not use it lends for a short time to edges that are short, along the relay tree: proxies
-// own, lend and borrow (Holder), agents and controllers pass wants and loans on (Relay). No process knows the sum, and
-// none has to; a relay keeps nothing that may not be lost.
+// Package lending bounds what all edges use together, for example the retries beyond their ratio. Each edge owns an equal
+// share. An edge lends what it doesn't use for a short time to edges that need more, along the relay tree: proxies own, lend
+// and borrow (Account), agents and controllers pass requests and loans on (Relay). No process knows the total, and none has
+// to. A relay holds no state that must not be lost.
 //
-// The sum holds whatever is late, lost, doubled or restarted, without clocks that agree:
+// The bound holds even if messages are delayed, lost or duplicated and processes restart, and without synchronized clocks:
 //
-//   - A lender gives its loan up before it tells of it, and takes it back only when the borrower's time is over and what the
-//     borrower used has left the window that the bound is judged over.
-//   - A borrower counts the loan's time from when it sent the want that the loan answers, which was before the loan was given.
-//   - A loan answers one want, and a want takes one loan: a loan that comes twice counts once.
-//   - A loan that is lost, or whose borrower dies, is used by nobody until its time is over.
-//   - Half of an edge's share is never lent: that much it may use right after a restart, when it has forgotten its loans.
+//   - A lender gives up the amount before it offers the loan. It takes the amount back only when the borrower's time is
+//     over and what the borrower used has left the window over which the bound is measured.
+//   - A borrower measures the time of the loan from when it sent the request, which was before the loan was granted.
+//   - A loan answers one request, and a request accepts one loan, so a duplicated loan counts once.
+//   - A loan that is lost, or whose borrower stops, is used by nobody until its time is over.
+//   - Half of an edge's share is never lent. An edge that has forgotten its loans in a restart may use that half at
+//     once.
 //
-// Decides: how much of its share an edge lends, to whom loans are passed on, and how much an edge may use.
+// Decides: how much of its share an edge lends, to which neighbor a loan is passed on, and how much an edge may use.
 package lending
 
 import "time"
 
 const (
-	keepShare     = 0.5  // of its own share that an edge never lends
-	lentShare     = 0.5  // of what an edge has to spare that one loan is for
-	minLoan       = 0.25 // less is not worth a message
-	requestFactor = 4    // times its own share that an edge that is short asks for
+	keepShare     = 0.5  // fraction of its share that an edge never lends
+	lentShare     = 0.5  // fraction of its unused amount that an edge lends at once
+	minLoan       = 0.25 // smaller loans are not worth a message
+	requestFactor = 4    // an edge that needs more requests this multiple of its share
 )
 
-// Timing are the times that all processes go by, ns.
+// Timing holds the times that all processes use, in ns.
 type Timing struct {
-	Loan          int64 // a loan may be used so long after the want that it answers was sent
-	Window        int64 // what is used counts against the bound for so long
-	Margin        int64 // a borrower stops so long before its loan ends, as its own limits take effect late
-	MaxRequestAge int64 // a want is answered up to this age
+	Loan          int64 // how long a loan may be used, from when its request was sent
+	Window        int64 // length of the window over which the bound is measured
+	Margin        int64 // how long before the end of a loan its borrower stops using it, because its own limits take effect with a delay
+	MaxRequestAge int64 // requests older than this are not answered
 }
 
-// DefaultTiming are the terms for a bound that is judged over windows of the given length.
+// DefaultTiming returns the times for a bound that is measured over the given window, in ns.
 func DefaultTiming(window int64) Timing {
 	return Timing{Loan: int64(10 * time.Second), Window: window, Margin: int64(1500 * time.Millisecond), MaxRequestAge: int64(3 * time.Second)}
 }
 
-// Message is what one process says to the next one on the tree: what it would borrow, and what it lends.
+// Message is what a process sends to a neighbor in the tree: requests for loans, and loans.
 type Message struct {
 	Requests []LoanRequest `cbor:"1,keyasint,omitempty"`
 	Loans    []Loan        `cbor:"2,keyasint,omitempty"`
 }
 
-// Empty tells whether there is nothing to say.
-func (n Message) Empty() bool { return len(n.Requests) == 0 && len(n.Loans) == 0 }
+// Empty reports whether there is nothing to send.
+func (m Message) Empty() bool { return len(m.Requests) == 0 && len(m.Loans) == 0 }
 
-// LoanRequest asks for a loan.
+// LoanRequest asks a neighbor for a loan.
 type LoanRequest struct {
-	Number uint64  `cbor:"1,keyasint"` // of the sender's wants; a loan that answers it names it
+	Number uint64  `cbor:"1,keyasint"` // number of this request among the sender's; the loan that answers it repeats the number
 	Amount float64 `cbor:"2,keyasint"`
 }
 
-// Loan answers a want.
+// Loan answers a LoanRequest.
 type Loan struct {
-	Answers  uint64  `cbor:"1,keyasint"` // the want's number
+	Answers  uint64  `cbor:"1,keyasint"` // number of the request that the loan answers
 	Amount   float64 `cbor:"2,keyasint"`
-	Duration int64   `cbor:"3,keyasint"` // ns that it may be used, from when the want was sent
+	Duration int64   `cbor:"3,keyasint"` // ns that the loan may be used, from when the request was sent
 }
 
-// sentRequests numbers the wants that a process has sent and keeps when each was.
+// sentRequests numbers the requests that a process sends and keeps the time at which each was sent.
 type sentRequests struct {
 	lastNumber uint64
 	sent       map[uint64]int64
 }
 
-// next numbers a want that is sent now.
-func (w *sentRequests) next(now int64, t Timing) uint64 {
-	if w.sent == nil {
-		w.sent = map[uint64]int64{}
+// next returns the number of a request that is sent now, and forgets requests that are too old for a loan.
+func (s *sentRequests) next(now int64, timing Timing) uint64 {
+	if s.sent == nil {
+		s.sent = map[uint64]int64{}
 	}
-	for number, at := range w.sent {
-		if now-at > t.Loan {
-			delete(w.sent, number)
+	for number, at := range s.sent {
+		if now-at > timing.Loan {
+			delete(s.sent, number)
 		}
 	}
-	w.lastNumber++
-	w.sent[w.lastNumber] = now
-	return w.lastNumber
+	s.lastNumber++
+	s.sent[s.lastNumber] = now
+	return s.lastNumber
 }
 
-// until returns how long a loan may be used; false where it answers no want that is open. The want is closed with it.
-func (w *sentRequests) until(l Loan) (until int64, ok bool) {
-	at, ok := w.sent[l.Answers]
-	delete(w.sent, l.Answers)
-	return at + l.Duration, ok
+// match returns when a loan ends. It returns false if no open request matches the loan. The request is closed.
+func (s *sentRequests) match(loan Loan) (expiresAt int64, ok bool) {
+	at, ok := s.sent[loan.Answers]
+	delete(s.sent, loan.Answers)
+	return at + loan.Duration, ok
 }
 
-// receivedRequest is a want of another process, and when it came.
+// receivedRequest is a request of another process, with the time at which it arrived.
 type receivedRequest struct {
 	LoanRequest
 	at int64
 }
 
-// amount is a part of the bound that is held until a time.
+// amount is a part of the bound that a process lends or borrows until a certain time.
 type amount struct {
 	value     float64
 	expiresAt int64
 }
 
-// unexpired are the amounts whose time is not over.
-func unexpired(now int64, all []amount) (left []amount) {
+// unexpired returns the amounts whose time is not over.
+func unexpired(now int64, all []amount) (remaining []amount) {
 	for _, a := range all {
 		if a.expiresAt > now {
-			left = append(left, a)
+			remaining = append(remaining, a)
 		}
 	}
-	return left
+	return remaining
 }
 
+// sum returns the total of the amounts.
 func sum(all []amount) (total float64) {
 	for _, a := range all {
 		total += a.value
--- a/decide/lending/lending_test.go
+++ b/decide/lending/lending_test.go
@@ -6,63 +6,64 @@
 	"github.com/shoenig/test/must"
 )
 
-var testTerms = DefaultTiming(10e9)
+var testTiming = DefaultTiming(10e9)
 
-// holder is an edge that has been there for long and owns four.
-func holder() *Account {
-	h := NewAccount(0, testTerms)
-	h.SetShare(4)
-	return h
+// account returns the account of an edge that started long ago and owns four.
+func account() *Account {
+	a := NewAccount(0, testTiming)
+	a.SetShare(4)
+	return a
 }
 
-// TestWantsOnlyInNeed: an edge wants a loan when it has no room for one more, and not when it uses nothing at all, however
-// little it has.
+// TestWantsOnlyInNeed: an edge requests a loan when its limit leaves no place for one more, and not when it uses nothing at
+// all, however small its limit is.
 func TestWantsOnlyInNeed(t *testing.T) {
-	h := holder()
-	must.True(t, h.NextMessage(60e9, Usage{}).Empty())
-	must.True(t, h.NextMessage(60e9, Usage{-3, true}).Empty())
-	must.True(t, h.NextMessage(60e9, Usage{3, true}).Empty())
-	must.Eq(t, 4*requestFactor, h.NextMessage(60e9, Usage{3.5, true}).Requests[0].Amount)
-	h.SetShare(0.5)
-	must.True(t, h.NextMessage(60e9, Usage{}).Empty())
+	a := account()
+	must.True(t, a.NextMessage(60e9, Usage{}).Empty())
+	must.True(t, a.NextMessage(60e9, Usage{-3, true}).Empty())
+	must.True(t, a.NextMessage(60e9, Usage{3, true}).Empty())
+	must.Eq(t, 4*requestFactor, a.NextMessage(60e9, Usage{3.5, true}).Requests[0].Amount)
+	a.SetShare(0.5)
+	must.True(t, a.NextMessage(60e9, Usage{}).Empty())
 }
 
-// TestLendsHalfAtMost: whoever asks, and however often, an edge keeps half of its share and what it uses of the other.
+// TestLendsHalfAtMost: however often an edge is asked, it keeps half of its share and what it uses of the other half.
 func TestLendsHalfAtMost(t *testing.T) {
 	for _, c := range []struct{ used, most float64 }{{-5, 2}, {0, 2}, {1, 2}, {2.5, 1.5}, {3, 1}} {
-		h := holder()
+		a := account()
 		for number := range uint64(20) {
-			h.Handle(60e9, Message{Requests: []LoanRequest{{number, 9}}})
-			h.NextMessage(60e9, Usage{c.used, true})
-			h.NextMessage(60e9, Usage{c.used, true})
+			a.Handle(60e9, Message{Requests: []LoanRequest{{number, 9}}})
+			a.NextMessage(60e9, Usage{c.used, true})
+			a.NextMessage(60e9, Usage{c.used, true})
 		}
-		must.LessEq(t, c.most, h.Lent(60e9), must.Sprint(c.used))
-		must.Positive(t, h.Lent(60e9), must.Sprint(c.used))
+		must.LessEq(t, c.most, a.Lent(60e9), must.Sprint(c.used))
+		must.Positive(t, a.Lent(60e9), must.Sprint(c.used))
 	}
 }
 
-// TestOldWants: a want is not answered when it is old, by an edge or by an agent.
+// TestOldWants: neither an edge nor an agent answers a request that is too old.
 func TestOldWants(t *testing.T) {
-	h := holder()
-	h.Handle(60e9, Message{Requests: []LoanRequest{{1, 9}}})
-	h.NextMessage(61e9, Usage{})
-	must.True(t, h.NextMessage(64e9, Usage{}).Empty())
-	must.Eq(t, 4, h.Limit(64e9)) // what was reserved is given back
-	r := NewRelay(testTerms)
+	a := account()
+	a.Handle(60e9, Message{Requests: []LoanRequest{{1, 9}}})
+	a.NextMessage(61e9, Usage{})
+	must.True(t, a.NextMessage(64e9, Usage{}).Empty())
+	must.Eq(t, 4, a.Limit(64e9)) // the reserved amount is released
+	r := NewRelay(testTiming)
 	r.Handle(60e9, "a", Message{Requests: []LoanRequest{{1, 9}}})
 	must.SliceLen(t, 1, r.NextMessage(62e9, "b").Requests)
 	must.True(t, r.NextMessage(64e9, "b").Empty())
 }
 
-// TestRelayAsksForWhatIsMissing: an agent asks for what it has no loan for yet, and asks nobody for what that one wants.
+// TestRelayAsksForWhatIsMissing: an agent requests what it has no loan for yet, and never requests from a neighbor what that
+// neighbor itself needs.
 func TestRelayAsksForWhatIsMissing(t *testing.T) {
-	r := NewRelay(testTerms)
+	r := NewRelay(testTiming)
 	r.Handle(60e9, "a", Message{Requests: []LoanRequest{{1, 5}}})
 	must.True(t, r.NextMessage(60e9, "a").Empty())
 	want := r.NextMessage(60e9, "b").Requests[0]
-	r.Handle(60e9, "b", Message{Loans: []Loan{{want.Number, 2, testTerms.Loan}}})
+	r.Handle(60e9, "b", Message{Loans: []Loan{{want.Number, 2, testTiming.Loan}}})
 	must.Eq(t, 3, r.NextMessage(60e9, "c").Requests[0].Amount)
 	loan := r.NextMessage(61e9, "a").Loans[0]
-	must.Eq(t, Loan{Answers: 1, Amount: 2, Duration: testTerms.Loan - 1e9}, loan)
+	must.Eq(t, Loan{Answers: 1, Amount: 2, Duration: testTiming.Loan - 1e9}, loan)
 	must.True(t, r.NextMessage(61e9, "a").Empty())
 }
--- a/decide/lending/relay.go
+++ b/decide/lending/relay.go
@@ -6,59 +6,64 @@
 	"slices"
 )
 
-// Neighbor is one that an agent has a link with: its feeder, a follower, or the proxy beside it.
+// Neighbor identifies a process that an agent exchanges messages with: its upstream, a downstream edge, or the proxy beside
+// it.
 type Neighbor string
 
-// Relay passes wants and loans on between the neighbors of an agent. It owns nothing. It is not safe for concurrent use.
+// Relay passes requests and loans on between the neighbors of an agent. It owns nothing itself. It is not safe for
+// concurrent use.
 type Relay struct {
-	terms     Timing
-	available []amount // borrowed, and not passed on yet
+	timing    Timing
+	available []amount // borrowed and not passed on yet
 	requests  sentRequests
-	pending   map[Neighbor]receivedRequest
+	pending   map[Neighbor]receivedRequest // newest unanswered request of each neighbor
 }
 
-// NewRelay makes an agent's relay.
-func NewRelay(t Timing) *Relay { return &Relay{terms: t, pending: map[Neighbor]receivedRequest{}} }
+// NewRelay returns an agent's relay.
+func NewRelay(timing Timing) *Relay {
+	return &Relay{timing: timing, pending: map[Neighbor]receivedRequest{}}
+}
 
-// Handle takes in what a neighbor says.
-func (r *Relay) Handle(now int64, from Neighbor, n Message) {
-	for _, l := range n.Loans {
-		if until, ok := r.requests.until(l); ok && until > now {
-			r.available = append(r.available, amount{l.Amount, until})
+// Handle applies a message from a neighbor.
+func (r *Relay) Handle(now int64, from Neighbor, m Message) {
+	for _, loan := range m.Loans {
+		if expiresAt, ok := r.requests.match(loan); ok && expiresAt > now {
+			r.available = append(r.available, amount{loan.Amount, expiresAt})
 		}
 	}
-	for _, w := range n.Requests {
-		r.pending[from] = receivedRequest{w, now}
+	for _, request := range m.Requests {
+		r.pending[from] = receivedRequest{request, now}
 	}
 }
 
-// NextMessage returns what is said to a neighbor.
-func (r *Relay) NextMessage(now int64, to Neighbor) (n Message) {
-	r.available = unexpired(now+r.terms.Margin, r.available)
-	maps.DeleteFunc(r.pending, func(_ Neighbor, a receivedRequest) bool { return now-a.at > r.terms.MaxRequestAge })
-	if a, waits := r.pending[to]; waits && len(r.available) > 0 {
+// NextMessage returns the next message to a neighbor: a loan if it has requested one, and a request for what the other
+// neighbors still need.
+func (r *Relay) NextMessage(now int64, to Neighbor) (m Message) {
+	r.available = unexpired(now+r.timing.Margin, r.available)
+	maps.DeleteFunc(r.pending, func(_ Neighbor, request receivedRequest) bool { return now-request.at > r.timing.MaxRequestAge })
+	if request, waits := r.pending[to]; waits && len(r.available) > 0 {
 		delete(r.pending, to)
-		n.Loans = []Loan{r.lend(now, a)}
+		m.Loans = []Loan{r.lend(now, request)}
 	}
 	missing := -sum(r.available)
-	for other, a := range r.pending {
+	for other, request := range r.pending {
 		if other != to {
-			missing += a.Amount
+			missing += request.Amount
 		}
 	}
 	if missing >= minLoan {
-		n.Requests = []LoanRequest{{r.requests.next(now, r.terms), missing}}
+		m.Requests = []LoanRequest{{r.requests.next(now, r.timing), missing}}
 	}
-	return n
+	return m
 }
 
-// lend passes on the part of the stock that may be used longest, as far as it is wanted.
-func (r *Relay) lend(now int64, a receivedRequest) Loan {
+// lend passes on the available amount that may be used longest, up to the requested amount.
+func (r *Relay) lend(now int64, request receivedRequest) Loan {
 	slices.SortStableFunc(r.available, func(x, y amount) int { return cmp.Compare(x.expiresAt, y.expiresAt) })
 	last := &r.available[len(r.available)-1]
-	l := Loan{a.Number, min(a.Amount, last.value), last.expiresAt - now}
-	if last.value -= l.Amount; last.value <= 0 {
+	loan := Loan{request.Number, min(request.Amount, last.value), last.expiresAt - now}
+	if last.value -= loan.Amount; last.value <= 0 {
 		r.available = r.available[:len(r.available)-1]
 	}
-	return l
+	return loan
 }
--- a/decide/rollout/copy.go
+++ b/decide/rollout/copy.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// Copies and keys, for those who play every order of events.
+// This file holds the copies and state keys that tools need to explore every order of events.
 
-// Copy is a manager that goes its own way from here. Verdicts are none of what is explored: copies share what was seen of
-// answers, so whoever copies reports none.
+// Copy returns a manager with the same state that can continue independently. The request counts in the detectors are shared
+// between copies, so a caller that copies managers must not report request outcomes; such an exploration leaves verdicts
+// out.
 func (m *Manager) Copy() *Manager {
 	c := *m
 	c.active = make(map[uint64]*trackedRollout, len(m.active))
@@ -25,7 +26,7 @@
 	return &c
 }
 
-// Key appends what tells this manager's state from another's at the same time.
+// Key appends an encoding that differs between managers whose state differs at the same time.
 func (m *Manager) Key(b []byte) []byte {
 	b = binary.AppendUvarint(b, m.version)
 	if m.isHolder {
@@ -39,7 +40,7 @@
 		b = append(b, byte(t.maxOthers))
 		for _, ip := range slices.Sorted(maps.Keys(t.edges)) {
 			v := t.edges[ip]
-			b = append(binary.AppendVarint(append(b, ip...), v.at), byte(v.evidence.Version), byte(v.evidence.OldInFlight))
+			b = append(binary.AppendVarint(append(b, ip...), v.receivedAt), byte(v.evidence.Version), byte(v.evidence.OldInFlight))
 		}
 	}
 	return b
--- a/decide/rollout/evidence.go
+++ b/decide/rollout/evidence.go
@@ -6,27 +6,29 @@
 	"slices"
 )
 
-// Evidence is what one edge has seen of one rollout. Its counts only grow in the life of the edge's process, so the newest
-// of a life stands for all before it: evidence may be lost, doubled or late on its way and is never counted twice.
+// Evidence is what one edge has observed of one rollout. Its counts only grow while the edge's process runs, so the newest
+// Evidence of an incarnation includes all earlier ones. Reports may therefore be lost, duplicated or delayed, and nothing is
+// counted twice.
 type Evidence struct {
-	Number      uint64          `cbor:"1,keyasint"`           // of the rollout
-	Incarnation uint64          `cbor:"2,keyasint"`           // of the edge's process
-	Seq         uint64          `cbor:"3,keyasint"`           // rises within the life
-	Version     uint64          `cbor:"4,keyasint,omitempty"` // of the Set that the edge goes by
-	OldInFlight int             `cbor:"5,keyasint,omitempty"` // requests under way at replicas of other versions
+	Number      uint64          `cbor:"1,keyasint"`           // number of the rollout
+	Incarnation uint64          `cbor:"2,keyasint"`           // identifies one run of the edge's process
+	Seq         uint64          `cbor:"3,keyasint"`           // increases with each report of an incarnation
+	Version     uint64          `cbor:"4,keyasint,omitempty"` // version of the Set that the edge has applied
+	OldInFlight int             `cbor:"5,keyasint,omitempty"` // requests in flight at replicas of other versions than the target
 	Counts      []OutcomeCounts `cbor:"6,keyasint,omitempty"`
 }
 
-// OutcomeCounts is what became of requests of one route at one replica of the target version, or at all other replicas together.
+// OutcomeCounts are the outcomes of the requests of one route, either at one replica of the target version or at all
+// replicas of other versions together.
 type OutcomeCounts struct {
 	Route       uint32   `cbor:"1,keyasint"`
 	Replica     string   `cbor:"2,keyasint,omitempty"` // empty for the replicas of other versions
 	Failed      uint32   `cbor:"3,keyasint,omitempty"`
-	FirstBucket int      `cbor:"4,keyasint,omitempty"` // the bucket of Took[0]
-	Buckets     []uint32 `cbor:"5,keyasint,omitempty"` // the others, by how long they took
+	FirstBucket int      `cbor:"4,keyasint,omitempty"` // index of the latency bucket that Buckets[0] counts
+	Buckets     []uint32 `cbor:"5,keyasint,omitempty"` // requests that did not fail, by latency
 
-	Distance      uint8 `cbor:"6,keyasint,omitempty"` // between the edge and the replicas: to be compared are those equally far
-	NewConnection bool  `cbor:"7,keyasint,omitempty"` // on connections that were opened for them, which cost the replica time as well
+	Distance      uint8 `cbor:"6,keyasint,omitempty"` // between the edge and the replicas; only counts of equal distance are compared
+	NewConnection bool  `cbor:"7,keyasint,omitempty"` // the requests opened a new connection, which takes the replica extra time
 }
 
 func (c OutcomeCounts) key() countKey {
@@ -34,14 +36,14 @@
 }
 
 const (
-	buckets            = 26        // the last one holds all that took longer
-	firstBucketNs      = 1_000_000 // ns: what takes less is in the first bucket
-	bucketsPerDoubling = 2         // buckets to each doubling
+	buckets            = 26        // number of latency buckets; the last one has no upper limit
+	firstBucketNs      = 1_000_000 // resolution; shorter latencies are in the first bucket
+	bucketsPerDoubling = 2
 )
 
-// bucketOf is the bucket of a duration, ns: two to each doubling of a millisecond.
-func bucketOf(took int64) int {
-	units := uint64(max(took/firstBucketNs, 1))
+// bucketOf returns the latency bucket of a duration in ns. There are two buckets for each doubling, starting at 1 ms.
+func bucketOf(latency int64) int {
+	units := uint64(max(latency/firstBucketNs, 1))
 	doublings := bits.Len64(units) - 1
 	half := 0
 	if 2*units >= 3<<doublings {
@@ -50,10 +52,10 @@
 	return min(bucketsPerDoubling*doublings+half, buckets-1)
 }
 
-// histogram counts requests by bucket.
+// histogram counts requests by latency bucket.
 type histogram [buckets]uint32
 
-// unpack is the histogram of a count.
+// unpack returns the histogram of the counts.
 func (c OutcomeCounts) unpack() (h histogram) {
 	for i, n := range c.Buckets {
 		if at := c.FirstBucket + i; at >= 0 && at < buckets {
@@ -63,7 +65,7 @@
 	return h
 }
 
-// pack puts a histogram into a count, without the empty buckets at both ends.
+// pack stores a histogram without the empty buckets at both ends.
 func (c *OutcomeCounts) pack(h histogram) {
 	first := slices.IndexFunc(h[:], func(n uint32) bool { return n > 0 })
 	if first < 0 {
@@ -79,21 +81,23 @@
 // Outcome is how a request at a replica ended.
 type Outcome uint8
 
-// The outcomes that count.
+// The outcomes.
 const (
-	Answered                Outcome = iota // whole, or given up for another replica's answer: it took that long at least
-	AnsweredOnNewConnection                // the same on a connection that was opened for it
+	// Answered means answered completely, or cancelled because another replica answered first. A cancelled request took at
+	// least the measured latency.
+	Answered                Outcome = iota
+	AnsweredOnNewConnection         // like Answered, on a connection that was opened for the request
 	Failed
-	Unknown // says nothing of the version: turned away, withdrawn, or the connection did not come up
+	Unknown // says nothing about the version: the request was rejected or withdrawn, or the connection failed
 )
 
-// Replica is one replica of a service with a rollout, as an edge knows it.
+// Replica is a replica of a service with an active rollout, as the edge knows it.
 type Replica struct {
 	ID, Service, Version string
 	Distance             uint8
 }
 
-// countKey is what is counted under.
+// countKey identifies the requests that are counted together.
 type countKey struct {
 	route         uint32
 	replica       string // empty for the replicas of other versions
@@ -101,23 +105,25 @@
 	newConnection bool
 }
 
+// compare orders keys by route, replica and distance; of otherwise equal keys the one for new connections is last.
 func (k countKey) compare(o countKey) int {
-	freshLast := 0
+	byConnection := 0
 	if k.newConnection != o.newConnection {
-		freshLast = -1
+		byConnection = -1
 	}
 	if k.newConnection {
-		freshLast = -freshLast
+		byConnection = -byConnection
 	}
-	return cmp.Or(cmp.Compare(k.route, o.route), cmp.Compare(k.replica, o.replica), cmp.Compare(k.distance, o.distance), freshLast)
+	return cmp.Or(cmp.Compare(k.route, o.route), cmp.Compare(k.replica, o.replica), cmp.Compare(k.distance, o.distance), byConnection)
 }
 
+// outcomes counts how requests ended.
 type outcomes struct {
 	failed    uint32
 	latencies histogram
 }
 
-// rolloutCounts is what an edge has seen of one rollout.
+// rolloutCounts are an edge's counts for one rollout.
 type rolloutCounts struct {
 	number uint64
 	counts map[countKey]*outcomes
@@ -131,7 +137,7 @@
 	inFlight int
 }
 
-// Recorder counts, at one edge, what becomes of requests at services with an active rollout.
+// Recorder counts the outcomes of one edge's requests to services with an active rollout.
 type Recorder struct {
 	incarnation uint64
 	seq         uint64
@@ -140,12 +146,13 @@
 	replicas    map[string]*watchedReplica
 }
 
-// NewRecorder makes the recorder of a process; life tells it from all others of the same edge.
-func NewRecorder(life uint64) *Recorder {
-	return &Recorder{incarnation: life, active: map[uint64]*rolloutCounts{}, replicas: map[string]*watchedReplica{}}
+// NewRecorder returns a Recorder. The incarnation must differ between all processes that run at this edge.
+func NewRecorder(incarnation uint64) *Recorder {
+	return &Recorder{incarnation: incarnation, active: map[uint64]*rolloutCounts{}, replicas: map[string]*watchedReplica{}}
 }
 
-// Watch has the recorder go by a Set from now on, and by these replicas of the services with an active rollout.
+// Watch sets the rollouts that the edge applies from now on and the replicas of the services with an active rollout. Counts
+// of rollouts that are still active continue.
 func (r *Recorder) Watch(set Set, replicas []Replica) {
 	r.version = set.Version
 	active := map[uint64]*rolloutCounts{}
@@ -158,7 +165,7 @@
 		}
 	}
 	r.active = active
-	former := r.replicas
+	previous := r.replicas
 	r.replicas = make(map[string]*watchedReplica, len(replicas))
 	for _, replica := range replicas {
 		rollout, ok := byService[replica.Service]
@@ -166,17 +173,18 @@
 			continue
 		}
 		w := &watchedReplica{number: rollout.Number, target: replica.Version == rollout.Order.Target, distance: replica.Distance}
-		if was := former[replica.ID]; was != nil {
+		if was := previous[replica.ID]; was != nil {
 			w.inFlight = was.inFlight
 		}
 		r.replicas[replica.ID] = w
 	}
 }
 
-// HasActive tells whether anything is counted.
+// HasActive reports whether there is an active rollout to count for.
 func (r *Recorder) HasActive() bool { return len(r.active) > 0 }
 
-// Sent counts a request that goes to a replica; false where it is not counted, and its end is not to be told.
+// Sent counts a request that starts at a replica. If it returns false, the replica isn't watched and the caller doesn't
+// report the end of the request.
 func (r *Recorder) Sent(replica string) bool {
 	w := r.replicas[replica]
 	if w == nil {
@@ -186,51 +194,51 @@
 	return true
 }
 
-// Ended counts the end of a request that Sent counted; took is how long the replica had it, ns.
-func (r *Recorder) Ended(replica string, route uint32, outcome Outcome, took int64) {
+// Ended counts the end of a request that Sent has counted. The latency is in ns.
+func (r *Recorder) Ended(replica string, route uint32, outcome Outcome, latency int64) {
 	w := r.replicas[replica]
 	if w == nil {
 		return
 	}
 	w.inFlight = max(w.inFlight-1, 0)
-	recording := r.active[w.number]
-	if recording == nil || outcome == Unknown {
+	tracked := r.active[w.number]
+	if tracked == nil || outcome == Unknown {
 		return
 	}
 	key := countKey{route: route, distance: w.distance, newConnection: outcome == AnsweredOnNewConnection}
 	if w.target {
 		key.replica = replica
 	}
-	t := recording.counts[key]
-	if t == nil {
-		t = &outcomes{}
-		recording.counts[key] = t
+	o := tracked.counts[key]
+	if o == nil {
+		o = &outcomes{}
+		tracked.counts[key] = o
 	}
 	switch outcome {
 	case Failed:
-		t.failed++
+		o.failed++
 	default:
-		t.latencies[bucketOf(took)]++
+		o.latencies[bucketOf(latency)]++
 	}
 }
 
-// Evidence returns what was seen of each active rollout.
+// Evidence returns a new report on each active rollout.
 func (r *Recorder) Evidence() (all []Evidence) {
 	if len(r.active) == 0 {
 		return nil
 	}
 	r.seq++
-	out := map[uint64]int{}
+	inFlight := map[uint64]int{}
 	for _, w := range r.replicas {
 		if !w.target {
-			out[w.number] += w.inFlight
+			inFlight[w.number] += w.inFlight
 		}
 	}
-	for _, recording := range r.active {
-		e := Evidence{Number: recording.number, Incarnation: r.incarnation, Seq: r.seq, Version: r.version, OldInFlight: out[recording.number]}
-		for key, t := range recording.counts {
-			c := OutcomeCounts{Route: key.route, Replica: key.replica, Distance: key.distance, NewConnection: key.newConnection, Failed: t.failed}
-			c.pack(t.latencies)
+	for _, tracked := range r.active {
+		e := Evidence{Number: tracked.number, Incarnation: r.incarnation, Seq: r.seq, Version: r.version, OldInFlight: inFlight[tracked.number]}
+		for key, o := range tracked.counts {
+			c := OutcomeCounts{Route: key.route, Replica: key.replica, Distance: key.distance, NewConnection: key.newConnection, Failed: o.failed}
+			c.pack(o.latencies)
 			e.Counts = append(e.Counts, c)
 		}
 		slices.SortFunc(e.Counts, func(a, b OutcomeCounts) int { return a.key().compare(b.key()) })
--- a/decide/rollout/fleet_test.go
+++ b/decide/rollout/fleet_test.go
@@ -8,48 +8,48 @@
 	"github.com/shoenig/test/must"
 )
 
-// Drawn rollouts of a whole fleet in virtual time: edges that send, replicas of both versions that answer well or badly,
-// evidence that reaches the manager late and at times not at all.
+// This file simulates rollouts of a whole fleet in virtual time with random requests: edges that send, replicas of both
+// versions that answer well or badly, and evidence that reaches the manager late or not at all.
 
 const (
-	fleetEdges    = 24
-	fleetReplicas = 8
-	perTick       = 3        // requests of the fleet a tick
-	fleetTick     = 10 * ms  // so 300 requests a second
-	reportTicks   = 30       // between two reports of an edge
-	reportLost    = 0.1      // of the reports
-	newReady      = 700 * ms // after the order
-	fleetEnd      = 40000 * ms
-	usualWork     = 20 * ms
-	usualFailures = 0.005
+	fleetEdges      = 24
+	fleetReplicas   = 8
+	requestsPerTick = 3        // requests of the whole fleet in one tick
+	fleetTick       = 10 * ms  // 300 requests per second in all
+	reportTicks     = 30       // ticks between two reports of an edge
+	reportLost      = 0.1      // fraction of the reports that are lost
+	newReady        = 700 * ms // time after the order at which the replicas of the target version are ready
+	fleetEnd        = 40000 * ms
+	meanWork        = 20 * ms // mean time that a good answer takes
+	usualFailures   = 0.005   // fraction of the answers of a good version that fail
 )
 
-// badness is how a version is bad.
-type badness struct {
-	name    string
-	share   float64 // of its answers
-	slow    float64 // times as long, 0 for failing
-	from    int64   // ns after the order
-	route   uint32  // alone, 0 for all
-	trouble bool    // not the version: something that strikes both
+// defect describes how a version is bad.
+type defect struct {
+	name         string
+	share        float64 // fraction of the answers that are bad
+	slow         float64 // bad answers take this many times as long; 0 if they fail instead
+	beginsAt     int64   // ns after the order at which the defect begins
+	route        uint32  // the only route with the defect, 0 for all routes
+	bothVersions bool    // a problem of both versions, so not a defect of the target version
 }
 
-// fleet is one drawn rollout.
+// fleet simulates one rollout.
 type fleet struct {
-	draw      *rand.Rand
+	rng       *rand.Rand
 	now       int64
 	set       Set
 	manager   *Manager
 	recorders []*Recorder
 	replicas  []Replica
-	bad       badness
+	defect    defect
 
-	toTarget, all, badAnswers int
-	trial                     int // of the target version's requests, those before it got more than its trial
+	targetRequests, requests, badAnswers int
+	trialRequests                        int // requests of the target version before it leaves the trial stages
 }
 
-func newFleet(seed uint64, bad badness, terms Bounds) *fleet {
-	f := &fleet{draw: rand.New(rand.NewPCG(seed, 1)), now: 1000 * ms, manager: NewManager(terms), bad: bad}
+func newFleet(seed uint64, d defect, terms Bounds) *fleet {
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), now: 1000 * ms, manager: NewManager(terms), defect: d}
 	f.set, _, _ = Set{}.Begin(order)
 	for i := range fleetReplicas {
 		f.replicas = append(f.replicas, Replica{ID: fmt.Sprint("old", i), Service: "s", Version: "v1"}, Replica{ID: fmt.Sprint("new", i), Service: "s", Version: "v2"})
@@ -63,9 +63,9 @@
 	return f
 }
 
-// request is one request of a drawn edge on a drawn route to a replica that is open to it.
+// request sends one request of a random edge on a random route to a random admitted replica.
 func (f *fleet) request(began int64) {
-	e := f.draw.IntN(fleetEdges)
+	e := f.rng.IntN(fleetEdges)
 	rollout, _ := f.set.NewestOf("s")
 	var open []Replica
 	for _, r := range f.replicas {
@@ -76,18 +76,18 @@
 	if len(open) == 0 {
 		return
 	}
-	r := open[f.draw.IntN(len(open))]
-	route := uint32(1 + f.draw.IntN(3)/2)
-	f.all++
-	took, failed := int64(usualWork*(0.5+f.draw.ExpFloat64())), f.draw.Float64() < usualFailures
-	strikes := f.now-began >= f.bad.from && f.draw.Float64() < f.bad.share && (f.bad.route == 0 || f.bad.route == route)
+	r := open[f.rng.IntN(len(open))]
+	route := uint32(1 + f.rng.IntN(3)/2)
+	f.requests++
+	took, failed := int64(meanWork*(0.5+f.rng.ExpFloat64())), f.rng.Float64() < usualFailures
+	isBad := f.now-began >= f.defect.beginsAt && f.rng.Float64() < f.defect.share && (f.defect.route == 0 || f.defect.route == route)
 	if r.Version == "v2" {
-		f.toTarget++
+		f.targetRequests++
 	}
-	if strikes && (r.Version == "v2" || f.bad.trouble) {
+	if isBad && (r.Version == "v2" || f.defect.bothVersions) {
 		f.badAnswers++
-		if failed = f.bad.slow == 0; !failed {
-			took = int64(float64(took) * f.bad.slow)
+		if failed = f.defect.slow == 0; !failed {
+			took = int64(float64(took) * f.defect.slow)
 		}
 	}
 	if !f.recorders[e].Sent(r.ID) {
@@ -100,15 +100,15 @@
 	f.recorders[e].Ended(r.ID, route, outcome, took)
 }
 
-// play plays until the rollout has ended, and returns it.
+// play simulates until the rollout has ended, and returns it.
 func (f *fleet) play() Rollout {
 	began := f.now
 	for tick := 0; f.now-began < fleetEnd; tick++ {
-		for range perTick {
+		for range requestsPerTick {
 			f.request(began)
 		}
 		for e, r := range f.recorders {
-			if (tick+e)%reportTicks == 0 && f.draw.Float64() >= reportLost {
+			if (tick+e)%reportTicks == 0 && f.rng.Float64() >= reportLost {
 				f.manager.Report(f.now, fmt.Sprint("edge", e), r.Evidence())
 			}
 		}
@@ -118,8 +118,8 @@
 			ready.Target, ready.Warm = fleetReplicas, fleetReplicas
 		}
 		for _, c := range f.manager.Decide(f.now, Facts{Replicas: map[uint64]Replicas{rollout.Number: ready}}) {
-			if c.Stage == stageMost && f.trial == 0 {
-				f.trial = f.toTarget
+			if c.Stage == stageMost && f.trialRequests == 0 {
+				f.trialRequests = f.targetRequests
 			}
 			f.set, _ = f.set.Apply(c)
 			for _, r := range f.recorders {
@@ -136,56 +136,57 @@
 	return rollout
 }
 
-// TestVerdicts draws rollouts of good versions, some of them while both versions are in trouble, and of bad ones of each kind.
-// No good one is reverted; each bad one is, before it got more than the rules' share (a tenth and 50 requests).
+// TestVerdicts simulates good versions, some of them while both versions are in trouble, and versions with each kind of
+// defect. No good version may be reverted. Each bad one must be, before it got a tenth of the requests until the deadline
+// and 50 more.
 func TestVerdicts(t *testing.T) {
 	seeds := uint64(12)
 	if testing.Short() {
 		seeds = 4
 	}
-	for _, bad := range []badness{
+	for _, d := range []defect{
 		{name: "good"},
-		{name: "burst strikes both", share: 0.4, slow: 4, from: 3000 * ms, trouble: true},
-		{name: "burst at the switch", share: 0.4, slow: 4, from: 11300 * ms, trouble: true},
-		{name: "failures strike both", share: 0.2, from: 4000 * ms, trouble: true},
+		{name: "burst strikes both", share: 0.4, slow: 4, beginsAt: 3000 * ms, bothVersions: true},
+		{name: "burst at the switch", share: 0.4, slow: 4, beginsAt: 11300 * ms, bothVersions: true},
+		{name: "failures strike both", share: 0.2, beginsAt: 4000 * ms, bothVersions: true},
 		{name: "fails", share: 0.5},
 		{name: "fails now and then", share: 0.15},
 		{name: "slow", share: 0.5, slow: 5},
-		{name: "late", share: 0.4, from: 6000 * ms},
+		{name: "late", share: 0.4, beginsAt: 6000 * ms},
 		{name: "on one route", share: 0.5, route: 2},
 	} {
-		t.Run(bad.name, func(t *testing.T) {
+		t.Run(d.name, func(t *testing.T) {
 			for seed := range seeds {
-				f := newFleet(100*seed, bad, Bounds{})
+				f := newFleet(100*seed, d, Bounds{})
 				r := f.play()
-				if bad.share == 0 || bad.trouble {
+				if d.share == 0 || d.bothVersions {
 					must.Eq(t, Complete, r.Phase, must.Sprint("seed ", seed, ": ", r.Reason))
 					continue
 				}
 				must.Eq(t, Reverted, r.Phase, must.Sprint("seed ", seed, ": ", r.Reason))
-				term := int(order.OverMs*ms/fleetTick) * perTick
-				must.LessEq(t, term/10+50, f.toTarget, must.Sprint("seed ", seed, ": ", r.Reason))
+				requestsInTime := int(order.OverMs*ms/fleetTick) * requestsPerTick
+				must.LessEq(t, requestsInTime/10+50, f.targetRequests, must.Sprint("seed ", seed, ": ", r.Reason))
 			}
 		})
 	}
 }
 
-// TestAGoodVersionIsInTime: it is complete before its term.
+// TestAGoodVersionIsInTime checks that a good version is complete before the deadline.
 func TestAGoodVersionIsInTime(t *testing.T) {
-	f := newFleet(7, badness{}, Bounds{})
+	f := newFleet(7, defect{}, Bounds{})
 	began := f.now
 	must.Eq(t, Complete, f.play().Phase)
 	must.LessEq(t, order.OverMs*ms, f.now-began)
 }
 
-// TestTrialFollowsTheExposureShare (EXPOSURE): what a version gets before all others' traffic is moved stays below the share that
-// operators name, whatever that is, and is not much less, for a smaller trial shows less.
+// TestTrialFollowsTheExposureShare (EXPOSURE): the requests that a version gets during the trial stages stay below the share
+// that operators set, whatever it is. They are not much fewer either, because a smaller trial detects less.
 func TestTrialFollowsTheExposureShare(t *testing.T) {
-	term := float64(order.OverMs * ms / fleetTick * perTick)
+	requestsInTime := float64(order.OverMs * ms / fleetTick * requestsPerTick)
 	for _, share := range []float64{0.03, 0.05, 0.1, 0.2} {
-		f := newFleet(11, badness{}, Bounds{ExposureShare: share})
+		f := newFleet(11, defect{}, Bounds{ExposureShare: share})
 		must.Eq(t, Complete, f.play().Phase)
-		must.LessEq(t, 0.9*share*term, float64(f.trial), must.Sprint("share ", share))
-		must.GreaterEq(t, 0.3*share*term, float64(f.trial), must.Sprint("share ", share))
+		must.LessEq(t, 0.9*share*requestsInTime, float64(f.trialRequests), must.Sprint("share ", share))
+		must.GreaterEq(t, 0.3*share*requestsInTime, float64(f.trialRequests), must.Sprint("share ", share))
 	}
 }
--- a/decide/rollout/manager.go
+++ b/decide/rollout/manager.go
@@ -8,80 +8,80 @@
 
 const ms = 1_000_000
 
-// Times, ns.
+// Times in ns.
 const (
-	evaluationInterval = 250 * ms  // between two looks at the evidence
-	minStageTime       = 800 * ms  // in a stage before the next one begins, for evidence to come in
-	quietStageTime     = 2500 * ms // the same where no request says anything
-	minCanaryTime      = 6500 * ms // as a canary, whatever the term: versions turn bad some seconds after their start
-	edgeSilent         = 3000 * ms // an edge whose evidence is older is not waited for: it has lost touch
-	proposalRetryTime  = 500 * ms  // before a step is proposed again that has not come to stand
-	revertLeadTime     = 700 * ms  // before its term a rollout is taken back that cannot be complete by then
+	evaluationInterval = 250 * ms  // between two evaluations of the evidence
+	minStageTime       = 800 * ms  // minimum time in a stage, so that evidence can arrive
+	quietStageTime     = 2500 * ms // minimum time in a stage that gets too few requests to judge, and after a change of holder
+	minCanaryTime      = 6500 * ms // minimum time in the canary stage whatever the deadline is: some versions turn bad only seconds after their start
+	edgeTimeout        = 3000 * ms // an edge without a report for this long counts as unreachable and isn't waited for
+	proposalRetryTime  = 500 * ms  // until a step that was not committed is proposed again
+	revertLeadTime     = 700 * ms  // time before the deadline at which a rollout that can't be complete in time is reverted
 )
 
 const (
-	minWarmShare    = 0.5 // of the other versions' replicas: so many of the target's have to be ready and warm for the canary
-	minReadyShare   = 0.7 // the same, ready, for more than half of the traffic
-	leastAsked      = 20  // requests that say something of a stage, or of a version
-	coldCanaryShare = 0.3 // share of the time after which cold replicas do for the canary
-	unseenFactor    = 3   // multiple of the time after which a version that nobody asks gets more than its trial all the same
+	minWarmShare    = 0.5 // ready and warm replicas that the canary needs, relative to the replicas of other versions
+	minReadyShare   = 0.7 // ready replicas that more than half of the traffic needs, relative to the replicas of other versions
+	minRequests     = 20  // requests needed to judge a stage or a version
+	coldCanaryShare = 0.3 // fraction of the allowed time after which the canary begins with cold replicas
+	unseenFactor    = 3   // multiple of the allowed time after which a version that got too few requests leaves the trial stages all the same
 )
 
-// Replicas is how many ready replicas of a service there are.
+// Replicas counts the ready replicas of a service.
 type Replicas struct {
-	Target, Warm int // of the target version, and how many of them are no longer slow from their start
-	Others       int // of the versions that it takes the place of
-	Leaving      int // that drain or are gone, of any version
+	Target, Warm int // replicas of the target version, and how many of them have finished their warm-up
+	Others       int // replicas of the versions that are replaced
+	Leaving      int // replicas of any version that are draining or gone
 }
 
-// retired tells whether the service is being taken away, with all of its replicas.
+// retired reports whether the service is being removed with all of its replicas.
 func (r Replicas) retired() bool { return r.Target == 0 && r.Others == 0 && r.Leaving > 0 }
 
-// Facts is what a controller knows at one moment besides the evidence.
+// Facts is what a controller knows at a moment, apart from the evidence.
 type Facts struct {
 	Replicas map[uint64]Replicas // by the number of the active rollout
-	Edges    []string            // that have been heard of
+	Edges    []string            // IPs of the edges that are known to be running
 }
 
-// edgeView is what one edge said last.
+// edgeView is the last report of one edge.
 type edgeView struct {
-	evidence Evidence
-	at       int64
+	evidence   Evidence
+	receivedAt int64
 }
 
-// trackedRollout is one active rollout as a controller follows it.
+// trackedRollout is an active rollout with what this controller knows about it.
 type trackedRollout struct {
 	rollout        Rollout
 	bounds         Bounds
-	startedAt      int64   // when the order was taken, as far as is known here
-	stepSince      int64   // when its step was learned of here
-	stageSince     int64   // the same of its stage
-	stageRequests  float64 // requests at the target version as the stage began
+	startedAt      int64   // when the order was accepted, as far as this controller knows
+	stepSince      int64   // when this controller learned of the current step
+	stageSince     int64   // when this controller learned of the current stage
+	stageRequests  float64 // requests at the target version when the stage began
 	detector       *detector
 	edges          map[string]*edgeView
-	targetRequests float64 // the judge's counts of requests as the step began, of the target version
-	otherRequests  float64 // and of the others
+	targetRequests float64 // requests at the target version when the step began
+	otherRequests  float64 // requests at other versions when the step began
 	proposedAt     int64   // when a change of this step was last proposed, 0 for never
-	maxOthers      int     // the most replicas of other versions that were ready at a time
+	maxOthers      int     // largest number of replicas of other versions that were ready at once
 }
 
-// Manager follows the active rollouts at one controller. Each controller has one and feeds it; only the one that holds the
-// duty acts on what it decides.
+// Manager follows the active rollouts at one controller. Every controller has a Manager and passes it all evidence; only the
+// holder, the one controller that decides steps at the time, calls Decide and proposes the result.
 type Manager struct {
 	bounds         Bounds
 	version        uint64
 	active         map[uint64]*trackedRollout
 	nextEvaluation int64
-	isHolder       bool  // the duty
-	holderSince    int64 // that it holds it
+	isHolder       bool  // this controller is the holder
+	holderSince    int64 // since when this controller is the holder
 }
 
-// NewManager makes one that knows of no rollout.
-func NewManager(terms Bounds) *Manager {
-	return &Manager{bounds: terms, active: map[uint64]*trackedRollout{}}
+// NewManager returns a Manager without any rollouts.
+func NewManager(bounds Bounds) *Manager {
+	return &Manager{bounds: bounds, active: map[uint64]*trackedRollout{}}
 }
 
-// Apply takes in a Set that is known to stand.
+// Apply updates the active rollouts from a committed Set.
 func (m *Manager) Apply(now int64, set Set) {
 	if set.Version <= m.version {
 		return
@@ -101,9 +101,10 @@
 			t.stageSince = now
 			t.stageRequests, _ = t.detector.requests()
 		}
-		// What the register has of the time holds for whoever takes the duty over; a step comes to stand a little later.
-		if began := now - r.ElapsedMs*ms; t.startedAt == 0 || began < t.startedAt {
-			t.startedAt = began
+		// A new holder starts from the elapsed time in the register. A step is committed a little after that time was
+		// measured, so the earliest start seen is the most accurate.
+		if start := now - r.ElapsedMs*ms; t.startedAt == 0 || start < t.startedAt {
+			t.startedAt = start
 		}
 		t.rollout = r
 		active[r.Number] = t
@@ -112,7 +113,7 @@
 	m.nextEvaluation = max(m.nextEvaluation, now)
 }
 
-// Active returns the rollouts that are followed, by number.
+// Active returns the active rollouts, by number.
 func (m *Manager) Active() (active []Rollout) {
 	for _, number := range slices.Sorted(maps.Keys(m.active)) {
 		active = append(active, m.active[number].rollout)
@@ -120,7 +121,7 @@
 	return active
 }
 
-// Report takes in what an edge has seen.
+// Report adds the evidence of an edge. Evidence that is older than the edge's last is ignored.
 func (m *Manager) Report(now int64, edge string, evidence []Evidence) {
 	for _, e := range evidence {
 		t := m.active[e.Number]
@@ -140,22 +141,22 @@
 			continue
 		}
 		t.detector.addEvidence(e, was)
-		v.evidence, v.at = e, now
+		v.evidence, v.receivedAt = e, now
 	}
 }
 
-// addEvidence takes in how an edge's evidence has grown.
-func (j *detector) addEvidence(now, was Evidence) {
+// addEvidence adds the difference between two reports of an edge.
+func (d *detector) addEvidence(now, was Evidence) {
 	before := make(map[countKey]OutcomeCounts, len(was.Counts))
 	for _, c := range was.Counts {
 		before[c.key()] = c
 	}
 	for _, c := range now.Counts {
-		j.addCount(c, before[c.key()])
+		d.addCount(c, before[c.key()])
 	}
 }
 
-// Next is when Decide wants to be called, 0 for never.
+// Next returns when Decide should be called next, 0 for never.
 func (m *Manager) Next() int64 {
 	if len(m.active) == 0 {
 		return 0
@@ -163,7 +164,7 @@
 	return m.nextEvaluation
 }
 
-// Standby is called in place of Decide by a controller that does not hold the duty.
+// Standby is called instead of Decide by a controller that isn't the holder.
 func (m *Manager) Standby(now int64) {
 	m.isHolder = false
 	if now >= m.nextEvaluation {
@@ -171,7 +172,7 @@
 	}
 }
 
-// Decide returns the steps that are due. A step that does not come to stand is returned again.
+// Decide returns the steps that are due. A step that isn't committed is returned again later.
 func (m *Manager) Decide(now int64, facts Facts) (changes []Change) {
 	if len(m.active) == 0 || now < m.nextEvaluation {
 		return nil
@@ -191,108 +192,110 @@
 	return changes
 }
 
-// elapsed is the time since the order, ns.
+// elapsed returns the time since the order, in ns.
 func (t *trackedRollout) elapsed(now int64) int64 { return now - t.startedAt }
 
-// situation is what one rollout's next step depends on besides the evidence.
+// situation is what the next step of a rollout depends on, apart from the evidence.
 type situation struct {
 	replicas Replicas
 	edges    []string
-	heldFor  int64 // ns that this controller has held the duty
+	heldFor  int64 // ns that this controller has been the holder
 }
 
-// decide returns the next step of one rollout, where one is due.
+// decide returns the next step of a rollout, and whether it is due.
 func (t *trackedRollout) decide(now int64, s situation) (c Change, due bool) {
 	t.maxOthers = max(t.maxOthers, s.replicas.Others)
 	v := t.detector.evaluate(conditions{singleReplica: s.replicas.Target == 1, noBaselineTraffic: t.rollout.Stage == stageSwitch})
 	c = Change{Rollout: t.rollout, ElapsedMs: t.elapsed(now) / ms}
-	stage, term := t.rollout.Stage, t.rollout.Order.OverMs*ms
+	stage, allowed := t.rollout.Stage, t.rollout.Order.OverMs*ms
 	switch {
 	case v.bad:
 		return t.endRollout(c, Reverted, v.reason), true
 	case s.replicas.retired():
 		return t.endRollout(c, Complete, "the service is taken away with all of its replicas"), true
-	case t.elapsed(now) >= max(term-revertLeadTime, term/2) && stage < stageSwitch && !t.enoughReady(s.replicas):
+	case t.elapsed(now) >= max(allowed-revertLeadTime, allowed/2) && stage < stageSwitch && !t.enoughReady(s.replicas):
 		return t.endRollout(c, Reverted, fmt.Sprintf("%d replicas of the version were ready as its term came", s.replicas.Target)), true
 	case stage == stageSwitch:
 		return t.endRollout(c, Complete, "no edge sends to other versions"), !v.suspicious && t.enoughReady(s.replicas) && t.switchComplete(now, s)
-	case !v.suspicious && t.mayAdvance(now, s, term):
+	case !v.suspicious && t.mayAdvance(now, s, allowed):
 		return t.continueRollout(c, stage+1, t.bounds.initialShares(stage+1), s.replicas), true
 	}
 	target, others := t.detector.requests()
-	shares, off := t.bounds.tuneShares(stage, t.rollout.Shares, target-t.targetRequests, others-t.otherRequests)
-	return t.continueRollout(c, stage, shares, s.replicas), off && now-t.stepSince >= minStageTime
+	shares, changed := t.bounds.tuneShares(stage, t.rollout.Shares, target-t.targetRequests, others-t.otherRequests)
+	return t.continueRollout(c, stage, shares, s.replicas), changed && now-t.stepSince >= minStageTime
 }
 
-// endRollout makes a change the one that ends the rollout.
-func (t *trackedRollout) endRollout(c Change, phase Phase, why string) Change {
-	c.Phase, c.Reason = phase, fmt.Sprintf("%s; %s", why, t.evidenceSummary())
+// endRollout completes a change that ends the rollout.
+func (t *trackedRollout) endRollout(c Change, phase Phase, reason string) Change {
+	c.Phase, c.Reason = phase, fmt.Sprintf("%s; %s", reason, t.evidenceSummary())
 	return c
 }
 
-// continueRollout makes a change one that leaves the rollout active.
+// continueRollout completes a change that keeps the rollout active.
 func (t *trackedRollout) continueRollout(c Change, stage int, shares Shares, replicas Replicas) Change {
 	c.Phase, c.Stage, c.Shares = Active, stage, shares
 	c.Reason = fmt.Sprintf("%s; %d of %d replicas ready; %s", plan[stage].name, replicas.Target, t.maxOthers, t.evidenceSummary())
 	return c
 }
 
-// evidenceSummary is the evidence in words.
+// evidenceSummary describes the evidence for operators.
 func (t *trackedRollout) evidenceSummary() string {
 	target, others := t.detector.requests()
 	return fmt.Sprintf("%.0f of %.0f requests went to the version, %.0f failed", target, target+others, t.detector.target.failed)
 }
 
-// mayAdvance tells whether the next stage may begin.
-func (t *trackedRollout) mayAdvance(now int64, s situation, term int64) bool {
+// mayAdvance reports whether the next stage may begin.
+func (t *trackedRollout) mayAdvance(now int64, s situation, allowed int64) bool {
 	next := t.rollout.Stage + 1
 	switch {
-	case next >= stageMost && (!t.enoughReady(s.replicas) || !t.enoughRequests(now, term)):
+	case next >= stageMost && (!t.enoughReady(s.replicas) || !t.enoughRequests(now, allowed)):
 		return false
 	case next == stageCanary:
-		return t.enoughWarm(s.replicas) || t.elapsed(now) > int64(coldCanaryShare*float64(term)) && s.replicas.Target > 0
-	case t.elapsed(now) < earliestStart(next, term) || s.heldFor < quietStageTime:
+		return t.enoughWarm(s.replicas) || t.elapsed(now) > int64(coldCanaryShare*float64(allowed)) && s.replicas.Target > 0
+	case t.elapsed(now) < earliestStart(next, allowed) || s.heldFor < quietStageTime:
 		return false
 	case next == stageRise && now-t.stageSince < minCanaryTime:
 		return false
 	}
-	asked, _ := t.detector.requests()
-	return now-t.stageSince >= minStageTime && asked-t.stageRequests >= leastAsked || now-t.stageSince >= quietStageTime
+	requests, _ := t.detector.requests()
+	return now-t.stageSince >= minStageTime && requests-t.stageRequests >= minRequests || now-t.stageSince >= quietStageTime
 }
 
-// enoughRequests tells whether enough requests went to the version for it to get more than its trial.
+// enoughRequests reports whether the target version got enough requests to leave the trial stages.
 //
-// Danger: a service that no route sends to may be sent all of a route's requests by the next configuration.
-func (t *trackedRollout) enoughRequests(now, term int64) bool {
-	asked, _ := t.detector.requests()
-	return asked >= leastAsked || t.elapsed(now) >= unseenFactor*term
+// Danger: a version that no request has reached can't be judged, and the next configuration may send all requests of a route
+// to it.
+func (t *trackedRollout) enoughRequests(now, allowed int64) bool {
+	requests, _ := t.detector.requests()
+	return requests >= minRequests || t.elapsed(now) >= unseenFactor*allowed
 }
 
-// enoughWarm tells whether enough replicas of the target version are ready and warm for a small share of the traffic.
+// enoughWarm reports whether enough replicas of the target version are ready and warm for the canary.
 func (t *trackedRollout) enoughWarm(replicas Replicas) bool {
 	return replicas.Warm > 0 && float64(replicas.Warm) >= minWarmShare*float64(t.maxOthers)
 }
 
-// enoughReady tells whether the replicas of the target version can bear the service's traffic.
+// enoughReady reports whether there are enough replicas of the target version for the service's whole traffic.
 func (t *trackedRollout) enoughReady(replicas Replicas) bool {
 	return replicas.Target > 0 && float64(replicas.Target) >= minReadyShare*float64(t.maxOthers)
 }
 
-// switchComplete tells whether each edge in touch goes by the switch and has nothing under way at other versions. An edge that has
-// said nothing for so long is not waited for, nor one that has said nothing to whoever holds the duty for so long.
+// switchComplete reports whether each reachable edge has applied the switch and has no requests in flight at other versions.
+// An edge whose last report is older than edgeTimeout isn't waited for. An edge without any report is waited for until
+// edgeTimeout has passed since the switch and since this controller became the holder.
 //
-// Danger: replicas of the other versions end at once when a rollout is called complete.
+// Danger: once a rollout is called complete the replicas of other versions may stop at once.
 func (t *trackedRollout) switchComplete(now int64, s situation) bool {
 	if now-t.stageSince < minStageTime {
 		return false
 	}
 	for _, v := range t.edges {
 		settled := v.evidence.Version >= t.rollout.Changed && v.evidence.OldInFlight == 0
-		if !settled && now-v.at < edgeSilent {
+		if !settled && now-v.receivedAt < edgeTimeout {
 			return false
 		}
 	}
-	waited := min(now-t.stageSince, s.heldFor) >= edgeSilent
+	waited := min(now-t.stageSince, s.heldFor) >= edgeTimeout
 	for _, ip := range s.edges {
 		if t.edges[ip] == nil && !waited {
 			return false
--- a/decide/rollout/manager_test.go
+++ b/decide/rollout/manager_test.go
@@ -7,7 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// answers makes evidence of an edge that has had so many answers of each version, some of the target's failed.
+// answers returns an edge's evidence with the given numbers of answers of the old version and of the target version, and of
+// failures of the target version.
 func answers(life, seq, version uint64, old, target, failed uint32) Evidence {
 	e := Evidence{Number: 1, Incarnation: life, Seq: seq, Version: version}
 	e.Counts = append(e.Counts, OutcomeCounts{Route: 1, FirstBucket: 8, Buckets: []uint32{old}})
@@ -17,8 +18,8 @@
 	return e
 }
 
-// TestEvidenceCountsOnce: reports that are doubled, late or lost change nothing in what is counted; those of a new life of
-// the edge are counted from zero.
+// TestEvidenceCountsOnce: duplicated, delayed or lost reports change nothing in the counts. The counts of a new incarnation
+// of the edge start from zero.
 func TestEvidenceCountsOnce(t *testing.T) {
 	set, _ := begun(t)
 	m := NewManager(Bounds{})
@@ -27,37 +28,37 @@
 	for _, e := range []Evidence{first, third, second, third, first, answers(2, 1, 1, 10, 4, 0)} {
 		m.Report(2, "edge", []Evidence{e})
 	}
-	judge := m.active[1].detector
-	judge.evaluate(conditions{})
-	target, others := judge.requests()
+	detector := m.active[1].detector
+	detector.evaluate(conditions{})
+	target, others := detector.requests()
 	must.Eq(t, 28, target)
 	must.Eq(t, 210, others)
-	must.Eq(t, 4, judge.target.failed)
+	must.Eq(t, 4, detector.target.failed)
 }
 
-// TestOneReplicaInTrouble: a replica that fails all is no evidence against its version, two of eight neither.
+// TestOneReplicaInTrouble: one replica that fails all requests, or two of eight, are no evidence against their version.
 func TestOneReplicaInTrouble(t *testing.T) {
-	for troubled := 1; troubled <= 2; troubled++ {
-		j := newDetector()
-		was := map[string]OutcomeCounts{}
-		for look := range uint32(60) {
+	for failing := 1; failing <= 2; failing++ {
+		d := newDetector()
+		previous := map[string]OutcomeCounts{}
+		for round := range uint32(60) {
 			for i := range 8 {
-				c := OutcomeCounts{Route: 1, Replica: fmt.Sprint("new", i), FirstBucket: 8, Buckets: []uint32{2 * look}}
-				if i < troubled {
-					c.Failed, c.Buckets = 2*look, nil
+				c := OutcomeCounts{Route: 1, Replica: fmt.Sprint("new", i), FirstBucket: 8, Buckets: []uint32{2 * round}}
+				if i < failing {
+					c.Failed, c.Buckets = 2*round, nil
 				}
-				j.addCount(c, was[c.Replica])
-				was[c.Replica] = c
+				d.addCount(c, previous[c.Replica])
+				previous[c.Replica] = c
 			}
-			old := OutcomeCounts{Route: 1, FirstBucket: 8, Buckets: []uint32{50 * look}}
-			j.addCount(old, was[""])
-			was[""] = old
-			must.False(t, j.evaluate(conditions{}).bad, must.Sprint(troubled, " replicas, look ", look))
+			old := OutcomeCounts{Route: 1, FirstBucket: 8, Buckets: []uint32{50 * round}}
+			d.addCount(old, previous[""])
+			previous[""] = old
+			must.False(t, d.evaluate(conditions{}).bad, must.Sprint(failing, " replicas fail, round ", round))
 		}
 	}
 }
 
-// atSwitch is a manager whose only rollout has come to the switch.
+// atSwitch returns a manager whose only rollout has just begun the switch.
 func atSwitch(t *testing.T, now int64) (*Manager, Set) {
 	set, _ := begun(t)
 	for stage := stageCanary; stage <= stageSwitch; stage++ {
@@ -69,19 +70,20 @@
 	return m, set
 }
 
+// switchFacts are facts with eight ready replicas of either version.
 func switchFacts(edges ...string) Facts {
 	return Facts{Replicas: map[uint64]Replicas{1: {Target: 8, Warm: 8, Others: 8}}, Edges: edges}
 }
 
-// completes tells whether a call has the rollout complete.
+// completes reports whether the first change completes the rollout.
 func completes(changes []Change) bool { return len(changes) > 0 && changes[0].Phase == Complete }
 
-// TestCompleteWaitsForEdges: a rollout is complete only once each edge in touch goes by the switch and has nothing under way
-// at other versions; one that has lost touch is not waited for.
+// TestCompleteWaitsForEdges: a rollout is complete only when each reachable edge has applied the switch and has no requests
+// in flight at other versions. An edge that has become unreachable is not waited for.
 func TestCompleteWaitsForEdges(t *testing.T) {
 	start := int64(1000 * ms)
 	for name, c := range map[string]struct {
-		last      Evidence // of the second edge
+		last      Evidence // last report of the second edge
 		completes bool
 		after     int64
 	}{
@@ -102,8 +104,8 @@
 	}
 }
 
-// TestANewHolderOfTheDutyWaitsForEvidence: whoever takes the duty over during the switch has not heard the edges yet, which
-// told the one before.
+// TestANewHolderOfTheDutyWaitsForEvidence: a controller that becomes the holder during the switch has no reports yet,
+// because the edges sent them to the previous holder. It must wait for reports before it completes the rollout.
 func TestANewHolderOfTheDutyWaitsForEvidence(t *testing.T) {
 	start := int64(1000 * ms)
 	m, _ := atSwitch(t, start)
@@ -116,7 +118,8 @@
 	must.True(t, completes(m.Decide(at+1000*ms, switchFacts("a"))))
 }
 
-// TestNoReplicasInTime: a rollout whose version has no ready replicas is taken back at its term, and not before.
+// TestNoReplicasInTime: a rollout whose target version has no ready replicas is reverted shortly before the deadline, and
+// not earlier.
 func TestNoReplicasInTime(t *testing.T) {
 	set, _ := begun(t)
 	m := NewManager(Bounds{})
@@ -128,8 +131,9 @@
 	must.Eq(t, Reverted, changes[0].Phase)
 }
 
-// TestAnUnseenVersionGetsNoMoreThanItsTrial (EXPOSURE): a version that nobody asks keeps its trial beyond the term, for the next
-// configuration may send everything there; once it is asked and answers badly it is taken back.
+// TestAnUnseenVersionGetsNoMoreThanItsTrial (EXPOSURE): a version that gets no requests stays in the trial stages after the
+// deadline, because the next configuration may send all requests there. If it then gets requests and answers badly, it is
+// reverted.
 func TestAnUnseenVersionGetsNoMoreThanItsTrial(t *testing.T) {
 	start := int64(1000 * ms)
 	set, _ := begun(t)
@@ -153,7 +157,7 @@
 	set, _ = begun(t)
 	m = NewManager(Bounds{})
 	m.Apply(start, set)
-	began := start + order.OverMs*ms // the requests, after the term
+	began := start + order.OverMs*ms // the requests begin after the deadline
 	for now, seq := start, uint32(0); now < began+3000*ms; now += evaluationInterval {
 		if now >= began {
 			seq++
@@ -169,7 +173,7 @@
 	must.LessEq(t, stageRise, r.Stage)
 }
 
-// TestAServiceThatIsTakenAway: it has no rollout left.
+// TestAServiceThatIsTakenAway: the rollout of a service that is removed with all its replicas is complete.
 func TestAServiceThatIsTakenAway(t *testing.T) {
 	set, _ := begun(t)
 	m := NewManager(Bounds{})
@@ -178,32 +182,32 @@
 	must.True(t, completes(changes))
 }
 
-// TestAnswersOnNewConnections: a version whose replicas nobody has a connection to yet is not slow for what connections cost, and is
-// found out by these answers alone where it is slow.
+// TestAnswersOnNewConnections: a version that is only reached over new connections doesn't count as slow because of the time
+// that opening a connection takes. If it is slow, these answers are enough to detect it.
 func TestAnswersOnNewConnections(t *testing.T) {
-	const usual, opening = 20 * ms, 12 * ms
+	const normal, opening = 20 * ms, 12 * ms
 	for times, bad := range map[int64]bool{1: false, 8: true} {
 		recorder := NewRecorder(1)
 		set, _ := begun(t)
 		recorder.Watch(set, []Replica{{ID: "old", Service: "s", Version: "v1"}, {ID: "new", Service: "s", Version: "v2"}})
 		m := NewManager(Bounds{})
 		m.Apply(1, set)
-		found := false
-		for look := int64(1); look <= 20; look++ {
+		detected := false
+		for round := int64(1); round <= 20; round++ {
 			for request := range 40 {
-				replica, outcome, took := "old", Answered, int64(usual)
+				replica, outcome, took := "old", Answered, int64(normal)
 				if request%4 == 0 {
-					replica, outcome, took = "new", AnsweredOnNewConnection, usual+opening
+					replica, outcome, took = "new", AnsweredOnNewConnection, normal+opening
 					if request%8 == 0 {
-						took = usual*times + opening
+						took = normal*times + opening
 					}
 				}
 				recorder.Sent(replica)
 				recorder.Ended(replica, 1, outcome, took)
 			}
-			m.Report(look*evaluationInterval, "edge", recorder.Evidence())
-			found = found || m.active[1].detector.evaluate(conditions{singleReplica: true}).bad
+			m.Report(round*evaluationInterval, "edge", recorder.Evidence())
+			detected = detected || m.active[1].detector.evaluate(conditions{singleReplica: true}).bad
 		}
-		must.Eq(t, bad, found, must.Sprint(times, " times as long"))
+		must.Eq(t, bad, detected, must.Sprint(times, " times as long"))
 	}
 }
--- a/decide/rollout/plan.go
+++ b/decide/rollout/plan.go
@@ -1,25 +1,25 @@
 package rollout
 
-// The plan: a version gets a small share until more than half of the time is over, for some versions turn bad late, and then
-// more in a few short steps, since others turn bad under load alone. What a bad version is sent in all is bounded by
-// operators as a share of the service's requests between the order and its term (Terms), so what a stage sends is a
-// multiple of that share.
+// The plan: the target version gets a small share of the traffic for more than half of the allowed time, since some versions
+// turn bad late, and then more in a few short stages, since other versions turn bad only under load. Operators bound the
+// requests that a bad version may get in total, as a share of the service's requests between the order and the deadline
+// (Bounds.ExposureShare). The traffic of the trial stages is therefore a multiple of that share.
 
-// The places in the plan.
+// The stages, in order.
 const (
-	stageWait   = iota // for replicas of the target version that are ready and warm
+	stageWait   = iota // waits for replicas of the target version that are ready and warm
 	stageCanary        // a small share at many edges
-	stageRise          // about as much as a replica usually has, at a part of the edges
+	stageRise          // about the usual load of a replica, from a part of the edges
 	stageMost          // more than half of the traffic
-	stageSwitch        // all of it; it is waited for that nothing is under way at the others
+	stageSwitch        // all of the traffic; ends when no requests are in flight at other versions
 )
 
-// stage is one place in the plan.
+// stage is one entry of the plan.
 type stage struct {
 	name           string
-	initialShares  Shares  // as it begins, under the usual terms
-	exposureFactor float64 // what the target version is to get, as a multiple of the exposure share; 0 for what the shares bring
-	startShare     float64 // share of the time before the switch after which it begins
+	initialShares  Shares  // shares when the stage begins, for the default exposure share
+	exposureFactor float64 // wanted traffic of the target version, as a multiple of the exposure share; 0 to keep the shares as they are
+	startShare     float64 // fraction of the time from the order to the switch after which the stage may begin
 }
 
 var plan = [...]stage{
@@ -30,45 +30,49 @@
 	stageSwitch: {"switch", Shares{fullShare, 0}, 0, 1},
 }
 
-// Bounds are the deployment's bounds on rollouts.
+// Bounds are the limits that the deployment sets on rollouts.
 type Bounds struct {
-	ExposureShare float64 // of a service's requests between the order and its term: most for a version that may be bad; 0 for the usual
+	// ExposureShare is the maximum share of a service's requests between the order and the deadline that go to a version not
+	// yet known to be good; 0 for the default.
+	ExposureShare float64
 }
 
 const (
-	usualExposure = 0.1
-	mostExposure  = 0.3 // more would be no trial but a switch
+	defaultExposure = 0.1
+	maxExposure     = 0.3 // a larger share would be a switch and not a trial
 )
 
-// exposureShare is the share that the plan goes by.
-func (t Bounds) exposureShare() float64 {
-	if t.ExposureShare <= 0 {
-		return usualExposure
+// exposureShare returns the effective exposure share.
+func (b Bounds) exposureShare() float64 {
+	if b.ExposureShare <= 0 {
+		return defaultExposure
 	}
-	return min(t.ExposureShare, mostExposure)
+	return min(b.ExposureShare, maxExposure)
 }
 
-// initialShares are the shares that a stage begins with.
-func (t Bounds) initialShares(number int) Shares {
+// initialShares returns the shares with which a stage begins.
+func (b Bounds) initialShares(number int) Shares {
 	s := plan[number]
 	if s.exposureFactor > 0 {
-		s.initialShares.Target = clampPairs(int(float64(s.initialShares.Target) * t.exposureShare() / usualExposure))
+		s.initialShares.Target = clampPairs(int(float64(s.initialShares.Target) * b.exposureShare() / defaultExposure))
 	}
 	return s.initialShares
 }
 
-// clampPairs keeps a share of the pairs with the target version within what a trial may have.
+// clampPairs keeps the share of pairs with the target version within the range allowed in trial stages.
 func clampPairs(pairs int) int { return min(max(pairs, minPairs), maxPairs) }
 
-// switchLeadTime is how long before the term the switch begins: time for all edges to follow and to end what is under way.
+// switchLeadTime is how long before the deadline the switch begins, so that all edges can apply it and finish the requests
+// in flight.
 const switchLeadTime = 2800 * ms
 
-// earliestStart is the time after the order, ns, before which a stage does not begin.
-func earliestStart(stage int, term int64) int64 {
-	return int64(plan[stage].startShare * float64(max(term-switchLeadTime, term/2)))
+// earliestStart returns the earliest time for a stage to begin, in ns after the order. The allowed time of the rollout is in
+// ns too.
+func earliestStart(stage int, allowed int64) int64 {
+	return int64(plan[stage].startShare * float64(max(allowed-switchLeadTime, allowed/2)))
 }
 
-// StageName is the name of the stage that an active rollout is at.
+// StageName returns the name of the current stage of an active rollout, and the name of the phase otherwise.
 func (r *Rollout) StageName() string {
 	if r.Phase != Active || r.Stage < 0 || r.Stage >= len(plan) {
 		return r.Phase.String()
@@ -76,28 +80,29 @@
 	return plan[r.Stage].name
 }
 
-// How a stage's shares are brought to the traffic that it is to have: an edge sends to the nearest of the least busy replicas,
-// so that a share of the pairs is less than the same share of the traffic.
+// Tuning adjusts the shares of a stage until the target version gets the wanted traffic. Edges prefer the nearest of the
+// least busy replicas, so a share of the pairs brings less than the same share of the traffic.
 const (
-	minTuneRequests   = 60.0 // requests of the service since the stage began, or the shares were changed
-	maxTuneFactor     = 2.5  // at a time
-	tuneTolerance     = 0.6  // of the traffic wanted, or the inverse: close enough
-	maxPairs          = 700  // of the pairs with the target version
-	minPairs          = 10
-	minTargetRequests = 0.5 // taken for the requests where there were none
+	minTuneRequests   = 60.0 // requests of the service needed since the last change of stage or shares
+	maxTuneFactor     = 2.5  // largest change of the share in one step, up or down
+	tuneTolerance     = 0.6  // traffic from this multiple of the wanted traffic up to the inverse multiple is close enough
+	maxPairs          = 700  // thousandths of the pairs with the target version
+	minPairs          = 10   // thousandths of the pairs with the target version
+	minTargetRequests = 0.5  // assumed for the target version if it got no requests
 )
 
-// tuneShares returns the shares that bring the traffic closer to what a stage is to have; false where they are close enough.
-func (t Bounds) tuneShares(number int, now Shares, target, others float64) (Shares, bool) {
-	wanted := plan[number].exposureFactor * t.exposureShare()
+// tuneShares returns shares that bring the traffic of the target version closer to what the stage wants. It returns false if
+// the traffic is close enough.
+func (b Bounds) tuneShares(number int, now Shares, target, others float64) (Shares, bool) {
+	wanted := plan[number].exposureFactor * b.exposureShare()
 	if wanted == 0 || target+others < minTuneRequests {
 		return now, false
 	}
-	is := max(target, minTargetRequests) / (target + others)
-	if is >= tuneTolerance*wanted && is <= wanted/tuneTolerance {
+	share := max(target, minTargetRequests) / (target + others)
+	if share >= tuneTolerance*wanted && share <= wanted/tuneTolerance {
 		return now, false
 	}
-	factor := min(max(wanted/is, 1/maxTuneFactor), maxTuneFactor)
+	factor := min(max(wanted/share, 1/maxTuneFactor), maxTuneFactor)
 	next := Shares{Target: clampPairs(int(float64(now.Target) * factor)), Others: now.Others}
 	return next, next != now
 }
--- a/decide/rollout/set.go
+++ b/decide/rollout/set.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// maxKept is how many rollouts a Set keeps: those that are active, and of the rest the last ones.
+// maxKept is how many rollouts a Set keeps. Active rollouts are always kept; of the ended ones the oldest are dropped.
 const maxKept = 128
 
 // Set is the state of all rollouts. It is never changed in place.
 type Set struct {
-	Version  uint64    `cbor:"1,keyasint,omitempty"` // counts changes
-	Rollouts []Rollout `cbor:"2,keyasint,omitempty"` // by number
+	Version  uint64    `cbor:"1,keyasint,omitempty"` // increases by one with each change
+	Rollouts []Rollout `cbor:"2,keyasint,omitempty"` // sorted by Number
 }
 
-// IsZero tells whether no rollout was ever begun.
+// IsZero reports whether no rollout was ever started.
 func (s Set) IsZero() bool { return s.Version == 0 }
 
-// NewestOf returns the newest rollout of a service; false where there is none.
+// NewestOf returns the newest rollout of a service, and false if there is none.
 func (s Set) NewestOf(service string) (Rollout, bool) {
 	for _, r := range slices.Backward(s.Rollouts) {
 		if r.Order.Service == service {
@@ -27,7 +27,7 @@
 	return Rollout{}, false
 }
 
-// Newest returns the newest rollout of each service.
+// Newest returns the newest rollout of each service, by service.
 func (s Set) Newest() map[string]*Rollout {
 	newest := make(map[string]*Rollout, len(s.Rollouts))
 	for i := range s.Rollouts {
@@ -46,17 +46,18 @@
 	return active
 }
 
-// BeginResult is what became of an operator's order.
+// BeginResult says whether an operator's order was accepted.
 type BeginResult uint8
 
-// The verdicts.
+// The results of Begin.
 const (
-	Accepted BeginResult = iota + 1 // the rollout stands, begun now or before
+	Accepted BeginResult = iota + 1 // the order has a rollout, started by this call or by an earlier one
 	Busy                            // another rollout of the service is active
 )
 
-// Begin takes an order in. The same order sent again is the rollout that it began, whatever became of it since.
-func (s Set) Begin(o Order) (next Set, verdict BeginResult, changed bool) {
+// Begin starts a rollout. An order that is sent again refers to the rollout that it started the first time, even if that
+// rollout has ended since.
+func (s Set) Begin(o Order) (next Set, result BeginResult, changed bool) {
 	was, known := s.NewestOf(o.Service)
 	switch {
 	case known && was.Order == o:
@@ -71,7 +72,7 @@
 	return s.with(begun), Accepted, true
 }
 
-// Apply makes a change where the rollout still is as the one who decided it saw it.
+// Apply applies a step, unless the rollout has changed or ended since the step was decided.
 func (s Set) Apply(c Change) (next Set, changed bool) {
 	at := slices.IndexFunc(s.Rollouts, func(r Rollout) bool { return r.Number == c.Rollout.Number })
 	if at < 0 || s.Rollouts[at].Step != c.Rollout.Step || s.Rollouts[at].Phase != Active {
@@ -80,7 +81,7 @@
 	return s.with(c.next()), true
 }
 
-// Abort takes a service's rollout back on an operator's word; false where none is active.
+// Abort reverts the active rollout of a service at an operator's request. It returns false if none is active.
 func (s Set) Abort(service, reason string) (next Set, changed bool) {
 	r, known := s.NewestOf(service)
 	if !known || r.Phase != Active {
@@ -89,6 +90,7 @@
 	return s.Apply(Change{Rollout: r, Phase: Reverted, ElapsedMs: r.ElapsedMs, Reason: reason})
 }
 
+// lastNumber returns the number of the newest rollout, or 0.
 func (s Set) lastNumber() uint64 {
 	if len(s.Rollouts) == 0 {
 		return 0
@@ -96,7 +98,7 @@
 	return s.Rollouts[len(s.Rollouts)-1].Number
 }
 
-// with returns the Set with a rollout that is new or has changed.
+// with returns a copy of the Set that has this new or changed rollout.
 func (s Set) with(r Rollout) Set {
 	next := Set{Version: s.Version + 1, Rollouts: slices.Clone(s.Rollouts)}
 	r.Changed = next.Version
@@ -113,10 +115,11 @@
 	return next
 }
 
-// maxReverted is how many versions that were taken back a rollout names.
+// maxReverted is how many reverted versions a rollout remembers.
 const maxReverted = 8
 
-// blockedVersions are the versions of the service that must get nothing once a rollout to target follows this one.
+// blockedVersions returns the versions of the service that must get no traffic during the next rollout, which moves to
+// target: all versions that were reverted, except target itself.
 func (r *Rollout) blockedVersions(target string) []string {
 	versions := slices.Clone(r.Reverted)
 	if r.Phase == Reverted {
@@ -128,15 +131,15 @@
 
 // Change is one step of a rollout.
 type Change struct {
-	Rollout   Rollout // as it was when this was decided
+	Rollout   Rollout // the rollout that the decision is based on
 	Phase     Phase
-	Stage     int    // where it stays active
-	Shares    Shares // likewise
+	Stage     int    // next stage, if the rollout stays active
+	Shares    Shares // next shares, if the rollout stays active
 	ElapsedMs int64
 	Reason    string
 }
 
-// next is the rollout after the step.
+// next returns the rollout after the step.
 func (c Change) next() Rollout {
 	r := c.Rollout
 	r.Step++
@@ -145,8 +148,8 @@
 	return r
 }
 
-// Key appends what tells a Set from another, for those who play every order of events: of sets that follow from one another
-// by changes, each version is one content.
+// Key appends an encoding that differs between any two Sets, for tools that explore every order of events. It holds for Sets
+// that follow from one another by changes, since there each version stands for one content.
 func (s Set) Key(b []byte) []byte {
 	b = binary.AppendUvarint(b, s.Version)
 	for _, r := range s.Rollouts {
--- a/decide/rollout/set_test.go
+++ b/decide/rollout/set_test.go
@@ -9,7 +9,7 @@
 
 var order = Order{Service: "s", Target: "v2", OverMs: 14000}
 
-// begun is a Set with one rollout.
+// begun returns a Set with one active rollout, and the rollout.
 func begun(t *testing.T) (Set, Rollout) {
 	set, verdict, changed := Set{}.Begin(order)
 	must.Eq(t, Accepted, verdict)
@@ -19,6 +19,7 @@
 	return set, r
 }
 
+// ended returns the Set after a step that ends the rollout of service s.
 func ended(t *testing.T, set Set, phase Phase) Set {
 	r, _ := set.NewestOf("s")
 	next, changed := set.Apply(Change{Rollout: r, Phase: phase})
@@ -26,8 +27,8 @@
 	return next
 }
 
-// TestBegin: an order sent again is the rollout that it began, whatever became of it; another one of the service waits until
-// that one has ended.
+// TestBegin: an order that is sent again refers to the rollout that it started, even if that has ended. Another order for
+// the service is accepted only after that.
 func TestBegin(t *testing.T) {
 	set, _ := begun(t)
 	other := Order{Service: "s", Target: "v3", OverMs: 14000}
@@ -38,11 +39,11 @@
 	must.Eq(t, Busy, verdict)
 	must.False(t, changed)
 	for _, phase := range []Phase{Complete, Reverted} {
-		over := ended(t, set, phase)
-		_, verdict, changed = over.Begin(order)
+		afterwards := ended(t, set, phase)
+		_, verdict, changed = afterwards.Begin(order)
 		must.Eq(t, Accepted, verdict)
 		must.False(t, changed)
-		next, verdict, changed := over.Begin(other)
+		next, verdict, changed := afterwards.Begin(other)
 		must.Eq(t, Accepted, verdict)
 		must.True(t, changed)
 		r, _ := next.NewestOf("s")
@@ -51,7 +52,8 @@
 	}
 }
 
-// TestStepOfAFormerDutyChangesNothing: a step decided on a state that another one has replaced is not taken.
+// TestStepOfAFormerDutyChangesNothing: a step that was decided on an outdated state, for example by a previous holder, is
+// not applied.
 func TestStepOfAFormerDutyChangesNothing(t *testing.T) {
 	set, seen := begun(t)
 	set, changed := set.Apply(Change{Rollout: seen, Phase: Active, Stage: stageCanary, Shares: plan[stageCanary].initialShares})
@@ -68,8 +70,8 @@
 	must.False(t, changed)
 }
 
-// TestAVersionTakenBackStaysShut: what was reverted gets nothing, also during the next rollout and after it, unless an
-// operator orders that very version.
+// TestAVersionTakenBackStaysShut: a reverted version gets no requests, also during and after the next rollout, unless an
+// operator orders a rollout to that version.
 func TestAVersionTakenBackStaysShut(t *testing.T) {
 	set, _ := begun(t)
 	set = ended(t, set, Reverted)
@@ -93,7 +95,7 @@
 	must.True(t, r.Admits("e", "a", "v2"))
 }
 
-// TestSharesOpenMore: a larger share opens all that a smaller one opens, and about its part of the pairs.
+// TestSharesOpenMore: a larger share admits every pair that a smaller share admits, and about its fraction of all pairs.
 func TestSharesOpenMore(t *testing.T) {
 	open := func(share int) (pairs map[string]bool) {
 		r := Rollout{Order: order, Phase: Active, Shares: Shares{Target: share, Others: fullShare}}
@@ -119,7 +121,7 @@
 	must.MapEmpty(t, open(0))
 }
 
-// TestKept: the Set does not grow for ever, and what is active stays.
+// TestKept: the number of rollouts in a Set is bounded, and active rollouts are never dropped.
 func TestKept(t *testing.T) {
 	set, _ := begun(t)
 	for n := range 3 * maxKept {
