--- a/decide/deduplication/deduplication.go
+++ b/decide/deduplication/deduplication.go
@@ -1,10 +1,10 @@
-// Package deduplication remembers, for a while, the ids of queries that came from another site and how they ended, so that a
-// repeat joins the one under way or gets the same answer. It does no I/O and reads no clock.
+// Package deduplication remembers for some time the ids of queries from other sites and how they ended, so that a repeated
+// query joins the one in progress or gets the same answer. It does no I/O and reads no clock.
 //
-// Decides: whether a query with this id is new, is under way, has its answer, or must not run here again.
+// Decides: whether a query with this id is new, in progress, answered, or must not run here again.
 //
-// What is kept is bounded in time and number. Snapshot and Restore carry it over a planned restart; what a restart cut
-// off is known as cut off, and is not run a second time.
+// The number of ids, the size of the answers and the time are bounded. Snapshot and Restore keep the table over a planned
+// restart. Queries that a restart interrupted are remembered as interrupted and don't run again.
 package deduplication
 
 import (
@@ -18,24 +18,25 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Verdict is what to do with a query.
+// Verdict says what to do with a query.
 type Verdict uint8
 
 const (
-	FirstSeen   Verdict = iota // run it, and End it
-	InProgress                 // it is under way: its answer is this one's as well
-	Answered                   // it has ended so
-	Interrupted                // it may have run, and how it ended is not known here
-	Full                       // there is no room to remember it
+	FirstSeen   Verdict = iota // run the query, then call End, Interrupt or Discard
+	InProgress                 // the query is running; its answer is also the answer to this one
+	Answered                   // the query has ended with the returned answer
+	Interrupted                // the query may have run, and its result isn't known here
+	Full                       // the table has no free entry for the query
 )
 
-// Limits bound what is kept.
+// Limits bound the table.
 type Limits struct {
-	MaxIDs         int   // ids
-	MaxAnswerBytes int64 // of answers
-	Retention      int64 // that an id is remembered after its end, ns
+	MaxIDs         int   // maximum number of ids
+	MaxAnswerBytes int64 // maximum total size of the stored answers
+	Retention      int64 // ns that an id is kept after its query has ended
 }
 
+// state is the state of a query.
 type state uint8
 
 const (
@@ -44,28 +45,29 @@
 	interrupted
 )
 
+// entry is a remembered query.
 type entry struct {
 	id        string
 	state     state
-	changedAt int64 // it began, or ended
+	changedAt int64 // time at which the query began, or ended if it isn't running
 	answer    []byte
 }
 
-// Window is the table. Order is the order of what can be forgotten, the oldest first.
+// Window is the table of remembered ids.
 type Window struct {
 	Limits
 	entries     map[string]*entry
-	expiryOrder []*entry // that are not running
-	answerBytes int64
+	expiryOrder []*entry // entries that aren't running, in the order in which they expire
+	answerBytes int64    // total size of the stored answers
 }
 
-// New makes an empty window.
-func New(t Limits) *Window { return &Window{Limits: t, entries: map[string]*entry{}} }
+// New returns an empty Window.
+func New(limits Limits) *Window { return &Window{Limits: limits, entries: map[string]*entry{}} }
 
-// Begin asks what to do with a query; its answer comes with Answered.
+// Begin decides what to do with a query. The second result is the answer if the verdict is Answered.
 //
-// Danger: an id that is forgotten too soon lets a repeat run a second time. So where there is no room a new one is
-// turned away unseen, and nothing that may still be repeated is forgotten for it.
+// Danger: if an id is dropped too early, a repeated query runs a second time. So when the table is full, a new query gets
+// Full and must be rejected without running, and no entry that may still be repeated is dropped for it.
 func (w *Window) Begin(now int64, id string) (Verdict, []byte) {
 	w.expire(now)
 	if e := w.entries[id]; e != nil {
@@ -84,7 +86,8 @@
 	return FirstSeen, nil
 }
 
-// End keeps how a query ended. An answer that there is no room for is kept as cut off: it will not run again.
+// End stores the answer of a query. If the answer is too large for the remaining space, the query is stored as interrupted,
+// so that it doesn't run again.
 func (w *Window) End(now int64, id string, answer []byte) {
 	e := w.entries[id]
 	if e == nil || e.state != running {
@@ -99,7 +102,7 @@
 	w.expiryOrder = append(w.expiryOrder, e)
 }
 
-// Interrupt keeps that a query may have run and that nobody knows how it ended.
+// Interrupt records that a query may have run with an unknown result.
 func (w *Window) Interrupt(now int64, id string) {
 	if e := w.entries[id]; e != nil && e.state == running {
 		e.state, e.changedAt = interrupted, now
@@ -107,14 +110,14 @@
 	}
 }
 
-// Discard forgets a query that is known not to have run, so that it may come again.
+// Discard removes a query that certainly hasn't run, so that it may be sent again.
 func (w *Window) Discard(id string) {
 	if e := w.entries[id]; e != nil && e.state == running {
 		delete(w.entries, id)
 	}
 }
 
-// expire drops what is old.
+// expire drops the entries that are older than the retention time.
 func (w *Window) expire(now int64) {
 	n := 0
 	for n < len(w.expiryOrder) && now-w.expiryOrder[n].changedAt > w.Retention {
@@ -127,10 +130,10 @@
 	}
 }
 
-// Len is how many ids are remembered.
+// Len returns how many ids are stored.
 func (w *Window) Len() int { return len(w.entries) }
 
-// A snapshot is a byte of form, entries and eight bytes of checksum.
+// Format of a snapshot: one byte for the version, the entries, and a checksum of eight bytes.
 const (
 	formatVersion = 1
 	checksumBytes = 8
@@ -140,41 +143,42 @@
 	fieldID, fieldState, fieldAge, fieldAnswer protowire.Number = 1, 2, 3, 4
 )
 
-// Snapshot encodes all that is remembered, ages against now.
+// Snapshot encodes the table. Times are stored as ages relative to now.
 func (w *Window) Snapshot(now int64) []byte {
 	b := []byte{formatVersion}
-	var one []byte
+	var encoded []byte
 	put := func(e *entry) {
-		one = protowire.AppendString(protowire.AppendTag(one[:0], fieldID, protowire.BytesType), e.id)
-		one = protowire.AppendVarint(protowire.AppendTag(one, fieldState, protowire.VarintType), uint64(e.state))
-		one = protowire.AppendVarint(protowire.AppendTag(one, fieldAge, protowire.VarintType), uint64(max(now-e.changedAt, 0)))
-		one = protowire.AppendBytes(protowire.AppendTag(one, fieldAnswer, protowire.BytesType), e.answer)
-		b = protowire.AppendBytes(protowire.AppendTag(b, fieldEntry, protowire.BytesType), one)
+		encoded = protowire.AppendString(protowire.AppendTag(encoded[:0], fieldID, protowire.BytesType), e.id)
+		encoded = protowire.AppendVarint(protowire.AppendTag(encoded, fieldState, protowire.VarintType), uint64(e.state))
+		encoded = protowire.AppendVarint(protowire.AppendTag(encoded, fieldAge, protowire.VarintType), uint64(max(now-e.changedAt, 0)))
+		encoded = protowire.AppendBytes(protowire.AppendTag(encoded, fieldAnswer, protowire.BytesType), e.answer)
+		b = protowire.AppendBytes(protowire.AppendTag(b, fieldEntry, protowire.BytesType), encoded)
 	}
-	var under []string
+	var runningIDs []string
 	for id, e := range w.entries {
 		if e.state == running {
-			under = append(under, id)
+			runningIDs = append(runningIDs, id)
 		}
 	}
-	slices.Sort(under)
+	slices.Sort(runningIDs)
 	for _, e := range w.expiryOrder {
 		put(e)
 	}
-	for _, id := range under {
+	for _, id := range runningIDs {
 		put(w.entries[id])
 	}
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// ErrDamaged tells that a snapshot cannot be used.
+// ErrDamaged says that a snapshot can't be used.
 var ErrDamaged = errors.New("the snapshot of ids is damaged")
 
-// Restore takes a snapshot in; what was under way is cut off. away is how long ago it was made, ns. With an error nothing
-// has changed.
+// Restore adds the entries of a snapshot that was made age ns ago. Queries that were running are interrupted. If Restore
+// returns an error, the table is unchanged.
 //
-// Danger: half of a snapshot would let what the other half knew run again: it is taken whole or not at all.
-func (w *Window) Restore(now, away int64, snapshot []byte) error {
+// Danger: if only a part of a snapshot were restored, queries from the other part could run again. So it is restored
+// completely or not at all.
+func (w *Window) Restore(now, age int64, snapshot []byte) error {
 	if len(snapshot) < 1+checksumBytes || snapshot[0] != formatVersion {
 		return ErrDamaged
 	}
@@ -182,7 +186,7 @@
 	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(snapshot[len(body):]) {
 		return ErrDamaged
 	}
-	var all []*entry
+	var entries []*entry
 	for b := body[1:]; len(b) > 0; {
 		field, kind, n := protowire.ConsumeTag(b)
 		if n < 0 || field != fieldEntry || kind != protowire.BytesType {
@@ -192,15 +196,15 @@
 		if m < 0 {
 			return ErrDamaged
 		}
-		e, err := decodeEntry(inner, now-max(away, 0))
+		e, err := decodeEntry(inner, now-max(age, 0))
 		if err != nil {
 			return err
 		}
-		all = append(all, e)
+		entries = append(entries, e)
 		b = b[n+m:]
 	}
-	slices.SortStableFunc(all, func(a, b *entry) int { return int(min(max(a.changedAt-b.changedAt, -1), 1)) })
-	for _, e := range all {
+	slices.SortStableFunc(entries, func(a, b *entry) int { return int(min(max(a.changedAt-b.changedAt, -1), 1)) })
+	for _, e := range entries {
 		if now-e.changedAt > w.Retention || w.entries[e.id] != nil || len(w.entries) >= w.MaxIDs {
 			continue
 		}
@@ -214,6 +218,7 @@
 	return nil
 }
 
+// decodeEntry decodes one entry of a snapshot that was made at snapshotAt.
 func decodeEntry(b []byte, snapshotAt int64) (*entry, error) {
 	e := &entry{}
 	for len(b) > 0 {
@@ -248,7 +253,7 @@
 	if e.id == "" || len(e.id) > maxIDBytes {
 		return nil, fmt.Errorf("%w: an id of %d bytes", ErrDamaged, len(e.id))
 	}
-	if e.state == running { // it ran when the process ended
+	if e.state == running { // it was running when the process ended
 		e.state = interrupted
 	}
 	return e, nil
--- a/decide/deduplication/deduplication_test.go
+++ b/decide/deduplication/deduplication_test.go
@@ -12,81 +12,81 @@
 
 var terms = Limits{MaxIDs: 20, MaxAnswerBytes: 200, Retention: 10 * second}
 
-// Whatever comes, and whenever a planned restart does: within its time an id runs once, a repeat gets its answer or is
-// told that it is not known, and the bounds are kept.
+// TestRunsOnce: whatever the order of events and planned restarts, an id runs only once within its retention time, a
+// repeated query gets the same answer or the verdict that the result is unknown, and the limits hold.
 func TestRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w, now := New(terms), int64(0)
-		type life struct {
-			state string
-			at    int64
-			text  string
+		type record struct {
+			state  string
+			at     int64
+			answer string
 		}
-		truth := map[string]life{}
+		records := map[string]record{}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += rapid.Int64Range(0, second).Draw(t, "time")
 			id := fmt.Sprint("q", rapid.IntRange(0, 30).Draw(t, "id"))
-			was, known := truth[id]
-			old := known && was.state != "running" && now-was.at > terms.Retention
+			want, known := records[id]
+			expired := known && want.state != "running" && now-want.at > terms.Retention
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2, 3, 4:
 				verdict, answer := w.Begin(now, id)
 				switch verdict {
 				case FirstSeen:
-					if known && !old {
-						t.Fatalf("%s runs again: %+v, now %d", id, was, now)
+					if known && !expired {
+						t.Fatalf("query %s runs again: %+v, now %d", id, want, now)
 					}
-					truth[id] = life{"running", now, ""}
+					records[id] = record{"running", now, ""}
 				case InProgress:
-					if was.state != "running" {
-						t.Fatalf("%s joined %+v", id, was)
+					if want.state != "running" {
+						t.Fatalf("query %s is in progress, want %+v", id, want)
 					}
 				case Answered:
-					if was.state != "ended" || string(answer) != was.text {
-						t.Fatalf("%s got %q, %+v", id, answer, was)
+					if want.state != "ended" || string(answer) != want.answer {
+						t.Fatalf("query %s got answer %q, want %+v", id, answer, want)
 					}
 				case Interrupted:
-					if !known || was.state == "running" {
-						t.Fatalf("%s is cut off, %+v", id, was)
+					if !known || want.state == "running" {
+						t.Fatalf("query %s is interrupted, want %+v", id, want)
 					}
 				}
 			case 5, 6:
-				if was.state == "running" {
+				if want.state == "running" {
 					text := fmt.Sprint("answer to ", id, " at ", now)
 					w.End(now, id, []byte(text))
-					truth[id] = life{"ended", now, text}
+					records[id] = record{"ended", now, text}
 				}
 			case 7:
-				if was.state == "running" {
+				if want.state == "running" {
 					w.Discard(id)
-					delete(truth, id)
+					delete(records, id)
 				}
 			case 8:
-				if was.state == "running" {
+				if want.state == "running" {
 					w.Interrupt(now, id)
-					truth[id] = life{"cut", now, ""}
+					records[id] = record{"cut", now, ""}
 				}
 			case 9: // a planned restart
-				snapshot, away := w.Snapshot(now), rapid.Int64Range(0, 3*second).Draw(t, "away")
-				now += away
+				snapshot, age := w.Snapshot(now), rapid.Int64Range(0, 3*second).Draw(t, "away")
+				now += age
 				w = New(terms)
-				if err := w.Restore(now, away, snapshot); err != nil {
+				if err := w.Restore(now, age, snapshot); err != nil {
 					t.Fatal(err)
 				}
-				for id, l := range truth {
-					if l.state == "running" {
-						truth[id] = life{"cut", l.at, ""}
+				for id, r := range records {
+					if r.state == "running" {
+						records[id] = record{"cut", r.at, ""}
 					}
 				}
 			}
 			if w.Len() > terms.MaxIDs || w.answerBytes > terms.MaxAnswerBytes {
-				t.Fatalf("%d ids and %d bytes", w.Len(), w.answerBytes)
+				t.Fatalf("%d ids and %d bytes exceed the limits", w.Len(), w.answerBytes)
 			}
 		}
 	})
 }
 
-// Danger: a damaged snapshot is taken whole or not at all.
+// TestDamaged: a damaged snapshot is rejected, and nothing of it is restored.
 func TestDamaged(t *testing.T) {
 	w := New(terms)
 	for i := range 5 {
@@ -94,33 +94,34 @@
 		w.Begin(0, id)
 		w.End(second, id, []byte("answer"))
 	}
-	good := w.Snapshot(second)
-	for i := range good {
-		for _, text := range [][]byte{good[:i], append(append(bytes.Clone(good[:i]), good[i]^0x40), good[i+1:]...)} {
-			fresh := New(terms)
-			if err := fresh.Restore(second, 0, text); err == nil || fresh.Len() != 0 {
-				t.Fatalf("at byte %d: %v, %d ids", i, err, fresh.Len())
+	snapshot := w.Snapshot(second)
+	for i := range snapshot {
+		for _, damaged := range [][]byte{snapshot[:i], append(append(bytes.Clone(snapshot[:i]), snapshot[i]^0x40), snapshot[i+1:]...)} {
+			restored := New(terms)
+			if err := restored.Restore(second, 0, damaged); err == nil || restored.Len() != 0 {
+				t.Fatalf("snapshot damaged at byte %d: error %v, %d ids restored", i, err, restored.Len())
 			}
 		}
 	}
-	fresh := New(terms)
-	if err := fresh.Restore(20*second, 0, good); err != nil || fresh.Len() != 5 {
-		t.Errorf("%v, %d ids", err, fresh.Len())
+	restored := New(terms)
+	if err := restored.Restore(20*second, 0, snapshot); err != nil || restored.Len() != 5 {
+		t.Errorf("error %v, %d ids restored", err, restored.Len())
 	}
-	if err := New(terms).Restore(20*second, 19*second, good); err != nil {
+	if err := New(terms).Restore(20*second, 19*second, snapshot); err != nil {
 		t.Error(err)
 	}
 }
 
+// FuzzRestore: Restore keeps the limits for any input.
 func FuzzRestore(f *testing.F) {
 	w := New(terms)
 	w.Begin(0, "q")
 	f.Add(w.Snapshot(0))
-	f.Fuzz(func(t *testing.T, text []byte) {
-		fresh := New(terms)
-		fresh.Restore(0, 0, text)
-		if fresh.Len() > terms.MaxIDs || fresh.answerBytes > terms.MaxAnswerBytes {
-			t.Errorf("%d ids, %d bytes", fresh.Len(), fresh.answerBytes)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		restored := New(terms)
+		restored.Restore(0, 0, input)
+		if restored.Len() > terms.MaxIDs || restored.answerBytes > terms.MaxAnswerBytes {
+			t.Errorf("%d ids and %d bytes exceed the limits", restored.Len(), restored.answerBytes)
 		}
 	})
 }
--- a/decide/fairqueue/fairqueue.go
+++ b/decide/fairqueue/fairqueue.go
@@ -1,11 +1,11 @@
-// Package fairqueue keeps queries that wait for room, and says which is next, so that one customer's crowd does not keep out
-// the others. It does no I/O and reads no clock.
+// Package fairqueue holds queries that wait for free capacity and chooses the next one, so that a customer with many queries
+// can't block the others. It does no I/O and reads no clock.
 //
-// Decides: who may wait, who goes next, and who has waited too long.
+// Decides: which queries may wait, which one is next, and which have waited too long.
 //
-// Customers take turns by what they were served: each has a virtual time that grows with every query served, by the inverse of
-// its weight, and the one with the least goes next. Within a customer the oldest goes first; one whose time to wait is over is
-// dropped from the front and never from the back, for the newest has the most time left.
+// The order is weighted fair queuing. Each customer has a virtual time that grows with every query served, by the inverse of
+// the customer's weight, and the customer with the lowest virtual time is next. Within a customer the oldest query is next.
+// If a customer has to lose a query, it is the oldest one too, because the newest has the most time left.
 package fairqueue
 
 import (
@@ -13,52 +13,54 @@
 	"slices"
 )
 
-const maxCustomers = 4096 // whose turns are remembered; beyond that those who have nothing waiting are forgotten
+const maxCustomers = 4096 // customers whose virtual time is kept; with more, those without waiting queries are dropped
 
 // Limits bound the queue.
 type Limits struct {
-	MaxWaiting       int     // queries that wait
-	MaxCustomerShare float64 // share of them that one customer may have
+	MaxWaiting       int     // maximum number of waiting queries
+	MaxCustomerShare float64 // maximum fraction of them that one customer may have
 }
 
-// Item is one query that waits.
+// Item is a waiting query.
 type Item struct {
 	Customer string
-	Weight   float64 // of its customer: twice the weight, twice the turns; at or below 0 counts as 1
-	Deadline int64   // it waits no longer, ns
-	Handle   any     // the caller's
+	Weight   float64 // weight of the customer: twice the weight gets twice the turns; 0 or less counts as 1
+	Deadline int64   // time in ns until which the query may wait
+	Handle   any     // the caller's handle
 }
 
+// customer is a customer with its waiting queries, the oldest first.
 type customer struct {
 	name        string
-	virtualTime float64 // virtual time served
+	virtualTime float64 // sum of the inverse weights of the served queries
 	items       []Item
 }
 
-// Queue is the queue. Its zero value is not usable; see New.
+// Queue is a fair queue. The zero value isn't usable; see New.
 type Queue struct {
 	Limits
 	customers   map[string]*customer
 	waiting     int
-	virtualTime float64 // of the last one served: who comes anew starts here, and saves nothing up
+	virtualTime float64 // virtual time of the last customer served; a customer that returns starts here, so it can't save up turns
 }
 
-// New makes an empty queue.
-func New(t Limits) *Queue { return &Queue{Limits: t, customers: map[string]*customer{}} }
+// New returns an empty queue.
+func New(limits Limits) *Queue { return &Queue{Limits: limits, customers: map[string]*customer{}} }
 
-// Len is how many wait.
+// Len returns how many queries wait.
 func (q *Queue) Len() int { return q.waiting }
 
-// Push has a query wait. With the queue full it takes the place of the oldest of the customer with the most waiting, if
-// that is another's; that one is returned as dropped. False means that there is no place for it.
+// Push adds a query. If the queue is full, the query replaces the oldest query of the customer with the most waiting,
+// provided that customer then still has at least as many waiting as this one. The replaced query is returned in dropped,
+// together with expired ones. Push returns false if there is no place for the query.
 //
-// Danger: in a full queue that turns newcomers away, the one who filled it would have it to himself.
-func (q *Queue) Push(now int64, it Item) (dropped []Item, taken bool) {
-	if it.Deadline <= now {
+// Danger: if a full queue simply rejected new queries, the customer that filled it would keep the whole queue.
+func (q *Queue) Push(now int64, item Item) (dropped []Item, queued bool) {
+	if item.Deadline <= now {
 		return nil, false
 	}
 	dropped = q.Expire(now)
-	c := q.customer(it.Customer)
+	c := q.customer(item.Customer)
 	if float64(len(c.items)+1) > max(q.MaxCustomerShare*float64(q.MaxWaiting), 1) {
 		return dropped, false
 	}
@@ -74,14 +76,14 @@
 	if len(c.items) == 0 {
 		c.virtualTime = max(c.virtualTime, q.virtualTime)
 	}
-	c.items = append(c.items, it)
+	c.items = append(c.items, item)
 	q.waiting++
 	return dropped, true
 }
 
-// Pop takes the next query out, if any waits.
-func (q *Queue) Pop(now int64) (next Item, late []Item, ok bool) {
-	late = q.Expire(now)
+// Pop removes and returns the next query, if any waits, and also the queries that have expired.
+func (q *Queue) Pop(now int64) (next Item, expired []Item, ok bool) {
+	expired = q.Expire(now)
 	var first *customer
 	for _, c := range q.customers {
 		if len(c.items) > 0 && (first == nil || cmp.Or(cmp.Compare(c.virtualTime, first.virtualTime), cmp.Compare(c.name, first.name)) < 0) {
@@ -89,7 +91,7 @@
 		}
 	}
 	if first == nil {
-		return Item{}, late, false
+		return Item{}, expired, false
 	}
 	next = first.items[0]
 	first.items = first.items[1:]
@@ -100,34 +102,34 @@
 		weight = 1
 	}
 	first.virtualTime += 1 / weight
-	return next, late, true
+	return next, expired, true
 }
 
-// Expire takes out all whose time to wait is over.
-func (q *Queue) Expire(now int64) (late []Item) {
+// Expire removes and returns the queries whose deadline has passed.
+func (q *Queue) Expire(now int64) (expired []Item) {
 	for _, c := range q.customers {
-		c.items = slices.DeleteFunc(c.items, func(it Item) bool {
-			over := it.Deadline <= now
+		c.items = slices.DeleteFunc(c.items, func(item Item) bool {
+			over := item.Deadline <= now
 			if over {
-				late = append(late, it)
+				expired = append(expired, item)
 			}
 			return over
 		})
 	}
-	q.waiting -= len(late)
-	slices.SortStableFunc(late, func(a, b Item) int {
+	q.waiting -= len(expired)
+	slices.SortStableFunc(expired, func(a, b Item) int {
 		return cmp.Or(cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.Customer, b.Customer))
 	})
-	return late
+	return expired
 }
 
-// Remove takes a query out whose caller waits no longer, by its load; false where it is not there.
-func (q *Queue) Remove(name string, load any) bool {
+// Remove removes a waiting query by its handle. It returns false if the query isn't in the queue.
+func (q *Queue) Remove(name string, handle any) bool {
 	c := q.customers[name]
 	if c == nil {
 		return false
 	}
-	i := slices.IndexFunc(c.items, func(it Item) bool { return it.Handle == load })
+	i := slices.IndexFunc(c.items, func(item Item) bool { return item.Handle == handle })
 	if i < 0 {
 		return false
 	}
@@ -136,18 +138,19 @@
 	return true
 }
 
-// NextDeadline is when the first waiting query is late, or 0 where none waits.
+// NextDeadline returns the earliest deadline of a waiting query, or 0 if none waits.
 func (q *Queue) NextDeadline() (at int64) {
 	for _, c := range q.customers {
-		for _, it := range c.items {
-			if at == 0 || it.Deadline < at {
-				at = it.Deadline
+		for _, item := range c.items {
+			if at == 0 || item.Deadline < at {
+				at = item.Deadline
 			}
 		}
 	}
 	return at
 }
 
+// customer returns the customer of that name, and adds it if it is new.
 func (q *Queue) customer(name string) *customer {
 	c := q.customers[name]
 	if c == nil {
@@ -164,11 +167,12 @@
 	return c
 }
 
-func (q *Queue) mostWaiting() (most *customer) {
+// mostWaiting returns the customer with the most waiting queries.
+func (q *Queue) mostWaiting() (busiest *customer) {
 	for _, c := range q.customers {
-		if most == nil || cmp.Or(cmp.Compare(len(c.items), len(most.items)), cmp.Compare(most.name, c.name)) > 0 {
-			most = c
+		if busiest == nil || cmp.Or(cmp.Compare(len(c.items), len(busiest.items)), cmp.Compare(busiest.name, c.name)) > 0 {
+			busiest = c
 		}
 	}
-	return most
+	return busiest
 }
--- a/decide/fairqueue/fairqueue_test.go
+++ b/decide/fairqueue/fairqueue_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// With all waiting, turns go by weight whatever the crowds: here one customer has fifty times the others' queries.
+// TestTurns: when all customers have waiting queries, they take turns by weight, even if one of them sends five times as
+// many queries.
 func TestTurns(t *testing.T) {
 	q := New(Limits{MaxWaiting: 1000, MaxCustomerShare: 1})
 	served := map[string]int{}
@@ -19,8 +20,8 @@
 			q.Push(0, Item{Customer: name, Weight: 1, Deadline: 1e9})
 		}
 		q.Push(0, Item{Customer: "double", Weight: 2, Deadline: 1e9})
-		if it, _, ok := q.Pop(0); ok && i >= 500 {
-			served[it.Customer]++
+		if item, _, ok := q.Pop(0); ok && i >= 500 {
+			served[item.Customer]++
 		}
 	}
 	for name, want := range map[string]int{"greedy": 300, "b": 300, "c": 300, "double": 600} {
@@ -30,7 +31,7 @@
 	}
 }
 
-// A customer that was away saves nothing up: it does not shut the others out when it comes back.
+// TestNothingSavedUp: a customer that was away can't save up turns, so it doesn't block the others when it returns.
 func TestNothingSavedUp(t *testing.T) {
 	q := New(Limits{MaxWaiting: 100, MaxCustomerShare: 1})
 	for range 50 {
@@ -43,31 +44,32 @@
 	}
 	busy := 0
 	for range 10 {
-		if it, _, _ := q.Pop(0); it.Customer == "busy" {
+		if item, _, _ := q.Pop(0); item.Customer == "busy" {
 			busy++
 		}
 	}
 	if busy < 4 {
-		t.Errorf("of ten turns the busy one had %d", busy)
+		t.Errorf("of ten turns the busy customer had %d", busy)
 	}
 }
 
-// Whatever comes: each query leaves once, served, late or dropped; none is served late; the bounds are kept, and in a full
-// queue nobody but the one with the most waiting loses a place.
+// TestOnceEach: whatever the order of events, each query leaves the queue once, as served, expired, dropped or removed. No
+// query is served after its deadline, the limits hold, and in a full queue only the customer with the most waiting queries
+// loses one.
 func TestOnceEach(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := Limits{MaxWaiting: rapid.IntRange(1, 12).Draw(t, "most"), MaxCustomerShare: rapid.Float64Range(0.2, 1).Draw(t, "one")}
-		q, now, number := New(terms), int64(0), 0
-		in := map[int]Item{}
-		leave := func(it Item) {
-			if _, is := in[it.Handle.(int)]; !is {
-				t.Fatalf("%v left twice, or never came", it)
+		q, now, next := New(terms), int64(0), 0
+		waiting := map[int]Item{}
+		leave := func(item Item) {
+			if _, waits := waiting[item.Handle.(int)]; !waits {
+				t.Fatalf("query %v left twice or was never in the queue", item)
 			}
-			delete(in, it.Handle.(int))
+			delete(waiting, item.Handle.(int))
 		}
 		count := func(name string) (n int) {
-			for _, it := range in {
-				if it.Customer == name {
+			for _, item := range waiting {
+				if item.Customer == name {
 					n++
 				}
 			}
@@ -76,47 +78,47 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += rapid.Int64Range(0, 30).Draw(t, "time")
 			if rapid.IntRange(0, 2).Draw(t, "what") > 0 {
-				it := Item{Customer: fmt.Sprint("c", rapid.IntRange(0, 4).Draw(t, "customer")), Deadline: now + rapid.Int64Range(0, 200).Draw(t, "wait"),
-					Weight: rapid.Float64Range(0, 3).Draw(t, "weight"), Handle: number}
-				dropped, taken := q.Push(now, it)
+				item := Item{Customer: fmt.Sprint("c", rapid.IntRange(0, 4).Draw(t, "customer")), Deadline: now + rapid.Int64Range(0, 200).Draw(t, "wait"),
+					Weight: rapid.Float64Range(0, 3).Draw(t, "weight"), Handle: next}
+				dropped, queued := q.Push(now, item)
 				for _, d := range dropped {
-					if d.Deadline > now && count(d.Customer) <= count(it.Customer) {
-						t.Fatalf("%s with %d waiting lost its place to %s with %d", d.Customer, count(d.Customer), it.Customer, count(it.Customer))
+					if d.Deadline > now && count(d.Customer) <= count(item.Customer) {
+						t.Fatalf("customer %s with %d waiting lost a query to customer %s with %d", d.Customer, count(d.Customer), item.Customer, count(item.Customer))
 					}
 					leave(d)
 				}
-				if taken {
-					in[number] = it
+				if queued {
+					waiting[next] = item
 				}
-				number++
+				next++
 			} else {
-				it, late, ok := q.Pop(now)
-				for _, l := range late {
-					if l.Deadline > now {
-						t.Fatalf("%v is not late at %d", l, now)
+				item, expired, ok := q.Pop(now)
+				for _, e := range expired {
+					if e.Deadline > now {
+						t.Fatalf("query %v has not expired at %d", e, now)
 					}
-					leave(l)
+					leave(e)
 				}
 				if ok {
-					if it.Deadline <= now {
-						t.Fatalf("%v was served late", it)
+					if item.Deadline <= now {
+						t.Fatalf("query %v was served after its deadline", item)
 					}
-					leave(it)
+					leave(item)
 				}
 			}
-			if rapid.IntRange(0, 9).Draw(t, "leaves") == 0 && number > 0 {
-				gone := rapid.IntRange(0, number-1).Draw(t, "who")
-				it, is := in[gone]
-				if q.Remove(it.Customer, gone) != is {
-					t.Fatalf("%d: it waits: %v", gone, is)
+			if rapid.IntRange(0, 9).Draw(t, "leaves") == 0 && next > 0 {
+				withdrawn := rapid.IntRange(0, next-1).Draw(t, "who")
+				item, waits := waiting[withdrawn]
+				if q.Remove(item.Customer, withdrawn) != waits {
+					t.Fatalf("wrong result of Remove for query %d, which waits: %v", withdrawn, waits)
 				}
-				delete(in, gone)
+				delete(waiting, withdrawn)
 			}
-			if q.Len() != len(in) || q.Len() > terms.MaxWaiting {
-				t.Fatalf("%d wait, %d should, %d may", q.Len(), len(in), terms.MaxWaiting)
+			if q.Len() != len(waiting) || q.Len() > terms.MaxWaiting {
+				t.Fatalf("%d queries wait, want %d, limit %d", q.Len(), len(waiting), terms.MaxWaiting)
 			}
-			if at := q.NextDeadline(); (at == 0) != (len(in) == 0) {
-				t.Fatalf("next at %d with %d waiting", at, len(in))
+			if at := q.NextDeadline(); (at == 0) != (len(waiting) == 0) {
+				t.Fatalf("next deadline %d with %d queries waiting", at, len(waiting))
 			}
 		}
 	})
--- a/decide/gateway/gateway.go
+++ b/decide/gateway/gateway.go
@@ -1,12 +1,13 @@
-// Package gateway decides for one site's gateway, query by query: what is asked at home, what leaves and over which way, who
-// waits for room there and who is next. It puts together what routes, limits and turns decide each by itself. It does no I/O
-// and reads no clock, so a gateway and a simulation drive it alike.
+// Package gateway decides for the gateway of one site, query by query: which queries the own site serves, which go to
+// another site and over which link, and which wait for free capacity there. It combines routes, link limits and fair queues.
+// It does no I/O and reads no clock, so that a gateway and a simulation can use it alike.
 //
-// Decides: whether a query stays, goes or waits; which of those who wait goes next, and who has waited too long; when a way
-// counts as cut; how much the site takes from others.
+// Decides: whether a query stays, leaves or waits; which waiting query is next, and which has waited too long; when a link
+// counts as down; how many queries the site offers to accept from others.
 //
-// How to call it: New at the start. Facts go in by Ended, Returned, Pinged, Told and Evacuate; Stays and Leave are asked for
-// each query; Decide(now) returns who goes and who is turned away now, after each fact and at Next at the latest.
+// Usage: create a Gateway with New. Pass it observations with Ended, Returned, Pinged, ObserveAdvertised and Evacuate. Call
+// ServesLocally and Forward for each query. Call Decide(now) after each observation, and no later than Next; it returns the
+// waiting queries that leave or are rejected now.
 package gateway
 
 import (
@@ -17,52 +18,54 @@
 )
 
 const (
-	maxMissedPings    = 3    // one after the other, and a site's ways are not used
-	queuePollNs       = 10e6 // ns until it is looked again for room while somebody waits: tokens come with time alone
-	maxWaiting        = 64   // queries of a workload that wait for room on a link,
-	maxCustomerShare  = 0.5  // this share of them of one customer at most,
-	waitTimeDivisor   = 10   // and each for this part of its time at most
-	delaySmoothing    = 0.2  // of the newest delay in the mean
-	pingDecay         = 0.95 // of what is known of a way's loss, at each ping
-	restoredPingsSent = 16   // pings that a way which was cut is taken to have had when it is back,
-	restoredPingsLost = 2    // and lost
+	maxMissedPings    = 3    // lost pings in a row after which a link is down
+	queuePollNs       = 10e6 // ns between two attempts to send waiting queries; no event announces new tokens
+	maxWaiting        = 64   // maximum queries of one workload that wait for a link
+	maxCustomerShare  = 0.5  // maximum fraction of the waiting queries that belong to one customer
+	waitTimeDivisor   = 10   // a query waits for at most its remaining time divided by this
+	delaySmoothing    = 0.2  // weight of the newest delay in the mean
+	pingDecay         = 0.95 // weight of the earlier pings in a link's loss, at each ping
+	restoredPingsSent = 16   // number of pings that a link starts with when it is up again
+	restoredPingsLost = 2    // number of lost pings that a link starts with when it is up again
 )
 
-// Query is one that may leave.
+// Query is a query that may leave the site.
 type Query struct {
 	siterouting.Query
 	Customer string
-	Handle   any // the caller's, by which it is told who goes
+	Handle   any // the caller's handle, returned when the query leaves or is rejected
 }
 
-// Departure is a query that waited and goes now.
+// Departure is a query that was waiting and leaves now.
 type Departure struct {
 	Link   int
 	Handle any
 }
 
-// Decision is what one Decide asks for. Its slices are used again by the next.
+// Decision is the result of one call of Decide.
 type Decision struct {
 	Departures []Departure
-	Rejected   []any             // the loads of those that are turned away
-	Plan       *siterouting.Plan // a new one, if there is one
+	Rejected   []any             // handles of the rejected queries
+	Plan       *siterouting.Plan // the new plan, or nil if there is none
 }
 
-// LinkStatus is how the way to another site stands. Times in ns.
+// LinkStatus is the state of the link to another site. Times are in ns.
 type LinkStatus struct {
 	Usable   bool
-	Delay    int64 // there and back, the mean,
-	MinDelay int64 // and the least of late
-	Limit    int   // queries that may be in flight,
-	InFlight int   // and are
+	Delay    int64 // mean round-trip delay
+	MinDelay int64 // minimum round-trip delay
+	Limit    int   // maximum queries in flight
+	InFlight int   // queries in flight
 }
 
+// linkState is the link to another site with its measurements and waiting queries. The numbers of pings are weighted: older
+// pings count less.
 type linkState struct {
 	meanDelay   float64
 	missedPings int
 	pingsSent   float64
 	pingsLost   float64
-	measured    bool
+	measured    bool // a ping has been answered at least once
 	limit       *siterouting.LinkLimit
 	queues      []*fairqueue.Queue // by workload
 }
@@ -72,211 +75,216 @@
 	router    *siterouting.Router
 	spare     *siterouting.SpareCapacity
 	links     []linkState
-	byRevenue []int // workloads, those worth most first
-	pollAt    int64 // when it is to be looked for room, 0 where nobody waits
+	byRevenue []int // workloads in descending order of revenue
+	pollAt    int64 // time of the next attempt to send waiting queries, 0 if none waits
 	decision  Decision
 }
 
-// New makes one at its start.
-func New(now int64, t siterouting.Config) *Gateway {
-	c := &Gateway{router: siterouting.New(now, t), spare: siterouting.NewSpareCapacity(now)}
-	for range t.Links {
-		w := linkState{limit: siterouting.NewLinkLimit(now)}
-		for range t.Workloads {
-			w.queues = append(w.queues, fairqueue.New(fairqueue.Limits{MaxWaiting: maxWaiting, MaxCustomerShare: maxCustomerShare}))
+// New returns a Gateway without traffic to other sites.
+func New(now int64, config siterouting.Config) *Gateway {
+	g := &Gateway{router: siterouting.New(now, config), spare: siterouting.NewSpareCapacity(now)}
+	for range config.Links {
+		state := linkState{limit: siterouting.NewLinkLimit(now)}
+		for range config.Workloads {
+			state.queues = append(state.queues, fairqueue.New(fairqueue.Limits{MaxWaiting: maxWaiting, MaxCustomerShare: maxCustomerShare}))
 		}
-		c.links = append(c.links, w)
+		g.links = append(g.links, state)
 	}
-	c.byRevenue = c.router.ByRevenue()
-	return c
+	g.byRevenue = g.router.ByRevenue()
+	return g
 }
 
-// ServesLocally tells whether the own site is asked for a query. Mark is the query's own number in [0, 1), came that it is another
-// site's.
-func (c *Gateway) ServesLocally(now int64, position float64, fromOtherSite bool) bool {
-	return c.router.ServesLocally(now, position, fromOtherSite)
+// ServesLocally reports whether a query is offered to the own site. The position is a number in [0, 1) that is fixed for
+// each query; fromOtherSite says that another site sent the query.
+func (g *Gateway) ServesLocally(now int64, position float64, fromOtherSite bool) bool {
+	return g.router.ServesLocally(now, position, fromOtherSite)
 }
 
-// Ended tells how a query ended at the own site; own is one of its own clients.
-func (c *Gateway) Ended(now int64, own, declined bool) { c.spare.Ended(now, own, declined) }
+// Ended records how a query ended at the own site; own says that it came from one of the site's own clients.
+func (g *Gateway) Ended(now int64, own, declined bool) { g.spare.Ended(now, own, declined) }
 
-// Forward asks for a way for a query that the own site does not serve: the link it goes over, or that it waits and is told by
-// Decide, or -1 and false for neither.
-func (c *Gateway) Forward(now int64, q Query) (link int, waits bool) {
-	if len(q.Visited) == 0 { // the own clients'
-		c.router.CountUnserved(q.Workload)
+// Forward routes a query that the own site doesn't serve. It returns the link to send it over, or a link and true if the
+// query waits for the link and Decide will return it later, or -1 and false if the query can't leave.
+func (g *Gateway) Forward(now int64, q Query) (link int, waits bool) {
+	if len(q.Visited) == 0 { // from an own client
+		g.router.CountUnserved(q.Workload)
 	}
-	link = c.router.Route(now, q.Query)
+	link = g.router.Route(now, q.Query)
 	if link < 0 {
 		return -1, false
 	}
-	w := &c.links[link]
-	if c.router.Policy != siterouting.Planned {
-		w.limit.Acquire()
+	state := &g.links[link]
+	if g.router.Policy != siterouting.Planned {
+		state.limit.Acquire()
 		return link, false
 	}
-	if w.queues[q.Workload].Len() == 0 && c.acquire(now, q.Workload, link) {
+	if state.queues[q.Workload].Len() == 0 && g.acquire(now, q.Workload, link) {
 		return link, false
 	}
-	// Danger: one customer's crowd would take all the room of a plan, a purse or a limit as it comes free; customers take
-	// turns wherever room is short.
-	dropped, taken := w.queues[q.Workload].Push(now, fairqueue.Item{Customer: q.Customer, Deadline: now + q.TimeLeft/waitTimeDivisor, Handle: q.Handle})
-	c.reject(dropped)
-	if !taken {
+	// Danger: one customer with many queries would take all tokens and slots in flight as they become free. So customers
+	// take turns whenever a link has no free capacity.
+	dropped, queued := state.queues[q.Workload].Push(now, fairqueue.Item{Customer: q.Customer, Deadline: now + q.TimeLeft/waitTimeDivisor, Handle: q.Handle})
+	g.reject(dropped)
+	if !queued {
 		return -1, false
 	}
-	c.schedulePoll(now)
+	g.schedulePoll(now)
 	return link, true
 }
 
-// Withdraw takes a query out that waits on a link; false where it does not wait there any more.
-func (c *Gateway) Withdraw(q Query, link int) bool {
-	return c.links[link].queues[q.Workload].Remove(q.Customer, q.Handle)
+// Withdraw removes a waiting query. It returns false if the query doesn't wait for the link any more.
+func (g *Gateway) Withdraw(q Query, link int) bool {
+	return g.links[link].queues[q.Workload].Remove(q.Customer, q.Handle)
 }
 
-// acquire takes the room for one query on a link, if there is some.
-func (c *Gateway) acquire(now int64, workload, link int) bool {
-	l := c.links[link].limit
-	if !l.TryAcquire() {
+// acquire takes a slot in flight and the tokens for one query, if the link has both.
+func (g *Gateway) acquire(now int64, workload, link int) bool {
+	limit := g.links[link].limit
+	if !limit.TryAcquire() {
 		return false
 	}
-	if !c.router.Spend(now, workload, link) {
-		l.Release()
+	if !g.router.Spend(now, workload, link) {
+		limit.Release()
 		return false
 	}
 	return true
 }
 
-// Returned tells that a query that went over a link is back, whether the other site or the way refused it unseen, and how many
-// bytes it took, 0 for not known.
-func (c *Gateway) Returned(now int64, workload, link int, refused bool, bytes float64) {
-	c.links[link].limit.Release()
-	c.router.ObserveResult(workload, link, refused)
+// Returned records the end of a query that went over a link: whether it was refused without being executed, by the other
+// site or on the way, and the bytes of the query and its answer, 0 if unknown.
+func (g *Gateway) Returned(now int64, workload, link int, refused bool, bytes float64) {
+	g.links[link].limit.Release()
+	g.router.ObserveResult(workload, link, refused)
 	if bytes > 0 {
-		c.router.ObserveBytes(now, workload, link, bytes)
+		g.router.ObserveBytes(now, workload, link, bytes)
 	}
-	c.dispatch(now, link)
+	g.dispatch(now, link)
 }
 
-// Pinged tells of a ping over a link: how long it took, or that it was lost. It returns whether the way counts as cut by it.
+// Pinged records the delay of a ping over a link, or that it was lost. It returns true if the link is down from this ping
+// on.
 //
-// Danger: a link that is cut says nothing, and queries would wait for their time to pass: some lost pings close it.
-func (c *Gateway) Pinged(now int64, link int, took int64, lost bool) (cut bool) {
-	w := &c.links[link]
-	w.pingsSent, w.pingsLost = w.pingsSent*pingDecay+1, w.pingsLost*pingDecay
+// Danger: an unreachable link gives no error, and queries sent over it would wait until their deadline. So a few lost pings
+// in a row close the link.
+func (g *Gateway) Pinged(now int64, link int, delay int64, lost bool) (down bool) {
+	state := &g.links[link]
+	state.pingsSent, state.pingsLost = state.pingsSent*pingDecay+1, state.pingsLost*pingDecay
 	if lost {
-		w.missedPings++
-		w.pingsLost++
+		state.missedPings++
+		state.pingsLost++
 	} else {
-		if !w.measured {
-			w.meanDelay = float64(took)
+		if !state.measured {
+			state.meanDelay = float64(delay)
 		}
-		if w.missedPings >= maxMissedPings { // the cut was one loss, however many pings it took along
-			w.pingsSent, w.pingsLost = restoredPingsSent, restoredPingsLost
+		if state.missedPings >= maxMissedPings { // the whole outage counts as one loss, however many pings it took
+			state.pingsSent, state.pingsLost = restoredPingsSent, restoredPingsLost
 		}
-		w.measured, w.missedPings = true, 0
-		w.meanDelay += delaySmoothing * (float64(took) - w.meanDelay)
+		state.measured, state.missedPings = true, 0
+		state.meanDelay += delaySmoothing * (float64(delay) - state.meanDelay)
 	}
-	w.limit.ObserveDelay(now, took, lost)
-	return w.missedPings == maxMissedPings
+	state.limit.ObserveDelay(now, delay, lost)
+	return state.missedPings == maxMissedPings
 }
 
-// ObserveAdvertised takes in how many queries a second another site says it would take.
-func (c *Gateway) ObserveAdvertised(now int64, link int, rate float64) {
-	c.router.ObserveAdvertised(now, link, rate)
+// ObserveAdvertised records how many queries per second another site offers to accept.
+func (g *Gateway) ObserveAdvertised(now int64, link int, rate float64) {
+	g.router.ObserveAdvertised(now, link, rate)
 }
 
-// AdvertisedRate is how many more queries a second this site would take from others.
-func (c *Gateway) AdvertisedRate(now int64) float64 {
-	return c.spare.Rate(now) * c.router.LocalShare(now)
+// AdvertisedRate returns how many queries per second this site offers to accept from others.
+func (g *Gateway) AdvertisedRate(now int64) float64 {
+	return g.spare.Rate(now) * g.router.LocalShare(now)
 }
 
-// Evacuate leaves the own site, or takes it up again over a ramp.
-func (c *Gateway) Evacuate(now int64, evacuated bool) { c.router.Evacuate(now, evacuated) }
+// Evacuate moves all queries away from the own site, or takes them back over a ramp.
+func (g *Gateway) Evacuate(now int64, evacuated bool) { g.router.Evacuate(now, evacuated) }
 
-// MinDelay is the least way to a site and back of late, ns.
-func (c *Gateway) MinDelay(link int) int64 { return c.links[link].limit.MinDelay() }
+// MinDelay returns the minimum round-trip delay of a link, in ns.
+func (g *Gateway) MinDelay(link int) int64 { return g.links[link].limit.MinDelay() }
 
-// Links tell how the ways stand.
-func (c *Gateway) Links() (all []LinkStatus) {
-	for _, w := range c.links {
-		all = append(all, LinkStatus{w.usable(), int64(w.meanDelay), w.limit.MinDelay(), w.limit.Max(), w.limit.InFlight()})
+// Links returns the state of each link.
+func (g *Gateway) Links() (all []LinkStatus) {
+	for _, state := range g.links {
+		all = append(all, LinkStatus{state.usable(), int64(state.meanDelay), state.limit.MinDelay(), state.limit.Max(), state.limit.InFlight()})
 	}
 	return all
 }
 
-// Waiting is how many wait for room, on all links.
-func (c *Gateway) Waiting() (n int) {
-	for _, w := range c.links {
-		for _, q := range w.queues {
+// Waiting returns how many queries wait for all links together.
+func (g *Gateway) Waiting() (n int) {
+	for _, state := range g.links {
+		for _, q := range state.queues {
 			n += q.Len()
 		}
 	}
 	return n
 }
 
-func (w *linkState) usable() bool { return w.measured && w.missedPings < maxMissedPings }
+// usable reports whether the link is up.
+func (state *linkState) usable() bool { return state.measured && state.missedPings < maxMissedPings }
 
-// Next is when Decide wants to be called again at the latest.
-func (c *Gateway) Next() int64 {
-	if c.pollAt > 0 {
-		return min(c.pollAt, c.router.Next())
+// Next returns the latest time for the next call of Decide.
+func (g *Gateway) Next() int64 {
+	if g.pollAt > 0 {
+		return min(g.pollAt, g.router.Next())
 	}
-	return c.router.Next()
+	return g.router.Next()
 }
 
-// Decide returns who goes and who is turned away now, and a new plan when it is time for one.
-func (c *Gateway) Decide(now int64) Decision {
-	if now >= c.router.Next() {
-		for i := range c.links {
-			w := &c.links[i]
+// Decide returns the waiting queries that leave or are rejected now, and a new plan if one is due.
+func (g *Gateway) Decide(now int64) Decision {
+	if now >= g.router.Next() {
+		for i := range g.links {
+			state := &g.links[i]
 			loss := 0.0
-			if w.pingsSent > 0 {
-				loss = w.pingsLost / w.pingsSent
+			if state.pingsSent > 0 {
+				loss = state.pingsLost / state.pingsSent
 			}
-			c.router.ObserveLink(i, siterouting.LinkStats{Delay: int64(w.meanDelay), Loss: loss, Usable: w.usable()})
+			g.router.ObserveLink(i, siterouting.LinkStats{Delay: int64(state.meanDelay), Loss: loss, Usable: state.usable()})
 		}
-		plan := c.router.Decide(now)
-		c.decision.Plan = &plan
+		plan := g.router.Decide(now)
+		g.decision.Plan = &plan
 	}
-	if c.pollAt > 0 && now >= c.pollAt {
-		for link := range c.links {
-			c.dispatch(now, link)
+	if g.pollAt > 0 && now >= g.pollAt {
+		for link := range g.links {
+			g.dispatch(now, link)
 		}
-		c.pollAt = 0
-		c.schedulePoll(now)
+		g.pollAt = 0
+		g.schedulePoll(now)
 	}
-	r := c.decision
-	c.decision = Decision{}
+	r := g.decision
+	g.decision = Decision{}
 	return r
 }
 
-// schedulePoll has it looked for room again while somebody waits.
-func (c *Gateway) schedulePoll(now int64) {
-	if c.pollAt == 0 && c.Waiting() > 0 {
-		c.pollAt = now + queuePollNs
+// schedulePoll schedules another attempt if any query waits.
+func (g *Gateway) schedulePoll(now int64) {
+	if g.pollAt == 0 && g.Waiting() > 0 {
+		g.pollAt = now + queuePollNs
 	}
 }
 
-// dispatch gives what room there is on a link to those who wait, by turns of customers, first to what is worth most.
-func (c *Gateway) dispatch(now int64, link int) {
-	for _, workload := range c.byRevenue {
-		q := c.links[link].queues[workload]
-		c.reject(q.Expire(now))
-		for q.Len() > 0 && c.acquire(now, workload, link) {
+// dispatch sends waiting queries while the link has free capacity: workloads in descending order of revenue, and customers
+// in turn.
+func (g *Gateway) dispatch(now int64, link int) {
+	for _, workload := range g.byRevenue {
+		q := g.links[link].queues[workload]
+		g.reject(q.Expire(now))
+		for q.Len() > 0 && g.acquire(now, workload, link) {
 			next, _, _ := q.Pop(now)
-			c.decision.Departures = append(c.decision.Departures, Departure{link, next.Handle})
+			g.decision.Departures = append(g.decision.Departures, Departure{link, next.Handle})
 		}
 	}
 }
 
-func (c *Gateway) reject(items []fairqueue.Item) {
-	for _, it := range items {
-		c.decision.Rejected = append(c.decision.Rejected, it.Handle)
+// reject adds queries to those that Decide returns as rejected.
+func (g *Gateway) reject(items []fairqueue.Item) {
+	for _, item := range items {
+		g.decision.Rejected = append(g.decision.Rejected, item.Handle)
 	}
 }
 
-// Idle tells whether all room that was taken was given back and nobody waits: what holds when no query is under way.
-func (c *Gateway) Idle() bool {
-	return c.Waiting() == 0 && !slices.ContainsFunc(c.links, func(w linkState) bool { return w.limit.InFlight() != 0 })
+// Idle reports whether no query waits and none is in flight. It must hold once all queries have ended.
+func (g *Gateway) Idle() bool {
+	return g.Waiting() == 0 && !slices.ContainsFunc(g.links, func(state linkState) bool { return state.limit.InFlight() != 0 })
 }
--- a/decide/gateway/gateway_test.go
+++ b/decide/gateway/gateway_test.go
@@ -10,67 +10,68 @@
 
 const second = int64(1e9)
 
+// two returns the settings of site a with a link to site b.
 func two(queries float64) siterouting.Config {
 	return siterouting.Config{Site: "a", Interval: second, Links: []siterouting.Link{{Site: "b", QueryRate: queries, ByteRate: 1e6, Cost: 0.1}},
 		Workloads: []siterouting.Workload{{Name: "look", Revenue: 1, Bytes: 1000, ServiceTime: 50e6}, {Name: "pay", Revenue: 5, Bytes: 1000, ServiceTime: 50e6}}}
 }
 
-// Whatever comes in whatever order: each query that waits is told once, and in a tenth of its time; no more are in flight than
-// the limit; and when all are back nothing is left of them.
+// TestOnceEach: whatever the order of events, each waiting query is returned once and within a tenth of its time, no more
+// queries are in flight than the limit allows, and once all have returned the gateway is idle.
 func TestOnceEach(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, now := New(0, two(rapid.Float64Range(2, 80).Draw(t, "queries"))), int64(0)
-		c.Pinged(now, 0, 80e6, false)
-		c.ObserveAdvertised(now, 0, 50)
-		type out struct{ workload int }
+		g, now := New(0, two(rapid.Float64Range(2, 80).Draw(t, "queries"))), int64(0)
+		g.Pinged(now, 0, 80e6, false)
+		g.ObserveAdvertised(now, 0, 50)
+		type flight struct{ workload int }
 		waiting, until := map[int]Query{}, map[int]int64{}
-		var flying []out
-		carry := func() {
-			r := c.Decide(now)
-			for _, g := range r.Departures {
-				n := g.Handle.(int)
+		var inFlight []flight
+		decide := func() {
+			r := g.Decide(now)
+			for _, d := range r.Departures {
+				n := d.Handle.(int)
 				if _, waits := waiting[n]; !waits {
-					t.Fatalf("query %d goes and does not wait", n)
+					t.Fatalf("query %d leaves but was not waiting", n)
 				}
-				flying = append(flying, out{waiting[n].Workload})
+				inFlight = append(inFlight, flight{waiting[n].Workload})
 				delete(waiting, n)
 			}
-			for _, load := range r.Rejected {
-				if _, waits := waiting[load.(int)]; !waits {
-					t.Fatalf("query %v is turned away and does not wait", load)
+			for _, handle := range r.Rejected {
+				if _, waits := waiting[handle.(int)]; !waits {
+					t.Fatalf("query %v is rejected but was not waiting", handle)
 				}
-				delete(waiting, load.(int))
+				delete(waiting, handle.(int))
 			}
 			for n := range waiting {
 				if now > until[n]+2*queuePollNs {
 					t.Fatalf("query %d waits %d ms too long", n, (now-until[n])/1e6)
 				}
 			}
-			if w := c.Links()[0]; w.InFlight > max(w.Limit, len(flying)) || w.InFlight != len(flying) {
-				t.Fatalf("%d in flight, %d known of, limit %d", w.InFlight, len(flying), w.Limit)
+			if link := g.Links()[0]; link.InFlight > max(link.Limit, len(inFlight)) || link.InFlight != len(inFlight) {
+				t.Fatalf("%d in flight, want %d, limit %d", link.InFlight, len(inFlight), link.Limit)
 			}
 		}
 		number := 0
 		for range rapid.IntRange(1, 300).Draw(t, "turns") {
 			later := rapid.Int64Range(0, second/10).Draw(t, "later")
-			for end := now + later; c.Next() < end; { // it is asked when it wants to be
-				now = max(c.Next(), now)
-				carry()
+			for end := now + later; g.Next() < end; { // calls of Decide that are due before
+				now = max(g.Next(), now)
+				decide()
 			}
 			now += later
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				if len(flying) > 0 {
-					one := flying[0]
-					flying = flying[1:]
-					c.Returned(now, one.workload, 0, rapid.Bool().Draw(t, "refused"), 500)
+				if len(inFlight) > 0 {
+					returned := inFlight[0]
+					inFlight = inFlight[1:]
+					g.Returned(now, returned.workload, 0, rapid.Bool().Draw(t, "refused"), 500)
 				}
 			case 1:
-				c.Pinged(now, 0, rapid.Int64Range(1e6, 500e6).Draw(t, "took"), rapid.IntRange(0, 9).Draw(t, "lost") == 0)
+				g.Pinged(now, 0, rapid.Int64Range(1e6, 500e6).Draw(t, "took"), rapid.IntRange(0, 9).Draw(t, "lost") == 0)
 			case 2:
 				for n, q := range waiting {
-					if !c.Withdraw(q, 0) {
-						t.Fatalf("query %d waits and cannot be withdrawn", n)
+					if !g.Withdraw(q, 0) {
+						t.Fatalf("query %d waits but cannot be withdrawn", n)
 					}
 					delete(waiting, n)
 					break
@@ -81,75 +82,75 @@
 					Query: siterouting.Query{Workload: rapid.IntRange(0, 1).Draw(t, "workload"), TimeLeft: 2 * second, Declined: true}}
 				before := len(waiting)
 				waiting[number], until[number] = q, now+q.TimeLeft/waitTimeDivisor
-				link, waits := c.Forward(now, q)
+				link, waits := g.Forward(now, q)
 				if !waits {
 					delete(waiting, number)
 				}
 				if link >= 0 && !waits {
-					if before > 0 && c.links[0].queues[q.Workload].Len() > 0 {
-						t.Fatalf("query %d goes before those who wait", number)
+					if before > 0 && g.links[0].queues[q.Workload].Len() > 0 {
+						t.Fatalf("query %d overtakes waiting queries", number)
 					}
-					flying = append(flying, out{q.Workload})
+					inFlight = append(inFlight, flight{q.Workload})
 				}
 			}
-			carry()
+			decide()
 		}
-		for _, one := range flying {
-			c.Returned(now, one.workload, 0, false, 0)
+		for _, returned := range inFlight {
+			g.Returned(now, returned.workload, 0, false, 0)
 		}
-		flying = nil
+		inFlight = nil
 		for len(waiting) > 0 {
 			now += queuePollNs
-			carry()
-			for _, one := range flying {
-				c.Returned(now, one.workload, 0, false, 0)
+			decide()
+			for _, returned := range inFlight {
+				g.Returned(now, returned.workload, 0, false, 0)
 			}
-			flying = nil
+			inFlight = nil
 		}
-		if !c.Idle() {
-			t.Fatalf("left: %+v, %d waiting", c.Links(), c.Waiting())
+		if !g.Idle() {
+			t.Fatalf("the gateway is not idle: %+v, %d waiting", g.Links(), g.Waiting())
 		}
 	})
 }
 
-// A way is cut after some lost pings, told once, and open again with the next that comes back.
+// TestCut: a link is down after some lost pings, which is reported once, and is up again with the next answered ping.
 func TestCut(t *testing.T) {
-	c, now := New(0, two(50)), int64(0)
+	g, now := New(0, two(50)), int64(0)
 	plan := func() {
 		now += second
-		c.Decide(now)
+		g.Decide(now)
 	}
-	goes := func() bool {
-		link, waits := c.Forward(now, Query{Query: siterouting.Query{Workload: 1, TimeLeft: 5 * second, Declined: true}, Handle: 1})
+	leaves := func() bool {
+		link, waits := g.Forward(now, Query{Query: siterouting.Query{Workload: 1, TimeLeft: 5 * second, Declined: true}, Handle: 1})
 		if link >= 0 && !waits {
-			c.Returned(now, 1, 0, false, 0)
+			g.Returned(now, 1, 0, false, 0)
 		}
 		return link >= 0
 	}
-	if goes() {
-		t.Error("over a way that no ping has crossed")
+	if leaves() {
+		t.Error("a link without an answered ping is used")
 	}
-	c.Pinged(now, 0, 80e6, false)
+	g.Pinged(now, 0, 80e6, false)
 	plan()
-	if !goes() {
-		t.Error("not over a way that is well")
+	if !leaves() {
+		t.Error("a link that is up is not used")
 	}
-	cuts := 0
+	reports := 0
 	for range 6 {
-		if c.Pinged(now, 0, second, true) {
-			cuts++
+		if g.Pinged(now, 0, second, true) {
+			reports++
 		}
 	}
 	plan()
-	if cuts != 1 || goes() {
-		t.Errorf("told %d times that it is cut; it is used: %v", cuts, goes())
+	if reports != 1 || leaves() {
+		t.Errorf("reported down %d times; link is used: %v", reports, leaves())
 	}
-	for range 20 { // it is trusted again as the share of lost pings fades
-		c.Pinged(now, 0, 80e6, false)
+	for range 20 { // the weight of the lost pings decreases until the link is used again
+		g.Pinged(now, 0, 80e6, false)
 	}
 	plan()
 	plan()
-	if !goes() {
-		t.Error("not over a way that is mended")
+	if !leaves() {
+		t.Error("a link that is up again is not used")
 	}
 }
--- a/decide/gather/example_test.go
+++ b/decide/gather/example_test.go
@@ -6,7 +6,7 @@
 	"willowsill/decide/gather"
 )
 
-// The two greatest records of two parts, equal ones counted; a rest under 16 bytes is no record.
+// The two greatest records of two parts. The rest of the second part is shorter than a record and is ignored.
 func ExampleGreatest() {
 	parts := [][]byte{[]byte("aaaaaaaaaaaaaaaazzzzzzzzzzzzzzzz"), []byte("mmmmmmmmmmmmmmmmrest")}
 	fmt.Println(string(gather.Greatest(nil, parts, 2)))
--- a/decide/gather/gather.go
+++ b/decide/gather/gather.go
@@ -1,7 +1,6 @@
-// Package gather merges the parts of a gathered answer. It does no I/O and copies a record only into the
-// answer.
+// Package gather merges the parts of a gathered answer. It does no I/O, and it copies records only into the answer.
 //
-// Decides: which records make up an answer, and which parts may stand in one.
+// Decides: which records make up an answer, and which parts may contribute to one.
 package gather
 
 import (
@@ -9,15 +8,15 @@
 	"slices"
 )
 
-// RecordBytes is the length of a record; a rest that is shorter is none.
+// RecordBytes is the length of a record in bytes. A shorter rest at the end of a part is ignored.
 const RecordBytes = 16
 
-// Greatest appends the n greatest records of the parts to out, falling byte by byte; equal ones all count.
+// Greatest appends the n greatest records of all parts to out, in descending byte order. Equal records are all kept.
 func Greatest(out []byte, parts [][]byte, n int) []byte {
 	if n <= 0 {
 		return out
 	}
-	var top [][]byte // falling, n at most
+	var top [][]byte // descending, at most n
 	for _, p := range parts {
 		for ; len(p) >= RecordBytes; p = p[RecordBytes:] {
 			r := p[:RecordBytes]
--- a/decide/gather/gather_test.go
+++ b/decide/gather/gather_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestGreatest compares with sorting everything. Records differ in their last byte at times, and some are equal.
+// TestGreatest compares the result with sorting all records. Some records differ only in their last byte, and some are
+// equal.
 func TestGreatest(t *testing.T) {
 	record := rapid.Custom(func(t *rapid.T) []byte {
 		r := make([]byte, RecordBytes)
--- a/decide/locality/locality.go
+++ b/decide/locality/locality.go
@@ -1,7 +1,7 @@
-// Package locality says how far the zones of a deployment are from each other, and which of several processes serves a
-// caller from nearest. It does no I/O.
+// Package locality computes the distance between the zones of a deployment, and the order in which a caller tries several
+// processes that offer the same service. It does no I/O.
 //
-// Decides: which process a caller tries first, and which of those that are equally near.
+// Decides: which process a caller tries first, also among equally near ones.
 package locality
 
 import (
@@ -11,20 +11,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Regions holds the region of each zone, by the zone's name.
+// Regions maps the name of a zone to the name of its region.
 type Regions map[string]string
 
-// Distance is how far one zone is from another.
+// Distance is the distance between two zones.
 type Distance int
 
-// The distances, from the nearest.
+// The distances, in ascending order.
 const (
 	SameZone    Distance = iota
-	SameRegion           // another zone of the region
-	OtherRegion          // another region, or a zone of which nothing is known
+	SameRegion           // another zone of the same region
+	OtherRegion          // another region, or a zone of unknown region
 )
 
-// Distance says how far two zones are from each other. A zone without a name is far from all.
+// Distance returns the distance between two zones. A zone with an empty name is in another region than all zones.
 func (r Regions) Distance(a, b string) Distance {
 	switch {
 	case a == "" || b == "":
@@ -37,15 +37,15 @@
 	return OtherRegion
 }
 
-// Process is one that serves callers.
+// Process is a process that serves callers.
 type Process struct {
 	IP   string
-	Zone string // empty where it is not known
+	Zone string // empty if unknown
 }
 
-// Order sorts processes in the order in which a caller tries them: the nearest first. Those that are equally near stand
-// in the order of a hash with the caller's name in it (rendezvous hashing), so that callers spread over them evenly, and
-// one that goes takes only its own callers with it.
+// Order sorts processes in the order in which a caller tries them, the nearest first. Equally near processes are ordered by
+// a hash over the caller and the process (rendezvous hashing). This spreads callers evenly, and when a process stops, only
+// its own callers move to others.
 func (r Regions) Order(caller, zone string, processes []Process) {
 	weight := func(p Process) uint64 { return xxhash.Sum64String(caller + p.IP) }
 	slices.SortFunc(processes, func(a, b Process) int {
--- a/decide/locality/locality_test.go
+++ b/decide/locality/locality_test.go
@@ -9,6 +9,7 @@
 
 var regions = Regions{"a1": "a", "a2": "a", "b1": "b", "alone": ""}
 
+// TestDistance covers the same zone, the same region, other regions, and zones without a name or region.
 func TestDistance(t *testing.T) {
 	for _, c := range []struct {
 		from, to string
@@ -21,8 +22,8 @@
 	}
 }
 
-// TestOrder: the nearest come first whatever their hash; callers spread over those that are equally near, and one process
-// that goes moves only its own callers.
+// TestOrder: nearer processes come first whatever their hash is. Callers spread evenly over equally near processes, and when
+// a process stops, only its own callers move.
 func TestOrder(t *testing.T) {
 	all := []Process{{"1", "b1"}, {"2", "a2"}, {"3", "a1"}, {"4", ""}, {"5", "a1"}, {"6", "a1"}}
 	first := map[string]int{}
--- a/decide/siterouting/linkbudget.go
+++ b/decide/siterouting/linkbudget.go
@@ -1,40 +1,45 @@
 package siterouting
 
-const budgetBurstSeconds = 0.5 // seconds of a link's limit that may go at once
+const budgetBurstSeconds = 0.5 // seconds of a link's rates that may be sent in one burst
 
-// linkBudget is what may still cross a link now, in queries and in bytes. Plans are made a second apart and each workload has
-// tokens of its own, so together they could cross at once; the purse is the link's own limit, whatever was planned.
+// linkBudget is the token bucket of one link, in queries and in bytes. It enforces the link's own rates whatever the plan
+// allows: plans are made a second apart and each workload has its own tokens, so all workloads could otherwise send at once.
 type linkBudget struct {
 	queries, bytes float64
 	updatedAt      int64
 }
 
+// newLinkBudget returns a full budget.
 func newLinkBudget(now int64, l Link) linkBudget {
 	return linkBudget{queries: max(budgetBurstSeconds*l.QueryRate, 1), bytes: budgetBurstSeconds * l.ByteRate, updatedAt: now}
 }
 
-// refill lets time pass. A debt of bytes, of a query that was longer than was reckoned with, is paid back first.
-func (p *linkBudget) refill(now int64, l Link) {
-	span := float64(now-p.updatedAt) / 1e9
-	p.updatedAt = now
-	p.queries = min(p.queries+l.QueryRate*span, max(budgetBurstSeconds*l.QueryRate, 1))
-	p.bytes = min(p.bytes+l.ByteRate*span, budgetBurstSeconds*l.ByteRate)
+// refill adds the tokens of the elapsed time. If a query was larger than expected, the bytes are negative and the debt is
+// paid first.
+func (b *linkBudget) refill(now int64, l Link) {
+	seconds := float64(now-b.updatedAt) / 1e9
+	b.updatedAt = now
+	b.queries = min(b.queries+l.QueryRate*seconds, max(budgetBurstSeconds*l.QueryRate, 1))
+	b.bytes = min(b.bytes+l.ByteRate*seconds, budgetBurstSeconds*l.ByteRate)
 }
 
-// allows tells whether a query may cross. Danger: a query longer than half a second's bytes would never cross if all of them
-// had to be there; it crosses from a full purse, into debt.
-func (p *linkBudget) allows(now int64, l Link, bytes float64) bool {
-	p.refill(now, l)
-	return p.queries >= 1 && p.bytes >= min(bytes, budgetBurstSeconds*l.ByteRate)
+// allows reports whether a query may be sent now.
+//
+// Danger: a query larger than the whole burst could never be sent if all its bytes had to be available. It is sent when the
+// budget is full, and leaves a debt.
+func (b *linkBudget) allows(now int64, l Link, bytes float64) bool {
+	b.refill(now, l)
+	return b.queries >= 1 && b.bytes >= min(bytes, budgetBurstSeconds*l.ByteRate)
 }
 
-func (p *linkBudget) spend(bytes float64) {
-	p.queries--
-	p.bytes -= bytes
+// spend takes the tokens for a query of the expected size.
+func (b *linkBudget) spend(bytes float64) {
+	b.queries--
+	b.bytes -= bytes
 }
 
-// correct takes or gives back what a query took beside what was reckoned with.
-func (p *linkBudget) correct(now int64, l Link, more float64) {
-	p.refill(now, l)
-	p.bytes = min(p.bytes-more, budgetBurstSeconds*l.ByteRate)
+// correct takes more bytes for a query that was larger than expected, or returns some if it was smaller.
+func (b *linkBudget) correct(now int64, l Link, extra float64) {
+	b.refill(now, l)
+	b.bytes = min(b.bytes-extra, budgetBurstSeconds*l.ByteRate)
 }
--- a/decide/siterouting/siterouting.go
+++ b/decide/siterouting/siterouting.go
@@ -1,11 +1,12 @@
-// Package siterouting decides for one site how many of each workload's queries go over which link to other sites. It does
-// no I/O and reads no clock.
+// Package siterouting decides for one site how many queries of each workload go over which link to other sites. It does no
+// I/O and reads no clock.
 //
-// Decides: what stays, what goes where, how much of a link is used, who may be asked at all, how a site is left and
-// taken up again.
+// Decides: which queries stay, which go to which site, how much of a link is used, which sites may be asked at all, and how
+// a site is evacuated and taken back into service.
 //
-// How to call it: New at the start. Facts go in by Asked, Carried, Linked, Willing and Evacuate; Decide(now), at intervals,
-// returns a plan; Route is asked for each query that the own site will not serve, and goes by the plan.
+// Usage: create a Router with New. Pass it observations with CountUnserved, ObserveResult, ObserveBytes, ObserveLink,
+// ObserveAdvertised and Evacuate. Decide(now), called at intervals, returns a new plan. Route chooses a link by the plan for
+// each query that the own site doesn't serve, and Spend takes the tokens for it.
 package siterouting
 
 import (
@@ -15,188 +16,191 @@
 )
 
 const (
-	maxHops              = 2    // links that a query may cross
-	rateSmoothing        = 0.5  // of the newest interval in a rate
-	maxRise              = 1.0  // of a link's rate, in an interval: a plan grows no faster, but for the first few queries,
-	maxFall              = 0.5  // and shrinks no faster, but where the other site or the link says so
-	deadBand             = 0.1  // of a rate: a plan that differs by less is not followed
-	reverseReserve       = 0.2  // of a link, kept for what the other site may have to send this way
-	burstSeconds         = 1.0  // seconds of a route's rate that may go at once, and
-	minBurst             = 3.0  // queries at least: they come by chance
-	headroom             = 1.25 // times the excess is planned for, for the same reason
-	maxRefusedShare      = 0.25 // of what was carried there: with more refused a site is asked for less,
-	minSample            = 8    // queries at least that this is drawn from,
-	maxSampleIntervals   = 5    // or what came in so many intervals
-	unevenMargin         = 0.3  // more of a workload refused than of the others: then it is the workload's own,
-	nearlyAllRefused     = 0.9  // or so much of it where there are no others,
-	minUsedShare         = 0.5  // of what a site is thought to take: with less sent, its answers say nothing of more
-	longTermDecay        = 0.8  // of what this is drawn from is kept at each judgement
-	backoffFactor        = 0.8  // times what it took, then
-	growthStep           = 0.04 // more each interval, else;
-	advertisedGrowthStep = 0.2  // or so much where the site says itself what it takes,
-	initialGrowthStep    = 1.0  // and as much until it has refused once, or when nothing was refused for long
-	refusalMemory        = 60   // intervals without a refusal: that is long
-	returnRampNs         = 20e9 // ns over which an evacuated site takes its own queries again
-	advertisedTTLNs      = 5e9  // ns that what another site said of itself holds
-	minRoundTrips        = 2.0  // times the way there and back that a query must have left beyond the far site's time
-	minRate              = 0.2  // queries a second: enough to find out whether a site takes any
-	initialRate          = 4.0  // queries a second that a site not tried yet is thought to take, and that a plan may begin with
-	bytesSmoothing       = 0.05 // of the newest query's bytes in its workload's mean
-	standbyRate          = 4.0  // queries a second that are planned for beyond that, so that the first ones need not wait for a plan
-	unlimitedRate        = 1e9  // of a workload that is not refused more than others
-	lossDiscount         = 4.0  // a link that loses a share of its queries counts for so much less of its limit
+	maxHops              = 2    // links that one query may cross
+	rateSmoothing        = 0.5  // weight of the newest interval in the smoothed rate of unserved queries
+	maxRise              = 1.0  // largest growth of a route's rate in one interval, relative to the rate; initialRate is allowed in addition
+	maxFall              = 0.5  // largest reduction of a route's rate in one interval, relative to the rate, unless a limit requires more
+	deadBand             = 0.1  // smaller relative changes of a rate are ignored
+	reverseReserve       = 0.2  // fraction of a link's rates that is reserved for queries from the other site
+	burstSeconds         = 1.0  // seconds of a route's rate that may be sent in one burst
+	minBurst             = 3.0  // minimum burst in queries, because queries arrive at random
+	headroom             = 1.25 // factor on the unserved rate in a plan, because queries arrive at random
+	maxRefusedShare      = 0.25 // refused fraction above which a site or workload is sent less
+	minSample            = 8    // queries needed to update an estimate
+	maxSampleIntervals   = 5    // intervals after which an estimate is updated with fewer queries
+	unevenMargin         = 0.3  // a workload whose refused fraction exceeds that of the others by this much has an estimate of its own
+	nearlyAllRefused     = 0.9  // refused fraction for an estimate of its own when there are too few other queries to compare with
+	minUsedShare         = 0.5  // an estimate grows only if more than this fraction of it was used
+	longTermDecay        = 0.8  // fraction of the long-term counts that each update keeps
+	backoffFactor        = 0.8  // factor on the carried rate after too many refusals
+	growthStep           = 0.04 // relative growth of an estimate per interval without too many refusals
+	advertisedGrowthStep = 0.2  // relative growth per interval if the site advertises its capacity
+	initialGrowthStep    = 1.0  // relative growth per interval before the first refusal, or after refusalMemory without one
+	refusalMemory        = 60   // intervals without a refusal after which earlier refusals no longer count
+	returnRampNs         = 20e9 // ns over which a site that is no longer evacuated takes its own queries back
+	advertisedTTLNs      = 5e9  // ns for which a site's advertised capacity is valid
+	minRoundTrips        = 2.0  // round trips that must remain of a query's time after the service time at the other site
+	minRate              = 0.2  // lowest estimate in queries per second, so that a site that refuses is still probed
+	initialRate          = 4.0  // initial estimate of a site in queries per second, and the growth that a plan may always add to a rate
+	bytesSmoothing       = 0.05 // weight of the newest query in the mean bytes of its workload
+	standbyRate          = 4.0  // queries per second that are planned in addition to the unserved rate, so that the first unserved queries need not wait for a plan
+	unlimitedRate        = 1e9  // queries per second; stands for no limit, for workloads that are refused no more than others
+	lossDiscount         = 4.0  // usable rates of a link shrink by this multiple of the lost fraction of queries
 )
 
-// Workload is what is told of one kind of query. Revenue is of one served within its goal; Bytes are there and back.
+// Workload describes one kind of query.
 type Workload struct {
 	Name        string
-	Revenue     float64
-	Bytes       float64
-	ServiceTime int64 // the time that a site takes for one, typically, ns
+	Revenue     float64 // revenue of one query served within its latency goal
+	Bytes       float64 // mean bytes of a query and its answer, over the link
+	ServiceTime int64   // typical time in ns that a site takes for one query
 }
 
-// Link is one way to another site.
+// Link is the path to another site.
 type Link struct {
 	Site      string
-	QueryRate float64 // a second, at most
-	ByteRate  float64 // a second, at most
-	Cost      float64 // of one query carried, in revenue
+	QueryRate float64 // maximum queries per second
+	ByteRate  float64 // maximum bytes per second
+	Cost      float64 // cost of carrying one query, in units of revenue
 }
 
-// Policy is what routes go by.
+// Policy selects how queries are routed.
 type Policy uint8
 
-// All but Planned are baselines to measure it against: they know no plan and no limit of a link.
+// The policies. All but Planned are baselines for comparison; they use neither a plan nor the limits of a link.
 const (
 	Planned     Policy = iota
-	AllDeclined        // all that the own site declines leaves
-	HalfOfOwn          // half of the own queries leave before they are asked here, and no others
+	AllDeclined        // every query that the own site declines leaves
+	HalfOfOwn          // half of the own queries leave without asking the own site, and no others
 )
 
-// PolicyNames are the names of policies, in their order.
+// PolicyNames are the names of the policies, indexed by Policy.
 var PolicyNames = []string{"plan", "all", "half"}
 
-// Config are what a site is told. Times in ns.
+// Config holds the settings of a Router.
 type Config struct {
 	Policy    Policy
 	Site      string
 	Workloads []Workload
 	Links     []Link
-	Interval  int64 // between two plans
+	Interval  int64 // ns between two plans
 }
 
-// LinkStats are a link's at present.
+// LinkStats are the current measurements of a link.
 type LinkStats struct {
-	Delay  int64   // there and back, ns
-	Loss   float64 // share of queries that came to nothing on the way
+	Delay  int64   // round-trip delay in ns
+	Loss   float64 // fraction of queries that are lost on the link
 	Usable bool
 }
 
-// Plan is what goes where: queries a second of each workload over each link.
+// Plan says how many queries of each workload go over each link.
 type Plan struct {
-	Rates      [][]float64 // by workload, then link
-	LocalShare float64     // share of the own queries that the own site is asked for
-	Value      float64     // revenue a second that the plan expects to save
-	Greedy     bool        // the solver gave no answer in time, and the plan is the simple one
+	Rates      [][]float64 // queries per second, by workload and then link
+	LocalShare float64     // fraction of the own queries that are offered to the own site
+	Value      float64     // expected additional revenue per second
+	Greedy     bool        // the plan was made by Greedy because the solver found no solution
 	Changed    bool
 }
 
+// tokenBucket holds the tokens of one route, a query each.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt int64
 }
 
-// estimate is what is known of how much another site takes, of a workload or of all.
+// estimate is what is known about how many queries a site accepts, of one workload or of all.
 type estimate struct {
-	advertised   float64 // as it said, queries a second; below 0 for nothing said
+	advertised   float64 // queries per second that the site advertises; negative if unknown
 	advertisedAt int64
-	learned      float64 // as its answers show
-	sinceRefusal int     // intervals since it refused last, 0 for never
-	carried      float64 // since it was judged last
-	refused      float64
-	intervals    int     // intervals since then
-	seconds      float64 // and seconds
-
-	longCarried, longRefused float64 // fading
+	learned      float64 // queries per second, learned from accepted and refused queries
+	sinceRefusal int     // intervals since the last update with too many refusals, 0 if there was none
+	carried      float64 // queries carried since the last update
+	refused      float64 // queries refused since the last update
+	intervals    int     // intervals since the last update
+	seconds      float64 // seconds since the last update
+
+	longCarried, longRefused float64 // long-term counts with exponential decay
 }
 
 // Router decides for one site.
 type Router struct {
 	Config
-	Solve               func(Problem) (Plan, bool) // the planner; false where it has no answer
-	excess              []float64                  // queries a second of each workload that the own site would not serve
-	unserved            []float64                  // in this interval
+	Solve               func(Problem) (Plan, bool) // the planner; returns false if it finds no solution
+	excess              []float64                  // smoothed queries per second, by workload, that the own site doesn't serve
+	unserved            []float64                  // queries in this interval, by workload
 	linkStats           []LinkStats
-	siteEstimates       []estimate   // of all workloads, by link
+	siteEstimates       []estimate   // for all workloads together, by link
 	estimates           [][]estimate // by workload, then link
 	plan                Plan
 	buckets             [][]tokenBucket
 	linkBudgets         []linkBudget // by link
 	decidedAt           int64
 	evacuated           bool
-	evacuationChangedAt int64 // it is dark, or light again, since then; 0 for always light
+	evacuationChangedAt int64 // time of the last change of evacuated, 0 if it never changed
 }
 
-// New makes a site's routes at its start.
-func New(now int64, t Config) *Router {
-	r := &Router{Config: t, Solve: Simplex, excess: make([]float64, len(t.Workloads)), unserved: make([]float64, len(t.Workloads)),
-		linkStats: make([]LinkStats, len(t.Links)), decidedAt: now}
-	for _, l := range t.Links {
+// New returns a Router without traffic to other sites.
+func New(now int64, config Config) *Router {
+	r := &Router{Config: config, Solve: Simplex, excess: make([]float64, len(config.Workloads)), unserved: make([]float64, len(config.Workloads)),
+		linkStats: make([]LinkStats, len(config.Links)), decidedAt: now}
+	for _, l := range config.Links {
 		r.linkBudgets = append(r.linkBudgets, newLinkBudget(now, l))
 	}
 	r.plan.LocalShare = 1
-	for range t.Links {
+	for range config.Links {
 		r.siteEstimates = append(r.siteEstimates, estimate{advertised: -1, learned: initialRate})
 	}
-	for range t.Workloads {
-		row := make([]estimate, len(t.Links))
+	for range config.Workloads {
+		row := make([]estimate, len(config.Links))
 		for i := range row {
 			row[i] = estimate{advertised: -1, learned: unlimitedRate}
 		}
 		r.estimates = append(r.estimates, row)
-		r.buckets = append(r.buckets, make([]tokenBucket, len(t.Links)))
-		r.plan.Rates = append(r.plan.Rates, make([]float64, len(t.Links)))
+		r.buckets = append(r.buckets, make([]tokenBucket, len(config.Links)))
+		r.plan.Rates = append(r.plan.Rates, make([]float64, len(config.Links)))
 	}
 	return r
 }
 
-// CountUnserved tells of a query of the own clients that the own site would not serve, or not within its goal.
+// CountUnserved records a query of an own client that the own site doesn't serve, or not within its latency goal.
 func (r *Router) CountUnserved(workload int) { r.unserved[workload]++ }
 
-// ObserveResult tells how a query that went over a link ended there.
+// ObserveResult records whether the other site refused a query that went over a link.
 func (r *Router) ObserveResult(workload, link int, refused bool) {
-	for _, o := range []*estimate{&r.siteEstimates[link], &r.estimates[workload][link]} {
-		o.carried++
+	for _, e := range []*estimate{&r.siteEstimates[link], &r.estimates[workload][link]} {
+		e.carried++
 		if refused {
-			o.refused++
+			e.refused++
 		}
 	}
 }
 
-// ObserveBytes tells how many bytes a query took there and back. Its route had reckoned with what is known of its workload.
+// ObserveBytes records the bytes of a query and its answer, and corrects the link's budget, from which Spend took the mean
+// of the workload.
 func (r *Router) ObserveBytes(now int64, workload, link int, bytes float64) {
 	w := &r.Workloads[workload]
 	r.linkBudgets[link].correct(now, r.Links[link], bytes-w.Bytes)
 	w.Bytes += bytesSmoothing * (bytes - w.Bytes)
 }
 
-// ObserveLink tells a link's figures.
-func (r *Router) ObserveLink(link int, f LinkStats) { r.linkStats[link] = f }
+// ObserveLink records the current measurements of a link.
+func (r *Router) ObserveLink(link int, stats LinkStats) { r.linkStats[link] = stats }
 
-// ObserveAdvertised tells how many queries a second, of all workloads, another site says it would take.
+// ObserveAdvertised records how many queries per second, of all workloads, another site offers to accept.
 func (r *Router) ObserveAdvertised(now int64, link int, rate float64) {
-	o := &r.siteEstimates[link]
-	o.advertised, o.advertisedAt = max(rate, 0), now
+	e := &r.siteEstimates[link]
+	e.advertised, e.advertisedAt = max(rate, 0), now
 }
 
-// Evacuate leaves the own site, or takes it up again over a ramp.
+// Evacuate moves all queries away from the own site, or takes them back over a ramp.
 func (r *Router) Evacuate(now int64, evacuated bool) {
 	if r.evacuated != evacuated {
 		r.evacuated, r.evacuationChangedAt = evacuated, now
 	}
 }
 
-// LocalShare is the share of the own queries that the own site is asked for: none while it is dark, all when it is long light.
+// LocalShare returns the fraction of the own queries that are offered to the own site: 0 during an evacuation, rising to 1
+// over the ramp after it.
 func (r *Router) LocalShare(now int64) float64 {
 	switch {
 	case r.evacuated:
@@ -207,8 +211,8 @@
 	return min(float64(now-r.evacuationChangedAt)/returnRampNs, 1)
 }
 
-// ServesLocally tells whether the own site is asked for a query. Mark is the query's own number in [0, 1), came that it is another
-// site's.
+// ServesLocally reports whether a query is offered to the own site. The position is a number in [0, 1) that is fixed for
+// each query; fromOtherSite says that another site sent the query.
 func (r *Router) ServesLocally(now int64, position float64, fromOtherSite bool) bool {
 	share := r.LocalShare(now)
 	if r.Policy == HalfOfOwn && !fromOtherSite {
@@ -217,7 +221,7 @@
 	return position < share
 }
 
-// Next is when Decide wants to be called again.
+// Next returns when Decide should be called again.
 func (r *Router) Next() int64 { return r.decidedAt + r.Interval }
 
 // Decide makes a new plan.
@@ -243,13 +247,14 @@
 	return plan
 }
 
-// updateEstimates draws what another site takes from how it answered.
+// updateEstimates learns from the results how many queries the site behind a link accepts.
 //
-// Danger: two sites that are both short would hand each other what neither serves. A site that refuses is asked for
-// less at once and for more only slowly, so what goes to and fro dies down.
+// Danger: two overloaded sites would pass each other queries that neither serves. A site that refuses is sent less at once
+// and more only slowly, so that this exchange dies down.
 //
-// A site that is short refuses by chance, the dear like the cheap; so what it takes is learned of all workloads together, and
-// the plan fills that with what is worth most. Only a workload that is refused more than the others has a bound of its own.
+// An overloaded site refuses queries of high and low value alike. So its capacity is learned from all workloads together,
+// and the plan fills it with the queries of the highest value. Only a workload that is refused more than the others has an
+// estimate of its own.
 func (r *Router) updateEstimates(now int64, l int, span float64) {
 	site := &r.siteEstimates[l]
 	if site.advertised >= 0 && now-site.advertisedAt > advertisedTTLNs {
@@ -262,21 +267,21 @@
 	}
 	var all estimate
 	for w := range r.estimates {
-		o := &r.estimates[w][l]
-		o.longCarried, o.longRefused = longTermDecay*o.longCarried+o.carried, longTermDecay*o.longRefused+o.refused
-		all.longCarried += o.longCarried
-		all.longRefused += o.longRefused
+		e := &r.estimates[w][l]
+		e.longCarried, e.longRefused = longTermDecay*e.longCarried+e.carried, longTermDecay*e.longRefused+e.refused
+		all.longCarried += e.longCarried
+		all.longRefused += e.longRefused
 	}
 	for w := range r.estimates {
-		o := &r.estimates[w][l]
-		o.seconds, o.intervals = site.seconds, site.intervals
-		own := o.refusedMoreThanOthers(all)
-		if own { // its refusals say nothing of the site
-			site.carried, site.refused = site.carried-o.carried, site.refused-o.refused
+		e := &r.estimates[w][l]
+		e.seconds, e.intervals = site.seconds, site.intervals
+		separate := e.refusedMoreThanOthers(all)
+		if separate { // its refusals say nothing about the site's capacity
+			site.carried, site.refused = site.carried-e.carried, site.refused-e.refused
 		}
-		o.update(own && o.refused > maxRefusedShare*o.carried, growthStep)
-		if o.sinceRefusal > refusalMemory {
-			*o = estimate{advertised: -1, learned: unlimitedRate}
+		e.update(separate && e.refused > maxRefusedShare*e.carried, growthStep)
+		if e.sinceRefusal > refusalMemory {
+			*e = estimate{advertised: -1, learned: unlimitedRate}
 		}
 	}
 	step := growthStep
@@ -289,59 +294,62 @@
 	site.update(site.refused > maxRefusedShare*site.carried, step)
 }
 
-// refusedMoreThanOthers tells whether a workload is refused for its own sake: more than the others, or nearly always where there are none.
-func (o *estimate) refusedMoreThanOthers(all estimate) bool {
-	carried, refused := all.longCarried-o.longCarried, all.longRefused-o.longRefused
-	if o.longCarried < minSample {
+// refusedMoreThanOthers reports whether the refusals have to do with the workload: it is refused more than the others, or
+// nearly always if there are too few others.
+func (e *estimate) refusedMoreThanOthers(all estimate) bool {
+	carried, refused := all.longCarried-e.longCarried, all.longRefused-e.longRefused
+	if e.longCarried < minSample {
 		return false
 	}
 	if carried < minSample {
-		return o.longRefused > nearlyAllRefused*o.longCarried
+		return e.longRefused > nearlyAllRefused*e.longCarried
 	}
-	return o.longRefused/o.longCarried > max(maxRefusedShare, refused/carried+unevenMargin)
+	return e.longRefused/e.longCarried > max(maxRefusedShare, refused/carried+unevenMargin)
 }
 
-// update moves what was learned by what came since it was judged last.
-func (o *estimate) update(refuses bool, step float64) {
-	if o.sinceRefusal > 0 {
-		o.sinceRefusal += o.intervals
+// update changes the learned rate by the results since the last update.
+func (e *estimate) update(refuses bool, step float64) {
+	if e.sinceRefusal > 0 {
+		e.sinceRefusal += e.intervals
 	}
-	if rate := o.carried / o.seconds; o.carried > 0 {
+	if rate := e.carried / e.seconds; e.carried > 0 {
 		if refuses {
-			o.learned = max(min(o.learned, rate)*backoffFactor, minRate)
-			o.sinceRefusal = 1
-		} else if rate > minUsedShare*o.learned { // what is not used says nothing
-			if o.sinceRefusal == 0 || o.sinceRefusal > refusalMemory {
+			e.learned = max(min(e.learned, rate)*backoffFactor, minRate)
+			e.sinceRefusal = 1
+		} else if rate > minUsedShare*e.learned { // a higher estimate can only be justified if the current one is used
+			if e.sinceRefusal == 0 || e.sinceRefusal > refusalMemory {
 				step = initialGrowthStep
 			}
-			step *= float64(o.intervals)
-			o.learned = min(max(o.learned, rate)*(1+step)+minRate*step, unlimitedRate)
+			step *= float64(e.intervals)
+			e.learned = min(max(e.learned, rate)*(1+step)+minRate*step, unlimitedRate)
 		}
 	}
-	o.carried, o.refused, o.intervals, o.seconds = 0, 0, 0, 0
+	e.carried, e.refused, e.intervals, e.seconds = 0, 0, 0, 0
 }
 
-// capacity is how many queries a second a site is thought to take.
-func (o *estimate) capacity() float64 {
+// capacity returns how many queries per second the site probably accepts.
+func (e *estimate) capacity() float64 {
 	switch {
-	case o.advertised >= 0 && o.sinceRefusal == 0: // it has refused nothing yet: its word is all there is
-		return o.advertised
-	case o.advertised >= 0:
-		return min(o.advertised, o.learned)
+	case e.advertised >= 0 && e.sinceRefusal == 0: // without refusals the advertised rate is the only information
+		return e.advertised
+	case e.advertised >= 0:
+		return min(e.advertised, e.learned)
 	}
-	return o.learned
+	return e.learned
 }
 
-// Problem is what a planner solves: the greatest revenue within the excess, what others take, and the links.
+// Problem is the input of a planner, which maximizes the revenue within the unserved rates, the capacity of other sites and
+// the limits of the links.
 type Problem struct {
-	Value      [][]float64 // of one query of a workload over a link, what it costs taken off; 0 or less for never
-	Excess     []float64   // queries a second, by workload
-	Capacity   [][]float64 // by workload and link, at most
-	QueryRate  []float64   // by link, at most
-	ByteRate   []float64   // by link, at most
-	QueryBytes []float64   // bytes of a query, by workload
+	Value      [][]float64 // revenue minus cost of one query, by workload and then link; the route isn't used if it is 0 or less
+	Excess     []float64   // queries per second to move, by workload
+	Capacity   [][]float64 // maximum queries per second, by workload and then link
+	QueryRate  []float64   // maximum queries per second, by link
+	ByteRate   []float64   // maximum bytes per second, by link
+	QueryBytes []float64   // bytes of one query, by workload
 }
 
+// problem describes the current state for the planner.
 func (r *Router) problem(now int64) Problem {
 	p := Problem{}
 	for _, rate := range r.excess {
@@ -356,29 +364,29 @@
 		p.QueryRate = append(p.QueryRate, min(share*r.Links[i].QueryRate, r.siteEstimates[i].capacity()))
 		p.ByteRate = append(p.ByteRate, share*r.Links[i].ByteRate)
 	}
-	for w, load := range r.Workloads {
-		p.QueryBytes = append(p.QueryBytes, load.Bytes)
-		worth, takes := make([]float64, len(r.Links)), make([]float64, len(r.Links))
+	for w, workload := range r.Workloads {
+		p.QueryBytes = append(p.QueryBytes, workload.Bytes)
+		values, capacities := make([]float64, len(r.Links)), make([]float64, len(r.Links))
 		for l := range r.Links {
-			worth[l] = load.Revenue*(1-r.linkStats[l].Loss) - r.Links[l].Cost
-			takes[l] = min(r.estimates[w][l].learned, r.siteEstimates[l].capacity())
+			values[l] = workload.Revenue*(1-r.linkStats[l].Loss) - r.Links[l].Cost
+			capacities[l] = min(r.estimates[w][l].learned, r.siteEstimates[l].capacity())
 		}
-		p.Value, p.Capacity = append(p.Value, worth), append(p.Capacity, takes)
+		p.Value, p.Capacity = append(p.Value, values), append(p.Capacity, capacities)
 	}
 	return p
 }
 
-// smooth moves from the old plan to the new one in steps.
+// smooth moves from the last plan to the new one in steps.
 //
-// Danger: a plan that jumps with every interval has the far site decline what the near one just sent, and the next
-// plan undo it. Small differences are passed over, growth is slow; limits are kept at once whatever the old plan was.
+// Danger: if the plan jumps at each interval, the other site declines what was just sent to it, and the next plan reverses
+// the change. So small differences are ignored and growth is slow, while the limits always apply at once.
 func (r *Router) smooth(plan *Plan, p Problem) {
 	for w := range plan.Rates {
 		for l := range plan.Rates[w] {
-			was, want := r.plan.Rates[w][l], plan.Rates[w][l]
-			rate := min(max(want, was*(1-maxFall)), was*(1+maxRise)+initialRate)
-			if math.Abs(want-was) <= deadBand*was {
-				rate = was
+			old, want := r.plan.Rates[w][l], plan.Rates[w][l]
+			rate := min(max(want, old*(1-maxFall)), old*(1+maxRise)+initialRate)
+			if math.Abs(want-old) <= deadBand*old {
+				rate = old
 			}
 			plan.Rates[w][l] = min(rate, p.Capacity[w][l])
 			if p.Value[w][l] <= 0 {
@@ -386,7 +394,7 @@
 			}
 		}
 	}
-	// The limits hold for what is followed, not only for what was planned; what is worth least goes first.
+	// Smoothed rates have to keep the limits too. The queries of the lowest value are reduced first.
 	for l := range p.QueryRate {
 		queries, bytes := 0.0, 0.0
 		order := make([]int, len(plan.Rates))
@@ -397,14 +405,14 @@
 		}
 		slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(p.Value[a][l], p.Value[b][l]) })
 		for _, w := range order {
-			over := max(queries-p.QueryRate[l], 0)
+			surplus := max(queries-p.QueryRate[l], 0)
 			if p.QueryBytes[w] > 0 {
-				over = max(over, (bytes-p.ByteRate[l])/p.QueryBytes[w])
+				surplus = max(surplus, (bytes-p.ByteRate[l])/p.QueryBytes[w])
 			}
-			less := min(over, plan.Rates[w][l])
-			plan.Rates[w][l] -= less
-			queries -= less
-			bytes -= less * p.QueryBytes[w]
+			reduction := min(surplus, plan.Rates[w][l])
+			plan.Rates[w][l] -= reduction
+			queries -= reduction
+			bytes -= reduction * p.QueryBytes[w]
 		}
 	}
 	plan.Value = 0
@@ -416,24 +424,24 @@
 	}
 }
 
-// Query is one that the own site does not serve.
+// Query is a query that the own site doesn't serve.
 type Query struct {
 	Workload int
-	TimeLeft int64    // of its client's time, ns
-	Visited  []string // sites that it came through, the own one left out
-	Declined bool     // the own site was asked, and declined it
+	TimeLeft int64    // ns until its client's deadline
+	Visited  []string // sites that it came through, without the own one
+	Declined bool     // the own site was asked and declined it
 }
 
-// Route returns the link that a query goes over once there is room, or -1. The way with the most tokens in hand is taken, so
-// a plan over several links is followed query by query. Spend takes the room.
+// Route returns the link for a query, or -1 if it can't leave. Of the possible links it takes the one with the most tokens,
+// so that queries follow a plan over several links. Spend takes the tokens.
 //
-// Danger: a query that goes round between sites uses every link and is served nowhere; one whose time is nearly up comes
-// back too late. Neither leaves.
+// Danger: a query that circles between sites loads every link and is served nowhere, and a query with little time left
+// returns too late. Neither may leave.
 func (r *Router) Route(now int64, q Query) int {
 	if len(q.Visited) >= maxHops || r.Policy == HalfOfOwn && q.Declined {
 		return -1
 	}
-	best, most := -1, 0.0
+	best, mostTokens := -1, 0.0
 	for l, link := range r.Links {
 		if link.Site == r.Site || slices.Contains(q.Visited, link.Site) || !r.linkStats[l].Usable ||
 			q.TimeLeft < int64(minRoundTrips*float64(r.linkStats[l].Delay))+r.Workloads[q.Workload].ServiceTime {
@@ -442,28 +450,28 @@
 		if r.Policy != Planned {
 			return l
 		}
-		if f := r.refill(now, q.Workload, l); r.plan.Rates[q.Workload][l] > 0 && (best < 0 || f.tokens > most) {
-			best, most = l, f.tokens
+		if bucket := r.refill(now, q.Workload, l); r.plan.Rates[q.Workload][l] > 0 && (best < 0 || bucket.tokens > mostTokens) {
+			best, mostTokens = l, bucket.tokens
 		}
 	}
 	return best
 }
 
-// Spend takes the room for one query over a link, if its plan and the link's purse have it now.
+// Spend takes the tokens for one query over a link, if the plan and the link's budget allow it now.
 func (r *Router) Spend(now int64, workload, link int) bool {
 	if r.Policy != Planned {
 		return true
 	}
-	f := r.refill(now, workload, link)
-	if f.tokens < 1 || !r.linkBudgets[link].allows(now, r.Links[link], r.Workloads[workload].Bytes) {
+	bucket := r.refill(now, workload, link)
+	if bucket.tokens < 1 || !r.linkBudgets[link].allows(now, r.Links[link], r.Workloads[workload].Bytes) {
 		return false
 	}
-	f.tokens--
+	bucket.tokens--
 	r.linkBudgets[link].spend(r.Workloads[workload].Bytes)
 	return true
 }
 
-// ByRevenue are the workloads, those worth most first: so they get what room there is.
+// ByRevenue returns the workloads in descending order of revenue, the order in which they get free capacity.
 func (r *Router) ByRevenue() []int {
 	order := make([]int, len(r.Workloads))
 	for w := range order {
@@ -473,13 +481,13 @@
 	return order
 }
 
-// refill lets time pass over a route's tokens.
+// refill adds the tokens of the elapsed time to a route's bucket.
 func (r *Router) refill(now int64, w, l int) *tokenBucket {
-	f, rate := &r.buckets[w][l], r.plan.Rates[w][l]
-	f.tokens = min(f.tokens+rate*float64(now-f.updatedAt)/1e9, max(rate*burstSeconds, minBurst))
-	f.updatedAt = now
+	bucket, rate := &r.buckets[w][l], r.plan.Rates[w][l]
+	bucket.tokens = min(bucket.tokens+rate*float64(now-bucket.updatedAt)/1e9, max(rate*burstSeconds, minBurst))
+	bucket.updatedAt = now
 	if rate == 0 {
-		f.tokens = 0
+		bucket.tokens = 0
 	}
-	return f
+	return bucket
 }
--- a/decide/siterouting/spare.go
+++ b/decide/siterouting/spare.go
@@ -1,32 +1,33 @@
 package siterouting
 
 const (
-	spareWindowNs      = 2e9  // ns over which a site looks back at itself
-	maxSpareGrowth     = 1.0  // of what it serves that it would take more, where it declines nothing
-	minQuietSpare      = 20.0 // queries a second that a site without declines says it takes at least: what it bears is not known
-	maxDeclinedShare   = 0.02 // of its own that it may decline and still take others',
-	minDeclines        = 2.0  // and so many in a span, which chance alone may bring
-	spareDecrease      = 0.7  // of what it took, when it declines more of its own,
-	spareIncreaseShare = 0.1  // more in a span that it declines none,
-	spareIncrease      = 1.0  // and so much more a second
-	quietAfterWindows  = 15   // spans without declines: then what it bears is not known any more
+	spareWindowNs      = 2e9  // length in ns of the window over which a site counts its queries
+	maxSpareGrowth     = 1.0  // relative growth per window while nothing is declined; the offer may exceed the served rate by as much
+	minQuietSpare      = 20.0 // minimum queries per second that a site without declines offers, because its capacity isn't known
+	maxDeclinedShare   = 0.02 // declined fraction of the site's own queries above which the offer decreases
+	minDeclines        = 2.0  // declined queries in a window that a decrease needs; fewer may be chance
+	spareDecrease      = 0.7  // factor on the rate accepted so far if too many own queries are declined
+	spareIncreaseShare = 0.1  // relative growth per window without too many declines
+	spareIncrease      = 1.0  // additional growth per window in queries per second, and the lowest offer above 0
+	quietAfterWindows  = 15   // windows without too many declines after which the capacity counts as unknown again
 )
 
-// SpareCapacity reckons how many more queries a second a site would take from others, of all workloads together. A site that
-// declines its own takes fewer than it took, and more again step by step, so that it comes to rest near what it bears.
+// SpareCapacity estimates how many queries per second a site can accept from others, of all workloads together. A site that
+// declines its own queries offers less than it accepted before, and then more step by step, so that the offer settles near
+// its capacity.
 type SpareCapacity struct {
-	served, declined, own, accepted float64 // in this span
+	served, declined, own, accepted float64 // queries in this window
 	windowStart                     int64
 	rate                            float64
-	quietWindows                    int // spans since it declined its own
+	quietWindows                    int // windows since the last one with too many declines of own queries
 }
 
-// NewSpareCapacity makes one.
+// NewSpareCapacity returns a SpareCapacity for a site whose capacity isn't known.
 func NewSpareCapacity(now int64) *SpareCapacity {
 	return &SpareCapacity{windowStart: now, rate: minQuietSpare, quietWindows: quietAfterWindows}
 }
 
-// Ended tells how a query ended at this site; own is one of its own clients.
+// Ended records how a query ended at this site; own says that it came from one of the site's own clients.
 func (s *SpareCapacity) Ended(now int64, own, declined bool) {
 	s.closeWindow(now)
 	if own {
@@ -42,29 +43,31 @@
 	}
 }
 
-// Rate is how many queries a second the site would take from others.
+// Rate returns how many queries per second the site offers to accept from others.
 func (s *SpareCapacity) Rate(now int64) float64 {
 	s.closeWindow(now)
 	return s.rate
 }
 
-// closeWindow closes a span. Danger: a site that says it takes what it took before goes on saying so while its own clients are
-// declined; so their declines bring it down at once, and only quiet spans raise it.
+// closeWindow updates the rate if the window has ended.
+//
+// Danger: a site that simply offered what it accepted before would go on while it declines its own clients. So declines of
+// own queries reduce the offer at once, and only windows without them raise it.
 func (s *SpareCapacity) closeWindow(now int64) {
-	span := now - s.windowStart
-	if span < spareWindowNs {
+	elapsed := now - s.windowStart
+	if elapsed < spareWindowNs {
 		return
 	}
-	served, taken := s.served*1e9/float64(span), s.accepted*1e9/float64(span)
+	served, accepted := s.served*1e9/float64(elapsed), s.accepted*1e9/float64(elapsed)
 	switch {
 	case s.declined > maxDeclinedShare*s.own && s.declined >= minDeclines:
-		if s.rate = min(s.rate, taken) * spareDecrease; s.rate < spareIncrease {
+		if s.rate = min(s.rate, accepted) * spareDecrease; s.rate < spareIncrease {
 			s.rate = 0
 		}
 		s.quietWindows = 0
 	case s.quietWindows < quietAfterWindows:
 		s.quietWindows++
-		if 2*taken >= s.rate { // what is not used says nothing
+		if 2*accepted >= s.rate { // the rate grows only while it is used
 			s.rate += spareIncreaseShare*s.rate + spareIncrease
 		}
 	default:
--- a/decide/siterouting/spare_test.go
+++ b/decide/siterouting/spare_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// A site that declines its own takes nothing from others within a few spans, and more again only when it is quiet.
+// TestSpare: a site that declines its own queries soon accepts none from others, and accepts more only after windows without
+// declines.
 func TestSpare(t *testing.T) {
 	s, now := NewSpareCapacity(0), int64(0)
-	span := func(served, declined int) float64 {
+	window := func(served, declined int) float64 {
 		for range served {
 			s.Ended(now, true, false)
 		}
@@ -16,33 +17,35 @@
 		return s.Rate(now)
 	}
 	for range 10 {
-		span(200, 0)
+		window(200, 0)
 	}
 	if quiet := s.Rate(now); quiet < 50 || quiet > 250 {
-		t.Errorf("with 100 a second served and none declined it would take %.1f", quiet)
+		t.Errorf("a site that serves 100 queries per second and declines none offers %.1f", quiet)
 	}
 	for range 8 {
-		span(200, 20)
+		window(200, 20)
 	}
 	if short := s.Rate(now); short != 0 {
-		t.Errorf("declining its own it would take %.1f", short)
+		t.Errorf("a site that declines its own queries offers %.1f", short)
 	}
-	if back := span(200, 0); back <= 0 || back > 60 {
-		t.Errorf("after one quiet span it would take %.1f", back)
+	if back := window(200, 0); back <= 0 || back > 60 {
+		t.Errorf("after one window without declines the site offers %.1f", back)
 	}
-	// What others send and is declined says nothing of its own.
+	// declined queries of others say nothing about the own ones
 	for range 20 {
 		s.Ended(now, false, true)
 	}
-	was := s.Rate(now)
-	if now += spareWindowNs; s.Rate(now) < was {
-		t.Errorf("declining others' it would take %.1f for %.1f", s.Rate(now), was)
+	before := s.Rate(now)
+	if now += spareWindowNs; s.Rate(now) < before {
+		t.Errorf("after declining queries of others the site offers %.1f instead of %.1f", s.Rate(now), before)
 	}
 }
 
+// TestLimit: the limit of a link rises at a short delay, falls when the delay grows or pings are lost, and adapts to a path
+// that is longer for good.
 func TestLimit(t *testing.T) {
 	l, now := NewLinkLimit(0), int64(0)
-	turn := func(delay int64, lost bool) {
+	probe := func(delay int64, lost bool) {
 		for l.TryAcquire() {
 		}
 		now += 50e6
@@ -52,28 +55,28 @@
 		}
 	}
 	for range 400 {
-		turn(80e6, false)
+		probe(80e6, false)
 	}
-	wide := l.Max()
-	if wide < 20 || l.MinDelay() != 80e6 {
-		t.Errorf("at its least delay %d may be in flight, least %d", wide, l.MinDelay())
+	limit := l.Max()
+	if limit < 20 || l.MinDelay() != 80e6 {
+		t.Errorf("limit %d and minimum delay %d after pings at the minimum delay", limit, l.MinDelay())
 	}
 	for range 150 {
-		turn(400e6, false)
+		probe(400e6, false)
 	}
-	if narrow := l.Max(); narrow > initialLimit {
-		t.Errorf("with a delay five times as long %d", narrow)
+	if limit := l.Max(); limit > initialLimit {
+		t.Errorf("limit %d at five times the minimum delay", limit)
 	}
-	for range 1000 { // the way has changed for good: after a while that is its least delay
-		turn(400e6, false)
+	for range 1000 { // the path has become longer for good: later this is the minimum delay
+		probe(400e6, false)
 	}
 	if l.MinDelay() != 400e6 || l.Max() <= initialLimit {
-		t.Errorf("on a longer way the least is %d, the limit %d", l.MinDelay(), l.Max())
+		t.Errorf("minimum delay %d and limit %d after the path has become longer", l.MinDelay(), l.Max())
 	}
 	for range 2000 {
-		turn(0, true)
+		probe(0, true)
 	}
 	if l.Max() != minLimit {
-		t.Errorf("with all lost %d", l.Max())
+		t.Errorf("limit %d after all pings were lost", l.Max())
 	}
 }
--- a/decide/weightedsplit/weightedsplit_test.go
+++ b/decide/weightedsplit/weightedsplit_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	window   = 300  // requests that the rule looks at
-	mostOff  = 0.06 // that a share may lie off its weight's in any window
-	drawsOff = 0.07 // that it lies off where each request is drawn by itself, and more
+	window              = 300  // requests in a window over which shares are measured
+	maxDifference       = 0.06 // largest difference between a service's share in a window and its weight
+	minRandomDifference = 0.07 // lowest difference that independent random draws reach in some window
 )
 
-// split is a route with weights for services named by their places.
+// split returns a route with weights for the services s0, s1 and so on.
 func split(weights ...float64) *routeconfig.Route {
 	r := &routeconfig.Route{Name: "split"}
 	for i, w := range weights {
@@ -26,18 +26,18 @@
 	return r
 }
 
-// bySequences returns the positions of requests that come to edges at random, some edges more often than others.
-func bySequences(edges int, seed uint64) (position func() float64) {
-	draw := rand.New(rand.NewPCG(seed, 0))
+// sequencePositions returns positions for requests that arrive at random edges, at some edges more often than at others.
+func sequencePositions(edges int, seed uint64) (position func() float64) {
+	rng := rand.New(rand.NewPCG(seed, 0))
 	var sequences []*Sequence
 	for i := range edges {
 		sequences = append(sequences, New(fmt.Sprint("10.0.", seed, ".", i), "split"))
 	}
-	return func() float64 { return sequences[int(float64(edges)*draw.Float64()*draw.Float64())].Next() }
+	return func() float64 { return sequences[int(float64(edges)*rng.Float64()*rng.Float64())].Next() }
 }
 
-// worstOff returns how far the share of any service lies off its weight's in any window of a day's requests.
-func worstOff(route *routeconfig.Route, position func() float64) (worst float64) {
+// largestDifference returns the largest difference between a service's share in any window and its weight, over 3000 requests.
+func largestDifference(route *routeconfig.Route, position func() float64) (worst float64) {
 	const requests = 3000
 	total := 0.0
 	for _, target := range route.Targets {
@@ -60,22 +60,22 @@
 	return worst
 }
 
-// TestSharesInEveryWindow: any 300 requests in a row are shared as the weights say, at one edge and over many; a draw for
-// each request by itself, as by a hash of its id, lies further off in some of them.
+// TestSharesInEveryWindow: any 300 requests in a row are split by the weights, at one edge and over many edges. An
+// independent random draw for each request, for example by a hash of its id, differs more in some windows.
 func TestSharesInEveryWindow(t *testing.T) {
 	for _, weights := range [][]float64{{1, 1}, {1, 3}, {1, 9}, {5, 95}, {2, 3, 5}, {0, 1, 1}} {
 		for _, edges := range []int{1, 9, 60} {
 			for seed := range uint64(3) {
-				worst := worstOff(split(weights...), bySequences(edges, seed))
-				must.Less(t, mostOff, worst, must.Sprint(weights, " over ", edges, " edges, seed ", seed))
+				worst := largestDifference(split(weights...), sequencePositions(edges, seed))
+				must.Less(t, maxDifference, worst, must.Sprint(weights, " over ", edges, " edges, seed ", seed))
 			}
 		}
 	}
-	draw := rand.New(rand.NewPCG(1, 0))
-	must.Greater(t, drawsOff, worstOff(split(1, 1), draw.Float64))
+	rng := rand.New(rand.NewPCG(1, 0))
+	must.Greater(t, minRandomDifference, largestDifference(split(1, 1), rng.Float64))
 }
 
-// TestAnotherWeightNextTime: a sequence goes on when the weights change, and the new ones hold at once.
+// TestAnotherWeightNextTime: when the weights change, the sequence continues and the new weights apply at once.
 func TestAnotherWeightNextTime(t *testing.T) {
 	sequence := New("10.0.0.1", "split")
 	before, after := split(1, 1), split(1, 9)
@@ -91,7 +91,7 @@
 	must.Between(t, 27, first, 33)
 }
 
-// TestPositions: each lies from 0 up to 1, also after very many.
+// TestPositions: each position is in [0, 1), also after very many requests.
 func TestPositions(t *testing.T) {
 	sequence := New("10.0.0.1", "split")
 	sequence.issued.Store(1 << 40)
