--- a/decide/deduplication/deduplication.go
+++ b/decide/deduplication/deduplication.go
@@ -36,7 +36,7 @@
 	Retention      int64 // ns that an id is kept after its query has ended
 }
 
-// state is the state of a query.
+// state says whether a query is running, has ended with a stored answer, or may have run with an unknown result.
 type state uint8
 
 const (
@@ -45,7 +45,7 @@
 	interrupted
 )
 
-// entry is a remembered query.
+// entry is what the table stores about one query.
 type entry struct {
 	id        string
 	state     state
--- a/decide/fairqueue/fairqueue.go
+++ b/decide/fairqueue/fairqueue.go
@@ -26,7 +26,7 @@
 	Customer string
 	Weight   float64 // weight of the customer: twice the weight gets twice the turns; 0 or less counts as 1
 	Deadline int64   // time in ns until which the query may wait
-	Handle   any     // the caller's handle
+	Handle   any     // returned unchanged to the caller, which identifies the query by it
 }
 
 // customer is a customer with its waiting queries, the oldest first.
--- a/decide/gateway/gateway.go
+++ b/decide/gateway/gateway.go
@@ -70,7 +70,7 @@
 	queues      []*fairqueue.Queue // by workload
 }
 
-// Gateway decides for one gateway.
+// Gateway routes the queries of one site's gateway. It is not safe for concurrent use.
 type Gateway struct {
 	router    *siterouting.Router
 	spare     *siterouting.SpareCapacity
@@ -176,7 +176,7 @@
 		if !state.measured {
 			state.meanDelay = float64(delay)
 		}
-		if state.missedPings >= maxMissedPings { // the whole outage counts as one loss, however many pings it took
+		if state.missedPings >= maxMissedPings { // the loss after an outage does not depend on how many pings were lost in it
 			state.pingsSent, state.pingsLost = restoredPingsSent, restoredPingsLost
 		}
 		state.measured, state.missedPings = true, 0
--- a/decide/lending/account.go
+++ b/decide/lending/account.go
@@ -7,7 +7,7 @@
 	own       float64
 	lent      []amount // lent to others, until the time at which it is taken back
 	reserved  float64  // amount of a loan that is prepared but not sent yet
-	borrowed  []amount // borrowed from others
+	borrowed  []amount // borrowed from others, until the end of each loan
 	requests  sentRequests
 	pending   *receivedRequest // newest received request; nil if there is none or it is answered
 }
@@ -35,7 +35,7 @@
 // Borrowed returns how much of others' shares the edge may use now.
 func (a *Account) Borrowed(now int64) float64 { return sum(unexpired(now+a.timing.Margin, a.borrowed)) }
 
-// Handle applies a message from the relay.
+// Handle adds the loans of a message from the relay to what the edge borrows, and keeps the newest request.
 func (a *Account) Handle(now int64, m Message) {
 	for _, loan := range m.Loans {
 		if expiresAt, ok := a.requests.match(loan); ok && expiresAt > now {
--- a/decide/lending/explore_test.go
+++ b/decide/lending/explore_test.go
@@ -25,7 +25,7 @@
 // explored is one state of the exploration.
 type explored struct {
 	now      int64
-	accounts [exploredEdges]Account // the edges' accounts
+	accounts [exploredEdges]Account
 	relay    Relay
 	spent    [exploredEdges][]int64   // times at which each edge used something
 	up       [exploredEdges][]Message // messages on the way from each edge to the agent
@@ -33,10 +33,10 @@
 	reported [exploredEdges]bool      // the edge has reported in this tick
 	passed   [exploredEdges]float64   // newest limit that the proxy has passed to its component that uses the budget
 	applied  [exploredEdges]float64   // limit that this component applies; a new one takes effect within a tick
-	faults   int                      // faults so far
+	faults   int
 }
 
-// startExplored returns the first state.
+// startExplored returns the state before any event: both edges own their share, and nothing is lent.
 func startExplored() *explored {
 	w := &explored{now: 100, relay: *NewRelay(exploredTiming)}
 	for i := range w.accounts {
--- a/decide/lending/lending.go
+++ b/decide/lending/lending.go
@@ -53,7 +53,7 @@
 	Amount float64 `cbor:"2,keyasint"`
 }
 
-// Loan answers a LoanRequest.
+// Loan grants a LoanRequest, in full or in part.
 type Loan struct {
 	Answers  uint64  `cbor:"1,keyasint"` // number of the request that the loan answers
 	Amount   float64 `cbor:"2,keyasint"`
--- a/decide/lending/relay.go
+++ b/decide/lending/relay.go
@@ -19,12 +19,12 @@
 	pending   map[Neighbor]receivedRequest // newest unanswered request of each neighbor
 }
 
-// NewRelay returns an agent's relay.
+// NewRelay returns a relay without loans and requests.
 func NewRelay(timing Timing) *Relay {
 	return &Relay{timing: timing, pending: map[Neighbor]receivedRequest{}}
 }
 
-// Handle applies a message from a neighbor.
+// Handle adds the loans of a message to the available amounts, and keeps the sender's newest request.
 func (r *Relay) Handle(now int64, from Neighbor, m Message) {
 	for _, loan := range m.Loans {
 		if expiresAt, ok := r.requests.match(loan); ok && expiresAt > now {
--- a/decide/locality/locality.go
+++ b/decide/locality/locality.go
@@ -14,7 +14,7 @@
 // Regions maps the name of a zone to the name of its region.
 type Regions map[string]string
 
-// Distance is the distance between two zones.
+// Distance says how far apart two zones are. A lower value is nearer.
 type Distance int
 
 // The distances, in ascending order.
@@ -37,7 +37,7 @@
 	return OtherRegion
 }
 
-// Process is a process that serves callers.
+// Process is one of several processes that offer the same service.
 type Process struct {
 	IP   string
 	Zone string // empty if unknown
--- a/decide/rollout/detector.go
+++ b/decide/rollout/detector.go
@@ -74,7 +74,7 @@
 	latencies [buckets]float64
 }
 
-// addGrowth adds the difference between two reports of the same counts.
+// addGrowth adds what has come in between two reports of the same counts.
 func (s *sample) addGrowth(now, was OutcomeCounts) {
 	s.failed += float64(now.Failed) - float64(was.Failed)
 	before := was.unpack()
@@ -83,7 +83,6 @@
 	}
 }
 
-// add adds another sample.
 func (s *sample) add(o *sample) {
 	s.failed += o.failed
 	for i, n := range o.latencies {
@@ -91,7 +90,7 @@
 	}
 }
 
-// decay reduces the weight of all requests so far.
+// decay multiplies all counts by a factor below 1.
 func (s *sample) decay(by float64) {
 	s.failed *= by
 	for i := range s.latencies {
@@ -99,7 +98,7 @@
 	}
 }
 
-// total returns the number of requests.
+// total returns the number of requests, by weight.
 func (s *sample) total() float64 {
 	all, _ := s.totalAndBad(buckets)
 	return all
@@ -322,7 +321,7 @@
 	return d
 }
 
-// addCount adds the difference between two reports of the same counts. It takes effect at the next evaluation.
+// addCount adds what has come in between two reports of the same counts. It takes effect at the next evaluation.
 func (d *detector) addCount(now, was OutcomeCounts) {
 	key := now.key()
 	if d.incoming[key] == nil {
--- a/decide/rollout/evidence.go
+++ b/decide/rollout/evidence.go
@@ -41,7 +41,8 @@
 	bucketsPerDoubling = 2
 )
 
-// bucketOf returns the latency bucket of a duration in ns. There are two buckets for each doubling, starting at 1 ms.
+// bucketOf returns the latency bucket of a duration in ns. From 2 ms on there are two buckets for each
+// doubling; the first bucket holds everything shorter.
 func bucketOf(latency int64) int {
 	units := uint64(max(latency/firstBucketNs, 1))
 	doublings := bits.Len64(units) - 1
@@ -81,7 +82,7 @@
 // Outcome is how a request at a replica ended.
 type Outcome uint8
 
-// The outcomes.
+// Requests whose outcome is Unknown are not counted.
 const (
 	// Answered means answered completely, or cancelled because another replica answered first. A cancelled request took at
 	// least the measured latency.
@@ -123,7 +124,7 @@
 	latencies histogram
 }
 
-// rolloutCounts are an edge's counts for one rollout.
+// rolloutCounts holds the outcomes that an edge has counted for one rollout.
 type rolloutCounts struct {
 	number uint64
 	counts map[countKey]*outcomes
--- a/decide/rollout/manager.go
+++ b/decide/rollout/manager.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// addEvidence adds the difference between two reports of an edge.
+// addEvidence adds what has come in between two reports of an edge.
 func (d *detector) addEvidence(now, was Evidence) {
 	before := make(map[countKey]OutcomeCounts, len(was.Counts))
 	for _, c := range was.Counts {
--- a/decide/rollout/set.go
+++ b/decide/rollout/set.go
@@ -49,7 +49,6 @@
 // BeginResult says whether an operator's order was accepted.
 type BeginResult uint8
 
-// The results of Begin.
 const (
 	Accepted BeginResult = iota + 1 // the order has a rollout, started by this call or by an earlier one
 	Busy                            // another rollout of the service is active
--- a/decide/siterouting/siterouting.go
+++ b/decide/siterouting/siterouting.go
@@ -122,7 +122,7 @@
 	longCarried, longRefused float64 // long-term counts with exponential decay
 }
 
-// Router decides for one site.
+// Router plans and routes the queries that leave one site. It is not safe for concurrent use.
 type Router struct {
 	Config
 	Solve               func(Problem) (Plan, bool) // the planner; returns false if it finds no solution
