--- a/decide/controller/bench_test.go
+++ b/decide/controller/bench_test.go
@@ -11,7 +11,7 @@
 	"willowsill/decide/registry"
 )
 
-// What docs/CAPACITY.md reckons with: the cost of each message in a controller of the size to come.
+// These benchmarks measure the cost of each kind of message in a large controller. docs/CAPACITY.md uses their results.
 
 const (
 	manyReplicas = 93_000
@@ -23,7 +23,7 @@
 		Address: fmt.Sprintf("10.%d.%d.%d:9000", i/62500, i/250%250, i%250), Zone: fmt.Sprint("zone-", i%14), Capacity: 4, Seq: seq}
 }
 
-// largeController is a lone controller that knows many replicas and edges.
+// largeController returns a lone controller that knows manyReplicas replicas and manyEdges edges.
 func largeController(now int64) *Controller {
 	c := New(now, Options{IP: "10.9.0.1", Incarnation: "1", Seeds: []string{"10.9.0.1"}, Bootstrap: true, ReplicaHeartbeatInterval: 1000 * ms,
 		Random: func() float64 { return 0 }})
@@ -41,7 +41,7 @@
 	return EdgeReport{Edge: clusterstate.Edge{IP: fmt.Sprintf("10.100.%d.%d", i/250, i%250), Zone: fmt.Sprint("zone-", i%14)}}
 }
 
-// BenchmarkHeartbeat is one that says nothing new, from a replica.
+// BenchmarkHeartbeat measures an unchanged heartbeat of a replica.
 func BenchmarkHeartbeat(b *testing.B) {
 	c := largeController(ms)
 	records := make([]registry.Record, manyReplicas)
@@ -57,7 +57,8 @@
 	}
 }
 
-// BenchmarkPassedHeartbeat is one that another controller passes on, in batches of a thousand, decoding included.
+// BenchmarkPassedHeartbeat measures a replica's heartbeat that another controller relays, in batches of a thousand,
+// including the decoding.
 func BenchmarkPassedHeartbeat(b *testing.B) {
 	c := largeController(ms)
 	const batch = 1000
@@ -79,7 +80,7 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(n*batch), "ns/heartbeat")
 }
 
-// BenchmarkEdgeReport is one report of one edge.
+// BenchmarkEdgeReport measures one report of one edge.
 func BenchmarkEdgeReport(b *testing.B) {
 	c := largeController(ms)
 	n := 0
@@ -89,7 +90,7 @@
 	}
 }
 
-// BenchmarkTick is what a controller spends each 100 ms while all replicas are heard.
+// BenchmarkTick measures the work that a controller does every 100 ms while all replicas send heartbeats.
 func BenchmarkTick(b *testing.B) {
 	const heardEvery = 20 // ticks: the oldest heartbeat is 2 s old
 	c := largeController(ms)
@@ -107,7 +108,7 @@
 	}
 }
 
-// BenchmarkStateSize is the heap and the bytes on the wire of what a controller holds.
+// BenchmarkStateSize reports the heap that a controller's state takes, and the bytes of its snapshot on the wire.
 func BenchmarkStateSize(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
@@ -128,7 +129,7 @@
 	}
 }
 
-// BenchmarkSnapshot is what each follower that joins costs: the controller's loop makes and encodes the snapshot.
+// BenchmarkSnapshot measures the cost of an edge that connects: the controller makes and encodes a snapshot for it.
 func BenchmarkSnapshot(b *testing.B) {
 	c := largeController(ms)
 	for b.Loop() {
--- a/decide/controller/callers.go
+++ b/decide/controller/callers.go
@@ -8,14 +8,14 @@
 	"willowsill/decide/registry"
 )
 
-// What replicas and operators are answered, and when.
+// This file handles the calls of replicas and operators.
 
-// HandleReplicaCall takes a replica's heartbeat or departure. It is acknowledged at once; but that one leaves is on the disks
-// of a majority first.
+// HandleReplicaCall handles a replica's heartbeat or departure. A heartbeat is acknowledged at once, a departure only
+// once it is on the disks of a majority of the members.
 //
-// This guards against a controller that is cut off, which would acknowledge what no edge ever hears of; against one
-// that dies right after and would take the word with it, while edges go on sending to the replica; and against
-// the death of all of them.
+// A controller out of contact with the majority rejects both, because no edge would learn of them. The majority on disk
+// guards against a departure that is acknowledged and then lost, with the controller that acknowledged it or in a loss
+// of power everywhere: edges would go on sending requests to a replica that has ended.
 func (c *Controller) HandleReplicaCall(now int64, id uint64, r registry.Record) Effects {
 	c.now = now
 	if !c.InContact() || c.shuttingDown {
@@ -39,14 +39,16 @@
 	return c.takeEffects()
 }
 
-// applyRecord takes records in; those that are news go on to the other controllers in the next batch.
+// applyRecord merges a record into the list of replicas. pass is true for a record that came from the replica itself;
+// one that is newer than the known record then goes to the other controllers with the next batch.
 func (c *Controller) applyRecord(r registry.Record, pass bool) {
 	if news, changed := c.replicas.Merge(c.now, r); news {
 		c.recordChanged(r, pass, changed)
 	}
 }
 
-// recordChanged does what follows from a record that is news. changed tells whether edges need to hear of it.
+// recordChanged handles a record that was newer than the known one. pass is true if it came from the replica itself;
+// changed is true if it differs in a field that edges need, not just in its sequence number.
 func (c *Controller) recordChanged(r registry.Record, pass, changed bool) {
 	r, _ = c.replicas.Get(r.ID)
 	if pass {
@@ -56,7 +58,7 @@
 		c.relayedAt[r.ID] = c.now
 		p := r
 		if _, waits := c.recordBatch[r.ID]; !changed && !waits && r.Phase == registry.Ready {
-			p = registry.Record{ID: r.ID, Seq: r.Seq} // says what it said before
+			p = registry.Record{ID: r.ID, Seq: r.Seq} // a heartbeat without changes needs no other fields
 		}
 		c.recordBatch[r.ID], c.batchUrgent = p, c.batchUrgent || changed
 	}
@@ -67,13 +69,13 @@
 		c.replicasDirty = true
 		c.departures.recordChanged(r)
 		if r.Leaving() {
-			c.log("a replica leaves", "replica", r.ID, "service", r.Service, "phase", r.Phase.String(), "told here", pass)
+			c.log("replica is leaving", "replica", r.ID, "service", r.Service, "phase", r.Phase.String(), "told here", pass)
 		}
 		c.addUpdate(c.state.Apply(clusterstate.Update{Replicas: []registry.Record{r}}))
 	}
 }
 
-// handleAck takes in that another controller has on disk what was asked under this number.
+// handleAck records that another controller has on disk the departure that was sent under the number asked.
 func (c *Controller) handleAck(from string, asked uint64) {
 	if asked == 0 {
 		return
@@ -86,7 +88,7 @@
 	}
 }
 
-// answerIfAcked answers a call once a majority has it on disk.
+// answerIfAcked answers a departure once a majority of the members has it on disk.
 func (c *Controller) answerIfAcked(t *pendingCall) {
 	n := 0
 	for _, m := range c.members() {
@@ -99,6 +101,7 @@
 	}
 }
 
+// answer queues the answer to a pending call and removes the call.
 func (c *Controller) answer(t *pendingCall, status int, body []byte, reason string) {
 	c.effects.Answers = append(c.effects.Answers, Answer{Call: t.id, Status: status, Body: body, Reason: reason})
 	c.removeCall(t)
@@ -108,9 +111,9 @@
 	c.calls = slices.DeleteFunc(c.calls, func(o *pendingCall) bool { return o == t })
 }
 
-// PutConfiguration takes an order of an operator: a configuration that was read and found valid, its content packed by
-// clusterstate.Pack. The answer follows the order's Verdict: 200 where the configuration is in force or was
-// overtaken, 409 where another content was confirmed under its revision, 503 where no majority answered in time.
+// PutConfiguration stores an operator's configuration, which the caller has parsed, validated and packed with
+// clusterstate.Pack. The answer is 200 if the configuration is in force or a higher revision superseded it, 409 if
+// other content was confirmed under its revision, and 503 if no majority answered in time.
 func (c *Controller) PutConfiguration(now int64, id, revision uint64, packed []byte) Effects {
 	c.now = now
 	t := &pendingCall{id: id, deadline: now + answerTimeout, order: newOrder(revision, packed)}
@@ -121,7 +124,8 @@
 	return c.takeEffects()
 }
 
-// ReadConfiguration asks for the newest configuration.
+// ReadConfiguration answers with the newest configuration on a majority of disks: 200, 404 if there is none yet, 503 if
+// no majority answered in time.
 func (c *Controller) ReadConfiguration(now int64, id uint64) Effects {
 	c.now = now
 	t := &pendingCall{id: id, deadline: now + answerTimeout, read: true}
@@ -132,9 +136,10 @@
 	return c.takeEffects()
 }
 
+// readOnlyEdit changes nothing. A round with it reads the committed value, or commits a value that is only accepted.
 func readOnlyEdit(v register.Value) (register.Value, bool) { return v, false }
 
-// answerEdit answers the caller whose edit is done.
+// answerEdit answers the calls that wait for this edit of the register.
 func (c *Controller) answerEdit(d register.EditResult) {
 	for _, t := range slices.Clone(c.calls) {
 		if t.editID != d.ID || t.editID == 0 {
--- a/decide/controller/contact.go
+++ b/decide/controller/contact.go
@@ -9,48 +9,50 @@
 	"willowsill/decide/register"
 )
 
-// Contact with the other controllers: heartbeats, and what their answers prove.
+// This file has the heartbeats between controllers and what their answers prove about contact.
 
 const (
-	contactTimeout    = 1600 * ms // contact counts for so long after the heartbeat that was answered: three may be lost
-	settleDelay       = 400 * ms  // what a disk accepted and nobody called committed for so long is settled by a round
-	settleBackupDelay = 800 * ms  // if the first live member has not done so, any other does after this much longer
+	contactTimeout    = 1600 * ms // after the sending of the last heartbeat that was answered; three may be lost
+	settleDelay       = 400 * ms  // a value that is accepted but not committed for this long gets a round of its own
+	settleBackupDelay = 800 * ms  // wait of the other members beyond settleDelay, before they run that round instead
 )
 
-// neverCurrent is CurrentSince of one that has not been current in this life.
+// neverCurrent is the CurrentSince of a controller that has not been current since its process started.
 const neverCurrent = lease.Never
 
-// isLive tells whether a controller has answered a heartbeat of this one of late; this one itself is always live.
+// isLive reports whether a controller has answered a heartbeat that this one sent within contactTimeout. This controller
+// itself is always live.
 //
-// Danger: one that is heard but does not hear is of no use to anybody. Were it counted by what is heard of it, it would
-// hold up the duties that its place in the order gives it.
+// Danger: a controller that sends but receives nothing cannot act. If its own messages counted as a sign of life, it
+// could stay the first live member, and nobody would change the membership or advance the rollouts.
 func (c *Controller) isLive(ip string) bool {
 	return ip == c.IP || c.now-c.lease.Reached(ip) < contactTimeout
 }
 
-// InContact tells whether a majority of the members has answered this controller's heartbeats of late. It is what this
-// one takes calls by. Its own disk counts once it has caught up.
+// InContact reports whether a majority of the members has answered heartbeats that this controller sent within
+// contactTimeout. Replica calls are accepted only then. This controller counts itself once its disk has caught up.
 //
-// Danger: a controller that hears all the others and is heard by none would go on as if nothing had happened: its
-// followers would keep the configuration of the moment at which it was cut off.
+// Danger: a controller that receives all messages but whose own are lost must notice it. Otherwise the edges that are
+// connected to it would keep the configuration that was in force when it was cut off.
 func (c *Controller) InContact() bool {
 	return c.now-c.lease.ReachedSince(c.now, c.ownVoter(), c.quorumValue()) < contactTimeout
 }
 
-// CurrentSince is the latest time for which this controller is known to hold all that was acknowledged before it: a
-// majority then held nothing that is not known here to be committed. neverCurrent where there was no such time in this
-// life.
+// CurrentSince returns the latest time for which this controller is known to hold everything that was acknowledged
+// before that time: a majority of disks then held nothing that is not known here to be committed. It returns
+// neverCurrent if there was no such time since the process started.
 func (c *Controller) CurrentSince() int64 {
 	return c.lease.CurrentSince(c.now, c.ownVoter(), c.quorumValue())
 }
 
-// Epoch and Revision are those of the newest value known to be committed.
+// Epoch returns the epoch of the members, in the newest value known to be committed.
 func (c *Controller) Epoch() uint64 { return c.committed.Epoch }
 
-// Revision is that of the newest configuration known to be committed.
+// Revision returns the revision of the newest configuration known to be committed.
 func (c *Controller) Revision() uint64 { return c.committed.Revision }
 
-// ownVoter is this controller's name among the members, empty while its own disk counts for nothing.
+// ownVoter returns this controller's IP, or an empty string while its disk has not caught up and so cannot count in a
+// majority.
 func (c *Controller) ownVoter() string {
 	if c.disk.CaughtUp {
 		return c.IP
@@ -58,7 +60,8 @@
 	return ""
 }
 
-// quorumValue is the value whose members make up the majority.
+// quorumValue returns the value whose members define the majority: the newest committed one, or the one on this disk if
+// none is known.
 func (c *Controller) quorumValue() register.Value {
 	if len(c.committed.Members) > 0 {
 		return c.committed
@@ -66,7 +69,7 @@
 	return c.disk.Value
 }
 
-// checkContact notes and logs a change of InContact.
+// checkContact updates inContact and logs a change of it.
 func (c *Controller) checkContact() {
 	if now := c.InContact(); now != c.inContact {
 		c.inContact = now
@@ -74,12 +77,12 @@
 	}
 }
 
-// sendHeartbeat sends one to all others.
+// sendHeartbeat sends a heartbeat to all other controllers.
 func (c *Controller) sendHeartbeat() {
-	c.sendRecordBatch() // a replica that is new in the group has to be known before
+	c.sendRecordBatch() // the receivers need the record of a replica before its group can name it
 	group, leaving := c.localGroup.Changes(c.now), c.replicas.LeavingSum()
-	h := Heartbeat{Group: &group, LeavingSum: &leaving, CaughtUp: c.disk.CaughtUp, Epoch: c.committed.Epoch, Revision: c.committed.Revision, RolloutsVersion: c.committed.Rollouts.Version, ShuttingDown: c.shuttingDown,
-		Number: c.lease.NextHeartbeat(c.now), Accepted: c.disk.Accepted}
+	h := Heartbeat{Group: &group, LeavingSum: &leaving, CaughtUp: c.disk.CaughtUp, Epoch: c.committed.Epoch, Revision: c.committed.Revision,
+		RolloutsVersion: c.committed.Rollouts.Version, ShuttingDown: c.shuttingDown, Number: c.lease.NextHeartbeat(c.now), Accepted: c.disk.Accepted}
 	for _, ip := range c.peerIPs() {
 		if number := c.peers[ip].heartbeatNumber; number > 0 {
 			h.Received = append(h.Received, Receipt{ip, number})
@@ -94,6 +97,7 @@
 	c.send(Message{Heartbeat: &h}, c.peerIPs()...)
 }
 
+// livePeers returns the IPs of the other controllers that are live, sorted.
 func (c *Controller) livePeers() (ips []string) {
 	for _, ip := range slices.Sorted(maps.Keys(c.peers)) {
 		if c.isLive(ip) {
@@ -103,7 +107,8 @@
 	return ips
 }
 
-// edgeReports are the edges that the other controllers are to be told of now.
+// edgeReports returns the edges to report to the other controllers now and marks them as reported: those that have
+// changed, and those whose last report is older than edgeReportRepeat.
 func (c *Controller) edgeReports() (reports []EdgeReport) {
 	for _, e := range c.edges {
 		if c.now-e.reportedAt > edgeReportRepeat && c.now-e.lastHeard < edgeReportRepeat {
@@ -114,11 +119,12 @@
 	return reports
 }
 
-// handleHeartbeat takes one in.
+// handleHeartbeat handles the heartbeat in a message of another controller. If its sender holds something newer, all
+// that it holds is requested.
 func (c *Controller) handleHeartbeat(p *peer, w Message) {
 	h := w.Heartbeat
 	if h.ShuttingDown && !p.heartbeat.ShuttingDown {
-		c.membershipCheckAt = c.now // a member that leaves is replaced while it still runs
+		c.membershipCheckAt = c.now // a member that shuts down is replaced while it still runs
 	}
 	p.heartbeat, p.heartbeatNumber = *h, h.Number
 	p.zone = cmp.Or(h.Zone, p.zone)
@@ -143,10 +149,11 @@
 	}
 }
 
-// handleReceipts takes what a heartbeat proves: which of this controller's own its sender had received.
+// handleReceipts records which of this controller's heartbeats the sender of this one had received, and what its disk
+// had accepted by then.
 //
-// Danger: a disk that was emptied knows nothing of what a majority decided with its help before. Its word counts for
-// nothing until it has caught up.
+// Danger: a disk that lost its content has forgotten what it accepted as part of a majority. Heartbeats of its
+// controller prove nothing until the disk has caught up.
 func (c *Controller) handleReceipts(from string, h *Heartbeat) {
 	if !h.CaughtUp {
 		return
@@ -158,8 +165,9 @@
 	}
 }
 
-// settleAccepted has a round confirm what some disk has accepted and nobody has called committed for a while: its writer may
-// have died before it could tell. Until it is settled no controller that knows of it is current.
+// settleAccepted starts a round if some disk has accepted a value that nobody has announced as committed for a while:
+// the controller that wrote it may have died before it could. Until the round has ended, no controller that knows of
+// the accepted value is current. The first live member starts the round; the others wait longer.
 func (c *Controller) settleAccepted() {
 	if !c.hasUnsettled() {
 		c.unsettledSince = 0
@@ -180,16 +188,17 @@
 	c.handleProposer(out)
 }
 
-// hasUnsettled tells whether this controller's disk, or that of a live member, has accepted what is not known to be
-// committed.
+// hasUnsettled reports whether this controller's disk, or that of a live member, has accepted a value that is not known
+// to be committed.
 func (c *Controller) hasUnsettled() bool {
 	return c.lease.OwnUncommitted() || slices.ContainsFunc(c.members(), func(ip string) bool {
 		return c.isLive(ip) && c.lease.Uncommitted(ip)
 	})
 }
 
-// firstLiveMember is the member that does the duties: the first in their order that is live and stays, empty where there
-// is none. One that leaves does not count, else nobody would replace it while it still runs.
+// firstLiveMember returns the IP of the member that changes the membership and runs the rollouts: the first one, by IP,
+// that is live and not shutting down. It returns an empty string if there is none. A member that shuts down is skipped,
+// because it would not replace itself while it still runs.
 func (c *Controller) firstLiveMember() string {
 	members := c.members()
 	at := slices.IndexFunc(members, func(ip string) bool { return c.isLive(ip) && !c.isShuttingDown(ip) })
@@ -199,7 +208,7 @@
 	return members[at]
 }
 
-// isShuttingDown tells whether a controller has said that its process is about to end.
+// isShuttingDown reports whether a controller has announced that its process will end soon.
 func (c *Controller) isShuttingDown(ip string) bool {
 	if ip == c.IP {
 		return c.shuttingDown
@@ -208,10 +217,10 @@
 	return p != nil && p.heartbeat.ShuttingDown
 }
 
-// compareLastReached orders controllers by when they were last in contact.
+// compareLastReached orders controllers by their last contact, the longest ago first.
 func (c *Controller) compareLastReached(a, b string) int {
 	return cmp.Compare(c.lease.Reached(a), c.lease.Reached(b))
 }
 
-// Committed is the newest value known to be committed.
+// Committed returns the newest value known to be committed.
 func (c *Controller) Committed() register.Value { return c.committed }
--- a/decide/controller/contact_test.go
+++ b/decide/controller/contact_test.go
@@ -8,8 +8,9 @@
 	"willowsill/decide/registry"
 )
 
-// TestOneWayCut: a control server that hears all the others and is heard by none is in contact with nobody: within two
-// seconds it says so, acknowledges and refuses no order, and what it tells its followers counts as old.
+// TestOneWayCut guards against a controller that receives all messages, but whose own messages are lost, and goes on as
+// if it had a majority. Within two seconds it must be out of contact, answer 503 to every call, and not count as
+// current.
 func TestOneWayCut(t *testing.T) {
 	for cutOff := range 5 {
 		b := newCluster(t, 5)
@@ -37,8 +38,8 @@
 	}
 }
 
-// TestHeardButDeaf: one that is heard and hears nobody holds no duty up: the next in order replaces a member that is
-// gone.
+// TestHeardButDeaf guards against a first member that sends messages but receives none and blocks changes of the
+// members: the next live member must replace the one that has gone.
 func TestHeardButDeaf(t *testing.T) {
 	b := newCluster(t, 6)
 	b.servers[b.names[5]].up = false
@@ -54,8 +55,8 @@
 	must.False(t, b.servers[deaf].InContact())
 }
 
-// TestStartsOutOfContact: a control server that has just started counts for nothing until a majority has answered it,
-// whatever it finds on its disk.
+// TestStartsOutOfContact checks that a controller that has just started is neither in contact nor current until a
+// majority has answered it, whatever is on its disk.
 func TestStartsOutOfContact(t *testing.T) {
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
@@ -69,7 +70,7 @@
 	b.cut = func(from, to string) bool { return from == lone || to == lone }
 	b.start(lone, false)
 	b.run(3000 * ms)
-	must.Eq(t, 1, int(b.servers[lone].Snapshot().Revision)) // it is all that followers have after a loss of all power
+	must.Eq(t, 1, int(b.servers[lone].Snapshot().Revision)) // after a loss of all power the edges have no other source
 	must.False(t, b.servers[lone].InContact())
 	must.Eq(t, neverCurrent, b.servers[lone].CurrentSince())
 	b.cut = nil
@@ -78,8 +79,8 @@
 	must.Less(t, 1000*ms, b.now-b.servers[lone].CurrentSince())
 }
 
-// TestHalfWrittenIsSettled: a value that a disk has accepted and nobody has seen committed (its writer died) keeps no
-// control server from being current for long.
+// TestHalfWrittenIsSettled guards against controllers that stay out of date after the death of a writer: a value that a
+// disk has accepted, but that nobody has announced as committed, must be committed soon.
 func TestHalfWrittenIsSettled(t *testing.T) {
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -1,9 +1,9 @@
-// Package controller is what a controller does, without its sockets and its disk: it takes heartbeats,
-// configurations and what the other controllers say, and returns what to send, save, answer and tell the
-// edges. It reads no clock.
+// Package controller is the state machine of a controller, without sockets, disk or clock. It handles replica
+// heartbeats, operators' calls, edge reports and messages of other controllers, and returns the effects that its
+// caller carries out: messages to send, a state to save, answers to calls and updates for the edges.
 //
-// Decides: what a controller acknowledges and when, who the controllers are, and which of them does the duty
-// of changing that.
+// Decides: what a controller acknowledges and when, which controllers are members of the register, and which
+// member changes the membership.
 package controller
 
 import (
@@ -16,125 +16,135 @@
 	"willowsill/decide/registry"
 )
 
-// Times, ns.
+// Intervals and timeouts, in ns unless the comment says otherwise.
 const (
 	ms                     = 1_000_000
-	heartbeatInterval      = 300 * ms // between two heartbeats to every other controller
-	recordBatchInterval    = 100 * ms // between two batches of replicas' records to the others
-	heartbeatBatchInterval = 600 * ms // between two batches that say only that replicas were heard
-	answerTimeout          = 900 * ms // callers go elsewhere after a second of silence
-	joinInterval           = 250 * ms
-	silentMemberTimeout    = 2500 * ms  // a member unheard for so long gives its place to a newcomer
-	forgetPeerAfter        = 30000 * ms // a controller that is no member and unheard for so long is forgotten
-	edgeTimeout            = 20000 * ms // an edge heard of within it counts
-	suspectedEdgeTimeout   = 7000 * ms  // one that is suspected and unheard for so long does not
-	suspicionValidity      = 4000 * ms  // a watcher's suspicion of another counts for so long
-	suspicionThreshold     = 2          // watchers, or all that there are
-	maxEdgesRetention      = 60000 * ms // the number of edges for budgets goes down only after that
-	fleetUpdateInterval    = 400 * ms   // between two lists of edges that followers are told
-	edgeReportInterval     = 900 * ms   // between two lists of controllers, and of what is new of edges
-	edgeReportRepeat       = 5000 * ms  // an edge of which nothing is new is told of again after that
-	requestInterval        = 500 * ms   // between two questions of one kind for what another controller knows
-	heartbeatsPerRelay     = 2          // heartbeats of a replica of which the others are told one
-	silentAfterHeartbeats  = 5          // heartbeats left out, and a replica has fallen silent
-	goneRetention          = 60000 * ms
-	saveRetryDelay         = 200 * ms // after a save that failed
-	replicasSaveInterval   = 500 * ms // between two saves for the list of replicas alone
-	committedSaveInterval  = 500 * ms // between two saves for the revision known to stand alone
+	heartbeatInterval      = 300 * ms   // between two heartbeats to every other controller
+	recordBatchInterval    = 100 * ms   // between two batches of changed replica records to the other controllers
+	heartbeatBatchInterval = 600 * ms   // between two batches that hold no changed record, only heartbeats of replicas
+	answerTimeout          = 900 * ms   // callers try another controller after a second without an answer
+	joinInterval           = 250 * ms   // between two requests of a controller with an empty disk to catch up
+	silentMemberTimeout    = 2500 * ms  // a member that has answered no heartbeat for this long may be replaced
+	forgetPeerAfter        = 30000 * ms // a controller that is not a member is dropped once unheard for this long
+	edgeTimeout            = 20000 * ms // an edge that is unheard for this long is dropped
+	suspectedEdgeTimeout   = 7000 * ms  // an edge that others suspect is left out once unheard for this long
+	suspicionValidity      = 4000 * ms  // one edge's suspicion of another expires after this long
+	suspicionThreshold     = 2          // edges that must suspect another one; fewer if its zone has fewer others
+	maxEdgesRetention      = 60000 * ms // the edge count that budgets are divided by falls only after this long
+	fleetUpdateInterval    = 400 * ms   // between two lists of edges and controllers sent to the edges
+	edgeReportInterval     = 900 * ms   // between two heartbeats that carry the known controllers and edge reports
+	edgeReportRepeat       = 5000 * ms  // an unchanged edge is reported to the other controllers again after this long
+	requestInterval        = 500 * ms   // between two requests of the same kind to other controllers
+	heartbeatsPerRelay     = 2          // one in this many unchanged heartbeats of a replica is relayed
+	silentAfterHeartbeats  = 5          // a replica that misses this many heartbeats is silent
+	goneRetention          = 60000 * ms // a replica that is gone is remembered for this long
+	saveRetryDelay         = 200 * ms   // between a failed save and the next
+	replicasSaveInterval   = 500 * ms   // between two saves made only because a replica's record changed
+	committedSaveInterval  = 500 * ms   // between two saves made only to record what is known to be committed
 )
 
+// peer is another controller as known from its messages. Times are those of this controller's clock, in ns.
 type peer struct {
-	lastHeard, heardSince int64  // last, and since when without a long silence
-	heartbeatNumber       uint64 // of the last heartbeat received
-	heartbeat             Heartbeat
-	zone                  string // empty until it has said so
-	group                 registry.GroupView
-	groupRequestAt        int64 // it is not asked for the whole of its group before
-	leavingView           leavingView
+	lastHeard       int64  // time of its last message, 0 before the first
+	heardSince      int64  // start of the present span without a silence above silentMemberTimeout
+	heartbeatNumber uint64 // number of the last heartbeat received
+	heartbeat       Heartbeat
+	zone            string // empty until it has reported its zone
+	group           registry.GroupView
+	groupRequestAt  int64 // earliest time of the next request for its whole group
+	leavingView     leavingView
 }
 
-// edge is what is known of one edge.
+// edge is an edge as known from its own reports and those of other edges. Times are in ns.
 type edge struct {
 	clusterstate.Edge
 	lastHeard   int64
-	suspectedBy map[string]int64 // who suspects it, and when that was last said
-	reportedAt  int64            // when the other controllers were last told of it
-	suspects    []string         // whom it suspects
+	suspectedBy map[string]int64 // time of the latest suspicion, by the IP of the suspecting edge
+	reportedAt  int64            // when the other controllers last got a report of it
+	suspects    []string         // IPs of the edges that it suspects
 }
 
+// pendingReply is an answer of this controller's acceptor that may be sent only after a save.
 type pendingReply struct {
 	to           string
 	answer       register.Message
-	coveringSave uint64 // the save that covers it
+	coveringSave uint64 // number of the save that makes the answer durable
 }
 
+// pendingCall is a call of a replica or an operator that has no answer yet.
 type pendingCall struct {
 	id       uint64
 	deadline int64
-	// one of:
-	editID     uint64 // of the proposer
-	read       bool
-	order      *order              // of an operator
-	rollout    *rolloutCall        // likewise
-	acks       map[string]struct{} // for what must be on the disks of a majority: who has it there
-	ackRequest uint64
-	replicaID  string // that leaves
+	// The rest depends on the kind of call. Calls of operators have an edit of the register; a departure of a replica
+	// has acks.
+	editID     uint64              // the proposer's number of the edit
+	read       bool                // an operator reads the configuration
+	order      *order              // an operator stores a configuration
+	rollout    *rolloutCall        // an operator's call about rollouts
+	acks       map[string]struct{} // controllers that have the departure on disk
+	ackRequest uint64              // number under which the others acknowledge the departure
+	replicaID  string              // the replica that leaves
 }
 
-// Controller is the machine.
+// Controller is the state machine of one controller. It is not safe for concurrent use. Times are in ns, of the
+// caller's clock.
 type Controller struct {
 	Options
 	disk                   register.Acceptor
 	proposer               *register.Proposer
-	joiner                 *register.Joiner
+	joiner                 *register.Joiner // nil once the disk has caught up
 	replicas               *registry.Registry
-	localGroup             *registry.Group // whose heartbeats come here
+	localGroup             *registry.Group // replicas whose heartbeats come to this controller
 	state                  *clusterstate.State
-	selection              *clusterstate.Selection // of the state, for those who follow
+	selection              *clusterstate.Selection // the part of the state that edges are sent
 	committed              register.Value          // the newest value known to be committed
-	committedConfiguration register.Order          // of that value
+	committedConfiguration register.Order          // revision and content sum of the configuration in committed
 	lease                  *lease.Lease
-	unsettledSince         int64 // since when some disk has held what is not known to be committed; 0 for not
+	unsettledSince         int64 // since when a disk has held a value not known to be committed; 0 if none does
 	peers                  map[string]*peer
 	edges                  map[string]*edge // by IP
-	maxEdges               int
-	maxEdgesAt             int64
+	maxEdges               int              // number of edges that budgets are divided by
+	maxEdgesAt             int64            // when maxEdges was last set
 	calls                  []*pendingCall
 	lastAckRequest         uint64
-	recordBatch            map[string]registry.Record // for the next batch
-	relayedAt              map[string]int64           // when the others were last told of a replica
-	allRequestAt           int64
+	recordBatch            map[string]registry.Record // records for the next batch to the other controllers, by replica
+	relayedAt              map[string]int64           // when a replica's record was last put into a batch
+	allRequestAt           int64                      // earliest time of the next request for all that a peer holds
 	startedAt              int64
 	now                    int64
 
-	replicasDirty              bool
-	savingReplicas             bool // the save under way has the list
-	departures                 departures
-	rollouts                   rollouts
-	replicasSaveAt             int64
-	dirty                      bool   // the state differs from what was handed out to be saved
-	committedUnsaved           bool   // the configuration known to be committed is in no save yet
-	committedSaveAt            int64  // when a save may be made for that alone
-	saving                     uint64 // number of the save under way, 0 for none
-	lastSave                   uint64
-	saveRetryAt                int64 // not before, after a failure
-	pendingReplies             []pendingReply
-	heartbeatAt, recordBatchAt int64
-	heartbeatBatchAt           int64
-	batchUrgent                bool // something in the next batch is news to edges
-	joinAt, edgeReportAt       int64
-	fleetUpdateAt              int64 // no list of edges is told before
-	fleetUpdateDue             bool  // one may have changed
-	membershipCheckAt          int64
-	registerRead               bool // what stands, of the register, in this life
-	shuttingDown, inContact    bool
-	effects                    Effects
+	replicasDirty     bool // the list of replicas has changed since it was last handed out for a save
+	savingReplicas    bool // the save in progress includes the list of replicas
+	departures        departures
+	rollouts          rollouts
+	replicasSaveAt    int64  // earliest save made only because a replica's record changed
+	dirty             bool   // the register's state has changed since it was last handed out for a save
+	committedUnsaved  bool   // no save includes the newest committed configuration or rollouts yet
+	committedSaveAt   int64  // earliest save made only for committedUnsaved
+	saving            uint64 // number of the save in progress, 0 for none
+	lastSave          uint64 // number of the newest save handed out
+	saveRetryAt       int64  // earliest next save after one that failed
+	pendingReplies    []pendingReply
+	heartbeatAt       int64
+	recordBatchAt     int64
+	heartbeatBatchAt  int64 // earliest batch that holds no changed record
+	batchUrgent       bool  // recordBatch holds a change that edges need
+	joinAt            int64
+	edgeReportAt      int64
+	fleetUpdateAt     int64 // earliest next list of edges and controllers
+	fleetUpdateDue    bool  // the list may have changed since the last one
+	membershipCheckAt int64
+	registerRead      bool // a read of the register has been started since this process began
+	shuttingDown      bool
+	inContact         bool // InContact as of the last Tick
+	effects           Effects
 }
 
-// New makes a controller.
+// New makes a controller from its options and the state that was saved before.
 func New(now int64, s Options) *Controller {
 	c := &Controller{Options: s, replicas: registry.New(silentAfterHeartbeats*s.ReplicaHeartbeatInterval, goneRetention),
-		localGroup: registry.NewGroup(groupMissedHeartbeats*s.ReplicaHeartbeatInterval + s.ReplicaHeartbeatInterval/2), state: clusterstate.NewState(), selection: clusterstate.NewSelection(),
+		localGroup: registry.NewGroup(groupMissedHeartbeats*s.ReplicaHeartbeatInterval + s.ReplicaHeartbeatInterval/2),
+		state:      clusterstate.NewState(), selection: clusterstate.NewSelection(),
 		peers: map[string]*peer{}, edges: map[string]*edge{}, recordBatch: map[string]registry.Record{}, relayedAt: map[string]int64{},
 		departures: newDepartures(), rollouts: newRollouts(s.RolloutTerms), lease: lease.New(s.IP + "/" + s.Incarnation), startedAt: now, now: now}
 	seeds := slices.Clone(s.Seeds)
@@ -160,12 +170,12 @@
 	for _, m := range slices.Concat(seeds, known.AllMembers()) {
 		c.addPeer(m)
 	}
-	// What was committed once may be told at once, and who was there: after a loss of all machines edges have nothing
-	// else, and who asks a replica that is gone is told so by whoever has its address now. An edge that knows
-	// more does not go back.
+	// The saved configuration, if it is known to be committed, and the saved replicas go to the edges at once: after all
+	// controllers lost power the edges have no other source. An address in the saved list may belong to another process
+	// by now; that process rejects requests addressed to the old replica. An edge that holds a newer state keeps it.
 	//
-	// Danger: the disk may hold a content that it alone accepted and that was refused, under the very revision that is
-	// committed with another one.
+	// Danger: the disk may hold content that it alone accepted and that a majority refused, under the same revision
+	// that is committed with other content. Hence the comparison with CommittedConfiguration.
 	if v := c.disk.Value; v.Revision > 0 && ConfigurationOf(v) == s.CommittedConfiguration {
 		c.selection.Update(c.state, c.state.Apply(clusterstate.Update{Revision: v.Revision, Body: v.Body}))
 	}
@@ -177,6 +187,7 @@
 	return c
 }
 
+// addPeer returns the peer with this IP and creates it if it is new. It returns nil for this controller's own IP.
 func (c *Controller) addPeer(ip string) *peer {
 	if ip == c.IP || ip == "" {
 		return nil
@@ -189,7 +200,7 @@
 	return p
 }
 
-// Members are those of the newest value known here.
+// members returns the members of the newest committed value, or of the value on this disk if none is known.
 func (c *Controller) members() []string {
 	if len(c.committed.Members) > 0 {
 		return c.committed.Members
@@ -197,6 +208,7 @@
 	return c.disk.Value.Members
 }
 
+// send queues a message to other controllers; this controller's own IP is skipped.
 func (c *Controller) send(w Message, to ...string) {
 	to = slices.DeleteFunc(slices.Clone(to), func(ip string) bool { return ip == c.IP })
 	if len(to) > 0 {
@@ -209,17 +221,18 @@
 	c.effects.Log = append(c.effects.Log, LogLine{text, values})
 }
 
-// peerIPs are the other controllers.
+// peerIPs returns the IPs of the other known controllers, sorted.
 func (c *Controller) peerIPs() []string { return slices.Sorted(maps.Keys(c.peers)) }
 
-// takeEffects ends a call: what has to be saved is handed out, and what may leave does.
+// takeEffects ends each exported call: it adds a save if one is due and returns the collected effects.
 func (c *Controller) takeEffects() Effects {
 	listDue := c.replicasSaveDue()
 	if (c.dirty || listDue || c.committedSaveDue()) && c.saving == 0 && c.now >= c.saveRetryAt && c.disk.CaughtUp {
 		c.lastSave++
 		c.saving, c.dirty = c.lastSave, false
 		c.committedUnsaved, c.committedSaveAt = false, c.now+committedSaveInterval
-		c.effects.Save = &Save{Number: c.lastSave, RegisterState: c.disk.State, CommittedConfiguration: c.committedConfiguration, Rollouts: c.rollouts.set}
+		c.effects.Save = &Save{Number: c.lastSave, RegisterState: c.disk.State, CommittedConfiguration: c.committedConfiguration,
+			Rollouts: c.rollouts.set}
 		if listDue {
 			c.replicasDirty, c.replicasSaveAt, c.savingReplicas = false, c.now+replicasSaveInterval, true
 			c.departures.saveStarted(c.now)
@@ -233,7 +246,7 @@
 	return out
 }
 
-// Tick does what is due.
+// Tick does all work whose time has come. The caller calls it at NextTick at the latest.
 func (c *Controller) Tick(now int64) Effects {
 	c.now = now
 	c.checkContact()
@@ -260,7 +273,7 @@
 		for _, r := range c.replicas.Tick(now, listening) {
 			c.replicasDirty = true
 			c.removeFromGroups(r.ID)
-			c.log("a replica has fallen silent", "replica", r.ID, "service", r.Service, "gone", r.Phase == registry.Gone)
+			c.log("replica became silent or is gone", "replica", r.ID, "service", r.Service, "gone", r.Phase == registry.Gone)
 			c.addUpdate(c.state.Apply(clusterstate.Update{Replicas: []registry.Record{r}}))
 		}
 	}
@@ -283,7 +296,7 @@
 	return c.takeEffects()
 }
 
-// NextTick is when Tick wants to be called at the latest.
+// NextTick returns the time at which Tick must be called next, in ns.
 func (c *Controller) NextTick() int64 {
 	next := min(c.heartbeatAt, c.recordBatchAt, c.membershipCheckAt)
 	if d := c.proposer.Due(); d > 0 {
@@ -316,14 +329,15 @@
 	return next
 }
 
-// AnnounceShutdown tells that the process is about to end in order.
+// AnnounceShutdown tells the other controllers that this process will end soon, so that a member is replaced while it
+// still runs. From then on replica calls are answered 503.
 func (c *Controller) AnnounceShutdown(now int64) Effects {
 	c.now, c.shuttingDown = now, true
 	c.sendHeartbeat()
 	return c.takeEffects()
 }
 
-// forgetPeers lets go of controllers that are no members and have been silent for long.
+// forgetPeers drops controllers that are not members and have been unheard for forgetPeerAfter.
 func (c *Controller) forgetPeers() {
 	for ip, p := range c.peers {
 		if !slices.Contains(c.members(), ip) && c.now-max(p.lastHeard, c.startedAt) > forgetPeerAfter {
--- a/decide/controller/controller_test.go
+++ b/decide/controller/controller_test.go
@@ -21,28 +21,29 @@
 	diskSyncTime = 5 * ms
 )
 
-// server is a controller of the play: its disk outlives it.
+// server is a simulated controller process and its disk, which outlives the process.
 type server struct {
 	*Controller
 	up              bool
 	incarnation     int
-	saved           *Save
+	saved           *Save // the newest state on its disk, nil for an empty disk
 	savedReplicas   []registry.Record
-	replicasSaves   int   // saves that had a list
-	stuck           bool  // its disk answers nothing
-	diskTime        int64 // how long its disk takes, where that is not syncs
+	replicasSaves   int   // saves that included the list of replicas
+	stuck           bool  // its disk finishes no save
+	diskTime        int64 // duration of a save, 0 for diskSyncTime
 	nextTickAt      int64
-	edgeState       *clusterstate.State
-	maxRevisionSent uint64 // the highest revision that its followers were told
+	edgeState       *clusterstate.State // the state of an edge connected to it
+	maxRevisionSent uint64              // the highest revision that its edges were sent
 }
 
+// event is a call to make at a point of virtual time. Events of the same time run in the order they were added.
 type event struct {
 	at    int64
 	order int
 	do    func()
 }
 
-// cluster is a few controllers in virtual time. The number-th word among them may be tampered with.
+// cluster simulates a few controllers in virtual time. A test may delay, lose, duplicate or change each message.
 type cluster struct {
 	t        *testing.T
 	servers  map[string]*server
@@ -56,10 +57,11 @@
 	answers  map[uint64]Answer
 	calls    uint64
 	bodies   map[uint64]string
-	zones    map[string]string // of the controllers; nil where it does not matter
+	zones    map[string]string // zone of each controller; nil if the test does not need zones
 	regions  locality.Regions
 }
 
+// newCluster returns a cluster of n controllers at their first start, with the first three as seeds.
 func newCluster(t *testing.T, n int) *cluster {
 	b := &cluster{t: t, servers: map[string]*server{}, answers: map[uint64]Answer{}, bodies: map[uint64]string{}}
 	for i := range n {
@@ -73,6 +75,7 @@
 	return b
 }
 
+// start starts a controller process from what its disk holds.
 func (b *cluster) start(name string, bootstrap bool) {
 	x := b.servers[name]
 	x.up, x.incarnation, x.maxRevisionSent, x.nextTickAt = true, x.incarnation+1, 0, b.now
@@ -87,12 +90,14 @@
 	x.edgeState.Apply(x.Snapshot())
 }
 
+// after schedules a call d ns from now.
 func (b *cluster) after(d int64, do func()) {
 	b.order++
 	b.events = append(b.events, event{b.now + d, b.order, do})
 }
 
-// carry does what a controller asks for, in the life that asked.
+// carry carries out a controller's effects, and checks what its edges are sent. A save reports its end only to the
+// incarnation that asked for it.
 func (b *cluster) carry(name string, o Effects) {
 	x := b.servers[name]
 	life := x.incarnation
@@ -132,25 +137,25 @@
 		b.answers[a.Call] = a
 	}
 	if n := o.Update; !n.Rollouts.IsZero() {
-		must.GreaterEq(b.t, x.edgeState.Rollouts.Version, n.Rollouts.Version, must.Sprint("followers were taken back"))
+		must.GreaterEq(b.t, x.edgeState.Rollouts.Version, n.Rollouts.Version, must.Sprint("edges were sent older rollouts"))
 		x.edgeState.Apply(clusterstate.Update{Rollouts: n.Rollouts})
 	}
 	if n := o.Update; n.Revision > 0 {
-		must.GreaterEq(b.t, x.maxRevisionSent, n.Revision, must.Sprint("followers were taken back"))
+		must.GreaterEq(b.t, x.maxRevisionSent, n.Revision, must.Sprint("edges were sent an older revision"))
 		x.maxRevisionSent = n.Revision
-		x.edgeState.Apply(n)                                       // one who follows holds what the controller holds
-		must.Eq(b.t, string(x.state.Raw), string(x.edgeState.Raw)) // as strings: go-cmp walks slices byte by byte
+		x.edgeState.Apply(n)                                       // the edge must now hold what the controller holds
+		must.Eq(b.t, string(x.state.Raw), string(x.edgeState.Raw)) // as strings: go-cmp compares slices byte by byte
 		if was, ok := b.bodies[n.Revision]; ok {
-			must.Eq(b.t, was, string(n.Raw), must.Sprint("a number with two contents"))
+			must.Eq(b.t, was, string(n.Raw), must.Sprint("a revision with two contents"))
 		}
 		b.bodies[n.Revision] = string(n.Raw)
 	}
 }
 
-// run plays for so long.
+// run advances virtual time by d ns.
 func (b *cluster) run(d int64) { b.runUntil(d, func() bool { return false }) }
 
-// runUntil plays for so long, or until stop holds.
+// runUntil advances virtual time by d ns, or until stop returns true.
 func (b *cluster) runUntil(d int64, stop func() bool) {
 	for end := b.now + d; b.now < end && !stop(); b.now = min(b.nextStep(), end) {
 		due := b.events[:0:0]
@@ -174,7 +179,7 @@
 	}
 }
 
-// nextStep is the first whole millisecond from now on at which there is something to do.
+// nextStep returns the time of the next event or tick, a whole number of milliseconds from now.
 func (b *cluster) nextStep() int64 {
 	next := b.now + 1000*ms
 	for _, e := range b.events {
@@ -189,7 +194,7 @@
 	return b.now + steps*ms
 }
 
-// packedContents keeps what was packed: a compressor takes a megabyte, and tests send the same contents thousands
+// packedContents caches packed contents: each compressor takes a megabyte, and tests send the same contents thousands
 // of times.
 var packedContents sync.Map
 
@@ -202,12 +207,14 @@
 	return packed
 }
 
+// put sends a configuration to a controller and returns the ID of the call.
 func (b *cluster) put(name string, revision uint64, body string) uint64 {
 	b.calls++
 	b.carry(name, b.servers[name].PutConfiguration(b.now, b.calls, revision, packedContent(body)))
 	return b.calls
 }
 
+// read reads the configuration at a controller and returns the answer with the unpacked configuration.
 func (b *cluster) read(name string) Answer {
 	b.calls++
 	id := b.calls
@@ -224,14 +231,14 @@
 	return b.calls
 }
 
-// cutOff cuts a controller off from all others.
+// cutOff drops all messages between a controller and the others.
 func (b *cluster) cutOff(name string) {
 	b.cut = func(from, to string) bool { return (from == name) != (to == name) }
 }
 
 func (b *cluster) members() []string { return b.servers[b.names[0]].committed.Members }
 
-// TestFromSeedsToAll: three seeds are known at the first start, and all five become members.
+// TestFromSeedsToAll checks that all five controllers become members, though only three seeds are known at first.
 func TestFromSeedsToAll(t *testing.T) {
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
@@ -244,10 +251,10 @@
 	}
 }
 
-// TestOneWordMutated plays a start, two puts under one number at two controllers, and a read, once for each
-// word among the controllers, with that one word lost, doubled, late, or stripped of one of its parts. All
-// puts are answered, one alone of the two under one number is confirmed, nobody is taken back, and the read finds
-// what was acknowledged last.
+// TestOneWordMutated guards against a protocol that depends on a single message. It runs a start, two puts under one
+// revision at two controllers, and a read, once for each message between controllers, with that message lost,
+// duplicated, delayed or stripped of some parts. All puts must be answered, exactly one of the two under one revision
+// must be confirmed, no edge may be sent an older state, and the read must return what was acknowledged last.
 func TestOneWordMutated(t *testing.T) {
 	play := func(tamper func(int, *Message) (int, int64)) int {
 		b := newCluster(t, 5)
@@ -291,7 +298,7 @@
 	}
 }
 
-// restartAllWipingOne has all controllers lose power at once and one its disk, and start again.
+// restartAllWipingOne stops all controllers at once, as in a loss of power, empties one disk and starts all again.
 func (b *cluster) restartAllWipingOne(wiped int) {
 	for _, n := range b.names {
 		b.servers[n].up = false
@@ -305,8 +312,8 @@
 	b.run(2000 * ms)
 }
 
-// TestAcknowledgedThenLost: the power goes everywhere right after the answer, and one disk is emptied as
-// well.
+// TestAcknowledgedThenLost guards against an acknowledged configuration that is lost with a loss of power everywhere
+// right after the answer, in which one disk is emptied as well.
 func TestAcknowledgedThenLost(t *testing.T) {
 	for wiped := range 5 {
 		b := newCluster(t, 5)
@@ -323,8 +330,8 @@
 	}
 }
 
-// TestPlaceTaken: a newcomer takes the place of a member that is gone for good; one that comes first makes
-// the members more only until the other has gone.
+// TestPlaceTaken checks that a newcomer replaces a member that has gone for good, and that one that starts earlier is an
+// additional member only until the other has gone.
 func TestPlaceTaken(t *testing.T) {
 	for _, planned := range []bool{false, true} {
 		b := newCluster(t, 6)
@@ -348,7 +355,8 @@
 	}
 }
 
-// TestStuckDisk: a disk that answers nothing holds neither heartbeats nor configurations up.
+// TestStuckDisk guards against a controller whose disk finishes no save and that then answers neither heartbeats nor
+// configurations.
 func TestStuckDisk(t *testing.T) {
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
@@ -360,8 +368,8 @@
 	must.Eq(t, 200, b.answers[put].Status)
 }
 
-// TestCutOffAcknowledgesNothing: a controller that hears only few others sends replicas and operators
-// elsewhere, and edges hear of one that leaves from all that were told.
+// TestCutOffAcknowledgesNothing checks that a controller without a majority answers 503 to replicas and operators, and
+// that a departure acknowledged by the majority reaches all controllers of the majority.
 func TestCutOffAcknowledgesNothing(t *testing.T) {
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
@@ -383,7 +391,8 @@
 	}
 }
 
-// TestSaveThatFails: an answer that waits for a save leaves only after one that covers it.
+// TestSaveThatFails checks that an answer that waits for a save is not sent when the save fails, but after the next
+// one that succeeds.
 func TestSaveThatFails(t *testing.T) {
 	c := New(0, Options{IP: "a", Incarnation: "1", Seeds: []string{"a"}, Bootstrap: true, ReplicaHeartbeatInterval: 1000 * ms, Random: func() float64 { return 0 }})
 	o := c.Tick(ms)
@@ -406,7 +415,8 @@
 	must.True(t, has(c.SaveFinished(500*ms, o.Save.Number, nil)))
 }
 
-// TestBeatsGoTogether: that replicas are still there is told in few words; that one is new, or leaves, at once.
+// TestBeatsGoTogether checks that unchanged heartbeats of replicas take few messages between controllers, and that a new
+// replica is passed on at once.
 func TestBeatsGoTogether(t *testing.T) {
 	b := newCluster(t, 3)
 	b.run(4000 * ms)
--- a/decide/controller/departures.go
+++ b/decide/controller/departures.go
@@ -7,56 +7,56 @@
 	"willowsill/decide/registry"
 )
 
-// That a replica leaves is acknowledged once it is on the disks of a majority. The list of replicas goes to disk
-// as a whole; those who wait for that share a save.
+// This file saves departures of replicas. A departure is acknowledged once it is on the disks of a majority of the
+// members. A save always writes the whole list of replicas, so departures that wait at the same time share one save.
 
-// departureSaveInterval is the least time between two saves of the list that are made because someone waits for
-// one, ns. The list may be long, and replicas often leave many at a time.
+// departureSaveInterval is the least time, in ns, between two saves of the list of replicas made because a departure
+// waits for one. The list may be long, and replicas often leave many at a time.
 const departureSaveInterval = 50 * ms
 
-// peerAck is the answer that another controller waits for, not longer than until: that these replicas leave is
-// saved here.
+// peerAck is an acknowledgement that another controller waits for until the deadline: that the departures of these
+// replicas are on disk here.
 type peerAck struct {
 	to         string
-	ackRequest uint64
+	ackRequest uint64 // the other controller's number of its request
 	deadline   int64
 	replicaIDs []string
 }
 
-// departures are the replicas of which it is not yet on disk here that they leave.
+// departures tracks the departing replicas, by ID, whose departure is not on this controller's disk yet.
 type departures struct {
 	unsaved      map[string]struct{} // in no save yet
-	saving       map[string]struct{} // in the save under way
+	saving       map[string]struct{} // in the save in progress
 	waitingPeers []peerAck
-	nextSaveAt   int64 // when the list may next be saved because someone waits
+	nextSaveAt   int64 // earliest next save made because a departure waits for it
 }
 
 func newDepartures() departures {
 	return departures{unsaved: map[string]struct{}{}, saving: map[string]struct{}{}}
 }
 
-// recordChanged takes in that a replica's record has changed.
+// recordChanged marks a replica's departure as unsaved. Records of replicas that are not departing are ignored.
 func (l *departures) recordChanged(r registry.Record) {
 	if r.Leaving() {
 		l.unsaved[r.ID] = struct{}{}
 	}
 }
 
-// durable tells whether all that is known here of a replica's leaving is on disk.
+// durable reports whether no departure of this replica is still missing on disk.
 func (l *departures) durable(replica string) bool {
 	_, unsaved := l.unsaved[replica]
 	_, saving := l.saving[replica]
 	return !unsaved && !saving
 }
 
-// saveStarted tells that a save under way holds the list as it is now.
+// saveStarted records that a save with the present list of replicas has been handed out.
 func (l *departures) saveStarted(now int64) {
 	maps.Copy(l.saving, l.unsaved)
 	clear(l.unsaved)
 	l.nextSaveAt = now + departureSaveInterval
 }
 
-// saveFinished tells that the save under way has ended.
+// saveFinished records the end of that save. After a failure its departures are unsaved again.
 func (l *departures) saveFinished(succeeded bool) {
 	if !succeeded {
 		maps.Copy(l.unsaved, l.saving)
@@ -64,7 +64,7 @@
 	clear(l.saving)
 }
 
-// takeReady takes out the answers to other controllers that need wait no longer, and drops those that come too late.
+// takeReady removes and returns the acknowledgements whose departures are on disk, and drops those past their deadline.
 func (l *departures) takeReady(now int64) (ready []peerAck) {
 	l.waitingPeers = slices.DeleteFunc(l.waitingPeers, func(a peerAck) bool {
 		covered := !slices.ContainsFunc(a.replicaIDs, func(id string) bool { return !l.durable(id) })
@@ -76,7 +76,7 @@
 	return ready
 }
 
-// departureSaveWanted tells whether a caller or another controller waits for a list that is in no save yet.
+// departureSaveWanted reports whether a replica's call or another controller waits for a departure that is in no save.
 func (c *Controller) departureSaveWanted() bool {
 	unsaved := func(id string) bool { _, in := c.departures.unsaved[id]; return in }
 	for _, call := range c.calls {
@@ -87,17 +87,16 @@
 	return slices.ContainsFunc(c.departures.waitingPeers, func(a peerAck) bool { return slices.ContainsFunc(a.replicaIDs, unsaved) })
 }
 
-// replicasSaveDue tells whether the next save is to hold the list.
+// replicasSaveDue reports whether a save with the list of replicas is due.
 func (c *Controller) replicasSaveDue() bool {
 	return c.replicasDirty && c.now >= c.replicasSaveAt || c.now >= c.departures.nextSaveAt && c.departureSaveWanted()
 }
 
-// acknowledgeWhenSaved answers another controller's question whether records are known here: once those that say that a
-// replica leaves are on disk.
+// acknowledgeWhenSaved acknowledges records of another controller, once the departures among them are on disk here.
 //
-// It guards against a loss of power everywhere right after the acknowledgement: edges would go on sending to a
-// replica that was told it may end. A disk that hangs or is full leaves its controller's answer out; the call
-// needs a majority's and no particular one.
+// The wait guards against a loss of power everywhere right after the acknowledgement: the departure would be forgotten,
+// and edges would go on sending requests to a replica that has ended. A controller whose disk hangs or is full sends no
+// acknowledgement; the departure needs a majority and no particular controller.
 func (c *Controller) acknowledgeWhenSaved(to string, ask uint64, records []registry.Record) {
 	answer := peerAck{to: to, ackRequest: ask, deadline: c.now + answerTimeout}
 	for _, r := range records {
@@ -107,7 +106,7 @@
 	c.answerDepartures()
 }
 
-// answerDepartures gives the answers, to other controllers and to own callers, whose records are on disk.
+// answerDepartures acknowledges, to other controllers and to replicas, the departures that are now on disk.
 func (c *Controller) answerDepartures() {
 	for _, answer := range c.departures.takeReady(c.now) {
 		c.send(Message{Ack: answer.ackRequest}, answer.to)
@@ -120,7 +119,7 @@
 	}
 }
 
-// replicasSaveFinished tells that the save under way has ended, and whether it had the list in it.
+// replicasSaveFinished handles the end of a save, if that save included the list of replicas.
 func (c *Controller) replicasSaveFinished(succeeded bool) {
 	if !c.savingReplicas {
 		return
@@ -128,7 +127,7 @@
 	c.savingReplicas = false
 	c.departures.saveFinished(succeeded)
 	if !succeeded {
-		c.replicasDirty = true // the list that was handed out is on no disk
+		c.replicasDirty = true // the list has to be saved again, even if no departure waits for it
 		return
 	}
 	c.answerDepartures()
--- a/decide/controller/departures_test.go
+++ b/decide/controller/departures_test.go
@@ -12,7 +12,7 @@
 	"willowsill/decide/registry"
 )
 
-// Tests of how long an acknowledged departure lasts.
+// These tests check that an acknowledged departure is neither lost nor missed by a controller.
 
 func readyReplica(id string) registry.Record {
 	return registry.Record{ID: id, Service: "s", Address: "a:" + id, Seq: 1}
@@ -24,7 +24,7 @@
 	return r
 }
 
-// phases are what each controller's list says of a replica.
+// phases returns a replica's phase in the list of each controller.
 func (b *cluster) phases(id string) (phases []registry.Phase) {
 	for _, name := range b.names {
 		r, _ := b.servers[name].Controller.replicas.Get(id)
@@ -33,14 +33,15 @@
 	return phases
 }
 
-// untilAnswered plays on until a call is answered, and returns the status.
+// untilAnswered advances time until a call is answered and returns the status, 0 if there is no answer after 1.5 s.
 func (b *cluster) untilAnswered(id uint64) int {
 	b.runUntil(1500*ms, func() bool { return b.answers[id].Status != 0 })
 	return b.answers[id].Status
 }
 
-// TestAcknowledgedDrainOutlivesPower: all controllers lose power in the millisecond in which a drain was
-// acknowledged, two of their disks having missed it or one having been emptied. Afterwards all lists have it.
+// TestAcknowledgedDrainOutlivesPower guards against an acknowledged departure that is forgotten: all controllers lose
+// power in the millisecond of the acknowledgement, while two disks are stuck or one is emptied. Afterwards all lists
+// must have the departure.
 func TestAcknowledgedDrainOutlivesPower(t *testing.T) {
 	for at := range 5 {
 		for _, trouble := range []string{"none", "two stuck disks", "one emptied disk"} {
@@ -51,7 +52,7 @@
 			if trouble == "two stuck disks" {
 				b.servers[b.names[(at+1)%5]].stuck, b.servers[b.names[(at+2)%5]].stuck = true, true
 			}
-			b.replicaCall(b.names[at], readyReplica("i-2")) // the list has just been saved
+			b.replicaCall(b.names[at], readyReplica("i-2")) // so that the list was saved just before
 			b.run(recordBatchInterval + 80*ms)
 			must.Eq(t, 200, b.untilAnswered(b.replicaCall(b.names[at], drainingReplica("i-1"))))
 			for _, name := range b.names {
@@ -68,7 +69,7 @@
 	}
 }
 
-// TestDrainsShareASave: many replicas that leave at once are acknowledged soon, by few saves.
+// TestDrainsShareASave checks that many replicas that leave at once are acknowledged soon and with few saves.
 func TestDrainsShareASave(t *testing.T) {
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
@@ -87,11 +88,11 @@
 	for _, id := range calls {
 		must.Eq(t, 200, b.answers[id].Status)
 	}
-	must.LessEq(t, 5, b.servers[b.names[0]].lastSave-before) // one each leaversSaveEvery
+	must.LessEq(t, 5, b.servers[b.names[0]].lastSave-before) // one every departureSaveInterval
 }
 
-// TestDrainBesideStuckDisks: a disk that answers nothing, also the own one, holds no departure up; where no majority
-// of disks answers, the call ends with 503.
+// TestDrainBesideStuckDisks checks that stuck disks, including that of the called controller, delay no departure as long
+// as a majority of disks works, and that the call otherwise ends with 503.
 func TestDrainBesideStuckDisks(t *testing.T) {
 	for stuck, status := range []int{200, 200, 200, 503} {
 		b := newCluster(t, 5)
@@ -105,7 +106,8 @@
 	}
 }
 
-// TestDrainWaitsForASaveThatSucceeds: a disk that refuses the list is asked again, and nothing is acknowledged before.
+// TestDrainWaitsForASaveThatSucceeds checks that a failed save of the list is repeated, and that a departure is
+// acknowledged only after the save that succeeds.
 func TestDrainWaitsForASaveThatSucceeds(t *testing.T) {
 	c := New(0, Options{IP: "a", Incarnation: "1", Seeds: []string{"a"}, Bootstrap: true, ReplicaHeartbeatInterval: 1000 * ms, Random: func() float64 { return 0 }})
 	first := c.Tick(ms)
@@ -129,7 +131,8 @@
 	must.Eq(t, []Answer{{Call: 2, Status: 200}}, c.HandleReplicaCall(int64(now)+10*ms+saveRetryDelay, 2, repeated).Answers)
 }
 
-// TestListThatWasNotSavedIsSavedAgain: also where nobody waits for it.
+// TestListThatWasNotSavedIsSavedAgain checks that a failed save of the list is repeated even if no departure waits for
+// it.
 func TestListThatWasNotSavedIsSavedAgain(t *testing.T) {
 	c := New(0, Options{IP: "a", Incarnation: "1", Seeds: []string{"a"}, Bootstrap: true, ReplicaHeartbeatInterval: 1000 * ms, Random: func() float64 { return 0 }})
 	first := c.Tick(ms)
@@ -151,12 +154,13 @@
 	must.SliceLen(t, 1, again.Replicas)
 }
 
-// TestDepartureIsLearnedByOneThatMissedIt: a departure that is told once is missed by a controller that was cut off, that
-// cannot be reached from the one that took it, or that lost the word. It learns of it soon after, also from others.
+// TestDepartureIsLearnedByOneThatMissedIt guards against a controller that holds a departed replica as ready, because it
+// was cut off or unreachable from the acknowledging controller when the departure was sent. It must learn of the
+// departure soon, even if the acknowledging controller is gone.
 func TestDepartureIsLearnedByOneThatMissedIt(t *testing.T) {
 	for name, c := range map[string]struct {
-		oneLink   bool // the two do not reach each other, and that lasts; else the one is cut off from all, and joined again
-		takerLost bool // before the other one is joined again
+		oneLink   bool // only messages from taker to missing are lost, for good; else missing is cut off for a while
+		takerLost bool // taker dies before missing is reconnected
 	}{
 		"cut off from all":               {},
 		"cut off, and the taker is lost": {takerLost: true},
@@ -189,8 +193,8 @@
 	}
 }
 
-// TestListsThatAgreeAskNothing: while nothing is lost, no controller asks another one for replicas that leave, neither as they
-// leave nor as they are forgotten.
+// TestListsThatAgreeAskNothing checks that, while no message is lost, no controller requests records of leaving
+// replicas, neither when replicas leave nor when the lists forget them.
 func TestListsThatAgreeAskNothing(t *testing.T) {
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
@@ -201,7 +205,7 @@
 		}
 		return 1, 0
 	}
-	stays := func(d int64) { // one replica stays: a list without any is asked for whole
+	stays := func(d int64) { // keeps one replica alive, because a controller with an empty list requests whole lists
 		for end := b.now + d; b.now < end; {
 			b.replicaCall(b.names[0], registry.Record{ID: "i-stays", Service: "s", Address: "a:1", Seq: uint64(b.now / ms)})
 			b.run(min(1000*ms, end-b.now))
@@ -224,7 +228,8 @@
 	must.Eq(t, 0, asked)
 }
 
-// TestLeavingBesideAnOlderVersion: a controller that says nothing of the replicas that leave is asked for none.
+// TestLeavingBesideAnOlderVersion checks that a controller of the previous version, whose heartbeats carry no sum of the
+// leaving replicas, gets no request for them.
 func TestLeavingBesideAnOlderVersion(t *testing.T) {
 	b := newCluster(t, 3)
 	b.run(4000 * ms)
@@ -249,8 +254,8 @@
 	must.Eq(t, []registry.Phase{registry.Draining, registry.Draining, registry.Draining}, b.phases("i-1"))
 }
 
-// TestDrainsByLot: replicas leave while controllers are killed, stuck, cut off or lose power together. Whatever was
-// acknowledged is in every list at the end.
+// TestDrainsByLot lets replicas leave in random runs, while controllers are killed, cut off or have stuck disks, and all
+// lose power in the end. Every acknowledged departure must be in every list afterwards.
 func TestDrainsByLot(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
@@ -302,7 +307,7 @@
 			}
 			for i, phase := range b.phases(id) {
 				if phase != registry.Draining && phase != registry.Gone {
-					r.Fatalf("%s was acknowledged as leaving; the list of %d has it in phase %d", id, i, phase)
+					r.Fatalf("the departure of %s was acknowledged, but controller %d has it in phase %d", id, i, phase)
 				}
 			}
 		}
--- a/decide/controller/disk.go
+++ b/decide/controller/disk.go
@@ -8,9 +8,11 @@
 	"willowsill/decide/register"
 )
 
-// This controller's part of the register: its disk, its rounds, and what stands.
+// This file has this controller's part of the register: its acceptor, whose state is on disk, its proposer, and the
+// committed value.
 
-// stepDisk puts a question to this controller's own disk.
+// stepDisk passes a register request to this controller's acceptor. The answer is sent at once if it changes nothing,
+// or else after the save that makes it durable.
 func (c *Controller) stepDisk(from string, m register.Message) {
 	if m.Kind != register.Query {
 		c.proposer.ObserveBallot(m.Ballot)
@@ -22,7 +24,8 @@
 	c.dirty = c.dirty || save
 	c.lease.RecordAccepted(c.now, c.disk.Accepted)
 	c.proposer.CacheState(c.disk.State)
-	// Danger: an answer that leaves before what it tells is on disk would be forgotten with the power.
+	// Danger: a promise or an acceptance that is sent before it is on disk is forgotten in a loss of power, though the
+	// proposer has counted it.
 	after := uint64(0)
 	switch {
 	case c.dirty:
@@ -37,7 +40,8 @@
 	c.pendingReplies = append(c.pendingReplies, pendingReply{from, answer, after})
 }
 
-// SaveFinished tells that a save has ended.
+// SaveFinished reports the end of the save with this number, with the error if it failed. Answers that waited for the
+// save are sent; after a failure they wait for the next one.
 func (c *Controller) SaveFinished(now int64, number uint64, err error) Effects {
 	c.now = now
 	if number == c.saving {
@@ -46,11 +50,11 @@
 	c.replicasSaveFinished(err == nil)
 	if err != nil {
 		c.dirty, c.saveRetryAt = true, now+saveRetryDelay
-		// What waited for this save waits for the next, which covers it as well.
+		// Answers that waited for this save now wait for the next one, which includes the same state.
 		for i := range c.pendingReplies {
 			c.pendingReplies[i].coveringSave = max(c.pendingReplies[i].coveringSave, c.lastSave+1)
 		}
-		c.log("a save failed", "err", err.Error())
+		c.log("save failed", "err", err.Error())
 		return c.takeEffects()
 	}
 	ready := []pendingReply{}
@@ -67,7 +71,7 @@
 	return c.takeEffects()
 }
 
-// sendDiskAnswer lets a disk's answer leave, to another controller or to this one's own proposer.
+// sendDiskAnswer sends an answer of the acceptor to another controller, or passes it to this one's own proposer.
 func (c *Controller) sendDiskAnswer(to string, m register.Message) {
 	if to != c.IP {
 		c.send(Message{Register: &m}, to)
@@ -76,13 +80,14 @@
 	c.handleProposer(c.proposer.Step(c.now, c.IP, m))
 }
 
-// handleProposer does what the proposer asks for.
+// handleProposer carries out the effects of a step of the proposer: it applies and announces committed values, answers
+// the calls whose edits are done, and sends the requests of the round.
 func (c *Controller) handleProposer(o register.Out) {
 	for _, d := range o.Done {
 		c.applyCommitted(d.Value, d.Ballot)
 		c.answerEdit(d)
 	}
-	if n := len(o.Done); n > 0 { // all of one round
+	if n := len(o.Done); n > 0 { // all edits in Done ended in the same round
 		c.send(Message{CommittedBallot: o.Done[n-1].Ballot}, c.peerIPs()...)
 	}
 	if len(o.To) > 0 {
@@ -94,11 +99,12 @@
 	}
 }
 
-// committedSaveDue tells whether the configuration known to be committed is to be saved though nothing else is. The list of replicas
-// stays out of such a save: it may be megabytes, and a change of the configuration does not touch it.
+// committedSaveDue reports whether a save is due only to record which configuration and rollouts are committed. Such a
+// save leaves out the list of replicas, which may be megabytes long and has not changed.
 func (c *Controller) committedSaveDue() bool { return c.committedUnsaved && c.now >= c.committedSaveAt }
 
-// applyCommitted takes in a value that is known to be committed, and the ballot under which it is.
+// applyCommitted applies a value that is known to be committed under this ballot. A value that is not newer in epoch,
+// revision or rollouts is ignored, except for the end of a change of members.
 func (c *Controller) applyCommitted(v register.Value, ballot register.Ballot) {
 	c.lease.RecordCommitted(ballot)
 	newer := v.Epoch > c.committed.Epoch || v.Revision > c.committed.Revision || v.Rollouts.Version > c.committed.Rollouts.Version ||
@@ -112,8 +118,8 @@
 	}
 	if v.Revision > c.committed.Revision {
 		c.committedConfiguration = ConfigurationOf(v)
-		c.committedUnsaved = true // that it is committed goes to disk with the next save
-		c.log("configuration stands", "revision", v.Revision, "sum", c.committedConfiguration.Sum, "bytes", len(v.Body))
+		c.committedUnsaved = true
+		c.log("configuration committed", "revision", v.Revision, "sum", c.committedConfiguration.Sum, "bytes", len(v.Body))
 	}
 	if v.Rollouts.Version > c.committed.Rollouts.Version {
 		c.committedUnsaved = true
@@ -128,13 +134,14 @@
 	c.updateFleet()
 }
 
-// handleJoinAnswer takes what the others promise an empty disk.
+// handleJoinAnswer handles another controller's answer to the request of this one, whose disk is empty, to catch up.
+// Once a majority has answered, the disk holds the newest value and counts in majorities.
 func (c *Controller) handleJoinAnswer(from string, m register.Message) {
 	asked := c.joiner.Request().Ballot
 	state, ok := c.joiner.HandleAnswer(from, m)
 	if !ok {
 		if c.joiner.Request().Ballot != asked {
-			c.joinAt = c.now // refused: asked again at once under the next ballot
+			c.joinAt = c.now // the request was refused; send it again at once under a higher ballot
 		}
 		return
 	}
@@ -143,20 +150,20 @@
 	c.lease.RecordAccepted(c.now, state.Accepted)
 	c.proposer.Learn(state.Value)
 	c.proposer.ObserveBallot(state.Promised)
-	// The members hear at once of a machine that can count now: it may know only the seeds so far, and the one
-	// that changes the members would hear of it seconds later.
+	// All members get a heartbeat at once. So far this controller may know only the seeds; without the heartbeat the
+	// member that changes the membership would learn seconds later that this one can be added.
 	for _, m := range state.Value.AllMembers() {
 		c.addPeer(m)
 	}
 	c.heartbeatAt = c.now
-	c.log("the disk is whole again", "epoch", state.Value.Epoch, "revision", state.Value.Revision)
+	c.log("the disk has caught up with a majority", "epoch", state.Value.Epoch, "revision", state.Value.Revision)
 }
 
-// addUpdate adds to what goes to those who follow.
+// addUpdate merges an update into the one that goes to the edges at the end of this call.
 func (c *Controller) addUpdate(n clusterstate.Update) {
 	if n.Revision > 0 {
 		o := &c.effects.Update
-		if o.Revision > 0 { // a patch of what was not told yet is none
+		if o.Revision > 0 { // a patch needs a base that the edges have; they get the full configuration instead
 			n.Body, n.Base, n.Patch = c.state.Snapshot().Body, 0, nil
 		}
 		o.Revision, o.Body, o.Base, o.Patch, o.Raw, o.Sum = n.Revision, n.Body, n.Base, n.Patch, n.Raw, n.Sum
@@ -166,20 +173,21 @@
 	}
 	c.effects.Update.Replicas = append(c.effects.Update.Replicas, n.Replicas...)
 	if o := &c.effects.Update; !n.Fleet.Empty() {
-		if !o.Fleet.Empty() { // a difference to what was not told yet is none
+		if !o.Fleet.Empty() { // a difference needs a base that the edges have; they get the full list instead
 			n.Change = nil
 		}
 		o.Fleet, o.Change = n.Fleet, n.Change
 	}
 }
 
-// Snapshot is what one who begins to follow is told.
+// Snapshot returns the state that an edge is sent when it connects: the replicas are those of services that the
+// configuration uses.
 func (c *Controller) Snapshot() clusterstate.Update { return c.selection.Snapshot(c.state) }
 
-// FullSnapshot is the same with all replicas, for operators who watch.
+// FullSnapshot returns the state with all replicas, for operators who watch.
 func (c *Controller) FullSnapshot() clusterstate.Update { return c.state.Snapshot() }
 
-// IsCommitted tells whether the configuration that stands is the very one given.
+// IsCommitted reports whether the committed configuration has this revision and this packed body.
 func (c *Controller) IsCommitted(revision uint64, body []byte) bool {
 	return c.committed.Revision == revision && bytes.Equal(c.committed.Body, body)
 }
--- a/decide/controller/edges.go
+++ b/decide/controller/edges.go
@@ -8,9 +8,10 @@
 	"willowsill/decide/clusterstate"
 )
 
-// Which edges there are, by who heard them.
+// This file tracks the edges and builds the list of edges and controllers that all edges are sent.
 
-// HandleEdgeReport tells of an edge that follows this controller, or one below it, again and again while it does.
+// HandleEdgeReport handles the report of an edge that gets its updates from this controller, directly or through other
+// edges. Each edge repeats its report while it is connected.
 func (c *Controller) HandleEdgeReport(now int64, s EdgeReport) Effects {
 	c.now = now
 	c.recordEdge(s, true)
@@ -19,9 +20,10 @@
 	return c.takeEffects()
 }
 
-// recordEdge takes in that an edge was heard of. own tells that no other controller has it from elsewhere.
+// recordEdge records an edge's report. own is true for a report that came to this controller and has to be passed on,
+// and false for one that came from another controller.
 func (c *Controller) recordEdge(s EdgeReport, own bool) {
-	if s.Edge.IP == "" { // an operator who looks on
+	if s.Edge.IP == "" { // an operator who watches, not an edge
 		return
 	}
 	e := c.edges[s.Edge.IP]
@@ -47,15 +49,15 @@
 	}
 }
 
-// updateFleet tells the edges who they are and where controllers are, where that has changed: at once, or a little later
-// where that was done just before.
+// updateFleet sends the edges the list of edges and controllers if it has changed. Within fleetUpdateInterval of the
+// last list it only marks the next one as due.
 //
-// Danger: when a zone starts, its edges come within seconds, and a list for each that comes, told to each that is there,
-// would make the bytes grow with the square of the edges, and the time to make the lists too.
+// Danger: when a zone starts, its edges connect within seconds. A list for each new edge, sent to all that are there,
+// would make both the bytes and the time to build the lists grow with the square of the number of edges.
 //
-// Danger: one watcher may be the one that is cut off. An edge is left out of the tree only by the suspicion of
-// two, or of all that watch it, and never while it is heard itself. The edges of a zone watch each other, for it is
-// these alone that would follow a lost one.
+// Danger: an edge that suspects another one may itself be cut off. An edge is left out of the list only if two others
+// suspect it, or all others of its zone if they are fewer, and only while its own reports are missing too. The edges of
+// a zone watch each other because only they get updates through one another.
 func (c *Controller) updateFleet() {
 	if c.fleetUpdateDue = c.now < c.fleetUpdateAt; c.fleetUpdateDue {
 		return
@@ -85,7 +87,8 @@
 		f.Edges = append(f.Edges, e.Edge)
 	}
 	slices.SortFunc(f.Edges, func(a, b clusterstate.Edge) int { return cmp.Compare(a.IP, b.IP) })
-	// Danger: an edge that was left out may still be spending its share of a budget.
+	// Danger: an edge that was left out may still be spending its share of a budget, so the number of edges that budgets
+	// are divided by falls only after maxEdgesRetention.
 	if len(f.Edges) >= c.maxEdges || c.now-c.maxEdgesAt > maxEdgesRetention {
 		c.maxEdges, c.maxEdgesAt = len(f.Edges), c.now
 	}
--- a/decide/controller/edges_test.go
+++ b/decide/controller/edges_test.go
@@ -10,8 +10,8 @@
 	"willowsill/decide/clusterstate"
 )
 
-// joinEdges has n edges come to a lone controller, evenly in the given time, and returns how many times followers were
-// told of edges, the bytes of that to one follower, and what that one holds in the end.
+// joinEdges connects n edges to a lone controller, evenly over the given time. It returns the number of updates with a
+// list of edges, their bytes to one edge, and that edge's state at the end.
 func joinEdges(t *testing.T, n int, within int64) (told, size int, follower *clusterstate.State, c *Controller) {
 	c = New(0, Options{IP: "10.9.0.1", Incarnation: "1", Seeds: []string{"10.9.0.1"}, Bootstrap: true, ReplicaHeartbeatInterval: 1000 * ms,
 		Random: func() float64 { return 0 }})
@@ -39,13 +39,13 @@
 	return told, size, follower, c
 }
 
-// TestFleetGoesTogether: edges that come within seconds are told of in few updates, and each once; the follower ends with
-// all of them.
+// TestFleetGoesTogether guards against updates that grow with the square of the number of edges when a zone starts:
+// edges that connect within seconds must be announced in few updates, each edge once, and all of them must arrive.
 func TestFleetGoesTogether(t *testing.T) {
 	const (
 		within     = 4000 * ms
-		edgeBytes  = 30 // of a fleet told, for each edge
-		otherBytes = 60 // for each update
+		edgeBytes  = 30 // allowed for each edge that is announced
+		otherBytes = 60 // allowed for each update besides
 	)
 	for _, n := range []int{100, 400} {
 		told, size, follower, c := joinEdges(t, n, within)
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestFirstEdgeIsToldAtOnce: a lone edge does not wait for others.
+// TestFirstEdgeIsToldAtOnce checks that a new edge is announced at once if no list was sent shortly before.
 func TestFirstEdgeIsToldAtOnce(t *testing.T) {
 	_, _, _, c := joinEdges(t, 3, 0)
 	o := c.HandleEdgeReport(5000*ms, EdgeReport{Edge: clusterstate.Edge{IP: "10.0.9.9"}})
--- a/decide/controller/fields_test.go
+++ b/decide/controller/fields_test.go
@@ -11,7 +11,8 @@
 	"willowsill/decide/registry"
 )
 
-// leaves lists every field of a message that says something, each as a way to reach it.
+// leaves calls add for every field of a message that is not zero, with the field indexes that lead to it; -1 stands for
+// following a pointer.
 func leaves(v reflect.Value, way []int, add func(way []int, v reflect.Value)) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -29,7 +30,7 @@
 	}
 }
 
-// deepCopy is a copy that shares nothing: words go to several controllers.
+// deepCopy returns a copy that shares no memory with the message, which goes to several controllers.
 func deepCopy(t *testing.T, w Message) (c Message) {
 	b, err := cbor.Marshal(w)
 	must.NoError(t, err)
@@ -37,10 +38,10 @@
 	return c
 }
 
-// TestEachFieldMutated records a start, a loss of one disk, three configurations, a heartbeat and a read, and
-// plays it again for each field of each kind of word with that field dropped, aged, swapped with another
-// word's, or flipped, in one word. A body or a number that is not what was sent may harm what that one word
-// was about; but nobody is taken back, no number has two contents, and what is acknowledged is found again.
+// TestEachFieldMutated guards against wrong fields in a single message. It records a start, the loss of one disk, three
+// configurations, a departure and a read, and repeats them for each field of each kind of message, with that field
+// zeroed, replaced by the value of an earlier message, or flipped, in one message. A call may then fail, but no edge may
+// be sent an older state, no revision may have two contents, and what was acknowledged must be found again.
 func TestEachFieldMutated(t *testing.T) {
 	type leaf struct {
 		number int
@@ -50,7 +51,7 @@
 	var found []leaf
 	var before []Message
 	seen := map[string]int{}
-	// play returns false where a call had no clear answer, which is a true one.
+	// play runs the scenario once. A put may end with 503, which leaves open whether its configuration is committed.
 	play := func(tamper func(int, *Message) (int, int64)) {
 		b := newCluster(t, 5)
 		b.tamper = tamper
@@ -95,14 +96,14 @@
 	})
 	must.Greater(t, 60, len(found))
 	plays := 0
-	defer func() { t.Logf("%d fields of words, %d plays", len(found), plays) }()
+	defer func() { t.Logf("%d fields of messages, %d runs", len(found), plays) }()
 	ways := 4
 	for i, c := range found {
 		if testing.Short() && i%7 > 0 {
 			continue
 		}
 		for way := range ways {
-			if i%ways != way && seen[c.name] > 200 { // common ones are tried in one way each time they come up here
+			if i%ways != way && seen[c.name] > 200 { // each occurrence of a common field is tried in one way only
 				continue
 			}
 			plays++
@@ -113,9 +114,9 @@
 				*w = deepCopy(t, *w)
 				v, _ := field(reflect.ValueOf(w).Elem(), c.way)
 				switch way {
-				case 0: // dropped
+				case 0: // zeroed
 					v.SetZero()
-				case 1, 2: // as an earlier word had it, or one from another controller
+				case 1, 2: // replaced by the value of an earlier message, maybe of another controller
 					step := []int{7, 31}[way-1]
 					for n := number - 2; n >= 0; n -= step {
 						other, ok := field(reflect.ValueOf(&before[n]).Elem(), c.way)
@@ -124,7 +125,7 @@
 							break
 						}
 					}
-				case 3: // flipped, for what is a truth; else the word comes late
+				case 3: // a bool is flipped; with any other field the whole message is delayed
 					if v.Kind() != reflect.Bool {
 						return 1, 400 * ms
 					}
@@ -136,7 +137,7 @@
 	}
 }
 
-// field is a word's field at a way, if it has one.
+// field returns the message field that the indexes lead to, or false if a pointer on the path is nil.
 func field(v reflect.Value, way []int) (reflect.Value, bool) {
 	for _, i := range way {
 		if i < 0 {
--- a/decide/controller/groups.go
+++ b/decide/controller/groups.go
@@ -6,18 +6,18 @@
 	"willowsill/decide/registry"
 )
 
-// Replicas that are heard by other controllers. Each controller tells the others of the group of replicas whose
-// heartbeats come to it, in its own heartbeats; what is new of a replica goes on as a record.
+// This file shares between controllers which replicas are alive. The replicas whose heartbeats come to one controller
+// are its group. Its own heartbeats tell the others who joined and left the group, and sums to compare the whole group
+// by. A replica's record is sent only when it has changed.
 
-// groupMissedHeartbeats is how many of its heartbeats a replica may leave out before it leaves the group of the controller that
-// heard it.
+// groupMissedHeartbeats is how many heartbeats a replica may miss before it leaves its controller's group.
 const groupMissedHeartbeats = 2
 
-// supportsGroups tells whether a controller tells of groups and understands them; one of the former version does not, and
-// is told of each replica.
+// supportsGroups reports whether a controller sends and understands groups. A controller of the previous version does
+// not and gets each replica's heartbeats instead.
 func (p *peer) supportsGroups() bool { return p.heartbeat.Group != nil }
 
-// peersWithoutGroups are the controllers of the former version.
+// peersWithoutGroups returns the IPs of the controllers of the previous version, which know no groups.
 func (c *Controller) peersWithoutGroups() (ips []string) {
 	for _, ip := range c.peerIPs() {
 		if !c.peers[ip].supportsGroups() {
@@ -27,7 +27,7 @@
 	return ips
 }
 
-// recordLocalHeartbeat notes that a replica's heartbeat came to this controller.
+// recordLocalHeartbeat updates this controller's own group after a call of a replica.
 func (c *Controller) recordLocalHeartbeat(r registry.Record) {
 	if r.Phase == registry.Ready {
 		c.localGroup.RecordHeartbeat(c.now, registry.HeartbeatOf(r))
@@ -36,17 +36,18 @@
 	}
 }
 
-// handleGroup takes in what another controller tells of its group.
+// handleGroup applies a change of another controller's group, or the whole group.
 //
-// Danger: a message that was lost, or a replica that has fallen silent here alone, would leave the two with different
-// groups, and replicas would count as heard that are not, or fall silent one after the other. So the sums are compared
-// with each heartbeat, and while they differ nobody counts as heard, and the whole group is asked for.
+// Danger: after a lost message, or when a replica has become silent only here, this controller's view of the group
+// differs from the group. Lost replicas would stay ready, or live ones would become silent one after another. So the
+// sums are compared with each heartbeat. While they differ, the heartbeat refreshes no replica, and the whole group is
+// requested.
 func (c *Controller) handleGroup(from string, p *peer, news registry.GroupUpdate) {
 	agrees := p.group.Apply(news)
 	var unknown []string
 	for _, call := range news.Joined {
 		if !c.replicas.JoinGroup(c.now, from, call) {
-			p.group.Drop(call.ID) // until its record is here
+			p.group.Drop(call.ID) // the view must not contain it before its record has arrived
 			unknown = append(unknown, call.ID)
 		}
 	}
@@ -67,8 +68,8 @@
 	}
 }
 
-// removeFromGroups takes a replica that has fallen silent here out of the groups that it was in: what is told of it next is
-// to be heard of whole.
+// removeFromGroups removes a replica that has become silent here from all groups, so that a group in which it is still
+// alive no longer agrees with the view here and is requested as a whole.
 func (c *Controller) removeFromGroups(replica string) {
 	c.localGroup.Remove(c.now, replica)
 	for _, p := range c.peers {
@@ -76,7 +77,7 @@
 	}
 }
 
-// recordsOf are what is known of these replicas.
+// recordsOf returns the known records of these replicas, sorted by ID and without duplicates.
 func (c *Controller) recordsOf(ids []string) (records []registry.Record) {
 	for _, id := range slices.Compact(slices.Sorted(slices.Values(ids))) {
 		if r, known := c.replicas.Get(id); known {
@@ -86,7 +87,8 @@
 	return records
 }
 
-// sendRecordBatch tells the other controllers what is new of replicas, and those of the former version who was heard.
+// sendRecordBatch sends changed records to all other controllers, and unchanged heartbeats of replicas to those of the
+// previous version. A batch that holds no change waits for heartbeatBatchInterval.
 func (c *Controller) sendRecordBatch() {
 	if len(c.recordBatch) == 0 || !c.batchUrgent && c.now < c.heartbeatBatchAt {
 		return
--- a/decide/controller/groups_test.go
+++ b/decide/controller/groups_test.go
@@ -10,8 +10,8 @@
 	"willowsill/decide/registry"
 )
 
-// heartbeatsFrom has so many replicas send their heartbeats for so long, each to the controller that at names, and returns the
-// bytes that controllers sent meanwhile of replicas that say nothing new.
+// heartbeatsFrom lets this many replicas send a heartbeat every second for d ns, each to the controller that at names.
+// It returns the bytes of all messages about replicas that the controllers sent each other meanwhile.
 func (b *cluster) heartbeatsFrom(replicas int, d int64, at func(replica int) string) (size int) {
 	b.tamper = func(_ int, w *Message) (int, int64) {
 		if len(w.ReplicaHeartbeats)+len(w.Records) > 0 || w.FullGroup.Whole || w.Heartbeat != nil && w.Heartbeat.Group != nil {
@@ -31,7 +31,7 @@
 	return size
 }
 
-// allReady wants each controller that is up to hold so many replicas, all ready.
+// allReady checks that each running controller knows this many ready replicas.
 func (b *cluster) allReady(replicas int) {
 	b.t.Helper()
 	for _, name := range b.names {
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestHeartbeatsCostTheSameForMany: what controllers tell each other of replicas that say nothing new does not grow with
-// the replicas, and none of them falls silent anywhere.
+// TestHeartbeatsCostTheSameForMany checks that the bytes between controllers about unchanged replicas do not grow with
+// the number of replicas, and that no replica becomes silent at any controller.
 func TestHeartbeatsCostTheSameForMany(t *testing.T) {
 	sizes := map[int]int{}
 	for _, n := range []int{20, 200} {
@@ -57,8 +57,8 @@
 	must.Less(t, sizes[20]*11/10, sizes[200])
 }
 
-// TestReplicaThatMovesIsHeard: a replica that calls other controllers by turns is ready everywhere, and one that is heard
-// nowhere any more falls silent everywhere.
+// TestReplicaThatMovesIsHeard checks that a replica that calls the controllers in turn is ready at all of them, and that
+// one that has stopped calling becomes silent at all of them.
 func TestReplicaThatMovesIsHeard(t *testing.T) {
 	b := newCluster(t, 3)
 	b.run(4000 * ms)
@@ -69,8 +69,8 @@
 	b.allReady(8)
 }
 
-// TestGroupAfterLosses: messages are lost, a controller is cut off from one other, and one starts anew with an empty disk;
-// replicas that are heard somewhere are ready everywhere soon after.
+// TestGroupAfterLosses guards against views of a group that stay wrong after lost messages, a one-way cut between two
+// controllers and a start with an empty disk. Soon after each, live replicas must be ready at all controllers.
 func TestGroupAfterLosses(t *testing.T) {
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
@@ -79,7 +79,7 @@
 	number := 0
 	b.tamper = func(int, *Message) (int, int64) {
 		number++
-		return number % 3, 0 // each third lost, each third doubled
+		return number % 3, 0 // of three messages one is lost and one duplicated
 	}
 	b.run(1000 * ms)
 	b.cut = func(from, to string) bool { return from == b.names[1] && to == b.names[2] }
@@ -92,7 +92,8 @@
 	b.allReady(12)
 }
 
-// TestGroupsBesideAnOlderVersion: a controller that knows nothing of groups is told of each replica.
+// TestGroupsBesideAnOlderVersion checks that a controller of the previous version, which knows no groups, still gets the
+// heartbeats of the replicas.
 func TestGroupsBesideAnOlderVersion(t *testing.T) {
 	b := newCluster(t, 3)
 	older := b.names[2]
@@ -112,14 +113,15 @@
 		for i := range 6 {
 			b.replicaCall(b.names[0], registry.Record{ID: fmt.Sprint("i-", i), Service: "s", Address: "a:1", Seq: uint64(b.now / ms)})
 		}
-		forgets.replicas.ForgetGroup(b.names[0]) // it would not have known of one
+		forgets.replicas.ForgetGroup(b.names[0]) // the previous version would not have recorded the group
 		b.run(1000 * ms)
 	}
 	must.Eq(t, 6, forgets.replicas.Phases()[registry.Ready])
 }
 
-// TestLostReplicaFallsSilentAfterACut guards against a replica that stays ready for good: it is lost while a controller is cut
-// off from the one that hears it, or while that one starts anew. It falls silent there as soon as one lost in calm times would.
+// TestLostReplicaFallsSilentAfterACut guards against a lost replica that stays ready for good: it is lost while a
+// controller is cut off from the one that it called, or while that one restarts. It must become silent at the cut-off
+// controller as soon as without the cut.
 func TestLostReplicaFallsSilentAfterACut(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		b := newCluster(t, 5)
@@ -140,8 +142,8 @@
 	}
 }
 
-// TestChangedRecordIsLearnedAfterACut guards against records that are told once: a replica says another address and capacity
-// while a controller is cut off, and that one sends its edges to the old address for good.
+// TestChangedRecordIsLearnedAfterACut guards against a change that is sent only once: a replica changes its address and
+// capacity while a controller is cut off, and that controller's edges send requests to the old address for good.
 func TestChangedRecordIsLearnedAfterACut(t *testing.T) {
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
--- a/decide/controller/heartbeattarget.go
+++ b/decide/controller/heartbeattarget.go
@@ -7,9 +7,9 @@
 	"willowsill/decide/registry"
 )
 
-// Where the controllers are, and which of them a replica's heartbeats go to.
+// This file chooses the controller that a replica sends its heartbeats to.
 
-// controllerZone is the zone of a controller, empty where it has not said so yet.
+// controllerZone returns the zone of a controller, or an empty string if it has not reported it yet.
 func (c *Controller) controllerZone(ip string) string {
 	if ip == c.IP {
 		return c.Zone
@@ -20,15 +20,16 @@
 	return ""
 }
 
-// heartbeatTarget is the controller that a replica's later heartbeats are to go to: one in the replica's own zone, or
-// else in its region. Empty where there is none, or where the zone is not known: then the replica goes where it likes.
+// heartbeatTarget returns the IP of the controller for a replica's later heartbeats: one in the replica's zone, or else
+// in its region. It returns an empty string if there is none or the replica's zone is unknown; the replica then calls
+// any controller.
 //
-// A heartbeat is a whole call, and there are many more of them than of anything else that control sends, so one that
-// crosses regions for nothing is what control's bytes between regions consist of. The replicas of a zone spread over its
-// controllers by hash, and go back to one that has been away with their next heartbeat.
+// Each heartbeat is an HTTP call, and there are far more of them than of all other control traffic, so heartbeats that
+// needlessly cross regions would make up most of that traffic between regions. The replicas of a zone are spread over
+// its controllers by hash. A controller that was away gets its replicas back with their next heartbeats.
 //
-// Danger: one that is cut off, leaves, or has an empty disk would refuse the heartbeat, or acknowledge what nobody else
-// hears.
+// Danger: a controller that is cut off, shuts down or has an empty disk must not be chosen. It would reject the
+// heartbeat, or acknowledge one that no other controller learns of.
 func (c *Controller) heartbeatTarget(r registry.Record) string {
 	targets := slices.DeleteFunc(c.controllerProcesses(), func(p locality.Process) bool {
 		return c.Regions.Distance(r.Zone, p.Zone) == locality.OtherRegion || !c.acceptsReplicaCalls(p.IP)
@@ -40,7 +41,7 @@
 	return targets[0].IP
 }
 
-// controllerProcesses are this controller and all others that it knows, with their zones.
+// controllerProcesses returns this controller and all others that it knows, with their zones.
 func (c *Controller) controllerProcesses() []locality.Process {
 	all := []locality.Process{{IP: c.IP, Zone: c.Zone}}
 	for ip, p := range c.peers {
@@ -49,7 +50,7 @@
 	return all
 }
 
-// acceptsReplicaCalls tells whether a controller is known to take the calls of replicas.
+// acceptsReplicaCalls reports whether a controller is expected to accept calls of replicas.
 func (c *Controller) acceptsReplicaCalls(ip string) bool {
 	if c.isShuttingDown(ip) || !c.isLive(ip) {
 		return false
--- a/decide/controller/heartbeattarget_test.go
+++ b/decide/controller/heartbeattarget_test.go
@@ -10,7 +10,8 @@
 	"willowsill/decide/registry"
 )
 
-// newClusterInZones is a cluster whose controllers stand in these zones; west has two of them, east one.
+// newClusterInZones returns a cluster with one controller for each zone given. The region west has the zones west1 and
+// west2, the region east has east1.
 func newClusterInZones(t *testing.T, zones ...string) *cluster {
 	b := &cluster{t: t, servers: map[string]*server{}, answers: map[uint64]Answer{}, bodies: map[uint64]string{}, zones: map[string]string{},
 		regions: locality.Regions{"west1": "west", "west2": "west", "east1": "east"}}
@@ -26,16 +27,16 @@
 	return b
 }
 
-// target has a replica send a heartbeat to a controller and returns the one that later ones are to go to.
+// target sends a replica's heartbeat to a controller and returns the heartbeat target in the answer.
 func (b *cluster) target(at, replica, zone string) string {
 	b.calls++
 	b.carry(at, b.servers[at].HandleReplicaCall(b.now, b.calls, registry.Record{ID: replica, Service: "s", Address: "a:1", Zone: zone, Seq: b.calls}))
 	return b.answers[b.calls].HeartbeatTarget
 }
 
-// TestHeartbeatsStayNear: whichever controller a replica calls, it is sent to the same one: in its zone, or in its region
-// where its zone has none that takes calls; replicas spread over several of one zone. Where the region has none, or the
-// zone is not known, they go where they like.
+// TestHeartbeatsStayNear checks that all controllers give a replica the same target: one in its zone, or in its region if
+// no controller of the zone accepts calls. The replicas of a zone are spread over its controllers. There is no target if
+// the region has no controller or the zone is unknown.
 func TestHeartbeatsStayNear(t *testing.T) {
 	b := newClusterInZones(t, "west1", "west1", "west2", "east1", "east1")
 	b.run(4000 * ms)
@@ -65,8 +66,8 @@
 	must.Eq(t, "", b.target(c[0], "i-5", "east1"))
 }
 
-// TestNoHeartbeatsToThoseThatLeave: replicas are sent away from a controller that leaves while it still runs, and to
-// none whose disk has not caught up.
+// TestNoHeartbeatsToThoseThatLeave checks that a controller that shuts down, or whose disk has not caught up, is not a
+// heartbeat target.
 func TestNoHeartbeatsToThoseThatLeave(t *testing.T) {
 	b := newClusterInZones(t, "west1", "east1", "east1", "east1", "west2")
 	b.run(4000 * ms)
@@ -78,14 +79,14 @@
 
 	wiped := b.servers[c[0]]
 	wiped.up, wiped.saved, wiped.savedReplicas = false, nil, nil
-	b.cut = func(from, to string) bool { return (from == c[2] || from == c[3]) && to == c[0] } // too few for it to catch up
+	b.cut = func(from, to string) bool { return (from == c[2] || from == c[3]) && to == c[0] } // keeps it from catching up
 	b.start(c[0], false)
 	b.run(3000 * ms)
 	must.False(t, wiped.disk.CaughtUp)
 	must.Eq(t, "", b.target(c[1], "i-1", "west1"))
 }
 
-// TestFleetNamesZonesOfControllers: edges are told in which zone each controller is.
+// TestFleetNamesZonesOfControllers checks that the list for the edges has the zone of each controller.
 func TestFleetNamesZonesOfControllers(t *testing.T) {
 	b := newClusterInZones(t, "west1", "west2", "east1")
 	b.run(4000 * ms)
--- a/decide/controller/members.go
+++ b/decide/controller/members.go
@@ -7,21 +7,21 @@
 	"willowsill/decide/register"
 )
 
-// The members of the register: who changes them, and when.
+// This file changes the members of the register. A newcomer is a controller that is not a member and could become one.
 
-// How long a newcomer waits for a member's place before the members become more, ns.
+// How long a newcomer waits to replace a member before it becomes an additional one, in ns.
 const (
-	newcomerWait            = 1500 * ms // while all members are heard
-	newcomerWaitWhileSilent = 3000 * ms // while one is not
+	newcomerWait            = 1500 * ms // if all members are live
+	newcomerWaitWhileSilent = 3000 * ms // if a member is not live
 )
 
-// updateMembers changes the members, where this is the first live one of them in their order: a newcomer takes the
-// place of one that leaves or has been silent, or is added where there is none.
+// updateMembers changes the members if this controller is the first live one: a newcomer replaces a member that shuts
+// down or is silent, or is added if there is no such member.
 //
-// There are never fewer members than there were before the first configuration. It guards against losses one
-// after another: were members only taken away, those left could be the few that die next, and the rest would
-// wait for them for ever. There is one more where a newcomer comes before the one that it replaces has gone;
-// that one gives its place up once it leaves or is silent.
+// The number of members never falls below what it was when the first configuration came. This guards against losses in
+// sequence: if silent members were only removed, the few that remain could be the next to die, and no majority would be
+// left. There is an additional member while a newcomer has started before the member that it replaces has gone; the
+// surplus ends once a member shuts down or is silent.
 func (c *Controller) updateMembers() {
 	v := c.committed
 	if len(v.Members) == 0 || !c.disk.CaughtUp || !c.inContact || c.shuttingDown || c.proposer.Busy() || len(v.Prior) > 0 {
@@ -64,7 +64,7 @@
 	c.handleProposer(out)
 }
 
-// newcomers are the controllers, by IP, that are no members, whole, heard of late and there to stay.
+// newcomers returns the controllers that may become members, sorted by IP: live, caught up and not shutting down.
 func (c *Controller) newcomers() []string {
 	var all []string
 	for ip, p := range c.peers {
@@ -77,12 +77,12 @@
 	return all
 }
 
-// replaceableMembers are the members whose place is free for a newcomer: first those that said that they leave, then those
-// that have been silent, the longest first.
+// replaceableMembers returns the members that a newcomer may replace: first those that shut down, then those that are
+// silent, the longest silent first.
 //
-// A member that leaves still runs and answers for a while. It guards against a second loss right after a
-// planned replacement: were its silence waited for, the newcomer would count seconds later, and until then the
-// members would have one machine fewer than the budget reckons with.
+// A member that shuts down is replaced while it still runs. This guards against a second loss right after a planned
+// replacement: with a wait for its silence the newcomer would become a member seconds later, and until then the
+// register would have one live member fewer than its fault budget assumes.
 func (c *Controller) replaceableMembers() []string {
 	var leaving, silent []string
 	for _, ip := range c.committed.Members {
@@ -100,9 +100,9 @@
 	return append(leaving, silent...)
 }
 
-// newcomerWaitOver tells whether a newcomer has waited long enough for a member to leave it its place, so that
-// the members become more. While a member is not heard it waits longer: that one may be the one to be replaced,
-// and one change does what else takes two.
+// newcomerWaitOver reports whether a newcomer has waited long enough to be added without replacing a member. The wait
+// is longer while a member is not live: the newcomer may be meant to replace that one, which then takes one change of
+// the members instead of two.
 func (c *Controller) newcomerWaitOver(newcomer string) bool {
 	allLive := !slices.ContainsFunc(c.committed.Members, func(m string) bool { return !c.isLive(m) })
 	wait := int64(newcomerWaitWhileSilent)
--- a/decide/controller/members_test.go
+++ b/decide/controller/members_test.go
@@ -14,18 +14,18 @@
 
 // Times and sizes of the tests of membership.
 const (
-	farLatency        = 20 * ms // one way between two regions
-	catchUpSmall      = 4000 * ms
-	catchUpGrown      = 6000 * ms
-	catchUpMargin     = 700 * ms // the process start and the busy processor that virtual time leaves out
-	slowDisk          = 30
-	manyRoutes        = 300 << 10 // bytes of a configuration of 350 routes more
-	initialSettleTime = 4000 * ms
-	measureStep       = 10 * ms
-	measureTimeout    = 30_000 * ms
+	farLatency        = 20 * ms     // one way between two regions
+	catchUpSmall      = 4000 * ms   // catch-up-s for 5 members
+	catchUpGrown      = 6000 * ms   // catch-up-s for 9 members
+	catchUpMargin     = 700 * ms    // for the process start and a busy processor, which virtual time leaves out
+	slowDisk          = 30          // factor by which a slow disk is slower
+	manyRoutes        = 300 << 10   // bytes of a configuration with 350 more routes
+	initialSettleTime = 4000 * ms   // until all controllers are members
+	measureStep       = 10 * ms     // resolution of measured times
+	measureTimeout    = 30_000 * ms // a machine that takes longer fails the test
 )
 
-// settledCluster is n members with a configuration, and spare machines that have not started yet.
+// settledCluster returns a cluster of n members with a configuration, and spare machines that have not started yet.
 func settledCluster(t *testing.T, n, spares int, body []byte) *cluster {
 	b := newCluster(t, n)
 	b.tamper = func(int, *Message) (int, int64) { return 1, farLatency - latency }
@@ -40,7 +40,7 @@
 	return b
 }
 
-// putAcknowledged has a configuration acknowledged at one of the controllers.
+// putAcknowledged sends a configuration to a controller and checks that it is acknowledged.
 func (b *cluster) putAcknowledged(t *testing.T, name string, revision uint64, body []byte) {
 	id := b.put(name, revision, string(body))
 	for end := b.now + 900*ms; b.answers[id].Status == 0 && b.now < end; {
@@ -58,7 +58,8 @@
 	}
 }
 
-// isMember tells whether a machine is a whole member by what every live member holds to stand.
+// isMember reports whether a machine has caught up and is a member according to the committed value of every running
+// member, with no change of members in progress.
 func (b *cluster) isMember(name string) bool {
 	x := b.servers[name]
 	if !x.up || !x.disk.CaughtUp || x.saved == nil {
@@ -77,12 +78,12 @@
 	return true
 }
 
-// untilMember is the time until a machine counts.
+// untilMember advances time until a machine is a member and returns how long that took.
 func (b *cluster) untilMember(t *testing.T, name string) int64 {
 	begun := b.now
 	for !b.isMember(name) {
 		b.run(measureStep)
-		must.Less(t, measureTimeout, b.now-begun, must.Sprintf("%s never counts", name))
+		must.Less(t, measureTimeout, b.now-begun, must.Sprintf("%s does not become a member", name))
 	}
 	return b.now - begun
 }
@@ -91,15 +92,16 @@
 type replacement struct {
 	name  string
 	play  func(t *testing.T, b *cluster, n int) (successor string)
-	disks func(b *cluster, n int) // what is wrong with the disks of others
-	// within is a narrower bound than catch-up-s where the machine waits for nobody's silence; 0 for none.
+	disks func(b *cluster, n int) // breaks or slows down the disk of another member
+	// within is a bound on the time that is narrower than catch-up-s, for a machine that does not have to wait until
+	// another one is silent; 0 for none.
 	within int64
 }
 
 // The narrower bounds.
 const (
-	withinJoin     = 500 * ms // a wiped member: a refusal, a promise, a save
-	withinTakeOver = 850 * ms // a newcomer that finds a member silent for long
+	withinJoin     = 500 * ms // a wiped member rejoins: a refusal, a promise and a save
+	withinTakeOver = 850 * ms // a newcomer replaces a member that has long been silent
 )
 
 func replacements() []replacement {
@@ -132,27 +134,27 @@
 	first := func(int) int { return 0 }
 	last := func(n int) int { return n - 1 }
 	return []replacement{
-		{"gone for good, the holder of the duty", dies(first, 300*ms), none, 0},
+		{"gone for good, the first live member", dies(first, 300*ms), none, 0},
 		{"gone for good, a seed", dies(func(int) int { return 2 }, 300*ms), none, 0},
 		{"gone for good, no seed", dies(last, 300*ms), none, 0},
 		{"gone for good, late successor", dies(last, 3000*ms), none, withinTakeOver},
 		{"gone for good, a stalled disk elsewhere", dies(first, 300*ms), stalled, 0},
 		{"gone for good, a slow disk elsewhere", dies(first, 300*ms), slow, 0},
-		{"planned, the holder of the duty", planned(0, 1000*ms), none, 0},
+		{"planned, the first live member", planned(0, 1000*ms), none, 0},
 		{"planned, no seed", planned(3, 1000*ms), none, 0},
 		{"planned, early", planned(3, 300*ms), none, 0},
 		{"planned, late", planned(3, 3000*ms), none, 0},
 		{"planned, a stalled disk elsewhere", planned(0, 1000*ms), stalled, 0},
 		{"planned, a slow disk elsewhere", planned(0, 1000*ms), slow, 0},
 		{"added, nobody leaves", planned(3, 20_000*ms), none, 0},
-		{"wiped, the holder of the duty", wiped(0, 300*ms), none, withinJoin},
+		{"wiped, the first live member", wiped(0, 300*ms), none, withinJoin},
 		{"wiped, no seed", wiped(3, 1000*ms), none, withinJoin},
 		{"wiped, a stalled disk elsewhere", wiped(0, 1000*ms), stalled, withinJoin},
 		{"wiped, a slow disk elsewhere", wiped(0, 1000*ms), slow, withinJoin},
 	}
 }
 
-// leave ends a process in order: it says so, runs on as a server does, and then is gone.
+// leave shuts a process down in order: it announces the end, runs on for leaveWait and then stops.
 func (b *cluster) leave(name string) {
 	x := b.servers[name]
 	b.carry(name, x.AnnounceShutdown(b.now))
@@ -162,8 +164,8 @@
 // leaveWait is how long transport/controlserver runs on after a SIGTERM.
 const leaveWait = 400 * ms
 
-// TestSuccessorCountsInTime: a machine that is new or was wiped counts within catch-up-s of its start, with a
-// margin, however the member before it went and whatever one disk elsewhere does.
+// TestSuccessorCountsInTime checks that a machine that is new or was wiped becomes a member within catch-up-s of its
+// start, less a margin, for each way of replacing a member and with a broken or slow disk at another member.
 func TestSuccessorCountsInTime(t *testing.T) {
 	for _, n := range []int{5, 9} {
 		bound := int64(catchUpSmall - catchUpMargin)
@@ -172,7 +174,7 @@
 		}
 		for _, r := range replacements() {
 			limit := min(bound, cmp.Or(r.within, bound))
-			for phase := int64(0); phase < 300*ms; phase += 100 * ms { // of the heartbeats
+			for phase := int64(0); phase < 300*ms; phase += 100 * ms { // start at different phases of the heartbeat interval
 				b := settledCluster(t, n, 1, []byte("one"))
 				r.disks(b, n)
 				b.run(phase)
@@ -184,7 +186,7 @@
 	}
 }
 
-// TestSuccessorTakesManyRoutes: a configuration of 350 routes more delays a successor no further.
+// TestSuccessorTakesManyRoutes checks that a configuration with 350 more routes does not make a successor late.
 func TestSuccessorTakesManyRoutes(t *testing.T) {
 	body := make([]byte, 0, manyRoutes)
 	for i := 0; len(body) < manyRoutes; i++ {
@@ -198,19 +200,19 @@
 	must.Eq(t, string(body), string(b.read(b.names[5]).Body))
 }
 
-// lossScenario is one run of losses one after another, from one seed.
+// lossScenario is a run of losses one after another, drawn from one seed.
 type lossScenario struct {
 	*cluster
 	t        *testing.T
 	rng      *rand.Rand
-	budget   int
-	catchUp  int64
+	budget   int    // machines that may be lost at a time
+	catchUp  int64  // time that a successor may take, ns
 	revision uint64 // the newest acknowledged
 	spare    int    // index of the next machine that has not started
 	started  int64  // when the last successor starts
 }
 
-// checkCopies fails where the live members could make up a majority that never heard of what was acknowledged.
+// checkCopies fails the test if the members without the acknowledged revision on disk could form a majority.
 func (p *lossScenario) checkCopies() {
 	var newest register.Value
 	for _, name := range p.names {
@@ -228,7 +230,7 @@
 	must.Less(p.t, len(newest.Members)/2+1, others, must.Sprintf("%d of %v don't hold revision %d", others, newest.Members, p.revision))
 }
 
-// runChecked plays on, with a look at the copies all the while.
+// runChecked advances time by d ns and calls checkCopies every 50 ms.
 func (p *lossScenario) runChecked(d int64) {
 	for end := p.now + d; p.now < end; {
 		p.run(min(50*ms, end-p.now))
@@ -236,7 +238,7 @@
 	}
 }
 
-// change has the next revision acknowledged at a live member.
+// change stores the next revision at a random live controller.
 func (p *lossScenario) change() {
 	for {
 		name := p.names[p.rng.IntN(len(p.names))]
@@ -248,7 +250,7 @@
 	}
 }
 
-// lose loses as many members as the budget allows, and starts their successors.
+// lose removes as many members as the budget allows, each in a random way, and starts their successors.
 func (p *lossScenario) lose() {
 	var members []string
 	for _, name := range p.names {
@@ -259,16 +261,16 @@
 	p.rng.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	for _, name := range members[:p.budget] {
 		switch p.rng.IntN(3) {
-		case 0: // gone for good, and an empty machine elsewhere
+		case 0: // the member is gone for good, and an empty machine replaces it
 			p.kill(name, true)
 			p.startLater(p.names[p.spare])
 			p.spare++
-		case 1: // the successor first
+		case 1: // the successor starts first, then the member shuts down
 			p.start(p.names[p.spare], false)
 			p.spare++
 			p.started = max(p.started, p.now)
 			p.after(300*ms+p.rng.Int64N(1500*ms), func() { p.leave(name) })
-		case 2: // wiped, and back at its address
+		case 2: // the member is wiped and starts again under the same address
 			p.kill(name, true)
 			p.startLater(name)
 		}
@@ -282,8 +284,8 @@
 	p.after(wait, func() { p.start(name, false) })
 }
 
-// powerLoss stops all machines at once, empties as many disks as the budget allows, and starts all again but
-// those that were removed before.
+// powerLoss stops all running machines at once, empties as many members' disks as the budget allows, and starts the
+// machines again.
 func (p *lossScenario) powerLoss() {
 	var running []string
 	for _, name := range p.names {
@@ -307,10 +309,10 @@
 	p.run(p.catchUp)
 }
 
-// TestSecondLossRightAfterRepair plays losses of as many machines as the budget allows, each right after the
-// successors of the ones before have had their catch-up-s. After each a majority is left, a change is
-// acknowledged by it, and a read finds the newest that was acknowledged; in half of the plays after the power went
-// everywhere right after the last acknowledgement, and disks with it.
+// TestSecondLossRightAfterRepair guards against a repair that takes longer than catch-up-s. It loses as many machines as
+// the budget allows, three times, each right after the successors have had their catch-up-s. After each loss a change
+// must be acknowledged, and at the end a read must return the newest one. In half of the runs the power fails everywhere
+// right after the last acknowledgement, and as many disks are emptied as the budget allows.
 func TestSecondLossRightAfterRepair(t *testing.T) {
 	seeds := 200
 	if testing.Short() {
@@ -346,8 +348,8 @@
 	}
 }
 
-// TestLeavingMemberHeldTheCopy: a member that leaves was one of the bare majority that holds what was
-// acknowledged. Right after its successor counts another one of them loses its disk, and then all lose power.
+// TestLeavingMemberHeldTheCopy guards against the loss of an acknowledged revision that only a bare majority holds: one
+// of that majority shuts down, and once its successor is a member another one loses its disk and all lose power.
 func TestLeavingMemberHeldTheCopy(t *testing.T) {
 	for _, wiped := range []int{0, 1} {
 		b := settledCluster(t, 5, 1, []byte("one"))
@@ -380,8 +382,8 @@
 	}
 }
 
-// TestLeavingIsReplacedWhileItRuns: a newcomer takes the place of a member that says that it leaves before that
-// one is gone, also where that one was to change the members itself.
+// TestLeavingIsReplacedWhileItRuns checks that a newcomer replaces a member that shuts down while that one still runs,
+// even if it is the first live member.
 func TestLeavingIsReplacedWhileItRuns(t *testing.T) {
 	for leaver := range 5 {
 		b := settledCluster(t, 5, 1, []byte("one"))
@@ -395,8 +397,8 @@
 	}
 }
 
-// TestRemovedMemberComesBack: a member that was cut off, and replaced meanwhile, counts in no majority once it is
-// back, confirms nothing of its own, and a reader through it gets the newest.
+// TestRemovedMemberComesBack guards against a member that was cut off and replaced meanwhile, and that still counts in a
+// majority when it is back. It must confirm nothing while cut off, and a read through it must return the newest.
 func TestRemovedMemberComesBack(t *testing.T) {
 	b := settledCluster(t, 5, 1, []byte("one"))
 	cutOff := b.names[4]
@@ -410,10 +412,10 @@
 	must.Eq(t, 503, b.answers[put].Status)
 
 	b.cut = nil
-	b.carry(cutOff, b.servers[cutOff].AnnounceShutdown(b.now)) // it stays a machine beside the members
+	b.carry(cutOff, b.servers[cutOff].AnnounceShutdown(b.now)) // so that it is not made a member again
 	a := b.read(cutOff)
 	must.Eq(t, 200, a.Status)
-	must.SliceContains(t, []string{"two", "three"}, string(a.Body)) // the put may have come through since, unanswered
+	must.SliceContains(t, []string{"two", "three"}, string(a.Body)) // the put that got 503 may be committed by now
 
 	members := b.servers[b.names[5]].committed.Members
 	must.SliceNotContains(t, members, cutOff)
@@ -428,9 +430,9 @@
 	}
 }
 
-// TestRestartAfterAThousandChanges: a member that comes back after 1,000 changes, with its disk of just now, with
-// one that missed 900 of them, or with none, is up to date within catch-up-s; it tells nobody who reads through
-// it anything older, and what its disk promised or took is never less than before.
+// TestRestartAfterAThousandChanges checks a member that restarts after 1,000 changes with its up-to-date disk, with a
+// disk that missed 900 of them, or with an empty one. It must be up to date within catch-up-s, a read through it must
+// return the newest revision, and the ballots that its disk promised and accepted must not go back.
 func TestRestartAfterAThousandChanges(t *testing.T) {
 	const changes, missed = 1000, 900
 	for _, way := range []string{"its disk", "a disk that missed 900", "an empty disk"} {
@@ -443,7 +445,7 @@
 				if way == "a disk that missed 900" && i == changes-missed {
 					b.kill(who, false)
 				}
-				if i == 300 || i == 600 { // a member is replaced on the way
+				if i == 300 || i == 600 { // replace another member in between
 					b.start(b.names[spare], false)
 					b.run(300 * ms)
 					b.leave(b.names[spare-4])
@@ -476,7 +478,8 @@
 	}
 }
 
-// TestJoinedTellsAllMembers: a machine that knew only the seeds tells all members, at once, that it is whole.
+// TestJoinedTellsAllMembers checks that a machine that knew only the seeds sends a heartbeat to all members as soon as
+// its disk has caught up.
 func TestJoinedTellsAllMembers(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
 	c := New(0, Options{IP: "n", Incarnation: "1", Seeds: members[2:], ReplicaHeartbeatInterval: 1000 * ms, Random: func() float64 { return 0 }})
--- a/decide/controller/messages.go
+++ b/decide/controller/messages.go
@@ -8,133 +8,134 @@
 	"willowsill/decide/rollout"
 )
 
-// What controllers say to each other, and what a call of the machine asks for.
+// This file has the messages between controllers, and the options and effects of the state machine.
 
-// Message is what one controller sends to another. Any part may be there.
+// Message is what one controller sends to another. Any of its parts may be missing.
 type Message struct {
-	From                 string               `cbor:"1,keyasint"`
-	Heartbeat            *Heartbeat           `cbor:"2,keyasint,omitempty"`
-	Register             *register.Message    `cbor:"3,keyasint,omitempty"`
-	Records              []registry.Record    `cbor:"4,keyasint,omitempty"`
-	AckRequest           uint64               `cbor:"5,keyasint,omitempty"` // wants an Ack once Records are taken
-	Ack                  uint64               `cbor:"6,keyasint,omitempty"`
-	WantAll              bool                 `cbor:"7,keyasint,omitempty"` // wants all records and what stands
-	CommittedValue       *register.Value      `cbor:"8,keyasint,omitempty"` // a value known to stand
-	CommittedBallot      register.Ballot      `cbor:"9,keyasint,omitempty"` // what was taken under this ballot stands
-	ReplicaHeartbeats    []ReplicaHeartbeat   `cbor:"10,keyasint,omitempty"`
-	CommittedValueBallot register.Ballot      `cbor:"11,keyasint,omitempty"` // the ballot that Committed was committed under
-	WantGroup            bool                 `cbor:"12,keyasint,omitempty"` // wants the whole group
-	FullGroup            registry.GroupUpdate `cbor:"13,keyasint,omitzero"`  // the whole of it
-	WantReplicas         []string             `cbor:"14,keyasint,omitempty"` // wants the records of these
-
-	WantLeaving    *registry.LeavingSums `cbor:"15,keyasint,omitempty"` // wants what differs from these sums
-	LeavingRecords []registry.AgedRecord `cbor:"16,keyasint,omitempty"` // of replicas that leave
-
-	Evidence []EdgeEvidence `cbor:"17,keyasint,omitempty"` // to the one that holds the duty
+	From       string            `cbor:"1,keyasint"` // IP of the sender
+	Heartbeat  *Heartbeat        `cbor:"2,keyasint,omitempty"`
+	Register   *register.Message `cbor:"3,keyasint,omitempty"` // request to an acceptor, or the answer of one
+	Records    []registry.Record `cbor:"4,keyasint,omitempty"` // records of replicas that have changed or were requested
+	AckRequest uint64            `cbor:"5,keyasint,omitempty"` // if not 0: send it back as Ack once Records are on disk
+	Ack        uint64            `cbor:"6,keyasint,omitempty"` // AckRequest of the message that is acknowledged
+	WantAll    bool              `cbor:"7,keyasint,omitempty"` // requests all records and the committed value
+
+	CommittedValue       *register.Value      `cbor:"8,keyasint,omitempty"`  // a value known to be committed
+	CommittedBallot      register.Ballot      `cbor:"9,keyasint,omitempty"`  // the value accepted under it is committed
+	ReplicaHeartbeats    []ReplicaHeartbeat   `cbor:"10,keyasint,omitempty"` // for a receiver that knows no groups
+	CommittedValueBallot register.Ballot      `cbor:"11,keyasint,omitempty"` // the ballot of CommittedValue
+	WantGroup            bool                 `cbor:"12,keyasint,omitempty"` // requests FullGroup
+	FullGroup            registry.GroupUpdate `cbor:"13,keyasint,omitzero"`  // the sender's whole group of replicas
+	WantReplicas         []string             `cbor:"14,keyasint,omitempty"` // requests the records of these replica IDs
+
+	WantLeaving    *registry.LeavingSums `cbor:"15,keyasint,omitempty"` // requests LeavingRecords where these sums differ
+	LeavingRecords []registry.AgedRecord `cbor:"16,keyasint,omitempty"` // of replicas that are draining or gone
+
+	Evidence []EdgeEvidence `cbor:"17,keyasint,omitempty"` // for the member that runs the rollouts
 }
 
-// ReplicaHeartbeat tells that a replica was heard which says what it said before.
+// ReplicaHeartbeat reports a heartbeat of a replica whose record has not changed.
 type ReplicaHeartbeat struct {
 	ID  string `cbor:"1,keyasint"`
 	Seq uint64 `cbor:"2,keyasint"`
 }
 
-// Heartbeat tells how a controller is.
+// Heartbeat is sent by each controller to all others every heartbeatInterval.
 type Heartbeat struct {
-	CaughtUp     bool         `cbor:"1,keyasint,omitempty"`
-	Epoch        uint64       `cbor:"2,keyasint,omitempty"`
-	Revision     uint64       `cbor:"3,keyasint,omitempty"`
-	Controllers  []string     `cbor:"4,keyasint,omitempty"` // live ones that it knows of
-	Edges        []EdgeReport `cbor:"5,keyasint,omitempty"` // heard of since the last heartbeat
-	ShuttingDown bool         `cbor:"6,keyasint,omitempty"`
+	CaughtUp     bool         `cbor:"1,keyasint,omitempty"` // the sender's disk counts in majorities
+	Epoch        uint64       `cbor:"2,keyasint,omitempty"` // of the members known to be committed
+	Revision     uint64       `cbor:"3,keyasint,omitempty"` // of the configuration known to be committed
+	Controllers  []string     `cbor:"4,keyasint,omitempty"` // IPs of live controllers that the sender knows
+	Edges        []EdgeReport `cbor:"5,keyasint,omitempty"` // edges that are new or changed, or were reported long ago
+	ShuttingDown bool         `cbor:"6,keyasint,omitempty"` // the sender's process will end soon
 
-	Number   uint64          `cbor:"7,keyasint,omitempty"` // of this heartbeat; the others return it
-	Received []Receipt       `cbor:"8,keyasint,omitempty"` // the last heartbeats received from the others
-	Accepted register.Ballot `cbor:"9,keyasint,omitempty"` // the newest that this one's disk has accepted
+	Number   uint64          `cbor:"7,keyasint,omitempty"` // of this heartbeat; a receiver returns it in a Receipt
+	Received []Receipt       `cbor:"8,keyasint,omitempty"` // one for each controller that the sender has heard
+	Accepted register.Ballot `cbor:"9,keyasint,omitempty"` // the newest ballot that the sender's disk has accepted
 
-	Zone  string                `cbor:"10,keyasint,omitempty"` // of this controller; with Controllers alone
-	Group *registry.GroupUpdate `cbor:"11,keyasint,omitempty"` // of replicas heard here; nil in the former version
+	Zone  string                `cbor:"10,keyasint,omitempty"` // of the sender; sent only along with Controllers
+	Group *registry.GroupUpdate `cbor:"11,keyasint,omitempty"` // change of the sender's group; nil in the previous version
 
-	LeavingSum *uint64 `cbor:"12,keyasint,omitempty"` // sum of those known to leave; nil in the former version
+	LeavingSum *uint64 `cbor:"12,keyasint,omitempty"` // sum of the leaving replicas; nil in the previous version
 
 	RolloutsVersion uint64 `cbor:"13,keyasint,omitempty"` // version of the rollouts known to be committed
 }
 
-// Receipt returns the number of the last heartbeat that was received from a controller.
+// Receipt names the last heartbeat that was received from a controller.
 type Receipt struct {
 	IP     string `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
 }
 
-// EdgeReport is one edge as it was heard of by a controller.
+// EdgeReport is the report of one edge, as it sends it itself or as a controller passes it on.
 type EdgeReport struct {
 	Edge     clusterstate.Edge `cbor:"1,keyasint"`
-	Suspects []string          `cbor:"2,keyasint,omitempty"` // edges that it watches and does not hear
-	Age      int64             `cbor:"3,keyasint,omitempty"` // since it was heard of, ns
+	Suspects []string          `cbor:"2,keyasint,omitempty"` // IPs of edges that it watches and gets no messages from
+	Age      int64             `cbor:"3,keyasint,omitempty"` // time since the edge was last heard, ns
 
-	Rollouts []rollout.Evidence `cbor:"4,keyasint,omitempty"` // what it has seen of active rollouts
+	Rollouts []rollout.Evidence `cbor:"4,keyasint,omitempty"` // results of requests that it sent under active rollouts
 }
 
-// EdgeEvidence is what one edge has seen of active rollouts.
+// EdgeEvidence is what one edge has observed of active rollouts.
 type EdgeEvidence struct {
 	IP       string             `cbor:"1,keyasint"`
 	Rollouts []rollout.Evidence `cbor:"2,keyasint"`
 }
 
-// Send is one message on its way.
+// Send is a message to send to some controllers.
 type Send struct {
-	To      []string // IPs; never this one's own
+	To      []string // IPs of other controllers
 	Message Message
 }
 
-// Save is a state to be put on disk; Saved tells what became of it.
+// Save is a state to write to disk. The caller reports the end of the write with SaveFinished.
 type Save struct {
 	Number                 uint64
 	RegisterState          register.State
-	CommittedConfiguration register.Order    // the newest configuration known to be committed; State may hold another
+	CommittedConfiguration register.Order    // of the newest committed configuration; RegisterState may hold another one
 	Rollouts               rollout.Set       // known to be committed
-	Replicas               []registry.Record // the list of replicas, nil where it is as it was
+	Replicas               []registry.Record // nil if the saved list is to stay as it is
 }
 
-// Answer goes to a caller.
+// Answer is the answer to a call of a replica or an operator.
 type Answer struct {
-	Call            uint64
-	Status          int // of HTTP
-	Body            []byte
-	Reason          string
+	Call            uint64 // the ID that the call came with
+	Status          int    // HTTP status
+	Body            []byte // the packed configuration that was read
+	Reason          string // why the call failed; empty with status 200
 	Rollouts        []rollout.Rollout
 	HeartbeatTarget string // IP of the controller for the replica's later heartbeats; empty for any
 }
 
-// Effects is what a call asks for, in this order.
+// Effects are the actions that a call of the state machine asks its caller for, to be carried out in this order.
 type Effects struct {
 	Save       *Save
 	Sends      []Send
 	Answers    []Answer
-	Update     clusterstate.Update // to all who follow
-	FullUpdate clusterstate.Update // the same with all replicas, to operators who watch
+	Update     clusterstate.Update // for the edges: only replicas of services that the configuration uses
+	FullUpdate clusterstate.Update // for operators who watch: all replicas
 	Log        []LogLine
 }
 
-// LogLine is something worth a line of the log.
+// LogLine is a line to log.
 type LogLine struct {
 	Text   string
-	Values []any // keys and values by turns
+	Values []any // keys and values, alternating
 }
 
-// Options is what a controller begins with.
+// Options are the settings of a controller and the state that it saved before.
 type Options struct {
 	IP                       string
-	Incarnation              string // new in each life of the process
+	Incarnation              string // differs for each start of the process
 	Zone                     string
 	Regions                  locality.Regions
-	Seeds                    []string
-	Bootstrap                bool              // the first start of the whole system
-	RegisterState            *register.State   // as it was saved; nil for an empty disk
-	CommittedConfiguration   register.Order    // the newest configuration known to be committed, as it was saved
-	Rollouts                 rollout.Set       // likewise
-	Replicas                 []registry.Record // of replicas, likewise
-	ReplicaHeartbeatInterval int64             // of replicas, ns
-	RolloutTerms             rollout.Bounds    // bounds on rollouts
-	Random                   func() float64
+	Seeds                    []string          // IPs of controllers to contact first; at the first start, the members
+	Bootstrap                bool              // this is the first start of the whole system
+	RegisterState            *register.State   // as saved; nil for an empty disk
+	CommittedConfiguration   register.Order    // of the newest configuration known to be committed, as saved
+	Rollouts                 rollout.Set       // known to be committed, as saved
+	Replicas                 []registry.Record // as saved
+	ReplicaHeartbeatInterval int64             // between two heartbeats of a replica, ns
+	RolloutTerms             rollout.Bounds
+	Random                   func() float64 // returns numbers from 0 up to 1
 }
--- a/decide/controller/orders.go
+++ b/decide/controller/orders.go
@@ -7,7 +7,7 @@
 	"willowsill/decide/register"
 )
 
-// Statuses of HTTP that callers are answered.
+// HTTP statuses of answers.
 const (
 	statusOK          = 200
 	statusNotFound    = 404
@@ -15,31 +15,31 @@
 	statusUnavailable = 503 // has the operator try another controller
 )
 
-// OrderOutcome is what became of an operator's order. It is read off the value that is known to stand on a majority
-// once the order's round has ended, never off an earlier look at a value that may still be replaced.
+// OrderOutcome is the result of an operator's order to store a configuration. It is derived from the committed value
+// after the order's round has ended, never from an earlier value that may still be replaced.
 type OrderOutcome uint8
 
-// The verdicts.
+// The outcomes.
 const (
-	OutcomeUnknown    OrderOutcome = iota // the value says nothing of the order: it may yet be taken or not
+	OutcomeUnknown    OrderOutcome = iota // the value does not contain the order; it may still be committed later
 	OutcomeInForce                        // the value holds this content under this revision
-	OutcomeSuperseded                     // a higher revision is held, and no other content was confirmed under this one
-	OutcomeConflict                       // another content was confirmed under this revision
+	OutcomeSuperseded                     // the value holds a higher revision, and no other content has this one
+	OutcomeConflict                       // other content was confirmed under this revision
 )
 
-// order is one configuration as an operator sent it.
+// order is a configuration that an operator wants stored, identified by its revision and the sum of its content.
 type order struct {
 	register.Order
-	packed []byte // the content as clusterstate.Pack gave it
+	packed []byte // the content, packed by clusterstate.Pack
 }
 
 func newOrder(revision uint64, packed []byte) *order {
 	return &order{register.Order{Revision: revision, Sum: contentSum(packed)}, packed}
 }
 
-// ConfigurationOf identifies the configuration that a value holds, by its revision and the sum of its content; the zero
-// Order where it holds none. A revision alone identifies none: disks may have accepted several contents under it, of
-// which one at most is committed.
+// ConfigurationOf returns the revision and the content sum of the configuration in a value, or the zero Order if it has
+// none. A revision alone does not identify a configuration: disks may have accepted different contents under it, of
+// which at most one is committed.
 func ConfigurationOf(value register.Value) register.Order {
 	if value.Revision == 0 {
 		return register.Order{}
@@ -48,9 +48,9 @@
 	return register.Order{Revision: value.Revision, Sum: sum}
 }
 
-// contentSum is the sum of a packed content as the operator sent it. A sum of the packed form
-// would not do: another version of the program may pack the same bytes otherwise, and an order that was
-// confirmed by the one must be recognised by the other.
+// contentSum returns the sum of packed content in its unpacked form. A sum of the packed form would not identify the
+// content: another version of the program may pack the same bytes differently, and each version must recognise an
+// order that the other has confirmed.
 func contentSum(packed []byte) uint64 {
 	content, ok := clusterstate.Unpack(packed)
 	if !ok {
@@ -59,10 +59,10 @@
 	return clusterstate.ContentSum(content)
 }
 
-// ordersWithCurrent returns the orders of a value with the one in force among them.
+// ordersWithCurrent returns the recorded orders of a value and adds the one in force if it is not recorded.
 //
-// It guards against a version of the program that keeps no orders: a value that it wrote lacks the newest, whose
-// sum can still be had from the content held.
+// A version of the program that keeps no orders writes values without the newest one. Its sum is then computed from the
+// configuration in the value.
 func ordersWithCurrent(value register.Value) register.Orders {
 	if value.Revision == 0 {
 		return value.Orders
@@ -73,16 +73,16 @@
 	return value.Orders.Add(register.Order{Revision: value.Revision, Sum: contentSum(value.Body)})
 }
 
-// apply is the order as an edit of the register; it may run several times, each time on a newer value. The
-// configuration changes where the revision is above the one held. Also an order that comes too late for that is
-// recorded before it is confirmed, lest another content be confirmed under its revision afterwards.
+// apply is the edit of the register that stores the order. It may run several times, each time on a newer value. The
+// configuration changes if the order's revision is above the one in the value. An order with a lower revision is still
+// recorded before it is confirmed, so that no other content can be confirmed under its revision later.
 func (o *order) apply(value register.Value) (next register.Value, changed bool) {
 	orders := ordersWithCurrent(value)
 	if _, known := orders.Lookup(o.Revision); known {
-		return value, false // sent again, or another content came first
+		return value, false // the same order was sent again, or other content came first
 	}
 	if o.Revision <= value.Revision && !orders.Covers(o.Revision) {
-		return value, false // too old to be remembered
+		return value, false // older than all recorded orders
 	}
 	if o.Revision > value.Revision {
 		value.Revision, value.Body = o.Revision, o.packed
@@ -91,7 +91,7 @@
 	return value, true
 }
 
-// outcome tells what became of the order by the value that stands.
+// outcome returns the result of the order according to a committed value.
 func (o *order) outcome(value register.Value) OrderOutcome {
 	sum, known := ordersWithCurrent(value).Lookup(o.Revision)
 	switch {
@@ -105,7 +105,7 @@
 	return OutcomeSuperseded
 }
 
-// answerOrder tells an operator what became of an order.
+// answerOrder answers the operator whose order was in the round that committed this value.
 func (c *Controller) answerOrder(call *pendingCall, value register.Value) {
 	switch verdict := call.order.outcome(value); verdict {
 	case OutcomeInForce, OutcomeSuperseded:
--- a/decide/controller/orders_test.go
+++ b/decide/controller/orders_test.go
@@ -11,23 +11,23 @@
 	"willowsill/decide/clusterstate"
 )
 
-// Tests of what operators are answered, played through a cluster in virtual time.
+// These tests check the answers to operators' orders, in a simulated cluster.
 
-// sentOrder is an order as an operator sends it, and sends again.
+// sentOrder is an order as an operator sends it, maybe several times.
 type sentOrder struct {
 	revision uint64
 	content  string
 }
 
-// operators send orders and keep what they were answered. They fail the test where two contents are confirmed
-// under one number, or one that was confirmed is refused.
+// operators send orders and record the answers. They fail the test if two contents are confirmed under one revision, or
+// if a confirmed order is refused.
 type operators struct {
 	fail      func(format string, values ...any)
 	cluster   *cluster
-	calls     map[uint64]sentOrder
-	confirmed map[uint64]string
+	calls     map[uint64]sentOrder // by call ID
+	confirmed map[uint64]string    // content by revision
 	refused   map[sentOrder]bool
-	collected map[uint64]bool
+	collected map[uint64]bool // IDs of calls whose answer has been recorded
 }
 
 func newOperators(b *cluster, fail func(string, ...any)) *operators {
@@ -35,7 +35,7 @@
 		refused: map[sentOrder]bool{}, collected: map[uint64]bool{}}
 }
 
-// send sends an order to a controller; it is answered to nobody where that is down.
+// send sends an order to a controller and returns the call's ID, 0 if the controller is down.
 func (o *operators) send(name string, s sentOrder) uint64 {
 	if !o.cluster.servers[name].up {
 		return 0
@@ -45,7 +45,7 @@
 	return id
 }
 
-// collectAnswers takes in the answers that have come.
+// collectAnswers records the answers that have come since the last call.
 func (o *operators) collectAnswers() {
 	for id, s := range o.calls {
 		answer, answered := o.cluster.answers[id]
@@ -56,24 +56,24 @@
 		switch answer.Status {
 		case 200:
 			if was, ok := o.confirmed[s.revision]; ok && was != s.content {
-				o.fail("number %d is confirmed with %q and with %q", s.revision, was, s.content)
+				o.fail("revision %d is confirmed with %q and with %q", s.revision, was, s.content)
 			}
 			o.confirmed[s.revision] = s.content
 		case 409:
 			o.refused[s] = true
 		case 503:
 		default:
-			o.fail("an order was answered %d", answer.Status)
+			o.fail("an order was answered with status %d", answer.Status)
 		}
 	}
 	for revision, content := range o.confirmed {
 		if o.refused[sentOrder{revision, content}] {
-			o.fail("number %d with %q was confirmed and refused", revision, content)
+			o.fail("revision %d with %q was confirmed and refused", revision, content)
 		}
 	}
 }
 
-// answered sends an order again and again, to one controller after the other, until its answer is clear.
+// answered sends an order to one controller after another until it is answered 200 or 409, and returns that status.
 func (o *operators) answered(s sentOrder, first int) int {
 	names := o.cluster.names
 	for try := range 12 {
@@ -87,11 +87,11 @@
 			return status
 		}
 	}
-	o.fail("number %d got no clear answer", s.revision)
+	o.fail("revision %d was answered neither 200 nor 409", s.revision)
 	return 0
 }
 
-// disturbMessages delays, loses and doubles words by the draws of a seed, while it is on.
+// disturbMessages randomly delays, loses and duplicates messages while on is true.
 func disturbMessages(b *cluster, random *rand.Rand, on *bool) {
 	b.tamper = func(_ int, w *Message) (int, int64) {
 		if !*on {
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestTwoContentsUnderOneNumber sends two contents under one number to two controllers at once, with words among
-// them delayed, lost and doubled as each of hundreds of seeds says. One content at most is confirmed, also when
-// both are sent again everywhere, and it is the one that is read back.
+// TestTwoContentsUnderOneNumber guards against two contents that are confirmed under one revision. It sends both to two
+// controllers at once, with random delays, losses and duplicates of messages. At most one may be confirmed, also when
+// both are sent again to all controllers, and a read must return that one.
 func TestTwoContentsUnderOneNumber(t *testing.T) {
 	t.Parallel()
 	seeds := uint64(300)
@@ -147,11 +147,11 @@
 		must.Eq(t, o.confirmed[7], string(read.Body), must.Sprint("seed ", seed))
 		winners[o.confirmed[7]]++
 	}
-	must.MapLen(t, 2, winners, must.Sprint("the seeds decide nothing: ", winners))
+	must.MapLen(t, 2, winners, must.Sprint("the same content won with all seeds: ", winners))
 }
 
-// TestLoserOfARaceStaysTheLoser: also once later changes have come, and after all power was lost, the other content
-// under a number that was taken is refused, and the one that was taken is acknowledged.
+// TestLoserOfARaceStaysTheLoser checks that, after later changes and after a loss of power everywhere, other content
+// under a confirmed revision is still refused, and the confirmed content is still acknowledged.
 func TestLoserOfARaceStaysTheLoser(t *testing.T) {
 	b := newCluster(t, 5)
 	b.run(3000 * ms)
@@ -171,7 +171,7 @@
 	}
 }
 
-// restartAll takes the power from all controllers at once, and has them started again.
+// restartAll stops all controllers at once, as in a loss of power, and starts them again.
 func (b *cluster) restartAll() {
 	for _, name := range b.names {
 		b.servers[name].up = false
@@ -184,8 +184,8 @@
 	b.run(2500 * ms)
 }
 
-// TestOvertakenNumberHasOneContent: an order that a higher number has overtaken is acknowledged and changes nothing;
-// from then on its number, too, has one content.
+// TestOvertakenNumberHasOneContent checks that an order below the revision in force is acknowledged and changes nothing,
+// and that other content under its revision is refused from then on.
 func TestOvertakenNumberHasOneContent(t *testing.T) {
 	b := newCluster(t, 5)
 	b.run(3000 * ms)
@@ -200,7 +200,7 @@
 	must.Eq(t, "nine", string(b.read(b.names[2]).Body))
 }
 
-// TestSameOrderAtTwoControllers: an order that reaches two controllers at once is confirmed by both.
+// TestSameOrderAtTwoControllers checks that an order that reaches several controllers at once is confirmed by each.
 func TestSameOrderAtTwoControllers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
@@ -217,8 +217,8 @@
 	}
 }
 
-// TestEightOrdersAtOnce: eight orders under way at once at all controllers, each answer lost at times and the order
-// sent again elsewhere. All are confirmed, and the highest is in force.
+// TestEightOrdersAtOnce sends eight orders at nearly the same time, and then each again to another controller, as if its
+// answer had been lost. All must be confirmed, and the one with the highest revision must be in force.
 func TestEightOrdersAtOnce(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -237,16 +237,15 @@
 		}
 		b.run(1000 * ms)
 		o.collectAnswers()
-		for i, s := range orders { // as if all answers had been lost
+		for i, s := range orders { // send each again, as if its answer had been lost
 			must.Eq(t, 200, o.answered(s, i+1))
 		}
 		must.Eq(t, "content 7", string(b.read(b.names[0]).Body))
 	}
 }
 
-// TestHundredsOfChanges: over 600 changes, any of the last 250 that is sent again to any controller is acknowledged,
-// another content under its number is refused, and the record stays bounded. What lies further back is acknowledged
-// and changes nothing.
+// TestHundredsOfChanges checks over 600 changes that any of the last 250 is acknowledged when it is sent again, and that
+// other content under its revision is refused. An older order is acknowledged too and changes nothing.
 func TestHundredsOfChanges(t *testing.T) {
 	t.Parallel()
 	b := newCluster(t, 3)
@@ -277,9 +276,9 @@
 	must.Eq(t, last.content, string(b.read(b.names[2]).Body))
 }
 
-// TestOrdersByLot plays orders by lot: new numbers, old ones, contents sent again and others under a number that has
-// one, several at once, while controllers are killed, lose power, are cut off, and words go astray. One content a
-// number at most is confirmed, none that was confirmed is refused, and what is read back is confirmed or above.
+// TestOrdersByLot sends random orders: new revisions, repeated orders and other content under a revision that has one,
+// while controllers are killed or cut off and messages are lost. At most one content may be confirmed under a revision,
+// no confirmed order may be refused, and a read must return the highest confirmed revision.
 func TestOrdersByLot(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
@@ -294,16 +293,16 @@
 		for range 40 {
 			name := b.names[random.IntN(len(b.names))]
 			switch k := random.IntN(20); {
-			case k < 6 || len(sent) == 0: // a change, or two at once under one number
+			case k < 6 || len(sent) == 0: // a new revision, or another order under the highest one
 				top += uint64(random.IntN(3))
 				s := sentOrder{top, fmt.Sprint("content ", len(sent))}
 				sent = append(sent, s)
 				o.send(name, s)
-			case k < 9: // another content under a number that was sent
+			case k < 9: // other content under a revision that was sent
 				s := sentOrder{sent[random.IntN(len(sent))].revision, fmt.Sprint("content ", len(sent))}
 				sent = append(sent, s)
 				o.send(name, s)
-			case k < 15: // sent again
+			case k < 15: // an order is sent again
 				o.send(name, sent[random.IntN(len(sent))])
 			case k < 16:
 				b.servers[name].up = false
@@ -338,13 +337,13 @@
 		}
 		read := b.read(b.names[random.IntN(len(b.names))])
 		if string(read.Body) != o.confirmed[newest] {
-			r.Fatalf("read back: %q, confirmed last: %q under %d", read.Body, o.confirmed[newest], newest)
+			r.Fatalf("read %q, want the highest confirmed, %q under revision %d", read.Body, o.confirmed[newest], newest)
 		}
 	})
 }
 
-// TestOrdersBesideAnOlderVersion: controllers of a version that keeps no orders drop the record from each word. The
-// order that is held is still known by its content, and none that was confirmed is refused.
+// TestOrdersBesideAnOlderVersion removes the recorded orders from each message, as controllers of a version without them
+// do. The order in force must still be recognised by its content, and no confirmed order may be refused.
 func TestOrdersBesideAnOlderVersion(t *testing.T) {
 	b := newCluster(t, 3)
 	b.run(400 * ms)
--- a/decide/controller/outcome_test.go
+++ b/decide/controller/outcome_test.go
@@ -11,12 +11,12 @@
 	"willowsill/decide/register"
 )
 
-// packedOrder is an order as Put makes it.
+// packedOrder returns an order as PutConfiguration makes it.
 func packedOrder(revision uint64, content string) *order {
 	return newOrder(revision, packedContent(content))
 }
 
-// TestVerdicts applies orders to a value that holds number 9 and knows number 5, and reads off what became of them.
+// TestVerdicts applies orders to a value with revision 9 in force and revision 5 recorded, and checks their outcomes.
 func TestVerdicts(t *testing.T) {
 	var held register.Value
 	for _, o := range []*order{packedOrder(5, "five"), packedOrder(9, "nine")} {
@@ -29,26 +29,26 @@
 		verdict  OrderOutcome
 		revision uint64
 	}{
-		{"a higher number", packedOrder(12, "twelve"), true, OutcomeInForce, 12},
-		{"sent again while held", packedOrder(9, "nine"), false, OutcomeInForce, 9},
-		{"another content under the number held", packedOrder(9, "other"), false, OutcomeConflict, 9},
-		{"sent again once overtaken", packedOrder(5, "five"), false, OutcomeSuperseded, 9},
-		{"another content under a number that was taken", packedOrder(5, "other"), false, OutcomeConflict, 9},
-		{"a lower number that was never taken", packedOrder(7, "seven"), true, OutcomeSuperseded, 9},
-		{"the content held under another number", packedOrder(7, "nine"), true, OutcomeSuperseded, 9},
+		{"a higher revision", packedOrder(12, "twelve"), true, OutcomeInForce, 12},
+		{"the order in force, sent again", packedOrder(9, "nine"), false, OutcomeInForce, 9},
+		{"other content under the revision in force", packedOrder(9, "other"), false, OutcomeConflict, 9},
+		{"a superseded order, sent again", packedOrder(5, "five"), false, OutcomeSuperseded, 9},
+		{"other content under a superseded revision", packedOrder(5, "other"), false, OutcomeConflict, 9},
+		{"a lower revision that was never stored", packedOrder(7, "seven"), true, OutcomeSuperseded, 9},
+		{"the content in force under a lower revision", packedOrder(7, "nine"), true, OutcomeSuperseded, 9},
 	} {
 		next, changed := c.order.apply(held)
 		must.Eq(t, c.changes, changed, must.Sprint(c.name))
 		must.Eq(t, c.verdict, c.order.outcome(next), must.Sprint(c.name))
 		must.Eq(t, c.revision, next.Revision, must.Sprint(c.name))
-		again, changed := c.order.apply(next) // a round that is run again
+		again, changed := c.order.apply(next) // as when the round is repeated
 		must.False(t, changed, must.Sprint(c.name))
 		must.Eq(t, next, again, must.Sprint(c.name))
 	}
 	must.Eq(t, OutcomeUnknown, packedOrder(12, "twelve").outcome(held))
 }
 
-// TestOrderOlderThanTheRecord: what the record reaches no longer is acknowledged, changes nothing and writes nothing.
+// TestOrderOlderThanTheRecord checks that an order older than all recorded ones is acknowledged and changes nothing.
 func TestOrderOlderThanTheRecord(t *testing.T) {
 	var value register.Value
 	for i := range uint64(register.MaxOrders + 10) {
@@ -62,7 +62,8 @@
 	must.Eq(t, OutcomeSuperseded, packedOrder(110, "content").outcome(value))
 }
 
-// TestContentIsKnownHoweverItIsPacked: an order that is sent again may reach a version that packs otherwise.
+// TestContentIsKnownHoweverItIsPacked checks that the sum of a content does not depend on how it is packed: an order
+// that is sent again may reach a controller of a version that packs differently.
 func TestContentIsKnownHoweverItIsPacked(t *testing.T) {
 	content := bytes.Repeat([]byte("route "), 100)
 	var packed bytes.Buffer
--- a/decide/controller/receive.go
+++ b/decide/controller/receive.go
@@ -5,9 +5,9 @@
 	"willowsill/decide/registry"
 )
 
-// What becomes of a message of another controller, part by part.
+// This file handles the messages of other controllers, part by part.
 
-// HandleMessage takes a message of another controller.
+// HandleMessage handles a message of another controller. A message without a sender is ignored.
 func (c *Controller) HandleMessage(now int64, w Message) Effects {
 	c.now = now
 	p := c.addPeer(w.From)
@@ -32,21 +32,22 @@
 	return c.takeEffects()
 }
 
-// recordPeerHeard notes that another controller was heard now.
+// recordPeerHeard records that a message of another controller has arrived. The first message of each controller is
+// answered with a request for all that it holds.
 func (c *Controller) recordPeerHeard(p *peer, from string) {
 	if p.lastHeard == 0 {
-		// A drain that was acknowledged may have missed this controller's disk. Each of the others is asked once in a
-		// life, not just the first: a majority of them has it.
+		// This controller's disk may lack a departure that was acknowledged. Every other controller is asked once, not
+		// only the first to be heard, because only a majority of them is sure to include one that has it.
 		c.send(Message{WantAll: true}, from)
 	}
 	if p.lastHeard == 0 || c.now-p.lastHeard > silentMemberTimeout {
 		p.heardSince = c.now
-		c.heartbeatAt = c.now // so that it can answer one soon: a newcomer counts once it has
+		c.heartbeatAt = c.now // the peer becomes live once it has answered a heartbeat, so send one soon
 	}
 	p.lastHeard = c.now
 }
 
-// handleRegister takes what another controller's register asks or answers.
+// handleRegister passes requests to this controller's acceptor, and answers to its joiner and its proposer.
 func (c *Controller) handleRegister(from string, m register.Message) {
 	switch m.Kind {
 	case register.Prepare, register.Accept, register.Query:
@@ -59,7 +60,7 @@
 	}
 }
 
-// handleRecords takes what another controller knows of replicas.
+// handleRecords merges the records and heartbeats of replicas in a message, and acknowledges them if asked to.
 func (c *Controller) handleRecords(w Message) {
 	for _, r := range w.Records {
 		c.applyRecord(r, false)
@@ -81,7 +82,8 @@
 	}
 }
 
-// handleCommitted takes what another controller knows to be committed.
+// handleCommitted applies what another controller knows to be committed: a whole value, or the ballot of one, whose
+// value this controller has if its own disk accepted it. For a newer ballot the value is requested.
 func (c *Controller) handleCommitted(w Message) {
 	if w.CommittedBallot.Number > 0 && w.CommittedBallot == c.disk.Accepted {
 		c.applyCommitted(c.disk.Value, w.CommittedBallot)
@@ -93,7 +95,7 @@
 	}
 }
 
-// answerRequests sends another controller what it wants to know.
+// answerRequests sends another controller what its message requests.
 func (c *Controller) answerRequests(w Message) {
 	if w.WantGroup {
 		c.send(Message{FullGroup: c.localGroup.Whole()}, w.From)
@@ -115,10 +117,10 @@
 	c.send(answer, w.From)
 }
 
-// requestAll asks one controller for all that it knows, now and then.
+// requestAll requests all records and the committed value from one controller, at most once every requestInterval.
 //
-// Danger: one that is behind hears of it from all the others at once, and each would send it the whole
-// configuration.
+// Danger: a controller that is behind learns so from all the others at once. Without the limit each of them would send
+// it the whole configuration.
 func (c *Controller) requestAll(from string) {
 	if c.now >= c.allRequestAt {
 		c.allRequestAt = c.now + requestInterval
--- a/decide/controller/restart_test.go
+++ b/decide/controller/restart_test.go
@@ -9,8 +9,9 @@
 	"willowsill/decide/register"
 )
 
-// TestRefusedContentAfterRestart guards against a content in force that was refused: the controller that wrote it was cut
-// off as it did, has it on its disk under the revision that stands with another content, and starts again.
+// TestRefusedContentAfterRestart guards against refused content that edges get as the configuration in force. The
+// controller that wrote it was cut off during the write, so its disk has the refused content under a revision that is
+// committed with other content. Then it restarts.
 func TestRefusedContentAfterRestart(t *testing.T) {
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
@@ -34,18 +35,18 @@
 	b.cut, b.tamper = nil, nil
 	b.run(5000 * ms)
 	server := b.servers[alone]
-	must.Eq(t, "right", string(server.edgeState.Raw)) // it has learned what stands
+	must.Eq(t, "right", string(server.edgeState.Raw)) // it has learned the committed content
 	must.Eq(t, "left", unpacked(t, server.saved.RegisterState.Value))
 
 	server.up = false
 	b.run(500 * ms)
 	b.start(alone, false)
-	must.Eq(t, "", string(server.edgeState.Raw)) // what it has on disk was never committed
+	must.Eq(t, "", string(server.edgeState.Raw)) // the content on its disk was never committed
 	b.run(2000 * ms)
 	must.Eq(t, "right", string(server.edgeState.Raw))
 }
 
-// unpacked returns the configuration in a value of the register.
+// unpacked returns the unpacked configuration of a value of the register.
 func unpacked(t *testing.T, value register.Value) string {
 	t.Helper()
 	raw, ok := clusterstate.Unpack(value.Body)
--- a/decide/controller/rollouts.go
+++ b/decide/controller/rollouts.go
@@ -10,29 +10,30 @@
 	"willowsill/decide/routeconfig"
 )
 
-// Rollouts: orders of operators, which go into the register beside the configuration; what edges see of the versions, which
-// goes to the controller that holds the duty; and the steps that this one takes.
+// This file has the controller's part in rollouts. Operators' orders are stored in the register beside the
+// configuration. The edges' evidence about the versions goes to the first live member, which runs the rollouts: it
+// decides their next steps and commits each one.
 
 const (
-	evidenceInterval = 150 * ms // between two batches of evidence to the holder of the duty
+	evidenceInterval = 150 * ms // between two batches of evidence to the first live member
 
 	statusUnprocessable = 422 // ends the operator's call
 )
 
-// rollouts is what a controller holds of them.
+// rollouts is the state that a controller keeps of rollouts.
 type rollouts struct {
 	set        rollout.Set // known to be committed
 	manager    *rollout.Manager
-	pending    map[string][]rollout.Evidence // by edge, for the next batch
-	evidenceAt int64
-	warmAt     map[string]int64 // when a replica is no longer slow from its start, by id
+	pending    map[string][]rollout.Evidence // evidence for the next batch, by the edge's IP
+	evidenceAt int64                         // earliest next batch
+	warmAt     map[string]int64              // end of a replica's warm-up, by replica ID
 }
 
 func newRollouts(terms rollout.Bounds) rollouts {
 	return rollouts{manager: rollout.NewManager(terms), pending: map[string][]rollout.Evidence{}, warmAt: map[string]int64{}}
 }
 
-// nextTick is when tickRollouts wants to be called at the latest, 0 for never.
+// nextTick returns the time at which tickRollouts must be called next, 0 for never.
 func (r *rollouts) nextTick() int64 {
 	at := r.manager.Next()
 	if len(r.pending) > 0 && (at == 0 || r.evidenceAt < at) {
@@ -41,7 +42,7 @@
 	return at
 }
 
-// rolloutAction is what an operator wants of a rollout.
+// rolloutAction is the kind of an operator's call about rollouts.
 type rolloutAction uint8
 
 const (
@@ -54,13 +55,13 @@
 // rolloutCall is a call of an operator about rollouts.
 type rolloutCall struct {
 	action rolloutAction
-	order  rollout.Order // of a begin whole, else the service alone
+	order  rollout.Order // the whole order for beginRollout, only the service for the other actions
 }
 
-// abortReason stands in a rollout that an operator took back.
+// abortReason is the recorded reason of a rollout that an operator aborted.
 const abortReason = "taken back by an operator"
 
-// apply is the call as an edit of the register; it may run several times, each time on a newer value.
+// apply returns the call's edit of the register. The edit may run several times, each time on a newer value.
 func (r *rolloutCall) apply(known func(register.Value) bool) register.Edit {
 	return func(value register.Value) (register.Value, bool) {
 		next, changed := value.Rollouts, false
@@ -77,28 +78,30 @@
 	}
 }
 
-// BeginRollout takes an operator's order to move a service's traffic to another version. It is answered once the order is
-// on a majority of disks: 200 also where the same order stands already, 409 where another rollout of the service is
-// active, 422 where nobody knows the service, 503 where no majority answered in time.
+// BeginRollout handles an operator's order to move a service's traffic to another version. The answer comes once the
+// order is on a majority of disks: 200, also if the same order was committed before; 409 if another rollout of the
+// service is active; 422 if the service is unknown; 503 if no majority answered in time.
 func (c *Controller) BeginRollout(now int64, id uint64, order rollout.Order) Effects {
 	return c.startRolloutCall(now, id, &rolloutCall{beginRollout, order})
 }
 
-// AbortRollout takes the active rollout of a service back: 200 with what stands then, 404 where there never was one.
+// AbortRollout aborts the active rollout of a service and reverts it. The answer is 200 with the newest rollout of the
+// service, or 404 if it never had one.
 func (c *Controller) AbortRollout(now int64, id uint64, service string) Effects {
 	return c.startRolloutCall(now, id, &rolloutCall{abortRollout, rollout.Order{Service: service}})
 }
 
-// ReadRollout answers the newest rollout of a service, as it stands on a majority of disks.
+// ReadRollout answers with the newest rollout of a service, read from a majority of disks.
 func (c *Controller) ReadRollout(now int64, id uint64, service string) Effects {
 	return c.startRolloutCall(now, id, &rolloutCall{readRollout, rollout.Order{Service: service}})
 }
 
-// ListRollouts answers all rollouts that are kept.
+// ListRollouts answers with all rollouts that the register keeps.
 func (c *Controller) ListRollouts(now int64, id uint64) Effects {
 	return c.startRolloutCall(now, id, &rolloutCall{action: listRollouts})
 }
 
+// startRolloutCall starts the round of the register for a call about rollouts. Reads need a round too.
 func (c *Controller) startRolloutCall(now int64, id uint64, call *rolloutCall) Effects {
 	c.now = now
 	t := &pendingCall{id: id, deadline: now + answerTimeout, rollout: call}
@@ -109,7 +112,7 @@
 	return c.takeEffects()
 }
 
-// serviceKnown tells whether the configuration names a service or a replica of it is there.
+// serviceKnown reports whether the value's configuration defines the service, or a replica of it is known.
 func (c *Controller) serviceKnown(value register.Value, service string) bool {
 	if len(c.replicas.ByService(service)) > 0 {
 		return true
@@ -122,7 +125,7 @@
 	return err == nil && named
 }
 
-// answerRollout tells an operator what became of a call, by the value that stands.
+// answerRollout answers an operator's call about rollouts according to the committed value.
 func (c *Controller) answerRollout(t *pendingCall, value register.Value) {
 	service := t.rollout.order.Service
 	newest, known := value.Rollouts.NewestOf(service)
@@ -149,15 +152,15 @@
 	c.removeCall(t)
 }
 
-// applyRollouts takes in rollouts that are known to be committed.
+// applyRollouts applies a newer set of rollouts that is known to be committed.
 func (c *Controller) applyRollouts(set rollout.Set) {
 	if set.Version <= c.rollouts.set.Version {
 		return
 	}
 	for _, r := range set.Rollouts {
 		if r.Changed > c.rollouts.set.Version {
-			c.log("a rollout stands", "number", r.Number, "service", r.Order.Service, "target", r.Order.Target, "step", r.Step, "phase", r.Phase.String(),
-				"stage", r.StageName(), "elapsedMs", r.ElapsedMs, "reason", r.Reason)
+			c.log("rollout state committed", "number", r.Number, "service", r.Order.Service, "target", r.Order.Target, "step", r.Step,
+				"phase", r.Phase.String(), "stage", r.StageName(), "elapsedMs", r.ElapsedMs, "reason", r.Reason)
 		}
 	}
 	c.rollouts.set = set
@@ -165,7 +168,8 @@
 	c.addUpdate(c.state.Apply(clusterstate.Update{Rollouts: set}))
 }
 
-// recordEvidence takes what an edge that follows here has seen, and keeps it for the holder of the duty.
+// recordEvidence records the evidence in the report of an edge that is connected to this controller, and keeps it for
+// the next batch to the first live member.
 func (c *Controller) recordEvidence(s EdgeReport) {
 	if len(s.Rollouts) == 0 || s.Edge.IP == "" || len(c.rollouts.manager.Active()) == 0 {
 		return
@@ -174,14 +178,15 @@
 	c.rollouts.pending[s.Edge.IP] = s.Rollouts
 }
 
-// handleEvidence takes what edges that follow another controller have seen.
+// handleEvidence records the evidence of edges that are connected to another controller.
 func (c *Controller) handleEvidence(all []EdgeEvidence) {
 	for _, e := range all {
 		c.rollouts.manager.Report(c.now, e.IP, e.Rollouts)
 	}
 }
 
-// tickRollouts passes evidence on, and takes the steps that are due where this controller holds the duty.
+// tickRollouts sends pending evidence to the first live member. If this controller is that member, it decides and
+// commits the steps that are due; otherwise its manager stands by.
 func (c *Controller) tickRollouts() {
 	holder := c.firstLiveMember()
 	if len(c.rollouts.pending) > 0 && c.now >= c.rollouts.evidenceAt {
@@ -205,6 +210,7 @@
 	}
 }
 
+// sendEvidence sends the pending evidence to the first live member, unless that is this controller, and clears it.
 func (c *Controller) sendEvidence(holder string) {
 	if holder != "" && holder != c.IP {
 		var batch []EdgeEvidence
@@ -216,7 +222,7 @@
 	clear(c.rollouts.pending)
 }
 
-// rolloutFacts counts the replicas of services with an active rollout, and names the edges.
+// rolloutFacts returns the replica counts of services with an active rollout, and the IPs of the edges heard recently.
 func (c *Controller) rolloutFacts() rollout.Facts {
 	facts := rollout.Facts{Replicas: map[uint64]rollout.Replicas{}}
 	warmAt := map[string]int64{}
@@ -226,7 +232,7 @@
 			switch {
 			case replica.Leaving():
 				count.Leaving++
-			case r.AllowsFallback(replica.Version): // also one that is silent for a while
+			case r.AllowsFallback(replica.Version): // silent replicas are counted too
 				count.Others++
 			case replica.Version != r.Order.Target || replica.Phase != registry.Ready:
 			default:
@@ -248,7 +254,7 @@
 	return facts
 }
 
-// warmAt is when a replica is no longer slow from its start, reckoned from when it was first looked at here.
+// warmAt returns the end of a replica's warm-up. It is computed when the replica is first seen here and then kept.
 func (c *Controller) warmAt(r registry.Record) int64 {
 	if at, known := c.rollouts.warmAt[r.ID]; known {
 		return at
@@ -256,5 +262,5 @@
 	return c.now + r.WarmMs*ms
 }
 
-// Rollouts are those known to be committed.
+// Rollouts returns the set of rollouts known to be committed.
 func (c *Controller) Rollouts() rollout.Set { return c.rollouts.set }
--- a/decide/controller/rollouts_test.go
+++ b/decide/controller/rollouts_test.go
@@ -13,7 +13,7 @@
 
 const rolloutConfiguration = `{"revision":7,"routes":[{"name":"r","host":"h","path-prefix":"/","deadline-ms":900,"service":"s"}],"services":[{"name":"s"}]}`
 
-// newRolloutCluster is a cluster with a configuration that names the service s.
+// newRolloutCluster returns a cluster of five members with a configuration that defines the service s.
 func newRolloutCluster(t *testing.T) *cluster {
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
@@ -23,7 +23,7 @@
 	return b
 }
 
-// ask puts a call about rollouts to a controller and waits for its answer.
+// ask makes a call about rollouts at a controller and returns the answer.
 func (b *cluster) ask(name string, call func(c *Controller, id uint64) Effects) Answer {
 	b.calls++
 	id := b.calls
@@ -42,8 +42,8 @@
 	return b.ask(name, func(c *Controller, id uint64) Effects { return c.ReadRollout(b.now, id, service) })
 }
 
-// TestRolloutOrders: an order is acknowledged by any controller, again when it is sent again, in conflict with another one
-// that is active; one for a service that nobody knows is refused.
+// TestRolloutOrders checks the answers to orders of rollouts: any controller acknowledges an order, also when it is sent
+// again; a second rollout of the service is a conflict; an order for an unknown service is refused.
 func TestRolloutOrders(t *testing.T) {
 	b := newRolloutCluster(t)
 	must.Eq(t, statusNotFound, b.readRollout(b.names[0], "s").Status)
@@ -61,8 +61,8 @@
 	must.SliceLen(t, 2, all.Rollouts)
 }
 
-// TestRolloutSurvives: an acknowledged rollout is there after all controllers lost power at once and one its disk, and what
-// followers are told never goes back.
+// TestRolloutSurvives guards against an acknowledged rollout that is lost when all controllers lose power at once and one
+// loses its disk.
 func TestRolloutSurvives(t *testing.T) {
 	for wiped := range 5 {
 		b := newRolloutCluster(t)
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestRolloutIsToldAfterARestart: a controller that starts again tells its followers of a rollout that it knew to be
-// committed before it has reached the others, as it does of the configuration.
+// TestRolloutIsToldAfterARestart checks that a controller that restarts sends its edges the rollouts that it knew to be
+// committed, before it has reached any other controller.
 func TestRolloutIsToldAfterARestart(t *testing.T) {
 	b := newRolloutCluster(t)
 	must.Eq(t, statusOK, b.begin(b.names[0], "s", "v2").Status)
@@ -88,14 +88,14 @@
 	must.SliceLen(t, 1, b.servers[b.names[1]].Snapshot().Rollouts.Rollouts)
 }
 
-// TestRolloutWithoutAMajority: where no majority answers nothing is acknowledged.
+// TestRolloutWithoutAMajority checks that a rollout is not acknowledged while no majority answers.
 func TestRolloutWithoutAMajority(t *testing.T) {
 	b := newRolloutCluster(t)
 	b.cutOff(b.names[2])
 	must.Eq(t, statusUnavailable, b.begin(b.names[2], "s", "v2").Status)
 }
 
-// edgesOf reports for edges that follow a controller, each with the evidence that it would have.
+// edgesReport sends a controller the reports of its edges, one for each recorder, with the recorder's evidence.
 func (b *cluster) edgesReport(feeder string, recorders []*rollout.Recorder) {
 	x := b.servers[feeder]
 	for i, r := range recorders {
@@ -111,8 +111,8 @@
 	return all
 }
 
-// playRollout plays a rollout to its end: the edges follow feeder, a share of the new version's answers fails, and the
-// controller that holds the duty is killed as often as the rollout takes a step, where kill says so.
+// playRollout runs a rollout to its end and returns it. All edges are connected to feeder, and failing of ten answers of
+// the new version fail. If kill is true, the first live member is killed after each step of the rollout.
 func playRollout(t *testing.T, b *cluster, feeder string, failing int, kill bool) rollout.Rollout {
 	var recorders []*rollout.Recorder
 	for life := range uint64(6) {
@@ -158,8 +158,8 @@
 	return r
 }
 
-// TestRolloutIsCarriedOn: a good version comes to be complete and a bad one to be reverted, also where the controller that
-// holds the duty dies after each step.
+// TestRolloutIsCarriedOn checks that the rollout of a good version completes and that of a bad one is reverted, even if
+// the first live member, which runs the rollout, dies after each step.
 func TestRolloutIsCarriedOn(t *testing.T) {
 	for _, failing := range []int{0, 5} {
 		for _, kill := range []bool{false, true} {
--- a/decide/controller/saves_test.go
+++ b/decide/controller/saves_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestChangesSaveNoList: a change of the configuration writes no list of replicas to any disk, and that its revision
-// stands is on each disk soon, so that it is told at once after a loss of all power.
+// TestChangesSaveNoList checks that a change of the configuration writes the list of replicas to no disk. It also checks
+// that each disk soon records the revision as committed, so that edges get it at once after a loss of power everywhere.
 func TestChangesSaveNoList(t *testing.T) {
 	const (
 		changes  = 20
