--- a/decide/controller/bench_test.go
+++ b/decide/controller/bench_test.go
@@ -64,11 +64,11 @@
 	const batch = 1000
 	n := 0
 	for b.Loop() {
-		w := Message{From: "10.9.0.2"}
+		message := Message{From: "10.9.0.2"}
 		for i := range batch {
-			w.ReplicaHeartbeats = append(w.ReplicaHeartbeats, ReplicaHeartbeat{fmt.Sprintf("replica-%06d-0", (n*batch+i)%manyReplicas), uint64(2 + n*batch/manyReplicas)})
+			message.ReplicaHeartbeats = append(message.ReplicaHeartbeats, ReplicaHeartbeat{fmt.Sprintf("replica-%06d-0", (n*batch+i)%manyReplicas), uint64(2 + n*batch/manyReplicas)})
 		}
-		frame, _ := cbor.Marshal(w)
+		frame, _ := cbor.Marshal(message)
 		var got Message
 		if err := cbor.Unmarshal(frame, &got); err != nil {
 			b.Fatal(err)
--- a/decide/controller/callers.go
+++ b/decide/controller/callers.go
@@ -28,8 +28,8 @@
 		return c.takeEffects()
 	}
 	c.lastAckRequest++
-	t := &pendingCall{id: id, deadline: now + answerTimeout, acks: map[string]struct{}{}, ackRequest: c.lastAckRequest, replicaID: r.ID}
-	c.calls = append(c.calls, t)
+	call := &pendingCall{id: id, deadline: now + answerTimeout, acks: map[string]struct{}{}, ackRequest: c.lastAckRequest, replicaID: r.ID}
+	c.calls = append(c.calls, call)
 	delete(c.recordBatch, r.ID)
 	if known, ok := c.replicas.Get(r.ID); ok {
 		r = known
@@ -39,28 +39,28 @@
 	return c.takeEffects()
 }
 
-// applyRecord merges a record into the list of replicas. pass is true for a record that came from the replica itself;
+// applyRecord merges a record into the list of replicas. local is true for a record that came from the replica itself;
 // one that is newer than the known record then goes to the other controllers with the next batch.
-func (c *Controller) applyRecord(r registry.Record, pass bool) {
-	if news, changed := c.replicas.Merge(c.now, r); news {
-		c.recordChanged(r, pass, changed)
+func (c *Controller) applyRecord(r registry.Record, local bool) {
+	if newer, changed := c.replicas.Merge(c.now, r); newer {
+		c.recordChanged(r, local, changed)
 	}
 }
 
-// recordChanged handles a record that was newer than the known one. pass is true if it came from the replica itself;
+// recordChanged handles a record that was newer than the known one. local is true if it came from the replica itself;
 // changed is true if it differs in a field that edges need, not just in its sequence number.
-func (c *Controller) recordChanged(r registry.Record, pass, changed bool) {
+func (c *Controller) recordChanged(r registry.Record, local, changed bool) {
 	r, _ = c.replicas.Get(r.ID)
-	if pass {
+	if local {
 		c.recordLocalHeartbeat(r)
 	}
-	if pass && (changed || c.now-c.relayedAt[r.ID] > (2*heartbeatsPerRelay-1)*c.ReplicaHeartbeatInterval/2) {
+	if local && (changed || c.now-c.relayedAt[r.ID] > (2*heartbeatsPerRelay-1)*c.ReplicaHeartbeatInterval/2) {
 		c.relayedAt[r.ID] = c.now
-		p := r
-		if _, waits := c.recordBatch[r.ID]; !changed && !waits && r.Phase == registry.Ready {
-			p = registry.Record{ID: r.ID, Seq: r.Seq} // a heartbeat without changes needs no other fields
+		batched := r
+		if _, isBatched := c.recordBatch[r.ID]; !changed && !isBatched && r.Phase == registry.Ready {
+			batched = registry.Record{ID: r.ID, Seq: r.Seq} // a heartbeat without changes needs no other fields
 		}
-		c.recordBatch[r.ID], c.batchUrgent = p, c.batchUrgent || changed
+		c.recordBatch[r.ID], c.batchUrgent = batched, c.batchUrgent || changed
 	}
 	if r.Phase == registry.Gone {
 		delete(c.relayedAt, r.ID)
@@ -69,46 +69,46 @@
 		c.replicasDirty = true
 		c.departures.recordChanged(r)
 		if r.Leaving() {
-			c.log("replica is leaving", "replica", r.ID, "service", r.Service, "phase", r.Phase.String(), "told here", pass)
+			c.log("replica is leaving", "replica", r.ID, "service", r.Service, "phase", r.Phase.String(), "told here", local)
 		}
 		c.addUpdate(c.state.Apply(clusterstate.Update{Replicas: []registry.Record{r}}))
 	}
 }
 
 // handleAck records that another controller has on disk the departure that was sent under the number asked.
-func (c *Controller) handleAck(from string, asked uint64) {
-	if asked == 0 {
+func (c *Controller) handleAck(from string, ackRequest uint64) {
+	if ackRequest == 0 {
 		return
 	}
-	for _, t := range slices.Clone(c.calls) {
-		if t.ackRequest == asked {
-			t.acks[from] = struct{}{}
-			c.answerIfAcked(t)
+	for _, call := range slices.Clone(c.calls) {
+		if call.ackRequest == ackRequest {
+			call.acks[from] = struct{}{}
+			c.answerIfAcked(call)
 		}
 	}
 }
 
 // answerIfAcked answers a departure once a majority of the members has it on disk.
-func (c *Controller) answerIfAcked(t *pendingCall) {
+func (c *Controller) answerIfAcked(call *pendingCall) {
 	n := 0
 	for _, m := range c.members() {
-		if _, ok := t.acks[m]; ok {
+		if _, ok := call.acks[m]; ok {
 			n++
 		}
 	}
 	if 2*n > len(c.members()) {
-		c.answer(t, statusOK, nil, "")
+		c.answer(call, statusOK, nil, "")
 	}
 }
 
 // answer queues the answer to a pending call and removes the call.
-func (c *Controller) answer(t *pendingCall, status int, body []byte, reason string) {
-	c.effects.Answers = append(c.effects.Answers, Answer{Call: t.id, Status: status, Body: body, Reason: reason})
-	c.removeCall(t)
+func (c *Controller) answer(call *pendingCall, status int, body []byte, reason string) {
+	c.effects.Answers = append(c.effects.Answers, Answer{Call: call.id, Status: status, Body: body, Reason: reason})
+	c.removeCall(call)
 }
 
-func (c *Controller) removeCall(t *pendingCall) {
-	c.calls = slices.DeleteFunc(c.calls, func(o *pendingCall) bool { return o == t })
+func (c *Controller) removeCall(call *pendingCall) {
+	c.calls = slices.DeleteFunc(c.calls, func(o *pendingCall) bool { return o == call })
 }
 
 // PutConfiguration stores an operator's configuration, which the caller has parsed, validated and packed with
@@ -116,10 +116,10 @@
 // other content was confirmed under its revision, and 503 if no majority answered in time.
 func (c *Controller) PutConfiguration(now int64, id, revision uint64, packed []byte) Effects {
 	c.now = now
-	t := &pendingCall{id: id, deadline: now + answerTimeout, order: newOrder(revision, packed)}
-	c.calls = append(c.calls, t)
-	n, out := c.proposer.Edit(now, t.order.apply)
-	t.editID = n
+	call := &pendingCall{id: id, deadline: now + answerTimeout, order: newOrder(revision, packed)}
+	c.calls = append(c.calls, call)
+	n, out := c.proposer.Edit(now, call.order.apply)
+	call.editID = n
 	c.handleProposer(out)
 	return c.takeEffects()
 }
@@ -128,10 +128,10 @@
 // no majority answered in time.
 func (c *Controller) ReadConfiguration(now int64, id uint64) Effects {
 	c.now = now
-	t := &pendingCall{id: id, deadline: now + answerTimeout, read: true}
-	c.calls = append(c.calls, t)
+	call := &pendingCall{id: id, deadline: now + answerTimeout, read: true}
+	c.calls = append(c.calls, call)
 	n, out := c.proposer.Edit(now, readOnlyEdit)
-	t.editID = n
+	call.editID = n
 	c.handleProposer(out)
 	return c.takeEffects()
 }
@@ -141,19 +141,19 @@
 
 // answerEdit answers the calls that wait for this edit of the register.
 func (c *Controller) answerEdit(d register.EditResult) {
-	for _, t := range slices.Clone(c.calls) {
-		if t.editID != d.ID || t.editID == 0 {
+	for _, call := range slices.Clone(c.calls) {
+		if call.editID != d.ID || call.editID == 0 {
 			continue
 		}
 		switch {
-		case t.order != nil:
-			c.answerOrder(t, d.Value)
-		case t.rollout != nil:
-			c.answerRollout(t, d.Value)
+		case call.order != nil:
+			c.answerOrder(call, d.Value)
+		case call.rollout != nil:
+			c.answerRollout(call, d.Value)
 		case d.Value.Revision == 0:
-			c.answer(t, statusNotFound, nil, "there is no configuration yet")
+			c.answer(call, statusNotFound, nil, "there is no configuration yet")
 		default:
-			c.answer(t, statusOK, d.Value.Body, "")
+			c.answer(call, statusOK, d.Value.Body, "")
 		}
 	}
 }
--- a/decide/controller/contact.go
+++ b/decide/controller/contact.go
@@ -121,22 +121,22 @@
 
 // handleHeartbeat handles the heartbeat in a message of another controller. If its sender holds something newer, all
 // that it holds is requested.
-func (c *Controller) handleHeartbeat(p *peer, w Message) {
-	h := w.Heartbeat
+func (c *Controller) handleHeartbeat(p *peer, message Message) {
+	h := message.Heartbeat
 	if h.ShuttingDown && !p.heartbeat.ShuttingDown {
 		c.membershipCheckAt = c.now // a member that shuts down is replaced while it still runs
 	}
 	p.heartbeat, p.heartbeatNumber = *h, h.Number
 	p.zone = cmp.Or(h.Zone, p.zone)
-	c.handleReceipts(w.From, h)
+	c.handleReceipts(message.From, h)
 	if h.Group != nil {
-		c.handleGroup(w.From, p, *h.Group)
+		c.handleGroup(message.From, p, *h.Group)
 	}
 	if h.LeavingSum != nil {
-		c.compareLeaving(w.From, p, *h.LeavingSum)
+		c.compareLeaving(message.From, p, *h.LeavingSum)
 	}
-	for _, s := range h.Edges {
-		c.recordEdge(s, false)
+	for _, report := range h.Edges {
+		c.recordEdge(report, false)
 	}
 	if len(h.Edges) > 0 {
 		c.updateFleet()
@@ -145,7 +145,7 @@
 		c.addPeer(ip)
 	}
 	if h.Revision > c.committed.Revision || h.Epoch > c.committed.Epoch || h.RolloutsVersion > c.committed.Rollouts.Version || c.replicas.Empty() {
-		c.requestAll(w.From)
+		c.requestAll(message.From)
 	}
 }
 
--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -141,29 +141,30 @@
 }
 
 // New makes a controller from its options and the state that was saved before.
-func New(now int64, s Options) *Controller {
-	c := &Controller{Options: s, replicas: registry.New(silentAfterHeartbeats*s.ReplicaHeartbeatInterval, goneRetention),
-		localGroup: registry.NewGroup(groupMissedHeartbeats*s.ReplicaHeartbeatInterval + s.ReplicaHeartbeatInterval/2),
+func New(now int64, options Options) *Controller {
+	c := &Controller{Options: options, replicas: registry.New(silentAfterHeartbeats*options.ReplicaHeartbeatInterval, goneRetention),
+		localGroup: registry.NewGroup(groupMissedHeartbeats*options.ReplicaHeartbeatInterval + options.ReplicaHeartbeatInterval/2),
 		state:      clusterstate.NewState(), selection: clusterstate.NewSelection(),
 		peers: map[string]*peer{}, edges: map[string]*edge{}, recordBatch: map[string]registry.Record{}, relayedAt: map[string]int64{},
-		departures: newDepartures(), rollouts: newRollouts(s.RolloutTerms), lease: lease.New(s.IP + "/" + s.Incarnation), startedAt: now, now: now}
-	seeds := slices.Clone(s.Seeds)
+		departures: newDepartures(), rollouts: newRollouts(options.RolloutTerms),
+		lease: lease.New(options.IP + "/" + options.Incarnation), startedAt: now, now: now}
+	seeds := slices.Clone(options.Seeds)
 	slices.Sort(seeds)
 	seeds = slices.Compact(seeds)
 	switch {
-	case s.RegisterState != nil:
-		c.disk = register.Acceptor{State: *s.RegisterState, CaughtUp: true}
-	case s.Bootstrap && slices.Contains(seeds, s.IP):
+	case options.RegisterState != nil:
+		c.disk = register.Acceptor{State: *options.RegisterState, CaughtUp: true}
+	case options.Bootstrap && slices.Contains(seeds, options.IP):
 		c.disk = register.Acceptor{State: register.State{Value: register.Value{Members: seeds}}, CaughtUp: true}
 		c.dirty = true
 	default:
-		c.joiner = register.NewJoiner(s.IP, s.IP+"/"+s.Incarnation)
+		c.joiner = register.NewJoiner(options.IP, options.IP+"/"+options.Incarnation)
 	}
 	known := c.disk.Value
 	if len(known.Members) == 0 {
 		known = register.Value{}
 	}
-	c.proposer = register.NewProposer(s.IP+"/"+s.Incarnation, known, s.Random)
+	c.proposer = register.NewProposer(options.IP+"/"+options.Incarnation, known, options.Random)
 	c.proposer.ObserveBallot(c.disk.Promised)
 	c.proposer.CacheState(c.disk.State)
 	c.lease.RecordAccepted(now, c.disk.Accepted)
@@ -176,11 +177,11 @@
 	//
 	// Danger: the disk may hold content that it alone accepted and that a majority refused, under the same revision
 	// that is committed with other content. Hence the comparison with CommittedConfiguration.
-	if v := c.disk.Value; v.Revision > 0 && ConfigurationOf(v) == s.CommittedConfiguration {
+	if v := c.disk.Value; v.Revision > 0 && ConfigurationOf(v) == options.CommittedConfiguration {
 		c.selection.Update(c.state, c.state.Apply(clusterstate.Update{Revision: v.Revision, Body: v.Body}))
 	}
-	c.applyRollouts(s.Rollouts)
-	for _, r := range s.Replicas {
+	c.applyRollouts(options.Rollouts)
+	for _, r := range options.Replicas {
 		c.replicas.Merge(now, r)
 	}
 	c.state.Apply(clusterstate.Update{Replicas: c.replicas.All()})
@@ -209,11 +210,11 @@
 }
 
 // send queues a message to other controllers; this controller's own IP is skipped.
-func (c *Controller) send(w Message, to ...string) {
+func (c *Controller) send(message Message, to ...string) {
 	to = slices.DeleteFunc(slices.Clone(to), func(ip string) bool { return ip == c.IP })
 	if len(to) > 0 {
-		w.From = c.IP
-		c.effects.Sends = append(c.effects.Sends, Send{to, w})
+		message.From = c.IP
+		c.effects.Sends = append(c.effects.Sends, Send{to, message})
 	}
 }
 
@@ -239,11 +240,11 @@
 			c.effects.Save.Replicas = c.replicas.All()
 		}
 	}
-	out := c.effects
+	effects := c.effects
 	c.effects = Effects{}
-	out.FullUpdate = out.Update
-	out.Update = c.selection.Update(c.state, out.Update)
-	return out
+	effects.FullUpdate = effects.Update
+	effects.Update = c.selection.Update(c.state, effects.Update)
+	return effects
 }
 
 // Tick does all work whose time has come. The caller calls it at NextTick at the latest.
@@ -251,10 +252,10 @@
 	c.now = now
 	c.checkContact()
 	c.handleProposer(c.proposer.Tick(now))
-	for _, t := range slices.Clone(c.calls) {
-		if now >= t.deadline {
-			c.proposer.Cancel(t.editID)
-			c.answer(t, statusUnavailable, nil, "no majority answered in time")
+	for _, call := range slices.Clone(c.calls) {
+		if now >= call.deadline {
+			c.proposer.Cancel(call.editID)
+			c.answer(call, statusUnavailable, nil, "no majority answered in time")
 		}
 	}
 	if c.fleetUpdateDue {
@@ -311,8 +312,8 @@
 	if c.fleetUpdateDue {
 		next = min(next, c.fleetUpdateAt)
 	}
-	for _, t := range c.calls {
-		next = min(next, t.deadline)
+	for _, call := range c.calls {
+		next = min(next, call.deadline)
 	}
 	if c.dirty && c.saving == 0 {
 		next = min(next, max(c.saveRetryAt, c.now))
--- a/decide/controller/controller_test.go
+++ b/decide/controller/controller_test.go
@@ -52,7 +52,7 @@
 	events   []event
 	order    int
 	messages int
-	tamper   func(number int, w *Message) (copies int, delay int64)
+	tamper   func(number int, message *Message) (copies int, delay int64)
 	cut      func(from, to string) bool
 	answers  map[uint64]Answer
 	calls    uint64
@@ -79,13 +79,13 @@
 func (b *cluster) start(name string, bootstrap bool) {
 	x := b.servers[name]
 	x.up, x.incarnation, x.maxRevisionSent, x.nextTickAt = true, x.incarnation+1, 0, b.now
-	s := Options{IP: name, Incarnation: fmt.Sprint(x.incarnation), Zone: b.zones[name], Regions: b.regions, Seeds: b.names[:3], Bootstrap: bootstrap, ReplicaHeartbeatInterval: 1000 * ms,
+	options := Options{IP: name, Incarnation: fmt.Sprint(x.incarnation), Zone: b.zones[name], Regions: b.regions, Seeds: b.names[:3], Bootstrap: bootstrap, ReplicaHeartbeatInterval: 1000 * ms,
 		Random: func() float64 { return float64(name[len(name)-1]%8) / 8 }}
 	if x.saved != nil {
 		state := x.saved.RegisterState
-		s.RegisterState, s.CommittedConfiguration, s.Rollouts, s.Replicas = &state, x.saved.CommittedConfiguration, x.saved.Rollouts, x.savedReplicas
+		options.RegisterState, options.CommittedConfiguration, options.Rollouts, options.Replicas = &state, x.saved.CommittedConfiguration, x.saved.Rollouts, x.savedReplicas
 	}
-	x.Controller = New(b.now, s)
+	x.Controller = New(b.now, options)
 	x.edgeState = clusterstate.NewState()
 	x.edgeState.Apply(x.Snapshot())
 }
@@ -100,16 +100,16 @@
 // incarnation that asked for it.
 func (b *cluster) carry(name string, o Effects) {
 	x := b.servers[name]
-	life := x.incarnation
-	here := func(do func()) func() {
+	incarnation := x.incarnation
+	ifRunning := func(do func()) func() {
 		return func() {
-			if x.up && x.incarnation == life {
+			if x.up && x.incarnation == incarnation {
 				do()
 			}
 		}
 	}
 	if s := o.Save; s != nil && !x.stuck {
-		b.after(cmp.Or(x.diskTime, diskSyncTime), here(func() {
+		b.after(cmp.Or(x.diskTime, diskSyncTime), ifRunning(func() {
 			if x.saved = s; s.Replicas != nil {
 				x.savedReplicas, x.replicasSaves = s.Replicas, x.replicasSaves+1
 			}
@@ -118,16 +118,16 @@
 	}
 	for _, s := range o.Sends {
 		for _, to := range s.To {
-			w := s.Message
+			message := s.Message
 			b.messages++
 			copies, delay := 1, int64(0)
 			if b.tamper != nil {
-				copies, delay = b.tamper(b.messages, &w)
+				copies, delay = b.tamper(b.messages, &message)
 			}
 			for range copies {
 				b.after(latency+delay, func() {
 					if y := b.servers[to]; y != nil && y.up && (b.cut == nil || !b.cut(name, to)) {
-						b.carry(to, y.HandleMessage(b.now, w))
+						b.carry(to, y.HandleMessage(b.now, message))
 					}
 				})
 			}
@@ -136,19 +136,19 @@
 	for _, a := range o.Answers {
 		b.answers[a.Call] = a
 	}
-	if n := o.Update; !n.Rollouts.IsZero() {
-		must.GreaterEq(b.t, x.edgeState.Rollouts.Version, n.Rollouts.Version, must.Sprint("edges were sent older rollouts"))
-		x.edgeState.Apply(clusterstate.Update{Rollouts: n.Rollouts})
+	if update := o.Update; !update.Rollouts.IsZero() {
+		must.GreaterEq(b.t, x.edgeState.Rollouts.Version, update.Rollouts.Version, must.Sprint("edges were sent older rollouts"))
+		x.edgeState.Apply(clusterstate.Update{Rollouts: update.Rollouts})
 	}
-	if n := o.Update; n.Revision > 0 {
-		must.GreaterEq(b.t, x.maxRevisionSent, n.Revision, must.Sprint("edges were sent an older revision"))
-		x.maxRevisionSent = n.Revision
-		x.edgeState.Apply(n)                                       // the edge must now hold what the controller holds
+	if update := o.Update; update.Revision > 0 {
+		must.GreaterEq(b.t, x.maxRevisionSent, update.Revision, must.Sprint("edges were sent an older revision"))
+		x.maxRevisionSent = update.Revision
+		x.edgeState.Apply(update)                                  // the edge must now hold what the controller holds
 		must.Eq(b.t, string(x.state.Raw), string(x.edgeState.Raw)) // as strings: go-cmp compares slices byte by byte
-		if was, ok := b.bodies[n.Revision]; ok {
-			must.Eq(b.t, was, string(n.Raw), must.Sprint("a revision with two contents"))
+		if was, ok := b.bodies[update.Revision]; ok {
+			must.Eq(b.t, was, string(update.Raw), must.Sprint("a revision with two contents"))
 		}
-		b.bodies[n.Revision] = string(n.Raw)
+		b.bodies[update.Revision] = string(update.Raw)
 	}
 }
 
@@ -274,12 +274,12 @@
 	}
 	all := play(nil)
 	must.Greater(t, 100, all)
-	mutations := []func(w *Message) (int, int64){
+	mutations := []func(message *Message) (int, int64){
 		func(*Message) (int, int64) { return 0, 0 },
 		func(*Message) (int, int64) { return 2, 0 },
 		func(*Message) (int, int64) { return 1, 700 * ms },
-		func(w *Message) (int, int64) {
-			w.CommittedValue, w.Heartbeat, w.CommittedBallot = nil, nil, register.Ballot{}
+		func(message *Message) (int, int64) {
+			message.CommittedValue, message.Heartbeat, message.CommittedBallot = nil, nil, register.Ballot{}
 			return 1, 0
 		},
 	}
@@ -289,9 +289,9 @@
 	}
 	for n := 1; n <= all; n += step + n%7 {
 		m := mutations[n%len(mutations)]
-		play(func(number int, w *Message) (int, int64) {
+		play(func(number int, message *Message) (int, int64) {
 			if number == n {
-				return m(w)
+				return m(message)
 			}
 			return 1, 0
 		})
@@ -420,14 +420,14 @@
 func TestBeatsGoTogether(t *testing.T) {
 	b := newCluster(t, 3)
 	b.run(4000 * ms)
-	words, told := 0, int64(0)
-	b.tamper = func(_ int, w *Message) (int, int64) {
-		if len(w.ReplicaHeartbeats)+len(w.Records) > 0 {
-			words++
+	messages, sentAt := 0, int64(0)
+	b.tamper = func(_ int, message *Message) (int, int64) {
+		if len(message.ReplicaHeartbeats)+len(message.Records) > 0 {
+			messages++
 		}
-		for _, r := range w.Records {
+		for _, r := range message.Records {
 			if r.ID == "i-new" {
-				told = b.now
+				sentAt = b.now
 			}
 		}
 		return 1, 0
@@ -436,11 +436,11 @@
 		b.replicaCall(b.names[0], registry.Record{ID: fmt.Sprint("i-", seq%20), Service: "s", Address: "a:1", Seq: seq})
 		b.run(50 * ms)
 	}
-	must.LessEq(t, 2*(20+6000/600+1), words) // each new one, and then batches, to two others
+	must.LessEq(t, 2*(20+6000/600+1), messages) // each new one, and then batches, to two others
 	at := b.now
 	b.replicaCall(b.names[0], registry.Record{ID: "i-new", Service: "s", Address: "a:2", Seq: 1})
 	b.run(300 * ms)
-	must.LessEq(t, recordBatchInterval+10*ms, told-at)
+	must.LessEq(t, recordBatchInterval+10*ms, sentAt-at)
 	for _, n := range b.names {
 		r, ok := b.servers[n].Controller.replicas.Get("i-7")
 		must.True(t, ok)
--- a/decide/controller/departures.go
+++ b/decide/controller/departures.go
@@ -97,8 +97,8 @@
 // The wait guards against a loss of power everywhere right after the acknowledgement: the departure would be forgotten,
 // and edges would go on sending requests to a replica that has ended. A controller whose disk hangs or is full sends no
 // acknowledgement; the departure needs a majority and no particular controller.
-func (c *Controller) acknowledgeWhenSaved(to string, ask uint64, records []registry.Record) {
-	answer := peerAck{to: to, ackRequest: ask, deadline: c.now + answerTimeout}
+func (c *Controller) acknowledgeWhenSaved(to string, ackRequest uint64, records []registry.Record) {
+	answer := peerAck{to: to, ackRequest: ackRequest, deadline: c.now + answerTimeout}
 	for _, r := range records {
 		answer.replicaIDs = append(answer.replicaIDs, r.ID)
 	}
--- a/decide/controller/departures_test.go
+++ b/decide/controller/departures_test.go
@@ -139,10 +139,10 @@
 	c.SaveFinished(2*ms, first.Save.Number, nil)
 	now := int64(3000 * ms)
 	c.Tick(now)
-	told := c.HandleReplicaCall(now, 1, readyReplica("i-1"))
-	must.NotNil(t, told.Save)
-	must.SliceLen(t, 1, told.Save.Replicas)
-	c.SaveFinished(now+ms, told.Save.Number, errors.New("full"))
+	heartbeat := c.HandleReplicaCall(now, 1, readyReplica("i-1"))
+	must.NotNil(t, heartbeat.Save)
+	must.SliceLen(t, 1, heartbeat.Save.Replicas)
+	c.SaveFinished(now+ms, heartbeat.Save.Number, errors.New("full"))
 	var again *Save
 	for at := now + ms; at < now+2000*ms && (again == nil || again.Replicas == nil); at += ms {
 		if out := c.Tick(at); out.Save != nil {
@@ -199,8 +199,8 @@
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
 	asked := 0
-	b.tamper = func(_ int, w *Message) (int, int64) {
-		if w.WantLeaving != nil {
+	b.tamper = func(_ int, message *Message) (int, int64) {
+		if message.WantLeaving != nil {
 			asked++
 		}
 		return 1, 0
@@ -234,13 +234,13 @@
 	b := newCluster(t, 3)
 	b.run(4000 * ms)
 	older, asked := b.names[2], 0
-	b.tamper = func(_ int, w *Message) (int, int64) {
-		if w.From == older && w.Heartbeat != nil {
-			h := *w.Heartbeat
+	b.tamper = func(_ int, message *Message) (int, int64) {
+		if message.From == older && message.Heartbeat != nil {
+			h := *message.Heartbeat
 			h.LeavingSum = nil
-			w.Heartbeat = &h
+			message.Heartbeat = &h
 		}
-		if w.From != older && w.WantLeaving != nil {
+		if message.From != older && message.WantLeaving != nil {
 			asked++
 		}
 		return 1, 0
--- a/decide/controller/disk.go
+++ b/decide/controller/disk.go
@@ -160,23 +160,24 @@
 }
 
 // addUpdate merges an update into the one that goes to the edges at the end of this call.
-func (c *Controller) addUpdate(n clusterstate.Update) {
-	if n.Revision > 0 {
-		o := &c.effects.Update
-		if o.Revision > 0 { // a patch needs a base that the edges have; they get the full configuration instead
-			n.Body, n.Base, n.Patch = c.state.Snapshot().Body, 0, nil
+func (c *Controller) addUpdate(update clusterstate.Update) {
+	if update.Revision > 0 {
+		merged := &c.effects.Update
+		if merged.Revision > 0 { // a patch needs a base that the edges have; they get the full configuration instead
+			update.Body, update.Base, update.Patch = c.state.Snapshot().Body, 0, nil
 		}
-		o.Revision, o.Body, o.Base, o.Patch, o.Raw, o.Sum = n.Revision, n.Body, n.Base, n.Patch, n.Raw, n.Sum
+		merged.Revision, merged.Body, merged.Base, merged.Patch, merged.Raw, merged.Sum =
+			update.Revision, update.Body, update.Base, update.Patch, update.Raw, update.Sum
 	}
-	if !n.Rollouts.IsZero() {
-		c.effects.Update.Rollouts = n.Rollouts
+	if !update.Rollouts.IsZero() {
+		c.effects.Update.Rollouts = update.Rollouts
 	}
-	c.effects.Update.Replicas = append(c.effects.Update.Replicas, n.Replicas...)
-	if o := &c.effects.Update; !n.Fleet.Empty() {
-		if !o.Fleet.Empty() { // a difference needs a base that the edges have; they get the full list instead
-			n.Change = nil
+	c.effects.Update.Replicas = append(c.effects.Update.Replicas, update.Replicas...)
+	if merged := &c.effects.Update; !update.Fleet.Empty() {
+		if !merged.Fleet.Empty() { // a difference needs a base that the edges have; they get the full list instead
+			update.Change = nil
 		}
-		o.Fleet, o.Change = n.Fleet, n.Change
+		merged.Fleet, merged.Change = update.Fleet, update.Change
 	}
 }
 
--- a/decide/controller/edges.go
+++ b/decide/controller/edges.go
@@ -12,39 +12,39 @@
 
 // HandleEdgeReport handles the report of an edge that gets its updates from this controller, directly or through other
 // edges. Each edge repeats its report while it is connected.
-func (c *Controller) HandleEdgeReport(now int64, s EdgeReport) Effects {
+func (c *Controller) HandleEdgeReport(now int64, report EdgeReport) Effects {
 	c.now = now
-	c.recordEdge(s, true)
+	c.recordEdge(report, true)
 	c.updateFleet()
-	c.recordEvidence(s)
+	c.recordEvidence(report)
 	return c.takeEffects()
 }
 
 // recordEdge records an edge's report. own is true for a report that came to this controller and has to be passed on,
 // and false for one that came from another controller.
-func (c *Controller) recordEdge(s EdgeReport, own bool) {
-	if s.Edge.IP == "" { // an operator who watches, not an edge
+func (c *Controller) recordEdge(report EdgeReport, own bool) {
+	if report.Edge.IP == "" { // an operator who watches, not an edge
 		return
 	}
-	e := c.edges[s.Edge.IP]
+	e := c.edges[report.Edge.IP]
 	if e == nil {
 		e = &edge{suspectedBy: map[string]int64{}}
-		c.edges[s.Edge.IP] = e
+		c.edges[report.Edge.IP] = e
 		c.edgeReportAt = 0
 	}
-	at := c.now - s.Age
+	at := c.now - report.Age
 	if at < e.lastHeard {
 		return
 	}
-	if own && !slices.Equal(e.suspects, s.Suspects) {
+	if own && !slices.Equal(e.suspects, report.Suspects) {
 		e.reportedAt = 0
 	} else if !own {
 		e.reportedAt = c.now
 	}
-	e.Edge, e.lastHeard, e.suspects = s.Edge, at, s.Suspects
-	for _, ip := range s.Suspects {
+	e.Edge, e.lastHeard, e.suspects = report.Edge, at, report.Suspects
+	for _, ip := range report.Suspects {
 		if o := c.edges[ip]; o != nil {
-			o.suspectedBy[s.Edge.IP] = at
+			o.suspectedBy[report.Edge.IP] = at
 		}
 	}
 }
@@ -63,7 +63,7 @@
 		return
 	}
 	c.fleetUpdateAt = c.now + fleetUpdateInterval
-	var f clusterstate.Fleet
+	var fleet clusterstate.Fleet
 	inZone := map[string]int{}
 	for _, e := range c.edges {
 		inZone[e.Zone]++
@@ -84,24 +84,24 @@
 		if n >= min(suspicionThreshold, inZone[e.Zone]-1) && n > 0 && c.now-e.lastHeard > suspectedEdgeTimeout {
 			continue
 		}
-		f.Edges = append(f.Edges, e.Edge)
+		fleet.Edges = append(fleet.Edges, e.Edge)
 	}
-	slices.SortFunc(f.Edges, func(a, b clusterstate.Edge) int { return cmp.Compare(a.IP, b.IP) })
+	slices.SortFunc(fleet.Edges, func(a, b clusterstate.Edge) int { return cmp.Compare(a.IP, b.IP) })
 	// Danger: an edge that was left out may still be spending its share of a budget, so the number of edges that budgets
 	// are divided by falls only after maxEdgesRetention.
-	if len(f.Edges) >= c.maxEdges || c.now-c.maxEdgesAt > maxEdgesRetention {
-		c.maxEdges, c.maxEdgesAt = len(f.Edges), c.now
+	if len(fleet.Edges) >= c.maxEdges || c.now-c.maxEdgesAt > maxEdgesRetention {
+		c.maxEdges, c.maxEdgesAt = len(fleet.Edges), c.now
 	}
-	f.Most = max(c.maxEdges, 1)
-	servers := map[string]bool{c.IP: true}
+	fleet.Most = max(c.maxEdges, 1)
+	controllers := map[string]bool{c.IP: true}
 	for ip := range c.peers {
 		if slices.Contains(c.members(), ip) || c.isLive(ip) {
-			servers[ip] = true
+			controllers[ip] = true
 		}
 	}
-	f.Controllers = slices.Sorted(maps.Keys(servers))
-	for _, ip := range f.Controllers {
-		f.Zones = append(f.Zones, c.controllerZone(ip))
+	fleet.Controllers = slices.Sorted(maps.Keys(controllers))
+	for _, ip := range fleet.Controllers {
+		fleet.Zones = append(fleet.Zones, c.controllerZone(ip))
 	}
-	c.addUpdate(c.state.Apply(clusterstate.Update{Fleet: f}))
+	c.addUpdate(c.state.Apply(clusterstate.Update{Fleet: fleet}))
 }
--- a/decide/controller/edges_test.go
+++ b/decide/controller/edges_test.go
@@ -12,31 +12,31 @@
 
 // joinEdges connects n edges to a lone controller, evenly over the given time. It returns the number of updates with a
 // list of edges, their bytes to one edge, and that edge's state at the end.
-func joinEdges(t *testing.T, n int, within int64) (told, size int, follower *clusterstate.State, c *Controller) {
+func joinEdges(t *testing.T, n int, span int64) (updates, size int, edgeState *clusterstate.State, c *Controller) {
 	c = New(0, Options{IP: "10.9.0.1", Incarnation: "1", Seeds: []string{"10.9.0.1"}, Bootstrap: true, ReplicaHeartbeatInterval: 1000 * ms,
 		Random: func() float64 { return 0 }})
-	follower = clusterstate.NewState()
+	edgeState = clusterstate.NewState()
 	take := func(o Effects) {
 		update := o.Update.ForWire(true)
 		if update.Fleet.Empty() && update.Change == nil {
 			return
 		}
-		told++
+		updates++
 		frame, err := cbor.Marshal(update)
 		must.NoError(t, err)
 		size += len(frame)
-		follower.Apply(update)
+		edgeState.Apply(update)
 	}
-	came := 0
-	for now := int64(0); now < within+1000*ms; now += 10 * ms {
-		for ; came < n && int64(came)*within <= now*int64(n); came++ {
-			take(c.HandleEdgeReport(now, EdgeReport{Edge: clusterstate.Edge{IP: fmt.Sprintf("10.0.%d.%d", came/250, came%250), Zone: "z"}}))
+	joined := 0
+	for now := int64(0); now < span+1000*ms; now += 10 * ms {
+		for ; joined < n && int64(joined)*span <= now*int64(n); joined++ {
+			take(c.HandleEdgeReport(now, EdgeReport{Edge: clusterstate.Edge{IP: fmt.Sprintf("10.0.%d.%d", joined/250, joined%250), Zone: "z"}}))
 		}
 		if now >= c.NextTick() {
 			take(c.Tick(now))
 		}
 	}
-	return told, size, follower, c
+	return updates, size, edgeState, c
 }
 
 // TestFleetGoesTogether guards against updates that grow with the square of the number of edges when a zone starts:
@@ -48,12 +48,12 @@
 		otherBytes = 60 // allowed for each update besides
 	)
 	for _, n := range []int{100, 400} {
-		told, size, follower, c := joinEdges(t, n, within)
-		must.LessEq(t, int(within/fleetUpdateInterval)+2, told)
-		must.Eq(t, n, len(follower.Fleet.Edges))
-		must.Eq(t, c.Snapshot().Fleet, follower.Fleet)
-		must.Eq(t, n, follower.Fleet.Most)
-		must.LessEq(t, n*edgeBytes+told*otherBytes, size)
+		updates, size, edgeState, c := joinEdges(t, n, within)
+		must.LessEq(t, int(within/fleetUpdateInterval)+2, updates)
+		must.Eq(t, n, len(edgeState.Fleet.Edges))
+		must.Eq(t, c.Snapshot().Fleet, edgeState.Fleet)
+		must.Eq(t, n, edgeState.Fleet.Most)
+		must.LessEq(t, n*edgeBytes+updates*otherBytes, size)
 	}
 }
 
--- a/decide/controller/fields_test.go
+++ b/decide/controller/fields_test.go
@@ -11,28 +11,28 @@
 	"willowsill/decide/registry"
 )
 
-// leaves calls add for every field of a message that is not zero, with the field indexes that lead to it; -1 stands for
+// visitFields calls add for every field of a message that is not zero, with the field indexes that lead to it; -1 stands for
 // following a pointer.
-func leaves(v reflect.Value, way []int, add func(way []int, v reflect.Value)) {
+func visitFields(v reflect.Value, path []int, add func(way []int, v reflect.Value)) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
-			leaves(v.Elem(), append(way, -1), add)
+			visitFields(v.Elem(), append(path, -1), add)
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			leaves(v.Field(i), append(way, i), add)
+			visitFields(v.Field(i), append(path, i), add)
 		}
 	default:
 		if !v.IsZero() {
-			add(append([]int(nil), way...), v)
+			add(append([]int(nil), path...), v)
 		}
 	}
 }
 
 // deepCopy returns a copy that shares no memory with the message, which goes to several controllers.
-func deepCopy(t *testing.T, w Message) (c Message) {
-	b, err := cbor.Marshal(w)
+func deepCopy(t *testing.T, message Message) (c Message) {
+	b, err := cbor.Marshal(message)
 	must.NoError(t, err)
 	must.NoError(t, cbor.Unmarshal(b, &c))
 	return c
@@ -43,16 +43,16 @@
 // zeroed, replaced by the value of an earlier message, or flipped, in one message. A call may then fail, but no edge may
 // be sent an older state, no revision may have two contents, and what was acknowledged must be found again.
 func TestEachFieldMutated(t *testing.T) {
-	type leaf struct {
+	type fieldAt struct {
 		number int
-		way    []int
+		path   []int
 		name   string
 	}
-	var found []leaf
+	var found []fieldAt
 	var before []Message
 	seen := map[string]int{}
 	// play runs the scenario once. A put may end with 503, which leaves open whether its configuration is committed.
-	play := func(tamper func(int, *Message) (int, int64)) {
+	runScenario := func(tamper func(int, *Message) (int, int64)) {
 		b := newCluster(t, 5)
 		b.tamper = tamper
 		b.run(2500 * ms)
@@ -79,47 +79,47 @@
 		must.Eq(t, 200, a.Status)
 		must.Eq(t, map[uint64]string{3: "one", 5: "five", 9: "nine"}[max(last, b.servers[b.names[0]].maxRevisionSent)], string(a.Body))
 	}
-	play(func(number int, w *Message) (int, int64) {
-		c := deepCopy(t, *w)
-		leaves(reflect.ValueOf(&c).Elem(), nil, func(way []int, v reflect.Value) {
+	runScenario(func(number int, message *Message) (int, int64) {
+		c := deepCopy(t, *message)
+		visitFields(reflect.ValueOf(&c).Elem(), nil, func(path []int, v reflect.Value) {
 			kind := 0
-			if w.Register != nil {
-				kind = int(w.Register.Kind)
+			if message.Register != nil {
+				kind = int(message.Register.Kind)
 			}
-			name := fmt.Sprint(kind, way)
+			name := fmt.Sprint(kind, path)
 			if seen[name]++; seen[name] == 1 || seen[name] == 40 {
-				found = append(found, leaf{number, way, name})
+				found = append(found, fieldAt{number, path, name})
 			}
 		})
 		before = append(before, c)
 		return 1, 0
 	})
 	must.Greater(t, 60, len(found))
-	plays := 0
-	defer func() { t.Logf("%d fields of messages, %d runs", len(found), plays) }()
-	ways := 4
+	runs := 0
+	defer func() { t.Logf("%d fields of messages, %d runs", len(found), runs) }()
+	mutations := 4
 	for i, c := range found {
 		if testing.Short() && i%7 > 0 {
 			continue
 		}
-		for way := range ways {
-			if i%ways != way && seen[c.name] > 200 { // each occurrence of a common field is tried in one way only
+		for mutation := range mutations {
+			if i%mutations != mutation && seen[c.name] > 200 { // each occurrence of a common field is tried in one way only
 				continue
 			}
-			plays++
-			play(func(number int, w *Message) (int, int64) {
+			runs++
+			runScenario(func(number int, message *Message) (int, int64) {
 				if number != c.number {
 					return 1, 0
 				}
-				*w = deepCopy(t, *w)
-				v, _ := field(reflect.ValueOf(w).Elem(), c.way)
-				switch way {
+				*message = deepCopy(t, *message)
+				v, _ := field(reflect.ValueOf(message).Elem(), c.path)
+				switch mutation {
 				case 0: // zeroed
 					v.SetZero()
 				case 1, 2: // replaced by the value of an earlier message, maybe of another controller
-					step := []int{7, 31}[way-1]
+					step := []int{7, 31}[mutation-1]
 					for n := number - 2; n >= 0; n -= step {
-						other, ok := field(reflect.ValueOf(&before[n]).Elem(), c.way)
+						other, ok := field(reflect.ValueOf(&before[n]).Elem(), c.path)
 						if ok && other.Type() == v.Type() {
 							v.Set(other)
 							break
@@ -138,8 +138,8 @@
 }
 
 // field returns the message field that the indexes lead to, or false if a pointer on the path is nil.
-func field(v reflect.Value, way []int) (reflect.Value, bool) {
-	for _, i := range way {
+func field(v reflect.Value, path []int) (reflect.Value, bool) {
+	for _, i := range path {
 		if i < 0 {
 			if v.IsNil() {
 				return v, false
--- a/decide/controller/groups.go
+++ b/decide/controller/groups.go
@@ -42,20 +42,20 @@
 // differs from the group. Lost replicas would stay ready, or live ones would become silent one after another. So the
 // sums are compared with each heartbeat. While they differ, the heartbeat refreshes no replica, and the whole group is
 // requested.
-func (c *Controller) handleGroup(from string, p *peer, news registry.GroupUpdate) {
-	agrees := p.group.Apply(news)
+func (c *Controller) handleGroup(from string, p *peer, update registry.GroupUpdate) {
+	agrees := p.group.Apply(update)
 	var unknown []string
-	for _, call := range news.Joined {
-		if !c.replicas.JoinGroup(c.now, from, call) {
-			p.group.Drop(call.ID) // the view must not contain it before its record has arrived
-			unknown = append(unknown, call.ID)
+	for _, heartbeat := range update.Joined {
+		if !c.replicas.JoinGroup(c.now, from, heartbeat) {
+			p.group.Drop(heartbeat.ID) // the view must not contain it before its record has arrived
+			unknown = append(unknown, heartbeat.ID)
 		}
 	}
-	if news.Whole {
-		c.replicas.RetainGroup(from, news.Joined)
+	if update.Whole {
+		c.replicas.RetainGroup(from, update.Joined)
 	}
-	for _, unheard := range news.Left {
-		c.replicas.LeaveGroup(c.now, from, unheard)
+	for _, left := range update.Left {
+		c.replicas.LeaveGroup(c.now, from, left)
 	}
 	switch {
 	case len(unknown) > 0:
@@ -94,19 +94,19 @@
 		return
 	}
 	c.batchUrgent, c.heartbeatBatchAt = false, c.now+heartbeatBatchInterval
-	var news, heard Message
+	var changed, unchanged Message
 	for _, r := range c.recordBatch {
 		if r.Service == "" && r.Phase == registry.Ready {
-			heard.ReplicaHeartbeats = append(heard.ReplicaHeartbeats, ReplicaHeartbeat{r.ID, r.Seq})
+			unchanged.ReplicaHeartbeats = append(unchanged.ReplicaHeartbeats, ReplicaHeartbeat{r.ID, r.Seq})
 		} else {
-			news.Records = append(news.Records, r)
+			changed.Records = append(changed.Records, r)
 		}
 	}
 	clear(c.recordBatch)
-	if len(news.Records) > 0 {
-		c.send(news, c.peerIPs()...)
+	if len(changed.Records) > 0 {
+		c.send(changed, c.peerIPs()...)
 	}
-	if len(heard.ReplicaHeartbeats) > 0 {
-		c.send(heard, c.peersWithoutGroups()...)
+	if len(unchanged.ReplicaHeartbeats) > 0 {
+		c.send(unchanged, c.peersWithoutGroups()...)
 	}
 }
--- a/decide/controller/groups_test.go
+++ b/decide/controller/groups_test.go
@@ -13,9 +13,9 @@
 // heartbeatsFrom lets this many replicas send a heartbeat every second for d ns, each to the controller that at names.
 // It returns the bytes of all messages about replicas that the controllers sent each other meanwhile.
 func (b *cluster) heartbeatsFrom(replicas int, d int64, at func(replica int) string) (size int) {
-	b.tamper = func(_ int, w *Message) (int, int64) {
-		if len(w.ReplicaHeartbeats)+len(w.Records) > 0 || w.FullGroup.Whole || w.Heartbeat != nil && w.Heartbeat.Group != nil {
-			frame, err := cbor.Marshal(w)
+	b.tamper = func(_ int, message *Message) (int, int64) {
+		if len(message.ReplicaHeartbeats)+len(message.Records) > 0 || message.FullGroup.Whole || message.Heartbeat != nil && message.Heartbeat.Group != nil {
+			frame, err := cbor.Marshal(message)
 			must.NoError(b.t, err)
 			size += len(frame)
 		}
@@ -98,25 +98,25 @@
 	b := newCluster(t, 3)
 	older := b.names[2]
 	b.run(4000 * ms)
-	send := func(number int, w *Message) (int, int64) {
-		if w.From == older && w.Heartbeat != nil {
-			h := *w.Heartbeat
+	send := func(number int, message *Message) (int, int64) {
+		if message.From == older && message.Heartbeat != nil {
+			h := *message.Heartbeat
 			h.Group = nil
-			w.Heartbeat = &h
+			message.Heartbeat = &h
 		}
 		return 1, 0
 	}
 	b.tamper = send
 	b.run(1000 * ms)
-	forgets := b.servers[older].Controller
+	olderController := b.servers[older].Controller
 	for range 20 {
 		for i := range 6 {
 			b.replicaCall(b.names[0], registry.Record{ID: fmt.Sprint("i-", i), Service: "s", Address: "a:1", Seq: uint64(b.now / ms)})
 		}
-		forgets.replicas.ForgetGroup(b.names[0]) // the previous version would not have recorded the group
+		olderController.replicas.ForgetGroup(b.names[0]) // the previous version would not have recorded the group
 		b.run(1000 * ms)
 	}
-	must.Eq(t, 6, forgets.replicas.Phases()[registry.Ready])
+	must.Eq(t, 6, olderController.replicas.Phases()[registry.Ready])
 }
 
 // TestLostReplicaFallsSilentAfterACut guards against a lost replica that stays ready for good: it is lost while a
@@ -126,15 +126,15 @@
 	for _, restarted := range []bool{false, true} {
 		b := newCluster(t, 5)
 		b.run(4000 * ms)
-		hears, far := b.names[0], b.names[4]
+		called, far := b.names[0], b.names[4]
 		home := func(replica int) string { return b.names[replica%2] }
 		b.heartbeatsFrom(6, 4000*ms, home)
 		b.cutOff(far)
 		b.heartbeatsFrom(2, 4000*ms, home) // the others are lost
 		if restarted {
-			b.servers[hears].up = false
+			b.servers[called].up = false
 			b.run(300 * ms)
-			b.start(hears, false)
+			b.start(called, false)
 		}
 		b.cut = nil
 		b.heartbeatsFrom(2, (silentAfterHeartbeats+2)*1000*ms, home)
--- a/decide/controller/leaving.go
+++ b/decide/controller/leaving.go
@@ -46,7 +46,7 @@
 
 // applyLeaving merges another controller's record of a leaving replica.
 func (c *Controller) applyLeaving(r registry.AgedRecord) {
-	if news, changed := c.replicas.MergeAged(c.now, r); news {
+	if newer, changed := c.replicas.MergeAged(c.now, r); newer {
 		c.recordChanged(r.Record, false, changed)
 	}
 }
--- a/decide/controller/members.go
+++ b/decide/controller/members.go
@@ -30,15 +30,15 @@
 	if c.firstLiveMember() != c.IP {
 		return
 	}
-	newcomers, gone := c.newcomers(), c.replaceableMembers()
+	newcomers, replaceable := c.newcomers(), c.replaceableMembers()
 	size := cmp.Or(v.Size, len(v.Members))
 	members := slices.Clone(v.Members)
 	switch {
-	case len(gone) > 0 && len(v.Members) > size:
-		members = withoutMember(members, gone[0])
-	case len(gone) > 0 && len(newcomers) > 0:
-		members = append(withoutMember(members, gone[0]), newcomers[0])
-	case len(gone) == 0:
+	case len(replaceable) > 0 && len(v.Members) > size:
+		members = withoutMember(members, replaceable[0])
+	case len(replaceable) > 0 && len(newcomers) > 0:
+		members = append(withoutMember(members, replaceable[0]), newcomers[0])
+	case len(replaceable) == 0:
 		for _, ip := range newcomers {
 			if v.Revision == 0 || c.newcomerWaitOver(ip) {
 				members = append(members, ip)
--- a/decide/controller/members_test.go
+++ b/decide/controller/members_test.go
@@ -91,7 +91,7 @@
 // replacement is one way in which a member is replaced.
 type replacement struct {
 	name  string
-	play  func(t *testing.T, b *cluster, n int) (successor string)
+	run   func(t *testing.T, b *cluster, n int) (successor string)
 	disks func(b *cluster, n int) // breaks or slows down the disk of another member
 	// within is a bound on the time that is narrower than catch-up-s, for a machine that does not have to wait until
 	// another one is silent; 0 for none.
@@ -178,7 +178,7 @@
 				b := settledCluster(t, n, 1, []byte("one"))
 				r.disks(b, n)
 				b.run(phase)
-				took := b.untilMember(t, r.play(t, b, n))
+				took := b.untilMember(t, r.run(t, b, n))
 				t.Logf("%d members, %s, phase %d ms: %d ms", n, r.name, phase/ms, took/ms)
 				must.LessEq(t, limit, took, must.Sprintf("%d members, %s", n, r.name))
 			}
@@ -435,15 +435,15 @@
 // return the newest revision, and the ballots that its disk promised and accepted must not go back.
 func TestRestartAfterAThousandChanges(t *testing.T) {
 	const changes, missed = 1000, 900
-	for _, way := range []string{"its disk", "a disk that missed 900", "an empty disk"} {
-		t.Run(way, func(t *testing.T) {
+	for _, disk := range []string{"its disk", "a disk that missed 900", "an empty disk"} {
+		t.Run(disk, func(t *testing.T) {
 			t.Parallel()
 			b := settledCluster(t, 5, 2, []byte("one"))
-			who := b.names[4]
+			restarted := b.names[4]
 			revision, spare := uint64(1), 5
 			for i := range changes {
-				if way == "a disk that missed 900" && i == changes-missed {
-					b.kill(who, false)
+				if disk == "a disk that missed 900" && i == changes-missed {
+					b.kill(restarted, false)
 				}
 				if i == 300 || i == 600 { // replace another member in between
 					b.start(b.names[spare], false)
@@ -455,25 +455,25 @@
 				revision++
 				b.putAcknowledged(t, b.names[0], revision, fmt.Append(nil, "revision ", revision))
 			}
-			b.kill(who, way == "an empty disk")
+			b.kill(restarted, disk == "an empty disk")
 			var before register.State
-			if x := b.servers[who]; x.saved != nil {
+			if x := b.servers[restarted]; x.saved != nil {
 				before = x.saved.RegisterState
 			}
 			b.run(500 * ms)
-			b.start(who, false)
+			b.start(restarted, false)
 			begun := b.now
-			for b.servers[who].committed.Revision < revision || !b.servers[who].disk.CaughtUp || b.servers[who].saved == nil {
+			for b.servers[restarted].committed.Revision < revision || !b.servers[restarted].disk.CaughtUp || b.servers[restarted].saved == nil {
 				b.run(measureStep)
-				must.LessEq(t, catchUpSmall-catchUpMargin, b.now-begun, must.Sprint(way))
+				must.LessEq(t, catchUpSmall-catchUpMargin, b.now-begun, must.Sprint(disk))
 			}
-			t.Logf("%s: up to date after %d ms", way, (b.now-begun)/ms)
-			must.Eq(t, fmt.Sprint("revision ", revision), string(b.read(who).Body))
-			state := b.servers[who].disk.State
+			t.Logf("%s: up to date after %d ms", disk, (b.now-begun)/ms)
+			must.Eq(t, fmt.Sprint("revision ", revision), string(b.read(restarted).Body))
+			state := b.servers[restarted].disk.State
 			must.GreaterEq(t, 0, state.Promised.Compare(before.Promised))
 			must.GreaterEq(t, 0, state.Accepted.Compare(before.Accepted))
 			revision++
-			b.putAcknowledged(t, who, revision, fmt.Append(nil, "revision ", revision))
+			b.putAcknowledged(t, restarted, revision, fmt.Append(nil, "revision ", revision))
 		})
 	}
 }
--- a/decide/controller/orders.go
+++ b/decide/controller/orders.go
@@ -107,7 +107,7 @@
 
 // answerOrder answers the operator whose order was in the round that committed this value.
 func (c *Controller) answerOrder(call *pendingCall, value register.Value) {
-	switch verdict := call.order.outcome(value); verdict {
+	switch outcome := call.order.outcome(value); outcome {
 	case OutcomeInForce, OutcomeSuperseded:
 		c.answer(call, statusOK, nil, "")
 	case OutcomeConflict:
--- a/decide/controller/orders_test.go
+++ b/decide/controller/orders_test.go
@@ -93,7 +93,7 @@
 
 // disturbMessages randomly delays, loses and duplicates messages while on is true.
 func disturbMessages(b *cluster, random *rand.Rand, on *bool) {
-	b.tamper = func(_ int, w *Message) (int, int64) {
+	b.tamper = func(_ int, message *Message) (int, int64) {
 		if !*on {
 			return 1, 0
 		}
@@ -347,11 +347,11 @@
 func TestOrdersBesideAnOlderVersion(t *testing.T) {
 	b := newCluster(t, 3)
 	b.run(400 * ms)
-	b.tamper = func(_ int, w *Message) (int, int64) {
-		if m := w.Register; m != nil {
+	b.tamper = func(_ int, message *Message) (int, int64) {
+		if m := message.Register; m != nil {
 			stripped := *m
 			stripped.Value.Orders, stripped.State.Value.Orders = nil, nil
-			w.Register = &stripped
+			message.Register = &stripped
 		}
 		return 1, 0
 	}
--- a/decide/controller/receive.go
+++ b/decide/controller/receive.go
@@ -8,27 +8,27 @@
 // This file handles the messages of other controllers, part by part.
 
 // HandleMessage handles a message of another controller. A message without a sender is ignored.
-func (c *Controller) HandleMessage(now int64, w Message) Effects {
+func (c *Controller) HandleMessage(now int64, message Message) Effects {
 	c.now = now
-	p := c.addPeer(w.From)
+	p := c.addPeer(message.From)
 	if p == nil {
 		return c.takeEffects()
 	}
-	c.recordPeerHeard(p, w.From)
-	if w.Heartbeat != nil {
-		c.handleHeartbeat(p, w)
+	c.recordPeerHeard(p, message.From)
+	if message.Heartbeat != nil {
+		c.handleHeartbeat(p, message)
 	}
-	if w.Register != nil {
-		c.handleRegister(w.From, *w.Register)
+	if message.Register != nil {
+		c.handleRegister(message.From, *message.Register)
 	}
-	c.handleRecords(w)
-	c.handleCommitted(w)
-	c.handleAck(w.From, w.Ack)
-	if w.FullGroup.Whole {
-		c.handleGroup(w.From, p, w.FullGroup)
+	c.handleRecords(message)
+	c.handleCommitted(message)
+	c.handleAck(message.From, message.Ack)
+	if message.FullGroup.Whole {
+		c.handleGroup(message.From, p, message.FullGroup)
 	}
-	c.handleEvidence(w.Evidence)
-	c.answerRequests(w)
+	c.handleEvidence(message.Evidence)
+	c.answerRequests(message)
 	return c.takeEffects()
 }
 
@@ -61,52 +61,52 @@
 }
 
 // handleRecords merges the records and heartbeats of replicas in a message, and acknowledges them if asked to.
-func (c *Controller) handleRecords(w Message) {
-	for _, r := range w.Records {
+func (c *Controller) handleRecords(message Message) {
+	for _, r := range message.Records {
 		c.applyRecord(r, false)
 	}
-	for _, r := range w.LeavingRecords {
+	for _, r := range message.LeavingRecords {
 		c.applyLeaving(r)
 	}
-	for _, b := range w.ReplicaHeartbeats {
+	for _, b := range message.ReplicaHeartbeats {
 		r, known := c.replicas.Get(b.ID)
 		if !known || r.Phase > registry.Ready {
-			c.requestAll(w.From)
+			c.requestAll(message.From)
 			continue
 		}
 		r.Seq = max(r.Seq, b.Seq)
 		c.applyRecord(r, false)
 	}
-	if w.AckRequest > 0 {
-		c.acknowledgeWhenSaved(w.From, w.AckRequest, w.Records)
+	if message.AckRequest > 0 {
+		c.acknowledgeWhenSaved(message.From, message.AckRequest, message.Records)
 	}
 }
 
 // handleCommitted applies what another controller knows to be committed: a whole value, or the ballot of one, whose
 // value this controller has if its own disk accepted it. For a newer ballot the value is requested.
-func (c *Controller) handleCommitted(w Message) {
-	if w.CommittedBallot.Number > 0 && w.CommittedBallot == c.disk.Accepted {
-		c.applyCommitted(c.disk.Value, w.CommittedBallot)
-	} else if w.CommittedBallot.Number > 0 && w.CommittedBallot.Compare(c.disk.Accepted) > 0 {
-		c.requestAll(w.From)
+func (c *Controller) handleCommitted(message Message) {
+	if message.CommittedBallot.Number > 0 && message.CommittedBallot == c.disk.Accepted {
+		c.applyCommitted(c.disk.Value, message.CommittedBallot)
+	} else if message.CommittedBallot.Number > 0 && message.CommittedBallot.Compare(c.disk.Accepted) > 0 {
+		c.requestAll(message.From)
 	}
-	if w.CommittedValue != nil {
-		c.applyCommitted(*w.CommittedValue, w.CommittedValueBallot)
+	if message.CommittedValue != nil {
+		c.applyCommitted(*message.CommittedValue, message.CommittedValueBallot)
 	}
 }
 
 // answerRequests sends another controller what its message requests.
-func (c *Controller) answerRequests(w Message) {
-	if w.WantGroup {
-		c.send(Message{FullGroup: c.localGroup.Whole()}, w.From)
+func (c *Controller) answerRequests(message Message) {
+	if message.WantGroup {
+		c.send(Message{FullGroup: c.localGroup.Whole()}, message.From)
 	}
-	if len(w.WantReplicas) > 0 {
-		c.send(Message{Records: c.recordsOf(w.WantReplicas)}, w.From)
+	if len(message.WantReplicas) > 0 {
+		c.send(Message{Records: c.recordsOf(message.WantReplicas)}, message.From)
 	}
-	if w.WantLeaving != nil {
-		c.sendLeaving(w.From, *w.WantLeaving)
+	if message.WantLeaving != nil {
+		c.sendLeaving(message.From, *message.WantLeaving)
 	}
-	if !w.WantAll {
+	if !message.WantAll {
 		return
 	}
 	answer := Message{Records: c.replicas.All()}
@@ -114,7 +114,7 @@
 		v := c.committed
 		answer.CommittedValue, answer.CommittedValueBallot = &v, c.lease.Committed()
 	}
-	c.send(answer, w.From)
+	c.send(answer, message.From)
 }
 
 // requestAll requests all records and the committed value from one controller, at most once every requestInterval.
--- a/decide/controller/restart_test.go
+++ b/decide/controller/restart_test.go
@@ -20,8 +20,8 @@
 	alone := b.names[4]
 	writing := false
 	b.cut = func(from, to string) bool { return writing && (from == alone) != (to == alone) }
-	b.tamper = func(_ int, w *Message) (copies int, delay int64) {
-		if m := w.Register; w.From == alone && m != nil && m.Kind == register.Accept && m.Value.Revision == 8 {
+	b.tamper = func(_ int, message *Message) (copies int, delay int64) {
+		if m := message.Register; message.From == alone && m != nil && m.Kind == register.Accept && m.Value.Revision == 8 {
 			writing = true
 		}
 		return 1, 0
--- a/decide/controller/rollouts.go
+++ b/decide/controller/rollouts.go
@@ -104,10 +104,10 @@
 // startRolloutCall starts the round of the register for a call about rollouts. Reads need a round too.
 func (c *Controller) startRolloutCall(now int64, id uint64, call *rolloutCall) Effects {
 	c.now = now
-	t := &pendingCall{id: id, deadline: now + answerTimeout, rollout: call}
-	c.calls = append(c.calls, t)
+	pending := &pendingCall{id: id, deadline: now + answerTimeout, rollout: call}
+	c.calls = append(c.calls, pending)
 	n, out := c.proposer.Edit(now, call.apply(func(v register.Value) bool { return c.serviceKnown(v, call.order.Service) }))
-	t.editID = n
+	pending.editID = n
 	c.handleProposer(out)
 	return c.takeEffects()
 }
@@ -126,30 +126,30 @@
 }
 
 // answerRollout answers an operator's call about rollouts according to the committed value.
-func (c *Controller) answerRollout(t *pendingCall, value register.Value) {
-	service := t.rollout.order.Service
+func (c *Controller) answerRollout(call *pendingCall, value register.Value) {
+	service := call.rollout.order.Service
 	newest, known := value.Rollouts.NewestOf(service)
 	switch {
-	case t.rollout.action == listRollouts:
-		c.answerRollouts(t, value.Rollouts.Rollouts)
-	case t.rollout.action != beginRollout && !known:
-		c.answer(t, statusNotFound, nil, fmt.Sprintf("the service %q never had a rollout", service))
-	case t.rollout.action != beginRollout || known && newest.Order == t.rollout.order:
-		c.answerRollouts(t, []rollout.Rollout{newest})
+	case call.rollout.action == listRollouts:
+		c.answerRollouts(call, value.Rollouts.Rollouts)
+	case call.rollout.action != beginRollout && !known:
+		c.answer(call, statusNotFound, nil, fmt.Sprintf("the service %q never had a rollout", service))
+	case call.rollout.action != beginRollout || known && newest.Order == call.rollout.order:
+		c.answerRollouts(call, []rollout.Rollout{newest})
 	case known && newest.Phase == rollout.Active:
-		c.answer(t, statusConflict, nil, fmt.Sprintf("a rollout of %q to %q is active", service, newest.Order.Target))
+		c.answer(call, statusConflict, nil, fmt.Sprintf("a rollout of %q to %q is active", service, newest.Order.Target))
 	case value.Revision == 0:
-		c.answer(t, statusUnavailable, nil, "there is no configuration yet")
+		c.answer(call, statusUnavailable, nil, "there is no configuration yet")
 	case !c.serviceKnown(value, service):
-		c.answer(t, statusUnprocessable, nil, fmt.Sprintf("no configuration names the service %q", service))
+		c.answer(call, statusUnprocessable, nil, fmt.Sprintf("no configuration names the service %q", service))
 	default:
-		c.answer(t, statusUnavailable, nil, "it is not known what became of the rollout")
+		c.answer(call, statusUnavailable, nil, "it is not known what became of the rollout")
 	}
 }
 
-func (c *Controller) answerRollouts(t *pendingCall, all []rollout.Rollout) {
-	c.effects.Answers = append(c.effects.Answers, Answer{Call: t.id, Status: statusOK, Rollouts: all})
-	c.removeCall(t)
+func (c *Controller) answerRollouts(call *pendingCall, all []rollout.Rollout) {
+	c.effects.Answers = append(c.effects.Answers, Answer{Call: call.id, Status: statusOK, Rollouts: all})
+	c.removeCall(call)
 }
 
 // applyRollouts applies a newer set of rollouts that is known to be committed.
@@ -170,12 +170,12 @@
 
 // recordEvidence records the evidence in the report of an edge that is connected to this controller, and keeps it for
 // the next batch to the first live member.
-func (c *Controller) recordEvidence(s EdgeReport) {
-	if len(s.Rollouts) == 0 || s.Edge.IP == "" || len(c.rollouts.manager.Active()) == 0 {
+func (c *Controller) recordEvidence(report EdgeReport) {
+	if len(report.Rollouts) == 0 || report.Edge.IP == "" || len(c.rollouts.manager.Active()) == 0 {
 		return
 	}
-	c.rollouts.manager.Report(c.now, s.Edge.IP, s.Rollouts)
-	c.rollouts.pending[s.Edge.IP] = s.Rollouts
+	c.rollouts.manager.Report(c.now, report.Edge.IP, report.Rollouts)
+	c.rollouts.pending[report.Edge.IP] = report.Rollouts
 }
 
 // handleEvidence records the evidence of edges that are connected to another controller.
@@ -188,12 +188,12 @@
 // tickRollouts sends pending evidence to the first live member. If this controller is that member, it decides and
 // commits the steps that are due; otherwise its manager stands by.
 func (c *Controller) tickRollouts() {
-	holder := c.firstLiveMember()
+	firstLive := c.firstLiveMember()
 	if len(c.rollouts.pending) > 0 && c.now >= c.rollouts.evidenceAt {
 		c.rollouts.evidenceAt = c.now + evidenceInterval
-		c.sendEvidence(holder)
+		c.sendEvidence(firstLive)
 	}
-	if holder != c.IP || !c.inContact || !c.disk.CaughtUp || c.shuttingDown {
+	if firstLive != c.IP || !c.inContact || !c.disk.CaughtUp || c.shuttingDown {
 		c.rollouts.manager.Standby(c.now)
 		return
 	}
@@ -211,13 +211,13 @@
 }
 
 // sendEvidence sends the pending evidence to the first live member, unless that is this controller, and clears it.
-func (c *Controller) sendEvidence(holder string) {
-	if holder != "" && holder != c.IP {
+func (c *Controller) sendEvidence(firstLive string) {
+	if firstLive != "" && firstLive != c.IP {
 		var batch []EdgeEvidence
 		for ip, evidence := range c.rollouts.pending {
 			batch = append(batch, EdgeEvidence{ip, evidence})
 		}
-		c.send(Message{Evidence: batch}, holder)
+		c.send(Message{Evidence: batch}, firstLive)
 	}
 	clear(c.rollouts.pending)
 }
--- a/decide/controller/rollouts_test.go
+++ b/decide/controller/rollouts_test.go
@@ -95,12 +95,12 @@
 	must.Eq(t, statusUnavailable, b.begin(b.names[2], "s", "v2").Status)
 }
 
-// edgesReport sends a controller the reports of its edges, one for each recorder, with the recorder's evidence.
-func (b *cluster) edgesReport(feeder string, recorders []*rollout.Recorder) {
-	x := b.servers[feeder]
+// sendEdgeReports sends a controller the reports of its edges, one for each recorder, with the recorder's evidence.
+func (b *cluster) sendEdgeReports(upstream string, recorders []*rollout.Recorder) {
+	x := b.servers[upstream]
 	for i, r := range recorders {
 		r.Watch(x.edgeState.Rollouts, rolloutReplicas())
-		b.carry(feeder, x.HandleEdgeReport(b.now, EdgeReport{Edge: clusterstate.Edge{IP: fmt.Sprint("10.1.0.", i), Zone: "z"}, Rollouts: r.Evidence()}))
+		b.carry(upstream, x.HandleEdgeReport(b.now, EdgeReport{Edge: clusterstate.Edge{IP: fmt.Sprint("10.1.0.", i), Zone: "z"}, Rollouts: r.Evidence()}))
 	}
 }
 
@@ -111,12 +111,12 @@
 	return all
 }
 
-// playRollout runs a rollout to its end and returns it. All edges are connected to feeder, and failing of ten answers of
+// runRollout runs a rollout to its end and returns it. All edges are connected to feeder, and failing of ten answers of
 // the new version fail. If kill is true, the first live member is killed after each step of the rollout.
-func playRollout(t *testing.T, b *cluster, feeder string, failing int, kill bool) rollout.Rollout {
+func runRollout(t *testing.T, b *cluster, upstream string, failing int, kill bool) rollout.Rollout {
 	var recorders []*rollout.Recorder
-	for life := range uint64(6) {
-		recorders = append(recorders, rollout.NewRecorder(life))
+	for incarnation := range uint64(6) {
+		recorders = append(recorders, rollout.NewRecorder(incarnation))
 	}
 	seq, step, killed := uint64(0), uint64(0), ""
 	for round := range 400 {
@@ -128,7 +128,7 @@
 		}
 		for e, r := range recorders {
 			for i, replica := range rolloutReplicas() {
-				newest, known := b.servers[feeder].edgeState.Rollouts.NewestOf("s")
+				newest, known := b.servers[upstream].edgeState.Rollouts.NewestOf("s")
 				if !known || !newest.Admits(fmt.Sprint("10.1.0.", e), replica.ID, replica.Version) || !r.Sent(replica.ID) {
 					continue
 				}
@@ -139,22 +139,22 @@
 				r.Ended(replica.ID, 1, outcome, 20*ms)
 			}
 		}
-		b.edgesReport(feeder, recorders)
+		b.sendEdgeReports(upstream, recorders)
 		b.run(300 * ms)
-		stands := b.servers[feeder].Rollouts()
-		r, _ := stands.NewestOf("s")
+		committed := b.servers[upstream].Rollouts()
+		r, _ := committed.NewestOf("s")
 		if r.Phase != rollout.Active {
 			return r
 		}
-		if holder := b.servers[feeder].firstLiveMember(); kill && r.Step > step && holder != feeder {
+		if firstLive := b.servers[upstream].firstLiveMember(); kill && r.Step > step && firstLive != upstream {
 			if step = r.Step; killed != "" {
 				b.start(killed, false)
 			}
-			killed = holder
-			b.servers[holder].up = false
+			killed = firstLive
+			b.servers[firstLive].up = false
 		}
 	}
-	r, _ := b.servers[feeder].Rollouts().NewestOf("s")
+	r, _ := b.servers[upstream].Rollouts().NewestOf("s")
 	return r
 }
 
@@ -165,7 +165,7 @@
 		for _, kill := range []bool{false, true} {
 			b := newRolloutCluster(t)
 			must.Eq(t, statusOK, b.begin(b.names[2], "s", "v2").Status)
-			r := playRollout(t, b, b.names[4], failing, kill)
+			r := runRollout(t, b, b.names[4], failing, kill)
 			want := rollout.Complete
 			if failing > 0 {
 				want = rollout.Reverted
--- a/decide/controller/saves_test.go
+++ b/decide/controller/saves_test.go
@@ -16,14 +16,14 @@
 	)
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
-	heard := func(seq uint64) {
+	sendHeartbeats := func(seq uint64) {
 		for i := range replicas {
 			r := readyReplica(fmt.Sprint("i-", i))
 			r.Seq = seq
 			b.replicaCall(b.names[i%5], r)
 		}
 	}
-	heard(1)
+	sendHeartbeats(1)
 	b.run(2000 * ms)
 	for _, name := range b.names {
 		must.SliceLen(t, replicas, b.servers[name].savedReplicas)
@@ -31,7 +31,7 @@
 	}
 	for revision := range uint64(changes) {
 		must.Eq(t, statusOK, b.untilAnswered(b.put(b.names[revision%5], revision+1, fmt.Sprint("body ", revision))))
-		heard(revision + 2)
+		sendHeartbeats(revision + 2)
 		b.run(1000 * ms)
 	}
 	for _, name := range b.names {
