--- a/decide/controller/bench_test.go
+++ b/decide/controller/bench_test.go
@@ -92,7 +92,7 @@
 
 // BenchmarkTick measures the work that a controller does every 100 ms while all replicas send heartbeats.
 func BenchmarkTick(b *testing.B) {
-	const heardEvery = 20 // ticks: the oldest heartbeat is 2 s old
+	const heardEvery = 20 // ticks between two heartbeats of a replica, so the oldest one is 2 s old
 	c := largeController(ms)
 	n := int64(0)
 	for b.Loop() {
--- a/decide/controller/callers.go
+++ b/decide/controller/callers.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// handleAck records that another controller has on disk the departure that was sent under the number asked.
+// handleAck records that another controller has on disk the departure that was sent to it with this AckRequest.
 func (c *Controller) handleAck(from string, ackRequest uint64) {
 	if ackRequest == 0 {
 		return
--- a/decide/controller/contact.go
+++ b/decide/controller/contact.go
@@ -12,7 +12,7 @@
 // This file has the heartbeats between controllers and what their answers prove about contact.
 
 const (
-	contactTimeout    = 1600 * ms // after the sending of the last heartbeat that was answered; three may be lost
+	contactTimeout    = 1600 * ms // contact lasts this long after the last answered heartbeat was sent; three may be lost
 	settleDelay       = 400 * ms  // a value that is accepted but not committed for this long gets a round of its own
 	settleBackupDelay = 800 * ms  // wait of the other members beyond settleDelay, before they run that round instead
 )
@@ -73,7 +73,7 @@
 func (c *Controller) checkContact() {
 	if now := c.InContact(); now != c.inContact {
 		c.inContact = now
-		c.log("in contact with a majority of controllers", "inContact", now)
+		c.log("contact with a majority of controllers has changed", "inContact", now)
 	}
 }
 
@@ -119,8 +119,8 @@
 	return reports
 }
 
-// handleHeartbeat handles the heartbeat in a message of another controller. If its sender holds something newer, all
-// that it holds is requested.
+// handleHeartbeat handles the heartbeat in a message of another controller. If its sender has committed something newer,
+// or no replica is known here, all that the sender holds is requested.
 func (c *Controller) handleHeartbeat(p *peer, message Message) {
 	h := message.Heartbeat
 	if h.ShuttingDown && !p.heartbeat.ShuttingDown {
--- a/decide/controller/controller_test.go
+++ b/decide/controller/controller_test.go
@@ -436,7 +436,7 @@
 		b.replicaCall(b.names[0], registry.Record{ID: fmt.Sprint("i-", seq%20), Service: "s", Address: "a:1", Seq: seq})
 		b.run(50 * ms)
 	}
-	must.LessEq(t, 2*(20+6000/600+1), messages) // each new one, and then batches, to two others
+	must.LessEq(t, 2*(20+6000/600+1), messages) // to each of two others: 20 new replicas, then a batch every 600 ms
 	at := b.now
 	b.replicaCall(b.names[0], registry.Record{ID: "i-new", Service: "s", Address: "a:2", Seq: 1})
 	b.run(300 * ms)
--- a/decide/controller/disk.go
+++ b/decide/controller/disk.go
@@ -11,8 +11,8 @@
 // This file has this controller's part of the register: its acceptor, whose state is on disk, its proposer, and the
 // committed value.
 
-// stepDisk passes a register request to this controller's acceptor. The answer is sent at once if it changes nothing,
-// or else after the save that makes it durable.
+// stepDisk passes a register request to this controller's acceptor. The answer is sent at once if the acceptor's state
+// is on disk already, or else after the save that covers it.
 func (c *Controller) stepDisk(from string, m register.Message) {
 	if m.Kind != register.Query {
 		c.proposer.ObserveBallot(m.Ballot)
--- a/decide/controller/fields_test.go
+++ b/decide/controller/fields_test.go
@@ -11,8 +11,8 @@
 	"willowsill/decide/registry"
 )
 
-// visitFields calls add for every field of a message that is not zero, with the field indexes that lead to it; -1 stands for
-// following a pointer.
+// visitFields calls add for every field of a message that is not zero, with the field indexes that lead to it; the index
+// -1 stands for following a pointer.
 func visitFields(v reflect.Value, path []int, add func(way []int, v reflect.Value)) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -51,7 +51,7 @@
 	var found []fieldAt
 	var before []Message
 	seen := map[string]int{}
-	// play runs the scenario once. A put may end with 503, which leaves open whether its configuration is committed.
+	// The scenario accepts 503 for a put, which leaves open whether its configuration is committed.
 	runScenario := func(tamper func(int, *Message) (int, int64)) {
 		b := newCluster(t, 5)
 		b.tamper = tamper
@@ -114,9 +114,9 @@
 				*message = deepCopy(t, *message)
 				v, _ := field(reflect.ValueOf(message).Elem(), c.path)
 				switch mutation {
-				case 0: // zeroed
+				case 0: // the field is set to its zero value
 					v.SetZero()
-				case 1, 2: // replaced by the value of an earlier message, maybe of another controller
+				case 1, 2: // the field gets the value of an earlier message, maybe of another controller
 					step := []int{7, 31}[mutation-1]
 					for n := number - 2; n >= 0; n -= step {
 						other, ok := field(reflect.ValueOf(&before[n]).Elem(), c.path)
--- a/decide/controller/groups_test.go
+++ b/decide/controller/groups_test.go
@@ -130,7 +130,7 @@
 		home := func(replica int) string { return b.names[replica%2] }
 		b.heartbeatsFrom(6, 4000*ms, home)
 		b.cutOff(far)
-		b.heartbeatsFrom(2, 4000*ms, home) // the others are lost
+		b.heartbeatsFrom(2, 4000*ms, home) // the other four replicas are lost during the cut
 		if restarted {
 			b.servers[called].up = false
 			b.run(300 * ms)
--- a/decide/controller/members_test.go
+++ b/decide/controller/members_test.go
@@ -98,7 +98,7 @@
 	within int64
 }
 
-// The narrower bounds.
+// Bounds for the field within of a replacement.
 const (
 	withinJoin     = 500 * ms // a wiped member rejoins: a refusal, a promise and a save
 	withinTakeOver = 850 * ms // a newcomer replaces a member that has long been silent
@@ -212,7 +212,7 @@
 	started  int64  // when the last successor starts
 }
 
-// checkCopies fails the test if the members without the acknowledged revision on disk could form a majority.
+// checkCopies fails the test if the running members without the acknowledged revision on disk could form a majority.
 func (p *lossScenario) checkCopies() {
 	var newest register.Value
 	for _, name := range p.names {
--- a/decide/controller/orders.go
+++ b/decide/controller/orders.go
@@ -19,7 +19,7 @@
 // after the order's round has ended, never from an earlier value that may still be replaced.
 type OrderOutcome uint8
 
-// The outcomes.
+// The outcomes of an order, as the committed value shows them.
 const (
 	OutcomeUnknown    OrderOutcome = iota // the value does not contain the order; it may still be committed later
 	OutcomeInForce                        // the value holds this content under this revision
--- a/decide/controller/rollouts_test.go
+++ b/decide/controller/rollouts_test.go
@@ -111,8 +111,9 @@
 	return all
 }
 
-// runRollout runs a rollout to its end and returns it. All edges are connected to feeder, and failing of ten answers of
-// the new version fail. If kill is true, the first live member is killed after each step of the rollout.
+// runRollout runs a rollout to its end and returns it. All edges are connected to the controller upstream. Of every ten
+// answers of the new version, failing ones are errors. If kill is true, the first live member is killed after each step
+// of the rollout.
 func runRollout(t *testing.T, b *cluster, upstream string, failing int, kill bool) rollout.Rollout {
 	var recorders []*rollout.Recorder
 	for incarnation := range uint64(6) {
