--- a/decide/overload/overload.go
+++ b/decide/overload/overload.go
@@ -18,10 +18,10 @@
 type Level uint8
 
 const (
-	Calm       Level = iota
-	Busy             // the process is at its capacity, but nothing waits
-	Overloaded       // incoming work waits for the process
-	Critical         // even rejecting queries costs too much
+	Calm       Level = iota // the process is below its capacity
+	Busy                    // the process is at its capacity, but nothing waits
+	Overloaded              // incoming work waits for the process
+	Critical                // even rejecting queries costs too much
 )
 
 var levelNames = [...]string{"calm", "busy", "strained", "critical"}
--- a/lab/controllercheck/controllercheck_test.go
+++ b/lab/controllercheck/controllercheck_test.go
@@ -39,7 +39,7 @@
 		{Name: "a change of members that others overtook is made all the same", Scope: "two_at_the_duty",
 			Edits: edit(membersFile, "if v.Epoch != epoch || len(v.Prior) > 0 {", "if false {")},
 		{Name: "a place that is free is given to nobody", Scope: "replacement",
-			Edits: edit(membersFile, "case len(gone) > 0 && len(newcomers) > 0:", "case len(gone) > 1 && len(newcomers) > 0:")},
+			Edits: edit(membersFile, "case len(replaceable) > 0 && len(newcomers) > 0:", "case len(replaceable) > 1 && len(newcomers) > 0:")},
 		{Name: "who leaves is waited for until it is silent, and then for ever", Scope: "planned_replacement",
 			Edits: edit(membersFile, "			silent = append(silent, ip)\n", "")},
 		{Name: "answers leave before the sync", Scope: "two_contents", Edits: edit(diskFile, "	if after == 0 {\n", "	if after >= 0 {\n")},
@@ -48,7 +48,7 @@
 		{Name: "a drain is acknowledged by one alone", Scope: "drain_and_power",
 			Edits: edit(callersFile, "if 2*n > len(c.members()) {", "if n > 0 {")},
 		{Name: "what is told need not stand", Scope: "two_contents",
-			Edits: edit(diskFile, "	c.dirty = c.dirty || save\n", "	c.dirty = c.dirty || save\n	c.tell(c.state.Take(clusterstate.Update{Revision: c.disk.Value.Revision, Body: c.disk.Value.Body}))\n")},
+			Edits: edit(diskFile, "	c.dirty = c.dirty || save\n", "	c.dirty = c.dirty || save\n	c.addUpdate(c.state.Apply(clusterstate.Update{Revision: c.disk.Value.Revision, Body: c.disk.Value.Body}))\n")},
 	} {
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
