--- a/cmd/overloadtest/burst.go
+++ b/cmd/overloadtest/burst.go
@@ -18,41 +18,41 @@
 
 // What the clients ask: a cheap workload, and one in ten queries of a dear one that is worth ten times as much.
 const (
-	dear      = "book"
-	cheap     = "look"
-	dearWorth = 10.0
-	dearShare = 0.1
+	highValue        = "book"
+	lowValue         = "look"
+	highValueRevenue = 10.0
+	highValueShare   = 0.1
 )
 
-// shedding are the program without and with the script.
-func shedding(limit string) []way {
-	return []way{{"former", ""}, {"strain", fmt.Sprintf("strain(revenue = {%q: %g}, limit = %q)\n", dear, dearWorth, limit)}}
+// shedVariants are the program without and with the script.
+func shedVariants(limit string) []variant {
+	return []variant{{"former", ""}, {"strain", fmt.Sprintf("strain(revenue = {%q: %g}, limit = %q)\n", highValue, highValueRevenue, limit)}}
 }
 
-// Crowd is what came of one load.
-type Crowd struct {
-	Rate        float64 // asked a second, in all
-	Cheap, Dear *load.Outcome
-	CPU         time.Duration
-	Took        time.Duration
-	Refused     float64 // turned away by strain, with heads read,
-	Unseen      float64 // and without
+// LoadResult is what came of one load.
+type LoadResult struct {
+	Rate                float64 // asked a second, in all
+	LowValue, HighValue *load.Outcome
+	CPU                 time.Duration
+	Duration            time.Duration
+	RejectedRead        float64 // turned away by strain, with heads read,
+	RejectedUnread      float64 // and without
 }
 
 // Revenue is what was served within the goal, a second.
-func (c *Crowd) Revenue() float64 {
-	return (float64(c.Cheap.InGoal) + dearWorth*float64(c.Dear.InGoal)) / c.Took.Seconds()
+func (c *LoadResult) Revenue() float64 {
+	return (float64(c.LowValue.InGoal) + highValueRevenue*float64(c.HighValue.InGoal)) / c.Duration.Seconds()
 }
 
-// Best is what a perfect shedder would earn a second that can serve so many.
-func (c *Crowd) Best(served float64) float64 {
-	d := min(dearShare*c.Rate, served)
-	return dearWorth*d + min(served-d, c.Rate*(1-dearShare))
+// BestRevenue is what a perfect shedder would earn a second that can serve so many.
+func (c *LoadResult) BestRevenue(served float64) float64 {
+	d := min(highValueShare*c.Rate, served)
+	return highValueRevenue*d + min(served-d, c.Rate*(1-highValueShare))
 }
 
-// crowd asks at a rate for a while.
-func crowd(ctx context.Context, w *sites.World, parts int, rate float64, span time.Duration, seed uint64) (*Crowd, error) {
-	c := &Crowd{Rate: rate}
+// runLoad asks at a rate for a while.
+func runLoad(ctx context.Context, w *sites.Testbed, parts int, rate float64, span time.Duration, seed uint64) (*LoadResult, error) {
+	c := &LoadResult{Rate: rate}
 	before := w.CPU()
 	was := w.Sites["one"].Counters(0)
 	var both sync.WaitGroup
@@ -61,15 +61,15 @@
 		name string
 		rate float64
 		to   **load.Outcome
-	}{{cheap, rate * (1 - dearShare), &c.Cheap}, {dear, rate * dearShare, &c.Dear}} {
+	}{{lowValue, rate * (1 - highValueShare), &c.LowValue}, {highValue, rate * highValueShare, &c.HighValue}} {
 		both.Go(func() {
-			clients, err := asking(w, kind.name, parts, 700)
+			clients, err := newClients(w, kind.name, parts, 700)
 			if err != nil {
 				errs <- err
 				return
 			}
 			defer clients.Close()
-			*kind.to = clients.Open(ctx, kind.rate, span, seed+uint64(i))
+			*kind.to = clients.RunOpenLoop(ctx, kind.rate, span, seed+uint64(i))
 		})
 	}
 	both.Wait()
@@ -78,15 +78,15 @@
 		return nil, err
 	default:
 	}
-	c.Took, c.CPU = span, w.CPU()-before
+	c.Duration, c.CPU = span, w.CPU()-before
 	is := w.Sites["one"].Counters(0)
-	c.Refused = sites.Figure(is, "strain", "shed") - sites.Figure(was, "strain", "shed")
-	c.Unseen = sites.Figure(is, "strain", "unseen") - sites.Figure(was, "strain", "unseen")
+	c.RejectedRead = sites.Counter(is, "strain", "shed") - sites.Counter(was, "strain", "shed")
+	c.RejectedUnread = sites.Counter(is, "strain", "unseen") - sites.Counter(was, "strain", "unseen")
 	return c, nil
 }
 
-// all are the shards up to n.
-func all(n int) (shards []int) {
+// firstShards are the shards up to n.
+func firstShards(n int) (shards []int) {
 	for i := range n {
 		shards = append(shards, i)
 	}
@@ -96,68 +96,68 @@
 // burstOptions are the flags of the command burst.
 type burstOptions struct {
 	binary, limit string
-	span          time.Duration
-	times         []float64
+	duration      time.Duration
+	loadFactors   []float64
 	parts         int
 	json          bool
 }
 
 // BurstResult is what one way of running the program kept of one load, as the command prints it.
 type BurstResult struct {
-	Way      string        `json:"way"`
-	Times    float64       `json:"times"`    // the load, as a multiple of Capacity
-	Span     time.Duration `json:"span_ns"`  // how long the load was asked
-	Capacity float64       `json:"capacity"` // queries a second that the program without strain can serve
-	Revenue  float64       `json:"revenue"`  // a second
-	Best     float64       `json:"best"`     // revenue a second of a perfect shedder
-	Dear     *load.Outcome `json:"dear"`
-	Cheap    *load.Outcome `json:"cheap"`
-	Refused  float64       `json:"refused"` // turned away by strain with their heads read
-	Unseen   float64       `json:"unseen"`  // and without
-	Cores    float64       `json:"cores"`   // cores that the program used
+	Variant        string        `json:"way"`
+	LoadFactor     float64       `json:"times"`    // the load, as a multiple of Capacity
+	Duration       time.Duration `json:"span_ns"`  // how long the load was asked
+	Capacity       float64       `json:"capacity"` // queries a second that the program without strain can serve
+	Revenue        float64       `json:"revenue"`  // a second
+	BestRevenue    float64       `json:"best"`     // revenue a second of a perfect shedder
+	HighValue      *load.Outcome `json:"dear"`
+	LowValue       *load.Outcome `json:"cheap"`
+	RejectedRead   float64       `json:"refused"` // turned away by strain with their heads read
+	RejectedUnread float64       `json:"unseen"`  // and without
+	Cores          float64       `json:"cores"`   // cores that the program used
 }
 
-// capacity finds how many cheap queries a second the program serves to clients that each wait for their last answer.
-func capacity(ctx context.Context, w *sites.World, parts int) (float64, error) {
-	clients, err := asking(w, cheap, parts, 0)
+// measureCapacity finds how many cheap queries a second the program serves to clients that each wait for their last answer.
+func measureCapacity(ctx context.Context, w *sites.Testbed, parts int) (float64, error) {
+	clients, err := newClients(w, lowValue, parts, 0)
 	if err != nil {
 		return 0, err
 	}
 	defer clients.Close()
-	clients.Closed(ctx, 32, 2*time.Second)
-	return clients.Closed(ctx, 256, 3*time.Second).Served, nil
+	clients.RunClosedLoop(ctx, 32, 2*time.Second)
+	return clients.RunClosedLoop(ctx, 256, 3*time.Second).ServedPerSecond, nil
 }
 
 // run plays every load against each way to run the program and hands each result to emit. The capacity is found once, with
 // the program without strain.
 func (o *burstOptions) run(ctx context.Context, emit func(*BurstResult) error) error {
 	highest := 0.0
-	for _, one := range shedding(o.limit) {
-		if err := o.runWay(ctx, one, &highest, emit); err != nil {
+	for _, one := range shedVariants(o.limit) {
+		if err := o.runVariant(ctx, one, &highest, emit); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// runWay plays every load against one way to run the program.
-func (o *burstOptions) runWay(ctx context.Context, one way, highest *float64, emit func(*BurstResult) error) error {
-	w, end, err := lone(o.binary, one.script, o.parts, 0)
+// runVariant plays every load against one way to run the program.
+func (o *burstOptions) runVariant(ctx context.Context, one variant, highest *float64, emit func(*BurstResult) error) error {
+	w, end, err := startSingle(o.binary, one.script, o.parts, 0)
 	defer end()
 	if err != nil {
 		return err
 	}
 	if *highest == 0 {
-		if *highest, err = capacity(ctx, w, o.parts); err != nil {
+		if *highest, err = measureCapacity(ctx, w, o.parts); err != nil {
 			return err
 		}
 	}
 	const warmUp = 99 // the seed of the load before the first that counts
-	if _, err := crowd(ctx, w, o.parts, 0.5**highest, 4*time.Second, warmUp); err != nil {
+	if _, err := runLoad(ctx, w, o.parts, 0.5**highest, 4*time.Second, warmUp); err != nil {
 		return err
 	}
-	for i, times := range o.times {
-		c, err := crowd(ctx, w, o.parts, times**highest, o.span, uint64(i))
+	for i, times := range o.loadFactors {
+		c, err := runLoad(ctx, w, o.parts, times**highest, o.duration, uint64(i))
 		if err != nil {
 			return err
 		}
@@ -170,9 +170,9 @@
 }
 
 // result names what came of a load.
-func (c *Crowd) result(way string, times, capacity float64) *BurstResult {
-	return &BurstResult{Way: way, Times: times, Span: c.Took, Capacity: capacity, Revenue: c.Revenue(), Best: c.Best(capacity),
-		Dear: c.Dear, Cheap: c.Cheap, Refused: c.Refused, Unseen: c.Unseen, Cores: c.CPU.Seconds() / c.Took.Seconds()}
+func (c *LoadResult) result(way string, times, capacity float64) *BurstResult {
+	return &BurstResult{Variant: way, LoadFactor: times, Duration: c.Duration, Capacity: capacity, Revenue: c.Revenue(), BestRevenue: c.BestRevenue(capacity),
+		HighValue: c.HighValue, LowValue: c.LowValue, RejectedRead: c.RejectedRead, RejectedUnread: c.RejectedUnread, Cores: c.CPU.Seconds() / c.Duration.Seconds()}
 }
 
 // printTable prints results as the rows of a table.
@@ -185,9 +185,9 @@
 			fmt.Fprintf(t, "%.0f a second can be served of %d parts each, on one core\n", r.Capacity, o.parts)
 			fmt.Fprintln(t, "| way\t| load\t| revenue a second\t| of the best\t| dear in goal\t| cheap in goal\t| declined\t| failed or late\t| refused\t| unseen\t| cores\t|")
 		}
-		fmt.Fprintf(t, "| %s\t| %gx\t| %.0f\t| %.3f\t| %.3f\t| %.3f\t| %d\t| %d\t| %.0f\t| %.0f\t| %.2f\t|\n", r.Way, r.Times, r.Revenue,
-			r.Revenue/r.Best, r.Dear.Share(), r.Cheap.Share(), r.Cheap.Declined+r.Dear.Declined,
-			r.Cheap.Failed+r.Dear.Failed+r.Cheap.Late+r.Dear.Late, r.Refused, r.Unseen, r.Cores)
+		fmt.Fprintf(t, "| %s\t| %gx\t| %.0f\t| %.3f\t| %.3f\t| %.3f\t| %d\t| %d\t| %.0f\t| %.0f\t| %.2f\t|\n", r.Variant, r.LoadFactor, r.Revenue,
+			r.Revenue/r.BestRevenue, r.HighValue.GoalShare(), r.LowValue.GoalShare(), r.LowValue.Declined+r.HighValue.Declined,
+			r.LowValue.Failed+r.HighValue.Failed+r.LowValue.Late+r.HighValue.Late, r.RejectedRead, r.RejectedUnread, r.Cores)
 		return nil
 	})
 	return errors.Join(err, t.Flush())
@@ -199,7 +199,7 @@
 	return o.run(ctx, func(r *BurstResult) error { return lines.Encode(r) })
 }
 
-func bursts() *cobra.Command {
+func burstCommand() *cobra.Command {
 	o := &burstOptions{}
 	c := &cobra.Command{
 		Use: "burst", Short: "More than can be served for a while: what is kept, and what a refusal costs",
@@ -211,8 +211,8 @@
 			return o.printTable(c.Context(), c.OutOrStdout())
 		},
 	}
-	c.Flags().DurationVar(&o.span, "for", 5*time.Second, "how long each load is asked")
-	c.Flags().Float64SliceVar(&o.times, "times", []float64{1, 2, 5, 10}, "of what can be served")
+	c.Flags().DurationVar(&o.duration, "for", 5*time.Second, "how long each load is asked")
+	c.Flags().Float64SliceVar(&o.loadFactors, "times", []float64{1, 2, 5, 10}, "of what can be served")
 	c.Flags().IntVar(&o.parts, "parts", 16, "of each query")
 	c.Flags().StringVar(&o.limit, "limit", "model", "how the limit is found")
 	c.Flags().StringVar(&o.binary, "program", "bin/willowsill", "the program")
--- a/cmd/overloadtest/main.go
+++ b/cmd/overloadtest/main.go
@@ -13,7 +13,7 @@
 func main() {
 	root := &cobra.Command{Use: "overloadtest", Short: "Measure an aggregator that is itself what falls behind",
 		SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(rounds(), bursts(), stops())
+	root.AddCommand(roundsCommand(), burstCommand(), stopsCommand())
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "overloadtest:", err)
 		os.Exit(1)
--- a/cmd/overloadtest/overloadtest_test.go
+++ b/cmd/overloadtest/overloadtest_test.go
@@ -14,7 +14,7 @@
 
 // The process is stopped by a signal while it serves: it sees how long it stood, loses no query, and blames no replica.
 func TestStops(t *testing.T) {
-	s, err := Stops(t.Context(), program.Build(t), "strain()\n", 100, time.Second, 2*time.Second, 1)
+	s, err := RunStops(t.Context(), program.Build(t), "strain()\n", 100, time.Second, 2*time.Second, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,17 +43,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: %.0f a second can be served; revenue %.0f of %.0f, refused %.0f, unseen %.0f, dear %+v, cheap %+v", r.Way, r.Capacity,
-			r.Revenue, r.Best, r.Refused, r.Unseen, *r.Dear, *r.Cheap)
+		t.Logf("%s: %.0f a second can be served; revenue %.0f of %.0f, refused %.0f, unseen %.0f, dear %+v, cheap %+v", r.Variant, r.Capacity,
+			r.Revenue, r.BestRevenue, r.RejectedRead, r.RejectedUnread, *r.HighValue, *r.LowValue)
 		kept = append(kept, r)
 	}
-	if len(kept) != 2 || kept[0].Dear.Asked == 0 || kept[1].Dear.Asked == 0 {
+	if len(kept) != 2 || kept[0].HighValue.Asked == 0 || kept[1].HighValue.Asked == 0 {
 		t.Fatalf("results of both ways wanted: %s", out)
 	}
 	if kept[1].Revenue < 2*kept[0].Revenue {
 		t.Errorf("%.0f a second with its strain known, %.0f without", kept[1].Revenue, kept[0].Revenue)
 	}
-	if kept[1].Revenue < kept[1].Best/4 {
-		t.Errorf("%.0f a second with its strain known, of %.0f that a perfect shedder earns", kept[1].Revenue, kept[1].Best)
+	if kept[1].Revenue < kept[1].BestRevenue/4 {
+		t.Errorf("%.0f a second with its strain known, of %.0f that a perfect shedder earns", kept[1].Revenue, kept[1].BestRevenue)
 	}
 }
--- a/cmd/overloadtest/rounds.go
+++ b/cmd/overloadtest/rounds.go
@@ -14,34 +14,34 @@
 	"willowsill/standin/sites"
 )
 
-// way is one way to run the program.
-type way struct{ name, script string }
+// variant is one way to run the program.
+type variant struct{ name, script string }
 
-// ways are the program as it was, and as it is with the script.
-var ways = []way{{"former", ""}, {"at once", "strain(shed = False)\n"}}
+// variants are the program as it was, and as it is with the script.
+var variants = []variant{{"former", ""}, {"at once", "strain(shed = False)\n"}}
 
-// lone is one process of the program with replicas that take no time.
-func lone(binary, script string, parts int, work time.Duration) (*sites.World, func(), error) {
+// startSingle is one process of the program with replicas that take no time.
+func startSingle(binary, script string, parts int, work time.Duration) (*sites.Testbed, func(), error) {
 	dir, err := os.MkdirTemp("", "overloadtest")
 	if err != nil {
 		return nil, nil, err
 	}
-	w, err := sites.Start(sites.Shape{Binary: binary, Dir: dir, Names: []string{"one"}, Gateways: 1, Alone: true, Work: work,
-		Workers: 256, Holders: 2, Script: script, Held: 20000, Sockets: 4096,
-		Parts: parts})
+	w, err := sites.Start(sites.Config{Binary: binary, Dir: dir, SiteNames: []string{"one"}, ProcessesPerSite: 1, Isolated: true, PartDuration: work,
+		WorkersPerReplica: 256, ReplicasPerShard: 2, Script: script, MaxHeld: 20000, MaxSockets: 4096,
+		ShardCount: parts})
 	return w, func() {
 		w.Stop()
 		os.RemoveAll(dir)
 	}, err
 }
 
-// asking are clients of a world's process, on so many connections at a time; 0 for any number.
-func asking(w *sites.World, workload string, parts, sockets int) (*load.Clients, error) {
-	return load.New(load.Target{URL: w.Sites["one"].URL(0), Workload: workload, Shards: all(parts), Text: "t", Patience: sites.Patience,
-		Goal: sites.Goal, Sockets: sockets})
+// newClients are clients of a world's process, on so many connections at a time; 0 for any number.
+func newClients(w *sites.Testbed, workload string, parts, sockets int) (*load.Clients, error) {
+	return load.New(load.Target{URL: w.Sites["one"].URL(0), Workload: workload, Shards: firstShards(parts), Text: "t", Timeout: sites.ClientTimeout,
+		LatencyGoal: sites.LatencyGoal, MaxConns: sockets})
 }
 
-func rounds() *cobra.Command {
+func roundsCommand() *cobra.Command {
 	var binary string
 	var each time.Duration
 	var rates []float64
@@ -53,32 +53,32 @@
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 1, ' ', 0)
 			fmt.Fprintf(t, "one core of %d for the program, replicas without work, %v each\n", runtime.NumCPU(), each)
 			fmt.Fprintln(t, "| way\t| asked\t| served a second\t| p50 ms\t| p99 ms\t| CPU us a query\t| cores\t| not served\t|")
-			for _, one := range ways {
-				w, end, err := lone(binary, one.script, parts, 0)
+			for _, one := range variants {
+				w, end, err := startSingle(binary, one.script, parts, 0)
 				if err != nil {
 					end()
 					return err
 				}
 				err = func() error {
 					defer end()
-					clients, err := asking(w, cheap, parts, 0)
+					clients, err := newClients(w, lowValue, parts, 0)
 					if err != nil {
 						return err
 					}
 					defer clients.Close()
-					clients.Closed(c.Context(), 16, 2*time.Second)
+					clients.RunClosedLoop(c.Context(), 16, 2*time.Second)
 					row := func(name string, ask func() *load.Outcome) {
 						before, began := w.CPU(), time.Now()
 						o := ask()
 						used, span := w.CPU()-before, time.Since(began)
-						fmt.Fprintf(t, "| %s\t| %s\t| %.0f\t| %.2f\t| %.2f\t| %.0f\t| %.2f\t| %d\t|\n", one.name, name, o.Served, o.P50.Seconds()*1e3,
+						fmt.Fprintf(t, "| %s\t| %s\t| %.0f\t| %.2f\t| %.2f\t| %.0f\t| %.2f\t| %d\t|\n", one.name, name, o.ServedPerSecond, o.P50.Seconds()*1e3,
 							o.P99.Seconds()*1e3, used.Seconds()*1e6/float64(max(o.InGoal+o.Late, 1)), used.Seconds()/span.Seconds(),
 							o.Declined+o.Failed)
 					}
-					row("64 clients", func() *load.Outcome { return clients.Closed(c.Context(), 64, each) })
-					row("256 clients", func() *load.Outcome { return clients.Closed(c.Context(), 256, each) })
+					row("64 clients", func() *load.Outcome { return clients.RunClosedLoop(c.Context(), 64, each) })
+					row("256 clients", func() *load.Outcome { return clients.RunClosedLoop(c.Context(), 256, each) })
 					for i, rate := range rates {
-						row(fmt.Sprintf("%.0f a second", rate), func() *load.Outcome { return clients.Open(c.Context(), rate, each, uint64(i)) })
+						row(fmt.Sprintf("%.0f a second", rate), func() *load.Outcome { return clients.RunOpenLoop(c.Context(), rate, each, uint64(i)) })
 					}
 					return t.Flush()
 				}()
--- a/cmd/overloadtest/stops.go
+++ b/cmd/overloadtest/stops.go
@@ -19,45 +19,45 @@
 	"willowsill/standin/sites"
 )
 
-// Stop is what came of a process that was stopped again and again while it served.
-type Stop struct {
+// StopResult is what came of a process that was stopped again and again while it served.
+type StopResult struct {
 	Outcome             *load.Outcome
 	TimedOut, Cancelled float64 // executions, as the process counts them
 	Stood               float64 // seconds
 	Further             float64 // executions beyond one a part
 }
 
-// watch has clients ask at a steady rate for a while, and sees what the process did meanwhile.
-func watch(ctx context.Context, binary, script string, rate float64, span time.Duration, trouble func(*sites.Site) error) (*Stop, error) {
-	w, end, err := lone(binary, script, 2, 40*time.Millisecond)
+// measure has clients ask at a steady rate for a while, and sees what the process did meanwhile.
+func measure(ctx context.Context, binary, script string, rate float64, span time.Duration, trouble func(*sites.Site) error) (*StopResult, error) {
+	w, end, err := startSingle(binary, script, 2, 40*time.Millisecond)
 	defer end()
 	if err != nil {
 		return nil, err
 	}
-	clients, err := asking(w, cheap, 2, 0)
+	clients, err := newClients(w, lowValue, 2, 0)
 	if err != nil {
 		return nil, err
 	}
 	defer clients.Close()
-	clients.Open(ctx, rate, 4*time.Second, 1)
+	clients.RunOpenLoop(ctx, rate, 4*time.Second, 1)
 	one := w.Sites["one"]
 	was := one.Counters(0)
-	s := &Stop{}
+	s := &StopResult{}
 	var both sync.WaitGroup
-	both.Go(func() { s.Outcome = clients.Open(ctx, rate, span, 2) })
+	both.Go(func() { s.Outcome = clients.RunOpenLoop(ctx, rate, span, 2) })
 	err = trouble(one)
 	both.Wait()
 	is := one.Counters(0)
-	of := func(path ...string) float64 { return sites.Figure(is, path...) - sites.Figure(was, path...) }
+	of := func(path ...string) float64 { return sites.Counter(is, path...) - sites.Counter(was, path...) }
 	s.TimedOut, s.Cancelled = of("executions", "timed_out"), of("executions", "cancelled")
-	s.Stood = sites.Figure(is, "strain", "stood_ns") / 1e9
-	s.Further = of("executions", "sent") - 2*(of("workloads", cheap, "taken")-of("workloads", cheap, "declined"))
+	s.Stood = sites.Counter(is, "strain", "stood_ns") / 1e9
+	s.Further = of("executions", "sent") - 2*(of("workloads", lowValue, "taken")-of("workloads", lowValue, "declined"))
 	return s, err
 }
 
-// Neighbours has busy processes on the one core that the process may use, for the middle of a while.
-func Neighbours(ctx context.Context, binary, script string, rate float64, n int, span time.Duration) (*Stop, error) {
-	return watch(ctx, binary, script, rate, span, func(one *sites.Site) error {
+// RunNeighbours has busy processes on the one core that the process may use, for the middle of a while.
+func RunNeighbours(ctx context.Context, binary, script string, rate float64, n int, span time.Duration) (*StopResult, error) {
+	return measure(ctx, binary, script, rate, span, func(one *sites.Site) error {
 		var core unix.CPUSet
 		core.Set(runtime.NumCPU() - 1)
 		pin := func(pid int) error {
@@ -98,9 +98,9 @@
 	})
 }
 
-// Stops stops the process for so long each time, with signals, and has clients ask at a steady rate.
-func Stops(ctx context.Context, binary, script string, rate float64, each, stopped time.Duration, times int) (*Stop, error) {
-	return watch(ctx, binary, script, rate, time.Duration(times+1)*(each+stopped), func(one *sites.Site) (err error) {
+// RunStops stops the process for so long each time, with signals, and has clients ask at a steady rate.
+func RunStops(ctx context.Context, binary, script string, rate float64, each, stopped time.Duration, times int) (*StopResult, error) {
+	return measure(ctx, binary, script, rate, time.Duration(times+1)*(each+stopped), func(one *sites.Site) (err error) {
 		for range times {
 			time.Sleep(each)
 			if err = one.Signal(0, syscall.SIGSTOP); err != nil {
@@ -115,7 +115,7 @@
 	})
 }
 
-func stops() *cobra.Command {
+func stopsCommand() *cobra.Command {
 	var binary string
 	var rate float64
 	var times int
@@ -127,8 +127,8 @@
 			fmt.Fprintf(t, "%g queries a second of two parts of 40 ms each, stopped %d times, one second between\n", rate, times)
 			fmt.Fprintln(t, "| way\t| stopped for\t| asked\t| in goal\t| late\t| declined\t| failed\t| taken back or timed out\t| further executions\t| seen to stand s\t|")
 			for _, stopped := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second} {
-				for _, one := range []way{{"former", ""}, {"strain", "strain()\n"}} {
-					s, err := Stops(context.Background(), binary, one.script, rate, time.Second, stopped, times)
+				for _, one := range []variant{{"former", ""}, {"strain", "strain()\n"}} {
+					s, err := RunStops(context.Background(), binary, one.script, rate, time.Second, stopped, times)
 					if err != nil {
 						return err
 					}
@@ -138,8 +138,8 @@
 				}
 			}
 			for _, n := range []int{2, 4} {
-				for _, one := range []way{{"former", ""}, {"strain", "strain()\n"}} {
-					s, err := Neighbours(context.Background(), binary, one.script, rate, n, 12*time.Second)
+				for _, one := range []variant{{"former", ""}, {"strain", "strain()\n"}} {
+					s, err := RunNeighbours(context.Background(), binary, one.script, rate, n, 12*time.Second)
 					if err != nil {
 						return err
 					}
--- a/cmd/sites/dark.go
+++ b/cmd/sites/dark.go
@@ -20,32 +20,32 @@
 
 // A run has three phases: all well, the first site dark, all well again.
 const (
-	darkFrom  = 0.3
-	darkUntil = 0.6
-	row       = 10 * time.Second // of the timeline
-	nearly    = 0.02             // of the level before: so close counts as back
+	outageStart       = 0.3
+	outageEnd         = 0.6
+	rowDuration       = 10 * time.Second // of the timeline
+	recoveryTolerance = 0.02             // of the level before: so close counts as back
 )
 
 // variant is one world of a run.
 type variant struct {
 	size, policy string
-	alone        bool
+	isolated     bool
 	workers      int
-	work         time.Duration
-	line         *sites.Line
+	partDuration time.Duration
+	timeline     *sites.Timeline
 	peaks        peaks
 }
 
 // peaks are the most that was seen of what has a limit.
 type peaks struct {
-	queries  float64 // carried in a second by one process
-	over     int     // samples with more in flight than the process's own limit said
-	bytes    float64 // that crossed a link in a second, both ways
-	carried  float64
-	stranger float64
+	queryRate float64 // carried in a second by one process
+	overLimit int     // samples with more in flight than the process's own limit said
+	byteRate  float64 // that crossed a link in a second, both ways
+	carried   float64
+	strangers float64
 }
 
-func darkness() *cobra.Command {
+func darkCommand() *cobra.Command {
 	var whole time.Duration
 	var binary, results string
 	var rate float64
@@ -65,9 +65,9 @@
 				work    time.Duration
 			}{{"room", 2, 50 * time.Millisecond}, {"short", 1, 70 * time.Millisecond}} {
 				for _, p := range []string{"plan", "none", "all", "half"} {
-					v := &variant{size: size.name, policy: p, workers: size.workers, work: size.work}
+					v := &variant{size: size.name, policy: p, workers: size.workers, partDuration: size.work}
 					if p == "none" {
-						v.alone = true
+						v.isolated = true
 					}
 					variants = append(variants, v)
 				}
@@ -75,13 +75,15 @@
 			errs := make([]error, len(variants))
 			var under sync.WaitGroup
 			for i, v := range variants {
-				under.Go(func() { errs[i] = v.play(binary, sites.Load{Rate: rate, Seed: seed, For: whole, Each: row}) })
+				under.Go(func() {
+					errs[i] = v.run(binary, sites.Load{Rate: rate, Seed: seed, Duration: whole, RowDuration: rowDuration})
+				})
 			}
 			under.Wait()
 			if err := errors.Join(errs...); err != nil {
 				return err
 			}
-			return report(variants, results, whole, rate, seed)
+			return writeReport(variants, results, whole, rate, seed)
 		},
 	}
 	c.Flags().DurationVar(&whole, "for", 3*time.Minute, "how long")
@@ -92,22 +94,22 @@
 	return c
 }
 
-// shape is a variant's world.
-func (v *variant) shape(binary, dir string) sites.Shape {
-	return sites.Shape{Binary: binary, Dir: dir, Names: []string{"east", "west"}, Gateways: 2, Alone: v.alone, Policy: v.policy,
-		Work: v.work, Workers: v.workers, Holders: 2, Queries: 40, Bytes: 1 << 20,
+// config is a variant's world.
+func (v *variant) config(binary, dir string) sites.Config {
+	return sites.Config{Binary: binary, Dir: dir, SiteNames: []string{"east", "west"}, ProcessesPerSite: 2, Isolated: v.isolated, Policy: v.policy,
+		PartDuration: v.partDuration, WorkersPerReplica: v.workers, ReplicasPerShard: 2, LinkQueryRate: 40, LinkByteRate: 1 << 20,
 		Revenue: map[string]float64{"look": 1, "book": 2, "pay": 5},
-		Way: link.Way{Delay: 80 * time.Millisecond, Jitter: 10 * time.Millisecond, Loss: 0.01,
-			Stall: 200 * time.Millisecond}}
+		LinkConditions: link.Conditions{Delay: 80 * time.Millisecond, Jitter: 10 * time.Millisecond, Loss: 0.01,
+			LossDelay: 200 * time.Millisecond}}
 }
 
-func (v *variant) play(binary string, l sites.Load) error {
+func (v *variant) run(binary string, l sites.Load) error {
 	dir, err := os.MkdirTemp("", "sites")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	w, err := sites.Start(v.shape(binary, dir))
+	w, err := sites.Start(v.config(binary, dir))
 	defer w.Stop()
 	if err != nil {
 		return err
@@ -118,10 +120,10 @@
 		defer close(watched)
 		v.peaks.watch(w, stop)
 	}()
-	rows := float64(l.For / l.Each)
-	v.line = w.Play(l, func(span int) {
+	rows := float64(l.Duration / l.RowDuration)
+	v.timeline = w.RunLoad(l, func(span int) {
 		at := float64(span) / rows
-		w.Sites["east"].Dark(at >= darkFrom && at < darkUntil)
+		w.Sites["east"].SetUnresponsive(at >= outageStart && at < outageEnd)
 	})
 	close(stop)
 	<-watched
@@ -129,7 +131,7 @@
 }
 
 // watch samples what has a limit each second.
-func (p *peaks) watch(w *sites.World, stop <-chan struct{}) {
+func (p *peaks) watch(w *sites.Testbed, stop <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	carried, bytes, at := map[string]float64{}, map[string]float64{}, time.Now()
@@ -143,18 +145,18 @@
 		at = time.Now()
 		total := 0.0
 		for name, s := range w.Sites {
-			for i := range w.Gateways {
+			for i := range w.ProcessesPerSite {
 				all := s.Counters(i)
 				key := name + strconv.Itoa(i)
-				now := sites.Figure(all, "gateway", "queries", "carried")
-				p.queries = max(p.queries, (now-carried[key])/span)
+				now := sites.Counter(all, "gateway", "queries", "carried")
+				p.queryRate = max(p.queryRate, (now-carried[key])/span)
 				carried[key] = now
 				total += now
-				p.stranger += sites.Figure(all, "gateway", "queries", "strangers")
-				for _, other := range w.Names {
-					if sites.Figure(all, "gateway", "ways", other, "in_flight") >
-						max(sites.Figure(all, "gateway", "ways", other, "limit"), 0) {
-						p.over++
+				p.strangers += sites.Counter(all, "gateway", "queries", "strangers")
+				for _, other := range w.SiteNames {
+					if sites.Counter(all, "gateway", "ways", other, "in_flight") >
+						max(sites.Counter(all, "gateway", "ways", other, "limit"), 0) {
+						p.overLimit++
 					}
 				}
 			}
@@ -162,48 +164,48 @@
 		p.carried = total
 		for key, l := range w.Links {
 			now := float64(l.Bytes())
-			p.bytes = max(p.bytes, (now-bytes[key])/span)
+			p.byteRate = max(p.byteRate, (now-bytes[key])/span)
 			bytes[key] = now
 		}
 	}
 }
 
-// phases sums a timeline up: before, dark, after.
-func (v *variant) phases() (all [3]sites.Tally) {
-	n := float64(len(v.line.Rows))
-	for i := range v.line.Rows {
+// phaseTallies sums a timeline up: before, dark, after.
+func (v *variant) phaseTallies() (all [3]sites.Tally) {
+	n := float64(len(v.timeline.Rows))
+	for i := range v.timeline.Rows {
 		at, phase := float64(i)/n, 0
-		if at >= darkFrom {
+		if at >= outageStart {
 			phase++
 		}
-		if at >= darkUntil {
+		if at >= outageEnd {
 			phase++
 		}
-		all[phase].Add(&v.line.Rows[i])
+		all[phase].Add(&v.timeline.Rows[i])
 	}
 	return all
 }
 
-// back is how long after the return the share of revenue is as before, for good but for single rows; below 0 for never.
-func (v *variant) back() time.Duration {
-	before := v.phases()[0]
-	level := before.Share() - nearly
-	from := int(float64(len(v.line.Rows))*darkUntil + 0.5)
-	for i := from; i+2 < len(v.line.Rows); i++ {
+// recoveryTime is how long after the return the share of revenue is as before, for good but for single rows; below 0 for never.
+func (v *variant) recoveryTime() time.Duration {
+	before := v.phaseTallies()[0]
+	level := before.RevenueShare() - recoveryTolerance
+	from := int(float64(len(v.timeline.Rows))*outageEnd + 0.5)
+	for i := from; i+2 < len(v.timeline.Rows); i++ {
 		good := 0
 		for j := i; j < i+3; j++ {
-			if v.line.Rows[j].Share() >= level {
+			if v.timeline.Rows[j].RevenueShare() >= level {
 				good++
 			}
 		}
 		if good == 3 {
-			return time.Duration(i-from) * row
+			return time.Duration(i-from) * rowDuration
 		}
 	}
 	return -1
 }
 
-func report(variants []*variant, dir string, whole time.Duration, rate float64, seed uint64) error {
+func writeReport(variants []*variant, dir string, whole time.Duration, rate float64, seed uint64) error {
 	out := os.Stdout
 	if dir != "" {
 		if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -215,7 +217,7 @@
 		}
 		defer file.Close()
 		out = file
-		if err := timeline(variants, filepath.Join(dir, "dark.csv")); err != nil {
+		if err := writeTimeline(variants, filepath.Join(dir, "dark.csv")); err != nil {
 			return err
 		}
 	}
@@ -225,10 +227,10 @@
 	fmt.Fprintln(t, "| other site\t| policy\t| phase\t| asked\t| revenue within goal\t| in goal\t| late\t| declined\t| failed\t| lost\t| wrong\t|")
 	fmt.Fprintln(t, "|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|")
 	for _, v := range variants {
-		for i, p := range v.phases() {
+		for i, p := range v.phaseTallies() {
 			fmt.Fprintf(t, "| %s\t| %s\t| %s\t| %d\t| %.4f\t", v.size, v.policy, [...]string{"before", "dark", "after"}[i], p.Asked,
-				p.Share())
-			for _, n := range p.Ends {
+				p.RevenueShare())
+			for _, n := range p.Outcomes {
 				fmt.Fprintf(t, "| %d\t", n)
 			}
 			fmt.Fprintln(t, "|")
@@ -240,14 +242,14 @@
 		"samples over its limit in flight\t| most bytes in a second over a link\t| back after\t|")
 	fmt.Fprintln(t, "|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|")
 	for _, v := range variants {
-		fmt.Fprintf(t, "| %s\t| %s\t| %d\t| %.0f\t| %.0f\t| %d\t| %.0f\t| %v\t|\n", v.size, v.policy, v.line.Doubled, v.peaks.carried,
-			v.peaks.queries, v.peaks.over, v.peaks.bytes, v.back())
+		fmt.Fprintf(t, "| %s\t| %s\t| %d\t| %.0f\t| %.0f\t| %d\t| %.0f\t| %v\t|\n", v.size, v.policy, v.timeline.DuplicateExecutions, v.peaks.carried,
+			v.peaks.queryRate, v.peaks.overLimit, v.peaks.byteRate, v.recoveryTime())
 	}
 	return t.Flush()
 }
 
-// timeline writes each variant's share of revenue, row by row.
-func timeline(variants []*variant, name string) error {
+// writeTimeline writes each variant's share of revenue, row by row.
+func writeTimeline(variants []*variant, name string) error {
 	file, err := os.Create(name)
 	if err != nil {
 		return err
@@ -256,10 +258,10 @@
 	w := csv.NewWriter(file)
 	w.Write([]string{"other_site", "policy", "second", "asked", "revenue_share", "lost", "wrong"})
 	for _, v := range variants {
-		for i := range v.line.Rows {
-			r := &v.line.Rows[i]
-			w.Write([]string{v.size, v.policy, strconv.Itoa(i * int(row.Seconds())), strconv.Itoa(r.Asked),
-				strconv.FormatFloat(r.Share(), 'f', 4, 64), strconv.Itoa(r.Ends[sites.Lost]), strconv.Itoa(r.Ends[sites.Wrong])})
+		for i := range v.timeline.Rows {
+			r := &v.timeline.Rows[i]
+			w.Write([]string{v.size, v.policy, strconv.Itoa(i * int(rowDuration.Seconds())), strconv.Itoa(r.Asked),
+				strconv.FormatFloat(r.RevenueShare(), 'f', 4, 64), strconv.Itoa(r.Outcomes[sites.Lost]), strconv.Itoa(r.Outcomes[sites.Wrong])})
 		}
 	}
 	w.Flush()
--- a/cmd/sites/main.go
+++ b/cmd/sites/main.go
@@ -12,7 +12,7 @@
 func main() {
 	root := &cobra.Command{Use: "sites", Short: "Measure the gateway between sites on loopback sockets",
 		SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(darkness(), hops(), restarts())
+	root.AddCommand(darkCommand(), hopCommand(), restartCommand())
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "sites:", err)
 		os.Exit(1)
--- a/cmd/sites/restart.go
+++ b/cmd/sites/restart.go
@@ -12,7 +12,7 @@
 	"willowsill/standin/sites"
 )
 
-func restarts() *cobra.Command {
+func restartCommand() *cobra.Command {
 	var binary string
 	var whole time.Duration
 	c := &cobra.Command{
@@ -24,7 +24,7 @@
 			t := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
 			fmt.Fprintln(t, "| what\t| asked\t| in goal\t| late\t| declined\t| failed\t| lost\t| wrong\t| doubled\t|")
 			for _, killed := range []bool{false, true} {
-				line, err := Restart(binary, whole, killed)
+				line, err := RunRestarts(binary, whole, killed)
 				if err != nil {
 					return err
 				}
@@ -33,10 +33,10 @@
 					sum.Add(&line.Rows[i])
 				}
 				fmt.Fprintf(t, "| %s\t| %d\t", map[bool]string{false: "planned", true: "killed"}[killed], sum.Asked)
-				for _, n := range sum.Ends {
+				for _, n := range sum.Outcomes {
 					fmt.Fprintf(t, "| %d\t", n)
 				}
-				fmt.Fprintf(t, "| %d\t|\n", line.Doubled)
+				fmt.Fprintf(t, "| %d\t|\n", line.DuplicateExecutions)
 			}
 			return t.Flush()
 		},
@@ -46,17 +46,17 @@
 	return c
 }
 
-// Restart has one site left and its queries carried, while the other's processes are restarted one by one, as planned or by
+// RunRestarts has one site left and its queries carried, while the other's processes are restarted one by one, as planned or by
 // killing them.
-func Restart(binary string, whole time.Duration, killed bool) (*sites.Line, error) {
+func RunRestarts(binary string, whole time.Duration, killed bool) (*sites.Timeline, error) {
 	dir, err := os.MkdirTemp("", "sites")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	w, err := sites.Start(sites.Shape{Binary: binary, Dir: dir, Names: []string{"east", "west"}, Gateways: 2, Policy: "plan",
-		Work: 50 * time.Millisecond, Workers: 4, Holders: 2, Queries: 100, Bytes: 1 << 20, Left: []string{"east"},
-		Way: link.Way{Delay: 20 * time.Millisecond}})
+	w, err := sites.Start(sites.Config{Binary: binary, Dir: dir, SiteNames: []string{"east", "west"}, ProcessesPerSite: 2, Policy: "plan",
+		PartDuration: 50 * time.Millisecond, WorkersPerReplica: 4, ReplicasPerShard: 2, LinkQueryRate: 100, LinkByteRate: 1 << 20, Evacuated: []string{"east"},
+		LinkConditions: link.Conditions{Delay: 20 * time.Millisecond}})
 	defer w.Stop()
 	if err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 	west := w.Sites["west"]
 	each := whole / 4
 	failed := make(chan error, 1)
-	line := w.Play(sites.Load{Rate: 20, Seed: 11, For: whole, Each: each, Only: "east"}, func(span int) {
+	line := w.RunLoad(sites.Load{Rate: 20, Seed: 11, Duration: whole, RowDuration: each, OnlySite: "east"}, func(span int) {
 		if span == 0 {
 			return
 		}
@@ -73,13 +73,13 @@
 		if killed {
 			west.Kill(i)
 			time.Sleep(each / 4)
-		} else if err := west.Leave(i); err != nil {
+		} else if err := west.Terminate(i); err != nil {
 			failed <- err
 			return
 		}
 		err := west.Start(i)
 		if err == nil {
-			err = west.Ready(i)
+			err = west.WaitReady(i)
 		}
 		if err != nil {
 			select {
--- a/cmd/sites/sites_test.go
+++ b/cmd/sites/sites_test.go
@@ -15,7 +15,7 @@
 	for name, killed := range map[string]bool{"planned": false, "killed": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			line, err := Restart(binary, 16*time.Second, killed)
+			line, err := RunRestarts(binary, 16*time.Second, killed)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -23,38 +23,38 @@
 			for i := range line.Rows {
 				sum.Add(&line.Rows[i])
 			}
-			t.Logf("%v of %d: %v", sites.Ends, sum.Asked, sum.Ends)
-			if sum.Ends[sites.Lost]+sum.Ends[sites.Wrong]+line.Doubled > 0 || sum.Ends[sites.In] < sum.Asked/2 {
-				t.Errorf("%v of %d: %v, %d once-only parts ran twice", sites.Ends, sum.Asked, sum.Ends, line.Doubled)
+			t.Logf("%v of %d: %v", sites.OutcomeNames, sum.Asked, sum.Outcomes)
+			if sum.Outcomes[sites.Lost]+sum.Outcomes[sites.Wrong]+line.DuplicateExecutions > 0 || sum.Outcomes[sites.InGoal] < sum.Asked/2 {
+				t.Errorf("%v of %d: %v, %d once-only parts ran twice", sites.OutcomeNames, sum.Asked, sum.Outcomes, line.DuplicateExecutions)
 			}
-			if !killed && sum.Ends[sites.Failed] > 0 {
-				t.Errorf("%d queries failed by planned restarts", sum.Ends[sites.Failed])
+			if !killed && sum.Outcomes[sites.Failed] > 0 {
+				t.Errorf("%d queries failed by planned restarts", sum.Outcomes[sites.Failed])
 			}
 		})
 	}
 	t.Run("dark", func(t *testing.T) {
 		t.Parallel()
-		with := &variant{policy: "plan", workers: 2, work: 50 * time.Millisecond}
-		without := &variant{policy: "none", alone: true, workers: 2, work: 50 * time.Millisecond}
-		load := sites.Load{Rate: 15, Seed: 3, For: 20 * time.Second, Each: time.Second}
+		with := &variant{policy: "plan", workers: 2, partDuration: 50 * time.Millisecond}
+		without := &variant{policy: "none", isolated: true, workers: 2, partDuration: 50 * time.Millisecond}
+		load := sites.Load{Rate: 15, Seed: 3, Duration: 20 * time.Second, RowDuration: time.Second}
 		errs := make(chan error, 2)
 		for _, v := range []*variant{with, without} {
-			go func() { errs <- v.play(binary, load) }()
+			go func() { errs <- v.run(binary, load) }()
 		}
 		for range 2 {
 			if err := <-errs; err != nil {
 				t.Fatal(err)
 			}
 		}
-		a, b := with.phases()[1], without.phases()[1]
-		t.Logf("in the dark %.3f with the gateway, %.3f without", a.Share(), b.Share())
-		if a.Share() < b.Share()+0.15 || with.line.Doubled > 0 || with.peaks.over > 0 {
-			t.Errorf("in the dark %.3f with the gateway, %.3f without; %d doubled, %d times over the limit in flight", a.Share(), b.Share(),
-				with.line.Doubled, with.peaks.over)
+		a, b := with.phaseTallies()[1], without.phaseTallies()[1]
+		t.Logf("in the dark %.3f with the gateway, %.3f without", a.RevenueShare(), b.RevenueShare())
+		if a.RevenueShare() < b.RevenueShare()+0.15 || with.timeline.DuplicateExecutions > 0 || with.peaks.overLimit > 0 {
+			t.Errorf("in the dark %.3f with the gateway, %.3f without; %d doubled, %d times over the limit in flight", a.RevenueShare(), b.RevenueShare(),
+				with.timeline.DuplicateExecutions, with.peaks.overLimit)
 		}
-		for _, p := range with.phases() {
-			if p.Ends[sites.Lost]+p.Ends[sites.Wrong] > 0 {
-				t.Errorf("%v: %v", sites.Ends, p.Ends)
+		for _, p := range with.phaseTallies() {
+			if p.Outcomes[sites.Lost]+p.Outcomes[sites.Wrong] > 0 {
+				t.Errorf("%v: %v", sites.OutcomeNames, p.Outcomes)
 			}
 		}
 	})
--- a/cmd/willowctl/main.go
+++ b/cmd/willowctl/main.go
@@ -29,23 +29,23 @@
 )
 
 type command struct {
-	name, args, does, example string // args in brackets are counted by the command itself
-	run                       func(ctx context.Context, f *flags, args []string) error
+	name, args, description, example string // args in brackets are counted by the command itself
+	run                              func(ctx context.Context, f *flags, args []string) error
 }
 
 type flags struct {
 	*flag.FlagSet
-	control  string
-	watch    string
-	revision string
-	within   time.Duration
-	over     time.Duration
-	json     bool
-	out      io.Writer
+	control         string
+	watch           string
+	revision        string
+	timeout         time.Duration
+	rolloutDuration time.Duration
+	json            bool
+	out             io.Writer
 }
 
-func (f *flags) addresses() *controlclient.Control {
-	return &controlclient.Control{Addresses: strings.FieldsFunc(f.control, func(r rune) bool { return r == ',' })}
+func (f *flags) controlClient() *controlclient.Client {
+	return &controlclient.Client{Addresses: strings.FieldsFunc(f.control, func(r rune) bool { return r == ',' })}
 }
 
 var commands = []command{
@@ -63,22 +63,22 @@
 	{"watch", "", "the same, and then a line a change", "willowctl -watch 10.0.0.4:7081 watch", watch},
 }
 
-func main() { os.Exit(start(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr)) }
 
-func start(args []string, out, errs io.Writer) int {
+func execute(args []string, out, errs io.Writer) int {
 	f := &flags{FlagSet: flag.NewFlagSet("willowctl", flag.ContinueOnError), out: out}
 	f.SetOutput(errs)
 	f.StringVar(&f.control, "control", "", "control `addresses` of controllers, separated by commas")
 	f.StringVar(&f.watch, "watch", "", "`address` where a controller or an agent is followed: its IP and the second internal port")
 	f.StringVar(&f.revision, "revision", "", "for send: the `number` to send under instead of the file's; auto for one above the newest")
-	f.DurationVar(&f.within, "within", 10*time.Second, "how long to try")
-	f.DurationVar(&f.over, "over", 0, "for rollout begin: the `time` that it may take")
+	f.DurationVar(&f.timeout, "within", 10*time.Second, "how long to try")
+	f.DurationVar(&f.rolloutDuration, "over", 0, "for rollout begin: the `time` that it may take")
 	f.BoolVar(&f.json, "json", false, "print JSON")
 	f.Usage = func() {
 		fmt.Fprintln(errs, "willowctl is the operators' client of willowsill.")
 		fmt.Fprintln(errs)
 		for _, c := range commands {
-			fmt.Fprintf(errs, "  willowctl [flags] %s %s\n      %s\n      %s\n", c.name, c.args, c.does, c.example)
+			fmt.Fprintf(errs, "  willowctl [flags] %s %s\n      %s\n      %s\n", c.name, c.args, c.description, c.example)
 		}
 		fmt.Fprintln(errs)
 		f.PrintDefaults()
@@ -98,12 +98,12 @@
 	defer stop()
 	if !slices.Contains(f.Args()[:min(f.NArg(), 2)], "watch") { // these go on until they are stopped
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, f.within)
+		ctx, cancel = context.WithTimeout(ctx, f.timeout)
 		defer cancel()
 	}
 	if err := commands[at].run(ctx, f, f.Args()[1:]); err != nil {
 		fmt.Fprintln(errs, err)
-		if errors.As(err, &usage{}) {
+		if errors.As(err, &usageError{}) {
 			return 2
 		}
 		return 1
@@ -111,16 +111,16 @@
 	return 0
 }
 
-// usage marks what is the caller's to mend: exit code 2, and 1 for all else.
-type usage struct{ error }
+// usageError marks what is the caller's to mend: exit code 2, and 1 for all else.
+type usageError struct{ error }
 
-func wrong(err error) error { return usage{err} }
+func asUsageError(err error) error { return usageError{err} }
 
-func load(ctx context.Context, f *flags, file string) (*routeconfig.Configuration, []byte, error) {
+func loadConfiguration(ctx context.Context, f *flags, file string) (*routeconfig.Configuration, []byte, error) {
 	var body []byte
 	var err error
 	if file == "-" {
-		body, err = f.addresses().Read(ctx)
+		body, err = f.controlClient().ReadConfiguration(ctx)
 	} else {
 		body, err = os.ReadFile(file)
 	}
@@ -129,7 +129,7 @@
 	}
 	c, err := routeconfig.Read(body)
 	if err != nil {
-		return nil, nil, wrong(fmt.Errorf("%s: %w", file, err))
+		return nil, nil, asUsageError(fmt.Errorf("%s: %w", file, err))
 	}
 	return c, body, nil
 }
@@ -137,9 +137,9 @@
 func check(ctx context.Context, f *flags, args []string) error {
 	if strings.HasSuffix(args[0], ".toml") {
 		if _, err := settings.Read(args[0]); err != nil {
-			return wrong(err)
+			return asUsageError(err)
 		}
-	} else if _, _, err := load(ctx, f, args[0]); err != nil {
+	} else if _, _, err := loadConfiguration(ctx, f, args[0]); err != nil {
 		return err
 	}
 	fmt.Fprintln(f.out, args[0], "is in order")
@@ -147,7 +147,7 @@
 }
 
 func read(ctx context.Context, f *flags, _ []string) error {
-	body, err := f.addresses().Read(ctx)
+	body, err := f.controlClient().ReadConfiguration(ctx)
 	if err == nil {
 		_, err = fmt.Fprintf(f.out, "%s\n", body)
 	}
@@ -155,7 +155,7 @@
 }
 
 func send(ctx context.Context, f *flags, args []string) error {
-	c, body, err := load(ctx, f, args[0])
+	c, body, err := loadConfiguration(ctx, f, args[0])
 	if err != nil {
 		return err
 	}
@@ -163,20 +163,20 @@
 	switch f.revision {
 	case "":
 	case "auto":
-		newest, _, err := load(ctx, f, "-")
+		newest, _, err := loadConfiguration(ctx, f, "-")
 		if err != nil {
 			return err
 		}
 		revision = newest.Revision + 1
 	default:
 		if revision, err = strconv.ParseUint(f.revision, 10, 64); err != nil {
-			return wrong(fmt.Errorf("-revision: %w", err))
+			return asUsageError(fmt.Errorf("-revision: %w", err))
 		}
 	}
 	if body, err = renumber(body, revision); err != nil {
 		return err
 	}
-	if err := f.addresses().Send(ctx, body); err != nil {
+	if err := f.controlClient().SendConfiguration(ctx, body); err != nil {
 		return err
 	}
 	fmt.Fprintf(f.out, "revision %d is acknowledged\n", revision)
@@ -205,11 +205,11 @@
 }
 
 func diff(ctx context.Context, f *flags, args []string) error {
-	a, _, err := load(ctx, f, args[0])
+	a, _, err := loadConfiguration(ctx, f, args[0])
 	if err != nil {
 		return err
 	}
-	b, _, err := load(ctx, f, args[1])
+	b, _, err := loadConfiguration(ctx, f, args[1])
 	if err != nil {
 		return err
 	}
@@ -224,7 +224,7 @@
 }
 
 func explain(ctx context.Context, f *flags, args []string) error {
-	c, _, err := load(ctx, f, "-")
+	c, _, err := loadConfiguration(ctx, f, "-")
 	if err != nil {
 		return err
 	}
@@ -252,10 +252,10 @@
 	return nil
 }
 
-var phases = map[registry.Phase]string{registry.Ready: "ready", registry.Draining: "draining", registry.Silent: "silent", registry.Gone: "gone"}
+var phaseNames = map[registry.Phase]string{registry.Ready: "ready", registry.Draining: "draining", registry.Silent: "silent", registry.Gone: "gone"}
 
 func show(ctx context.Context, f *flags, _ []string) error {
-	return controlclient.Follow(ctx, f.watch, func(n clusterstate.Update) bool {
+	return controlclient.Watch(ctx, f.watch, func(n clusterstate.Update) bool {
 		if f.json {
 			json.NewEncoder(f.out).Encode(n)
 			return false
@@ -273,7 +273,7 @@
 			fmt.Fprintf(w, "edge\t%s\t%s\n", e.IP, e.Zone)
 		}
 		for _, r := range n.Replicas {
-			fmt.Fprintf(w, "replica\t%s\t%s\t%s\t%s\t%s\tcall %d\n", r.ID, r.Service, r.Zone, r.Address, phases[r.Phase], r.Seq)
+			fmt.Fprintf(w, "replica\t%s\t%s\t%s\t%s\t%s\tcall %d\n", r.ID, r.Service, r.Zone, r.Address, phaseNames[r.Phase], r.Seq)
 		}
 		w.Flush()
 		return false
@@ -282,7 +282,7 @@
 
 func watch(ctx context.Context, f *flags, _ []string) error {
 	book := clusterstate.NewState()
-	return controlclient.Follow(ctx, f.watch, func(n clusterstate.Update) bool {
+	return controlclient.Watch(ctx, f.watch, func(n clusterstate.Update) bool {
 		fresh := book.Apply(n)
 		at := time.Now().Format(time.RFC3339)
 		if f.json {
@@ -293,7 +293,7 @@
 			fmt.Fprintf(f.out, "%s revision %d\n", at, fresh.Revision)
 		}
 		for _, r := range fresh.Replicas {
-			fmt.Fprintf(f.out, "%s replica %s of %s at %s is %s\n", at, r.ID, r.Service, r.Address, phases[r.Phase])
+			fmt.Fprintf(f.out, "%s replica %s of %s at %s is %s\n", at, r.ID, r.Service, r.Address, phaseNames[r.Phase])
 		}
 		if !fresh.Fleet.Empty() {
 			fmt.Fprintf(f.out, "%s %d edges, controllers %s\n", at, len(fresh.Fleet.Edges), strings.Join(fresh.Fleet.Controllers, " "))
--- a/cmd/willowctl/rollout.go
+++ b/cmd/willowctl/rollout.go
@@ -10,31 +10,31 @@
 	"willowsill/transport/controlclient"
 )
 
-// rolloutPoll is the time between two looks at a rollout that is watched.
-const rolloutPoll = 500 * time.Millisecond
+// rolloutPollInterval is the time between two looks at a rollout that is watched.
+const rolloutPollInterval = 500 * time.Millisecond
 
-// rolloutArguments is how many arguments follow each action of the rollout command.
-var rolloutArguments = map[string]int{"begin": 2, "watch": 1, "abort": 1, "history": 0}
+// rolloutArgumentCounts is how many arguments follow each action of the rollout command.
+var rolloutArgumentCounts = map[string]int{"begin": 2, "watch": 1, "abort": 1, "history": 0}
 
 // rollout begins a rollout, follows one until it ends, takes one back, or lists those that are kept.
 func rollout(ctx context.Context, f *flags, args []string) error {
 	if len(args) == 0 {
-		return wrong(fmt.Errorf("rollout: one of begin, watch, abort and history is missing"))
+		return asUsageError(fmt.Errorf("rollout: one of begin, watch, abort and history is missing"))
 	}
-	count, known := rolloutArguments[args[0]]
+	count, known := rolloutArgumentCounts[args[0]]
 	if !known || len(args)-1 != count {
-		return wrong(fmt.Errorf("rollout: %q is none of begin SERVICE VERSION, watch SERVICE, abort SERVICE and history", args))
+		return asUsageError(fmt.Errorf("rollout: %q is none of begin SERVICE VERSION, watch SERVICE, abort SERVICE and history", args))
 	}
-	switch control := f.addresses(); args[0] {
+	switch control := f.controlClient(); args[0] {
 	case "begin":
-		if f.over <= 0 {
-			return wrong(fmt.Errorf("rollout begin: -over is missing: the time that it may take, as in -over 10m"))
+		if f.rolloutDuration <= 0 {
+			return asUsageError(fmt.Errorf("rollout begin: -over is missing: the time that it may take, as in -over 10m"))
 		}
-		r, err := control.BeginRollout(ctx, args[1], args[2], f.over.Seconds())
-		return f.sayRollout(r, err)
+		r, err := control.BeginRollout(ctx, args[1], args[2], f.rolloutDuration.Seconds())
+		return f.printRollout(r, err)
 	case "abort":
 		r, err := control.AbortRollout(ctx, args[1])
-		return f.sayRollout(r, err)
+		return f.printRollout(r, err)
 	case "watch":
 		return watchRollout(ctx, f, control, args[1])
 	}
@@ -42,10 +42,10 @@
 }
 
 // watchRollout prints each step of a service's newest rollout until it has ended.
-func watchRollout(ctx context.Context, f *flags, control *controlclient.Control, service string) error {
+func watchRollout(ctx context.Context, f *flags, control *controlclient.Client, service string) error {
 	var last controlclient.Rollout
 	for {
-		within, cancel := context.WithTimeout(ctx, f.within)
+		within, cancel := context.WithTimeout(ctx, f.timeout)
 		r, err := control.ReadRollout(within, service)
 		cancel()
 		if ctx.Err() != nil {
@@ -55,7 +55,7 @@
 			return err
 		}
 		if r != last {
-			if err := f.sayRollout(r, nil); err != nil {
+			if err := f.printRollout(r, nil); err != nil {
 				return err
 			}
 		}
@@ -65,13 +65,13 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(rolloutPoll):
+		case <-time.After(rolloutPollInterval):
 		}
 	}
 }
 
 func rolloutHistory(ctx context.Context, f *flags) error {
-	all, err := f.addresses().Rollouts(ctx)
+	all, err := f.controlClient().Rollouts(ctx)
 	if err != nil {
 		return err
 	}
@@ -85,8 +85,8 @@
 	return w.Flush()
 }
 
-// sayRollout prints where a rollout stands.
-func (f *flags) sayRollout(r controlclient.Rollout, err error) error {
+// printRollout prints where a rollout stands.
+func (f *flags) printRollout(r controlclient.Rollout, err error) error {
 	if err != nil {
 		return err
 	}
--- a/cmd/willowctl/snapshot.go
+++ b/cmd/willowctl/snapshot.go
@@ -20,9 +20,9 @@
 	snapshotFormat = 1
 )
 
-// kept is a snapshot's file: the newest configuration as it was sent, with what tells whether it is still that.
+// snapshotFile is a snapshot's file: the newest configuration as it was sent, with what tells whether it is still that.
 // Which replicas and edges there are is no part of it: they tell themselves.
-type kept struct {
+type snapshotFile struct {
 	Kind          string          `json:"kind"`
 	Format        int             `json:"format"`
 	At            time.Time       `json:"at"`
@@ -36,25 +36,25 @@
 func snapshot(ctx context.Context, f *flags, args []string) error {
 	switch action, file := args[0], args[1]; action {
 	case "save":
-		return snapshotSave(ctx, f, file)
+		return saveSnapshot(ctx, f, file)
 	case "verify":
-		k, err := snapshotRead(file)
+		k, err := readSnapshot(file)
 		if err != nil {
-			return wrong(err)
+			return asUsageError(err)
 		}
-		return f.say(k.told(file, "is whole"), k)
+		return f.printSnapshot(k.summary(file, "is whole"), k)
 	case "restore":
-		return snapshotRestore(ctx, f, file)
+		return restoreSnapshot(ctx, f, file)
 	}
-	return wrong(fmt.Errorf("snapshot: %q is none of save, verify and restore", args[0]))
+	return asUsageError(fmt.Errorf("snapshot: %q is none of save, verify and restore", args[0]))
 }
 
-func (k kept) told(file, what string) string {
+func (k snapshotFile) summary(file, what string) string {
 	return fmt.Sprintf("%s %s: revision %d of %s, %d bytes", file, what, k.Revision, k.At.UTC().Format(time.RFC3339), len(k.Configuration))
 }
 
-// say prints a line, or data where that is asked for; the configuration itself is left out.
-func (f *flags) say(line string, k kept) error {
+// printSnapshot prints a line, or data where that is asked for; the configuration itself is left out.
+func (f *flags) printSnapshot(line string, k snapshotFile) error {
 	if f.json {
 		k.Configuration = nil
 		return json.NewEncoder(f.out).Encode(k)
@@ -63,11 +63,11 @@
 	return err
 }
 
-// snapshotSave writes beside the file first.
+// saveSnapshot writes beside the file first.
 //
 // Danger: a file that is half written when the machine stops would be what is left of the snapshot before.
-func snapshotSave(ctx context.Context, f *flags, file string) error {
-	c, body, err := load(ctx, f, "-")
+func saveSnapshot(ctx context.Context, f *flags, file string) error {
+	c, body, err := loadConfiguration(ctx, f, "-")
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 		return err
 	}
 	sum := sha256.Sum256(compact.Bytes())
-	k := kept{snapshotKind, snapshotFormat, time.Now().UTC().Truncate(time.Second), c.Revision, hex.EncodeToString(sum[:]), compact.Bytes()}
+	k := snapshotFile{snapshotKind, snapshotFormat, time.Now().UTC().Truncate(time.Second), c.Revision, hex.EncodeToString(sum[:]), compact.Bytes()}
 	var text bytes.Buffer
 	e := json.NewEncoder(&text)
 	e.SetEscapeHTML(false)
@@ -95,11 +95,11 @@
 	if err := os.Rename(other.Name(), file); err != nil {
 		return err
 	}
-	return f.say(k.told(file, "is saved"), k)
+	return f.printSnapshot(k.summary(file, "is saved"), k)
 }
 
-// snapshotRead reads a file and tells whether it is what was saved.
-func snapshotRead(file string) (k kept, err error) {
+// readSnapshot reads a file and tells whether it is what was saved.
+func readSnapshot(file string) (k snapshotFile, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return k, err
@@ -126,24 +126,24 @@
 	return k, nil
 }
 
-// snapshotRestore sends what a file holds, under its own number, to a system that has no configuration.
+// restoreSnapshot sends what a file holds, under its own number, to a system that has no configuration.
 //
 // Danger: to one that lives it would say nothing new, or take it back by surprise. That is done by `send` with a
 // number of its own.
-func snapshotRestore(ctx context.Context, f *flags, file string) error {
-	k, err := snapshotRead(file)
+func restoreSnapshot(ctx context.Context, f *flags, file string) error {
+	k, err := readSnapshot(file)
 	if err != nil {
-		return wrong(err)
+		return asUsageError(err)
 	}
-	held, err := f.addresses().Holds(ctx)
+	held, err := f.controlClient().HasConfiguration(ctx)
 	if err != nil {
 		return err
 	}
 	if held {
-		return wrong(errors.New("the system has a configuration already; `willowctl -revision auto send` gives it another"))
+		return asUsageError(errors.New("the system has a configuration already; `willowctl -revision auto send` gives it another"))
 	}
-	if err := f.addresses().Send(ctx, k.Configuration); err != nil {
+	if err := f.controlClient().SendConfiguration(ctx, k.Configuration); err != nil {
 		return err
 	}
-	return f.say(k.told(file, "is restored"), k)
+	return f.printSnapshot(k.summary(file, "is restored"), k)
 }
--- a/cmd/willowctl/willowctl_test.go
+++ b/cmd/willowctl/willowctl_test.go
@@ -17,8 +17,8 @@
 const configuration = `{"revision": 7, "routes": [{"name":"r","host":"h&h.example","path-prefix":"/x/","route-kind":"safe","deadline-ms":1000,
 "target-ms":100,"service":"s","max-tries":2}], "services": [{"name":"s"}], "limits": {}}`
 
-// control is a stand-in for a controller's resource of the configuration.
-func control(t *testing.T, held string) (address string, got *string) {
+// startControl is a stand-in for a controller's resource of the configuration.
+func startControl(t *testing.T, held string) (address string, got *string) {
 	got = &held
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -39,15 +39,15 @@
 
 func run(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
-	code = start(args, &o, &e)
+	code = execute(args, &o, &e)
 	return code, o.String(), e.String()
 }
 
 // TestSnapshot: what was saved comes back whole in an empty system, and in no other; what was changed on the way is told.
 func TestSnapshot(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "a.json")
-	lives, held := control(t, configuration)
-	empty, came := control(t, "")
+	lives, held := startControl(t, configuration)
+	empty, came := startControl(t, "")
 	code, out, errs := run("-control", lives, "snapshot", "save", file)
 	must.Eq(t, 0, code, must.Sprint(errs))
 	must.StrContains(t, out, "revision 7")
--- a/cmd/willowlab/control.go
+++ b/cmd/willowlab/control.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	garbagePercent = 1500    // memory is plenty, and runs make much garbage
-	memoryLimit    = 6 << 30 // bytes
-	seedsNamed     = 5       // of each check that failed
-	toldEvery      = 500     // runs
+	gcPercent        = 1500    // memory is plenty, and runs make much garbage
+	memoryLimitBytes = 6 << 30 // bytes
+	maxSeedsShown    = 5       // of each check that failed
+	progressInterval = 500     // runs
 )
 
-// controlling plays control clusters in virtual time.
-func controlling() *cobra.Command {
-	o := controlOptions{seeds: 100, from: 1, races: -1}
+// controlCommand plays control clusters in virtual time.
+func controlCommand() *cobra.Command {
+	o := controlOptions{seeds: 100, firstSeed: 1, raceShare: -1}
 	c := &cobra.Command{Use: "control", Short: "Play a control cluster in virtual time, with faults drawn from seeds, and check what was seen",
 		Long: "Plays the state machines of controllers and edges with simulated disks, links, clocks, operators and replicas. Each seed is\n" +
 			"one run. The first run that breaks a check is cut down to the fewest faults and printed as a script.",
@@ -38,74 +38,74 @@
 		RunE:    func(c *cobra.Command, _ []string) error { return o.run(c.OutOrStdout()) }}
 	f := c.Flags()
 	f.Uint64Var(&o.seeds, "seeds", o.seeds, "how many seeds")
-	f.Uint64Var(&o.from, "from", o.from, "the first seed")
+	f.Uint64Var(&o.firstSeed, "from", o.firstSeed, "the first seed")
 	f.IntVar(&o.workers, "workers", 0, "runs at once, 0 for one a core")
 	f.StringVar(&o.points, "points", "all", "which plans: all, or some of drawn, 1, 2, 3, 3-three, 4, with commas between")
-	f.DurationVar(&o.within, "for", 0, "begin no more runs after so long; 0 for no bound")
+	f.DurationVar(&o.timeLimit, "for", 0, "begin no more runs after so long; 0 for no bound")
 	f.StringVar(&o.replay, "replay", "", "play a script instead")
-	f.StringVar(&o.shrunk, "shrunk", "", "write the script of each check's first failing seed, cut down, to files that begin so")
+	f.StringVar(&o.shrunkPrefix, "shrunk", "", "write the script of each check's first failing seed, cut down, to files that begin so")
 	f.BoolVar(&o.trace, "trace", false, "with --replay or one seed: print what happens")
-	f.Float64Var(&o.races, "races", o.races, "share of drawn orders beside which another content goes out under the same number; below 0 as the plan has it")
+	f.Float64Var(&o.raceShare, "races", o.raceShare, "share of drawn orders beside which another content goes out under the same number; below 0 as the plan has it")
 	return c
 }
 
 type controlOptions struct {
-	seeds, from            uint64
-	workers                int
-	points, replay, shrunk string
-	trace                  bool
-	races                  float64
-	within                 time.Duration
+	seeds, firstSeed             uint64
+	workers                      int
+	points, replay, shrunkPrefix string
+	trace                        bool
+	raceShare                    float64
+	timeLimit                    time.Duration
 }
 
 func (o controlOptions) run(out io.Writer) error {
-	debug.SetGCPercent(garbagePercent)
-	debug.SetMemoryLimit(memoryLimit) // from here on garbage is collected as often as needed
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(memoryLimitBytes) // from here on garbage is collected as often as needed
 	if o.replay != "" {
 		script, err := os.ReadFile(o.replay)
 		if err != nil {
 			return err
 		}
-		plan, err := controlsim.Read(script)
+		plan, err := controlsim.ReadPlan(script)
 		if err != nil {
 			return err
 		}
-		return o.one(out, plan)
+		return o.runPlan(out, plan)
 	}
-	points, err := pointsOf(o.points)
+	points, err := parsePoints(o.points)
 	if err != nil {
 		return err
 	}
 	if o.seeds == 1 && o.trace {
-		return o.one(out, o.plan(o.from, points))
+		return o.runPlan(out, o.plan(o.firstSeed, points))
 	}
-	return o.many(out, points)
+	return o.runSeeds(out, points)
 }
 
-func pointsOf(text string) (points []controlsim.Point, err error) {
+func parsePoints(text string) (points []controlsim.Scenario, err error) {
 	if text == "all" {
-		return controlsim.Points, nil
+		return controlsim.Scenarios, nil
 	}
 	for _, name := range strings.Split(text, ",") {
-		p := controlsim.Point(strings.TrimSpace(name))
-		if !slices.Contains(controlsim.Points, p) {
-			return nil, fmt.Errorf("--points: %q is none of %v", name, controlsim.Points)
+		p := controlsim.Scenario(strings.TrimSpace(name))
+		if !slices.Contains(controlsim.Scenarios, p) {
+			return nil, fmt.Errorf("--points: %q is none of %v", name, controlsim.Scenarios)
 		}
 		points = append(points, p)
 	}
 	return points, nil
 }
 
-func (o controlOptions) plan(seed uint64, points []controlsim.Point) controlsim.Plan {
+func (o controlOptions) plan(seed uint64, points []controlsim.Scenario) controlsim.Plan {
 	p := controlsim.PlanFor(seed, points)
-	if o.races >= 0 {
-		p.Workload.Races = o.races
+	if o.raceShare >= 0 {
+		p.Workload.Races = o.raceShare
 	}
 	return p
 }
 
-// one plays one plan and prints what it broke.
-func (o controlOptions) one(out io.Writer, plan controlsim.Plan) error {
+// runPlan plays one plan and prints what it broke.
+func (o controlOptions) runPlan(out io.Writer, plan controlsim.Plan) error {
 	var trace func(int64, string, string)
 	if o.trace {
 		trace = func(at int64, who, what string) { fmt.Fprintf(out, "%10.6f %s: %s\n", float64(at)/1e9, who, what) }
@@ -119,32 +119,32 @@
 		fmt.Fprintf(out, "%10.6f %s: %s\n", float64(v.At)/1e9, v.Check, v.Text)
 	}
 	if len(r.Violations) > 0 {
-		return errRule
+		return errRuleBroken
 	}
 	return nil
 }
 
-// tally is what many runs came to.
-type tally struct {
+// runTotals is what many runs came to.
+type runTotals struct {
 	mu                                          sync.Mutex
 	runs, broken, orders, acknowledged, drained int
-	virtual                                     time.Duration
-	failing                                     map[string][]uint64 // seeds, by the check that they broke
-	text                                        map[string]string   // what the least of them broke
+	virtualTime                                 time.Duration
+	failingSeeds                                map[string][]uint64 // seeds, by the check that they broke
+	firstViolation                              map[string]string   // what the least of them broke
 }
 
-func (t *tally) add(seed uint64, r controlsim.Result) {
+func (t *runTotals) add(seed uint64, r controlsim.Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.runs++
-	t.virtual += r.Virtual
+	t.virtualTime += r.VirtualTime
 	t.orders += r.Orders
 	t.acknowledged += r.Acknowledged
 	t.drained += r.Drains
 	if len(r.Violations) > 0 {
 		t.broken++
 	}
-	if t.runs%toldEvery == 0 {
+	if t.runs%progressInterval == 0 {
 		fmt.Fprintf(os.Stderr, "%d runs, %d broken\n", t.runs, t.broken)
 	}
 	seen := map[string]bool{}
@@ -153,20 +153,20 @@
 			continue
 		}
 		seen[v.Check] = true
-		if first := t.failing[v.Check]; len(first) == 0 || seed < slices.Min(first) {
-			t.text[v.Check] = fmt.Sprintf("%.3f s: %s", float64(v.At)/1e9, v.Text)
+		if first := t.failingSeeds[v.Check]; len(first) == 0 || seed < slices.Min(first) {
+			t.firstViolation[v.Check] = fmt.Sprintf("%.3f s: %s", float64(v.At)/1e9, v.Text)
 		}
-		t.failing[v.Check] = append(t.failing[v.Check], seed)
+		t.failingSeeds[v.Check] = append(t.failingSeeds[v.Check], seed)
 	}
 }
 
-// many plays the plans of many seeds.
-func (o controlOptions) many(out io.Writer, points []controlsim.Point) error {
+// runSeeds plays the plans of many seeds.
+func (o controlOptions) runSeeds(out io.Writer, points []controlsim.Scenario) error {
 	workers := o.workers
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	t := &tally{failing: map[string][]uint64{}, text: map[string]string{}}
+	t := &runTotals{failingSeeds: map[string][]uint64{}, firstViolation: map[string]string{}}
 	began := time.Now()
 	var next atomic.Uint64
 	var all sync.WaitGroup
@@ -174,12 +174,12 @@
 		all.Go(func() {
 			for {
 				n := next.Add(1) - 1
-				if n >= o.seeds || o.within > 0 && time.Since(began) > o.within {
+				if n >= o.seeds || o.timeLimit > 0 && time.Since(began) > o.timeLimit {
 					return
 				}
-				r, err := controlsim.Run(o.plan(o.from+n, points), nil)
+				r, err := controlsim.Run(o.plan(o.firstSeed+n, points), nil)
 				if err == nil {
-					t.add(o.from+n, r)
+					t.add(o.firstSeed+n, r)
 				}
 			}
 		})
@@ -187,44 +187,44 @@
 	all.Wait()
 	took := time.Since(began).Seconds()
 	fmt.Fprintf(out, "%d runs, %d broken; %d orders, %d acknowledged; %d drains; %.1f virtual hours in %.1f s: %.2f an hour a second\n", t.runs, t.broken,
-		t.orders, t.acknowledged, t.drained, t.virtual.Hours(), took, t.virtual.Hours()/took)
+		t.orders, t.acknowledged, t.drained, t.virtualTime.Hours(), took, t.virtualTime.Hours()/took)
 	if t.broken == 0 {
 		return nil
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for _, check := range checker.Checks {
-		seeds := t.failing[check]
+		seeds := t.failingSeeds[check]
 		if len(seeds) == 0 {
 			continue
 		}
 		sort.Slice(seeds, func(a, b int) bool { return seeds[a] < seeds[b] })
-		fmt.Fprintf(w, "%s\t%d seeds\t%v\t%s\n", check, len(seeds), seeds[:min(len(seeds), seedsNamed)], t.text[check])
+		fmt.Fprintf(w, "%s\t%d seeds\t%v\t%s\n", check, len(seeds), seeds[:min(len(seeds), maxSeedsShown)], t.firstViolation[check])
 	}
 	w.Flush()
 	return o.shrink(out, t, points)
 }
 
 // shrink cuts the first failing seed of each check down, and prints or writes its script.
-func (o controlOptions) shrink(out io.Writer, t *tally, points []controlsim.Point) error {
+func (o controlOptions) shrink(out io.Writer, t *runTotals, points []controlsim.Scenario) error {
 	for i, check := range checker.Checks {
-		seeds := t.failing[check]
+		seeds := t.failingSeeds[check]
 		if len(seeds) == 0 {
 			continue
 		}
-		least := controlsim.Shrink(o.plan(seeds[0], points), check, controlsim.Broken)
+		least := controlsim.Shrink(o.plan(seeds[0], points), check, controlsim.BrokenChecks)
 		script, err := least.Script()
 		if err != nil {
 			return err
 		}
-		if o.shrunk == "" {
+		if o.shrunkPrefix == "" {
 			fmt.Fprintf(out, "\nseed %d, %s, cut down to %d faults:\n%s\n", seeds[0], check, len(least.Faults), script)
 			break
 		}
-		path := fmt.Sprintf("%s%d.json", o.shrunk, i)
+		path := fmt.Sprintf("%s%d.json", o.shrunkPrefix, i)
 		if err := os.WriteFile(path, script, 0o644); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%s: seed %d, %s, cut down to %d faults and %d acts\n", path, seeds[0], check, len(least.Faults), len(least.Acts))
+		fmt.Fprintf(out, "%s: seed %d, %s, cut down to %d faults and %d acts\n", path, seeds[0], check, len(least.Faults), len(least.Actions))
 	}
-	return errRule
+	return errRuleBroken
 }
--- a/cmd/willowlab/experiments.go
+++ b/cmd/willowlab/experiments.go
@@ -19,22 +19,22 @@
 	"willowsill/lab/experiment"
 )
 
-// errRule ends a run in which a rule was broken.
-var errRule = errors.New("a rule was broken")
+// errRuleBroken ends a run in which a rule was broken.
+var errRuleBroken = errors.New("a rule was broken")
 
-// code is the exit code of an error: 2 for a script that is wrong, 3 for a broken rule.
-func code(err error) int {
+// exitCode is the exit code of an error: 2 for a script that is wrong, 3 for a broken rule.
+func exitCode(err error) int {
 	var faults script.Faults
 	switch {
 	case errors.As(err, &faults):
 		return 2
-	case errors.Is(err, errRule):
+	case errors.Is(err, errRuleBroken):
 		return 3
 	}
 	return 1
 }
 
-func running() *cobra.Command {
+func runCommand() *cobra.Command {
 	var seeds int
 	var asJSON, quiet, sockets bool
 	var results, binary, source, only string
@@ -54,18 +54,18 @@
 				if seeds > 0 {
 					e.Seeds = seeds
 				}
-				way := experiment.Emulated()
+				way := experiment.EmulatorRunner()
 				if sockets {
-					if way, err = onSockets(e, binary, 1); err != nil {
+					if way, err = socketVariants(e, binary, 1); err != nil {
 						return fmt.Errorf("%s: %w", file, err)
 					}
 				}
 				var t *experiment.Table
 				if only != "" { // this program is the one that was built for it
 					e.Variants = slices.DeleteFunc(e.Variants, func(v experiment.Variant) bool { return v.Name != only })
-					t, err = play(e, way, true)
+					t, err = runExperiment(e, way, true)
 				} else {
-					t, err = playAll(e, way, file, source, quiet || asJSON)
+					t, err = runVariants(e, way, file, source, quiet || asJSON)
 				}
 				if err != nil {
 					return fmt.Errorf("%s: %w", file, err)
@@ -75,10 +75,10 @@
 					broken = broken || len(r.Broken) > 0
 				}
 				if !asJSON {
-					write(c.OutOrStdout(), t)
+					printTable(c.OutOrStdout(), t)
 				}
 				if results != "" {
-					if err := keep(t, results); err != nil {
+					if err := saveTable(t, results); err != nil {
 						return err
 					}
 				}
@@ -89,7 +89,7 @@
 				}
 			}
 			if broken {
-				return errRule
+				return errRuleBroken
 			}
 			return nil
 		},
@@ -99,15 +99,15 @@
 	c.Flags().BoolVar(&sockets, "sockets", false, "in real time, with the true program; what the module decides alone")
 	c.Flags().StringVar(&binary, "program", "bin/willowsill", "the program, for --sockets")
 	c.Flags().BoolVar(&quiet, "quiet", false, "no progress")
-	sourceFlag(c, &source)
+	addSourceFlag(c, &source)
 	c.Flags().StringVar(&only, "only", "", "one variant, as this program was built")
 	c.Flags().MarkHidden("only")
 	c.Flags().StringVar(&results, "results", "", "a folder for a table and a chart of each experiment")
 	return c
 }
 
-// playAll plays all variants: those with other constants by a program built with them.
-func playAll(e *experiment.Experiment, way experiment.Way, file, source string, quiet bool) (*experiment.Table, error) {
+// runVariants plays all variants: those with other constants by a program built with them.
+func runVariants(e *experiment.Experiment, way experiment.Runner, file, source string, quiet bool) (*experiment.Table, error) {
 	mine := *e
 	mine.Variants = nil
 	var tables []*experiment.Table
@@ -116,32 +116,32 @@
 			mine.Variants = append(mine.Variants, v)
 			continue
 		}
-		t, err := apart(e, v, file, source)
+		t, err := runRebuiltVariant(e, v, file, source)
 		if err != nil {
 			return nil, fmt.Errorf("variant %q: %w", v.Name, err)
 		}
 		tables = append(tables, t)
 	}
 	if len(mine.Variants) > 0 {
-		t, err := play(&mine, way, quiet)
+		t, err := runExperiment(&mine, way, quiet)
 		if err != nil {
 			return nil, err
 		}
 		tables = append(tables, t)
 	}
-	return e.Join(tables...)
+	return e.JoinTables(tables...)
 }
 
-// play plays an experiment with its progress on standard error.
-func play(e *experiment.Experiment, way experiment.Way, quiet bool) (*experiment.Table, error) {
+// runExperiment plays an experiment with its progress on standard error.
+func runExperiment(e *experiment.Experiment, way experiment.Runner, quiet bool) (*experiment.Table, error) {
 	if quiet {
-		return e.Play(way, nil)
+		return e.Run(way, nil)
 	}
 	bars := mpb.New(mpb.WithOutput(os.Stderr), mpb.WithWidth(50))
 	bar := bars.AddBar(int64(e.Seeds*len(e.Variants)), mpb.BarRemoveOnComplete(),
 		mpb.PrependDecorators(decor.Name(e.Name+" "), decor.CountersNoUnit("%d of %d")),
 		mpb.AppendDecorators(decor.Elapsed(decor.ET_STYLE_GO)))
-	t, err := e.Play(way, func() { bar.Increment() })
+	t, err := e.Run(way, func() { bar.Increment() })
 	if err != nil {
 		bar.Abort(true)
 	}
@@ -149,7 +149,7 @@
 	return t, err
 }
 
-func write(out io.Writer, t *experiment.Table) {
+func printTable(out io.Writer, t *experiment.Table) {
 	fmt.Fprintf(out, "%s: %s (%d seeds, script %s)\n", t.Name, t.Question, t.Seeds, t.Hash)
 	w := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(w, "| variant\t| within goal\t| against the first\t| 95%\t| verdict\t| late\t| declined\t| failed\t| executions a query\t| p50 ms\t| p99 ms\t|")
@@ -160,11 +160,11 @@
 			float64(r.P99)/1e6)
 	}
 	w.Flush()
-	if len(t.Rows[0].Loads) > 1 {
+	if len(t.Rows[0].Workloads) > 1 {
 		fmt.Fprintln(out, "\nwithin goal, by kind of query:")
 		for _, r := range t.Rows {
 			fmt.Fprintf(w, "%s\t", r.Name)
-			for _, l := range r.Loads {
+			for _, l := range r.Workloads {
 				fmt.Fprintf(w, "%s %.4f\t", l.Name, l.InGoal)
 			}
 			fmt.Fprintln(w)
@@ -179,8 +179,8 @@
 	fmt.Fprintln(out)
 }
 
-// keep writes an experiment's table and chart into a folder.
-func keep(t *experiment.Table, dir string) error {
+// saveTable writes an experiment's table and chart into a folder.
+func saveTable(t *experiment.Table, dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 	if err := errors.Join(writeJSON(file, t), file.Close()); err != nil {
 		return err
 	}
-	chart, err := t.Chart()
+	chart, err := t.RevenueChart()
 	if err != nil {
 		return err
 	}
@@ -204,8 +204,8 @@
 	return e.Encode(v)
 }
 
-// kept reads a table that was kept.
-func kept(file string) (*experiment.Table, error) {
+// readTable reads a table that was kept.
+func readTable(file string) (*experiment.Table, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -213,10 +213,10 @@
 	return experiment.Decode(text, file)
 }
 
-func checking() *cobra.Command {
+func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "check FILE...", Short: "Say all that is wrong with experiments", Example: "  willowlab check experiments/*.star",
-		Long: "check reads experiments as run would.\n\nWhat an experiment may call:\n\n" + strings.TrimSpace(experiment.Vocabulary()),
+		Long: "check reads experiments as run would.\n\nWhat an experiment may call:\n\n" + strings.TrimSpace(experiment.DescribeFunctions()),
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			for _, file := range files {
@@ -230,16 +230,16 @@
 	}
 }
 
-func comparing() *cobra.Command {
+func compareCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "compare A B", Short: "Hold two kept tables of one experiment against each other, seed by seed",
 		Example: "  willowlab compare before/hang.json after/hang.json", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, files []string) error {
-			a, err := kept(files[0])
+			a, err := readTable(files[0])
 			if err != nil {
 				return err
 			}
-			b, err := kept(files[1])
+			b, err := readTable(files[1])
 			if err != nil {
 				return err
 			}
@@ -258,7 +258,7 @@
 	}
 }
 
-func reporting() *cobra.Command {
+func reportCommand() *cobra.Command {
 	var out string
 	c := &cobra.Command{
 		Use: "report DIR", Short: "Make one page of all tables in a folder", Example: "  willowlab report results/lab --out report.html",
@@ -267,7 +267,7 @@
 			files, _ := filepath.Glob(filepath.Join(args[0], "*.json"))
 			var tables []*experiment.Table
 			for _, file := range files {
-				t, err := kept(file)
+				t, err := readTable(file)
 				if err != nil {
 					return err
 				}
--- a/cmd/willowlab/explore.go
+++ b/cmd/willowlab/explore.go
@@ -16,8 +16,8 @@
 	"willowsill/lab/propagation"
 )
 
-// namedScopes returns the scopes that the arguments name, all of them where there are none.
-func namedScopes[S any](all []S, name func(S) string, args []string) (named []S, err error) {
+// selectScopes returns the scopes that the arguments name, all of them where there are none.
+func selectScopes[S any](all []S, name func(S) string, args []string) (named []S, err error) {
 	for _, a := range args {
 		if !slices.ContainsFunc(all, func(s S) bool { return name(s) == a }) {
 			return nil, fmt.Errorf("there is no scope %q; --list names them", a)
@@ -31,8 +31,8 @@
 	return named, nil
 }
 
-// exploring plays every order of events of small registers.
-func exploring() *cobra.Command {
+// exploreCommand plays every order of events of small registers.
+func exploreCommand() *cobra.Command {
 	var most int64
 	var workers int
 	var list, deep bool
@@ -41,7 +41,7 @@
 			"losses of power and of disks. The first promise that is found broken is printed with a shortest way to it.",
 		Example: "  willowlab explore 'two contents'\n  willowlab explore --deep --states 100000000 replacement",
 		RunE: func(c *cobra.Command, args []string) error {
-			scopes, err := namedScopes(modelcheck.Scopes, func(s modelcheck.Scope) string { return s.Name }, args)
+			scopes, err := selectScopes(modelcheck.Scopes, func(s modelcheck.Scope) string { return s.Name }, args)
 			if err != nil {
 				return err
 			}
@@ -60,7 +60,7 @@
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s, %.1f s\n", r, time.Since(began).Seconds())
 				if r.Broken != "" {
-					return errRule
+					return errRuleBroken
 				}
 			}
 			return nil
@@ -72,8 +72,8 @@
 	return c
 }
 
-// exploringControllers plays whole controllers with deviations from the punctual order of events.
-func exploringControllers() *cobra.Command {
+// exploreControllersCommand plays whole controllers with deviations from the punctual order of events.
+func exploreControllersCommand() *cobra.Command {
 	var pairs, cores int
 	var list bool
 	c := &cobra.Command{Use: "explore-controllers [SCOPE ...]", Short: "Play whole controllers with messages late, lost or doubled and machines lost",
@@ -82,7 +82,7 @@
 			"All plays with one deviation are made, and of those with two as many as asked. The first broken promise is printed.",
 		Example: "  willowlab explore-controllers\n  willowlab explore-controllers --pairs 100000 'two at the duty'",
 		RunE: func(c *cobra.Command, args []string) error {
-			scopes, err := namedScopes(controllercheck.Scopes, func(s controllercheck.Scope) string { return s.Name }, args)
+			scopes, err := selectScopes(controllercheck.Scopes, func(s controllercheck.Scope) string { return s.Name }, args)
 			if err != nil {
 				return err
 			}
@@ -95,7 +95,7 @@
 				r := controllercheck.Explore(s, pairs, cores)
 				fmt.Fprintf(c.OutOrStdout(), "%s, %.1f s\n", r, time.Since(began).Seconds())
 				if r.First != nil {
-					return errRule
+					return errRuleBroken
 				}
 			}
 			return nil
@@ -106,8 +106,8 @@
 	return c
 }
 
-// spreading counts the messages that bring one update to all edges.
-func spreading() *cobra.Command {
+// propagationCommand counts the messages that bring one update to all edges.
+func propagationCommand() *cobra.Command {
 	f := propagation.Fleet{Edges: 60, Controllers: 9, Zones: 6, Regions: 3}
 	c := &cobra.Command{Use: "propagation", Aliases: []string{"spread"}, Short: "Count the messages that bring one update to all edges: tree, star, flood",
 		Example: "  willowlab propagation --edges 1000", Args: cobra.NoArgs,
@@ -117,8 +117,8 @@
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(w, "way\tcopies\tbetween zones\tbetween regions\tmost at a controller\tmost at an edge\thops\treached\t")
-			for _, r := range propagation.Reckon(f) {
-				fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", r.Way, r.Copies, r.Zones, r.Regions, r.AtController, r.AtEdge, r.Hops, r.Reached)
+			for _, r := range propagation.Compare(f) {
+				fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", r.Strategy, r.Copies, r.CrossZone, r.CrossRegion, r.AtController, r.AtEdge, r.MaxHops, r.ReachedShare)
 			}
 			return w.Flush()
 		}}
--- a/cmd/willowlab/growth.go
+++ b/cmd/willowlab/growth.go
@@ -14,20 +14,20 @@
 	"willowsill/lab/experiment"
 )
 
-// fleetOf is a fleet of a size: a hundred queries a second at each aggregator, and at a thousand a tenth of that, which is as
+// growthPlan is a fleet of a size: a hundred queries a second at each aggregator, and at a thousand a tenth of that, which is as
 // many as at a hundred from ten times as many.
-func fleetOf(aggregators int, span time.Duration) emulator.Plan {
-	p := emulator.Plan{Policy: "module", Seed: 1, Span: int64(span), Until: int64(span), Aggregators: aggregators,
-		Replicas: 10 * aggregators, Holders: 5, Workers: 2, Work: 20e6, Spread: 0.4, Way: 500e3, ListDelay: 1e9, Tick: 5e6, Executions: 3,
-		Cancels: true, ColdShare: 0.2, ColdRamp: 9e9, FallMultiple: 4, FallSpan: 1e9,
-		Loads: []emulator.Load{{Name: "look", Rate: 100, Parts: min(3, 2*aggregators), Goal: 200e6, Patience: 1e9, Floor: 1, Revenue: 1}}}
+func growthPlan(aggregators int, span time.Duration) emulator.Plan {
+	p := emulator.Plan{Policy: "module", Seed: 1, Duration: int64(span), MeasureUntil: int64(span), Aggregators: aggregators,
+		Replicas: 10 * aggregators, ReplicasPerShard: 5, Workers: 2, ServiceTime: 20e6, ServiceTimeSigma: 0.4, NetworkDelay: 500e3, ListDelay: 1e9, Tick: 5e6, MaxExecutions: 3,
+		CanCancel: true, ColdCapacity: 0.2, WarmUpTime: 9e9, OverloadFactor: 4, OverloadSpan: 1e9,
+		Workloads: []emulator.Workload{{Name: "look", Rate: 100, Parts: min(3, 2*aggregators), LatencyGoal: 200e6, Timeout: 1e9, MinCoverage: 1, Revenue: 1}}}
 	if aggregators >= 1000 {
-		p.Loads[0].Rate, p.Replicas = 10, 1000
+		p.Workloads[0].Rate, p.Replicas = 10, 1000
 	}
 	return p
 }
 
-func growing() *cobra.Command {
+func growthCommand() *cobra.Command {
 	var span time.Duration
 	var cores int
 	var chart string
@@ -41,27 +41,27 @@
 			fmt.Fprintf(w, "%v of virtual time, 3 parts a query, %d cores\n", span, cores)
 			fmt.Fprintln(w, "| aggregators\t| replicas\t| queries a second\t| events\t| events a second\t| times real time\t| heap MB\t|")
 			fmt.Fprintln(w, "|---\t|---\t|---\t|---\t|---\t|---\t|---\t|")
-			var sizes []experiment.Size
+			var sizes []experiment.FleetSize
 			for _, n := range []int{1, 10, 100, 1000} {
-				p := fleetOf(n, span)
+				p := growthPlan(n, span)
 				began := time.Now()
-				peak, stop := heapPeak()
+				peak, stop := watchHeap()
 				r, err := emulator.Run(p, cores)
 				stop()
-				if err == nil && r.Broken != "" {
-					err = errors.New(r.Broken)
+				if err == nil && r.Violation != "" {
+					err = errors.New(r.Violation)
 				}
 				if err != nil {
 					return err
 				}
 				took := time.Since(began).Seconds()
-				size := experiment.Size{Aggregators: n, Events: float64(r.Events) / took, Heap: float64(*peak)}
+				size := experiment.FleetSize{Aggregators: n, EventsPerSecond: float64(r.Events) / took, HeapBytes: float64(*peak)}
 				sizes = append(sizes, size)
-				fmt.Fprintf(w, "| %d\t| %d\t| %.0f\t| %d\t| %.0f\t| %.1f\t| %.0f\t|\n", n, p.Replicas, p.Loads[0].Rate*float64(n), r.Events,
-					size.Events, span.Seconds()/took, size.Heap/1e6)
+				fmt.Fprintf(w, "| %d\t| %d\t| %.0f\t| %d\t| %.0f\t| %.1f\t| %.0f\t|\n", n, p.Replicas, p.Workloads[0].Rate*float64(n), r.Events,
+					size.EventsPerSecond, span.Seconds()/took, size.HeapBytes/1e6)
 			}
 			if chart != "" {
-				svg, err := experiment.Growth(sizes)
+				svg, err := experiment.GrowthChart(sizes)
 				if err != nil {
 					return err
 				}
@@ -73,13 +73,13 @@
 		},
 	}
 	c.Flags().DurationVar(&span, "span", 10*time.Second, "of virtual time")
-	c.Flags().IntVar(&cores, "cores", emulator.Cores(), "that are used")
+	c.Flags().IntVar(&cores, "cores", emulator.MaxCores(), "that are used")
 	c.Flags().StringVar(&chart, "chart", "", "a file for a plot, SVG")
 	return c
 }
 
-// heapPeak watches the heap until stop is called.
-func heapPeak() (peak *uint64, stop func()) {
+// watchHeap watches the heap until stop is called.
+func watchHeap() (peak *uint64, stop func()) {
 	peak = new(uint64)
 	end, ended := make(chan struct{}), make(chan struct{})
 	go func() {
--- a/cmd/willowlab/hunt.go
+++ b/cmd/willowlab/hunt.go
@@ -16,8 +16,8 @@
 	"willowsill/lab/experiment"
 )
 
-func hunting() *cobra.Command {
-	var t hunt.Terms
+func huntCommand() *cobra.Command {
+	var t hunt.Config
 	var seeds int
 	var source string
 	c := &cobra.Command{
@@ -32,24 +32,24 @@
 			if err != nil {
 				return err
 			}
-			if built, _ := c.Flags().GetBool(asBuilt); e.Variants[0].Constants != nil && !built {
-				return again(e.Variants[0], source, c.OutOrStdout(), os.Args[1:]...)
+			if built, _ := c.Flags().GetBool(asBuiltFlag); e.Variants[0].Constants != nil && !built {
+				return runRebuilt(e.Variants[0], source, c.OutOrStdout(), os.Args[1:]...)
 			}
-			t.Replicas, t.From, t.Until = e.Plan.Replicas, e.Plan.From, e.Plan.Until
-			best := hunt.Verdict{Share: math.Inf(1)}
+			t.Replicas, t.From, t.Until = e.Plan.Replicas, e.Plan.MeasureFrom, e.Plan.MeasureUntil
+			best := hunt.Score{Share: math.Inf(1)}
 			text := ""
 			tried := 0
-			found := hunt.Search(t, func(faults []emulator.Fault) hunt.Verdict {
-				sum := hunt.Verdict{}
+			found := hunt.Search(t, func(faults []emulator.Fault) hunt.Score {
+				sum := hunt.Score{}
 				for seed := 1; seed <= seeds; seed++ {
-					p := e.Of(e.Variants[0], seed)
+					p := e.PlanFor(e.Variants[0], seed)
 					p.Faults = faults
 					r, err := emulator.Run(p, runtime.GOMAXPROCS(0))
 					if err != nil {
 						panic(err) // the search made a schedule that no plan can have
 					}
-					if sum.Share += r.Share() / float64(seeds); r.Rule > 0 {
-						sum.Rule, text = r.Rule, r.Broken
+					if sum.Share += r.RevenueShare() / float64(seeds); r.Rule > 0 {
+						sum.Rule, text = r.Rule, r.Violation
 						break
 					}
 				}
@@ -60,33 +60,33 @@
 				return sum
 			})
 			out := c.OutOrStdout()
-			fmt.Fprintf(out, "# %s, %d schedules tried, hunt seed %d: share %.4f\n", e.Name, found.Tried, t.Seed, found.Verdict.Share)
+			fmt.Fprintf(out, "# %s, %d schedules tried, hunt seed %d: share %.4f\n", e.Name, found.Tried, t.Seed, found.Score.Share)
 			for _, f := range found.Faults {
 				fmt.Fprintf(out, "fault(kind = %q, replicas = %s, at = %q, until = %q, times = %.3g, every = %q, bad_for = %q)\n", f.Kind,
-					strings.ReplaceAll(fmt.Sprint(f.Replicas), " ", ", "), time.Duration(f.From), time.Duration(f.Until), f.Times,
-					time.Duration(f.Every), time.Duration(f.For))
+					strings.ReplaceAll(fmt.Sprint(f.Replicas), " ", ", "), time.Duration(f.From), time.Duration(f.Until), f.Slowdown,
+					time.Duration(f.Period), time.Duration(f.ActiveTime))
 			}
-			if found.Verdict.Rule > 0 {
+			if found.Score.Rule > 0 {
 				fmt.Fprintln(out, "#", text)
-				return errRule
+				return errRuleBroken
 			}
 			return nil
 		},
 	}
-	sourceFlag(c, &source)
+	addSourceFlag(c, &source)
 	c.Flags().Uint64Var(&t.Seed, "seed", 1, "of the search")
-	c.Flags().IntVar(&t.Tries, "tries", 100, "schedules that are tried")
-	c.Flags().IntVar(&t.Faults, "faults", 3, "of a schedule at most")
-	c.Flags().IntVar(&t.Most, "most", 4, "replicas that one fault may befall")
+	c.Flags().IntVar(&t.MaxSchedules, "tries", 100, "schedules that are tried")
+	c.Flags().IntVar(&t.MaxFaults, "faults", 3, "of a schedule at most")
+	c.Flags().IntVar(&t.MaxReplicasPerFault, "most", 4, "replicas that one fault may befall")
 	c.Flags().IntVar(&seeds, "runs", 2, "of each schedule, with other seeds")
 	c.Flags().StringSliceVar(&t.Kinds, "kinds", nil, "of faults; all if none are named")
 	c.PreRunE = func(*cobra.Command, []string) error {
 		for _, k := range t.Kinds {
-			if !slices.Contains(emulator.Kinds, k) {
-				return fmt.Errorf("--kinds: %q is none of %s", k, strings.Join(emulator.Kinds, ", "))
+			if !slices.Contains(emulator.FaultKinds, k) {
+				return fmt.Errorf("--kinds: %q is none of %s", k, strings.Join(emulator.FaultKinds, ", "))
 			}
 		}
-		if t.Tries < 1 || t.Faults < 1 || t.Most < 1 || seeds < 1 {
+		if t.MaxSchedules < 1 || t.MaxFaults < 1 || t.MaxReplicasPerFault < 1 || seeds < 1 {
 			return fmt.Errorf("--tries, --faults, --most and --runs are 1 at least")
 		}
 		return nil
@@ -94,7 +94,7 @@
 	return c
 }
 
-func replaying() *cobra.Command {
+func replayCommand() *cobra.Command {
 	var from, until time.Duration
 	var seed int
 	var variant, who, source string
@@ -117,10 +117,10 @@
 				}
 				v = e.Variants[i]
 			}
-			if built, _ := c.Flags().GetBool(asBuilt); v.Constants != nil && !built {
-				return again(v, source, c.OutOrStdout(), os.Args[1:]...)
+			if built, _ := c.Flags().GetBool(asBuiltFlag); v.Constants != nil && !built {
+				return runRebuilt(v, source, c.OutOrStdout(), os.Args[1:]...)
 			}
-			p := e.Of(v, seed)
+			p := e.PlanFor(v, seed)
 			p.Trace = func(at int64, of, what string) {
 				if at >= int64(from) && at < int64(until) && (who == "" || who == of) {
 					fmt.Fprintf(c.OutOrStdout(), "%10.6f %s: %s\n", float64(at)/1e9, of, what)
@@ -128,13 +128,13 @@
 			}
 			r, err := emulator.Run(p, 1)
 			if err == nil && r.Rule > 0 {
-				fmt.Fprintln(c.OutOrStdout(), r.Broken)
-				return errRule
+				fmt.Fprintln(c.OutOrStdout(), r.Violation)
+				return errRuleBroken
 			}
 			return err
 		},
 	}
-	sourceFlag(c, &source)
+	addSourceFlag(c, &source)
 	c.Flags().DurationVar(&from, "from", 0, "of the run's time")
 	c.Flags().DurationVar(&until, "to", time.Hour, "of the run's time")
 	c.Flags().IntVar(&seed, "seed", 1, "of the run")
--- a/cmd/willowlab/load.go
+++ b/cmd/willowlab/load.go
@@ -10,7 +10,7 @@
 	"willowsill/lab/load"
 )
 
-func loading() *cobra.Command {
+func loadCommand() *cobra.Command {
 	t := load.Target{}
 	var rate, wanted float64
 	var clients, steps int
@@ -34,12 +34,12 @@
 			defer asking.Close()
 			var all []*load.Outcome
 			best := 0.0
-			open := func(rate float64) *load.Outcome { return asking.Open(c.Context(), rate, span, seed) }
+			open := func(rate float64) *load.Outcome { return asking.RunOpenLoop(c.Context(), rate, span, seed) }
 			switch {
 			case clients > 0:
-				all = append(all, asking.Closed(c.Context(), clients, span))
+				all = append(all, asking.RunClosedLoop(c.Context(), clients, span))
 			case steps > 0:
-				all, best = load.Steps(rate, 1.5, steps, wanted, open)
+				all, best = load.FindMaxRate(rate, 1.5, steps, wanted, open)
 			default:
 				all = append(all, open(rate))
 			}
@@ -50,7 +50,7 @@
 			fmt.Fprintln(w, "| due a second\t| asked\t| in goal\t| late\t| declined\t| failed\t| served a second\t| p50 ms\t| p99 ms\t| p99.9 ms\t|")
 			for _, o := range all {
 				fmt.Fprintf(w, "| %.0f\t| %d\t| %d\t| %d\t| %d\t| %d\t| %.0f\t| %.2f\t| %.2f\t| %.2f\t|\n", o.Rate, o.Asked, o.InGoal, o.Late, o.Declined,
-					o.Failed, o.Served, o.P50.Seconds()*1e3, o.P99.Seconds()*1e3, o.P999.Seconds()*1e3)
+					o.Failed, o.ServedPerSecond, o.P50.Seconds()*1e3, o.P99.Seconds()*1e3, o.P999.Seconds()*1e3)
 			}
 			if best > 0 {
 				fmt.Fprintf(w, "at %.0f a second %.2f are still within the goal\n", best, wanted)
@@ -61,8 +61,8 @@
 	c.Flags().StringVar(&t.Workload, "workload", "lookup", "its name")
 	c.Flags().IntSliceVar(&t.Shards, "shards", []int{0}, "that each query asks")
 	c.Flags().StringVar(&t.Text, "text", "load", "of the queries")
-	c.Flags().DurationVar(&t.Patience, "patience", time.Second, "the clients' time")
-	c.Flags().DurationVar(&t.Goal, "goal", 200*time.Millisecond, "an answer within it counts")
+	c.Flags().DurationVar(&t.Timeout, "patience", time.Second, "the clients' time")
+	c.Flags().DurationVar(&t.LatencyGoal, "goal", 200*time.Millisecond, "an answer within it counts")
 	c.Flags().Float64Var(&rate, "rate", 100, "queries a second; the first rate with --steps")
 	c.Flags().IntVar(&clients, "clients", 0, "that ask one query after the other, in place of a rate")
 	c.Flags().IntVar(&steps, "steps", 0, "rates to try at most, until the goal breaks")
--- a/cmd/willowlab/losses.go
+++ b/cmd/willowlab/losses.go
@@ -30,7 +30,7 @@
 // loss is one cause and what it took of the day's worth.
 type loss struct {
 	cause string
-	worth float64
+	value float64
 }
 
 // losses are a day's, the dearest first.
@@ -46,12 +46,12 @@
 			all = append(all, loss{fmt.Sprint("price, ", p[0]), num(p[2])})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b loss) int { return cmp.Compare(b.worth, a.worth) })
+	slices.SortStableFunc(all, func(a, b loss) int { return cmp.Compare(b.value, a.value) })
 	return all
 }
 
-// losing says where the worth of days went, from the reports of the operators' bench.
-func losing() *cobra.Command {
+// lossesCommand says where the worth of days went, from the reports of the operators' bench.
+func lossesCommand() *cobra.Command {
 	var most int
 	c := &cobra.Command{Use: "losses REPORT ...", Short: "Say where the worth of days went, from the operators' bench's reports",
 		Long:    "Reads what `run ... --report FILE` of the operators' bench wrote: rules broken, what each day lost to what, by kind of request,\nand how long acknowledgements of configurations took.",
@@ -79,8 +79,8 @@
 					line = fmt.Sprintf("BROKEN %v %v; ", r.Breaks, r.Fault)
 				}
 				for i, l := range r.losses() {
-					if i < most && l.worth >= 0.0005 {
-						line += fmt.Sprintf("%s %.3f; ", l.cause, l.worth)
+					if i < most && l.value >= 0.0005 {
+						line += fmt.Sprintf("%s %.3f; ", l.cause, l.value)
 					}
 				}
 				fmt.Fprintf(w, "%s\t%.3f\t%s\n", filepath.Base(file), r.G, line)
@@ -98,7 +98,7 @@
 			}
 			fmt.Fprintln(c.OutOrStdout())
 			if broken > 0 {
-				return errRule
+				return errRuleBroken
 			}
 			return nil
 		}}
--- a/cmd/willowlab/main.go
+++ b/cmd/willowlab/main.go
@@ -12,11 +12,11 @@
 func main() {
 	root := &cobra.Command{Use: "willowlab", Short: "Experiments on fleets, and load for a running aggregator",
 		SilenceUsage: true, SilenceErrors: true}
-	root.PersistentFlags().Bool(asBuilt, false, "")
-	root.PersistentFlags().MarkHidden(asBuilt)
-	root.AddCommand(running(), beside(), checking(), comparing(), reporting(), hunting(), replaying(), loading(), growing(), exploring(), exploringControllers(), spreading(), losing(), controlling())
+	root.PersistentFlags().Bool(asBuiltFlag, false, "")
+	root.PersistentFlags().MarkHidden(asBuiltFlag)
+	root.AddCommand(runCommand(), socketsCommand(), checkCommand(), compareCommand(), reportCommand(), huntCommand(), replayCommand(), loadCommand(), growthCommand(), exploreCommand(), exploreControllersCommand(), propagationCommand(), lossesCommand(), controlCommand())
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "willowlab:", err)
-		os.Exit(code(err))
+		os.Exit(exitCode(err))
 	}
 }
--- a/cmd/willowlab/recast.go
+++ b/cmd/willowlab/recast.go
@@ -15,14 +15,14 @@
 	"willowsill/lab/experiment/recast"
 )
 
-const asBuilt = "as-built" // a flag: this program was built with the constants of the variant that it plays
+const asBuiltFlag = "as-built" // a flag: this program was built with the constants of the variant that it plays
 
-func sourceFlag(c *cobra.Command, source *string) {
+func addSourceFlag(c *cobra.Command, source *string) {
 	c.Flags().StringVar(source, "source", ".", "the module's folder, to build variants with other constants from")
 }
 
-// again runs this program, built with a variant's constants, with the same arguments or others.
-func again(v experiment.Variant, source string, out io.Writer, args ...string) error {
+// runRebuilt runs this program, built with a variant's constants, with the same arguments or others.
+func runRebuilt(v experiment.Variant, source string, out io.Writer, args ...string) error {
 	dir, err := os.MkdirTemp("", "willowlab")
 	if err != nil {
 		return err
@@ -32,21 +32,21 @@
 	if err := recast.Build(source, "cmd/willowlab", binary, v.Constants); err != nil {
 		return err
 	}
-	run := exec.Command(binary, append(args, "--"+asBuilt)...)
+	run := exec.Command(binary, append(args, "--"+asBuiltFlag)...)
 	run.Stdout, run.Stderr = out, os.Stderr
 	err = run.Run()
 	var ended *exec.ExitError
-	if errors.As(err, &ended) && ended.ExitCode() == code(errRule) {
-		return errRule
+	if errors.As(err, &ended) && ended.ExitCode() == exitCode(errRuleBroken) {
+		return errRuleBroken
 	}
 	return err
 }
 
-// apart plays a variant with other constants.
-func apart(e *experiment.Experiment, v experiment.Variant, file, source string) (*experiment.Table, error) {
+// runRebuiltVariant plays a variant with other constants.
+func runRebuiltVariant(e *experiment.Experiment, v experiment.Variant, file, source string) (*experiment.Table, error) {
 	var out bytes.Buffer
-	err := again(v, source, &out, "run", file, "--only", v.Name, "--json", "--seeds", strconv.Itoa(e.Seeds))
-	if err != nil && !errors.Is(err, errRule) { // a broken rule stands in the table
+	err := runRebuilt(v, source, &out, "run", file, "--only", v.Name, "--json", "--seeds", strconv.Itoa(e.Seeds))
+	if err != nil && !errors.Is(err, errRuleBroken) { // a broken rule stands in the table
 		return nil, err
 	}
 	tables, err := experiment.DecodeAll(out.Bytes(), v.Name)
--- a/cmd/willowlab/recast_test.go
+++ b/cmd/willowlab/recast_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	table, err := playAll(e, experiment.Emulated(), file, "../..", true)
+	table, err := runVariants(e, experiment.EmulatorRunner(), file, "../..", true)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/willowlab/sockets.go
+++ b/cmd/willowlab/sockets.go
@@ -13,16 +13,16 @@
 	"willowsill/standin/lab"
 )
 
-// onSockets leaves of an experiment the variants that the true program can play, and is the way to play them.
-func onSockets(e *experiment.Experiment, binary string, atOnce int) (experiment.Way, error) {
-	e.Variants = slices.DeleteFunc(e.Variants, func(v experiment.Variant) bool { return !v.True })
+// socketVariants leaves of an experiment the variants that the true program can play, and is the way to play them.
+func socketVariants(e *experiment.Experiment, binary string, atOnce int) (experiment.Runner, error) {
+	e.Variants = slices.DeleteFunc(e.Variants, func(v experiment.Variant) bool { return !v.RunsOnSockets })
 	if len(e.Variants) == 0 {
-		return experiment.Way{}, errors.New("there is no variant of the decision module")
+		return experiment.Runner{}, errors.New("there is no variant of the decision module")
 	}
-	return experiment.Way{AtOnce: atOnce, Run: func(p emulator.Plan, _ int) (*emulator.Result, error) { return lab.Run(binary, p) }}, nil
+	return experiment.Runner{Parallel: atOnce, Run: func(p emulator.Plan, _ int) (*emulator.Result, error) { return lab.Run(binary, p) }}, nil
 }
 
-func beside() *cobra.Command {
+func socketsCommand() *cobra.Command {
 	var binary string
 	var seeds, atOnce int
 	var asJSON bool
@@ -41,13 +41,13 @@
 					return err
 				}
 				e.Seeds = seeds
-				real, err := onSockets(e, binary, atOnce)
+				real, err := socketVariants(e, binary, atOnce)
 				if err != nil {
 					return fmt.Errorf("%s: %w", file, err)
 				}
 				var pair [2]*experiment.Table
-				for i, way := range []experiment.Way{experiment.Emulated(), real} {
-					if pair[i], err = play(e, way, asJSON); err != nil {
+				for i, way := range []experiment.Runner{experiment.EmulatorRunner(), real} {
+					if pair[i], err = runExperiment(e, way, asJSON); err != nil {
 						return fmt.Errorf("%s: %w", file, err)
 					}
 				}
--- a/cmd/willowsill/background.go
+++ b/cmd/willowsill/background.go
@@ -5,22 +5,22 @@
 // background is what runs beside the service for as long as the operator's script asks for it.
 type background struct {
 	cancel context.CancelFunc
-	ended  chan struct{}
+	done   chan struct{}
 }
 
-// begin runs it.
-func begin(run func(context.Context)) *background {
+// startBackground runs it.
+func startBackground(run func(context.Context)) *background {
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &background{cancel, make(chan struct{})}
 	go func() {
-		defer close(b.ended)
+		defer close(b.done)
 		run(ctx)
 	}()
 	return b
 }
 
-// end stops it, and returns when it has ended.
-func (b *background) end() {
+// stop stops it, and returns when it has ended.
+func (b *background) stop() {
 	b.cancel()
-	<-b.ended
+	<-b.done
 }
--- a/cmd/willowsill/commands.go
+++ b/cmd/willowsill/commands.go
@@ -21,8 +21,8 @@
 	code int
 }
 
-// command runs the command line and returns the exit code.
-func command(reload <-chan os.Signal, args []string, out, complaints io.Writer) int {
+// executeCommand runs the command line and returns the exit code.
+func executeCommand(reload <-chan os.Signal, args []string, out, complaints io.Writer) int {
 	code := 0
 	root := &cobra.Command{
 		Use:   "willowsill",
@@ -48,7 +48,7 @@
 	}
 	serving.Flags().StringVar(&script, "operator", "", "the operator's script; SIGHUP reads it again")
 	serving.MarkFlagFilename("operator", "star")
-	root.AddCommand(serving, checking(), explaining(), demonstrating())
+	root.AddCommand(serving, checkCommand(), explainCommand(), demonstrating())
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(complaints)
@@ -65,11 +65,11 @@
 
 func isScript(file string) bool { return strings.HasSuffix(file, ".star") }
 
-func checking() *cobra.Command {
+func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE",
 		Short:   "Say all that is wrong with a script or a configuration",
-		Long:    "check reads an operator's script (.star) or a configuration (JSON) as a start would.\nWhat is wrong is told with file, line and key on standard error, and the exit code is 2.\n\n" + vocabulary(),
+		Long:    "check reads an operator's script (.star) or a configuration (JSON) as a start would.\nWhat is wrong is told with file, line and key on standard error, and the exit code is 2.\n\n" + scriptHelp(),
 		Example: "  willowsill check examples/store.star\n  willowsill check examples/config.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -88,18 +88,18 @@
 	}
 }
 
-// vocabulary is what a script may say.
-func vocabulary() string {
+// scriptHelp is what a script may say.
+func scriptHelp() string {
 	var b strings.Builder
 	b.WriteString("What a script may call:\n\n")
-	for _, name := range operator.Names() {
-		text, _ := operator.Help(name)
+	for _, name := range operator.FunctionNames() {
+		text, _ := operator.Describe(name)
 		b.WriteString(text + "\n")
 	}
 	return strings.TrimRight(b.String(), "\n")
 }
 
-func explaining() *cobra.Command {
+func explainCommand() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
 		Use:     "explain FILE",
@@ -114,13 +114,13 @@
 			if err != nil {
 				return coded{err, 2}
 			}
-			lines, off := orders.Explain(), orders.Off()
+			lines, off := orders.Explain(), orders.Uncalled()
 			if asJSON {
 				return writeJSON(c.OutOrStdout(), map[string]any{"holds": lines, "off": off})
 			}
 			table := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			for _, l := range lines {
-				from := "as told at " + l.Where
+				from := "as told at " + l.Position
 				if l.Default {
 					from = "default"
 				}
--- a/cmd/willowsill/demo.go
+++ b/cmd/willowsill/demo.go
@@ -33,29 +33,29 @@
 
 // The demonstration's fleet.
 const (
-	demoAggregators = 3
-	demoShards      = 4
-	demoHolders     = 3 // of each shard
-	demoWork        = 20 * time.Millisecond
-	demoPatience    = 1500 * time.Millisecond
-	demoSlack       = 50 * time.Millisecond // limits on sockets are so much longer
+	demoAggregators      = 3
+	demoShards           = 4
+	demoReplicasPerShard = 3 // of each shard
+	demoWork             = 20 * time.Millisecond
+	demoClientTimeout    = 1500 * time.Millisecond
+	demoClientSlack      = 50 * time.Millisecond // limits on sockets are so much longer
 	// An aggregator has so long to come up, is asked so often, and each question may take so long.
-	demoUpWithin       = 30 * time.Second
-	demoHealthPoll     = 20 * time.Millisecond
-	demoHealthPatience = time.Second
-	demoGoal           = 800 * time.Millisecond
-	rehearsed          = 200 // queries a phase of the whole system
+	demoStartupTimeout     = 30 * time.Second
+	demoHealthPollInterval = 20 * time.Millisecond
+	demoHealthTimeout      = time.Second
+	demoLatencyGoal        = 800 * time.Millisecond
+	systemDemoQueries      = 200 // queries a phase of the whole system
 )
 
 // phase is a stretch of the demonstration and what came of it.
 type phase struct {
-	Name     string         `json:"name"`
-	Answers  map[string]int `json:"answers"`
-	MedianMS float64        `json:"median_ms"`
-	WorstMS  float64        `json:"worst_ms"`
-	Sick     int64          `json:"executions_at_sick_replica"`
-	Store    map[string]any `json:"store,omitempty"`
-	times    []time.Duration
+	Name             string         `json:"name"`
+	Answers          map[string]int `json:"answers"`
+	MedianMS         float64        `json:"median_ms"`
+	WorstMS          float64        `json:"worst_ms"`
+	FaultyExecutions int64          `json:"executions_at_sick_replica"`
+	Store            map[string]any `json:"store,omitempty"`
+	latencies        []time.Duration
 }
 
 func demonstrating() *cobra.Command {
@@ -78,11 +78,11 @@
 			var err error
 			switch {
 			case system:
-				return rehearse(c, asJSON)
+				return runSystemDemo(c, asJSON)
 			case sites == 1:
-				phases, err = demonstrate(c.Context(), withStore, each)
+				phases, err = runDemo(c.Context(), withStore, each)
 			case sites == 2 && !withStore:
-				phases, err = demonstrateSites(c.Context(), each)
+				phases, err = runSitesDemo(c.Context(), each)
 			default:
 				return coded{fmt.Errorf("--sites is 1 or 2, and 2 goes without --store"), 2}
 			}
@@ -100,7 +100,7 @@
 					state = fmt.Sprint(p.Store["state"])
 				}
 				fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%.0f\t%.0f\t%d\t%s\n", p.Name, p.Answers["200"], p.Answers["503"],
-					p.Answers["failed"], p.MedianMS, p.WorstMS, p.Sick, state)
+					p.Answers["failed"], p.MedianMS, p.WorstMS, p.FaultyExecutions, state)
 			}
 			return table.Flush()
 		},
@@ -114,11 +114,11 @@
 }
 
 // part plays one process of the whole system's demonstration, where this process was started for that.
-func part() bool { return rehearsal.Part() }
+func part() bool { return rehearsal.RunChild() }
 
-// rehearse plays the whole system with copies of this program.
-func rehearse(c *cobra.Command, asJSON bool) error {
-	phases, err := rehearsal.Run(c.Context(), rehearsed)
+// runSystemDemo plays the whole system with copies of this program.
+func runSystemDemo(c *cobra.Command, asJSON bool) error {
+	phases, err := rehearsal.Run(c.Context(), systemDemoQueries)
 	if err != nil {
 		return coded{err, 1}
 	}
@@ -131,18 +131,18 @@
 
 // fleet is what the demonstration starts; stop ends all of it.
 type fleet struct {
-	fronts []string
-	sick   atomic.Bool // the first replica fails
-	dark   atomic.Bool // all do
-	lists  string      // the discovery's address
-	met    atomic.Int64
-	store  *redis.Server
-	ends   []func()
-	number atomic.Int64
+	frontURLs        []string
+	oneFails         atomic.Bool // the first replica fails
+	allFail          atomic.Bool // all do
+	discoveryAddress string      // the discovery's address
+	firstReplicaHits atomic.Int64
+	store            *redis.Server
+	closers          []func()
+	queryCount       atomic.Int64
 }
 
 func (f *fleet) stop() {
-	for _, end := range slices.Backward(f.ends) {
+	for _, end := range slices.Backward(f.closers) {
 		end()
 	}
 }
@@ -151,7 +151,7 @@
 func (f *fleet) listen(serve func(net.Listener)) (string, error) {
 	address, end, err := ports.Serve(serve)
 	if err == nil {
-		f.ends = append(f.ends, end)
+		f.closers = append(f.closers, end)
 	}
 	return address, err
 }
@@ -160,16 +160,16 @@
 func startReplicas() (*fleet, error) {
 	f := &fleet{}
 	list := standin.NewDiscovery()
-	for i := range demoShards * demoHolders {
+	for i := range demoShards * demoReplicasPerShard {
 		toy := &standin.Replica{Answer: func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
 			if i == 0 {
-				f.met.Add(1)
-				if f.sick.Load() {
-					return replica.Reply{ID: p.ID, End: replica.Failed}, true
+				f.firstReplicaHits.Add(1)
+				if f.oneFails.Load() {
+					return replica.Reply{ID: p.ID, Outcome: replica.Failed}, true
 				}
 			}
-			if f.dark.Load() {
-				return replica.Reply{ID: p.ID, End: replica.Failed}, true
+			if f.allFail.Load() {
+				return replica.Reply{ID: p.ID, Outcome: replica.Failed}, true
 			}
 			select {
 			case <-time.After(demoWork):
@@ -182,10 +182,10 @@
 		if err != nil {
 			return f, err
 		}
-		list.Change(standin.Host{Host: fmt.Sprint("s-", i), Dial: address, Block: i % demoShards, Health: "active"})
+		list.Change(standin.Host{Host: fmt.Sprint("s-", i), Dial: address, Cell: i % demoShards, Health: "active"})
 	}
 	var err error
-	f.lists, err = f.listen(func(l net.Listener) { (&http.Server{Handler: list}).Serve(l) })
+	f.discoveryAddress, err = f.listen(func(l net.Listener) { (&http.Server{Handler: list}).Serve(l) })
 	return f, err
 }
 
@@ -194,34 +194,34 @@
 	if err != nil {
 		return f, err
 	}
-	orders := &operator.Orders{}
+	orders := &operator.Settings{}
 	if withStore {
 		f.store = &redis.Server{}
 		address, err := f.listen(func(l net.Listener) { f.store.Serve(l) })
 		if err != nil {
 			return f, err
 		}
-		orders.Store = &operator.Store{Address: address, Prefix: "demo", Round: 200e6, Deadline: 100e6, Sample: 24, Health: true}
+		orders.Store = &operator.SharedStore{Address: address, Prefix: "demo", RoundInterval: 200e6, RoundTimeout: 100e6, SampleSize: 24, Health: true}
 	}
 	for i := range demoAggregators {
-		if err := f.aggregator(i, orders, (&net.Dialer{}).DialContext); err != nil {
+		if err := f.startAggregator(i, orders, (&net.Dialer{}).DialContext); err != nil {
 			return f, err
 		}
 	}
 	return f, nil
 }
 
-// aggregator starts the whole program once, but for its process.
-func (f *fleet) aggregator(number int, orders *operator.Orders, dial replica.Dial) error {
-	row := balance.Workload{LatencyGoal: int64(demoGoal), LateShare: 0.3, MinCoverage: 1, FullCoverage: 1, PartialShare: 0.9}
-	start := deployment.Start{Name: fmt.Sprint("n", number), Discovery: f.lists, Sockets: 512,
-		Deployment: deployment.Deployment{Workload: map[string]int{"lookup": 0}, Deployment: balance.Deployment{
+// startAggregator starts the whole program once, but for its process.
+func (f *fleet) startAggregator(number int, orders *operator.Settings, dial replica.Dial) error {
+	row := balance.Workload{LatencyGoal: int64(demoLatencyGoal), LateShare: 0.3, MinCoverage: 1, FullCoverage: 1, PartialShare: 0.9}
+	start := deployment.Config{Name: fmt.Sprint("n", number), Discovery: f.discoveryAddress, Descriptors: 512,
+		Deployment: deployment.Deployment{WorkloadRow: map[string]int{"lookup": 0}, Deployment: balance.Deployment{
 			Index: number, Aggregators: demoAggregators, Seed: uint64(7 + number), Tick: 5e6,
 			Workloads: []balance.Workload{row}, Shards: demoShards, Cells: demoShards, CellsPerShard: 1, PartsPerCall: 1,
 			MaxExecutions: 3, CanCancel: true, MaxRetryAfter: 2000e6, ColdCapacity: 0.2, WarmUpTime: 9000e6, OverloadFactor: 4,
 			OverloadSpan: 1000e6}},
-		Terms: deployment.Terms{MostHeld: 200, Streams: 32, ConnectWithin: 250e6, IdleAfter: 15e9,
-			LongestCutOff: int64(demoPatience)}}
+		Limits: deployment.Limits{MaxHeld: 200, CallsPerConnection: 32, ConnectTimeout: 250e6, IdleTimeout: 15e9,
+			LongestClientTimeout: int64(demoClientTimeout)}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -231,14 +231,14 @@
 	go func() {
 		ended <- run(stop, nil, start, orders, l, dial, zap.NewNop())
 	}()
-	f.fronts = append(f.fronts, "http://"+l.Addr().String())
-	health := healthcheck.Wait{Client: &http.Client{Timeout: demoHealthPatience}, Every: demoHealthPoll, Within: demoUpWithin, Ended: ended}
-	if err := health.Until(f.fronts[number]); err != nil {
+	f.frontURLs = append(f.frontURLs, "http://"+l.Addr().String())
+	health := healthcheck.Wait{Client: &http.Client{Timeout: demoHealthTimeout}, Interval: demoHealthPollInterval, Timeout: demoStartupTimeout, Ended: ended}
+	if err := health.Until(f.frontURLs[number]); err != nil {
 		end()
 		l.Close()
 		return err
 	}
-	f.ends = append(f.ends, func() {
+	f.closers = append(f.closers, func() {
 		end()
 		<-ended
 	})
@@ -247,7 +247,7 @@
 
 // ask asks one query and says how it ended.
 func (f *fleet) ask(ctx context.Context, front string) string {
-	ctx, cancel := context.WithTimeout(ctx, demoPatience+demoSlack)
+	ctx, cancel := context.WithTimeout(ctx, demoClientTimeout+demoClientSlack)
 	defer cancel()
 	body := `{"segments":[{"segment":0,"boost":0.25},{"segment":1,"boost":0.25},{"segment":2,"boost":0.25},` +
 		`{"segment":3,"boost":0.25}],"text":"demo"}`
@@ -255,8 +255,8 @@
 	if err != nil {
 		return "failed"
 	}
-	for key, v := range map[string]string{"X-Qos": "lookup", "X-Trace-Id": fmt.Sprintf("d%d", f.number.Add(1)),
-		"X-Expires-In-Ms": strconv.FormatInt(demoPatience.Milliseconds(), 10)} {
+	for key, v := range map[string]string{"X-Qos": "lookup", "X-Trace-Id": fmt.Sprintf("d%d", f.queryCount.Add(1)),
+		"X-Expires-In-Ms": strconv.FormatInt(demoClientTimeout.Milliseconds(), 10)} {
 		r.Header.Set(key, v)
 	}
 	a, err := http.DefaultClient.Do(r)
@@ -271,9 +271,9 @@
 	return strconv.Itoa(a.StatusCode)
 }
 
-// shared are the first aggregator's figures of the store.
-func (f *fleet) shared() map[string]any {
-	r, err := http.Get(f.fronts[0] + "/counters")
+// storeStats are the first aggregator's figures of the store.
+func (f *fleet) storeStats() map[string]any {
+	r, err := http.Get(f.frontURLs[0] + "/counters")
 	if err != nil {
 		return nil
 	}
@@ -285,38 +285,38 @@
 	return all.Store
 }
 
-// play asks queries for a time, from each aggregator's front, and returns what came of it.
-func (f *fleet) play(ctx context.Context, name string, each time.Duration) phase {
+// runPhase asks queries for a time, from each aggregator's front, and returns what came of it.
+func (f *fleet) runPhase(ctx context.Context, name string, each time.Duration) phase {
 	p := phase{Name: name, Answers: map[string]int{}}
-	met := f.met.Load()
+	met := f.firstReplicaHits.Load()
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	every := time.NewTicker(25 * time.Millisecond)
 	defer every.Stop()
 	for until := time.Now().Add(each); time.Now().Before(until) && ctx.Err() == nil; <-every.C {
-		for _, front := range f.fronts {
+		for _, front := range f.frontURLs {
 			all.Go(func() {
 				began := time.Now()
 				how := f.ask(ctx, front)
 				mu.Lock()
 				defer mu.Unlock()
 				p.Answers[how]++
-				p.times = append(p.times, time.Since(began))
+				p.latencies = append(p.latencies, time.Since(began))
 			})
 		}
 	}
 	all.Wait()
-	slices.Sort(p.times)
-	if n := len(p.times); n > 0 {
-		p.MedianMS, p.WorstMS = p.times[n/2].Seconds()*1e3, p.times[n-1].Seconds()*1e3
+	slices.Sort(p.latencies)
+	if n := len(p.latencies); n > 0 {
+		p.MedianMS, p.WorstMS = p.latencies[n/2].Seconds()*1e3, p.latencies[n-1].Seconds()*1e3
 	}
-	p.Sick = f.met.Load() - met
-	p.Store = f.shared()
+	p.FaultyExecutions = f.firstReplicaHits.Load() - met
+	p.Store = f.storeStats()
 	return p
 }
 
-// demonstrate plays all phases.
-func demonstrate(ctx context.Context, withStore bool, each time.Duration) (phases []phase, err error) {
+// runDemo plays all phases.
+func runDemo(ctx context.Context, withStore bool, each time.Duration) (phases []phase, err error) {
 	if ctx == nil {
 		ctx = context.Background()
 	}
@@ -325,19 +325,19 @@
 	if err != nil {
 		return nil, err
 	}
-	play := func(name string) { phases = append(phases, f.play(ctx, name, each)) }
+	play := func(name string) { phases = append(phases, f.runPhase(ctx, name, each)) }
 	play("all well")
-	f.sick.Store(true)
+	f.oneFails.Store(true)
 	play("one replica fails")
 	if withStore {
-		f.store.Misbehave(redis.Fault{Delay: 2 * time.Second})
+		f.store.SetFault(redis.Fault{Delay: 2 * time.Second})
 		play("and the store takes 2 s")
-		f.store.Misbehave(redis.Fault{Silent: true})
+		f.store.SetFault(redis.Fault{DropCommands: true})
 		play("and the store is silent")
-		f.store.Misbehave(redis.Fault{})
+		f.store.SetFault(redis.Fault{})
 		play("and the store is back")
 	}
-	f.sick.Store(false)
+	f.oneFails.Store(false)
 	play("the replica is mended")
 	return phases, nil
 }
--- a/cmd/willowsill/demo_sites.go
+++ b/cmd/willowsill/demo_sites.go
@@ -14,8 +14,8 @@
 	"willowsill/standin/ports"
 )
 
-// twoSites starts two sites with a link between them, of one aggregator each. The first is the one that is asked.
-func twoSites(dir string, l *link.Link) (sites [2]*fleet, err error) {
+// startTwoSites starts two sites with a link between them, of one aggregator each. The first is the one that is asked.
+func startTwoSites(dir string, l *link.Link) (sites [2]*fleet, err error) {
 	names, doors := [2]string{"east", "west"}, [2]string{}
 	authority, err := papers.New(dir)
 	if err != nil {
@@ -27,7 +27,7 @@
 		}
 	}
 	direct := (&net.Dialer{}).DialContext
-	over := l.Over(direct)
+	over := l.Dialer(direct)
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		if address == doors[1] {
 			return over(ctx, network, address)
@@ -42,18 +42,18 @@
 		if err != nil {
 			return sites, err
 		}
-		orders := &operator.Orders{
-			Site:  &operator.Site{Name: name, Listen: doors[i], CertFile: cert, KeyFile: key, CAFile: authority.File},
-			Links: []operator.Link{{To: names[1-i], Gateways: []string{doors[1-i]}, Queries: 200, Bytes: 4 << 20, Cost: 0.05}}}
-		if err := sites[i].aggregator(0, orders, dial); err != nil {
+		orders := &operator.Settings{
+			Site:  &operator.Site{Name: name, Listen: doors[i], CertFile: cert, KeyFile: key, CAFile: authority.CertFile},
+			Links: []operator.Link{{To: names[1-i], Gateways: []string{doors[1-i]}, QueryRate: 200, ByteRate: 4 << 20, Cost: 0.05}}}
+		if err := sites[i].startAggregator(0, orders, dial); err != nil {
 			return sites, err
 		}
 	}
 	return sites, nil
 }
 
-// demonstrateSites plays two sites, of which the first goes dark.
-func demonstrateSites(ctx context.Context, each time.Duration) (phases []phase, err error) {
+// runSitesDemo plays two sites, of which the first goes dark.
+func runSitesDemo(ctx context.Context, each time.Duration) (phases []phase, err error) {
 	if ctx == nil {
 		ctx = context.Background()
 	}
@@ -63,9 +63,9 @@
 	}
 	defer os.RemoveAll(dir)
 	l := &link.Link{}
-	far := link.Way{Delay: 40 * time.Millisecond}
+	far := link.Conditions{Delay: 40 * time.Millisecond}
 	l.Set(far, far)
-	sites, err := twoSites(dir, l)
+	sites, err := startTwoSites(dir, l)
 	defer func() {
 		for _, s := range sites {
 			if s != nil {
@@ -77,16 +77,16 @@
 		return nil, err
 	}
 	east := sites[0]
-	play := func(name string) { phases = append(phases, east.play(ctx, name, each)) }
+	play := func(name string) { phases = append(phases, east.runPhase(ctx, name, each)) }
 	play("both well")
-	east.dark.Store(true)
+	east.allFail.Store(true)
 	play("east goes dark")
 	play("east is dark")
-	l.Set(far, link.Way{Cut: true})
+	l.Set(far, link.Conditions{Cut: true})
 	play("and the link is cut one way")
 	l.Set(far, far)
 	play("the link is mended")
-	east.dark.Store(false)
+	east.allFail.Store(false)
 	play("east comes back")
 	play("both well again")
 	return phases, nil
--- a/cmd/willowsill/demo_test.go
+++ b/cmd/willowsill/demo_test.go
@@ -19,7 +19,7 @@
 
 // On sockets, with the store slow, silent and back while one replica fails: no query is lost, none is late by the store.
 func TestDemoWithStore(t *testing.T) {
-	phases, err := demonstrate(t.Context(), true, 400*time.Millisecond)
+	phases, err := runDemo(t.Context(), true, 400*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 		t.Errorf("%d phases", len(phases))
 	}
 	for _, p := range phases {
-		if p.Answers["200"] == 0 || p.Answers["failed"] != 0 || p.WorstMS > float64(demoGoal.Milliseconds()) {
+		if p.Answers["200"] == 0 || p.Answers["failed"] != 0 || p.WorstMS > float64(demoLatencyGoal.Milliseconds()) {
 			t.Errorf("%s: %v, the worst %.0f ms", p.Name, p.Answers, p.WorstMS)
 		}
 	}
@@ -36,9 +36,9 @@
 	}
 }
 
-func told(t *testing.T, args ...string) (code int, out, complaints string) {
+func commandOutput(t *testing.T, args ...string) (code int, out, complaints string) {
 	var o, c bytes.Buffer
-	code = command(nil, args, &o, &c)
+	code = executeCommand(nil, args, &o, &c)
 	return code, o.String(), c.String()
 }
 
@@ -63,12 +63,12 @@
 		{[]string{"completion", "bash"}, 0, "bash completion", ""},
 		{[]string{"check", "--help"}, 0, "password_file", ""},
 	} {
-		code, out, wail := told(t, c.args...)
+		code, out, wail := commandOutput(t, c.args...)
 		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(wail, c.wail) {
 			t.Errorf("%v: %d, %q, %q", c.args, code, out, wail)
 		}
 	}
-	_, out, _ := told(t, "explain", "--json", "../../examples/store.star")
+	_, out, _ := commandOutput(t, "explain", "--json", "../../examples/store.star")
 	var all struct {
 		Holds []struct {
 			Function, Key, Value string
@@ -80,11 +80,11 @@
 	}
 }
 
-// press keeps so many queries under way at each aggregator for a time.
-func (f *fleet) press(ctx context.Context, under int, each time.Duration) {
+// saturate keeps so many queries under way at each aggregator for a time.
+func (f *fleet) saturate(ctx context.Context, under int, each time.Duration) {
 	var all sync.WaitGroup
 	until := time.Now().Add(each)
-	for _, front := range f.fronts {
+	for _, front := range f.frontURLs {
 		for range under {
 			all.Go(func() {
 				for time.Now().Before(until) {
@@ -103,7 +103,7 @@
 		store bool
 		fault redis.Fault
 	}{{"none", false, redis.Fault{}}, {"good", true, redis.Fault{}}, {"2s", true, redis.Fault{Delay: 2 * time.Second}},
-		{"silent", true, redis.Fault{Silent: true}}, {"trickle", true, redis.Fault{Trickle: 5 * time.Millisecond}}} {
+		{"silent", true, redis.Fault{DropCommands: true}}, {"trickle", true, redis.Fault{ByteInterval: 5 * time.Millisecond}}} {
 		b.Run(c.name, func(b *testing.B) {
 			f, err := startFleet(c.store)
 			defer f.stop()
@@ -111,12 +111,12 @@
 				b.Fatal(err)
 			}
 			if f.store != nil {
-				f.store.Misbehave(c.fault)
+				f.store.SetFault(c.fault)
 			}
 			for b.Loop() {
-				f.press(b.Context(), 24, 2*time.Second)
+				f.saturate(b.Context(), 24, 2*time.Second)
 			}
-			r, err := http.Get(f.fronts[0] + "/counters")
+			r, err := http.Get(f.frontURLs[0] + "/counters")
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/cmd/willowsill/main.go
+++ b/cmd/willowsill/main.go
@@ -31,11 +31,11 @@
 )
 
 const (
-	memoryShare = 0.7                    // of the limit for the heap: the rest is for stacks, sockets and the runtime
-	logEach     = time.Second            // the log is thinned out by text in spans of this,
-	logFirst    = 5                      // so many lines of one text are kept, then
-	logThen     = 100                    // one in so many
-	leastWait   = 3 * int64(time.Second) // for what is under way when it is told to stop
+	heapShare           = 0.7                    // of the limit for the heap: the rest is for stacks, sockets and the runtime
+	logSampleInterval   = time.Second            // the log is thinned out by text in spans of this,
+	logSampleFirst      = 5                      // so many lines of one text are kept, then
+	logSampleThereafter = 100                    // one in so many
+	minDrainTimeNs      = 3 * int64(time.Second) // for what is under way when it is told to stop
 )
 
 func main() {
@@ -48,13 +48,13 @@
 	if len(os.Args) == 1 { // as the platform starts it: nothing else is made ready
 		os.Exit(serve(reload, ""))
 	}
-	os.Exit(command(reload, os.Args[1:], os.Stdout, os.Stderr))
+	os.Exit(executeCommand(reload, os.Args[1:], os.Stdout, os.Stderr))
 }
 
 // serve serves from the environment, with the operator's script if there is one, and returns the exit code.
 func serve(reload <-chan os.Signal, script string) int {
 	start, err := deployment.FromEnvironment(os.Getenv)
-	orders := &operator.Orders{}
+	orders := &operator.Settings{}
 	if err == nil && script != "" {
 		orders, err = operator.Read(script)
 	}
@@ -63,11 +63,11 @@
 		return 2
 	}
 	runtime.GOMAXPROCS(max(int(math.Ceil(start.Cores)), 1))
-	debug.SetMemoryLimit(int64(memoryShare * float64(start.Memory)))
+	debug.SetMemoryLimit(int64(heapShare * float64(start.MemoryBytes)))
 	out := &zapcore.BufferedWriteSyncer{WS: zapcore.Lock(os.Stderr), FlushInterval: time.Second}
 	log := zap.New(zapcore.NewSamplerWithOptions(
 		zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), out, zap.InfoLevel),
-		logEach, logFirst, logThen)).With(zap.String("aggregator", start.Name))
+		logSampleInterval, logSampleFirst, logSampleThereafter)).With(zap.String("aggregator", start.Name))
 	defer out.Stop()
 	stop, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -103,32 +103,32 @@
 
 // run serves until stop is over, and ends when all it has taken is answered and all it holds is given back. At
 // each word on reload it reads its configuration again.
-func run(stop context.Context, reload <-chan os.Signal, start deployment.Start, orders *operator.Orders,
+func run(stop context.Context, reload <-chan os.Signal, start deployment.Config, orders *operator.Settings,
 	l net.Listener, dial replica.Dial, log *zap.Logger) error {
-	count := counters.New(start.Workload)
-	budget := sockets.NewBudget(start.Sockets)
+	count := counters.New(start.WorkloadRow)
+	budget := sockets.NewBudget(start.Descriptors)
 	clock := node.NewClock()
 
 	var core *node.Node
-	watch := discovery.NewWatch(start.Discovery, start.Cells, start.Known.Sequence, dial,
-		func(ctx context.Context, n discovery.News) { core.ApplyList(ctx, n) })
-	core = node.New(node.Options{Clock: clock, Deployment: start.Deployment, Terms: start.Terms, KnownList: start.Known,
-		Budget: budget, Count: count, Log: log, RequestList: watch.Ask, Dial: dial})
-	shares := &sharing{start: start, core: core, dial: dial, count: count, log: log}
-	if err := shares.follow(orders); err != nil {
+	watch := discovery.NewWatch(start.Discovery, start.Cells, start.KnownReplicas.Sequence, dial,
+		func(ctx context.Context, n discovery.Update) { core.ApplyList(ctx, n) })
+	core = node.New(node.Options{Clock: clock, Deployment: start.Deployment, Terms: start.Limits, KnownList: start.KnownReplicas,
+		Budget: budget, Count: count, Log: log, RequestList: watch.Request, Dial: dial})
+	shares := &sharedStore{start: start, core: core, dial: dial, count: count, log: log}
+	if err := shares.apply(orders); err != nil {
 		core.Close()
 		return err
 	}
-	own := &overloadWatch{start: start, core: core, budget: budget, count: count, guard: &front.Guarded{}, log: log}
-	if err := own.follow(orders); err != nil {
-		shares.end()
+	own := &overloadWatch{start: start, core: core, budget: budget, count: count, guard: &front.SwitchableGuard{}, log: log}
+	if err := own.apply(orders); err != nil {
+		shares.stop()
 		core.Close()
 		return err
 	}
-	areas := &zoned{start: start, core: core, log: log}
-	if err := areas.follow(orders); err != nil {
-		own.end()
-		shares.end()
+	areas := &zoneWatch{start: start, core: core, log: log}
+	if err := areas.apply(orders); err != nil {
+		own.stop()
+		shares.stop()
 		core.Close()
 		return err
 	}
@@ -142,68 +142,68 @@
 
 	serving, ways, err := openWays(start, orders, core, clock, count, dial, own.guard, log)
 	if err != nil {
-		own.end()
-		shares.end()
+		own.stop()
+		shares.stop()
 		core.Close()
 		return err
 	}
-	server := front.NewServer(&front.Front{Core: serving, Clock: clock, Workload: start.Workload,
-		Shards: start.Shards, Count: count, Guard: own.guard, Log: log}, l, budget)
+	server := front.NewServer(&front.Front{Core: serving, Clock: clock, WorkloadRow: start.WorkloadRow,
+		Shards: start.Shards, Counters: count, Guard: own.guard, Log: log}, l, budget)
 	served := make(chan error, 1)
 	go func() { served <- server.Serve() }()
-	log.Info("serving", zap.String("listen", start.Listen), zap.Int("known", len(start.Known.Entries)))
+	log.Info("serving", zap.String("listen", start.Listen), zap.Int("known", len(start.KnownReplicas.Entries)))
 
 	for leaving := false; !leaving; {
 		select {
 		case err := <-served:
 			return err
 		case <-reload:
-			follow(&start, watch, shares, own, areas, ways, count, log)
+			reloadConfiguration(&start, watch, shares, own, areas, ways, count, log)
 		case <-stop.Done():
 			leaving = true
 		}
 	}
 	log.Info("leaving")
 	ways.leave()
-	err = server.Stop(time.Duration(max(start.LongestCutOff, leastWait)))
+	err = server.Stop(time.Duration(max(start.LongestClientTimeout, minDrainTimeNs)))
 	ways.end()
 	if e := <-served; err == nil && !errors.Is(e, http.ErrServerClosed) {
 		err = e
 	}
 	unwatch()
 	<-watched
-	own.end()
-	shares.end()
+	own.stop()
+	shares.stop()
 	core.Close()
 	log.Info("ended", zap.Any("counters", count))
 	return err
 }
 
-// follow reads the configuration and the operator's script again, turns the watch to the discovery that is named now,
+// reloadConfiguration reads the configuration and the operator's script again, turns the watch to the discovery that is named now,
 // and switches on and off what the script says.
 //
 // Danger: a file that is missing, half-written or wrong must not end what runs well, nor change a part of it.
-func follow(start *deployment.Start, watch *discovery.Watch, shares *sharing, own *overloadWatch, areas *zoned, ways *ways,
+func reloadConfiguration(start *deployment.Config, watch *discovery.Watch, shares *sharedStore, own *overloadWatch, areas *zoneWatch, ways *ways,
 	count *counters.Counters, log *zap.Logger) {
 	count.Reloads.Add(1)
-	next, odd, err := start.Again()
+	next, odd, err := start.Reload()
 	orders := shares.orders
 	if err == nil && orders.File != "" {
 		orders, err = operator.Read(orders.File)
 	}
 	if err == nil {
-		if err = errors.Join(own.check(orders), areas.check(orders)); err == nil {
-			err = shares.follow(orders)
+		if err = errors.Join(own.validate(orders), areas.validate(orders)); err == nil {
+			err = shares.apply(orders)
 		}
 		if err == nil {
-			err = own.follow(orders)
+			err = own.apply(orders)
 		}
 		if err == nil {
-			err = areas.follow(orders)
+			err = areas.apply(orders)
 		}
 	}
 	if err != nil {
-		count.ReloadsWrong.Add(1)
+		count.ReloadsFailed.Add(1)
 		log.Error("the configuration cannot be used, what was read before stays in force", zap.Error(err))
 		return
 	}
@@ -212,5 +212,5 @@
 	}
 	ways.follow(orders)
 	log.Info("the configuration was read again", zap.String("discovery", next.Discovery))
-	watch.Follow(next.Discovery)
+	watch.SetAddress(next.Discovery)
 }
--- a/cmd/willowsill/main_test.go
+++ b/cmd/willowsill/main_test.go
@@ -50,7 +50,7 @@
 		network, list := &pipes.Network{}, standin.NewDiscovery()
 		var replicas []*pipes.Listener
 		for i := range 2 * start.Cells {
-			h := standin.Host{Host: fmt.Sprint("s-", i), Dial: fmt.Sprint("r:", i), Block: i % start.Cells, Health: "active"}
+			h := standin.Host{Host: fmt.Sprint("s-", i), Dial: fmt.Sprint("r:", i), Cell: i % start.Cells, Health: "active"}
 			list.Change(h)
 			replicas = append(replicas, network.Listen(h.Dial))
 			toy := standin.Replica{Answer: func(_ context.Context, p replica.Part) (replica.Reply, bool) {
@@ -72,7 +72,7 @@
 		core, logs := observer.New(zap.InfoLevel)
 		ended := make(chan error, 1)
 		listener := network.Listen(start.Listen)
-		go func() { ended <- run(stop, reload, start, &operator.Orders{}, listener, network.Dial, zap.New(core)) }()
+		go func() { ended <- run(stop, reload, start, &operator.Settings{}, listener, network.Dial, zap.New(core)) }()
 		time.Sleep(10 * time.Millisecond)
 
 		ask := func(id string) string {
@@ -136,8 +136,8 @@
 			t.Errorf("after the end got %s", got)
 		}
 		last := logs.FilterMessage("ended").All()[0].ContextMap()["counters"].(*counters.Counters)
-		if failed := last.ConnectionsFailed.Load(); last.Reloads.Load() != 3 || last.ReloadsWrong.Load() != 2 || failed != 0 {
-			t.Errorf("%d reloads, %d wrong; %d connections to what has left", last.Reloads.Load(), last.ReloadsWrong.Load(), failed)
+		if failed := last.ConnectionsFailed.Load(); last.Reloads.Load() != 3 || last.ReloadsFailed.Load() != 2 || failed != 0 {
+			t.Errorf("%d reloads, %d wrong; %d connections to what has left", last.Reloads.Load(), last.ReloadsFailed.Load(), failed)
 		}
 		if opened, closed := last.ConnectionsOpened.Load(), last.ConnectionsClosed.Load(); opened == 0 || opened != closed {
 			t.Errorf("%d connections opened, %d closed", opened, closed)
--- a/cmd/willowsill/platform_test.go
+++ b/cmd/willowsill/platform_test.go
@@ -13,8 +13,8 @@
 	"willowsill/deployment/operator"
 )
 
-// ordered is a line of the deploy file.
-func ordered(t *testing.T, key string) string {
+// deployLine is a line of the deploy file.
+func deployLine(t *testing.T, key string) string {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 // TestPlatform builds the program by the deploy file's line and looks at what came of it. Danger: without the C library the
 // platform's clock and sockets pass the program by, and no aggregator of it comes up.
 func TestPlatform(t *testing.T) {
-	run, is := strings.CutPrefix(ordered(t, "run"), "exec ")
+	run, is := strings.CutPrefix(deployLine(t, "run"), "exec ")
 	if !is || strings.ContainsAny(run, "&|;$`") {
 		t.Fatalf("run is %q: it has to end by exec in one process", run)
 	}
@@ -47,7 +47,7 @@
 		}
 	}
 	into := t.TempDir()
-	build := ordered(t, "build")
+	build := deployLine(t, "build")
 	line := strings.NewReplacer("mkdir -p bin &&", "", "-o bin/", "-o "+into+"/", "./cmd/...", "./cmd/willowsill").Replace(build)
 	if line == build || strings.Contains(line, " bin/") {
 		t.Fatalf("build is %q: not as this test knows it", build)
--- a/cmd/willowsill/ways_off.go
+++ b/cmd/willowsill/ways_off.go
@@ -19,14 +19,14 @@
 // need would cost its memory.
 type ways struct{}
 
-func openWays(_ deployment.Start, o *operator.Orders, own *node.Node, _ node.Clock, _ *counters.Counters, _ replica.Dial,
-	_ *front.Guarded, _ *zap.Logger) (front.Core, *ways, error) {
+func openWays(_ deployment.Config, o *operator.Settings, own *node.Node, _ node.Clock, _ *counters.Counters, _ replica.Dial,
+	_ *front.SwitchableGuard, _ *zap.Logger) (front.Core, *ways, error) {
 	if o.Site != nil {
 		return nil, nil, errors.New("this build has no gateway; site and link need one without the tag platform")
 	}
 	return own, &ways{}, nil
 }
 
-func (*ways) follow(*operator.Orders) {}
+func (*ways) follow(*operator.Settings) {}
 func (*ways) leave()                  {}
 func (*ways) end()                    {}
--- a/cmd/willowsill/ways_test.go
+++ b/cmd/willowsill/ways_test.go
@@ -16,13 +16,13 @@
 // Two whole sites on loopback sockets with certificates and 40 ms of way each: one goes dark and comes back, the link is
 // cut one way and mended. Each query has one answer in time, and the other site serves while one is dark.
 func TestTwoSites(t *testing.T) {
-	phases, err := demonstrateSites(t.Context(), 2500*time.Millisecond)
+	phases, err := runSitesDemo(t.Context(), 2500*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, p := range phases {
 		t.Logf("%s: %v, the worst %.0f ms", p.Name, p.Answers, p.WorstMS)
-		if p.Answers["failed"] != 0 || p.WorstMS > (demoPatience+demoSlack).Seconds()*1e3 {
+		if p.Answers["failed"] != 0 || p.WorstMS > (demoClientTimeout+demoClientSlack).Seconds()*1e3 {
 			t.Errorf("%s: %v, the worst %.0f ms", p.Name, p.Answers, p.WorstMS)
 		}
 	}
@@ -53,9 +53,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	orders := &operator.Orders{Site: &operator.Site{Name: "east", Listen: taken.Addr().String(), CertFile: cert, KeyFile: key,
-		CAFile: authority.File}}
-	err = f.aggregator(0, orders, (&net.Dialer{}).DialContext)
+	orders := &operator.Settings{Site: &operator.Site{Name: "east", Listen: taken.Addr().String(), CertFile: cert, KeyFile: key,
+		CAFile: authority.CertFile}}
+	err = f.startAggregator(0, orders, (&net.Dialer{}).DialContext)
 	if !errors.Is(err, syscall.EADDRINUSE) {
 		t.Errorf("the aggregator says %v", err)
 	}
--- a/cmd/willowsill/zoned.go
+++ b/cmd/willowsill/zoned.go
@@ -12,32 +12,32 @@
 	"willowsill/node"
 )
 
-// zoned has the node know zones out of reach as the operator's script says.
-type zoned struct {
-	start  deployment.Start
+// zoneWatch has the node know zones out of reach as the operator's script says.
+type zoneWatch struct {
+	start  deployment.Config
 	core   *node.Node
 	log    *zap.Logger
 	orders *operator.Zones
 }
 
-func (z *zoned) terms(o *operator.Zones) zonehealth.Config {
-	return zonehealth.Config{BaseEjection: z.start.BaseEjection(), MinFailedReplicas: o.Few, Seed: z.start.Seed}
+func (z *zoneWatch) config(o *operator.Zones) zonehealth.Config {
+	return zonehealth.Config{BaseEjection: z.start.BaseEjection(), MinFailedReplicas: o.MinFailedReplicas, Seed: z.start.Seed}
 }
 
-// check tells what the orders cannot be here.
-func (z *zoned) check(o *operator.Orders) error {
+// validate tells what the orders cannot be here.
+func (z *zoneWatch) validate(o *operator.Settings) error {
 	if o.Zones == nil {
 		return nil
 	}
-	if err := z.terms(o.Zones).Validate(); err != nil {
+	if err := z.config(o.Zones).Validate(); err != nil {
 		return fmt.Errorf("%s: zones: %w", o.File, err)
 	}
 	return nil
 }
 
-// follow makes what runs what the orders say. With an error nothing has changed.
-func (z *zoned) follow(o *operator.Orders) error {
-	if err := z.check(o); err != nil {
+// apply makes what runs what the orders say. With an error nothing has changed.
+func (z *zoneWatch) apply(o *operator.Settings) error {
+	if err := z.validate(o); err != nil {
 		return err
 	}
 	if reflect.DeepEqual(z.orders, o.Zones) {
@@ -49,7 +49,7 @@
 		z.log.Info("zones are no longer watched")
 		return nil
 	}
-	z.core.WatchZones(zonehealth.New(z.terms(o.Zones)))
-	z.log.Info("zones are watched", zap.Int("few", o.Zones.Few))
+	z.core.WatchZones(zonehealth.New(z.config(o.Zones)))
+	z.log.Info("zones are watched", zap.Int("few", o.Zones.MinFailedReplicas))
 	return nil
 }
--- a/deployment/deployment.go
+++ b/deployment/deployment.go
@@ -12,41 +12,41 @@
 // Deployment is what the operators state of the whole service.
 type Deployment struct {
 	balance.Deployment
-	Workload map[string]int // row of each workload, by name
+	WorkloadRow map[string]int // row of each workload, by name
 }
 
-// leastWorth is what a workload that is stated to be worth nothing counts for: 0 would say that nothing is stated.
-const leastWorth = 1e-9
+// minValue is what a workload that is stated to be worth nothing counts for: 0 would say that nothing is stated.
+const minValue = 1e-9
 
 // Read reads the operators' statement.
 func Read(boot *fields.Object) (d Deployment, err error) {
 	caps, domain, rules := boot.Object("caps"), boot.Object("domain"), boot.Object("guarantees")
-	d.Workload = map[string]int{}
+	d.WorkloadRow = map[string]int{}
 	d.Deployment = balance.Deployment{
-		Index: boot.Int("index"), Aggregators: boot.Int("balancers"), Tick: boot.Time("tick"),
+		Index: boot.Int("index"), Aggregators: boot.Int("balancers"), Tick: boot.Duration("tick"),
 		Shards: domain.Int("slices"), Cells: domain.Int("cells"), CellsPerShard: domain.Int("in_a_row"),
 		PartsPerCall:  domain.Int("parts_a_call"),
 		MaxExecutions: caps.Int("max_attempts"),
 		CanCancel:     caps.Bool("cancel"),
-		MaxRetryAfter: caps.MayTime("max_retry_after"),
-		ColdCapacity:  rules.Number("cold_from"),
-		WarmUpTime:    rules.Time("ramp_time"), OverloadFactor: rules.Number("fall_multiple"),
-		OverloadSpan: rules.Time("fall"),
-		AsksForList:  boot.String("membership_mode") == "ask", AskWithin: rules.MayTime("must_ask_in"),
-		Budgeted: rules.Has("ratio_span"), RetryWindow: rules.MayTime("ratio_span"),
+		MaxRetryAfter: caps.OptionalDuration("max_retry_after"),
+		ColdCapacity:  rules.Float("cold_from"),
+		WarmUpTime:    rules.Duration("ramp_time"), OverloadFactor: rules.Float("fall_multiple"),
+		OverloadSpan: rules.Duration("fall"),
+		AsksForList:  boot.String("membership_mode") == "ask", AskWithin: rules.OptionalDuration("must_ask_in"),
+		Budgeted: rules.Has("ratio_span"), RetryWindow: rules.OptionalDuration("ratio_span"),
 	}
 	if !caps.Bool("retry_after") {
 		d.MaxRetryAfter = 0
 	}
-	rules.May("budget_free", &d.RetrySlack)
-	rules.May("extra_per_request", &d.RetryRatio)
+	rules.DecodeOptional("budget_free", &d.RetrySlack)
+	rules.DecodeOptional("extra_per_request", &d.RetryRatio)
 
 	var need, floor, partial []float64
 	var followUp []int
-	domain.Into("class_need", &need)
-	domain.Into("class_floor", &floor)
-	domain.Into("incomplete_worth", &partial)
-	domain.Into("follow_up", &followUp)
+	domain.Decode("class_need", &need)
+	domain.Decode("class_floor", &floor)
+	domain.Decode("incomplete_worth", &partial)
+	domain.Decode("follow_up", &followUp)
 	for _, f := range []*fields.Object{boot, caps, domain, rules} {
 		if f.Err != nil {
 			return d, f.Err
@@ -61,16 +61,16 @@
 		}
 		c := &fields.Object{Raw: raw}
 		w := balance.Workload{
-			LatencyGoal: c.Time("slo"),
-			LateShare:   c.Number("late_worth"), DedupWindow: c.MayTime("window"),
+			LatencyGoal: c.Duration("slo"),
+			LateShare:   c.Float("late_worth"), DedupWindow: c.OptionalDuration("window"),
 			MinCoverage: floor[i], FullCoverage: need[i], PartialShare: partial[i], FollowUpParts: followUp[i],
 		}
-		c.May("worth", &w.Value)
+		c.DecodeOptional("worth", &w.Value)
 		if w.Value < 0 {
 			c.Fail("worth", "is below 0")
 		}
 		if c.Has("worth") {
-			w.Value = max(w.Value, leastWorth)
+			w.Value = max(w.Value, minValue)
 		}
 		switch repeat := c.String("repeat"); repeat {
 		case "free":
@@ -82,7 +82,7 @@
 		default:
 			c.Fail("repeat", "is unknown")
 		}
-		d.Workload[c.String("name")] = i
+		d.WorkloadRow[c.String("name")] = i
 		if c.Err != nil {
 			return d, c.Err
 		}
--- a/deployment/operator/operator_test.go
+++ b/deployment/operator/operator_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Store{Address: "127.0.0.1:6379", Prefix: "willowsill", Round: 1e9, Deadline: 150e6, Sample: 24, Quotas: true}
+	want := SharedStore{Address: "127.0.0.1:6379", Prefix: "willowsill", RoundInterval: 1e9, RoundTimeout: 150e6, SampleSize: 24, Quotas: true}
 	if *o.Store != want || len(o.Quotas) != 2 || o.Quotas[1] != (Quota{"souq", 2.5, 0}) {
 		t.Errorf("read %+v %+v", *o.Store, o.Quotas)
 	}
@@ -94,7 +94,7 @@
 		"word":      {"shared_stone()\nopen('x')", `a.star:1:1: "shared_stone" is no function of this file; is shared_store meant?`},
 		"no store":  {`quota(customer = "a", rate = 1)`, "nothing keeps it"},
 		"positions": {`shared_store("127.0.0.1:1")`, "given by key"},
-		"long":      {strings.Repeat("#", script.MostSize+1), "over"},
+		"long":      {strings.Repeat("#", script.MaxFileBytes+1), "over"},
 		"user":      {`shared_store(address = "h:1", user = "u")`, `"password_file"`},
 		"prefix":    {`shared_store(address = "h:1", prefix = "a*")`, `"prefix"`},
 		"deadline":  {`shared_store(address = "h:1", deadline = "1s")`, `"deadline" is longer`},
@@ -127,14 +127,14 @@
 // The scripts that come with the program are right, and the platform's switches on what it allows and no more.
 func TestOwnScripts(t *testing.T) {
 	all, _ := filepath.Glob("../../examples/*.star")
-	if o, err := Read("../../deploy/operator.star"); err != nil || len(o.said) != 1 || o.Zones == nil {
+	if o, err := Read("../../deploy/operator.star"); err != nil || len(o.calls) != 1 || o.Zones == nil {
 		t.Errorf("the platform's: %v", err)
 	}
 	for _, file := range all {
 		o, err := Read(file)
 		if err != nil {
 			t.Error(err)
-		} else if on := len(o.said) > 0; on == strings.Contains(file, "customers") {
+		} else if on := len(o.calls) > 0; on == strings.Contains(file, "customers") {
 			t.Errorf("%s: switched on: %v", file, on)
 		}
 	}
@@ -146,7 +146,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		file := filepath.Join(t.TempDir(), "a.star")
 		os.WriteFile(file, []byte(text), 0o600)
-		if o, err := Read(file); err == nil && o.Store != nil && o.Store.Deadline > o.Store.Round {
+		if o, err := Read(file); err == nil && o.Store != nil && o.Store.RoundTimeout > o.Store.RoundInterval {
 			t.Errorf("took %+v", o.Store)
 		}
 	})
--- a/deployment/script/script.go
+++ b/deployment/script/script.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	mostSteps  = 5_000_000       // of the script, in the interpreter's own count
-	mostTime   = 2 * time.Second // for the whole script
-	MostSize   = 1 << 20         // bytes of one file
-	mostFaults = 50              // that are told at once
-	farthest   = 3               // edits between a word and what may have been meant
+	maxSteps        = 5_000_000       // of the script, in the interpreter's own count
+	maxDuration     = 2 * time.Second // for the whole script
+	MaxFileBytes    = 1 << 20         // bytes of one file
+	maxFaults       = 50              // that are told at once
+	maxEditDistance = 3               // edits between a word and what may have been meant
 )
 
 // Fault is one thing that is wrong, where it stands.
 type Fault struct {
-	Where string // FILE:LINE:COLUMN, or the file
-	Text  string // names the key
+	Position string // FILE:LINE:COLUMN, or the file
+	Message  string // names the key
 }
 
-func (f Fault) Error() string { return f.Where + ": " + f.Text }
+func (f Fault) Error() string { return f.Position + ": " + f.Message }
 
 // Faults are all that is wrong with a script.
 type Faults []Fault
@@ -49,10 +49,10 @@
 
 // Read reads a script whose calls are carried out on what it asks for. Once all calls are right, together checks what none
 // can check alone, by complaints; nil for nothing. The error is Faults, or says why there is no script to read.
-func Read[T any](file string, functions Table[T], to *T, together func(Said, Complain)) (Said, error) {
-	r := &reader[T]{functions: functions, to: to, dir: filepath.Dir(file), loaded: map[string]*module{},
-		keys: map[string]map[string]syntax.Position{}, once: map[string]syntax.Position{}}
-	late := time.AfterFunc(mostTime, r.cancel)
+func Read[T any](file string, functions FunctionTable[T], to *T, together func(Calls, ReportFault)) (Calls, error) {
+	r := &reader[T]{functions: functions, target: to, dir: filepath.Dir(file), modules: map[string]*module{},
+		keyPositions: map[string]map[string]syntax.Position{}, firstCalls: map[string]syntax.Position{}}
+	late := time.AfterFunc(maxDuration, r.cancel)
 	defer late.Stop()
 	if _, err := r.run(filepath.Base(file)); err != nil {
 		if !errors.As(err, new(Fault)) {
@@ -61,17 +61,17 @@
 		r.faults = append(r.faults, err.(Fault))
 	}
 	if together != nil && len(r.faults) == 0 {
-		together(r.said, r.complain)
+		together(r.calls, r.addFault)
 	}
 	if len(r.faults) > 0 {
-		slices.SortStableFunc(r.faults, func(a, b Fault) int { return cmp.Compare(a.Where, b.Where) })
-		return nil, r.faults[:min(len(r.faults), mostFaults)]
+		slices.SortStableFunc(r.faults, func(a, b Fault) int { return cmp.Compare(a.Position, b.Position) })
+		return nil, r.faults[:min(len(r.faults), maxFaults)]
 	}
-	return r.said, nil
+	return r.calls, nil
 }
 
-// Complain keeps a fault with its place, so that all are told at once.
-type Complain func(at syntax.Position, format string, args ...any)
+// ReportFault keeps a fault with its place, so that all are told at once.
+type ReportFault func(at syntax.Position, format string, args ...any)
 
 // module is one file that was loaded.
 type module struct {
@@ -81,23 +81,23 @@
 
 // reader is one reading of a script and of what it loads.
 type reader[T any] struct {
-	functions Table[T]
-	to        *T
-	said      Said
-	dir       string
-	loaded    map[string]*module // nil while it is being read
-	keys      map[string]map[string]syntax.Position
-	once      map[string]syntax.Position // functions that may be called once, where they were
-	faults    Faults
-	thread    atomic.Pointer[starlark.Thread] // that runs now
-	ended     atomic.Bool                     // its time is up
-	steps     uint64
+	functions    FunctionTable[T]
+	target       *T
+	calls        Calls
+	dir          string
+	modules      map[string]*module // nil while it is being read
+	keyPositions map[string]map[string]syntax.Position
+	firstCalls   map[string]syntax.Position // functions that may be called once, where they were
+	faults       Faults
+	current      atomic.Pointer[starlark.Thread] // that runs now
+	timedOut     atomic.Bool                     // its time is up
+	steps        uint64
 }
 
 func (r *reader[T]) cancel() {
-	r.ended.Store(true)
-	if t := r.thread.Load(); t != nil {
-		t.Cancel("it takes longer than " + mostTime.String())
+	r.timedOut.Store(true)
+	if t := r.current.Load(); t != nil {
+		t.Cancel("it takes longer than " + maxDuration.String())
 	}
 }
 
@@ -110,8 +110,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > MostSize {
-		return nil, Fault{path, fmt.Sprintf("has %d bytes, over %d", info.Size(), MostSize)}
+	if info.Size() > MaxFileBytes {
+		return nil, Fault{path, fmt.Sprintf("has %d bytes, over %d", info.Size(), MaxFileBytes)}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -122,21 +122,21 @@
 	if err != nil {
 		return nil, asFault(path, err)
 	}
-	r.note(tree)
+	r.recordKeyPositions(tree)
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {},
 		Load: func(t *starlark.Thread, beside string) (starlark.StringDict, error) { return r.load(beside) }}
-	if r.steps >= mostSteps || r.ended.Load() {
+	if r.steps >= maxSteps || r.timedOut.Load() {
 		return nil, Fault{path, "the script is too long"}
 	}
-	thread.SetMaxExecutionSteps(mostSteps - r.steps)
-	outer := r.thread.Swap(thread)
+	thread.SetMaxExecutionSteps(maxSteps - r.steps)
+	outer := r.current.Swap(thread)
 	defer func() {
-		r.thread.Store(outer)
+		r.current.Store(outer)
 		r.steps += thread.ExecutionSteps()
 	}()
 	program, err := starlark.FileProgram(tree, func(name string) bool { _, ok := r.functions[name]; return ok })
 	if err != nil {
-		return nil, r.unknown(path, err)
+		return nil, r.reportUndefined(path, err)
 	}
 	globals, err := program.Init(thread, r.builtins())
 	if err != nil {
@@ -151,21 +151,21 @@
 	if name != filepath.Base(name) || !strings.HasSuffix(name, ".star") {
 		return nil, fmt.Errorf("%q is no .star file beside the script", name)
 	}
-	m, known := r.loaded[name]
+	m, known := r.modules[name]
 	if known && m == nil {
 		return nil, fmt.Errorf("%q loads itself", name)
 	}
 	if !known {
-		r.loaded[name] = nil
+		r.modules[name] = nil
 		m = &module{}
 		m.globals, m.err = r.run(name)
-		r.loaded[name] = m
+		r.modules[name] = m
 	}
 	return m.globals, m.err
 }
 
-// note keeps where the keys of each call stand, which the interpreter forgets.
-func (r *reader[T]) note(tree *syntax.File) {
+// recordKeyPositions keeps where the keys of each call stand, which the interpreter forgets.
+func (r *reader[T]) recordKeyPositions(tree *syntax.File) {
 	syntax.Walk(tree, func(n syntax.Node) bool {
 		if c, ok := n.(*syntax.CallExpr); ok {
 			at := map[string]syntax.Position{}
@@ -176,7 +176,7 @@
 					}
 				}
 			}
-			r.keys[c.Lparen.String()] = at
+			r.keyPositions[c.Lparen.String()] = at
 		}
 		return true
 	})
@@ -204,8 +204,8 @@
 	return Fault{path, err.Error()}
 }
 
-// unknown tells all names that nobody defined; the last is the error that ends the reading.
-func (r *reader[T]) unknown(path string, err error) error {
+// reportUndefined tells all names that nobody defined; the last is the error that ends the reading.
+func (r *reader[T]) reportUndefined(path string, err error) error {
 	var all resolve.ErrorList
 	if !errors.As(err, &all) {
 		return asFault(path, err)
@@ -214,20 +214,20 @@
 		text := e.Msg
 		if _, word, found := strings.Cut(e.Msg, "undefined: "); found {
 			text = fmt.Sprintf("%q is no function of this file", word)
-			if meant := nearest(word, r.functions.names()); meant != "" {
+			if meant := closestName(word, r.functions.names()); meant != "" {
 				text += "; is " + meant + " meant?"
 			}
 		}
-		r.complain(e.Pos, "%s", text)
+		r.addFault(e.Pos, "%s", text)
 	}
 	last := r.faults[len(r.faults)-1]
 	r.faults = r.faults[:len(r.faults)-1]
 	return last
 }
 
-// nearest is the word that was most likely meant, or empty.
-func nearest(word string, among []string) string {
-	best, at := farthest+1, ""
+// closestName is the word that was most likely meant, or empty.
+func closestName(word string, among []string) string {
+	best, at := maxEditDistance+1, ""
 	for _, s := range among {
 		if d := levenshtein.ComputeDistance(word, s); d < best {
 			best, at = d, s
@@ -236,8 +236,8 @@
 	return at
 }
 
-// complain keeps a fault and lets the script go on, so that all are told at once.
-func (r *reader[T]) complain(at syntax.Position, format string, args ...any) {
+// addFault keeps a fault and lets the script go on, so that all are told at once.
+func (r *reader[T]) addFault(at syntax.Position, format string, args ...any) {
 	r.faults = append(r.faults, Fault{at.String(), fmt.Sprintf(format, args...)})
 }
 
@@ -247,59 +247,59 @@
 	for name, f := range r.functions {
 		d[name] = starlark.NewBuiltin(name, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
 			named []starlark.Tuple) (starlark.Value, error) {
-			r.called(t.CallFrame(1).Pos, f, args, named)
+			r.handleCall(t.CallFrame(1).Pos, f, args, named)
 			return starlark.None, nil
 		})
 	}
 	return d
 }
 
-// called checks one call and carries out its order.
-func (r *reader[T]) called(at syntax.Position, f *Function[T], args starlark.Tuple, named []starlark.Tuple) {
+// handleCall checks one call and carries out its order.
+func (r *reader[T]) handleCall(at syntax.Position, f *Function[T], args starlark.Tuple, named []starlark.Tuple) {
 	before := len(r.faults)
 	if len(args) > 0 {
-		r.complain(at, "%s: its values are given by key", f.Name)
+		r.addFault(at, "%s: its values are given by key", f.Name)
 	}
-	if was, again := r.once[f.Name]; again && !f.Many {
-		r.complain(at, "%s is called a second time; first at %s", f.Name, was)
+	if was, again := r.firstCalls[f.Name]; again && !f.Repeatable {
+		r.addFault(at, "%s is called a second time; first at %s", f.Name, was)
 	}
-	r.once[f.Name] = at
-	c := Call{Function: f.Name, At: at, parameters: f.Parameters, values: map[string]any{}, given: map[string]bool{}}
+	r.firstCalls[f.Name] = at
+	c := Call{Function: f.Name, Position: at, parameters: f.Parameters, values: map[string]any{}, explicit: map[string]bool{}}
 	for _, pair := range named {
 		key := string(pair[0].(starlark.String))
-		where, found := r.keys[at.String()][key]
+		where, found := r.keyPositions[at.String()][key]
 		if !found {
 			where = at
 		}
 		p := f.parameter(key)
 		if p == nil {
 			hint := ""
-			if meant := nearest(key, f.keys()); meant != "" {
+			if meant := closestName(key, f.keys()); meant != "" {
 				hint = "; is " + meant + " meant?"
 			}
-			r.complain(where, "%s: key %q is unknown%s", f.Name, key, hint)
+			r.addFault(where, "%s: key %q is unknown%s", f.Name, key, hint)
 			continue
 		}
-		v, err := p.read(pair[1])
+		v, err := p.parse(pair[1])
 		if err != nil {
-			r.complain(where, "%s: key %q %v", f.Name, key, err)
+			r.addFault(where, "%s: key %q %v", f.Name, key, err)
 			continue
 		}
-		c.values[key], c.given[key] = v, true
+		c.values[key], c.explicit[key] = v, true
 	}
 	for _, p := range f.Parameters {
 		if c.values[p.Name] == nil {
-			if p.Unset == nil && !c.tried(named, p.Name) {
-				r.complain(at, "%s: key %q is missing", f.Name, p.Name)
+			if p.Default == nil && !c.wasNamed(named, p.Name) {
+				r.addFault(at, "%s: key %q is missing", f.Name, p.Name)
 			}
-			c.values[p.Name] = p.Unset
+			c.values[p.Name] = p.Default
 		}
 	}
 	if len(r.faults) > before {
 		return
 	}
-	r.said = append(r.said, c)
-	if err := f.Order(r.to, c); err != nil {
-		r.complain(at, "%s: %v", f.Name, err)
+	r.calls = append(r.calls, c)
+	if err := f.Apply(r.target, c); err != nil {
+		r.addFault(at, "%s: %v", f.Name, err)
 	}
 }
--- a/deployment/script/values.go
+++ b/deployment/script/values.go
@@ -22,82 +22,82 @@
 	Text Kind = iota
 	File
 	Address // HOST:PORT
-	Truth
-	Whole
-	Number
-	Span // a time: "250ms"
-	Size // bytes: "64MiB"
-	Addresses
-	Shares // numbers, by name
-	Wholes // a list of whole numbers
+	Bool
+	Int
+	Float
+	Duration // a time: "250ms"
+	Size     // bytes: "64MiB"
+	AddressList
+	FloatMap // numbers, by name
+	IntList  // a list of whole numbers
 )
 
-var kinds = [...]string{"a string", "a file's path", "an address HOST:PORT", "True or False", "a whole number",
+var kindNames = [...]string{"a string", "a file's path", "an address HOST:PORT", "True or False", "a whole number",
 	"a number", `a time such as "250ms"`, `a size such as "64MiB"`,
 	"a list of addresses HOST:PORT", "a dictionary of numbers by name", "a list of whole numbers"}
 
 // Parameter is one key of a function. Least and most are in the value's own unit: ns, bytes or as written.
 type Parameter struct {
-	Name        string
-	Kind        Kind
-	Unset       any // where it is left out; nil where it must be there
-	Least, Most float64
-	Words       []string // that a text may be; nil for any
-	Help        string
+	Name     string
+	Kind     Kind
+	Default  any // where it is left out; nil where it must be there
+	Min, Max float64
+	Choices  []string // that a text may be; nil for any
+	Help     string
 }
 
 // Function is one that a script may call, on what the script asks for.
 type Function[T any] struct {
 	Name       string
 	Help       string
-	Many       bool // it may be called more than once
+	Repeatable bool // it may be called more than once
 	Parameters []*Parameter
-	Order      func(*T, Call) error
+	Apply      func(*T, Call) error
 }
 
 // Call is one call of the script, checked.
 type Call struct {
 	Function   string
-	At         syntax.Position
+	Position   syntax.Position
 	parameters []*Parameter
 	values     map[string]any
-	given      map[string]bool
+	explicit   map[string]bool
 }
 
-// Said are the calls of a script, in its order.
-type Said []Call
+// Calls are the calls of a script, in its order.
+type Calls []Call
 
 // First is where a function was called first; false where it was not.
-func (s Said) First(function string) (syntax.Position, bool) {
+func (s Calls) First(function string) (syntax.Position, bool) {
 	i := slices.IndexFunc(s, func(c Call) bool { return c.Function == function })
 	if i < 0 {
 		return syntax.Position{}, false
 	}
-	return s[i].At, true
+	return s[i].Position, true
 }
 
-func (c Call) Text(key string) string    { return c.values[key].(string) }
-func (c Call) Truth(key string) bool     { return c.values[key].(bool) }
-func (c Call) Whole(key string) int64    { return c.values[key].(int64) }
-func (c Call) Number(key string) float64 { return c.values[key].(float64) }
-func (c Call) Shares(key string) map[string]float64 {
+func (c Call) Text(key string) string   { return c.values[key].(string) }
+func (c Call) Bool(key string) bool     { return c.values[key].(bool) }
+func (c Call) Int(key string) int64     { return c.values[key].(int64) }
+func (c Call) Float(key string) float64 { return c.values[key].(float64) }
+func (c Call) FloatMap(key string) map[string]float64 {
 	return c.values[key].(map[string]float64)
 }
-func (c Call) Wholes(key string) []int  { return c.values[key].([]int) }
-func (c Call) List(key string) []string { return c.values[key].([]string) }
+func (c Call) IntList(key string) []int        { return c.values[key].([]int) }
+func (c Call) AddressList(key string) []string { return c.values[key].([]string) }
 
-// tried tells whether the script named the key, be it with a wrong value.
-func (c Call) tried(named []starlark.Tuple, key string) bool {
+// wasNamed tells whether the script named the key, be it with a wrong value.
+func (c Call) wasNamed(named []starlark.Tuple, key string) bool {
 	return slices.ContainsFunc(named, func(t starlark.Tuple) bool { return string(t[0].(starlark.String)) == key })
 }
 
-// Table are the functions that a script may call, by name.
-type Table[T any] map[string]*Function[T]
+// FunctionTable are the functions that a script may call, by name.
+type FunctionTable[T any] map[string]*Function[T]
 
-func (t Table[T]) names() []string { return slices.Sorted(maps.Keys(t)) }
+func (t FunctionTable[T]) names() []string { return slices.Sorted(maps.Keys(t)) }
 
 // Names are the functions, sorted.
-func (t Table[T]) Names() []string { return t.names() }
+func (t FunctionTable[T]) Names() []string { return t.names() }
 
 func (f *Function[T]) parameter(key string) *Parameter {
 	i := slices.IndexFunc(f.Parameters, func(p *Parameter) bool { return p.Name == key })
@@ -114,17 +114,17 @@
 	return keys
 }
 
-// read turns a value of the script into one of its kind.
-func (p *Parameter) read(v starlark.Value) (any, error) {
-	wrong := fmt.Errorf("is %s, not %s", v.Type(), kinds[p.Kind])
+// parse turns a value of the script into one of its kind.
+func (p *Parameter) parse(v starlark.Value) (any, error) {
+	wrong := fmt.Errorf("is %s, not %s", v.Type(), kindNames[p.Kind])
 	s, isText := starlark.AsString(v)
 	switch p.Kind {
 	case Text, File:
 		if !isText {
 			return nil, wrong
 		}
-		if p.Words != nil && !slices.Contains(p.Words, s) {
-			return nil, fmt.Errorf("is %q, not one of %s", s, strings.Join(p.Words, ", "))
+		if p.Choices != nil && !slices.Contains(p.Choices, s) {
+			return nil, fmt.Errorf("is %q, not one of %s", s, strings.Join(p.Choices, ", "))
 		}
 		return s, nil
 	case Address:
@@ -132,10 +132,10 @@
 			return nil, wrong
 		}
 		if !isAddress(s) {
-			return nil, fmt.Errorf("is %q, not %s", s, kinds[p.Kind])
+			return nil, fmt.Errorf("is %q, not %s", s, kindNames[p.Kind])
 		}
 		return s, nil
-	case Addresses:
+	case AddressList:
 		list, ok := v.(*starlark.List)
 		if !ok || list.Len() == 0 {
 			return nil, wrong
@@ -149,7 +149,7 @@
 			all = append(all, s)
 		}
 		return all, nil
-	case Wholes:
+	case IntList:
 		list, ok := v.(starlark.Iterable)
 		if _, isText := v.(starlark.String); !ok || isText {
 			return nil, wrong
@@ -160,13 +160,13 @@
 			if _, isInt := one.(starlark.Int); !isInt || err != nil {
 				return nil, fmt.Errorf("has %v, no whole number", one)
 			}
-			if err := p.within(float64(n), strconv.Itoa(n)); err != nil {
+			if err := p.checkRange(float64(n), strconv.Itoa(n)); err != nil {
 				return nil, fmt.Errorf("has one that %w", err)
 			}
 			all = append(all, n)
 		}
 		return all, nil
-	case Shares:
+	case FloatMap:
 		d, ok := v.(*starlark.Dict)
 		if !ok {
 			return nil, wrong
@@ -178,48 +178,48 @@
 			if !isText || !isNumber || math.IsNaN(x) {
 				return nil, fmt.Errorf("has %v: %v, not a number by name", pair[0], pair[1])
 			}
-			if err := p.within(x, pair[1].String()); err != nil {
+			if err := p.checkRange(x, pair[1].String()); err != nil {
 				return nil, fmt.Errorf("at %q %w", name, err)
 			}
 			all[name] = x
 		}
 		return all, nil
-	case Truth:
+	case Bool:
 		b, ok := v.(starlark.Bool)
 		if !ok {
 			return nil, wrong
 		}
 		return bool(b), nil
-	case Whole:
+	case Int:
 		n, err := starlark.AsInt32(v)
 		if _, isInt := v.(starlark.Int); !isInt || err != nil {
 			return nil, wrong
 		}
-		return int64(n), p.within(float64(n), strconv.Itoa(n))
-	case Number:
+		return int64(n), p.checkRange(float64(n), strconv.Itoa(n))
+	case Float:
 		x, ok := starlark.AsFloat(v)
 		if !ok || math.IsNaN(x) {
 			return nil, wrong
 		}
-		return x, p.within(x, v.String())
-	case Span:
+		return x, p.checkRange(x, v.String())
+	case Duration:
 		if !isText {
 			return nil, wrong
 		}
 		d, err := time.ParseDuration(s)
 		if err != nil {
-			return nil, fmt.Errorf("is %q, not %s", s, kinds[p.Kind])
+			return nil, fmt.Errorf("is %q, not %s", s, kindNames[p.Kind])
 		}
-		return int64(d), p.within(float64(d), s)
+		return int64(d), p.checkRange(float64(d), s)
 	default:
 		if !isText {
 			return nil, wrong
 		}
-		n, err := bytes(s)
+		n, err := parseSize(s)
 		if err != nil {
 			return nil, err
 		}
-		return n, p.within(float64(n), s)
+		return n, p.checkRange(float64(n), s)
 	}
 }
 
@@ -229,22 +229,22 @@
 	return err == nil && e == nil && n >= 1 && n <= 65535 && host != ""
 }
 
-// within checks the limits of a value.
-func (p *Parameter) within(x float64, as string) error {
-	if x < p.Least || p.Most > 0 && x > p.Most {
-		return fmt.Errorf("is %s, outside %s to %s", as, p.written(p.Least), p.written(p.Most))
+// checkRange checks the limits of a value.
+func (p *Parameter) checkRange(x float64, as string) error {
+	if x < p.Min || p.Max > 0 && x > p.Max {
+		return fmt.Errorf("is %s, outside %s to %s", as, p.format(p.Min), p.format(p.Max))
 	}
 	return nil
 }
 
-// written is a value as a script would have it.
-func (p *Parameter) written(v any) string {
-	if f, ok := v.(float64); ok && (p.Kind == Span || p.Kind == Whole || p.Kind == Size) {
+// format is a value as a script would have it.
+func (p *Parameter) format(v any) string {
+	if f, ok := v.(float64); ok && (p.Kind == Duration || p.Kind == Int || p.Kind == Size) {
 		v = int64(f)
 	}
 	switch v := v.(type) {
 	case int64:
-		if p.Kind == Span {
+		if p.Kind == Duration {
 			return strconv.Quote(time.Duration(v).String())
 		}
 		return strconv.FormatInt(v, 10)
@@ -260,7 +260,7 @@
 	case map[string]float64:
 		var all []string
 		for _, name := range slices.Sorted(maps.Keys(v)) {
-			all = append(all, fmt.Sprintf("%q: %s", name, p.written(v[name])))
+			all = append(all, fmt.Sprintf("%q: %s", name, p.format(v[name])))
 		}
 		return "{" + strings.Join(all, ", ") + "}"
 	case []int:
@@ -279,46 +279,46 @@
 	return "none"
 }
 
-var units = []struct {
+var sizeUnits = []struct {
 	name string
 	n    int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
-// bytes reads a size.
-func bytes(s string) (int64, error) {
-	for _, u := range units {
+// parseSize reads a size.
+func parseSize(s string) (int64, error) {
+	for _, u := range sizeUnits {
 		if rest, found := strings.CutSuffix(s, u.name); found {
 			if n, err := strconv.ParseInt(rest, 10, 40); err == nil && n >= 0 && n <= math.MaxInt64/u.n {
 				return n * u.n, nil
 			}
 		}
 	}
-	return 0, fmt.Errorf("is %q, not %s", s, kinds[Size])
+	return 0, fmt.Errorf("is %q, not %s", s, kindNames[Size])
 }
 
-// Line is one value that holds.
-type Line struct {
+// EffectiveValue is one value that holds.
+type EffectiveValue struct {
 	Function string `json:"function"`
 	Key      string `json:"key"`
 	Value    string `json:"value"`
 	Default  bool   `json:"default"`
 	Help     string `json:"help"`
-	Where    string `json:"where"`
+	Position string `json:"where"`
 }
 
 // Explain tells all that holds, in the order of the script; what was left out is marked as default.
-func (s Said) Explain() (lines []Line) {
+func (s Calls) Explain() (lines []EffectiveValue) {
 	for _, c := range s {
 		for _, p := range c.parameters {
-			lines = append(lines, Line{c.Function, p.Name, p.written(c.values[p.Name]), !c.given[p.Name], p.Help,
-				c.At.String()})
+			lines = append(lines, EffectiveValue{c.Function, p.Name, p.format(c.values[p.Name]), !c.explicit[p.Name], p.Help,
+				c.Position.String()})
 		}
 	}
 	return lines
 }
 
-// Off names the functions that a script did not call.
-func (t Table[T]) Off(s Said) (names []string) {
+// Uncalled names the functions that a script did not call.
+func (t FunctionTable[T]) Uncalled(s Calls) (names []string) {
 	for _, name := range t.names() {
 		if _, called := s.First(name); !called {
 			names = append(names, name)
@@ -327,8 +327,8 @@
 	return names
 }
 
-// Explain describes a function and its keys; false where there is none of that name.
-func (t Table[T]) Explain(name string) (string, bool) {
+// Describe describes a function and its keys; false where there is none of that name.
+func (t FunctionTable[T]) Describe(name string) (string, bool) {
 	f := t[name]
 	if f == nil {
 		return "", false
@@ -337,10 +337,10 @@
 	fmt.Fprintf(&b, "%s: %s\n", f.Name, f.Help)
 	for _, p := range f.Parameters {
 		state := "required"
-		if p.Unset != nil {
-			state = "default " + p.written(p.Unset)
+		if p.Default != nil {
+			state = "default " + p.format(p.Default)
 		}
-		fmt.Fprintf(&b, "  %-14s %s: %s (%s)\n", p.Name, kinds[p.Kind], p.Help, state)
+		fmt.Fprintf(&b, "  %-14s %s: %s (%s)\n", p.Name, kindNames[p.Kind], p.Help, state)
 	}
 	return b.String(), true
 }
--- a/deployment/settings/settings.go
+++ b/deployment/settings/settings.go
@@ -12,8 +12,8 @@
 	"github.com/samber/oops"
 )
 
-// Variable names the settings file in the environment.
-const Variable = "WILLOWSILL_NODE_FILE"
+// FileVariable names the settings file in the environment.
+const FileVariable = "WILLOWSILL_NODE_FILE"
 
 const defaultFile = "/etc/willowsill/local.toml"
 
@@ -22,28 +22,28 @@
 
 // Settings are what a process is told. Times as their names say.
 type Settings struct {
-	File         string            `toml:"-"`
-	Name         string            `toml:"node-name"`
-	Role         string            `toml:"role"`
-	Class        string            `toml:"machine-class"`
-	Serves       []string          `toml:"serves"`
-	IP           string            `toml:"ip"`
-	Zone         string            `toml:"zone"`
-	Region       string            `toml:"region"`
-	DataDir      string            `toml:"data-dir"`
-	Ports        []int             `toml:"internal-ports"`
-	Seeds        []string          `toml:"seed-nodes"`
-	Bootstrap    bool              `toml:"bootstrap"`
-	QuorumMember bool              `toml:"quorum-member"`
-	BeatMs       int64             `toml:"beat-interval-ms"`
-	Rules        []string          `toml:"active-rules"`
-	ConfigMode   string            `toml:"config_mode"`
-	Metrics      string            `toml:"metrics"` // PORT/PATH where the process tells its own figures; empty for nowhere
-	Zones        map[string]string `toml:"zones"`
-	Bind         Bind              `toml:"bind-addrs"`
-	Limits       Limits            `toml:"limits"`
-	FaultBudget  FaultBudget       `toml:"fault-budget"`
-	Bounds       Bounds            `toml:"bounds"`
+	File                string            `toml:"-"`
+	Name                string            `toml:"node-name"`
+	Role                string            `toml:"role"`
+	MachineClass        string            `toml:"machine-class"`
+	Serves              []string          `toml:"serves"`
+	IP                  string            `toml:"ip"`
+	Zone                string            `toml:"zone"`
+	Region              string            `toml:"region"`
+	DataDir             string            `toml:"data-dir"`
+	InternalPorts       []int             `toml:"internal-ports"`
+	SeedNodes           []string          `toml:"seed-nodes"`
+	Bootstrap           bool              `toml:"bootstrap"`
+	QuorumMember        bool              `toml:"quorum-member"`
+	HeartbeatIntervalMs int64             `toml:"beat-interval-ms"`
+	ActiveRules         []string          `toml:"active-rules"`
+	ConfigMode          string            `toml:"config_mode"`
+	Metrics             string            `toml:"metrics"` // PORT/PATH where the process tells its own figures; empty for nowhere
+	Zones               map[string]string `toml:"zones"`
+	Bind                Bind              `toml:"bind-addrs"`
+	Limits              Limits            `toml:"limits"`
+	FaultBudget         FaultBudget       `toml:"fault-budget"`
+	Bounds              Bounds            `toml:"bounds"`
 }
 
 // Bind are the addresses to listen on, empty where the role does not serve there.
@@ -55,12 +55,12 @@
 
 // Limits of the machine and the process.
 type Limits struct {
-	CPU      float64 `toml:"cpu-fraction"`
-	Cores    float64 `toml:"core-count"`
-	MemoryMB int64   `toml:"memory-mb"`
-	Files    int     `toml:"max-fds"`
-	LinkMbps float64 `toml:"link-mbps"`
-	DiskMB   int64   `toml:"disk-mb"`
+	CPUFraction    float64 `toml:"cpu-fraction"`
+	Cores          float64 `toml:"core-count"`
+	MemoryMB       int64   `toml:"memory-mb"`
+	MaxDescriptors int     `toml:"max-fds"`
+	LinkMbps       float64 `toml:"link-mbps"`
+	DiskMB         int64   `toml:"disk-mb"`
 }
 
 // FaultBudget is what may be lost at the same time.
@@ -88,14 +88,14 @@
 
 // Default bounds, where the file gives none.
 const (
-	defaultBeatMs = 1000
-	defaultGraceS = 5
-	leastPorts    = 4
+	defaultHeartbeatIntervalMs = 1000
+	defaultGraceS              = 5
+	minPorts                   = 4
 )
 
 // FromEnvironment reads the file that the environment names.
 func FromEnvironment(get func(string) string) (Settings, error) {
-	file := get(Variable)
+	file := get(FileVariable)
 	if file == "" {
 		file = defaultFile
 	}
@@ -112,7 +112,7 @@
 	if err := toml.Unmarshal(text, &s); err != nil {
 		if d, ok := err.(*toml.DecodeError); ok {
 			line, column := d.Position()
-			return s, ErrSettings.Errorf("%s:%d:%d: %s: %s", file, line, column, joined(d.Key()), d.Error())
+			return s, ErrSettings.Errorf("%s:%d:%d: %s: %s", file, line, column, joinKey(d.Key()), d.Error())
 		}
 		return s, ErrSettings.Wrapf(err, "%s", file)
 	}
@@ -120,7 +120,7 @@
 	return s, s.check()
 }
 
-func joined(key []string) string {
+func joinKey(key []string) string {
 	out := ""
 	for i, k := range key {
 		if i > 0 {
@@ -138,10 +138,10 @@
 	if net.ParseIP(s.IP) == nil {
 		return at("ip", "is %q, and no IP address", s.IP)
 	}
-	if len(s.Ports) != 2 || s.Ports[1]-s.Ports[0]+1 < leastPorts {
-		return at("internal-ports", "is %v: a first and a last port are wanted, %d ports at least", s.Ports, leastPorts)
+	if len(s.InternalPorts) != 2 || s.InternalPorts[1]-s.InternalPorts[0]+1 < minPorts {
+		return at("internal-ports", "is %v: a first and a last port are wanted, %d ports at least", s.InternalPorts, minPorts)
 	}
-	for i, seed := range s.Seeds {
+	for i, seed := range s.SeedNodes {
 		if _, _, err := net.SplitHostPort(seed); err != nil {
 			return at("seed-nodes", "[%d]: %v", i, err)
 		}
@@ -152,14 +152,14 @@
 			return at(key, "is %q: %v", a, err)
 		}
 	}
-	if s.Limits.MemoryMB < 0 || s.Limits.Files < 0 {
+	if s.Limits.MemoryMB < 0 || s.Limits.MaxDescriptors < 0 {
 		return at("limits", "has a figure below 0")
 	}
 	if share := s.Bounds.ExposureShare; share < 0 || share > 1 {
 		return at("bounds.exposure-share", "is %v: a share from 0 to 1 is wanted", share)
 	}
-	if s.BeatMs <= 0 {
-		s.BeatMs = defaultBeatMs
+	if s.HeartbeatIntervalMs <= 0 {
+		s.HeartbeatIntervalMs = defaultHeartbeatIntervalMs
 	}
 	if s.Bounds.GraceS <= 0 {
 		s.Bounds.GraceS = defaultGraceS
@@ -167,9 +167,9 @@
 	return nil
 }
 
-// Inner is the address of one of a machine's ports for traffic between the system's own processes.
-func (s *Settings) Inner(ip string, port int) string {
-	return net.JoinHostPort(ip, strconv.Itoa(s.Ports[0]+port))
+// InternalAddress is the address of one of a machine's ports for traffic between the system's own processes.
+func (s *Settings) InternalAddress(ip string, port int) string {
+	return net.JoinHostPort(ip, strconv.Itoa(s.InternalPorts[0]+port))
 }
 
 // Loopback is where the processes of this machine meet: a machine that is itself played on a loopback address
@@ -183,7 +183,7 @@
 
 // SeedIPs are the machines of the seeds.
 func (s *Settings) SeedIPs() (ips []string) {
-	for _, seed := range s.Seeds {
+	for _, seed := range s.SeedNodes {
 		host, _, _ := net.SplitHostPort(seed)
 		ips = append(ips, host)
 	}
--- a/deployment/start.go
+++ b/deployment/start.go
@@ -15,52 +15,52 @@
 	"willowsill/transport/discovery"
 )
 
-// Terms are what the deployment states of an aggregator's sockets and of what it may hold. Times in ns.
-type Terms struct {
-	MostHeld      int   // queries and parts
-	Streams       int   // calls at a time on one connection to a replica
-	ConnectWithin int64 // a connection to a replica is up by then, or not at all
-	IdleAfter     int64 // a replica closes a connection that has carried nothing for so long
-	LongestCutOff int64 // of all workloads
+// Limits are what the deployment states of an aggregator's sockets and of what it may hold. Times in ns.
+type Limits struct {
+	MaxHeld              int   // queries and parts
+	CallsPerConnection   int   // calls at a time on one connection to a replica
+	ConnectTimeout       int64 // a connection to a replica is up by then, or not at all
+	IdleTimeout          int64 // a replica closes a connection that has carried nothing for so long
+	LongestClientTimeout int64 // of all workloads
 }
 
-// Start is what one aggregator on sockets is told at its start.
-type Start struct {
+// Config is what one aggregator on sockets is told at its start.
+type Config struct {
 	Deployment
-	Terms
-	Name      string
-	Listen    string // where clients connect
-	Discovery string
-	Cores     float64
-	Memory    int64          // bytes
-	Sockets   int            // descriptors
-	Known     discovery.News // the list as this aggregator last held it
-	file      string
-	told      map[string]json.RawMessage // the file's keys, as they stand
+	Limits
+	Name          string
+	Listen        string // where clients connect
+	Discovery     string
+	Cores         float64
+	MemoryBytes   int64            // bytes
+	Descriptors   int              // descriptors
+	KnownReplicas discovery.Update // the list as this aggregator last held it
+	file          string
+	keys          map[string]json.RawMessage // the file's keys, as they stand
 }
 
 // variables are those of the environment that must be there.
 const (
-	variableConfig    = "NODE_CONFIG"
-	variableName      = "NODE_NAME"
-	variableListen    = "NODE_LISTEN"
-	variableDiscovery = "NODE_DISCOVERY"
+	envConfig    = "NODE_CONFIG"
+	envName      = "NODE_NAME"
+	envListen    = "NODE_LISTEN"
+	envDiscovery = "NODE_DISCOVERY"
 )
 
 // Defaults for limits that are not stated.
 const (
-	defaultCores   = 1.0  // an aggregator has a core, shared or its own
-	defaultMemory  = 192  // MB: thirty times what one at the first size was seen to use
-	defaultSockets = 1024 // descriptors: the usual limit of a process
-	leastSockets   = 48   // descriptors: what the process needs for itself, and some to serve with
-	megabyte       = 1 << 20
+	defaultCores       = 1.0  // an aggregator has a core, shared or its own
+	defaultMemoryMB    = 192  // MB: thirty times what one at the first size was seen to use
+	defaultDescriptors = 1024 // descriptors: the usual limit of a process
+	minDescriptors     = 48   // descriptors: what the process needs for itself, and some to serve with
+	megabyte           = 1 << 20
 )
 
 // FromEnvironment reads what this process is told; get is os.Getenv.
-func FromEnvironment(get func(string) string) (s Start, err error) {
-	values := map[string]*string{variableName: &s.Name, variableListen: &s.Listen,
-		variableDiscovery: &s.Discovery}
-	for _, name := range []string{variableConfig, variableName, variableListen, variableDiscovery} {
+func FromEnvironment(get func(string) string) (s Config, err error) {
+	values := map[string]*string{envName: &s.Name, envListen: &s.Listen,
+		envDiscovery: &s.Discovery}
+	for _, name := range []string{envConfig, envName, envListen, envDiscovery} {
 		if get(name) == "" {
 			return s, fmt.Errorf("variable %s is missing", name)
 		}
@@ -68,33 +68,33 @@
 			*v = get(name)
 		}
 	}
-	for _, name := range []string{variableListen, variableDiscovery} {
+	for _, name := range []string{envListen, envDiscovery} {
 		if _, _, err := net.SplitHostPort(*values[name]); err != nil {
 			return s, fmt.Errorf("variable %s: %w", name, err)
 		}
 	}
-	s.file = get(variableConfig)
+	s.file = get(envConfig)
 	return s, s.readFile()
 }
 
 // Check reads a configuration alone, as a start would; the error names the key at fault.
-func Check(file string) (Start, error) {
-	s := Start{Name: "check", Discovery: "127.0.0.1:1", file: file}
+func Check(file string) (Config, error) {
+	s := Config{Name: "check", Discovery: "127.0.0.1:1", file: file}
 	return s, s.readFile()
 }
 
-// Again reads the file once more for a process that runs. What it says of discovery can be followed; odd
+// Reload reads the file once more for a process that runs. What it says of discovery can be followed; odd
 // names the other keys that now differ, which cannot change before the next start. With an error the file is
 // missing or wrong, and what was read before stays in force.
-func (s *Start) Again() (next Start, odd []string, err error) {
-	next = Start{Name: s.Name, Listen: s.Listen, Discovery: s.Discovery, file: s.file}
+func (s *Config) Reload() (next Config, odd []string, err error) {
+	next = Config{Name: s.Name, Listen: s.Listen, Discovery: s.Discovery, file: s.file}
 	if err := next.readFile(); err != nil {
 		return next, nil, err
 	}
-	for _, key := range slices.Sorted(maps.Keys(next.told)) {
+	for _, key := range slices.Sorted(maps.Keys(next.keys)) {
 		var was, is any
-		json.Unmarshal(s.told[key], &was)
-		json.Unmarshal(next.told[key], &is)
+		json.Unmarshal(s.keys[key], &was)
+		json.Unmarshal(next.keys[key], &is)
 		if key != "discovery" && key != "known" && !reflect.DeepEqual(was, is) {
 			odd = append(odd, key)
 		}
@@ -102,37 +102,37 @@
 	return next, odd, nil
 }
 
-func (s *Start) readFile() error {
+func (s *Config) readFile() error {
 	text, err := os.ReadFile(s.file)
 	if err != nil {
-		return fmt.Errorf("variable %s: %w", variableConfig, err)
+		return fmt.Errorf("variable %s: %w", envConfig, err)
 	}
-	if err := s.read(text); err != nil {
+	if err := s.decode(text); err != nil {
 		return fmt.Errorf("%s: %w", s.file, err)
 	}
 	return nil
 }
 
-// read reads the configuration's text.
-func (s *Start) read(text []byte) error {
+// decode reads the configuration's text.
+func (s *Config) decode(text []byte) error {
 	top := &fields.Object{}
 	if err := json.Unmarshal(text, &top.Raw); err != nil {
 		return fmt.Errorf("not a JSON object: %w", err)
 	}
 	statement, seed := top.Object("settings"), top.String("seed")
 	limits := &fields.Object{}
-	top.May("limits", &limits.Raw)
+	top.DecodeOptional("limits", &limits.Raw)
 	if top.Err != nil {
 		return top.Err
 	}
-	memory := float64(defaultMemory)
-	s.Cores, s.Sockets = defaultCores, defaultSockets
-	limits.May("cores", &s.Cores)
-	limits.May("memory_mb", &memory)
-	limits.May("sockets", &s.Sockets)
-	s.Memory = int64(memory * megabyte)
+	memory := float64(defaultMemoryMB)
+	s.Cores, s.Descriptors = defaultCores, defaultDescriptors
+	limits.DecodeOptional("cores", &s.Cores)
+	limits.DecodeOptional("memory_mb", &memory)
+	limits.DecodeOptional("sockets", &s.Descriptors)
+	s.MemoryBytes = int64(memory * megabyte)
 	for key, bad := range map[string]bool{"cores": s.Cores <= 0, "memory_mb": memory < 1,
-		"sockets": s.Sockets < leastSockets} {
+		"sockets": s.Descriptors < minDescriptors} {
 		if bad {
 			limits.Fail(key, "is too small")
 		}
@@ -140,9 +140,9 @@
 	if limits.Err != nil {
 		return fmt.Errorf("limits: %w", limits.Err)
 	}
-	s.told = top.Raw
+	s.keys = top.Raw
 	// The file can be replaced while the process runs and the environment can't, so the file has the last word.
-	if top.May("discovery", &s.Discovery); top.Err != nil {
+	if top.DecodeOptional("discovery", &s.Discovery); top.Err != nil {
 		return top.Err
 	}
 	_, _, err := net.SplitHostPort(s.Discovery)
@@ -153,7 +153,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	if top.Has("known") {
-		if s.Known, err = discovery.Decode(top.Text("known"), s.Cells); err != nil {
+		if s.KnownReplicas, err = discovery.Decode(top.RawValue("known"), s.Cells); err != nil {
 			return fmt.Errorf("field %q: %w", "known", err)
 		}
 	}
@@ -161,16 +161,16 @@
 		return fmt.Errorf("field %q is no number of 16 hex digits", "seed")
 	}
 	caps := statement.Object("caps")
-	s.Terms = Terms{MostHeld: caps.Int("most_held"), Streams: caps.Int("streams_per_conn"),
-		ConnectWithin: caps.Time("connect_timeout"), IdleAfter: caps.Time("conn_idle")}
+	s.Limits = Limits{MaxHeld: caps.Int("most_held"), CallsPerConnection: caps.Int("streams_per_conn"),
+		ConnectTimeout: caps.Duration("connect_timeout"), IdleTimeout: caps.Duration("conn_idle")}
 	if caps.Err != nil {
 		return fmt.Errorf("settings: caps: %w", caps.Err)
 	}
 	for _, c := range []struct {
 		key   string
 		value int64
-	}{{"most_held", int64(s.MostHeld)}, {"streams_per_conn", int64(s.Streams)},
-		{"connect_timeout", s.ConnectWithin}, {"conn_idle", s.IdleAfter},
+	}{{"most_held", int64(s.MaxHeld)}, {"streams_per_conn", int64(s.CallsPerConnection)},
+		{"connect_timeout", s.ConnectTimeout}, {"conn_idle", s.IdleTimeout},
 		{"max_attempts", int64(s.MaxExecutions)}, {"tick", s.Tick}, {"slices", int64(s.Shards)},
 		{"cells", int64(s.Cells)}, {"in_a_row", int64(s.CellsPerShard)}, {"parts_a_call", int64(s.PartsPerCall)},
 		{"classes", int64(len(s.Workloads))}} {
@@ -183,7 +183,7 @@
 	}
 	for i, raw := range statement.List("classes") {
 		c := &fields.Object{Raw: raw}
-		s.LongestCutOff = max(s.LongestCutOff, c.Time("give_up"))
+		s.LongestClientTimeout = max(s.LongestClientTimeout, c.Duration("give_up"))
 		if c.Err != nil {
 			return fmt.Errorf("settings: classes: %w", c.Err)
 		}
--- a/deployment/start_test.go
+++ b/deployment/start_test.go
@@ -30,7 +30,7 @@
 }
 
 // started is what a process is told by a sound configuration.
-func started(t *testing.T, text string) Start {
+func started(t *testing.T, text string) Config {
 	t.Helper()
 	env := environment(t, text)
 	s, err := FromEnvironment(func(k string) string { return env[k] })
@@ -42,13 +42,13 @@
 
 func TestStart(t *testing.T) {
 	s := started(t, strings.Replace(good, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1))
-	if s.Seed != 0x8c1f30d27a5be964 || s.Sockets != 1024 || s.Memory != 192<<20 || s.Cores != 1 || s.Listen != "127.0.0.4:8081" {
+	if s.Seed != 0x8c1f30d27a5be964 || s.Descriptors != 1024 || s.MemoryBytes != 192<<20 || s.Cores != 1 || s.Listen != "127.0.0.4:8081" {
 		t.Errorf("read %+v", s)
 	}
-	if s.Terms != (Terms{MostHeld: 277, Streams: 32, ConnectWithin: 250e6, IdleAfter: 15e9, LongestCutOff: 3e9}) {
-		t.Errorf("read the terms %+v", s.Terms)
+	if s.Limits != (Limits{MaxHeld: 277, CallsPerConnection: 32, ConnectTimeout: 250e6, IdleTimeout: 15e9, LongestClientTimeout: 3e9}) {
+		t.Errorf("read the terms %+v", s.Limits)
 	}
-	if s.Tick != 5e6 || s.Index != 1 || s.Workload["report"] != 0 || s.Workloads[0].LatencyGoal != 1500e6 {
+	if s.Tick != 5e6 || s.Index != 1 || s.WorkloadRow["report"] != 0 || s.Workloads[0].LatencyGoal != 1500e6 {
 		t.Errorf("read the deployment %+v", s.Deployment)
 	}
 }
@@ -72,7 +72,7 @@
 
 // A workload stated to be worth nothing is told from one of which nothing is stated.
 func TestStartWorth(t *testing.T) {
-	for stated, want := range map[string]float64{`"slo":1500`: 0, `"slo":1500,"worth":0`: leastWorth, `"slo":1500,"worth":2.5`: 2.5} {
+	for stated, want := range map[string]float64{`"slo":1500`: 0, `"slo":1500,"worth":0`: minValue, `"slo":1500,"worth":2.5`: 2.5} {
 		if got := started(t, strings.Replace(good, `"slo":1500`, stated, 1)).Workloads[0].Value; got != want {
 			t.Errorf("%s: read %g, want %g", stated, got, want)
 		}
--- a/examples/toydiscovery/main.go
+++ b/examples/toydiscovery/main.go
@@ -30,7 +30,7 @@
 			flag.Usage()
 			os.Exit(2)
 		}
-		h := standin.Host{Host: fmt.Sprint("s-", i), Dial: address, Block: block, Health: "active", Share: 1}
+		h := standin.Host{Host: fmt.Sprint("s-", i), Dial: address, Cell: block, Health: "active", Share: 1}
 		hosts[h.Host] = h
 		list.Change(h)
 	}
--- a/front/clienthttp/callers_test.go
+++ b/front/clienthttp/callers_test.go
@@ -45,7 +45,7 @@
 			return node.Answer{}, false
 		}
 	}
-	r.Answers[q.Parts[0].Shard] = &replicahttp.Answer{Status: 200, Seal: "seal-" + r.Attempt, Whole: true, Body: []byte("for " + r.Attempt),
+	r.Answers[q.Parts[0].Shard] = &replicahttp.Answer{Status: 200, Seal: "seal-" + r.Attempt, Complete: true, Body: []byte("for " + r.Attempt),
 		Header: http.Header{replicahttp.HeaderAttempt: {r.Attempt}, replicahttp.HeaderSeal: {"seal-" + r.Attempt}}}
 	return node.Answer{Outcome: balance.Whole, Values: []node.Value{{Shard: q.Parts[0].Shard}}}, true
 }
--- a/front/clienthttp/clienthttp.go
+++ b/front/clienthttp/clienthttp.go
@@ -25,11 +25,11 @@
 )
 
 const (
-	headerParts   = "Willowsill-Part-Seals"
-	headerMissing = "Willowsill-Missing-Parts"
-	millisecond   = int64(time.Millisecond)
-	bodyUnstated  = 1 << 20 // bytes of a request's body, where no limit is stated
-	drawBits      = 1 << 32
+	headerPartSeals     = "Willowsill-Part-Seals"
+	headerMissing       = "Willowsill-Missing-Parts"
+	millisecond         = int64(time.Millisecond)
+	defaultMaxBodyBytes = 1 << 20 // bytes of a request's body, where no limit is stated
+	drawRange           = 1 << 32
 )
 
 // Core serves one query and gives its one answer, or false where the client left first.
@@ -39,14 +39,14 @@
 
 // Handler is the handler of clients' requests.
 type Handler struct {
-	Core    Core
-	Now     func() int64
-	Leaving atomic.Bool // each answer closes its connection
-	state   atomic.Pointer[routingtable.State]
+	Core     Core
+	Now      func() int64
+	Draining atomic.Bool // each answer closes its connection
+	state    atomic.Pointer[routingtable.State]
 }
 
-// Serve takes requests by this from now on. One under way goes on with what it began with.
-func (q *Handler) Serve(s *routingtable.State) { q.state.Store(s) }
+// SetState takes requests by this from now on. One under way goes on with what it began with.
+func (q *Handler) SetState(s *routingtable.State) { q.state.Store(s) }
 
 // hopHeaders concern one connection only, or are this side's to write.
 var hopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
@@ -56,7 +56,7 @@
 // ServeHTTP serves one request.
 func (q *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	came := q.Now()
-	if q.Leaving.Load() {
+	if q.Draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	state := q.state.Load()
@@ -99,13 +99,13 @@
 		}
 		return
 	}
-	req := &replicahttp.Request{Attempt: attempt, Method: r.Method, Body: body, Head: head(r, target, len(body)),
+	req := &replicahttp.Request{Attempt: attempt, Method: r.Method, Body: body, Head: requestHead(r, target, len(body)),
 		Answers: map[int]*replicahttp.Answer{}}
 	row, known := state.Rows[route.ID()]
 	query := node.Query{ID: attempt, Workload: row, Deadline: until, Payload: req}
 	var served bool
 	// Danger: a route without a row of its own would be served on another's terms.
-	if query.Parts, served = parts(state, route); !served || !known {
+	if query.Parts, served = routeParts(state, route); !served || !known {
 		refuse(w, http.StatusServiceUnavailable, int64(time.Second))
 		return
 	}
@@ -117,19 +117,19 @@
 		refuse(w, http.StatusBadGateway, 0)
 		return
 	}
-	draw := float64(uint32(xxhash.Sum64String(attempt))) / drawBits
+	draw := float64(uint32(xxhash.Sum64String(attempt))) / drawRange
 	answer.RetryAfter = routingtable.RetryAfter(answer.RetryAfter, draw)
 	if len(route.Fanout) > 0 {
-		gathered(w, route, req, query.Parts, answer)
+		writeGathered(w, route, req, query.Parts, answer)
 	} else {
-		plain(w, req, query.Parts[0].Shard, answer)
+		writeSingle(w, req, query.Parts[0].Shard, answer)
 	}
 }
 
-// parts are those of a route's next request, false where one of its services has no shard.
+// routeParts are those of a route's next request, false where one of its services has no shard.
 //
 // Danger: what names no shard of its own would go to another service's replicas.
-func parts(state *routingtable.State, route *routeconfig.Route) (parts []node.Part, served bool) {
+func routeParts(state *routingtable.State, route *routeconfig.Route) (parts []node.Part, served bool) {
 	services := route.Fanout
 	if len(services) == 0 {
 		services = []string{state.Service(route)}
@@ -149,7 +149,7 @@
 		return nil, nil
 	}
 	if most <= 0 {
-		most = bodyUnstated
+		most = defaultMaxBodyBytes
 	}
 	if n := r.ContentLength; n > int64(most) {
 		return nil, &http.MaxBytesError{Limit: int64(most)}
@@ -161,8 +161,8 @@
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, int64(most)))
 }
 
-// head is the first line and the headers as they go to replicas, without those of one part.
-func head(r *http.Request, target string, length int) []byte {
+// requestHead is the first line and the headers as they go to replicas, without those of one part.
+func requestHead(r *http.Request, target string, length int) []byte {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	named := map[string]bool{}
@@ -194,9 +194,9 @@
 	w.WriteHeader(status)
 }
 
-// unserved answers a query that brought nothing: a promise where it has not run and never will, none
+// writeUnserved answers a query that brought nothing: a promise where it has not run and never will, none
 // otherwise.
-func unserved(w http.ResponseWriter, a node.Answer) {
+func writeUnserved(w http.ResponseWriter, a node.Answer) {
 	if a.Outcome == balance.Declined {
 		refuse(w, http.StatusServiceUnavailable, a.RetryAfter)
 		return
@@ -204,12 +204,12 @@
 	refuse(w, http.StatusBadGateway, 0)
 }
 
-// passes tells whether a replica's answer goes to the client: a success, and a failure of the replica's own.
+// passesThrough tells whether a replica's answer goes to the client: a success, and a failure of the replica's own.
 //
 // Danger: 503 promises a client that its request has not run and never will. A replica's own 503 without a proof promises
 // nothing, and a client would repeat an unsafe request that has run.
-func passes(got *replicahttp.Answer, final balance.Outcome) bool {
-	if got == nil || !got.Whole {
+func passesThrough(got *replicahttp.Answer, final balance.Outcome) bool {
+	if got == nil || !got.Complete {
 		return false
 	}
 	if final <= balance.Partial {
@@ -221,11 +221,11 @@
 	return got.Seal != "" && got.Status >= http.StatusInternalServerError
 }
 
-// plain passes one replica's answer on unchanged, also its failure where there is nothing better.
-func plain(w http.ResponseWriter, req *replicahttp.Request, shard int, a node.Answer) {
+// writeSingle passes one replica's answer on unchanged, also its failure where there is nothing better.
+func writeSingle(w http.ResponseWriter, req *replicahttp.Request, shard int, a node.Answer) {
 	got := req.Answers[shard]
-	if !passes(got, a.Outcome) {
-		unserved(w, a)
+	if !passesThrough(got, a.Outcome) {
+		writeUnserved(w, a)
 		return
 	}
 	h := w.Header()
@@ -242,10 +242,10 @@
 	w.Write(got.Body)
 }
 
-// gathered merges the parts that are in.
-func gathered(w http.ResponseWriter, route *routeconfig.Route, req *replicahttp.Request, parts []node.Part, a node.Answer) {
+// writeGathered merges the parts that are in.
+func writeGathered(w http.ResponseWriter, route *routeconfig.Route, req *replicahttp.Request, parts []node.Part, a node.Answer) {
 	if a.Outcome > balance.Partial {
-		unserved(w, a)
+		writeUnserved(w, a)
 		return
 	}
 	seals := make([]string, 0, len(parts))
@@ -258,7 +258,7 @@
 	body := gather.Greatest(make([]byte, 0, gather.RecordBytes*route.ResultCount), bodies, route.ResultCount)
 	h := w.Header()
 	h.Set(replicahttp.HeaderAttempt, req.Attempt)
-	h.Set(headerParts, strings.Join(seals, ", "))
+	h.Set(headerPartSeals, strings.Join(seals, ", "))
 	if missing := len(parts) - len(seals); missing > 0 {
 		h.Set(headerMissing, strconv.Itoa(missing))
 	}
