--- a/front/clienthttp/clienthttp_test.go
+++ b/front/clienthttp/clienthttp_test.go
@@ -55,7 +55,7 @@
 	ch, err := routeconfig.Read([]byte(configuration))
 	must.NoError(t, err)
 	q := &Handler{Core: c, Now: func() int64 { return 1000 }}
-	q.Serve(&routingtable.State{Config: ch, Rows: map[routeconfig.RouteID]int{{Host: "h", Prefix: "/a/"}: 4, {Host: "h", Prefix: "/b/"}: 9}, Shards: map[string]int{"s0": 0, "s1": 1, "s2": 2}})
+	q.SetState(&routingtable.State{Config: ch, Rows: map[routeconfig.RouteID]int{{Host: "h", Prefix: "/a/"}: 4, {Host: "h", Prefix: "/b/"}: 9}, Shards: map[string]int{"s0": 0, "s1": 1, "s2": 2}})
 	return q
 }
 
@@ -72,20 +72,20 @@
 }
 
 func part(seal string, records ...string) *replicahttp.Answer {
-	return &replicahttp.Answer{Status: http.StatusOK, Seal: seal, Whole: true, Body: []byte(strings.Join(records, ""))}
+	return &replicahttp.Answer{Status: http.StatusOK, Seal: seal, Complete: true, Body: []byte(strings.Join(records, ""))}
 }
 
 func record(c byte) string { return strings.Repeat(string(c), 16) }
 
 // TestGatheredAnswer: the greatest records of the parts that are in, their seals, and how many are missing.
 func TestGatheredAnswer(t *testing.T) {
-	failed := &replicahttp.Answer{Status: 500, Seal: "bad", Whole: true}
+	failed := &replicahttp.Answer{Status: 500, Seal: "bad", Complete: true}
 	c := &core{final: balance.Partial, answers: map[int]*replicahttp.Answer{0: part("x", record('b'), record('d')), 1: failed,
 		2: part("y", record('d'), record('a'), "rest")}}
 	w := httptest.NewRecorder()
 	handlerOf(t, c).ServeHTTP(w, request("GET", "/a/q?x=1", ""))
 	must.Eq(t, 200, w.Code)
-	must.Eq(t, "x, y", w.Header().Get(headerParts))
+	must.Eq(t, "x, y", w.Header().Get(headerPartSeals))
 	must.Eq(t, "1", w.Header().Get(headerMissing))
 	must.Eq(t, record('d')+record('d'), w.Body.String())
 	must.Eq(t, 4, c.asked.Workload)
@@ -95,7 +95,7 @@
 
 // TestWhatReplicasGet: the request unchanged, but for what concerns one connection or is this side's to say.
 func TestWhatReplicasGet(t *testing.T) {
-	c := &core{answers: map[int]*replicahttp.Answer{0: {Status: 200, Seal: "s", Whole: true, Body: []byte("ok"),
+	c := &core{answers: map[int]*replicahttp.Answer{0: {Status: 200, Seal: "s", Complete: true, Body: []byte("ok"),
 		Header: http.Header{"Willowsill-Replica-Seal": {"s"}, "Connection": {"close"}, "X-More": {"1", "2"}}}}}
 	w := httptest.NewRecorder()
 	handlerOf(t, c).ServeHTTP(w, request("POST", "/b/a%2Fb?x=%20", "body"))
@@ -119,8 +119,8 @@
 func TestRefusals(t *testing.T) {
 	declined := &core{final: balance.Declined, wait: int64(1500 * time.Millisecond)}
 	forfeited := &core{final: balance.Forfeited}
-	failed := &core{final: balance.Forfeited, answers: map[int]*replicahttp.Answer{0: {Status: 500, Seal: "s", Whole: true, Body: []byte("no")}}}
-	turned := &core{final: balance.Declined, answers: map[int]*replicahttp.Answer{0: {Status: 421, Whole: true}}}
+	failed := &core{final: balance.Forfeited, answers: map[int]*replicahttp.Answer{0: {Status: 500, Seal: "s", Complete: true, Body: []byte("no")}}}
+	turned := &core{final: balance.Declined, answers: map[int]*replicahttp.Answer{0: {Status: 421, Complete: true}}}
 	for name, c := range map[string]struct {
 		core   *core
 		change func(*http.Request)
@@ -159,7 +159,7 @@
 	handler := handlerOf(t, c)
 	state := *handler.state.Load()
 	state.Shards = map[string]int{"s1": 1, "s2": 2}
-	handler.Serve(&state)
+	handler.SetState(&state)
 	for _, r := range []*http.Request{request("GET", "/a/q", ""), request("POST", "/b/x", "body")} {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, r)
@@ -176,8 +176,8 @@
 		front := network.Listen("front:1")
 		s := &Servers{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })}
 		one, other := routeconfig.Limits{HeaderBytes: 1 << 10}, routeconfig.Limits{HeaderBytes: 1 << 10, IdleTimeoutMs: 50}
-		s.Limit(front.Addr(), one)
-		s.Limit(front.Addr(), one)
+		s.SetLimits(front.Addr(), one)
+		s.SetLimits(front.Addr(), one)
 		must.SliceLen(t, 1, s.All())
 		go s.Accept(front)
 		defer func() {
@@ -197,12 +197,12 @@
 			io.Copy(io.Discard, res.Body)
 		}
 		ask()
-		s.Limit(front.Addr(), other)
+		s.SetLimits(front.Addr(), other)
 		must.SliceLen(t, 2, s.All())
 		must.Eq(t, 50*time.Millisecond, s.All()[1].IdleTimeout)
-		must.Eq(t, idleDefault, s.All()[0].IdleTimeout)
+		must.Eq(t, defaultIdleTimeout, s.All()[0].IdleTimeout)
 		for n := range 1000 {
-			s.Limit(front.Addr(), routeconfig.Limits{HeaderBytes: 1<<10 + n})
+			s.SetLimits(front.Addr(), routeconfig.Limits{HeaderBytes: 1<<10 + n})
 		}
 		must.SliceLen(t, 2, s.All())
 		time.Sleep(30 * time.Second)
--- a/front/clienthttp/routes_test.go
+++ b/front/clienthttp/routes_test.go
@@ -43,7 +43,7 @@
 			now += int64(rapid.IntRange(1, 100_000).Draw(t, "ms until the next")) * millisecond
 			change := table.Apply(now, clusterstate.Update{Revision: uint64(revision + 1), Raw: drawnConfiguration(t, revision+1)})
 			must.NoError(t, change.Err)
-			handler.Serve(change.State)
+			handler.SetState(change.State)
 			taken := map[int]bool{}
 			for i := range change.State.Config.Routes {
 				route := &change.State.Config.Routes[i]
--- a/front/clienthttp/server.go
+++ b/front/clienthttp/server.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	headDefault = 10 * time.Second
-	idleDefault = 60 * time.Second
-	waiting     = 16 // connections accepted and not yet taken up
+	defaultHeadTimeout = 10 * time.Second
+	defaultIdleTimeout = 60 * time.Second
+	handoverBacklog    = 16 // connections accepted and not yet taken up
 )
 
 // Servers accepts clients on one listener, under limits that may change: a connection keeps those that it
@@ -23,12 +23,12 @@
 	Handler http.Handler
 	mu      sync.Mutex
 	limits  routeconfig.Limits
-	now     *door   // takes new connections; nil before the first limits
-	all     []*door // that may still have connections
+	current *connServer   // takes new connections; nil before the first limits
+	all     []*connServer // that may still have connections
 }
 
-// door hands connections of the listener to a server of its own.
-type door struct {
+// connServer hands connections of the listener to a server of its own.
+type connServer struct {
 	server  *http.Server
 	address net.Addr
 	conns   chan net.Conn
@@ -38,7 +38,7 @@
 	retired bool // others take new connections; likewise
 }
 
-func (d *door) Accept() (net.Conn, error) {
+func (d *connServer) Accept() (net.Conn, error) {
 	select {
 	case c := <-d.conns:
 		return c, nil
@@ -47,60 +47,60 @@
 	}
 }
 
-func (d *door) Close() error {
+func (d *connServer) Close() error {
 	d.once.Do(func() { close(d.closed) })
 	return nil
 }
 
-func (d *door) Addr() net.Addr { return d.address }
+func (d *connServer) Addr() net.Addr { return d.address }
 
-// Limit sets the limits for connections from now on.
-func (s *Servers) Limit(address net.Addr, l routeconfig.Limits) {
+// SetLimits sets the limits for connections from now on.
+func (s *Servers) SetLimits(address net.Addr, l routeconfig.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.now != nil && l == s.limits {
+	if s.current != nil && l == s.limits {
 		return
 	}
 	s.limits = l
-	head, idle := headDefault, idleDefault
+	head, idle := defaultHeadTimeout, defaultIdleTimeout
 	if l.HeaderReadMs > 0 {
 		head = time.Duration(l.HeaderReadMs) * time.Millisecond
 	}
 	if l.IdleTimeoutMs > 0 {
 		idle = time.Duration(l.IdleTimeoutMs) * time.Millisecond
 	}
-	d := &door{address: address, conns: make(chan net.Conn, waiting), closed: make(chan struct{})}
+	d := &connServer{address: address, conns: make(chan net.Conn, handoverBacklog), closed: make(chan struct{})}
 	d.server = &http.Server{Handler: s.Handler, ReadHeaderTimeout: head, IdleTimeout: idle, MaxHeaderBytes: l.HeaderBytes,
 		DisableGeneralOptionsHandler: true, ConnState: func(_ net.Conn, state http.ConnState) {
 			if state == http.StateClosed {
-				s.ended(d)
+				s.connEnded(d)
 			}
 		}}
-	former := s.now
-	s.now, s.all = d, append(s.all, d)
+	former := s.current
+	s.current, s.all = d, append(s.all, d)
 	go d.server.Serve(d)
 	if former != nil {
 		former.retired = true
-		s.drop(former)
+		s.closeIfUnused(former)
 	}
 }
 
-// ended notes that a connection of a door has ended.
-func (s *Servers) ended(d *door) {
+// connEnded notes that a connection of a door has ended.
+func (s *Servers) connEnded(d *connServer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d.open--
-	s.drop(d)
+	s.closeIfUnused(d)
 }
 
-// drop lets go of a door that is retired and has no connection left.
+// closeIfUnused lets go of a door that is retired and has no connection left.
 //
 // Danger: limits may change thousands of times in the life of a process, and a server for each would be kept for ever.
-func (s *Servers) drop(d *door) {
+func (s *Servers) closeIfUnused(d *connServer) {
 	if !d.retired || d.open > 0 {
 		return
 	}
-	s.all = slices.DeleteFunc(s.all, func(o *door) bool { return o == d })
+	s.all = slices.DeleteFunc(s.all, func(o *connServer) bool { return o == d })
 	d.Close()
 }
 
@@ -121,7 +121,7 @@
 			continue
 		}
 		s.mu.Lock()
-		d := s.now
+		d := s.current
 		d.open++ // before it is handed over, lest the door be dropped meanwhile
 		s.mu.Unlock()
 		d.conns <- c
--- a/front/front.go
+++ b/front/front.go
@@ -34,44 +34,44 @@
 
 // Guard decides, before a query has cost much, whether it is taken on: where the process itself falls behind.
 type Guard interface {
-	Arrive(a overload.Arrival) (taken bool, comeBack int64)
-	Unseen(workload int) (away bool, comeBack int64) // of a request whose first line alone is read
-	Ended(workload int, took int64, answered bool)
+	Admit(a overload.Arrival) (taken bool, comeBack int64)
+	RejectUnread(workload int) (away bool, comeBack int64) // of a request whose first line alone is read
+	RecordEnd(workload int, took int64, answered bool)
 }
 
 // Front is the handler of the clients' requests.
 type Front struct {
-	Core     Core
-	Clock    node.Clock
-	Workload map[string]int // rows, by name
-	Shards   int
-	Count    *counters.Counters
-	Log      *zap.Logger
-	Guard    *Guarded // nil where all is taken on
-	closing  chan struct{}
-	open     sync.Map // ids of the queries that have no answer yet
+	Core        Core
+	Clock       node.Clock
+	WorkloadRow map[string]int // rows, by name
+	Shards      int
+	Counters    *counters.Counters
+	Log         *zap.Logger
+	Guard       *SwitchableGuard // nil where all is taken on
+	closing     chan struct{}
+	openIDs     sync.Map // ids of the queries that have no answer yet
 }
 
 // HeaderRetry is the header by which a client marks a retry, with the value 1.
 const HeaderRetry = "X-Second-Try"
 
 const (
-	bodyMost = 64 << 10  // bytes
-	idMost   = 128       // bytes of a query's id
-	waitMost = 3_600_000 // ms: no client waits an hour
-	unit     = 1e6       // ns in a ms, as headers count
-	rounding = 0.01      // weights are shares of one, written with few digits
-
-	writeWait = 2 * time.Second        // a client that reads nothing for so long gets no answer
-	bodyWait  = 5 * time.Millisecond   // for the body of a query that is turned away
-	restWait  = 200 * time.Millisecond // for the rest of a request that has had its complaint
+	maxBodyBytes    = 64 << 10  // bytes
+	maxIDBytes      = 128       // bytes of a query's id
+	maxTimeLeftMs   = 3_600_000 // ms: no client waits an hour
+	nsPerMs         = 1e6       // ns in a ms, as headers count
+	weightTolerance = 0.01      // weights are shares of one, written with few digits
+
+	writeTimeout        = 2 * time.Second        // a client that reads nothing for so long gets no answer
+	rejectedBodyTimeout = 5 * time.Millisecond   // for the body of a query that is turned away
+	drainTimeout        = 200 * time.Millisecond // for the rest of a request that has had its complaint
 )
 
-// Guarded is the place of a guard that may be switched on and off.
-type Guarded struct{ atomic.Pointer[Guard] }
+// SwitchableGuard is the place of a guard that may be switched on and off.
+type SwitchableGuard struct{ atomic.Pointer[Guard] }
 
-// guard is the present one, or nil.
-func (f *Front) guard() Guard {
+// currentGuard is the present one, or nil.
+func (f *Front) currentGuard() Guard {
 	if f.Guard == nil {
 		return nil
 	}
@@ -81,26 +81,26 @@
 	return nil
 }
 
-// away is a query that is turned away before its body is read.
-type away struct {
-	workload string
-	comeBack int64
+// rejection is a query that is turned away before its body is read.
+type rejection struct {
+	workload   string
+	retryAfter int64
 }
 
-func (away) Error() string { return "declined" }
+func (rejection) Error() string { return "declined" }
 
-// complaint is a request that is not served, with what the client hears.
-type complaint struct {
-	status int
-	text   string
+// requestError is a request that is not served, with what the client hears.
+type requestError struct {
+	status  int
+	message string
 }
 
-func (c complaint) Error() string { return c.text }
+func (c requestError) Error() string { return c.message }
 
-func bad(text string) error { return complaint{http.StatusBadRequest, text} }
+func badRequest(text string) error { return requestError{http.StatusBadRequest, text} }
 
-// body is the form of a request's body.
-type body struct {
+// requestBody is the form of a request's body.
+type requestBody struct {
 	Segments []struct {
 		Segment *int     `json:"segment"`
 		Boost   *float64 `json:"boost"`
@@ -108,8 +108,8 @@
 	Text *string `json:"text"`
 }
 
-// answer is the form of an answer's body.
-type answer struct {
+// answerBody is the form of an answer's body.
+type answerBody struct {
 	AllIn   bool    `json:"all_in"`
 	Matches []match `json:"matches"`
 }
@@ -127,16 +127,16 @@
 		case http.ErrAbortHandler:
 			panic(p)
 		default:
-			f.Count.Panics.Add(1)
+			f.Counters.Panics.Add(1)
 			f.Log.Error("a request ended in a panic", zap.Any("panic", p), zap.Stack("stack"))
 			panic(http.ErrAbortHandler)
 		}
 	}()
-	f.farewell(w)
+	f.closeIfStopping(w)
 	// Danger: a body that never ends would hold its connection for ever, here or in the stock server, which
 	// reads on after the answer. So there is a limit until a body is there, and it stays where none came.
 	if c := connection(r); c != nil {
-		f.limit(w, time.Duration(c.due()-f.Clock.Now()))
+		f.setReadTimeout(w, time.Duration(c.deadline()-f.Clock.Now()))
 	}
 	switch r.URL.Path {
 	case "/healthz":
@@ -148,13 +148,13 @@
 	}
 }
 
-// limit has reads of the request end so long from now.
-func (f *Front) limit(w http.ResponseWriter, d time.Duration) {
+// setReadTimeout has reads of the request end so long from now.
+func (f *Front) setReadTimeout(w http.ResponseWriter, d time.Duration) {
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(d))
 }
 
-// farewell has an answer close its connection once the word to stop has come.
-func (f *Front) farewell(w http.ResponseWriter) bool {
+// closeIfStopping has an answer close its connection once the word to stop has come.
+func (f *Front) closeIfStopping(w http.ResponseWriter) bool {
 	select {
 	case <-f.closing:
 		w.Header().Set("Connection", "close")
@@ -166,10 +166,10 @@
 
 func (f *Front) health(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
-		f.complain(w, complaint{http.StatusMethodNotAllowed, "GET only"})
+		f.writeError(w, requestError{http.StatusMethodNotAllowed, "GET only"})
 		return
 	}
-	if f.farewell(w) {
+	if f.closeIfStopping(w) {
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 		return
 	}
@@ -183,58 +183,58 @@
 
 func (f *Front) counters(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet {
-		f.complain(w, complaint{http.StatusMethodNotAllowed, "GET only"})
+		f.writeError(w, requestError{http.StatusMethodNotAllowed, "GET only"})
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.MarshalWrite(w, f.Count, json.Deterministic(true))
+	json.MarshalWrite(w, f.Counters, json.Deterministic(true))
 }
 
 func (f *Front) query(w http.ResponseWriter, r *http.Request) {
-	guard := f.guard()
-	q, err := f.read(w, r, guard)
-	var a away
+	guard := f.currentGuard()
+	q, err := f.decodeRequest(w, r, guard)
+	var a rejection
 	switch {
 	case errors.As(err, &a):
-		f.turnAway(w, r, a)
+		f.reject(w, r, a)
 		return
 	case err != nil:
-		f.complain(w, err)
+		f.writeError(w, err)
 		return
 	}
 	f.serve(w, r, q, guard)
 }
 
-// turnAway answers a query that the guard does not take on, without looking at its body. Its connection stays where the body is
+// reject answers a query that the guard does not take on, without looking at its body. Its connection stays where the body is
 // there, for a new one would cost more than the answer; a client that is slow to send is not waited for.
-func (f *Front) turnAway(w http.ResponseWriter, r *http.Request, a away) {
-	f.countAway(a.workload)
-	if !f.discard(w, r) {
+func (f *Front) reject(w http.ResponseWriter, r *http.Request, a rejection) {
+	f.countRejected(a.workload)
+	if !f.discardBody(w, r) {
 		w.Header().Set("Connection", "close")
-		f.limit(w, restWait)
+		f.setReadTimeout(w, drainTimeout)
 	}
-	f.farewell(w)
-	f.write(w, node.Answer{Outcome: balance.Declined, RetryAfter: a.comeBack})
+	f.closeIfStopping(w)
+	f.writeAnswer(w, node.Answer{Outcome: balance.Declined, RetryAfter: a.retryAfter})
 }
 
-// discard reads a body away, and tells whether it was there as a whole, with nothing behind it.
-func (f *Front) discard(w http.ResponseWriter, r *http.Request) bool {
+// discardBody reads a body away, and tells whether it was there as a whole, with nothing behind it.
+func (f *Front) discardBody(w http.ResponseWriter, r *http.Request) bool {
 	c := connection(r)
-	if c == nil || r.ContentLength < 0 || r.ContentLength > bodyMost || r.Header.Get("Expect") != "" {
+	if c == nil || r.ContentLength < 0 || r.ContentLength > maxBodyBytes || r.Header.Get("Expect") != "" {
 		return false
 	}
-	f.limit(w, bodyWait)
-	if _, err := io.Copy(io.Discard, r.Body); err != nil || c.taken(r.ContentLength) {
+	f.setReadTimeout(w, rejectedBodyTimeout)
+	if _, err := io.Copy(io.Discard, r.Body); err != nil || c.bodyRead(r.ContentLength) {
 		return false
 	}
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
 	return true
 }
 
-// countAway counts a query that was turned away unserved.
-func (f *Front) countAway(workload string) {
-	count := f.Count.Workloads[workload]
-	count.Taken.Add(1)
+// countRejected counts a query that was turned away unserved.
+func (f *Front) countRejected(workload string) {
+	count := f.Counters.Workloads[workload]
+	count.Accepted.Add(1)
 	count.Declined.Add(1)
 }
 
@@ -242,94 +242,94 @@
 func (f *Front) serve(w http.ResponseWriter, r *http.Request, q node.Query, guard Guard) {
 	began := f.Clock.Now()
 	// Danger: ids name parts on connections that queries share, and replies go by them alone.
-	if _, taken := f.open.LoadOrStore(q.ID, nil); taken {
-		f.complain(w, complaint{http.StatusConflict, "X-Trace-Id is that of an open query"})
+	if _, taken := f.openIDs.LoadOrStore(q.ID, nil); taken {
+		f.writeError(w, requestError{http.StatusConflict, "X-Trace-Id is that of an open query"})
 		return
 	}
 	a, ok := func() (node.Answer, bool) {
-		defer f.open.Delete(q.ID) // before the answer is out
+		defer f.openIDs.Delete(q.ID) // before the answer is out
 		return f.Core.Serve(r.Context(), q)
 	}()
 	if guard != nil {
-		guard.Ended(q.Workload, f.Clock.Now()-began, ok && a.Outcome <= balance.Partial)
+		guard.RecordEnd(q.Workload, f.Clock.Now()-began, ok && a.Outcome <= balance.Partial)
 	}
 	if !ok { // an empty answer would be one that no replica gave
 		panic(http.ErrAbortHandler)
 	}
-	f.farewell(w) // the word to stop may have come meanwhile
-	f.write(w, a)
+	f.closeIfStopping(w) // the word to stop may have come meanwhile
+	f.writeAnswer(w, a)
 }
 
-// read decodes a request into a query. The client counts its patience from when it sent the request, which
+// decodeRequest decodes a request into a query. The client counts its patience from when it sent the request, which
 // is not told; the earliest that is known of it is when its first byte came.
-func (f *Front) read(w http.ResponseWriter, r *http.Request, guard Guard) (q node.Query, err error) {
+func (f *Front) decodeRequest(w http.ResponseWriter, r *http.Request, guard Guard) (q node.Query, err error) {
 	began, c := f.Clock.Now(), connection(r)
 	if c != nil {
-		began = min(began, c.began())
+		began = min(began, c.requestStart())
 	}
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	row, known := f.Workload[name]
+	row, known := f.WorkloadRow[name]
 	qos := r.Header.Get("X-Qos")
 	switch {
 	case !known && (name == "" || qos != name):
-		return q, complaint{http.StatusNotFound, "no such path"}
+		return q, requestError{http.StatusNotFound, "no such path"}
 	case r.Method != http.MethodPost:
-		return q, complaint{http.StatusMethodNotAllowed, "POST only"}
+		return q, requestError{http.StatusMethodNotAllowed, "POST only"}
 	case !known:
-		return q, bad("X-Qos names no workload")
+		return q, badRequest("X-Qos names no workload")
 	case qos != name:
-		return q, bad("X-Qos is missing or differs from the path")
+		return q, badRequest("X-Qos is missing or differs from the path")
 	}
 	for _, name := range []string{"X-Qos", "X-Trace-Id", "X-Expires-In-Ms"} {
 		if len(r.Header[name]) > 1 {
-			return q, bad(name + " stands twice")
+			return q, badRequest(name + " stands twice")
 		}
 	}
 	// Danger: a body that is told in two ways may hide a second request from one reader and show it to another.
-	if c != nil && c.twofold() {
-		return q, bad("the body has a length and an encoding")
+	if c != nil && c.hasLengthAndEncoding() {
+		return q, badRequest("the body has a length and an encoding")
 	}
 	q.Workload, q.ID, q.Customer = row, r.Header.Get("X-Trace-Id"), r.Header.Get("X-Customer")
 	q.Retry = r.Header.Get(HeaderRetry) == "1"
-	if !plain(q.ID) {
-		return q, bad("X-Trace-Id is missing or malformed")
+	if !validID(q.ID) {
+		return q, badRequest("X-Trace-Id is missing or malformed")
 	}
 	wait, err := strconv.ParseUint(r.Header.Get("X-Expires-In-Ms"), 10, 63)
-	if err != nil || wait > waitMost {
-		return q, bad("X-Expires-In-Ms is missing or malformed")
+	if err != nil || wait > maxTimeLeftMs {
+		return q, badRequest("X-Expires-In-Ms is missing or malformed")
 	}
-	q.Deadline = began + int64(wait)*unit
+	q.Deadline = began + int64(wait)*nsPerMs
 
 	if guard != nil {
-		if taken, comeBack := guard.Arrive(arrival(q, r, f.Clock.Now())); !taken {
-			return q, away{name, comeBack}
+		if taken, comeBack := guard.Admit(arrivalOf(q, r, f.Clock.Now())); !taken {
+			return q, rejection{name, comeBack}
 		}
 	}
-	tooLong := complaint{http.StatusRequestEntityTooLarge, "the body is over 64 KiB"}
-	if r.ContentLength > bodyMost { // before a byte of it is read
+	tooLong := requestError{http.StatusRequestEntityTooLarge, "the body is over 64 KiB"}
+	if r.ContentLength > maxBodyBytes { // before a byte of it is read
 		return q, tooLong
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	var long *http.MaxBytesError
 	switch {
 	case errors.As(err, &long):
 		return q, tooLong
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return q, complaint{http.StatusRequestTimeout, "the body did not come in time"}
+		return q, requestError{http.StatusRequestTimeout, "the body did not come in time"}
 	case err != nil:
-		return q, bad("the body ended early")
+		return q, badRequest("the body ended early")
 	}
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
 	// Danger: what follows a request before its answer may be hidden in it. It is never read: chunks hide where
 	// they end, and past a length nothing may have come.
-	if c != nil && c.taken(r.ContentLength) {
+	if c != nil && c.bodyRead(r.ContentLength) {
 		w.Header().Set("Connection", "close")
 	}
-	return q, f.readBody(text, &q)
+	return q, f.decodeBody(text, &q)
 }
 
-// arrival is what a query's head shows of it.
-func arrival(q node.Query, r *http.Request, now int64) overload.Arrival {
+// arrivalOf is what a query's head shows of it.
+func arrivalOf(q node.Query, r *http.Request, now int64) overload.Arrival {
 	a := overload.Arrival{Workload: q.Workload, ID: xxhash.Sum64String(q.ID), TimeLeft: q.Deadline - now, Attempt: 1}
 	if q.Customer != "" {
 		a.Customer = xxhash.Sum64String(q.Customer)
@@ -340,36 +340,36 @@
 	return a
 }
 
-// readBody decodes a body. Its text must reach replicas as it came: the decoder takes no key that stands twice or
+// decodeBody decodes a body. Its text must reach replicas as it came: the decoder takes no key that stands twice or
 // is written otherwise, and no text that is not Unicode, which others would mend in silence.
-func (f *Front) readBody(text []byte, q *node.Query) error {
-	var b body
+func (f *Front) decodeBody(text []byte, q *node.Query) error {
+	var b requestBody
 	if err := json.Unmarshal(text, &b); err != nil {
-		return bad("the body is malformed")
+		return badRequest("the body is malformed")
 	}
 	if len(b.Segments) == 0 || b.Text == nil {
-		return bad("the body lacks segments or text")
+		return badRequest("the body lacks segments or text")
 	}
 	if len(b.Segments) > f.Shards {
-		return bad("more segments than there are")
+		return badRequest("more segments than there are")
 	}
 	q.Text = []byte(*b.Text)
 	seen, sum := make([]bool, f.Shards), 0.0
 	for _, s := range b.Segments {
 		switch {
 		case s.Segment == nil || *s.Segment < 0 || *s.Segment >= f.Shards:
-			return bad("a segment is out of range")
+			return badRequest("a segment is out of range")
 		case seen[*s.Segment]:
-			return bad("a segment stands twice")
+			return badRequest("a segment stands twice")
 		case s.Boost == nil || !(*s.Boost >= 0 && *s.Boost <= 1):
-			return bad("a boost is missing or out of range")
+			return badRequest("a boost is missing or out of range")
 		}
 		seen[*s.Segment] = true
 		sum += *s.Boost
 		q.Parts = append(q.Parts, node.Part{Shard: *s.Segment, Weight: *s.Boost})
 	}
-	if math.Abs(sum-1) > rounding {
-		return bad("the boosts do not add up to 1")
+	if math.Abs(sum-1) > weightTolerance {
+		return badRequest("the boosts do not add up to 1")
 	}
 	for i := range q.Parts { // they are shares of one, but for rounding
 		q.Parts[i].Weight /= sum
@@ -377,32 +377,32 @@
 	return nil
 }
 
-// plain tells whether an id can stand in a line of words.
-func plain(id string) bool {
-	return id != "" && len(id) <= idMost &&
+// validID tells whether an id can stand in a line of words.
+func validID(id string) bool {
+	return id != "" && len(id) <= maxIDBytes &&
 		strings.IndexFunc(id, func(c rune) bool { return c <= ' ' || c >= 0x7f }) < 0
 }
 
-// complain answers a request that is not served.
-func (f *Front) complain(w http.ResponseWriter, err error) {
-	f.Count.BadRequests.Add(1)
+// writeError answers a request that is not served.
+func (f *Front) writeError(w http.ResponseWriter, err error) {
+	f.Counters.BadRequests.Add(1)
 	status := http.StatusBadRequest
-	var c complaint
+	var c requestError
 	if errors.As(err, &c) {
 		status = c.status
 	}
 	// Danger: the stock server reads on to the end of a request, before its answer or after it. So the connection
 	// ends with the complaint, and what still comes has little time.
 	w.Header().Set("Connection", "close")
-	f.limit(w, restWait)
+	f.setReadTimeout(w, drainTimeout)
 	http.Error(w, err.Error(), status)
 }
 
-// write writes an answer, whole and with its length.
-func (f *Front) write(w http.ResponseWriter, a node.Answer) {
+// writeAnswer writes an answer, whole and with its length.
+func (f *Front) writeAnswer(w http.ResponseWriter, a node.Answer) {
 	switch a.Outcome {
 	case balance.Whole, balance.Partial:
-		m := answer{AllIn: a.Outcome == balance.Whole, Matches: make([]match, len(a.Values))}
+		m := answerBody{AllIn: a.Outcome == balance.Whole, Matches: make([]match, len(a.Values))}
 		for i, v := range a.Values {
 			m.Matches[i] = match{v.Shard, v.Value}
 		}
@@ -416,16 +416,16 @@
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		// Danger: a client that reads nothing would hold its connection for ever.
 		control := http.NewResponseController(w)
-		control.SetWriteDeadline(time.Now().Add(writeWait))
+		control.SetWriteDeadline(time.Now().Add(writeTimeout))
 		_, err = w.Write(text)
 		if err = cmp.Or(err, control.Flush()); err != nil {
-			f.Count.Undelivered.Add(1)
+			f.Counters.Undelivered.Add(1)
 			panic(http.ErrAbortHandler)
 		}
 		control.SetWriteDeadline(time.Time{})
 	case balance.Declined:
 		if a.RetryAfter > 0 {
-			w.Header().Set("Retry-After", seconds(a.RetryAfter))
+			w.Header().Set("Retry-After", formatSeconds(a.RetryAfter))
 		}
 		http.Error(w, "declined", http.StatusServiceUnavailable)
 	default:
@@ -433,7 +433,7 @@
 	}
 }
 
-// seconds writes a time as decimal seconds, no earlier than it is.
-func seconds(ns int64) string {
-	return strconv.FormatFloat(float64((ns+unit-1)/unit)/1000, 'f', 3, 64)
+// formatSeconds writes a time as decimal seconds, no earlier than it is.
+func formatSeconds(ns int64) string {
+	return strconv.FormatFloat(float64((ns+nsPerMs-1)/nsPerMs)/1000, 'f', 3, 64)
 }
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -42,8 +42,8 @@
 func makeFront(serve func(context.Context, node.Query) (node.Answer, bool)) *Front {
 	c := &core{serve, make(chan struct{})}
 	close(c.ready)
-	return &Front{Core: c, Clock: node.NewClock(), Workload: map[string]int{"report": 0, "lookup": 1}, Shards: 12,
-		Count: counters.New(nil), Log: zap.NewNop()}
+	return &Front{Core: c, Clock: node.NewClock(), WorkloadRow: map[string]int{"report": 0, "lookup": 1}, Shards: 12,
+		Counters: counters.New(nil), Log: zap.NewNop()}
 }
 
 const goodBody = `{"segments":[{"segment":3,"boost":0.25,"work":9000},{"segment":9,"boost":0.75}],"text":"c41e77d0"}`
@@ -110,8 +110,8 @@
 		"out of range":   {request("POST", "/lookup", `{"segments":[{"segment":12,"boost":1}],"text":"a"}`), 400},
 		"below range":    {request("POST", "/lookup", `{"segments":[{"segment":-1,"boost":1}],"text":"a"}`), 400},
 		"twice":          {request("POST", "/lookup", `{"segments":[{"segment":1,"boost":1},{"segment":1,"boost":1}],"text":""}`), 400},
-		"64 KiB":         {request("POST", "/lookup", goodBody+strings.Repeat(" ", bodyMost-len(goodBody))), 200},
-		"over 64 KiB":    {request("POST", "/lookup", goodBody+strings.Repeat(" ", bodyMost)), 413},
+		"64 KiB":         {request("POST", "/lookup", goodBody+strings.Repeat(" ", maxBodyBytes-len(goodBody))), 200},
+		"over 64 KiB":    {request("POST", "/lookup", goodBody+strings.Repeat(" ", maxBodyBytes)), 413},
 		"health":         {request("GET", "/healthz", ""), 200},
 		"health, POST":   {request("POST", "/healthz", ""), 405},
 		"counters":       {request("GET", "/counters", ""), 200},
@@ -162,7 +162,7 @@
 	front := makeFront(nil)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var q node.Query
-		if front.readBody(text, &q) != nil {
+		if front.decodeBody(text, &q) != nil {
 			return
 		}
 		sum, seen := 0.0, map[int]bool{}
@@ -229,7 +229,7 @@
 			t.Error(err)
 		}
 		synctest.Wait()
-		if n := budget.Taken(sockets.Clients); n != 0 {
+		if n := budget.InUse(sockets.Clients); n != 0 {
 			t.Errorf("%d descriptors are still taken", n)
 		}
 	})
@@ -301,7 +301,7 @@
 		}
 		fmt.Fprintf(c, "%s%d\r\n\r\n%s", sent, len(goodBody), goodBody[:9])
 		began = s.front.Clock.Now()
-		if code, closing := c.status(); code != 408 || !closing || s.front.Clock.Now() != began+int64(requestWait) {
+		if code, closing := c.status(); code != 408 || !closing || s.front.Clock.Now() != began+int64(requestTimeout) {
 			t.Errorf("a body that never ends got %d after %d ns", code, s.front.Clock.Now()-began)
 		}
 	})
@@ -315,10 +315,10 @@
 		code  int
 		wait  time.Duration
 	}{
-		"silent":          {"", 0, requestWait},
-		"half a line":     {"POST /loo", 400, requestWait},
-		"half a head":     {sent, 0, requestWait},
-		"half a body":     {sent + "99\r\n\r\n{", 408, requestWait},
+		"silent":          {"", 0, requestTimeout},
+		"half a line":     {"POST /loo", 400, requestTimeout},
+		"half a head":     {sent, 0, requestTimeout},
+		"half a body":     {sent + "99\r\n\r\n{", 408, requestTimeout},
 		"no HTTP":         {"\x16\x03\x01\x02\r\n\r\n", 400, 0},
 		"endless head":    {"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 64<<10), 431, 0},
 		"below zero":      {sent + "-5\r\n\r\n", 400, 0},
@@ -395,10 +395,10 @@
 func TestClientReadsNothing(t *testing.T) {
 	on(t, whole, func(s *Server, dial func() *client) {
 		dial().send()
-		time.Sleep(writeWait)
+		time.Sleep(writeTimeout)
 		synctest.Wait()
-		if n := s.front.Count.Undelivered.Load(); n != 1 || s.budget.Taken(sockets.Clients) != 0 {
-			t.Errorf("%d answers undelivered, %d connections", n, s.budget.Taken(sockets.Clients))
+		if n := s.front.Counters.Undelivered.Load(); n != 1 || s.budget.InUse(sockets.Clients) != 0 {
+			t.Errorf("%d answers undelivered, %d connections", n, s.budget.InUse(sockets.Clients))
 		}
 	})
 }
@@ -412,7 +412,7 @@
 				t.Errorf("status %d", code)
 			}
 		}
-		if n := s.front.Count.Panics.Load(); n != 2 {
+		if n := s.front.Counters.Panics.Load(); n != 2 {
 			t.Errorf("%d panics", n)
 		}
 	})
@@ -436,7 +436,7 @@
 				}
 			}
 		}
-		if most := s.budget.Taken(sockets.Clients); most > 24 {
+		if most := s.budget.InUse(sockets.Clients); most > 24 {
 			t.Errorf("%d descriptors are taken by clients, of 24", most)
 		}
 		if code, _ := idle.status(); code != 0 {
@@ -448,7 +448,7 @@
 // Danger: clients that ask once and stay would use up what clients may hold together; the latest may stay a while.
 func TestIdleClients(t *testing.T) {
 	on(t, whole, func(s *Server, dial func() *client) {
-		most := s.budget.Most(sockets.Clients) / idleShare
+		most := s.budget.Limit(sockets.Clients) / idleDivisor
 		var stay []*client
 		for range most + 3 {
 			c := dial()
@@ -457,16 +457,16 @@
 			stay = append(stay, c)
 			time.Sleep(time.Millisecond)
 		}
-		if synctest.Wait(); s.budget.Taken(sockets.Clients) != most {
-			t.Errorf("%d stay, of %d", s.budget.Taken(sockets.Clients), most)
+		if synctest.Wait(); s.budget.InUse(sockets.Clients) != most {
+			t.Errorf("%d stay, of %d", s.budget.InUse(sockets.Clients), most)
 		}
 		last := stay[len(stay)-1]
 		last.send()
 		if code, _ := last.status(); code != 200 {
 			t.Errorf("the last client got %d", code)
 		}
-		if time.Sleep(idleWait + time.Second); s.budget.Taken(sockets.Clients) != 0 {
-			t.Errorf("%d still stay after %v", s.budget.Taken(sockets.Clients), idleWait)
+		if time.Sleep(idleTimeout + time.Second); s.budget.InUse(sockets.Clients) != 0 {
+			t.Errorf("%d still stay after %v", s.budget.InUse(sockets.Clients), idleTimeout)
 		}
 	})
 }
@@ -558,7 +558,7 @@
 	reads("a second time", "")
 	near.SetReadDeadline(time.Time{})
 	reads("in its time", " HTTP/1.1")
-	c.taken(0)
+	c.bodyRead(0)
 	comes("POST")
 	over()
 	reads("while it is served", "")
--- a/front/gateway/door.go
+++ b/front/gateway/door.go
@@ -29,27 +29,27 @@
 )
 
 const (
-	doorHead    = 2 * time.Second  // for a request's head
-	doorIdle    = 60 * time.Second // that a peer's connection may stand: longer than peers keep it
-	doorHeader  = 32 << 10
-	visitedMost = 8 // sites named on a query
-	certName    = ".gateway"
+	headTimeout       = 2 * time.Second  // for a request's head
+	idleTimeout       = 60 * time.Second // that a peer's connection may stand: longer than peers keep it
+	maxHeaderBytes    = 32 << 10
+	maxVisitedSites   = 8 // sites named on a query
+	certificateSuffix = ".gateway"
 )
 
-// Door takes in queries of other sites.
-type Door struct {
-	Own        string
-	Sites      []string // whose gateways are let in
-	Front      http.Handler
-	Deployment deployment.Deployment
-	Clock      node.Clock
-	Window     *deduplication.Window
-	Count      *Count
-	Log        *zap.Logger
-	Secure     bool // peers show certificates that name their sites
+// PeerServer takes in queries of other sites.
+type PeerServer struct {
+	Site               string
+	PeerSites          []string // whose gateways are let in
+	Front              http.Handler
+	Deployment         deployment.Deployment
+	Clock              node.Clock
+	Window             *deduplication.Window
+	Counters           *Counters
+	Log                *zap.Logger
+	RequireCertificate bool // peers show certificates that name their sites
 
-	// Willing is how many more queries a second the site would take; nil where that is not told.
-	Willing func() float64
+	// AdvertisedRate is how many more queries a second the site would take; nil where that is not told.
+	AdvertisedRate func() float64
 
 	leaving atomic.Bool
 	mu      sync.Mutex // guards Window and waiting
@@ -57,49 +57,49 @@
 }
 
 // ServeHTTP serves one query of a peer.
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	site, err := d.peer(r)
+func (d *PeerServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	site, err := d.peerSite(r)
 	if err != nil {
-		d.Count.Stranger.Add(1)
+		d.Counters.Strangers.Add(1)
 		d.Log.Warn("a peer was not let in", zap.Error(err))
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
 	}
 	if r.URL.Path == pathPing {
-		d.willing(w)
+		d.writeAdvertisedRate(w)
 		if d.leaving.Load() {
 			w.Header().Set(headerLeaving, "1")
 		}
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	came, err := d.came(r, site)
+	came, err := d.visitedSites(r, site)
 	if err != nil {
-		w.Header().Set(headerRan, "0")
+		w.Header().Set(headerMayHaveRun, "0")
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	d.Count.Taken.Add(1)
+	d.Counters.Received.Add(1)
 	r = r.WithContext(context.WithValue(r.Context(), visitedKey{}, came))
-	row, known := d.Deployment.Workload[strings.TrimPrefix(r.URL.Path, "/")]
-	d.willing(w)
+	row, known := d.Deployment.WorkloadRow[strings.TrimPrefix(r.URL.Path, "/")]
+	d.writeAdvertisedRate(w)
 	if !known || d.Deployment.Workloads[row].RetrySafety == balance.Repeatable {
 		d.Front.ServeHTTP(w, r)
 		return
 	}
-	d.once(w, r, r.Header.Get("X-Trace-Id"))
+	d.serveOnce(w, r, r.Header.Get("X-Trace-Id"))
 }
 
-// willing tells a peer how much the site would take.
-func (d *Door) willing(w http.ResponseWriter) {
-	if d.Willing != nil {
-		w.Header().Set(headerWilling, strconv.FormatFloat(d.Willing(), 'f', 2, 64))
+// writeAdvertisedRate tells a peer how much the site would take.
+func (d *PeerServer) writeAdvertisedRate(w http.ResponseWriter) {
+	if d.AdvertisedRate != nil {
+		w.Header().Set(headerWilling, strconv.FormatFloat(d.AdvertisedRate(), 'f', 2, 64))
 	}
 }
 
-// peer tells which site a request comes from.
-func (d *Door) peer(r *http.Request) (string, error) {
-	if !d.Secure {
+// peerSite tells which site a request comes from.
+func (d *PeerServer) peerSite(r *http.Request) (string, error) {
+	if !d.RequireCertificate {
 		all := strings.Split(r.Header.Get(headerVisited), ",")
 		return all[len(all)-1], nil
 	}
@@ -107,31 +107,31 @@
 		return "", errors.New("no certificate")
 	}
 	names := r.TLS.PeerCertificates[0].DNSNames
-	for _, s := range d.Sites {
-		if slices.Contains(names, s+certName) {
+	for _, s := range d.PeerSites {
+		if slices.Contains(names, s+certificateSuffix) {
 			return s, nil
 		}
 	}
 	return "", fmt.Errorf("a certificate for %q, and of none of the sites known here", names)
 }
 
-// came reads the sites that a query came through. Danger: a query that names none would go round for ever, and one that
+// visitedSites reads the sites that a query came through. Danger: a query that names none would go round for ever, and one that
 // names this site has.
-func (d *Door) came(r *http.Request, peer string) ([]string, error) {
+func (d *PeerServer) visitedSites(r *http.Request, peer string) ([]string, error) {
 	all := strings.Split(r.Header.Get(headerVisited), ",")
 	switch {
 	case len(r.Header[headerVisited]) != 1 || all[len(all)-1] != peer:
 		return nil, errors.New(headerVisited + " does not end with the peer's site")
-	case len(all) > visitedMost:
+	case len(all) > maxVisitedSites:
 		return nil, errors.New(headerVisited + " names too many sites")
-	case slices.Contains(all, d.Own):
+	case slices.Contains(all, d.Site):
 		return nil, errors.New("the query has been here")
 	}
 	return all, nil
 }
 
-// once runs a query whose effect must not come twice, or gives a repeat the answer of the first.
-func (d *Door) once(w http.ResponseWriter, r *http.Request, id string) {
+// serveOnce runs a query whose effect must not come twice, or gives a repeat the answer of the first.
+func (d *PeerServer) serveOnce(w http.ResponseWriter, r *http.Request, id string) {
 	for {
 		d.mu.Lock()
 		verdict, kept := d.Window.Begin(d.Clock.Now(), id)
@@ -145,22 +145,22 @@
 		d.mu.Unlock()
 		switch verdict {
 		case deduplication.FirstSeen:
-			d.run(w, r, id)
+			d.runOnce(w, r, id)
 			return
 		case deduplication.Answered:
-			d.Count.Repeated.Add(1)
-			replay(w, kept)
+			d.Counters.Replayed.Add(1)
+			replayAnswer(w, kept)
 			return
 		case deduplication.Full:
 			http.Error(w, "declined", http.StatusServiceUnavailable)
 			return
 		case deduplication.Interrupted:
-			d.Count.CutOff.Add(1)
-			w.Header().Set(headerRan, "1")
+			d.Counters.OutcomeUnknown.Add(1)
+			w.Header().Set(headerMayHaveRun, "1")
 			http.Error(w, "how it ended is not known", http.StatusInternalServerError)
 			return
 		}
-		d.Count.Joined.Add(1)
+		d.Counters.Joined.Add(1)
 		select {
 		case <-wait:
 		case <-r.Context().Done():
@@ -169,10 +169,10 @@
 	}
 }
 
-// run serves a query to its end, whether its peer still waits or not: what has begun has an effect, and a repeat of it
+// runOnce serves a query to its end, whether its peer still waits or not: what has begun has an effect, and a repeat of it
 // must find how it ended.
-func (d *Door) run(w http.ResponseWriter, r *http.Request, id string) {
-	k := &keep{ResponseWriter: w, status: http.StatusOK}
+func (d *PeerServer) runOnce(w http.ResponseWriter, r *http.Request, id string) {
+	k := &bufferedAnswer{ResponseWriter: w, status: http.StatusOK}
 	ended := false
 	defer func() {
 		d.mu.Lock()
@@ -182,7 +182,7 @@
 		case k.status == http.StatusServiceUnavailable || k.status >= 400 && k.status < 500: // it never ran
 			d.Window.Discard(id)
 		default:
-			d.Window.End(now, id, k.whole())
+			d.Window.End(now, id, k.encode())
 		}
 		close(d.waiting[id])
 		delete(d.waiting, id)
@@ -190,27 +190,27 @@
 	}()
 	d.Front.ServeHTTP(k, r.WithContext(context.WithoutCancel(r.Context())))
 	ended = true
-	replay(w, k.whole())
+	replayAnswer(w, k.encode())
 }
 
-// keep holds an answer back until it is whole.
-type keep struct {
+// bufferedAnswer holds an answer back until it is whole.
+type bufferedAnswer struct {
 	http.ResponseWriter
 	status int
 	body   bytes.Buffer
 }
 
-func (k *keep) WriteHeader(status int)             { k.status = status }
-func (k *keep) Write(b []byte) (int, error)        { return k.body.Write(b) }
-func (k *keep) FlushError() error                  { return nil }
-func (k *keep) Unwrap() http.ResponseWriter        { return k.ResponseWriter }
-func (k *keep) SetWriteDeadline(t time.Time) error { return nil }
-func (k *keep) whole() []byte {
+func (k *bufferedAnswer) WriteHeader(status int)             { k.status = status }
+func (k *bufferedAnswer) Write(b []byte) (int, error)        { return k.body.Write(b) }
+func (k *bufferedAnswer) FlushError() error                  { return nil }
+func (k *bufferedAnswer) Unwrap() http.ResponseWriter        { return k.ResponseWriter }
+func (k *bufferedAnswer) SetWriteDeadline(t time.Time) error { return nil }
+func (k *bufferedAnswer) encode() []byte {
 	return append(strconv.AppendInt(nil, int64(k.status), 10), k.body.Bytes()...)
 }
 
-// replay writes an answer that was kept: three digits of status, then the body.
-func replay(w http.ResponseWriter, kept []byte) {
+// replayAnswer writes an answer that was kept: three digits of status, then the body.
+func replayAnswer(w http.ResponseWriter, kept []byte) {
 	status, err := strconv.Atoi(string(kept[:min(3, len(kept))]))
 	if err != nil {
 		http.Error(w, "no answer", http.StatusInternalServerError)
@@ -221,71 +221,71 @@
 	w.Write(kept[3:])
 }
 
-// Leave tells peers at their next pings that the door is about to close, and serves all that comes until they know, or ctx
+// AnnounceShutdown tells peers at their next pings that the door is about to close, and serves all that comes until they know, or ctx
 // is over.
 //
 // Danger: a peer may write a query while the news that its idle connection was closed is on the way. Nobody can tell it
 // from one that ran, so a once-only one would be forfeited at each planned restart.
-func (d *Door) Leave(ctx context.Context) {
+func (d *PeerServer) AnnounceShutdown(ctx context.Context) {
 	d.leaving.Store(true)
 	select {
-	case <-time.After(pingEach + 2*pingWait):
+	case <-time.After(pingInterval + 2*pingTimeout):
 	case <-ctx.Done():
 	}
 }
 
-// Server makes the server of a door, to be served on a listener.
-func (d *Door) Server(secure *tls.Config) *http.Server {
-	return &http.Server{Handler: d, ReadHeaderTimeout: doorHead, IdleTimeout: doorIdle, MaxHeaderBytes: doorHeader,
+// HTTPServer makes the server of a door, to be served on a listener.
+func (d *PeerServer) HTTPServer(secure *tls.Config) *http.Server {
+	return &http.Server{Handler: d, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		TLSConfig: secure, ErrorLog: zap.NewStdLog(d.Log)}
 }
 
-// Listen opens a door's listener, with TLS where secure is not nil.
-func Listen(l net.Listener, secure *tls.Config) net.Listener {
+// TLSListener opens a door's listener, with TLS where secure is not nil.
+func TLSListener(l net.Listener, secure *tls.Config) net.Listener {
 	if secure == nil {
 		return l
 	}
 	return tls.NewListener(l, secure)
 }
 
-// Papers are the files that prove a site to others and others to it. They are read anew at each handshake, so that new
+// Certificates are the files that prove a site to others and others to it. They are read anew at each handshake, so that new
 // ones count without a restart and what is under way goes on.
-type Papers struct {
+type Certificates struct {
 	CertFile, KeyFile, CAFile string
 	PasswordFile              string // of the key; empty where the key is not locked
 }
 
-// Secure makes what both directions demand: TLS 1.3, each side with a certificate of the same authority. Whose gateway it
+// TLSConfigs makes what both directions demand: TLS 1.3, each side with a certificate of the same authority. Whose gateway it
 // is for is asked by the door for callers, and by forSite for doors.
-func (p Papers) Secure() (server, client *tls.Config, err error) {
-	if _, err := p.own(); err != nil {
+func (p Certificates) TLSConfigs() (server, client *tls.Config, err error) {
+	if _, err := p.ownCertificate(); err != nil {
 		return nil, nil, err
 	}
-	if _, err := p.authority(); err != nil {
+	if _, err := p.authorityPool(); err != nil {
 		return nil, nil, err
 	}
-	server = &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: forms,
+	server = &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: protocols,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			own, err := p.own()
+			own, err := p.ownCertificate()
 			if err != nil {
 				return nil, err
 			}
-			pool, err := p.authority()
+			pool, err := p.authorityPool()
 			if err != nil {
 				return nil, err
 			}
-			return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: forms, Certificates: []tls.Certificate{own},
+			return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: protocols, Certificates: []tls.Certificate{own},
 				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool}, nil
 		}}
 	client = &tls.Config{MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			own, err := p.own()
+			own, err := p.ownCertificate()
 			return &own, err
 		},
 		// The name is a site's and not a host's, so the chain is checked here and not by the library's rule for hosts.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
-			pool, err := p.authority()
+			pool, err := p.authorityPool()
 			if err != nil {
 				return err
 			}
@@ -305,16 +305,16 @@
 	return server, client, nil
 }
 
-// forms are what a door speaks; a caller chooses.
-var forms = []string{"h2", "http/1.1"}
+// protocols are what a door speaks; a caller chooses.
+var protocols = []string{"h2", "http/1.1"}
 
-// forSite is what a caller of one site's gateways demands of them.
+// requireSite is what a caller of one site's gateways demands of them.
 //
 // Danger: with any site's certificate good for any address, one site could take the queries of another.
-func forSite(secure *tls.Config, site string, http2 bool) *tls.Config {
+func requireSite(secure *tls.Config, site string, http2 bool) *tls.Config {
 	one := secure.Clone()
-	if one.NextProtos = forms[1:]; http2 {
-		one.NextProtos = forms
+	if one.NextProtos = protocols[1:]; http2 {
+		one.NextProtos = protocols
 	}
 	one.VerifyConnection = func(s tls.ConnectionState) error {
 		if secure.VerifyConnection != nil {
@@ -322,7 +322,7 @@
 				return err
 			}
 		}
-		if names := s.PeerCertificates[0].DNSNames; !slices.Contains(names, site+certName) {
+		if names := s.PeerCertificates[0].DNSNames; !slices.Contains(names, site+certificateSuffix) {
 			return fmt.Errorf("the certificate is for %q, and not for a gateway of site %q", names, site)
 		}
 		return nil
@@ -330,7 +330,7 @@
 	return one
 }
 
-func (p Papers) own() (tls.Certificate, error) {
+func (p Certificates) ownCertificate() (tls.Certificate, error) {
 	chain, err := pemutil.ReadCertificateBundle(p.CertFile)
 	if err != nil {
 		return tls.Certificate{}, fmt.Errorf("the site's certificate: %w", err)
@@ -353,16 +353,16 @@
 	return c, nil
 }
 
-// Until is when the site's own certificate ends.
-func (p Papers) Until() (time.Time, error) {
-	c, err := p.own()
+// Expiry is when the site's own certificate ends.
+func (p Certificates) Expiry() (time.Time, error) {
+	c, err := p.ownCertificate()
 	if err != nil {
 		return time.Time{}, err
 	}
 	return c.Leaf.NotAfter, nil
 }
 
-func (p Papers) authority() (*x509.CertPool, error) {
+func (p Certificates) authorityPool() (*x509.CertPool, error) {
 	text, err := os.ReadFile(p.CAFile)
 	if err != nil {
 		return nil, fmt.Errorf("the authority: %w", err)
@@ -378,21 +378,21 @@
 	return pool, nil
 }
 
-// sign is a gateway's sign of life.
-type sign struct {
-	took    int64
-	willing string // what its site would take of each workload, as it says
-	leaving bool
-	err     error
+// pingResult is a gateway's sign of life.
+type pingResult struct {
+	took           int64
+	advertisedRate string // what its site would take of each workload, as it says
+	leaving        bool
+	err            error
 }
 
 // ping asks a gateway for a sign of life.
-func (p *pool) ping(ctx context.Context, address string) (s sign) {
-	ctx, cancel := context.WithTimeout(ctx, pingWait)
+func (p *pool) ping(ctx context.Context, address string) (s pingResult) {
+	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, p.url(address, pathPing), nil)
 	if err != nil {
-		return sign{err: err}
+		return pingResult{err: err}
 	}
 	began := time.Now()
 	a, err := p.client.RoundTrip(r)
@@ -405,7 +405,7 @@
 	if a.StatusCode != http.StatusNoContent {
 		s.err = fmt.Errorf("the gateway at %s answered %s", address, a.Status)
 	}
-	s.willing, s.leaving = a.Header.Get(headerWilling), a.Header.Get(headerLeaving) != ""
+	s.advertisedRate, s.leaving = a.Header.Get(headerWilling), a.Header.Get(headerLeaving) != ""
 	return s
 }
 
--- a/front/gateway/door_test.go
+++ b/front/gateway/door_test.go
@@ -30,30 +30,30 @@
 }
 
 // issue has an authority make papers for a name, good until then.
-func issue(t *testing.T, a *papers.Authority, file, name string, until time.Time) Papers {
+func issue(t *testing.T, a *papers.Authority, file, name string, until time.Time) Certificates {
 	t.Helper()
 	cert, key, err := a.Issue(file, name, until)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Papers{CertFile: cert, KeyFile: key, CAFile: a.File}
+	return Certificates{CertFile: cert, KeyFile: key, CAFile: a.CertFile}
 }
 
 // openDoor listens with a site's papers.
-func openDoor(t *testing.T, p Papers) (d *Door, address string) {
+func openDoor(t *testing.T, p Certificates) (d *PeerServer, address string) {
 	t.Helper()
-	server, _, err := p.Secure()
+	server, _, err := p.TLSConfigs()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d = &Door{Own: "b", Sites: []string{"a"}, Front: http.NotFoundHandler(), Clock: node.NewClock(), Count: &Count{},
-		Log: zap.NewNop(), Secure: true, Window: deduplication.New(deduplication.Limits{MaxIDs: 9, MaxAnswerBytes: 999, Retention: 1e9})}
+	d = &PeerServer{Site: "b", PeerSites: []string{"a"}, Front: http.NotFoundHandler(), Clock: node.NewClock(), Counters: &Counters{},
+		Log: zap.NewNop(), RequireCertificate: true, Window: deduplication.New(deduplication.Limits{MaxIDs: 9, MaxAnswerBytes: 999, Retention: 1e9})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := d.Server(nil)
-	go s.Serve(Listen(l, server))
+	s := d.HTTPServer(nil)
+	go s.Serve(TLSListener(l, server))
 	t.Cleanup(func() { s.Close() })
 	return d, l.Addr().String()
 }
@@ -64,9 +64,9 @@
 	later, before := time.Now().Add(time.Hour), time.Now().Add(-time.Hour)
 	good := issue(t, ours, "1614", "b.gateway", later)
 	mixed := issue(t, theirs, "1667", "a.gateway", later) // signed elsewhere, and trusts us
-	mixed.CAFile = ours.File
+	mixed.CAFile = ours.CertFile
 	for name, c := range map[string]struct {
-		door, caller Papers
+		door, caller Certificates
 		want         string
 	}{
 		"good":               {good, issue(t, ours, "1904", "a.gateway", later), ""},
@@ -81,7 +81,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, address := openDoor(t, c.door)
-			_, secure, err := c.caller.Secure()
+			_, secure, err := c.caller.TLSConfigs()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -100,7 +100,7 @@
 	root := newAuthority(t)
 	_, address := openDoor(t, issue(t, root, "b", "b.gateway", time.Now().Add(time.Hour)))
 	caller := issue(t, root, "caller", "z.gateway", time.Now().Add(time.Hour))
-	_, secure, err := caller.Secure()
+	_, secure, err := caller.TLSConfigs()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,19 +127,19 @@
 // A key may be locked; without its password, or with another's certificate, it is of no use, and no error shows it.
 func TestLockedKey(t *testing.T) {
 	a := newAuthority(t)
-	a.Lock = []byte("a password of some length")
+	a.KeyPassword = []byte("a password of some length")
 	p := issue(t, a, "locked", "a.gateway", time.Now().Add(time.Hour))
-	if _, _, err := p.Secure(); err == nil {
+	if _, _, err := p.TLSConfigs(); err == nil {
 		t.Error("a locked key opened by itself")
 	}
 	p.PasswordFile = filepath.Join(t.TempDir(), "password")
-	os.WriteFile(p.PasswordFile, a.Lock, 0o600)
-	if _, _, err := p.Secure(); err != nil {
+	os.WriteFile(p.PasswordFile, a.KeyPassword, 0o600)
+	if _, _, err := p.TLSConfigs(); err != nil {
 		t.Error(err)
 	}
 	other := issue(t, a, "other", "a.gateway", time.Now().Add(time.Hour))
 	p.CertFile = other.CertFile
-	if _, _, err := p.Secure(); err == nil || !strings.Contains(err.Error(), "is not the key of") {
+	if _, _, err := p.TLSConfigs(); err == nil || !strings.Contains(err.Error(), "is not the key of") {
 		t.Errorf("with another's certificate: %v", err)
 	}
 }
@@ -151,7 +151,7 @@
 	f.Add("a,,a", "q\x00", "pay", "99999999999999999999")
 	f.Fuzz(func(t *testing.T, sites, id, workload, left string) {
 		in := false
-		d := &Door{Own: "b", Sites: []string{"a"}, Count: &Count{}, Log: zap.NewNop(), Clock: node.NewClock(), Deployment: theDeployment(),
+		d := &PeerServer{Site: "b", PeerSites: []string{"a"}, Counters: &Counters{}, Log: zap.NewNop(), Clock: node.NewClock(), Deployment: theDeployment(),
 			Window: deduplication.New(deduplication.Limits{MaxIDs: 9, MaxAnswerBytes: 99, Retention: 1e9}),
 			Front:  http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { in = true })}
 		r := &http.Request{Method: "POST", URL: &url.URL{Path: "/" + workload}, Body: http.NoBody, Header: http.Header{
@@ -159,10 +159,10 @@
 		w := httptest.NewRecorder()
 		d.ServeHTTP(w, r)
 		all := strings.Split(sites, ",")
-		if in && (slices.Contains(all, "b") || len(all) > visitedMost) {
+		if in && (slices.Contains(all, "b") || len(all) > maxVisitedSites) {
 			t.Errorf("%q was taken in", sites)
 		}
-		if !in && workload != "gateway/ping" && w.Header().Get(headerRan) != "0" {
+		if !in && workload != "gateway/ping" && w.Header().Get(headerMayHaveRun) != "0" {
 			t.Errorf("%q: %d, and nothing says that it never ran", sites, w.Code)
 		}
 	})
@@ -170,7 +170,7 @@
 
 // What a peer sends is checked before it reaches the front.
 func TestCame(t *testing.T) {
-	d := &Door{Own: "b", Sites: []string{"a"}, Count: &Count{}, Log: zap.NewNop(), Front: http.HandlerFunc(
+	d := &PeerServer{Site: "b", PeerSites: []string{"a"}, Counters: &Counters{}, Log: zap.NewNop(), Front: http.HandlerFunc(
 		func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, visited(r.Context())) })}
 	for visited, want := range map[string]string{"a": "200 [a]", "c,a": "200 [c a]", "b,a": "400", "a,b,a": "400", "": "200 []",
 		"a,a,a,a,a,a,a,a,a": "400"} {
@@ -181,7 +181,7 @@
 		if got := strings.TrimSpace(fmt.Sprint(w.Code, " ", w.Body)); !strings.HasPrefix(got, want) && visited != "" {
 			t.Errorf("%q: %s, want %s", visited, got, want)
 		}
-		if w.Code == 400 && w.Header().Get(headerRan) != "0" {
+		if w.Code == 400 && w.Header().Get(headerMayHaveRun) != "0" {
 			t.Errorf("%q: nothing says that it never ran", visited)
 		}
 	}
@@ -190,8 +190,8 @@
 // What a planned restart carries over is whole or nothing.
 func TestKeepsake(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "ids")
-	door := func() *Door {
-		return &Door{Clock: node.NewClock(), Window: deduplication.New(deduplication.Limits{MaxIDs: 9, MaxAnswerBytes: 999, Retention: 60e9})}
+	door := func() *PeerServer {
+		return &PeerServer{Clock: node.NewClock(), Window: deduplication.New(deduplication.Limits{MaxIDs: 9, MaxAnswerBytes: 999, Retention: 60e9})}
 	}
 	first := door()
 	if err := first.Load(file); err != nil {
--- a/front/gateway/gateway_test.go
+++ b/front/gateway/gateway_test.go
@@ -34,8 +34,8 @@
 	name    string
 	node    *node.Node
 	core    *Core
-	count   *Count
-	door    *Door
+	count   *Counters
+	door    *PeerServer
 	server  *http.Server
 	address string
 	effects map[string]int // by id, how often a part ran at the replicas
@@ -61,12 +61,12 @@
 	row := balance.Workload{LatencyGoal: 1500e6, LateShare: 0.3, MinCoverage: 1, FullCoverage: 1, PartialShare: 0.9, DedupWindow: 10e9}
 	rows := []balance.Workload{row, row, row}
 	rows[1].RetrySafety, rows[2].RetrySafety = balance.Deduplicated, balance.OnceOnly
-	return deployment.Deployment{Workload: workloads, Deployment: balance.Deployment{Aggregators: 1, Tick: 5e6,
+	return deployment.Deployment{WorkloadRow: workloads, Deployment: balance.Deployment{Aggregators: 1, Tick: 5e6,
 		Workloads: rows, Shards: 2, Cells: 1, CellsPerShard: 1, PartsPerCall: 1, MaxExecutions: 3, CanCancel: true, MaxRetryAfter: 2000e6,
 		ColdCapacity: 0.2, WarmUpTime: 9000e6, OverloadFactor: 4, OverloadSpan: 1000e6}}
 }
 
-var theTerms = deployment.Terms{MostHeld: 100, Streams: 32, ConnectWithin: 500e6, IdleAfter: 15e9, LongestCutOff: 3e9}
+var theTerms = deployment.Limits{MaxHeld: 100, CallsPerConnection: 32, ConnectTimeout: 500e6, IdleTimeout: 15e9, LongestClientTimeout: 3e9}
 
 // play plays sites, each with a way to all others, in a bubble of its own time.
 func play(t *testing.T, names []string, do func(*world)) { playBy(t, siterouting.Planned, names, do) }
@@ -107,7 +107,7 @@
 }
 
 func (w *world) start(name string, names []string) {
-	s := &site{name: name, count: &Count{}, address: "g-" + name + ":1", effects: map[string]int{}, work: 50 * time.Millisecond}
+	s := &site{name: name, count: &Counters{}, address: "g-" + name + ":1", effects: map[string]int{}, work: 50 * time.Millisecond}
 	list := standin.NewDiscovery()
 	for i := range 2 {
 		l := w.network.Listen(fmt.Sprint("r-", name, ":", i))
@@ -142,13 +142,13 @@
 	lists := &http.Server{Handler: list}
 	go lists.Serve(w.network.Listen("d-" + name + ":1"))
 	d, count := theDeployment(), counters.New(workloads)
-	watch := discovery.NewWatch("d-"+name+":1", 1, 0, w.network.Dial, func(ctx context.Context, n discovery.News) { s.node.ApplyList(ctx, n) })
+	watch := discovery.NewWatch("d-"+name+":1", 1, 0, w.network.Dial, func(ctx context.Context, n discovery.Update) { s.node.ApplyList(ctx, n) })
 	clock := node.NewClock()
 	if name == "b" { // Danger: a time of day on the wire would be an hour off; only time left may cross
 		clock = clock.Shifted(time.Hour)
 	}
 	s.node = node.New(node.Options{Clock: clock, Deployment: d, Terms: theTerms, Budget: sockets.NewBudget(256),
-		Count: count, Log: zap.NewNop(), RequestList: watch.Ask, Dial: w.network.Dial})
+		Count: count, Log: zap.NewNop(), RequestList: watch.Request, Dial: w.network.Dial})
 	ctx, stop := context.WithCancel(w.Context())
 	watched := make(chan struct{})
 	go func() {
@@ -160,7 +160,7 @@
 		<-watched
 		lists.Close()
 	})
-	p := Plan{Clock: s.node.Clock, Own: name, Deployment: d, Terms: theTerms, Local: s.node, Policy: w.policy, Log: zap.NewNop()}
+	p := Options{Clock: s.node.Clock, Site: name, Deployment: d, Limits: theTerms, Local: s.node, Policy: w.policy, Log: zap.NewNop()}
 	for _, other := range names {
 		if other != name {
 			p.Sites = append(p.Sites, Site{Link: siterouting.Link{Site: other, QueryRate: 200, ByteRate: 1e7, Cost: 0.01},
@@ -169,19 +169,19 @@
 	}
 	p.Dial = func(ctx context.Context, n, address string) (net.Conn, error) {
 		other := strings.TrimSuffix(strings.TrimPrefix(address, "g-"), ":1")
-		return w.links[name+">"+other].Over(w.network.Dial)(ctx, n, address)
+		return w.links[name+">"+other].Dialer(w.network.Dial)(ctx, n, address)
 	}
 	core, err := New(p, s.count)
 	if err != nil {
 		w.Fatal(err)
 	}
 	s.core = core
-	f := &front.Front{Core: core, Clock: s.node.Clock, Workload: workloads, Shards: 2, Count: count, Log: zap.NewNop()}
-	s.door = &Door{Willing: core.Willing, Own: name, Front: f, Deployment: d, Clock: s.node.Clock, Count: s.count, Log: zap.NewNop(),
+	f := &front.Front{Core: core, Clock: s.node.Clock, WorkloadRow: workloads, Shards: 2, Counters: count, Log: zap.NewNop()}
+	s.door = &PeerServer{AdvertisedRate: core.AdvertisedRate, Site: name, Front: f, Deployment: d, Clock: s.node.Clock, Counters: s.count, Log: zap.NewNop(),
 		Window: deduplication.New(deduplication.Limits{MaxIDs: 1000, MaxAnswerBytes: 1 << 20, Retention: 10e9})}
-	s.server = s.door.Server(nil)
+	s.server = s.door.HTTPServer(nil)
 	if len(names) > 2 { // sites that say they take none are sent none: here they say nothing
-		s.door.Willing = nil
+		s.door.AdvertisedRate = nil
 	}
 	l := w.network.Listen(s.address)
 	go s.server.Serve(l)
@@ -227,7 +227,7 @@
 // What the own site serves stays; a site that is left has its queries carried, over 80 ms each way, and comes back.
 func TestCarried(t *testing.T) {
 	play(t, []string{"a", "b"}, func(w *world) {
-		far := link.Way{Delay: 80 * time.Millisecond}
+		far := link.Conditions{Delay: 80 * time.Millisecond}
 		w.links["a>b"].Set(far, far)
 		a := w.sites["a"]
 		if got := a.ask(w.Context(), "q", "look", 2*time.Second); got != "whole aq.0 aq.1" || a.count.Carried.Load() != 0 {
@@ -238,7 +238,7 @@
 			w.Errorf("carried %s", got)
 		}
 		time.Sleep(10 * time.Second)
-		f := a.core.Figures()["b"].(map[string]any)
+		f := a.core.LinkStats()["b"].(map[string]any)
 		if least := f["least_ns"].(int64); least < 1 || f["delay_ns"].(int64) < 150e6 || f["usable"] != true {
 			w.Errorf("of the way is known %v", f)
 		}
@@ -312,7 +312,7 @@
 // A gateway that leaves as planned fails no query, not even a once-only one that was written as its connection was closed.
 func TestLeaves(t *testing.T) {
 	play(t, []string{"a", "b"}, func(w *world) {
-		far := link.Way{Delay: 80 * time.Millisecond}
+		far := link.Conditions{Delay: 80 * time.Millisecond}
 		w.links["a>b"].Set(far, far)
 		a, b := w.sites["a"], w.sites["b"]
 		a.core.Evacuate(true)
@@ -335,7 +335,7 @@
 			})
 		}
 		time.Sleep(15 * time.Second)
-		b.door.Leave(w.Context())
+		b.door.AnnounceShutdown(w.Context())
 		b.server.Shutdown(w.Context())
 		mu.Lock()
 		left = true
@@ -384,8 +384,8 @@
 		}
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if b.effects["p1.0"] != 1 || b.count.Joined.Load() != 2 || b.count.Repeated.Load() < 1 {
-			w.Errorf("ran %v, %d joined, %d repeated", b.effects, b.count.Joined.Load(), b.count.Repeated.Load())
+		if b.effects["p1.0"] != 1 || b.count.Joined.Load() != 2 || b.count.Replayed.Load() < 1 {
+			w.Errorf("ran %v, %d joined, %d repeated", b.effects, b.count.Joined.Load(), b.count.Replayed.Load())
 		}
 		time.Sleep(time.Second)
 	})
@@ -397,7 +397,7 @@
 		a := w.sites["a"]
 		a.core.Evacuate(true)
 		w.carried("a", "warm", "look")
-		w.links["a>b"].Set(link.Way{}, link.Way{Cut: true})
+		w.links["a>b"].Set(link.Conditions{}, link.Conditions{Cut: true})
 		for i := range 20 {
 			if got := a.ask(w.Context(), fmt.Sprint("c", i), "look", 2*time.Second); strings.HasPrefix(got, "late") || got == "left" {
 				w.Error(got)
@@ -408,7 +408,7 @@
 		if got := a.ask(w.Context(), "d", "look", 2*time.Second); got != "declined" || time.Since(began) > 0 {
 			w.Errorf("with the way closed %s after %v", got, time.Since(began))
 		}
-		w.links["a>b"].Set(link.Way{}, link.Way{})
+		w.links["a>b"].Set(link.Conditions{}, link.Conditions{})
 		time.Sleep(5 * time.Second)
 		if got := w.carried("a", "e", "look"); !strings.HasPrefix(got, "whole b") {
 			w.Error(got)
@@ -429,8 +429,8 @@
 			time.Sleep(300 * time.Millisecond)
 		}
 		a, b, c := w.sites["a"].count, w.sites["b"].count, w.sites["c"].count
-		if a.Carried.Load() == 0 || a.Taken.Load() != 0 || b.Taken.Load()+c.Taken.Load() > 2*carryTwice*a.Carried.Load() {
-			w.Errorf("a carried %d and took %d, b took %d, c took %d", a.Carried.Load(), a.Taken.Load(), b.Taken.Load(), c.Taken.Load())
+		if a.Carried.Load() == 0 || a.Received.Load() != 0 || b.Received.Load()+c.Received.Load() > 2*maxGatewaysPerQuery*a.Carried.Load() {
+			w.Errorf("a carried %d and took %d, b took %d, c took %d", a.Carried.Load(), a.Received.Load(), b.Received.Load(), c.Received.Load())
 		}
 	})
 }
@@ -439,7 +439,7 @@
 // time.
 func TestTakeTurns(t *testing.T) {
 	play(t, []string{"a", "b"}, func(w *world) {
-		far := link.Way{Delay: 150 * time.Millisecond}
+		far := link.Conditions{Delay: 150 * time.Millisecond}
 		w.links["a>b"].Set(far, far)
 		a := w.sites["a"]
 		a.core.Evacuate(true)
@@ -498,7 +498,7 @@
 		`{"all_in":true,"matches":[{"segment":3,"payload":"x"}]}`:                             false,
 		`{"all_in":true,"matches":[]}`:                                                        false, `{`: false, `{"matches":[{"segment":1,"segment":2,"payload":"x"}]}`: false,
 	} {
-		if _, err := decode(q, text); (err == nil) != want || err != nil && !errors.Is(err, errAnswer) {
+		if _, err := decodeAnswer(q, text); (err == nil) != want || err != nil && !errors.Is(err, errAnswerMismatch) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/front/gateway/history_test.go
+++ b/front/gateway/history_test.go
@@ -51,10 +51,10 @@
 	file := filepath.Join(t.TempDir(), "ids")
 	clock := node.NewClock()
 	var ran atomic.Int64
-	d := deployment.Deployment{Workload: map[string]int{"pay": 0},
+	d := deployment.Deployment{WorkloadRow: map[string]int{"pay": 0},
 		Deployment: balance.Deployment{Workloads: []balance.Workload{{RetrySafety: balance.OnceOnly}}}}
-	open := func() *Door {
-		door := &Door{Own: "b", Deployment: d, Clock: clock, Count: &Count{}, Log: zap.NewNop(),
+	open := func() *PeerServer {
+		door := &PeerServer{Site: "b", Deployment: d, Clock: clock, Counters: &Counters{}, Log: zap.NewNop(),
 			Window: deduplication.New(deduplication.Limits{MaxIDs: 1000, MaxAnswerBytes: 1 << 20, Retention: 3600e9}),
 			Front: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				n := ran.Add(1)
--- a/front/gateway/keepsake.go
+++ b/front/gateway/keepsake.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-const keepsakeMost = 64 << 20 // bytes of a snapshot's file
+const maxSnapshotBytes = 64 << 20 // bytes of a snapshot's file
 
 // Save writes the door's window to a file, whole or not at all, with the time of it. It is called when the door takes in
 // nothing more.
 //
 // Danger: a file that was cut short by a crash must not stand in the place of a whole one: it is written beside and renamed.
-func (d *Door) Save(file string) (err error) {
+func (d *PeerServer) Save(file string) (err error) {
 	d.mu.Lock()
 	text := d.Window.Snapshot(d.Clock.Now())
 	d.mu.Unlock()
@@ -45,7 +45,7 @@
 //
 // The machine's clock tells how long ago that was. Where it went back, ids are remembered from now on: for longer, and
 // never for too short.
-func (d *Door) Load(file string) error {
+func (d *PeerServer) Load(file string) error {
 	info, err := os.Stat(file)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	if info.Size() > keepsakeMost || info.Size() < 8 {
+	if info.Size() > maxSnapshotBytes || info.Size() < 8 {
 		return errors.New("the file of remembered ids has an odd size")
 	}
 	text, err := os.ReadFile(file)
--- a/front/gateway/long_test.go
+++ b/front/gateway/long_test.go
@@ -37,7 +37,7 @@
 // halfHour plays two sites of which one is dark in the middle, and returns what came of each phase: before, dark, after.
 func halfHour(t *testing.T, p siterouting.Policy, whole time.Duration) (phases [3]tally, most int, carried int64) {
 	playBy(t, p, []string{"a", "b"}, func(w *world) {
-		far := link.Way{Delay: 80 * time.Millisecond, Jitter: 10 * time.Millisecond, Loss: 0.01, Stall: 200 * time.Millisecond}
+		far := link.Conditions{Delay: 80 * time.Millisecond, Jitter: 10 * time.Millisecond, Loss: 0.01, LossDelay: 200 * time.Millisecond}
 		w.links["a>b"].Set(far, far)
 		w.links["b>a"].Set(far, far)
 		began := time.Now()
--- a/front/gateway/pool.go
+++ b/front/gateway/pool.go
@@ -29,25 +29,25 @@
 
 // The words on the wire between gateways, beside those of the platform's front.
 const (
-	pathPing      = "/gateway/ping"
-	headerVisited = "X-Visited-Sites" // sites that a query came through, the first first
-	headerTry     = "X-Try"
-	headerRan     = "X-May-Have-Run" // on what is no answer: 0 for surely not
-	headerWilling = "X-Willing"      // queries a second that the site would take more
-	headerLeaving = "X-Leaving"      // on a ping's answer: the gateway is about to close
+	pathPing         = "/gateway/ping"
+	headerVisited    = "X-Visited-Sites" // sites that a query came through, the first first
+	headerTry        = "X-Try"
+	headerMayHaveRun = "X-May-Have-Run" // on what is no answer: 0 for surely not
+	headerWilling    = "X-Willing"      // queries a second that the site would take more
+	headerLeaving    = "X-Leaving"      // on a ping's answer: the gateway is about to close
 
-	answerMost = 8 << 20 // bytes of an answer
-	perGateway = 64      // idle connections kept to one gateway
+	maxAnswerBytes    = 8 << 20 // bytes of an answer
+	maxIdlePerGateway = 64      // idle connections kept to one gateway
 
-	handshakeWait = 5 * time.Second
-	milli         = int64(time.Millisecond)
+	handshakeTimeout = 5 * time.Second
+	nsPerMs          = int64(time.Millisecond)
 )
 
-// load is a query on its way to another site.
-type load struct {
+// forwardedQuery is a query on its way to another site.
+type forwardedQuery struct {
 	workload string
 	customer string
-	again    bool // its client marked it as a retry
+	retry    bool // its client marked it as a retry
 	visited  []string
 	body     []byte
 	link     int
@@ -58,7 +58,7 @@
 	Boost   float64 `json:"boost"`
 }
 
-type body struct {
+type queryBody struct {
 	Segments []bodySegment `json:"segments"`
 	Text     string        `json:"text"`
 }
@@ -71,25 +71,25 @@
 	} `json:"matches"`
 }
 
-// encode makes a query's body, as the platform's clients write it.
-func encode(q node.Query) ([]byte, error) {
-	b := body{Text: string(q.Text)}
+// encodeQuery makes a query's body, as the platform's clients write it.
+func encodeQuery(q node.Query) ([]byte, error) {
+	b := queryBody{Text: string(q.Text)}
 	for _, p := range q.Parts {
 		b.Segments = append(b.Segments, bodySegment{p.Shard, p.Weight})
 	}
 	return json.Marshal(b)
 }
 
-var errAnswer = errors.New("an answer that does not fit its query")
+var errAnswerMismatch = errors.New("an answer that does not fit its query")
 
-// decode reads an answer to a query.
+// decodeAnswer reads an answer to a query.
 //
 // Danger: a peer may be of another version or be mistaken: an answer with a part that was not asked for, or one twice,
 // would be passed on as honest.
-func decode(q node.Query, text string) (node.Answer, error) {
+func decodeAnswer(q node.Query, text string) (node.Answer, error) {
 	var b answerBody
 	if err := json.Unmarshal([]byte(text), &b); err != nil {
-		return node.Answer{}, fmt.Errorf("%w: %w", errAnswer, err)
+		return node.Answer{}, fmt.Errorf("%w: %w", errAnswerMismatch, err)
 	}
 	a := node.Answer{Outcome: balance.Partial}
 	asked := map[int]bool{}
@@ -98,7 +98,7 @@
 	}
 	for _, m := range b.Matches {
 		if !asked[m.Segment] {
-			return node.Answer{}, errAnswer
+			return node.Answer{}, errAnswerMismatch
 		}
 		asked[m.Segment] = false
 		a.Values = append(a.Values, node.Value{Shard: m.Segment, Value: m.Payload})
@@ -107,60 +107,60 @@
 		a.Outcome = balance.Whole
 	}
 	if len(a.Values) == 0 {
-		return node.Answer{}, errAnswer
+		return node.Answer{}, errAnswerMismatch
 	}
 	return a, nil
 }
 
-// trip is one query on its way to one gateway.
-type trip struct {
+// attempt is one query on its way to one gateway.
+type attempt struct {
 	ticket  *replica.Ticket
 	gateway int
-	began   atomic.Bool // it may have left; set once, by whoever comes first
+	started atomic.Bool // it may have left; set once, by whoever comes first
 	cancel  context.CancelFunc
 	since   int64
 }
 
-// ended is what a trip has to tell.
-type ended struct {
-	trip   *trip
-	result balance.Result
-	value  string
-	at     int64
-	err    error
+// attemptEnd is what a trip has to tell.
+type attemptEnd struct {
+	attempt *attempt
+	result  balance.Result
+	value   string
+	at      int64
+	err     error
 }
 
 // pool carries queries to gateways: node.Carrier over HTTP.
 type pool struct {
-	tell   func(any)
-	now    func() int64
-	client *http.Transport
-	secure bool
-	from   string                       // the own site
-	way    func(link int) int64         // the least way there and back, ns
-	told   func(link int, rate float64) // a site said how many it takes
-	rows   []string                     // addresses of the gateways, by index
-	gone   []bool
-	out    map[*replica.Ticket]*trip
-	most   int // trips at a time
-	under  int // goroutines that have not told their end
+	notify           func(any)
+	now              func() int64
+	client           *http.Transport
+	useTLS           bool
+	ownSite          string                       // the own site
+	minDelay         func(link int) int64         // the least way there and back, ns
+	onAdvertisedRate func(link int, rate float64) // a site said how many it takes
+	addresses        []string                     // addresses of the gateways, by index
+	retired          []bool
+	inFlight         map[*replica.Ticket]*attempt
+	maxRunning       int // trips at a time
+	running          int // goroutines that have not told their end
 }
 
 // newPool makes a pool that reaches gateways by dial, with TLS where secure is not nil; site tells whose an address is.
 func newPool(dial replica.Dial, secure *tls.Config, site map[string]string, http2 bool, most int, tell func(any),
 	now func() int64) *pool {
-	p := &pool{tell: tell, now: now, out: map[*replica.Ticket]*trip{}, most: most, secure: secure != nil,
-		client: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: perGateway, IdleConnTimeout: 30 * time.Second,
+	p := &pool{notify: tell, now: now, inFlight: map[*replica.Ticket]*attempt{}, maxRunning: most, useTLS: secure != nil,
+		client: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdlePerGateway, IdleConnTimeout: 30 * time.Second,
 			DisableCompression: true, ForceAttemptHTTP2: http2}}
 	if secure != nil {
 		p.client.DialTLSContext = func(ctx context.Context, network, address string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, handshakeWait)
+			ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 			defer cancel()
 			plain, err := dial(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			c := tls.Client(plain, forSite(secure, site[address], http2))
+			c := tls.Client(plain, requireSite(secure, site[address], http2))
 			if err := c.HandshakeContext(ctx); err != nil {
 				plain.Close()
 				return nil, err
@@ -172,16 +172,16 @@
 }
 
 func (p *pool) SetAddress(gateway int, dial string) {
-	for len(p.rows) <= gateway {
-		p.rows, p.gone = append(p.rows, ""), append(p.gone, false)
+	for len(p.addresses) <= gateway {
+		p.addresses, p.retired = append(p.addresses, ""), append(p.retired, false)
 	}
-	p.rows[gateway], p.gone[gateway] = dial, false
+	p.addresses[gateway], p.retired[gateway] = dial, false
 }
 
-func (p *pool) Retire(gateway int) { p.gone[gateway] = true }
+func (p *pool) Retire(gateway int) { p.retired[gateway] = true }
 
 func (p *pool) Drained(gateway int) bool {
-	for _, t := range p.out {
+	for _, t := range p.inFlight {
 		if t.gateway == gateway {
 			return false
 		}
@@ -190,49 +190,49 @@
 }
 
 func (p *pool) Send(gateway int, tickets []*replica.Ticket) bool {
-	if p.under+len(tickets) > p.most {
+	if p.running+len(tickets) > p.maxRunning {
 		return false
 	}
 	for _, ticket := range tickets {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(ticket.Wait*milli))
-		t := &trip{ticket: ticket, gateway: gateway, cancel: cancel, since: p.now()}
-		p.out[ticket] = t
-		p.under++
-		go p.run(ctx, t, p.rows[gateway])
+		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(ticket.WaitMs*nsPerMs))
+		t := &attempt{ticket: ticket, gateway: gateway, cancel: cancel, since: p.now()}
+		p.inFlight[ticket] = t
+		p.running++
+		go p.run(ctx, t, p.addresses[gateway])
 	}
 	return true
 }
 
 // run makes one trip and tells how it ended.
-func (p *pool) run(ctx context.Context, t *trip, address string) {
+func (p *pool) run(ctx context.Context, t *attempt, address string) {
 	defer t.cancel()
-	e := ended{trip: t, result: balance.ConnectFailed}
-	if t.began.CompareAndSwap(false, true) {
-		e.result, e.value, e.err = p.carry(ctx, t, address)
+	e := attemptEnd{attempt: t, result: balance.ConnectFailed}
+	if t.started.CompareAndSwap(false, true) {
+		e.result, e.value, e.err = p.exchange(ctx, t, address)
 	}
 	e.at = p.now()
-	p.tell(e)
+	p.notify(e)
 }
 
 // url is a path at a gateway.
 func (p *pool) url(address, path string) string {
-	if p.secure {
+	if p.useTLS {
 		return "https://" + address + path
 	}
 	return "http://" + address + path
 }
 
-// carry sends the query and reads the answer.
+// exchange sends the query and reads the answer.
 //
 // Danger: a query of which a byte has left may run there, whatever becomes of the connection. Only what never was
 // written is told as never run.
-func (p *pool) carry(ctx context.Context, t *trip, address string) (result balance.Result, value string, err error) {
-	l := t.ticket.Load.(*load)
+func (p *pool) exchange(ctx context.Context, t *attempt, address string) (result balance.Result, value string, err error) {
+	l := t.ticket.Payload.(*forwardedQuery)
 	var wrote atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteHeaderField: func(string, []string) { wrote.Store(true) }})
 	// The far side must answer while the way back is still free.
-	left := time.Duration(t.ticket.Wait*milli - p.way(l.link))
+	left := time.Duration(t.ticket.WaitMs*nsPerMs - p.minDelay(l.link))
 	if left <= 0 {
 		return balance.ConnectFailed, "", context.DeadlineExceeded
 	}
@@ -244,10 +244,10 @@
 	id, _, _ := strings.Cut(t.ticket.ID, "\x00")
 	for key, v := range map[string]string{"X-Qos": l.workload, "X-Trace-Id": id, "X-Customer": l.customer,
 		"X-Expires-In-Ms": strconv.FormatInt(left.Milliseconds(), 10),
-		headerVisited:     strings.Join(append(l.visited[:len(l.visited):len(l.visited)], p.from), ",")} {
+		headerVisited:     strings.Join(append(l.visited[:len(l.visited):len(l.visited)], p.ownSite), ",")} {
 		r.Header.Set(key, v)
 	}
-	if l.again {
+	if l.retry {
 		r.Header.Set(front.HeaderRetry, "1")
 	}
 	a, err := p.client.RoundTrip(r)
@@ -259,28 +259,28 @@
 	}
 	defer a.Body.Close()
 	if rate, err := strconv.ParseFloat(a.Header.Get(headerWilling), 64); err == nil && rate >= 0 {
-		p.told(l.link, rate)
+		p.onAdvertisedRate(l.link, rate)
 	}
-	text, err := io.ReadAll(io.LimitReader(a.Body, answerMost+1))
+	text, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
 	switch {
 	case err != nil:
 		return balance.Reset, "", err
-	case len(text) > answerMost:
-		return balance.Errored, "", errAnswer
+	case len(text) > maxAnswerBytes:
+		return balance.Errored, "", errAnswerMismatch
 	case a.StatusCode == http.StatusOK:
 		return balance.Fulfilled, string(text), nil
-	case a.StatusCode == http.StatusServiceUnavailable || a.Header.Get(headerRan) == "0":
+	case a.StatusCode == http.StatusServiceUnavailable || a.Header.Get(headerMayHaveRun) == "0":
 		return balance.Full, "", nil // turned away, and trying again is harmless
 	}
 	return balance.Errored, "", fmt.Errorf("the gateway at %s answered %s", address, a.Status)
 }
 
 func (p *pool) Withdraw(ticket *replica.Ticket) bool {
-	t := p.out[ticket]
-	if t == nil || !t.began.CompareAndSwap(false, true) {
+	t := p.inFlight[ticket]
+	if t == nil || !t.started.CompareAndSwap(false, true) {
 		return false
 	}
-	delete(p.out, ticket)
+	delete(p.inFlight, ticket)
 	t.cancel()
 	return true
 }
@@ -289,8 +289,8 @@
 	if p.Withdraw(ticket) {
 		return true
 	}
-	if t := p.out[ticket]; t != nil { // its connection closes, by which the far side sees that nobody waits
-		delete(p.out, ticket)
+	if t := p.inFlight[ticket]; t != nil { // its connection closes, by which the far side sees that nobody waits
+		delete(p.inFlight, ticket)
 		t.cancel()
 	}
 	return false
@@ -300,20 +300,20 @@
 func (p *pool) Sweep()        {}
 
 func (p *pool) Handle(v any) ([]replica.Report, error) {
-	e := v.(ended)
-	p.under--
-	if p.out[e.trip.ticket] != e.trip { // it was given up
+	e := v.(attemptEnd)
+	p.running--
+	if p.inFlight[e.attempt.ticket] != e.attempt { // it was given up
 		return nil, nil
 	}
-	delete(p.out, e.trip.ticket)
-	return []replica.Report{{Ticket: e.trip.ticket, Result: e.result, Value: e.value, At: e.at}}, e.err
+	delete(p.inFlight, e.attempt.ticket)
+	return []replica.Report{{Ticket: e.attempt.ticket, Result: e.result, Value: e.value, At: e.at}}, e.err
 }
 
 func (p *pool) Close() {
-	for _, t := range p.out {
+	for _, t := range p.inFlight {
 		t.cancel()
 	}
 	p.client.CloseIdleConnections()
 }
 
-func (p *pool) OpenConnections() int { return p.under }
+func (p *pool) OpenConnections() int { return p.running }
--- a/front/guard_test.go
+++ b/front/guard_test.go
@@ -22,20 +22,20 @@
 	ended        []string
 }
 
-func (g *guard) Arrive(a overload.Arrival) (bool, int64) {
+func (g *guard) Admit(a overload.Arrival) (bool, int64) {
 	g.shown = append(g.shown, a)
 	return !g.away, 700e6
 }
-func (g *guard) Unseen(int) (bool, int64) { return g.unseen, 300e6 }
-func (g *guard) Ended(workload int, took int64, answered bool) {
+func (g *guard) RejectUnread(int) (bool, int64) { return g.unseen, 300e6 }
+func (g *guard) RecordEnd(workload int, took int64, answered bool) {
 	g.ended = append(g.ended, fmt.Sprint(workload, " ", took >= 0, " ", answered))
 }
 
 func guarded(f *Front, g *guard) {
-	f.Guard = &Guarded{}
+	f.Guard = &SwitchableGuard{}
 	as := Guard(g)
 	f.Guard.Store(&as)
-	f.Count = counters.New(f.Workload)
+	f.Counters = counters.New(f.WorkloadRow)
 }
 
 // counted answers all, and counts.
@@ -89,9 +89,9 @@
 			a.TimeLeft < 880e6 || a.TimeLeft > 900e6 {
 			t.Errorf("shown %+v", g.shown)
 		}
-		if row := s.front.Count.Workloads["lookup"]; served != 1 || row.Taken.Load() != 3 || row.Declined.Load() != 3 ||
+		if row := s.front.Counters.Workloads["lookup"]; served != 1 || row.Accepted.Load() != 3 || row.Declined.Load() != 3 ||
 			len(g.ended) != 1 || g.ended[0] != "1 true true" {
-			t.Errorf("%d served, %d taken, %d declined, ended %q", served, row.Taken.Load(), row.Declined.Load(), g.ended)
+			t.Errorf("%d served, %d taken, %d declined, ended %q", served, row.Accepted.Load(), row.Declined.Load(), g.ended)
 		}
 	})
 }
@@ -138,8 +138,8 @@
 		if got := c.said(); !strings.HasPrefix(got, "503 0.300 open") {
 			t.Errorf("behind the rest of a body: %q", got)
 		}
-		if len(g.shown) != 0 || s.front.Count.Workloads["lookup"].Declined.Load() != 5 {
-			t.Errorf("%d shown, %d declined", len(g.shown), s.front.Count.Workloads["lookup"].Declined.Load())
+		if len(g.shown) != 0 || s.front.Counters.Workloads["lookup"].Declined.Load() != 5 {
+			t.Errorf("%d shown, %d declined", len(g.shown), s.front.Counters.Workloads["lookup"].Declined.Load())
 		}
 		for name, text := range map[string]string{
 			"half a head": fmt.Sprintf(guardedHead, "h", len(goodBody))[:90],
--- a/front/proxyserver/callers_test.go
+++ b/front/proxyserver/callers_test.go
@@ -34,11 +34,11 @@
 {"name":"safe","host":"h","path-prefix":"/safe/","route-kind":"safe","deadline-ms":10000,"target-ms":1000,"service":"s","max-tries":2},
 {"name":"unsafe","host":"h","path-prefix":"/unsafe/","route-kind":"unsafe","deadline-ms":10000,"target-ms":1000,"service":"s","max-tries":3}],
 "services":[{"name":"s"}]}`
-	patient     = 10000          // ms that a client waits, which no case needs but on a very busy machine
-	impatient   = 1500           // ms that it waits where nothing will come
-	hasty       = 300            // ms that it waits where its answer is not judged, only what the replica saw
-	ownDeclines = 20             // that a client meets on a busy machine before the test gives up
-	warmPath    = "/unsafe/warm" // a replica always answers it well
+	longWaitMs     = 10000          // ms that a client waits, which no case needs but on a very busy machine
+	silentWaitMs   = 1500           // ms that it waits where nothing will come
+	shortWaitMs    = 300            // ms that it waits where its answer is not judged, only what the replica saw
+	maxOwnDeclines = 20             // that a client meets on a busy machine before the test gives up
+	warmPath       = "/unsafe/warm" // a replica always answers it well
 
 	replicaPrefix = "i-" // of the replicas' ids
 )
@@ -171,7 +171,7 @@
 	clock := node.NewClock()
 	table, count := routingtable.New(clock.Now(), set), counters.New(nil)
 	n := node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
-		Terms: deployment.Terms{MostHeld: maxHeld}, Count: count, Log: zap.NewNop(), RequestList: func() {},
+		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: count, Log: zap.NewNop(), RequestList: func() {},
 		NewTransport: func(tell func(any), now func() int64) node.Transport { return replicahttp.NewPool(tell, now) }})
 	// Danger: a node that goes on after its test may reach another test's replica, which has got the port.
 	t.Cleanup(n.Close)
@@ -179,15 +179,15 @@
 	c := table.Apply(clock.Now(), clusterstate.Update{Revision: 1, Raw: []byte(callersConfiguration),
 		Replicas: []registry.Record{{ID: s.id, Service: "s", Address: ln.Addr().String(), Seq: 1, Capacity: 8}}})
 	must.NoError(t, c.Err)
-	h.served = c.Workloads
+	h.workloads = c.Workloads
 	for range c.Workloads {
-		h.rows = append(h.rows, &counters.Workload{})
+		h.counterRows = append(h.counterRows, &counters.Workload{})
 	}
-	h.free = 600
-	h.serving()
-	n.ApplyList(context.Background(), h.news(c.Replicas))
+	h.retrySlack = 600
+	h.setWorkloads()
+	n.ApplyList(context.Background(), h.replicaList(c.Replicas))
 	q := &clienthttp.Handler{Core: n, Now: clock.Now}
-	q.Serve(c.State)
+	q.SetState(c.State)
 	clients, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	server := &http.Server{Handler: q}
@@ -299,25 +299,25 @@
 					defer conn.Close()
 					r := bufio.NewReader(conn)
 					if reused {
-						res, body := ask(t, conn, r, warmPath, "warm", patient)
-						for try := 0; try < ownDeclines && res.StatusCode == http.StatusServiceUnavailable; try++ {
-							res, body = ask(t, conn, r, warmPath, "warm", patient)
+						res, body := ask(t, conn, r, warmPath, "warm", longWaitMs)
+						for try := 0; try < maxOwnDeclines && res.StatusCode == http.StatusServiceUnavailable; try++ {
+							res, body = ask(t, conn, r, warmPath, "warm", longWaitMs)
 						}
 						must.Eq(t, 200, res.StatusCode)
 						must.Eq(t, "warm", body)
 					}
-					path, patience := "/safe/x", patient
+					path, patience := "/safe/x", longWaitMs
 					switch {
 					case !unsafe && c.want[0] != 200: // a safe call waits for a replica that does better
-						patience = hasty
+						patience = shortWaitMs
 					case c.silent:
-						patience = impatient
+						patience = silentWaitMs
 					}
 					if unsafe {
 						path = "/unsafe/x"
 					}
 					res, body := ask(t, conn, r, path, "t1", patience)
-					for try := 0; try < ownDeclines && declinedUnsent(s, res) && !slices.Contains(c.want, 503); try++ {
+					for try := 0; try < maxOwnDeclines && declinedUnsent(s, res) && !slices.Contains(c.want, 503); try++ {
 						res, body = ask(t, conn, r, path, "t1", patience)
 					}
 					if res.StatusCode/100 == 2 {
--- a/front/proxyserver/evidence.go
+++ b/front/proxyserver/evidence.go
@@ -11,18 +11,20 @@
 	"willowsill/node"
 )
 
-// evidence counts what becomes of executions at replicas of services with an active rollout. The node's loop tells it of
+// rolloutEvidence counts what becomes of executions at replicas of services with an active rollout. The node's loop tells it of
 // executions, others have it report.
-type evidence struct {
+type rolloutEvidence struct {
 	mu       sync.Mutex
 	recorder *rollout.Recorder
 	routes   map[int]uint32 // by row, what all edges call the route
 }
 
-func newEvidence(life uint64) *evidence { return &evidence{recorder: rollout.NewRecorder(life)} }
+func newEvidence(life uint64) *rolloutEvidence {
+	return &rolloutEvidence{recorder: rollout.NewRecorder(life)}
+}
 
-// serve takes in which rows the routes have.
-func (e *evidence) serve(rows map[routeconfig.RouteID]int) {
+// setRoutes takes in which rows the routes have.
+func (e *rolloutEvidence) setRoutes(rows map[routeconfig.RouteID]int) {
 	routes := make(map[int]uint32, len(rows))
 	for id, row := range rows {
 		routes[row] = uint32(xxhash.Sum64String(id.Host + id.Prefix))
@@ -33,28 +35,28 @@
 }
 
 // watch goes by these rollouts and replicas from now on.
-func (e *evidence) watch(set rollout.Set, replicas []rollout.Replica) {
+func (e *rolloutEvidence) watch(set rollout.Set, replicas []rollout.Replica) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.recorder.Watch(set, replicas)
 }
 
 // report returns what was seen so far.
-func (e *evidence) report() []rollout.Evidence {
+func (e *rolloutEvidence) report() []rollout.Evidence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.recorder.Evidence()
 }
 
 // Sent takes in that an execution goes to a replica.
-func (e *evidence) Sent(host string) bool {
+func (e *rolloutEvidence) Sent(host string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.recorder.Sent(host)
 }
 
 // Ended takes in how it ended.
-func (e *evidence) Ended(host string, end node.Execution) {
+func (e *rolloutEvidence) Ended(host string, end node.Execution) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.recorder.Ended(host, e.routes[end.Workload], outcomeOf(end), end.Took)
--- a/front/proxyserver/figures_test.go
+++ b/front/proxyserver/figures_test.go
@@ -31,7 +31,7 @@
 		account:  lending.NewAccount(clock.Now(), lending.DefaultTiming(set.Bounds.RetryWindow())),
 		evidence: newEvidence(1), servers: &clienthttp.Servers{}, handler: &clienthttp.Handler{}}
 	s.node = node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
-		Terms: deployment.Terms{MostHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), RequestList: func() {}, Observer: s.evidence,
+		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), RequestList: func() {}, Observer: s.evidence,
 		NewTransport: func(tell func(any), now func() int64) node.Transport {
 			s.pool = replicahttp.NewPool(tell, now)
 			return s.pool
@@ -40,9 +40,9 @@
 	return s
 }
 
-func (s *Server) takeRoutes(t *testing.T, revision int, routes string) {
+func (s *Server) applyRoutes(t *testing.T, revision int, routes string) {
 	raw := fmt.Appendf(nil, `{"revision":%d,"routes":[%s],"services":[{"name":"s"}]}`, revision, routes)
-	must.True(t, s.take(clusterstate.Update{Revision: uint64(revision), Body: clusterstate.Pack(raw)}))
+	must.True(t, s.applyUpdate(clusterstate.Update{Revision: uint64(revision), Body: clusterstate.Pack(raw)}))
 }
 
 func route(name string) string {
@@ -56,11 +56,11 @@
 // TestFiguresOfOneName: each of two routes of one name has counts of its own.
 func TestFiguresOfOneName(t *testing.T) {
 	s := idleServer(t)
-	s.takeRoutes(t, 3, `{"name":"r","host":"h","path-prefix":"/a/","deadline-ms":1000,"service":"s"},{"name":"r","host":"h","path-prefix":"/b/","deadline-ms":1000,"service":"s"}`)
-	s.rows[s.rowOf[routeID("a")]].Whole.Add(2)
-	s.rows[s.rowOf[routeID("b")]].Whole.Add(3)
+	s.applyRoutes(t, 3, `{"name":"r","host":"h","path-prefix":"/a/","deadline-ms":1000,"service":"s"},{"name":"r","host":"h","path-prefix":"/b/","deadline-ms":1000,"service":"s"}`)
+	s.counterRows[s.rowByRoute[routeID("a")]].Complete.Add(2)
+	s.counterRows[s.rowByRoute[routeID("b")]].Complete.Add(3)
 	recorder := httptest.NewRecorder()
-	metrics.Handler("/metrics", s.figures).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	metrics.Handler("/metrics", s.writeMetrics).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	must.StrContains(t, recorder.Body.String(), "willowsill_queries_total{route=\"r\",host=\"h\",prefix=\"/a/\",outcome=\"whole\"} 2\n")
 	must.StrContains(t, recorder.Body.String(), "willowsill_queries_total{route=\"r\",host=\"h\",prefix=\"/b/\",outcome=\"whole\"} 3\n")
 }
@@ -69,7 +69,7 @@
 // taken out begin at 0.
 func TestFiguresByRoute(t *testing.T) {
 	s := idleServer(t)
-	figures := httptest.NewServer(metrics.Handler("/metrics", s.figures))
+	figures := httptest.NewServer(metrics.Handler("/metrics", s.writeMetrics))
 	defer figures.Close()
 	told := func() string {
 		response, err := http.Get(figures.URL + "/metrics")
@@ -80,20 +80,20 @@
 		return string(body)
 	}
 	must.StrContains(t, told(), "willowsill_configuration_revision 0\n")
-	s.takeRoutes(t, 3, route("scan"))
-	s.rows[s.rowOf[routeID("scan")]].Whole.Add(7)
+	s.applyRoutes(t, 3, route("scan"))
+	s.counterRows[s.rowByRoute[routeID("scan")]].Complete.Add(7)
 	s.counters.Executions.Sent.Add(9)
 	text := told()
 	must.StrContains(t, text, "willowsill_queries_total{route=\"scan\",host=\"h\",prefix=\"/scan/\",outcome=\"whole\"} 7\n")
 	must.StrContains(t, text, "willowsill_executions_sent_total 9\n")
 	must.StrContains(t, text, "willowsill_configuration_revision 3\n")
-	row := s.rowOf[routeID("scan")]
-	s.takeRoutes(t, 4, route("debit"))
-	s.renewRows(s.routes, map[routeconfig.RouteID]int{routeID("debit"): row})
+	row := s.rowByRoute[routeID("scan")]
+	s.applyRoutes(t, 4, route("debit"))
+	s.updateCounterRows(s.routes, map[routeconfig.RouteID]int{routeID("debit"): row})
 	text = told()
 	must.StrContains(t, text, "willowsill_queries_total{route=\"debit\",host=\"h\",prefix=\"/debit/\",outcome=\"whole\"} 0\n")
 	must.StrNotContains(t, text, "scan")
-	s.rows[row].Whole.Add(1)
-	s.renewRows(s.routes, map[routeconfig.RouteID]int{routeID("debit"): row, routeID("scan"): row + 1})
+	s.counterRows[row].Complete.Add(1)
+	s.updateCounterRows(s.routes, map[routeconfig.RouteID]int{routeID("debit"): row, routeID("scan"): row + 1})
 	must.StrContains(t, told(), "willowsill_queries_total{route=\"debit\",host=\"h\",prefix=\"/debit/\",outcome=\"whole\"} 1\n")
 }
--- a/front/proxyserver/path_test.go
+++ b/front/proxyserver/path_test.go
@@ -36,8 +36,8 @@
 	left     time.Time // when the proxy closed the connection under it, zero where it did not
 }
 
-// behaviour is what a replica does with a request. It returns a status and a body of records; status 0 is no answer.
-type behaviour func(r *http.Request) (status int, body string)
+// replicaBehaviour is what a replica does with a request. It returns a status and a body of records; status 0 is no answer.
+type replicaBehaviour func(r *http.Request) (status int, body string)
 
 // proxyBubble is a proxy on pipes, with replicas.
 type proxyBubble struct {
@@ -54,8 +54,8 @@
 
 const frontAddress = "front:1"
 
-// inBubble plays a test with a proxy that serves the routes, and one replica of each service named.
-func inBubble(t *testing.T, routes string, replicas map[string]behaviour, play func(b *proxyBubble)) {
+// withProxy plays a test with a proxy that serves the routes, and one replica of each service named.
+func withProxy(t *testing.T, routes string, replicas map[string]replicaBehaviour, play func(b *proxyBubble)) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &proxyBubble{t: t, network: &pipes.Network{}}
 		b.Server = idleServer(t)
@@ -90,7 +90,7 @@
 func (b *proxyBubble) settle() { time.Sleep(50 * time.Millisecond); synctest.Wait() }
 
 // listen starts a replica whose name is its service's, and with a number behind a dash for further ones.
-func (b *proxyBubble) listen(name string, answer behaviour) {
+func (b *proxyBubble) listen(name string, answer replicaBehaviour) {
 	b.replicas = append(b.replicas, name)
 	l := b.network.Listen(name + ":80")
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -127,7 +127,7 @@
 		service, _, _ := strings.Cut(name, "-")
 		u.Replicas = append(u.Replicas, registry.Record{ID: name, Service: service, Address: name + ":80", Seq: uint64(revision), Capacity: 4})
 	}
-	must.True(b.t, b.take(u))
+	must.True(b.t, b.applyUpdate(u))
 }
 
 // dial opens a client's connection.
@@ -163,14 +163,14 @@
 	return found
 }
 
-func wellAfter(d time.Duration) behaviour {
+func answersAfter(d time.Duration) replicaBehaviour {
 	return func(*http.Request) (int, string) {
 		time.Sleep(d)
 		return http.StatusOK, strings.Repeat("r", 16)
 	}
 }
 
-func failsAfter(d time.Duration) behaviour {
+func failsAfter(d time.Duration) replicaBehaviour {
 	return func(*http.Request) (int, string) {
 		time.Sleep(d)
 		return http.StatusInternalServerError, ""
@@ -194,8 +194,8 @@
 // second one ends no later than the first.
 func TestDeadlinesHandedOn(t *testing.T) {
 	for _, patience := range []int{700, 5000} {
-		replicas := map[string]behaviour{"s1": failsAfter(300 * time.Millisecond), "s1-2": failsAfter(300 * time.Millisecond)}
-		inBubble(t, safeRoute, replicas, func(b *proxyBubble) {
+		replicas := map[string]replicaBehaviour{"s1": failsAfter(300 * time.Millisecond), "s1-2": failsAfter(300 * time.Millisecond)}
+		withProxy(t, safeRoute, replicas, func(b *proxyBubble) {
 			c, r := b.dial()
 			defer c.Close()
 			began := time.Now()
@@ -217,7 +217,7 @@
 // client would wait; one that may have run is not promised that it has not.
 func TestAnsweredByTheRoutesTime(t *testing.T) {
 	for path, want := range map[string]int{"/safe/x": http.StatusServiceUnavailable, "/unsafe/x": http.StatusBadGateway, "/all/x": http.StatusServiceUnavailable} {
-		inBubble(t, safeRoute+","+unsafeRoute+","+gatheredRoute, map[string]behaviour{"s1": silent, "s1-2": silent, "s2": silent}, func(b *proxyBubble) {
+		withProxy(t, safeRoute+","+unsafeRoute+","+gatheredRoute, map[string]replicaBehaviour{"s1": silent, "s1-2": silent, "s2": silent}, func(b *proxyBubble) {
 			c, r := b.dial()
 			defer c.Close()
 			began := time.Now()
@@ -232,11 +232,11 @@
 
 // TestTriesOfARoute: one request runs at max-tries replicas at the most, each shard of a gathered one by itself.
 func TestTriesOfARoute(t *testing.T) {
-	failing := map[string]behaviour{}
+	failing := map[string]replicaBehaviour{}
 	for _, name := range []string{"s1", "s1-2", "s1-3", "s1-4", "s2"} {
 		failing[name] = failsAfter(10 * time.Millisecond)
 	}
-	inBubble(t, safeRoute+","+unsafeRoute+","+gatheredRoute, failing, func(b *proxyBubble) {
+	withProxy(t, safeRoute+","+unsafeRoute+","+gatheredRoute, failing, func(b *proxyBubble) {
 		for path, most := range map[string]map[string]int{"/safe/x": {"s1": 2}, "/unsafe/x": {"s1": 1}, "/all/x": {"s1": 2, "s2": 2}} {
 			c, r := b.dial()
 			defer c.Close()
@@ -260,7 +260,7 @@
 // nothing more is sent for it.
 func TestWithdrawnWhenTheClientLeaves(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/all/x"} {
-		inBubble(t, safeRoute+","+gatheredRoute, map[string]behaviour{"s1": silent, "s1-2": silent, "s2": silent}, func(b *proxyBubble) {
+		withProxy(t, safeRoute+","+gatheredRoute, map[string]replicaBehaviour{"s1": silent, "s1-2": silent, "s2": silent}, func(b *proxyBubble) {
 			c, _ := b.dial()
 			defer c.Close()
 			send(c, path, "t1", 5000)
@@ -281,7 +281,7 @@
 
 // TestRestedConnections: a client's connection that has rested for four fifths of idle-timeout-ms is taken up again.
 func TestRestedConnections(t *testing.T) {
-	inBubble(t, safeRoute, map[string]behaviour{"s1": wellAfter(10 * time.Millisecond)}, func(b *proxyBubble) {
+	withProxy(t, safeRoute, map[string]replicaBehaviour{"s1": answersAfter(10 * time.Millisecond)}, func(b *proxyBubble) {
 		c, r := b.dial()
 		defer c.Close()
 		for n := range 3 {
@@ -297,8 +297,8 @@
 // TestLeavingInOrder: from SIGTERM on a proxy is not ready; what is under way is answered, what still comes is served and
 // told to close its connection, and the proxy ends within its grace.
 func TestLeavingInOrder(t *testing.T) {
-	well := wellAfter(200 * time.Millisecond)
-	inBubble(t, safeRoute, map[string]behaviour{"s1": well, "s1-2": well, "s1-3": well, "s1-4": well}, func(b *proxyBubble) {
+	well := answersAfter(200 * time.Millisecond)
+	withProxy(t, safeRoute, map[string]replicaBehaviour{"s1": well, "s1-2": well, "s1-3": well, "s1-4": well}, func(b *proxyBubble) {
 		under, underReader := b.dial()
 		defer under.Close()
 		idle, idleReader := b.dial()
@@ -309,11 +309,11 @@
 		send(under, "/safe/x", "under way", 900)
 		b.settle()
 		began := time.Now()
-		b.heard(clusterstate.Freshness{Known: true, Revision: 1})
+		b.handleFreshness(clusterstate.Freshness{Known: true, Revision: 1})
 		must.Eq(b.t, http.StatusOK, b.readinessStatus())
 		ended := make(chan time.Time, 1)
 		go func() {
-			b.leave(b.front)
+			b.drain(b.front)
 			ended <- time.Now()
 		}()
 		synctest.Wait()
@@ -343,15 +343,15 @@
 
 func (b *proxyBubble) readinessStatus() int {
 	w := httptest.NewRecorder()
-	b.ready(w, httptest.NewRequest(http.MethodGet, "/v1/readiness", nil))
+	b.serveReadiness(w, httptest.NewRequest(http.MethodGet, "/v1/readiness", nil))
 	return w.Code
 }
 
 // TestOneConfigurationAnAnswer: the parts of an answer, and how many are missing, are those of the configuration that it
 // began under, also where the shards change while it is out.
 func TestOneConfigurationAnAnswer(t *testing.T) {
-	slow := wellAfter(150 * time.Millisecond)
-	inBubble(t, gatheredRoute, map[string]behaviour{"s1": slow, "s2": failsAfter(0), "s3": slow}, func(b *proxyBubble) {
+	slow := answersAfter(150 * time.Millisecond)
+	withProxy(t, gatheredRoute, map[string]replicaBehaviour{"s1": slow, "s2": failsAfter(0), "s3": slow}, func(b *proxyBubble) {
 		c, r := b.dial()
 		defer c.Close()
 		send(c, "/all/x", "t1", 5000)
@@ -371,7 +371,7 @@
 // TestLeastCoverage: an answer from less than min-coverage of the shards is no success.
 func TestLeastCoverage(t *testing.T) {
 	route := strings.Replace(gatheredRoute, `"min-coverage":0.5`, `"min-coverage":0.9`, 1)
-	inBubble(t, route, map[string]behaviour{"s1": wellAfter(0), "s2": failsAfter(0)}, func(b *proxyBubble) {
+	withProxy(t, route, map[string]replicaBehaviour{"s1": answersAfter(0), "s2": failsAfter(0)}, func(b *proxyBubble) {
 		c, r := b.dial()
 		defer c.Close()
 		send(c, "/all/x", "t1", 5000)
@@ -382,7 +382,7 @@
 
 // TestRoutesAddedLater: requests on a route that was just added are served as those on the first.
 func TestRoutesAddedLater(t *testing.T) {
-	inBubble(t, safeRoute, map[string]behaviour{"s1": wellAfter(20 * time.Millisecond), "s2": wellAfter(20 * time.Millisecond)}, func(b *proxyBubble) {
+	withProxy(t, safeRoute, map[string]replicaBehaviour{"s1": answersAfter(20 * time.Millisecond), "s2": answersAfter(20 * time.Millisecond)}, func(b *proxyBubble) {
 		c, r := b.dial()
 		defer c.Close()
 		for n := range 50 {
@@ -402,13 +402,13 @@
 // TestKeptConnectionsOverAChange: a configuration with other limits closes no connection that is open: what is under way on
 // it is answered, and so is what comes next.
 func TestKeptConnectionsOverAChange(t *testing.T) {
-	inBubble(t, safeRoute, map[string]behaviour{"s1": wellAfter(150 * time.Millisecond)}, func(b *proxyBubble) {
+	withProxy(t, safeRoute, map[string]replicaBehaviour{"s1": answersAfter(150 * time.Millisecond)}, func(b *proxyBubble) {
 		c, r := b.dial()
 		defer c.Close()
 		send(c, "/safe/x", "t1", 900)
 		b.settle()
 		raw := fmt.Appendf(nil, `{"revision":2,"routes":[%s],"services":[{"name":"s1"}],"limits":{"idle-timeout-ms":3000}}`, safeRoute)
-		must.True(b.t, b.take(clusterstate.Update{Revision: 2, Body: clusterstate.Pack(raw)}))
+		must.True(b.t, b.applyUpdate(clusterstate.Update{Revision: 2, Body: clusterstate.Pack(raw)}))
 		for _, attempt := range []string{"t2", ""} {
 			res, _ := b.receive(r)
 			must.Eq(b.t, http.StatusOK, res.StatusCode)
--- a/front/proxyserver/proxyserver.go
+++ b/front/proxyserver/proxyserver.go
@@ -40,10 +40,10 @@
 var ErrProxy = oops.Code("proxy")
 
 const (
-	maxHeld     = 20000                   // queries and parts that the node holds at the most
-	stayOpen    = 2500 * time.Millisecond // after SIGTERM, until the platform sends no more
-	graceMargin = 400 * time.Millisecond  // the proxy ends so long before its grace does
-	startPoll   = 5 * time.Millisecond    // between two looks whether there is a configuration
+	maxHeld    = 20000                   // queries and parts that the node holds at the most
+	stayOpen   = 2500 * time.Millisecond // after SIGTERM, until the platform sends no more
+	stopMargin = 400 * time.Millisecond  // the proxy ends so long before its grace does
+	startPoll  = 5 * time.Millisecond    // between two looks whether there is a configuration
 )
 
 // Server is a running proxy.
@@ -56,22 +56,22 @@
 	address  net.Addr
 	counters *counters.Counters
 
-	mu        sync.Mutex // guards table and what is told to the node by it
-	state     *clusterstate.State
-	table     *routingtable.Table
-	readiness follower.Readiness
-	fresh     clusterstate.Freshness // as the agent said it at freshAt
-	freshAt   int64
-	rows      []*counters.Workload
-	routes    []routeconfig.Route         // that are served
-	rowOf     map[routeconfig.RouteID]int // the row of each
-	served    []balance.Workload
-	account   *lending.Account // of retries beyond the ratio
-	evidence  *evidence        // of rollouts
-	free      float64          // of these, what the node was told last
+	mu          sync.Mutex // guards table and what is told to the node by it
+	state       *clusterstate.State
+	table       *routingtable.Table
+	readiness   follower.Readiness
+	freshness   clusterstate.Freshness // as the agent said it at freshAt
+	freshnessAt int64
+	counterRows []*counters.Workload
+	routes      []routeconfig.Route         // that are served
+	rowByRoute  map[routeconfig.RouteID]int // the row of each
+	workloads   []balance.Workload
+	account     *lending.Account // of retries beyond the ratio
+	evidence    *rolloutEvidence // of rollouts
+	retrySlack  float64          // of these, what the node was told last
 
-	knows   atomic.Bool // a configuration and a snapshot were there once
-	leaving atomic.Bool
+	configured atomic.Bool // a configuration and a snapshot were there once
+	leaving    atomic.Bool
 }
 
 // Run runs a proxy until ctx ends and then serves on for as long as clients come.
@@ -83,7 +83,7 @@
 	s.account = lending.NewAccount(clock.Now(), lending.DefaultTiming(local.Bounds.RetryWindow()))
 	s.evidence = newEvidence(seed)
 	s.node = node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(local, seed)},
-		Terms: deployment.Terms{MostHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), RequestList: func() {}, Observer: s.evidence,
+		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), RequestList: func() {}, Observer: s.evidence,
 		NewTransport: func(tell func(any), now func() int64) node.Transport {
 			s.pool = replicahttp.NewPool(tell, now)
 			return s.pool
@@ -100,37 +100,37 @@
 	s.servers, s.address = &clienthttp.Servers{Handler: s.handler}, front.Addr()
 	inner, end := context.WithCancel(context.Background())
 	defer end()
-	up := watch.Follower{Report: s.report, Take: s.take, Sign: s.heard, Note: s.borrow,
-		Addresses: func() []string { return []string{local.Inner(local.Loopback(), settings.PortAgent)} }}
+	up := watch.Upstream{Report: s.buildReport, Apply: s.applyUpdate, OnFreshness: s.handleFreshness, OnLending: s.handleLendingMessage,
+		Addresses: func() []string { return []string{local.InternalAddress(local.Loopback(), settings.PortAgent)} }}
 	go up.Run(inner)
-	go s.budget(inner)
-	go s.tally(inner)
-	metrics.Serve(inner, local.IP, local.Metrics, s.figures)
-	go (&http.Server{Handler: http.HandlerFunc(s.ready), ReadHeaderTimeout: time.Second}).Serve(ready)
+	go s.pollRetrySlack(inner)
+	go s.logServed(inner)
+	metrics.Serve(inner, local.IP, local.Metrics, s.writeMetrics)
+	go (&http.Server{Handler: http.HandlerFunc(s.serveReadiness), ReadHeaderTimeout: time.Second}).Serve(ready)
 	go s.accept(front)
 	<-ctx.Done()
-	s.leave(front)
+	s.drain(front)
 	return nil
 }
 
 // accept takes clients in once there is a configuration; until then they wait to be accepted.
 func (s *Server) accept(front net.Listener) {
-	for !s.knows.Load() {
+	for !s.configured.Load() {
 		time.Sleep(startPoll)
 	}
 	s.servers.Accept(front)
 }
 
-// leave drains the proxy: clients are told to close their connections while they are still served, then the requests
+// drain drains the proxy: clients are told to close their connections while they are still served, then the requests
 // under way are waited for, as long as the grace allows.
 //
 // Danger: the platform goes on sending for as long as it has not noticed; a request that was read must be
 // answered.
-func (s *Server) leave(front net.Listener) {
-	until := time.Now().Add(time.Duration(s.settings.Bounds.GraceS*float64(time.Second)) - graceMargin)
+func (s *Server) drain(front net.Listener) {
+	until := time.Now().Add(time.Duration(s.settings.Bounds.GraceS*float64(time.Second)) - stopMargin)
 	klog.InfoS("leaving")
 	s.leaving.Store(true)
-	s.handler.Leaving.Store(true)
+	s.handler.Draining.Store(true)
 	time.Sleep(min(stayOpen, time.Until(until)/2))
 	front.Close()
 	wait, cancel := context.WithDeadline(context.Background(), until)
@@ -143,13 +143,13 @@
 	klog.InfoS("left", "late", wait.Err() != nil)
 }
 
-// ready answers the platform, which reads the status alone; the body says to people how old the knowledge here is.
-func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
+// serveReadiness answers the platform, which reads the status alone; the body says to people how old the knowledge here is.
+func (s *Server) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	now := s.node.Now()
 	ready := s.readiness.Ready(now) && !s.leaving.Load()
-	answer := readinessState{Ready: ready, Behind: s.readiness.Behind(now), Known: s.fresh.Known, NewestRevision: s.fresh.Revision,
-		AgeMs: (s.fresh.Age + now - s.freshAt) / int64(time.Millisecond)}
+	answer := readinessState{Ready: ready, Behind: s.readiness.Behind(now), Known: s.freshness.Known, NewestRevision: s.freshness.Revision,
+		AgeMs: (s.freshness.Age + now - s.freshnessAt) / int64(time.Millisecond)}
 	if s.state != nil {
 		answer.Revision = s.state.Revision
 	}
@@ -165,26 +165,26 @@
 	w.Write(body)
 }
 
-// report is what the proxy says to the agent beside it.
-func (s *Server) report() watch.Report {
-	note := s.lend()
+// buildReport is what the proxy says to the agent beside it.
+func (s *Server) buildReport() watch.Report {
+	note := s.nextLendingMessage()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	self := controller.EdgeReport{Edge: clusterstate.Edge{IP: s.settings.IP, Zone: s.settings.Zone}, Rollouts: s.evidence.report()}
 	return watch.Report{Self: self, Revision: s.state.Revision, Lending: note}
 }
 
-// heard takes how fresh the agent's knowledge is.
-func (s *Server) heard(fresh clusterstate.Freshness) {
+// handleFreshness takes how fresh the agent's knowledge is.
+func (s *Server) handleFreshness(fresh clusterstate.Freshness) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fresh, s.freshAt = fresh, s.node.Now()
-	s.readiness.HandleFreshness(s.freshAt, fresh)
+	s.freshness, s.freshnessAt = fresh, s.node.Now()
+	s.readiness.HandleFreshness(s.freshnessAt, fresh)
 }
 
-// take merges an update from the agent into the state and puts what is new in force. It returns false where the update
+// applyUpdate merges an update from the agent into the state and puts what is new in force. It returns false where the update
 // is a patch of another state than the one held, so that a snapshot is needed.
-func (s *Server) take(update clusterstate.Update) bool {
+func (s *Server) applyUpdate(update clusterstate.Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	update = s.state.Apply(update)
@@ -193,69 +193,69 @@
 		klog.ErrorS(change.Err, "a configuration cannot be used", "revision", update.Revision)
 	}
 	if change.State != nil {
-		s.served = change.Workloads
-		s.renewRows(change.State.Config.Routes, change.State.Rows)
-		s.evidence.serve(change.State.Rows)
+		s.workloads = change.Workloads
+		s.updateCounterRows(change.State.Config.Routes, change.State.Rows)
+		s.evidence.setRoutes(change.State.Rows)
 	}
 	s.account.SetShare(change.RetrySlack)
-	if !s.renewFree(s.node.Now()) && change.State != nil {
-		s.serving()
+	if !s.updateRetrySlack(s.node.Now()) && change.State != nil {
+		s.setWorkloads()
 	}
 	if change.Rollouts {
 		s.evidence.watch(s.table.Rollouts())
 	}
 	if len(change.Replicas) > 0 {
-		s.node.ApplyList(context.Background(), s.news(change.Replicas))
+		s.node.ApplyList(context.Background(), s.replicaList(change.Replicas))
 	}
 	if change.State != nil {
-		s.servers.Limit(s.address, change.State.Config.Limits)
-		s.handler.Serve(change.State)
+		s.servers.SetLimits(s.address, change.State.Config.Limits)
+		s.handler.SetState(change.State)
 		klog.InfoS("serving", "revision", change.State.Config.Revision, "sum", s.state.Sum, "routes", len(change.State.Config.Routes))
 		s.readiness.Configured(s.node.Now(), change.State.Config.Revision)
-		s.knows.Store(true)
+		s.configured.Store(true)
 	}
 	s.state.DropGone()
 	return !s.state.NeedsSnapshot
 }
 
-// renewRows gives each route that is new, or has taken another's row, counts that begin at 0.
-func (s *Server) renewRows(routes []routeconfig.Route, rowOf map[routeconfig.RouteID]int) {
-	s.rows = slices.Clone(s.rows) // the node reads the former one
-	for len(s.rows) < len(s.served) {
-		s.rows = append(s.rows, &counters.Workload{})
+// updateCounterRows gives each route that is new, or has taken another's row, counts that begin at 0.
+func (s *Server) updateCounterRows(routes []routeconfig.Route, rowOf map[routeconfig.RouteID]int) {
+	s.counterRows = slices.Clone(s.counterRows) // the node reads the former one
+	for len(s.counterRows) < len(s.workloads) {
+		s.counterRows = append(s.counterRows, &counters.Workload{})
 	}
 	for route, row := range rowOf {
-		if former, served := s.rowOf[route]; !served || former != row {
-			s.rows[row] = &counters.Workload{}
+		if former, served := s.rowByRoute[route]; !served || former != row {
+			s.counterRows[row] = &counters.Workload{}
 		}
 	}
-	s.routes, s.rowOf = routes, rowOf
+	s.routes, s.rowByRoute = routes, rowOf
 }
 
-// serving tells the node which workloads are served, and how many retries this edge may make beyond its ratio.
-func (s *Server) serving() {
-	s.node.SetWorkloads(node.WorkloadSet{Workloads: s.served, Counters: s.rows, RetrySlack: s.free})
+// setWorkloads tells the node which workloads are served, and how many retries this edge may make beyond its ratio.
+func (s *Server) setWorkloads() {
+	s.node.SetWorkloads(node.WorkloadSet{Workloads: s.workloads, Counters: s.counterRows, RetrySlack: s.retrySlack})
 }
 
-// news translates records of replicas for the node.
-func (s *Server) news(records []registry.Record) (n discovery.News) {
+// replicaList translates records of replicas for the node.
+func (s *Server) replicaList(records []registry.Record) (n discovery.Update) {
 	for _, r := range records {
 		slot, found := s.table.Shard(r.Service)
 		if !found {
 			klog.InfoS("a replica is not used: its service has no shard", "replica", r.ID, "service", r.Service)
 			continue
 		}
-		entry := discovery.Entry{Host: r.ID, Dial: replicahttp.Dial(r.ID, r.Address), Cell: slot, Zone: r.Zone,
-			Distance: s.table.Distance(r.Zone), Channels: s.table.MaxCalls(r.Service)}
+		entry := discovery.Entry{Host: r.ID, Dial: replicahttp.DestinationAddress(r.ID, r.Address), Cell: slot, Zone: r.Zone,
+			Distance: s.table.Distance(r.Zone), MaxCalls: s.table.MaxCalls(r.Service)}
 		switch r.Phase {
 		case registry.Ready:
 			if !s.table.Admits(r) { // what it has under way goes on
-				entry.Standing = balance.Draining
+				entry.Status = balance.Draining
 			}
 		case registry.Draining:
-			entry.Standing = balance.Draining
+			entry.Status = balance.Draining
 		case registry.Silent, registry.Gone:
-			entry.Standing = balance.Gone
+			entry.Status = balance.Gone
 		}
 		n.Entries = append(n.Entries, entry)
 	}
--- a/front/proxyserver/proxyserver_bench_test.go
+++ b/front/proxyserver/proxyserver_bench_test.go
@@ -66,7 +66,7 @@
 	p := routingtable.New(clock.Now(), s)
 	count := counters.New(nil)
 	n := node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(s, 1)},
-		Terms: deployment.Terms{MostHeld: maxHeld}, Count: count, Log: zap.NewNop(), RequestList: func() {},
+		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: count, Log: zap.NewNop(), RequestList: func() {},
 		NewTransport: func(tell func(any), now func() int64) node.Transport {
 			pool := replicahttp.NewPool(tell, now)
 			pool.Dial = func(context.Context, string, string) (net.Conn, error) {
@@ -81,15 +81,15 @@
 	}
 	c := p.Apply(clock.Now(), notice)
 	must.NoError(b, c.Err)
-	h.served = c.Workloads
+	h.workloads = c.Workloads
 	for range c.Workloads {
-		h.rows = append(h.rows, &counters.Workload{})
+		h.counterRows = append(h.counterRows, &counters.Workload{})
 	}
-	h.free = 0
-	h.serving()
-	n.ApplyList(context.Background(), h.news(c.Replicas))
+	h.retrySlack = 0
+	h.setWorkloads()
+	n.ApplyList(context.Background(), h.replicaList(c.Replicas))
 	q := &clienthttp.Handler{Core: n, Now: clock.Now}
-	q.Serve(c.State)
+	q.SetState(c.State)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(b, err)
 	server := &http.Server{Handler: q}
--- a/front/proxyserver/retries_test.go
+++ b/front/proxyserver/retries_test.go
@@ -21,24 +21,24 @@
 	set := settings.Settings{IP: "127.0.0.1", Bounds: settings.Bounds{RetryRatio: 0.2, RetrySlack: 60, RetryWindowS: 10}}
 	clock := node.NewClock()
 	n := node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
-		Terms: deployment.Terms{MostHeld: maxHeld}, Count: counters.New(nil), Log: zap.NewNop(), RequestList: func() {},
+		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: counters.New(nil), Log: zap.NewNop(), RequestList: func() {},
 		NewTransport: func(tell func(any), now func() int64) node.Transport { return replicahttp.NewPool(tell, now) }})
 	t.Cleanup(n.Close)
 	terms := lending.DefaultTiming(set.Bounds.RetryWindow())
 	s := &Server{settings: set, node: n, account: lending.NewAccount(clock.Now()-int64(time.Hour), terms)}
 	s.account.SetShare(4)
-	must.Nil(t, s.lend())
-	must.Eq(t, 4, s.free)
-	s.borrow(lending.Message{Requests: []lending.LoanRequest{{Number: 5, Amount: 9}}})
-	must.Nil(t, s.lend()) // given up, and not told yet
-	must.Eq(t, 2, s.free)
-	told := s.lend()
+	must.Nil(t, s.nextLendingMessage())
+	must.Eq(t, 4, s.retrySlack)
+	s.handleLendingMessage(lending.Message{Requests: []lending.LoanRequest{{Number: 5, Amount: 9}}})
+	must.Nil(t, s.nextLendingMessage()) // given up, and not told yet
+	must.Eq(t, 2, s.retrySlack)
+	told := s.nextLendingMessage()
 	must.Eq(t, []lending.Loan{{Answers: 5, Amount: 2, Duration: terms.Loan}}, told.Loans)
-	must.Eq(t, 2, s.free)
-	must.Nil(t, s.lend())
+	must.Eq(t, 2, s.retrySlack)
+	must.Nil(t, s.nextLendingMessage())
 
 	want := s.account.NextMessage(clock.Now(), lending.Usage{Amount: 2, Any: true}).Requests[0]
-	s.borrow(lending.Message{Loans: []lending.Loan{{Answers: want.Number, Amount: 3, Duration: terms.Loan}}})
-	must.Eq(t, 5, s.free)
-	must.Nil(t, s.lend())
+	s.handleLendingMessage(lending.Message{Loans: []lending.Loan{{Answers: want.Number, Amount: 3, Duration: terms.Loan}}})
+	must.Eq(t, 5, s.retrySlack)
+	must.Nil(t, s.nextLendingMessage())
 }
--- a/front/proxyserver/tally.go
+++ b/front/proxyserver/tally.go
@@ -7,8 +7,8 @@
 	"k8s.io/klog/v2"
 )
 
-// tallyEvery is the time between two lines of the log about what was served.
-const tallyEvery = 5 * time.Second
+// servedLogInterval is the time between two lines of the log about what was served.
+const servedLogInterval = 5 * time.Second
 
 // totals are counts since the start of the process: executions sent to replicas and how they ended, connections opened
 // and queries turned away because too many were held.
@@ -21,12 +21,12 @@
 	e := &s.counters.Executions
 	return totals{sent: e.Sent.Load(), fulfilled: e.Fulfilled.Load(), errored: e.Errored.Load(), full: e.Full.Load(),
 		timedOut: e.TimedOut.Load(), connectFailed: e.ConnectFailed.Load(), reset: e.Reset.Load(), cancelled: e.Cancelled.Load(),
-		moot: e.Moot.Load(), opened: s.pool.Opened.Load(), crowded: s.counters.Crowded.Load()}
+		moot: e.Unsent.Load(), opened: s.pool.Opened.Load(), crowded: s.counters.Rejected.Load()}
 }
 
-// tally logs what was served since the line before, where anything was, until ctx ends.
-func (s *Server) tally(ctx context.Context) {
-	ticker := time.NewTicker(tallyEvery)
+// logServed logs what was served since the line before, where anything was, until ctx ends.
+func (s *Server) logServed(ctx context.Context) {
+	ticker := time.NewTicker(servedLogInterval)
 	defer ticker.Stop()
 	var before totals
 	for {
@@ -45,7 +45,7 @@
 
 func (s *Server) logTotals(after, before totals) {
 	s.mu.Lock()
-	now, replicas, edges, free := s.node.Now(), s.table.ReadyReplicas(), s.table.EdgeCount(), s.free
+	now, replicas, edges, free := s.node.Now(), s.table.ReadyReplicas(), s.table.EdgeCount(), s.retrySlack
 	lent, borrowed := s.account.Lent(now), s.account.Borrowed(now)
 	s.mu.Unlock()
 	klog.InfoS("served", "sent", after.sent-before.sent, "fulfilled", after.fulfilled-before.fulfilled,
@@ -53,5 +53,5 @@
 		"connectFailed", after.connectFailed-before.connectFailed, "reset", after.reset-before.reset,
 		"cancelled", after.cancelled-before.cancelled, "moot", after.moot-before.moot, "opened", after.opened-before.opened,
 		"crowded", after.crowded-before.crowded, "replicas", replicas, "edges", edges, "furtherFree", free, "lent", lent, "borrowed", borrowed,
-		"delayMaxMs", s.counters.DelayHighest.Load()/int64(time.Millisecond))
+		"delayMaxMs", s.counters.DelayMaximum.Load()/int64(time.Millisecond))
 }
--- a/front/server.go
+++ b/front/server.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	headerMost  = 32 << 10               // bytes
-	requestWait = 2 * time.Second        // from connecting, or from the first byte of a later request, to its last
-	idleWait    = 2 * time.Second        // that a connection may stand between two requests
-	idleShare   = 4                      // and no more than this part of the clients' descriptors stand so
-	surely      = 250 * time.Millisecond // a client that means well has sent its request so long after connecting
-
-	stillComes = 600 * time.Millisecond // after the word to stop, new connections are accepted for so long,
-	quiet      = 100 * time.Millisecond // and until none has come for so long,
-	quietMost  = time.Second            // at most
-	crowdWait  = 5 * time.Millisecond   // between two looks for a client's connection to close
+	maxHeaderBytes    = 32 << 10               // bytes
+	requestTimeout    = 2 * time.Second        // from connecting, or from the first byte of a later request, to its last
+	idleTimeout       = 2 * time.Second        // that a connection may stand between two requests
+	idleDivisor       = 4                      // and no more than this part of the clients' descriptors stand so
+	usualRequestDelay = 250 * time.Millisecond // a client that means well has sent its request so long after connecting
+
+	stopAcceptTime    = 600 * time.Millisecond // after the word to stop, new connections are accepted for so long,
+	stopQuietTime     = 100 * time.Millisecond // and until none has come for so long,
+	maxStopAcceptTime = time.Second            // at most
+	descriptorPoll    = 5 * time.Millisecond   // between two looks for a client's connection to close
 )
 
 // connKey is the key of a connection in its requests' contexts.
@@ -37,27 +37,27 @@
 type phase uint8
 
 const (
-	silent  phase = iota // no byte has come yet
-	idle                 // between two requests
-	asking               // a request has begun to come
-	served               // it is whole, and its answer is not out
-	refused              // it has had its complaint: only what the client still sends is waited for
+	connected phase = iota // no byte has come yet
+	idle                   // between two requests
+	receiving              // a request has begun to come
+	serving                // it is whole, and its answer is not out
+	errorSent              // it has had its complaint: only what the client still sends is waited for
 )
 
 // conn is one client's connection.
 type conn struct {
 	net.Conn
-	server *Server
-	once   sync.Once
-	renew  int64 // when the deadlines want to be set anew, ns; as rest
-	rest   int64 // bytes of the body of a request that was answered unseen; of the reader alone
+	server             *Server
+	once               sync.Once
+	nextDeadlineUpdate int64 // when the deadlines want to be set anew, ns; as rest
+	unreadBody         int64 // bytes of the body of a request that was answered unseen; of the reader alone
 
 	// Under the server's lock.
-	phase  phase
-	spared bool  // the present request was read though its time was over
-	since  int64 // silent or idle since, or the first byte of the present request came, ns
-	whole  int64 // when the present request has to be whole
-	head   head  // of the present request
+	phase            phase
+	readPastDeadline bool        // the present request was read though its time was over
+	since            int64       // silent or idle since, or the first byte of the present request came, ns
+	requestDeadline  int64       // when the present request has to be whole
+	head             requestHead // of the present request
 }
 
 // connection is the one that a request came on, nil in tests without one.
@@ -70,10 +70,10 @@
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		n, err = c.readLate(b, err)
+		n, err = c.readAfterDeadline(b, err)
 	}
 	for n > 0 {
-		if n = c.skip(b[:n]); n > 0 && !c.unseen(b[:n]) {
+		if n = c.skipBody(b[:n]); n > 0 && !c.rejectUnread(b[:n]) {
 			break
 		}
 		n, err = c.Conn.Read(b) // the answer is out, and the next request is waited for
@@ -82,48 +82,48 @@
 		c.server.mu.Lock()
 		if c.phase <= idle {
 			now := c.server.front.Clock.Now()
-			c.whole, c.head = now+int64(requestWait), head{line: c.head.line[:0]}
-			if c.phase == silent { // since its client connected
-				c.whole = c.since + int64(requestWait)
+			c.requestDeadline, c.head = now+int64(requestTimeout), requestHead{line: c.head.line[:0]}
+			if c.phase == connected { // since its client connected
+				c.requestDeadline = c.since + int64(requestTimeout)
 			}
-			c.phase, c.since = asking, now
+			c.phase, c.since = receiving, now
 		}
-		c.head.take(b[:n])
+		c.head.scan(b[:n])
 		c.server.mu.Unlock()
 	}
 	return n, err
 }
 
-// readLate reads once more what has come, though the time for it is over; once for a request, or one that comes byte by
+// readAfterDeadline reads once more what has come, though the time for it is over; once for a request, or one that comes byte by
 // byte would never end. It waits for nothing, so limits stay exact. While a request is served the stock server ends reads
 // by such times of its own.
 //
 // Danger: while the process itself stood, the time went by for connections whose requests had come and nobody read. They would be
 // closed, and their queries lost, as it goes on. How late that is noticed tells nothing: for one whose time ended just then, by ms.
-func (c *conn) readLate(b []byte, late error) (int, error) {
+func (c *conn) readAfterDeadline(b []byte, late error) (int, error) {
 	c.server.mu.Lock()
-	over := c.spared || c.phase >= served
+	over := c.readPastDeadline || c.phase >= serving
 	c.server.mu.Unlock()
 	if over {
 		return 0, late
 	}
-	c.Conn.SetReadDeadline(time.Now().Add(requestWait))
-	n := c.waiting(b)
+	c.Conn.SetReadDeadline(time.Now().Add(requestTimeout))
+	n := c.readBuffered(b)
 	if n == 0 {
 		c.Conn.SetReadDeadline(time.Now())
 		return 0, late
 	}
 	c.server.mu.Lock()
-	c.spared = true
-	if c.phase == silent { // its time begins now
+	c.readPastDeadline = true
+	if c.phase == connected { // its time begins now
 		c.phase, c.since = idle, c.server.front.Clock.Now()
 	}
 	c.server.mu.Unlock()
 	return n, nil
 }
 
-// waiting reads what the machine holds of what the client sent, 0 for nothing.
-func (c *conn) waiting(b []byte) (n int) {
+// readBuffered reads what the machine holds of what the client sent, 0 for nothing.
+func (c *conn) readBuffered(b []byte) (n int) {
 	socket, is := c.Conn.(syscall.Conn)
 	if !is { // a pipe holds nothing
 		return 0
@@ -142,33 +142,33 @@
 	return n
 }
 
-// due is when the present request has to be whole.
-func (c *conn) due() int64 {
+// deadline is when the present request has to be whole.
+func (c *conn) deadline() int64 {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	return c.whole
+	return c.requestDeadline
 }
 
-// twofold tells whether the present request has both a length and an encoding.
-func (c *conn) twofold() bool {
+// hasLengthAndEncoding tells whether the present request has both a length and an encoding.
+func (c *conn) hasLengthAndEncoding() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	return c.head.length && c.head.coded
+	return c.head.hasLength && c.head.hasEncoding
 }
 
-// taken notes that the present request is whole, and tells whether more may have come than belongs to it.
-func (c *conn) taken(length int64) (more bool) {
+// bodyRead notes that the present request is whole, and tells whether more may have come than belongs to it.
+func (c *conn) bodyRead(length int64) (more bool) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	c.phase, c.spared = served, false
-	return length < 0 || c.head.body > length
+	c.phase, c.readPastDeadline = serving, false
+	return length < 0 || c.head.bodyBytes > length
 }
 
 // CloseWrite lets the stock server end an answer to a request that it did not read to its end, so that the
 // client gets the answer and no reset.
 func (c *conn) CloseWrite() error {
 	c.server.mu.Lock()
-	c.phase = refused
+	c.phase = errorSent
 	c.server.mu.Unlock()
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -176,8 +176,8 @@
 	return nil
 }
 
-// began tells when the first byte of the present request came.
-func (c *conn) began() int64 {
+// requestStart tells when the first byte of the present request came.
+func (c *conn) requestStart() int64 {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	return c.since
@@ -190,7 +190,7 @@
 		c.server.mu.Lock()
 		delete(c.server.conns, c)
 		c.server.mu.Unlock()
-		c.server.budget.Give(sockets.Clients)
+		c.server.budget.Release(sockets.Clients)
 	})
 	return err
 }
@@ -202,17 +202,17 @@
 	listener net.Listener
 	http     http.Server
 
-	mu      sync.Mutex
-	conns   map[*conn]struct{}
-	arrived time.Time // the last connection
+	mu           sync.Mutex
+	conns        map[*conn]struct{}
+	lastAccepted time.Time // the last connection
 }
 
 // NewServer makes a server on a listener.
 func NewServer(f *Front, l net.Listener, b *sockets.Budget) *Server {
 	f.closing = make(chan struct{})
 	s := &Server{front: f, budget: b, listener: l, conns: map[*conn]struct{}{}}
-	s.http = http.Server{Handler: f, ReadHeaderTimeout: requestWait, IdleTimeout: idleWait, MaxHeaderBytes: headerMost,
-		ErrorLog: zap.NewStdLog(f.Log), ConnState: s.note,
+	s.http = http.Server{Handler: f, ReadHeaderTimeout: requestTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog: zap.NewStdLog(f.Log), ConnState: s.connStateChanged,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		}}
@@ -237,26 +237,26 @@
 	if err != nil {
 		return nil, err
 	}
-	for !l.budget.Take(sockets.Clients) {
-		if !l.makeRoom() {
-			time.Sleep(crowdWait)
+	for !l.budget.Acquire(sockets.Clients) {
+		if !l.closeForDescriptor() {
+			time.Sleep(descriptorPoll)
 		}
 	}
-	l.front.Count.ClientsAccepted.Add(1)
+	l.front.Counters.ClientsAccepted.Add(1)
 	c := &conn{Conn: accepted, server: l.Server, since: l.front.Clock.Now()}
 	l.mu.Lock()
-	l.arrived = time.Now()
+	l.lastAccepted = time.Now()
 	l.conns[c] = struct{}{}
 	l.mu.Unlock()
 	return c, nil
 }
 
-// note follows the stock server: a connection waits again once its answer is out. With too many that do, the one
+// connStateChanged follows the stock server: a connection waits again once its answer is out. With too many that do, the one
 // that has been idle for longest is closed.
 //
 // Danger: clients may hold only so many connections together. Those who ask once and stay would leave none to others,
 // long before descriptors run short here.
-func (s *Server) note(n net.Conn, state http.ConnState) {
+func (s *Server) connStateChanged(n net.Conn, state http.ConnState) {
 	if state != http.StateIdle {
 		return
 	}
@@ -270,37 +270,37 @@
 		}
 	}
 	s.mu.Unlock()
-	if stand > s.budget.Most(sockets.Clients)/idleShare {
-		s.closeOne(only(idle))
+	if stand > s.budget.Limit(sockets.Clients)/idleDivisor {
+		s.closeLowest(inPhases(idle))
 	}
 }
 
-// makeRoom closes the connection that is least likely to be missed: one that has had its complaint; one that has
+// closeForDescriptor closes the connection that is least likely to be missed: one that has had its complaint; one that has
 // not brought a whole request though a client that means well would have; one between two requests, whose client
 // asks again on another. One that has just come is the last, for its request should be on its way.
 //
 // Danger: silent connections and halves of requests, by hundreds, would push out the idle ones of usual clients and
 // then starve their new ones.
-func (s *Server) makeRoom() bool {
-	sure := s.front.Clock.Now() - int64(surely)
+func (s *Server) closeForDescriptor() bool {
+	sure := s.front.Clock.Now() - int64(usualRequestDelay)
 	rank := func(c *conn) int {
 		switch {
-		case c.phase == refused:
+		case c.phase == errorSent:
 			return 1
-		case c.phase != served && c.phase != idle && c.since < sure:
+		case c.phase != serving && c.phase != idle && c.since < sure:
 			return 2
 		case c.phase == idle:
 			return 3
-		case c.phase == silent:
+		case c.phase == connected:
 			return 4
 		}
 		return 0
 	}
-	return s.closeOne(rank)
+	return s.closeLowest(rank)
 }
 
-// closeOne closes the connection with the lowest rank above 0, the oldest of these.
-func (s *Server) closeOne(rank func(*conn) int) bool {
+// closeLowest closes the connection with the lowest rank above 0, the oldest of these.
+func (s *Server) closeLowest(rank func(*conn) int) bool {
 	s.mu.Lock()
 	var chosen *conn
 	for c := range s.conns {
@@ -312,13 +312,13 @@
 	if chosen == nil {
 		return false
 	}
-	s.front.Count.ClientsClosed.Add(1)
+	s.front.Counters.ClientsClosed.Add(1)
 	chosen.Close()
 	return true
 }
 
-// only ranks the connections in these phases alike, and no others.
-func only(phases ...phase) func(*conn) int {
+// inPhases ranks the connections in these phases alike, and no others.
+func inPhases(phases ...phase) func(*conn) int {
 	return func(c *conn) int {
 		if slices.Contains(phases, c.phase) {
 			return 1
@@ -336,14 +336,14 @@
 func (s *Server) Stop(lastWait time.Duration) error {
 	close(s.front.closing)
 	began := time.Now()
-	for wait := stillComes; wait > 0 && time.Since(began) < quietMost; {
+	for wait := stopAcceptTime; wait > 0 && time.Since(began) < maxStopAcceptTime; {
 		time.Sleep(wait)
 		s.mu.Lock()
-		wait = time.Until(s.arrived.Add(quiet))
+		wait = time.Until(s.lastAccepted.Add(stopQuietTime))
 		s.mu.Unlock()
 	}
 	s.http.RegisterOnShutdown(func() { // once the listener is closed
-		for s.closeOne(only(silent, idle)) {
+		for s.closeLowest(inPhases(connected, idle)) {
 		}
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), lastWait)
--- a/internal/ci/knownred/list.go
+++ b/internal/ci/knownred/list.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// mostListed is how many tests may be known to fail at one time.
-const mostListed = 3
+// maxListed is how many tests may be known to fail at one time.
+const maxListed = 3
 
 // testName is a top-level test: the package's import path and the test's name.
 type testName struct{ Package, Test string }
@@ -45,8 +45,8 @@
 		seen[known.Name] = true
 		list = append(list, known)
 	}
-	if len(list) > mostListed {
-		return nil, fmt.Errorf("%d tests are listed, %d may be", len(list), mostListed)
+	if len(list) > maxListed {
+		return nil, fmt.Errorf("%d tests are listed, %d may be", len(list), maxListed)
 	}
 	return list, nil
 }
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -65,7 +65,7 @@
 		}
 		exits = append(exits, exit)
 	}
-	return report.verdict(errors.Join(exits...))
+	return report.result(errors.Join(exits...))
 }
 
 // goTest runs go test once and hands its events to the report. exit is how it ended.
@@ -91,7 +91,7 @@
 	for {
 		line, err := lines.ReadBytes('\n')
 		if len(line) > 0 {
-			takeLine(line, to, out)
+			handleLine(line, to, out)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -102,11 +102,11 @@
 	}
 }
 
-func takeLine(line []byte, to *report, out io.Writer) {
+func handleLine(line []byte, to *report, out io.Writer) {
 	var e event
 	if !bytes.HasPrefix(line, []byte("{")) || json.Unmarshal(line, &e) != nil {
 		_, _ = out.Write(line)
 		return
 	}
-	to.take(e)
+	to.handle(e)
 }
--- a/internal/ci/knownred/report.go
+++ b/internal/ci/knownred/report.go
@@ -27,11 +27,11 @@
 
 // packageRun is a package's tests while they run.
 type packageRun struct {
-	running map[string]bool             // top-level tests without a result
-	outputs map[string]*strings.Builder // by top-level test; "" is the package's own
-	failed  []string                    // top-level tests
-	orderly bool                        // the binary came to its end
-	raced   bool
+	running  map[string]bool             // top-level tests without a result
+	outputs  map[string]*strings.Builder // by top-level test; "" is the package's own
+	failed   []string                    // top-level tests
+	finished bool                        // the binary came to its end
+	raced    bool
 }
 
 // report prints a run of go test and keeps what the verdict needs.
@@ -48,16 +48,16 @@
 	return &report{out: out, list: list, packages: map[string]*packageRun{}, passed: map[testName]bool{}, excused: map[testName]bool{}}
 }
 
-func (r *report) take(e event) {
+func (r *report) handle(e event) {
 	switch {
 	case e.Action == "build-output":
 		fmt.Fprint(r.out, e.Output)
 	case e.Action == "build-fail":
 		r.failures = append(r.failures, e.ImportPath+" cannot be built")
 	case e.Test == "":
-		r.takePackage(e)
+		r.handlePackage(e)
 	default:
-		r.takeTest(e)
+		r.handleTest(e)
 	}
 }
 
@@ -78,8 +78,8 @@
 	p.raced = p.raced || strings.Contains(text, dataRace)
 }
 
-// takeTest takes an event of a test. Subtests count as part of their top-level test.
-func (r *report) takeTest(e event) {
+// handleTest takes an event of a test. Subtests count as part of their top-level test.
+func (r *report) handleTest(e event) {
 	p := r.run(e.Package)
 	test, _, sub := strings.Cut(e.Test, "/")
 	switch e.Action {
@@ -103,12 +103,12 @@
 	}
 }
 
-// takePackage takes an event of a package as a whole.
-func (r *report) takePackage(e event) {
+// handlePackage takes an event of a package as a whole.
+func (r *report) handlePackage(e event) {
 	p := r.run(e.Package)
 	switch e.Action {
 	case "output":
-		p.orderly = p.orderly || e.Output == closingFail
+		p.finished = p.finished || e.Output == closingFail
 		if isClosingLine(e.Output) {
 			if strings.HasPrefix(e.Output, "FAIL") {
 				r.printOutputs(p)
@@ -118,7 +118,7 @@
 			p.write("", e.Output)
 		}
 	case "fail":
-		r.judge(e, p)
+		r.classifyFailure(e, p)
 	}
 }
 
@@ -146,17 +146,17 @@
 	return keys
 }
 
-// judge decides what a package's failure is: that of known tests alone, or one that fails CI.
+// classifyFailure decides what a package's failure is: that of known tests alone, or one that fails CI.
 //
 // Danger: a panic in a listed test ends its package's other tests unheard, and a race may be any code's; neither is
 // covered by the list.
-func (r *report) judge(e event, p *packageRun) {
+func (r *report) classifyFailure(e event, p *packageRun) {
 	switch {
 	case e.FailedBuild != "":
 		r.failures = append(r.failures, e.Package+" cannot be built")
 	case len(p.running) > 0:
 		r.failures = append(r.failures, fmt.Sprintf("%s: without result: %s", e.Package, strings.Join(sortedKeys(p.running), ", ")))
-	case !p.orderly:
+	case !p.finished:
 		r.failures = append(r.failures, e.Package+" did not come to its end")
 	case p.raced:
 		r.failures = append(r.failures, e.Package+" has a data race")
@@ -177,8 +177,8 @@
 	return slices.ContainsFunc(r.list, func(k knownTest) bool { return k.Name == name })
 }
 
-// verdict prints what became of the listed tests and returns an error where CI fails. exit is how go test ended.
-func (r *report) verdict(exit error) error {
+// result prints what became of the listed tests and returns an error where CI fails. exit is how go test ended.
+func (r *report) result(exit error) error {
 	for _, known := range r.list {
 		switch {
 		case r.excused[known.Name]:
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -14,38 +14,38 @@
 // MarshalJSON encodes the present value.
 func (c *Count) MarshalJSON() ([]byte, error) { return json.Marshal(c.Load()) }
 
-// Highest keeps the highest value it was shown.
-type Highest struct{ Count }
+// Maximum keeps the highest value it was shown.
+type Maximum struct{ Count }
 
-// Show keeps v if it is the highest so far.
-func (h *Highest) Show(v int64) {
+// Record keeps v if it is the highest so far.
+func (h *Maximum) Record(v int64) {
 	for was := h.Load(); v > was && !h.CompareAndSwap(was, v); was = h.Load() {
 	}
 }
 
-// Spread counts values by size: steps to each doubling, so that a share of them is known to a thirty-second. One
+// Histogram counts values by size: steps to each doubling, so that a share of them is known to a thirty-second. One
 // goroutine shows values, others may read.
-type Spread [64 * spreadSteps]Count
+type Histogram [64 * histogramSteps]Count
 
 const (
-	spreadSteps = 32
-	spreadBits  = 6 // that tell the step, with the leading one
+	histogramSteps = 32
+	histogramBits  = 6 // that tell the step, with the leading one
 )
 
-// Show counts a value; those below 0 count as 0.
-func (s *Spread) Show(v int64) { s[spreadRow(uint64(max(v, 0)))].Add(1) }
+// Record counts a value; those below 0 count as 0.
+func (s *Histogram) Record(v int64) { s[bucketIndex(uint64(max(v, 0)))].Add(1) }
 
-// spreadRow is where a value is counted: exact below twice the steps, then by its leading bits.
-func spreadRow(v uint64) int {
-	if v < 2*spreadSteps {
+// bucketIndex is where a value is counted: exact below twice the steps, then by its leading bits.
+func bucketIndex(v uint64) int {
+	if v < 2*histogramSteps {
 		return int(v)
 	}
-	doublings := bits.Len64(v) - spreadBits
-	return doublings*spreadSteps + int(v>>doublings)
+	doublings := bits.Len64(v) - histogramBits
+	return doublings*histogramSteps + int(v>>doublings)
 }
 
-// Below is a value that so large a share of those shown stay below, to a step; 0 where there are none.
-func (s *Spread) Below(share float64) int64 {
+// Quantile is a value that so large a share of those shown stay below, to a step; 0 where there are none.
+func (s *Histogram) Quantile(share float64) int64 {
 	all := int64(0)
 	for i := range s {
 		all += s[i].Load()
@@ -53,26 +53,26 @@
 	left := int64(math.Ceil(share * float64(all)))
 	for i := range s {
 		if left -= s[i].Load(); left <= 0 && all > 0 {
-			if i < 2*spreadSteps {
+			if i < 2*histogramSteps {
 				return int64(i)
 			}
-			doublings := i/spreadSteps - 1
-			return int64(i-doublings*spreadSteps+1) << doublings
+			doublings := i/histogramSteps - 1
+			return int64(i-doublings*histogramSteps+1) << doublings
 		}
 	}
 	return 0
 }
 
 // MarshalJSON encodes a few shares.
-func (s *Spread) MarshalJSON() ([]byte, error) {
-	return json.Marshal(map[string]int64{"p50": s.Below(0.5), "p99": s.Below(0.99), "p999": s.Below(0.999)})
+func (s *Histogram) MarshalJSON() ([]byte, error) {
+	return json.Marshal(map[string]int64{"p50": s.Quantile(0.5), "p99": s.Quantile(0.99), "p999": s.Quantile(0.999)})
 }
 
-// Slot is the place for the figures of a part that may be switched on and off.
-type Slot struct{ atomic.Pointer[json.Marshaler] }
+// Optional is the place for the figures of a part that may be switched on and off.
+type Optional struct{ atomic.Pointer[json.Marshaler] }
 
-// Put shows figures from now on; nil shows none.
-func (s *Slot) Put(figures json.Marshaler) {
+// Set shows figures from now on; nil shows none.
+func (s *Optional) Set(figures json.Marshaler) {
 	if figures == nil {
 		s.Store(nil)
 		return
@@ -81,10 +81,10 @@
 }
 
 // IsZero tells whether there is nothing to show.
-func (s *Slot) IsZero() bool { return s.Load() == nil }
+func (s *Optional) IsZero() bool { return s.Load() == nil }
 
 // MarshalJSON encodes the present figures.
-func (s *Slot) MarshalJSON() ([]byte, error) {
+func (s *Optional) MarshalJSON() ([]byte, error) {
 	if f := s.Load(); f != nil {
 		return (*f).MarshalJSON()
 	}
@@ -93,13 +93,13 @@
 
 // Workload counts the queries of one workload.
 type Workload struct {
-	Taken     Count `json:"taken"`
-	Whole     Count `json:"whole"`
-	Partial   Count `json:"partial"`
-	Declined  Count `json:"declined"`
-	Forfeited Count `json:"forfeited"`
-	Left      Count `json:"left"` // by their clients
-	Over      Count `json:"over"` // of customers over their quotas
+	Accepted   Count `json:"taken"`
+	Complete   Count `json:"whole"`
+	Partial    Count `json:"partial"`
+	Declined   Count `json:"declined"`
+	Forfeited  Count `json:"forfeited"`
+	ClientGone Count `json:"left"` // by their clients
+	OverQuota  Count `json:"over"` // of customers over their quotas
 }
 
 // Executions counts executions by how they ended.
@@ -112,7 +112,7 @@
 	ConnectFailed Count `json:"connect_failed"`
 	Reset         Count `json:"reset"`
 	Cancelled     Count `json:"cancelled"`
-	Moot          Count `json:"moot"`
+	Unsent        Count `json:"moot"`
 }
 
 // Counters are all counters of a process.
@@ -121,7 +121,7 @@
 	Executions Executions           `json:"executions"`
 
 	LateReplies       Count `json:"late_replies"`   // to executions that were given up
-	SpoiltReplies     Count `json:"spoilt_replies"` // each ends its connection
+	InvalidReplies    Count `json:"spoilt_replies"` // each ends its connection
 	ConnectionsOpened Count `json:"connections_opened"`
 	ConnectionsFailed Count `json:"connections_failed"` // never came up
 	ConnectionsClosed Count `json:"connections_closed"` // failed ones too
@@ -129,28 +129,28 @@
 	ClientsAccepted Count `json:"clients_accepted"`
 	ClientsClosed   Count `json:"clients_closed"` // idle ones, to make room
 	BadRequests     Count `json:"bad_requests"`
-	Crowded         Count `json:"crowded"`     // declined before the decisions, for want of room
+	Rejected        Count `json:"crowded"`     // declined before the decisions, for want of room
 	Undelivered     Count `json:"undelivered"` // answers that did not reach their clients
 	Panics          Count `json:"panics"`
 
-	ListNews     Count `json:"list_news"`
+	ListUpdates  Count `json:"list_news"`
 	ListFailures Count `json:"list_failures"`
-	ListOddities Count `json:"list_oddities"` // entries left out
-
-	Reloads      Count `json:"reloads"` // of the configuration, at SIGHUP
-	ReloadsWrong Count `json:"reloads_wrong"`
-
-	SharedStore Slot `json:"shared_store,omitzero"` // where one is used
-	Gateway     Slot `json:"gateway,omitzero"`
-	Strain      Slot `json:"strain,omitzero"`
-	Zones       Slot `json:"zones,omitzero"`
-
-	Rounds       Count   `json:"rounds"`
-	DelayTotal   Count   `json:"delay_total_ns"` // from a fact's birth to the loop, over all facts
-	Facts        Count   `json:"facts"`
-	DelayHighest Highest `json:"delay_highest_ns"`
-	Delay        Spread  `json:"delay_ns"` // the same delays by size
-	HeldHighest  Highest `json:"held_highest"`
+	ListSkipped  Count `json:"list_oddities"` // entries left out
+
+	Reloads       Count `json:"reloads"` // of the configuration, at SIGHUP
+	ReloadsFailed Count `json:"reloads_wrong"`
+
+	SharedStore Optional `json:"shared_store,omitzero"` // where one is used
+	Gateway     Optional `json:"gateway,omitzero"`
+	Overload    Optional `json:"strain,omitzero"`
+	Zones       Optional `json:"zones,omitzero"`
+
+	Rounds       Count     `json:"rounds"`
+	DelayTotal   Count     `json:"delay_total_ns"` // from a fact's birth to the loop, over all facts
+	Facts        Count     `json:"facts"`
+	DelayMaximum Maximum   `json:"delay_highest_ns"`
+	Delay        Histogram `json:"delay_ns"` // the same delays by size
+	HeldMaximum  Maximum   `json:"held_highest"`
 }
 
 // New makes counters for the workloads named.
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -13,9 +13,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		values := rapid.SliceOfN(rapid.Int64Range(0, 1<<50), 1, 200).Draw(t, "values")
 		share := rapid.Float64Range(0.01, 1).Draw(t, "share")
-		var s Spread
+		var s Histogram
 		for _, v := range values {
-			s.Show(v)
+			s.Record(v)
 		}
 		slices.Sort(values)
 		n := 0
@@ -23,13 +23,13 @@
 			n++
 		}
 		truth := values[max(n, 1)-1]
-		if got := s.Below(share); got < truth || float64(got) > (1+1.0/spreadSteps)*float64(truth)+1 {
+		if got := s.Quantile(share); got < truth || float64(got) > (1+1.0/histogramSteps)*float64(truth)+1 {
 			t.Fatalf("below %v: %d, the value is %d", share, got, truth)
 		}
 	})
-	var none Spread
-	none.Show(-5)
-	if none.Below(0.99) != 0 {
+	var none Histogram
+	none.Record(-5)
+	if none.Quantile(0.99) != 0 {
 		t.Error("a value below 0")
 	}
 }
@@ -42,7 +42,7 @@
 	if _, there := keys["shared_store"]; there {
 		t.Error("a part that is off is shown")
 	}
-	c.SharedStore.Put(&Count{})
+	c.SharedStore.Set(&Count{})
 	text, _ = json.Marshal(c)
 	if json.Unmarshal(text, &keys); string(keys["shared_store"]) != "0" {
 		t.Errorf("shown as %s", keys["shared_store"])
--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -12,10 +12,10 @@
 
 // Wait says how long to wait for a program, and how often to ask it.
 type Wait struct {
-	Client *http.Client
-	Every  time.Duration // between two questions
-	Within time.Duration // the longest wait
-	Ended  <-chan error  // tells why the program ended; nil where nobody tells
+	Client   *http.Client
+	Interval time.Duration // between two questions
+	Timeout  time.Duration // the longest wait
+	Ended    <-chan error  // tells why the program ended; nil where nobody tells
 }
 
 // EndedError tells that a program ended before it served.
@@ -30,37 +30,37 @@
 
 func (e *EndedError) Unwrap() error { return e.Err }
 
-// LateError tells that a program did not serve within the longest wait.
-type LateError struct {
+// TimeoutError tells that a program did not serve within the longest wait.
+type TimeoutError struct {
 	URL    string
 	Within time.Duration
 }
 
-func (e *LateError) Error() string {
+func (e *TimeoutError) Error() string {
 	return fmt.Sprintf("the program at %s did not come up in %v", e.URL, e.Within)
 }
 
 // Until waits until the program at a URL serves. It returns an *EndedError or a *LateError where that does not come.
 func (w Wait) Until(url string) error {
-	poll := time.NewTicker(w.Every)
+	poll := time.NewTicker(w.Interval)
 	defer poll.Stop()
-	late := time.After(w.Within)
+	late := time.After(w.Timeout)
 	for {
-		if w.serves(url) {
+		if w.isServing(url) {
 			return nil
 		}
 		select {
 		case err := <-w.Ended:
 			return &EndedError{URL: url, Err: err}
 		case <-late:
-			return &LateError{URL: url, Within: w.Within}
+			return &TimeoutError{URL: url, Within: w.Timeout}
 		case <-poll.C:
 		}
 	}
 }
 
-// serves asks once.
-func (w Wait) serves(url string) bool {
+// isServing asks once.
+func (w Wait) isServing(url string) bool {
 	r, err := w.Client.Get(url + path)
 	if err != nil {
 		return false
--- a/internal/healthcheck/healthcheck_test.go
+++ b/internal/healthcheck/healthcheck_test.go
@@ -30,14 +30,14 @@
 
 func TestUntilItServes(t *testing.T) {
 	s, asked := answering(t, 3)
-	must.NoError(t, Wait{Client: s.Client(), Every: every, Within: 10 * time.Second}.Until(s.URL))
+	must.NoError(t, Wait{Client: s.Client(), Interval: every, Timeout: 10 * time.Second}.Until(s.URL))
 	must.Eq(t, 4, asked.Load())
 }
 
 func TestLate(t *testing.T) {
 	s, _ := answering(t, 1<<30)
-	err := Wait{Client: s.Client(), Every: every, Within: soon}.Until(s.URL)
-	var late *LateError
+	err := Wait{Client: s.Client(), Interval: every, Timeout: soon}.Until(s.URL)
+	var late *TimeoutError
 	must.True(t, errors.As(err, &late))
 	must.Eq(t, soon, late.Within)
 }
@@ -47,7 +47,7 @@
 	ended := make(chan error, 1)
 	why := errors.New("the port is taken")
 	ended <- why
-	err := Wait{Client: s.Client(), Every: every, Within: 10 * time.Second, Ended: ended}.Until(s.URL)
+	err := Wait{Client: s.Client(), Interval: every, Timeout: 10 * time.Second, Ended: ended}.Until(s.URL)
 	must.ErrorIs(t, err, why)
 	var gone *EndedError
 	must.True(t, errors.As(err, &gone))
--- a/internal/house/architecture_test.go
+++ b/internal/house/architecture_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-const mostSteps = 10 // files that a walk through the code may name
+const maxSteps = 10 // files that a walk through the code may name
 
 // walkStep is a row of a walk in docs/architecture.md: a number, a file and its functions.
 var walkStep = regexp.MustCompile("^\\| (\\d+) \\| `([^`]+\\.go)` \\| ([^|]+) \\|")
@@ -38,7 +38,7 @@
 				}
 			}
 		}
-		if inSection > mostSteps {
+		if inSection > maxSteps {
 			t.Errorf("%d steps in %q", inSection, strings.SplitN(section, "\n", 2)[0])
 		}
 		steps += inSection
--- a/internal/house/comments_test.go
+++ b/internal/house/comments_test.go
@@ -10,7 +10,7 @@
 // TestExportedItemsHaveComments: what one package offers another says what it does. Methods that only fulfil a
 // well-known interface need no words.
 func TestExportedItemsHaveComments(t *testing.T) {
-	for name, r := range rooms(t) {
+	for name, r := range loadPackages(t) {
 		if !within(name, "transport", "decide", "front", "lab") {
 			continue
 		}
--- a/internal/house/house_test.go
+++ b/internal/house/house_test.go
@@ -17,15 +17,15 @@
 
 const module = "willowsill/"
 
-// room is one package without its tests.
-type room struct {
+// packageSource is one package without its tests.
+type packageSource struct {
 	comment string
 	imports []string
 	files   map[string]*ast.File
 }
 
-func rooms(t *testing.T) map[string]*room {
-	all := map[string]*room{}
+func loadPackages(t *testing.T) map[string]*packageSource {
+	all := map[string]*packageSource{}
 	root := "../.."
 	must.NoError(t, filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
@@ -47,7 +47,7 @@
 		}
 		r := all[name]
 		if r == nil {
-			r = &room{files: map[string]*ast.File{}}
+			r = &packageSource{files: map[string]*ast.File{}}
 			all[name] = r
 		}
 		r.files[path] = file
@@ -77,7 +77,7 @@
 	barred := []string{"net", "os", "io/ioutil", "syscall", "log", "database/sql"}
 	clocks := []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick"}
 	deciders := 0
-	for name, r := range rooms(t) {
+	for name, r := range loadPackages(t) {
 		if r.comment == "" {
 			t.Errorf("%s has no package comment", name)
 		}
--- a/internal/house/names_test.go
+++ b/internal/house/names_test.go
@@ -21,10 +21,10 @@
 	"decide/rift", "decide/strain", "decide/window", "decide/fair/", "decide/commons", "decide/crossing", "decide/routes", "transport/roster",
 	"cmd/drill", "bin/drill", "balance/again.go", "balance/known.go", "balance/admit.go"}
 
-// history says what things were called then.
-var history = []string{"journal", ".git", "results", "docs/incidents", "CHANGELOG.md", "docs/former-names.md", "internal/house/names_test.go"}
+// historical says what things were called then.
+var historical = []string{"journal", ".git", "results", "docs/incidents", "CHANGELOG.md", "docs/former-names.md", "internal/house/names_test.go"}
 
-var namedIn = []string{".go", ".md", ".toml", ".star", ".sh", ".json", ".txt", ".mod", ""}
+var checkedExtensions = []string{".go", ".md", ".toml", ".star", ".sh", ".json", ".txt", ".mod", ""}
 
 // namePart is a word, or the part of an identifier that begins with a capital.
 var namePart = regexp.MustCompile(`[A-Z]?[a-z]+|[A-Z]+`)
@@ -46,8 +46,8 @@
 	return found
 }
 
-// mayHold is a quick look whether a text has a withdrawn name, or a longer word that holds one.
-func mayHold(text string) bool {
+// mayContain is a quick look whether a text has a withdrawn name, or a longer word that holds one.
+func mayContain(text string) bool {
 	lower := strings.ToLower(text)
 	holds := func(name string) bool { return strings.Contains(lower, name) }
 	return slices.ContainsFunc(withdrawn, holds) || slices.ContainsFunc(withdrawnPaths, holds)
@@ -65,7 +65,7 @@
 		if err != nil {
 			return err
 		}
-		if within(name, history...) {
+		if within(name, historical...) {
 			if d.IsDir() {
 				return fs.SkipDir
 			}
@@ -77,7 +77,7 @@
 		if d.IsDir() && (within(name, "bin", "target", "logs", "found") || d.Name() == "rapid") {
 			return fs.SkipDir
 		}
-		if !d.Type().IsRegular() || !slices.Contains(namedIn, filepath.Ext(name)) {
+		if !d.Type().IsRegular() || !slices.Contains(checkedExtensions, filepath.Ext(name)) {
 			return nil
 		}
 		files++
@@ -85,7 +85,7 @@
 		if err != nil {
 			return err
 		}
-		if !mayHold(string(text)) {
+		if !mayContain(string(text)) {
 			return nil
 		}
 		for i, line := range strings.Split(string(text), "\n") {
--- a/internal/house/policy_test.go
+++ b/internal/house/policy_test.go
@@ -13,8 +13,8 @@
 
 // The operators' limits on the decision module.
 const (
-	mostPolicyLines      = 920 // in all files, empty lines not counted
-	mostPolicyCharacters = 110 // in a line
+	maxPolicyLines      = 920 // in all files, empty lines not counted
+	maxPolicyLineLength = 110 // in a line
 )
 
 // TestPolicySize: the files under `policy` in the deploy file keep to the operators' limits.
@@ -35,8 +35,8 @@
 			if strings.TrimSpace(line) != "" {
 				lines++
 			}
-			must.LessEq(t, mostPolicyCharacters, utf8.RuneCountInString(line), must.Sprintf("%s:%d", name, number+1))
+			must.LessEq(t, maxPolicyLineLength, utf8.RuneCountInString(line), must.Sprintf("%s:%d", name, number+1))
 		}
 	}
-	must.LessEq(t, mostPolicyLines, lines)
+	must.LessEq(t, maxPolicyLines, lines)
 }
--- a/internal/pipes/pipes.go
+++ b/internal/pipes/pipes.go
@@ -32,14 +32,14 @@
 // Listen listens at an address.
 func (n *Network) Listen(address string) *Listener {
 	l := &Listener{address: address, backlog: make(chan net.Conn, Backlog), closed: make(chan struct{})}
-	n.set(address, l)
+	n.setListener(address, l)
 	return l
 }
 
-// Silence makes an address silent for new connections.
-func (n *Network) Silence(address string) { n.set(address, nil) }
+// Blackhole makes an address silent for new connections.
+func (n *Network) Blackhole(address string) { n.setListener(address, nil) }
 
-func (n *Network) set(address string, l *Listener) {
+func (n *Network) setListener(address string, l *Listener) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.listeners == nil {
--- a/lab/controllercheck/controllercheck.go
+++ b/lab/controllercheck/controllercheck.go
@@ -35,17 +35,17 @@
 	Killed
 	Unpowered
 	Emptied
-	kinds
+	kindCount
 )
 
 var kindNames = [...]string{"late", "very late", "lost", "twice", "killed", "without power", "emptied"}
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Play is a list of deviations, in the order of their events.
-type Play []Deviation
+// Schedule is a list of deviations, in the order of their events.
+type Schedule []Deviation
 
-func (p Play) String() string {
+func (p Schedule) String() string {
 	if len(p) == 0 {
 		return "punctual"
 	}
@@ -58,66 +58,66 @@
 
 // Violation is a promise that a play broke.
 type Violation struct {
-	Play Play
-	Text string
+	Schedule Schedule
+	Text     string
 }
 
 // Result is what an exploration found.
 type Result struct {
 	Scope string
-	Plays int64
+	Runs  int64
 	First *Violation // nil where nothing is broken
 }
 
 func (r Result) String() string {
 	if r.First == nil {
-		return fmt.Sprintf("%s: %d plays, nothing broken", r.Scope, r.Plays)
+		return fmt.Sprintf("%s: %d plays, nothing broken", r.Scope, r.Runs)
 	}
-	return fmt.Sprintf("%s: %d plays, broken: %s (%s)", r.Scope, r.Plays, r.First.Text, r.First.Play)
+	return fmt.Sprintf("%s: %d plays, broken: %s (%s)", r.Scope, r.Runs, r.First.Text, r.First.Schedule)
 }
 
 // Explore makes all plays of a scope with one deviation, and of those with two so many at the most, evenly among them.
 func Explore(s Scope, pairs, cores int) Result {
 	x := &exploration{scope: s, result: Result{Scope: s.Name}}
-	events := x.play(nil)
-	var one, two []Play
-	x.next(nil, events, func(p Play) { one = append(one, p) })
-	x.each(cores, one)
+	events := x.run(nil)
+	var one, two []Schedule
+	x.extend(nil, events, func(p Schedule) { one = append(one, p) })
+	x.runAll(cores, one)
 	all := 0
 	for _, p := range one {
-		x.next(p, events, func(Play) { all++ })
+		x.extend(p, events, func(Schedule) { all++ })
 	}
 	stride, n := max(all/max(pairs, 1), 1), 0
 	for _, p := range one {
 		// How many events a play has after its first deviation is known once it was made. The punctual one's number serves: a
 		// deviation of an event that does not come is none.
-		x.next(p, events, func(q Play) {
+		x.extend(p, events, func(q Schedule) {
 			if n++; n%stride == 0 && pairs > 0 {
 				two = append(two, q)
 			}
 		})
 	}
-	x.each(cores, two)
-	x.result.Plays = x.plays.Load()
+	x.runAll(cores, two)
+	x.result.Runs = x.runs.Load()
 	return x.result
 }
 
 type exploration struct {
 	scope  Scope
-	plays  atomic.Int64
+	runs   atomic.Int64
 	mu     sync.Mutex // guards result
 	result Result
 }
 
-// next visits the plays that go on from one by one more deviation, later than its last one.
-func (x *exploration) next(p Play, events int, visit func(Play)) {
+// extend visits the plays that go on from one by one more deviation, later than its last one.
+func (x *exploration) extend(p Schedule, events int, visit func(Schedule)) {
 	from := 0
 	if len(p) > 0 {
 		from = p[len(p)-1].Event + 1
 	}
 	for event := from; event < events; event++ {
-		for kind := range kinds {
-			if kind == Emptied && !x.scope.mayEmpty(p) {
+		for kind := range kindCount {
+			if kind == Emptied && !x.scope.mayEmptyDisk(p) {
 				continue
 			}
 			visit(append(slices.Clone(p), Deviation{event, kind}))
@@ -125,8 +125,8 @@
 	}
 }
 
-// each has plays made on so many cores, until one is broken.
-func (x *exploration) each(cores int, plays []Play) {
+// runAll has plays made on so many cores, until one is broken.
+func (x *exploration) runAll(cores int, plays []Schedule) {
 	var at atomic.Int64
 	var all sync.WaitGroup
 	for range cores {
@@ -136,7 +136,7 @@
 				if i >= int64(len(plays)) || x.broken() {
 					return
 				}
-				x.play(plays[i])
+				x.run(plays[i])
 			}
 		})
 	}
@@ -149,11 +149,11 @@
 	return x.result.First != nil
 }
 
-// play makes one play, notes what it broke, and returns how many events could have had a deviation.
-func (x *exploration) play(p Play) int {
+// run makes one play, notes what it broke, and returns how many events could have had a deviation.
+func (x *exploration) run(p Schedule) int {
 	w := newWorld(x.scope, p)
 	w.run()
-	x.plays.Add(1)
+	x.runs.Add(1)
 	if w.violation != "" {
 		x.mu.Lock()
 		if x.result.First == nil {
@@ -161,5 +161,5 @@
 		}
 		x.mu.Unlock()
 	}
-	return w.count
+	return w.eligibleEvents
 }
--- a/lab/controllercheck/controllercheck_test.go
+++ b/lab/controllercheck/controllercheck_test.go
@@ -20,21 +20,21 @@
 			r := Explore(s, *pairs, runtime.NumCPU())
 			t.Log(r)
 			must.Nil(t, r.First, must.Sprint(r))
-			must.Greater(t, 100, r.Plays)
+			must.Greater(t, 100, r.Runs)
 		})
 	}
 }
 
 const (
-	membersFile = "decide/controller/members.go"
-	diskFile    = "decide/controller/disk.go"
-	leaversFile = "decide/controller/departures.go"
-	callersFile = "decide/controller/callers.go"
+	membersFile    = "decide/controller/members.go"
+	diskFile       = "decide/controller/disk.go"
+	departuresFile = "decide/controller/departures.go"
+	callersFile    = "decide/controller/callers.go"
 )
 
 // TestMutants: controllers with one defence taken out break a promise in the scope named.
 func TestMutants(t *testing.T) {
-	edit := func(file, was, is string) []planted.Edit { return []planted.Edit{{File: file, Was: was, Is: is}} }
+	edit := func(file, was, is string) []planted.Edit { return []planted.Edit{{File: file, Old: was, New: is}} }
 	for _, m := range []planted.Mutant{
 		{Name: "a change of members that others overtook is made all the same", Scope: "two_at_the_duty",
 			Edits: edit(membersFile, "if v.Epoch != epoch || len(v.Prior) > 0 {", "if false {")},
@@ -44,7 +44,7 @@
 			Edits: edit(membersFile, "			silent = append(silent, ip)\n", "")},
 		{Name: "answers leave before the sync", Scope: "two_contents", Edits: edit(diskFile, "	if after == 0 {\n", "	if after >= 0 {\n")},
 		{Name: "a drain is acknowledged before it is saved", Scope: "drain_and_power",
-			Edits: edit(leaversFile, "	return !unsaved && !saving\n", "	return !unsaved && !saving || true\n")},
+			Edits: edit(departuresFile, "	return !unsaved && !saving\n", "	return !unsaved && !saving || true\n")},
 		{Name: "a drain is acknowledged by one alone", Scope: "drain_and_power",
 			Edits: edit(callersFile, "if 2*n > len(c.members()) {", "if n > 0 {")},
 		{Name: "what is told need not stand", Scope: "two_contents",
--- a/lab/controllercheck/world.go
+++ b/lab/controllercheck/world.go
@@ -14,13 +14,13 @@
 
 // event is something that comes to a machine.
 type event struct {
-	at     int64
-	order  int
-	to     string
-	life   int  // of the machine that it is for; 0 for any
-	fate   bool // it may have a deviation
-	fail   func()
-	happen func()
+	at          int64
+	sequence    int
+	to          string
+	incarnation int  // of the machine that it is for; 0 for any
+	mayDeviate  bool // it may have a deviation
+	onLoss      func()
+	deliver     func()
 }
 
 // events is a heap, the soonest first.
@@ -28,7 +28,7 @@
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
@@ -45,230 +45,230 @@
 
 // machine is a controller with its disk.
 type machine struct {
-	name     string
-	machine  *controller.Controller
-	up, gone bool
-	deaf     bool // it hears nobody, and is heard
-	life     int
-	disk     *controller.Save // nil for an empty one
-	list     []registry.Record
-	follower *clusterstate.State
-	seen     uint64 // highest revision that followers of this life were told
-	epoch    uint64 // highest of a value that this life called committed
+	name           string
+	controller     *controller.Controller
+	up, removed    bool
+	receiveBlocked bool // it hears nobody, and is heard
+	incarnation    int
+	disk           *controller.Save // nil for an empty one
+	replicas       []registry.Record
+	follower       *clusterstate.State
+	highestSent    uint64 // highest revision that followers of this life were told
+	epoch          uint64 // highest of a value that this life called committed
 }
 
 // call is something that a caller waits for.
 type call struct {
-	act  Act
-	sent int64
+	action Action
+	sent   int64
 }
 
 // world is one play.
 type world struct {
-	scope     Scope
-	play      Play
-	now       int64
-	queue     events
-	order     int
-	count     int // events so far that could have had a deviation
-	machines  map[string]*machine
-	names     []string
-	calls     map[uint64]call
-	lastCall  uint64
-	confirmed map[uint64]string   // contents by revision that were acknowledged
-	epochs    map[uint64][]string // members by epoch, of committed values
-	newest    uint64              // acknowledged revision
-	deafened  bool
-	violation string
+	scope              Scope
+	schedule           Schedule
+	now                int64
+	queue              events
+	sequence           int
+	eligibleEvents     int // events so far that could have had a deviation
+	machines           map[string]*machine
+	names              []string
+	calls              map[uint64]call
+	lastCall           uint64
+	acknowledged       map[uint64]string   // contents by revision that were acknowledged
+	epochs             map[uint64][]string // members by epoch, of committed values
+	newestAcknowledged uint64              // acknowledged revision
+	receiveBlockUsed   bool
+	violation          string
 }
 
-func newWorld(s Scope, p Play) *world {
-	w := &world{scope: s, play: p, machines: map[string]*machine{}, calls: map[uint64]call{}, confirmed: map[uint64]string{1: "first"},
-		epochs: map[uint64][]string{}, newest: 1}
+func newWorld(s Scope, p Schedule) *world {
+	w := &world{scope: s, schedule: p, machines: map[string]*machine{}, calls: map[uint64]call{}, acknowledged: map[uint64]string{1: "first"},
+		epochs: map[uint64][]string{}, newestAcknowledged: 1}
 	value := register.Value{Epoch: 1, Members: s.Members, Revision: 1, Body: clusterstate.Pack([]byte("first")), Size: len(s.Members)}
 	ballot := register.Ballot{Number: 1, Proposer: "before"}
 	for _, name := range s.Members {
 		state := register.State{Promised: ballot, Accepted: ballot, Value: value}
-		m := w.add(name)
+		m := w.addMachine(name)
 		m.disk = &controller.Save{RegisterState: state, CommittedConfiguration: controller.ConfigurationOf(value)}
-		m.list = []registry.Record{{ID: "r", Service: "s", Address: "r:1", Seq: 1}}
-		w.boot(m)
+		m.replicas = []registry.Record{{ID: "r", Service: "s", Address: "r:1", Seq: 1}}
+		w.startProcess(m)
 	}
-	for _, a := range s.Acts {
-		w.at(warmUp+a.At, &event{happen: func() { w.act(a) }})
+	for _, a := range s.Actions {
+		w.scheduleAt(settleTime+a.At, &event{deliver: func() { w.runAction(a) }})
 	}
 	return w
 }
 
-func (w *world) add(name string) *machine {
+func (w *world) addMachine(name string) *machine {
 	m := &machine{name: name}
 	w.machines[name] = m
 	w.names = append(w.names, name)
 	return m
 }
 
-func (w *world) at(at int64, e *event) {
-	w.order++
-	e.at, e.order = at, w.order
+func (w *world) scheduleAt(at int64, e *event) {
+	w.sequence++
+	e.at, e.sequence = at, w.sequence
 	heap.Push(&w.queue, e)
 }
 
-func (w *world) boot(m *machine) {
-	m.life++
-	m.up, m.seen, m.epoch = true, 0, 0
-	start := controller.Options{IP: m.name, Incarnation: fmt.Sprint(m.life), Seeds: w.scope.Members[:3], ReplicaHeartbeatInterval: second,
+func (w *world) startProcess(m *machine) {
+	m.incarnation++
+	m.up, m.highestSent, m.epoch = true, 0, 0
+	start := controller.Options{IP: m.name, Incarnation: fmt.Sprint(m.incarnation), Seeds: w.scope.Members[:3], ReplicaHeartbeatInterval: second,
 		Random: func() float64 { return float64(m.name[0]%8) / 8 }}
 	if m.disk != nil {
 		state := m.disk.RegisterState
-		start.RegisterState, start.CommittedConfiguration, start.Replicas = &state, m.disk.CommittedConfiguration, m.list
+		start.RegisterState, start.CommittedConfiguration, start.Replicas = &state, m.disk.CommittedConfiguration, m.replicas
 	}
-	m.machine = controller.New(w.now, start)
+	m.controller = controller.New(w.now, start)
 	m.follower = clusterstate.NewState()
-	m.follower.Apply(m.machine.Snapshot())
+	m.follower.Apply(m.controller.Snapshot())
 	w.tick(m)
 }
 
 // tick has a machine's timer go off when it is due. Timers have no deviations: a message that is late has the same effect.
 func (w *world) tick(m *machine) {
-	w.at(max(m.machine.NextTick(), w.now+millisecond), &event{to: m.name, life: m.life, happen: func() {
-		w.carry(m, m.machine.Tick(w.now))
+	w.scheduleAt(max(m.controller.NextTick(), w.now+millisecond), &event{to: m.name, incarnation: m.incarnation, deliver: func() {
+		w.apply(m, m.controller.Tick(w.now))
 		w.tick(m)
 	}})
 }
 
 // run plays the scope to its end.
 func (w *world) run() {
-	end := warmUp + w.scope.Window + recovery
+	end := settleTime + w.scope.Window + recoveryTime
 	for len(w.queue) > 0 && w.violation == "" {
 		e := heap.Pop(&w.queue).(*event)
 		if e.at > end {
 			break
 		}
 		w.now = max(w.now, e.at)
-		if e.fate && w.now >= warmUp+w.scope.From && w.now < warmUp+w.scope.Window {
-			w.count++
-			if i := slices.IndexFunc(w.play, func(d Deviation) bool { return d.Event == w.count-1 }); i >= 0 {
-				w.deviate(e, w.play[i].Kind)
+		if e.mayDeviate && w.now >= settleTime+w.scope.From && w.now < settleTime+w.scope.Window {
+			w.eligibleEvents++
+			if i := slices.IndexFunc(w.schedule, func(d Deviation) bool { return d.Event == w.eligibleEvents-1 }); i >= 0 {
+				w.deviate(e, w.schedule[i].Kind)
 				continue
 			}
 		}
-		w.happen(e)
+		w.deliver(e)
 	}
 	if w.violation == "" {
-		w.checkWhole()
+		w.checkRecovered()
 	}
 }
 
-func (w *world) happen(e *event) {
+func (w *world) deliver(e *event) {
 	if e.to != "" {
 		m := w.machines[e.to]
-		if !m.up || e.life != 0 && e.life != m.life {
+		if !m.up || e.incarnation != 0 && e.incarnation != m.incarnation {
 			return
 		}
 	}
-	e.happen()
+	e.deliver()
 }
 
 // deviate has something befall an event.
 func (w *world) deviate(e *event, kind Kind) {
 	again := *e
-	again.fate = false
+	again.mayDeviate = false
 	switch kind {
 	case Late:
-		w.at(w.now+lateBy, &again)
+		w.scheduleAt(w.now+lateDelay, &again)
 	case VeryLate:
-		w.at(w.now+veryLateBy, &again)
+		w.scheduleAt(w.now+veryLateDelay, &again)
 	case Lost:
-		if e.fail != nil {
-			e.fail()
+		if e.onLoss != nil {
+			e.onLoss()
 		}
 	case Twice:
-		w.happen(e)
-		if e.fail == nil {
-			w.at(w.now+twiceAfter, &again)
+		w.deliver(e)
+		if e.onLoss == nil {
+			w.scheduleAt(w.now+duplicateDelay, &again)
 		}
 	default:
-		w.strike(w.machines[e.to], kind == Emptied)
+		w.crash(w.machines[e.to], kind == Emptied)
 	}
 }
 
-// strike ends a machine's process; what was not saved is lost. It comes back, with an empty disk where that went too.
-func (w *world) strike(m *machine, emptied bool) {
+// crash ends a machine's process; what was not saved is lost. It comes back, with an empty disk where that went too.
+func (w *world) crash(m *machine, emptied bool) {
 	if !m.up {
 		return
 	}
 	m.up = false
 	if emptied {
-		m.disk, m.list = nil, nil
+		m.disk, m.replicas = nil, nil
 	}
-	w.at(w.now+downFor, &event{happen: func() {
-		if !m.gone && !m.up {
-			w.boot(m)
+	w.scheduleAt(w.now+restartDelay, &event{deliver: func() {
+		if !m.removed && !m.up {
+			w.startProcess(m)
 		}
 	}})
 }
 
-// carry does what a controller asks for.
-func (w *world) carry(m *machine, o controller.Effects) {
+// apply does what a controller asks for.
+func (w *world) apply(m *machine, o controller.Effects) {
 	if s := o.Save; s != nil {
 		saved := func(err error) {
-			w.carry(m, m.machine.SaveFinished(w.now, s.Number, err))
+			w.apply(m, m.controller.SaveFinished(w.now, s.Number, err))
 		}
-		w.at(w.now+syncTime, &event{to: m.name, life: m.life, fate: true, happen: func() {
+		w.scheduleAt(w.now+syncTime, &event{to: m.name, incarnation: m.incarnation, mayDeviate: true, deliver: func() {
 			if m.disk = s; s.Replicas != nil {
-				m.list = s.Replicas
+				m.replicas = s.Replicas
 			}
 			saved(nil)
-		}, fail: func() { saved(fmt.Errorf("refused")) }})
+		}, onLoss: func() { saved(fmt.Errorf("refused")) }})
 	}
-	w.deafen(m, o.Log)
+	w.blockReceive(m, o.Log)
 	for _, s := range o.Sends {
 		for _, to := range s.To {
 			// Heartbeats have deviations as well: contact, duties and readiness go by them.
-			w.at(w.now+latency, &event{to: to, fate: true, happen: func() {
-				if y := w.machines[to]; !y.deaf {
-					w.carry(y, y.machine.HandleMessage(w.now, s.Message))
+			w.scheduleAt(w.now+latency, &event{to: to, mayDeviate: true, deliver: func() {
+				if y := w.machines[to]; !y.receiveBlocked {
+					w.apply(y, y.controller.HandleMessage(w.now, s.Message))
 				}
 			}})
 			if w.machines[to] == nil {
-				w.machines[to] = &machine{name: to, gone: true}
+				w.machines[to] = &machine{name: to, removed: true}
 			}
 		}
 	}
 	for _, a := range o.Answers {
-		w.answered(a)
+		w.checkAnswer(a)
 	}
-	w.told(m, o.Update)
+	w.checkUpdate(m, o.Update)
 	w.checkEpoch(m)
 }
 
 // changingMembers is what a controller logs as it begins to do so.
 const changingMembers = "changing the members"
 
-// deafen has the machine that the scope names hear nobody once it has begun to change the members. The others hear it, and
+// blockReceive has the machine that the scope names hear nobody once it has begun to change the members. The others hear it, and
 // one of them takes the duty over.
-func (w *world) deafen(m *machine, log []controller.LogLine) {
+func (w *world) blockReceive(m *machine, log []controller.LogLine) {
 	begins := slices.ContainsFunc(log, func(l controller.LogLine) bool { return l.Text == changingMembers })
-	if !begins || m.name != w.scope.Deaf || w.deafened {
+	if !begins || m.name != w.scope.BlockReceive || w.receiveBlockUsed {
 		return
 	}
-	w.deafened, m.deaf = true, true
-	w.at(w.now+deafFor, &event{happen: func() { m.deaf = false }})
+	w.receiveBlockUsed, m.receiveBlocked = true, true
+	w.scheduleAt(w.now+receiveBlockTime, &event{deliver: func() { m.receiveBlocked = false }})
 }
 
-// act does what the script says.
-func (w *world) act(a Act) {
+// runAction does what the script says.
+func (w *world) runAction(a Action) {
 	switch a.Do {
 	case Start:
 		m := w.machines[a.Machine]
-		if m == nil || m.gone && m.life == 0 {
-			m = w.add(a.Machine)
+		if m == nil || m.removed && m.incarnation == 0 {
+			m = w.addMachine(a.Machine)
 		}
-		w.boot(m)
+		w.startProcess(m)
 		return
 	case PowerAll:
 		for _, name := range w.names {
-			w.strike(w.machines[name], false)
+			w.crash(w.machines[name], false)
 		}
 		return
 	}
@@ -278,37 +278,37 @@
 	}
 	switch a.Do {
 	case Leave:
-		w.carry(m, m.machine.AnnounceShutdown(w.now))
-		w.at(w.now+leaveWait, &event{happen: func() { m.up, m.gone = false, true }})
+		w.apply(m, m.controller.AnnounceShutdown(w.now))
+		w.scheduleAt(w.now+shutdownWait, &event{deliver: func() { m.up, m.removed = false, true }})
 	case Remove:
-		m.up, m.gone = false, true
+		m.up, m.removed = false, true
 	default:
-		w.ask(m, a)
+		w.call(m, a)
 	}
 }
 
-// ask has a caller ask a machine.
-func (w *world) ask(m *machine, a Act) {
+// call has a caller ask a machine.
+func (w *world) call(m *machine, a Action) {
 	w.lastCall++
 	id := w.lastCall
 	w.calls[id] = call{a, w.now}
 	switch a.Do {
 	case Order:
-		w.carry(m, m.machine.PutConfiguration(w.now, id, a.Revision, clusterstate.Pack([]byte(a.Content))))
+		w.apply(m, m.controller.PutConfiguration(w.now, id, a.Revision, clusterstate.Pack([]byte(a.Content))))
 	case Read:
-		w.carry(m, m.machine.ReadConfiguration(w.now, id))
+		w.apply(m, m.controller.ReadConfiguration(w.now, id))
 	case Drain:
 		r := registry.Record{ID: a.Replica, Service: "s", Address: a.Replica + ":1", Phase: registry.Draining, Seq: 2}
-		w.carry(m, m.machine.HandleReplicaCall(w.now, id, r))
+		w.apply(m, m.controller.HandleReplicaCall(w.now, id, r))
 	}
 }
 
-func (w *world) breaks(format string, values ...any) {
+func (w *world) violate(format string, values ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf("at %d ms: ", w.now/millisecond) + fmt.Sprintf(format, values...)
 	}
 }
 
-func members(v register.Value) string {
+func describeMembers(v register.Value) string {
 	return strings.Join(v.Members, " ") + " after " + strings.Join(v.Prior, " ")
 }
--- a/lab/controlsim/bench_test.go
+++ b/lab/controlsim/bench_test.go
@@ -6,11 +6,11 @@
 func BenchmarkRun(b *testing.B) {
 	virtual := 0.0
 	for n := range b.N {
-		r, err := Run(Draw(uint64(n+1)), nil)
+		r, err := Run(RandomPlan(uint64(n+1)), nil)
 		if err != nil {
 			b.Fatal(err)
 		}
-		virtual += r.Virtual.Seconds()
+		virtual += r.VirtualTime.Seconds()
 	}
 	b.ReportMetric(virtual/b.Elapsed().Seconds(), "virtual-s/s")
 }
--- a/lab/controlsim/checker/calm.go
+++ b/lab/controlsim/checker/calm.go
@@ -22,8 +22,8 @@
 	slices.SortFunc(s.all, func(a, b span) int { return int(a.from - b.from) })
 }
 
-// clear tells whether none touches a window.
-func (s *spans) clear(from, until int64) bool {
+// overlapsNone tells whether none touches a window.
+func (s *spans) overlapsNone(from, until int64) bool {
 	if s == nil {
 		return true
 	}
@@ -39,32 +39,32 @@
 	return true
 }
 
-// calm answers when machines were in trouble, and when the controllers were settled.
-type calm struct {
-	history  History
-	core     []Machine
-	troubles map[string]*spans
-	events   *spans // moments at which something began or ended at a controller
-	most     *spans // moments at which most controllers were hit at once
-	slow     *spans // in which a controller or its links were slow
-	links    *spans // in which links of controllers or operators were in trouble
+// stability answers when machines were in trouble, and when the controllers were settled.
+type stability struct {
+	history     History
+	controllers []Machine
+	faults      map[string]*spans
+	events      *spans // moments at which something began or ended at a controller
+	majorFaults *spans // moments at which most controllers were hit at once
+	slow        *spans // in which a controller or its links were slow
+	links       *spans // in which links of controllers or operators were in trouble
 }
 
-func newCalm(h History) *calm {
-	c := &calm{history: h, troubles: map[string]*spans{}, events: &spans{}, most: &spans{}, slow: &spans{}, links: &spans{}}
+func newStability(h History) *stability {
+	c := &stability{history: h, faults: map[string]*spans{}, events: &spans{}, majorFaults: &spans{}, slow: &spans{}, links: &spans{}}
 	for _, m := range h.Machines {
-		if m.Core {
-			c.core = append(c.core, m)
+		if m.IsController {
+			c.controllers = append(c.controllers, m)
 			c.events.add(m.From, m.From)
 		}
 	}
 	begun := map[int64]int{}
-	for _, t := range h.Troubles {
-		if c.troubles[t.Machine] == nil {
-			c.troubles[t.Machine] = &spans{}
+	for _, t := range h.FaultSpans {
+		if c.faults[t.Machine] == nil {
+			c.faults[t.Machine] = &spans{}
 		}
-		c.troubles[t.Machine].add(t.From, t.Until)
-		core := c.isCore(t.Machine)
+		c.faults[t.Machine].add(t.From, t.Until)
+		core := c.isController(t.Machine)
 		if t.Link && (core || t.Machine == operator) {
 			c.links.add(t.From, t.Until)
 		}
@@ -76,15 +76,15 @@
 		if t.Slow {
 			c.slow.add(t.From, t.Until)
 		}
-		if begun[t.From]++; 2*begun[t.From] > c.deployed(t.From) {
-			c.most.add(t.From, t.From)
-			c.most.add(t.Until, t.Until)
+		if begun[t.From]++; 2*begun[t.From] > c.controllersAt(t.From) {
+			c.majorFaults.add(t.From, t.From)
+			c.majorFaults.add(t.Until, t.Until)
 		}
 	}
-	for _, s := range c.troubles {
+	for _, s := range c.faults {
 		s.sort()
 	}
-	for _, s := range []*spans{c.events, c.most, c.slow, c.links} {
+	for _, s := range []*spans{c.events, c.majorFaults, c.slow, c.links} {
 		s.sort()
 	}
 	return c
@@ -93,13 +93,13 @@
 // operator is the name under which troubles of the operators' links stand.
 const operator = "operator"
 
-func (c *calm) isCore(name string) bool {
-	return slices.ContainsFunc(c.core, func(m Machine) bool { return m.Name == name })
+func (c *stability) isController(name string) bool {
+	return slices.ContainsFunc(c.controllers, func(m Machine) bool { return m.Name == name })
 }
 
-// deployed is how many controllers there are at a time.
-func (c *calm) deployed(at int64) (n int) {
-	for _, m := range c.core {
+// controllersAt is how many controllers there are at a time.
+func (c *stability) controllersAt(at int64) (n int) {
+	for _, m := range c.controllers {
 		if m.From <= at && at < m.Until {
 			n++
 		}
@@ -107,33 +107,33 @@
 	return n
 }
 
-// machine tells whether a machine had no trouble in a window.
-func (c *calm) machine(name string, from, until int64) bool {
-	return c.troubles[name].clear(from, until)
+// healthy tells whether a machine had no trouble in a window.
+func (c *stability) healthy(name string, from, until int64) bool {
+	return c.faults[name].overlapsNone(from, until)
 }
 
 // settled tells whether more than half of the controllers run and are connected at a time, and nothing has happened to any for
 // long enough. A trouble that goes on is no event; a controller that is slow is.
-func (c *calm) settled(at int64) bool {
+func (c *stability) settled(at int64) bool {
 	contact := c.history.Bounds.Contact
-	return c.events.clear(at-contact, at) && c.slow.clear(at-contact, at) && c.most.clear(at-2*contact, at) && c.majority(at, at)
+	return c.events.overlapsNone(at-contact, at) && c.slow.overlapsNone(at-contact, at) && c.majorFaults.overlapsNone(at-2*contact, at) && c.healthyMajority(at, at)
 }
 
-// majority tells whether more than half of the controllers that are deployed at the end of a window had no trouble in it.
-func (c *calm) majority(from, until int64) bool {
+// healthyMajority tells whether more than half of the controllers that are deployed at the end of a window had no trouble in it.
+func (c *stability) healthyMajority(from, until int64) bool {
 	well := 0
-	for _, m := range c.core {
-		if m.From <= max(from, 0) && until < m.Until && c.machine(m.Name, from, until) {
+	for _, m := range c.controllers {
+		if m.From <= max(from, 0) && until < m.Until && c.healthy(m.Name, from, until) {
 			well++
 		}
 	}
-	return 2*well > c.deployed(until)
+	return 2*well > c.controllersAt(until)
 }
 
-// cutOff tells whether a cut leaves a controller without a majority.
-func (c *calm) cutOff(cut Cut) bool {
+// isolates tells whether a cut leaves a controller without a majority.
+func (c *stability) isolates(cut Cut) bool {
 	here, left := 0, 0
-	for _, m := range c.core {
+	for _, m := range c.controllers {
 		if m.From > cut.From || m.Until <= cut.Until {
 			continue
 		}
--- a/lab/controlsim/checker/history.go
+++ b/lab/controlsim/checker/history.go
@@ -22,8 +22,8 @@
 	Refused
 )
 
-// Try is one call to one controller. Status 0 is silence, and -1 a connection that was refused or reset.
-type Try struct {
+// Attempt is one call to one controller. Status 0 is silence, and -1 a connection that was refused or reset.
+type Attempt struct {
 	Controller     string
 	Sent, Answered int64
 	Status         int
@@ -36,7 +36,7 @@
 	Content     string
 	Sent, Ended int64
 	Outcome     Outcome
-	Tries       []Try
+	Attempts    []Attempt
 }
 
 // Read is one question for the newest configuration. Answered is 0 where none came; Revision 0 tells that there was no
@@ -45,39 +45,39 @@
 	Sent, Answered int64
 	Revision       uint64
 	Content        string
-	Tries          []Try
+	Attempts       []Attempt
 }
 
-// Serve tells that a configuration is in force at an edge from a time on.
-type Serve struct {
-	At       int64
-	Edge     string
-	Life     int
-	Revision uint64
-	Content  string
+// EdgeConfiguration tells that a configuration is in force at an edge from a time on.
+type EdgeConfiguration struct {
+	At          int64
+	Edge        string
+	Incarnation int
+	Revision    uint64
+	Content     string
 }
 
-// Ready tells that an edge calls itself ready, or no longer does.
-type Ready struct {
+// ReadinessChange tells that an edge calls itself ready, or no longer does.
+type ReadinessChange struct {
 	At       int64
 	Edge     string
 	Life     int
 	Ready    bool
 	Revision uint64
-	Feeder   string
+	Upstream string
 }
 
-// Know tells whether an edge sends to a replica from a time on.
-type Know struct {
+// ReplicaUse tells whether an edge sends to a replica from a time on.
+type ReplicaUse struct {
 	At      int64
 	Edge    string
 	Life    int
 	Replica string
-	Takes   bool
+	Used    bool
 }
 
-// Life is the start or the end of one process of an edge.
-type Life struct {
+// ProcessEvent is the start or the end of one process of an edge.
+type ProcessEvent struct {
 	Edge string
 	Life int
 	At   int64
@@ -87,11 +87,11 @@
 type Drain struct {
 	Replica                      string
 	Sent, Acknowledged, Departed int64
-	Tries                        []Try
+	Attempts                     []Attempt
 }
 
-// Trouble is a span in which something befell a machine or its links.
-type Trouble struct {
+// FaultSpan is a span in which something befell a machine or its links.
+type FaultSpan struct {
 	Machine     string
 	From, Until int64
 	Slow        bool // the machine or its links are slow, or harm what passes, for the whole span
@@ -107,26 +107,26 @@
 
 // Machine is one that is deployed for a span. Core machines are the controllers.
 type Machine struct {
-	Name        string
-	Core        bool
-	From, Until int64
+	Name         string
+	IsController bool
+	From, Until  int64
 }
 
 // History is all that was seen in one run, each list in the order of its times.
 type History struct {
-	Bounds    Bounds
-	End       int64
-	Orders    []Order
-	Reads     []Read
-	Serves    []Serve
-	Readiness []Ready
-	Knows     []Know
-	Lives     []Life
-	Ends      []Life
-	Drains    []Drain
-	Troubles  []Trouble
-	Cuts      []Cut
-	Machines  []Machine
+	Bounds             Bounds
+	End                int64
+	Orders             []Order
+	Reads              []Read
+	EdgeConfigurations []EdgeConfiguration
+	Readiness          []ReadinessChange
+	ReplicaUses        []ReplicaUse
+	ProcessStarts      []ProcessEvent
+	ProcessEnds        []ProcessEvent
+	Drains             []Drain
+	FaultSpans         []FaultSpan
+	Cuts               []Cut
+	Machines           []Machine
 }
 
 // Violation is one check that failed.
