--- a/lab/controlsim/clients.go
+++ b/lab/controlsim/clients.go
@@ -17,24 +17,24 @@
 
 // Times of operators and replicas, ns.
 const (
-	answerWait   = second // of silence, and a caller goes on to the next
-	pauseLeast   = 50 * millisecond
-	pauseMost    = 800 * millisecond
-	listLag      = 3 * second // the operator's list of controllers is so old
-	firstOrder   = 500 * millisecond
-	quietEnd     = 14 * second // before the end, in which nothing new is sent
-	mostUnderWay = 8
-	giveUpAfter  = 40 * second
-	drainGiveUp  = 6 * second // a replica that nobody acknowledges ends all the same
-	raceWithin   = 30 * millisecond
-	lateBeatMost = 6 * second  // by how much a beat may be late
-	servesOnMost = 20 * second // beyond the time for a drain, before a replica departs
+	callTimeout       = second // of silence, and a caller goes on to the next
+	minBackoff        = 50 * millisecond
+	maxBackoff        = 800 * millisecond
+	controllerListLag = 3 * second // the operator's list of controllers is so old
+	firstOrder        = 500 * millisecond
+	quietTime         = 14 * second // before the end, in which nothing new is sent
+	maxPendingOrders  = 8
+	retryTimeout      = 40 * second
+	drainTimeout      = 6 * second // a replica that nobody acknowledges ends all the same
+	maxRaceDelay      = 30 * millisecond
+	maxHeartbeatDelay = 6 * second  // by how much a beat may be late
+	maxServeTime      = 20 * second // beyond the time for a drain, before a replica departs
 )
 
 // How a call ended without an HTTP status.
 const (
-	silence = 0
-	refused = -1
+	noAnswer          = 0
+	connectionRefused = -1
 )
 
 // call carries one HTTP call to a controller; done is called once, with a status, or with silence or refused.
@@ -46,31 +46,31 @@
 			done(status, body)
 		}
 	}
-	w.after(answerWait, func() { end(silence, nil) })
+	w.scheduleAfter(callTimeout, func() { end(noAnswer, nil) })
 	n, s := w.network, w.servers[to]
 	if s == nil {
 		return
 	}
 	m := s.machine
-	w.after(3*n.latency(from, to), func() {
+	w.scheduleAfter(3*n.latency(from, to), func() {
 		switch {
 		case n.blocked(from, to) || n.blocked(to, from) || !m.powered:
 			return
-		case !m.up || s.leaving:
-			w.after(n.latency(to, from), func() { end(refused, nil) })
+		case !m.up || s.shuttingDown:
+			w.scheduleAfter(n.latency(to, from), func() { end(connectionRefused, nil) })
 			return
 		}
-		life := m.life
-		m.ended = append(m.ended, func(silently bool) {
+		life := m.incarnation
+		m.onExit = append(m.onExit, func(silently bool) {
 			if !silently && !over {
-				w.after(n.latency(to, from), func() { end(refused, nil) })
+				w.scheduleAfter(n.latency(to, from), func() { end(connectionRefused, nil) })
 			}
 		})
 		m.dispatch(life, func() {
 			in(s, func(a controller.Answer) {
 				late := n.latency(to, from)
-				lost := w.lose > 0 && w.draw.IntN(2) == 0
-				w.after(late, func() {
+				lost := w.answerLosses > 0 && w.rng.IntN(2) == 0
+				w.scheduleAfter(late, func() {
 					if !n.blocked(to, from) && !lost {
 						end(a.Status, a.Body)
 					}
@@ -80,52 +80,52 @@
 	})
 }
 
-// addClients makes the replicas, and has the operators do what the workload and the acts say.
-func (w *world) addClients() {
+// scheduleClients makes the replicas, and has the operators do what the workload and the acts say.
+func (w *world) scheduleClients() {
 	draw := rand.New(rand.NewPCG(w.plan.Seed, 3))
-	load, end := w.plan.Workload, int64(w.plan.Length)-quietEnd
+	load, end := w.plan.Workload, int64(w.plan.Length)-quietTime
 	for i := range w.plan.Replicas {
 		w.addReplica(fmt.Sprint("r", i+1))
 	}
-	w.at(firstOrder, func() { w.newOrder(draw, "") })
+	w.scheduleAt(firstOrder, func() { w.newOrder(draw, "") })
 	for at := draw.Int64N(second) + 2*second; load.OrderEvery > 0 && at < end; at += 1 + int64(draw.ExpFloat64()*float64(load.OrderEvery)) {
-		w.at(at, func() { w.drawnOrder(draw) })
+		w.scheduleAt(at, func() { w.randomOrder(draw) })
 	}
 	for _, s := range load.Storms {
 		for i := range s.Orders {
-			w.at(int64(s.At)+int64(i)*int64(s.For)/int64(s.Orders), func() { w.drawnOrder(draw) })
+			w.scheduleAt(int64(s.At)+int64(i)*int64(s.For)/int64(s.Orders), func() { w.randomOrder(draw) })
 		}
 	}
 	for at := 3 * second; load.ReadEvery > 0 && at < int64(w.plan.Length)-2*second; at += 1 + int64(draw.ExpFloat64()*float64(load.ReadEvery)) {
-		w.at(at, func() { w.read("", false) })
+		w.scheduleAt(at, func() { w.startRead("", false) })
 	}
 	for at := 6 * second; load.DrainEvery > 0 && at < end; at += 1 + int64(draw.ExpFloat64()*float64(load.DrainEvery)) {
-		w.at(at, func() { w.drawnDrain(draw) })
+		w.scheduleAt(at, func() { w.randomDrain(draw) })
 	}
 	for i := range 5 { // the operator reads back at the end
-		w.at(int64(w.plan.Length)-8*second+int64(i)*second, func() { w.read("", false) })
+		w.scheduleAt(int64(w.plan.Length)-8*second+int64(i)*second, func() { w.startRead("", false) })
 	}
-	for _, a := range w.plan.Acts {
-		w.at(int64(a.At), func() { w.act(a) })
+	for _, a := range w.plan.Actions {
+		w.scheduleAt(int64(a.At), func() { w.runAction(a) })
 	}
 }
 
-func (w *world) act(a Act) {
+func (w *world) runAction(a Action) {
 	switch a.Do {
-	case DoOrder:
-		w.send(a.Revision, a.Content, a.Controller, a.Once)
-	case DoRead:
-		w.read(a.Controller, a.Once)
-	case DoDrain, DoDepart:
+	case ActionOrder:
+		w.sendOrder(a.Revision, a.Content, a.Controller, a.Once)
+	case ActionRead:
+		w.startRead(a.Controller, a.Once)
+	case ActionDrain, ActionDepart:
 		for _, r := range w.replicas {
 			if r.name != a.Replica || r.leaving {
 				continue
 			}
 			r.controller = a.Controller
-			if a.Do == DoDrain {
-				r.leave()
+			if a.Do == ActionDrain {
+				r.drainAndDepart()
 			} else {
-				r.departFirst()
+				r.departWithoutDrain()
 			}
 		}
 	}
@@ -133,54 +133,54 @@
 
 // order is one configuration on its way, through as many tries as it takes.
 type order struct {
-	world   *world
-	body    []byte
-	seen    checker.Order
-	tries   int
-	pause   int64
-	once    bool
-	strange int // answers of 4xx that do not end a call at once
+	world      *world
+	body       []byte
+	record     checker.Order
+	attempts   int
+	backoff    int64
+	once       bool
+	unexpected int // answers of 4xx that do not end a call at once
 }
 
-// drawnOrder sends a new order, at times beside another of the same number, or an old one once more.
-func (w *world) drawnOrder(draw *rand.Rand) {
+// randomOrder sends a new order, at times beside another of the same number, or an old one once more.
+func (w *world) randomOrder(draw *rand.Rand) {
 	if draw.Float64() < w.plan.Workload.Resends && len(w.orders) > 0 {
 		old := w.orders[len(w.orders)-1-draw.IntN(min(len(w.orders), 6))]
-		w.send(old.seen.Revision, old.seen.Content, "", false)
+		w.sendOrder(old.record.Revision, old.record.Content, "", false)
 		return
 	}
 	w.newOrder(draw, "")
 	if draw.Float64() < w.plan.Workload.Races {
-		rev := w.highest
-		w.after(between(draw, 0, raceWithin), func() { w.send(rev, fmt.Sprint(rev, "/other"), "", false) })
+		rev := w.highestRevision
+		w.scheduleAfter(randomBetween(draw, 0, maxRaceDelay), func() { w.sendOrder(rev, fmt.Sprint(rev, "/other"), "", false) })
 	}
 }
 
 func (w *world) newOrder(draw *rand.Rand, at string) {
 	under := 0
 	for _, o := range w.orders {
-		if o.seen.Outcome == checker.Unclear && o.seen.Ended == 0 {
+		if o.record.Outcome == checker.Unclear && o.record.Ended == 0 {
 			under++
 		}
 	}
-	if under >= mostUnderWay {
+	if under >= maxPendingOrders {
 		return
 	}
-	w.highest += 1 + uint64(draw.IntN(3))
-	w.send(w.highest, fmt.Sprint(w.highest, "/one"), at, false)
+	w.highestRevision += 1 + uint64(draw.IntN(3))
+	w.sendOrder(w.highestRevision, fmt.Sprint(w.highestRevision, "/one"), at, false)
 }
 
-// send sends a configuration until there is a clear answer.
-func (w *world) send(revision uint64, content, first string, once bool) {
-	w.highest = max(w.highest, revision)
+// sendOrder sends a configuration until there is a clear answer.
+func (w *world) sendOrder(revision uint64, content, first string, once bool) {
+	w.highestRevision = max(w.highestRevision, revision)
 	body := content
 	if n := w.plan.Workload.Bytes; n > len(body) {
 		body += " " + strings.Repeat("route ", (n-len(body))/6)
 	}
-	o := &order{world: w, body: pack(body), pause: pauseLeast, once: once,
-		seen: checker.Order{Number: len(w.orders), Revision: revision, Content: content, Sent: w.now}}
+	o := &order{world: w, body: pack(body), backoff: minBackoff, once: once,
+		record: checker.Order{Number: len(w.orders), Revision: revision, Content: content, Sent: w.now}}
 	w.orders = append(w.orders, o)
-	o.try(cmp.Or(first, w.pick()))
+	o.attempt(cmp.Or(first, w.randomController()))
 }
 
 // packers are kept, for one is costly to make.
@@ -200,81 +200,81 @@
 	return b.Bytes()
 }
 
-// pick is any controller of the operator's list.
-func (w *world) pick() string {
-	list := w.listed()
-	return list[w.draw.IntN(len(list))]
+// randomController is any controller of the operator's list.
+func (w *world) randomController() string {
+	list := w.operatorList()
+	return list[w.rng.IntN(len(list))]
 }
 
-// other is any controller but one.
-func (w *world) other(than string) string {
+// otherController is any controller but one.
+func (w *world) otherController(than string) string {
 	for {
-		if c := w.pick(); c != than {
+		if c := w.randomController(); c != than {
 			return c
 		}
 	}
 }
 
-func (o *order) try(to string) {
+func (o *order) attempt(to string) {
 	w := o.world
-	o.tries++
-	try := checker.Try{Controller: to, Sent: w.now}
-	index := len(o.seen.Tries)
-	o.seen.Tries = append(o.seen.Tries, try)
-	revision, body := o.seen.Revision, o.body
+	o.attempts++
+	try := checker.Attempt{Controller: to, Sent: w.now}
+	index := len(o.record.Attempts)
+	o.record.Attempts = append(o.record.Attempts, try)
+	revision, body := o.record.Revision, o.body
 	w.call("operator", to, func(s *server, answer func(controller.Answer)) {
 		s.call(func(now int64, id uint64) controller.Effects {
 			return s.controller.PutConfiguration(now, id, revision, body)
 		}, answer)
 	}, func(status int, _ []byte) {
-		o.seen.Tries[index].Answered, o.seen.Tries[index].Status = w.now, status
-		w.tell("operator", "order %d (%s): %s answers %d", o.seen.Number, o.seen.Content, to, status)
+		o.record.Attempts[index].Answered, o.record.Attempts[index].Status = w.now, status
+		w.tracef("operator", "order %d (%s): %s answers %d", o.record.Number, o.record.Content, to, status)
 		switch {
 		case status == 200:
-			o.seen.Outcome, o.seen.Ended = checker.Acknowledged, w.now
-			w.acknowledged(revision)
+			o.record.Outcome, o.record.Ended = checker.Acknowledged, w.now
+			w.startFaultsAfterAck(revision)
 			return
 		case slices.Contains([]int{400, 409, 412, 413, 422}, status):
-			o.seen.Outcome, o.seen.Ended = checker.Refused, w.now
+			o.record.Outcome, o.record.Ended = checker.Refused, w.now
 			return
 		case status >= 400 && status < 500 && status != 408 && status != 429:
-			if o.strange++; o.strange == 3 {
-				o.seen.Outcome, o.seen.Ended = checker.Refused, w.now
+			if o.unexpected++; o.unexpected == 3 {
+				o.record.Outcome, o.record.Ended = checker.Refused, w.now
 				return
 			}
 		}
-		if o.once || w.now-o.seen.Sent > giveUpAfter {
-			o.seen.Ended = w.now
+		if o.once || w.now-o.record.Sent > retryTimeout {
+			o.record.Ended = w.now
 			return
 		}
-		w.after(o.pause, func() { o.try(w.other(to)) })
-		o.pause = min(2*o.pause, pauseMost)
+		w.scheduleAfter(o.backoff, func() { o.attempt(w.otherController(to)) })
+		o.backoff = min(2*o.backoff, maxBackoff)
 	})
 }
 
-// read asks for the newest configuration until there is a clear answer.
-func (w *world) read(first string, once bool) {
+// startRead asks for the newest configuration until there is a clear answer.
+func (w *world) startRead(first string, once bool) {
 	index := len(w.history.Reads)
 	w.history.Reads = append(w.history.Reads, checker.Read{Sent: w.now})
-	w.readTry(index, cmp.Or(first, w.pick()), once, pauseLeast)
+	w.attemptRead(index, cmp.Or(first, w.randomController()), once, minBackoff)
 }
 
-func (w *world) readTry(index int, to string, once bool, pause int64) {
+func (w *world) attemptRead(index int, to string, once bool, pause int64) {
 	sent := w.now
 	w.call("operator", to, func(s *server, answer func(controller.Answer)) {
 		s.call(s.controller.ReadConfiguration, answer)
 	}, func(status int, body []byte) {
 		r := &w.history.Reads[index]
-		r.Tries = append(r.Tries, checker.Try{Controller: to, Sent: sent, Answered: w.now, Status: status})
+		r.Attempts = append(r.Attempts, checker.Attempt{Controller: to, Sent: sent, Answered: w.now, Status: status})
 		switch {
 		case status == 200:
-			r.Content, r.Answered = contentOf(body), w.now
+			r.Content, r.Answered = unpackContent(body), w.now
 			r.Revision = revisionOf(r.Content)
-			w.tell("operator", "reads %s from %s", r.Content, to)
+			w.tracef("operator", "reads %s from %s", r.Content, to)
 		case status == 404:
 			r.Answered = w.now
-		case !once && w.now-r.Sent < giveUpAfter:
-			w.after(pause, func() { w.readTry(index, w.other(to), once, min(2*pause, pauseMost)) })
+		case !once && w.now-r.Sent < retryTimeout:
+			w.scheduleAfter(pause, func() { w.attemptRead(index, w.otherController(to), once, min(2*pause, maxBackoff)) })
 		}
 	})
 }
@@ -296,19 +296,19 @@
 func (w *world) addReplica(name string) {
 	r := &replica{world: w, name: name}
 	w.replicas = append(w.replicas, r)
-	w.after(between(w.draw, 0, second), r.beat)
+	w.scheduleAfter(randomBetween(w.rng, 0, second), r.sendHeartbeat)
 }
 
-func (r *replica) record(phase registry.Phase) registry.Record {
+func (r *replica) newRecord(phase registry.Phase) registry.Record {
 	r.sequence++
 	return registry.Record{ID: r.name, Service: "service", Address: r.name + ":80", Zone: zoneName(0), Capacity: 4, Phase: phase, Seq: r.sequence}
 }
 
-// tell makes one call of a replica.
-func (r *replica) tell(record registry.Record, done func(status int)) {
+// call makes one call of a replica.
+func (r *replica) call(record registry.Record, done func(status int)) {
 	w := r.world
 	if r.controller == "" {
-		r.controller = w.pick()
+		r.controller = w.randomController()
 	}
 	target := ""
 	w.call("replica", r.controller, func(s *server, answer func(controller.Answer)) {
@@ -319,7 +319,7 @@
 	}, func(status int, _ []byte) {
 		switch {
 		case status != 200:
-			r.controller = w.other(r.controller)
+			r.controller = w.otherController(r.controller)
 		case target != "":
 			r.controller = target
 		}
@@ -327,21 +327,21 @@
 	})
 }
 
-// beat sends heartbeats until the replica leaves.
-func (r *replica) beat() {
+// sendHeartbeat sends heartbeats until the replica leaves.
+func (r *replica) sendHeartbeat() {
 	if r.leaving {
 		return
 	}
-	r.tell(r.record(registry.Ready), func(status int) {
-		wait := heartbeats
+	r.call(r.newRecord(registry.Ready), func(status int) {
+		wait := heartbeatInterval
 		if status != 200 {
-			wait = pauseLeast
+			wait = minBackoff
 		}
-		r.world.after(wait, r.beat)
+		r.world.scheduleAfter(wait, r.sendHeartbeat)
 	})
 }
 
-func (w *world) drawnDrain(draw *rand.Rand) {
+func (w *world) randomDrain(draw *rand.Rand) {
 	var here []*replica
 	for _, r := range w.replicas {
 		if !r.leaving {
@@ -351,30 +351,30 @@
 	if len(here) < 2 {
 		return
 	}
-	here[draw.IntN(len(here))].leave()
+	here[draw.IntN(len(here))].drainAndDepart()
 	w.addReplica(fmt.Sprint("r", len(w.replicas)+1))
 }
 
-// leave says that the replica drains until that is acknowledged, serves on for a while, and departs.
-func (r *replica) leave() {
-	r.sayUntilAcknowledged(r.record(registry.Draining), r.depart)
+// drainAndDepart says that the replica drains until that is acknowledged, serves on for a while, and departs.
+func (r *replica) drainAndDepart() {
+	r.announceUntilAcknowledged(r.newRecord(registry.Draining), r.depart)
 }
 
-// departFirst says that the replica departs, without having drained, until that is acknowledged, and serves on for a while. A
+// departWithoutDrain says that the replica departs, without having drained, until that is acknowledged, and serves on for a while. A
 // beat that it sent before comes seconds later, to another controller.
-func (r *replica) departFirst() {
+func (r *replica) departWithoutDrain() {
 	w := r.world
-	late := r.record(registry.Ready)
-	r.sayUntilAcknowledged(registry.Record{ID: r.name, Phase: registry.Gone}, func() {})
-	w.after(between(w.draw, second, lateBeatMost), func() {
-		r.controller = w.pick()
-		r.tell(late, func(int) {})
+	late := r.newRecord(registry.Ready)
+	r.announceUntilAcknowledged(registry.Record{ID: r.name, Phase: registry.Gone}, func() {})
+	w.scheduleAfter(randomBetween(w.rng, second, maxHeartbeatDelay), func() {
+		r.controller = w.randomController()
+		r.call(late, func(int) {})
 	})
 }
 
-// sayUntilAcknowledged says that the replica leaves, until a controller acknowledges it or the replica gives up; after an
+// announceUntilAcknowledged says that the replica leaves, until a controller acknowledges it or the replica gives up; after an
 // acknowledgement it serves on for a while before it ends.
-func (r *replica) sayUntilAcknowledged(record registry.Record, end func()) {
+func (r *replica) announceUntilAcknowledged(record registry.Record, end func()) {
 	w := r.world
 	r.leaving = true
 	began := w.now
@@ -384,30 +384,30 @@
 	try = func() {
 		to := r.controller
 		sent := w.now
-		r.tell(record, func(status int) {
+		r.call(record, func(status int) {
 			d := &w.history.Drains[index]
-			d.Tries = append(d.Tries, checker.Try{Controller: to, Sent: sent, Answered: w.now, Status: status})
+			d.Attempts = append(d.Attempts, checker.Attempt{Controller: to, Sent: sent, Answered: w.now, Status: status})
 			switch {
 			case status == 200:
 				d.Acknowledged = w.now
-				w.tell(r.name, "leaves, by %s", to)
-				w.after(int64(w.plan.Bounds.Drain)+between(w.draw, second, servesOnMost), func() {
+				w.tracef(r.name, "leaves, by %s", to)
+				w.scheduleAfter(int64(w.plan.Bounds.Drain)+randomBetween(w.rng, second, maxServeTime), func() {
 					w.history.Drains[index].Departed = w.now
 					end()
 				})
-			case w.now-began > drainGiveUp:
+			case w.now-began > drainTimeout:
 				d.Departed = w.now
 			default:
-				w.after(pauseLeast, try)
+				w.scheduleAfter(minBackoff, try)
 			}
 		})
 	}
 	if r.controller == "" {
-		r.controller = w.pick()
+		r.controller = w.randomController()
 	}
 	try()
 }
 
 func (r *replica) depart() {
-	r.tell(registry.Record{ID: r.name, Phase: registry.Gone}, func(int) {})
+	r.call(registry.Record{ID: r.name, Phase: registry.Gone}, func(int) {})
 }
--- a/lab/controlsim/edge.go
+++ b/lab/controlsim/edge.go
@@ -13,33 +13,33 @@
 
 // Times of an edge, ns; those of transport/agentserver.
 const (
-	belowWithin = 4 * second
-	lookEvery   = 250 * millisecond
-	askEvery    = 100 * millisecond // the platform asks once a second, at any moment of it
+	reportTTL         = 4 * second
+	detectorInterval  = 250 * millisecond
+	readinessInterval = 100 * millisecond // the platform asks once a second, at any moment of it
 )
 
 // edge is an agent with its proxy, as transport/agentserver and front/proxyserver have them. A process begins with nothing.
 type edge struct {
-	world   *world
-	machine *machine
-	zone    string
-	seeds   []string
-	beside  string // the next process follows this controller first
+	world               *world
+	machine             *machine
+	zone                string
+	seeds               []string
+	preferredController string // the next process follows this controller first
 
-	state    *clusterstate.State
-	detector *failuredetector.Detector
-	suspects []string
-	relay    feed
-	below    map[string]sighting
-	rule     *following
-	feeder   string
-	feeders  []string // that may be followed, the best first
-	link     *connection
-	ready    bool
+	state             *clusterstate.State
+	detector          *failuredetector.Detector
+	suspects          []string
+	downstream        downstreamEdges
+	downstreamReports map[string]receivedReport
+	followLoop        *followLoop
+	upstream          string
+	upstreams         []string // that may be followed, the best first
+	conn              *connection
+	ready             bool
 }
 
-// sighting is what a follower said last.
-type sighting struct {
+// receivedReport is what a follower said last.
+type receivedReport struct {
 	controller.EdgeReport
 	at int64
 }
@@ -48,30 +48,30 @@
 	e := &edge{world: w, machine: w.addMachine(name, false), zone: zone}
 	w.edges[name] = e
 	w.history.Machines = append(w.history.Machines, checker.Machine{Name: name, From: w.now, Until: checker.Never})
-	e.machine.boot = e.boot
-	w.after(between(w.draw, 0, firstStart), e.machine.start)
+	e.machine.startProcess = e.startProcess
+	w.scheduleAfter(randomBetween(w.rng, 0, startSpread), e.machine.start)
 }
 
-func (e *edge) boot() {
+func (e *edge) startProcess() {
 	m := e.machine
 	e.state, e.detector, e.suspects = clusterstate.NewState(), failuredetector.New(m.name), nil
-	if e.seeds = firstSeeds(); m.life > 1 {
-		e.seeds = e.world.seeds()
+	if e.seeds = initialSeeds(); m.incarnation > 1 {
+		e.seeds = e.world.randomSeeds()
 	}
-	if e.beside != "" {
-		e.seeds, e.beside = e.seedsWith(e.beside), ""
+	if e.preferredController != "" {
+		e.seeds, e.preferredController = e.seedsWith(e.preferredController), ""
 	}
-	e.relay, e.below, e.rule, e.link, e.ready = feed{}, map[string]sighting{}, &following{}, nil, false
-	e.world.history.Lives = append(e.world.history.Lives, checker.Life{Edge: m.name, Life: m.life, At: e.world.now})
-	life := m.life
-	m.ended = append(m.ended, func(bool) {
-		e.world.history.Ends = append(e.world.history.Ends, checker.Life{Edge: m.name, Life: life, At: e.world.now})
+	e.downstream, e.downstreamReports, e.followLoop, e.conn, e.ready = downstreamEdges{}, map[string]receivedReport{}, &followLoop{}, nil, false
+	e.world.history.ProcessStarts = append(e.world.history.ProcessStarts, checker.ProcessEvent{Edge: m.name, Life: m.incarnation, At: e.world.now})
+	life := m.incarnation
+	m.onExit = append(m.onExit, func(bool) {
+		e.world.history.ProcessEnds = append(e.world.history.ProcessEnds, checker.ProcessEvent{Edge: m.name, Life: life, At: e.world.now})
 	})
-	m.every(lookEvery, e.look)
-	m.every(feedEvery, e.tellProxy)
-	m.every(askEvery, e.askReady)
-	e.findFeeders()
-	e.follow()
+	m.every(detectorInterval, e.tickDetector)
+	m.every(freshnessInterval, e.updateProxy)
+	m.every(readinessInterval, e.pollReadiness)
+	e.updateUpstreams()
+	e.dialUpstream()
 }
 
 // seedsWith are three seeds of which this edge follows the one named first, where there are such.
@@ -79,7 +79,7 @@
 	const tries = 50
 	seeds := []string{first}
 	for range tries {
-		seeds = e.world.seeds()
+		seeds = e.world.randomSeeds()
 		if !slices.Contains(seeds, first) {
 			seeds[0] = first
 		}
@@ -90,175 +90,175 @@
 	return seeds
 }
 
-// findFeeders finds those that may be followed, by what is known of the fleet.
-func (e *edge) findFeeders() {
-	e.feeders = nil
+// updateUpstreams finds those that may be followed, by what is known of the fleet.
+func (e *edge) updateUpstreams() {
+	e.upstreams = nil
 	for _, f := range relaytree.Feeders(e.machine.name, e.zone, e.state.Fleet, e.seeds, e.world.regions) {
-		e.feeders = append(e.feeders, f.IP)
+		e.upstreams = append(e.upstreams, f.IP)
 	}
 }
 
-// follow dials the next feeder.
-func (e *edge) follow() {
+// dialUpstream dials the next feeder.
+func (e *edge) dialUpstream() {
 	w, m := e.world, e.machine
-	e.feeder = e.rule.next(e.feeders)
+	e.upstream = e.followLoop.upstream(e.upstreams)
 	accept := func(*connection) {}
-	if s := w.servers[e.feeder]; s != nil {
+	if s := w.servers[e.upstream]; s != nil {
 		accept = s.acceptFollower
-	} else if o := w.edges[e.feeder]; o != nil {
+	} else if o := w.edges[e.upstream]; o != nil {
 		accept = o.acceptFollower
 	}
-	w.network.dial(m, w.machines[e.feeder], accept, func(c *connection) {
+	w.network.dial(m, w.machines[e.upstream], accept, func(c *connection) {
 		if c == nil {
-			e.leave(lost)
+			e.leaveUpstream(tryNextUpstream)
 			return
 		}
-		e.link = c
-		e.rule.begin(m.clock(), len(e.feeders)-1)
-		c.send(0, e.report())
-		c.listen(0, func(message any) { e.heard(c, message.(news)) }, func() {
-			if e.link == c {
-				e.leave(lost)
+		e.conn = c
+		e.followLoop.connected(m.clock(), len(e.upstreams)-1)
+		c.send(0, e.newReport())
+		c.setHandlers(0, func(message any) { e.handleMessage(c, message.(updateMessage)) }, func() {
+			if e.conn == c {
+				e.leaveUpstream(tryNextUpstream)
 			}
 		})
-		e.awaitSilence(c)
+		e.checkSilence(c)
 	})
 }
 
-// leave lets go of the feeder and dials another after a moment.
-func (e *edge) leave(v verdict) {
-	if e.link != nil {
-		e.world.tell(e.machine.name, "leaves %s", e.feeder)
-		e.link.shut(0)
-		e.link = nil
+// leaveUpstream lets go of the feeder and dials another after a moment.
+func (e *edge) leaveUpstream(v upstreamDecision) {
+	if e.conn != nil {
+		e.world.tracef(e.machine.name, "leaves %s", e.upstream)
+		e.conn.closeFrom(0)
+		e.conn = nil
 	}
-	e.rule.end(v)
-	e.machine.timer(nextAfter, e.follow)
+	e.followLoop.disconnected(v)
+	e.machine.timer(reconnectDelay, e.dialUpstream)
 }
 
-func (e *edge) awaitSilence(c *connection) {
-	if e.link != c {
+func (e *edge) checkSilence(c *connection) {
+	if e.conn != c {
 		return
 	}
-	silent, again := e.rule.silent(e.machine.clock())
+	silent, again := e.followLoop.isSilent(e.machine.clock())
 	if silent {
-		e.leave(lost)
+		e.leaveUpstream(tryNextUpstream)
 		return
 	}
-	e.machine.timer(max(again, millisecond), func() { e.awaitSilence(c) })
+	e.machine.timer(max(again, millisecond), func() { e.checkSilence(c) })
 }
 
-// heard takes a word of the feeder.
-func (e *edge) heard(c *connection, n news) {
-	if e.link != c {
+// handleMessage takes a word of the feeder.
+func (e *edge) handleMessage(c *connection, n updateMessage) {
+	if e.conn != c {
 		return
 	}
 	now := e.machine.clock()
-	e.rule.heard(now, n.fresh)
-	if n.update != nil && !e.take(*n.update) {
-		e.leave(changed)
+	e.followLoop.handleFreshness(now, n.freshness)
+	if n.update != nil && !e.applyUpdate(*n.update) {
+		e.leaveUpstream(tryBestUpstream)
 		return
 	}
 	if n.update == nil || n.update.Snapshot {
-		e.relay.publish(news{fresh: e.rule.decide.Freshness(now)})
+		e.downstream.publish(updateMessage{freshness: e.followLoop.follower.Freshness(now)})
 	}
-	if e.rule.decide.ShouldLeave(now) {
-		e.leave(lost)
+	if e.followLoop.follower.ShouldLeave(now) {
+		e.leaveUpstream(tryNextUpstream)
 		return
 	}
-	due, v := e.rule.due(e.machine.clock(), e.feeder, e.feeders)
+	due, v := e.followLoop.reportDue(e.machine.clock(), e.upstream, e.upstreams)
 	if due {
-		c.send(0, e.report())
+		c.send(0, e.newReport())
 	}
-	if v != stay {
-		e.leave(v)
+	if v != keepUpstream {
+		e.leaveUpstream(v)
 	}
 }
 
-// take takes a notice in and passes on what is new; false where the whole book is needed.
-func (e *edge) take(n clusterstate.Update) bool {
+// applyUpdate takes a notice in and passes on what is new; false where the whole book is needed.
+func (e *edge) applyUpdate(n clusterstate.Update) bool {
 	fresh := e.state.Apply(n)
 	if fresh.Empty() {
 		return !e.state.NeedsSnapshot
 	}
-	e.note(fresh)
+	e.recordChanges(fresh)
 	if f := fresh.Fleet; !f.Empty() {
 		e.detector.SetEdges(e.machine.clock(), f.EdgeIPsInZone(e.zone))
-		e.findFeeders()
+		e.updateUpstreams()
 	}
 	now := e.machine.clock()
-	e.relay.publish(news{&fresh, e.rule.decide.Freshness(now)})
+	e.downstream.publish(updateMessage{&fresh, e.followLoop.follower.Freshness(now)})
 	if fresh.Revision > 0 {
-		e.rule.readiness.Configured(now, fresh.Revision)
+		e.followLoop.readiness.Configured(now, fresh.Revision)
 	}
 	e.state.DropGone()
 	return !e.state.NeedsSnapshot
 }
 
-// note writes down what is in force here now.
-func (e *edge) note(fresh clusterstate.Update) {
+// recordChanges writes down what is in force here now.
+func (e *edge) recordChanges(fresh clusterstate.Update) {
 	w, m := e.world, e.machine
 	if fresh.Revision > 0 {
-		content := label(string(fresh.Raw))
-		w.tell(m.name, "serves %d %s from %s", fresh.Revision, content, e.feeder)
-		w.history.Serves = append(w.history.Serves, checker.Serve{At: w.now, Edge: m.name, Life: m.life, Revision: fresh.Revision, Content: content})
+		content := contentName(string(fresh.Raw))
+		w.tracef(m.name, "serves %d %s from %s", fresh.Revision, content, e.upstream)
+		w.history.EdgeConfigurations = append(w.history.EdgeConfigurations, checker.EdgeConfiguration{At: w.now, Edge: m.name, Incarnation: m.incarnation, Revision: fresh.Revision, Content: content})
 	}
 	for _, r := range fresh.Replicas {
-		w.history.Knows = append(w.history.Knows, checker.Know{At: w.now, Edge: m.name, Life: m.life, Replica: r.ID, Takes: r.Phase == registry.Ready})
+		w.history.ReplicaUses = append(w.history.ReplicaUses, checker.ReplicaUse{At: w.now, Edge: m.name, Life: m.incarnation, Replica: r.ID, Used: r.Phase == registry.Ready})
 	}
 }
 
-// tellProxy tells the proxy beside the agent how fresh the agent's state is.
-func (e *edge) tellProxy() {
+// updateProxy tells the proxy beside the agent how fresh the agent's state is.
+func (e *edge) updateProxy() {
 	now := e.machine.clock()
-	e.rule.readiness.HandleFreshness(now, e.rule.decide.Freshness(now))
+	e.followLoop.readiness.HandleFreshness(now, e.followLoop.follower.Freshness(now))
 }
 
-// askReady does what the platform does: it asks whether this edge is ready.
-func (e *edge) askReady() {
-	if now := e.rule.readiness.Ready(e.machine.clock()); now != e.ready {
+// pollReadiness does what the platform does: it asks whether this edge is ready.
+func (e *edge) pollReadiness() {
+	if now := e.followLoop.readiness.Ready(e.machine.clock()); now != e.ready {
 		e.ready = now
-		e.world.history.Readiness = append(e.world.history.Readiness, checker.Ready{At: e.world.now, Edge: e.machine.name, Life: e.machine.life,
-			Ready: now, Revision: e.state.Revision, Feeder: e.feeder})
+		e.world.history.Readiness = append(e.world.history.Readiness, checker.ReadinessChange{At: e.world.now, Edge: e.machine.name, Life: e.machine.incarnation,
+			Ready: now, Revision: e.state.Revision, Upstream: e.upstream})
 	}
 }
 
-// report is what this edge says to the one that it follows.
-func (e *edge) report() report {
-	r := report{revision: e.state.Revision}
+// newReport is what this edge says to the one that it follows.
+func (e *edge) newReport() edgeReports {
+	r := edgeReports{revision: e.state.Revision}
 	now := e.machine.clock()
-	for _, name := range e.world.names { // in a fixed order
-		s, ok := e.below[name]
+	for _, name := range e.world.machineNames { // in a fixed order
+		s, ok := e.downstreamReports[name]
 		if !ok {
 			continue
 		}
-		if now-s.at > belowWithin {
-			delete(e.below, name)
+		if now-s.at > reportTTL {
+			delete(e.downstreamReports, name)
 			continue
 		}
 		s.Age += now - s.at
-		r.all = append(r.all, s.EdgeReport)
+		r.edges = append(r.edges, s.EdgeReport)
 	}
-	r.all = append(r.all, controller.EdgeReport{Edge: clusterstate.Edge{IP: e.machine.name, Zone: e.zone}, Suspects: e.suspects})
+	r.edges = append(r.edges, controller.EdgeReport{Edge: clusterstate.Edge{IP: e.machine.name, Zone: e.zone}, Suspects: e.suspects})
 	return r
 }
 
 // acceptFollower feeds another edge.
 func (e *edge) acceptFollower(c *connection) {
-	attend(e.machine, c, &e.relay, func() news {
+	serveDownstream(e.machine, c, &e.downstream, func() updateMessage {
 		whole := e.state.Snapshot()
-		return news{&whole, e.rule.decide.Freshness(e.machine.clock())}
-	}, func(r report) {
-		for _, s := range r.all {
+		return updateMessage{&whole, e.followLoop.follower.Freshness(e.machine.clock())}
+	}, func(r edgeReports) {
+		for _, s := range r.edges {
 			if s.Edge.IP != e.machine.name {
-				e.below[s.Edge.IP] = sighting{s, e.machine.clock()}
+				e.downstreamReports[s.Edge.IP] = receivedReport{s, e.machine.clock()}
 			}
 		}
 	})
 }
 
-// look sends heartbeats to the edges that watch this one, and notes whom it does not hear.
-func (e *edge) look() {
+// tickDetector sends heartbeats to the edges that watch this one, and notes whom it does not hear.
+func (e *edge) tickDetector() {
 	to, suspects := e.detector.Tick(e.machine.clock())
 	e.suspects = suspects
 	for _, name := range to {
--- a/lab/controlsim/faults.go
+++ b/lab/controlsim/faults.go
@@ -6,18 +6,18 @@
 	"willowsill/lab/controlsim/checker"
 )
 
-// trouble writes down, for the checker, that a machine is in trouble for a while.
-func (w *world) trouble(machine string, span int64, kind Kind) {
-	slow := slices.Contains([]Kind{SlowLink, Duplicate, DiskSlow, DiskStall, DiskFull}, kind)
-	link := slices.Contains([]Kind{Cut, CutOut, CutIn, SlowLink, Duplicate, LoseAnswers}, kind)
-	w.history.Troubles = append(w.history.Troubles, checker.Trouble{Machine: machine, From: w.now, Until: w.now + span, Slow: slow, Link: link})
+// recordFault writes down, for the checker, that a machine is in trouble for a while.
+func (w *world) recordFault(machine string, span int64, kind FaultKind) {
+	slow := slices.Contains([]FaultKind{SlowLink, Duplicate, DiskSlow, DiskStall, DiskFull}, kind)
+	link := slices.Contains([]FaultKind{Cut, CutOut, CutIn, SlowLink, Duplicate, LoseAnswers}, kind)
+	w.history.FaultSpans = append(w.history.FaultSpans, checker.FaultSpan{Machine: machine, From: w.now, Until: w.now + span, Slow: slow, Link: link})
 }
 
-// befall has a fault begin.
-func (w *world) befall(f Fault) {
-	w.tell(f.Machine, "fault: %s for %s", f.Kind, f.For)
-	if f.Machine == All {
-		w.befallAll(f)
+// startFault has a fault begin.
+func (w *world) startFault(f Fault) {
+	w.tracef(f.Machine, "fault: %s for %s", f.Kind, f.For)
+	if f.Machine == AllControllers {
+		w.startFaultOnAll(f)
 		return
 	}
 	m := w.machines[f.Machine]
@@ -30,46 +30,46 @@
 		w.replace(f, m)
 		return
 	case LoseAnswers:
-		w.trouble("operator", span, f.Kind)
-		w.lose++
-		w.after(span, func() { w.lose-- })
+		w.recordFault("operator", span, f.Kind)
+		w.answerLosses++
+		w.scheduleAfter(span, func() { w.answerLosses-- })
 		return
 	}
-	w.trouble(f.Machine, span, f.Kind)
+	w.recordFault(f.Machine, span, f.Kind)
 	switch f.Kind {
 	case Freeze:
 		m.freeze()
-		life := m.life
-		w.after(span, func() {
-			if m.life == life {
+		life := m.incarnation
+		w.scheduleAfter(span, func() {
+			if m.incarnation == life {
 				m.thaw()
 			}
 		})
 	case Kill, EdgeRestart:
 		m.stop(false)
-		w.after(span, m.start)
+		w.scheduleAfter(span, m.start)
 	case Power, Wipe:
 		w.losePower(m, f.Kind == Wipe)
-		w.after(span, m.start)
+		w.scheduleAfter(span, m.start)
 	case Term:
 		if s := w.servers[f.Machine]; s != nil {
-			s.term(func() { w.after(max(span-leaveWait, millisecond), m.start) })
+			s.shutDown(func() { w.scheduleAfter(max(span-shutdownWait, millisecond), m.start) })
 		}
-	case EdgeBeside:
-		w.beside(f, m)
+	case EdgeStartsAlongside:
+		w.startAlongside(f, m)
 	case Cut, CutOut, CutIn:
-		w.cut(f, true)
-		w.after(span, func() { w.cut(f, false) })
+		w.setCut(f, true)
+		w.scheduleAfter(span, func() { w.setCut(f, false) })
 	case Reset:
 		w.network.reset(f.Machine)
 	case SlowLink:
-		w.network.delay[f.Machine] += int64(f.Amount)
-		w.after(span, func() { w.network.delay[f.Machine] -= int64(f.Amount) })
+		w.network.extraDelay[f.Machine] += int64(f.Amount)
+		w.scheduleAfter(span, func() { w.network.extraDelay[f.Machine] -= int64(f.Amount) })
 	case Duplicate:
-		w.network.duplicate[f.Machine] = int64(f.Amount)
-		w.after(span, func() { delete(w.network.duplicate, f.Machine) })
+		w.network.duplicateDelay[f.Machine] = int64(f.Amount)
+		w.scheduleAfter(span, func() { delete(w.network.duplicateDelay, f.Machine) })
 	case DiskStall, DiskSlow, DiskFull:
-		w.harmDisk(f)
+		w.startDiskFault(f)
 	}
 }
 
@@ -83,11 +83,11 @@
 	}
 }
 
-// befallAll has all controllers killed or without power at once; their disks are kept.
-func (w *world) befallAll(f Fault) {
-	names := slices.Clone(w.core)
+// startFaultOnAll has all controllers killed or without power at once; their disks are kept.
+func (w *world) startFaultOnAll(f Fault) {
+	names := slices.Clone(w.controllers)
 	if f.Edges {
-		for _, name := range w.names {
+		for _, name := range w.machineNames {
 			if w.edges[name] != nil {
 				names = append(names, name)
 			}
@@ -98,38 +98,38 @@
 		if f.Kind != Kill && f.Kind != Power {
 			one := f
 			one.Machine = name
-			w.befall(one)
+			w.startFault(one)
 			continue
 		}
-		w.trouble(name, int64(f.For), f.Kind)
+		w.recordFault(name, int64(f.For), f.Kind)
 		if f.Kind == Kill {
 			m.stop(false)
 		} else {
 			w.losePower(m, false)
 		}
-		w.after(int64(f.For)+between(w.draw, 0, firstStart), m.start)
+		w.scheduleAfter(int64(f.For)+randomBetween(w.rng, 0, startSpread), m.start)
 	}
 }
 
-// beside has an edge start the moment that a controller does, and follow that one first.
-func (w *world) beside(f Fault, m *machine) {
+// startAlongside has an edge start the moment that a controller does, and follow that one first.
+func (w *world) startAlongside(f Fault, m *machine) {
 	m.stop(false)
 	e := w.edges[f.Machine]
 	if e == nil || len(f.Others) == 0 {
 		return
 	}
-	w.after(int64(f.For), func() {
-		e.beside = f.Others[0]
+	w.scheduleAfter(int64(f.For), func() {
+		e.preferredController = f.Others[0]
 		m.start()
 	})
 }
 
-func (w *world) cut(f Fault, begin bool) {
+func (w *world) setCut(f Fault, begin bool) {
 	others := f.Others
 	if len(others) == 0 {
-		others = slices.Clone(w.core)
+		others = slices.Clone(w.controllers)
 		for _, c := range w.history.Machines {
-			if c.Core && !slices.Contains(others, c.Name) {
+			if c.IsController && !slices.Contains(others, c.Name) {
 				others = append(others, c.Name)
 			}
 		}
@@ -148,12 +148,12 @@
 			w.network.cut(o, f.Machine, f.Refused, begin)
 		}
 		if w.edges[o] != nil && begin {
-			w.trouble(o, int64(f.For), f.Kind)
+			w.recordFault(o, int64(f.For), f.Kind)
 		}
 	}
 }
 
-func (w *world) harmDisk(f Fault) {
+func (w *world) startDiskFault(f Fault) {
 	s := w.servers[f.Machine]
 	if s == nil {
 		return
@@ -161,20 +161,20 @@
 	switch f.Kind {
 	case DiskStall:
 		s.disk.stall(true)
-		w.after(int64(f.For), func() { s.disk.stall(false) })
+		w.scheduleAfter(int64(f.For), func() { s.disk.stall(false) })
 	case DiskSlow:
-		s.disk.slow = int64(f.Amount)
-		w.after(int64(f.For), func() { s.disk.slow = 0 })
+		s.disk.slowSyncTime = int64(f.Amount)
+		w.scheduleAfter(int64(f.For), func() { s.disk.slowSyncTime = 0 })
 	case DiskFull:
-		s.disk.full++
-		w.after(int64(f.For), func() { s.disk.full-- })
+		s.disk.fullCount++
+		w.scheduleAfter(int64(f.For), func() { s.disk.fullCount-- })
 	}
 }
 
 // replace puts an empty machine at another address in the place of one.
 func (w *world) replace(f Fault, m *machine) {
 	gone := func() {
-		w.deployed(slices.DeleteFunc(slices.Clone(w.core), func(c string) bool { return c == f.Machine }))
+		w.setControllers(slices.DeleteFunc(slices.Clone(w.controllers), func(c string) bool { return c == f.Machine }))
 		for i := range w.history.Machines {
 			if w.history.Machines[i].Name == f.Machine {
 				w.history.Machines[i].Until = w.now
@@ -185,24 +185,24 @@
 	begin := func() {
 		if w.servers[f.Successor] == nil {
 			s := w.addController(f.Successor, false)
-			w.trouble(f.Successor, catchUp, f.Kind)
+			w.recordFault(f.Successor, catchUp, f.Kind)
 			s.machine.start()
 		}
 	}
 	if f.Kind == ReplacePlanned {
 		begin()
-		w.after(span, func() {
-			w.trouble(f.Machine, millisecond, f.Kind)
+		w.scheduleAfter(span, func() {
+			w.recordFault(f.Machine, millisecond, f.Kind)
 			if s := w.servers[f.Machine]; s != nil {
-				s.term(func() { m.powered = false })
+				s.shutDown(func() { m.powered = false })
 			}
 			gone()
 		})
 		return
 	}
-	w.trouble(f.Machine, span, f.Kind)
+	w.recordFault(f.Machine, span, f.Kind)
 	w.losePower(m, true)
-	w.after(span, func() {
+	w.scheduleAfter(span, func() {
 		gone()
 		begin()
 	})
--- a/lab/controlsim/follow.go
+++ b/lab/controlsim/follow.go
@@ -7,69 +7,69 @@
 
 // Times of a follower, ns; those of transport/watch.
 const (
-	silentAfter = second
-	sayEvery    = second
-	nextAfter   = 100 * millisecond
-	stayFor     = 5 * second
+	upstreamTimeout = second
+	reportInterval  = second
+	reconnectDelay  = 100 * millisecond
+	minStay         = 5 * second
 )
 
-// verdict is what a follower is to do with its feeder.
-type verdict uint8
+// upstreamDecision is what a follower is to do with its feeder.
+type upstreamDecision uint8
 
 const (
-	stay    verdict = iota
-	lost            // the feeder is to be left; the next one is tried
-	changed         // another is to be followed instead; the first one is tried
+	keepUpstream    upstreamDecision = iota
+	tryNextUpstream                  // the feeder is to be left; the next one is tried
+	tryBestUpstream                  // another is to be followed instead; the first one is tried
 )
 
-// following is the loop of watch.Follower without its link: decide/follower says when a feeder is left. Times are of the edge's
+// followLoop is the loop of watch.Follower without its link: decide/follower says when a feeder is left. Times are of the edge's
 // clock.
-type following struct {
-	decide                 follower.Follower
-	readiness              follower.Readiness // the proxy's
-	tried                  int
-	began, said, lastHeard int64
+type followLoop struct {
+	follower                            follower.Follower
+	readiness                           follower.Readiness // the proxy's
+	upstreamIndex                       int
+	connectedAt, reportedAt, receivedAt int64
 }
 
-// next is the feeder to dial, of those that may be followed, the best first.
-func (f *following) next(feeders []string) string {
-	f.tried %= len(feeders)
-	return feeders[f.tried]
+// upstream is the feeder to dial, of those that may be followed, the best first.
+func (f *followLoop) upstream(feeders []string) string {
+	f.upstreamIndex %= len(feeders)
+	return feeders[f.upstreamIndex]
 }
 
-// begin tells that the feeder dialled is followed now.
-func (f *following) begin(now int64, alternatives int) {
-	f.began, f.said, f.lastHeard = now, now, now
-	f.decide.Connected(now, alternatives)
+// connected tells that the feeder dialled is followed now.
+func (f *followLoop) connected(now int64, alternatives int) {
+	f.connectedAt, f.reportedAt, f.receivedAt = now, now, now
+	f.follower.Connected(now, alternatives)
 }
 
-// heard takes how fresh the feeder says that it is.
-func (f *following) heard(now int64, fresh clusterstate.Freshness) {
-	f.lastHeard = now
-	f.decide.HandleFreshness(now, fresh)
+// handleFreshness takes how fresh the feeder says that it is.
+func (f *followLoop) handleFreshness(now int64, fresh clusterstate.Freshness) {
+	f.receivedAt = now
+	f.follower.HandleFreshness(now, fresh)
 }
 
-// due tells that a report is to be sent, and what becomes of the feeder with it.
-func (f *following) due(now int64, feeder string, feeders []string) (bool, verdict) {
-	if now-f.said <= sayEvery {
-		return false, stay
+// reportDue tells that a report is to be sent, and what becomes of the feeder with it.
+func (f *followLoop) reportDue(now int64, feeder string, feeders []string) (bool, upstreamDecision) {
+	if now-f.reportedAt <= reportInterval {
+		return false, keepUpstream
 	}
-	f.said = now
-	if now-f.began > stayFor && len(feeders) > 0 && feeders[0] != feeder {
-		return true, changed
+	f.reportedAt = now
+	if now-f.connectedAt > minStay && len(feeders) > 0 && feeders[0] != feeder {
+		return true, tryBestUpstream
 	}
-	return true, stay
+	return true, keepUpstream
 }
 
-// silent tells whether the feeder has said nothing for too long; otherwise when to look again, in ns from now.
-func (f *following) silent(now int64) (bool, int64) {
-	return now-f.lastHeard >= silentAfter, silentAfter - (now - f.lastHeard)
+// isSilent tells whether the feeder has said nothing for too long; otherwise when to look again, in ns from now.
+func (f *followLoop) isSilent(now int64) (bool, int64) {
+	return now-f.receivedAt >= upstreamTimeout, upstreamTimeout - (now - f.receivedAt)
 }
 
-// end tells that the feeder is followed no longer.
-func (f *following) end(v verdict) {
-	f.decide.Disconnected()
-	if f.tried++; v != lost {
-		f.tried = 0
+// disconnected tells that the feeder is followed no longer.
+func (f *followLoop) disconnected(v upstreamDecision) {
+	f.follower.Disconnected()
+	if f.upstreamIndex++; v != tryNextUpstream {
+		f.upstreamIndex = 0
 	}
 }
--- a/lab/controlsim/machine.go
+++ b/lab/controlsim/machine.go
@@ -2,33 +2,35 @@
 
 // machine runs one process at a time. Its steady clock has its own beginning and rate.
 type machine struct {
-	world   *world
-	name    string
-	core    bool // a controller's
-	powered bool
-	up      bool // a process runs
-	frozen  bool
-	life    int // of the process, counted from 1
-	waiting []func()
-	offset  int64   // what its clock showed at the start of the run, ns
-	rate    float64 // how much faster than true time the clock runs
-	boot    func()  // begins a process; the machine is up already
-	ended   []func(silently bool)
+	world        *world
+	name         string
+	isController bool // a controller's
+	powered      bool
+	up           bool // a process runs
+	frozen       bool
+	incarnation  int // of the process, counted from 1
+	pending      []func()
+	clockOffset  int64   // what its clock showed at the start of the run, ns
+	clockDrift   float64 // how much faster than true time the clock runs
+	startProcess func()  // begins a process; the machine is up already
+	onExit       []func(silently bool)
 }
 
 func (w *world) addMachine(name string, core bool) *machine {
-	m := &machine{world: w, name: name, core: core, powered: true, offset: between(w.draw, second, 3600*second),
-		rate: rateMost * (2*w.draw.Float64() - 1)}
+	m := &machine{world: w, name: name, isController: core, powered: true, clockOffset: randomBetween(w.rng, second, 3600*second),
+		clockDrift: maxClockDrift * (2*w.rng.Float64() - 1)}
 	w.machines[name] = m
-	w.names = append(w.names, name)
+	w.machineNames = append(w.machineNames, name)
 	return m
 }
 
 // clock is what the machine's steady clock shows.
-func (m *machine) clock() int64 { return m.offset + m.world.now + int64(float64(m.world.now)*m.rate) }
+func (m *machine) clock() int64 {
+	return m.clockOffset + m.world.now + int64(float64(m.world.now)*m.clockDrift)
+}
 
-// trueSpan is how long it takes until so much has gone by on the machine's clock.
-func (m *machine) trueSpan(local int64) int64 { return int64(float64(local)/(1+m.rate)) + 1 }
+// trueDuration is how long it takes until so much has gone by on the machine's clock.
+func (m *machine) trueDuration(local int64) int64 { return int64(float64(local)/(1+m.clockDrift)) + 1 }
 
 // start begins a process.
 func (m *machine) start() {
@@ -36,10 +38,10 @@
 	if m.up {
 		return
 	}
-	m.up, m.frozen, m.waiting = true, false, nil
-	m.life++
-	m.world.tell(m.name, "process %d starts", m.life)
-	m.boot()
+	m.up, m.frozen, m.pending = true, false, nil
+	m.incarnation++
+	m.world.tracef(m.name, "process %d starts", m.incarnation)
+	m.startProcess()
 }
 
 // stop ends the process. silently tells that nobody's connections are reset: the machine has lost its power.
@@ -50,14 +52,14 @@
 	if !m.up {
 		return
 	}
-	m.up, m.frozen, m.waiting = false, false, nil
-	m.world.tell(m.name, "process %d ends", m.life)
-	ended := m.ended
-	m.ended = nil
+	m.up, m.frozen, m.pending = false, false, nil
+	m.world.tracef(m.name, "process %d ends", m.incarnation)
+	ended := m.onExit
+	m.onExit = nil
 	for _, f := range ended {
 		f(silently)
 	}
-	m.world.network.ended(m, silently)
+	m.world.network.processEnded(m, silently)
 }
 
 // freeze has the process stand still.
@@ -69,11 +71,11 @@
 		return
 	}
 	m.frozen = false
-	waiting := m.waiting
-	m.waiting = nil
-	life := m.life
+	waiting := m.pending
+	m.pending = nil
+	life := m.incarnation
 	for _, f := range waiting {
-		if m.up && m.life == life {
+		if m.up && m.incarnation == life {
 			f()
 		}
 	}
@@ -82,9 +84,9 @@
 // dispatch has something done by the process of a life: now, after a freeze, or never.
 func (m *machine) dispatch(life int, do func()) {
 	switch {
-	case !m.up || m.life != life:
+	case !m.up || m.incarnation != life:
 	case m.frozen:
-		m.waiting = append(m.waiting, do)
+		m.pending = append(m.pending, do)
 	default:
 		do()
 	}
@@ -92,8 +94,8 @@
 
 // timer has something done by this process once its clock has gone on by so much.
 func (m *machine) timer(local int64, do func()) {
-	life := m.life
-	m.world.after(m.trueSpan(local), func() { m.dispatch(life, do) })
+	life := m.incarnation
+	m.world.scheduleAfter(m.trueDuration(local), func() { m.dispatch(life, do) })
 }
 
 // every has something done again and again, until the process ends.
--- a/lab/controlsim/network.go
+++ b/lab/controlsim/network.go
@@ -7,47 +7,47 @@
 
 // Times of the network, ns; those of transport/peer.
 const (
-	latencyLeast = millisecond / 2
-	latencyMost  = 8 * millisecond
-	jitterMost   = 2 * millisecond
-	dialWait     = 300 * millisecond
-	userTimeout  = 2 * second // unacknowledged for so long, a connection is broken
+	minLatency  = millisecond / 2
+	maxLatency  = 8 * millisecond
+	maxJitter   = 2 * millisecond
+	dialTimeout = 300 * millisecond
+	userTimeout = 2 * second // unacknowledged for so long, a connection is broken
 )
 
-type pair struct{ from, to string }
+type direction struct{ from, to string }
 
 // network is what lies between the machines. A cut is of one direction, and is counted, for faults may overlap. What is sent on
 // a connection into a cut is held until the cut ends or the connection breaks, as TCP would send it again. The acknowledgements
 // of TCP itself pass a cut of one way, so that a connection that was open carries on in the other; opening one needs both.
 type network struct {
-	world     *world
-	draw      *rand.Rand
-	base      map[pair]int64
-	cuts      map[pair]int
-	refusals  map[pair]int
-	delay     map[string]int64 // of a machine's links
-	duplicate map[string]int64 // what a machine sends comes again, so much later
-	open      []*connection
+	world          *world
+	rng            *rand.Rand
+	baseLatency    map[direction]int64
+	cuts           map[direction]int
+	refusals       map[direction]int
+	extraDelay     map[string]int64 // of a machine's links
+	duplicateDelay map[string]int64 // what a machine sends comes again, so much later
+	connections    []*connection
 }
 
 func newNetwork(w *world, draw *rand.Rand) *network {
-	return &network{world: w, draw: draw, base: map[pair]int64{}, cuts: map[pair]int{}, refusals: map[pair]int{},
-		delay: map[string]int64{}, duplicate: map[string]int64{}}
+	return &network{world: w, rng: draw, baseLatency: map[direction]int64{}, cuts: map[direction]int{}, refusals: map[direction]int{},
+		extraDelay: map[string]int64{}, duplicateDelay: map[string]int64{}}
 }
 
 // latency draws how long one message takes.
 func (n *network) latency(from, to string) int64 {
-	p := pair{from, to}
-	base, known := n.base[p]
+	p := direction{from, to}
+	base, known := n.baseLatency[p]
 	if !known {
-		base = between(n.draw, latencyLeast, latencyMost)
-		n.base[p] = base
+		base = randomBetween(n.rng, minLatency, maxLatency)
+		n.baseLatency[p] = base
 	}
-	return base + between(n.draw, 0, jitterMost) + n.delay[from] + n.delay[to]
+	return base + randomBetween(n.rng, 0, maxJitter) + n.extraDelay[from] + n.extraDelay[to]
 }
 
 func (n *network) blocked(from, to string) bool {
-	return n.cuts[pair{from, to}] > 0 || n.refusals[pair{from, to}] > 0
+	return n.cuts[direction{from, to}] > 0 || n.refusals[direction{from, to}] > 0
 }
 
 // cut begins a cut of one direction, or ends it.
@@ -56,17 +56,17 @@
 	if refused {
 		counts = n.refusals
 	}
-	p := pair{from, to}
+	p := direction{from, to}
 	if begin {
 		counts[p]++
 		if refused {
-			n.resetBetween(from, to)
+			n.resetPair(from, to)
 		}
 		return
 	}
 	counts[p]--
 	if !n.blocked(from, to) {
-		for _, c := range slices.Clone(n.open) {
+		for _, c := range slices.Clone(n.connections) {
 			for side := range c.ends {
 				if c.ends[side].name == from && c.ends[1-side].name == to {
 					c.release(side)
@@ -78,31 +78,31 @@
 
 // reset breaks all connections of a machine.
 func (n *network) reset(name string) {
-	for _, c := range slices.Clone(n.open) {
+	for _, c := range slices.Clone(n.connections) {
 		if c.ends[0].name == name || c.ends[1].name == name {
 			c.close()
 		}
 	}
 }
 
-func (n *network) resetBetween(a, b string) {
-	for _, c := range slices.Clone(n.open) {
+func (n *network) resetPair(a, b string) {
+	for _, c := range slices.Clone(n.connections) {
 		if c.ends[0].name == a && c.ends[1].name == b || c.ends[0].name == b && c.ends[1].name == a {
 			c.close()
 		}
 	}
 }
 
-// ended tells the other ends that a process has ended; one that lost its power tells nobody.
-func (n *network) ended(m *machine, silently bool) {
-	for _, c := range slices.Clone(n.open) {
+// processEnded tells the other ends that a process has ended; one that lost its power tells nobody.
+func (n *network) processEnded(m *machine, silently bool) {
+	for _, c := range slices.Clone(n.connections) {
 		for side := range c.ends {
 			if c.ends[side] != m {
 				continue
 			}
 			c.alive[side] = false
 			if !silently {
-				n.world.after(n.latency(m.name, c.ends[1-side].name), func() { c.endedAt(1 - side) })
+				n.world.scheduleAfter(n.latency(m.name, c.ends[1-side].name), func() { c.endAt(1 - side) })
 			}
 		}
 	}
@@ -110,42 +110,42 @@
 
 // datagram carries something that may be lost.
 func (n *network) datagram(from, to *machine, do func()) {
-	n.world.after(n.latency(from.name, to.name), func() {
+	n.world.scheduleAfter(n.latency(from.name, to.name), func() {
 		if !n.blocked(from.name, to.name) {
-			to.dispatch(to.life, do)
+			to.dispatch(to.incarnation, do)
 		}
 	})
 }
 
 // dial opens a connection from one process to another; done is called with nil where it cannot be opened.
 func (n *network) dial(from, to *machine, accept func(*connection), done func(*connection)) {
-	life := from.life
-	fail := func(wait int64) { n.world.after(wait, func() { from.dispatch(life, func() { done(nil) }) }) }
+	life := from.incarnation
+	fail := func(wait int64) { n.world.scheduleAfter(wait, func() { from.dispatch(life, func() { done(nil) }) }) }
 	if to == nil {
-		fail(dialWait)
+		fail(dialTimeout)
 		return
 	}
 	round := n.latency(from.name, to.name) + n.latency(to.name, from.name)
-	refused := n.refusals[pair{from.name, to.name}] > 0 || n.refusals[pair{to.name, from.name}] > 0
+	refused := n.refusals[direction{from.name, to.name}] > 0 || n.refusals[direction{to.name, from.name}] > 0
 	switch {
 	case refused:
 		fail(round)
-	case n.blocked(from.name, to.name) || n.blocked(to.name, from.name) || !to.powered || round > dialWait:
-		fail(dialWait)
+	case n.blocked(from.name, to.name) || n.blocked(to.name, from.name) || !to.powered || round > dialTimeout:
+		fail(dialTimeout)
 	case !to.up:
 		fail(round)
 	default:
-		target := to.life
-		n.world.after(round, func() {
-			if !from.up || from.life != life {
+		target := to.incarnation
+		n.world.scheduleAfter(round, func() {
+			if !from.up || from.incarnation != life {
 				return
 			}
-			if !to.up || to.life != target {
+			if !to.up || to.incarnation != target {
 				from.dispatch(life, func() { done(nil) })
 				return
 			}
-			c := &connection{network: n, ends: [2]*machine{from, to}, lives: [2]int{life, target}, alive: [2]bool{true, true}}
-			n.open = append(n.open, c)
+			c := &connection{network: n, ends: [2]*machine{from, to}, incarnations: [2]int{life, target}, alive: [2]bool{true, true}}
+			n.connections = append(n.connections, c)
 			to.dispatch(target, func() { accept(c) })
 			from.dispatch(life, func() { done(c) })
 		})
@@ -154,15 +154,15 @@
 
 // connection carries messages in their order between two processes; side 0 has opened it.
 type connection struct {
-	network *network
-	ends    [2]*machine
-	lives   [2]int
-	alive   [2]bool // this end has not closed
-	last    [2]int64
-	held    [2][]any // what this end has sent and a cut holds up
-	receive [2]func(any)
-	closed  [2]func()
-	early   [2][]any // came before anybody received
+	network      *network
+	ends         [2]*machine
+	incarnations [2]int
+	alive        [2]bool // this end has not closed
+	lastArrival  [2]int64
+	held         [2][]any // what this end has sent and a cut holds up
+	onMessage    [2]func(any)
+	onClosed     [2]func()
+	unhandled    [2][]any // came before anybody received
 }
 
 // send sends from a side.
@@ -172,11 +172,11 @@
 	}
 	n := c.network
 	from, to := c.ends[side], c.ends[1-side]
-	at := max(c.last[side]+1, n.world.now+n.latency(from.name, to.name))
-	c.last[side] = at
-	n.world.at(at, func() { c.arrive(side, message) })
-	if late := n.duplicate[from.name]; late > 0 {
-		n.world.at(at+late, func() { c.arrive(side, message) })
+	at := max(c.lastArrival[side]+1, n.world.now+n.latency(from.name, to.name))
+	c.lastArrival[side] = at
+	n.world.scheduleAt(at, func() { c.arrive(side, message) })
+	if late := n.duplicateDelay[from.name]; late > 0 {
+		n.world.scheduleAt(at+late, func() { c.arrive(side, message) })
 	}
 }
 
@@ -190,11 +190,11 @@
 	if len(c.held[side]) > 0 || c.network.blocked(from.name, to.name) || off {
 		c.held[side] = append(c.held[side], message)
 		if len(c.held[side]) == 1 {
-			c.network.world.after(userTimeout, func() { c.overdue(side) })
+			c.network.world.scheduleAfter(userTimeout, func() { c.breakIfHeld(side) })
 		}
 		return
 	}
-	if !c.alive[1-side] || to.life != c.lives[1-side] {
+	if !c.alive[1-side] || to.incarnation != c.incarnations[1-side] {
 		c.close()
 		return
 	}
@@ -202,30 +202,30 @@
 }
 
 func (c *connection) deliver(side int, message any) {
-	c.ends[side].dispatch(c.lives[side], func() {
-		if c.receive[side] == nil {
-			c.early[side] = append(c.early[side], message)
+	c.ends[side].dispatch(c.incarnations[side], func() {
+		if c.onMessage[side] == nil {
+			c.unhandled[side] = append(c.unhandled[side], message)
 			return
 		}
-		c.receive[side](message)
+		c.onMessage[side](message)
 	})
 }
 
-// listen has a side take messages, and hear of the end.
-func (c *connection) listen(side int, receive func(any), closed func()) {
-	c.receive[side], c.closed[side] = receive, closed
-	early := c.early[side]
-	c.early[side] = nil
+// setHandlers has a side take messages, and hear of the end.
+func (c *connection) setHandlers(side int, receive func(any), closed func()) {
+	c.onMessage[side], c.onClosed[side] = receive, closed
+	early := c.unhandled[side]
+	c.unhandled[side] = nil
 	for _, message := range early {
 		receive(message)
 	}
 }
 
-// overdue breaks the connection at a sender whose messages nobody has acknowledged.
-func (c *connection) overdue(side int) {
+// breakIfHeld breaks the connection at a sender whose messages nobody has acknowledged.
+func (c *connection) breakIfHeld(side int) {
 	if len(c.held[side]) > 0 {
 		c.held[side] = nil
-		c.endedAt(side)
+		c.endAt(side)
 	}
 }
 
@@ -241,36 +241,36 @@
 	}
 }
 
-// endedAt has one end hear that the connection is over.
-func (c *connection) endedAt(side int) {
+// endAt has one end hear that the connection is over.
+func (c *connection) endAt(side int) {
 	if !c.alive[side] {
 		return
 	}
 	c.alive[side] = false
 	if !c.alive[1-side] {
-		c.forget()
+		c.remove()
 	}
-	if c.closed[side] != nil {
-		c.ends[side].dispatch(c.lives[side], c.closed[side])
+	if c.onClosed[side] != nil {
+		c.ends[side].dispatch(c.incarnations[side], c.onClosed[side])
 	}
 }
 
-// shut ends the connection from one side; the other hears of it where the way is open.
-func (c *connection) shut(side int) {
+// closeFrom ends the connection from one side; the other hears of it where the way is open.
+func (c *connection) closeFrom(side int) {
 	if !c.alive[side] {
 		return
 	}
 	c.alive[side] = false
-	c.closed[side] = nil
+	c.onClosed[side] = nil
 	if !c.alive[1-side] {
-		c.forget()
+		c.remove()
 		return
 	}
 	n := c.network
 	from, to := c.ends[side].name, c.ends[1-side].name
-	n.world.after(n.latency(from, to), func() {
+	n.world.scheduleAfter(n.latency(from, to), func() {
 		if !n.blocked(from, to) {
-			c.endedAt(1 - side)
+			c.endAt(1 - side)
 		}
 	})
 }
@@ -278,11 +278,11 @@
 // close breaks both ends.
 func (c *connection) close() {
 	c.held = [2][]any{}
-	c.endedAt(0)
-	c.endedAt(1)
-	c.forget()
+	c.endAt(0)
+	c.endAt(1)
+	c.remove()
 }
 
-func (c *connection) forget() {
-	c.network.open = slices.DeleteFunc(c.network.open, func(o *connection) bool { return o == c })
+func (c *connection) remove() {
+	c.network.connections = slices.DeleteFunc(c.network.connections, func(o *connection) bool { return o == c })
 }
--- a/lab/controlsim/plan.go
+++ b/lab/controlsim/plan.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// Kind names what a fault does.
-type Kind string
+// FaultKind names what a fault does.
+type FaultKind string
 
 // The kinds of faults. Machine is the one that is hit; "all" are all controllers.
 const (
-	Freeze           Kind = "freeze"             // the process stands still; what is sent to it waits
-	Kill             Kind = "kill"               // SIGKILL; a new process begins after For
-	Power            Kind = "power"              // the machine loses power; what was not synced may be lost
-	Wipe             Kind = "wipe"               // the same, and the disk comes back empty
-	Term             Kind = "term"               // SIGTERM; a new process begins after For
-	Cut              Kind = "cut"                // nothing passes between Machine and Others, either way
-	CutOut           Kind = "cut_out"            // Machine cannot be heard by Others, and hears them
-	CutIn            Kind = "cut_in"             // Machine cannot hear Others, and is heard by them
-	Reset            Kind = "reset"              // each connection of Machine is reset once
-	SlowLink         Kind = "slow_link"          // what Machine sends and gets is late by Amount
-	Duplicate        Kind = "duplicate"          // what Machine sends arrives twice, the second time late by Amount
-	DiskStall        Kind = "disk_stall"         // no sync ends
-	DiskSlow         Kind = "disk_slow"          // a sync takes Amount
-	DiskFull         Kind = "disk_full"          // each write is refused
-	ReplacePlanned   Kind = "replace_planned"    // Successor starts with an empty disk; after For Machine gets SIGTERM and never returns
-	ReplaceUnplanned Kind = "replace_unplanned"  // Machine loses power for good; Successor starts after For
-	LoseAnswers      Kind = "lose_answers"       // half of the answers of controllers to operators and replicas are lost
-	EdgeRestart      Kind = "edge_restart"       // an edge's process is killed; a new one begins after For with nothing
-	EdgeBeside       Kind = "edge_starts_beside" // an edge is killed, and begins again the moment that Others[0] does
+	Freeze              FaultKind = "freeze"             // the process stands still; what is sent to it waits
+	Kill                FaultKind = "kill"               // SIGKILL; a new process begins after For
+	Power               FaultKind = "power"              // the machine loses power; what was not synced may be lost
+	Wipe                FaultKind = "wipe"               // the same, and the disk comes back empty
+	Term                FaultKind = "term"               // SIGTERM; a new process begins after For
+	Cut                 FaultKind = "cut"                // nothing passes between Machine and Others, either way
+	CutOut              FaultKind = "cut_out"            // Machine cannot be heard by Others, and hears them
+	CutIn               FaultKind = "cut_in"             // Machine cannot hear Others, and is heard by them
+	Reset               FaultKind = "reset"              // each connection of Machine is reset once
+	SlowLink            FaultKind = "slow_link"          // what Machine sends and gets is late by Amount
+	Duplicate           FaultKind = "duplicate"          // what Machine sends arrives twice, the second time late by Amount
+	DiskStall           FaultKind = "disk_stall"         // no sync ends
+	DiskSlow            FaultKind = "disk_slow"          // a sync takes Amount
+	DiskFull            FaultKind = "disk_full"          // each write is refused
+	ReplacePlanned      FaultKind = "replace_planned"    // Successor starts with an empty disk; after For Machine gets SIGTERM and never returns
+	ReplaceUnplanned    FaultKind = "replace_unplanned"  // Machine loses power for good; Successor starts after For
+	LoseAnswers         FaultKind = "lose_answers"       // half of the answers of controllers to operators and replicas are lost
+	EdgeRestart         FaultKind = "edge_restart"       // an edge's process is killed; a new one begins after For with nothing
+	EdgeStartsAlongside FaultKind = "edge_starts_beside" // an edge is killed, and begins again the moment that Others[0] does
 )
 
 // Fault is one trouble. Times are of the run, and begin at its start.
 type Fault struct {
-	Kind      Kind          `json:"kind"`
+	Kind      FaultKind     `json:"kind"`
 	At        time.Duration `json:"at"`
 	For       time.Duration `json:"for,omitempty"`
 	Machine   string        `json:"machine,omitempty"`
@@ -47,13 +47,13 @@
 	After     uint64        `json:"after,omitempty"`   // a revision: At counts from its first acknowledgement
 }
 
-// All names every controller as the Machine of a fault.
-const All = "all"
+// AllControllers names every controller as the Machine of a fault.
+const AllControllers = "all"
 
-// Act is something that an operator or a replica is told to do at a time, besides what the workload draws.
-type Act struct {
+// Action is something that an operator or a replica is told to do at a time, besides what the workload draws.
+type Action struct {
 	At         time.Duration `json:"at"`
-	Do         Deed          `json:"do"`
+	Do         ActionKind    `json:"do"`
 	Controller string        `json:"controller,omitempty"` // that is asked first; any where none is named
 	Revision   uint64        `json:"revision,omitempty"`
 	Content    string        `json:"content,omitempty"`
@@ -61,16 +61,16 @@
 	Once       bool          `json:"once,omitempty"` // one try, and no other controller
 }
 
-// Deed is what an Act does.
-type Deed string
+// ActionKind is what an Act does.
+type ActionKind string
 
 // The deeds.
 const (
-	DoOrder Deed = "order"
-	DoRead  Deed = "read"
-	DoDrain Deed = "drain"
+	ActionOrder ActionKind = "order"
+	ActionRead  ActionKind = "read"
+	ActionDrain ActionKind = "drain"
 
-	DoDepart Deed = "depart" // without having drained; a beat from before comes seconds later
+	ActionDepart ActionKind = "depart" // without having drained; a beat from before comes seconds later
 )
 
 // Storm is many orders in a short time.
@@ -101,7 +101,7 @@
 	Length      time.Duration `json:"length"`
 	Bounds      Bounds        `json:"bounds"`
 	Workload    Workload      `json:"workload"`
-	Acts        []Act         `json:"acts,omitempty"`
+	Actions     []Action      `json:"acts,omitempty"`
 	Faults      []Fault       `json:"faults"`
 }
 
@@ -115,35 +115,35 @@
 	CatchUp  time.Duration `json:"catch_up"`
 }
 
-// Usual are the bounds of the deployments in use, the tighter one where they differ.
-var Usual = Bounds{Contact: 5 * time.Second, Apply: 3 * time.Second, Stretch: 15 * time.Second, Drain: 4 * time.Second,
+// DefaultBounds are the bounds of the deployments in use, the tighter one where they differ.
+var DefaultBounds = Bounds{Contact: 5 * time.Second, Apply: 3 * time.Second, Stretch: 15 * time.Second, Drain: 4 * time.Second,
 	OrderAck: 6 * time.Second, CatchUp: 4 * time.Second}
 
-// Valid tells what of a plan cannot be played.
-func (p Plan) Valid() error {
+// Validate tells what of a plan cannot be played.
+func (p Plan) Validate() error {
 	if p.Controllers < 3 || p.Controllers > 15 || p.Edges < 1 || p.Length <= 0 {
 		return fmt.Errorf("a plan has 3 to 15 controllers, an edge and a length")
 	}
 	for _, f := range p.Faults {
-		if !slices.Contains(Kinds, f.Kind) {
+		if !slices.Contains(FaultKinds, f.Kind) {
 			return fmt.Errorf("a fault of kind %q is unknown", f.Kind)
 		}
 	}
 	return nil
 }
 
-// Kinds are all kinds of faults.
-var Kinds = []Kind{Freeze, Kill, Power, Wipe, Term, Cut, CutOut, CutIn, Reset, SlowLink, Duplicate, DiskStall, DiskSlow, DiskFull,
-	ReplacePlanned, ReplaceUnplanned, LoseAnswers, EdgeRestart, EdgeBeside}
+// FaultKinds are all kinds of faults.
+var FaultKinds = []FaultKind{Freeze, Kill, Power, Wipe, Term, Cut, CutOut, CutIn, Reset, SlowLink, Duplicate, DiskStall, DiskSlow, DiskFull,
+	ReplacePlanned, ReplaceUnplanned, LoseAnswers, EdgeRestart, EdgeStartsAlongside}
 
 // Script writes a plan as a text that Read takes back.
 func (p Plan) Script() ([]byte, error) { return json.MarshalIndent(p, "", "  ") }
 
-// Read reads a plan from its script.
-func Read(script []byte) (Plan, error) {
+// ReadPlan reads a plan from its script.
+func ReadPlan(script []byte) (Plan, error) {
 	var p Plan
 	if err := json.Unmarshal(script, &p); err != nil {
 		return Plan{}, fmt.Errorf("reading a plan: %w", err)
 	}
-	return p, p.Valid()
+	return p, p.Validate()
 }
--- a/lab/controlsim/planted/planted.go
+++ b/lab/controlsim/planted/planted.go
@@ -11,9 +11,9 @@
 // Mutant is the text with one of its defences taken out, the day that has to show it, and the checks of which one has to fail.
 type Mutant struct {
 	planted.Mutant
-	Point  controlsim.Point
-	Seeds  int // of the day that are played
-	Checks []string
+	Scenario controlsim.Scenario
+	Seeds    int // of the day that are played
+	Checks   []string
 }
 
 const (
@@ -30,68 +30,68 @@
 	readinessFile  = "decide/follower/readiness.go"
 )
 
-func edit(file, was, is string) planted.Edit { return planted.Edit{File: file, Was: was, Is: is} }
+func edit(file, was, is string) planted.Edit { return planted.Edit{File: file, Old: was, New: is} }
 
-func mutant(point controlsim.Point, seeds int, name string, checks []string, edits ...planted.Edit) Mutant {
+func mutant(point controlsim.Scenario, seeds int, name string, checks []string, edits ...planted.Edit) Mutant {
 	return Mutant{planted.Mutant{Name: name, Edits: edits}, point, seeds, checks}
 }
 
 const (
-	contactWas = "return c.now-c.lease.ReachedSince(c.now, c.ownVoter(), c.quorumValue()) < contactTimeout"
-	currentWas = "return c.lease.CurrentSince(c.now, c.ownVoter(), c.quorumValue())"
-	contactIs  = `members, heard := c.quorumValue().Members, 0
+	contactOld = "return c.now-c.lease.ReachedSince(c.now, c.ownVoter(), c.quorumValue()) < contactTimeout"
+	currentOld = "return c.lease.CurrentSince(c.now, c.ownVoter(), c.quorumValue())"
+	contactNew = `members, heard := c.quorumValue().Members, 0
 	for _, m := range members {
 		if p := c.peers[m]; m == c.IP || p != nil && p.lastHeard > 0 && c.now-p.lastHeard < contactTimeout {
 			heard++
 		}
 	}
 	return 2*heard > len(members)`
-	currentIs = `if c.InContact() {
+	currentNew = `if c.InContact() {
 		return c.now
 	}
 	return neverCurrent`
 )
 
 var (
-	lost   = []string{checker.Lost, checker.Linear}
-	behind = []string{checker.Behind, checker.BehindBeside}
+	lostChecks   = []string{checker.LostRevision, checker.NotLinearizable}
+	behindChecks = []string{checker.EdgeBehind, checker.EdgeBehindMajority}
 )
 
 // Mutants are planted to see that the checks would find such faults.
 var Mutants = []Mutant{
-	mutant(controlsim.CutOffAlone, 40, "contact goes by what is heard", behind, edit(contactFile, contactWas, contactIs),
-		edit(contactFile, currentWas, currentIs)),
-	mutant(controlsim.CutOffAlone, 5, "an edge stays with a feeder that is not fresh", behind,
+	mutant(controlsim.IsolatedController, 40, "contact goes by what is heard", behindChecks, edit(contactFile, contactOld, contactNew),
+		edit(contactFile, currentOld, currentNew)),
+	mutant(controlsim.IsolatedController, 5, "an edge stays with a feeder that is not fresh", behindChecks,
 		edit(followerFile, "if f.alternatives == 0 || f.fresh(now) || now-f.connectedAt < stay {", "if stay > 0 {")),
-	mutant(controlsim.CutOffAlone, 5, "an edge is ready with its first configuration", []string{checker.ReadyOld},
+	mutant(controlsim.IsolatedController, 5, "an edge is ready with its first configuration", []string{checker.StaleReady},
 		edit(readinessFile, "return r.wasFresh || now-r.configuredAt >= readyUnconfirmedAfter", "return true")),
-	mutant(controlsim.OneNumber, 3, "whatever is not above the revision held is confirmed", []string{checker.TwoContents},
+	mutant(controlsim.ConflictingOrders, 3, "whatever is not above the revision held is confirmed", []string{checker.ConflictingContents},
 		edit(ordersFile, "case known && sum != o.Sum:", "case known && sum != o.Sum && o.Revision > value.Revision:")),
-	mutant(controlsim.OneNumber, 3, "an order that was overtaken is refused", []string{checker.RefusedAgain, checker.RefusedTaken},
+	mutant(controlsim.ConflictingOrders, 3, "an order that was overtaken is refused", []string{checker.ResendRefused, checker.RefusedInForce},
 		edit(ordersFile, "case known && sum != o.Sum:", "case known && sum != o.Sum || o.Revision < value.Revision:")),
-	mutant(controlsim.ThreeOnly, 20, "an empty disk counts as at the first start", lost,
+	mutant(controlsim.ThreeControllers, 20, "an empty disk counts as at the first start", lostChecks,
 		edit(controllerFile, "case options.Bootstrap && slices.Contains(seeds, options.IP):", "case true:")),
-	mutant(controlsim.ThreeOnly, 40, "an empty disk counts once one other has answered", lost,
+	mutant(controlsim.ThreeControllers, 40, "an empty disk counts once one other has answered", lostChecks,
 		edit(proposerFile, "return best, best.Value.Quorum(answered)", "return best, answered != nil")),
-	mutant(controlsim.SecondLoss, 20, "answers leave before the sync", lost,
+	mutant(controlsim.ConsecutiveLosses, 20, "answers leave before the sync", lostChecks,
 		edit(diskFile, "	if after == 0 {\n", "	if after >= 0 {\n")),
-	mutant(controlsim.LongLife, 5, "a controller starts again with its first state", lost,
+	mutant(controlsim.MissedChanges, 5, "a controller starts again with its first state", lostChecks,
 		edit(controllerFile, "c.disk = register.Acceptor{State: *options.RegisterState, CaughtUp: true}",
 			"c.disk = register.Acceptor{State: register.State{Value: register.Value{Members: options.RegisterState.Value.Members, Epoch: options.RegisterState.Value.Epoch}}, CaughtUp: true}")),
-	mutant(controlsim.TwoHalves, 5, "a read is answered from what is known here", lost,
+	mutant(controlsim.SplitInHalves, 5, "a read is answered from what is known here", lostChecks,
 		edit(callersFile, "	n, out := c.proposer.Edit(now, readOnlyEdit)\n", "	if c.committed.Revision > 0 {\n		c.answer(call, statusOK, c.committed.Body, \"\")\n		return c.takeEffects()\n	}\n	n, out := c.proposer.Edit(now, readOnlyEdit)\n")),
-	mutant(controlsim.TwoHalves, 5, "half of the members are enough", []string{checker.TwoContents, checker.Lost, checker.Linear},
+	mutant(controlsim.SplitInHalves, 5, "half of the members are enough", []string{checker.ConflictingContents, checker.LostRevision, checker.NotLinearizable},
 		edit(registerFile, "return 2*n > len(members)", "return 2*n >= len(members)")),
-	mutant(controlsim.EverythingDark, 5, "answers leave before the sync, and everything goes dark", lost,
+	mutant(controlsim.TotalPowerLoss, 5, "answers leave before the sync, and everything goes dark", lostChecks,
 		edit(diskFile, "	if after == 0 {\n", "	if after >= 0 {\n")),
-	mutant(controlsim.LossesOverlap, 5, "an emptied disk counts at once, while others are away", lost,
+	mutant(controlsim.OverlappingLosses, 5, "an emptied disk counts at once, while others are away", lostChecks,
 		edit(proposerFile, "return best, best.Value.Quorum(answered)", "return best, answered != nil")),
-	mutant(controlsim.DepartureFirst, 5, "a late beat brings a replica back", []string{checker.GoneAgain, checker.DrainUnknown},
+	mutant(controlsim.DepartureWithoutDrain, 5, "a late beat brings a replica back", []string{checker.DepartedUsed, checker.DrainIgnored},
 		edit(registryFile, "if o.Phase == Gone || o.Phase == Draining && r.Phase == Ready {", "if o.Phase == Draining && r.Phase == Ready {")),
-	mutant(controlsim.DepartureFirst, 5, "a departure is acknowledged before anybody else has it", []string{checker.GoneAgain, checker.DrainUnknown, checker.CutOff},
+	mutant(controlsim.DepartureWithoutDrain, 5, "a departure is acknowledged before anybody else has it", []string{checker.DepartedUsed, checker.DrainIgnored, checker.IsolatedAnswer},
 		edit(callersFile, "if r.Phase == registry.Ready {\n		c.effects", "if true {\n		c.effects")),
-	mutant(controlsim.DepartureMissed, 18, "a departure is told once", []string{checker.GoneAgain, checker.DrainUnknown},
+	mutant(controlsim.MissedDeparture, 18, "a departure is told once", []string{checker.DepartedUsed, checker.DrainIgnored},
 		edit(leavingFile, "if sum == c.replicas.LeavingSum() {", "if sum != 1 {")),
-	mutant(controlsim.LongLife, 26, "a controller that starts again calls itself current", []string{checker.ReadyOld, checker.Behind},
-		edit(contactFile, currentWas, "return c.now")),
+	mutant(controlsim.MissedChanges, 26, "a controller that starts again calls itself current", []string{checker.StaleReady, checker.EdgeBehind},
+		edit(contactFile, currentOld, "return c.now")),
 }
--- a/lab/controlsim/planted/planted_test.go
+++ b/lab/controlsim/planted/planted_test.go
@@ -11,19 +11,19 @@
 )
 
 // testOf names the test that plays a day.
-var testOf = map[controlsim.Point]string{
-	controlsim.CutOffAlone: "^TestDays$/^point1$",
-	controlsim.OneNumber:   "^TestDays$/^point2$",
-	controlsim.SecondLoss:  "^TestDays$/^point3$",
-	controlsim.ThreeOnly:   "^TestThreeControllers$",
-	controlsim.LongLife:    "^TestDays$/^point4$",
+var testOf = map[controlsim.Scenario]string{
+	controlsim.IsolatedController: "^TestDays$/^point1$",
+	controlsim.ConflictingOrders:  "^TestDays$/^point2$",
+	controlsim.ConsecutiveLosses:  "^TestDays$/^point3$",
+	controlsim.ThreeControllers:   "^TestThreeControllers$",
+	controlsim.MissedChanges:      "^TestDays$/^point4$",
 
-	controlsim.TwoHalves:      "^TestWorse$/^halves$",
-	controlsim.EverythingDark: "^TestWorse$/^dark$",
-	controlsim.LossesOverlap:  "^TestWorse$/^overlap$",
-	controlsim.DepartureFirst: "^TestWorse$/^departures$",
+	controlsim.SplitInHalves:         "^TestWorse$/^halves$",
+	controlsim.TotalPowerLoss:        "^TestWorse$/^dark$",
+	controlsim.OverlappingLosses:     "^TestWorse$/^overlap$",
+	controlsim.DepartureWithoutDrain: "^TestWorse$/^departures$",
 
-	controlsim.DepartureMissed: "^TestWorse$/^missed$",
+	controlsim.MissedDeparture: "^TestWorse$/^missed$",
 }
 
 // TestMutants: each defence that is taken out shows in a check that stands for it.
@@ -31,7 +31,7 @@
 	for _, m := range Mutants {
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
-			out, err := m.Run("../../..", t.TempDir(), testOf[m.Point], "lab/controlsim",
+			out, err := m.Run("../../..", t.TempDir(), testOf[m.Scenario], "lab/controlsim",
 				"-args", "-days", fmt.Sprint(m.Seeds), "-three", fmt.Sprint(m.Seeds))
 			t.Log(out)
 			must.Error(t, err)
--- a/lab/controlsim/server.go
+++ b/lab/controlsim/server.go
@@ -14,14 +14,14 @@
 
 // Times of a control server, ns; those of transport/controlserver, transport/peer and transport/watch.
 const (
-	tickLeast    = millisecond
-	leaveWait    = 400 * millisecond
-	redialAfter  = 150 * millisecond
-	meshQueue    = 64
-	feedEvery    = 300 * millisecond
-	followerGone = 5 * second
-	heartbeats   = second // of replicas
-	firstStart   = 300 * millisecond
+	minTickInterval   = millisecond
+	shutdownWait      = 400 * millisecond
+	redialDelay       = 150 * millisecond
+	peerQueueLength   = 64
+	freshnessInterval = 300 * millisecond
+	followerTimeout   = 5 * second
+	heartbeatInterval = second // of replicas
+	startSpread       = 300 * millisecond
 )
 
 // server is a controller with what transport/controlserver puts around it. Its disk outlives its processes.
@@ -32,114 +32,114 @@
 	disk      *disk
 	bootstrap bool // the next start is the first of the whole system
 
-	controller *controller.Controller // of the process that runs
-	current    currency
-	leaving    bool
-	mesh       map[string]*line
-	feed       feed
-	tickAt     int64
-	lastCall   uint64
-	calls      map[uint64]func(controller.Answer)
+	controller    *controller.Controller // of the process that runs
+	lastFreshness freshnessState
+	shuttingDown  bool
+	peers         map[string]*peerLink
+	downstream    downstreamEdges
+	tickAt        int64
+	lastCall      uint64
+	calls         map[uint64]func(controller.Answer)
 }
 
-// line is the connection to one other controller, and what waits for it.
-type line struct {
-	link    *connection
+// peerLink is the connection to one other controller, and what waits for it.
+type peerLink struct {
+	conn    *connection
 	dialing bool
 	queue   []controller.Message
 }
 
-// feed is the set of those who follow a process.
-type feed struct{ links []*connection }
+// downstreamEdges is the set of those who follow a process.
+type downstreamEdges struct{ connections []*connection }
 
-// news is what a feeder says; without an update it only says that it is there, and how fresh its state is.
-type news struct {
-	update *clusterstate.Update
-	fresh  clusterstate.Freshness
+// updateMessage is what a feeder says; without an update it only says that it is there, and how fresh its state is.
+type updateMessage struct {
+	update    *clusterstate.Update
+	freshness clusterstate.Freshness
 }
 
-// report is what a follower says of itself and of those below it, and which configuration it holds.
-type report struct {
-	all      []controller.EdgeReport
+// edgeReports is what a follower says of itself and of those below it, and which configuration it holds.
+type edgeReports struct {
+	edges    []controller.EdgeReport
 	revision uint64
 }
 
-// currency is what was last noted of how current a controller is.
-type currency struct {
-	noted           bool
+// freshnessState is what was last noted of how current a controller is.
+type freshnessState struct {
+	known           bool
 	since           int64 // on the machine's clock
 	epoch, revision uint64
 }
 
 // publish tells all who follow. Each takes differences between fleets.
-func (f *feed) publish(n news) {
+func (f *downstreamEdges) publish(n updateMessage) {
 	if n.update != nil {
 		told := n.update.ForWire(true)
 		n.update = &told
 	}
-	for _, l := range slices.Clone(f.links) {
+	for _, l := range slices.Clone(f.connections) {
 		l.send(1, n)
 	}
 }
 
-func (f *feed) part(l *connection) {
-	f.links = slices.DeleteFunc(f.links, func(o *connection) bool { return o == l })
+func (f *downstreamEdges) remove(l *connection) {
+	f.connections = slices.DeleteFunc(f.connections, func(o *connection) bool { return o == l })
 }
 
 // addController makes a controller's machine; it starts at once, or at the first start within 0.3 s of the others.
 func (w *world) addController(name string, first bool) *server {
-	s := &server{world: w, zone: zoneName(len(w.servers) % zones), machine: w.addMachine(name, true), disk: &disk{world: w, usual: between(w.draw, syncLeast, syncMost)}, bootstrap: first}
+	s := &server{world: w, zone: zoneName(len(w.servers) % zones), machine: w.addMachine(name, true), disk: &disk{world: w, syncTime: randomBetween(w.rng, minSyncTime, maxSyncTime)}, bootstrap: first}
 	w.servers[name] = s
-	w.deployed(append(slices.Clone(w.core), name))
-	w.history.Machines = append(w.history.Machines, checker.Machine{Name: name, Core: true, From: w.now, Until: checker.Never})
-	s.machine.boot = s.boot
+	w.setControllers(append(slices.Clone(w.controllers), name))
+	w.history.Machines = append(w.history.Machines, checker.Machine{Name: name, IsController: true, From: w.now, Until: checker.Never})
+	s.machine.startProcess = s.startProcess
 	if first {
-		w.after(between(w.draw, 0, firstStart), s.machine.start)
+		w.scheduleAfter(randomBetween(w.rng, 0, startSpread), s.machine.start)
 	}
 	return s
 }
 
-// boot begins a process with what the disk holds.
-func (s *server) boot() {
+// startProcess begins a process with what the disk holds.
+func (s *server) startProcess() {
 	w, m := s.world, s.machine
-	w.lives++
-	draw := rand.New(rand.NewPCG(w.plan.Seed, 1000+uint64(w.lives)))
-	start := controller.Options{IP: m.name, Incarnation: fmt.Sprint("life", w.lives), Zone: s.zone, Regions: w.regions, Seeds: firstSeeds(), Bootstrap: s.bootstrap, ReplicaHeartbeatInterval: heartbeats,
+	w.processes++
+	draw := rand.New(rand.NewPCG(w.plan.Seed, 1000+uint64(w.processes)))
+	start := controller.Options{IP: m.name, Incarnation: fmt.Sprint("life", w.processes), Zone: s.zone, Regions: w.regions, Seeds: initialSeeds(), Bootstrap: s.bootstrap, ReplicaHeartbeatInterval: heartbeatInterval,
 		Random: draw.Float64}
-	if found := s.disk.open(); found != nil {
+	if found := s.disk.load(); found != nil {
 		state := found.state
-		start.RegisterState, start.CommittedConfiguration, start.Rollouts, start.Replicas = &state, found.committed, found.rollouts, found.list
+		start.RegisterState, start.CommittedConfiguration, start.Rollouts, start.Replicas = &state, found.committed, found.rollouts, found.replicas
 	}
 	if !s.bootstrap {
-		start.Seeds = w.seeds()
+		start.Seeds = w.randomSeeds()
 	}
 	s.bootstrap = false
-	s.mesh, s.feed, s.calls = map[string]*line{}, feed{}, map[uint64]func(controller.Answer){}
-	s.leaving, s.current, s.tickAt = false, currency{}, 0
+	s.peers, s.downstream, s.calls = map[string]*peerLink{}, downstreamEdges{}, map[uint64]func(controller.Answer){}
+	s.shuttingDown, s.lastFreshness, s.tickAt = false, freshnessState{}, 0
 	s.controller = controller.New(m.clock(), start)
-	m.every(feedEvery, func() { s.feed.publish(news{fresh: s.freshness()}) })
+	m.every(freshnessInterval, func() { s.downstream.publish(updateMessage{freshness: s.freshness()}) })
 	s.tick()
 }
 
 // tick has the controller do what is due, and sets the timer for what comes next.
 func (s *server) tick() {
 	if now := s.machine.clock(); now >= s.controller.NextTick() {
-		s.carry(s.controller.Tick(now))
+		s.apply(s.controller.Tick(now))
 	}
-	s.noteCurrent()
-	s.wake()
+	s.recordFreshness()
+	s.scheduleTick()
 }
 
-func (s *server) wake() {
+func (s *server) scheduleTick() {
 	w, m := s.world, s.machine
-	at := w.now + max(m.trueSpan(s.controller.NextTick()-m.clock()), tickLeast)
+	at := w.now + max(m.trueDuration(s.controller.NextTick()-m.clock()), minTickInterval)
 	if s.tickAt > w.now && s.tickAt <= at {
 		return
 	}
 	s.tickAt = at
-	life := m.life
-	w.at(at, func() {
-		if m.life == life && s.tickAt == at {
+	life := m.incarnation
+	w.scheduleAt(at, func() {
+		if m.incarnation == life && s.tickAt == at {
 			m.dispatch(life, func() {
 				s.tickAt = 0
 				s.tick()
@@ -148,35 +148,35 @@
 	})
 }
 
-// take carries out a call of the controller.
-func (s *server) take(o controller.Effects) {
-	s.carry(o)
+// applyAndTick carries out a call of the controller.
+func (s *server) applyAndTick(o controller.Effects) {
+	s.apply(o)
 	s.tick()
 }
 
-// noteCurrent notes how current the controller is.
-func (s *server) noteCurrent() {
-	s.current = currency{true, s.controller.CurrentSince(), s.controller.Epoch(), s.controller.Revision()}
+// recordFreshness notes how current the controller is.
+func (s *server) recordFreshness() {
+	s.lastFreshness = freshnessState{true, s.controller.CurrentSince(), s.controller.Epoch(), s.controller.Revision()}
 }
 
 // freshness is what followers are told, as of now.
 func (s *server) freshness() clusterstate.Freshness {
-	fresh := clusterstate.Freshness{Epoch: s.current.epoch, Revision: s.current.revision}
-	if s.current.noted && s.current.since != lease.Never {
-		fresh.Known, fresh.Age = true, max(s.machine.clock()-s.current.since, 0)
+	fresh := clusterstate.Freshness{Epoch: s.lastFreshness.epoch, Revision: s.lastFreshness.revision}
+	if s.lastFreshness.known && s.lastFreshness.since != lease.Never {
+		fresh.Known, fresh.Age = true, max(s.machine.clock()-s.lastFreshness.since, 0)
 	}
 	return fresh
 }
 
-func (s *server) carry(o controller.Effects) {
+func (s *server) apply(o controller.Effects) {
 	for _, l := range o.Log {
 		if s.world.trace != nil {
-			s.world.tell(s.machine.name, "%s %v", l.Text, l.Values)
+			s.world.tracef(s.machine.name, "%s %v", l.Text, l.Values)
 		}
 	}
 	if o.Save != nil {
 		number := o.Save.Number
-		s.disk.save(s.machine, *o.Save, func(err error) { s.take(s.controller.SaveFinished(s.machine.clock(), number, err)) })
+		s.disk.save(s.machine, *o.Save, func(err error) { s.applyAndTick(s.controller.SaveFinished(s.machine.clock(), number, err)) })
 	}
 	for _, send := range o.Sends {
 		for _, to := range send.To {
@@ -191,32 +191,32 @@
 		}
 	}
 	if !o.Update.Empty() {
-		s.noteCurrent()
+		s.recordFreshness()
 		update := o.Update
-		s.feed.publish(news{&update, s.freshness()})
+		s.downstream.publish(updateMessage{&update, s.freshness()})
 	}
 }
 
 // send sends to another controller as soon as there is a connection to it; the oldest of too many makes room.
 func (s *server) send(to string, m controller.Message) {
-	l := s.mesh[to]
+	l := s.peers[to]
 	if l == nil {
-		l = &line{}
-		s.mesh[to] = l
+		l = &peerLink{}
+		s.peers[to] = l
 	}
-	if l.link != nil {
-		l.link.send(0, m)
+	if l.conn != nil {
+		l.conn.send(0, m)
 		return
 	}
-	if l.queue = append(l.queue, m); len(l.queue) > meshQueue {
+	if l.queue = append(l.queue, m); len(l.queue) > peerQueueLength {
 		l.queue = l.queue[1:]
 	}
 	s.connect(to, l)
 }
 
 // connect opens the connection; each try that fails loses the message that it was for.
-func (s *server) connect(to string, l *line) {
-	if l.dialing || l.link != nil || len(l.queue) == 0 {
+func (s *server) connect(to string, l *peerLink) {
+	if l.dialing || l.conn != nil || len(l.queue) == 0 {
 		return
 	}
 	l.dialing = true
@@ -228,14 +228,14 @@
 	}
 	s.world.network.dial(s.machine, s.world.machines[to], accept, func(c *connection) {
 		if c == nil {
-			s.machine.timer(redialAfter, func() {
+			s.machine.timer(redialDelay, func() {
 				l.dialing = false
 				s.connect(to, l)
 			})
 			return
 		}
-		l.dialing, l.link = false, c
-		c.listen(0, func(any) {}, func() { l.link = nil })
+		l.dialing, l.conn = false, c
+		c.setHandlers(0, func(any) {}, func() { l.conn = nil })
 		c.send(0, first)
 		for _, m := range l.queue {
 			c.send(0, m)
@@ -245,63 +245,63 @@
 }
 
 func (s *server) acceptPeer(c *connection) {
-	c.listen(1, func(m any) { s.take(s.controller.HandleMessage(s.machine.clock(), m.(controller.Message))) }, func() {})
+	c.setHandlers(1, func(m any) { s.applyAndTick(s.controller.HandleMessage(s.machine.clock(), m.(controller.Message))) }, func() {})
 }
 
 // acceptFollower feeds an edge from its first report on.
 func (s *server) acceptFollower(c *connection) {
-	attend(s.machine, c, &s.feed, func() news {
+	serveDownstream(s.machine, c, &s.downstream, func() updateMessage {
 		whole := s.controller.Snapshot()
-		return news{&whole, s.freshness()}
-	}, func(r report) {
-		for _, e := range r.all {
-			s.take(s.controller.HandleEdgeReport(s.machine.clock(), e))
+		return updateMessage{&whole, s.freshness()}
+	}, func(r edgeReports) {
+		for _, e := range r.edges {
+			s.applyAndTick(s.controller.HandleEdgeReport(s.machine.clock(), e))
 		}
 	})
 }
 
-// attend takes a follower's reports until it falls silent, and feeds it from the first one on.
-func attend(m *machine, c *connection, f *feed, whole func() news, here func(report)) {
+// serveDownstream takes a follower's reports until it falls silent, and feeds it from the first one on.
+func serveDownstream(m *machine, c *connection, f *downstreamEdges, whole func() updateMessage, here func(edgeReports)) {
 	joined, heard := false, m.clock()
 	var look func()
 	look = func() {
 		if !c.alive[1] {
 			return
 		}
-		if m.clock()-heard >= followerGone {
-			f.part(c)
-			c.shut(1)
+		if m.clock()-heard >= followerTimeout {
+			f.remove(c)
+			c.closeFrom(1)
 			return
 		}
-		m.timer(followerGone-(m.clock()-heard), look)
+		m.timer(followerTimeout-(m.clock()-heard), look)
 	}
-	c.listen(1, func(message any) {
+	c.setHandlers(1, func(message any) {
 		heard = m.clock()
 		if !joined {
 			joined = true
-			f.links = append(f.links, c)
+			f.connections = append(f.connections, c)
 			first := whole()
-			if message.(report).revision >= first.update.Revision {
+			if message.(edgeReports).revision >= first.update.Revision {
 				first.update.Body = nil
 			}
 			c.send(1, first)
 		}
-		here(message.(report))
-	}, func() { f.part(c) })
-	m.timer(followerGone, look)
+		here(message.(edgeReports))
+	}, func() { f.remove(c) })
+	m.timer(followerTimeout, look)
 }
 
-// term ends the process in order, as SIGTERM does.
-func (s *server) term(then func()) {
+// shutDown ends the process in order, as SIGTERM does.
+func (s *server) shutDown(then func()) {
 	m := s.machine
-	life := m.life
+	life := m.incarnation
 	m.dispatch(life, func() {
-		s.leaving = true
-		s.take(s.controller.AnnounceShutdown(m.clock()))
-		m.timer(leaveWait, func() {
-			s.carry(s.controller.AnnounceShutdown(m.clock()))
-			s.world.at(s.world.now+millisecond, func() {
-				if m.life == life {
+		s.shuttingDown = true
+		s.applyAndTick(s.controller.AnnounceShutdown(m.clock()))
+		m.timer(shutdownWait, func() {
+			s.apply(s.controller.AnnounceShutdown(m.clock()))
+			s.world.scheduleAt(s.world.now+millisecond, func() {
+				if m.incarnation == life {
 					m.stop(false)
 					then()
 				}
@@ -314,20 +314,20 @@
 func (s *server) call(in func(now int64, id uint64) controller.Effects, answer func(controller.Answer)) {
 	s.lastCall++
 	s.calls[s.lastCall] = answer
-	s.take(in(s.machine.clock(), s.lastCall))
+	s.applyAndTick(in(s.machine.clock(), s.lastCall))
 }
 
-// contentOf unpacks a configuration that was read.
-func contentOf(body []byte) string {
+// unpackContent unpacks a configuration that was read.
+func unpackContent(body []byte) string {
 	raw, ok := clusterstate.Unpack(body)
 	if !ok {
 		return "unreadable"
 	}
-	return label(string(raw))
+	return contentName(string(raw))
 }
 
-// label is the name of a content: its first word. The rest is there for its length.
-func label(content string) string {
+// contentName is the name of a content: its first word. The rest is there for its length.
+func contentName(content string) string {
 	name, _, _ := strings.Cut(content, " ")
 	return name
 }
--- a/lab/controlsim/shrink.go
+++ b/lab/controlsim/shrink.go
@@ -14,9 +14,9 @@
 		q.Faults = rest
 		return breaks(q)
 	})
-	p.Acts = reduce(p.Acts, func(rest []Act) bool {
+	p.Actions = reduce(p.Actions, func(rest []Action) bool {
 		q := p
-		q.Acts = rest
+		q.Actions = rest
 		return breaks(q)
 	})
 	p.Workload.Storms = reduce(p.Workload.Storms, func(rest []Storm) bool {
@@ -49,8 +49,8 @@
 	return list
 }
 
-// Broken plays a plan and names the checks that it breaks.
-func Broken(p Plan) []string {
+// BrokenChecks plays a plan and names the checks that it breaks.
+func BrokenChecks(p Plan) []string {
 	r, err := Run(p, nil)
 	if err != nil {
 		return nil
--- a/lab/controlsim/world.go
+++ b/lab/controlsim/world.go
@@ -15,78 +15,78 @@
 )
 
 const (
-	millisecond = int64(time.Millisecond)
-	second      = int64(time.Second)
-	seedsNamed  = 3
-	rateMost    = 0.001 // by how much a machine's steady clock runs fast or slow at the most
+	millisecond   = int64(time.Millisecond)
+	second        = int64(time.Second)
+	seedCount     = 3
+	maxClockDrift = 0.001 // by how much a machine's steady clock runs fast or slow at the most
 )
 
 // world is one run.
 type world struct {
-	plan     Plan
-	now      int64 // true time, ns
-	agenda   *agenda.Agenda
-	sequence uint64
-	network  *network
-	machines map[string]*machine
-	names    []string // of machines, in the order of their making
-	servers  map[string]*server
-	edges    map[string]*edge
-	core     []string // controllers that are deployed now
-	lists    []listing
-	replicas []*replica
-	history  checker.History
-	draw     *rand.Rand // of disks, processes and clients
-	regions  locality.Regions
-	orders   []*order
-	highest  uint64 // revision that an operator has given out
-	lose     int    // faults under way that lose answers
-	lives    int
-	onAck    map[uint64][]Fault // that begin after a revision is acknowledged
-	trace    func(at int64, who, what string)
+	plan            Plan
+	now             int64 // true time, ns
+	agenda          *agenda.Queue
+	sequence        uint64
+	network         *network
+	machines        map[string]*machine
+	machineNames    []string // of machines, in the order of their making
+	servers         map[string]*server
+	edges           map[string]*edge
+	controllers     []string // controllers that are deployed now
+	controllerLists []controllerList
+	replicas        []*replica
+	history         checker.History
+	rng             *rand.Rand // of disks, processes and clients
+	regions         locality.Regions
+	orders          []*order
+	highestRevision uint64 // revision that an operator has given out
+	answerLosses    int    // faults under way that lose answers
+	processes       int
+	faultsAfterAck  map[uint64][]Fault // that begin after a revision is acknowledged
+	trace           func(at int64, who, what string)
 }
 
-// acknowledged has the faults begin that wait for a revision.
-func (w *world) acknowledged(revision uint64) {
-	for _, f := range w.onAck[revision] {
-		w.after(int64(f.At), func() { w.befall(f) })
+// startFaultsAfterAck has the faults begin that wait for a revision.
+func (w *world) startFaultsAfterAck(revision uint64) {
+	for _, f := range w.faultsAfterAck[revision] {
+		w.scheduleAfter(int64(f.At), func() { w.startFault(f) })
 	}
-	delete(w.onAck, revision)
+	delete(w.faultsAfterAck, revision)
 }
 
-// listing is which controllers were deployed from a time on.
-type listing struct {
-	at   int64
-	core []string
+// controllerList is which controllers were deployed from a time on.
+type controllerList struct {
+	at          int64
+	controllers []string
 }
 
-// listed is the operators' list of controllers, which lags.
-func (w *world) listed() []string {
-	list := w.lists[0].core
-	for _, l := range w.lists {
-		if l.at+listLag <= w.now {
-			list = l.core
+// operatorList is the operators' list of controllers, which lags.
+func (w *world) operatorList() []string {
+	list := w.controllerLists[0].controllers
+	for _, l := range w.controllerLists {
+		if l.at+controllerListLag <= w.now {
+			list = l.controllers
 		}
 	}
 	return list
 }
 
-// deployed notes that the controllers are others than before.
-func (w *world) deployed(core []string) {
-	w.core = core
-	w.lists = append(w.lists, listing{w.now, core})
+// setControllers notes that the controllers are others than before.
+func (w *world) setControllers(core []string) {
+	w.controllers = core
+	w.controllerLists = append(w.controllerLists, controllerList{w.now, core})
 }
 
-// seeds are what a settings file names when it is written now: three of the operators' list.
-func (w *world) seeds() []string {
-	list := slices.Clone(w.listed())
-	w.draw.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
-	return list[:min(seedsNamed, len(list))]
+// randomSeeds are what a settings file names when it is written now: three of the operators' list.
+func (w *world) randomSeeds() []string {
+	list := slices.Clone(w.operatorList())
+	w.rng.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
+	return list[:min(seedCount, len(list))]
 }
 
-// firstSeeds are the same for all machines at the first start.
-func firstSeeds() (names []string) {
-	for i := range seedsNamed {
+// initialSeeds are the same for all machines at the first start.
+func initialSeeds() (names []string) {
+	for i := range seedCount {
 		names = append(names, controllerName(i+1))
 	}
 	return names
@@ -100,12 +100,12 @@
 	Acknowledged int
 	Reads        int
 	Drains       int
-	Virtual      time.Duration
+	VirtualTime  time.Duration
 	History      checker.History
 }
 
-// Broken is the first check that failed, empty where none did.
-func (r Result) Broken() string {
+// FirstBroken is the first check that failed, empty where none did.
+func (r Result) FirstBroken() string {
 	if len(r.Violations) == 0 {
 		return ""
 	}
@@ -114,7 +114,7 @@
 
 // Run plays a plan and checks what was seen. trace, where given, is told what happens.
 func Run(p Plan, trace func(at int64, who, what string)) (Result, error) {
-	if err := p.Valid(); err != nil {
+	if err := p.Validate(); err != nil {
 		return Result{}, err
 	}
 	w := newWorld(p, trace)
@@ -125,14 +125,14 @@
 			break
 		}
 		w.now = max(w.now, e.At)
-		e.Load.(func())()
+		e.Payload.(func())()
 	}
 	w.now = end
 	w.history.End = end
 	for _, o := range w.orders {
-		w.history.Orders = append(w.history.Orders, o.seen)
+		w.history.Orders = append(w.history.Orders, o.record)
 	}
-	r := Result{Plan: p, Virtual: p.Length, Orders: len(w.history.Orders), Reads: len(w.history.Reads), Drains: len(w.history.Drains),
+	r := Result{Plan: p, VirtualTime: p.Length, Orders: len(w.history.Orders), Reads: len(w.history.Reads), Drains: len(w.history.Drains),
 		History: w.history}
 	for _, o := range w.history.Orders {
 		if o.Outcome == checker.Acknowledged {
@@ -145,8 +145,8 @@
 
 func newWorld(p Plan, trace func(int64, string, string)) *world {
 	w := &world{plan: p, agenda: agenda.New(0), machines: map[string]*machine{}, servers: map[string]*server{},
-		edges: map[string]*edge{}, onAck: map[uint64][]Fault{},
-		regions: locality.Regions{zoneName(0): "west", zoneName(1): "west", zoneName(2): "east"}, draw: rand.New(rand.NewPCG(p.Seed, 1)), trace: trace}
+		edges: map[string]*edge{}, faultsAfterAck: map[uint64][]Fault{},
+		regions: locality.Regions{zoneName(0): "west", zoneName(1): "west", zoneName(2): "east"}, rng: rand.New(rand.NewPCG(p.Seed, 1)), trace: trace}
 	w.network = newNetwork(w, rand.New(rand.NewPCG(p.Seed, 2)))
 	b := p.Bounds
 	w.history.Bounds = checker.Bounds{Contact: int64(b.Contact), Apply: int64(b.Apply), Stretch: int64(b.Stretch),
@@ -154,16 +154,16 @@
 	for i := range p.Controllers {
 		w.addController(controllerName(i+1), true)
 	}
-	w.lists[0] = listing{core: w.core}
+	w.controllerLists[0] = controllerList{controllers: w.controllers}
 	for i := range p.Edges {
 		w.addEdge(edgeName(i+1), zoneName(i%edgeZones))
 	}
-	w.addClients()
+	w.scheduleClients()
 	for _, f := range p.Faults {
 		if f.After == 0 {
-			w.at(int64(f.At), func() { w.befall(f) })
+			w.scheduleAt(int64(f.At), func() { w.startFault(f) })
 		} else {
-			w.onAck[f.After] = append(w.onAck[f.After], f)
+			w.faultsAfterAck[f.After] = append(w.faultsAfterAck[f.After], f)
 		}
 	}
 	return w
@@ -179,20 +179,22 @@
 	edgeZones = 2
 )
 
-// at has something done at a time.
-func (w *world) at(when int64, do func()) {
+// scheduleAt has something done at a time.
+func (w *world) scheduleAt(when int64, do func()) {
 	w.sequence++
-	w.agenda.Push(agenda.Event{At: max(when, w.now), Seq: w.sequence, Load: do})
+	w.agenda.Push(agenda.Event{At: max(when, w.now), Seq: w.sequence, Payload: do})
 }
 
-// after has something done once so much time has gone by.
-func (w *world) after(delay int64, do func()) { w.at(w.now+delay, do) }
+// scheduleAfter has something done once so much time has gone by.
+func (w *world) scheduleAfter(delay int64, do func()) { w.scheduleAt(w.now+delay, do) }
 
-func (w *world) tell(who, format string, values ...any) {
+func (w *world) tracef(who, format string, values ...any) {
 	if w.trace != nil {
 		w.trace(w.now, who, fmt.Sprintf(format, values...))
 	}
 }
 
-// between draws a time from a range.
-func between(draw *rand.Rand, low, high int64) int64 { return low + draw.Int64N(max(high-low, 1)) }
+// randomBetween draws a time from a range.
+func randomBetween(draw *rand.Rand, low, high int64) int64 {
+	return low + draw.Int64N(max(high-low, 1))
+}
--- a/lab/emulator/agenda/agenda.go
+++ b/lab/emulator/agenda/agenda.go
@@ -19,12 +19,12 @@
 	Seq  uint64
 	Kind uint8
 
-	Result uint8
-	Part   int16
-	Number int16
-	Query  int32
-	Value  int64
-	Load   any // what a message carries; whoever gets it owns it
+	Result  uint8
+	Part    int16
+	Attempt int16
+	Query   int32
+	Value   int64
+	Payload any // what a message carries; whoever gets it owns it
 }
 
 // Compare orders events in time, and those of one time by who caused them and in what order.
@@ -36,114 +36,116 @@
 }
 
 const (
-	dayBits = 17                // a day has 2^17 ns, 0.13 ms,
-	days    = 1 << 12           // and the calendar 4096 of them: half a second
-	dayMask = days - 1          // of a day's number
-	never   = math.MaxInt64 / 2 // no event is so far away
+	bucketBits  = 17                // a day has 2^17 ns, 0.13 ms,
+	bucketCount = 1 << 12           // and the calendar 4096 of them: half a second
+	bucketMask  = bucketCount - 1   // of a day's number
+	never       = math.MaxInt64 / 2 // no event is so far away
 )
 
-// Agenda is the queue. Its zero value is not usable; see New.
-type Agenda struct {
-	today   int64     // its number
-	now     []Event   // of today and before, sorted, the next one last
-	late    []Event   // put in for today since it was sorted, a heap
-	days    [][]Event // of the days that follow, not sorted
-	filled  [days / 64]uint64
-	far     byTime // beyond the calendar
-	waiting int    // in days
+// Queue is the queue. Its zero value is not usable; see New.
+type Queue struct {
+	current   int64     // its number
+	sorted    []Event   // of today and before, sorted, the next one last
+	added     []Event   // put in for today since it was sorted, a heap
+	buckets   [][]Event // of the days that follow, not sorted
+	occupied  [bucketCount / 64]uint64
+	overflow  byTime // beyond the calendar
+	inBuckets int    // in days
 }
 
 // New makes an empty agenda; no event may come before start, ns from 0 on.
-func New(start int64) *Agenda { return &Agenda{today: start >> dayBits, days: make([][]Event, days)} }
+func New(start int64) *Queue {
+	return &Queue{current: start >> bucketBits, buckets: make([][]Event, bucketCount)}
+}
 
 // Len is how many events wait.
-func (a *Agenda) Len() int { return len(a.now) + len(a.late) + a.waiting + len(a.far) }
+func (a *Queue) Len() int { return len(a.sorted) + len(a.added) + a.inBuckets + len(a.overflow) }
 
 // Push puts an event in. One before the present day counts as of today.
-func (a *Agenda) Push(e Event) {
-	switch day := e.At >> dayBits; {
-	case day <= a.today:
-		heap.Push((*byTime)(&a.late), e)
-	case day-a.today < days:
-		slot := day & dayMask
-		a.days[slot] = append(a.days[slot], e)
-		a.filled[slot/64] |= 1 << (slot % 64)
-		a.waiting++
+func (a *Queue) Push(e Event) {
+	switch day := e.At >> bucketBits; {
+	case day <= a.current:
+		heap.Push((*byTime)(&a.added), e)
+	case day-a.current < bucketCount:
+		slot := day & bucketMask
+		a.buckets[slot] = append(a.buckets[slot], e)
+		a.occupied[slot/64] |= 1 << (slot % 64)
+		a.inBuckets++
 	default:
-		heap.Push(&a.far, e)
+		heap.Push(&a.overflow, e)
 	}
 }
 
-// Next is when the next event comes; a time that never comes where there is none.
-func (a *Agenda) Next() int64 {
-	if len(a.now) == 0 && len(a.late) == 0 && !a.turn() {
+// NextTime is when the next event comes; a time that never comes where there is none.
+func (a *Queue) NextTime() int64 {
+	if len(a.sorted) == 0 && len(a.added) == 0 && !a.advance() {
 		return never
 	}
 	at := int64(never)
-	if n := len(a.now); n > 0 {
-		at = a.now[n-1].At
+	if n := len(a.sorted); n > 0 {
+		at = a.sorted[n-1].At
 	}
-	if len(a.late) > 0 {
-		at = min(at, a.late[0].At)
+	if len(a.added) > 0 {
+		at = min(at, a.added[0].At)
 	}
 	return at
 }
 
 // Pop takes the next event out if it comes before a time.
-func (a *Agenda) Pop(before int64) (Event, bool) {
-	if a.Next() >= before {
+func (a *Queue) Pop(before int64) (Event, bool) {
+	if a.NextTime() >= before {
 		return Event{}, false
 	}
-	n := len(a.now)
-	if n == 0 || len(a.late) > 0 && Compare(a.late[0], a.now[n-1]) < 0 {
-		return heap.Pop((*byTime)(&a.late)).(Event), true
+	n := len(a.sorted)
+	if n == 0 || len(a.added) > 0 && Compare(a.added[0], a.sorted[n-1]) < 0 {
+		return heap.Pop((*byTime)(&a.added)).(Event), true
 	}
-	e := a.now[n-1]
-	a.now = a.now[:n-1]
+	e := a.sorted[n-1]
+	a.sorted = a.sorted[:n-1]
 	return e, true
 }
 
-// turn goes to the next day that has events.
-func (a *Agenda) turn() bool {
-	if a.waiting == 0 {
-		if len(a.far) == 0 {
+// advance goes to the next day that has events.
+func (a *Queue) advance() bool {
+	if a.inBuckets == 0 {
+		if len(a.overflow) == 0 {
 			return false
 		}
-		a.today = a.far[0].At>>dayBits - 1 // nothing lies between
+		a.current = a.overflow[0].At>>bucketBits - 1 // nothing lies between
 	}
-	a.today = a.nextDay()
+	a.current = a.nextBucket()
 	// What was far may be near now.
-	for len(a.far) > 0 && a.far[0].At>>dayBits-a.today < days {
-		e := heap.Pop(&a.far).(Event)
-		if e.At>>dayBits <= a.today {
-			a.late = append(a.late, e) // comes sorted, so it is a heap
+	for len(a.overflow) > 0 && a.overflow[0].At>>bucketBits-a.current < bucketCount {
+		e := heap.Pop(&a.overflow).(Event)
+		if e.At>>bucketBits <= a.current {
+			a.added = append(a.added, e) // comes sorted, so it is a heap
 			continue
 		}
-		slot := e.At >> dayBits & dayMask
-		a.days[slot] = append(a.days[slot], e)
-		a.filled[slot/64] |= 1 << (slot % 64)
-		a.waiting++
+		slot := e.At >> bucketBits & bucketMask
+		a.buckets[slot] = append(a.buckets[slot], e)
+		a.occupied[slot/64] |= 1 << (slot % 64)
+		a.inBuckets++
 	}
-	slot := a.today & dayMask
-	a.now, a.days[slot] = a.days[slot], a.now[:0]
-	a.filled[slot/64] &^= 1 << (slot % 64)
-	a.waiting -= len(a.now)
-	slices.SortFunc(a.now, func(x, y Event) int { return Compare(y, x) })
+	slot := a.current & bucketMask
+	a.sorted, a.buckets[slot] = a.buckets[slot], a.sorted[:0]
+	a.occupied[slot/64] &^= 1 << (slot % 64)
+	a.inBuckets -= len(a.sorted)
+	slices.SortFunc(a.sorted, func(x, y Event) int { return Compare(y, x) })
 	return true
 }
 
-// nextDay is the first day after today that has events, near or far.
-func (a *Agenda) nextDay() int64 {
+// nextBucket is the first day after today that has events, near or far.
+func (a *Queue) nextBucket() int64 {
 	far := int64(never)
-	if len(a.far) > 0 {
-		far = a.far[0].At >> dayBits
+	if len(a.overflow) > 0 {
+		far = a.overflow[0].At >> bucketBits
 	}
-	if a.waiting == 0 {
+	if a.inBuckets == 0 {
 		return far
 	}
-	for day := a.today + 1; ; {
-		slot := day & dayMask
-		if word := a.filled[slot/64] >> (slot % 64); word != 0 {
+	for day := a.current + 1; ; {
+		slot := day & bucketMask
+		if word := a.occupied[slot/64] >> (slot % 64); word != 0 {
 			for word&1 == 0 {
 				word >>= 1
 				day++
--- a/lab/emulator/aggregator.go
+++ b/lab/emulator/aggregator.go
@@ -13,89 +13,89 @@
 
 // execution is one run of a part, as its aggregator sees it.
 type execution struct {
-	to   int
-	sent int64
-	over bool
+	replica int
+	sentAt  int64
+	ended   bool
 }
 
-// asked is a query that an aggregator holds.
-type asked struct {
-	load   int
-	at     int64
-	ended  bool
-	tries  int
-	shards []int
+// pendingQuery is a query that an aggregator holds.
+type pendingQuery struct {
+	workload int
+	askedAt  int64
+	ended    bool
+	retries  int
+	shards   []int
 
-	came       []int // sites that it came through
-	from       int32 // the aggregator that carried it here,
-	fromNumber int32 // by its number
-	fromRun    int16
-	carriedIn  bool
-	carried    bool // to another site,
-	link       int  // over this
-	parts      [][]execution
-	weights    []float64
+	visited          []int // sites that it came through
+	originAggregator int32 // the aggregator that carried it here,
+	originQuery      int32 // by its number
+	originAttempt    int16
+	forwardedIn      bool
+	forwardedOut     bool // to another site,
+	link             int  // over this
+	parts            [][]execution
+	weights          []float64
 }
 
 // aggregator is one with its brain, and with the clients that ask it.
 type aggregator struct {
-	outlet
+	emitter
 	*Plan
-	arrivals []*Arrivals // by load
-	clients  *rand.Rand  // of who asks again
-	network  *rand.Rand
-	brain    brain
-	watch    *checker.Aggregator
-	queries  map[int32]*asked
-	repeats  map[int32][]int // the shards of queries that will be asked again
-	last     int64           // the last round
-	due      int64           // the next, 0 for none
-	next     int32
-	news     []uint64 // by replica: the newest that the list told
-	tally    *Tally
-	world    *world
-	member   *member           // nil without a store
-	spent    map[int][]int64   // by load: when a query was let in as within its quota
-	gate     *gate             // nil without other sites
-	list     []balance.Listing // as it was told last
-	down     bool
-	frozen   int64 // it does nothing until then, 0 for not
+	arrivals    []*Arrivals // by load
+	clientRNG   *rand.Rand  // of who asks again
+	networkRNG  *rand.Rand
+	decider     decider
+	ruleChecker *checker.Aggregator
+	queries     map[int32]*pendingQuery
+	retryShards map[int32][]int // the shards of queries that will be asked again
+	lastRound   int64           // the last round
+	nextRound   int64           // the next, 0 for none
+	lastQuery   int32
+	listingSeq  []uint64 // by replica: the newest that the list told
+	recorder    *Recorder
+	simulation  *simulation
+	member      *storeMember      // nil without a store
+	quotaUses   map[int][]int64   // by load: when a query was let in as within its quota
+	siteGateway *siteGateway      // nil without other sites
+	listings    []balance.Listing // as it was told last
+	down        bool
+	frozenUntil int64 // it does nothing until then, 0 for not
 
 	processor *processor // its own; nil where what it does costs nothing
 }
 
-// wake begins anew, with nothing but the list.
-func (a *aggregator) wake(now int64) {
-	for _, l := range a.list {
-		a.watch.Listed(now, l.Replica, l.Cell, l.Status == balance.Up)
+// start begins anew, with nothing but the list.
+func (a *aggregator) start(now int64) {
+	for _, l := range a.listings {
+		a.ruleChecker.RecordListing(now, l.Replica, l.Cell, l.Status == balance.Up)
 	}
 	if a.Policy == "module" {
-		whole := slices.DeleteFunc(slices.Clone(a.list), func(l balance.Listing) bool { return l.Status == balance.Gone })
+		whole := slices.DeleteFunc(slices.Clone(a.listings), func(l balance.Listing) bool { return l.Status == balance.Gone })
 		for i := range whole {
 			whole[i].New = true
 		}
-		m := newModule(now, a.deployment(int(a.self)), whole)
-		if a.brain = m; a.Watch {
-			a.brain = newWatched(m, a.Plan, int(a.self), whole)
+		m := newModuleDecider(now, a.deployment(int(a.entityID)), whole)
+		if a.decider = m; a.ZoneHealthEnabled {
+			a.decider = newZoneAwareDecider(m, a.Plan, int(a.entityID), whole)
 		}
 	} else {
-		truths := &a.world.truths
-		a.brain = newRival(a.Plan, int(a.self), a.list, func(r int) (int64, bool) { return (*truths)[r].wait, (*truths)[r].sound })
+		truths := &a.simulation.oracleViews
+		a.decider = newBaselineDecider(a.Plan, int(a.entityID), a.listings, func(r int) (int64, bool) { return (*truths)[r].wait, (*truths)[r].healthy })
 	}
-	a.join(now)
-	a.openGate(now)
-	if a.Break != "" {
-		a.brain = &broken{brain: a.brain, how: a.Break}
+	a.joinStore(now)
+	a.openGateway(now)
+	if a.Defect != "" {
+		a.decider = &defectiveDecider{decider: a.decider, defect: a.Defect}
 	}
 }
 
-// listing is what it was told last of a replica of its site.
-func (a *aggregator) listing(replica int) *balance.Listing {
-	return &a.list[replica-a.siteOf(int(a.self))*a.perSite()]
+// listingOf is what it was told last of a replica of its site.
+func (a *aggregator) listingOf(replica int) *balance.Listing {
+	return &a.listings[replica-a.siteOfAggregator(int(a.entityID))*a.replicasPerSite()]
 }
 
-// turn has a fault of its own begin or end.
-func (a *aggregator) turn(now int64, number int, begins bool) {
+// applyFault has a fault of its own begin or end.
+func (a *aggregator) applyFault(now int64, number int, begins bool) {
 	f := a.Faults[number]
 	switch {
 	case f.Kind == "crash" && begins:
@@ -103,270 +103,272 @@
 		for _, q := range a.queries { // their clients see the connection break
 			if !q.ended {
 				q.ended = true
-				a.tally.End(q.at-origin, now-origin, q.load, q.tries, balance.Forfeited)
+				a.recorder.RecordAnswer(q.askedAt-origin, now-origin, q.workload, q.retries, balance.Forfeited)
 			}
 		}
-		a.queries, a.gate = map[int32]*asked{}, nil
-		a.watch.Crashed()
+		a.queries, a.siteGateway = map[int32]*pendingQuery{}, nil
+		a.ruleChecker.RecordCrash()
 		a.trace(now, "dies")
 	case f.Kind == "crash":
-		a.down, a.due, a.last = false, 0, 0
-		a.wake(now)
-		a.moved(now)
+		a.down, a.nextRound, a.lastRound = false, 0, 0
+		a.start(now)
+		a.requestRound(now)
 		a.trace(now, "is back")
 	case f.Kind == "freeze" && begins && now < origin+f.Until:
-		a.frozen = now + f.For
-		if f.Every > f.For {
-			a.cause(now, agenda.Event{At: now + f.Every, To: a.self, Kind: beginsAgain, Value: int64(number)})
+		a.frozenUntil = now + f.ActiveTime
+		if f.Period > f.ActiveTime {
+			a.emit(now, agenda.Event{At: now + f.Period, To: a.entityID, Kind: eventFaultRepeats, Value: int64(number)})
 		}
 	}
 }
 
-func (a *aggregator) happen(now int64, e agenda.Event) {
+func (a *aggregator) handle(now int64, e agenda.Event) {
 	switch e.Kind {
-	case begins, beginsAgain, ends:
-		a.turn(now, int(e.Value), e.Kind != ends)
+	case eventFaultBegins, eventFaultRepeats, eventFaultEnds:
+		a.applyFault(now, int(e.Value), e.Kind != eventFaultEnds)
 		return
-	case gone: // the client's own clock
-		a.watch.Gone(now, e.Query)
+	case eventClientTimeout: // the client's own clock
+		a.ruleChecker.ClientTimeout(now, e.Query)
 		return
 	}
-	if a.frozen > now { // whatever comes waits, in its order, until it goes on
-		e.At = a.frozen
-		a.sector.agenda.Push(e)
+	if a.frozenUntil > now { // whatever comes waits, in its order, until it goes on
+		e.At = a.frozenUntil
+		a.loop.queue.Push(e)
 		return
 	}
-	if a.queues(now, e) {
+	if a.enqueue(now, e) {
 		return
 	}
 	switch e.Kind {
-	case isFree:
-		a.comesTo(now)
-	case reads:
-		a.reading(now)
-	case decides:
-		if a.due != 0 && a.due <= now && !a.down {
-			a.due = 0
-			a.round(now)
+	case eventProcessorFree:
+		a.processNext(now)
+	case eventReadingDue:
+		a.reportLoad(now)
+	case eventRoundDue:
+		if a.nextRound != 0 && a.nextRound <= now && !a.down {
+			a.nextRound = 0
+			a.runRound(now)
 		}
-	case replies:
-		a.outcome(now, e.Query, int(e.Part), int(e.Number), balance.Result(e.Result))
-	case cuts:
-		a.outcome(now, e.Query, int(e.Part), int(e.Number), balance.TimedOut)
-	case asks:
-		shards := a.arrivals[e.Part].Shards()
-		a.come(e.Value, int(e.Part))
-		a.take(now, e.Value, int(e.Part), 0, shards)
-	case again:
-		a.take(now, e.Value, int(e.Part), int(e.Number), a.repeats[e.Query])
-		delete(a.repeats, e.Query)
-	case pings, pinged, pingBack, looks, hops, comes, goesBack, tripLate:
-		a.meetsGate(now, e)
-	case shares, storeTells, storeLate:
-		a.meets(now, e)
-	case forgets:
-		a.watch.Forget(e.Query)
-		a.brain.forget(e.Query)
+	case eventReplyArrives:
+		a.handleOutcome(now, e.Query, int(e.Part), int(e.Attempt), balance.Result(e.Result))
+	case eventExecutionTimeout:
+		a.handleOutcome(now, e.Query, int(e.Part), int(e.Attempt), balance.TimedOut)
+	case eventQueryArrives:
+		shards := a.arrivals[e.Part].DrawShards()
+		a.scheduleArrival(e.Value, int(e.Part))
+		a.receiveQuery(now, e.Value, int(e.Part), 0, shards)
+	case eventClientRetries:
+		a.receiveQuery(now, e.Value, int(e.Part), int(e.Attempt), a.retryShards[e.Query])
+		delete(a.retryShards, e.Query)
+	case eventPingsDue, eventPingArrives, eventPingReply, eventGatewayDue, eventForwardRoundDue, eventForwardArrives, eventForwardReply, eventForwardTimeout:
+		a.handleGatewayEvent(now, e)
+	case eventStoreRoundDue, eventStoreReply, eventStoreTimeout:
+		a.handleStoreEvent(now, e)
+	case eventForgetQuery:
+		a.ruleChecker.Forget(e.Query)
+		a.decider.forget(e.Query)
 		delete(a.queries, e.Query)
-		a.gateForgets(e.Query)
-	case listed:
-		if e.Seq > a.news[e.Query] {
-			a.news[e.Query] = e.Seq
+		a.forgetForwarded(e.Query)
+	case eventListingArrives:
+		if e.Seq > a.listingSeq[e.Query] {
+			a.listingSeq[e.Query] = e.Seq
 			l := balance.Listing{Replica: int(e.Query), Cell: a.shardOf(int(e.Query)), Status: balance.Status(e.Result), StartedAt: e.Value}
-			*a.listing(l.Replica) = l
+			*a.listingOf(l.Replica) = l
 			if a.down {
 				return
 			}
-			a.watch.Listed(now, l.Replica, l.Cell, l.Status == balance.Up)
+			a.ruleChecker.RecordListing(now, l.Replica, l.Cell, l.Status == balance.Up)
 			a.trace(now, "the list has replica %d %s", e.Query, [...]string{"up", "draining", "gone"}[e.Result])
-			a.brain.list(now, l)
-			a.moved(now)
+			a.decider.updateListing(now, l)
+			a.requestRound(now)
 		}
 	}
 }
 
-// moved has a round come as soon as one may.
-func (a *aggregator) moved(now int64) { a.schedule(max(a.last+a.Tick, now)) }
+// requestRound has a round come as soon as one may.
+func (a *aggregator) requestRound(now int64) { a.scheduleRound(max(a.lastRound+a.Tick, now)) }
 
-func (a *aggregator) schedule(at int64) {
-	if a.due != 0 && a.due <= at {
+func (a *aggregator) scheduleRound(at int64) {
+	if a.nextRound != 0 && a.nextRound <= at {
 		return
 	}
-	a.due = at
-	a.cause(at, agenda.Event{At: at, To: a.self, Kind: decides})
+	a.nextRound = at
+	a.emit(at, agenda.Event{At: at, To: a.entityID, Kind: eventRoundDue})
 }
 
-// come has the next query of a load come, until the clients end.
-func (a *aggregator) come(now int64, load int) {
+// scheduleArrival has the next query of a load come, until the clients end.
+func (a *aggregator) scheduleArrival(now int64, load int) {
 	if at, comes := a.arrivals[load].Next(now - origin); comes {
-		a.cause(now, agenda.Event{At: origin + at, To: a.self, Kind: asks, Value: origin + at, Part: int16(load)})
+		a.emit(now, agenda.Event{At: origin + at, To: a.entityID, Kind: eventQueryArrives, Value: origin + at, Part: int16(load)})
 	}
 }
 
-// take takes a query in that was asked at a time: now, or before a freeze.
-func (a *aggregator) take(now, at int64, load, tries int, shards []int) {
-	l := &a.Loads[load]
+// receiveQuery takes a query in that was asked at a time: now, or before a freeze.
+func (a *aggregator) receiveQuery(now, at int64, load, tries int, shards []int) {
+	l := &a.Workloads[load]
 	if tries == 0 {
-		a.tally.Ask(at-origin, load)
+		a.recorder.RecordQuery(at-origin, load)
 	}
 	switch {
 	case a.down: // nobody listens
-		a.tally.End(at-origin, now-origin, load, tries, balance.Declined)
+		a.recorder.RecordAnswer(at-origin, now-origin, load, tries, balance.Declined)
 		return
-	case now >= at+l.Patience: // its client has left
-		a.tally.End(at-origin, now-origin, load, tries, balance.Forfeited)
-		a.next++
-		a.insists(now, a.next, &asked{load: load, at: at, tries: tries, shards: shards}, balance.Forfeited, 0)
+	case now >= at+l.Timeout: // its client has left
+		a.recorder.RecordAnswer(at-origin, now-origin, load, tries, balance.Forfeited)
+		a.lastQuery++
+		a.scheduleClientRetry(now, a.lastQuery, &pendingQuery{workload: load, askedAt: at, retries: tries, shards: shards}, balance.Forfeited, 0)
 		return
 	}
-	a.hold(now, &asked{load: load, at: at, tries: tries, shards: shards}, at+l.Patience-now)
+	a.serveQuery(now, &pendingQuery{workload: load, askedAt: at, retries: tries, shards: shards}, at+l.Timeout-now)
 }
 
-// hold has a query that was taken in served here, or elsewhere.
-func (a *aggregator) hold(now int64, q *asked, left int64) {
-	a.next++
-	number := a.next
-	l := &a.Loads[q.load]
+// serveQuery has a query that was taken in served here, or elsewhere.
+func (a *aggregator) serveQuery(now int64, q *pendingQuery, left int64) {
+	a.lastQuery++
+	number := a.lastQuery
+	l := &a.Workloads[q.workload]
 	q.parts = make([][]execution, len(q.shards))
 	for range q.shards {
 		q.weights = append(q.weights, 1/float64(len(q.shards)))
 	}
 	a.queries[number] = q
-	a.watch.Taken(now, number, left, int(l.Effect), q.weights)
-	a.cause(now, agenda.Event{At: now + left + 1, To: a.self, Kind: gone, Query: number})
-	a.cause(now, agenda.Event{At: now + 3*l.Patience, To: a.self, Kind: forgets, Query: number})
+	a.ruleChecker.RecordQuery(now, number, left, int(l.RetrySafety), q.weights)
+	a.emit(now, agenda.Event{At: now + left + 1, To: a.entityID, Kind: eventClientTimeout, Query: number})
+	a.emit(now, agenda.Event{At: now + 3*l.Timeout, To: a.entityID, Kind: eventForgetQuery, Query: number})
 	mark := float64(uint32(number)*2654435761%1000) / 1000
-	if a.gate != nil && !a.gate.gateway.ServesLocally(now, mark, q.carriedIn) {
-		if !a.goesElsewhere(now, number, q, false) {
-			a.final(now, ending{query: number, final: balance.Declined, comeBack: 1e9})
+	if a.siteGateway != nil && !a.siteGateway.gateway.ServesLocally(now, mark, q.forwardedIn) {
+		if !a.tryForward(now, number, q, false) {
+			a.finish(now, ending{query: number, outcome: balance.Declined, retryAfter: 1e9})
 		}
 		return
 	}
-	a.brain.take(now, number, q.load, left, !q.carriedIn && a.over(now, q.load), q.shards, q.weights)
+	a.decider.addQuery(now, number, q.workload, left, !q.forwardedIn && a.overQuota(now, q.workload), q.shards, q.weights)
 	a.trace(now, "query %d taken: %s, shards %v", number, l.Name, q.shards)
-	a.moved(now)
+	a.requestRound(now)
 }
 
 // trace tells who asked for it what happens here.
 func (a *aggregator) trace(now int64, format string, args ...any) {
 	if a.Trace != nil {
-		a.Trace(now-origin, fmt.Sprint("aggregator ", a.self), fmt.Sprintf(format, args...))
+		a.Trace(now-origin, fmt.Sprint("aggregator ", a.entityID), fmt.Sprintf(format, args...))
 	}
 }
 
-func (a *aggregator) outcome(now int64, number int32, part, execution int, result balance.Result) {
+func (a *aggregator) handleOutcome(now int64, number int32, part, execution int, result balance.Result) {
 	q := a.queries[number]
-	if q == nil || execution >= len(q.parts[part]) || q.parts[part][execution].over {
+	if q == nil || execution >= len(q.parts[part]) || q.parts[part][execution].ended {
 		return
 	}
 	x := &q.parts[part][execution]
-	x.over = true
+	x.ended = true
 	if result == balance.TimedOut || result == balance.Cancelled {
-		a.cause(now, agenda.Event{At: now + a.way(), To: int32(a.Aggregators + x.to), Kind: dropped, Query: number, Part: int16(part),
-			Number: int16(execution)})
+		a.emit(now, agenda.Event{At: now + a.drawDelay(), To: int32(a.Aggregators + x.replica), Kind: eventPartCancelled, Query: number, Part: int16(part),
+			Attempt: int16(execution)})
 	}
-	ended := checker.MayHaveRan
+	ended := checker.MayHaveRun
 	switch {
 	case result == balance.Fulfilled:
 		ended = checker.Fulfilled
 	case result.NeverRan():
 		ended = checker.NeverRan
 	}
-	a.watch.Outcome(now, number, part, execution, ended)
-	a.trace(now, "query %d part %d execution %d at replica %d: %s after %.3f ms", number, part, execution, x.to, results[result],
-		float64(now-x.sent)/1e6)
-	a.brain.outcome(now, number, part, execution, result, now-x.sent)
-	a.moved(now)
+	a.ruleChecker.RecordOutcome(now, number, part, execution, ended)
+	a.trace(now, "query %d part %d execution %d at replica %d: %s after %.3f ms", number, part, execution, x.replica, resultNames[result],
+		float64(now-x.sentAt)/1e6)
+	a.decider.recordOutcome(now, number, part, execution, result, now-x.sentAt)
+	a.requestRound(now)
 }
 
-func (a *aggregator) way() int64 { return a.Way + int64(a.network.ExpFloat64()*float64(a.Way)/4) }
+func (a *aggregator) drawDelay() int64 {
+	return a.NetworkDelay + int64(a.networkRNG.ExpFloat64()*float64(a.NetworkDelay)/4)
+}
 
-// round lets the brain decide, and carries it out in the node's order.
-func (a *aggregator) round(now int64) {
-	a.last = now
-	r := a.brain.decide(now)
+// runRound lets the brain decide, and carries it out in the node's order.
+func (a *aggregator) runRound(now int64) {
+	a.lastRound = now
+	r := a.decider.decide(now)
 	for _, s := range r.sends {
 		q := a.queries[s.query]
-		a.watch.Sent(now, s.query, s.part, s.replica)
+		a.ruleChecker.RecordSend(now, s.query, s.part, s.replica)
 		number := len(q.parts[s.part])
-		q.parts[s.part] = append(q.parts[s.part], execution{to: s.replica, sent: now})
+		q.parts[s.part] = append(q.parts[s.part], execution{replica: s.replica, sentAt: now})
 		if a.Trace != nil {
 			a.trace(now, "query %d part %d execution %d to replica %d, cut off in %.1f ms; own parts in flight at its holders: %s", s.query,
-				s.part, number, s.replica, float64(s.cutAt-now)/1e6, a.inFlight(s.replica))
+				s.part, number, s.replica, float64(s.deadline-now)/1e6, a.describeInFlight(s.replica))
 		}
-		a.tally.Send(q.at-origin, number > 0)
-		e := agenda.Event{At: now + a.way(), To: int32(a.Aggregators + s.replica), Kind: arrives, Query: s.query, Part: int16(s.part),
-			Number: int16(number), Result: uint8(q.load), Value: s.cutAt}
-		a.cause(now, e)
-		e.At, e.To, e.Kind = s.cutAt, a.self, cuts
-		a.cause(now, e)
+		a.recorder.RecordExecution(q.askedAt-origin, number > 0)
+		e := agenda.Event{At: now + a.drawDelay(), To: int32(a.Aggregators + s.replica), Kind: eventPartArrives, Query: s.query, Part: int16(s.part),
+			Attempt: int16(number), Result: uint8(q.workload), Value: s.deadline}
+		a.emit(now, e)
+		e.At, e.To, e.Kind = s.deadline, a.entityID, eventExecutionTimeout
+		a.emit(now, e)
 	}
-	for _, c := range r.giveUps {
-		a.outcome(now, c.query, c.part, c.which, balance.Cancelled)
+	for _, c := range r.cancellations {
+		a.handleOutcome(now, c.query, c.part, c.execution, balance.Cancelled)
 	}
 	for _, e := range r.endings {
-		a.answer(now, e)
+		a.handleEnding(now, e)
 	}
-	if r.wake > 0 {
-		a.schedule(max(r.wake, a.last+a.Tick))
+	if r.wakeAt > 0 {
+		a.scheduleRound(max(r.wakeAt, a.lastRound+a.Tick))
 	}
 }
 
-// answer is what the own module ends a query with. What it declines may go elsewhere first.
-func (a *aggregator) answer(now int64, e ending) {
+// handleEnding is what the own module ends a query with. What it declines may go elsewhere first.
+func (a *aggregator) handleEnding(now int64, e ending) {
 	q := a.queries[e.query]
-	if q != nil && !q.ended && a.gate != nil {
-		a.gate.gateway.Ended(now, !q.carriedIn, e.final == balance.Declined)
-		if e.final == balance.Declined && a.goesElsewhere(now, e.query, q, true) {
+	if q != nil && !q.ended && a.siteGateway != nil {
+		a.siteGateway.gateway.Ended(now, !q.forwardedIn, e.outcome == balance.Declined)
+		if e.outcome == balance.Declined && a.tryForward(now, e.query, q, true) {
 			return
 		}
 	}
-	a.final(now, e)
+	a.finish(now, e)
 }
 
-// final gives a query its one answer.
-func (a *aggregator) final(now int64, e ending) {
+// finish gives a query its one answer.
+func (a *aggregator) finish(now int64, e ending) {
 	q := a.queries[e.query]
-	if q != nil && q.carried {
-		a.watch.Elsewhere(e.query)
+	if q != nil && q.forwardedOut {
+		a.ruleChecker.RecordElsewhere(e.query)
 	}
-	a.watch.Answered(now, e.query, e.final == balance.Whole || e.final == balance.Partial, e.final == balance.Whole)
+	a.ruleChecker.RecordAnswer(now, e.query, e.outcome == balance.Whole || e.outcome == balance.Partial, e.outcome == balance.Whole)
 	if q == nil || q.ended {
 		return
 	}
 	q.ended = true
-	a.trace(now, "query %d ends %s after %.3f ms", e.query, finals[e.final], float64(now-q.at)/1e6)
-	if q.carriedIn {
-		a.tellGate(now, int(q.from), agenda.Event{Kind: goesBack, Query: q.fromNumber, Number: q.fromRun,
-			Load: carriedBack{final: e.final, willing: a.willing(now), comeBack: e.comeBack}})
+	a.trace(now, "query %d ends %s after %.3f ms", e.query, outcomeNames[e.outcome], float64(now-q.askedAt)/1e6)
+	if q.forwardedIn {
+		a.sendToSite(now, int(q.originAggregator), agenda.Event{Kind: eventForwardReply, Query: q.originQuery, Attempt: q.originAttempt,
+			Payload: forwardedReply{outcome: e.outcome, advertisedRate: a.advertisedRate(now), retryAfter: e.retryAfter}})
 		return
 	}
-	a.served(now, q, e.final)
-	a.insists(now, e.query, q, e.final, e.comeBack)
-	a.tally.End(q.at-origin, now-origin, q.load, q.tries, e.final)
+	a.recordEnd(now, q, e.outcome)
+	a.scheduleClientRetry(now, e.query, q, e.outcome, e.retryAfter)
+	a.recorder.RecordAnswer(q.askedAt-origin, now-origin, q.workload, q.retries, e.outcome)
 }
 
-func (a *aggregator) willing(now int64) float64 {
-	if a.gate == nil {
+func (a *aggregator) advertisedRate(now int64) float64 {
+	if a.siteGateway == nil {
 		return 0
 	}
-	return a.gate.gateway.AdvertisedRate(now)
+	return a.siteGateway.gateway.AdvertisedRate(now)
 }
 
 var (
-	results = [...]string{"fulfilled", "an error", "turned away", "timed out", "no connection", "reset", "cancelled", "never left"}
-	finals  = [...]string{"whole", "partial", "declined", "forfeited"}
+	resultNames  = [...]string{"fulfilled", "an error", "turned away", "timed out", "no connection", "reset", "cancelled", "never left"}
+	outcomeNames = [...]string{"whole", "partial", "declined", "forfeited"}
 )
 
-// inFlight tells how many own parts are out at each holder of a replica's shard: what the module's pick goes by, and a reader
+// describeInFlight tells how many own parts are out at each holder of a replica's shard: what the module's pick goes by, and a reader
 // wants to see beside it.
-func (a *aggregator) inFlight(replica int) string {
+func (a *aggregator) describeInFlight(replica int) string {
 	count := map[int]int{}
 	for _, q := range a.queries {
 		for _, runs := range q.parts {
 			for _, x := range runs {
-				if !x.over {
-					count[x.to]++
+				if !x.ended {
+					count[x.replica]++
 				}
 			}
 		}
--- a/lab/emulator/arrivals.go
+++ b/lab/emulator/arrivals.go
@@ -8,23 +8,23 @@
 // Arrivals are the queries of one load at one aggregator: when they come, and which shards they need. They go by the seed
 // alone, so the same come whatever is decided, and whether the fleet is emulated or real.
 type Arrivals struct {
-	load   *Load
-	rate   float64
-	span   int64
-	shards int
-	zipf   *zipf
-	chance *rand.Rand
+	workload *Workload
+	rate     float64
+	duration int64
+	shards   int
+	zipf     *zipf
+	rng      *rand.Rand
 }
 
 // Arrivals are those of a load at an aggregator, both by number.
 func (p *Plan) Arrivals(aggregator, load int) *Arrivals {
 	// One draw for all loads of an aggregator: where it gets much, it gets much of all.
-	share := math.Exp(p.Uneven*rand.New(rand.NewPCG(p.Seed, 4<<32+uint64(aggregator))).NormFloat64() - p.Uneven*p.Uneven/2)
-	a := &Arrivals{load: &p.Loads[load], span: p.Span, shards: p.Shards(),
-		chance: rand.New(rand.NewPCG(p.Seed, 2<<32+uint64(aggregator)<<8+uint64(load)))}
-	a.rate = a.load.Rate * share
-	if a.load.Skew > 0 {
-		a.zipf = newZipf(a.shards, a.load.Skew)
+	share := math.Exp(p.LoadSigma*rand.New(rand.NewPCG(p.Seed, 4<<32+uint64(aggregator))).NormFloat64() - p.LoadSigma*p.LoadSigma/2)
+	a := &Arrivals{workload: &p.Workloads[load], duration: p.Duration, shards: p.Shards(),
+		rng: rand.New(rand.NewPCG(p.Seed, 2<<32+uint64(aggregator)<<8+uint64(load)))}
+	a.rate = a.workload.Rate * share
+	if a.workload.Skew > 0 {
+		a.zipf = newZipf(a.shards, a.workload.Skew)
 	}
 	return a
 }
@@ -32,47 +32,47 @@
 // Next is when the next query after a time comes, ns from the run's start; false where none comes any more.
 func (a *Arrivals) Next(at int64) (int64, bool) {
 	for {
-		next, comes := a.steady(at)
+		next, comes := a.nextWithoutWave(at)
 		// Of queries that come as at the height of the day so many are left out as it is lower now.
-		if l := a.load; !comes || l.Wave <= 0 || l.Day <= 0 ||
-			a.chance.Float64()*(1+l.Wave) < 1+l.Wave*math.Sin(2*math.Pi*float64(next)/float64(l.Day)) {
+		if l := a.workload; !comes || l.WaveAmplitude <= 0 || l.WavePeriod <= 0 ||
+			a.rng.Float64()*(1+l.WaveAmplitude) < 1+l.WaveAmplitude*math.Sin(2*math.Pi*float64(next)/float64(l.WavePeriod)) {
 			return next, comes
 		}
 		at = next
 	}
 }
 
-// steady is the next by a rate that changes at the edges of bursts alone.
-func (a *Arrivals) steady(at int64) (int64, bool) {
-	l := a.load
-	for at < a.span {
-		rate, until := a.rate*(1+max(l.Wave, 0)), int64(math.MaxInt64)
-		if l.Every > 0 { // a rate that holds until the burst's next edge
-			since := at - l.At
+// nextWithoutWave is the next by a rate that changes at the edges of bursts alone.
+func (a *Arrivals) nextWithoutWave(at int64) (int64, bool) {
+	l := a.workload
+	for at < a.duration {
+		rate, until := a.rate*(1+max(l.WaveAmplitude, 0)), int64(math.MaxInt64)
+		if l.BurstInterval > 0 { // a rate that holds until the burst's next edge
+			since := at - l.BurstStart
 			if since < 0 {
-				since = l.Every + since%l.Every // the end of a stretch without a burst
+				since = l.BurstInterval + since%l.BurstInterval // the end of a stretch without a burst
 			}
-			since %= l.Every
-			if until = at - since + l.Every; since < l.For && at >= l.At {
-				rate, until = rate*l.Burst, at-since+l.For
+			since %= l.BurstInterval
+			if until = at - since + l.BurstInterval; since < l.BurstTime && at >= l.BurstStart {
+				rate, until = rate*l.BurstFactor, at-since+l.BurstTime
 			}
 		}
-		if next := at + int64(a.chance.ExpFloat64()*1e9/max(rate, 1e-9)); next < until {
-			return next, next < a.span
+		if next := at + int64(a.rng.ExpFloat64()*1e9/max(rate, 1e-9)); next < until {
+			return next, next < a.duration
 		}
 		at = until // by the law's want of memory the wait begins anew there
 	}
 	return at, false
 }
 
-// Shards draws which shards the next query needs: all alike, or by Zipf's law, the first ones hot.
-func (a *Arrivals) Shards() []int {
+// DrawShards draws which shards the next query needs: all alike, or by Zipf's law, the first ones hot.
+func (a *Arrivals) DrawShards() []int {
 	if a.zipf == nil {
-		return a.chance.Perm(a.shards)[:a.load.Parts]
+		return a.rng.Perm(a.shards)[:a.workload.Parts]
 	}
 	var all []int
-	for seen := map[int]bool{}; len(all) < a.load.Parts; {
-		if s := a.zipf.draw(a.chance); !seen[s] {
+	for seen := map[int]bool{}; len(all) < a.workload.Parts; {
+		if s := a.zipf.draw(a.rng); !seen[s] {
 			seen[s] = true
 			all = append(all, s)
 		}
@@ -81,23 +81,23 @@
 }
 
 // zipf draws numbers by Zipf's law.
-type zipf struct{ sums []float64 }
+type zipf struct{ cumulative []float64 }
 
 func newZipf(n int, skew float64) *zipf {
 	z := &zipf{}
 	sum := 0.0
 	for i := range n {
 		sum += math.Pow(float64(i+1), -skew)
-		z.sums = append(z.sums, sum)
+		z.cumulative = append(z.cumulative, sum)
 	}
 	return z
 }
 
 func (z *zipf) draw(chance *rand.Rand) int {
-	x := chance.Float64() * z.sums[len(z.sums)-1]
-	low, high := 0, len(z.sums)-1
+	x := chance.Float64() * z.cumulative[len(z.cumulative)-1]
+	low, high := 0, len(z.cumulative)-1
 	for low < high {
-		if mid := (low + high) / 2; z.sums[mid] <= x {
+		if mid := (low + high) / 2; z.cumulative[mid] <= x {
 			low = mid + 1
 		} else {
 			high = mid
--- a/lab/emulator/brain.go
+++ b/lab/emulator/brain.go
@@ -9,58 +9,58 @@
 
 // send, giveUp and ending are what a brain asks for, with the emulator's own numbers of queries.
 type send struct {
-	query   int32
-	part    int
-	replica int
-	cutAt   int64
+	query    int32
+	part     int
+	replica  int
+	deadline int64
 }
 
-type giveUp struct {
-	query       int32
-	part, which int
+type cancellation struct {
+	query           int32
+	part, execution int
 }
 
 type ending struct {
-	query    int32
-	final    balance.Outcome
-	comeBack int64
+	query      int32
+	outcome    balance.Outcome
+	retryAfter int64
 }
 
-type round struct {
-	sends   []send
-	giveUps []giveUp
-	endings []ending
-	wake    int64
+type decision struct {
+	sends         []send
+	cancellations []cancellation
+	endings       []ending
+	wakeAt        int64
 }
 
-// brain decides for one aggregator: the module, or a rival.
-type brain interface {
-	list(now int64, l balance.Listing)
-	take(now int64, number int32, load int, patience int64, over bool, shards []int, weights []float64)
-	outcome(now int64, number int32, part, execution int, result balance.Result, took int64)
-	decide(now int64) round
+// decider decides for one aggregator: the module, or a rival.
+type decider interface {
+	updateListing(now int64, l balance.Listing)
+	addQuery(now int64, number int32, load int, patience int64, over bool, shards []int, weights []float64)
+	recordOutcome(now int64, number int32, part, execution int, result balance.Result, took int64)
+	decide(now int64) decision
 	forget(number int32)
 }
 
-// module is the true one, called as the node calls it.
-type module struct {
+// moduleDecider is the true one, called as the node calls it.
+type moduleDecider struct {
 	aggregator *balance.Aggregator
 	queries    map[int32]*balance.Query
 	numbers    map[*balance.Query]int32
-	round      round
+	buffers    decision
 }
 
-func newModule(now int64, d balance.Deployment, whole []balance.Listing) *module {
-	m := &module{aggregator: balance.New(now, d), queries: map[int32]*balance.Query{}, numbers: map[*balance.Query]int32{}}
+func newModuleDecider(now int64, d balance.Deployment, whole []balance.Listing) *moduleDecider {
+	m := &moduleDecider{aggregator: balance.New(now, d), queries: map[int32]*balance.Query{}, numbers: map[*balance.Query]int32{}}
 	m.aggregator.ReplaceList(now, whole, true)
 	return m
 }
 
-func (m *module) list(now int64, l balance.Listing) {
+func (m *moduleDecider) updateListing(now int64, l balance.Listing) {
 	m.aggregator.UpdateList(now, []balance.Listing{l})
 }
 
-func (m *module) take(now int64, number int32, load int, patience int64, over bool, shards []int, weights []float64) {
+func (m *moduleDecider) addQuery(now int64, number int32, load int, patience int64, over bool, shards []int, weights []float64) {
 	claim := balance.FirstTry
 	if over {
 		claim = balance.OverQuota
@@ -72,96 +72,98 @@
 	m.queries[number], m.numbers[q] = q, number
 }
 
-func (m *module) outcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
+func (m *moduleDecider) recordOutcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
 	if q := m.queries[number]; q != nil {
 		q.RecordResult(now, part, execution, result, took)
 	}
 }
 
-func (m *module) decide(now int64) round {
+func (m *moduleDecider) decide(now int64) decision {
 	r := m.aggregator.Decide(now)
-	out := round{sends: m.round.sends[:0], giveUps: m.round.giveUps[:0], endings: m.round.endings[:0], wake: r.WakeAt}
+	out := decision{sends: m.buffers.sends[:0], cancellations: m.buffers.cancellations[:0], endings: m.buffers.endings[:0], wakeAt: r.WakeAt}
 	for _, s := range r.Sends {
 		out.sends = append(out.sends, send{m.numbers[s.Query], s.Part, s.Replica, s.Deadline})
 	}
 	for _, c := range r.Cancels {
-		out.giveUps = append(out.giveUps, giveUp{m.numbers[c.Query], c.Part, c.Execution})
+		out.cancellations = append(out.cancellations, cancellation{m.numbers[c.Query], c.Part, c.Execution})
 	}
 	for _, e := range r.Endings {
 		out.endings = append(out.endings, ending{m.numbers[e.Query], e.Outcome, e.RetryAfter})
 	}
-	m.round = out
+	m.buffers = out
 	return out
 }
 
-func (m *module) forget(number int32) {
+func (m *moduleDecider) forget(number int32) {
 	delete(m.numbers, m.queries[number])
 	delete(m.queries, number)
 }
 
-// rival is a baseline.
-type rival struct{ *rivals.Rival }
+// baselineDecider is a baseline.
+type baselineDecider struct{ *rivals.Baseline }
 
-func newRival(p *Plan, number int, whole []balance.Listing, sees func(int) (int64, bool)) rival {
-	t := rivals.Terms{Policy: p.Policy, Seed: p.Seed*1_000_003 + uint64(number), Shards: p.Shards(), Executions: p.Executions,
-		Floor: p.Loads[0].Floor, Truth: sees}
-	for _, l := range p.Loads {
-		t.Effect = append(t.Effect, l.Effect)
+func newBaselineDecider(p *Plan, number int, whole []balance.Listing, sees func(int) (int64, bool)) baselineDecider {
+	t := rivals.Config{Policy: p.Policy, Seed: p.Seed*1_000_003 + uint64(number), Shards: p.Shards(), MaxExecutions: p.MaxExecutions,
+		MinCoverage: p.Workloads[0].MinCoverage, Oracle: sees}
+	for _, l := range p.Workloads {
+		t.RetrySafety = append(t.RetrySafety, l.RetrySafety)
 	}
-	r := rival{rivals.New(t)}
+	r := baselineDecider{rivals.New(t)}
 	for _, l := range whole {
-		r.List(l.Replica, l.Cell, true)
+		r.SetListed(l.Replica, l.Cell, true)
 	}
 	return r
 }
 
-func (r rival) list(_ int64, l balance.Listing) { r.List(l.Replica, l.Cell, l.Status == balance.Up) }
+func (r baselineDecider) updateListing(_ int64, l balance.Listing) {
+	r.SetListed(l.Replica, l.Cell, l.Status == balance.Up)
+}
 
-func (r rival) take(now int64, number int32, load int, patience int64, _ bool, shards []int, weights []float64) {
-	r.Take(now, number, load, patience, shards, weights)
+func (r baselineDecider) addQuery(now int64, number int32, load int, patience int64, _ bool, shards []int, weights []float64) {
+	r.AddQuery(now, number, load, patience, shards, weights)
 }
 
-func (r rival) outcome(now int64, number int32, part, _ int, result balance.Result, took int64) {
-	r.Outcome(now, number, part, result, took)
+func (r baselineDecider) recordOutcome(now int64, number int32, part, _ int, result balance.Result, took int64) {
+	r.RecordOutcome(now, number, part, result, took)
 }
 
-func (r rival) decide(now int64) (out round) {
+func (r baselineDecider) decide(now int64) (out decision) {
 	sends, endings, wake := r.Decide(now)
 	for _, s := range sends {
-		out.sends = append(out.sends, send{s.Query, s.Part, s.Replica, s.CutAt})
+		out.sends = append(out.sends, send{s.Query, s.Part, s.Replica, s.Deadline})
 	}
 	for _, e := range endings {
-		out.endings = append(out.endings, ending{e.Query, e.Final, 0})
+		out.endings = append(out.endings, ending{e.Query, e.Outcome, 0})
 	}
-	out.wake = wake
+	out.wakeAt = wake
 	return out
 }
 
-func (r rival) forget(int32) {}
+func (r baselineDecider) forget(int32) {}
 
-// broken is a module that is broken on purpose, to show that the checker tells.
-type broken struct {
-	brain
-	how string
+// defectiveDecider is a module that is broken on purpose, to show that the checker tells.
+type defectiveDecider struct {
+	decider
+	defect string
 }
 
-func (b *broken) outcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
-	if b.how == "count not lowered on reset" && result == balance.Reset {
+func (b *defectiveDecider) recordOutcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
+	if b.defect == "count not lowered on reset" && result == balance.Reset {
 		return
 	}
-	b.brain.outcome(now, number, part, execution, result, took)
+	b.decider.recordOutcome(now, number, part, execution, result, took)
 }
 
-func (b *broken) list(now int64, l balance.Listing) {
-	if b.how == "drain ignored" && l.Status != balance.Up {
+func (b *defectiveDecider) updateListing(now int64, l balance.Listing) {
+	if b.defect == "drain ignored" && l.Status != balance.Up {
 		return
 	}
-	b.brain.list(now, l)
+	b.decider.updateListing(now, l)
 }
 
-func (b *broken) decide(now int64) round {
-	r := b.brain.decide(now)
-	switch b.how {
+func (b *defectiveDecider) decide(now int64) decision {
+	r := b.decider.decide(now)
+	switch b.defect {
 	case "second answer":
 		if len(r.endings) > 0 {
 			r.endings = append(slices.Clone(r.endings), r.endings[0])
@@ -173,8 +175,8 @@
 	case "whole from a part":
 		r.endings = slices.Clone(r.endings)
 		for i := range r.endings {
-			if r.endings[i].final == balance.Partial {
-				r.endings[i].final = balance.Whole
+			if r.endings[i].outcome == balance.Partial {
+				r.endings[i].outcome = balance.Whole
 			}
 		}
 	}
--- a/lab/emulator/hunt/hunt.go
+++ b/lab/emulator/hunt/hunt.go
@@ -11,104 +11,104 @@
 	"willowsill/lab/emulator"
 )
 
-// Terms bound the search. Times in ns.
-type Terms struct {
-	Seed     uint64
-	Tries    int // schedules that are tried
-	Faults   int // of a schedule at most
-	Replicas int
-	Most     int // replicas that one fault may befall
-	From     int64
-	Until    int64
-	Kinds    []string // that may befall; all where there are none
+// Config bound the search. Times in ns.
+type Config struct {
+	Seed                uint64
+	MaxSchedules        int // schedules that are tried
+	MaxFaults           int // of a schedule at most
+	Replicas            int
+	MaxReplicasPerFault int // replicas that one fault may befall
+	From                int64
+	Until               int64
+	Kinds               []string // that may befall; all where there are none
 }
 
-// Verdict is how a schedule went: a broken rule is worse than any share.
-type Verdict struct {
+// Score is how a schedule went: a broken rule is worse than any share.
+type Score struct {
 	Rule  int // 0 for none
 	Share float64
 }
 
-func (v Verdict) worse(than Verdict) bool {
+func (v Score) worseThan(than Score) bool {
 	if (v.Rule > 0) != (than.Rule > 0) {
 		return v.Rule > 0
 	}
 	return v.Share < than.Share
 }
 
-// Found is the worst schedule.
-type Found struct {
-	Faults  []emulator.Fault
-	Verdict Verdict
-	Tried   int
+// Result is the worst schedule.
+type Result struct {
+	Faults []emulator.Fault
+	Score  Score
+	Tried  int
 }
 
 const (
-	fresh   = 0.25 // of the tries are new schedules, the others small changes of the worst few so far
-	kept    = 4    // schedules that are changed further
-	allowed = 0.02 // of the share that a cut-down schedule may be milder
-	step    = 0.5  // of a fault's length that is cut off at a time
-	least   = 200e6
+	newScheduleShare = 0.25 // of the tries are new schedules, the others small changes of the worst few so far
+	poolSize         = 4    // schedules that are changed further
+	shareTolerance   = 0.02 // of the share that a cut-down schedule may be milder
+	shrinkStep       = 0.5  // of a fault's length that is cut off at a time
+	minFaultNs       = 200e6
 )
 
 // Search looks for the worst schedule and cuts it down. With the same terms and the same judge it finds the same.
-func Search(t Terms, judge func([]emulator.Fault) Verdict) Found {
+func Search(t Config, judge func([]emulator.Fault) Score) Result {
 	if len(t.Kinds) == 0 {
-		t.Kinds = emulator.Kinds
+		t.Kinds = emulator.FaultKinds
 	}
 	chance := rand.New(rand.NewPCG(t.Seed, 9))
-	var best []Found
-	f := Found{}
-	for n := range t.Tries {
+	var best []Result
+	f := Result{}
+	for n := range t.MaxSchedules {
 		var faults []emulator.Fault
-		if n < kept || chance.Float64() < fresh {
-			for range 1 + chance.IntN(t.Faults) {
-				faults = append(faults, t.draw(chance))
+		if n < poolSize || chance.Float64() < newScheduleShare {
+			for range 1 + chance.IntN(t.MaxFaults) {
+				faults = append(faults, t.randomFault(chance))
 			}
 		} else {
-			faults = t.change(chance, best[chance.IntN(len(best))].Faults)
+			faults = t.mutate(chance, best[chance.IntN(len(best))].Faults)
 		}
 		f.Tried++
-		best = append(best, Found{Faults: faults, Verdict: judge(faults)})
-		slices.SortStableFunc(best, func(a, b Found) int {
+		best = append(best, Result{Faults: faults, Score: judge(faults)})
+		slices.SortStableFunc(best, func(a, b Result) int {
 			switch {
-			case a.Verdict.worse(b.Verdict):
+			case a.Score.worseThan(b.Score):
 				return -1
-			case b.Verdict.worse(a.Verdict):
+			case b.Score.worseThan(a.Score):
 				return 1
 			}
 			return 0
 		})
-		best = best[:min(len(best), kept)]
-		if best[0].Verdict.Rule > 0 {
+		best = best[:min(len(best), poolSize)]
+		if best[0].Score.Rule > 0 {
 			break
 		}
 	}
-	f.Faults, f.Verdict = best[0].Faults, best[0].Verdict
-	t.cut(&f, judge)
+	f.Faults, f.Score = best[0].Faults, best[0].Score
+	t.minimize(&f, judge)
 	return f
 }
 
-// draw makes a fault by chance.
-func (t *Terms) draw(chance *rand.Rand) emulator.Fault {
+// randomFault makes a fault by chance.
+func (t *Config) randomFault(chance *rand.Rand) emulator.Fault {
 	span := t.Until - t.From
-	length := int64(least) + chance.Int64N(max(span/2, 1))
+	length := int64(minFaultNs) + chance.Int64N(max(span/2, 1))
 	at := t.From + chance.Int64N(max(span-length, 1))
-	f := emulator.Fault{Kind: t.Kinds[chance.IntN(len(t.Kinds))], From: at, Until: at + length, Times: 2 + 8*chance.Float64()}
-	f.Every = int64(500e6) + chance.Int64N(4e9)
-	f.For = f.Every/10 + chance.Int64N(f.Every/2)
-	f.Replicas = chance.Perm(t.Replicas)[:1+chance.IntN(max(min(t.Most, t.Replicas), 1))]
+	f := emulator.Fault{Kind: t.Kinds[chance.IntN(len(t.Kinds))], From: at, Until: at + length, Slowdown: 2 + 8*chance.Float64()}
+	f.Period = int64(500e6) + chance.Int64N(4e9)
+	f.ActiveTime = f.Period/10 + chance.Int64N(f.Period/2)
+	f.Replicas = chance.Perm(t.Replicas)[:1+chance.IntN(max(min(t.MaxReplicasPerFault, t.Replicas), 1))]
 	slices.Sort(f.Replicas)
 	return f
 }
 
-// change is a schedule with one fault drawn anew, moved, added or left out.
-func (t *Terms) change(chance *rand.Rand, was []emulator.Fault) []emulator.Fault {
+// mutate is a schedule with one fault drawn anew, moved, added or left out.
+func (t *Config) mutate(chance *rand.Rand, was []emulator.Fault) []emulator.Fault {
 	faults := slices.Clone(was)
 	i := chance.IntN(len(faults))
 	switch n := chance.IntN(4); {
-	case n == 0 && len(faults) < t.Faults:
-		return append(faults, t.draw(chance))
+	case n == 0 && len(faults) < t.MaxFaults:
+		return append(faults, t.randomFault(chance))
 	case n == 1 && len(faults) > 1:
 		return slices.Delete(faults, i, i+1)
 	case n == 2:
@@ -118,21 +118,21 @@
 		f.Until = f.From + length
 		faults[i] = f
 	default:
-		faults[i] = t.draw(chance)
+		faults[i] = t.randomFault(chance)
 	}
 	return faults
 }
 
-// cut leaves out of a schedule what it does not need: whole faults, then replicas, then time.
+// minimize leaves out of a schedule what it does not need: whole faults, then replicas, then time.
 //
 // Danger: a long schedule shows what went wrong to nobody; but one that is cut until the harm is another's would mislead, so
 // each cut must keep the rule, or nearly all of the harm.
-func (t *Terms) cut(f *Found, judge func([]emulator.Fault) Verdict) {
-	as := func(v Verdict) bool {
-		if f.Verdict.Rule > 0 {
-			return v.Rule == f.Verdict.Rule
+func (t *Config) minimize(f *Result, judge func([]emulator.Fault) Score) {
+	as := func(v Score) bool {
+		if f.Score.Rule > 0 {
+			return v.Rule == f.Score.Rule
 		}
-		return v.Rule > 0 || v.Share <= f.Verdict.Share+allowed
+		return v.Rule > 0 || v.Share <= f.Score.Share+shareTolerance
 	}
 	try := func(faults []emulator.Fault) bool {
 		f.Tried++
@@ -141,8 +141,8 @@
 			return false
 		}
 		f.Faults = faults
-		if f.Verdict.Rule == 0 && v.Rule > 0 {
-			f.Verdict = v
+		if f.Score.Rule == 0 && v.Rule > 0 {
+			f.Score = v
 		}
 		return true
 	}
@@ -157,8 +157,8 @@
 		}
 		for range 4 { // halves of its time
 			was := f.Faults[i]
-			length := int64(step * float64(was.Until-was.From))
-			if length < least {
+			length := int64(shrinkStep * float64(was.Until-was.From))
+			if length < minFaultNs {
 				break
 			}
 			first, second := slices.Clone(f.Faults), slices.Clone(f.Faults)
@@ -168,5 +168,5 @@
 			}
 		}
 	}
-	f.Verdict = judge(f.Faults)
+	f.Score = judge(f.Faults)
 }
--- a/lab/emulator/own_test.go
+++ b/lab/emulator/own_test.go
@@ -8,13 +8,13 @@
 	t.Parallel()
 	after := map[string]float64{}
 	for _, strain := range []string{"none", "model"} {
-		p := Plan{Policy: "module", Seed: 3, Span: 26e9, From: 1e9, Until: 25e9, Aggregators: 1, Replicas: 16, Holders: 4, Workers: 8, Work: 5e6,
-			Spread: 0.4, Way: 5e5, ListDelay: 1e9, Tick: 5e6, Executions: 3, Cancels: true, ColdShare: 0.2, ColdRamp: 9e9, FallMultiple: 4,
-			FallSpan: 1e9, Own: Own{Query: 300e3, Reply: 50e3, Refusal: 20e3, Strain: strain}}
-		for _, l := range []Load{{Name: "cheap", Rate: 800, Revenue: 1}, {Name: "dear", Rate: 80, Revenue: 10}} {
-			l.Parts, l.Goal, l.Patience, l.Floor, l.Insist, l.Retry = 4, 250e6, 1e9, 1, 0.9, 0.9
-			l.Burst, l.At, l.Every, l.For = 10, 6e9, 100e9, 4e9
-			p.Loads = append(p.Loads, l)
+		p := Plan{Policy: "module", Seed: 3, Duration: 26e9, MeasureFrom: 1e9, MeasureUntil: 25e9, Aggregators: 1, Replicas: 16, ReplicasPerShard: 4, Workers: 8, ServiceTime: 5e6,
+			ServiceTimeSigma: 0.4, NetworkDelay: 5e5, ListDelay: 1e9, Tick: 5e6, MaxExecutions: 3, CanCancel: true, ColdCapacity: 0.2, WarmUpTime: 9e9, OverloadFactor: 4,
+			OverloadSpan: 1e9, CPU: CPUModel{QueryCost: 300e3, ReplyCost: 50e3, RejectCost: 20e3, OverloadLimit: strain}}
+		for _, l := range []Workload{{Name: "cheap", Rate: 800, Revenue: 1}, {Name: "dear", Rate: 80, Revenue: 10}} {
+			l.Parts, l.LatencyGoal, l.Timeout, l.MinCoverage, l.ImmediateRetryShare, l.AdvisedRetryShare = 4, 250e6, 1e9, 1, 0.9, 0.9
+			l.BurstFactor, l.BurstStart, l.BurstInterval, l.BurstTime = 10, 6e9, 100e9, 4e9
+			p.Workloads = append(p.Workloads, l)
 		}
 		var first *Result
 		for _, cores := range []int{1, 4} {
@@ -29,16 +29,16 @@
 				t.Errorf("%s: %v and %v on other cores", strain, r, first)
 			}
 		}
-		if first.Broken != "" {
-			t.Errorf("%s: %s", strain, first.Broken)
+		if first.Violation != "" {
+			t.Errorf("%s: %s", strain, first.Violation)
 		}
-		if before := first.Lines[4]; before < 0.99 {
+		if before := first.ShareBySecond[4]; before < 0.99 {
 			t.Errorf("%s: %.3f before the crowd", strain, before)
 		}
-		for _, share := range first.Lines[16:24] {
+		for _, share := range first.ShareBySecond[16:24] {
 			after[strain] += share / 8
 		}
-		t.Logf("%s: %.2f", strain, first.Lines)
+		t.Logf("%s: %.2f", strain, first.ShareBySecond)
 	}
 	if after["none"] > 0.5 || after["model"] < 0.98 {
 		t.Errorf("six to fourteen seconds after the crowd: %v", after)
--- a/lab/emulator/replica.go
+++ b/lab/emulator/replica.go
@@ -12,340 +12,344 @@
 
 // What happens.
 const (
-	arrives uint8 = iota // a part at a replica; Result is its load, Value until when it is waited for
-	dropped              // it is given up by its aggregator
-	worked               // a worker has done one
-	begins               // a fault; Value is its number
-	ends
-	beginsAgain // the next period of one
-	resumes     // a pause is over
-	replies     // an outcome at an aggregator
-	cuts        // an execution's time is up
-	decides     // a round is due
-	asks        // a client's query; Value is its load
-	again       // a client asks again; Value is its load
-	gone        // a client's time is up
-	isFree      // an aggregator's own processor comes to what waits next
-	isServed    // a query that waited for it
-	reads       // strain is told how it stands
-	forgets     // nothing more can come of a query
-	shares      // a round with the store is due; Value is the round before
-	storeHears  // a round comes to the store
-	storeTells  // and back
-	storeLate   // it did not come back in time
-	pings       // the gateway's: pings are due,
-	pinged      // one comes,
-	pingBack    // and is back; Value is the link
-	looks       // gateway wants to be asked
-	hops        // a round of the hop is due
-	comes       // a query comes from another site
-	goesBack    // and its answer goes back
-	tripLate    // a trip's time is up
-	listed      // the list tells of a replica; Query is its number, Result its standing, Value its start
-	stands      // a replica makes a pause by itself
+	eventPartArrives   uint8 = iota // a part at a replica; Result is its load, Value until when it is waited for
+	eventPartCancelled              // it is given up by its aggregator
+	eventWorkDone                   // a worker has done one
+	eventFaultBegins                // a fault; Value is its number
+	eventFaultEnds
+	eventFaultRepeats     // the next period of one
+	eventPauseEnds        // a pause is over
+	eventReplyArrives     // an outcome at an aggregator
+	eventExecutionTimeout // an execution's time is up
+	eventRoundDue         // a round is due
+	eventQueryArrives     // a client's query; Value is its load
+	eventClientRetries    // a client asks again; Value is its load
+	eventClientTimeout    // a client's time is up
+	eventProcessorFree    // an aggregator's own processor comes to what waits next
+	eventQueryDequeued    // a query that waited for it
+	eventReadingDue       // strain is told how it stands
+	eventForgetQuery      // nothing more can come of a query
+	eventStoreRoundDue    // a round with the store is due; Value is the round before
+	eventStoreRequest     // a round comes to the store
+	eventStoreReply       // and back
+	eventStoreTimeout     // it did not come back in time
+	eventPingsDue         // the gateway's: pings are due,
+	eventPingArrives      // one comes,
+	eventPingReply        // and is back; Value is the link
+	eventGatewayDue       // gateway wants to be asked
+	eventForwardRoundDue  // a round of the hop is due
+	eventForwardArrives   // a query comes from another site
+	eventForwardReply     // and its answer goes back
+	eventForwardTimeout   // a trip's time is up
+	eventListingArrives   // the list tells of a replica; Query is its number, Result its standing, Value its start
+	eventPauseBegins      // a replica makes a pause by itself
 )
 
-// key names an execution among those that a replica has.
-type key struct {
-	from         int32
-	query        int32
-	part, number int16
+// executionKey names an execution among those that a replica has.
+type executionKey struct {
+	aggregator    int32
+	query         int32
+	part, attempt int16
 }
 
 type job struct {
-	key
-	turn uint64 // of its service, so that an old end does nothing
-	at   int64  // its service ends
-	by   int64  // nobody waits for it from then on
+	executionKey
+	service  uint64 // of its service, so that an old end does nothing
+	doneAt   int64  // its service ends
+	deadline int64  // nobody waits for it from then on
 }
 
-// truth is what the oracle may see of a replica.
-type truth struct {
-	wait  int64
-	sound bool
+// oracleView is what the oracle may see of a replica.
+type oracleView struct {
+	wait    int64
+	healthy bool
 }
 
 // replica is a model: workers that take parts from one queue.
 type replica struct {
-	outlet
+	emitter
 	*Plan
-	number  int
-	chance  *rand.Rand
-	speed   float64
-	began   int64 // 0 for long ago
-	down    bool
-	queue   []job
-	busy    []job
-	turns   uint64
-	under   map[int]bool // faults by number that hold now
-	held    bool         // it is paused,
-	since   int64        // from then
-	until   int64        // until then
-	watch   *checker.Replica
-	met     int // executions while a fault holds
-	falling bool
+	number            int
+	rng               *rand.Rand
+	serviceTimeFactor float64
+	startedAt         int64 // 0 for long ago
+	down              bool
+	queue             []job
+	running           []job
+	lastService       uint64
+	activeFaults      map[int]bool // faults by number that hold now
+	paused            bool         // it is paused,
+	pausedAt          int64        // from then
+	pausedUntil       int64        // until then
+	ruleChecker       *checker.Replica
+	faultyExecutions  int // executions while a fault holds
+	overloadCrash     bool
 }
 
-func (r *replica) is(kind string) (Fault, bool) {
+func (r *replica) activeFault(kind string) (Fault, bool) {
 	for i := range r.Faults { // in their order
-		if r.under[i] && r.Faults[i].Kind == kind {
+		if r.activeFaults[i] && r.Faults[i].Kind == kind {
 			return r.Faults[i], true
 		}
 	}
 	return Fault{}, false
 }
 
-// phase tells whether a fault with a period is in its bad stretch.
-func (f Fault) phase(now int64) bool { return f.Every <= 0 || (now-origin-f.From)%f.Every < f.For }
+// active tells whether a fault with a period is in its bad stretch.
+func (f Fault) active(now int64) bool {
+	return f.Period <= 0 || (now-origin-f.From)%f.Period < f.ActiveTime
+}
 
-func (r *replica) hangs(now int64) bool {
-	if _, hung := r.is("hang"); hung {
+func (r *replica) isHung(now int64) bool {
+	if _, hung := r.activeFault("hang"); hung {
 		return true
 	}
-	f, flaps := r.is("flap")
-	return flaps && f.phase(now)
+	f, flaps := r.activeFault("flap")
+	return flaps && f.active(now)
 }
 
-func (r *replica) happen(now int64, e agenda.Event) {
+func (r *replica) handle(now int64, e agenda.Event) {
 	switch e.Kind {
-	case arrives:
-		r.arrive(now, key{e.From, e.Query, e.Part, e.Number}, int(e.Result), e.Value)
-	case dropped:
-		r.drop(now, key{e.From, e.Query, e.Part, e.Number})
-	case worked:
-		r.worked(now, uint64(e.Value))
-	case begins, ends:
-		r.turn(now, int(e.Value), e.Kind == begins)
-	case stands:
-		r.hold(now, r.StopFor/2+r.chance.Int64N(r.StopFor+1))
-		r.stop(now)
-	case resumes:
-		if !r.held || now < r.until { // a longer pause has begun meanwhile
+	case eventPartArrives:
+		r.receive(now, executionKey{e.From, e.Query, e.Part, e.Attempt}, int(e.Result), e.Value)
+	case eventPartCancelled:
+		r.cancel(now, executionKey{e.From, e.Query, e.Part, e.Attempt})
+	case eventWorkDone:
+		r.finish(now, uint64(e.Value))
+	case eventFaultBegins, eventFaultEnds:
+		r.applyFault(now, int(e.Value), e.Kind == eventFaultBegins)
+	case eventPauseBegins:
+		r.pauseFor(now, r.PauseTime/2+r.rng.Int64N(r.PauseTime+1))
+		r.schedulePause(now)
+	case eventPauseEnds:
+		if !r.paused || now < r.pausedUntil { // a longer pause has begun meanwhile
 			return
 		}
-		r.held = false
-		for i := range r.busy { // what was under way goes on where it was
-			r.schedule(now, &r.busy[i], max(r.busy[i].at-r.since, 0))
+		r.paused = false
+		for i := range r.running { // what was under way goes on where it was
+			r.scheduleDone(now, &r.running[i], max(r.running[i].doneAt-r.pausedAt, 0))
 		}
-		r.serve(now)
+		r.startQueued(now)
 	}
 }
 
 // reply tells an aggregator how an execution ended.
-func (r *replica) reply(now int64, k key, result balance.Result, after int64) {
-	if _, lost := r.is("silence"); lost || r.apart(now, int(k.from), r.number) {
+func (r *replica) reply(now int64, k executionKey, result balance.Result, after int64) {
+	if _, lost := r.activeFault("silence"); lost || r.partitioned(now, int(k.aggregator), r.number) {
 		return
 	}
-	r.cause(now, agenda.Event{At: now + after + r.way(), To: k.from, Kind: replies, Query: k.query, Part: k.part, Number: k.number,
+	r.emit(now, agenda.Event{At: now + after + r.drawDelay(), To: k.aggregator, Kind: eventReplyArrives, Query: k.query, Part: k.part, Attempt: k.attempt,
 		Result: uint8(result)})
 }
 
-func (r *replica) way() int64 { return r.Way + int64(r.chance.ExpFloat64()*float64(r.Way)/4) }
+func (r *replica) drawDelay() int64 {
+	return r.NetworkDelay + int64(r.rng.ExpFloat64()*float64(r.NetworkDelay)/4)
+}
 
-const errorTime = int64(1e6)
+const errorReplyNs = int64(1e6)
 
-// arrive takes a part of a load in that is waited for until by.
-func (r *replica) arrive(now int64, k key, load int, by int64) {
-	if r.apart(now, int(k.from), r.number) {
+// receive takes a part of a load in that is waited for until by.
+func (r *replica) receive(now int64, k executionKey, load int, by int64) {
+	if r.partitioned(now, int(k.aggregator), r.number) {
 		return
 	}
 	if r.down {
 		r.reply(now, k, balance.ConnectFailed, 0)
 		return
 	}
-	if len(r.under) > 0 {
-		r.met++
+	if len(r.activeFaults) > 0 {
+		r.faultyExecutions++
 	}
-	if r.watch.Came(now) {
-		r.fall(now)
+	if r.ruleChecker.RecordArrival(now) {
+		r.crashByOverload(now)
 		return
 	}
-	if _, errs := r.is("errors"); errs {
-		r.reply(now, k, balance.Errored, errorTime)
+	if _, errs := r.activeFault("errors"); errs {
+		r.reply(now, k, balance.Errored, errorReplyNs)
 		return
 	}
-	if f, some := r.is("unanswered"); r.hangs(now) || some && f.Load == load {
+	if f, some := r.activeFault("unanswered"); r.isHung(now) || some && f.Workload == load {
 		return
 	}
-	if r.Room > 0 && len(r.queue) >= r.Room {
+	if r.QueueLimit > 0 && len(r.queue) >= r.QueueLimit {
 		r.reply(now, k, balance.Full, 0)
 		return
 	}
-	r.queue = append(r.queue, job{key: k, by: by})
-	r.serve(now)
+	r.queue = append(r.queue, job{executionKey: k, deadline: by})
+	r.startQueued(now)
 }
 
-// serve puts waiting parts to work.
-func (r *replica) serve(now int64) {
-	for !r.held && len(r.busy) < r.Workers && len(r.queue) > 0 {
+// startQueued puts waiting parts to work.
+func (r *replica) startQueued(now int64) {
+	for !r.paused && len(r.running) < r.Workers && len(r.queue) > 0 {
 		j := r.queue[0]
 		r.queue = r.queue[1:]
-		if r.Expires && now >= j.by {
+		if r.DropExpired && now >= j.deadline {
 			continue
 		}
-		r.busy = append(r.busy, j)
-		r.schedule(now, &r.busy[len(r.busy)-1], r.takes(now))
+		r.running = append(r.running, j)
+		r.scheduleDone(now, &r.running[len(r.running)-1], r.drawServiceTime(now))
 	}
 }
 
-func (r *replica) schedule(now int64, j *job, takes int64) {
-	r.turns++
-	j.turn, j.at = r.turns, now+takes
-	r.cause(now, agenda.Event{At: j.at, To: r.self, Kind: worked, Value: int64(j.turn)})
+func (r *replica) scheduleDone(now int64, j *job, takes int64) {
+	r.lastService++
+	j.service, j.doneAt = r.lastService, now+takes
+	r.emit(now, agenda.Event{At: j.doneAt, To: r.entityID, Kind: eventWorkDone, Value: int64(j.service)})
 }
 
-// takes draws how long a part takes here and now.
-func (r *replica) takes(now int64) int64 {
-	t := float64(r.Work) * math.Exp(r.Spread*r.chance.NormFloat64()) * r.speed
-	if r.Tail > 0 && r.chance.Float64() < r.Tail {
-		t *= math.Pow(1-r.chance.Float64(), -1/1.5) // Pareto's law with a tail of 1.5
+// drawServiceTime draws how long a part takes here and now.
+func (r *replica) drawServiceTime(now int64) int64 {
+	t := float64(r.ServiceTime) * math.Exp(r.ServiceTimeSigma*r.rng.NormFloat64()) * r.serviceTimeFactor
+	if r.HeavyTailShare > 0 && r.rng.Float64() < r.HeavyTailShare {
+		t *= math.Pow(1-r.rng.Float64(), -1/1.5) // Pareto's law with a tail of 1.5
 	}
-	return int64(min(t*r.slower(now), 600e9))
+	return int64(min(t*r.slowdown(now), 600e9))
 }
 
-// slower is how many times as long a part takes here and now, by faults, cold and crowd.
-func (r *replica) slower(now int64) float64 {
+// slowdown is how many times as long a part takes here and now, by faults, cold and crowd.
+func (r *replica) slowdown(now int64) float64 {
 	t := 1.0
-	if f, slow := r.is("slow"); slow {
-		t *= f.Times
+	if f, slow := r.activeFault("slow"); slow {
+		t *= f.Slowdown
 	}
-	if age := now - r.began; r.began > 0 && age < r.ColdRamp {
-		t /= r.ColdShare + (1-r.ColdShare)*float64(age)/float64(r.ColdRamp)
+	if age := now - r.startedAt; r.startedAt > 0 && age < r.WarmUpTime {
+		t /= r.ColdCapacity + (1-r.ColdCapacity)*float64(age)/float64(r.WarmUpTime)
 	}
-	held := float64(len(r.queue)+len(r.busy)) / float64(r.Workers)
-	return t * (1 + r.Crowd*max(held-r.CrowdAt, 0))
+	held := float64(len(r.queue)+len(r.running)) / float64(r.Workers)
+	return t * (1 + r.CrowdingSlowdown*max(held-r.CrowdingThreshold, 0))
 }
 
-func (r *replica) worked(now int64, turn uint64) {
-	i := slices.IndexFunc(r.busy, func(j job) bool { return j.turn == turn })
-	if i < 0 || r.held {
+func (r *replica) finish(now int64, turn uint64) {
+	i := slices.IndexFunc(r.running, func(j job) bool { return j.service == turn })
+	if i < 0 || r.paused {
 		return
 	}
-	k := r.busy[i].key
-	r.busy = slices.Delete(r.busy, i, i+1)
-	if !r.hangs(now) {
+	k := r.running[i].executionKey
+	r.running = slices.Delete(r.running, i, i+1)
+	if !r.isHung(now) {
 		r.reply(now, k, balance.Fulfilled, 0)
 	}
-	r.serve(now)
+	r.startQueued(now)
 }
 
-// drop gives an execution up: it leaves the queue or its worker.
-func (r *replica) drop(now int64, k key) {
-	same := func(j job) bool { return j.key == k }
-	if !r.KeepsPlace {
+// cancel gives an execution up: it leaves the queue or its worker.
+func (r *replica) cancel(now int64, k executionKey) {
+	same := func(j job) bool { return j.executionKey == k }
+	if !r.KeepCancelledQueued {
 		r.queue = slices.DeleteFunc(r.queue, same)
 	}
-	if r.GoesOn {
+	if r.FinishCancelled {
 		return
 	}
-	if r.busy = slices.DeleteFunc(r.busy, same); !r.held {
-		r.serve(now)
+	if r.running = slices.DeleteFunc(r.running, same); !r.paused {
+		r.startQueued(now)
 	}
 }
 
-// die ends all that is there.
-func (r *replica) die(now int64) {
+// crash ends all that is there.
+func (r *replica) crash(now int64) {
 	r.down = true
-	for _, j := range append(slices.Clone(r.busy), r.queue...) {
-		r.reply(now, j.key, balance.Reset, 0)
+	for _, j := range append(slices.Clone(r.running), r.queue...) {
+		r.reply(now, j.executionKey, balance.Reset, 0)
 	}
-	r.busy, r.queue = nil, nil
-	r.tell(now, balance.Gone)
+	r.running, r.queue = nil, nil
+	r.announce(now, balance.Gone)
 }
 
-func (r *replica) rise(now int64) {
-	r.down, r.began, r.falling = false, now, false
-	r.watch.Started(now)
-	r.tell(now, balance.Up)
+func (r *replica) restart(now int64) {
+	r.down, r.startedAt, r.overloadCrash = false, now, false
+	r.ruleChecker.RecordStart(now)
+	r.announce(now, balance.Up)
 }
 
-// fall has a cold replica that was pushed over die, and come back after a while.
-func (r *replica) fall(now int64) {
-	if !r.falling {
-		r.falling = true
-		r.die(now)
-		r.cause(now, agenda.Event{At: now + r.ColdRamp, To: r.self, Kind: ends, Value: -1})
+// crashByOverload has a cold replica that was pushed over die, and come back after a while.
+func (r *replica) crashByOverload(now int64) {
+	if !r.overloadCrash {
+		r.overloadCrash = true
+		r.crash(now)
+		r.emit(now, agenda.Event{At: now + r.WarmUpTime, To: r.entityID, Kind: eventFaultEnds, Value: -1})
 	}
 }
 
-// tell has the list tell all aggregators of a change, each in its own time.
-func (r *replica) tell(now int64, standing balance.Status) {
+// announce has the list tell all aggregators of a change, each in its own time.
+func (r *replica) announce(now int64, standing balance.Status) {
 	for a := range r.Aggregators {
-		if r.siteOf(a) != r.siteOfReplica(r.number) {
+		if r.siteOfAggregator(a) != r.siteOfReplica(r.number) {
 			continue
 		}
-		at := now + r.ListDelay + r.chance.Int64N(r.ListDelay+1)
+		at := now + r.ListDelay + r.rng.Int64N(r.ListDelay+1)
 		for _, f := range r.Faults {
 			if f.Kind == "list" && at >= origin+f.From && at < origin+f.Until {
 				at = origin + f.Until
 			}
 		}
-		r.cause(now, agenda.Event{At: at, To: int32(a), Kind: listed, Query: int32(r.number), Result: uint8(standing), Value: r.began})
+		r.emit(now, agenda.Event{At: at, To: int32(a), Kind: eventListingArrives, Query: int32(r.number), Result: uint8(standing), Value: r.startedAt})
 	}
 }
 
-// turn has a fault begin or end here.
-func (r *replica) turn(now int64, number int, begins bool) {
+// applyFault has a fault begin or end here.
+func (r *replica) applyFault(now int64, number int, begins bool) {
 	if number < 0 { // it is back after it was pushed over
-		r.rise(now)
+		r.restart(now)
 		return
 	}
 	f := r.Faults[number]
 	if begins {
-		r.under[number] = true
+		r.activeFaults[number] = true
 	} else {
-		delete(r.under, number)
+		delete(r.activeFaults, number)
 	}
 	switch {
 	case f.Kind == "restart" && begins && !r.down:
-		r.die(now)
-	case f.Kind == "restart" && !begins && !r.falling:
-		r.rise(now)
+		r.crash(now)
+	case f.Kind == "restart" && !begins && !r.overloadCrash:
+		r.restart(now)
 	case f.Kind == "drain" && !r.down:
 		standing := balance.Up
 		if begins {
 			standing = balance.Draining
 		}
-		r.tell(now, standing)
+		r.announce(now, standing)
 	case f.Kind == "pause" && begins:
-		r.pause(now, number)
+		r.applyPauseFault(now, number)
 	}
 }
 
-// hold has all work stand still for so long, or longer where it does already.
-func (r *replica) hold(now, d int64) {
-	if !r.held {
-		r.held, r.since, r.until = true, now, now
+// pauseFor has all work stand still for so long, or longer where it does already.
+func (r *replica) pauseFor(now, d int64) {
+	if !r.paused {
+		r.paused, r.pausedAt, r.pausedUntil = true, now, now
 	}
-	r.until = max(r.until, now+d)
-	r.cause(now, agenda.Event{At: r.until, To: r.self, Kind: resumes})
+	r.pausedUntil = max(r.pausedUntil, now+d)
+	r.emit(now, agenda.Event{At: r.pausedUntil, To: r.entityID, Kind: eventPauseEnds})
 }
 
-// stop has the next pause come that a replica makes by itself.
-func (r *replica) stop(now int64) {
-	if r.StopEvery > 0 {
-		at := now + max(int64(r.chance.ExpFloat64()*float64(r.StopEvery)), 1)
-		r.cause(now, agenda.Event{At: at, To: r.self, Kind: stands})
+// schedulePause has the next pause come that a replica makes by itself.
+func (r *replica) schedulePause(now int64) {
+	if r.PauseInterval > 0 {
+		at := now + max(int64(r.rng.ExpFloat64()*float64(r.PauseInterval)), 1)
+		r.emit(now, agenda.Event{At: at, To: r.entityID, Kind: eventPauseBegins})
 	}
 }
 
-// pause has all work stand still for a stretch, and again at each period while the fault holds.
-func (r *replica) pause(now int64, number int) {
+// applyPauseFault has all work stand still for a stretch, and again at each period while the fault holds.
+func (r *replica) applyPauseFault(now int64, number int) {
 	f := r.Faults[number]
 	if now >= origin+f.Until {
 		return
 	}
-	r.hold(now, f.For)
-	if f.Every > f.For {
-		r.cause(now, agenda.Event{At: now + f.Every, To: r.self, Kind: begins, Value: int64(number)})
+	r.pauseFor(now, f.ActiveTime)
+	if f.Period > f.ActiveTime {
+		r.emit(now, agenda.Event{At: now + f.Period, To: r.entityID, Kind: eventFaultBegins, Value: int64(number)})
 	}
 }
 
-// truth is what a part would wait here, for the oracle.
-func (r *replica) truth(now int64) truth {
-	_, errs := r.is("errors")
-	_, lost := r.is("silence")
-	work := float64(r.Work) * r.speed * r.slower(now)
-	waiting := max(float64(len(r.queue)+len(r.busy)-r.Workers+1), 0)
-	return truth{int64(work * (1 + waiting/float64(r.Workers))), !r.down && !errs && !lost && !r.hangs(now) && !r.held}
+// oracleView is what a part would wait here, for the oracle.
+func (r *replica) oracleView(now int64) oracleView {
+	_, errs := r.activeFault("errors")
+	_, lost := r.activeFault("silence")
+	work := float64(r.ServiceTime) * r.serviceTimeFactor * r.slowdown(now)
+	waiting := max(float64(len(r.queue)+len(r.running)-r.Workers+1), 0)
+	return oracleView{int64(work * (1 + waiting/float64(r.Workers))), !r.down && !errs && !lost && !r.isHung(now) && !r.paused}
 }
--- a/lab/emulator/run.go
+++ b/lab/emulator/run.go
@@ -14,98 +14,100 @@
 
 // Result is what came of a run. All but Lines counts queries asked in the stretch that counts.
 type Result struct {
-	Asked      int       `json:"asked"`
-	InGoal     int       `json:"in_goal"`
-	Late       int       `json:"late"`
-	Partial    int       `json:"partial"`
-	Declined   int       `json:"declined"`
-	Forfeited  int       `json:"forfeited"`
-	Revenue    float64   `json:"revenue"` // earned within the goal,
-	Most       float64   `json:"most"`    // and asked for
-	Executions int       `json:"executions"`
-	Further    int       `json:"further"`
-	P50        int64     `json:"p50_ns"` // of answers with values
-	P99        int64     `json:"p99_ns"`
-	P999       int64     `json:"p999_ns"`
-	Times      []int64   `json:"times_ns"`  // of answers, at Percents
-	AtFaulty   int       `json:"at_faulty"` // executions at replicas while a fault holds there
-	Lines      []float64 `json:"lines"`     // share of the revenue, by second asked; 1 where nobody asked
-	Loads      []Part    `json:"loads"`     // by load
-	Events     int64     `json:"events"`
-	Broken     string    `json:"broken,omitempty"` // the first broken rule
-	Rule       int       `json:"rule,omitempty"`
+	Asked            int              `json:"asked"`
+	InGoal           int              `json:"in_goal"`
+	Late             int              `json:"late"`
+	Partial          int              `json:"partial"`
+	Declined         int              `json:"declined"`
+	Forfeited        int              `json:"forfeited"`
+	Revenue          float64          `json:"revenue"` // earned within the goal,
+	MaxRevenue       float64          `json:"most"`    // and asked for
+	Executions       int              `json:"executions"`
+	Retries          int              `json:"further"`
+	P50              int64            `json:"p50_ns"` // of answers with values
+	P99              int64            `json:"p99_ns"`
+	P999             int64            `json:"p999_ns"`
+	Latencies        []int64          `json:"times_ns"`  // of answers, at Percents
+	FaultyExecutions int              `json:"at_faulty"` // executions at replicas while a fault holds there
+	ShareBySecond    []float64        `json:"lines"`     // share of the revenue, by second asked; 1 where nobody asked
+	Workloads        []WorkloadResult `json:"loads"`     // by load
+	Events           int64            `json:"events"`
+	Violation        string           `json:"broken,omitempty"` // the first broken rule
+	Rule             int              `json:"rule,omitempty"`
 }
 
-// Percents are those that the times of answers are kept at.
-var Percents = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.9, 100}
+// Percentiles are those that the times of answers are kept at.
+var Percentiles = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.9, 100}
 
-// Part is what came of one load's queries.
-type Part struct {
+// WorkloadResult is what came of one load's queries.
+type WorkloadResult struct {
 	Name   string `json:"name"`
 	Asked  int    `json:"asked"`
 	InGoal int    `json:"in_goal"`
 }
 
-// Share is the share of the revenue earned within the goal.
-func (r *Result) Share() float64 { return r.Revenue / max(r.Most, 1e-9) }
+// RevenueShare is the share of the revenue earned within the goal.
+func (r *Result) RevenueShare() float64 { return r.Revenue / max(r.MaxRevenue, 1e-9) }
 
-// Tally counts what came of queries. Times in ns from the run's start.
-type Tally struct {
+// Recorder counts what came of queries. Times in ns from the run's start.
+type Recorder struct {
 	Result
-	plan     *Plan
-	times    *hdrhistogram.Histogram
-	earned   []float64
-	possible []float64
+	plan      *Plan
+	latencies *hdrhistogram.Histogram
+	earned    []float64
+	possible  []float64
 }
 
-// NewTally makes an empty one.
-func NewTally(p *Plan) *Tally {
-	seconds := int(p.Span/1e9) + 1
-	t := &Tally{plan: p, times: hdrhistogram.New(1000, max(2*p.longest(), 2000), 3), earned: make([]float64, seconds),
+// NewRecorder makes an empty one.
+func NewRecorder(p *Plan) *Recorder {
+	seconds := int(p.Duration/1e9) + 1
+	t := &Recorder{plan: p, latencies: hdrhistogram.New(1000, max(2*p.maxTimeout(), 2000), 3), earned: make([]float64, seconds),
 		possible: make([]float64, seconds)}
-	for _, l := range p.Loads {
-		t.Loads = append(t.Loads, Part{Name: l.Name})
+	for _, l := range p.Workloads {
+		t.Workloads = append(t.Workloads, WorkloadResult{Name: l.Name})
 	}
 	return t
 }
 
-func (t *Tally) counts(asked int64) bool { return asked >= t.plan.From && asked < t.plan.Until }
+func (t *Recorder) measured(asked int64) bool {
+	return asked >= t.plan.MeasureFrom && asked < t.plan.MeasureUntil
+}
 
-func (t *Tally) second(asked int64) int { return min(int(asked/1e9), len(t.earned)-1) }
+func (t *Recorder) secondIndex(asked int64) int { return min(int(asked/1e9), len(t.earned)-1) }
 
-// Ask counts a query that was asked.
-func (t *Tally) Ask(asked int64, load int) {
-	revenue := t.plan.Loads[load].Revenue
-	t.possible[t.second(asked)] += revenue
-	if t.counts(asked) {
+// RecordQuery counts a query that was asked.
+func (t *Recorder) RecordQuery(asked int64, load int) {
+	revenue := t.plan.Workloads[load].Revenue
+	t.possible[t.secondIndex(asked)] += revenue
+	if t.measured(asked) {
 		t.Asked++
-		t.Loads[load].Asked++
-		t.Most += revenue
+		t.Workloads[load].Asked++
+		t.MaxRevenue += revenue
 	}
 }
 
-// Send counts an execution of a query's part.
-func (t *Tally) Send(asked int64, further bool) {
-	if t.counts(asked) {
+// RecordExecution counts an execution of a query's part.
+func (t *Recorder) RecordExecution(asked int64, further bool) {
+	if t.measured(asked) {
 		if t.Executions++; further {
-			t.Further++
+			t.Retries++
 		}
 	}
 }
 
-// End books an answer. What a client got by asking again, try by try, earns nothing more: it was late for its first.
-func (t *Tally) End(asked, ended int64, load, tries int, final balance.Outcome) {
-	l := &t.plan.Loads[load]
+// RecordAnswer books an answer. What a client got by asking again, try by try, earns nothing more: it was late for its first.
+func (t *Recorder) RecordAnswer(asked, ended int64, load, tries int, final balance.Outcome) {
+	l := &t.plan.Workloads[load]
 	took := ended - asked
-	inGoal := final == balance.Whole && took <= l.Goal && tries == 0
+	inGoal := final == balance.Whole && took <= l.LatencyGoal && tries == 0
 	if inGoal {
-		t.earned[t.second(asked)] += l.Revenue
+		t.earned[t.secondIndex(asked)] += l.Revenue
 	}
-	if !t.counts(asked) {
+	if !t.measured(asked) {
 		return
 	}
 	if final == balance.Whole || final == balance.Partial {
-		t.times.RecordValue(took)
+		t.latencies.RecordValue(took)
 	}
 	if tries > 0 {
 		return
@@ -113,7 +115,7 @@
 	switch {
 	case inGoal:
 		t.InGoal++
-		t.Loads[load].InGoal++
+		t.Workloads[load].InGoal++
 		t.Revenue += l.Revenue
 	case final == balance.Whole:
 		t.Late++
@@ -126,8 +128,8 @@
 	}
 }
 
-// Add takes another's counts in.
-func (t *Tally) Add(o *Tally) {
+// Merge takes another's counts in.
+func (t *Recorder) Merge(o *Recorder) {
 	t.Asked += o.Asked
 	t.InGoal += o.InGoal
 	t.Late += o.Late
@@ -135,13 +137,13 @@
 	t.Declined += o.Declined
 	t.Forfeited += o.Forfeited
 	t.Revenue += o.Revenue
-	t.Most += o.Most
+	t.MaxRevenue += o.MaxRevenue
 	t.Executions += o.Executions
-	t.Further += o.Further
-	t.times.Merge(o.times)
-	for i, l := range o.Loads {
-		t.Loads[i].Asked += l.Asked
-		t.Loads[i].InGoal += l.InGoal
+	t.Retries += o.Retries
+	t.latencies.Merge(o.latencies)
+	for i, l := range o.Workloads {
+		t.Workloads[i].Asked += l.Asked
+		t.Workloads[i].InGoal += l.InGoal
 	}
 	for i := range o.earned {
 		t.earned[i] += o.earned[i]
@@ -149,146 +151,146 @@
 	}
 }
 
-// Sum is the result of what was counted.
-func (t *Tally) Sum() *Result {
+// Summary is the result of what was counted.
+func (t *Recorder) Summary() *Result {
 	r := &t.Result
-	r.P50, r.P99, r.P999 = t.times.ValueAtPercentile(50), t.times.ValueAtPercentile(99), t.times.ValueAtPercentile(99.9)
-	r.Lines, r.Times = nil, nil
-	for _, p := range Percents {
-		r.Times = append(r.Times, t.times.ValueAtPercentile(p))
+	r.P50, r.P99, r.P999 = t.latencies.ValueAtPercentile(50), t.latencies.ValueAtPercentile(99), t.latencies.ValueAtPercentile(99.9)
+	r.ShareBySecond, r.Latencies = nil, nil
+	for _, p := range Percentiles {
+		r.Latencies = append(r.Latencies, t.latencies.ValueAtPercentile(p))
 	}
-	for i := range int(t.plan.Span / 1e9) {
+	for i := range int(t.plan.Duration / 1e9) {
 		share := 1.0
 		if t.possible[i] > 0 {
 			share = t.earned[i] / t.possible[i]
 		}
-		r.Lines = append(r.Lines, share)
+		r.ShareBySecond = append(r.ShareBySecond, share)
 	}
 	return r
 }
 
 // Run plays a plan on so many cores; the result does not depend on them.
 func Run(p Plan, cores int) (*Result, error) {
-	if err := p.Check(); err != nil {
+	if err := p.Validate(); err != nil {
 		return nil, err
 	}
-	w := &world{Plan: &p}
-	for i := range w.sectors {
-		w.sectors[i] = &sector{world: w, agenda: agenda.New(origin)}
+	w := &simulation{Plan: &p}
+	for i := range w.loops {
+		w.loops[i] = &eventLoop{simulation: w, queue: agenda.New(origin)}
 	}
-	place := func(n int) outlet { return outlet{sector: w.sectors[n%sectors], self: int32(n)} }
+	place := func(n int) emitter { return emitter{loop: w.loops[n%eventLoopCount], entityID: int32(n)} }
 	chance := func(n int, of uint64) *rand.Rand { return rand.New(rand.NewPCG(p.Seed, of<<32+uint64(n))) }
 	var whole []balance.Listing
 	for i := range p.Replicas {
-		r := &replica{outlet: place(p.Aggregators + i), Plan: &p, number: i, chance: chance(i, 1), under: map[int]bool{},
-			watch: &checker.Replica{Name: fmt.Sprint("replica ", i), Cold: p.ColdShare, Ramp: p.ColdRamp, Times: p.FallMultiple,
-				Span: p.FallSpan}}
-		r.speed = math.Exp(p.Unlike * r.chance.NormFloat64())
-		r.watch.Full = float64(p.Workers) * 1e9 / (float64(p.Work) * r.speed * math.Exp(p.Spread*p.Spread/2))
-		w.backs = append(w.backs, r)
+		r := &replica{emitter: place(p.Aggregators + i), Plan: &p, number: i, rng: chance(i, 1), activeFaults: map[int]bool{},
+			ruleChecker: &checker.Replica{Name: fmt.Sprint("replica ", i), ColdCapacity: p.ColdCapacity, WarmUpTime: p.WarmUpTime, OverloadFactor: p.OverloadFactor,
+				OverloadSpan: p.OverloadSpan}}
+		r.serviceTimeFactor = math.Exp(p.SpeedSigma * r.rng.NormFloat64())
+		r.ruleChecker.WarmRate = float64(p.Workers) * 1e9 / (float64(p.ServiceTime) * r.serviceTimeFactor * math.Exp(p.ServiceTimeSigma*p.ServiceTimeSigma/2))
+		w.replicas = append(w.replicas, r)
 		whole = append(whole, balance.Listing{Replica: i, New: true, Cell: p.shardOf(i), Status: balance.Up})
 	}
 	if p.Policy == "oracle" {
-		w.truths = make([]truth, p.Replicas)
-		for i, r := range w.backs {
-			w.truths[i] = r.truth(origin)
+		w.oracleViews = make([]oracleView, p.Replicas)
+		for i, r := range w.replicas {
+			w.oracleViews[i] = r.oracleView(origin)
 		}
 	}
 	for i := range p.Aggregators {
-		a := &aggregator{outlet: place(i), Plan: &p, clients: chance(i, 2), network: chance(i, 3), queries: map[int32]*asked{}, repeats: map[int32][]int{}, spent: map[int][]int64{},
-			news: make([]uint64, p.Replicas), tally: NewTally(&p),
-			watch: checker.NewAggregator(fmt.Sprint("aggregator ", i), p.bounds())}
-		for n := range p.Loads {
+		a := &aggregator{emitter: place(i), Plan: &p, clientRNG: chance(i, 2), networkRNG: chance(i, 3), queries: map[int32]*pendingQuery{}, retryShards: map[int32][]int{}, quotaUses: map[int][]int64{},
+			listingSeq: make([]uint64, p.Replicas), recorder: NewRecorder(&p),
+			ruleChecker: checker.NewAggregator(fmt.Sprint("aggregator ", i), p.checkerBounds())}
+		for n := range p.Workloads {
 			a.arrivals = append(a.arrivals, p.Arrivals(i, n))
 		}
 		for _, l := range whole {
-			if p.siteOfReplica(l.Replica) == p.siteOf(i) {
-				a.list = append(a.list, l)
+			if p.siteOfReplica(l.Replica) == p.siteOfAggregator(i) {
+				a.listings = append(a.listings, l)
 			}
 		}
-		a.world, a.watch.Mechanism = w, p.Policy == "module"
-		a.wake(origin)
-		a.power(origin)
-		w.aggs = append(w.aggs, a)
+		a.simulation, a.ruleChecker.CheckStarvation = w, p.Policy == "module"
+		a.start(origin)
+		a.startProcessor(origin)
+		w.aggregators = append(w.aggregators, a)
 	}
-	for _, a := range w.aggs {
+	for _, a := range w.aggregators {
 		w.entities = append(w.entities, a)
-		for n := range p.Loads {
-			a.come(origin, n)
+		for n := range p.Workloads {
+			a.scheduleArrival(origin, n)
 		}
-		a.moved(origin)
+		a.requestRound(origin)
 	}
-	for _, r := range w.backs {
+	for _, r := range w.replicas {
 		w.entities = append(w.entities, r)
-		r.stop(origin)
+		r.schedulePause(origin)
 	}
-	if p.Store != "" && p.Store != "none" {
-		s := &store{outlet: place(p.Aggregators + p.Replicas), Plan: &p, now: newShelves(), kept: newShelves(), chance: chance(0, 5)}
+	if p.StoreMode != "" && p.StoreMode != "none" {
+		s := &sharedStore{emitter: place(p.Aggregators + p.Replicas), Plan: &p, current: newStoreData(), stale: newStoreData(), rng: chance(0, 5)}
 		w.entities = append(w.entities, s)
-		if p.Store == "stale" {
-			s.cause(origin, agenda.Event{At: origin + staleAfter, To: s.self, Kind: beginsAgain})
+		if p.StoreMode == "stale" {
+			s.emit(origin, agenda.Event{At: origin + staleStart, To: s.entityID, Kind: eventFaultRepeats})
 		}
 	}
 	for n, f := range p.Faults {
 		for _, number := range f.Replicas {
-			r := w.backs[number]
-			r.cause(origin, agenda.Event{At: origin + f.From, To: r.self, Kind: begins, Value: int64(n)})
-			r.cause(origin, agenda.Event{At: origin + f.Until, To: r.self, Kind: ends, Value: int64(n)})
+			r := w.replicas[number]
+			r.emit(origin, agenda.Event{At: origin + f.From, To: r.entityID, Kind: eventFaultBegins, Value: int64(n)})
+			r.emit(origin, agenda.Event{At: origin + f.Until, To: r.entityID, Kind: eventFaultEnds, Value: int64(n)})
 		}
 	}
 	for n, f := range p.Faults {
 		for _, number := range f.Aggregators {
-			a := w.aggs[number]
-			a.cause(origin, agenda.Event{At: origin + f.From, To: a.self, Kind: begins, Value: int64(n)})
-			a.cause(origin, agenda.Event{At: origin + f.Until, To: a.self, Kind: ends, Value: int64(n)})
+			a := w.aggregators[number]
+			a.emit(origin, agenda.Event{At: origin + f.From, To: a.entityID, Kind: eventFaultBegins, Value: int64(n)})
+			a.emit(origin, agenda.Event{At: origin + f.Until, To: a.entityID, Kind: eventFaultEnds, Value: int64(n)})
 		}
 	}
-	w.run(origin+p.Span+3*p.longest(), cores)
+	w.run(origin+p.Duration+3*p.maxTimeout(), cores)
 	return w.result(), nil
 }
 
 // result sums up all aggregators.
-func (w *world) result() *Result {
-	all := NewTally(w.Plan)
-	for _, a := range w.aggs {
-		all.Add(a.tally)
+func (w *simulation) result() *Result {
+	all := NewRecorder(w.Plan)
+	for _, a := range w.aggregators {
+		all.Merge(a.recorder)
 	}
-	r := all.Sum()
-	for _, b := range w.backs {
-		r.AtFaulty += b.met
+	r := all.Summary()
+	for _, b := range w.replicas {
+		r.FaultyExecutions += b.faultyExecutions
 	}
 	r.Events = w.events
-	b := w.broken()
-	if over := w.overspent(); b == nil && len(over) > 0 {
+	b := w.firstViolation()
+	if over := w.quotaViolations(); b == nil && len(over) > 0 {
 		b = &over[0]
 	}
 	if b != nil {
-		r.Broken, r.Rule = b.String(), b.Rule
+		r.Violation, r.Rule = b.String(), b.Rule
 	}
 	return r
 }
 
-func (p *Plan) bounds() checker.Bounds {
-	b := checker.Bounds{Need: 1, Executions: p.Executions, Budgeted: p.Budgeted, Free: p.Free, Share: p.Share, Span: p.BudgetSpan}
-	b.Floor, b.Window = p.Loads[0].Floor, p.Loads[0].Window
+func (p *Plan) checkerBounds() checker.Bounds {
+	b := checker.Bounds{FullCoverage: 1, MaxExecutions: p.MaxExecutions, Budgeted: p.Budgeted, RetrySlack: p.RetrySlack, RetryRatio: p.RetryRatio, RetryWindow: p.RetryWindow}
+	b.MinCoverage, b.DedupWindow = p.Workloads[0].MinCoverage, p.Workloads[0].DedupWindow
 	return b
 }
 
 // deployment is what the module is told.
 func (p *Plan) deployment(number int) balance.Deployment {
 	d := balance.Deployment{Index: number, Aggregators: p.Aggregators, Seed: p.Seed*1_000_003 + uint64(number), Tick: p.Tick,
-		Shards: p.Shards(), Cells: p.Shards(), CellsPerShard: 1, PartsPerCall: 1, MaxExecutions: p.Executions, CanCancel: p.Cancels,
-		MaxRetryAfter: 2e9, ColdCapacity: p.ColdShare, WarmUpTime: p.ColdRamp, OverloadFactor: p.FallMultiple, OverloadSpan: p.FallSpan,
-		Budgeted: p.Budgeted, RetrySlack: p.Free, RetryRatio: p.Share, RetryWindow: p.BudgetSpan}
-	switch p.Break {
+		Shards: p.Shards(), Cells: p.Shards(), CellsPerShard: 1, PartsPerCall: 1, MaxExecutions: p.MaxExecutions, CanCancel: p.CanCancel,
+		MaxRetryAfter: 2e9, ColdCapacity: p.ColdCapacity, WarmUpTime: p.WarmUpTime, OverloadFactor: p.OverloadFactor, OverloadSpan: p.OverloadSpan,
+		Budgeted: p.Budgeted, RetrySlack: p.RetrySlack, RetryRatio: p.RetryRatio, RetryWindow: p.RetryWindow}
+	switch p.Defect {
 	case "budget off":
 		d.Budgeted = false
 	case "cold guard off":
 		d.ColdCapacity, d.WarmUpTime, d.OverloadFactor = 1, 1, 1e9
 	}
-	for _, l := range p.Loads {
-		d.Workloads = append(d.Workloads, balance.Workload{LatencyGoal: l.Goal, LateShare: 0.3, MinCoverage: l.Floor, FullCoverage: 1,
-			PartialShare: 0.9, RetrySafety: l.Effect, DedupWindow: l.Window})
+	for _, l := range p.Workloads {
+		d.Workloads = append(d.Workloads, balance.Workload{LatencyGoal: l.LatencyGoal, LateShare: 0.3, MinCoverage: l.MinCoverage, FullCoverage: 1,
+			PartialShare: 0.9, RetrySafety: l.RetrySafety, DedupWindow: l.DedupWindow})
 	}
 	return d
 }
