--- a/lab/emulator/sites.go
+++ b/lab/emulator/sites.go
@@ -11,36 +11,36 @@
 
 // Link is the way between any two sites. Times in ns.
 type Link struct {
-	Way     int64   // each way
-	Loss    float64 // share of messages that are sent again by the network, a stall later
-	Stall   int64
-	Queries float64 // a second that one aggregator may carry to one site,
-	Bytes   float64 // and bytes
+	Delay       int64   // each way
+	Loss        float64 // share of messages that are sent again by the network, a stall later
+	ResendDelay int64
+	QueryRate   float64 // a second that one aggregator may carry to one site,
+	ByteRate    float64 // and bytes
 }
 
 const (
-	pingEach    = int64(500e6)
-	pingWait    = int64(1e9)
-	carryTwice  = 2
-	queryBytes  = 3000.0
-	servesOf    = 0.25 // of its goal that a workload takes at a site, until that is known
-	furtherOf   = 0.1  // of what is carried may be carried again,
-	furtherAny  = 3    // and so many,
-	furtherSpan = int64(10e9)
+	pingInterval        = int64(500e6)
+	pingTimeout         = int64(1e9)
+	maxForwards         = 2
+	queryBytes          = 3000.0
+	assumedServiceShare = 0.25 // of its goal that a workload takes at a site, until that is known
+	forwardRetryRatio   = 0.1  // of what is carried may be carried again,
+	forwardRetrySlack   = 3    // and so many,
+	forwardRetryWindow  = int64(10e9)
 )
 
 // Sites is how many there are.
-func (p *Plan) sites() int { return max(p.Sites, 1) }
+func (p *Plan) siteCount() int { return max(p.Sites, 1) }
 
-// perSite is how many replicas a site has.
-func (p *Plan) perSite() int { return p.Replicas / p.sites() }
+// replicasPerSite is how many replicas a site has.
+func (p *Plan) replicasPerSite() int { return p.Replicas / p.siteCount() }
 
-func (p *Plan) siteOfReplica(r int) int { return r / p.perSite() }
+func (p *Plan) siteOfReplica(r int) int { return r / p.replicasPerSite() }
 
-func (p *Plan) siteOf(aggregator int) int { return aggregator % p.sites() }
+func (p *Plan) siteOfAggregator(aggregator int) int { return aggregator % p.siteCount() }
 
-// cut tells whether a fault has cut one of two sites off now.
-func (p *Plan) cut(now int64, a, b int) bool {
+// siteCutOff tells whether a fault has cut one of two sites off now.
+func (p *Plan) siteCutOff(now int64, a, b int) bool {
 	for _, f := range p.Faults {
 		if f.Kind != "cut" || now < origin+f.From || now >= origin+f.Until {
 			continue
@@ -54,309 +54,311 @@
 	return false
 }
 
-// gate is an aggregator's gateway to the other sites, with the true deciders.
-type gate struct {
-	gateway *gateway.Gateway
-	hop     *balance.Aggregator
-	others  []int // sites, by link
-	numbers map[*balance.Query]int32
-	trips   map[int32]*balance.Query
-	runs    map[int32][]trip
-	due     int64 // of a round of the hop, 0 for none
-	last    int64
-	look    int64 // when gateway wants to be asked
-	ping    int
-	pinged  map[int]int64 // by link: when the ping that is out left, 0 for none
+// siteGateway is an aggregator's gateway to the other sites, with the true deciders.
+type siteGateway struct {
+	gateway      *gateway.Gateway
+	siteBalancer *balance.Aggregator
+	remoteSites  []int // sites, by link
+	queryNumbers map[*balance.Query]int32
+	forwarded    map[int32]*balance.Query
+	attempts     map[int32][]forwardAttempt
+	roundDue     int64 // of a round of the hop, 0 for none
+	lastRound    int64
+	wakeAt       int64 // when gateway wants to be asked
+	pingTurn     int
+	pingSentAt   map[int]int64 // by link: when the ping that is out left, 0 for none
 }
 
-type trip struct {
-	to    int
-	sent  int64
-	over  bool
-	final balance.Outcome
+type forwardAttempt struct {
+	aggregator int
+	sentAt     int64
+	ended      bool
+	outcome    balance.Outcome
 }
 
-// carried is a query on its way to another site, and carriedBack its answer.
-type carried struct {
-	load   int
-	shards []int
-	left   int64
-	came   []int // sites
-	run    int16
+// forwardedQuery is a query on its way to another site, and carriedBack its answer.
+type forwardedQuery struct {
+	workload int
+	shards   []int
+	timeLeft int64
+	visited  []int // sites
+	attempt  int16
 }
 
-type carriedBack struct {
-	final    balance.Outcome
-	willing  float64
-	comeBack int64
+type forwardedReply struct {
+	outcome        balance.Outcome
+	advertisedRate float64
+	retryAfter     int64
 }
 
-// openGate gives an aggregator that begins its gateway, where there are other sites.
-func (a *aggregator) openGate(now int64) {
-	if a.sites() < 2 || a.Route == "none" || a.Route == "" || a.Policy != "module" {
+// openGateway gives an aggregator that begins its gateway, where there are other sites.
+func (a *aggregator) openGateway(now int64) {
+	if a.siteCount() < 2 || a.RoutingPolicy == "none" || a.RoutingPolicy == "" || a.Policy != "module" {
 		return
 	}
-	g := &gate{numbers: map[*balance.Query]int32{}, trips: map[int32]*balance.Query{}, runs: map[int32][]trip{}, pinged: map[int]int64{}}
-	own := a.siteOf(int(a.self))
+	g := &siteGateway{queryNumbers: map[*balance.Query]int32{}, forwarded: map[int32]*balance.Query{}, attempts: map[int32][]forwardAttempt{}, pingSentAt: map[int]int64{}}
+	own := a.siteOfAggregator(int(a.entityID))
 	t := siterouting.Config{Site: fmt.Sprint("s", own), Interval: 1e9}
 	for i, name := range siterouting.PolicyNames {
-		if name == a.Route {
+		if name == a.RoutingPolicy {
 			t.Policy = siterouting.Policy(i)
 		}
 	}
-	d := a.deployment(int(a.self))
-	for _, l := range a.Loads {
+	d := a.deployment(int(a.entityID))
+	for _, l := range a.Workloads {
 		t.Workloads = append(t.Workloads, siterouting.Workload{Name: l.Name, Revenue: l.Revenue, Bytes: queryBytes,
-			ServiceTime: int64(servesOf * float64(l.Goal))})
+			ServiceTime: int64(assumedServiceShare * float64(l.LatencyGoal))})
 	}
 	var known []balance.Listing
-	for s := range a.sites() {
+	for s := range a.siteCount() {
 		if s == own {
 			continue
 		}
-		t.Links = append(t.Links, siterouting.Link{Site: fmt.Sprint("s", s), QueryRate: a.Link.Queries, ByteRate: a.Link.Bytes, Cost: 0.05})
-		for n := s; n < a.Aggregators; n += a.sites() {
-			known = append(known, balance.Listing{Replica: n, New: true, Cell: len(g.others), Status: balance.Up})
+		t.Links = append(t.Links, siterouting.Link{Site: fmt.Sprint("s", s), QueryRate: a.Link.QueryRate, ByteRate: a.Link.ByteRate, Cost: 0.05})
+		for n := s; n < a.Aggregators; n += a.siteCount() {
+			known = append(known, balance.Listing{Replica: n, New: true, Cell: len(g.remoteSites), Status: balance.Up})
 		}
-		g.others = append(g.others, s)
+		g.remoteSites = append(g.remoteSites, s)
 	}
 	g.gateway = gateway.New(now, t)
-	d.Shards, d.Cells, d.CellsPerShard, d.MaxExecutions, d.CanCancel = len(g.others), len(g.others), 1, min(carryTwice, a.Executions), true
-	d.Budgeted, d.RetrySlack, d.RetryRatio, d.RetryWindow = true, furtherAny, furtherOf, furtherSpan
+	d.Shards, d.Cells, d.CellsPerShard, d.MaxExecutions, d.CanCancel = len(g.remoteSites), len(g.remoteSites), 1, min(maxForwards, a.MaxExecutions), true
+	d.Budgeted, d.RetrySlack, d.RetryRatio, d.RetryWindow = true, forwardRetrySlack, forwardRetryRatio, forwardRetryWindow
 	for i := range d.Workloads {
 		d.Workloads[i].FullCoverage, d.Workloads[i].MinCoverage = 1, 1
 	}
-	g.hop = balance.New(now, d)
-	g.hop.ReplaceList(now, known, true)
-	a.gate = g
-	a.cause(now, agenda.Event{At: now + pingEach/10, To: a.self, Kind: pings})
-	a.lookAt(now)
+	g.siteBalancer = balance.New(now, d)
+	g.siteBalancer.ReplaceList(now, known, true)
+	a.siteGateway = g
+	a.emit(now, agenda.Event{At: now + pingInterval/10, To: a.entityID, Kind: eventPingsDue})
+	a.scheduleGateway(now)
 }
 
-// link is how a message crosses: when it arrives, and whether at all.
-func (a *aggregator) link(now int64, from, to int) (at int64, lost bool) {
-	at = now + a.Link.Way + int64(a.network.ExpFloat64()*float64(a.Link.Way)/20)
-	if a.network.Float64() < a.Link.Loss {
-		at += a.Link.Stall
+// crossLink is how a message crosses: when it arrives, and whether at all.
+func (a *aggregator) crossLink(now int64, from, to int) (at int64, lost bool) {
+	at = now + a.Link.Delay + int64(a.networkRNG.ExpFloat64()*float64(a.Link.Delay)/20)
+	if a.networkRNG.Float64() < a.Link.Loss {
+		at += a.Link.ResendDelay
 	}
-	return at, a.cut(now, from, to)
+	return at, a.siteCutOff(now, from, to)
 }
 
-// tellGate sends a message to an aggregator of another site.
-func (a *aggregator) tellGate(now int64, to int, e agenda.Event) {
-	at, lost := a.link(now, a.siteOf(int(a.self)), a.siteOf(to))
+// sendToSite sends a message to an aggregator of another site.
+func (a *aggregator) sendToSite(now int64, to int, e agenda.Event) {
+	at, lost := a.crossLink(now, a.siteOfAggregator(int(a.entityID)), a.siteOfAggregator(to))
 	if !lost {
 		e.At, e.To = at, int32(to)
-		a.cause(now, e)
+		a.emit(now, e)
 	}
 }
 
-// goesElsewhere takes a query that the own site does not serve to another; false where it stays declined.
-func (a *aggregator) goesElsewhere(now int64, number int32, q *asked, declined bool) bool {
-	g := a.gate
+// tryForward takes a query that the own site does not serve to another; false where it stays declined.
+func (a *aggregator) tryForward(now int64, number int32, q *pendingQuery, declined bool) bool {
+	g := a.siteGateway
 	if g == nil {
 		return false
 	}
-	link, waits := g.gateway.Forward(now, a.leaving(now, number, q, declined))
+	link, waits := g.gateway.Forward(now, a.gatewayQuery(now, number, q, declined))
 	if link >= 0 && !waits {
-		a.carry(now, number, q, link)
+		a.forward(now, number, q, link)
 	}
-	a.decideGate(now)
+	a.runGateway(now)
 	return link >= 0
 }
 
-func (a *aggregator) leaving(now int64, number int32, q *asked, declined bool) gateway.Query {
-	r := siterouting.Query{Workload: q.load, TimeLeft: q.at + a.Loads[q.load].Patience - now, Declined: declined}
-	for _, s := range q.came {
+func (a *aggregator) gatewayQuery(now int64, number int32, q *pendingQuery, declined bool) gateway.Query {
+	r := siterouting.Query{Workload: q.workload, TimeLeft: q.askedAt + a.Workloads[q.workload].Timeout - now, Declined: declined}
+	for _, s := range q.visited {
 		r.Visited = append(r.Visited, fmt.Sprint("s", s))
 	}
-	return gateway.Query{Query: r, Customer: a.Loads[q.load].Name, Handle: number}
+	return gateway.Query{Query: r, Customer: a.Workloads[q.workload].Name, Handle: number}
 }
 
-// carry hands a query to the hop.
-func (a *aggregator) carry(now int64, number int32, q *asked, link int) {
-	g := a.gate
-	q.link, q.carried = link, true
-	if a.Route == "plan" { // the baselines know no limit
-		a.watch.Crossed(now, link, a.Link.Queries)
+// forward hands a query to the hop.
+func (a *aggregator) forward(now int64, number int32, q *pendingQuery, link int) {
+	g := a.siteGateway
+	q.link, q.forwardedOut = link, true
+	if a.RoutingPolicy == "plan" { // the baselines know no limit
+		a.ruleChecker.RecordForward(now, link, a.Link.QueryRate)
 	}
-	h := g.hop.AddQuery(now, balance.Arrival{Workload: q.load, Timeout: q.at + a.Loads[q.load].Patience - now, Parts: 1})
+	h := g.siteBalancer.AddQuery(now, balance.Arrival{Workload: q.workload, Timeout: q.askedAt + a.Workloads[q.workload].Timeout - now, Parts: 1})
 	h.AddPart(link, 1)
-	g.trips[number], g.numbers[h] = h, number
-	a.hopMoved(now)
+	g.forwarded[number], g.queryNumbers[h] = h, number
+	a.requestForwardRound(now)
 }
 
-// decideGate carries out what gateway asks for.
-func (a *aggregator) decideGate(now int64) {
-	g := a.gate
+// runGateway carries out what gateway asks for.
+func (a *aggregator) runGateway(now int64) {
+	g := a.siteGateway
 	r := g.gateway.Decide(now)
 	for _, going := range r.Departures {
 		number := going.Handle.(int32)
 		if q := a.queries[number]; q != nil && !q.ended {
-			a.carry(now, number, q, going.Link)
+			a.forward(now, number, q, going.Link)
 			continue
 		}
 		g.gateway.Returned(now, 0, going.Link, false, 0)
 	}
 	for _, load := range r.Rejected {
-		a.final(now, ending{query: load.(int32), final: balance.Declined, comeBack: 1e9})
+		a.finish(now, ending{query: load.(int32), outcome: balance.Declined, retryAfter: 1e9})
 	}
-	a.lookAt(now)
+	a.scheduleGateway(now)
 }
 
-// lookAt has gateway asked again when it wants to be.
-func (a *aggregator) lookAt(now int64) {
-	g := a.gate
-	if at := max(g.gateway.Next(), now+1); g.look <= now || at < g.look {
-		g.look = at
-		a.cause(now, agenda.Event{At: at, To: a.self, Kind: looks})
+// scheduleGateway has gateway asked again when it wants to be.
+func (a *aggregator) scheduleGateway(now int64) {
+	g := a.siteGateway
+	if at := max(g.gateway.Next(), now+1); g.wakeAt <= now || at < g.wakeAt {
+		g.wakeAt = at
+		a.emit(now, agenda.Event{At: at, To: a.entityID, Kind: eventGatewayDue})
 	}
 }
 
-// hopMoved has a round of the hop come as soon as one may.
-func (a *aggregator) hopMoved(now int64) { a.hopAt(now, max(a.gate.last+a.Tick, now)) }
+// requestForwardRound has a round of the hop come as soon as one may.
+func (a *aggregator) requestForwardRound(now int64) {
+	a.scheduleForwardRound(now, max(a.siteGateway.lastRound+a.Tick, now))
+}
 
-func (a *aggregator) hopAt(now, at int64) {
-	if g := a.gate; g.due == 0 || at < g.due {
-		g.due = at
-		a.cause(now, agenda.Event{At: at, To: a.self, Kind: hops})
+func (a *aggregator) scheduleForwardRound(now, at int64) {
+	if g := a.siteGateway; g.roundDue == 0 || at < g.roundDue {
+		g.roundDue = at
+		a.emit(now, agenda.Event{At: at, To: a.entityID, Kind: eventForwardRoundDue})
 	}
 }
 
-// hopRound lets the hop's module decide.
-func (a *aggregator) hopRound(now int64) {
-	g := a.gate
-	g.due, g.last = 0, now
-	r := g.hop.Decide(now)
+// runForwardRound lets the hop's module decide.
+func (a *aggregator) runForwardRound(now int64) {
+	g := a.siteGateway
+	g.roundDue, g.lastRound = 0, now
+	r := g.siteBalancer.Decide(now)
 	for _, s := range r.Sends {
-		number := g.numbers[s.Query]
+		number := g.queryNumbers[s.Query]
 		q := a.queries[number]
-		run := int16(len(g.runs[number]))
-		g.runs[number] = append(g.runs[number], trip{to: s.Replica, sent: now})
+		run := int16(len(g.attempts[number]))
+		g.attempts[number] = append(g.attempts[number], forwardAttempt{aggregator: s.Replica, sentAt: now})
 		left := s.Deadline - now - g.gateway.MinDelay(q.link)
 		if left > 0 {
-			came := append(append([]int(nil), q.came...), a.siteOf(int(a.self)))
-			a.tellGate(now, s.Replica, agenda.Event{Kind: comes, Query: number, Number: run,
-				Load: carried{load: q.load, shards: q.shards, left: left, came: came, run: run}})
+			came := append(append([]int(nil), q.visited...), a.siteOfAggregator(int(a.entityID)))
+			a.sendToSite(now, s.Replica, agenda.Event{Kind: eventForwardArrives, Query: number, Attempt: run,
+				Payload: forwardedQuery{workload: q.workload, shards: q.shards, timeLeft: left, visited: came, attempt: run}})
 		} else {
-			a.tripOver(now, number, int(run), balance.ConnectFailed, balance.Declined)
+			a.endForwardAttempt(now, number, int(run), balance.ConnectFailed, balance.Declined)
 		}
-		a.cause(now, agenda.Event{At: s.Deadline, To: a.self, Kind: tripLate, Query: number, Number: run})
+		a.emit(now, agenda.Event{At: s.Deadline, To: a.entityID, Kind: eventForwardTimeout, Query: number, Attempt: run})
 	}
 	for _, c := range r.Cancels {
-		a.tripOver(now, g.numbers[c.Query], c.Execution, balance.Cancelled, balance.Declined)
+		a.endForwardAttempt(now, g.queryNumbers[c.Query], c.Execution, balance.Cancelled, balance.Declined)
 	}
 	for _, e := range r.Endings {
-		number := g.numbers[e.Query]
+		number := g.queryNumbers[e.Query]
 		q := a.queries[number]
 		final, refused := e.Outcome, e.Outcome == balance.Declined
-		if runs := g.runs[number]; final == balance.Whole && len(runs) > 0 {
-			final = runs[len(runs)-1].final
+		if runs := g.attempts[number]; final == balance.Whole && len(runs) > 0 {
+			final = runs[len(runs)-1].outcome
 		}
 		if q != nil {
-			g.gateway.Returned(now, q.load, q.link, refused, queryBytes)
-			a.final(now, ending{query: number, final: final, comeBack: e.RetryAfter})
+			g.gateway.Returned(now, q.workload, q.link, refused, queryBytes)
+			a.finish(now, ending{query: number, outcome: final, retryAfter: e.RetryAfter})
 		}
 	}
 	if r.WakeAt > 0 {
-		a.hopAt(now, max(r.WakeAt, now+a.Tick))
+		a.scheduleForwardRound(now, max(r.WakeAt, now+a.Tick))
 	}
-	a.decideGate(now)
+	a.runGateway(now)
 }
 
-// tripOver books how a trip ended.
-func (a *aggregator) tripOver(now int64, number int32, run int, result balance.Result, final balance.Outcome) {
-	g := a.gate
-	runs, h := g.runs[number], g.trips[number]
-	if h == nil || run >= len(runs) || runs[run].over {
+// endForwardAttempt books how a trip ended.
+func (a *aggregator) endForwardAttempt(now int64, number int32, run int, result balance.Result, final balance.Outcome) {
+	g := a.siteGateway
+	runs, h := g.attempts[number], g.forwarded[number]
+	if h == nil || run >= len(runs) || runs[run].ended {
 		return
 	}
-	runs[run].over, runs[run].final = true, final
-	h.RecordResult(now, 0, run, result, now-runs[run].sent)
-	a.hopMoved(now)
+	runs[run].ended, runs[run].outcome = true, final
+	h.RecordResult(now, 0, run, result, now-runs[run].sentAt)
+	a.requestForwardRound(now)
 }
 
-// meetsGate is an event of the gateway's.
-func (a *aggregator) meetsGate(now int64, e agenda.Event) {
-	g := a.gate
+// handleGatewayEvent is an event of the gateway's.
+func (a *aggregator) handleGatewayEvent(now int64, e agenda.Event) {
+	g := a.siteGateway
 	if a.down || g == nil {
-		if e.Kind == comes { // nobody listens there
-			a.tellGate(now, int(e.From), agenda.Event{Kind: goesBack, Query: e.Query, Number: e.Number, Load: carriedBack{final: balance.Declined}})
+		if e.Kind == eventForwardArrives { // nobody listens there
+			a.sendToSite(now, int(e.From), agenda.Event{Kind: eventForwardReply, Query: e.Query, Attempt: e.Attempt, Payload: forwardedReply{outcome: balance.Declined}})
 		}
 		return
 	}
 	switch e.Kind {
-	case looks:
-		if e.At == g.look {
-			a.decideGate(now)
+	case eventGatewayDue:
+		if e.At == g.wakeAt {
+			a.runGateway(now)
 		}
-	case hops:
-		if g.due != 0 && g.due <= now {
-			a.hopRound(now)
+	case eventForwardRoundDue:
+		if g.roundDue != 0 && g.roundDue <= now {
+			a.runForwardRound(now)
 		}
-	case pings:
-		a.pings(now)
-	case pinged:
-		a.tellGate(now, int(e.From), agenda.Event{Kind: pingBack, Value: e.Value, Load: g.gateway.AdvertisedRate(now)})
-	case pingBack:
+	case eventPingsDue:
+		a.sendPings(now)
+	case eventPingArrives:
+		a.sendToSite(now, int(e.From), agenda.Event{Kind: eventPingReply, Value: e.Value, Payload: g.gateway.AdvertisedRate(now)})
+	case eventPingReply:
 		link := int(e.Value)
-		if left := g.pinged[link]; left > 0 {
-			g.pinged[link] = 0
+		if left := g.pingSentAt[link]; left > 0 {
+			g.pingSentAt[link] = 0
 			g.gateway.Pinged(now, link, now-left, false)
-			g.gateway.ObserveAdvertised(now, link, e.Load.(float64))
+			g.gateway.ObserveAdvertised(now, link, e.Payload.(float64))
 		}
-	case comes:
-		c := e.Load.(carried)
-		a.takeFrom(now, e.From, e.Query, c)
-	case goesBack:
-		b := e.Load.(carriedBack)
+	case eventForwardArrives:
+		c := e.Payload.(forwardedQuery)
+		a.receiveForwarded(now, e.From, e.Query, c)
+	case eventForwardReply:
+		b := e.Payload.(forwardedReply)
 		q := a.queries[e.Query]
 		if q != nil {
-			g.gateway.ObserveAdvertised(now, q.link, b.willing)
+			g.gateway.ObserveAdvertised(now, q.link, b.advertisedRate)
 		}
-		switch b.final {
+		switch b.outcome {
 		case balance.Whole, balance.Partial:
-			a.tripOver(now, e.Query, int(e.Number), balance.Fulfilled, b.final)
+			a.endForwardAttempt(now, e.Query, int(e.Attempt), balance.Fulfilled, b.outcome)
 		case balance.Declined:
-			a.tripOver(now, e.Query, int(e.Number), balance.Full, b.final)
+			a.endForwardAttempt(now, e.Query, int(e.Attempt), balance.Full, b.outcome)
 		default:
-			a.tripOver(now, e.Query, int(e.Number), balance.Errored, b.final)
+			a.endForwardAttempt(now, e.Query, int(e.Attempt), balance.Errored, b.outcome)
 		}
-	case tripLate:
-		a.tripOver(now, e.Query, int(e.Number), balance.TimedOut, balance.Forfeited)
+	case eventForwardTimeout:
+		a.endForwardAttempt(now, e.Query, int(e.Attempt), balance.TimedOut, balance.Forfeited)
 	}
 }
 
-// pings sends a ping over each link, one gateway after the other, and counts those that are lost.
-func (a *aggregator) pings(now int64) {
-	g := a.gate
-	for link, site := range g.others {
-		if left := g.pinged[link]; left > 0 {
-			if now-left < pingWait {
+// sendPings sends a ping over each link, one gateway after the other, and counts those that are lost.
+func (a *aggregator) sendPings(now int64) {
+	g := a.siteGateway
+	for link, site := range g.remoteSites {
+		if left := g.pingSentAt[link]; left > 0 {
+			if now-left < pingTimeout {
 				continue
 			}
 			g.gateway.Pinged(now, link, now-left, true)
 		}
-		there := (a.Aggregators - site + a.sites() - 1) / a.sites()
-		g.pinged[link] = now
-		a.tellGate(now, site+g.ping%there*a.sites(), agenda.Event{Kind: pinged, Value: int64(link)})
+		there := (a.Aggregators - site + a.siteCount() - 1) / a.siteCount()
+		g.pingSentAt[link] = now
+		a.sendToSite(now, site+g.pingTurn%there*a.siteCount(), agenda.Event{Kind: eventPingArrives, Value: int64(link)})
 	}
-	g.ping++
-	a.cause(now, agenda.Event{At: now + pingEach, To: a.self, Kind: pings})
+	g.pingTurn++
+	a.emit(now, agenda.Event{At: now + pingInterval, To: a.entityID, Kind: eventPingsDue})
 }
 
-// takeFrom takes a query in that another site carries.
-func (a *aggregator) takeFrom(now int64, from, number int32, c carried) {
-	q := &asked{load: c.load, at: now + c.left - a.Loads[c.load].Patience, tries: 1, shards: c.shards, came: c.came, from: from, fromNumber: number,
-		fromRun: c.run, carriedIn: true}
-	a.hold(now, q, c.left)
+// receiveForwarded takes a query in that another site carries.
+func (a *aggregator) receiveForwarded(now int64, from, number int32, c forwardedQuery) {
+	q := &pendingQuery{workload: c.workload, askedAt: now + c.timeLeft - a.Workloads[c.workload].Timeout, retries: 1, shards: c.shards, visited: c.visited, originAggregator: from, originQuery: number,
+		originAttempt: c.attempt, forwardedIn: true}
+	a.serveQuery(now, q, c.timeLeft)
 }
 
-// gateForgets drops a query of which nothing more can come.
-func (a *aggregator) gateForgets(number int32) {
-	if g := a.gate; g != nil {
-		delete(g.numbers, g.trips[number])
-		delete(g.trips, number)
-		delete(g.runs, number)
+// forgetForwarded drops a query of which nothing more can come.
+func (a *aggregator) forgetForwarded(number int32) {
+	if g := a.siteGateway; g != nil {
+		delete(g.queryNumbers, g.forwarded[number])
+		delete(g.forwarded, number)
+		delete(g.attempts, number)
 	}
 }
--- a/lab/emulator/zones.go
+++ b/lab/emulator/zones.go
@@ -12,47 +12,47 @@
 // zoneOfReplica is the zone that a replica stands in.
 func (p *Plan) zoneOfReplica(r int) int { return r * max(p.Zones, 1) / p.Replicas }
 
-// zoneOf is the zone that an aggregator stands in.
-func (p *Plan) zoneOf(aggregator int) int { return aggregator % max(p.Zones, 1) }
+// zoneOfAggregator is the zone that an aggregator stands in.
+func (p *Plan) zoneOfAggregator(aggregator int) int { return aggregator % max(p.Zones, 1) }
 
-// apart tells whether a rift lies between an aggregator and a replica now.
-func (p *Plan) apart(now int64, aggregator, replica int) bool {
+// partitioned tells whether a rift lies between an aggregator and a replica now.
+func (p *Plan) partitioned(now int64, aggregator, replica int) bool {
 	if p.Zones < 2 {
 		return false
 	}
-	a, b := p.zoneOf(aggregator), p.zoneOfReplica(replica)
+	a, b := p.zoneOfAggregator(aggregator), p.zoneOfReplica(replica)
 	return a != b && slices.ContainsFunc(p.Faults, func(f Fault) bool {
 		return f.Kind == "rift" && now >= origin+f.From && now < origin+f.Until &&
 			(slices.Contains(f.Zones, a) || slices.Contains(f.Zones, b))
 	})
 }
 
-// watched is the module with a decider of zones out of reach beside it, called as the node calls it.
-type watched struct {
-	*module
-	plan       *Plan
-	zoneHealth *zonehealth.Tracker
-	words      []balance.SharedReport
-	to         map[run]int     // the replica of each execution that is out
-	next       map[int32][]int // by query: executions so far of each part
+// zoneAwareDecider is the module with a decider of zones out of reach beside it, called as the node calls it.
+type zoneAwareDecider struct {
+	*moduleDecider
+	plan           *Plan
+	zoneHealth     *zonehealth.Tracker
+	reports        []balance.SharedReport
+	replicaOf      map[executionID]int // the replica of each execution that is out
+	sentExecutions map[int32][]int     // by query: executions so far of each part
 }
 
-type run struct {
+type executionID struct {
 	query           int32
 	part, execution int
 }
 
-func newWatched(m *module, p *Plan, number int, whole []balance.Listing) *watched {
+func newZoneAwareDecider(m *moduleDecider, p *Plan, number int, whole []balance.Listing) *zoneAwareDecider {
 	d := p.deployment(number)
-	w := &watched{module: m, plan: p, to: map[run]int{}, next: map[int32][]int{},
+	w := &zoneAwareDecider{moduleDecider: m, plan: p, replicaOf: map[executionID]int{}, sentExecutions: map[int32][]int{},
 		zoneHealth: zonehealth.New(zonehealth.Config{BaseEjection: d.BaseEjection(), MinFailedReplicas: 3, Seed: d.Seed})}
 	for _, l := range whole {
-		w.tell(l, false)
+		w.updateZoneHealth(l, false)
 	}
 	return w
 }
 
-func (w *watched) tell(l balance.Listing, known bool) {
+func (w *zoneAwareDecider) updateZoneHealth(l balance.Listing, known bool) {
 	if l.Status == balance.Up {
 		w.zoneHealth.ReplicaListed(l.Replica, strconv.Itoa(w.plan.zoneOfReplica(l.Replica)), known)
 	} else {
@@ -60,46 +60,46 @@
 	}
 }
 
-func (w *watched) list(now int64, l balance.Listing) {
-	w.tell(l, true)
-	w.module.list(now, l)
+func (w *zoneAwareDecider) updateListing(now int64, l balance.Listing) {
+	w.updateZoneHealth(l, true)
+	w.moduleDecider.updateListing(now, l)
 }
 
-func (w *watched) outcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
-	k := run{number, part, execution}
-	if to, out := w.to[k]; out {
-		delete(w.to, k)
+func (w *zoneAwareDecider) recordOutcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
+	k := executionID{number, part, execution}
+	if to, out := w.replicaOf[k]; out {
+		delete(w.replicaOf, k)
 		w.zoneHealth.ExecutionEnded(now, to, result, took)
 	}
-	w.module.outcome(now, number, part, execution, result, took)
+	w.moduleDecider.recordOutcome(now, number, part, execution, result, took)
 }
 
-func (w *watched) decide(now int64) round {
-	w.words = w.zoneHealth.Decide(now, w.words[:0])
-	for _, word := range w.words {
+func (w *zoneAwareDecider) decide(now int64) decision {
+	w.reports = w.zoneHealth.Decide(now, w.reports[:0])
+	for _, word := range w.reports {
 		w.aggregator.ApplyReport(now, word)
 	}
-	r := w.module.decide(now)
+	r := w.moduleDecider.decide(now)
 	for _, s := range r.sends {
-		for len(w.next[s.query]) <= s.part {
-			w.next[s.query] = append(w.next[s.query], 0)
+		for len(w.sentExecutions[s.query]) <= s.part {
+			w.sentExecutions[s.query] = append(w.sentExecutions[s.query], 0)
 		}
-		w.to[run{s.query, s.part, w.next[s.query][s.part]}] = s.replica
-		w.next[s.query][s.part]++
+		w.replicaOf[executionID{s.query, s.part, w.sentExecutions[s.query][s.part]}] = s.replica
+		w.sentExecutions[s.query][s.part]++
 		w.zoneHealth.ExecutionSent(now, s.replica)
 	}
-	if next := max(w.zoneHealth.Next(), now+w.plan.Tick); next < math.MaxInt64 && (r.wake == 0 || next < r.wake) {
-		r.wake = next
+	if next := max(w.zoneHealth.Next(), now+w.plan.Tick); next < math.MaxInt64 && (r.wakeAt == 0 || next < r.wakeAt) {
+		r.wakeAt = next
 	}
 	return r
 }
 
-func (w *watched) forget(number int32) {
-	for part, n := range w.next[number] {
+func (w *zoneAwareDecider) forget(number int32) {
+	for part, n := range w.sentExecutions[number] {
 		for k := range n {
-			delete(w.to, run{number, part, k})
+			delete(w.replicaOf, executionID{number, part, k})
 		}
 	}
-	delete(w.next, number)
-	w.module.forget(number)
+	delete(w.sentExecutions, number)
+	w.moduleDecider.forget(number)
 }
--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -12,8 +12,8 @@
 	if err := json.Unmarshal(text, t); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	if t.Form != form {
-		return nil, fmt.Errorf("%s: a table of form %d, and form %d is known here", name, t.Form, form)
+	if t.Format != tableFormat {
+		return nil, fmt.Errorf("%s: a table of form %d, and form %d is known here", name, t.Format, tableFormat)
 	}
 	return t, nil
 }
@@ -24,8 +24,8 @@
 	if err := json.Unmarshal(text, &all); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	if len(all) == 0 || all[0].Form != form {
-		return nil, fmt.Errorf("%s: no tables of form %d", name, form)
+	if len(all) == 0 || all[0].Format != tableFormat {
+		return nil, fmt.Errorf("%s: no tables of form %d", name, tableFormat)
 	}
 	return all, nil
 }
@@ -47,15 +47,15 @@
 			if was.Name != r.Name {
 				continue
 			}
-			r.against(&was)
+			r.compareTo(&was)
 			rows = append(rows, r)
 		}
 	}
 	return rows, nil
 }
 
-// Join makes one table of those of the variants of e, whoever played which.
-func (e *Experiment) Join(tables ...*Table) (*Table, error) {
+// JoinTables makes one table of those of the variants of e, whoever played which.
+func (e *Experiment) JoinTables(tables ...*Table) (*Table, error) {
 	all := *tables[0]
 	all.Rows = nil
 	for _, v := range e.Variants {
@@ -71,6 +71,6 @@
 	if len(all.Rows) != len(e.Variants) {
 		return nil, fmt.Errorf("%d rows for %d variants", len(all.Rows), len(e.Variants))
 	}
-	all.hold()
+	all.compareToFirst()
 	return &all, nil
 }
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -17,17 +17,17 @@
 
 var update = flag.Bool("update", false, "write what the twins come to now as what is expected")
 
-// small is an experiment cut down: fewer of all, a shorter span, faults at the same share of it.
-func small(e *Experiment) {
+// shrinkExperiment is an experiment cut down: fewer of all, a shorter span, faults at the same share of it.
+func shrinkExperiment(e *Experiment) {
 	p := &e.Plan
 	e.Seeds = 1
-	shrink := float64(5*second) / float64(p.Span)
+	shrink := float64(5*second) / float64(p.Duration)
 	at := func(t int64) int64 { return int64(float64(t) * shrink) }
 	if big := p.Aggregators > 20; big {
-		p.Aggregators, p.Replicas = 10, 10*p.Holders
+		p.Aggregators, p.Replicas = 10, 10*p.ReplicasPerShard
 	}
-	p.Span, p.From, p.Until = at(p.Span), at(p.From), at(p.Until)
-	p.ColdRamp = min(p.ColdRamp, 3*second)
+	p.Duration, p.MeasureFrom, p.MeasureUntil = at(p.Duration), at(p.MeasureFrom), at(p.MeasureUntil)
+	p.WarmUpTime = min(p.WarmUpTime, 3*second)
 	for i := range p.Faults {
 		f := &p.Faults[i]
 		f.From, f.Until = at(f.From), at(f.Until)
@@ -36,9 +36,9 @@
 		}
 		f.Replicas, f.Aggregators = few(f.Replicas, p.Replicas/3), few(f.Aggregators, p.Aggregators)
 	}
-	for i := range p.Loads {
-		p.Loads[i].Parts = min(p.Loads[i].Parts, p.Shards())
-		p.Loads[i].Every, p.Loads[i].For = at(p.Loads[i].Every), at(p.Loads[i].For)
+	for i := range p.Workloads {
+		p.Workloads[i].Parts = min(p.Workloads[i].Parts, p.Shards())
+		p.Workloads[i].BurstInterval, p.Workloads[i].BurstTime = at(p.Workloads[i].BurstInterval), at(p.Workloads[i].BurstTime)
 	}
 }
 
@@ -51,7 +51,7 @@
 	var lines []string
 	var mu sync.Mutex // guards lines
 	var under sync.WaitGroup
-	free := make(chan struct{}, emulator.Cores())
+	free := make(chan struct{}, emulator.MaxCores())
 	for _, file := range files {
 		e, err := Read(file)
 		if err != nil {
@@ -60,7 +60,7 @@
 		if want := strings.TrimSuffix(filepath.Base(file), ".star"); e.Name != want {
 			t.Errorf("%s calls itself %q", file, e.Name)
 		}
-		small(e)
+		shrinkExperiment(e)
 		for _, v := range e.Variants {
 			if v.Constants != nil { // it is for a program built so
 				continue
@@ -72,13 +72,13 @@
 			under.Go(func() {
 				free <- struct{}{}
 				defer func() { <-free }()
-				r, err := emulator.Run(e.Of(v, 1), 1)
+				r, err := emulator.Run(e.PlanFor(v, 1), 1)
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				if r.Broken != "" && v.True {
-					t.Errorf("%s, %s: %s", e.Name, v.Name, r.Broken)
+				if r.Violation != "" && v.RunsOnSockets {
+					t.Errorf("%s, %s: %s", e.Name, v.Name, r.Violation)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -116,7 +116,7 @@
 	return Read(file)
 }
 
-const good = `experiment(name = "a", question = "b?", span = "6s", count_from = "1s", count_until = "5s", seeds = 3)
+const validScript = `experiment(name = "a", question = "b?", span = "6s", count_from = "1s", count_until = "5s", seeds = 3)
 fleet(aggregators = 2, replicas = 8, holders = 4)
 queries(rate = 20, parts = 2)
 variant(name = "module")
@@ -126,17 +126,17 @@
 // All that is wrong is told with its place.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string][2]string{
-		"no variant":   {strings.Split(good, "variant")[0], "variant is missing"},
-		"policy":       {good + `variant(name = "x", policy = "best")`, `:6:21: variant: key "policy" is "best", not one of`},
-		"twice":        {good + `variant(name = "random")`, `a variant "random" already`},
-		"replicas":     {good + `fault(kind = "hang", replicas = ["x"], at = "1s", until = "2s")`, `key "replicas" has`},
-		"no replica":   {good + `fault(kind = "hang", replicas = [8], at = "1s", until = "2s")`, "there is no replica 8"},
-		"no end":       {good + `fault(kind = "hang", replicas = [1], at = "2s", until = "1s")`, `"until" is not after`},
-		"parts":        {strings.Replace(good, "parts = 2", "parts = 3", 1), "3 parts, and there are 2 shards"},
-		"goal":         {strings.Replace(good, "parts = 2", `parts = 2, goal = "2s"`, 1), `"goal" is longer`},
-		"burst":        {strings.Replace(good, "parts = 2", `parts = 2, every = "1s", burst_for = "2s"`, 1), `"burst_for" is longer`},
-		"whole groups": {strings.Replace(good, "replicas = 8", "replicas = 9", 1), "whole groups"},
-		"stretch":      {strings.Replace(good, `"5s"`, `"7s"`, 1), "not within the span"},
+		"no variant":   {strings.Split(validScript, "variant")[0], "variant is missing"},
+		"policy":       {validScript + `variant(name = "x", policy = "best")`, `:6:21: variant: key "policy" is "best", not one of`},
+		"twice":        {validScript + `variant(name = "random")`, `a variant "random" already`},
+		"replicas":     {validScript + `fault(kind = "hang", replicas = ["x"], at = "1s", until = "2s")`, `key "replicas" has`},
+		"no replica":   {validScript + `fault(kind = "hang", replicas = [8], at = "1s", until = "2s")`, "there is no replica 8"},
+		"no end":       {validScript + `fault(kind = "hang", replicas = [1], at = "2s", until = "1s")`, `"until" is not after`},
+		"parts":        {strings.Replace(validScript, "parts = 2", "parts = 3", 1), "3 parts, and there are 2 shards"},
+		"goal":         {strings.Replace(validScript, "parts = 2", `parts = 2, goal = "2s"`, 1), `"goal" is longer`},
+		"burst":        {strings.Replace(validScript, "parts = 2", `parts = 2, every = "1s", burst_for = "2s"`, 1), `"burst_for" is longer`},
+		"whole groups": {strings.Replace(validScript, "replicas = 8", "replicas = 9", 1), "whole groups"},
+		"stretch":      {strings.Replace(validScript, `"5s"`, `"7s"`, 1), "not within the span"},
 	} {
 		if _, err := read(t, c[0]); err == nil || !strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%s: %v", name, err)
@@ -149,11 +149,11 @@
 	var texts [2]string
 	var table *Table
 	for i := range texts {
-		e, err := read(t, good+`fault(kind = "hang", replicas = [0], at = "1s", until = "5s")`)
+		e, err := read(t, validScript+`fault(kind = "hang", replicas = [0], at = "1s", until = "5s")`)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if table, err = e.Play(Emulated(), nil); err != nil {
+		if table, err = e.Run(EmulatorRunner(), nil); err != nil {
 			t.Fatal(err)
 		}
 		text, _ := json.Marshal(table)
@@ -194,7 +194,7 @@
 	old := *table // kept before the times of answers were
 	old.Rows = append([]Row(nil), table.Rows...)
 	for i := range old.Rows {
-		old.Rows[i].Times = nil
+		old.Rows[i].Latencies = nil
 	}
 	if err := Report(&page, []*Table{&old}); err != nil {
 		t.Error(err)
@@ -203,14 +203,14 @@
 
 // Variants played by two programs come to the table that one would make, in the script's order.
 func TestJoin(t *testing.T) {
-	e, err := read(t, good+`variant(name = "other", constants = {"balance.maxCalls": 3})`)
+	e, err := read(t, validScript+`variant(name = "other", constants = {"balance.maxCalls": 3})`)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := e.Variants[2]; v.True || v.Constants["balance.maxCalls"] != 3 {
+	if v := e.Variants[2]; v.RunsOnSockets || v.Constants["balance.maxCalls"] != 3 {
 		t.Errorf("%+v", v)
 	}
-	whole, err := e.Play(Emulated(), nil)
+	whole, err := e.Run(EmulatorRunner(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,13 +218,13 @@
 	for _, of := range [][]Variant{e.Variants[1:2], {e.Variants[0], e.Variants[2]}} {
 		one := *e
 		one.Variants = of
-		table, err := one.Play(Emulated(), nil)
+		table, err := one.Run(EmulatorRunner(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		some = append(some, table)
 	}
-	joined, err := e.Join(some...)
+	joined, err := e.JoinTables(some...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -233,21 +233,21 @@
 	if !bytes.Equal(a, b) {
 		t.Errorf("%s and %s", a, b)
 	}
-	if _, err := e.Join(some[0]); err == nil {
+	if _, err := e.JoinTables(some[0]); err == nil {
 		t.Error("a table without all variants was made")
 	}
 	some[1].Seeds++
-	if _, err := e.Join(some...); err == nil {
+	if _, err := e.JoinTables(some...); err == nil {
 		t.Error("tables of other seeds were joined")
 	}
 }
 
 // The interval holds the mean nine times of ten at least, and is a point where there is no chance.
 func TestInterval(t *testing.T) {
-	if low, high := Interval([]float64{2, 2, 2}); low != 2 || high != 2 {
+	if low, high := ConfidenceInterval([]float64{2, 2, 2}); low != 2 || high != 2 {
 		t.Errorf("%v to %v", low, high)
 	}
-	if low, high := Interval([]float64{-1, 1, -1, 1, -1, 1}); low >= 0 || high <= 0 {
+	if low, high := ConfidenceInterval([]float64{-1, 1, -1, 1, -1, 1}); low >= 0 || high <= 0 {
 		t.Errorf("%v to %v", low, high)
 	}
 }
--- a/lab/experiment/play.go
+++ b/lab/experiment/play.go
@@ -13,78 +13,78 @@
 
 // Table is what came of an experiment, as it is kept.
 type Table struct {
-	Form     int    `json:"form"`
-	Name     string `json:"name"`
-	Question string `json:"question"`
-	Hash     string `json:"script"`
-	Seeds    int    `json:"seeds"`
-	Span     int64  `json:"span_ns"`
-	From     int64  `json:"count_from_ns"`
-	Until    int64  `json:"count_until_ns"`
-	Faults   []Span `json:"faults"`
-	Rows     []Row  `json:"variants"`
+	Format       int         `json:"form"`
+	Name         string      `json:"name"`
+	Question     string      `json:"question"`
+	Hash         string      `json:"script"`
+	Seeds        int         `json:"seeds"`
+	Duration     int64       `json:"span_ns"`
+	MeasureFrom  int64       `json:"count_from_ns"`
+	MeasureUntil int64       `json:"count_until_ns"`
+	Faults       []FaultSpan `json:"faults"`
+	Rows         []Row       `json:"variants"`
 }
 
-// Span is a stretch that a fault takes.
-type Span struct {
+// FaultSpan is a stretch that a fault takes.
+type FaultSpan struct {
 	Kind        string
 	From, Until int64
 }
 
 // Row is one variant over all seeds. Shares are of the revenue within the goal.
 type Row struct {
-	Name       string    `json:"name"`
-	Shares     []float64 `json:"shares"` // by seed
-	Mean       float64   `json:"mean"`
-	Against    float64   `json:"against_first"` // the mean of what each seed has more than the first variant's same seed
-	Low        float64   `json:"low"`           // of that, with 95% confidence,
-	High       float64   `json:"high"`
-	Verdict    string    `json:"verdict"`
-	Late       float64   `json:"late"` // of 1 asked, as are the next three
-	Partial    float64   `json:"partial"`
-	Declined   float64   `json:"declined"`
-	Forfeited  float64   `json:"forfeited"`
-	Executions float64   `json:"executions_a_query"`
-	Further    float64   `json:"further_a_query"`
-	AtFaulty   float64   `json:"at_faulty"`
-	P50        int64     `json:"p50_ns"` // medians over the seeds
-	P99        int64     `json:"p99_ns"`
-	P999       int64     `json:"p999_ns"`
-	Times      []int64   `json:"times_ns"` // at emulator.Percents, the mean over seeds
-	Loads      []Load    `json:"loads"`
-	Lines      []float64 `json:"lines"`  // share by second, the mean over seeds
-	Broken     []string  `json:"broken"` // rules, with their seeds
-	Events     int64     `json:"events"`
+	Name             string          `json:"name"`
+	Shares           []float64       `json:"shares"` // by seed
+	Mean             float64         `json:"mean"`
+	Against          float64         `json:"against_first"` // the mean of what each seed has more than the first variant's same seed
+	Low              float64         `json:"low"`           // of that, with 95% confidence,
+	High             float64         `json:"high"`
+	Verdict          string          `json:"verdict"`
+	Late             float64         `json:"late"` // of 1 asked, as are the next three
+	Partial          float64         `json:"partial"`
+	Declined         float64         `json:"declined"`
+	Forfeited        float64         `json:"forfeited"`
+	Executions       float64         `json:"executions_a_query"`
+	Further          float64         `json:"further_a_query"`
+	FaultyExecutions float64         `json:"at_faulty"`
+	P50              int64           `json:"p50_ns"` // medians over the seeds
+	P99              int64           `json:"p99_ns"`
+	P999             int64           `json:"p999_ns"`
+	Latencies        []int64         `json:"times_ns"` // at emulator.Percents, the mean over seeds
+	Workloads        []WorkloadShare `json:"loads"`
+	ShareBySecond    []float64       `json:"lines"`  // share by second, the mean over seeds
+	Broken           []string        `json:"broken"` // rules, with their seeds
+	Events           int64           `json:"events"`
 }
 
-// Load is the share of one load's queries within the goal, the mean over seeds.
-type Load struct {
+// WorkloadShare is the share of one load's queries within the goal, the mean over seeds.
+type WorkloadShare struct {
 	Name   string  `json:"name"`
 	InGoal float64 `json:"in_goal"`
 }
 
-const form = 1
+const tableFormat = 1
 
-// Way is how runs are made: in the emulator, or on sockets.
-type Way struct {
-	Run    func(p emulator.Plan, cores int) (*emulator.Result, error)
-	AtOnce int // runs
+// Runner is how runs are made: in the emulator, or on sockets.
+type Runner struct {
+	Run      func(p emulator.Plan, cores int) (*emulator.Result, error)
+	Parallel int // runs
 }
 
-// Emulated is the way of the emulator: as many runs at a time as there are cores.
-func Emulated() Way { return Way{emulator.Run, runtime.GOMAXPROCS(0)} }
+// EmulatorRunner is the way of the emulator: as many runs at a time as there are cores.
+func EmulatorRunner() Runner { return Runner{emulator.Run, runtime.GOMAXPROCS(0)} }
 
-// Play plays all variants with all seeds; step is called as each run ends.
+// Run plays all variants with all seeds; step is called as each run ends.
 // Danger: the order in which runs end is the machine's; what is made of them goes by variant and seed alone.
-func (e *Experiment) Play(way Way, step func()) (*Table, error) {
-	t := &Table{Form: form, Name: e.Name, Question: e.Question, Hash: e.Hash, Seeds: e.Seeds, Span: e.Plan.Span, From: e.Plan.From,
-		Until: e.Plan.Until}
+func (e *Experiment) Run(way Runner, step func()) (*Table, error) {
+	t := &Table{Format: tableFormat, Name: e.Name, Question: e.Question, Hash: e.Hash, Seeds: e.Seeds, Duration: e.Plan.Duration, MeasureFrom: e.Plan.MeasureFrom,
+		MeasureUntil: e.Plan.MeasureUntil}
 	for _, f := range e.Plan.Faults {
-		t.Faults = append(t.Faults, Span{f.Kind, f.From, f.Until})
+		t.Faults = append(t.Faults, FaultSpan{f.Kind, f.From, f.Until})
 	}
 	runs := make([][]*emulator.Result, len(e.Variants))
 	errs := make([][]error, len(e.Variants))
-	free := make(chan struct{}, way.AtOnce)
+	free := make(chan struct{}, way.Parallel)
 	cores := max(1, runtime.GOMAXPROCS(0)/(len(e.Variants)*e.Seeds))
 	var all sync.WaitGroup
 	for v := range e.Variants {
@@ -93,7 +93,7 @@
 			all.Go(func() {
 				free <- struct{}{}
 				defer func() { <-free }()
-				runs[v][seed], errs[v][seed] = way.Run(e.Of(e.Variants[v], seed+1), cores)
+				runs[v][seed], errs[v][seed] = way.Run(e.PlanFor(e.Variants[v], seed+1), cores)
 				if step != nil {
 					step()
 				}
@@ -107,72 +107,72 @@
 				return nil, err
 			}
 		}
-		t.Rows = append(t.Rows, sum(variant.Name, runs[v]))
+		t.Rows = append(t.Rows, newRow(variant.Name, runs[v]))
 	}
-	t.hold()
+	t.compareToFirst()
 	return t, nil
 }
 
-// hold holds all rows against the first, seed by seed.
-func (t *Table) hold() {
+// compareToFirst holds all rows against the first, seed by seed.
+func (t *Table) compareToFirst() {
 	for i := range t.Rows {
-		t.Rows[i].against(&t.Rows[0])
+		t.Rows[i].compareTo(&t.Rows[0])
 	}
 	if r := &t.Rows[0]; len(r.Broken) == 0 {
 		r.Verdict = "the one held against"
 	}
 }
 
-// against holds a row against another of the same seeds.
-func (r *Row) against(first *Row) {
+// compareTo holds a row against another of the same seeds.
+func (r *Row) compareTo(first *Row) {
 	var more []float64
 	for i := range r.Shares {
 		more = append(more, r.Shares[i]-first.Shares[i])
 	}
 	r.Against = stat.Mean(more, nil)
-	r.Low, r.High = Interval(more)
+	r.Low, r.High = ConfidenceInterval(more)
 	if r.Verdict = verdict(r.Low, r.High); len(r.Broken) > 0 {
 		r.Verdict = "a rule is broken"
 	}
 }
 
-// sum makes a row of a variant's runs.
-func sum(name string, runs []*emulator.Result) Row {
+// newRow makes a row of a variant's runs.
+func newRow(name string, runs []*emulator.Result) Row {
 	r := Row{Name: name, Broken: []string{}}
 	n := float64(len(runs))
 	var p50, p99, p999 []int64
 	for seed, one := range runs {
-		r.Shares = append(r.Shares, one.Share())
+		r.Shares = append(r.Shares, one.RevenueShare())
 		asked := max(float64(one.Asked), 1) * n
 		r.Late += float64(one.Late) / asked
 		r.Partial += float64(one.Partial) / asked
 		r.Declined += float64(one.Declined) / asked
 		r.Forfeited += float64(one.Forfeited) / asked
 		r.Executions += float64(one.Executions) / asked
-		r.Further += float64(one.Further) / asked
-		r.AtFaulty += float64(one.AtFaulty) / n
+		r.Further += float64(one.Retries) / asked
+		r.FaultyExecutions += float64(one.FaultyExecutions) / n
 		p50, p99, p999 = append(p50, one.P50), append(p99, one.P99), append(p999, one.P999)
 		r.Events += one.Events
-		if r.Times == nil {
-			r.Times = make([]int64, len(one.Times))
+		if r.Latencies == nil {
+			r.Latencies = make([]int64, len(one.Latencies))
 		}
-		for i, ns := range one.Times {
-			r.Times[i] += ns / int64(len(runs))
+		for i, ns := range one.Latencies {
+			r.Latencies[i] += ns / int64(len(runs))
 		}
-		for i, l := range one.Loads {
+		for i, l := range one.Workloads {
 			if seed == 0 {
-				r.Loads = append(r.Loads, Load{Name: l.Name})
+				r.Workloads = append(r.Workloads, WorkloadShare{Name: l.Name})
 			}
-			r.Loads[i].InGoal += float64(l.InGoal) / max(float64(l.Asked), 1) / n
+			r.Workloads[i].InGoal += float64(l.InGoal) / max(float64(l.Asked), 1) / n
 		}
-		if r.Lines == nil {
-			r.Lines = make([]float64, len(one.Lines))
+		if r.ShareBySecond == nil {
+			r.ShareBySecond = make([]float64, len(one.ShareBySecond))
 		}
-		for i, x := range one.Lines {
-			r.Lines[i] += x / n
+		for i, x := range one.ShareBySecond {
+			r.ShareBySecond[i] += x / n
 		}
-		if one.Broken != "" {
-			r.Broken = append(r.Broken, one.Broken)
+		if one.Violation != "" {
+			r.Broken = append(r.Broken, one.Violation)
 		}
 	}
 	r.Mean = stat.Mean(r.Shares, nil)
@@ -199,9 +199,9 @@
 
 const resamples = 4000
 
-// Interval is where the mean of what these were drawn from lies, with 95% confidence, by drawing from them again and again
+// ConfidenceInterval is where the mean of what these were drawn from lies, with 95% confidence, by drawing from them again and again
 // (the bootstrap). It is the same for the same numbers.
-func Interval(x []float64) (low, high float64) {
+func ConfidenceInterval(x []float64) (low, high float64) {
 	chance := rand.New(rand.NewPCG(1, uint64(len(x))))
 	means := make([]float64, resamples)
 	for i := range means {
--- a/lab/experiment/recast/recast.go
+++ b/lab/experiment/recast/recast.go
@@ -22,8 +22,8 @@
 // Constants are values by name, as in "balance.warmUpSafety": the package's folder in the module, and the constant. Times are in ns.
 type Constants map[string]float64
 
-// text is a value as Go is told it: whole ones stay whole, for a constant may be needed so.
-func text(v float64) string {
+// goLiteral is a value as Go is told it: whole ones stay whole, for a constant may be needed so.
+func goLiteral(v float64) string {
 	if v == float64(int64(v)) {
 		return strconv.FormatInt(int64(v), 10)
 	}
@@ -40,7 +40,7 @@
 	defer os.RemoveAll(work)
 	overlay := struct{ Replace map[string]string }{map[string]string{}}
 	left := maps.Clone(constants)
-	for _, folder := range folders(constants) {
+	for _, folder := range packageFolders(constants) {
 		files, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
 		if err != nil {
 			return err
@@ -49,7 +49,7 @@
 			if strings.HasSuffix(file, "_test.go") {
 				continue
 			}
-			changed, err := change(file, folder, left)
+			changed, err := replaceConstants(file, folder, left)
 			if err != nil {
 				return err
 			}
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// folders are the packages that constants are of.
-func folders(constants Constants) (all []string) {
+// packageFolders are the packages that constants are of.
+func packageFolders(constants Constants) (all []string) {
 	for name := range constants {
 		folder, _, _ := strings.Cut(name, ".")
 		all = append(all, folder)
@@ -101,8 +101,8 @@
 	return slices.Compact(all)
 }
 
-// change returns a file's text with the constants that it declares changed, and takes them out of left; nil where it declares none.
-func change(file, folder string, left Constants) ([]byte, error) {
+// replaceConstants returns a file's text with the constants that it declares changed, and takes them out of left; nil where it declares none.
+func replaceConstants(file, folder string, left Constants) ([]byte, error) {
 	source, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -132,7 +132,7 @@
 				}
 				delete(left, full)
 				places = append(places, place{files.Position(spec.Values[i].Pos()).Offset, files.Position(spec.Values[i].End()).Offset,
-					text(v)})
+					goLiteral(v)})
 			}
 		}
 	}
--- a/lab/experiment/report.go
+++ b/lab/experiment/report.go
@@ -15,8 +15,8 @@
 	"willowsill/lab/emulator"
 )
 
-// Chart draws each variant's share of revenue second by second, with the stretches of the faults behind, as SVG.
-func (t *Table) Chart() ([]byte, error) {
+// RevenueChart draws each variant's share of revenue second by second, with the stretches of the faults behind, as SVG.
+func (t *Table) RevenueChart() ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = t.Question
 	p.X.Label.Text, p.Y.Label.Text = "second", "revenue within goal"
@@ -32,8 +32,8 @@
 		p.Add(area)
 	}
 	for i, r := range t.Rows {
-		points := make(plotter.XYs, len(r.Lines))
-		for second, share := range r.Lines {
+		points := make(plotter.XYs, len(r.ShareBySecond))
+		for second, share := range r.ShareBySecond {
 			points[second] = plotter.XY{X: float64(second), Y: share}
 		}
 		line, err := plotter.NewLine(points)
@@ -44,11 +44,11 @@
 		p.Add(line)
 		p.Legend.Add(r.Name, line)
 	}
-	return svg(p)
+	return renderSVG(p)
 }
 
-// Ends draws what became of the queries, variant by variant: late, partial, declined and forfeited, stacked.
-func (t *Table) Ends() ([]byte, error) {
+// OutcomeChart draws what became of the queries, variant by variant: late, partial, declined and forfeited, stacked.
+func (t *Table) OutcomeChart() ([]byte, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "what was not within the goal, of 1 asked", "share"
 	var below *plotter.BarChart
@@ -57,7 +57,7 @@
 		y    func(Row) float64
 	}{{"late", func(r Row) float64 { return r.Late }}, {"partial", func(r Row) float64 { return r.Partial }},
 		{"declined", func(r Row) float64 { return r.Declined }}, {"forfeited", func(r Row) float64 { return r.Forfeited }}} {
-		bars, err := t.bars(of.y, i)
+		bars, err := t.barChart(of.y, i)
 		if err != nil {
 			return nil, err
 		}
@@ -69,12 +69,12 @@
 		p.Legend.Add(of.name, bars)
 	}
 	p.Legend.Top = true
-	p.NominalX(t.names()...)
-	return svg(p)
+	p.NominalX(t.variantNames()...)
+	return renderSVG(p)
 }
 
-// Gap draws how much each variant earns less than the oracle, or than the best where there is none.
-func (t *Table) Gap() ([]byte, error) {
+// GapChart draws how much each variant earns less than the oracle, or than the best where there is none.
+func (t *Table) GapChart() ([]byte, error) {
 	ceiling := 0.0
 	for _, r := range t.Rows {
 		if ceiling = max(ceiling, r.Mean); r.Name == "oracle" {
@@ -84,26 +84,26 @@
 	}
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "revenue less than the oracle's, or the best's", "share"
-	bars, err := t.bars(func(r Row) float64 { return ceiling - r.Mean }, 0)
+	bars, err := t.barChart(func(r Row) float64 { return ceiling - r.Mean }, 0)
 	if err != nil {
 		return nil, err
 	}
 	p.Add(bars)
-	p.NominalX(t.names()...)
-	return svg(p)
+	p.NominalX(t.variantNames()...)
+	return renderSVG(p)
 }
 
-// Times draws each variant's times of answers: the share of them that took no longer.
-func (t *Table) Times() ([]byte, error) {
+// LatencyChart draws each variant's times of answers: the share of them that took no longer.
+func (t *Table) LatencyChart() ([]byte, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "times of answers", "ms", "share that took no longer"
 	for i, r := range t.Rows {
-		if len(r.Times) == 0 || r.Times[0] <= 0 {
+		if len(r.Latencies) == 0 || r.Latencies[0] <= 0 {
 			continue
 		}
-		points := make(plotter.XYs, len(r.Times))
-		for n, ns := range r.Times {
-			points[n] = plotter.XY{X: float64(ns) / 1e6, Y: emulator.Percents[n] / 100}
+		points := make(plotter.XYs, len(r.Latencies))
+		for n, ns := range r.Latencies {
+			points[n] = plotter.XY{X: float64(ns) / 1e6, Y: emulator.Percentiles[n] / 100}
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
@@ -114,10 +114,10 @@
 		p.Legend.Add(r.Name, line)
 		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1} // which cannot be where nothing is drawn
 	}
-	return svg(p)
+	return renderSVG(p)
 }
 
-func (t *Table) bars(of func(Row) float64, color int) (*plotter.BarChart, error) {
+func (t *Table) barChart(of func(Row) float64, color int) (*plotter.BarChart, error) {
 	var values plotter.Values
 	for _, r := range t.Rows {
 		values = append(values, of(r))
@@ -129,30 +129,30 @@
 	return bars, err
 }
 
-func (t *Table) names() (all []string) {
+func (t *Table) variantNames() (all []string) {
 	for _, r := range t.Rows {
 		all = append(all, r.Name)
 	}
 	return all
 }
 
-// Size is how a fleet of a size was played.
-type Size struct {
-	Aggregators int
-	Events      float64 // a second of real time
-	Heap        float64 // bytes at the most
+// FleetSize is how a fleet of a size was played.
+type FleetSize struct {
+	Aggregators     int
+	EventsPerSecond float64 // a second of real time
+	HeapBytes       float64 // bytes at the most
 }
 
-// Growth draws speed and memory against the size of the fleet, both on logarithmic scales, as SVG.
-func Growth(sizes []Size) ([]byte, error) {
+// GrowthChart draws speed and memory against the size of the fleet, both on logarithmic scales, as SVG.
+func GrowthChart(sizes []FleetSize) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = "events a second, and heap in KB, by aggregators"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	for i, of := range []struct {
 		name string
-		y    func(Size) float64
-	}{{"events a second", func(s Size) float64 { return s.Events }}, {"heap, KB", func(s Size) float64 { return s.Heap / 1e3 }}} {
+		y    func(FleetSize) float64
+	}{{"events a second", func(s FleetSize) float64 { return s.EventsPerSecond }}, {"heap, KB", func(s FleetSize) float64 { return s.HeapBytes / 1e3 }}} {
 		points := make(plotter.XYs, len(sizes))
 		for n, s := range sizes {
 			points[n] = plotter.XY{X: float64(s.Aggregators), Y: of.y(s)}
@@ -165,10 +165,10 @@
 		p.Add(line, dots)
 		p.Legend.Add(of.name, line)
 	}
-	return svg(p)
+	return renderSVG(p)
 }
 
-func svg(p *plot.Plot) ([]byte, error) {
+func renderSVG(p *plot.Plot) ([]byte, error) {
 	w, err := p.WriterTo(18*vg.Centimeter, 9*vg.Centimeter, "svg")
 	if err != nil {
 		return nil, err
@@ -178,7 +178,7 @@
 	return b.Bytes(), err
 }
 
-var page = template.Must(template.New("page").Funcs(template.FuncMap{
+var reportPage = template.Must(template.New("page").Funcs(template.FuncMap{
 	"ms":  func(ns int64) string { return fmt.Sprintf("%.1f", float64(ns)/1e6) },
 	"svg": func(b []byte) template.HTML { return template.HTML(b) },
 }).Parse(`<!DOCTYPE html><html lang="en"><meta charset="utf-8"><title>Experiments</title>
@@ -205,7 +205,7 @@
 	var parts []part
 	for _, t := range tables {
 		one := part{Table: t}
-		for _, draw := range []func() ([]byte, error){t.Chart, t.Times, t.Ends, t.Gap} {
+		for _, draw := range []func() ([]byte, error){t.RevenueChart, t.LatencyChart, t.OutcomeChart, t.GapChart} {
 			chart, err := draw()
 			if err != nil {
 				return err
@@ -217,5 +217,5 @@
 		}
 		parts = append(parts, one)
 	}
-	return page.Execute(out, parts)
+	return reportPage.Execute(out, parts)
 }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -20,51 +20,51 @@
 
 // Target is whom to ask what.
 type Target struct {
-	URL      string // of the aggregator
-	Workload string
-	Shards   []int // each query asks all of them, with equal weights
-	Text     string
-	Patience time.Duration
-	Goal     time.Duration
-	Sockets  int // connections at a time; 0 for any number
+	URL         string // of the aggregator
+	Workload    string
+	Shards      []int // each query asks all of them, with equal weights
+	Text        string
+	Timeout     time.Duration
+	LatencyGoal time.Duration
+	MaxConns    int // connections at a time; 0 for any number
 }
 
 // Outcome is what came of one stretch.
 type Outcome struct {
-	Rate     float64       `json:"rate"` // queries a second that were due, 0 for a fixed number of clients
-	Asked    int64         `json:"asked"`
-	InGoal   int64         `json:"in_goal"`
-	Late     int64         `json:"late"`
-	Declined int64         `json:"declined"`
-	Failed   int64         `json:"failed"` // an error, or no answer in time
-	Served   float64       `json:"served_a_second"`
-	P50      time.Duration `json:"p50_ns"` // of answers
-	P99      time.Duration `json:"p99_ns"`
-	P999     time.Duration `json:"p999_ns"`
+	Rate            float64       `json:"rate"` // queries a second that were due, 0 for a fixed number of clients
+	Asked           int64         `json:"asked"`
+	InGoal          int64         `json:"in_goal"`
+	Late            int64         `json:"late"`
+	Declined        int64         `json:"declined"`
+	Failed          int64         `json:"failed"` // an error, or no answer in time
+	ServedPerSecond float64       `json:"served_a_second"`
+	P50             time.Duration `json:"p50_ns"` // of answers
+	P99             time.Duration `json:"p99_ns"`
+	P999            time.Duration `json:"p999_ns"`
 }
 
-// Share is the share within the goal.
-func (o *Outcome) Share() float64 { return float64(o.InGoal) / float64(max(o.Asked, 1)) }
+// GoalShare is the share within the goal.
+func (o *Outcome) GoalShare() float64 { return float64(o.InGoal) / float64(max(o.Asked, 1)) }
 
 // Clients asks.
 type Clients struct {
 	Target
-	client *http.Client
-	body   []byte
-	number uint64
-	name   string
-	mu     sync.Mutex
-	now    *stretch
+	client   *http.Client
+	body     []byte
+	lastID   uint64
+	idPrefix string
+	mu       sync.Mutex
+	current  *measurement
 }
 
-type stretch struct {
+type measurement struct {
 	Outcome
 	times *hdrhistogram.Histogram
 }
 
 // New makes clients; Close ends them.
 func New(t Target) (*Clients, error) {
-	if len(t.Shards) == 0 || t.Patience <= 0 {
+	if len(t.Shards) == 0 || t.Timeout <= 0 {
 		return nil, errors.New("a query needs a shard and some time")
 	}
 	var b bytes.Buffer
@@ -76,24 +76,24 @@
 		fmt.Fprintf(&b, `{"segment":%d,"boost":%g}`, s, 1/float64(len(t.Shards)))
 	}
 	fmt.Fprintf(&b, `],"text":%q}`, t.Text)
-	return &Clients{Target: t, body: b.Bytes(), name: strconv.FormatUint(rand.Uint64(), 36),
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, MaxConnsPerHost: t.Sockets, IdleConnTimeout: 1500 * time.Millisecond}}}, nil
+	return &Clients{Target: t, body: b.Bytes(), idPrefix: strconv.FormatUint(rand.Uint64(), 36),
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, MaxConnsPerHost: t.MaxConns, IdleConnTimeout: 1500 * time.Millisecond}}}, nil
 }
 
 // Close gives the connections back.
 func (c *Clients) Close() { c.client.CloseIdleConnections() }
 
-func (c *Clients) begin(rate float64) *stretch {
-	s := &stretch{Outcome: Outcome{Rate: rate}, times: hdrhistogram.New(1000, max(int64(3*c.Patience), 1_000_000), 3)}
+func (c *Clients) startMeasurement(rate float64) *measurement {
+	s := &measurement{Outcome: Outcome{Rate: rate}, times: hdrhistogram.New(1000, max(int64(3*c.Timeout), 1_000_000), 3)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now = s
+	c.current = s
 	return s
 }
 
-// Open asks so many queries a second, by chance, whether answers come or not.
-func (c *Clients) Open(ctx context.Context, rate float64, span time.Duration, seed uint64) *Outcome {
-	s := c.begin(rate)
+// RunOpenLoop asks so many queries a second, by chance, whether answers come or not.
+func (c *Clients) RunOpenLoop(ctx context.Context, rate float64, span time.Duration, seed uint64) *Outcome {
+	s := c.startMeasurement(rate)
 	chance := rand.New(rand.NewPCG(seed, 1))
 	var all sync.WaitGroup
 	began := time.Now()
@@ -103,43 +103,43 @@
 			break
 		}
 		time.Sleep(time.Until(due))
-		all.Go(func() { c.ask(ctx, s, due) })
+		all.Go(func() { c.query(ctx, s, due) })
 	}
 	all.Wait()
-	return s.over(time.Since(began))
+	return s.finish(time.Since(began))
 }
 
-// Closed has so many clients ask, each its next query when the last is answered.
-func (c *Clients) Closed(ctx context.Context, clients int, span time.Duration) *Outcome {
-	s := c.begin(0)
+// RunClosedLoop has so many clients ask, each its next query when the last is answered.
+func (c *Clients) RunClosedLoop(ctx context.Context, clients int, span time.Duration) *Outcome {
+	s := c.startMeasurement(0)
 	var all sync.WaitGroup
 	began := time.Now()
 	for range clients {
 		all.Go(func() {
 			for ctx.Err() == nil && time.Since(began) < span {
-				if !c.ask(ctx, s, time.Now()) {
+				if !c.query(ctx, s, time.Now()) {
 					time.Sleep(10 * time.Millisecond) // an aggregator that declines at once is not to be asked in a circle
 				}
 			}
 		})
 	}
 	all.Wait()
-	return s.over(time.Since(began))
+	return s.finish(time.Since(began))
 }
 
-func (s *stretch) over(took time.Duration) *Outcome {
-	s.Served = float64(s.InGoal+s.Late) / took.Seconds()
+func (s *measurement) finish(took time.Duration) *Outcome {
+	s.ServedPerSecond = float64(s.InGoal+s.Late) / took.Seconds()
 	s.P50 = time.Duration(s.times.ValueAtPercentile(50))
 	s.P99 = time.Duration(s.times.ValueAtPercentile(99))
 	s.P999 = time.Duration(s.times.ValueAtPercentile(99.9))
 	return &s.Outcome
 }
 
-// ask asks one query that was due at a time; false where there was no answer with values.
-func (c *Clients) ask(ctx context.Context, s *stretch, due time.Time) bool {
+// query asks one query that was due at a time; false where there was no answer with values.
+func (c *Clients) query(ctx context.Context, s *measurement, due time.Time) bool {
 	c.mu.Lock()
-	c.number++
-	id := fmt.Sprint(c.name, "-", c.number)
+	c.lastID++
+	id := fmt.Sprint(c.idPrefix, "-", c.lastID)
 	s.Asked++
 	c.mu.Unlock()
 	status := c.post(ctx, id, due)
@@ -149,7 +149,7 @@
 	switch {
 	case status == http.StatusOK:
 		s.times.RecordValue(int64(took))
-		if took <= c.Goal {
+		if took <= c.LatencyGoal {
 			s.InGoal++
 		} else {
 			s.Late++
@@ -164,7 +164,7 @@
 }
 
 func (c *Clients) post(ctx context.Context, id string, due time.Time) int {
-	left := c.Patience - time.Since(due)
+	left := c.Timeout - time.Since(due)
 	if left < time.Millisecond {
 		return 0
 	}
@@ -188,14 +188,14 @@
 	return a.StatusCode
 }
 
-// Steps asks at growing rates until the share within the goal falls under what is wanted, then halves its way to where it
+// FindMaxRate asks at growing rates until the share within the goal falls under what is wanted, then halves its way to where it
 // breaks; ask plays one rate.
-func Steps(first, factor float64, most int, wanted float64, ask func(rate float64) *Outcome) (all []*Outcome, best float64) {
+func FindMaxRate(first, factor float64, most int, wanted float64, ask func(rate float64) *Outcome) (all []*Outcome, best float64) {
 	low, high := 0.0, 0.0
 	for rate, n := first, 0; n < most; n++ {
 		o := ask(rate)
 		all = append(all, o)
-		if o.Share() >= wanted {
+		if o.GoalShare() >= wanted {
 			low = rate
 		} else {
 			high = rate
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -12,7 +12,7 @@
 	t.Helper()
 	server := httptest.NewServer(serve)
 	t.Cleanup(server.Close)
-	c, err := New(Target{URL: server.URL, Workload: "look", Shards: []int{0, 1}, Patience: time.Second, Goal: 100 * time.Millisecond})
+	c, err := New(Target{URL: server.URL, Workload: "look", Shards: []int{0, 1}, Timeout: time.Second, LatencyGoal: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,11 +33,11 @@
 			time.Sleep(150 * time.Millisecond)
 		}
 	})
-	o := c.Open(t.Context(), 80, time.Second, 1)
+	o := c.RunOpenLoop(t.Context(), 80, time.Second, 1)
 	if sum := o.InGoal + o.Late + o.Declined + o.Failed; sum != o.Asked || o.Asked < 40 || o.InGoal < 8 || o.Late < 8 || o.Declined < 8 || o.Failed < 8 {
 		t.Errorf("%+v", o)
 	}
-	if closed := c.Closed(t.Context(), 3, 300*time.Millisecond); closed.Asked < 6 || closed.Rate != 0 {
+	if closed := c.RunClosedLoop(t.Context(), 3, 300*time.Millisecond); closed.Asked < 6 || closed.Rate != 0 {
 		t.Errorf("%+v", closed)
 	}
 }
@@ -52,7 +52,7 @@
 		}
 	})
 	began = time.Now()
-	o := c.Open(t.Context(), 200, time.Second, 1)
+	o := c.RunOpenLoop(t.Context(), 200, time.Second, 1)
 	if o.P99 < 200*time.Millisecond || o.Late < 20 {
 		t.Errorf("%+v", o)
 	}
@@ -60,7 +60,7 @@
 
 // Steps closes in on the rate at which the goal breaks.
 func TestSteps(t *testing.T) {
-	all, best := Steps(10, 2, 20, 0.9, func(rate float64) *Outcome {
+	all, best := FindMaxRate(10, 2, 20, 0.9, func(rate float64) *Outcome {
 		o := &Outcome{Rate: rate, Asked: 100, InGoal: 100}
 		if rate > 137 {
 			o.InGoal = 50
@@ -70,7 +70,7 @@
 	if best < 125 || best > 137 || len(all) > 12 {
 		t.Errorf("best %v after %d", best, len(all))
 	}
-	if _, best := Steps(10, 2, 5, 0.9, func(float64) *Outcome { return &Outcome{Asked: 1} }); best != 0 {
+	if _, best := FindMaxRate(10, 2, 5, 0.9, func(float64) *Outcome { return &Outcome{Asked: 1} }); best != 0 {
 		t.Errorf("nothing was within, and %v is told", best)
 	}
 }
--- a/lab/modelcheck/modelcheck_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -10,23 +10,23 @@
 var only = flag.String("scope", "", "the scope that TestScopes explores; all that CI has time for where it is not said")
 
 const (
-	inTests   = 15_000 // states of a scope that CI sees
-	forMutant = 60_000 // and that a mutant has to show in
+	ciStates     = 15_000 // states of a scope that CI sees
+	mutantStates = 60_000 // and that a mutant has to show in
 )
 
 // TestScopes: nothing promised is broken in any order of events.
 func TestScopes(t *testing.T) {
 	for _, s := range Scopes {
 		if *only == "" || s.Name == *only {
-			most := int64(inTests)
+			most := int64(ciStates)
 			if *only != "" {
-				most = forMutant
+				most = mutantStates
 			}
 			r := BreadthFirst(s, most, 0)
 			t.Log(r)
 			must.Eq(t, "", r.Broken)
 			if *only != "" { // what lies deep is found sooner so
-				r = DepthFirst(s, 5*forMutant, 0, nil)
+				r = DepthFirst(s, 5*mutantStates, 0, nil)
 				t.Log(r)
 				must.Eq(t, "", r.Broken)
 			}
--- a/lab/modelcheck/planted/planted.go
+++ b/lab/modelcheck/planted/planted.go
@@ -15,38 +15,38 @@
 	Name             string
 	Scope            string
 	Edits            []Edit
-	Long             bool // it lies deep, and is found in some runs of 300,000 states and not in others: no part of CI
+	Slow             bool // it lies deep, and is found in some runs of 300,000 states and not in others: no part of CI
 	AnswerBeforeSync bool // instead: answers leave before the sync
 }
 
 // Edit is one change of the text.
 type Edit struct {
 	File string // in the module
-	Was  string // stands there just once
-	Is   string
+	Old  string // stands there just once
+	New  string
 }
 
 // Mutants are planted to see that the exploration would find such faults.
 var Mutants = []Mutant{
 	{Name: "answers leave before the sync", Scope: "slow disks", AnswerBeforeSync: true},
 	{Name: "a read writes nothing back", Scope: "power", Edits: []Edit{{File: "decide/register/proposer.go",
-		Was: "committed := best.Value.Quorum(p.reportedAccepted(best.Accepted))", Is: "committed := true"}}},
+		Old: "committed := best.Value.Quorum(p.reportedAccepted(best.Accepted))", New: "committed := true"}}},
 	{Name: "a wiped disk counts", Scope: "disk lost", Edits: []Edit{{File: "decide/register/register.go",
-		Was: "if !a.CaughtUp {", Is: "if false {"}}},
-	{Name: "the old members alone decide", Scope: "replacement", Long: true, Edits: []Edit{{File: "decide/register/register.go",
-		Was: "return majority(v.Members, in) && (len(v.Prior) == 0 || majority(v.Prior, in))",
-		Is:  "if len(v.Prior) > 0 {\nreturn majority(v.Prior, in)\n}\nreturn majority(v.Members, in)"},
-		{File: "decide/register/proposer.go", Was: "if !p.next.Quorum(hasAccepted) || !p.valueRead().Quorum(hasAccepted) {", Is: "if !p.valueRead().Quorum(hasAccepted) {"}}},
+		Old: "if !a.CaughtUp {", New: "if false {"}}},
+	{Name: "the old members alone decide", Scope: "replacement", Slow: true, Edits: []Edit{{File: "decide/register/register.go",
+		Old: "return majority(v.Members, in) && (len(v.Prior) == 0 || majority(v.Prior, in))",
+		New: "if len(v.Prior) > 0 {\nreturn majority(v.Prior, in)\n}\nreturn majority(v.Members, in)"},
+		{File: "decide/register/proposer.go", Old: "if !p.next.Quorum(hasAccepted) || !p.valueRead().Quorum(hasAccepted) {", New: "if !p.valueRead().Quorum(hasAccepted) {"}}},
 	{Name: "a tie goes to who comes last", Scope: "two contents", Edits: []Edit{{File: "decide/register/register.go",
-		Was: "return cmp.Or(cmp.Compare(b.Number, o.Number), cmp.Compare(b.Proposer, o.Proposer))",
-		Is:  "return cmp.Compare(b.Number, o.Number)"}}},
+		Old: "return cmp.Or(cmp.Compare(b.Number, o.Number), cmp.Compare(b.Proposer, o.Proposer))",
+		New: "return cmp.Compare(b.Number, o.Number)"}}},
 	{Name: "questions of two lives look alike", Scope: "late answers", Edits: []Edit{{File: "decide/register/proposer.go",
-		Was: "p.queryBallot = Ballot{p.queryBallot.Number + 1, p.name}", Is: `p.queryBallot = Ballot{p.queryBallot.Number + 1, ""}`}}},
+		Old: "p.queryBallot = Ballot{p.queryBallot.Number + 1, p.name}", New: `p.queryBallot = Ballot{p.queryBallot.Number + 1, ""}`}}},
 	{Name: "a joiner believes the first answer", Scope: "disk lost", Edits: []Edit{{File: "decide/register/proposer.go",
-		Was: "return best, best.Value.Quorum(answered)", Is: "return best, answered != nil"}}},
+		Old: "return best, best.Value.Quorum(answered)", New: "return best, answered != nil"}}},
 	{Name: "the value under the highest ballot is passed over", Scope: "two contents", Edits: []Edit{{File: "decide/register/proposer.go",
-		Was: "if s.Accepted.Compare(best.Accepted) > 0 || len(best.Value.Members) == 0 {",
-		Is:  "if len(best.Value.Members) == 0 {"}}},
+		Old: "if s.Accepted.Compare(best.Accepted) > 0 || len(best.Value.Members) == 0 {",
+		New: "if len(best.Value.Members) == 0 {"}}},
 }
 
 // Overlay writes to a folder what has the Go tool build the module at root with the mutant in it, and returns
@@ -66,11 +66,11 @@
 		if err != nil {
 			return "", err
 		}
-		if n := strings.Count(string(text), e.Was); n != 1 {
-			return "", fmt.Errorf("%s: %q stands there %d times, the mutant %q wants it once", e.File, e.Was, n, m.Name)
+		if n := strings.Count(string(text), e.Old); n != 1 {
+			return "", fmt.Errorf("%s: %q stands there %d times, the mutant %q wants it once", e.File, e.Old, n, m.Name)
 		}
 		replace[path] = filepath.Join(folder, fmt.Sprintf("mutant%d.go", i))
-		if err := os.WriteFile(replace[path], []byte(strings.Replace(string(text), e.Was, e.Is, 1)), 0o600); err != nil {
+		if err := os.WriteFile(replace[path], []byte(strings.Replace(string(text), e.Old, e.New, 1)), 0o600); err != nil {
 			return "", err
 		}
 	}
--- a/lab/modelcheck/planted/planted_test.go
+++ b/lab/modelcheck/planted/planted_test.go
@@ -18,7 +18,7 @@
 	for _, m := range Mutants {
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
-			if m.Long && !*long {
+			if m.Slow && !*long {
 				t.Skip("it lies too deep for a run of fixed length: -long tries")
 			}
 			if m.AnswerBeforeSync {
--- a/lab/modelcheck/step.go
+++ b/lab/modelcheck/step.go
@@ -16,7 +16,7 @@
 	eventOp uint8 = iota + 1
 	eventDeliver
 	eventTick
-	eventAsk
+	eventJoin
 	eventSync
 	eventCrash
 	eventWipe
@@ -28,8 +28,8 @@
 
 // event leads from a state to the next.
 type event struct {
-	kind uint8
-	of   uint32 // the operation, the message's number, or the machine
+	kind    uint8
+	subject uint32 // the operation, the message's number, or the machine
 }
 
 // worker computes the states that follow a state. Each goroutine of an exploration has its own.
@@ -76,10 +76,10 @@
 		if m.proposer.Busy() && m.rounds < s.Rounds && !s.do(w, event{eventTick, uint32(i)}, visit) {
 			return
 		}
-		if m.joiner != nil && !s.do(w, event{eventAsk, uint32(i)}, visit) {
+		if m.joiner != nil && !s.do(w, event{eventJoin, uint32(i)}, visit) {
 			return
 		}
-		if len(m.held) > 0 && !s.do(w, event{eventSync, uint32(i)}, visit) {
+		if len(m.pendingAnswers) > 0 && !s.do(w, event{eventSync, uint32(i)}, visit) {
 			return
 		}
 		if w.crashes < s.Crashes && !s.do(w, event{eventCrash, uint32(i)}, visit) {
@@ -110,28 +110,28 @@
 	t := &transition{s, &w, make([]bool, len(w.machines)), nil}
 	switch e.kind {
 	case eventOp:
-		t.begin(int(e.of))
+		t.begin(int(e.subject))
 	case eventDeliver:
-		t.deliver(s.messages.get(e.of))
+		t.deliver(s.messages.get(e.subject))
 	case eventTick:
-		i := int(e.of)
+		i := int(e.subject)
 		m := t.machine(i)
 		t.carryOut(i, m.proposer.Tick(m.proposer.Due()))
-	case eventAsk:
-		i := int(e.of)
+	case eventJoin:
+		i := int(e.subject)
 		m := t.w.machines[i]
 		for _, to := range m.joiner.Targets(s.names) {
 			t.send(i, s.number[to], m.joiner.Request())
 		}
 	case eventSync:
-		t.sync(int(e.of))
+		t.sync(int(e.subject))
 	case eventCrash:
 		w.crashes++
-		i := int(e.of)
+		i := int(e.subject)
 		t.restart(t.machine(i), s.names[i])
 	case eventWipe:
 		w.wipes++
-		i := int(e.of)
+		i := int(e.subject)
 		m := t.machine(i)
 		m.saved, m.savedCaughtUp = register.State{}, false
 		t.restart(m, s.names[i])
@@ -161,7 +161,7 @@
 		if m.joiner != nil {
 			m.joiner = m.joiner.Copy()
 		}
-		m.held = slices.Clone(m.held)
+		m.pendingAnswers = slices.Clone(m.pendingAnswers)
 		t.w.machines[i], t.changed[i] = &m, true
 	}
 	return t.w.machines[i]
@@ -197,7 +197,7 @@
 func (t *transition) send(from, to int, m register.Message) {
 	life := 0
 	if m.Kind > register.Query && !t.LateAnswers {
-		life = t.w.machines[to].life
+		life = t.w.machines[to].incarnation
 	}
 	t.emit(t.message(from, to, life, m))
 }
@@ -246,7 +246,7 @@
 		return m.proposer.WouldLearn(p.m.Value)
 	}
 	if p.m.Kind > register.Query {
-		return p.life == 0 && t.LateAnswers || p.life == m.life && (m.proposer.Awaits(from, p.m) || m.joiner != nil && m.joiner.Awaits(from, p.m))
+		return p.incarnation == 0 && t.LateAnswers || p.incarnation == m.incarnation && (m.proposer.Awaits(from, p.m) || m.joiner != nil && m.joiner.Awaits(from, p.m))
 	}
 	asker := t.w.machines[p.from]
 	if asker.proposer.IsOutstanding(p.m) || asker.joiner != nil && asker.joiner.Request().Ballot == p.m.Ballot {
@@ -263,7 +263,7 @@
 
 // deliver delivers a message. An answer to a former life of the receiver is dropped, unless the scope says otherwise.
 func (t *transition) deliver(p *message) {
-	if p.life > 0 && p.life != t.w.machines[p.to].life {
+	if p.incarnation > 0 && p.incarnation != t.w.machines[p.to].incarnation {
 		return
 	}
 	if p.m.Kind == committedNotice {
@@ -271,7 +271,7 @@
 		return
 	}
 	if p.m.Kind <= register.Query {
-		t.ask(p.from, p.to, p.m)
+		t.handleRequest(p.from, p.to, p.m)
 		return
 	}
 	m := t.machine(p.to)
@@ -288,8 +288,8 @@
 	t.carryOut(p.to, m.proposer.Step(0, t.names[p.from], p.m))
 }
 
-// ask hands a request to a disk. The answer waits for the sync that covers it.
-func (t *transition) ask(from, to int, q register.Message) {
+// handleRequest hands a request to a disk. The answer waits for the sync that covers it.
+func (t *transition) handleRequest(from, to int, q register.Message) {
 	m := t.machine(to)
 	if q.Kind != register.Query {
 		m.proposer.ObserveBallot(q.Ballot)
@@ -299,16 +299,16 @@
 		return
 	}
 	m.proposer.CacheState(m.disk.State)
-	clean := m.savedCaughtUp && same(m.saved, m.disk.State)
+	clean := m.savedCaughtUp && sameBallots(m.saved, m.disk.State)
 	if t.SlowDisks && !clean && !t.AnswerBeforeSync {
 		life := 0
 		if !t.LateAnswers {
-			life = t.w.machines[from].life
+			life = t.w.machines[from].incarnation
 		}
 		id := t.message(to, from, life, answer)
-		if !slices.Contains(m.held, id) {
-			m.held = append(m.held, id)
-			slices.Sort(m.held)
+		if !slices.Contains(m.pendingAnswers, id) {
+			m.pendingAnswers = append(m.pendingAnswers, id)
+			slices.Sort(m.pendingAnswers)
 		}
 		return
 	}
@@ -317,18 +317,20 @@
 	}
 	t.send(to, from, answer)
 	if t.AnswerBeforeSync && !clean { // the sync is still to come
-		m.held = []uint32{t.message(to, from, 0, answer)}
+		m.pendingAnswers = []uint32{t.message(to, from, 0, answer)}
 	}
 }
 
-func same(a, b register.State) bool { return a.Promised == b.Promised && a.Accepted == b.Accepted }
+func sameBallots(a, b register.State) bool {
+	return a.Promised == b.Promised && a.Accepted == b.Accepted
+}
 
 // sync ends a save: the state is durable, and the answers that waited for it are sent.
 func (t *transition) sync(i int) {
 	m := t.machine(i)
 	m.saved, m.savedCaughtUp = m.disk.State, m.disk.CaughtUp
-	held := m.held
-	m.held = nil
+	held := m.pendingAnswers
+	m.pendingAnswers = nil
 	for _, id := range held {
 		t.emit(id)
 	}
@@ -399,7 +401,7 @@
 func (x *exploration) describe(e event) string {
 	switch e.kind {
 	case eventOp:
-		o := x.Ops[e.of]
+		o := x.Ops[e.subject]
 		switch o.Kind {
 		case Put:
 			return fmt.Sprintf("%s is sent revision %d with %q", o.At, o.Revision, o.Body)
@@ -408,10 +410,10 @@
 		}
 		return fmt.Sprintf("%s takes %s in for %q", o.At, o.In, o.Out)
 	case eventDeliver:
-		p := x.messages.get(e.of)
+		p := x.messages.get(e.subject)
 		return fmt.Sprintf("%s hears from %s: %s", x.names[p.to], x.names[p.from], Describe(p.m))
 	}
-	return x.names[e.of] + map[uint8]string{eventTick: ": its timer fires", eventAsk: " asks to be whole again",
+	return x.names[e.subject] + map[uint8]string{eventTick: ": its timer fires", eventJoin: " asks to be whole again",
 		eventSync: ": its disk has synced", eventCrash: " loses power and is back", eventWipe: " loses power and its disk, and is back"}[e.kind]
 }
 
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -60,10 +60,10 @@
 }
 
 type message struct {
-	from, to int
-	life     int // of the receiver that an answer is for, 0 for any
-	m        register.Message
-	hash     uint64
+	from, to    int
+	incarnation int // of the receiver that an answer is for, 0 for any
+	m           register.Message
+	hash        uint64
 }
 
 func newMessageTable() *messageTable {
@@ -90,18 +90,18 @@
 
 // machine is one controller. It is never changed in place.
 type machine struct {
-	disk          register.Acceptor // as its process knows it
-	saved         register.State    // as the disk holds it
-	savedCaughtUp bool              // whether the saved state counts for a majority
-	held          []uint32          // answers that wait for the next sync
-	proposer      *register.Proposer
-	joiner        *register.Joiner
-	life          int
-	rounds        int // questions and ballots that its proposer began in this life
-	last          register.Ballot
-	op            int    // that runs, + 1
-	floor         uint64 // the highest revision acknowledged anywhere as that op began
-	hash          uint64
+	disk           register.Acceptor // as its process knows it
+	saved          register.State    // as the disk holds it
+	savedCaughtUp  bool              // whether the saved state counts for a majority
+	pendingAnswers []uint32          // answers that wait for the next sync
+	proposer       *register.Proposer
+	joiner         *register.Joiner
+	incarnation    int
+	rounds         int // questions and ballots that its proposer began in this life
+	last           register.Ballot
+	op             int    // that runs, + 1
+	floor          uint64 // the highest revision acknowledged anywhere as that op began
+	hash           uint64
 }
 
 // world is one state of the whole system. It is never changed in place.
@@ -139,9 +139,9 @@
 	return x
 }
 
-func fixedDraw() float64 { return 0.5 }
+func fixedRandom() float64 { return 0.5 }
 
-func (x *exploration) life(name string, n int) string { return fmt.Sprint(name, "/", n) }
+func (x *exploration) incarnationName(name string, n int) string { return fmt.Sprint(name, "/", n) }
 
 // first returns the initial state.
 func (x *exploration) first() *world {
@@ -159,23 +159,23 @@
 
 // restart starts a machine's process anew with what its disk holds.
 func (x *exploration) restart(m *machine, name string) {
-	m.life++
-	own := x.life(name, m.life)
-	m.disk, m.held, m.joiner, m.op, m.rounds, m.last = register.Acceptor{State: m.saved, CaughtUp: m.savedCaughtUp}, nil, nil, 0, 0, register.Ballot{}
+	m.incarnation++
+	own := x.incarnationName(name, m.incarnation)
+	m.disk, m.pendingAnswers, m.joiner, m.op, m.rounds, m.last = register.Acceptor{State: m.saved, CaughtUp: m.savedCaughtUp}, nil, nil, 0, 0, register.Ballot{}
 	known := register.Value{Members: x.Members}
 	if m.savedCaughtUp {
 		known = m.saved.Value
 	} else {
 		m.joiner = register.NewJoiner(name, own)
 	}
-	m.proposer = register.NewProposer(own, known, fixedDraw)
+	m.proposer = register.NewProposer(own, known, fixedRandom)
 	m.proposer.ObserveBallot(m.saved.Promised)
 	m.proposer.CacheState(m.saved)
 }
 
 func (m *machine) rehash(key []byte) []byte {
 	key = m.saved.Key(m.disk.State.Key(key[:0]))
-	key = append(key, byte(m.life), byte(m.rounds), byte(m.op), byte(m.floor))
+	key = append(key, byte(m.incarnation), byte(m.rounds), byte(m.op), byte(m.floor))
 	for _, is := range []bool{m.savedCaughtUp, m.disk.CaughtUp, m.joiner != nil} {
 		if is {
 			key = append(key, 1)
@@ -183,7 +183,7 @@
 			key = append(key, 0)
 		}
 	}
-	for _, worker := range m.held {
+	for _, worker := range m.pendingAnswers {
 		key = append(key, byte(worker), byte(worker>>8), byte(worker>>16))
 	}
 	key = m.proposer.Key(key)
--- a/lab/propagation/propagation.go
+++ b/lab/propagation/propagation.go
@@ -15,55 +15,57 @@
 
 // Cost is what one update costs. A copy is one message over one link.
 type Cost struct {
-	Way          string
+	Strategy     string
 	Copies       int     // in all, those between controllers not counted
-	Zones        int     // of them between zones of a region
-	Regions      int     // and between regions
+	CrossZone    int     // of them between zones of a region
+	CrossRegion  int     // and between regions
 	AtController int     // the most that one controller sends
 	AtEdge       int     // the most that one edge sends
-	Hops         int     // from a controller to the last edge
-	Reached      float64 // share of the edges
+	MaxHops      int     // from a controller to the last edge
+	ReachedShare float64 // share of the edges
 }
 
 const (
-	floodTo = 3 // others that an edge tells in a flood: fewer leave many out
-	floodOf = 2 // edges that controllers begin a flood with
+	floodFanout = 3 // others that an edge tells in a flood: fewer leave many out
+	floodSeeds  = 2 // edges that controllers begin a flood with
 )
 
-type place struct{ zone, region int }
+type location struct{ zone, region int }
 
-func (f Fleet) place(i int) place { return place{i % f.Zones, i % f.Zones * f.Regions / f.Zones} }
+func (f Fleet) locationOf(i int) location {
+	return location{i % f.Zones, i % f.Zones * f.Regions / f.Zones}
+}
 
-// pass books one copy.
-func (c *Cost) pass(a, b place) {
+// countCopy books one copy.
+func (c *Cost) countCopy(a, b location) {
 	switch c.Copies++; {
 	case a.region != b.region:
-		c.Regions++
+		c.CrossRegion++
 	case a.zone != b.zone:
-		c.Zones++
+		c.CrossZone++
 	}
 }
 
-// Reckon compares the three ways.
-func Reckon(f Fleet) (all []Cost) {
-	edges, controllers := map[string]place{}, map[string]place{}
+// Compare compares the three ways.
+func Compare(f Fleet) (all []Cost) {
+	edges, controllers := map[string]location{}, map[string]location{}
 	var fleet clusterstate.Fleet
 	var names []string
 	for i := range f.Edges {
 		ip := fmt.Sprintf("10.%d.%d.%d", i%f.Zones, i/250, i%250)
-		edges[ip] = f.place(i)
+		edges[ip] = f.locationOf(i)
 		fleet.Edges = append(fleet.Edges, clusterstate.Edge{IP: ip, Zone: fmt.Sprint("z", i%f.Zones)})
 		names = append(names, ip)
 	}
 	for i := range f.Controllers {
 		ip := fmt.Sprintf("10.200.0.%d", i)
-		controllers[ip] = f.place(i)
+		controllers[ip] = f.locationOf(i)
 		fleet.Controllers = append(fleet.Controllers, ip)
 	}
 	first := func(ip string) relaytree.Feeder { // whom it follows
 		return relaytree.Feeders(ip, fmt.Sprint("z", edges[ip].zone), fleet, nil, nil)[0]
 	}
-	tree, star := Cost{Way: "tree", Reached: 1}, Cost{Way: "star", Reached: 1, Hops: 1}
+	tree, star := Cost{Strategy: "tree", ReachedShare: 1}, Cost{Strategy: "star", ReachedShare: 1, MaxHops: 1}
 	sends := map[string]int{}
 	starSends := map[string]int{}
 	for _, ip := range names {
@@ -72,15 +74,15 @@
 		if !up.Controller {
 			from = edges[up.IP]
 		}
-		tree.pass(from, edges[ip])
+		tree.countCopy(from, edges[ip])
 		sends[up.IP]++
 		hops := 1
 		for at := up; !at.Controller; at = first(at.IP) {
 			hops++
 		}
-		tree.Hops = max(tree.Hops, hops)
+		tree.MaxHops = max(tree.MaxHops, hops)
 		order := relaytree.Feeders(ip, "none", clusterstate.Fleet{}, fleet.Controllers, nil)
-		star.pass(controllers[order[0].IP], edges[ip])
+		star.countCopy(controllers[order[0].IP], edges[ip])
 		starSends[order[0].IP]++
 	}
 	for ip, n := range sends {
@@ -97,27 +99,27 @@
 }
 
 // flood is one drawing of it.
-func flood(f Fleet, names []string, edges, controllers map[string]place) Cost {
-	c := Cost{Way: "flood", AtController: floodOf, AtEdge: floodTo}
+func flood(f Fleet, names []string, edges, controllers map[string]location) Cost {
+	c := Cost{Strategy: "flood", AtController: floodSeeds, AtEdge: floodFanout}
 	rng := rand.New(rand.NewPCG(uint64(f.Edges), 1))
 	heard := map[string]bool{}
 	var wave []string
 	for _, at := range controllers {
-		for range floodOf {
+		for range floodSeeds {
 			to := names[rng.IntN(len(names))]
-			c.pass(at, edges[to])
+			c.countCopy(at, edges[to])
 			if !heard[to] {
 				heard[to] = true
 				wave = append(wave, to)
 			}
 		}
 	}
-	for ; len(wave) > 0; c.Hops++ {
+	for ; len(wave) > 0; c.MaxHops++ {
 		var next []string
 		for _, from := range wave {
-			for range floodTo {
+			for range floodFanout {
 				to := names[rng.IntN(len(names))]
-				c.pass(edges[from], edges[to])
+				c.countCopy(edges[from], edges[to])
 				if !heard[to] {
 					heard[to] = true
 					next = append(next, to)
@@ -126,6 +128,6 @@
 		}
 		wave = next
 	}
-	c.Reached = float64(len(heard)) / float64(len(names))
+	c.ReachedShare = float64(len(heard)) / float64(len(names))
 	return c
 }
--- a/lab/rehearsal/rehearsal.go
+++ b/lab/rehearsal/rehearsal.go
@@ -29,54 +29,54 @@
 	"willowsill/transport/daemon"
 )
 
-// Variable names the part that a child process plays.
-const Variable = "WILLOWSILL_REHEARSAL_PART"
+// RoleVariable names the part that a child process plays.
+const RoleVariable = "WILLOWSILL_REHEARSAL_PART"
 
 const (
-	controllers = 3
-	proxies     = 2
-	shards      = 3
-	holders     = 2 // of each shard, and of the ledger
-	work        = 8 * time.Millisecond
-	beat        = 300 * time.Millisecond
-	clients     = 8
-	deadlineMs  = 1500
-	ports       = localsettings.Ports(17080)
-	startWait   = 20 * time.Second
-	settleWait  = 1200 * time.Millisecond // after a loss, before what follows is counted apart
+	controllers        = 3
+	proxies            = 2
+	shards             = 3
+	replicasPerService = 2 // of each shard, and of the ledger
+	serviceTime        = 8 * time.Millisecond
+	heartbeat          = 300 * time.Millisecond
+	clients            = 8
+	deadlineMs         = 1500
+	ports              = localsettings.Ports(17080)
+	startWait          = 20 * time.Second
+	settleWait         = 1200 * time.Millisecond // after a loss, before what follows is counted apart
 )
 
 // Phase is a stretch of the rehearsal and what came of it.
 type Phase struct {
-	Name     string         `json:"name"`
-	Answers  map[string]int `json:"answers"`
-	Missing  int            `json:"parts_missing"`
-	MedianMS float64        `json:"median_ms"`
-	WorstMS  float64        `json:"worst_ms"`
+	Name         string         `json:"name"`
+	Answers      map[string]int `json:"answers"`
+	MissingParts int            `json:"parts_missing"`
+	MedianMS     float64        `json:"median_ms"`
+	WorstMS      float64        `json:"worst_ms"`
 }
 
-// Part runs one process of the rehearsal, where this process is one; it tells whether it was.
-func Part() bool {
-	switch os.Getenv(Variable) {
+// RunChild runs one process of the rehearsal, where this process is one; it tells whether it was.
+func RunChild() bool {
+	switch os.Getenv(RoleVariable) {
 	case "controller":
-		os.Exit(daemon.Start("controller", "plays a part", nil, controlserver.Run))
+		os.Exit(daemon.Run("controller", "plays a part", nil, controlserver.Run))
 	case "agent":
-		os.Exit(daemon.Start("agent", "plays a part", nil, agentserver.Run))
+		os.Exit(daemon.Run("agent", "plays a part", nil, agentserver.Run))
 	case "proxy":
-		os.Exit(daemon.Start("proxy", "plays a part", nil, proxyserver.Run))
+		os.Exit(daemon.Run("proxy", "plays a part", nil, proxyserver.Run))
 	}
 	return false
 }
 
-// stage holds what runs.
-type stage struct {
-	dir      string
-	exe      string
-	children map[string]*exec.Cmd
-	replicas []*systemreplica.Replica
-	control  []string
-	fronts   []string
-	ready    []string
+// deployment holds what runs.
+type deployment struct {
+	dir            string
+	exe            string
+	processes      map[string]*exec.Cmd
+	replicas       []*systemreplica.Replica
+	controlAddrs   []string
+	frontAddrs     []string
+	readinessAddrs []string
 }
 
 // Run plays it with copies of this program, queries each a phase, and returns what came of each phase.
@@ -90,10 +90,10 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &stage{dir: dir, exe: exe, children: map[string]*exec.Cmd{}}
-	defer s.strike()
+	s := &deployment{dir: dir, exe: exe, processes: map[string]*exec.Cmd{}}
+	defer s.stopAll()
 	for i := range controllers {
-		s.control = append(s.control, ports.Control(fmt.Sprintf("127.0.1.%d", i+1)))
+		s.controlAddrs = append(s.controlAddrs, ports.Control(fmt.Sprintf("127.0.1.%d", i+1)))
 	}
 	for i := range controllers {
 		if err := s.start("controller", fmt.Sprintf("127.0.1.%d", i+1)); err != nil {
@@ -102,20 +102,20 @@
 	}
 	for i := range proxies {
 		ip := fmt.Sprintf("127.0.2.%d", i+1)
-		s.fronts = append(s.fronts, ports.Front(ip))
-		s.ready = append(s.ready, ports.Readiness(ip))
+		s.frontAddrs = append(s.frontAddrs, ports.Front(ip))
+		s.readinessAddrs = append(s.readinessAddrs, ports.Readiness(ip))
 		for _, role := range []string{"agent", "proxy"} {
 			if err := s.start(role, ip); err != nil {
 				return nil, err
 			}
 		}
 	}
-	for i := range (shards + 1) * holders {
-		service := fmt.Sprint("shard-", i/holders)
-		if i/holders == shards {
+	for i := range (shards + 1) * replicasPerService {
+		service := fmt.Sprint("shard-", i/replicasPerService)
+		if i/replicasPerService == shards {
 			service = "ledger"
 		}
-		r := &systemreplica.Replica{ID: fmt.Sprint("i-", i), Service: service, Zone: "hall", Work: work, Beat: beat, Control: s.control}
+		r := &systemreplica.Replica{ID: fmt.Sprint("i-", i), Service: service, Zone: "hall", WorkTime: serviceTime, HeartbeatInterval: heartbeat, ControlAddresses: s.controlAddrs}
 		if err := r.Start("127.0.3.1:0"); err != nil {
 			return nil, err
 		}
@@ -124,38 +124,38 @@
 	if err := s.configure(1, ""); err != nil {
 		return nil, err
 	}
-	if err := s.wait(); err != nil {
+	if err := s.waitReady(); err != nil {
 		return nil, err
 	}
-	phases := []Phase{s.play(ctx, "all is well", "/scan/x", queries)}
+	phases := []Phase{s.runPhase(ctx, "all is well", "/scan/x", queries)}
 	s.kill("controller", "127.0.1.1")
 	if err := s.configure(2, "later"); err != nil {
 		return phases, err
 	}
 	time.Sleep(settleWait)
-	phases = append(phases, s.play(ctx, "a controller was killed, then a route added", "/later/x", queries))
+	phases = append(phases, s.runPhase(ctx, "a controller was killed, then a route added", "/later/x", queries))
 	s.kill("agent", "127.0.2.1")
-	phases = append(phases, s.play(ctx, "an agent was killed", "/scan/x", queries))
+	phases = append(phases, s.runPhase(ctx, "an agent was killed", "/scan/x", queries))
 	s.replicas[0].Kill()
-	phases = append(phases, s.play(ctx, "a replica was killed", "/scan/x", queries))
+	phases = append(phases, s.runPhase(ctx, "a replica was killed", "/scan/x", queries))
 	s.kill("proxy", "127.0.2.1")
-	phases = append(phases, s.play(ctx, "a proxy was killed", "/debit/x", queries))
+	phases = append(phases, s.runPhase(ctx, "a proxy was killed", "/debit/x", queries))
 	return phases, ctx.Err()
 }
 
-// settings writes a process's settings file and returns its name.
-func (s *stage) settings(role, ip string) (string, error) {
+// writeSettings writes a process's settings file and returns its name.
+func (s *deployment) writeSettings(role, ip string) (string, error) {
 	data := filepath.Join(s.dir, role+ip)
 	if err := os.MkdirAll(data, 0o700); err != nil {
 		return "", err
 	}
 	file := filepath.Join(data, "local.toml")
-	return file, ports.Write(file, localsettings.Daemon{Role: role, IP: ip, Zone: "hall", SeedNodes: s.control, Heartbeat: beat,
+	return file, ports.Write(file, localsettings.Daemon{Role: role, IP: ip, Zone: "hall", SeedNodes: s.controlAddrs, Heartbeat: heartbeat,
 		DataDir: data, MemoryMB: 256, GraceS: 2})
 }
 
-func (s *stage) start(role, ip string) error {
-	file, err := s.settings(role, ip)
+func (s *deployment) start(role, ip string) error {
+	file, err := s.writeSettings(role, ip)
 	if err != nil {
 		return err
 	}
@@ -165,37 +165,37 @@
 	}
 	defer log.Close()
 	c := exec.Command(s.exe)
-	c.Env = append(os.Environ(), Variable+"="+role, settings.Variable+"="+file)
+	c.Env = append(os.Environ(), RoleVariable+"="+role, settings.FileVariable+"="+file)
 	c.Stdout, c.Stderr = log, log
 	if err := c.Start(); err != nil {
 		return err
 	}
-	s.children[role+ip] = c
+	s.processes[role+ip] = c
 	return nil
 }
 
-func (s *stage) kill(role, ip string) {
-	c := s.children[role+ip]
-	delete(s.children, role+ip)
+func (s *deployment) kill(role, ip string) {
+	c := s.processes[role+ip]
+	delete(s.processes, role+ip)
 	c.Process.Kill()
 	c.Wait()
 }
 
-// strike ends all.
-func (s *stage) strike() {
+// stopAll ends all.
+func (s *deployment) stopAll() {
 	for _, r := range s.replicas {
 		r.Kill()
 	}
-	for _, c := range s.children {
+	for _, c := range s.processes {
 		c.Process.Kill()
 	}
-	for _, c := range s.children {
+	for _, c := range s.processes {
 		c.Wait()
 	}
 }
 
 // configure sends a configuration to one controller after the other until it is acknowledged.
-func (s *stage) configure(revision int, added string) error {
+func (s *deployment) configure(revision int, added string) error {
 	var fan, services []string
 	for i := range shards {
 		fan = append(fan, fmt.Sprint("shard-", i))
@@ -216,18 +216,18 @@
 		strings.Join(routes, ","), strings.Join(services, ","))
 	ctx, stop := context.WithTimeout(context.Background(), startWait)
 	defer stop()
-	control := controlclient.Control{Addresses: s.control}
-	if err := control.Send(ctx, []byte(body)); err != nil {
+	control := controlclient.Client{Addresses: s.controlAddrs}
+	if err := control.SendConfiguration(ctx, []byte(body)); err != nil {
 		return fmt.Errorf("configuration %d was not taken: %w", revision, err)
 	}
 	return nil
 }
 
-// wait waits until all proxies are ready and know the replicas.
-func (s *stage) wait() error {
+// waitReady waits until all proxies are ready and know the replicas.
+func (s *deployment) waitReady() error {
 	for until := time.Now().Add(startWait); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
 		n := 0
-		for _, r := range s.ready {
+		for _, r := range s.readinessAddrs {
 			if res, err := http.Get("http://" + r + "/v1/readiness"); err == nil {
 				res.Body.Close()
 				if res.StatusCode == http.StatusOK {
@@ -235,17 +235,17 @@
 				}
 			}
 		}
-		if n == len(s.ready) {
-			time.Sleep(2 * beat)
+		if n == len(s.readinessAddrs) {
+			time.Sleep(2 * heartbeat)
 			return nil
 		}
 	}
 	return fmt.Errorf("the proxies did not get ready")
 }
 
-// play asks queries of the proxies and counts the answers. A client whose proxy does not answer goes to the
+// runPhase asks queries of the proxies and counts the answers. A client whose proxy does not answer goes to the
 // next.
-func (s *stage) play(ctx context.Context, name, path string, queries int) Phase {
+func (s *deployment) runPhase(ctx context.Context, name, path string, queries int) Phase {
 	p := Phase{Name: name, Answers: map[string]int{}}
 	var mu sync.Mutex
 	var times []time.Duration
@@ -257,10 +257,10 @@
 		all.Go(func() {
 			for id := range ids {
 				began := time.Now()
-				answer, missing := s.ask(ctx, client, path, fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(name, " ", "-"), began.UnixNano(), id), id)
+				answer, missing := s.query(ctx, client, path, fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(name, " ", "-"), began.UnixNano(), id), id)
 				mu.Lock()
 				p.Answers[answer]++
-				p.Missing += missing
+				p.MissingParts += missing
 				times = append(times, time.Since(began))
 				mu.Unlock()
 			}
@@ -282,10 +282,10 @@
 	return p
 }
 
-func (s *stage) ask(ctx context.Context, client *http.Client, path, id string, first int) (answer string, missing int) {
+func (s *deployment) query(ctx context.Context, client *http.Client, path, id string, first int) (answer string, missing int) {
 	answer = "no connection"
-	for try := range s.fronts {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.fronts[(first+try)%len(s.fronts)]+path, nil)
+	for try := range s.frontAddrs {
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.frontAddrs[(first+try)%len(s.frontAddrs)]+path, nil)
 		if err != nil {
 			return err.Error(), 0
 		}
@@ -317,7 +317,7 @@
 			answers = append(answers, fmt.Sprint(n, " x ", a))
 		}
 		slices.Sort(answers)
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.1f\t%.1f\n", p.Name, strings.Join(answers, ", "), p.Missing, p.MedianMS, p.WorstMS)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.1f\t%.1f\n", p.Name, strings.Join(answers, ", "), p.MissingParts, p.MedianMS, p.WorstMS)
 	}
 	w.Flush()
 }
--- a/lab/rehearsal/rehearsal_test.go
+++ b/lab/rehearsal/rehearsal_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestMain(m *testing.M) {
-	Part()
+	RunChild()
 	os.Exit(m.Run())
 }
 
--- a/lab/rolloutcheck/rolloutcheck.go
+++ b/lab/rolloutcheck/rolloutcheck.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	second   = 1_000_000_000 // ns
-	edges    = 2
-	managers = 2
-	number   = 1 // of the rollout
-	horizon  = 9 // seconds by which it has to have ended
-	longest  = 2 // seconds that a request may be under way
-	replicas = 4 // of either version
+	second         = 1_000_000_000 // ns
+	edges          = 2
+	managers       = 2
+	number         = 1 // of the rollout
+	deadline       = 9 // seconds by which it has to have ended
+	maxRequestTime = 2 // seconds that a request may be under way
+	replicas       = 4 // of either version
 )
 
 var edgeNames = [edges]string{"a", "b"}
 
 // edge is one edge: the set that it goes by, and the request that it has under way at a replica of the old version.
 type edge struct {
-	set      rollout.Set
-	oldOut   int // 0 or 1
-	oldSince int // the second in which it was sent
-	seq      uint64
-	acted    bool // in this second
+	set         rollout.Set
+	oldInFlight int // 0 or 1
+	oldSince    int // the second in which it was sent
+	seq         uint64
+	acted       bool // in this second
 }
 
 // world is one state.
 type world struct {
-	now         int // s
-	set         rollout.Set
-	edges       [edges]edge
-	managers    [managers]*rollout.Manager
-	holder      int // of the duty
-	dutyChanged bool
-	lost        bool                      // the one message
-	proposed    [managers]*rollout.Change // decided by each, and not yet come to the register
-	trace       *step
+	now           int // s
+	set           rollout.Set
+	edges         [edges]edge
+	managers      [managers]*rollout.Manager
+	holder        int // of the duty
+	holderChanged bool
+	messageLost   bool                      // the one message
+	proposed      [managers]*rollout.Change // decided by each, and not yet come to the register
+	trace         *step
 }
 
 // step is one event of a trace.
@@ -88,7 +88,7 @@
 	return w
 }
 
-func (w world) copy(event string) world {
+func (w world) clone(event string) world {
 	for i, m := range w.managers {
 		w.managers[i] = m.Copy()
 	}
@@ -97,7 +97,7 @@
 }
 
 func (w *world) key() string {
-	b := []byte{byte(w.now), byte(w.holder), flag(w.dutyChanged), flag(w.lost)}
+	b := []byte{byte(w.now), byte(w.holder), flag(w.holderChanged), flag(w.messageLost)}
 	for _, p := range w.proposed {
 		b = append(b, flag(p != nil))
 		if p != nil {
@@ -106,7 +106,7 @@
 	}
 	b = w.set.Key(b)
 	for _, e := range w.edges {
-		b = append(b, byte(e.set.Version), byte(e.oldOut), byte(e.oldSince), flag(e.acted))
+		b = append(b, byte(e.set.Version), byte(e.oldInFlight), byte(e.oldSince), flag(e.acted))
 	}
 	for _, m := range w.managers {
 		b = m.Key(b)
@@ -121,8 +121,8 @@
 	return 0
 }
 
-// mayUseOld tells whether an edge may begin to send to a replica of the old version.
-func (w *world) mayUseOld(e int) bool {
+// admitsOldVersion tells whether an edge may begin to send to a replica of the old version.
+func (w *world) admitsOldVersion(e int) bool {
 	r, _ := w.edges[e].set.NewestOf("s")
 	for i := range replicas {
 		if r.Admits(edgeNames[e], fmt.Sprint("old", i), "v1") {
@@ -132,57 +132,57 @@
 	return false
 }
 
-// next are the states that one event leads to.
-func (w *world) next() (all []world) {
+// successors are the states that one event leads to.
+func (w *world) successors() (all []world) {
 	for e := range edges {
 		if !w.edges[e].acted {
-			all = append(all, w.turns(e)...)
+			all = append(all, w.edgeTurns(e)...)
 		}
 	}
 	for m, p := range w.proposed {
 		if p != nil {
-			n := w.copy(fmt.Sprintf("a step of controller %d comes to the register", m))
+			n := w.clone(fmt.Sprintf("a step of controller %d comes to the register", m))
 			n.commit(*p)
 			n.proposed[m] = nil
 			all = append(all, n)
 		}
 	}
 	if aborted, changed := w.set.Abort("s", "an operator's word"); changed {
-		n := w.copy("an operator takes it back")
-		n.take(aborted)
+		n := w.clone("an operator takes it back")
+		n.applySet(aborted)
 		all = append(all, n)
 	}
-	if !w.dutyChanged {
-		n := w.copy("the duty changes hands")
-		n.dutyChanged, n.holder = true, 1
+	if !w.holderChanged {
+		n := w.clone("the duty changes hands")
+		n.holderChanged, n.holder = true, 1
 		all = append(all, n)
 	}
 	if w.secondMayPass() {
-		n := w.copy("a second passes")
+		n := w.clone("a second passes")
 		n.passSecond()
 		all = append(all, n)
 	}
 	return all
 }
 
-// act is what one edge does.
-type act uint8
+// edgeAction is what one edge does.
+type edgeAction uint8
 
 const (
-	hear   act = iota // of the newest step
-	report            // to the holder of the duty
-	send              // to the old version
-	answer            // comes from the old version
+	receive edgeAction = iota // of the newest step
+	report                    // to the holder of the duty
+	send                      // to the old version
+	answer                    // comes from the old version
 )
 
-var actNames = [...]string{"hears", "reports", "sends to the old version", "is answered by the old version"}
+var actionNames = [...]string{"hears", "reports", "sends to the old version", "is answered by the old version"}
 
-// orders are the orders of what an edge in touch does in a second: it hears and reports once each, in either order, and one
+// actionOrders are the orders of what an edge in touch does in a second: it hears and reports once each, in either order, and one
 // of the two may be lost; a request begins or ends before, between or after these, or none does.
-func orders() (all [][]act) {
-	for _, messages := range [][]act{{hear, report}, {report, hear}, {hear}, {report}} {
+func actionOrders() (all [][]edgeAction) {
+	for _, messages := range [][]edgeAction{{receive, report}, {report, receive}, {receive}, {report}} {
 		all = append(all, messages)
-		for _, request := range []act{send, answer} {
+		for _, request := range []edgeAction{send, answer} {
 			for at := range len(messages) + 1 {
 				all = append(all, slices.Insert(slices.Clone(messages), at, request))
 			}
@@ -191,22 +191,22 @@
 	return all
 }
 
-var allOrders = orders()
+var allActionOrders = actionOrders()
 
-// turns are the states that a second at one edge leads to.
-func (w *world) turns(e int) (all []world) {
-	for _, order := range allOrders {
-		lost := !slices.Contains(order, hear) || !slices.Contains(order, report)
-		if lost && w.lost {
+// edgeTurns are the states that a second at one edge leads to.
+func (w *world) edgeTurns(e int) (all []world) {
+	for _, order := range allActionOrders {
+		lost := !slices.Contains(order, receive) || !slices.Contains(order, report)
+		if lost && w.messageLost {
 			continue
 		}
-		n := w.copy("")
-		n.lost = w.lost || lost
+		n := w.clone("")
+		n.messageLost = w.messageLost || lost
 		n.edges[e].acted = true
 		event, possible := "edge "+edgeNames[e], true
 		for _, a := range order {
-			event += " " + actNames[a] + ","
-			possible = possible && n.act(e, a)
+			event += " " + actionNames[a] + ","
+			possible = possible && n.perform(e, a)
 		}
 		if n.trace.event = event; possible {
 			all = append(all, n)
@@ -215,24 +215,24 @@
 	return all
 }
 
-// act has an edge do one thing; false where it cannot.
-func (w *world) act(e int, a act) bool {
+// perform has an edge do one thing; false where it cannot.
+func (w *world) perform(e int, a edgeAction) bool {
 	edge := &w.edges[e]
 	switch a {
-	case hear:
+	case receive:
 		edge.set = w.set
 	case report:
 		w.report(e)
 	case send:
-		if edge.oldOut > 0 || !w.mayUseOld(e) {
+		if edge.oldInFlight > 0 || !w.admitsOldVersion(e) {
 			return false
 		}
-		edge.oldOut, edge.oldSince = 1, w.now
+		edge.oldInFlight, edge.oldSince = 1, w.now
 	case answer:
-		if edge.oldOut == 0 {
+		if edge.oldInFlight == 0 {
 			return false
 		}
-		edge.oldOut, edge.oldSince = 0, 0
+		edge.oldInFlight, edge.oldSince = 0, 0
 	}
 	return true
 }
@@ -245,7 +245,7 @@
 		return
 	}
 	w.managers[w.holder].Report(w.nanoseconds(), edgeNames[e], []rollout.Evidence{{Number: number, Incarnation: 1, Seq: edge.seq,
-		Version: edge.set.Version, OldInFlight: edge.oldOut}})
+		Version: edge.set.Version, OldInFlight: edge.oldInFlight}})
 }
 
 func (w *world) nanoseconds() int64 { return int64(w.now) * second }
@@ -253,12 +253,12 @@
 // secondMayPass tells whether all has happened that has to in each second while the edges are in touch.
 func (w *world) secondMayPass() bool {
 	for _, e := range w.edges {
-		if !e.acted || e.oldOut > 0 && w.now-e.oldSince >= longest {
+		if !e.acted || e.oldInFlight > 0 && w.now-e.oldSince >= maxRequestTime {
 			return false
 		}
 	}
 	// A step of whoever holds the duty comes to the register within a second; one of the former holder at any time.
-	return w.now < horizon && w.proposed[w.holder] == nil
+	return w.now < deadline && w.proposed[w.holder] == nil
 }
 
 // passSecond lets a second pass, after which the holder of the duty decides.
@@ -277,19 +277,19 @@
 // commit brings a step to the register.
 func (w *world) commit(c rollout.Change) {
 	if set, changed := w.set.Apply(c); changed {
-		w.take(set)
+		w.applySet(set)
 	}
 }
 
-func (w *world) take(set rollout.Set) {
+func (w *world) applySet(set rollout.Set) {
 	w.set = set
 	for _, m := range w.managers {
 		m.Apply(w.nanoseconds(), set)
 	}
 }
 
-// broken names the invariant that is broken, empty for none. before is the phase in the state before.
-func (w *world) broken(before rollout.Phase) string {
+// brokenInvariant names the invariant that is broken, empty for none. before is the phase in the state before.
+func (w *world) brokenInvariant(before rollout.Phase) string {
 	r, _ := w.set.NewestOf("s")
 	if before != rollout.Active && r.Phase != before {
 		return fmt.Sprintf("a rollout that was %s is %s", before, r.Phase)
@@ -298,14 +298,14 @@
 		if w.edges[e].set.Version > w.set.Version {
 			return "an edge leads"
 		}
-		if r.Phase == rollout.Complete && before == rollout.Active && (w.edges[e].oldOut > 0 || w.mayUseOld(e)) {
+		if r.Phase == rollout.Complete && before == rollout.Active && (w.edges[e].oldInFlight > 0 || w.admitsOldVersion(e)) {
 			return "complete while edge " + edgeNames[e] + " uses the old version"
 		}
 		if held, _ := w.edges[e].set.NewestOf("s"); held.Phase == rollout.Reverted && held.Admits(edgeNames[e], "new0", "v2") {
 			return "a version that was taken back is open at edge " + edgeNames[e]
 		}
 	}
-	if w.now >= horizon && r.Phase == rollout.Active {
+	if w.now >= deadline && r.Phase == rollout.Active {
 		return "the rollout is stuck"
 	}
 	return ""
@@ -319,8 +319,8 @@
 		w := queue[0]
 		queue = queue[1:]
 		before, _ := w.set.NewestOf("s")
-		for _, n := range w.next() {
-			if broken := n.broken(before.Phase); broken != "" {
+		for _, n := range w.successors() {
+			if broken := n.brokenInvariant(before.Phase); broken != "" {
 				return Result{States: len(seen), Broken: broken, Trace: n.trace.events()}
 			}
 			after, _ := n.set.NewestOf("s")
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -12,22 +12,22 @@
 // Rule is one thing that the operators judge.
 type Rule struct {
 	Name      string // of the rule as the operators have it, and a word for the part of it
-	Judged    string // what breaks it
+	Violation string // what breaks it
 	Mechanism string // what keeps it, in words
 	Files     []string
-	Kinds     []string // kinds of days that bring it about; "any" for every day
-	Break     Break
+	Scenarios []string // kinds of days that bring it about; "any" for every day
+	Mutation  Mutation
 }
 
-// Break takes the mechanism out.
-type Break struct {
+// Mutation takes the mechanism out.
+type Mutation struct {
 	Edits   []planted.Edit
 	Package string // whose test fails then
 	Test    string // the test, and a subtest behind a slash
 }
 
 // Pattern is what go test is to run.
-func (b Break) Pattern() string {
+func (b Mutation) Pattern() string {
 	var names []string
 	for _, name := range strings.Split(b.Test, "/") {
 		names = append(names, "^"+name+"$")
@@ -36,13 +36,13 @@
 }
 
 // Mutant is the module with the mechanism taken out.
-func (r Rule) Mutant() planted.Mutant { return planted.Mutant{Name: r.Name, Edits: r.Break.Edits} }
+func (r Rule) Mutant() planted.Mutant { return planted.Mutant{Name: r.Name, Edits: r.Mutation.Edits} }
 
 // Row is the rule as a row of the page's table.
 func (r Rule) Row() string {
 	quoted := func(words []string) string { return "`" + strings.Join(words, "`, `") + "`" }
-	return fmt.Sprintf("| %s | %s | %s (%s) | `%s` %s | %s |", r.Name, r.Judged, r.Mechanism, quoted(r.Files), r.Break.Package, quoted([]string{r.Break.Test}),
-		quoted(r.Kinds))
+	return fmt.Sprintf("| %s | %s | %s (%s) | `%s` %s | %s |", r.Name, r.Violation, r.Mechanism, quoted(r.Files), r.Mutation.Package, quoted([]string{r.Mutation.Test}),
+		quoted(r.Scenarios))
 }
 
 // Heading is the table's heading.
@@ -57,8 +57,8 @@
 	return strings.Join(rows, "\n") + "\n"
 }
 
-func edit(file, was, is string) planted.Edit { return planted.Edit{File: file, Was: was, Is: is} }
+func edit(file, was, is string) planted.Edit { return planted.Edit{File: file, Old: was, New: is} }
 
 func files(names ...string) []string { return names }
 
-func kinds(names ...string) []string { return names }
+func scenarios(names ...string) []string { return names }
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -40,13 +40,13 @@
 	for _, r := range All {
 		must.False(t, names[r.Name], must.Sprint(r.Name, " stands twice"))
 		names[r.Name] = true
-		for what, cell := range map[string]string{"name": r.Name, "judged": r.Judged, "mechanism": r.Mechanism, "package": r.Break.Package, "test": r.Break.Test} {
+		for what, cell := range map[string]string{"name": r.Name, "judged": r.Violation, "mechanism": r.Mechanism, "package": r.Mutation.Package, "test": r.Mutation.Test} {
 			must.NotEq(t, "", cell, must.Sprint(r.Name, " has no ", what))
 			must.StrNotContains(t, cell, "|")
 		}
-		must.SliceNotEmpty(t, r.Kinds, must.Sprint(r.Name))
+		must.SliceNotEmpty(t, r.Scenarios, must.Sprint(r.Name))
 		must.SliceNotEmpty(t, r.Files, must.Sprint(r.Name))
-		must.SliceNotEmpty(t, r.Break.Edits, must.Sprint(r.Name))
+		must.SliceNotEmpty(t, r.Mutation.Edits, must.Sprint(r.Name))
 		for _, file := range r.Files {
 			_, err := os.Stat(filepath.Join(root, file))
 			must.NoError(t, err, must.Sprint(r.Name))
@@ -59,7 +59,7 @@
 	for _, r := range All {
 		t.Run(r.Name, func(t *testing.T) {
 			t.Parallel()
-			printed, err := r.Mutant().Run(root, t.TempDir(), r.Break.Pattern(), r.Break.Package)
+			printed, err := r.Mutant().Run(root, t.TempDir(), r.Mutation.Pattern(), r.Mutation.Package)
 			must.Error(t, err, must.Sprint("it passes without what keeps it"))
 			if !strings.Contains(printed, "--- FAIL: ") {
 				t.Errorf("no test failed: %v\n%s", err, printed)
--- a/node/admit.go
+++ b/node/admit.go
@@ -65,7 +65,7 @@
 
 // declineUnseen counts and returns the answer to a query that the module never sees.
 func (n *Node) declineUnseen() Answer {
-	n.count.Crowded.Add(1)
+	n.count.Rejected.Add(1)
 	return Answer{Outcome: balance.Declined, RetryAfter: n.retryAfter}
 }
 
@@ -73,10 +73,10 @@
 // deadline comes before the next round can.
 func (n *Node) admit(now int64, q *query) {
 	count := n.rows[q.Workload]
-	count.Taken.Add(1)
+	count.Accepted.Add(1)
 	timeout := q.Deadline - now - n.lateness
 	// Danger: in a round after its deadline the client would be answered too late.
-	if n.held >= n.terms.MostHeld || timeout <= max(n.lastRound+n.roundGap()-now, 0) {
+	if n.held >= n.terms.MaxHeld || timeout <= max(n.lastRound+n.roundGap()-now, 0) {
 		count.Declined.Add(1)
 		q.ended = true
 		q.answer <- n.declineUnseen()
@@ -84,7 +84,7 @@
 	}
 	priority := balance.FirstTry
 	if n.overQuota(now, q.Customer) {
-		count.Over.Add(1)
+		count.OverQuota.Add(1)
 		priority = balance.OverQuota
 	}
 	if q.Retry {
@@ -99,7 +99,7 @@
 	}
 	n.queries[q.handle] = q
 	n.held += 1 + len(q.Parts)
-	n.count.HeldHighest.Show(int64(n.held))
+	n.count.HeldMaximum.Record(int64(n.held))
 }
 
 // clientLeft ends a query whose client has left.
@@ -107,7 +107,7 @@
 	if q.ended {
 		return
 	}
-	n.rows[q.Workload].Left.Add(1)
+	n.rows[q.Workload].ClientGone.Add(1)
 	q.handle.ClientLeft(now)
 	n.endQuery(q)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -60,7 +60,7 @@
 type Node struct {
 	Clock
 	deployment.Deployment
-	terms       deployment.Terms
+	terms       deployment.Limits
 	rows        []*counters.Workload // by row of the workload
 	log         *zap.Logger
 	count       *counters.Counters
@@ -124,8 +124,8 @@
 type Options struct {
 	Clock       Clock
 	Deployment  deployment.Deployment
-	Terms       deployment.Terms
-	KnownList   discovery.News // the last list that an earlier process knew
+	Terms       deployment.Limits
+	KnownList   discovery.Update // the last list that an earlier process knew
 	Budget      *sockets.Budget
 	Count       *counters.Counters
 	Log         *zap.Logger
@@ -146,7 +146,7 @@
 		indices: map[string]int{}, lastRetryAt: map[int]int64{}, queries: map[*balance.Query]*query{}, running: map[*replica.Ticket]*execution{},
 		rows: make([]*counters.Workload, len(p.Deployment.Workloads)),
 	}
-	for name, row := range p.Deployment.Workload {
+	for name, row := range p.Deployment.WorkloadRow {
 		n.rows[row] = p.Count.Workloads[name]
 	}
 	n.agg = balance.New(n.Now(), p.Deployment.Deployment)
@@ -155,8 +155,8 @@
 	if p.NewTransport != nil {
 		n.transport = p.NewTransport(tell, n.Now)
 	} else {
-		n.transport = frameTransport{replica.NewPool(replica.Terms{Streams: p.Terms.Streams, ConnectWithin: p.Terms.ConnectWithin,
-			IdleAfter: p.Terms.IdleAfter, Now: n.Now, Dial: p.Dial}, func(v replica.Notice) { tell(v) }, p.Budget, p.Count)}
+		n.transport = frameTransport{replica.NewPool(replica.Config{MaxCalls: p.Terms.CallsPerConnection, ConnectTimeout: p.Terms.ConnectTimeout,
+			IdleTimeout: p.Terms.IdleTimeout, Now: n.Now, Dial: p.Dial}, func(v replica.Event) { tell(v) }, p.Budget, p.Count)}
 	}
 	n.applyList(n.Now(), p.KnownList, false)
 	n.changed = true // the first round may have to request the list
@@ -168,7 +168,7 @@
 func (n *Node) Ready() <-chan struct{} { return n.ready }
 
 // ApplyList queues an update of the list of replicas.
-func (n *Node) ApplyList(ctx context.Context, news discovery.News) {
+func (n *Node) ApplyList(ctx context.Context, news discovery.Update) {
 	select {
 	case n.events <- event{n.Now(), news}:
 	case <-ctx.Done():
@@ -230,7 +230,7 @@
 // Danger: without the decay and the cap, queries would seem to have no time left after one long stall.
 func (n *Node) recordLateness(delay int64) {
 	n.lateness = max(min(delay, longDelay), n.lateness-n.lateness/latenessDecay)
-	n.count.DelayHighest.Show(delay)
+	n.count.DelayMaximum.Record(delay)
 }
 
 // nextRoundAt is when the next round is due: rounds are at least a tick apart, or as the schedule allows.
@@ -257,7 +257,7 @@
 	switch e.payload.(type) {
 	case surveyRequest, sharedUpdate, retryUseRequest: // their delay affects no query
 	default:
-		n.count.Delay.Show(delay)
+		n.count.Delay.Record(delay)
 	}
 	n.recordLateness(delay)
 	if delay > longDelay {
@@ -270,7 +270,7 @@
 		n.clientLeft(now, v.query)
 	case transportEvent:
 		n.handleTransport(now, v)
-	case discovery.News:
+	case discovery.Update:
 		n.applyList(now, v, true)
 	case retryUseRequest:
 		v.reply <- n.retryUse(now)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -52,15 +52,15 @@
 		go discoveryServer.Serve(w.network.Listen("d:1"))
 		row := balance.Workload{LatencyGoal: 1000e6, LateShare: 0.3, MinCoverage: 1, FullCoverage: 1, PartialShare: 0.9}
 		p := Options{Clock: NewClock(), Log: zap.NewNop(), Budget: sockets.NewBudget(64), Dial: w.network.Dial,
-			Deployment: deployment.Deployment{Workload: map[string]int{"lookup": 0}, Deployment: balance.Deployment{
+			Deployment: deployment.Deployment{WorkloadRow: map[string]int{"lookup": 0}, Deployment: balance.Deployment{
 				Aggregators: 1, Tick: 5e6, Workloads: []balance.Workload{row}, Shards: 2, Cells: 1, CellsPerShard: 1,
 				PartsPerCall: 1, MaxExecutions: 3, CanCancel: true, MaxRetryAfter: 2000e6, ColdCapacity: 0.2,
 				WarmUpTime: 9000e6, OverloadFactor: 4, OverloadSpan: 1000e6}},
-			Terms: deployment.Terms{MostHeld: 30, Streams: 32, ConnectWithin: 250e6, IdleAfter: 15e9}}
-		p.Count = counters.New(p.Deployment.Workload)
+			Terms: deployment.Limits{MaxHeld: 30, CallsPerConnection: 32, ConnectTimeout: 250e6, IdleTimeout: 15e9}}
+		p.Count = counters.New(p.Deployment.WorkloadRow)
 		w.count = p.Count
-		watch := discovery.NewWatch("d:1", 1, 0, w.network.Dial, func(ctx context.Context, n discovery.News) { w.ApplyList(ctx, n) })
-		p.RequestList = watch.Ask
+		watch := discovery.NewWatch("d:1", 1, 0, w.network.Dial, func(ctx context.Context, n discovery.Update) { w.ApplyList(ctx, n) })
+		p.RequestList = watch.Request
 		change(&p)
 		w.Node = New(p)
 		ctx, stop := context.WithCancel(t.Context())
@@ -79,9 +79,9 @@
 		for _, l := range w.listeners {
 			l.Close()
 		}
-		if w.held != 0 || len(w.queries) != 0 || len(w.running) != 0 || p.Budget.Taken(sockets.Replicas) != 0 {
+		if w.held != 0 || len(w.queries) != 0 || len(w.running) != 0 || p.Budget.InUse(sockets.Replicas) != 0 {
 			t.Errorf("left over: %d held, %d queries, %d executions, %d descriptors", w.held, len(w.queries), len(w.running),
-				p.Budget.Taken(sockets.Replicas))
+				p.Budget.InUse(sockets.Replicas))
 		}
 	})
 }
@@ -185,7 +185,7 @@
 	runNode(t, asIs, func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
 		if p.Shard == 0 && first {
 			first = false
-			return replica.Reply{ID: p.ID, End: replica.Failed}, true
+			return replica.Reply{ID: p.ID, Outcome: replica.Failed}, true
 		}
 		return value(ctx, p)
 	}, func(w *fixture) {
@@ -213,9 +213,9 @@
 
 // Danger: a part that still waits for its connection must not be sent once its query is answered or its client has left.
 func TestNothingAfterTheAnswer(t *testing.T) {
-	runNode(t, func(p *Options) { p.Terms.ConnectWithin, p.Deployment.CanCancel = 5e9, false }, value, func(w *fixture) {
-		w.network.Silence("r:0")
-		w.network.Silence("r:1")
+	runNode(t, func(p *Options) { p.Terms.ConnectTimeout, p.Deployment.CanCancel = 5e9, false }, value, func(w *fixture) {
+		w.network.Blackhole("r:0")
+		w.network.Blackhole("r:1")
 		w.serve(w.Context(), "q", 300*time.Millisecond)
 		time.Sleep(10 * time.Millisecond)
 		synctest.Wait()
@@ -251,7 +251,7 @@
 				}
 			}
 		}
-		if crowded := w.count.Crowded.Load(); crowded == 0 || served == 0 {
+		if crowded := w.count.Rejected.Load(); crowded == 0 || served == 0 {
 			w.Errorf("%d declined because the node holds too much, %d served", crowded, served)
 		}
 	})
@@ -294,12 +294,12 @@
 func TestAskedList(t *testing.T) {
 	runNode(t, func(p *Options) {
 		p.Deployment.AsksForList, p.Deployment.AskWithin = true, 10e9
-		p.KnownList = discovery.News{Entries: []discovery.Entry{{Host: "s-0", Dial: "r:9"}}}
+		p.KnownList = discovery.Update{Entries: []discovery.Entry{{Host: "s-0", Dial: "r:9"}}}
 	}, value, func(w *fixture) {
 		time.Sleep(10 * time.Millisecond)
 		w.expect(w.serve(w.Context(), "q", 2*time.Second), "0 [{0 q.0text} {1 q.1text}] 0 after 50ms")
-		if w.count.ListNews.Load() < 2 || w.count.ListFailures.Load() != 0 {
-			w.Errorf("%d list updates, %d failures", w.count.ListNews.Load(), w.count.ListFailures.Load())
+		if w.count.ListUpdates.Load() < 2 || w.count.ListFailures.Load() != 0 {
+			w.Errorf("%d list updates, %d failures", w.count.ListUpdates.Load(), w.count.ListFailures.Load())
 		}
 	})
 }
--- a/node/relay.go
+++ b/node/relay.go
@@ -29,7 +29,7 @@
 			}
 		}
 		if e.Outcome == balance.Whole {
-			count.Whole.Add(1)
+			count.Complete.Add(1)
 		} else {
 			count.Partial.Add(1)
 		}
--- a/node/results.go
+++ b/node/results.go
@@ -62,7 +62,7 @@
 	q := e.query
 	q.running--
 	if e.observed != "" {
-		n.observer.Ended(e.observed, Execution{Workload: q.Workload, Result: result, Took: e.responseTime(at), NewConnection: e.ticket.Fresh})
+		n.observer.Ended(e.observed, Execution{Workload: q.Workload, Result: result, Took: e.responseTime(at), NewConnection: e.ticket.NewConnection})
 	}
 	if n.zoneHealth != nil {
 		n.zoneHealth.ExecutionEnded(now, e.replica, result, max(at-e.sentAt, 0))
@@ -77,7 +77,7 @@
 	[...]*counters.Count{
 		balance.Fulfilled: &x.Fulfilled, balance.Errored: &x.Errored, balance.Full: &x.Full,
 		balance.TimedOut: &x.TimedOut, balance.ConnectFailed: &x.ConnectFailed, balance.Reset: &x.Reset,
-		balance.Cancelled: &x.Cancelled, balance.Unsent: &x.Moot,
+		balance.Cancelled: &x.Cancelled, balance.Unsent: &x.Unsent,
 	}[result].Add(1)
 }
 
@@ -106,9 +106,9 @@
 
 // applyList applies an update of the list; live is false for a list that an earlier process saved. A replica is
 // identified by its host, for the address at which it is dialled may differ and change.
-func (n *Node) applyList(now int64, news discovery.News, live bool) {
-	for _, err := range news.Oddities {
-		n.count.ListOddities.Add(1)
+func (n *Node) applyList(now int64, news discovery.Update, live bool) {
+	for _, err := range news.Skipped {
+		n.count.ListSkipped.Add(1)
 		n.log.Warn("an entry of the list was left out", zap.Error(err))
 	}
 	if news.Err != nil {
@@ -119,9 +119,9 @@
 		}
 		return
 	}
-	n.count.ListNews.Add(1)
+	n.count.ListUpdates.Add(1)
 	n.shared.listChanged()
-	whole := news.Whole || !live
+	whole := news.Full || !live
 	if whole {
 		for i := range n.hosts {
 			n.hosts[i].gone, n.hosts[i].up = true, false // until its entry below says otherwise
@@ -130,16 +130,16 @@
 	listings := make([]balance.Listing, 0, len(news.Entries))
 	for _, e := range news.Entries {
 		i, known := n.indices[e.Host]
-		if !known && e.Standing == balance.Gone { // it was never known here
+		if !known && e.Status == balance.Gone { // it was never known here
 			continue
 		}
 		if !known {
 			i = n.assignIndex(e.Host)
 		}
 		h := &n.hosts[i]
-		h.gone, h.up = e.Standing == balance.Gone, e.Standing == balance.Up
-		if e.Standing != balance.Gone {
-			h.startedMs, h.zone = e.Born, e.Zone
+		h.gone, h.up = e.Status == balance.Gone, e.Status == balance.Up
+		if e.Status != balance.Gone {
+			h.startedMs, h.zone = e.StartedMs, e.Zone
 		}
 		if !known || e.Dial != "" { // the entry of one that has left may lack the address
 			n.transport.SetAddress(i, e.Dial)
@@ -147,9 +147,9 @@
 		if n.zoneHealth != nil && h.up {
 			n.zoneHealth.ReplicaListed(i, e.Zone, known)
 		}
-		listings = append(listings, balance.Listing{Replica: i, New: !known, Cell: e.Cell, Status: e.Standing,
-			StartedAt: n.FromUnixMilli(e.Born), Distance: e.Distance, MaxCalls: e.Channels})
-		if e.Standing == balance.Up && !n.isReady {
+		listings = append(listings, balance.Listing{Replica: i, New: !known, Cell: e.Cell, Status: e.Status,
+			StartedAt: n.FromUnixMilli(e.StartedMs), Distance: e.Distance, MaxCalls: e.MaxCalls})
+		if e.Status == balance.Up && !n.isReady {
 			n.isReady = true
 			close(n.ready)
 		}
--- a/node/retries_test.go
+++ b/node/retries_test.go
@@ -17,7 +17,7 @@
 	failsOnce := func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
 		if p.Shard == 1 {
 			if sent++; sent < 3 {
-				return replica.Reply{ID: p.ID, End: replica.Failed}, true
+				return replica.Reply{ID: p.ID, Outcome: replica.Failed}, true
 			}
 		}
 		return value(ctx, p)
--- a/node/send.go
+++ b/node/send.go
@@ -24,7 +24,7 @@
 // responseTime is the time from when its connection was established, ns, for the time to connect says nothing about
 // the replica; 0 if it never was.
 func (e *execution) responseTime(at int64) int64 {
-	connected := e.ticket.Connected.Load()
+	connected := e.ticket.ConnectedAt.Load()
 	if connected == 0 {
 		return 0
 	}
@@ -49,7 +49,7 @@
 		wait := (s.Deadline - now) / waitUnit
 		shard := q.Parts[s.Part].Shard
 		e.ticket = &replica.Ticket{Part: replica.Part{ID: q.ID + "." + strconv.Itoa(shard), Shard: shard,
-			Wait: wait, Text: q.Text}, Load: q.Payload}
+			WaitMs: wait, Text: q.Text}, Payload: q.Payload}
 		q.executions[s.Part] = append(q.executions[s.Part], e)
 		if e.number > 0 {
 			n.lastRetryAt[shard%max(n.ShardBudgets, 1)] = now
--- a/node/share_test.go
+++ b/node/share_test.go
@@ -37,7 +37,7 @@
 		}
 		ask("d", "unknown")
 		ask("e", "")
-		if over := w.count.Workloads["lookup"].Over.Load(); over != 1 {
+		if over := w.count.Workloads["lookup"].OverQuota.Load(); over != 1 {
 			w.Errorf("%d of three queries with two tokens are over quota", over)
 		}
 		if s, _ := w.Survey(w.Context()); s.Demand[0] != 3 || s.TokensLeft[0] != 0 {
--- a/node/transport.go
+++ b/node/transport.go
@@ -26,6 +26,6 @@
 type frameTransport struct{ *replica.Pool }
 
 func (f frameTransport) Handle(v any) ([]replica.Report, error) {
-	n := v.(replica.Notice)
+	n := v.(replica.Event)
 	return f.Pool.Handle(n), n.Err
 }
--- a/node/zones.go
+++ b/node/zones.go
@@ -26,10 +26,10 @@
 	}
 	if n.zoneHealth = tracker; tracker == nil {
 		n.reports, n.unreachable = nil, nil
-		n.count.Zones.Put(nil)
+		n.count.Zones.Set(nil)
 		return
 	}
-	n.count.Zones.Put(tracker.Figures)
+	n.count.Zones.Set(tracker.Figures)
 	for i, h := range n.hosts {
 		if h.name != "" && h.up {
 			tracker.ReplicaListed(i, h.zone, true)
--- a/standin/discovery.go
+++ b/standin/discovery.go
@@ -11,28 +11,28 @@
 
 // Host is one replica on the list.
 type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms"`
+	Host        string  `json:"host"`
+	Dial        string  `json:"dial"`
+	Site        string  `json:"site"`
+	Class       string  `json:"class"`
+	Cell        int     `json:"block"`
+	Health      string  `json:"health"`
+	Share       float64 `json:"share"`
+	StartedAtMs int64   `json:"born_ms"`
 }
 
 // Discovery serves a list and its changes.
 type Discovery struct {
-	mu      sync.Mutex
-	seq     int64
-	hosts   []Host
-	changed []int64 // the version of each host's last change
-	news    chan struct{}
+	mu       sync.Mutex
+	seq      int64
+	hosts    []Host
+	versions []int64 // the version of each host's last change
+	updated  chan struct{}
 }
 
 // NewDiscovery makes a discovery with a list.
 func NewDiscovery(hosts ...Host) *Discovery {
-	d := &Discovery{news: make(chan struct{})}
+	d := &Discovery{updated: make(chan struct{})}
 	for _, h := range hosts {
 		d.Change(h)
 	}
@@ -47,11 +47,11 @@
 	at := slices.IndexFunc(d.hosts, func(was Host) bool { return was.Host == h.Host })
 	if at < 0 {
 		at = len(d.hosts)
-		d.hosts, d.changed = append(d.hosts, h), append(d.changed, d.seq)
+		d.hosts, d.versions = append(d.hosts, h), append(d.versions, d.seq)
 	}
-	d.hosts[at], d.changed[at] = h, d.seq
-	close(d.news)
-	d.news = make(chan struct{})
+	d.hosts[at], d.versions[at] = h, d.seq
+	close(d.updated)
+	d.updated = make(chan struct{})
 }
 
 // ServeHTTP answers calls for the whole list and for what is new since a version.
@@ -64,7 +64,7 @@
 	whole := err != nil
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 	d.mu.Lock()
-	if news := d.news; !whole && d.seq <= since {
+	if news := d.updated; !whole && d.seq <= since {
 		d.mu.Unlock()
 		select {
 		case <-news:
@@ -75,7 +75,7 @@
 	}
 	hosts := []Host{}
 	for i, h := range d.hosts {
-		if whole && h.Health != "left" || !whole && d.changed[i] > since {
+		if whole && h.Health != "left" || !whole && d.versions[i] > since {
 			hosts = append(hosts, h)
 		}
 	}
--- a/standin/lab/back.go
+++ b/standin/lab/back.go
@@ -14,33 +14,33 @@
 	"willowsill/transport/replica"
 )
 
-// back is a replica that does in real time what the emulator's model does.
-type back struct {
-	*world
-	number  int
+// simReplica is a replica that does in real time what the emulator's model does.
+type simReplica struct {
+	*testbed
+	index   int
 	speed   float64
 	workers chan struct{}
 
-	mu      sync.Mutex // guards what follows
-	chance  *rand.Rand
-	address string
-	close   func()
-	born    time.Time // when it started, if it started in the run
-	under   map[int]bool
-	waiting int
-	held    chan struct{} // closed when a pause is over; nil for none
+	mu            sync.Mutex // guards what follows
+	rng           *rand.Rand
+	address       string
+	closeListener func()
+	startTime     time.Time // when it started, if it started in the run
+	activeFaults  map[int]bool
+	queued        int
+	paused        chan struct{} // closed when a pause is over; nil for none
 }
 
-func (b *back) host(health string) standin.Host {
-	h := standin.Host{Host: fmt.Sprint("s-", b.number), Dial: b.address, Block: b.number % b.Shards(), Health: health, Share: 1}
-	if !b.born.IsZero() {
-		h.BornMS = b.born.UnixMilli()
+func (b *simReplica) discoveryEntry(health string) standin.Host {
+	h := standin.Host{Host: fmt.Sprint("s-", b.index), Dial: b.address, Cell: b.index % b.Shards(), Health: health, Share: 1}
+	if !b.startTime.IsZero() {
+		h.StartedAtMs = b.startTime.UnixMilli()
 	}
 	return h
 }
 
-// up opens the replica, at its old address if it had one.
-func (b *back) up() error {
+// startListening opens the replica, at its old address if it had one.
+func (b *simReplica) startListening() error {
 	address := b.address
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -56,57 +56,57 @@
 		defer close(ended)
 		toy.Serve(l)
 	}()
-	b.close = func() {
+	b.closeListener = func() {
 		l.Close()
 		<-ended
 	}
 	return nil
 }
 
-func (b *back) down() {
-	if b.close != nil {
-		b.close()
-		b.close = nil
+func (b *simReplica) stopListening() {
+	if b.closeListener != nil {
+		b.closeListener()
+		b.closeListener = nil
 	}
 }
 
-// has tells whether a fault of a kind holds here now.
-func (b *back) has(kind string) (f emulator.Fault, holds bool) {
+// activeFault tells whether a fault of a kind holds here now.
+func (b *simReplica) activeFault(kind string) (f emulator.Fault, holds bool) {
 	for i := range b.Faults {
-		if b.under[i] && b.Faults[i].Kind == kind {
+		if b.activeFaults[i] && b.Faults[i].Kind == kind {
 			return b.Faults[i], true
 		}
 	}
 	return f, false
 }
 
-func (b *back) hangs() bool {
-	if _, hung := b.has("hang"); hung {
+func (b *simReplica) isHung() bool {
+	if _, hung := b.activeFault("hang"); hung {
 		return true
 	}
-	f, flaps := b.has("flap")
-	return flaps && (b.now()-f.From)%f.Every < f.For
+	f, flaps := b.activeFault("flap")
+	return flaps && (b.runTime()-f.From)%f.Period < f.ActiveTime
 }
 
-func (b *back) answer(ctx context.Context, p replica.Part) (replica.Reply, bool) {
+func (b *simReplica) answer(ctx context.Context, p replica.Part) (replica.Reply, bool) {
 	b.mu.Lock()
-	b.came(p, len(b.under) > 0)
-	_, errs := b.has("errors")
-	hung := b.hangs()
-	full := b.Room > 0 && b.waiting >= b.Room
+	b.recordPart(p, len(b.activeFaults) > 0)
+	_, errs := b.activeFault("errors")
+	hung := b.isHung()
+	full := b.QueueLimit > 0 && b.queued >= b.QueueLimit
 	if !errs && !hung && !full {
-		b.waiting++
+		b.queued++
 	}
 	b.mu.Unlock()
 	switch {
 	case errs:
 		time.Sleep(time.Millisecond)
-		return replica.Reply{ID: p.ID, End: replica.Failed}, true
+		return replica.Reply{ID: p.ID, Outcome: replica.Failed}, true
 	case hung:
 		<-ctx.Done()
 		return replica.Reply{}, false
 	case full:
-		return replica.Reply{ID: p.ID, End: replica.TurnedAway}, true
+		return replica.Reply{ID: p.ID, Outcome: replica.Rejected}, true
 	}
 	got := false
 	select {
@@ -116,15 +116,15 @@
 	case <-ctx.Done():
 	}
 	b.mu.Lock()
-	b.waiting--
-	takes := b.takes()
+	b.queued--
+	takes := b.drawServiceTime()
 	b.mu.Unlock()
-	if !got || !b.work(ctx, takes) {
+	if !got || !b.doWork(ctx, takes) {
 		return replica.Reply{}, false
 	}
 	b.mu.Lock()
-	_, lost := b.has("silence")
-	lost = lost || b.hangs()
+	_, lost := b.activeFault("silence")
+	lost = lost || b.isHung()
 	b.mu.Unlock()
 	if lost {
 		<-ctx.Done()
@@ -133,26 +133,26 @@
 	return replica.Reply{ID: p.ID, Value: "v"}, true
 }
 
-// takes draws how long a part takes here and now, by the emulator's law.
-func (b *back) takes() time.Duration {
-	t := float64(b.Work) * math.Exp(b.Spread*b.chance.NormFloat64()) * b.speed
-	if b.Tail > 0 && b.chance.Float64() < b.Tail {
-		t *= math.Pow(1-b.chance.Float64(), -1/1.5)
+// drawServiceTime draws how long a part takes here and now, by the emulator's law.
+func (b *simReplica) drawServiceTime() time.Duration {
+	t := float64(b.ServiceTime) * math.Exp(b.ServiceTimeSigma*b.rng.NormFloat64()) * b.speed
+	if b.HeavyTailShare > 0 && b.rng.Float64() < b.HeavyTailShare {
+		t *= math.Pow(1-b.rng.Float64(), -1/1.5)
 	}
-	if f, slow := b.has("slow"); slow {
-		t *= f.Times
+	if f, slow := b.activeFault("slow"); slow {
+		t *= f.Slowdown
 	}
-	if age := int64(time.Since(b.born)); !b.born.IsZero() && age < b.ColdRamp {
-		t /= b.ColdShare + (1-b.ColdShare)*float64(age)/float64(b.ColdRamp)
+	if age := int64(time.Since(b.startTime)); !b.startTime.IsZero() && age < b.WarmUpTime {
+		t /= b.ColdCapacity + (1-b.ColdCapacity)*float64(age)/float64(b.WarmUpTime)
 	}
 	return time.Duration(min(t, 600e9))
 }
 
-// work takes a time, pauses left out.
-func (b *back) work(ctx context.Context, left time.Duration) bool {
+// doWork takes a time, pauses left out.
+func (b *simReplica) doWork(ctx context.Context, left time.Duration) bool {
 	for {
 		b.mu.Lock()
-		held := b.held
+		held := b.paused
 		b.mu.Unlock()
 		if held != nil {
 			select {
@@ -175,61 +175,61 @@
 	}
 }
 
-// tell has the list change after its delay.
-func (b *back) tell(health string) {
+// updateDiscovery has the list change after its delay.
+func (b *simReplica) updateDiscovery(health string) {
 	b.mu.Lock()
-	h, wait := b.host(health), b.ListDelay+b.chance.Int64N(b.ListDelay+1)
+	h, wait := b.discoveryEntry(health), b.ListDelay+b.rng.Int64N(b.ListDelay+1)
 	b.mu.Unlock()
-	time.AfterFunc(time.Duration(wait), func() { b.list.Change(h) })
+	time.AfterFunc(time.Duration(wait), func() { b.discovery.Change(h) })
 }
 
-// befall has one of the plan's faults begin and end here.
-func (b *back) befall(number int) {
+// runFault has one of the plan's faults begin and end here.
+func (b *simReplica) runFault(number int) {
 	f := b.Faults[number]
-	time.Sleep(time.Until(b.began.Add(time.Duration(f.From))))
+	time.Sleep(time.Until(b.runStart.Add(time.Duration(f.From))))
 	b.mu.Lock()
-	if b.under == nil {
-		b.under = map[int]bool{}
+	if b.activeFaults == nil {
+		b.activeFaults = map[int]bool{}
 	}
-	b.under[number] = true
+	b.activeFaults[number] = true
 	b.mu.Unlock()
 	switch f.Kind {
 	case "restart":
-		b.down()
-		b.tell("left")
+		b.stopListening()
+		b.updateDiscovery("left")
 	case "drain":
-		b.tell("leaving")
+		b.updateDiscovery("leaving")
 	case "pause":
 		b.pause(f)
 	}
-	time.Sleep(time.Until(b.began.Add(time.Duration(f.Until))))
+	time.Sleep(time.Until(b.runStart.Add(time.Duration(f.Until))))
 	b.mu.Lock()
-	delete(b.under, number)
+	delete(b.activeFaults, number)
 	if f.Kind == "restart" {
-		b.born = time.Now()
+		b.startTime = time.Now()
 	}
 	b.mu.Unlock()
 	switch f.Kind {
 	case "restart":
-		if err := b.up(); err == nil {
-			b.tell("active")
+		if err := b.startListening(); err == nil {
+			b.updateDiscovery("active")
 		}
 	case "drain":
-		b.tell("active")
+		b.updateDiscovery("active")
 	}
 }
 
 // pause has all work stand still for a stretch of each period.
-func (b *back) pause(f emulator.Fault) {
-	for at := f.From; at < f.Until; at += max(f.Every, f.For) {
-		time.Sleep(time.Until(b.began.Add(time.Duration(at))))
+func (b *simReplica) pause(f emulator.Fault) {
+	for at := f.From; at < f.Until; at += max(f.Period, f.ActiveTime) {
+		time.Sleep(time.Until(b.runStart.Add(time.Duration(at))))
 		held := make(chan struct{})
 		b.mu.Lock()
-		b.held = held
+		b.paused = held
 		b.mu.Unlock()
-		time.Sleep(time.Duration(f.For))
+		time.Sleep(time.Duration(f.ActiveTime))
 		b.mu.Lock()
-		b.held = nil
+		b.paused = nil
 		b.mu.Unlock()
 		close(held)
 	}
--- a/standin/lab/lab.go
+++ b/standin/lab/lab.go
@@ -30,34 +30,34 @@
 )
 
 const (
-	upWithin   = 15 * time.Second
-	healthPoll = 20 * time.Millisecond
-	slack      = 50 * time.Millisecond // that clients wait longer on sockets
+	startupTimeout     = 15 * time.Second
+	healthPollInterval = 20 * time.Millisecond
+	clientSlack        = 50 * time.Millisecond // that clients wait longer on sockets
 )
 
-// world is one plan being played.
-type world struct {
+// testbed is one plan being played.
+type testbed struct {
 	emulator.Plan
-	dir    string
-	list   *standin.Discovery
-	lists  string
-	backs  []*back
-	fronts []string
-	procs  []*exec.Cmd
-	ends   []func()
-	client *http.Client
-	began  time.Time // the clients' start
+	dir              string
+	discovery        *standin.Discovery
+	discoveryAddress string
+	replicas         []*simReplica
+	frontURLs        []string
+	processes        []*exec.Cmd
+	closers          []func()
+	client           *http.Client
+	runStart         time.Time // the clients' start
 
-	mu    sync.Mutex
-	tally *emulator.Tally
-	asked map[string]int64 // when a query was asked, by id; its parts name it
-	parts map[string]int   // how often a part came to a replica
-	met   int
+	mu             sync.Mutex
+	tally          *emulator.Recorder
+	dueTimes       map[string]int64 // when a query was asked, by id; its parts name it
+	attemptsByPart map[string]int   // how often a part came to a replica
+	faultyHits     int
 }
 
 // Run plays a plan with the program.
 func Run(binary string, p emulator.Plan) (*emulator.Result, error) {
-	if err := p.Check(); err != nil {
+	if err := p.Validate(); err != nil {
 		return nil, err
 	}
 	if p.Policy != "module" {
@@ -68,43 +68,43 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	w := &world{Plan: p, dir: dir, list: standin.NewDiscovery(), tally: emulator.NewTally(&p), asked: map[string]int64{},
-		parts: map[string]int{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Second}}}
+	w := &testbed{Plan: p, dir: dir, discovery: standin.NewDiscovery(), tally: emulator.NewRecorder(&p), dueTimes: map[string]int64{},
+		attemptsByPart: map[string]int{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Second}}}
 	defer w.stop()
 	if err := w.start(binary); err != nil {
 		return nil, err
 	}
-	w.play()
-	r := w.tally.Sum()
-	r.AtFaulty = w.met
+	w.runLoad()
+	r := w.tally.Summary()
+	r.FaultyExecutions = w.faultyHits
 	return r, nil
 }
 
-func (w *world) start(binary string) error {
+func (w *testbed) start(binary string) error {
 	for i := range w.Replicas {
-		b := &back{world: w, number: i, chance: rand.New(rand.NewPCG(w.Seed, 1<<32+uint64(i))), workers: make(chan struct{}, w.Workers)}
-		b.speed = math.Exp(w.Unlike * b.chance.NormFloat64())
-		if err := b.up(); err != nil {
+		b := &simReplica{testbed: w, index: i, rng: rand.New(rand.NewPCG(w.Seed, 1<<32+uint64(i))), workers: make(chan struct{}, w.Workers)}
+		b.speed = math.Exp(w.SpeedSigma * b.rng.NormFloat64())
+		if err := b.startListening(); err != nil {
 			return err
 		}
-		w.backs = append(w.backs, b)
-		w.list.Change(b.host("active"))
+		w.replicas = append(w.replicas, b)
+		w.discovery.Change(b.discoveryEntry("active"))
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	w.lists = l.Addr().String()
-	lists := &http.Server{Handler: w.list}
+	w.discoveryAddress = l.Addr().String()
+	lists := &http.Server{Handler: w.discovery}
 	go lists.Serve(l)
-	w.ends = append(w.ends, func() { lists.Close() })
+	w.closers = append(w.closers, func() { lists.Close() })
 	for i := range w.Aggregators {
-		if err := w.aggregator(binary, i); err != nil {
+		if err := w.startAggregator(binary, i); err != nil {
 			return err
 		}
 	}
-	health := healthcheck.Wait{Client: w.client, Every: healthPoll, Within: upWithin}
-	for _, front := range w.fronts {
+	health := healthcheck.Wait{Client: w.client, Interval: healthPollInterval, Timeout: startupTimeout}
+	for _, front := range w.frontURLs {
 		if err := health.Until(front); err != nil {
 			return err
 		}
@@ -112,22 +112,22 @@
 	return nil
 }
 
-func (w *world) stop() {
-	for _, p := range w.procs {
+func (w *testbed) stop() {
+	for _, p := range w.processes {
 		p.Process.Kill()
 		p.Wait()
 	}
-	for _, b := range w.backs {
-		b.down()
+	for _, b := range w.replicas {
+		b.stopListening()
 	}
-	for _, end := range w.ends {
+	for _, end := range w.closers {
 		end()
 	}
 	w.client.CloseIdleConnections()
 }
 
-// aggregator starts one process.
-func (w *world) aggregator(binary string, number int) error {
+// startAggregator starts one process.
+func (w *testbed) startAggregator(binary string, number int) error {
 	text, err := json.Marshal(w.config(number))
 	if err != nil {
 		return err
@@ -141,60 +141,60 @@
 		return err
 	}
 	p := exec.Command(binary)
-	p.Env = append(os.Environ(), "NODE_NAME=n"+strconv.Itoa(number), "NODE_LISTEN="+front, "NODE_DISCOVERY="+w.lists, "NODE_CONFIG="+file)
+	p.Env = append(os.Environ(), "NODE_NAME=n"+strconv.Itoa(number), "NODE_LISTEN="+front, "NODE_DISCOVERY="+w.discoveryAddress, "NODE_CONFIG="+file)
 	if err := p.Start(); err != nil {
 		return err
 	}
-	w.procs, w.fronts = append(w.procs, p), append(w.fronts, "http://"+front)
+	w.processes, w.frontURLs = append(w.processes, p), append(w.frontURLs, "http://"+front)
 	return nil
 }
 
 // config is what a process is told of the plan.
-func (w *world) config(number int) map[string]any {
+func (w *testbed) config(number int) map[string]any {
 	var rows []map[string]any
 	var ones, floors, partial []float64
 	var none []int
-	for _, l := range w.Loads {
-		rows = append(rows, map[string]any{"name": l.Name, "slo": l.Goal / 1e6, "give_up": l.Patience / 1e6, "late_worth": 0.3,
-			"repeat": [...]string{"free", "guarded", "single_shot"}[l.Effect], "window": max(l.Window/1e6, 1)})
-		ones, floors, partial, none = append(ones, 1), append(floors, l.Floor), append(partial, 0.9), append(none, 0)
+	for _, l := range w.Workloads {
+		rows = append(rows, map[string]any{"name": l.Name, "slo": l.LatencyGoal / 1e6, "give_up": l.Timeout / 1e6, "late_worth": 0.3,
+			"repeat": [...]string{"free", "guarded", "single_shot"}[l.RetrySafety], "window": max(l.DedupWindow/1e6, 1)})
+		ones, floors, partial, none = append(ones, 1), append(floors, l.MinCoverage), append(partial, 0.9), append(none, 0)
 	}
-	rules := map[string]any{"cold_from": w.ColdShare, "ramp_time": w.ColdRamp / 1e6, "fall_multiple": w.FallMultiple, "fall": w.FallSpan / 1e6}
+	rules := map[string]any{"cold_from": w.ColdCapacity, "ramp_time": w.WarmUpTime / 1e6, "fall_multiple": w.OverloadFactor, "fall": w.OverloadSpan / 1e6}
 	if w.Budgeted {
-		rules["ratio_span"], rules["budget_free"], rules["extra_per_request"] = w.BudgetSpan/1e6, w.Free, w.Share
+		rules["ratio_span"], rules["budget_free"], rules["extra_per_request"] = w.RetryWindow/1e6, w.RetrySlack, w.RetryRatio
 	}
 	return map[string]any{"seed": fmt.Sprintf("%016x", w.Seed*1_000_003+uint64(number)),
 		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 1024},
 		"settings": map[string]any{"index": number, "balancers": w.Aggregators, "tick": w.Tick / 1e6, "membership_mode": "push",
-			"caps": map[string]any{"max_attempts": w.Executions, "most_held": 2000, "cancel": w.Cancels, "retry_after": true,
+			"caps": map[string]any{"max_attempts": w.MaxExecutions, "most_held": 2000, "cancel": w.CanCancel, "retry_after": true,
 				"max_retry_after": 2000, "streams_per_conn": 32, "connect_timeout": 200, "conn_idle": 20000},
 			"domain": map[string]any{"slices": w.Shards(), "cells": w.Shards(), "in_a_row": 1, "parts_a_call": 1, "class_need": ones,
 				"class_floor": floors, "incomplete_worth": partial, "follow_up": none},
 			"classes": rows, "guarantees": rules}}
 }
 
-// now is the run's time, ns.
-func (w *world) now() int64 { return int64(time.Since(w.began)) }
+// runTime is the run's time, ns.
+func (w *testbed) runTime() int64 { return int64(time.Since(w.runStart)) }
 
-// play has the faults and the clients come.
-func (w *world) play() {
-	w.began = time.Now()
+// runLoad has the faults and the clients come.
+func (w *testbed) runLoad() {
+	w.runStart = time.Now()
 	var all sync.WaitGroup
 	for n, f := range w.Faults {
 		for _, r := range f.Replicas {
-			all.Go(func() { w.backs[r].befall(n) })
+			all.Go(func() { w.replicas[r].runFault(n) })
 		}
 	}
-	for i, front := range w.fronts {
-		for n := range w.Loads {
+	for i, front := range w.frontURLs {
+		for n := range w.Workloads {
 			arrivals := w.Arrivals(i, n)
 			all.Go(func() {
 				var under sync.WaitGroup
 				defer under.Wait()
 				number := 0
 				for at, comes := arrivals.Next(0); comes; at, comes = arrivals.Next(at) {
-					shards := arrivals.Shards()
-					time.Sleep(time.Until(w.began.Add(time.Duration(at))))
+					shards := arrivals.DrawShards()
+					time.Sleep(time.Until(w.runStart.Add(time.Duration(at))))
 					number++
 					id := fmt.Sprintf("%d-%d-%d", i, n, number)
 					under.Go(func() { w.ask(front, id, n, at, shards) })
@@ -206,20 +206,20 @@
 }
 
 // ask asks one query and books its end. Times count from when it was due.
-func (w *world) ask(front, id string, load int, due int64, shards []int) {
-	l := &w.Loads[load]
+func (w *testbed) ask(front, id string, load int, due int64, shards []int) {
+	l := &w.Workloads[load]
 	w.mu.Lock()
-	w.tally.Ask(due, load)
-	w.asked[id] = due
+	w.tally.RecordQuery(due, load)
+	w.dueTimes[id] = due
 	w.mu.Unlock()
 	final := w.post(front, id, l, shards)
-	ended := w.now()
+	ended := w.runTime()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.tally.End(due, ended, load, 0, final)
+	w.tally.RecordAnswer(due, ended, load, 0, final)
 }
 
-func (w *world) post(front, id string, l *emulator.Load, shards []int) balance.Outcome {
+func (w *testbed) post(front, id string, l *emulator.Workload, shards []int) balance.Outcome {
 	type segment struct {
 		Segment int     `json:"segment"`
 		Boost   float64 `json:"boost"`
@@ -235,7 +235,7 @@
 	if err != nil {
 		return balance.Forfeited
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(l.Patience)+slack)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(l.Timeout)+clientSlack)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, front+"/"+l.Name, bytes.NewReader(text))
 	if err != nil {
@@ -243,7 +243,7 @@
 	}
 	r.Header.Set("X-Qos", l.Name)
 	r.Header.Set("X-Trace-Id", id)
-	r.Header.Set("X-Expires-In-Ms", strconv.FormatInt(l.Patience/1e6, 10))
+	r.Header.Set("X-Expires-In-Ms", strconv.FormatInt(l.Timeout/1e6, 10))
 	a, err := w.client.Do(r)
 	if err != nil {
 		return balance.Forfeited
@@ -264,16 +264,16 @@
 	return balance.Partial
 }
 
-// came books a part at a replica.
-func (w *world) came(p replica.Part, faulty bool) {
+// recordPart books a part at a replica.
+func (w *testbed) recordPart(p replica.Part, faulty bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	id, _, _ := bytes.Cut([]byte(p.ID), []byte("."))
 	if faulty {
-		w.met++
+		w.faultyHits++
 	}
-	if asked, known := w.asked[string(id)]; known {
-		w.tally.Send(asked, w.parts[p.ID] > 0)
-		w.parts[p.ID]++
+	if asked, known := w.dueTimes[string(id)]; known {
+		w.tally.RecordExecution(asked, w.attemptsByPart[p.ID] > 0)
+		w.attemptsByPart[p.ID]++
 	}
 }
--- a/standin/lab/lab_test.go
+++ b/standin/lab/lab_test.go
@@ -11,16 +11,16 @@
 func TestNear(t *testing.T) {
 	binary := program.Build(t)
 	const second = int64(1e9)
-	p := emulator.Plan{Policy: "module", Seed: 3, Span: 7 * second, From: 2 * second, Until: 6 * second, Aggregators: 3, Replicas: 12,
-		Holders: 4, Workers: 2, Work: 20e6, Spread: 0.4, Way: 500e3, ListDelay: second / 4, Tick: 5e6, Executions: 3, Cancels: true,
-		ColdShare: 0.2, ColdRamp: 3 * second, FallMultiple: 4, FallSpan: second,
-		Loads: []emulator.Load{{Name: "look", Rate: 20, Parts: 2, Goal: 300e6, Patience: second, Floor: 1, Revenue: 1}},
+	p := emulator.Plan{Policy: "module", Seed: 3, Duration: 7 * second, MeasureFrom: 2 * second, MeasureUntil: 6 * second, Aggregators: 3, Replicas: 12,
+		ReplicasPerShard: 4, Workers: 2, ServiceTime: 20e6, ServiceTimeSigma: 0.4, NetworkDelay: 500e3, ListDelay: second / 4, Tick: 5e6, MaxExecutions: 3, CanCancel: true,
+		ColdCapacity: 0.2, WarmUpTime: 3 * second, OverloadFactor: 4, OverloadSpan: second,
+		Workloads: []emulator.Workload{{Name: "look", Rate: 20, Parts: 2, LatencyGoal: 300e6, Timeout: second, MinCoverage: 1, Revenue: 1}},
 		Faults: []emulator.Fault{{Kind: "errors", Replicas: []int{0}, From: 3 * second, Until: 5 * second},
 			{Kind: "restart", Replicas: []int{1}, From: 2 * second, Until: 3 * second},
 			{Kind: "drain", Replicas: []int{2}, From: 2 * second, Until: 4 * second},
-			{Kind: "pause", Replicas: []int{4}, From: 2 * second, Until: 5 * second, Every: second, For: second / 5},
-			{Kind: "slow", Replicas: []int{5}, From: 2 * second, Until: 5 * second, Times: 3}}}
-	model, err := emulator.Run(p, emulator.Cores())
+			{Kind: "pause", Replicas: []int{4}, From: 2 * second, Until: 5 * second, Period: second, ActiveTime: second / 5},
+			{Kind: "slow", Replicas: []int{5}, From: 2 * second, Until: 5 * second, Slowdown: 3}}}
+	model, err := emulator.Run(p, emulator.MaxCores())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,9 +28,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("emulator %.3f of %d, %.2f executions; sockets %.3f of %d, %.2f", model.Share(), model.Asked,
-		float64(model.Executions)/float64(model.Asked), real.Share(), real.Asked, float64(real.Executions)/float64(real.Asked))
-	if real.Asked != model.Asked || real.Share() < model.Share()-0.15 {
-		t.Errorf("emulator %.3f of %d, sockets %.3f of %d", model.Share(), model.Asked, real.Share(), real.Asked)
+	t.Logf("emulator %.3f of %d, %.2f executions; sockets %.3f of %d, %.2f", model.RevenueShare(), model.Asked,
+		float64(model.Executions)/float64(model.Asked), real.RevenueShare(), real.Asked, float64(real.Executions)/float64(real.Asked))
+	if real.Asked != model.Asked || real.RevenueShare() < model.RevenueShare()-0.15 {
+		t.Errorf("emulator %.3f of %d, sockets %.3f of %d", model.RevenueShare(), model.Asked, real.RevenueShare(), real.Asked)
 	}
 }
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -13,32 +13,32 @@
 	"willowsill/standin"
 )
 
-// Way is how one direction behaves.
-type Way struct {
-	Delay  time.Duration
-	Jitter time.Duration // up to so much more, by chance
-	Stall  time.Duration // that a lost packet costs,
-	Loss   float64       // the share of writes that meet it
-	Rate   float64       // bytes a second; 0 for no limit
-	Cut    bool          // nothing comes through, and nobody is told
+// Conditions is how one direction behaves.
+type Conditions struct {
+	Delay     time.Duration
+	Jitter    time.Duration // up to so much more, by chance
+	LossDelay time.Duration // that a lost packet costs,
+	Loss      float64       // the share of writes that meet it
+	ByteRate  float64       // bytes a second; 0 for no limit
+	Cut       bool          // nothing comes through, and nobody is told
 }
 
 // Link carries connections. Its zero value is a link without delay.
 type Link struct {
 	mu      sync.Mutex
-	there   Way
-	back    Way
+	forward Conditions
+	reverse Conditions
 	changed chan struct{}
-	ends    map[net.Conn]struct{}
-	chance  *rand.Rand
+	conns   map[net.Conn]struct{}
+	rng     *rand.Rand
 	bytes   int64
 }
 
 // Set changes both directions from now on.
-func (l *Link) Set(there, back Way) {
+func (l *Link) Set(there, back Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.there, l.back = there, back
+	l.forward, l.reverse = there, back
 	if l.changed != nil {
 		close(l.changed)
 	}
@@ -49,7 +49,7 @@
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c := range l.ends {
+	for c := range l.conns {
 		c.Close()
 	}
 }
@@ -64,7 +64,7 @@
 // Serve carries each connection of a listener over the link to an address, until the listener is closed; then it breaks
 // all of the link's connections.
 func (l *Link) Serve(from net.Listener, to string) {
-	over := l.Over((&net.Dialer{}).DialContext)
+	over := l.Dialer((&net.Dialer{}).DialContext)
 	standin.Serve(from, func(ctx context.Context, near net.Conn) {
 		defer near.Close()
 		far, err := over(ctx, "tcp", to)
@@ -88,13 +88,13 @@
 	})
 }
 
-type dial = func(ctx context.Context, network, address string) (net.Conn, error)
+type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Over makes a dial function whose connections cross the link. A connection takes a way there and back to come up.
-func (l *Link) Over(to dial) dial {
+// Dialer makes a dial function whose connections cross the link. A connection takes a way there and back to come up.
+func (l *Link) Dialer(to dialFunc) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		for _, back := range []bool{false, true} {
-			if err := l.cross(ctx, back); err != nil {
+			if err := l.waitOneWay(ctx, back); err != nil {
 				return nil, err
 			}
 		}
@@ -104,19 +104,19 @@
 		}
 		near, mid := net.Pipe()
 		l.mu.Lock()
-		if l.ends == nil {
-			l.ends = map[net.Conn]struct{}{}
+		if l.conns == nil {
+			l.conns = map[net.Conn]struct{}{}
 		}
-		l.ends[mid], l.ends[far] = struct{}{}, struct{}{}
+		l.conns[mid], l.conns[far] = struct{}{}, struct{}{}
 		l.mu.Unlock()
 		var both sync.WaitGroup
-		both.Go(func() { l.copy(far, mid, false) })
-		both.Go(func() { l.copy(mid, far, true) })
+		both.Go(func() { l.relay(far, mid, false) })
+		both.Go(func() { l.relay(mid, far, true) })
 		go func() {
 			both.Wait()
 			l.mu.Lock()
-			delete(l.ends, mid)
-			delete(l.ends, far)
+			delete(l.conns, mid)
+			delete(l.conns, far)
 			l.mu.Unlock()
 		}()
 		return near, nil
@@ -125,12 +125,12 @@
 
 // packet is what was written at once, and when it arrives.
 type packet struct {
-	bytes []byte
-	at    time.Time
+	bytes   []byte
+	arrival time.Time
 }
 
-// copy carries one direction of a connection until one side ends.
-func (l *Link) copy(to, from net.Conn, back bool) {
+// relay carries one direction of a connection until one side ends.
+func (l *Link) relay(to, from net.Conn, back bool) {
 	gone, leave := context.WithCancel(context.Background()) // nothing more is to be read
 	defer leave()
 	defer to.Close()
@@ -142,8 +142,8 @@
 		defer to.Close()
 		defer from.Close()
 		for p := range queue {
-			time.Sleep(time.Until(p.at))
-			if !l.open(gone, back) {
+			time.Sleep(time.Until(p.arrival))
+			if !l.waitUntilOpen(gone, back) {
 				return
 			}
 			if _, err := to.Write(p.bytes); err != nil {
@@ -159,15 +159,15 @@
 			l.mu.Lock()
 			l.bytes += int64(n)
 			l.mu.Unlock()
-			w := l.way(back)
+			w := l.conditions(back)
 			if now := time.Now(); free.Before(now) {
 				free = now
 			}
-			if w.Rate > 0 {
-				free = free.Add(time.Duration(float64(n) / w.Rate * 1e9))
+			if w.ByteRate > 0 {
+				free = free.Add(time.Duration(float64(n) / w.ByteRate * 1e9))
 			}
 			select {
-			case queue <- packet{b[:n], free.Add(l.takes(w))}:
+			case queue <- packet{b[:n], free.Add(l.packetDelay(w))}:
 			case <-ended:
 				return
 			}
@@ -181,37 +181,37 @@
 	}
 }
 
-func (l *Link) way(back bool) Way {
+func (l *Link) conditions(back bool) Conditions {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if back {
-		return l.back
+		return l.reverse
 	}
-	return l.there
+	return l.forward
 }
 
-// takes draws how long a packet takes.
-func (l *Link) takes(w Way) time.Duration {
+// packetDelay draws how long a packet takes.
+func (l *Link) packetDelay(w Conditions) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.chance == nil {
-		l.chance = rand.New(rand.NewPCG(1, 2))
+	if l.rng == nil {
+		l.rng = rand.New(rand.NewPCG(1, 2))
 	}
 	d := w.Delay
 	if w.Jitter > 0 {
-		d += time.Duration(l.chance.Int64N(int64(w.Jitter)))
+		d += time.Duration(l.rng.Int64N(int64(w.Jitter)))
 	}
-	if l.chance.Float64() < w.Loss {
-		d += w.Stall
+	if l.rng.Float64() < w.Loss {
+		d += w.LossDelay
 	}
 	return d
 }
 
-// open waits while a direction is cut; false where the connection ended meanwhile.
-func (l *Link) open(ctx context.Context, back bool) bool {
+// waitUntilOpen waits while a direction is cut; false where the connection ended meanwhile.
+func (l *Link) waitUntilOpen(ctx context.Context, back bool) bool {
 	for {
 		l.mu.Lock()
-		cut := l.there.Cut && !back || l.back.Cut && back
+		cut := l.forward.Cut && !back || l.reverse.Cut && back
 		if l.changed == nil {
 			l.changed = make(chan struct{})
 		}
@@ -228,13 +228,13 @@
 	}
 }
 
-// cross waits for one way of the link.
-func (l *Link) cross(ctx context.Context, back bool) error {
-	if !l.open(ctx, back) {
+// waitOneWay waits for one way of the link.
+func (l *Link) waitOneWay(ctx context.Context, back bool) error {
+	if !l.waitUntilOpen(ctx, back) {
 		return ctx.Err()
 	}
 	select {
-	case <-time.After(l.takes(l.way(back))):
+	case <-time.After(l.packetDelay(l.conditions(back))):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/standin/papers/papers.go
+++ b/standin/papers/papers.go
@@ -16,12 +16,12 @@
 
 // Authority signs certificates and keeps all files in a folder of its own.
 type Authority struct {
-	File string // its own certificate
-	Lock []byte // the password that keys are locked with; empty for none
-	dir  string
-	cert *x509.Certificate
-	key  crypto.Signer
-	next int64
+	CertFile    string // its own certificate
+	KeyPassword []byte // the password that keys are locked with; empty for none
+	dir         string
+	cert        *x509.Certificate
+	key         crypto.Signer
+	nextSerial  int64
 }
 
 // New makes an authority with a folder for its files.
@@ -37,8 +37,8 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Authority{File: filepath.Join(dir, "authority.pem"), dir: dir, cert: cert, key: key, next: 2}
-	return a, write(a.File, cert)
+	a := &Authority{CertFile: filepath.Join(dir, "authority.pem"), dir: dir, cert: cert, key: key, nextSerial: 2}
+	return a, writePEM(a.CertFile, cert)
 }
 
 // Issue writes a certificate for a name, good until then, and its key, into FILE.pem and FILE.key of the folder; files
@@ -48,26 +48,26 @@
 	if err != nil {
 		return "", "", err
 	}
-	form := &x509.Certificate{SerialNumber: big.NewInt(a.next), DNSNames: []string{name},
+	form := &x509.Certificate{SerialNumber: big.NewInt(a.nextSerial), DNSNames: []string{name},
 		NotBefore: time.Now().Add(-12 * time.Hour), NotAfter: until,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
-	a.next++
+	a.nextSerial++
 	signed, err := x509util.CreateCertificate(form, a.cert, own.Public(), a.key)
 	if err != nil {
 		return "", "", err
 	}
 	cert, key = filepath.Join(a.dir, file+".pem"), filepath.Join(a.dir, file+".key")
-	if err := write(cert, signed); err != nil {
+	if err := writePEM(cert, signed); err != nil {
 		return "", "", err
 	}
 	var how []pemutil.Options
-	if len(a.Lock) > 0 {
-		how = append(how, pemutil.WithPassword(a.Lock))
+	if len(a.KeyPassword) > 0 {
+		how = append(how, pemutil.WithPassword(a.KeyPassword))
 	}
-	return cert, key, write(key, own, how...)
+	return cert, key, writePEM(key, own, how...)
 }
 
-func write(file string, what any, how ...pemutil.Options) error {
+func writePEM(file string, what any, how ...pemutil.Options) error {
 	_, err := pemutil.Serialize(what, append(how, pemutil.ToFile(file, 0o600))...)
 	return err
 }
--- a/standin/ports/ports.go
+++ b/standin/ports/ports.go
@@ -13,18 +13,18 @@
 // Ports that processes are given lie below those that systems hand out by themselves, so that nobody takes one between
 // its choice and its use.
 const (
-	portFrom  = 18000
-	portUntil = 30000
+	firstPort = 18000
+	endPort   = 30000
 )
 
-var port atomic.Int64
+var nextPort atomic.Int64
 
-func init() { port.Store(portFrom + int64(os.Getpid()*131%(portUntil-portFrom))) }
+func init() { nextPort.Store(firstPort + int64(os.Getpid()*131%(endPort-firstPort))) }
 
 // Free is a loopback address that nobody listens on now.
 func Free() (string, error) {
-	for range portUntil - portFrom {
-		n := portFrom + (port.Add(1)-portFrom)%(portUntil-portFrom)
+	for range endPort - firstPort {
+		n := firstPort + (nextPort.Add(1)-firstPort)%(endPort-firstPort)
 		address := "127.0.0.1:" + strconv.FormatInt(n, 10)
 		if l, err := net.Listen("tcp", address); err == nil {
 			return address, l.Close()
--- a/standin/redis/commands.go
+++ b/standin/redis/commands.go
@@ -11,10 +11,10 @@
 
 // value is what a key holds: a string, a hash or a sorted set.
 type value struct {
-	text   string
-	hash   map[string]string
-	scores map[string]float64
-	until  time.Time // zero for ever
+	text      string
+	hash      map[string]string
+	scores    map[string]float64
+	expiresAt time.Time // zero for ever
 }
 
 func (v value) copy() value {
@@ -22,7 +22,7 @@
 	return v
 }
 
-func (v value) expired(now time.Time) bool { return !v.until.IsZero() && !now.Before(v.until) }
+func (v value) expired(now time.Time) bool { return !v.expiresAt.IsZero() && !now.Before(v.expiresAt) }
 
 const (
 	wrongType = "-WRONGTYPE Operation against a key holding the wrong kind of value\r\n"
@@ -30,39 +30,39 @@
 	syntax    = "-ERR syntax error\r\n"
 )
 
-func (s *Server) room() {
+func (s *Server) ensureData() {
 	if s.data == nil {
 		s.data = map[string]value{}
 	}
 }
 
-// reply carries a command out.
-func (s *Server) reply(me *session, f Fault, args []string) []byte {
+// execute carries a command out.
+func (s *Server) execute(me *session, f Fault, args []string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.room()
+	s.ensureData()
 	name := strings.ToUpper(args[0])
-	if s.outcome == nil {
-		s.outcome = map[string]int64{}
+	if s.countByName == nil {
+		s.countByName = map[string]int64{}
 	}
-	s.outcome[name]++
+	s.countByName[name]++
 	greeting := name == "HELLO" || name == "AUTH" || name == "QUIT"
 	switch {
-	case !greeting && s.password != "" && !me.known:
+	case !greeting && s.password != "" && !me.authenticated:
 		return []byte("-NOAUTH Authentication required.\r\n")
 	case !greeting && f.Error != "":
 		return []byte("-" + f.Error + "\r\n")
-	case f.Many > 0 && !greeting:
-		return []byte("*" + strconv.FormatInt(f.Many, 10) + "\r\n")
+	case f.ArrayLength > 0 && !greeting:
+		return []byte("*" + strconv.FormatInt(f.ArrayLength, 10) + "\r\n")
 	}
 	c, ok := commands[name]
 	if !ok {
 		return []byte("-ERR unknown command '" + args[0] + "'\r\n")
 	}
-	if n := len(args); n < c.least || c.most > 0 && n > c.most {
+	if n := len(args); n < c.minArgs || c.maxArgs > 0 && n > c.maxArgs {
 		return []byte("-ERR wrong number of arguments for '" + strings.ToLower(name) + "' command\r\n")
 	}
-	w := &writer{three: me.three, fault: f}
+	w := &writer{resp3: me.resp3, fault: f}
 	if greeting {
 		w.fault = Fault{}
 	}
@@ -70,32 +70,32 @@
 	return w.out
 }
 
-// Count is how often a command came.
-func (s *Server) Count(name string) int64 {
+// CommandCount is how often a command came.
+func (s *Server) CommandCount(name string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.outcome[name]
+	return s.countByName[name]
 }
 
 // writer makes a reply.
 type writer struct {
 	out   []byte
-	three bool
+	resp3 bool
 	fault Fault
 }
 
-func (w *writer) raw(s string)      { w.out = append(w.out, s...) }
-func (w *writer) integer(n int64)   { w.raw(":" + strconv.FormatInt(n, 10) + "\r\n") }
-func (w *writer) array(n int)       { w.raw("*" + strconv.Itoa(n) + "\r\n") }
-func (w *writer) okay()             { w.raw("+OK\r\n") }
-func (w *writer) wrong(text string) { w.raw(text) }
+func (w *writer) raw(s string)           { w.out = append(w.out, s...) }
+func (w *writer) integer(n int64)        { w.raw(":" + strconv.FormatInt(n, 10) + "\r\n") }
+func (w *writer) array(n int)            { w.raw("*" + strconv.Itoa(n) + "\r\n") }
+func (w *writer) ok()                    { w.raw("+OK\r\n") }
+func (w *writer) errorReply(text string) { w.raw(text) }
 
 func (w *writer) bulk(s string) {
-	if w.fault.Huge > 0 {
-		w.raw("$" + strconv.FormatInt(w.fault.Huge, 10) + "\r\n")
+	if w.fault.BulkLength > 0 {
+		w.raw("$" + strconv.FormatInt(w.fault.BulkLength, 10) + "\r\n")
 		return
 	}
-	if w.fault.Garble && len(s) > 0 {
+	if w.fault.CorruptBulk && len(s) > 0 {
 		b := []byte(s)
 		b[len(b)/2] ^= 0x55
 		s = string(b)
@@ -103,8 +103,8 @@
 	w.raw("$" + strconv.Itoa(len(s)) + "\r\n" + s + "\r\n")
 }
 
-func (w *writer) none() {
-	if w.three {
+func (w *writer) null() {
+	if w.resp3 {
 		w.raw("_\r\n")
 	} else {
 		w.raw("$-1\r\n")
@@ -112,8 +112,8 @@
 }
 
 type command struct {
-	least, most int // arguments with the name; 0 for no limit
-	run         func(s *Server, me *session, w *writer, args []string)
+	minArgs, maxArgs int // arguments with the name; 0 for no limit
+	run              func(s *Server, me *session, w *writer, args []string)
 }
 
 var commands map[string]command
@@ -122,11 +122,11 @@
 	commands = map[string]command{
 		"HELLO":            {1, 0, hello},
 		"AUTH":             {2, 3, auth},
-		"SELECT":           {2, 2, choose},
+		"SELECT":           {2, 2, selectDatabase},
 		"PING":             {1, 2, func(s *Server, _ *session, w *writer, _ []string) { w.raw("+PONG\r\n") }},
-		"QUIT":             {1, 1, func(s *Server, _ *session, w *writer, _ []string) { w.okay() }},
-		"CLIENT":           {2, 0, func(s *Server, _ *session, w *writer, _ []string) { w.okay() }},
-		"TIME":             {1, 1, clock},
+		"QUIT":             {1, 1, func(s *Server, _ *session, w *writer, _ []string) { w.ok() }},
+		"CLIENT":           {2, 0, func(s *Server, _ *session, w *writer, _ []string) { w.ok() }},
+		"TIME":             {1, 1, serverTime},
 		"GET":              {2, 2, get},
 		"MGET":             {2, 0, mget},
 		"SET":              {3, 0, set},
@@ -136,24 +136,24 @@
 		"PTTL":             {2, 2, pttl},
 		"ZADD":             {4, 4, zadd},
 		"ZCOUNT":           {4, 4, zcount},
-		"ZREMRANGEBYSCORE": {4, 4, zremRange},
+		"ZREMRANGEBYSCORE": {4, 4, zremRangeByScore},
 		"HSET":             {4, 4, hset},
 		"HDEL":             {3, 0, hdel},
 		"HLEN":             {2, 2, hlen},
-		"HRANDFIELD":       {4, 4, hrand},
+		"HRANDFIELD":       {4, 4, hrandField},
 	}
 }
 
 // base gives each database keys of its own.
 func (me *session) key(k string) string {
-	if me.base == 0 {
+	if me.database == 0 {
 		return k
 	}
-	return strconv.Itoa(me.base) + "\x00" + k
+	return strconv.Itoa(me.database) + "\x00" + k
 }
 
-// held is a key's value if it is there; right tells whether it has the type that is wanted.
-func (s *Server) held(me *session, k string, right func(value) bool, w *writer) (v value, there, fits bool) {
+// lookup is a key's value if it is there; right tells whether it has the type that is wanted.
+func (s *Server) lookup(me *session, k string, right func(value) bool, w *writer) (v value, there, fits bool) {
 	k = me.key(k)
 	v, there = s.data[k]
 	if there && v.expired(time.Now()) {
@@ -161,7 +161,7 @@
 		v, there = value{}, false
 	}
 	if there && !right(v) {
-		w.wrong(wrongType)
+		w.errorReply(wrongType)
 		return v, true, false
 	}
 	return v, there, true
@@ -174,15 +174,15 @@
 func hello(s *Server, me *session, w *writer, args []string) {
 	for i := 2; i < len(args); i++ {
 		if strings.EqualFold(args[i], "AUTH") && i+2 < len(args) {
-			if args[i+1] != s.user() || args[i+2] != s.password {
+			if args[i+1] != s.expectedUser() || args[i+2] != s.password {
 				w.raw("-WRONGPASS invalid username-password pair or user is disabled.\r\n")
 				return
 			}
-			me.known = true
+			me.authenticated = true
 			i += 2
 		}
 	}
-	if s.password != "" && !me.known {
+	if s.password != "" && !me.authenticated {
 		w.raw("-NOAUTH HELLO must be called with the client already authenticated\r\n")
 		return
 	}
@@ -191,10 +191,10 @@
 			w.raw("-NOPROTO unsupported protocol version\r\n")
 			return
 		}
-		me.three = args[1] == "3"
+		me.resp3 = args[1] == "3"
 	}
 	pairs := []string{"server", "redis", "version", "7.0.0", "mode", "standalone", "role", "master"}
-	if me.three {
+	if me.resp3 {
 		w.raw("%" + strconv.Itoa(len(pairs)/2+1) + "\r\n")
 	} else {
 		w.array(len(pairs) + 2)
@@ -203,14 +203,14 @@
 		w.bulk(p)
 	}
 	w.bulk("proto")
-	w.integer(map[bool]int64{false: 2, true: 3}[me.three])
+	w.integer(map[bool]int64{false: 2, true: 3}[me.resp3])
 }
 
-func (s *Server) user() string {
-	if s.name == "" {
+func (s *Server) expectedUser() string {
+	if s.username == "" {
 		return "default"
 	}
-	return s.name
+	return s.username
 }
 
 func auth(s *Server, me *session, w *writer, args []string) {
@@ -218,26 +218,26 @@
 	if len(args) == 3 {
 		user = args[1]
 	}
-	if user != s.user() || args[len(args)-1] != s.password {
+	if user != s.expectedUser() || args[len(args)-1] != s.password {
 		w.raw("-WRONGPASS invalid username-password pair or user is disabled.\r\n")
 		return
 	}
-	me.known = true
-	w.okay()
+	me.authenticated = true
+	w.ok()
 }
 
-func choose(_ *Server, me *session, w *writer, args []string) {
+func selectDatabase(_ *Server, me *session, w *writer, args []string) {
 	n, err := strconv.Atoi(args[1])
 	if err != nil || n < 0 || n > 15 {
 		w.raw("-ERR DB index is out of range\r\n")
 		return
 	}
-	me.base = n
-	w.okay()
+	me.database = n
+	w.ok()
 }
 
-func clock(_ *Server, _ *session, w *writer, _ []string) {
-	now := time.Now().Add(w.fault.Skew)
+func serverTime(_ *Server, _ *session, w *writer, _ []string) {
+	now := time.Now().Add(w.fault.ClockSkew)
 	skewless := *w
 	skewless.fault = Fault{}
 	skewless.array(2)
@@ -247,11 +247,11 @@
 }
 
 func get(s *Server, me *session, w *writer, args []string) {
-	if v, there, fits := s.held(me, args[1], isText, w); fits {
+	if v, there, fits := s.lookup(me, args[1], isText, w); fits {
 		if there {
 			w.bulk(v.text)
 		} else {
-			w.none()
+			w.null()
 		}
 	}
 }
@@ -260,10 +260,10 @@
 	w.array(len(args) - 1)
 	for _, k := range args[1:] {
 		quiet := &writer{}
-		if v, there, fits := s.held(me, k, isText, quiet); there && fits {
+		if v, there, fits := s.lookup(me, k, isText, quiet); there && fits {
 			w.bulk(v.text)
 		} else {
-			w.none()
+			w.null()
 		}
 	}
 }
@@ -273,18 +273,18 @@
 	for i := 3; i < len(args); i += 2 {
 		unit := map[string]time.Duration{"PX": time.Millisecond, "EX": time.Second}[strings.ToUpper(args[i])]
 		if unit == 0 || i+1 >= len(args) {
-			w.wrong(syntax)
+			w.errorReply(syntax)
 			return
 		}
 		n, err := strconv.ParseInt(args[i+1], 10, 40)
 		if err != nil || n <= 0 {
-			w.wrong("-ERR invalid expire time in 'set' command\r\n")
+			w.errorReply("-ERR invalid expire time in 'set' command\r\n")
 			return
 		}
-		v.until = time.Now().Add(time.Duration(n) * unit)
+		v.expiresAt = time.Now().Add(time.Duration(n) * unit)
 	}
 	s.data[me.key(args[1])] = v
-	w.okay()
+	w.ok()
 }
 
 func del(s *Server, me *session, w *writer, args []string) {
@@ -301,17 +301,17 @@
 func incrBy(s *Server, me *session, w *writer, args []string) {
 	by, err := strconv.ParseInt(args[2], 10, 64)
 	if err != nil {
-		w.wrong(notInt)
+		w.errorReply(notInt)
 		return
 	}
-	v, there, fits := s.held(me, args[1], isText, w)
+	v, there, fits := s.lookup(me, args[1], isText, w)
 	if !fits {
 		return
 	}
 	n := int64(0)
 	if there {
 		if n, err = strconv.ParseInt(v.text, 10, 64); err != nil {
-			w.wrong(notInt)
+			w.errorReply(notInt)
 			return
 		}
 	}
@@ -323,38 +323,38 @@
 func pexpire(s *Server, me *session, w *writer, args []string) {
 	n, err := strconv.ParseInt(args[2], 10, 40)
 	if err != nil {
-		w.wrong(notInt)
+		w.errorReply(notInt)
 		return
 	}
-	v, there, _ := s.held(me, args[1], func(value) bool { return true }, w)
+	v, there, _ := s.lookup(me, args[1], func(value) bool { return true }, w)
 	if !there {
 		w.integer(0)
 		return
 	}
-	v.until = time.Now().Add(time.Duration(n) * time.Millisecond)
+	v.expiresAt = time.Now().Add(time.Duration(n) * time.Millisecond)
 	s.data[me.key(args[1])] = v
 	w.integer(1)
 }
 
 func pttl(s *Server, me *session, w *writer, args []string) {
-	v, there, _ := s.held(me, args[1], func(value) bool { return true }, w)
+	v, there, _ := s.lookup(me, args[1], func(value) bool { return true }, w)
 	switch {
 	case !there:
 		w.integer(-2)
-	case v.until.IsZero():
+	case v.expiresAt.IsZero():
 		w.integer(-1)
 	default:
-		w.integer(time.Until(v.until).Milliseconds())
+		w.integer(time.Until(v.expiresAt).Milliseconds())
 	}
 }
 
 func zadd(s *Server, me *session, w *writer, args []string) {
 	score, err := strconv.ParseFloat(args[2], 64)
 	if err != nil {
-		w.wrong("-ERR value is not a valid float\r\n")
+		w.errorReply("-ERR value is not a valid float\r\n")
 		return
 	}
-	v, there, fits := s.held(me, args[1], isScores, w)
+	v, there, fits := s.lookup(me, args[1], isScores, w)
 	if !fits {
 		return
 	}
@@ -367,8 +367,8 @@
 	w.integer(map[bool]int64{true: 0, false: 1}[old])
 }
 
-// within reads a score's bound; an opening bracket leaves the bound itself out.
-func within(low, high string) (func(float64) bool, bool) {
+// scoreRange reads a score's bound; an opening bracket leaves the bound itself out.
+func scoreRange(low, high string) (func(float64) bool, bool) {
 	read := func(s string) (x float64, open, ok bool) {
 		s, open = strings.CutPrefix(s, "(")
 		x, err := strconv.ParseFloat(s, 64)
@@ -380,12 +380,12 @@
 }
 
 func zcount(s *Server, me *session, w *writer, args []string) {
-	inside, ok := within(args[2], args[3])
+	inside, ok := scoreRange(args[2], args[3])
 	if !ok {
-		w.wrong("-ERR min or max is not a float\r\n")
+		w.errorReply("-ERR min or max is not a float\r\n")
 		return
 	}
-	if v, _, fits := s.held(me, args[1], isScores, w); fits {
+	if v, _, fits := s.lookup(me, args[1], isScores, w); fits {
 		n := int64(0)
 		for _, x := range v.scores {
 			if inside(x) {
@@ -396,13 +396,13 @@
 	}
 }
 
-func zremRange(s *Server, me *session, w *writer, args []string) {
-	inside, ok := within(args[2], args[3])
+func zremRangeByScore(s *Server, me *session, w *writer, args []string) {
+	inside, ok := scoreRange(args[2], args[3])
 	if !ok {
-		w.wrong("-ERR min or max is not a float\r\n")
+		w.errorReply("-ERR min or max is not a float\r\n")
 		return
 	}
-	if v, _, fits := s.held(me, args[1], isScores, w); fits {
+	if v, _, fits := s.lookup(me, args[1], isScores, w); fits {
 		was := len(v.scores)
 		maps.DeleteFunc(v.scores, func(_ string, x float64) bool { return inside(x) })
 		if len(v.scores) == 0 {
@@ -413,7 +413,7 @@
 }
 
 func hset(s *Server, me *session, w *writer, args []string) {
-	v, there, fits := s.held(me, args[1], isHash, w)
+	v, there, fits := s.lookup(me, args[1], isHash, w)
 	if !fits {
 		return
 	}
@@ -427,7 +427,7 @@
 }
 
 func hdel(s *Server, me *session, w *writer, args []string) {
-	v, _, fits := s.held(me, args[1], isHash, w)
+	v, _, fits := s.lookup(me, args[1], isHash, w)
 	if !fits {
 		return
 	}
@@ -445,36 +445,36 @@
 }
 
 func hlen(s *Server, me *session, w *writer, args []string) {
-	if v, _, fits := s.held(me, args[1], isHash, w); fits {
+	if v, _, fits := s.lookup(me, args[1], isHash, w); fits {
 		w.integer(int64(len(v.hash)))
 	}
 }
 
-// hrand gives distinct fields by chance, with their values.
-func hrand(s *Server, me *session, w *writer, args []string) {
+// hrandField gives distinct fields by chance, with their values.
+func hrandField(s *Server, me *session, w *writer, args []string) {
 	n, err := strconv.Atoi(args[2])
 	if err != nil || n < 0 || !strings.EqualFold(args[3], "WITHVALUES") {
-		w.wrong(syntax)
+		w.errorReply(syntax)
 		return
 	}
-	v, _, fits := s.held(me, args[1], isHash, w)
+	v, _, fits := s.lookup(me, args[1], isHash, w)
 	if !fits {
 		return
 	}
 	fields := slices.Sorted(maps.Keys(v.hash))
 	rand.Shuffle(len(fields), func(i, j int) { fields[i], fields[j] = fields[j], fields[i] })
 	fields = fields[:min(n, len(fields))]
-	if w.three {
+	if w.resp3 {
 		w.array(len(fields))
 	} else {
 		w.array(2 * len(fields))
 	}
 	for _, f := range fields {
-		if w.three {
+		if w.resp3 {
 			w.array(2)
 		}
 		named := *w
-		named.fault.Garble, named.fault.Huge = false, 0
+		named.fault.CorruptBulk, named.fault.BulkLength = false, 0
 		named.bulk(f)
 		w.out = named.out
 		w.bulk(v.hash[f])
--- a/standin/redis/redis.go
+++ b/standin/redis/redis.go
@@ -18,55 +18,55 @@
 )
 
 const (
-	argumentsMost = 4096
-	bytesMost     = 1 << 20 // of one argument
+	maxArguments     = 4096
+	maxArgumentBytes = 1 << 20 // of one argument
 )
 
 // Fault is how the server misbehaves; the zero value is none. All but Refuse act on connections that are there, too.
 type Fault struct {
-	Refuse   bool          // connections end as soon as they are accepted
-	Delay    time.Duration // before each command is carried out
-	Silent   bool          // commands are read and neither carried out nor answered
-	Mute     bool          // commands are carried out and not answered
-	CutAfter int           // bytes of a reply after which the connection closes; 0 for never
-	Stall    int           // bytes of a reply after which nothing more comes; 0 for never
-	Trickle  time.Duration // between two bytes of a reply
-	Error    string        // the reply to every command but HELLO and AUTH, such as "LOADING ..."
-	Huge     int64         // bulk strings are announced with this length and never come
-	Many     int64         // replies are announced as arrays of so many
-	Garble   bool          // a byte in the middle of every bulk string is another
-	Skew     time.Duration // of the clock that TIME tells
+	Refuse       bool          // connections end as soon as they are accepted
+	Delay        time.Duration // before each command is carried out
+	DropCommands bool          // commands are read and neither carried out nor answered
+	DropReplies  bool          // commands are carried out and not answered
+	CutAfter     int           // bytes of a reply after which the connection closes; 0 for never
+	StallAfter   int           // bytes of a reply after which nothing more comes; 0 for never
+	ByteInterval time.Duration // between two bytes of a reply
+	Error        string        // the reply to every command but HELLO and AUTH, such as "LOADING ..."
+	BulkLength   int64         // bulk strings are announced with this length and never come
+	ArrayLength  int64         // replies are announced as arrays of so many
+	CorruptBulk  bool          // a byte in the middle of every bulk string is another
+	ClockSkew    time.Duration // of the clock that TIME tells
 }
 
 // Server serves on listeners. Its zero value has no password and is empty.
 type Server struct {
-	mu       sync.Mutex
-	name     string // for AUTH
-	password string // empty: nobody is asked
-	fault    Fault
-	changed  chan struct{} // closed when the fault changes
-	data     map[string]value
-	saved    map[string]value
-	conns    map[net.Conn]struct{}
-	commands int64
-	bytes    int64
-	outcome  map[string]int64
+	mu           sync.Mutex
+	username     string // for AUTH
+	password     string // empty: nobody is asked
+	fault        Fault
+	faultChanged chan struct{} // closed when the fault changes
+	data         map[string]value
+	snapshot     map[string]value
+	conns        map[net.Conn]struct{}
+	commandCount int64
+	bytesWritten int64
+	countByName  map[string]int64
 }
 
 // Serve serves until the listener is closed, and returns when all connections have ended.
 func (s *Server) Serve(l net.Listener) error {
 	return standin.Serve(l, func(ctx context.Context, conn net.Conn) {
 		defer conn.Close()
-		if s.present().Refuse {
+		if s.currentFault().Refuse {
 			return
 		}
-		s.hold(conn, true)
-		defer s.hold(conn, false)
-		s.connection(ctx, conn)
+		s.trackConnection(conn, true)
+		defer s.trackConnection(conn, false)
+		s.serveConnection(ctx, conn)
 	})
 }
 
-func (s *Server) hold(conn net.Conn, is bool) {
+func (s *Server) trackConnection(conn net.Conn, is bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conns == nil {
@@ -79,32 +79,32 @@
 	}
 }
 
-// Protect asks for a name and a password from now on, of those who come and of those who are there.
-func (s *Server) Protect(name, password string) {
+// SetCredentials asks for a name and a password from now on, of those who come and of those who are there.
+func (s *Server) SetCredentials(name, password string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.name, s.password = name, password
+	s.username, s.password = name, password
 }
 
-// Misbehave sets the fault from now on; the zero Fault ends it.
-func (s *Server) Misbehave(f Fault) {
+// SetFault sets the fault from now on; the zero Fault ends it.
+func (s *Server) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	if s.changed != nil {
-		close(s.changed)
+	if s.faultChanged != nil {
+		close(s.faultChanged)
 	}
-	s.changed = make(chan struct{})
+	s.faultChanged = make(chan struct{})
 }
 
-func (s *Server) present() Fault {
+func (s *Server) currentFault() Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fault
 }
 
-// Drop closes all connections.
-func (s *Server) Drop() {
+// CloseConnections closes all connections.
+func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -123,41 +123,41 @@
 func (s *Server) Traffic() (commands, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.commands, s.bytes
+	return s.commandCount, s.bytesWritten
 }
 
-// Keep saves all that is held, for Return.
-func (s *Server) Keep() {
+// SaveSnapshot saves all that is held, for Return.
+func (s *Server) SaveSnapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.saved = map[string]value{}
+	s.snapshot = map[string]value{}
 	for k, v := range s.data {
-		s.saved[k] = v.copy()
+		s.snapshot[k] = v.copy()
 	}
 }
 
-// Return brings back what Keep saved, as a replica that was behind and took over would.
-func (s *Server) Return() {
+// RestoreSnapshot brings back what Keep saved, as a replica that was behind and took over would.
+func (s *Server) RestoreSnapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.data = map[string]value{}
-	for k, v := range s.saved {
+	for k, v := range s.snapshot {
 		s.data[k] = v.copy()
 	}
 }
 
-// Empty forgets all that is held.
-func (s *Server) Empty() {
+// Clear forgets all that is held.
+func (s *Server) Clear() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.data = nil
 }
 
-// Plant sets a key to a string, or a field of a hash where field is not empty, past all checks.
-func (s *Server) Plant(key, field, text string) {
+// Inject sets a key to a string, or a field of a hash where field is not empty, past all checks.
+func (s *Server) Inject(key, field, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.room()
+	s.ensureData()
 	if field == "" {
 		s.data[key] = value{text: text}
 		return
@@ -184,13 +184,13 @@
 
 // session is what a connection has said of itself.
 type session struct {
-	three bool // RESP3
-	known bool // it has given the password
-	base  int
+	resp3         bool // RESP3
+	authenticated bool // it has given the password
+	database      int
 }
 
-// connection serves one connection until it ends.
-func (s *Server) connection(ctx context.Context, conn net.Conn) {
+// serveConnection serves one connection until it ends.
+func (s *Server) serveConnection(ctx context.Context, conn net.Conn) {
 	in := bufio.NewReaderSize(conn, 64<<10) // a whole round: on a pipe the client does not read while it writes
 	me := &session{}
 	for {
@@ -201,14 +201,14 @@
 			}
 			return
 		}
-		f := s.present()
+		f := s.currentFault()
 		if f.Delay > 0 && !s.wait(ctx, f.Delay) {
 			return
 		}
-		if f.Silent {
+		if f.DropCommands {
 			continue
 		}
-		if !s.write(ctx, conn, f, s.reply(me, f, args)) {
+		if !s.write(ctx, conn, f, s.execute(me, f, args)) {
 			return
 		}
 	}
@@ -217,10 +217,10 @@
 // wait waits out a time, or until the fault changes; false where the server ends.
 func (s *Server) wait(ctx context.Context, d time.Duration) bool {
 	s.mu.Lock()
-	if s.changed == nil {
-		s.changed = make(chan struct{})
+	if s.faultChanged == nil {
+		s.faultChanged = make(chan struct{})
 	}
-	changed := s.changed
+	changed := s.faultChanged
 	s.mu.Unlock()
 	select {
 	case <-time.After(d):
@@ -234,22 +234,22 @@
 // write writes a reply as the fault has it; false where the connection is at its end.
 func (s *Server) write(ctx context.Context, conn net.Conn, f Fault, reply []byte) bool {
 	s.mu.Lock()
-	s.commands++
-	s.bytes += int64(len(reply))
+	s.commandCount++
+	s.bytesWritten += int64(len(reply))
 	s.mu.Unlock()
 	switch {
-	case f.Mute:
+	case f.DropReplies:
 		return true
 	case f.CutAfter > 0 && len(reply) > f.CutAfter:
 		conn.Write(reply[:f.CutAfter])
 		return false
-	case f.Stall > 0 && len(reply) > f.Stall:
-		conn.Write(reply[:f.Stall])
+	case f.StallAfter > 0 && len(reply) > f.StallAfter:
+		conn.Write(reply[:f.StallAfter])
 		s.wait(ctx, time.Hour)
 		return false
-	case f.Trickle > 0:
+	case f.ByteInterval > 0:
 		for i := range reply {
-			if _, err := conn.Write(reply[i : i+1]); err != nil || !s.wait(ctx, f.Trickle) {
+			if _, err := conn.Write(reply[i : i+1]); err != nil || !s.wait(ctx, f.ByteInterval) {
 				return false
 			}
 		}
@@ -261,13 +261,13 @@
 
 // readCommand reads one command, an array of bulk strings.
 func readCommand(in *bufio.Reader) ([]string, error) {
-	n, err := readLength(in, '*', argumentsMost)
+	n, err := readLength(in, '*', maxArguments)
 	if err != nil {
 		return nil, err
 	}
 	args := make([]string, 0, n)
 	for range n {
-		size, err := readLength(in, '$', bytesMost)
+		size, err := readLength(in, '$', maxArgumentBytes)
 		if err != nil {
 			return nil, err
 		}
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -20,7 +20,7 @@
 }
 
 // Serve serves until the listener is closed, and returns when all connections have ended.
-func (r *Replica) Serve(l net.Listener) error { return Serve(l, r.connection) }
+func (r *Replica) Serve(l net.Listener) error { return Serve(l, r.serveConnection) }
 
 // Serve hands each connection of a listener to a goroutine of its own until the listener is closed, ends them then, and
 // returns when all have.
@@ -42,8 +42,8 @@
 	}
 }
 
-// connection serves one connection until it ends.
-func (r *Replica) connection(ctx context.Context, conn net.Conn) {
+// serveConnection serves one connection until it ends.
+func (r *Replica) serveConnection(ctx context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	var parts sync.WaitGroup
 	defer func() {
@@ -69,7 +69,7 @@
 			write(replica.AppendFrame(nil, letter, "OK"))
 		case replica.LetterLoad:
 			write(replica.AppendFrame(nil, letter, "-"))
-		case replica.LetterGiveUp:
+		case replica.LetterAbandon:
 			mu.Lock()
 			if end := under[string(rest)]; end != nil {
 				end()
@@ -78,11 +78,11 @@
 		case replica.LetterCall:
 			call, err := replica.ParseCall(rest)
 			if err != nil {
-				write(replica.AppendFrame(nil, replica.LetterNoUse, err.Error()))
+				write(replica.AppendFrame(nil, replica.LetterUnusable, err.Error()))
 				return
 			}
 			for _, p := range call {
-				ctx, cancel := context.WithTimeout(ctx, time.Duration(p.Wait)*time.Millisecond)
+				ctx, cancel := context.WithTimeout(ctx, time.Duration(p.WaitMs)*time.Millisecond)
 				mu.Lock()
 				under[p.ID] = cancel
 				mu.Unlock()
@@ -95,7 +95,7 @@
 				})
 			}
 		default:
-			write(replica.AppendFrame(nil, replica.LetterNoUse, "unknown letter"))
+			write(replica.AppendFrame(nil, replica.LetterUnusable, "unknown letter"))
 			return
 		}
 	}
