--- a/standin/sites/load.go
+++ b/standin/sites/load.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// End is what became of a query, as its client saw it.
-type End uint8
+// Outcome is what became of a query, as its client saw it.
+type Outcome uint8
 
-// In is an answer within the goal.
+// InGoal is an answer within the goal.
 const (
-	In End = iota
+	InGoal Outcome = iota
 	Late
 	Declined
 	Failed
@@ -26,8 +26,8 @@
 	Wrong // an answer that is none to this query
 )
 
-// Ends are their names.
-var Ends = []string{"in goal", "late", "declined", "failed", "lost", "wrong"}
+// OutcomeNames are their names.
+var OutcomeNames = []string{"in goal", "late", "declined", "failed", "lost", "wrong"}
 
 // Query is one that a client asks.
 type Query struct {
@@ -41,18 +41,18 @@
 // Ask asks one query and tells its end.
 //
 // Danger: an answer is only right if each part stands in it once, with the value of that very part.
-func (w *World) Ask(q Query) (End, time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), Patience+slack)
+func (w *Testbed) Ask(q Query) (Outcome, time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), ClientTimeout+clientSlack)
 	defer cancel()
 	const body = `{"segments":[{"segment":0,"boost":0.5},{"segment":1,"boost":0.5}],"text":"t"}`
 	name := Workloads[q.Workload]
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.Sites[q.Site].fixed[q.Process]+"/"+name,
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.Sites[q.Site].clientAddresses[q.Process]+"/"+name,
 		bytes.NewReader([]byte(body)))
 	if err != nil {
 		return Lost, 0
 	}
 	for key, v := range map[string]string{"X-Qos": name, "X-Trace-Id": q.ID, "X-Customer": q.Customer,
-		"X-Expires-In-Ms": strconv.FormatInt(Patience.Milliseconds(), 10)} {
+		"X-Expires-In-Ms": strconv.FormatInt(ClientTimeout.Milliseconds(), 10)} {
 		if v != "" {
 			r.Header.Set(key, v)
 		}
@@ -72,22 +72,22 @@
 		return Declined, took
 	case a.StatusCode != http.StatusOK:
 		return Failed, took
-	case !right(q.ID, text):
+	case !correct(q.ID, text):
 		return Wrong, took
-	case took > Goal:
+	case took > LatencyGoal:
 		return Late, took
 	}
-	return In, took
+	return InGoal, took
 }
 
-func right(id string, text []byte) bool {
+func correct(id string, text []byte) bool {
 	var a struct {
 		Matches []struct {
 			Segment int    `json:"segment"`
 			Payload string `json:"payload"`
 		} `json:"matches"`
 	}
-	if json.Unmarshal(text, &a) != nil || len(a.Matches) != Shards {
+	if json.Unmarshal(text, &a) != nil || len(a.Matches) != DefaultShards {
 		return false
 	}
 	seen := map[int]bool{}
@@ -102,57 +102,57 @@
 
 // Tally is what came of the queries of a span.
 type Tally struct {
-	Asked   int
-	Ends    [6]int
-	Revenue float64 // within goal,
-	Most    float64 // and if all had been
-	Took    []time.Duration
+	Asked      int
+	Outcomes   [6]int
+	Revenue    float64 // within goal,
+	MaxRevenue float64 // and if all had been
+	Latencies  []time.Duration
 }
 
-// Share is the share of revenue within the goal; 1 where nothing was asked.
-func (t *Tally) Share() float64 {
-	if t.Most == 0 {
+// RevenueShare is the share of revenue within the goal; 1 where nothing was asked.
+func (t *Tally) RevenueShare() float64 {
+	if t.MaxRevenue == 0 {
 		return 1
 	}
-	return t.Revenue / t.Most
+	return t.Revenue / t.MaxRevenue
 }
 
 // Add takes another's in.
 func (t *Tally) Add(o *Tally) {
 	t.Asked += o.Asked
-	for i, n := range o.Ends {
-		t.Ends[i] += n
+	for i, n := range o.Outcomes {
+		t.Outcomes[i] += n
 	}
 	t.Revenue += o.Revenue
-	t.Most += o.Most
-	t.Took = append(t.Took, o.Took...)
+	t.MaxRevenue += o.MaxRevenue
+	t.Latencies = append(t.Latencies, o.Latencies...)
 }
 
 // Load is a stream of queries to all sites.
 type Load struct {
-	Rate float64 // a second at each site, by chance
-	Seed uint64
-	For  time.Duration
-	Each time.Duration // of a row of the timeline
-	Only string        // the one site that is asked; empty for all
+	Rate        float64 // a second at each site, by chance
+	Seed        uint64
+	Duration    time.Duration
+	RowDuration time.Duration // of a row of the timeline
+	OnlySite    string        // the one site that is asked; empty for all
 }
 
-// Line is what came of a load: a tally for each span by when queries were asked, and what broke the rules.
-type Line struct {
-	Rows    []Tally
-	Doubled int // once-only parts that ran more than once
+// Timeline is what came of a load: a tally for each span by when queries were asked, and what broke the rules.
+type Timeline struct {
+	Rows                []Tally
+	DuplicateExecutions int // once-only parts that ran more than once
 }
 
-// Play asks queries of all sites for a time, while at is called with the number of each span as it begins. It returns when the
+// RunLoad asks queries of all sites for a time, while at is called with the number of each span as it begins. It returns when the
 // last has ended.
-func (w *World) Play(l Load, at func(span int)) *Line {
-	line := &Line{Rows: make([]Tally, int(l.For/l.Each))}
+func (w *Testbed) RunLoad(l Load, at func(span int)) *Timeline {
+	line := &Timeline{Rows: make([]Tally, int(l.Duration/l.RowDuration))}
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	var pay []string
 	began := time.Now()
-	for n, name := range w.Names {
-		if l.Only != "" && l.Only != name {
+	for n, name := range w.SiteNames {
+		if l.OnlySite != "" && l.OnlySite != name {
 			continue
 		}
 		chance := rand.New(rand.NewPCG(l.Seed, uint64(n)))
@@ -160,11 +160,11 @@
 			next := began
 			for i := 0; ; i++ {
 				next = next.Add(time.Duration(chance.ExpFloat64() * 1e9 / l.Rate))
-				span := int(next.Sub(began) / l.Each)
+				span := int(next.Sub(began) / l.RowDuration)
 				if span >= len(line.Rows) {
 					return
 				}
-				q := Query{Site: name, Process: i % w.Gateways, ID: fmt.Sprintf("%s-%d", name, i),
+				q := Query{Site: name, Process: i % w.ProcessesPerSite, ID: fmt.Sprintf("%s-%d", name, i),
 					Workload: chance.IntN(len(Workloads))}
 				time.Sleep(time.Until(next))
 				all.Go(func() {
@@ -177,9 +177,9 @@
 					defer mu.Unlock()
 					row := &line.Rows[span]
 					row.Asked++
-					row.Ends[end]++
-					row.Most += worth
-					if row.Took = append(row.Took, took); end == In {
+					row.Outcomes[end]++
+					row.MaxRevenue += worth
+					if row.Latencies = append(row.Latencies, took); end == InGoal {
 						row.Revenue += worth
 					}
 					if Workloads[q.Workload] == "pay" {
@@ -190,16 +190,16 @@
 		})
 	}
 	for span := range line.Rows {
-		time.Sleep(time.Until(began.Add(time.Duration(span) * l.Each)))
+		time.Sleep(time.Until(began.Add(time.Duration(span) * l.RowDuration)))
 		if at != nil {
 			at(span)
 		}
 	}
 	all.Wait()
 	for _, id := range pay {
-		for shard := range Shards {
-			if w.Ran(fmt.Sprintf("%s.%d", id, shard)) > 1 {
-				line.Doubled++
+		for shard := range DefaultShards {
+			if w.ExecutionCount(fmt.Sprintf("%s.%d", id, shard)) > 1 {
+				line.DuplicateExecutions++
 			}
 		}
 	}
--- a/standin/systemreplica/systemreplica.go
+++ b/standin/systemreplica/systemreplica.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	records    = 6 // in a part
-	callWithin = time.Second
+	recordsPerPart = 6 // in a part
+	callTimeout    = time.Second
 )
 
 // Replica is one stand-in.
 type Replica struct {
 	ID, Service, Zone string
-	Work              time.Duration // that a request takes
-	Beat              time.Duration // between two heartbeats
-	Control           []string      // addresses, tried in order from the last that answered
+	WorkTime          time.Duration // that a request takes
+	HeartbeatInterval time.Duration // between two heartbeats
+	ControlAddresses  []string      // addresses, tried in order from the last that answered
 
-	Ran  atomic.Int64 // requests that were begun
-	seq  int64
-	at   int
-	ln   net.Listener
-	http *http.Server
-	stop context.CancelFunc
+	Executions   atomic.Int64 // requests that were begun
+	callSeq      int64
+	controlIndex int
+	listener     net.Listener
+	server       *http.Server
+	stop         context.CancelFunc
 }
 
 // Start listens on an address and begins to send heartbeats.
@@ -45,50 +45,50 @@
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r.ln, r.stop = ln, stop
-	r.http = &http.Server{Handler: r}
-	go r.http.Serve(ln)
-	go r.beats(ctx)
+	r.listener, r.stop = ln, stop
+	r.server = &http.Server{Handler: r}
+	go r.server.Serve(ln)
+	go r.sendHeartbeats(ctx)
 	return nil
 }
 
 // Kill ends it without a word.
 func (r *Replica) Kill() {
 	r.stop()
-	r.http.Close()
+	r.server.Close()
 }
 
 // Leave says that it drains and then that it is gone; it tells whether both were acknowledged.
 func (r *Replica) Leave(drain time.Duration) bool {
 	r.stop()
-	ok := r.call("heartbeat", "draining")
+	ok := r.callControl("heartbeat", "draining")
 	time.Sleep(drain)
-	ok = r.call("departure", "") && ok
-	r.http.Close()
+	ok = r.callControl("departure", "") && ok
+	r.server.Close()
 	return ok
 }
 
-func (r *Replica) beats(ctx context.Context) {
+func (r *Replica) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
-		r.call("heartbeat", "ready")
+		r.callControl("heartbeat", "ready")
 		select {
 		case <-ctx.Done():
-		case <-time.After(r.Beat):
+		case <-time.After(r.HeartbeatInterval):
 		}
 	}
 }
 
-// call calls one control address after the other until one acknowledges.
-func (r *Replica) call(what, phase string) bool {
-	r.seq++
+// callControl calls one control address after the other until one acknowledges.
+func (r *Replica) callControl(what, phase string) bool {
+	r.callSeq++
 	var body []byte
 	if phase != "" {
-		body, _ = json.Marshal(map[string]any{"service": r.Service, "address": r.ln.Addr().String(), "zone": r.Zone, "revision": "v1",
-			"capacity": 4, "phase": phase, "warmup-left-ms": 0, "call-seq": r.seq})
+		body, _ = json.Marshal(map[string]any{"service": r.Service, "address": r.listener.Addr().String(), "zone": r.Zone, "revision": "v1",
+			"capacity": 4, "phase": phase, "warmup-left-ms": 0, "call-seq": r.callSeq})
 	}
-	client := http.Client{Timeout: callWithin}
-	for range r.Control {
-		res, err := client.Post("http://"+r.Control[r.at%len(r.Control)]+"/v1/replicas/"+r.ID+"/"+what, "application/json", bytes.NewReader(body))
+	client := http.Client{Timeout: callTimeout}
+	for range r.ControlAddresses {
+		res, err := client.Post("http://"+r.ControlAddresses[r.controlIndex%len(r.ControlAddresses)]+"/v1/replicas/"+r.ID+"/"+what, "application/json", bytes.NewReader(body))
 		if err == nil {
 			io.Copy(io.Discard, res.Body)
 			res.Body.Close()
@@ -96,7 +96,7 @@
 				return true
 			}
 		}
-		r.at++
+		r.controlIndex++
 	}
 	return false
 }
@@ -119,10 +119,10 @@
 		return
 	}
 	io.Copy(io.Discard, q.Body)
-	r.Ran.Add(1)
-	time.Sleep(r.Work)
-	body := make([]byte, 0, 16*records)
-	for range records {
+	r.Executions.Add(1)
+	time.Sleep(r.WorkTime)
+	body := make([]byte, 0, 16*recordsPerPart)
+	for range recordsPerPart {
 		body = binary.BigEndian.AppendUint64(body, rand.Uint64())
 		body = binary.BigEndian.AppendUint64(body, rand.Uint64())
 	}
--- a/transport/agentserver/agentserver.go
+++ b/transport/agentserver/agentserver.go
@@ -32,65 +32,65 @@
 	graceMargin = 300 * time.Millisecond // the agent ends so long before its grace does
 	leavePoll   = 100 * time.Millisecond // between two looks whether the proxy has gone
 
-	followerTimeout = 4 * time.Second        // a follower unheard for so long is no longer reported
-	heartbeatPoll   = 250 * time.Millisecond // between two looks which heartbeats are due and which are missing
+	downstreamTimeout = 4 * time.Second        // a follower unheard for so long is no longer reported
+	heartbeatPoll     = 250 * time.Millisecond // between two looks which heartbeats are due and which are missing
 )
 
 // Server is a running agent.
 type Server struct {
 	settings   settings.Settings
 	base       time.Time
-	upstream   watch.Follower
-	proxy      watch.Feed // the proxy beside it
-	relay      watch.Feed // the agents that follow it
+	upstream   watch.Upstream
+	proxyFeed  watch.Feed // the proxy beside it
+	relayFeed  watch.Feed // the agents that follow it
 	heartbeats net.PacketConn
 	loans      *watch.Loans // of retries that edges do not use
 
-	mu        sync.Mutex // guards the rest, and the order of what followers are told
-	state     *clusterstate.State
-	detector  *failuredetector.Detector
-	followers map[string]followerReport
-	suspects  []string
-	evidence  []rollout.Evidence // of the proxy beside it
+	mu         sync.Mutex // guards the rest, and the order of what followers are told
+	state      *clusterstate.State
+	detector   *failuredetector.Detector
+	downstream map[string]downstreamReport
+	suspects   []string
+	evidence   []rollout.Evidence // of the proxy beside it
 }
 
-// followerReport is what a follower said last, and when.
-type followerReport struct {
+// downstreamReport is what a follower said last, and when.
+type downstreamReport struct {
 	controller.EdgeReport
-	at time.Time
+	receivedAt time.Time
 }
 
 // Run runs an agent until ctx ends and the proxy beside it has gone.
 func Run(ctx context.Context, local settings.Settings) error {
 	s := &Server{settings: local, base: time.Now().Add(-time.Hour), state: clusterstate.NewState(), detector: failuredetector.New(local.IP),
-		followers: map[string]followerReport{}, loans: watch.NewLoans(local.Bounds.RetryWindow())}
-	proxy, err := peer.Listen(local.Inner(local.Loopback(), settings.PortAgent))
+		downstream: map[string]downstreamReport{}, loans: watch.NewLoans(local.Bounds.RetryWindow())}
+	proxy, err := peer.Listen(local.InternalAddress(local.Loopback(), settings.PortAgent))
 	if err != nil {
 		return ErrAgent.Wrap(err)
 	}
-	relay, err := peer.Listen(local.Inner(local.IP, settings.PortWatch))
+	relay, err := peer.Listen(local.InternalAddress(local.IP, settings.PortWatch))
 	if err != nil {
 		return ErrAgent.Wrap(err)
 	}
-	if s.heartbeats, err = net.ListenPacket("udp", local.Inner(local.IP, settings.PortHeartbeats)); err != nil {
+	if s.heartbeats, err = net.ListenPacket("udp", local.InternalAddress(local.IP, settings.PortHeartbeats)); err != nil {
 		return ErrAgent.Wrapf(err, "listening for heartbeats")
 	}
 	inner, end := context.WithCancel(context.Background())
 	defer end()
-	s.upstream = watch.Follower{Report: s.report, Addresses: s.feeders, Take: s.take,
-		Sign: func(fresh clusterstate.Freshness) { s.relay.Publish(nil, fresh) },
-		Note: s.loans.Heard}
-	go peer.Serve(proxy, func(l *peer.Link) { s.attend(l, &s.proxy) })
-	go peer.Serve(relay, func(l *peer.Link) { s.attend(l, &s.relay) })
-	go s.proxy.Beats(inner, s.upstream.Freshness)
-	go s.hear()
-	go s.watch(inner)
+	s.upstream = watch.Upstream{Report: s.report, Addresses: s.upstreamAddresses, Apply: s.applyUpdate,
+		OnFreshness: func(fresh clusterstate.Freshness) { s.relayFeed.Publish(nil, fresh) },
+		OnLending:   s.loans.HandleUpstream}
+	go peer.Serve(proxy, func(l *peer.Link) { s.serveDownstream(l, &s.proxyFeed) })
+	go peer.Serve(relay, func(l *peer.Link) { s.serveDownstream(l, &s.relayFeed) })
+	go s.proxyFeed.SendHeartbeats(inner, s.upstream.Freshness)
+	go s.receiveHeartbeats()
+	go s.sendHeartbeats(inner)
 	go s.upstream.Run(inner)
-	metrics.Serve(inner, local.IP, local.Metrics, s.figures)
+	metrics.Serve(inner, local.IP, local.Metrics, s.writeMetrics)
 	<-ctx.Done()
 	// Danger: a proxy that ends in order serves on for a while, and must hear what changes meanwhile.
 	until := time.Now().Add(time.Duration(local.Bounds.GraceS*float64(time.Second)) - graceMargin)
-	for time.Now().Before(until) && s.proxy.Count() > 0 {
+	for time.Now().Before(until) && s.proxyFeed.Count() > 0 {
 		time.Sleep(leavePoll)
 	}
 	return nil
@@ -98,13 +98,13 @@
 
 func (s *Server) now() int64 { return int64(time.Since(s.base)) }
 
-// feeders returns the addresses to follow, in order of preference.
-func (s *Server) feeders() (addresses []string) {
+// upstreamAddresses returns the addresses to follow, in order of preference.
+func (s *Server) upstreamAddresses() (addresses []string) {
 	s.mu.Lock()
 	fleet := s.state.Fleet
 	s.mu.Unlock()
 	for _, feeder := range relaytree.Feeders(s.settings.IP, s.settings.Zone, fleet, s.settings.SeedIPs(), s.settings.Zones) {
-		addresses = append(addresses, s.settings.Inner(feeder.IP, settings.PortWatch))
+		addresses = append(addresses, s.settings.InternalAddress(feeder.IP, settings.PortWatch))
 	}
 	return addresses
 }
@@ -114,23 +114,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	report := watch.Report{Revision: s.state.Revision, Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: s.settings.IP, Zone: s.settings.Zone}, Suspects: s.suspects, Rollouts: s.evidence}}
-	for ip, follower := range s.followers {
-		age := time.Since(follower.at)
-		if age > followerTimeout {
-			delete(s.followers, ip)
+	for ip, follower := range s.downstream {
+		age := time.Since(follower.receivedAt)
+		if age > downstreamTimeout {
+			delete(s.downstream, ip)
 			continue
 		}
 		edge := follower.EdgeReport
 		edge.Age += int64(age)
-		report.Below = append(report.Below, edge)
+		report.Downstream = append(report.Downstream, edge)
 	}
-	report.Lending = s.loans.Report()
+	report.Lending = s.loans.UpstreamMessage()
 	return report
 }
 
-// take merges an update into the state and publishes what is new in it. It returns false where the update is a patch
+// applyUpdate merges an update into the state and publishes what is new in it. It returns false where the update is a patch
 // of another state than the one held, so that a snapshot is needed.
-func (s *Server) take(update clusterstate.Update) bool {
+func (s *Server) applyUpdate(update clusterstate.Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fresh := s.state.Apply(update)
@@ -144,15 +144,15 @@
 		s.detector.SetEdges(s.now(), f.EdgeIPsInZone(s.settings.Zone))
 	}
 	known := s.upstream.Freshness()
-	s.proxy.Publish(&fresh, known)
-	s.relay.Publish(&fresh, known)
+	s.proxyFeed.Publish(&fresh, known)
+	s.relayFeed.Publish(&fresh, known)
 	s.state.DropGone()
 	return !s.state.NeedsSnapshot
 }
 
-// attend feeds one follower until its link ends, and keeps its reports.
-func (s *Server) attend(link *peer.Link, feed *watch.Feed) {
-	watch.Attend(link, func(report watch.Report) {
+// serveDownstream feeds one follower until its link ends, and keeps its reports.
+func (s *Server) serveDownstream(link *peer.Link, feed *watch.Feed) {
+	watch.ReceiveReports(link, func(report watch.Report) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		feed.Join(link, report, s.state.Snapshot(), s.upstream.Freshness())
@@ -164,15 +164,15 @@
 				s.evidence = edge.Rollouts
 				continue
 			}
-			s.followers[edge.Edge.IP] = followerReport{edge, time.Now()}
+			s.downstream[edge.Edge.IP] = downstreamReport{edge, time.Now()}
 		}
-		s.loans.Reported(link, report, s.upstream.Freshness())
+		s.loans.HandleReport(link, report, s.upstream.Freshness())
 	})
-	feed.Part(link)
+	feed.Leave(link)
 }
 
-// watch sends heartbeats to the edges that watch this one and notes which edges are suspected, until ctx ends.
-func (s *Server) watch(ctx context.Context) {
+// sendHeartbeats sends heartbeats to the edges that watch this one and notes which edges are suspected, until ctx ends.
+func (s *Server) sendHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatPoll)
 	defer ticker.Stop()
 	for {
@@ -190,15 +190,15 @@
 		s.suspects = suspects
 		s.mu.Unlock()
 		for _, ip := range to {
-			if a, err := net.ResolveUDPAddr("udp", s.settings.Inner(ip, settings.PortHeartbeats)); err == nil {
+			if a, err := net.ResolveUDPAddr("udp", s.settings.InternalAddress(ip, settings.PortHeartbeats)); err == nil {
 				s.heartbeats.WriteTo([]byte{1}, a)
 			}
 		}
 	}
 }
 
-// hear receives heartbeats until the socket is closed.
-func (s *Server) hear() {
+// receiveHeartbeats receives heartbeats until the socket is closed.
+func (s *Server) receiveHeartbeats() {
 	var buf [16]byte
 	for {
 		_, from, err := s.heartbeats.ReadFrom(buf[:])
--- a/transport/agentserver/agentserver_test.go
+++ b/transport/agentserver/agentserver_test.go
@@ -17,18 +17,18 @@
 	"willowsill/transport/watch"
 )
 
-// follower is one end of a link whose other end the agent attends.
-type follower struct {
+// downstream is one end of a link whose other end the agent attends.
+type downstream struct {
 	*testing.T
 	*peer.Link
 	ip string
 }
 
-func newFollower(t *testing.T, s *Server, ip string) follower {
+func newDownstream(t *testing.T, s *Server, ip string) downstream {
 	near, far := net.Pipe()
-	attended := peer.Over(near)
-	go s.attend(attended, &s.relay)
-	f := follower{t, peer.Over(far), ip}
+	attended := peer.NewLink(near)
+	go s.serveDownstream(attended, &s.relayFeed)
+	f := downstream{t, peer.NewLink(far), ip}
 	t.Cleanup(func() {
 		f.Close()
 		attended.Close()
@@ -37,9 +37,9 @@
 }
 
 // report sends a report and returns what the agent says to this follower of loans, nil for nothing.
-func (f follower) report(note *lending.Message) (said *lending.Message) {
+func (f downstream) report(note *lending.Message) (said *lending.Message) {
 	f.Helper()
-	f.Say(watch.Report{Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: f.ip}}, Lending: note})
+	f.SendMessage(watch.Report{Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: f.ip}}, Lending: note})
 	for {
 		var m watch.Message
 		if f.Receive(&m, time.Second) != nil {
@@ -58,8 +58,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		const window = int64(10 * time.Second)
 		s := &Server{settings: settings.Settings{IP: "10.0.0.1"}, base: time.Now(), state: clusterstate.NewState(),
-			detector: failuredetector.New("10.0.0.1"), followers: map[string]followerReport{}, loans: watch.NewLoans(window)}
-		short, idle := newFollower(t, s, "10.0.0.2"), newFollower(t, s, "10.0.0.3")
+			detector: failuredetector.New("10.0.0.1"), downstream: map[string]downstreamReport{}, loans: watch.NewLoans(window)}
+		short, idle := newDownstream(t, s, "10.0.0.2"), newDownstream(t, s, "10.0.0.3")
 		must.Nil(t, short.report(nil))
 		must.Nil(t, idle.report(nil))
 		must.Nil(t, s.report().Lending)
--- a/transport/agentserver/figures.go
+++ b/transport/agentserver/figures.go
@@ -6,18 +6,18 @@
 	"willowsill/transport/metrics"
 )
 
-// figures tells this process's own figures.
-func (s *Server) figures(told metrics.Figures) {
+// writeMetrics tells this process's own figures.
+func (s *Server) writeMetrics(w metrics.Writer) {
 	fresh := s.upstream.Freshness()
-	told.Flag("willowsill_agent_knowledge_current", fresh.Known)
+	w.Flag("willowsill_agent_knowledge_current", fresh.Known)
 	if fresh.Known {
-		told.Gauge("willowsill_agent_knowledge_age_seconds", time.Duration(fresh.Age).Seconds())
+		w.Gauge("willowsill_agent_knowledge_age_seconds", time.Duration(fresh.Age).Seconds())
 	}
-	told.Gauge("willowsill_followers", float64(s.relay.Count()))
-	told.Flag("willowsill_agent_proxy_follows", s.proxy.Count() > 0)
+	w.Gauge("willowsill_followers", float64(s.relayFeed.Count()))
+	w.Flag("willowsill_agent_proxy_follows", s.proxyFeed.Count() > 0)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	told.Gauge("willowsill_configuration_revision", float64(s.state.Revision))
-	told.Gauge("willowsill_edges_suspected", float64(len(s.suspects)))
-	told.Gauge("willowsill_edges", float64(len(s.state.Fleet.Edges)))
+	w.Gauge("willowsill_configuration_revision", float64(s.state.Revision))
+	w.Gauge("willowsill_edges_suspected", float64(len(s.suspects)))
+	w.Gauge("willowsill_edges", float64(len(s.state.Fleet.Edges)))
 }
--- a/transport/controlclient/controlclient.go
+++ b/transport/controlclient/controlclient.go
@@ -20,38 +20,38 @@
 var ErrClient = oops.Code("willowctl")
 
 const (
-	callWithin = 2 * time.Second
-	tryAgain   = 200 * time.Millisecond
-	followWait = 3 * time.Second
+	callTimeout    = 2 * time.Second
+	retryDelay     = 200 * time.Millisecond
+	receiveTimeout = 3 * time.Second
 
-	mostRedirects = 2 // that one call follows
+	maxRedirects = 2 // that one call follows
 )
 
-// client sends each request once. Of net/http's own client it keeps neither the idle connections nor the ten redirects.
+// httpClient sends each request once. Of net/http's own client it keeps neither the idle connections nor the ten redirects.
 //
 // Danger: net/http sends a request again by itself where a connection that it reuses dies under it. What is sent again is
 // for Control alone to say, and what is never reused is never replayed on.
-var client = &http.Client{
-	Timeout:       callWithin,
+var httpClient = &http.Client{
+	Timeout:       callTimeout,
 	Transport:     &http.Transport{Proxy: http.ProxyFromEnvironment, DisableKeepAlives: true},
-	CheckRedirect: boundRedirects,
+	CheckRedirect: limitRedirects,
 }
 
-// boundRedirects follows a 307 as often as all callers of control do.
-func boundRedirects(_ *http.Request, via []*http.Request) error {
-	if len(via) > mostRedirects {
-		return ErrClient.Errorf("more than %d redirects", mostRedirects)
+// limitRedirects follows a 307 as often as all callers of control do.
+func limitRedirects(_ *http.Request, via []*http.Request) error {
+	if len(via) > maxRedirects {
+		return ErrClient.Errorf("more than %d redirects", maxRedirects)
 	}
 	return nil
 }
 
-// Control calls one controller after the other until one gives a clear answer, or ctx ends. A call without a clear answer
+// Client calls one controller after the other until one gives a clear answer, or ctx ends. A call without a clear answer
 // (no connection, no whole answer within callWithin, a 5xx, 408 or 429) goes out again, the same bytes, to the next address
 // after tryAgain: no more than one in each tryAgain, for as long as ctx lasts. Whoever gives a ctx without an end gets tries
 // without an end.
-type Control struct{ Addresses []string }
+type Client struct{ Addresses []string }
 
-func (c *Control) call(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
+func (c *Client) call(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
 	err = ErrClient.Errorf("no control address was given")
 	for n := 0; ctx.Err() == nil && len(c.Addresses) > 0; n++ {
 		address := c.Addresses[n%len(c.Addresses)]
@@ -61,7 +61,7 @@
 		}
 		req.Header.Set("Content-Type", "application/json")
 		var res *http.Response
-		if res, err = client.Do(req); err == nil {
+		if res, err = httpClient.Do(req); err == nil {
 			answer, err = io.ReadAll(res.Body)
 			res.Body.Close()
 			if err == nil && res.StatusCode < http.StatusInternalServerError && res.StatusCode != http.StatusTooManyRequests &&
@@ -74,37 +74,37 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(tryAgain):
+		case <-time.After(retryDelay):
 		}
 	}
 	return 0, nil, ErrClient.Wrapf(err, "no clear answer")
 }
 
-// read asks for the newest configuration; status is 404 where there is none.
-func (c *Control) read(ctx context.Context) (status int, body []byte, err error) {
+// readConfiguration asks for the newest configuration; status is 404 where there is none.
+func (c *Client) readConfiguration(ctx context.Context) (status int, body []byte, err error) {
 	return c.call(ctx, http.MethodGet, "/v1/configuration/read", nil)
 }
 
-// Read is the newest configuration.
-func (c *Control) Read(ctx context.Context) ([]byte, error) {
-	status, body, err := c.read(ctx)
+// ReadConfiguration is the newest configuration.
+func (c *Client) ReadConfiguration(ctx context.Context) ([]byte, error) {
+	status, body, err := c.readConfiguration(ctx)
 	if err == nil && status != http.StatusOK {
 		err = ErrClient.Errorf("status %d: %s", status, bytes.TrimSpace(body))
 	}
 	return body, err
 }
 
-// Holds tells whether the system has a configuration at all.
-func (c *Control) Holds(ctx context.Context) (bool, error) {
-	status, body, err := c.read(ctx)
+// HasConfiguration tells whether the system has a configuration at all.
+func (c *Client) HasConfiguration(ctx context.Context) (bool, error) {
+	status, body, err := c.readConfiguration(ctx)
 	if err == nil && status != http.StatusOK && status != http.StatusNotFound {
 		err = ErrClient.Errorf("status %d: %s", status, bytes.TrimSpace(body))
 	}
 	return status == http.StatusOK, err
 }
 
-// Send sends a configuration until it is acknowledged or refused.
-func (c *Control) Send(ctx context.Context, body []byte) error {
+// SendConfiguration sends a configuration until it is acknowledged or refused.
+func (c *Client) SendConfiguration(ctx context.Context, body []byte) error {
 	status, answer, err := c.call(ctx, http.MethodPost, "/v1/configuration/replace", body)
 	if err == nil && status != http.StatusOK {
 		err = ErrClient.Errorf("status %d: %s", status, bytes.TrimSpace(answer))
@@ -112,9 +112,9 @@
 	return err
 }
 
-// Follow gives take a snapshot of a feeder and then what changes, until ctx ends or the feeder is silent;
+// Watch gives take a snapshot of a feeder and then what changes, until ctx ends or the feeder is silent;
 // take returns false to stop.
-func Follow(ctx context.Context, address string, take func(clusterstate.Update) bool) error {
+func Watch(ctx context.Context, address string, apply func(clusterstate.Update) bool) error {
 	l, err := peer.Dial(ctx, address)
 	if err != nil {
 		return ErrClient.Wrap(err)
@@ -125,16 +125,16 @@
 	for ctx.Err() == nil {
 		if time.Since(said) > time.Second {
 			said = time.Now()
-			l.Say(watch.Report{})
+			l.SendMessage(watch.Report{})
 		}
 		var p watch.Message
-		if err := l.Receive(&p, followWait); err != nil {
+		if err := l.Receive(&p, receiveTimeout); err != nil {
 			if ctx.Err() != nil {
 				return nil
 			}
 			return ErrClient.Wrap(err)
 		}
-		if p.Update != nil && !take(*p.Update) {
+		if p.Update != nil && !apply(*p.Update) {
 			return nil
 		}
 	}
--- a/transport/controlclient/replay_test.go
+++ b/transport/controlclient/replay_test.go
@@ -105,9 +105,9 @@
 // each on a connection of its own, for net/http replays only on one that it reuses.
 func TestEachTryHasItsOwnConnection(t *testing.T) {
 	s := &dyingServer{answers: []string{busy, busy, done}}
-	control := Control{Addresses: []string{s.listen(t)}}
-	must.NoError(t, control.Send(context.Background(), []byte("configuration")))
-	_, err := control.Read(context.Background())
+	control := Client{Addresses: []string{s.listen(t)}}
+	must.NoError(t, control.SendConfiguration(context.Background(), []byte("configuration")))
+	_, err := control.ReadConfiguration(context.Background())
 	must.NoError(t, err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,8 +124,8 @@
 	loop.answers = []string{"HTTP/1.1 307 There\r\nLocation: http://" + address + "/v1\r\nContent-Length: 0\r\n\r\n"}
 	loop.mu.Unlock()
 	good := &dyingServer{answers: []string{done}}
-	control := Control{Addresses: []string{address, good.listen(t)}}
-	must.NoError(t, control.Send(context.Background(), []byte("configuration")))
+	control := Client{Addresses: []string{address, good.listen(t)}}
+	must.NoError(t, control.SendConfiguration(context.Background(), []byte("configuration")))
 	loop.mu.Lock()
 	defer loop.mu.Unlock()
 	must.SliceLen(t, 3, loop.requests)
@@ -134,10 +134,10 @@
 // TestTriesEndWithTheContext: without a clear answer it goes on until ctx ends, and no longer.
 func TestTriesEndWithTheContext(t *testing.T) {
 	s := &dyingServer{answers: []string{busy}}
-	control := Control{Addresses: []string{s.listen(t)}}
-	ctx, cancel := context.WithTimeout(context.Background(), 3*tryAgain)
+	control := Client{Addresses: []string{s.listen(t)}}
+	ctx, cancel := context.WithTimeout(context.Background(), 3*retryDelay)
 	defer cancel()
-	must.Error(t, control.Send(ctx, []byte("configuration")))
+	must.Error(t, control.SendConfiguration(ctx, []byte("configuration")))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	must.LessEq(t, 4, len(s.requests))
--- a/transport/controlclient/rollouts.go
+++ b/transport/controlclient/rollouts.go
@@ -35,35 +35,35 @@
 
 // BeginRollout orders that a service's traffic be moved to a version within so many seconds. The same order sent again is
 // acknowledged again.
-func (c *Control) BeginRollout(ctx context.Context, service, target string, overS float64) (r Rollout, err error) {
+func (c *Client) BeginRollout(ctx context.Context, service, target string, overS float64) (r Rollout, err error) {
 	body, err := json.Marshal(rolloutOrder{service, target, overS})
 	if err != nil {
 		return r, ErrClient.Wrap(err)
 	}
-	return r, c.callInto(ctx, http.MethodPost, "/v1/rollouts/begin", body, &r)
+	return r, c.callJSON(ctx, http.MethodPost, "/v1/rollouts/begin", body, &r)
 }
 
 // ReadRollout is the newest rollout of a service.
-func (c *Control) ReadRollout(ctx context.Context, service string) (r Rollout, err error) {
-	return r, c.callInto(ctx, http.MethodGet, "/v1/rollouts/"+url.PathEscape(service)+"/read", nil, &r)
+func (c *Client) ReadRollout(ctx context.Context, service string) (r Rollout, err error) {
+	return r, c.callJSON(ctx, http.MethodGet, "/v1/rollouts/"+url.PathEscape(service)+"/read", nil, &r)
 }
 
 // AbortRollout takes the active rollout of a service back, and returns what stands then.
-func (c *Control) AbortRollout(ctx context.Context, service string) (r Rollout, err error) {
-	return r, c.callInto(ctx, http.MethodPost, "/v1/rollouts/"+url.PathEscape(service)+"/abort", nil, &r)
+func (c *Client) AbortRollout(ctx context.Context, service string) (r Rollout, err error) {
+	return r, c.callJSON(ctx, http.MethodPost, "/v1/rollouts/"+url.PathEscape(service)+"/abort", nil, &r)
 }
 
 // Rollouts are those that are kept, the oldest first.
-func (c *Control) Rollouts(ctx context.Context) ([]Rollout, error) {
+func (c *Client) Rollouts(ctx context.Context) ([]Rollout, error) {
 	var all struct {
 		Rollouts []Rollout `json:"rollouts"`
 	}
-	err := c.callInto(ctx, http.MethodGet, "/v1/rollouts/history", nil, &all)
+	err := c.callJSON(ctx, http.MethodGet, "/v1/rollouts/history", nil, &all)
 	return all.Rollouts, err
 }
 
-// callInto makes a call and decodes its answer.
-func (c *Control) callInto(ctx context.Context, method, path string, body []byte, into any) error {
+// callJSON makes a call and decodes its answer.
+func (c *Client) callJSON(ctx context.Context, method, path string, body []byte, into any) error {
 	status, answer, err := c.call(ctx, method, path, body)
 	switch {
 	case err != nil:
--- a/transport/controlserver/callcounts.go
+++ b/transport/controlserver/callcounts.go
@@ -34,13 +34,13 @@
 	c.counts[key]++
 }
 
-// tell tells each count.
-func (c *callCounts) tell(told metrics.Figures) {
+// writeMetrics tells each count.
+func (c *callCounts) writeMetrics(w metrics.Writer) {
 	c.mu.Lock()
 	counts := maps.Clone(c.counts)
 	c.mu.Unlock()
 	for key, count := range counts {
-		told.Counter(fmt.Sprintf("willowsill_control_calls_total{call=%q,status=\"%d\"}", key.call, key.status), count)
+		w.Counter(fmt.Sprintf("willowsill_control_calls_total{call=%q,status=\"%d\"}", key.call, key.status), count)
 	}
 }
 
@@ -56,8 +56,8 @@
 	callHeartbeat = "replicas/heartbeat"
 )
 
-// kindOf is what a call of this path is counted as: the resource and the last part, as in configuration/read.
-func kindOf(path string) string {
+// callKind is what a call of this path is counted as: the resource and the last part, as in configuration/read.
+func callKind(path string) string {
 	resource, rest, _ := strings.Cut(strings.TrimPrefix(path, "/v1/"), "/")
 	call := rest[strings.LastIndexByte(rest, '/')+1:]
 	if !slices.Contains(knownResources, resource) || !slices.Contains(knownCalls, call) {
@@ -77,12 +77,12 @@
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// counted serves a call, counts it by its answer and logs it where it was turned down. Heartbeats are counted alone: each
+// serve serves a call, counts it by its answer and logs it where it was turned down. Heartbeats are counted alone: each
 // replica sends one a second.
-func (c *callCounts) counted(w http.ResponseWriter, r *http.Request, serve func(http.ResponseWriter)) {
+func (c *callCounts) serve(w http.ResponseWriter, r *http.Request, handler func(http.ResponseWriter)) {
 	recorder := &statusRecorder{ResponseWriter: w, status: http.StatusOK}
-	serve(recorder)
-	key := callKey{kindOf(r.URL.Path), recorder.status}
+	handler(recorder)
+	key := callKey{callKind(r.URL.Path), recorder.status}
 	c.add(key)
 	if key.status >= http.StatusBadRequest && key.call != callHeartbeat {
 		klog.InfoS("a call is turned down", "method", r.Method, "path", r.URL.Path, "status", key.status)
--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -35,7 +35,7 @@
 const (
 	inputQueue        = 1024                   // inputs that may wait for the loop
 	inputBatch        = 64                     // inputs taken between two looks at the timer
-	longestPoll       = 50 * time.Millisecond  // between two looks at the timer
+	maxTickDelay      = 50 * time.Millisecond  // between two looks at the timer
 	drainTimeout      = 400 * time.Millisecond // for calls under way at a planned end
 	readHeaderTimeout = 2 * time.Second
 	readTimeout       = 5 * time.Second // of a whole request
@@ -46,17 +46,17 @@
 
 // Server is a running controller.
 type Server struct {
-	settings   settings.Settings
-	base       time.Time
-	controller *controller.Controller
-	inputs     chan func(now int64) controller.Effects
-	saves      chan controller.Save
-	mesh       *peer.Mesh
-	feed       watch.Feed
-	operators  watch.Feed   // those who look on: they are told of all replicas
-	loans      *watch.Loans // of retries that edges do not use
-	current    atomic.Pointer[currency]
-	answered   callCounts
+	settings    settings.Settings
+	base        time.Time
+	controller  *controller.Controller
+	inputs      chan func(now int64) controller.Effects
+	saves       chan controller.Save
+	mesh        *peer.Mesh
+	feed        watch.Feed
+	operators   watch.Feed   // those who look on: they are told of all replicas
+	loans       *watch.Loans // of retries that edges do not use
+	lastCurrent atomic.Pointer[currentInfo]
+	callCounts  callCounts
 
 	mu       sync.Mutex                        // guards the rest
 	calls    map[uint64]chan controller.Answer // that wait, by number
@@ -70,7 +70,7 @@
 		saves:  make(chan controller.Save, 1), calls: map[uint64]chan controller.Answer{}}
 	life := strconv.FormatUint(rand.Uint64(), 36)
 	start := controller.Options{IP: local.IP, Incarnation: life, Zone: local.Zone, Regions: local.Zones, Seeds: local.SeedIPs(), Bootstrap: local.Bootstrap,
-		ReplicaHeartbeatInterval: local.BeatMs * int64(time.Millisecond), RolloutTerms: rollout.Bounds{ExposureShare: local.Bounds.ExposureShare}, Random: rand.Float64}
+		ReplicaHeartbeatInterval: local.HeartbeatIntervalMs * int64(time.Millisecond), RolloutTerms: rollout.Bounds{ExposureShare: local.Bounds.ExposureShare}, Random: rand.Float64}
 	store, found, err := statestore.Open(local.DataDir)
 	if errors.Is(err, statestore.ErrNewerFormat) {
 		return ErrControlServer.Wrap(err) // the file stays for the version that wrote it
@@ -82,16 +82,16 @@
 		start.Bootstrap = false
 		os.Remove(statestore.Path(local.DataDir))
 	}
-	start.RegisterState, start.CommittedConfiguration, start.Rollouts, start.Replicas = found.State, found.Committed, found.Rollouts, found.List
+	start.RegisterState, start.CommittedConfiguration, start.Rollouts, start.Replicas = found.State, found.Committed, found.Rollouts, found.Replicas
 	klog.InfoS("controller", "ip", local.IP, "bootstrap", local.Bootstrap, "found", found.State != nil, "committed", found.Committed.Revision, "sum", found.Committed.Sum,
-		"replicas", len(found.List))
+		"replicas", len(found.Replicas))
 	s.controller = controller.New(s.now(), start)
 
-	peers, err := peer.Listen(local.Inner(local.IP, settings.PortControllers))
+	peers, err := peer.Listen(local.InternalAddress(local.IP, settings.PortControllers))
 	if err != nil {
 		return ErrControlServer.Wrap(err)
 	}
-	followers, err := peer.Listen(local.Inner(local.IP, settings.PortWatch))
+	followers, err := peer.Listen(local.InternalAddress(local.IP, settings.PortWatch))
 	if err != nil {
 		return ErrControlServer.Wrap(err)
 	}
@@ -103,11 +103,11 @@
 	defer end()
 	s.mesh = peer.NewMesh(inner)
 	go peer.Serve(peers, s.peer)
-	go peer.Serve(followers, s.follower)
-	go s.save(store)
-	go s.feed.Beats(inner, s.freshness)
-	go s.operators.Beats(inner, s.freshness)
-	metrics.Serve(inner, local.IP, local.Metrics, s.figures)
+	go peer.Serve(followers, s.serveDownstream)
+	go s.saveLoop(store)
+	go s.feed.SendHeartbeats(inner, s.freshness)
+	go s.operators.SendHeartbeats(inner, s.freshness)
+	metrics.Serve(inner, local.IP, local.Metrics, s.writeMetrics)
 	httpServer := &http.Server{Handler: s.handler(), ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes}
 	go func() {
@@ -130,15 +130,15 @@
 
 func (s *Server) now() int64 { return int64(time.Since(s.base)) }
 
-// currency is what was last known of how current the controller is.
-type currency struct {
+// currentInfo is what was last known of how current the controller is.
+type currentInfo struct {
 	since           int64 // on the server's clock; the controller then held all that had been acknowledged
 	epoch, revision uint64
 }
 
-// noteCurrent is called by the loop.
-func (s *Server) noteCurrent() {
-	s.current.Store(&currency{s.controller.CurrentSince(), s.controller.Epoch(), s.controller.Revision()})
+// recordCurrent is called by the loop.
+func (s *Server) recordCurrent() {
+	s.lastCurrent.Store(&currentInfo{s.controller.CurrentSince(), s.controller.Epoch(), s.controller.Revision()})
 }
 
 // freshness is what followers are told, as of now. It may be called from any goroutine.
@@ -146,7 +146,7 @@
 // Danger: a process that stood still for seconds would go on telling what held before; so the age is taken when it is
 // told, and not when it was noted.
 func (s *Server) freshness() clusterstate.Freshness {
-	noted := s.current.Load()
+	noted := s.lastCurrent.Load()
 	if noted == nil {
 		return clusterstate.Freshness{}
 	}
@@ -164,25 +164,25 @@
 	for {
 		select {
 		case <-ctx.Done():
-			s.carry(s.controller.AnnounceShutdown(s.now()))
+			s.applyEffects(s.controller.AnnounceShutdown(s.now()))
 			return
 		case in := <-s.inputs:
-			s.carry(in(s.now()))
+			s.applyEffects(in(s.now()))
 			for range min(len(s.inputs), inputBatch) {
-				s.carry((<-s.inputs)(s.now()))
+				s.applyEffects((<-s.inputs)(s.now()))
 			}
 		case <-timer.C:
 		}
 		if now := s.now(); now >= s.controller.NextTick() {
-			s.carry(s.controller.Tick(now))
+			s.applyEffects(s.controller.Tick(now))
 		}
-		s.noteCurrent()
-		timer.Reset(min(max(time.Duration(s.controller.NextTick()-s.now()), time.Millisecond), longestPoll))
+		s.recordCurrent()
+		timer.Reset(min(max(time.Duration(s.controller.NextTick()-s.now()), time.Millisecond), maxTickDelay))
 	}
 }
 
-// carry carries out what the controller asks for: log lines, saves, messages, answers and updates.
-func (s *Server) carry(o controller.Effects) {
+// applyEffects carries out what the controller asks for: log lines, saves, messages, answers and updates.
+func (s *Server) applyEffects(o controller.Effects) {
 	for _, l := range o.Log {
 		klog.InfoS(l.Text, l.Values...)
 	}
@@ -196,7 +196,7 @@
 			continue
 		}
 		for _, ip := range send.To {
-			s.mesh.Send(s.settings.Inner(ip, settings.PortControllers), frame)
+			s.mesh.Send(s.settings.InternalAddress(ip, settings.PortControllers), frame)
 		}
 	}
 	for _, a := range o.Answers {
@@ -209,7 +209,7 @@
 		}
 	}
 	if !o.Update.Empty() {
-		s.noteCurrent()
+		s.recordCurrent()
 		s.feed.Publish(&o.Update, s.freshness())
 	}
 	if !o.FullUpdate.Empty() {
@@ -217,10 +217,10 @@
 	}
 }
 
-// save writes states to the disk one after the other, in a goroutine of its own.
+// saveLoop writes states to the disk one after the other, in a goroutine of its own.
 //
 // Danger: a disk that hangs must not hold heartbeats and reads up.
-func (s *Server) save(store *statestore.Store) {
+func (s *Server) saveLoop(store *statestore.Store) {
 	for save := range s.saves {
 		var err error
 		if store == nil {
@@ -246,11 +246,11 @@
 	}
 }
 
-// follower serves one follower, an agent or an operator's watch, until its link ends.
-func (s *Server) follower(link *peer.Link) {
-	watch.Attend(link, func(report watch.Report) {
+// serveDownstream serves one follower, an agent or an operator's watch, until its link ends.
+func (s *Server) serveDownstream(link *peer.Link) {
+	watch.ReceiveReports(link, func(report watch.Report) {
 		s.inputs <- func(int64) controller.Effects {
-			if report.Operator() {
+			if report.IsOperator() {
 				s.operators.Join(link, report, s.controller.FullSnapshot(), s.freshness())
 			} else {
 				s.feed.Join(link, report, s.controller.Snapshot(), s.freshness())
@@ -261,10 +261,10 @@
 		for _, edge := range report.All() {
 			s.inputs <- func(now int64) controller.Effects { return s.controller.HandleEdgeReport(now, edge) }
 		}
-		s.loans.Reported(link, report, s.freshness())
+		s.loans.HandleReport(link, report, s.freshness())
 	})
-	s.feed.Part(link)
-	s.operators.Part(link)
+	s.feed.Leave(link)
+	s.operators.Leave(link)
 }
 
 // call puts a call to the controller and waits for its answer; false where ctx ended first.
@@ -291,7 +291,7 @@
 	}
 }
 
-// beat hands a heartbeat or a departure of a replica to the controller and waits for its answer.
-func (s *Server) beat(ctx context.Context, r registry.Record) (controller.Answer, bool) {
+// replicaCall hands a heartbeat or a departure of a replica to the controller and waits for its answer.
+func (s *Server) replicaCall(ctx context.Context, r registry.Record) (controller.Answer, bool) {
 	return s.call(ctx, func(now int64, id uint64) controller.Effects { return s.controller.HandleReplicaCall(now, id, r) })
 }
--- a/transport/controlserver/figures.go
+++ b/transport/controlserver/figures.go
@@ -9,18 +9,18 @@
 	"willowsill/transport/metrics"
 )
 
-// figuresTimeout bounds how long a question for figures waits for the loop.
-const figuresTimeout = time.Second
+// metricsTimeout bounds how long a question for figures waits for the loop.
+const metricsTimeout = time.Second
 
-// figures tells this process's own figures: the loop is asked for what it knows, since it alone may look.
-func (s *Server) figures(told metrics.Figures) {
+// writeMetrics tells this process's own figures: the loop is asked for what it knows, since it alone may look.
+func (s *Server) writeMetrics(told metrics.Writer) {
 	answer := make(chan controller.Stats, 1)
 	ask := func(int64) controller.Effects {
 		answer <- s.controller.Stats()
 		return controller.Effects{}
 	}
-	s.answered.tell(told)
-	timeout := time.After(figuresTimeout)
+	s.callCounts.writeMetrics(told)
+	timeout := time.After(metricsTimeout)
 	select {
 	case s.inputs <- ask:
 	case <-timeout:
@@ -30,14 +30,14 @@
 	select {
 	case f := <-answer:
 		told.Flag("willowsill_controller_up", true)
-		tell(told, f)
+		writeStats(told, f)
 		told.Gauge("willowsill_followers", float64(s.feed.Count()))
 	case <-timeout:
 		told.Flag("willowsill_controller_up", false)
 	}
 }
 
-func tell(told metrics.Figures, f controller.Stats) {
+func writeStats(told metrics.Writer, f controller.Stats) {
 	told.Flag("willowsill_controller_in_contact", f.InContact)
 	told.Flag("willowsill_controller_disk_caught_up", f.CaughtUp)
 	told.Gauge("willowsill_membership_epoch", float64(f.Epoch))
--- a/transport/controlserver/resources.go
+++ b/transport/controlserver/resources.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	heartbeatMost     = 4 << 10 // bytes of a heartbeat
-	configurationMost = 4 << 20 // bytes of a configuration
+	maxHeartbeatBytes     = 4 << 10 // bytes of a heartbeat
+	maxConfigurationBytes = 4 << 20 // bytes of a configuration
 )
 
 // handler puts the resources together.
 func (s *Server) handler() http.Handler {
-	replicas, configuration, rollouts := &replicas{s}, &configuration{s}, &rollouts{s}
+	replicas, configuration, rollouts := &replicasHandler{s}, &configurationHandler{s}, &rolloutsHandler{s}
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		if id, ok := strings.CutPrefix(r.URL.Path, "/v1/replicas/"); ok {
 			id, call, _ := strings.Cut(id, "/")
@@ -39,15 +39,15 @@
 			rollouts.serve(w, r, call)
 			return
 		}
-		refuse(w, http.StatusNotFound, "there is no such resource")
+		respondError(w, http.StatusNotFound, "there is no such resource")
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.answered.counted(w, r, func(w http.ResponseWriter) { serve(w, r) })
+		s.callCounts.serve(w, r, func(w http.ResponseWriter) { serve(w, r) })
 	})
 }
 
-// refuse answers with a reason.
-func refuse(w http.ResponseWriter, status int, reason string) {
+// respondError answers with a reason.
+func respondError(w http.ResponseWriter, status int, reason string) {
 	e := jx.Encoder{}
 	e.ObjStart()
 	e.FieldStart("message")
@@ -66,36 +66,36 @@
 	w.Write(body)
 }
 
-// replicas is the resource of heartbeats and departures.
-type replicas struct{ server *Server }
+// replicasHandler is the resource of heartbeats and departures.
+type replicasHandler struct{ server *Server }
 
-func (h *replicas) serve(w http.ResponseWriter, r *http.Request, id, call string) {
+func (h *replicasHandler) serve(w http.ResponseWriter, r *http.Request, id, call string) {
 	if r.Method != http.MethodPost || id == "" {
-		refuse(w, http.StatusMethodNotAllowed, "replicas are told of by POST")
+		respondError(w, http.StatusMethodNotAllowed, "replicas are told of by POST")
 		return
 	}
 	record := registry.Record{ID: id, Phase: registry.Gone}
 	switch call {
 	case "heartbeat":
-		body, err := io.ReadAll(io.LimitReader(r.Body, heartbeatMost+1))
-		if err == nil && len(body) > heartbeatMost {
+		body, err := io.ReadAll(io.LimitReader(r.Body, maxHeartbeatBytes+1))
+		if err == nil && len(body) > maxHeartbeatBytes {
 			err = errors.New("a heartbeat is too long")
 		}
 		if err == nil {
-			record, err = readBeat(id, body)
+			record, err = parseHeartbeat(id, body)
 		}
 		if err != nil {
-			refuse(w, http.StatusBadRequest, err.Error())
+			respondError(w, http.StatusBadRequest, err.Error())
 			return
 		}
 	case "departure":
 	default:
-		refuse(w, http.StatusNotFound, "a replica has heartbeat and departure")
+		respondError(w, http.StatusNotFound, "a replica has heartbeat and departure")
 		return
 	}
-	a, ok := h.server.beat(r.Context(), record)
+	a, ok := h.server.replicaCall(r.Context(), record)
 	a.Body = h.server.heartbeatAnswer(a.HeartbeatTarget)
-	answer(w, a, ok)
+	respondAnswer(w, a, ok)
 }
 
 // heartbeatAnswer names the controller that later heartbeats are to go to; its port is the same on all machines.
@@ -112,19 +112,19 @@
 	return e.Bytes()
 }
 
-func answer(w http.ResponseWriter, a controller.Answer, ok bool) {
+func respondAnswer(w http.ResponseWriter, a controller.Answer, ok bool) {
 	switch {
 	case !ok:
-		refuse(w, http.StatusServiceUnavailable, "the call was broken off")
+		respondError(w, http.StatusServiceUnavailable, "the call was broken off")
 	case a.Status != http.StatusOK:
-		refuse(w, a.Status, a.Reason)
+		respondError(w, a.Status, a.Reason)
 	default:
 		respond(w, a.Status, a.Body)
 	}
 }
 
-// readBeat reads a heartbeat field by field.
-func readBeat(id string, body []byte) (registry.Record, error) {
+// parseHeartbeat reads a heartbeat field by field.
+func parseHeartbeat(id string, body []byte) (registry.Record, error) {
 	r := registry.Record{ID: id}
 	err := jx.DecodeBytes(body).Obj(func(d *jx.Decoder, key string) (err error) {
 		var n int64
@@ -169,57 +169,57 @@
 	return r, err
 }
 
-// configuration is the resource of the whole configuration.
-type configuration struct{ server *Server }
+// configurationHandler is the resource of the whole configuration.
+type configurationHandler struct{ server *Server }
 
-func (h *configuration) serve(w http.ResponseWriter, r *http.Request, call string) {
+func (h *configurationHandler) serve(w http.ResponseWriter, r *http.Request, call string) {
 	switch {
 	case call == "read" && r.Method == http.MethodGet:
 		a, ok := h.server.call(r.Context(), h.server.controller.ReadConfiguration)
 		if ok && a.Status == http.StatusOK {
 			if a.Body, ok = clusterstate.Unpack(a.Body); !ok {
-				refuse(w, http.StatusInternalServerError, "the configuration held here cannot be unpacked")
+				respondError(w, http.StatusInternalServerError, "the configuration held here cannot be unpacked")
 				return
 			}
 		}
-		answer(w, a, ok)
+		respondAnswer(w, a, ok)
 	case call == "replace" && r.Method == http.MethodPost:
 		h.replace(w, r)
 	default:
-		refuse(w, http.StatusNotFound, "the configuration has read (GET) and replace (POST)")
+		respondError(w, http.StatusNotFound, "the configuration has read (GET) and replace (POST)")
 	}
 }
 
 // configModeHighest is the one way to order configurations that is known here: the highest revision holds.
 const configModeHighest = "highest"
 
-// knownMode tells whether orders are taken. A settings file that names no mode is one from before there were any.
-func knownMode(mode string) bool { return mode == "" || mode == configModeHighest }
+// supportedMode tells whether orders are taken. A settings file that names no mode is one from before there were any.
+func supportedMode(mode string) bool { return mode == "" || mode == configModeHighest }
 
 // replace takes an operator's order.
 //
 // Where the deployment orders configurations in a way that is not known here, none is confirmed: one that the
 // operators' way refuses could be taken, and they would be told that it holds. 501 has them try again elsewhere,
 // so the order comes through once a version that knows the mode runs.
-func (h *configuration) replace(w http.ResponseWriter, r *http.Request) {
-	if mode := h.server.settings.ConfigMode; !knownMode(mode) {
+func (h *configurationHandler) replace(w http.ResponseWriter, r *http.Request) {
+	if mode := h.server.settings.ConfigMode; !supportedMode(mode) {
 		klog.ErrorS(nil, "the config_mode of the settings is unknown; a configuration is left unanswered", "mode", mode)
-		refuse(w, http.StatusNotImplemented, fmt.Sprintf("config_mode %q is unknown here", mode))
+		respondError(w, http.StatusNotImplemented, fmt.Sprintf("config_mode %q is unknown here", mode))
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, configurationMost+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxConfigurationBytes+1))
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, "the configuration did not come whole")
+		respondError(w, http.StatusServiceUnavailable, "the configuration did not come whole")
 		return
 	}
-	if len(body) > configurationMost {
-		refuse(w, http.StatusRequestEntityTooLarge, "the configuration is too long")
+	if len(body) > maxConfigurationBytes {
+		respondError(w, http.StatusRequestEntityTooLarge, "the configuration is too long")
 		return
 	}
 	c, err := routeconfig.Read(body)
 	if err != nil {
 		klog.InfoS("a configuration is refused", "bytes", len(body), "err", err.Error())
-		refuse(w, http.StatusBadRequest, err.Error())
+		respondError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	packed := clusterstate.Pack(body)
@@ -227,5 +227,5 @@
 		return h.server.controller.PutConfiguration(now, id, c.Revision, packed)
 	})
 	klog.InfoS("a configuration was sent", "revision", c.Revision, "routes", len(c.Routes), "status", a.Status, "reason", a.Reason)
-	answer(w, a, ok)
+	respondAnswer(w, a, ok)
 }
--- a/transport/controlserver/resources_test.go
+++ b/transport/controlserver/resources_test.go
@@ -25,7 +25,7 @@
 		now := int64(0)
 		save := func(out controller.Effects) {
 			for {
-				s.carry(out)
+				s.applyEffects(out)
 				if out.Save == nil {
 					return
 				}
@@ -84,7 +84,7 @@
 	must.Eq(t, http.StatusOK, replace(s.handler(), "7", "s"))
 	text := func(s *Server) string {
 		w := httptest.NewRecorder()
-		metrics.Handler("/metrics", s.figures).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+		metrics.Handler("/metrics", s.writeMetrics).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		return w.Body.String()
 	}
 	told := text(s)
@@ -125,7 +125,7 @@
 		s.handler().ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, path, nil))
 	}
 	w := httptest.NewRecorder()
-	metrics.Handler("/metrics", s.figures).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	metrics.Handler("/metrics", s.writeMetrics).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	must.StrContains(t, w.Body.String(), "willowsill_control_calls_total{call=\"configuration/read\",status=\"404\"} 1\n")
 	must.StrContains(t, w.Body.String(), "willowsill_control_calls_total{call=\"unknown\",status=\"404\"} 2\n")
 }
@@ -161,7 +161,7 @@
 		`{"target-revision":"v2","over-s":9}`:                    http.StatusBadRequest,
 		`{"service":"s","target-revision":"v2","over-s":9`:       http.StatusBadRequest,
 		`{"service":"nobody","target-revision":"v2","over-s":9}`: http.StatusUnprocessableEntity,
-		strings.Repeat(" ", orderMost+1):                         http.StatusRequestEntityTooLarge,
+		strings.Repeat(" ", maxOrderBytes+1):                     http.StatusRequestEntityTooLarge,
 	} {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/rollouts/begin", strings.NewReader(body)))
--- a/transport/controlserver/rollouts.go
+++ b/transport/controlserver/rollouts.go
@@ -17,16 +17,16 @@
 
 // Bounds of an order.
 const (
-	orderMost   = 4 << 10 // bytes
-	nameMost    = 256     // bytes of the name of a service or a version
-	overSMost   = 7 * 24 * 3600
-	msPerSecond = 1000
+	maxOrderBytes = 4 << 10 // bytes
+	maxNameBytes  = 256     // bytes of the name of a service or a version
+	maxOverS      = 7 * 24 * 3600
+	msPerSecond   = 1000
 )
 
-// rollouts is the resource of rollouts: begin, history, and of each service read and abort.
-type rollouts struct{ server *Server }
+// rolloutsHandler is the resource of rollouts: begin, history, and of each service read and abort.
+type rolloutsHandler struct{ server *Server }
 
-func (h *rollouts) serve(w http.ResponseWriter, r *http.Request, call string) {
+func (h *rolloutsHandler) serve(w http.ResponseWriter, r *http.Request, call string) {
 	service, ofService, named := strings.Cut(call, "/")
 	control := h.server.controller
 	switch {
@@ -39,24 +39,24 @@
 	case named && service != "" && ofService == "abort" && r.Method == http.MethodPost:
 		h.call(r.Context(), w, func(now int64, id uint64) controller.Effects { return control.AbortRollout(now, id, service) }, encodeNewest)
 	default:
-		refuse(w, http.StatusNotFound, "rollouts have begin (POST), history (GET), SERVICE/read (GET) and SERVICE/abort (POST)")
+		respondError(w, http.StatusNotFound, "rollouts have begin (POST), history (GET), SERVICE/read (GET) and SERVICE/abort (POST)")
 	}
 }
 
 // begin takes an operator's order.
-func (h *rollouts) begin(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, orderMost+1))
+func (h *rolloutsHandler) begin(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxOrderBytes+1))
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, "the order did not come whole")
+		respondError(w, http.StatusServiceUnavailable, "the order did not come whole")
 		return
 	}
-	if len(body) > orderMost {
-		refuse(w, http.StatusRequestEntityTooLarge, "the order is too long")
+	if len(body) > maxOrderBytes {
+		respondError(w, http.StatusRequestEntityTooLarge, "the order is too long")
 		return
 	}
-	order, err := readOrder(body)
+	order, err := parseOrder(body)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		respondError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	klog.InfoS("a rollout was ordered", "service", order.Service, "target", order.Target, "overMs", order.OverMs)
@@ -64,16 +64,16 @@
 }
 
 // call puts a call to the controller and answers it.
-func (h *rollouts) call(ctx context.Context, w http.ResponseWriter, in func(now int64, id uint64) controller.Effects, encode func([]rollout.Rollout) []byte) {
+func (h *rolloutsHandler) call(ctx context.Context, w http.ResponseWriter, in func(now int64, id uint64) controller.Effects, encode func([]rollout.Rollout) []byte) {
 	a, ok := h.server.call(ctx, in)
 	if ok && a.Status == http.StatusOK {
 		a.Body = encode(a.Rollouts)
 	}
-	answer(w, a, ok)
+	respondAnswer(w, a, ok)
 }
 
-// readOrder reads an order field by field.
-func readOrder(body []byte) (o rollout.Order, err error) {
+// parseOrder reads an order field by field.
+func parseOrder(body []byte) (o rollout.Order, err error) {
 	seconds := 0.0
 	err = jx.DecodeBytes(body).Obj(func(d *jx.Decoder, key string) (err error) {
 		switch key {
@@ -95,11 +95,11 @@
 		return o, err
 	}
 	for name, value := range map[string]string{"service": o.Service, "target-revision": o.Target} {
-		if value == "" || len(value) > nameMost {
-			return o, fmt.Errorf("%s is missing or longer than %d bytes", name, nameMost)
+		if value == "" || len(value) > maxNameBytes {
+			return o, fmt.Errorf("%s is missing or longer than %d bytes", name, maxNameBytes)
 		}
 	}
-	if !(seconds > 0 && seconds <= overSMost) {
+	if !(seconds > 0 && seconds <= maxOverS) {
 		return o, errors.New("over-s is missing, 0 or below, or longer than a week")
 	}
 	o.OverMs = max(int64(seconds*msPerSecond), 1)
--- a/transport/daemon/daemon.go
+++ b/transport/daemon/daemon.go
@@ -20,19 +20,19 @@
 // Main runs a daemon: run is to return once ctx is over, which SIGTERM ends. The exit code is 2 where the
 // settings are wrong.
 func Main(program, purpose string, run func(ctx context.Context, s settings.Settings) error) {
-	os.Exit(Start(program, purpose, os.Args[1:], run))
+	os.Exit(Run(program, purpose, os.Args[1:], run))
 }
 
-// Start is Main for a process with arguments of its own; it returns the exit code, and the process is to end with
+// Run is Main for a process with arguments of its own; it returns the exit code, and the process is to end with
 // it: the handlers of signals stay in place.
-func Start(program, purpose string, args []string, run func(ctx context.Context, s settings.Settings) error) int {
+func Run(program, purpose string, args []string, run func(ctx context.Context, s settings.Settings) error) int {
 	received := catchSignals()
 	flags := flag.NewFlagSet(program, flag.ContinueOnError)
 	check := flags.String("check", "", "read this settings `file`, say what is wrong with it and end")
 	endpoint := flags.String("metrics", "", "tell the process's own figures at `PORT/PATH`, as in 9464/metrics")
 	flags.Usage = func() {
 		fmt.Fprintf(flags.Output(), "%s %s, as the settings file named by %s says.\n\n  %s\n  %s --check /etc/willowsill/local.toml\n  %s --metrics 9464/metrics\n\n",
-			program, purpose, settings.Variable, program, program, program)
+			program, purpose, settings.FileVariable, program, program, program)
 		flags.PrintDefaults()
 	}
 	if err := flags.Parse(args); err != nil {
@@ -57,8 +57,8 @@
 		}
 		s.Metrics = *endpoint
 	}
-	logs.Begin(program, s)
-	defer logs.End()
+	logs.Setup(program, s)
+	defer logs.Flush()
 	go rereadSettings(received.reload, s.File)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/transport/daemon/daemon_test.go
+++ b/transport/daemon/daemon_test.go
@@ -32,7 +32,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(childVariable) != "" {
-		os.Exit(Start("test", "leaves slowly", nil, leaveSlowly))
+		os.Exit(Run("test", "leaves slowly", nil, leaveSlowly))
 	}
 	os.Exit(m.Run())
 }
@@ -53,8 +53,8 @@
 // reloaded is what the daemon logs once it has read its settings again.
 const reloaded = "the settings file was read again"
 
-// childPatience is how long a child may take for all of its test. One that is waited for in vain is killed then.
-const childPatience = 30 * time.Second
+// childTimeout is how long a child may take for all of its test. One that is waited for in vain is killed then.
+const childTimeout = 30 * time.Second
 
 // child is a daemon in a process of its own.
 type child struct {
@@ -67,7 +67,7 @@
 
 func startChild(t *testing.T, settingsFile string) *child {
 	c := &child{t: t, process: exec.Command(os.Args[0])}
-	c.process.Env = append(os.Environ(), childVariable+"=1", settings.Variable+"="+settingsFile,
+	c.process.Env = append(os.Environ(), childVariable+"=1", settings.FileVariable+"="+settingsFile,
 		"GORACE=atexit_sleep_ms=0") // the race detector would wait a second at each exit
 	var err error
 	c.input, err = c.process.StdinPipe()
@@ -84,7 +84,7 @@
 	signal.Notify(handled, syscall.SIGHUP, syscall.SIGINT, syscall.SIGTERM)
 	defer signal.Stop(handled)
 	must.NoError(t, c.process.Start())
-	tooLong := time.AfterFunc(childPatience, func() { _ = c.process.Process.Kill() })
+	tooLong := time.AfterFunc(childTimeout, func() { _ = c.process.Process.Kill() })
 	t.Cleanup(func() {
 		tooLong.Stop()
 		_ = c.process.Process.Kill()
@@ -185,10 +185,10 @@
 		told = s.Metrics
 		return nil
 	}
-	t.Setenv(settings.Variable, settingsFile(t))
-	must.Zero(t, Start("test", "notes", []string{"--metrics", "9464/metrics"}, note))
+	t.Setenv(settings.FileVariable, settingsFile(t))
+	must.Zero(t, Run("test", "notes", []string{"--metrics", "9464/metrics"}, note))
 	must.Eq(t, "9464/metrics", told)
-	must.Zero(t, Start("test", "notes", nil, note))
+	must.Zero(t, Run("test", "notes", nil, note))
 	must.Eq(t, "", told)
-	must.Eq(t, 2, Start("test", "notes", []string{"--metrics", "metrics"}, note))
+	must.Eq(t, 2, Run("test", "notes", []string{"--metrics", "metrics"}, note))
 }
--- a/transport/discovery/discovery.go
+++ b/transport/discovery/discovery.go
@@ -16,64 +16,64 @@
 )
 
 const (
-	wait     = 5 * time.Second        // that discovery may hold a call back: short, so that a dead way is seen soon
-	spare    = time.Second            // a call is over so long after its wait: before its news counts as told
-	again    = 100 * time.Millisecond // between a failed call and the next: discovery answers at no cost
-	answer   = 8 << 20                // most bytes of an answer: a list of tens of thousands
-	listPath = "/v1/servers"
+	longPollTime   = 5 * time.Second        // that discovery may hold a call back: short, so that a dead way is seen soon
+	callMargin     = time.Second            // a call is over so long after its wait: before its news counts as told
+	retryDelay     = 100 * time.Millisecond // between a failed call and the next: discovery answers at no cost
+	maxAnswerBytes = 8 << 20                // most bytes of an answer: a list of tens of thousands
+	listPath       = "/v1/servers"
 )
 
 // Entry is one replica as discovery names it.
 type Entry struct {
-	Host     string
-	Dial     string
-	Cell     int
-	Zone     string // empty where it has none
-	Standing balance.Status
-	Born     int64 // ms of Unix time, 0 for long ago
-	Distance int   // below balance.Distances, 0 for near
-	Channels int   // parts that this co-ordinator may have in flight there, 0 for no word
+	Host      string
+	Dial      string
+	Cell      int
+	Zone      string // empty where it has none
+	Status    balance.Status
+	StartedMs int64 // ms of Unix time, 0 for long ago
+	Distance  int   // below balance.Distances, 0 for near
+	MaxCalls  int   // parts that this co-ordinator may have in flight there, 0 for no word
 }
 
-// News is one answer of discovery, or word of its failure.
-type News struct {
+// Update is one answer of discovery, or word of its failure.
+type Update struct {
 	Sequence int64
-	Whole    bool // the entries replace the list; else they are changes
+	Full     bool // the entries replace the list; else they are changes
 	Entries  []Entry
-	Oddities []error // what was left out, and why
+	Skipped  []error // what was left out, and why
 	Err      error   // the call failed, and the rest is empty
 }
 
 // message is the form on the wire.
 type message struct {
 	Sequence *int64            `json:"seq"`
-	Whole    bool              `json:"whole"`
+	Full     bool              `json:"whole"`
 	Hosts    []json.RawMessage `json:"hosts"`
 }
 
 type entry struct {
-	Host   string `json:"host"`
-	Dial   string `json:"dial"`
-	Zone   string `json:"site"`
-	Cell   *int   `json:"block"`
-	Health string `json:"health"`
-	Born   int64  `json:"born_ms"`
+	Host      string `json:"host"`
+	Dial      string `json:"dial"`
+	Zone      string `json:"site"`
+	Cell      *int   `json:"block"`
+	Health    string `json:"health"`
+	StartedMs int64  `json:"born_ms"`
 }
 
 // Decode reads a list. Entries that are malformed are left out and named.
-func Decode(text []byte, cells int) (News, error) {
+func Decode(text []byte, cells int) (Update, error) {
 	var m message
 	if err := json.Unmarshal(text, &m); err != nil {
-		return News{}, fmt.Errorf("the list: %w", err)
+		return Update{}, fmt.Errorf("the list: %w", err)
 	}
 	if m.Sequence == nil {
-		return News{}, fmt.Errorf("the list: key %q is missing", "seq")
+		return Update{}, fmt.Errorf("the list: key %q is missing", "seq")
 	}
-	n := News{Sequence: *m.Sequence, Whole: m.Whole}
+	n := Update{Sequence: *m.Sequence, Full: m.Full}
 	for i, raw := range m.Hosts {
 		e, err := decodeEntry(raw, cells)
 		if err != nil {
-			n.Oddities = append(n.Oddities, fmt.Errorf("entry %d: %w", i, err))
+			n.Skipped = append(n.Skipped, fmt.Errorf("entry %d: %w", i, err))
 			continue
 		}
 		n.Entries = append(n.Entries, e)
@@ -86,21 +86,21 @@
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return Entry{}, err
 	}
-	out := Entry{Host: e.Host, Dial: e.Dial, Zone: e.Zone, Born: e.Born}
+	out := Entry{Host: e.Host, Dial: e.Dial, Zone: e.Zone, StartedMs: e.StartedMs}
 	switch e.Health {
 	case "active":
-		out.Standing = balance.Up
+		out.Status = balance.Up
 	case "leaving":
-		out.Standing = balance.Draining
+		out.Status = balance.Draining
 	case "left":
-		out.Standing = balance.Gone
+		out.Status = balance.Gone
 	default:
 		return Entry{}, fmt.Errorf("key %q has the value %.20q", "health", e.Health)
 	}
 	if e.Host == "" {
 		return Entry{}, fmt.Errorf("key %q is missing", "host")
 	}
-	if out.Standing == balance.Gone { // what has left may have no cell and no address any more
+	if out.Status == balance.Gone { // what has left may have no cell and no address any more
 		return out, nil
 	}
 	if e.Cell == nil || *e.Cell < 0 || *e.Cell >= cells {
@@ -118,53 +118,53 @@
 	cells     int
 	sequence  int64
 	transport *http.Transport
-	tell      func(context.Context, News)
-	asked     chan struct{}
+	report    func(context.Context, Update)
+	requested chan struct{}
 
-	mu      sync.Mutex
-	address string
-	moved   bool               // since the last call began
-	abandon context.CancelFunc // the call that is under way
+	mu             sync.Mutex
+	address        string
+	addressChanged bool               // since the last call began
+	cancelCall     context.CancelFunc // the call that is under way
 }
 
-type dialer = func(ctx context.Context, network, address string) (net.Conn, error)
+type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
 // NewWatch makes a watch that goes on from a list with that sequence number; tell hears each answer, in
 // order, and each failure.
-func NewWatch(address string, cells int, sequence int64, dial dialer, tell func(context.Context, News)) *Watch {
-	return &Watch{address: address, cells: cells, sequence: sequence, tell: tell, asked: make(chan struct{}, 1),
-		abandon: func() {},
+func NewWatch(address string, cells int, sequence int64, dial dialFunc, report func(context.Context, Update)) *Watch {
+	return &Watch{address: address, cells: cells, sequence: sequence, report: report, requested: make(chan struct{}, 1),
+		cancelCall: func() {},
 		transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2, DisableCompression: true,
 			DialContext: dial}}
 }
 
-// Ask starts a watch that waits to be asked.
-func (w *Watch) Ask() {
+// Request starts a watch that waits to be asked.
+func (w *Watch) Request() {
 	select {
-	case w.asked <- struct{}{}:
+	case w.requested <- struct{}{}:
 	default:
 	}
 }
 
-// Follow turns the watch to another address. It ends what is under way at the old one and goes on with the
+// SetAddress turns the watch to another address. It ends what is under way at the old one and goes on with the
 // whole list from the new one, however far the versions of the two are apart; until that is there the old list
 // stays in force.
-func (w *Watch) Follow(address string) {
+func (w *Watch) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if address != w.address {
-		w.address, w.moved = address, true
-		w.abandon()
+		w.address, w.addressChanged = address, true
+		w.cancelCall()
 	}
 }
 
-// turn begins a call: where it goes, whether that is a new address, and its context, which Follow ends.
-func (w *Watch) turn(ctx context.Context) (here context.Context, address string, moved bool) {
+// beginCall begins a call: where it goes, whether that is a new address, and its context, which Follow ends.
+func (w *Watch) beginCall(ctx context.Context) (here context.Context, address string, moved bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.abandon()
-	here, w.abandon = context.WithCancel(ctx)
-	if moved, w.moved = w.moved, false; moved {
+	w.cancelCall()
+	here, w.cancelCall = context.WithCancel(ctx)
+	if moved, w.addressChanged = w.addressChanged, false; moved {
 		w.transport.CloseIdleConnections()
 	}
 	return here, w.address, moved
@@ -175,64 +175,64 @@
 //
 // Danger: a watch whose next call comes late is broken and misses what comes in between, so tell must only
 // hand the news on.
-func (w *Watch) Run(ctx context.Context, onAsk bool) {
+func (w *Watch) Run(ctx context.Context, onRequest bool) {
 	defer w.transport.CloseIdleConnections()
-	for first, waits := true, onAsk; ctx.Err() == nil; {
+	for first, waits := true, onRequest; ctx.Err() == nil; {
 		if waits {
 			select {
-			case <-w.asked:
+			case <-w.requested:
 			case <-ctx.Done():
 				return
 			}
 		}
-		here, address, moved := w.turn(ctx)
+		here, address, moved := w.beginCall(ctx)
 		first = first || moved
 		n, err := w.call(here, address, first)
 		switch {
 		case here.Err() != nil: // at an end, or turned to another address
 			waits = false
 		case err != nil:
-			first, waits = true, onAsk
-			w.tell(ctx, News{Err: err})
-			if !onAsk {
+			first, waits = true, onRequest
+			w.report(ctx, Update{Err: err})
+			if !onRequest {
 				select {
-				case <-time.After(again):
+				case <-time.After(retryDelay):
 				case <-here.Done():
 				}
 			}
 		default:
 			first, waits, w.sequence = false, false, n.Sequence
-			w.tell(ctx, n)
+			w.report(ctx, n)
 		}
 	}
 }
 
 // call makes one call; the first of a watch asks for the whole list.
-func (w *Watch) call(ctx context.Context, address string, first bool) (News, error) {
-	limit := spare
+func (w *Watch) call(ctx context.Context, address string, first bool) (Update, error) {
+	limit := callMargin
 	url := "http://" + address + listPath
 	if !first {
-		limit += wait
+		limit += longPollTime
 		url += "?since=" + strconv.FormatInt(w.sequence, 10) +
-			"&timeout_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
+			"&timeout_ms=" + strconv.FormatInt(longPollTime.Milliseconds(), 10)
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return News{}, err
+		return Update{}, err
 	}
 	response, err := w.transport.RoundTrip(request)
 	if err != nil {
-		return News{}, err
+		return Update{}, err
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, answer))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return News{}, err
+		return Update{}, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return News{}, fmt.Errorf("discovery answered %s", response.Status)
+		return Update{}, fmt.Errorf("discovery answered %s", response.Status)
 	}
 	return Decode(text, w.cells)
 }
--- a/transport/discovery/discovery_test.go
+++ b/transport/discovery/discovery_test.go
@@ -34,26 +34,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			n, err := Decode([]byte(c.in), 4)
-			got := fmt.Sprint(n.Sequence, n.Whole, n.Entries)
+			got := fmt.Sprint(n.Sequence, n.Full, n.Entries)
 			if err != nil {
 				got = err.Error()
 			}
-			if !strings.Contains(got, c.want) || len(n.Oddities) != c.odd {
-				t.Errorf("got %s and %d oddities", got, len(n.Oddities))
+			if !strings.Contains(got, c.want) || len(n.Skipped) != c.odd {
+				t.Errorf("got %s and %d oddities", got, len(n.Skipped))
 			}
 		})
 	}
 }
 
-// watching plays a watch against a discovery; what it tells comes by the channel.
-func watching(t *testing.T, onAsk bool, play func(w *Watch, d *standin.Discovery, told chan News, on *pipes.Network)) {
+// runWatch plays a watch against a discovery; what it tells comes by the channel.
+func runWatch(t *testing.T, onAsk bool, play func(w *Watch, d *standin.Discovery, told chan Update, on *pipes.Network)) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipes.Network{}
 		d := standin.NewDiscovery(standin.Host{Host: "s-1", Dial: "a:1", Health: "active"})
 		server := &http.Server{Handler: d}
 		go server.Serve(network.Listen("d:1"))
-		told := make(chan News, 16)
-		w := NewWatch("d:1", 1, 0, network.Dial, func(_ context.Context, n News) { told <- n })
+		told := make(chan Update, 16)
+		w := NewWatch("d:1", 1, 0, network.Dial, func(_ context.Context, n Update) { told <- n })
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() {
@@ -69,20 +69,20 @@
 }
 
 func TestWatch(t *testing.T) {
-	watching(t, false, func(_ *Watch, d *standin.Discovery, told chan News, _ *pipes.Network) {
-		if n := <-told; !n.Whole || len(n.Entries) != 1 {
+	runWatch(t, false, func(_ *Watch, d *standin.Discovery, told chan Update, _ *pipes.Network) {
+		if n := <-told; !n.Full || len(n.Entries) != 1 {
 			t.Fatalf("at first told %v", n)
 		}
 		began := time.Now()
-		if n := <-told; n.Err != nil || n.Whole || len(n.Entries) != 0 || time.Since(began) != wait {
+		if n := <-told; n.Err != nil || n.Full || len(n.Entries) != 0 || time.Since(began) != longPollTime {
 			t.Errorf("after a wait of %v without news told %v", time.Since(began), n)
 		}
 		d.Change(standin.Host{Host: "s-1", Dial: "a:1", Health: "leaving"})
-		if n := <-told; len(n.Entries) != 1 || n.Entries[0].Standing != balance.Draining || n.Sequence != 2 {
+		if n := <-told; len(n.Entries) != 1 || n.Entries[0].Status != balance.Draining || n.Sequence != 2 {
 			t.Errorf("of the change told %v", n)
 		}
 		d.Change(standin.Host{Host: "s-1", Health: "left"})
-		if n := <-told; n.Entries[0].Standing != balance.Gone {
+		if n := <-told; n.Entries[0].Status != balance.Gone {
 			t.Errorf("of the end told %v", n)
 		}
 	})
@@ -92,14 +92,14 @@
 func TestWatchSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipes.Network{}
-		network.Silence("d:1")
+		network.Blackhole("d:1")
 		failures := 0
-		w := NewWatch("d:1", 1, 0, network.Dial, func(_ context.Context, n News) {
+		w := NewWatch("d:1", 1, 0, network.Dial, func(_ context.Context, n Update) {
 			if n.Err != nil {
 				failures++
 			}
 		})
-		ctx, stop := context.WithTimeout(t.Context(), 3*(spare+again))
+		ctx, stop := context.WithTimeout(t.Context(), 3*(callMargin+retryDelay))
 		defer stop()
 		w.Run(ctx, false)
 		if failures != 3 {
@@ -109,13 +109,13 @@
 }
 
 func TestWatchOnAsk(t *testing.T) {
-	watching(t, true, func(w *Watch, d *standin.Discovery, told chan News, _ *pipes.Network) {
+	runWatch(t, true, func(w *Watch, d *standin.Discovery, told chan Update, _ *pipes.Network) {
 		time.Sleep(time.Minute)
 		if len(told) != 0 {
 			t.Fatalf("unasked it told %v", <-told)
 		}
-		w.Ask()
-		if n := <-told; !n.Whole {
+		w.Request()
+		if n := <-told; !n.Full {
 			t.Errorf("asked, it told %v", n)
 		}
 	})
@@ -124,8 +124,8 @@
 // Danger: a watch that stays with a discovery that has moved goes on with an old list for ever.
 func TestWatchFollows(t *testing.T) {
 	for _, onAsk := range []bool{false, true} {
-		watching(t, onAsk, func(w *Watch, d *standin.Discovery, told chan News, on *pipes.Network) {
-			if w.Ask(); (<-told).Err != nil {
+		runWatch(t, onAsk, func(w *Watch, d *standin.Discovery, told chan Update, on *pipes.Network) {
+			if w.Request(); (<-told).Err != nil {
 				t.Fatal("the first call failed")
 			}
 			time.Sleep(10 * time.Millisecond) // a call is under way
@@ -134,9 +134,9 @@
 			defer server.Close()
 			go server.Serve(on.Listen("d:2"))
 			began := time.Now()
-			w.Follow("d:2")
-			w.Follow("d:2")
-			if n := <-told; !n.Whole || n.Err != nil || n.Entries[0].Host != "s-2" || time.Since(began) > 0 {
+			w.SetAddress("d:2")
+			w.SetAddress("d:2")
+			if n := <-told; !n.Full || n.Err != nil || n.Entries[0].Host != "s-2" || time.Since(began) > 0 {
 				t.Errorf("after %v told %v", time.Since(began), n)
 			}
 			d.Change(standin.Host{Host: "s-1", Dial: "a:1", Health: "leaving"})
--- a/transport/logs/logs.go
+++ b/transport/logs/logs.go
@@ -12,10 +12,10 @@
 	"willowsill/deployment/settings"
 )
 
-const memoryShare = 0.6 // of the memory limit, past which the collector works harder
+const softMemoryLimitShare = 0.6 // of the memory limit, past which the collector works harder
 
-// Begin sets the logs up for a program.
-func Begin(program string, s settings.Settings) {
+// Setup sets the logs up for a program.
+func Setup(program string, s settings.Settings) {
 	h := slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if len(groups) == 0 && a.Key == slog.SourceKey {
 			return slog.Attr{}
@@ -24,9 +24,9 @@
 	}})
 	klog.SetSlogLogger(slog.New(h).With("program", program, "node", s.Name))
 	if s.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.Limits.MemoryMB<<20)))
+		debug.SetMemoryLimit(int64(softMemoryLimitShare * float64(s.Limits.MemoryMB<<20)))
 	}
 }
 
-// End writes what waits.
-func End() { klog.Flush() }
+// Flush writes what waits.
+func Flush() { klog.Flush() }
--- a/transport/machine/machine.go
+++ b/transport/machine/machine.go
@@ -20,64 +20,64 @@
 	"willowsill/internal/counters"
 )
 
-const each = 100 * time.Millisecond // between two readings
+const readInterval = 100 * time.Millisecond // between two readings
 
-// throttle is where the control group tells for how long the processor was withheld.
-const throttle = "/sys/fs/cgroup/cpu.stat"
+// cpuStatFile is where the control group tells for how long the processor was withheld.
+const cpuStatFile = "/sys/fs/cgroup/cpu.stat"
 
 // Sources are what else is read. Each may be called at any time.
 type Sources struct {
-	Now    func() int64
-	Facts  func() (n, waited int64) // facts that the loop has taken so far, and how long they waited all in all, ns
-	Queue  func() float64           // share of the loop's queue that is full
-	Client func() float64           // share of the clients' descriptors in use
-	Memory int64                    // bytes of heap allowed
+	Now               func() int64
+	Events            func() (n, waited int64) // facts that the loop has taken so far, and how long they waited all in all, ns
+	QueueFill         func() float64           // share of the loop's queue that is full
+	ClientDescriptors func() float64           // share of the clients' descriptors in use
+	MemoryLimit       int64                    // bytes of heap allowed
 }
 
-// Watch keeps the strain of this process.
-type Watch struct {
+// Monitor keeps the strain of this process.
+type Monitor struct {
 	Sources
 	log *zap.Logger
 
-	mu     sync.Mutex // guards strain, which is asked for no longer than some µs
-	strain *overload.Detector
-
-	Taken  counters.Count
-	Shed   counters.Count // turned away with their heads read,
-	Unsaid counters.Count // and without
-	Stood  counters.Count // ns that the loop saw the process stand
-
-	samples  []metrics.Sample
-	buckets  []uint64 // of the scheduler's latencies at the last reading
-	pauses   []uint64
-	gc       float64
-	used     int64
-	facts    int64
-	waited   int64
-	withheld int64
-	at       int64
+	mu       sync.Mutex // guards strain, which is asked for no longer than some µs
+	detector *overload.Detector
+
+	Admitted       counters.Count
+	Rejected       counters.Count // turned away with their heads read,
+	RejectedUnread counters.Count // and without
+	Stalled        counters.Count // ns that the loop saw the process stand
+
+	samples      []metrics.Sample
+	schedBuckets []uint64 // of the scheduler's latencies at the last reading
+	pauseBuckets []uint64
+	gcSeconds    float64
+	cpuTime      int64
+	events       int64
+	totalWait    int64
+	throttled    int64
+	readAt       int64
 }
 
 const (
-	latencies = iota
-	collecting
-	pauses
-	heap
+	schedLatencies = iota
+	gcCPUSeconds
+	gcPauses
+	heapBytes
 )
 
 // New makes a watch; Run has it read.
-func New(t overload.Config, s Sources, log *zap.Logger) *Watch {
-	w := &Watch{Sources: s, log: log, strain: overload.New(s.Now(), t), samples: []metrics.Sample{
-		latencies: {Name: "/sched/latencies:seconds"}, collecting: {Name: "/cpu/classes/gc/total:cpu-seconds"},
-		pauses: {Name: "/sched/pauses/total/gc:seconds"}, heap: {Name: "/memory/classes/heap/objects:bytes"}}}
+func New(t overload.Config, s Sources, log *zap.Logger) *Monitor {
+	w := &Monitor{Sources: s, log: log, detector: overload.New(s.Now(), t), samples: []metrics.Sample{
+		schedLatencies: {Name: "/sched/latencies:seconds"}, gcCPUSeconds: {Name: "/cpu/classes/gc/total:cpu-seconds"},
+		gcPauses: {Name: "/sched/pauses/total/gc:seconds"}, heapBytes: {Name: "/memory/classes/heap/objects:bytes"}}}
 	w.read(0)
 	return w
 }
 
 // Run reads until ctx is over.
-func (w *Watch) Run(ctx context.Context) {
-	due := time.Now().Add(each)
-	timer := time.NewTimer(each)
+func (w *Monitor) Run(ctx context.Context) {
+	due := time.Now().Add(readInterval)
+	timer := time.NewTimer(readInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -89,54 +89,54 @@
 		r := w.read(int64(late))
 		now := w.Now()
 		w.mu.Lock()
-		changed := w.strain.Observe(now, r)
+		changed := w.detector.Observe(now, r)
 		var figures overload.Stats
 		if changed {
-			figures = w.strain.Stats()
+			figures = w.detector.Stats()
 		}
 		w.mu.Unlock()
 		if changed {
 			w.log.Info("the process's own strain", zap.String("level", figures.Level), zap.String("cause", figures.Cause),
 				zap.Float64("pressure", figures.Pressure), zap.Float64("cores_used", figures.CoresUsed))
 		}
-		due = time.Now().Add(each)
-		timer.Reset(each)
+		due = time.Now().Add(readInterval)
+		timer.Reset(readInterval)
 	}
 }
 
 // read reads all, and what has changed since it last did.
-func (w *Watch) read(late int64) (r overload.Reading) {
+func (w *Monitor) read(lateness int64) (r overload.Reading) {
 	now := w.Now()
 	metrics.Read(w.samples)
-	r.Span, r.TimerLateness = now-w.at, max(late, 0)
+	r.Span, r.TimerLateness = now-w.readAt, max(lateness, 0)
 	var all syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &all) == nil {
 		used := all.Utime.Nano() + all.Stime.Nano()
-		r.CPUTime, w.used = used-w.used, used
+		r.CPUTime, w.cpuTime = used-w.cpuTime, used
 	}
-	r.SchedLatency = since(&w.samples[latencies], &w.buckets, 0.99)
-	r.MaxGCPause = since(&w.samples[pauses], &w.pauses, 1)
-	if s := w.samples[collecting].Value; s.Kind() == metrics.KindFloat64 {
+	r.SchedLatency = quantileSince(&w.samples[schedLatencies], &w.schedBuckets, 0.99)
+	r.MaxGCPause = quantileSince(&w.samples[gcPauses], &w.pauseBuckets, 1)
+	if s := w.samples[gcCPUSeconds].Value; s.Kind() == metrics.KindFloat64 {
 		gc := s.Float64()
-		r.GCShare, w.gc = (gc-w.gc)*1e9/float64(max(r.CPUTime, int64(each)/100)), gc
+		r.GCShare, w.gcSeconds = (gc-w.gcSeconds)*1e9/float64(max(r.CPUTime, int64(readInterval)/100)), gc
 	}
-	if s := w.samples[heap].Value; s.Kind() == metrics.KindUint64 {
-		r.HeapShare = float64(s.Uint64()) / float64(max(w.Memory, 1))
+	if s := w.samples[heapBytes].Value; s.Kind() == metrics.KindUint64 {
+		r.HeapShare = float64(s.Uint64()) / float64(max(w.MemoryLimit, 1))
 	}
-	n, waited := w.Facts()
-	if n > w.facts {
-		r.MeanWait = (waited - w.waited) / (n - w.facts)
+	n, waited := w.Events()
+	if n > w.events {
+		r.MeanWait = (waited - w.totalWait) / (n - w.events)
 	}
-	w.facts, w.waited = n, waited
-	withheld := withheld()
-	r.ThrottledTime, w.withheld = withheld-w.withheld, withheld
-	r.QueueShare, r.DescriptorShare = w.Queue(), w.Client()
-	w.at = now
+	w.events, w.totalWait = n, waited
+	withheld := throttledTime()
+	r.ThrottledTime, w.throttled = withheld-w.throttled, withheld
+	r.QueueShare, r.DescriptorShare = w.QueueFill(), w.ClientDescriptors()
+	w.readAt = now
 	return r
 }
 
-// since is the value that so large a share of those since the last call were under, ns; was is kept for the next.
-func since(s *metrics.Sample, was *[]uint64, share float64) int64 {
+// quantileSince is the value that so large a share of those since the last call were under, ns; was is kept for the next.
+func quantileSince(s *metrics.Sample, was *[]uint64, share float64) int64 {
 	if s.Value.Kind() != metrics.KindFloat64Histogram {
 		return 0
 	}
@@ -162,9 +162,9 @@
 	return int64(at * 1e9)
 }
 
-// withheld is for how long the control group has withheld the processor so far, ns; 0 where it does not tell.
-func withheld() int64 {
-	text, err := os.ReadFile(throttle)
+// throttledTime is for how long the control group has withheld the processor so far, ns; 0 where it does not tell.
+func throttledTime() int64 {
+	text, err := os.ReadFile(cpuStatFile)
 	if err != nil {
 		return 0
 	}
@@ -180,48 +180,48 @@
 	return n * 1000
 }
 
-// Arrive asks whether a query is taken on; else its client may come back after so long, ns.
-func (w *Watch) Arrive(a overload.Arrival) (taken bool, comeBack int64) {
+// Admit asks whether a query is taken on; else its client may come back after so long, ns.
+func (w *Monitor) Admit(a overload.Arrival) (taken bool, comeBack int64) {
 	now := w.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if taken, comeBack = w.strain.Admit(now, a); taken {
-		w.Taken.Add(1)
+	if taken, comeBack = w.detector.Admit(now, a); taken {
+		w.Admitted.Add(1)
 	} else {
-		w.Shed.Add(1)
+		w.Rejected.Add(1)
 	}
 	return taken, comeBack
 }
 
-// Unseen asks whether a request is turned away of which its workload alone is known.
-func (w *Watch) Unseen(workload int) (away bool, comeBack int64) {
+// RejectUnread asks whether a request is turned away of which its workload alone is known.
+func (w *Monitor) RejectUnread(workload int) (away bool, comeBack int64) {
 	now := w.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if away, comeBack = w.strain.RejectUnread(now, workload); away {
-		w.Unsaid.Add(1)
+	if away, comeBack = w.detector.RejectUnread(now, workload); away {
+		w.RejectedUnread.Add(1)
 	}
 	return away, comeBack
 }
 
-// Ended tells what became of a query that was taken on.
-func (w *Watch) Ended(workload int, took int64, answered bool) {
+// RecordEnd tells what became of a query that was taken on.
+func (w *Monitor) RecordEnd(workload int, took int64, answered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.strain.RecordEnd(workload, took, answered)
+	w.detector.RecordEnd(workload, took, answered)
 }
 
-// Waited tells how long a query waited for the loop, ns.
-func (w *Watch) Waited(ns int64) {
+// RecordWait tells how long a query waited for the loop, ns.
+func (w *Monitor) RecordWait(ns int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.strain.RecordWait(ns)
+	w.detector.RecordWait(ns)
 }
 
 // MarshalJSON tells how it stands, for the counters.
-func (w *Watch) MarshalJSON() ([]byte, error) {
+func (w *Monitor) MarshalJSON() ([]byte, error) {
 	w.mu.Lock()
-	f := w.strain.Stats()
+	f := w.detector.Stats()
 	w.mu.Unlock()
 	return json.Marshal(struct {
 		overload.Stats
@@ -229,5 +229,5 @@
 		Shed   *counters.Count `json:"shed"`
 		Unseen *counters.Count `json:"unseen"`
 		Stood  *counters.Count `json:"stood_ns"`
-	}{f, &w.Taken, &w.Shed, &w.Unsaid, &w.Stood})
+	}{f, &w.Admitted, &w.Rejected, &w.RejectedUnread, &w.Stalled})
 }
--- a/transport/machine/machine_test.go
+++ b/transport/machine/machine_test.go
@@ -16,19 +16,19 @@
 	"willowsill/decide/overload"
 )
 
-func newWatch(t *testing.T, facts, waited *atomic.Int64) *Watch {
+func newMonitor(t *testing.T, facts, waited *atomic.Int64) *Monitor {
 	t.Helper()
 	began := time.Now()
 	terms := overload.Config{Cores: 1, Workloads: []overload.Workload{{Revenue: 1, LatencyGoal: 250e6}}, LimitKind: "model", WaitTarget: 5e6, MaxRetryAfter: 2e9}
 	if err := terms.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	return New(terms, Sources{Now: func() int64 { return int64(time.Since(began)) + 1e9 }, Queue: func() float64 { return 0.1 },
-		Client: func() float64 { return 0.2 }, Memory: 64 << 20,
-		Facts: func() (int64, int64) { return facts.Load(), waited.Load() }}, zap.NewNop())
+	return New(terms, Sources{Now: func() int64 { return int64(time.Since(began)) + 1e9 }, QueueFill: func() float64 { return 0.1 },
+		ClientDescriptors: func() float64 { return 0.2 }, MemoryLimit: 64 << 20,
+		Events: func() (int64, int64) { return facts.Load(), waited.Load() }}, zap.NewNop())
 }
 
-func spent(all *syscall.Rusage) int64 {
+func cpuTime(all *syscall.Rusage) int64 {
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, all); err != nil {
 		return math.MaxInt64
 	}
@@ -38,11 +38,11 @@
 // What is read is what was done: the processor's time, facts and how long they waited, the heap, a collection.
 func TestRead(t *testing.T) {
 	var facts, waited atomic.Int64
-	w := newWatch(t, &facts, &waited)
+	w := newMonitor(t, &facts, &waited)
 	facts.Add(10)
 	waited.Add(10 * 3e6)
 	// Until the processor's time is spent: beside other work, 60 ms of the clock may hold a third of that.
-	for began, all := time.Now(), (syscall.Rusage{}); time.Since(began) < 60*time.Millisecond || spent(&all) < w.used+40e6; {
+	for began, all := time.Now(), (syscall.Rusage{}); time.Since(began) < 60*time.Millisecond || cpuTime(&all) < w.cpuTime+40e6; {
 	}
 	held := make([]byte, 8<<20)
 	runtime.GC()
@@ -62,13 +62,13 @@
 // Reading ten times a second costs less than half a hundredth of a core.
 func TestCheap(t *testing.T) {
 	var facts, waited atomic.Int64
-	w := newWatch(t, &facts, &waited)
+	w := newMonitor(t, &facts, &waited)
 	cost := testing.Benchmark(func(b *testing.B) {
 		for range b.N {
-			w.strain.Observe(w.Now(), w.read(0))
+			w.detector.Observe(w.Now(), w.read(0))
 		}
 	})
-	if ns := cost.NsPerOp(); ns*int64(time.Second/each) > 5e6*4 { // a build with the race detector takes four times as long
+	if ns := cost.NsPerOp(); ns*int64(time.Second/readInterval) > 5e6*4 { // a build with the race detector takes four times as long
 		t.Errorf("a reading costs %d ns", ns)
 	}
 	t.Logf("a reading costs %v", time.Duration(cost.NsPerOp()))
@@ -77,23 +77,23 @@
 // Many ask while it reads, and its figures can be told.
 func TestWatch(t *testing.T) {
 	var facts, waited atomic.Int64
-	w := newWatch(t, &facts, &waited)
+	w := newMonitor(t, &facts, &waited)
 	ctx, stop := context.WithCancel(t.Context())
 	var all sync.WaitGroup
 	all.Go(func() { w.Run(ctx) })
 	for id := range 4 {
 		all.Go(func() {
 			for i := range 200 {
-				taken, _ := w.Arrive(overload.Arrival{ID: uint64(id<<32 + i), TimeLeft: 1e9, Attempt: 1})
-				if away, _ := w.Unseen(0); away || !taken {
+				taken, _ := w.Admit(overload.Arrival{ID: uint64(id<<32 + i), TimeLeft: 1e9, Attempt: 1})
+				if away, _ := w.RejectUnread(0); away || !taken {
 					t.Error("turned away on a machine that is not strained")
 				}
-				w.Waited(1000)
-				w.Ended(0, 1e6, true)
+				w.RecordWait(1000)
+				w.RecordEnd(0, 1e6, true)
 			}
 		})
 	}
-	time.Sleep(3 * each)
+	time.Sleep(3 * readInterval)
 	stop()
 	all.Wait()
 	text, err := json.Marshal(w)
--- a/transport/metrics/metrics.go
+++ b/transport/metrics/metrics.go
@@ -40,14 +40,14 @@
 	return Endpoint{Port: number, Path: "/" + path}, nil
 }
 
-// Figures are what a process tells at one moment.
-type Figures struct{ set *metrics.Set }
+// Writer are what a process tells at one moment.
+type Writer struct{ set *metrics.Set }
 
 // Gauge tells a value that may fall. The name may hold labels, as in queue_length{route="scan"}.
-func (f Figures) Gauge(name string, value float64) { f.set.GetOrCreateGauge(name, nil).Set(value) }
+func (f Writer) Gauge(name string, value float64) { f.set.GetOrCreateGauge(name, nil).Set(value) }
 
 // Flag tells a gauge of 1 or 0.
-func (f Figures) Flag(name string, value bool) {
+func (f Writer) Flag(name string, value bool) {
 	number := 0.0
 	if value {
 		number = 1
@@ -56,20 +56,20 @@
 }
 
 // Counter tells a count since the start of the process.
-func (f Figures) Counter(name string, value int64) {
+func (f Writer) Counter(name string, value int64) {
 	f.set.GetOrCreateCounter(name).Set(uint64(max(value, 0)))
 }
 
-// Source gathers the figures of a process. It is called from any goroutine.
-type Source func(Figures)
+// Collector gathers the figures of a process. It is called from any goroutine.
+type Collector func(Writer)
 
 // Handler answers GET at the endpoint's path with what the source gathers.
-func Handler(path string, source Source) http.Handler {
+func Handler(path string, source Collector) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
 		// A set of its own each time: labels that are gone, such as routes, are told no longer.
 		set := metrics.NewSet()
-		source(Figures{set})
+		source(Writer{set})
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 		set.WritePrometheus(w)
 	})
@@ -78,7 +78,7 @@
 
 // Serve serves figures at an address of this machine and an endpoint written as PORT/PATH until ctx ends; an empty one
 // serves none. A port that cannot be had is logged and changes nothing else: a process without its figures still serves.
-func Serve(ctx context.Context, ip, endpoint string, source Source) {
+func Serve(ctx context.Context, ip, endpoint string, source Collector) {
 	if endpoint == "" {
 		return
 	}
--- a/transport/metrics/metrics_test.go
+++ b/transport/metrics/metrics_test.go
@@ -36,7 +36,7 @@
 // TestFiguresAreOfTheMoment: each request is told what stands then; a label that has gone is told no longer.
 func TestFiguresAreOfTheMoment(t *testing.T) {
 	route, taken, gathered := "scan", int64(3), 0
-	server := httptest.NewServer(Handler("/metrics", func(f Figures) {
+	server := httptest.NewServer(Handler("/metrics", func(f Writer) {
 		gathered++
 		f.Counter(fmt.Sprintf("queries_total{route=%q}", route), taken)
 		f.Flag("ready", taken == 3)
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	endpoint := fmt.Sprintf("%d/metrics", taken.Addr().(*net.TCPAddr).Port)
-	Serve(ctx, "127.0.0.1", endpoint, func(Figures) { t.Error("asked for figures") })
-	Serve(ctx, "127.0.0.1", "", func(Figures) { t.Error("asked for figures") })
-	Serve(ctx, "127.0.0.1", "nonsense", func(Figures) { t.Error("asked for figures") })
+	Serve(ctx, "127.0.0.1", endpoint, func(Writer) { t.Error("asked for figures") })
+	Serve(ctx, "127.0.0.1", "", func(Writer) { t.Error("asked for figures") })
+	Serve(ctx, "127.0.0.1", "nonsense", func(Writer) { t.Error("asked for figures") })
 }
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -7,34 +7,36 @@
 )
 
 const (
-	meshQueue   = 64                     // frames that wait for a link that is being opened
-	redialAfter = 150 * time.Millisecond // after a dial that failed
-	meshIdle    = 20 * time.Second       // a link that nothing is sent on for so long is closed
+	maxQueuedFrames = 64                     // frames that wait for a link that is being opened
+	redialDelay     = 150 * time.Millisecond // after a dial that failed
+	idleTimeout     = 20 * time.Second       // a link that nothing is sent on for so long is closed
 )
 
 // Mesh keeps a link to each address that something is sent to. What is sent while a link is down is lost once
 // too much waits: its users send again.
 type Mesh struct {
-	mu    sync.Mutex
-	lines map[string]*line
-	ctx   context.Context
+	mu           sync.Mutex
+	destinations map[string]*destination
+	ctx          context.Context
 }
 
-type line struct {
+type destination struct {
 	queue chan Frame
 }
 
 // NewMesh makes one that ends with ctx.
-func NewMesh(ctx context.Context) *Mesh { return &Mesh{lines: map[string]*line{}, ctx: ctx} }
+func NewMesh(ctx context.Context) *Mesh {
+	return &Mesh{destinations: map[string]*destination{}, ctx: ctx}
+}
 
 // Send sends a frame to an address, as soon as it can.
 func (m *Mesh) Send(address string, f Frame) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l := m.lines[address]
+	l := m.destinations[address]
 	if l == nil {
-		l = &line{make(chan Frame, meshQueue)}
-		m.lines[address] = l
+		l = &destination{make(chan Frame, maxQueuedFrames)}
+		m.destinations[address] = l
 		go m.run(address, l)
 	}
 	for {
@@ -51,13 +53,13 @@
 }
 
 // run opens the link again and again while something is to be sent.
-func (m *Mesh) run(address string, l *line) {
+func (m *Mesh) run(address string, l *destination) {
 	defer func() {
 		m.mu.Lock()
-		delete(m.lines, address)
+		delete(m.destinations, address)
 		m.mu.Unlock()
 	}()
-	idle := time.NewTimer(meshIdle)
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	var link *Link
 	defer func() {
@@ -70,7 +72,7 @@
 		if link != nil {
 			ended = link.Ended()
 		}
-		idle.Reset(meshIdle)
+		idle.Reset(idleTimeout)
 		select {
 		case <-m.ctx.Done():
 			return
@@ -86,7 +88,7 @@
 					select {
 					case <-m.ctx.Done():
 						return
-					case <-time.After(redialAfter):
+					case <-time.After(redialDelay):
 					}
 					continue
 				}
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -21,12 +21,12 @@
 var ErrLink = oops.Code("link")
 
 const (
-	frameMost   = 8 << 20                // bytes of a frame: a configuration of tens of thousands of routes
-	waitMost    = 8 << 20                // bytes that wait on a link before it counts as down
-	frameHead   = 4                      // bytes: the length
-	dialWait    = 300 * time.Millisecond // a machine that is just rising misses the first call; the next comes soon
-	userTimeout = 2 * time.Second        // unacknowledged for so long, a link is down
-	readBuffer  = 4 << 10
+	maxFrameBytes   = 8 << 20                // bytes of a frame: a configuration of tens of thousands of routes
+	maxQueuedBytes  = 8 << 20                // bytes that wait on a link before it counts as down
+	headerBytes     = 4                      // bytes: the length
+	dialTimeout     = 300 * time.Millisecond // a machine that is just rising misses the first call; the next comes soon
+	userTimeout     = 2 * time.Second        // unacknowledged for so long, a link is down
+	readBufferBytes = 4 << 10
 )
 
 // Frame is a message made ready, so that one for many is encoded once.
@@ -38,13 +38,13 @@
 	if err != nil {
 		return nil, ErrLink.Wrapf(err, "encoding %T", v)
 	}
-	return append(binary.BigEndian.AppendUint32(make([]byte, 0, frameHead+len(body)), uint32(len(body))), body...), nil
+	return append(binary.BigEndian.AppendUint32(make([]byte, 0, headerBytes+len(body)), uint32(len(body))), body...), nil
 }
 
-// Control sets on a socket what makes a silent peer show.
+// SetUserTimeout sets on a socket what makes a silent peer show.
 //
 // Danger: a machine without power says nothing; what is written to it would wait for many minutes.
-func Control(_, _ string, raw syscall.RawConn) error {
+func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if e := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
@@ -56,35 +56,35 @@
 
 // Link is one connection. Send may be called from any goroutine, Receive from one.
 type Link struct {
-	conn   net.Conn
-	r      *bufio.Reader
-	mu     sync.Mutex
-	frames []Frame
-	bytes  int
-	closed bool
-	more   chan struct{}
-	ended  chan struct{}
+	conn        net.Conn
+	r           *bufio.Reader
+	mu          sync.Mutex
+	queued      []Frame
+	queuedBytes int
+	closed      bool
+	wake        chan struct{}
+	ended       chan struct{}
 }
 
-// Over makes a link of a connection.
-func Over(conn net.Conn) *Link {
-	l := &Link{conn: conn, r: bufio.NewReaderSize(conn, readBuffer), more: make(chan struct{}, 1), ended: make(chan struct{})}
+// NewLink makes a link of a connection.
+func NewLink(conn net.Conn) *Link {
+	l := &Link{conn: conn, r: bufio.NewReaderSize(conn, readBufferBytes), wake: make(chan struct{}, 1), ended: make(chan struct{})}
 	go l.write()
 	return l
 }
 
 // Dial opens a link.
 func Dial(ctx context.Context, address string) (*Link, error) {
-	d := net.Dialer{Timeout: dialWait, Control: Control, KeepAlive: -1}
+	d := net.Dialer{Timeout: dialTimeout, Control: SetUserTimeout, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, ErrLink.Wrapf(err, "dialling %s", address)
 	}
-	return Over(conn), nil
+	return NewLink(conn), nil
 }
 
-// Remote is the IP at the other end.
-func (l *Link) Remote() string {
+// RemoteIP is the IP at the other end.
+func (l *Link) RemoteIP() string {
 	host, _, _ := net.SplitHostPort(l.conn.RemoteAddr().String())
 	return host
 }
@@ -94,23 +94,23 @@
 // Danger: a peer that does not read would hold ever more memory here.
 func (l *Link) Send(f Frame) {
 	l.mu.Lock()
-	if l.bytes+len(f) > waitMost && l.bytes > 0 {
+	if l.queuedBytes+len(f) > maxQueuedBytes && l.queuedBytes > 0 {
 		l.mu.Unlock()
 		l.Close()
 		return
 	}
 	if !l.closed {
-		l.frames, l.bytes = append(l.frames, f), l.bytes+len(f)
+		l.queued, l.queuedBytes = append(l.queued, f), l.queuedBytes+len(f)
 	}
 	l.mu.Unlock()
 	select {
-	case l.more <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Say encodes and sends.
-func (l *Link) Say(v any) error {
+// SendMessage encodes and sends.
+func (l *Link) SendMessage(v any) error {
 	f, err := Encode(v)
 	if err == nil {
 		l.Send(f)
@@ -122,16 +122,16 @@
 	defer l.Close()
 	for {
 		select {
-		case <-l.more:
+		case <-l.wake:
 		case <-l.ended:
 			return
 		}
 		l.mu.Lock()
 		frames := net.Buffers{}
-		for _, f := range l.frames {
+		for _, f := range l.queued {
 			frames = append(frames, f)
 		}
-		l.frames, l.bytes = nil, 0
+		l.queued, l.queuedBytes = nil, 0
 		l.mu.Unlock()
 		if len(frames) == 0 {
 			continue
@@ -144,26 +144,26 @@
 }
 
 // Receive reads the next message into v; within bounds the wait, 0 for no bound.
-func (l *Link) Receive(v any, within time.Duration) error {
+func (l *Link) Receive(v any, timeout time.Duration) error {
 	var until time.Time
-	if within > 0 {
-		until = time.Now().Add(within)
+	if timeout > 0 {
+		until = time.Now().Add(timeout)
 	}
 	l.conn.SetReadDeadline(until)
-	var head [frameHead]byte
+	var head [headerBytes]byte
 	if _, err := io.ReadFull(l.r, head[:]); err != nil {
-		return ErrLink.Wrapf(err, "reading from %s", l.Remote())
+		return ErrLink.Wrapf(err, "reading from %s", l.RemoteIP())
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > frameMost {
-		return ErrLink.Errorf("a frame of %d bytes from %s", n, l.Remote())
+	if n > maxFrameBytes {
+		return ErrLink.Errorf("a frame of %d bytes from %s", n, l.RemoteIP())
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(l.r, body); err != nil {
-		return ErrLink.Wrapf(err, "reading from %s", l.Remote())
+		return ErrLink.Wrapf(err, "reading from %s", l.RemoteIP())
 	}
 	if err := cbor.Unmarshal(body, v); err != nil {
-		return ErrLink.Wrapf(err, "decoding from %s", l.Remote())
+		return ErrLink.Wrapf(err, "decoding from %s", l.RemoteIP())
 	}
 	return nil
 }
@@ -172,7 +172,7 @@
 func (l *Link) Close() {
 	l.mu.Lock()
 	was := l.closed
-	l.closed, l.frames = true, nil
+	l.closed, l.queued = true, nil
 	l.mu.Unlock()
 	if !was {
 		close(l.ended)
@@ -184,7 +184,7 @@
 func (l *Link) Ended() <-chan struct{} { return l.ended }
 
 // Serve accepts links until the listener is closed, each in a goroutine of its own.
-func Serve(ln net.Listener, take func(*Link)) {
+func Serve(ln net.Listener, serve func(*Link)) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -195,13 +195,13 @@
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			if raw, err := tcp.SyscallConn(); err == nil {
-				Control("", "", raw)
+				SetUserTimeout("", "", raw)
 			}
 		}
 		go func() {
-			l := Over(conn)
+			l := NewLink(conn)
 			defer l.Close()
-			take(l)
+			serve(l)
 		}()
 	}
 }
--- a/transport/replica/frame.go
+++ b/transport/replica/frame.go
@@ -15,54 +15,54 @@
 
 // The letters that open frames.
 const (
-	LetterCall   = 'R'
-	LetterGiveUp = 'A'
-	LetterReply  = 'Y'
-	LetterNoUse  = 'N'
-	LetterProbe  = 'G'
-	LetterLoad   = 'T'
+	LetterCall     = 'R'
+	LetterAbandon  = 'A'
+	LetterReply    = 'Y'
+	LetterUnusable = 'N'
+	LetterProbe    = 'G'
+	LetterLoad     = 'T'
 )
 
 const (
-	lengthBytes = 4        // of a frame, most significant first
-	frameMost   = 72 << 10 // bytes of an incoming frame: an answer to a client holds 64 KiB, and so may a value
-	frameLeast  = 1        // the letter
+	lengthBytes   = 4        // of a frame, most significant first
+	maxFrameBytes = 72 << 10 // bytes of an incoming frame: an answer to a client holds 64 KiB, and so may a value
+	minFrameBytes = 1        // the letter
 )
 
-// End is how a replica says that it is done with a part.
-type End uint8
+// Outcome is how a replica says that it is done with a part.
+type Outcome uint8
 
 const (
-	Ran        End = iota // with a value
-	Failed                // it may have run
-	TurnedAway            // it never ran
+	Succeeded Outcome = iota // with a value
+	Failed                   // it may have run
+	Rejected                 // it never ran
 )
 
 // Part is what a call asks for: one part of a query.
 type Part struct {
-	ID    string
-	Shard int
-	Wait  int64 // ms that the answer will be waited for
-	Text  []byte
+	ID     string
+	Shard  int
+	WaitMs int64 // ms that the answer will be waited for
+	Text   []byte
 }
 
 // Reply is one part's answer.
 type Reply struct {
-	ID    string
-	End   End
-	Value string
+	ID      string
+	Outcome Outcome
+	Value   string
 }
 
-var endWords = [...]string{Ran: "OK", Failed: "ERROR", TurnedAway: "REJECTED"}
+var outcomeWords = [...]string{Succeeded: "OK", Failed: "ERROR", Rejected: "REJECTED"}
 
 var (
-	errNoUse  = errors.New("the replica could not use a frame")
-	errCall   = errors.New("a call that cannot be read")
-	errSpoilt = errors.New("an answer that cannot be read")
+	errUnusableFrame = errors.New("the replica could not use a frame")
+	errBadCall       = errors.New("a call that cannot be read")
+	errBadReply      = errors.New("an answer that cannot be read")
 )
 
-// letters are those that a replica's frames may open with.
-const letters = string(rune(LetterReply)) + string(rune(LetterNoUse)) + string(rune(LetterProbe)) + string(rune(LetterLoad))
+// replyLetters are those that a replica's frames may open with.
+const replyLetters = string(rune(LetterReply)) + string(rune(LetterUnusable)) + string(rune(LetterProbe)) + string(rune(LetterLoad))
 
 // AppendFrame adds a frame to buf.
 func AppendFrame(buf []byte, letter byte, rest string) []byte {
@@ -77,7 +77,7 @@
 	for _, p := range parts {
 		buf = append(append(buf, p.ID...), ' ')
 		buf = append(strconv.AppendInt(buf, int64(p.Shard), 10), " d="...)
-		buf = append(strconv.AppendInt(buf, p.Wait, 10), ' ')
+		buf = append(strconv.AppendInt(buf, p.WaitMs, 10), ' ')
 		buf = append(strconv.AppendInt(buf, int64(len(p.Text)), 10), '\n')
 		buf = append(buf, p.Text...)
 	}
@@ -91,18 +91,18 @@
 // readFrame calls begun once the first byte of the frame is there.
 //
 // Danger: a frame that announces gigabytes must not be given room for them.
-func readFrame(r *bufio.Reader, begun func()) (byte, []byte, error) {
+func readFrame(r *bufio.Reader, started func()) (byte, []byte, error) {
 	var head [lengthBytes + 1]byte
 	if _, err := r.Peek(1); err != nil {
 		return 0, nil, err
 	}
-	begun()
+	started()
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n < frameLeast || n > frameMost {
-		return 0, nil, fmt.Errorf("%w: %d bytes", errSpoilt, n)
+	if n < minFrameBytes || n > maxFrameBytes {
+		return 0, nil, fmt.Errorf("%w: %d bytes", errBadReply, n)
 	}
 	rest := make([]byte, n-1)
 	if _, err := io.ReadFull(r, rest); err != nil {
@@ -112,18 +112,18 @@
 }
 
 // readReply returns the next reply of a connection, passing over frames that tell nothing here.
-func readReply(r *bufio.Reader, begun func()) (Reply, error) {
+func readReply(r *bufio.Reader, started func()) (Reply, error) {
 	for {
-		letter, rest, err := readFrame(r, begun)
+		letter, rest, err := readFrame(r, started)
 		switch {
 		case err != nil:
 			return Reply{}, err
 		case letter == LetterReply:
 			return parseReply(rest)
-		case letter == LetterNoUse:
-			return Reply{}, fmt.Errorf("%w: %.80q", errNoUse, rest)
-		case strings.IndexByte(letters, letter) < 0:
-			return Reply{}, fmt.Errorf("%w: the letter %q", errSpoilt, letter)
+		case letter == LetterUnusable:
+			return Reply{}, fmt.Errorf("%w: %.80q", errUnusableFrame, rest)
+		case strings.IndexByte(replyLetters, letter) < 0:
+			return Reply{}, fmt.Errorf("%w: the letter %q", errBadReply, letter)
 		}
 	}
 }
@@ -136,28 +136,28 @@
 	line, value, ok := strings.Cut(string(rest), "\n")
 	words := strings.SplitN(line, " ", 4)
 	if !ok || len(words) < 4 || words[0] == "" {
-		return Reply{}, fmt.Errorf("%w: a line that opens with %.80q", errSpoilt, line)
+		return Reply{}, fmt.Errorf("%w: a line that opens with %.80q", errBadReply, line)
 	}
-	end := slices.Index(endWords[:], words[1])
+	end := slices.Index(outcomeWords[:], words[1])
 	if end < 0 {
-		return Reply{}, fmt.Errorf("%w: the end %.20q", errSpoilt, words[1])
+		return Reply{}, fmt.Errorf("%w: the end %.20q", errBadReply, words[1])
 	}
-	if _, err := strconv.ParseInt(words[2], 10, 64); err != nil && End(end) == Ran {
-		return Reply{}, fmt.Errorf("%w: the score %.20q", errSpoilt, words[2])
+	if _, err := strconv.ParseInt(words[2], 10, 64); err != nil && Outcome(end) == Succeeded {
+		return Reply{}, fmt.Errorf("%w: the score %.20q", errBadReply, words[2])
 	}
-	if End(end) == Ran && (!utf8.ValidString(value) || strings.Contains(value, "\x00")) {
-		return Reply{}, fmt.Errorf("%w: a value that is no text", errSpoilt)
+	if Outcome(end) == Succeeded && (!utf8.ValidString(value) || strings.Contains(value, "\x00")) {
+		return Reply{}, fmt.Errorf("%w: a value that is no text", errBadReply)
 	}
-	return Reply{ID: words[0], End: End(end), Value: value}, nil
+	return Reply{ID: words[0], Outcome: Outcome(end), Value: value}, nil
 }
 
-// framed tells whether bytes that follow a reply can be the next one's first.
-func framed(next []byte) bool {
+// plausibleFrame tells whether bytes that follow a reply can be the next one's first.
+func plausibleFrame(next []byte) bool {
 	var head [lengthBytes]byte
 	copy(head[:], next)
 	n := binary.BigEndian.Uint32(head[:])
-	return n <= frameMost && (len(next) < lengthBytes || n >= frameLeast) &&
-		(len(next) <= lengthBytes || strings.IndexByte(letters, next[lengthBytes]) >= 0)
+	return n <= maxFrameBytes && (len(next) < lengthBytes || n >= minFrameBytes) &&
+		(len(next) <= lengthBytes || strings.IndexByte(replyLetters, next[lengthBytes]) >= 0)
 }
 
 // ParseCall, for stand-ins, decodes the rest of a call's frame.
@@ -166,33 +166,33 @@
 		line, after, ok := strings.Cut(text, "\n")
 		words := strings.Split(line, " ")
 		if !ok || len(words) != 4 || words[0] == "" {
-			return nil, fmt.Errorf("%w: %.80q", errCall, line)
+			return nil, fmt.Errorf("%w: %.80q", errBadCall, line)
 		}
 		p := Part{ID: words[0]}
 		if p.Shard, err = strconv.Atoi(words[1]); err != nil {
-			return nil, fmt.Errorf("%w: shard: %w", errCall, err)
+			return nil, fmt.Errorf("%w: shard: %w", errBadCall, err)
 		}
 		for _, item := range strings.Split(words[2], ",") {
 			if name, v, _ := strings.Cut(item, "="); name == "d" {
-				if p.Wait, err = strconv.ParseInt(v, 10, 64); err != nil {
-					return nil, fmt.Errorf("%w: wait: %w", errCall, err)
+				if p.WaitMs, err = strconv.ParseInt(v, 10, 64); err != nil {
+					return nil, fmt.Errorf("%w: wait: %w", errBadCall, err)
 				}
 			}
 		}
 		n, err := strconv.Atoi(words[3])
 		if err != nil || n < 0 || n > len(after) {
-			return nil, fmt.Errorf("%w: length %.20q", errCall, words[3])
+			return nil, fmt.Errorf("%w: length %.20q", errBadCall, words[3])
 		}
 		p.Text, text = []byte(after[:n]), after[n:]
 		parts = append(parts, p)
 	}
 	if len(parts) == 0 {
-		return nil, fmt.Errorf("%w: no part", errCall)
+		return nil, fmt.Errorf("%w: no part", errBadCall)
 	}
 	return parts, nil
 }
 
 // AppendReply, for stand-ins, adds the frame of a reply to buf.
 func AppendReply(buf []byte, r Reply, report string) []byte {
-	return AppendFrame(buf, LetterReply, r.ID+" "+endWords[r.End]+" 0 "+report+"\n"+r.Value)
+	return AppendFrame(buf, LetterReply, r.ID+" "+outcomeWords[r.Outcome]+" 0 "+report+"\n"+r.Value)
 }
--- a/transport/replica/frame_test.go
+++ b/transport/replica/frame_test.go
@@ -13,7 +13,7 @@
 	if want := "\x00\x00\x00\x29R9b1f.3 3 d=240 8\nc41e77d09b1f.4 4 d=7 0\n"; string(call) != want {
 		t.Errorf("a call is %q", call)
 	}
-	if got := string(AppendFrame(nil, LetterGiveUp, "9b1f.3")); got != "\x00\x00\x00\x07A9b1f.3" {
+	if got := string(AppendFrame(nil, LetterAbandon, "9b1f.3")); got != "\x00\x00\x00\x07A9b1f.3" {
 		t.Errorf("a part is given up by %q", got)
 	}
 }
@@ -25,12 +25,12 @@
 		want Reply
 		err  string
 	}{
-		"ok":            {frame('Y', "a.3 OK 18 inflight=7,util=0.6\n18ff"), Reply{"a.3", Ran, "18ff"}, ""},
-		"empty value":   {frame('Y', "a.3 OK 0 -\n"), Reply{"a.3", Ran, ""}, ""},
+		"ok":            {frame('Y', "a.3 OK 18 inflight=7,util=0.6\n18ff"), Reply{"a.3", Succeeded, "18ff"}, ""},
+		"empty value":   {frame('Y', "a.3 OK 0 -\n"), Reply{"a.3", Succeeded, ""}, ""},
 		"error":         {frame('Y', "a.3 ERROR 0 -\n"), Reply{"a.3", Failed, ""}, ""},
-		"rejected":      {frame('Y', "a.3 REJECTED 0 -\n"), Reply{"a.3", TurnedAway, ""}, ""},
-		"after a probe": {frame('G', "OK") + frame('T', "-") + frame('Y', "a.3 OK 0 -\nv"), Reply{"a.3", Ran, "v"}, ""},
-		"odd report":    {frame('Y', "a.3 OK 0 qps=\xff \x00 9\nv"), Reply{"a.3", Ran, "v"}, ""},
+		"rejected":      {frame('Y', "a.3 REJECTED 0 -\n"), Reply{"a.3", Rejected, ""}, ""},
+		"after a probe": {frame('G', "OK") + frame('T', "-") + frame('Y', "a.3 OK 0 -\nv"), Reply{"a.3", Succeeded, "v"}, ""},
+		"odd report":    {frame('Y', "a.3 OK 0 qps=\xff \x00 9\nv"), Reply{"a.3", Succeeded, "v"}, ""},
 		"no text":       {frame('Y', "a.3 OK 0 -\n\xff"), Reply{}, "no text"},
 		"two in one":    {frame('Y', "a.3 OK 0 -\nv"+frame('Y', "a.4 OK 0 -\nw")), Reply{}, "no text"},
 		"odd score":     {frame('Y', "a.3 OK high -\nv"), Reply{}, `the score "high"`},
@@ -56,8 +56,8 @@
 // FuzzFrames feeds any bytes to both sides: what can be read must be the same when written and read again.
 func FuzzFrames(f *testing.F) {
 	f.Add(appendCall(nil, []Part{{"a.3", 3, 240, []byte("text")}, {"a.4", 4, 1, nil}}))
-	f.Add(AppendReply(nil, Reply{"a.3", Ran, "v"}, "qps=3"))
-	f.Add(AppendFrame(AppendFrame(nil, LetterProbe, "OK"), LetterNoUse, "words"))
+	f.Add(AppendReply(nil, Reply{"a.3", Succeeded, "v"}, "qps=3"))
+	f.Add(AppendFrame(AppendFrame(nil, LetterProbe, "OK"), LetterUnusable, "words"))
 	f.Add([]byte("\x00\x00\x00\x05R\n\n\n\n"))
 	f.Add([]byte("\xff\xff\xff\xffY"))
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/transport/replica/pool_test.go
+++ b/transport/replica/pool_test.go
@@ -16,24 +16,24 @@
 	"willowsill/transport/sockets"
 )
 
-// bench is a pool with one replica, played by the test by hand.
-type bench struct {
+// fixture is a pool with one replica, played by the test by hand.
+type fixture struct {
 	*testing.T
 	*Pool
 	network *pipes.Network
-	ticks   chan Notice
+	events  chan Event
 }
 
 const address = "r:1"
 
-// on plays a test in a bubble of its own time; in the end nothing may be left open or running.
-func on(t *testing.T, play func(*bench)) {
+// runFixture plays a test in a bubble of its own time; in the end nothing may be left open or running.
+func runFixture(t *testing.T, play func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &bench{T: t, network: &pipes.Network{}, ticks: make(chan Notice, 64)}
+		b := &fixture{T: t, network: &pipes.Network{}, events: make(chan Event, 64)}
 		base := time.Now().Add(-time.Second)
-		b.Pool = NewPool(Terms{Streams: 2, ConnectWithin: 250e6, IdleAfter: 15e9, Dial: b.network.Dial,
+		b.Pool = NewPool(Config{MaxCalls: 2, ConnectTimeout: 250e6, IdleTimeout: 15e9, Dial: b.network.Dial,
 			Now: func() int64 { return int64(time.Since(base)) }},
-			func(n Notice) { b.ticks <- n }, sockets.NewBudget(64), counters.New(nil))
+			func(n Event) { b.events <- n }, sockets.NewBudget(64), counters.New(nil))
 		b.SetAddress(0, address)
 		play(b)
 		b.Close()
@@ -46,9 +46,9 @@
 }
 
 // call sends parts as one call.
-func (b *bench) call(ids ...string) (tickets []*Ticket) {
+func (b *fixture) call(ids ...string) (tickets []*Ticket) {
 	for _, id := range ids {
-		tickets = append(tickets, &Ticket{Part: Part{ID: id, Shard: 1, Wait: 100, Text: []byte("t")}})
+		tickets = append(tickets, &Ticket{Part: Part{ID: id, Shard: 1, WaitMs: 100, Text: []byte("t")}})
 	}
 	if !b.Send(0, tickets) {
 		b.Fatal("no room")
@@ -57,11 +57,11 @@
 }
 
 // reports lets things settle and writes down what the pool then reports.
-func (b *bench) reports() (all []string) {
+func (b *fixture) reports() (all []string) {
 	for {
 		synctest.Wait()
 		select {
-		case n := <-b.ticks:
+		case n := <-b.events:
 			for _, r := range b.Handle(n) {
 				all = append(all, fmt.Sprint(r.Ticket.ID, " ", r.Result, " ", r.Value))
 			}
@@ -71,7 +71,7 @@
 	}
 }
 
-func (b *bench) expect(want ...string) {
+func (b *fixture) expect(want ...string) {
 	b.Helper()
 	if got := b.reports(); !slices.Equal(got, want) {
 		b.Errorf("reported %q, want %q", got, want)
@@ -85,7 +85,7 @@
 }
 
 // next reads a frame's rest.
-func (b *bench) next(c net.Conn) string {
+func (b *fixture) next(c net.Conn) string {
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(c, head); err != nil {
 		return err.Error()
@@ -96,17 +96,17 @@
 }
 
 // fulfilled has a replica answer a part on a new connection.
-func (b *bench) fulfilled(l *pipes.Listener, id string) net.Conn {
+func (b *fixture) fulfilled(l *pipes.Listener, id string) net.Conn {
 	b.Helper()
 	b.call(id)
 	c := accept(l)
 	b.next(c)
-	b.reply(c, id, Ran)
+	b.reply(c, id, Succeeded)
 	b.expect(id + " " + fulfilled + " v")
 	return c
 }
 
-func (b *bench) reply(c net.Conn, id string, end End) {
+func (b *fixture) reply(c net.Conn, id string, end Outcome) {
 	c.Write(AppendReply(nil, Reply{id, end, "v"}, "-"))
 }
 
@@ -118,31 +118,31 @@
 )
 
 func TestOutcomes(t *testing.T) {
-	for name, play := range map[string]func(*bench){
-		"refused": func(b *bench) {
+	for name, play := range map[string]func(*fixture){
+		"refused": func(b *fixture) {
 			b.call("a.1", "a.2")
 			b.expect("a.1 "+connectFailed+" ", "a.2 "+connectFailed+" ")
 		},
-		"never up": func(b *bench) {
-			b.network.Silence(address)
+		"never up": func(b *fixture) {
+			b.network.Blackhole(address)
 			b.call("a.1")
 			time.Sleep(249 * time.Millisecond)
 			b.expect()
 			time.Sleep(time.Millisecond)
 			b.expect("a.1 " + connectFailed + " ")
 		},
-		"replies in any order": func(b *bench) {
+		"replies in any order": func(b *fixture) {
 			l := b.network.Listen(address)
 			b.call("a.1", "a.2")
 			c := accept(l)
 			if got := b.next(c); got != "Ra.1 1 d=100 1\nta.2 1 d=100 1\nt" {
 				b.Errorf("called with %q", got)
 			}
-			b.reply(c, "a.2", Ran)
-			b.reply(c, "a.1", TurnedAway)
+			b.reply(c, "a.2", Succeeded)
+			b.reply(c, "a.1", Rejected)
 			b.expect("a.2 "+fulfilled+" v", fmt.Sprint("a.1 ", balance.Full, " v"))
 		},
-		"break before the last byte": func(b *bench) {
+		"break before the last byte": func(b *fixture) {
 			l := b.network.Listen(address)
 			b.call("a.1")
 			c := accept(l)
@@ -150,7 +150,7 @@
 			c.Close()
 			b.expect("a.1 " + connectFailed + " ")
 		},
-		"break after the last byte": func(b *bench) {
+		"break after the last byte": func(b *fixture) {
 			l := b.network.Listen(address)
 			b.call("a.1", "a.2")
 			c := accept(l)
@@ -160,22 +160,22 @@
 			c.Close()
 			b.expect("a.1 "+reset+" ", "a.2 "+reset+" ", "a.3 "+reset+" ")
 		},
-		"could not be used": func(b *bench) {
+		"could not be used": func(b *fixture) {
 			l := b.network.Listen(address)
 			b.call("a.1")
 			c := accept(l)
 			b.next(c)
-			c.Write(AppendFrame(nil, LetterNoUse, "words"))
+			c.Write(AppendFrame(nil, LetterUnusable, "words"))
 			b.expect("a.1 " + reset + " ")
 		},
-		"takes nothing in": func(b *bench) {
+		"takes nothing in": func(b *fixture) {
 			l := b.network.Listen(address)
 			b.call("a.1")
 			defer accept(l).Close()
-			time.Sleep(writeWait)
+			time.Sleep(writeTimeout)
 			b.expect("a.1 " + connectFailed + " ")
 		},
-		"reply after giving up": func(b *bench) {
+		"reply after giving up": func(b *fixture) {
 			l := b.network.Listen(address)
 			tickets := b.call("a.1")
 			b.call("a.2")
@@ -188,15 +188,15 @@
 			if got := b.next(c); got != "Aa.1" {
 				b.Errorf("told %q", got)
 			}
-			b.reply(c, "a.1", Ran)
+			b.reply(c, "a.1", Succeeded)
 			b.expect()
-			b.reply(c, "a.1", Ran) // and twice
+			b.reply(c, "a.1", Succeeded) // and twice
 			b.expect()
-			b.reply(c, "a.2", Ran)
+			b.reply(c, "a.2", Succeeded)
 			b.expect("a.2 " + fulfilled + " v")
 		},
-		"given up before it left": func(b *bench) {
-			b.network.Silence(address)
+		"given up before it left": func(b *fixture) {
+			b.network.Blackhole(address)
 			tickets := append(b.call("a.1"), b.call("a.2", "a.3")...)
 			time.Sleep(time.Millisecond)
 			if !b.Withdraw(tickets[1]) || !b.Abandon(tickets[0], true) {
@@ -206,7 +206,7 @@
 			b.expect("a.3 " + connectFailed + " ")
 		},
 		// Danger: in a shared call a part whose query is over would be sent after the answer.
-		"given up out of a shared call": func(b *bench) {
+		"given up out of a shared call": func(b *fixture) {
 			l := b.network.Listen(address)
 			for range pipes.Backlog {
 				b.network.Dial(b.Context(), "", address)
@@ -223,11 +223,11 @@
 			if got := b.next(c); got != "Rb.1 1 d=100 1\nt" {
 				b.Errorf("called with %q", got)
 			}
-			b.reply(c, "b.1", Ran)
+			b.reply(c, "b.1", Succeeded)
 			b.expect("b.1 " + fulfilled + " v")
 		},
 		// Danger: a vanished machine's connection swallows whatever is written to it.
-		"silence": func(b *bench) {
+		"silence": func(b *fixture) {
 			l := b.network.Listen(address)
 			tickets := b.call("a.1")
 			b.next(accept(l))
@@ -238,7 +238,7 @@
 				b.Errorf("the next part is %q on a new connection", got)
 			}
 		},
-		"the same id again": func(b *bench) {
+		"the same id again": func(b *fixture) {
 			l := b.network.Listen(address)
 			tickets := b.call("a.1")
 			first := accept(l)
@@ -249,10 +249,10 @@
 			b.next(second)
 			b.reply(first, "a.1", Failed)
 			b.expect()
-			b.reply(second, "a.1", Ran)
+			b.reply(second, "a.1", Succeeded)
 			b.expect("a.1 " + fulfilled + " v")
 		},
-		"more calls than a connection takes": func(b *bench) {
+		"more calls than a connection takes": func(b *fixture) {
 			l := b.network.Listen(address)
 			b.call("a.1")
 			c := accept(l)
@@ -264,14 +264,14 @@
 				b.Errorf("the second connection got %q", got)
 			}
 		},
-		"idle": func(b *bench) {
+		"idle": func(b *fixture) {
 			l := b.network.Listen(address)
 			c := b.fulfilled(l, "a.1")
 			time.Sleep(13 * time.Second)
 			b.Sweep()
 			b.call("a.2")
 			b.next(c) // still the same
-			b.reply(c, "a.2", Ran)
+			b.reply(c, "a.2", Succeeded)
 			b.expect("a.2 " + fulfilled + " v")
 			time.Sleep(14 * time.Second)
 			b.Sweep()
@@ -281,20 +281,20 @@
 			b.call("a.3")
 			b.next(accept(l))
 		},
-		"given back": func(b *bench) {
+		"given back": func(b *fixture) {
 			l := b.network.Listen(address)
 			b.call("a.1")
 			c := accept(l)
 			b.next(c)
 			b.CloseIdle(0) // it still carries something
-			b.reply(c, "a.1", Ran)
+			b.reply(c, "a.1", Succeeded)
 			b.expect("a.1 " + fulfilled + " v")
 			b.CloseIdle(0)
 			if got := b.next(c); got != io.EOF.Error() {
 				b.Errorf("a connection given back brings %q", got)
 			}
 		},
-		"moved": func(b *bench) {
+		"moved": func(b *fixture) {
 			l := b.network.Listen(address)
 			b.call("a.1")
 			c := accept(l)
@@ -303,18 +303,18 @@
 			b.SetAddress(0, "r:2")
 			b.call("a.2")
 			b.next(accept(other))
-			b.reply(c, "a.1", Ran)
+			b.reply(c, "a.1", Succeeded)
 			b.expect("a.1 " + fulfilled + " v")
 		},
 	} {
-		t.Run(name, func(t *testing.T) { on(t, play) })
+		t.Run(name, func(t *testing.T) { runFixture(t, play) })
 	}
 }
 
 // Danger: what can't be read was made for a part that waits, and would let it wait until its time is up; so would what
 // else is out on its connection. All of it may have run, and the process is well.
 func TestSpoiltReplies(t *testing.T) {
-	reply := string(AppendReply(nil, Reply{"a.1", Ran, "v"}, "-"))
+	reply := string(AppendReply(nil, Reply{"a.1", Succeeded, "v"}, "-"))
 	for name, c := range map[string]struct {
 		bytes string
 		after time.Duration
@@ -322,14 +322,14 @@
 		"noise":        {"HTTP/1.1 200 OK\r\n\r\n", 0},
 		"letter":       {"\x00\x00\x00\x01\x01", 0},
 		"end":          {string(AppendFrame(nil, LetterReply, "a.1 DONE 0 -\nv")), 0},
-		"id":           {string(AppendReply(nil, Reply{"b.1", Ran, "v"}, "-")), 0},
+		"id":           {string(AppendReply(nil, Reply{"b.1", Succeeded, "v"}, "-")), 0},
 		"no length":    {"\x00\x00\x00\x00" + reply[4:], 0},
 		"short length": {"\x00\x00\x00\x03" + reply[4:], 0},
-		"long length":  {"\x00\x00\x01\x00" + reply[4:], 250 * time.Millisecond / restShare},
+		"long length":  {"\x00\x00\x01\x00" + reply[4:], 250 * time.Millisecond / frameTimeoutDivisor},
 		"3 GB":         {"\xb2\xd0\x5e\x00" + reply[4:] + strings.Repeat("x", 9000), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			on(t, func(b *bench) {
+			runFixture(t, func(b *fixture) {
 				l := b.network.Listen(address)
 				b.call("a.1")
 				b.call("a.2")
@@ -342,9 +342,9 @@
 				b.call("a.1") // again, and its connection is of no more use
 				next := accept(l)
 				b.next(next)
-				b.reply(next, "a.1", Ran)
+				b.reply(next, "a.1", Succeeded)
 				b.expect("a.1 " + fulfilled + " v")
-				if n := b.count.SpoiltReplies.Load(); n != 1 {
+				if n := b.counters.InvalidReplies.Load(); n != 1 {
 					b.Errorf("%d spoilt replies", n)
 				}
 			})
@@ -354,16 +354,16 @@
 
 // Danger: what comes behind a good answer must cost neither that answer nor the next part. A second copy is harmless.
 func TestBehindAGoodReply(t *testing.T) {
-	reply := string(AppendReply(nil, Reply{"a.1", Ran, "v"}, "-"))
+	reply := string(AppendReply(nil, Reply{"a.1", Succeeded, "v"}, "-"))
 	for name, behind := range map[string]string{"noise": "\xfd\xbe\x99\an\r\n", "a second copy": reply} {
 		t.Run(name, func(t *testing.T) {
-			on(t, func(b *bench) {
+			runFixture(t, func(b *fixture) {
 				l := b.network.Listen(address)
 				b.call("a.1")
 				conn := accept(l)
 				b.next(conn)
 				go io.WriteString(conn, reply+behind)
-				if got := b.Handle(<-b.ticks); len(got) != 1 || got[0].Result != balance.Fulfilled {
+				if got := b.Handle(<-b.events); len(got) != 1 || got[0].Result != balance.Fulfilled {
 					b.Fatalf("reported %v", got)
 				}
 				b.call("a.2") // before anything behind the answer was booked
@@ -371,7 +371,7 @@
 					conn = accept(l)
 				}
 				b.next(conn)
-				b.reply(conn, "a.2", Ran)
+				b.reply(conn, "a.2", Succeeded)
 				b.expect("a.2 " + fulfilled + " v")
 			})
 		})
@@ -380,8 +380,8 @@
 
 // Danger: connections beyond the limit on descriptors would end the process, or its service.
 func TestNoRoom(t *testing.T) {
-	on(t, func(b *bench) {
-		b.network.Silence(address)
+	runFixture(t, func(b *fixture) {
+		b.network.Blackhole(address)
 		var first []*Ticket
 		room := 0
 		for i := 0; ; i++ {
@@ -392,7 +392,7 @@
 			first = append(first, ticket)
 			room++
 		}
-		if most := b.OpenConnections() * b.Streams; room != most || room == 0 {
+		if most := b.OpenConnections() * b.MaxCalls; room != most || room == 0 {
 			t.Errorf("room for %d, at %d connections", room, b.OpenConnections())
 		}
 		for _, ticket := range first {
--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -22,40 +22,40 @@
 // ErrReplica is the class of what goes wrong with a replica's answer.
 var ErrReplica = oops.Code("replica")
 
-var errUnasked = ErrReplica.Errorf("bytes came that belong to no request")
+var errUnsolicited = ErrReplica.Errorf("bytes came that belong to no request")
 
 const (
-	readBuffer = 2 << 10
-	firstLine  = "HTTP/1." // how the first line of each answer begins
+	readBufferBytes = 2 << 10
+	firstLine       = "HTTP/1." // how the first line of each answer begins
 )
 
 // connection is one to a replica. free and until are the loop's; the rest belongs to its goroutines.
 type connection struct {
-	line  *line
-	pool  *Pool
-	free  bool
-	until int64
+	line        *line
+	pool        *Pool
+	free        bool
+	usableUntil int64
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	mu     sync.Mutex
-	conn   net.Conn
-	closed bool
-	over   *exchange // that is out
+	ctx     context.Context
+	cancel  context.CancelFunc
+	mu      sync.Mutex
+	conn    net.Conn
+	closed  bool
+	current *exchange // that is out
 
-	writing chan struct{} // full while a request is written
+	writeLock chan struct{} // full while a request is written
 }
 
-// begin books an exchange; the loop calls it while the connection is free.
-func (c *connection) begin(e *exchange) {
+// assign books an exchange; the loop calls it while the connection is free.
+func (c *connection) assign(e *exchange) {
 	e.conn, c.free = c, false
 	c.mu.Lock()
-	c.over = e
+	c.current = e
 	c.mu.Unlock()
 }
 
-// ended tells whether the connection was closed, by either side.
-func (c *connection) ended() bool {
+// isClosed tells whether the connection was closed, by either side.
+func (c *connection) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed
@@ -74,13 +74,13 @@
 
 // run opens the connection, and then reads from it until it ends.
 func (c *connection) run(address string, e *exchange) {
-	within, stop := context.WithTimeout(c.ctx, dialWait)
+	within, stop := context.WithTimeout(c.ctx, dialTimeout)
 	conn, err := c.pool.Dial(within, "tcp", address)
 	stop()
 	if err != nil {
 		c.cancel()
-		c.pool.Failed.Add(1)
-		c.pool.tell(notice{conn: c, over: e, result: balance.ConnectFailed, down: true, err: err, at: c.pool.now()})
+		c.pool.FailedDials.Add(1)
+		c.pool.notify(notice{conn: c, ended: e, result: balance.ConnectFailed, closed: true, err: err, at: c.pool.now()})
 		return
 	}
 	c.mu.Lock()
@@ -89,30 +89,30 @@
 		conn.Close()
 	}
 	c.mu.Unlock()
-	e.ticket.Connected.Store(c.pool.now())
+	e.ticket.ConnectedAt.Store(c.pool.now())
 	go c.write(e)
 	err = c.read(conn)
 	conn.Close()
 	c.cancel()
 	// A write that is under way fails now, and knows better than this side whether any byte of it was taken.
-	c.writing <- struct{}{}
-	defer func() { <-c.writing }()
-	n := notice{conn: c, down: true, at: c.pool.now()}
+	c.writeLock <- struct{}{}
+	defer func() { <-c.writeLock }()
+	n := notice{conn: c, closed: true, at: c.pool.now()}
 	c.mu.Lock()
 	closed := c.closed
 	c.closed = true
-	n.over, c.over = c.over, nil
+	n.ended, c.current = c.current, nil
 	c.mu.Unlock()
-	if n.over != nil {
+	if n.ended != nil {
 		n.result = balance.Reset
-		if n.over.state.Load() == pending {
+		if n.ended.state.Load() == pending {
 			n.result = balance.ConnectFailed
 		}
 	}
 	if !closed && !errors.Is(err, io.EOF) {
 		n.err = err
 	}
-	c.pool.tell(n)
+	c.pool.notify(n)
 }
 
 // write writes the request of an exchange, unless it was withdrawn meanwhile.
@@ -121,22 +121,22 @@
 // still being written. Where that rest then fails, nothing may follow: the replica would read it as the rest. So writes
 // come one after another, and a failed one closes the connection before the next begins.
 func (c *connection) write(e *exchange) {
-	c.writing <- struct{}{}
-	defer func() { <-c.writing }()
+	c.writeLock <- struct{}{}
+	defer func() { <-c.writeLock }()
 	if !e.state.CompareAndSwap(pending, written) {
-		c.end(e, notice{conn: c, free: unnamed})
+		c.end(e, notice{conn: c, reuseFor: defaultIdleLimit})
 		return
 	}
 	r := e.request()
 	buf := make([]byte, 0, len(r.Head)+len(r.Body)+128)
 	buf = append(buf, r.Head...)
 	buf = append(buf, HeaderDeadline+": "...)
-	buf = strconv.AppendInt(buf, e.ticket.Wait, 10)
+	buf = strconv.AppendInt(buf, e.ticket.WaitMs, 10)
 	buf = append(buf, "\r\n"+HeaderTarget+": "...)
 	buf = append(buf, c.line.id...)
 	buf = append(buf, "\r\n\r\n"...)
 	buf = append(buf, r.Body...)
-	c.conn.SetWriteDeadline(time.Now().Add(writeWait))
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if n, err := c.conn.Write(buf); err != nil {
 		c.end(e, notice{conn: c, result: failedWrite(n), err: err})
 		c.conn.Close()
@@ -155,37 +155,37 @@
 // end tells of an exchange's end, if nobody has yet.
 func (c *connection) end(e *exchange, n notice) bool {
 	c.mu.Lock()
-	mine := c.over == e
+	mine := c.current == e
 	if mine {
-		c.over = nil
+		c.current = nil
 	}
 	c.mu.Unlock()
 	if mine {
-		n.over, n.at = e, c.pool.now()
-		c.pool.tell(n)
+		n.ended, n.at = e, c.pool.now()
+		c.pool.notify(n)
 	}
 	return mine
 }
 
-// out is the exchange whose answer is awaited.
-func (c *connection) out() *exchange {
+// currentExchange is the exchange whose answer is awaited.
+func (c *connection) currentExchange() *exchange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.over
+	return c.current
 }
 
 // read reads answers until the connection ends.
 func (c *connection) read(conn net.Conn) error {
-	r := bufio.NewReaderSize(conn, readBuffer)
+	r := bufio.NewReaderSize(conn, readBufferBytes)
 	surplus := false
 	for {
 		if _, err := r.Peek(1); err != nil {
 			return err
 		}
-		e := c.out()
+		e := c.currentExchange()
 		// Danger: bytes that come while nothing is asked would be taken for the next request's answer.
 		if e == nil || e.state.Load() != written {
-			return errUnasked
+			return errUnsolicited
 		}
 		req := e.request()
 		a, keep, err := readAnswer(r, req.Method)
@@ -201,11 +201,11 @@
 		if surplus || r.Buffered() > 0 {
 			keep = 0
 		}
-		c.end(e, notice{conn: c, result: a.result(), answer: &a.Answer, free: keep})
+		c.end(e, notice{conn: c, result: a.result(), answer: &a.Answer, reuseFor: keep})
 	}
 }
 
-type answer struct {
+type response struct {
 	Answer
 	attempt     string
 	notExecuted bool
@@ -213,11 +213,11 @@
 }
 
 // result is what an answer says of its execution.
-func (a *answer) result() balance.Result {
+func (a *response) result() balance.Result {
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
 		return balance.ConnectFailed // another replica has the address
-	case a.notExecuted && turnsAway(a.Status):
+	case a.notExecuted && rejectionStatus(a.Status):
 		return balance.Full
 	case a.Status >= 200 && a.Status < 300 && a.Seal != "" && !a.encoded && !a.notExecuted:
 		return balance.Fulfilled
@@ -225,11 +225,11 @@
 	return balance.Errored
 }
 
-// turnsAway tells whether a replica answers with this status what it has not run. Willowsill-Not-Executed beside any
+// rejectionStatus tells whether a replica answers with this status what it has not run. Willowsill-Not-Executed beside any
 // other contradicts itself, and a status without that header proves nothing.
 //
 // Danger: an unsafe request that has run would be promised to its client as one that never will.
-func turnsAway(status int) bool {
+func rejectionStatus(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusBadRequest
 }
 
@@ -237,7 +237,7 @@
 // length is whole where the replica has closed the connection behind it in order.
 //
 // Danger: one that is reset on the way, or is given up by this side, would look whole; reading it fails then.
-func readAnswer(r *bufio.Reader, method string) (*answer, time.Duration, error) {
+func readAnswer(r *bufio.Reader, method string) (*response, time.Duration, error) {
 	var res *http.Response
 	for {
 		var err error
@@ -252,7 +252,7 @@
 		return nil, 0, ErrReplica.Errorf("an answer of %s with status %d", res.Proto, res.StatusCode)
 	}
 	h := res.Header
-	if spliced(res) {
+	if mergedHeads(res) {
 		return nil, 0, ErrReplica.Errorf("an answer whose head is of two")
 	}
 	body, err := readBody(res, method)
@@ -262,15 +262,15 @@
 	if endsWithConnection(res) && bytes.Contains(body, []byte(firstLine)) {
 		return nil, 0, ErrReplica.Errorf("an answer without a length, with another one behind it")
 	}
-	a := &answer{Answer: Answer{Status: res.StatusCode, Header: h, Body: body, Seal: h.Get(HeaderSeal), Whole: true,
+	a := &response{Answer: Answer{Status: res.StatusCode, Header: h, Body: body, Seal: h.Get(HeaderSeal), Complete: true,
 		Replica: h.Get(HeaderReplica)}, attempt: h.Get(HeaderAttempt), notExecuted: h.Get(HeaderNotExecuted) != "",
 		encoded: h.Get("Content-Encoding") != "" && !strings.EqualFold(h.Get("Content-Encoding"), "identity")}
-	keep := unnamed
+	keep := defaultIdleLimit
 	for _, item := range strings.Split(h.Get("Keep-Alive"), ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(item), "timeout="); ok {
 			if s, err := strconv.Atoi(v); err == nil {
 				keep = time.Duration(s) * time.Second
-				keep -= keep / idleShare
+				keep -= keep / idleMarginDivisor
 			}
 		}
 	}
@@ -287,12 +287,12 @@
 	return res.ContentLength < 0 && len(res.TransferEncoding) == 0
 }
 
-// spliced tells whether the head of an answer was put together from those of two: it bears two first lines, or twice what an
+// mergedHeads tells whether the head of an answer was put together from those of two: it bears two first lines, or twice what an
 // answer bears once.
 //
 // Danger: an answer that was broken off in its head, with the next one behind it, reads as one. The status and the seal of
 // the former would go out under the id of the latter.
-func spliced(res *http.Response) bool {
+func mergedHeads(res *http.Response) bool {
 	for _, once := range [...]string{HeaderAttempt, HeaderSeal, HeaderNotExecuted} {
 		if len(res.Header[once]) > 1 {
 			return true
--- a/transport/replicahttp/fuzz_test.go
+++ b/transport/replicahttp/fuzz_test.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	fuzzExchanges = 4    // on one connection, one after the other
-	fuzzSegments  = 32   // at the most, of the replica's stream
-	fuzzCut       = 0x3f // of a byte of the plan: how long the segment is; all of it for up to the next first line
-	fuzzWaits     = 0x40 // the segment waits for the next request
-	fuzzPause     = 0x80 // time passes before the segment
-	fuzzStep      = 10 * time.Millisecond
-	fuzzPatience  = time.Second // after which an exchange is given up
+	fuzzExchanges  = 4    // on one connection, one after the other
+	fuzzSegments   = 32   // at the most, of the replica's stream
+	fuzzLengthBits = 0x3f // of a byte of the plan: how long the segment is; all of it for up to the next first line
+	fuzzWaits      = 0x40 // the segment waits for the next request
+	fuzzPause      = 0x80 // time passes before the segment
+	fuzzStep       = 10 * time.Millisecond
+	fuzzTimeout    = time.Second // after which an exchange is given up
 )
 
 // fuzzLength is how long the next segment is.
 func fuzzLength(data []byte, plan byte) int {
-	if plan&fuzzCut < fuzzCut {
-		return min(int(plan&fuzzCut)*4+1, len(data))
+	if plan&fuzzLengthBits < fuzzLengthBits {
+		return min(int(plan&fuzzLengthBits)*4+1, len(data))
 	}
 	if len(data) > 1 {
 		if at := bytes.Index(data[1:], []byte(firstLine)); at >= 0 {
@@ -87,9 +87,9 @@
 	}
 }
 
-// checkGiven fails unless the answer given to an exchange is one that the stream holds for it, judged by the stream's bytes
+// checkAnswer fails unless the answer given to an exchange is one that the stream holds for it, judged by the stream's bytes
 // alone.
-func checkGiven(t *testing.T, data []byte, id string, a *Answer, result balance.Result) {
+func checkAnswer(t *testing.T, data []byte, id string, a *Answer, result balance.Result) {
 	ids := a.Header[HeaderAttempt]
 	if len(ids) != 1 || ids[0] != id {
 		t.Fatalf("an answer that bears %q was given to %q", ids, id)
@@ -141,14 +141,14 @@
 		dialled = true
 		return near, nil
 	}
-	pool.SetAddress(0, Dial("i-1", "r:1"))
+	pool.SetAddress(0, DestinationAddress("i-1", "r:1"))
 	for i := range fuzzExchanges {
 		id := fmt.Sprint("id", i)
 		r := &Request{Attempt: id, Method: http.MethodGet, Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\n" + HeaderAttempt + ": " + id + "\r\n")}
-		ticket := &replica.Ticket{Load: r}
+		ticket := &replica.Ticket{Payload: r}
 		pool.Send(0, []*replica.Ticket{ticket})
 		ended := 0
-		for until := time.Now().Add(fuzzPatience); ended == 0 && time.Now().Before(until); time.Sleep(fuzzStep) {
+		for until := time.Now().Add(fuzzTimeout); ended == 0 && time.Now().Before(until); time.Sleep(fuzzStep) {
 			synctest.Wait()
 			for len(notes) > 0 {
 				reports, _ := pool.Handle(<-notes)
@@ -157,7 +157,7 @@
 					must.EqOp(t, ticket, report.Ticket)
 					if a := r.Answers[0]; a != nil {
 						given++
-						checkGiven(t, data, id, a, report.Result)
+						checkAnswer(t, data, id, a, report.Result)
 					}
 				}
 			}
@@ -198,8 +198,8 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: id%d\r\n%s: s%d\r\n%sContent-Length: 5\r\n\r\nbody%d", HeaderAttempt, i, HeaderSeal, i, more, i)
 	}
 	all := answer(0, "") + answer(1, "") + answer(2, "") + answer(3, "")
-	each := bytes.Repeat([]byte{fuzzWaits | fuzzCut}, 8) // one answer a request
-	tail := []byte{fuzzWaits | fuzzCut, fuzzWaits}       // one answer, and to the next request all the rest
+	each := bytes.Repeat([]byte{fuzzWaits | fuzzLengthBits}, 8) // one answer a request
+	tail := []byte{fuzzWaits | fuzzLengthBits, fuzzWaits}       // one answer, and to the next request all the rest
 	return []fuzzSeed{
 		{[]byte(all), each},
 		{[]byte(all), append([]byte{fuzzWaits}, bytes.Repeat([]byte{1}, fuzzSegments)...)},
@@ -208,7 +208,7 @@
 		{[]byte(answer(0, "X: ") + answer(1, "")), each},
 		{[]byte(answer(0, "") + "HTTP/1.1 503 No\r\n" + notExecutedLine + "X-More: ab" + answer(1, "")), tail},
 		{[]byte(answer(0, "") + "HTTP/1.1 200 O" + strings.Replace(answer(1, ""), "200 OK", "500 No", 1)), tail},
-		{[]byte(strings.Replace(answer(0, notExecutedLine), "200 OK", "503 No", 1) + answer(1, "")), []byte{fuzzWaits | fuzzCut, fuzzWaits | fuzzPause | fuzzCut}},
+		{[]byte(strings.Replace(answer(0, notExecutedLine), "200 OK", "503 No", 1) + answer(1, "")), []byte{fuzzWaits | fuzzLengthBits, fuzzWaits | fuzzPause | fuzzLengthBits}},
 		{[]byte(strings.Replace(answer(0, ""), "200 OK", "421 No", 1) + "HTTP/1.1 100 Continue\r\n\r\n" + answer(1, "")), tail},
 		{[]byte(strings.Replace(answer(0, ""), "Content-Length: 5\r\n\r\nbody0", "Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n0\r\n\r\n", 1) + answer(1, "")), each},
 		{[]byte("garbage\r\n\r\n" + all), each},
--- a/transport/replicahttp/head_test.go
+++ b/transport/replicahttp/head_test.go
@@ -11,12 +11,12 @@
 // TestHeadAnswer: the answer to HEAD has a length and no body.
 func TestHeadAnswer(t *testing.T) {
 	s := &server{answers: []string{"HTTP/1.1 200 OK\r\n" + HeaderAttempt + ": ID\r\n" + HeaderSeal + ": s\r\nContent-Length: 30\r\n\r\n",
-		text("200 OK", "ID", "s", "abc")}}
-	withPool(t, s, func(d *poolTest) {
-		result, a := d.askBy("HEAD", "x1")
+		answerText("200 OK", "ID", "s", "abc")}}
+	runFixture(t, s, func(d *fixture) {
+		result, a := d.callMethod("HEAD", "x1")
 		must.Eq(t, balance.Fulfilled, result)
 		must.Eq(t, "", string(a.Body))
-		result, a = d.ask("x2")
+		result, a = d.call("x2")
 		must.Eq(t, balance.Fulfilled, result)
 		must.Eq(t, "abc", string(a.Body))
 	})
--- a/transport/replicahttp/nobody_test.go
+++ b/transport/replicahttp/nobody_test.go
@@ -14,10 +14,10 @@
 // TestAnswerOfNobody: what cannot be told to be one whole answer to this request is given to nobody, and its connection
 // carries no other request.
 func TestAnswerOfNobody(t *testing.T) {
-	good := text("200 OK", "ID", "s", "abc")
-	failed := text("500 No", "ID", "s", "abc")
+	good := answerText("200 OK", "ID", "s", "abc")
+	failed := answerText("500 No", "ID", "s", "abc")
 	for name, answer := range map[string]string{
-		"wrong id":                              text("200 OK", "x0", "s", "abc") + "CLOSE",
+		"wrong id":                              answerText("200 OK", "x0", "s", "abc") + "CLOSE",
 		"no id":                                 "HTTP/1.1 200 OK\r\n" + HeaderSeal + ": s\r\nContent-Length: 3\r\n\r\nabcCLOSE",
 		"two ids, its own first":                withLines(good, HeaderAttempt+": ID\r\n"+HeaderAttempt+": x0\r\n") + "CLOSE",
 		"two ids, its own last":                 withLines(good, HeaderAttempt+": x0\r\n") + "CLOSE",
@@ -45,16 +45,16 @@
 				if reused {
 					s.answers = append([]string{good}, s.answers...)
 				}
-				withPool(t, s, func(d *poolTest) {
+				runFixture(t, s, func(d *fixture) {
 					if reused {
-						result, _ := d.ask("x0a")
+						result, _ := d.call("x0a")
 						must.Eq(t, balance.Fulfilled, result)
 					}
-					result, a := d.ask("x1")
+					result, a := d.call("x1")
 					must.Eq(t, balance.Reset, result)
 					must.Nil(t, a)
 					d.settle()
-					result, a = d.ask("x2")
+					result, a = d.call("x2")
 					must.Eq(t, balance.Fulfilled, result)
 					must.Eq(t, "abc", string(a.Body))
 					must.Eq(t, 2, int(d.Opened.Load()))
@@ -66,7 +66,7 @@
 
 // TestSurplusAnswers: an answer of an earlier request that comes late is never the next one's, whenever it comes.
 func TestSurplusAnswers(t *testing.T) {
-	answer := func(id, body string) string { return text("200 OK", id, "s-"+id, body) }
+	answer := func(id, body string) string { return answerText("200 OK", id, "s-"+id, body) }
 	for name, c := range map[string]struct {
 		behind string // with the first answer, in one segment
 		idle   string // while nothing is asked
@@ -84,15 +84,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &server{answers: []string{answer("x1", "abc") + c.behind, c.second}, idle: c.idle}
-			withPool(t, s, func(d *poolTest) {
-				result, a := d.ask("x1")
+			runFixture(t, s, func(d *fixture) {
+				result, a := d.call("x1")
 				must.Eq(t, balance.Fulfilled, result)
 				must.Eq(t, "abc", string(a.Body))
 				if c.idle != "" {
 					time.Sleep(time.Second)
 				}
 				d.settle()
-				result, a = d.ask("x2")
+				result, a = d.call("x2")
 				must.Eq(t, c.want, result)
 				if c.want == balance.Fulfilled {
 					must.Eq(t, "new", string(a.Body))
--- a/transport/replicahttp/proof_test.go
+++ b/transport/replicahttp/proof_test.go
@@ -40,8 +40,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			answer := "HTTP/1.1 " + c.status + "\r\n" + HeaderAttempt + ": ID\r\n" + c.lines + "Content-Length: 2\r\n\r\nab"
-			withPool(t, &server{answers: []string{answer}}, func(d *poolTest) {
-				result, _ := d.ask("x1")
+			runFixture(t, &server{answers: []string{answer}}, func(d *fixture) {
+				result, _ := d.call("x1")
 				must.Eq(t, c.want, result)
 			})
 		})
@@ -50,9 +50,9 @@
 
 // TestNoConnection: a connection that never came up proves that nothing ran.
 func TestNoConnection(t *testing.T) {
-	withPool(t, &server{}, func(d *poolTest) {
+	runFixture(t, &server{}, func(d *fixture) {
 		d.Dial = func(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
-		result, _ := d.ask("x1")
+		result, _ := d.call("x1")
 		must.Eq(t, balance.ConnectFailed, result)
 	})
 }
--- a/transport/replicahttp/replicahttp_test.go
+++ b/transport/replicahttp/replicahttp_test.go
@@ -71,35 +71,35 @@
 	}
 }
 
-func text(status, id, seal, body string) string {
+func answerText(status, id, seal, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", status, HeaderAttempt, id, HeaderSeal, seal,
 		len(body), body)
 }
 
-type poolTest struct {
+type fixture struct {
 	*Pool
-	t     *testing.T
-	notes chan any
+	t      *testing.T
+	events chan any
 }
 
-func withPool(t *testing.T, s *server, play func(d *poolTest)) {
+func runFixture(t *testing.T, s *server, play func(d *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &pipes.Network{}
 		l := n.Listen("r:1")
 		go s.serve(l)
-		d := &poolTest{t: t, notes: make(chan any, 64)}
+		d := &fixture{t: t, events: make(chan any, 64)}
 		began := time.Now()
-		d.Pool = NewPool(func(v any) { d.notes <- v }, func() int64 { return int64(time.Since(began)) })
+		d.Pool = NewPool(func(v any) { d.events <- v }, func() int64 { return int64(time.Since(began)) })
 		d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			return n.Dial(ctx, network, address)
 		}
-		d.SetAddress(0, Dial("i-1", "r:1"))
+		d.SetAddress(0, DestinationAddress("i-1", "r:1"))
 		defer l.Close()
 		defer func() { // also where play has failed
 			d.Pool.Close()
 			synctest.Wait()
-			for len(d.notes) > 0 {
-				d.Handle(<-d.notes)
+			for len(d.events) > 0 {
+				d.Handle(<-d.events)
 				synctest.Wait()
 			}
 			if !t.Failed() {
@@ -110,26 +110,26 @@
 	})
 }
 
-// ask sends one part and tells how it ended.
-func (d *poolTest) ask(id string) (balance.Result, *Answer) {
+// call sends one part and tells how it ended.
+func (d *fixture) call(id string) (balance.Result, *Answer) {
 	d.t.Helper()
-	return d.askBy("POST", id)
+	return d.callMethod("POST", id)
 }
 
-// askBy does so by another method.
-func (d *poolTest) askBy(method, id string) (balance.Result, *Answer) {
+// callMethod does so by another method.
+func (d *fixture) callMethod(method, id string) (balance.Result, *Answer) {
 	d.t.Helper()
 	r := &Request{Attempt: id, Method: method, Body: []byte("body"), Answers: map[int]*Answer{},
 		Head: []byte(method + " /a/b?c HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": " + id + "\r\nContent-Length: 4\r\n")}
-	t := &replica.Ticket{Part: replica.Part{Shard: 3, Wait: 700}, Load: r}
+	t := &replica.Ticket{Part: replica.Part{Shard: 3, WaitMs: 700}, Payload: r}
 	must.True(d.t, d.Send(0, []*replica.Ticket{t}))
 	synctest.Wait()
 	for {
 		synctest.Wait()
-		if len(d.notes) == 0 {
+		if len(d.events) == 0 {
 			d.t.Fatal("nothing came of a part")
 		}
-		reports, _ := d.Handle(<-d.notes)
+		reports, _ := d.Handle(<-d.events)
 		if len(reports) > 0 {
 			must.Eq(d.t, t, reports[0].Ticket)
 			return reports[0].Result, r.Answers[3]
@@ -138,22 +138,22 @@
 }
 
 // settle takes in what is left to be told.
-func (d *poolTest) settle() {
+func (d *fixture) settle() {
 	synctest.Wait()
-	for len(d.notes) > 0 {
-		d.Handle(<-d.notes)
+	for len(d.events) > 0 {
+		d.Handle(<-d.events)
 		synctest.Wait()
 	}
 }
 
 func TestPartAndAnswer(t *testing.T) {
-	s := &server{answers: []string{text("200 OK", "ID", "seal", "abc"), text("200 OK", "ID", "seal2", "de")}}
-	withPool(t, s, func(d *poolTest) {
-		result, a := d.ask("x1")
+	s := &server{answers: []string{answerText("200 OK", "ID", "seal", "abc"), answerText("200 OK", "ID", "seal2", "de")}}
+	runFixture(t, s, func(d *fixture) {
+		result, a := d.call("x1")
 		must.Eq(t, balance.Fulfilled, result)
 		must.Eq(t, "abc", string(a.Body))
 		must.Eq(t, "seal", a.Seal)
-		result, _ = d.ask("x2")
+		result, _ = d.call("x2")
 		must.Eq(t, balance.Fulfilled, result)
 		must.Eq(t, []string{"POST /a/b?c i-1 700 body", "POST /a/b?c i-1 700 body"}, s.heads)
 		must.Eq(t, 1, int(d.Opened.Load()))
@@ -173,30 +173,30 @@
 		"broken off":             {"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nabcCLOSE", balance.Reset, 2},
 		"without a length":       {"HTTP/1.1 200 OK\r\n" + HeaderAttempt + ": ID\r\n" + HeaderSeal + ": s\r\n\r\nabcCLOSE", balance.Fulfilled, 2},
 		"HTTP/1.0, no length":    {"HTTP/1.0 200 OK\r\n" + HeaderAttempt + ": ID\r\n" + HeaderSeal + ": s\r\n\r\nabcCLOSE", balance.Fulfilled, 2},
-		"its own failure":        {text("500 No", "ID", "seal", "abc"), balance.Errored, 1},
-		"without a seal":         {strings.Replace(text("200 OK", "ID", "", "abc"), HeaderSeal+": \r\n", "", 1), balance.Errored, 1},
-		"encoded":                {strings.Replace(text("200 OK", "ID", "s", "abc"), "\r\n", "\r\nContent-Encoding: gzip\r\n", 1), balance.Errored, 1},
-		"full":                   {strings.Replace(text("503 No", "ID", "", ""), "\r\n", "\r\n"+HeaderNotExecuted+": 1\r\n", 1), balance.Full, 1},
-		"503 that may have run":  {text("503 No", "ID", "s", ""), balance.Errored, 1},
-		"another has the place":  {text("421 No", "ID", "", ""), balance.ConnectFailed, 1},
-		"it closes afterwards":   {strings.Replace(text("200 OK", "ID", "s", "abc"), "\r\n", "\r\nConnection: close\r\n", 1), balance.Fulfilled, 2},
-		"an older answer first":  {text("200 OK", "old", "s", "xyz") + text("200 OK", "ID", "s", "abc"), balance.Fulfilled, 2},
-		"a second answer behind": {text("200 OK", "ID", "s", "abc") + text("200 OK", "ID", "s", "abc"), balance.Fulfilled, 2},
-		"bytes behind":           {text("200 OK", "ID", "s", "abc") + "junk", balance.Fulfilled, 2},
-		"a continue before":      {"HTTP/1.1 100 Continue\r\n\r\n" + text("200 OK", "ID", "s", "abc"), balance.Fulfilled, 1},
+		"its own failure":        {answerText("500 No", "ID", "seal", "abc"), balance.Errored, 1},
+		"without a seal":         {strings.Replace(answerText("200 OK", "ID", "", "abc"), HeaderSeal+": \r\n", "", 1), balance.Errored, 1},
+		"encoded":                {strings.Replace(answerText("200 OK", "ID", "s", "abc"), "\r\n", "\r\nContent-Encoding: gzip\r\n", 1), balance.Errored, 1},
+		"full":                   {strings.Replace(answerText("503 No", "ID", "", ""), "\r\n", "\r\n"+HeaderNotExecuted+": 1\r\n", 1), balance.Full, 1},
+		"503 that may have run":  {answerText("503 No", "ID", "s", ""), balance.Errored, 1},
+		"another has the place":  {answerText("421 No", "ID", "", ""), balance.ConnectFailed, 1},
+		"it closes afterwards":   {strings.Replace(answerText("200 OK", "ID", "s", "abc"), "\r\n", "\r\nConnection: close\r\n", 1), balance.Fulfilled, 2},
+		"an older answer first":  {answerText("200 OK", "old", "s", "xyz") + answerText("200 OK", "ID", "s", "abc"), balance.Fulfilled, 2},
+		"a second answer behind": {answerText("200 OK", "ID", "s", "abc") + answerText("200 OK", "ID", "s", "abc"), balance.Fulfilled, 2},
+		"bytes behind":           {answerText("200 OK", "ID", "s", "abc") + "junk", balance.Fulfilled, 2},
+		"a continue before":      {"HTTP/1.1 100 Continue\r\n\r\n" + answerText("200 OK", "ID", "s", "abc"), balance.Fulfilled, 1},
 		"in chunks": {"HTTP/1.1 200 OK\r\n" + HeaderAttempt + ": ID\r\n" + HeaderSeal + ": s\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n", balance.Fulfilled, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &server{answers: []string{c.answer, text("200 OK", "ID", "s", "next")}}
-			withPool(t, s, func(d *poolTest) {
-				result, a := d.ask("x1")
+			s := &server{answers: []string{c.answer, answerText("200 OK", "ID", "s", "next")}}
+			runFixture(t, s, func(d *fixture) {
+				result, a := d.call("x1")
 				must.Eq(t, c.want, result)
 				if result == balance.Fulfilled {
 					must.Eq(t, "abc", string(a.Body))
 				}
 				d.settle()
-				result, a = d.ask("x2")
+				result, a = d.call("x2")
 				must.Eq(t, balance.Fulfilled, result)
 				must.Eq(t, "next", string(a.Body))
 				must.Eq(t, c.opened, int(d.Opened.Load()))
@@ -208,18 +208,18 @@
 // TestGivenUp: a part that was written is given up with its connection; one that still waits for its
 // connection is withdrawn, and never leaves.
 func TestGivenUp(t *testing.T) {
-	s := &server{answers: []string{text("200 OK", "ID", "s", "abc")}}
-	withPool(t, s, func(d *poolTest) {
+	s := &server{answers: []string{answerText("200 OK", "ID", "s", "abc")}}
+	runFixture(t, s, func(d *fixture) {
 		l := (&pipes.Network{})
 		r := &Request{Attempt: "x", Method: "GET", Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\n")}
-		ticket := &replica.Ticket{Load: r}
-		l.Silence("r:1")
+		ticket := &replica.Ticket{Payload: r}
+		l.Blackhole("r:1")
 		dial := d.Dial
 		d.Dial = l.Dial
 		must.True(t, d.Send(0, []*replica.Ticket{ticket}))
 		synctest.Wait()
 		must.True(t, d.Abandon(ticket, true))
-		time.Sleep(2 * dialWait)
+		time.Sleep(2 * dialTimeout)
 		d.settle()
 		d.Dial = dial
 		must.True(t, d.Drained(0))
@@ -229,15 +229,15 @@
 
 // TestIdleTooLong: a connection is not used again when the replica may just be closing it.
 func TestIdleTooLong(t *testing.T) {
-	answer := strings.Replace(text("200 OK", "ID", "s", "abc"), "\r\n", "\r\nKeep-Alive: timeout=4\r\n", 1)
+	answer := strings.Replace(answerText("200 OK", "ID", "s", "abc"), "\r\n", "\r\nKeep-Alive: timeout=4\r\n", 1)
 	s := &server{answers: []string{answer, answer, answer}}
-	withPool(t, s, func(d *poolTest) {
-		d.ask("x1")
+	runFixture(t, s, func(d *fixture) {
+		d.call("x1")
 		time.Sleep(2 * time.Second)
-		d.ask("x2")
+		d.call("x2")
 		must.Eq(t, 1, int(d.Opened.Load()))
 		time.Sleep(3500 * time.Millisecond)
-		d.ask("x3")
+		d.call("x3")
 		must.Eq(t, 2, int(d.Opened.Load()))
 	})
 }
--- a/transport/replicahttp/reuse_test.go
+++ b/transport/replicahttp/reuse_test.go
@@ -16,19 +16,19 @@
 // TestGivenUpAndAnswered: an exchange that was given up while its answer was on its way leaves no connection behind that
 // would be used again.
 func TestGivenUpAndAnswered(t *testing.T) {
-	good := text("200 OK", "ID", "s", "abc")
+	good := answerText("200 OK", "ID", "s", "abc")
 	s := &server{answers: []string{good, good}}
-	withPool(t, s, func(d *poolTest) {
+	runFixture(t, s, func(d *fixture) {
 		r := &Request{Attempt: "x1", Method: "GET", Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": x1\r\n")}
-		ticket := &replica.Ticket{Load: r}
+		ticket := &replica.Ticket{Payload: r}
 		must.True(t, d.Send(0, []*replica.Ticket{ticket}))
 		synctest.Wait()
-		must.Eq(t, 1, len(d.notes)) // the answer is there, and the loop has not heard of it
+		must.Eq(t, 1, len(d.events)) // the answer is there, and the loop has not heard of it
 		must.False(t, d.Abandon(ticket, true))
-		reports, _ := d.Handle(<-d.notes)
+		reports, _ := d.Handle(<-d.events)
 		must.SliceEmpty(t, reports)
 		must.MapEmpty(t, r.Answers)
-		result, _ := d.ask("x2")
+		result, _ := d.call("x2")
 		must.Eq(t, balance.Fulfilled, result)
 	})
 }
@@ -36,12 +36,12 @@
 // TestIdleRace: the replica closes an idle connection at the moment at which the next request is begun on it. What was
 // never written is said not to have run.
 func TestIdleRace(t *testing.T) {
-	good := text("200 OK", "ID", "s", "abc")
+	good := answerText("200 OK", "ID", "s", "abc")
 	s := &server{answers: []string{good, good}, closesIdle: true}
-	withPool(t, s, func(d *poolTest) {
-		d.ask("x1")
+	runFixture(t, s, func(d *fixture) {
+		d.call("x1")
 		time.Sleep(time.Second) // it has closed; the loop has not heard of it
-		result, a := d.ask("x2")
+		result, a := d.call("x2")
 		must.True(t, result == balance.ConnectFailed, must.Sprint(result))
 		must.Nil(t, a)
 		must.SliceLen(t, 1, s.heads)
@@ -50,19 +50,19 @@
 
 // TestOpeningIsNotTheReplicasTime: a part's ticket says when its connection was up, whether it was opened for it or was at hand.
 func TestOpeningIsNotTheReplicasTime(t *testing.T) {
-	good := text("200 OK", "ID", "s", "abc")
-	withPool(t, &server{answers: []string{good, good}}, func(d *poolTest) {
+	good := answerText("200 OK", "ID", "s", "abc")
+	runFixture(t, &server{answers: []string{good, good}}, func(d *fixture) {
 		dial := d.Dial
 		d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			time.Sleep(300 * time.Millisecond)
 			return dial(ctx, network, address)
 		}
 		for _, opening := range []time.Duration{300 * time.Millisecond, 0} {
-			ticket := &replica.Ticket{Load: &Request{Attempt: "x1", Method: "GET", Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": x1\r\n")}}
+			ticket := &replica.Ticket{Payload: &Request{Attempt: "x1", Method: "GET", Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": x1\r\n")}}
 			before := d.now()
 			must.True(t, d.Send(0, []*replica.Ticket{ticket}))
-			d.Handle(<-d.notes)
-			must.Eq(t, before+int64(opening), ticket.Connected.Load())
+			d.Handle(<-d.events)
+			must.Eq(t, before+int64(opening), ticket.ConnectedAt.Load())
 		}
 	})
 }
--- a/transport/replicahttp/write_test.go
+++ b/transport/replicahttp/write_test.go
@@ -23,8 +23,8 @@
 
 // writeEnd is how the next write on a connection ends.
 type writeEnd struct {
-	taken int // bytes that the kernel took
-	err   error
+	accepted int // bytes that the kernel took
+	err      error
 }
 
 // faultyConn is a connection whose writes end as they are told to, in turn; without a word they go through.
@@ -43,7 +43,7 @@
 	}
 	end := f.ends[0]
 	f.ends = f.ends[1:]
-	n := min(end.taken, len(b))
+	n := min(end.accepted, len(b))
 	if n > 0 {
 		f.Conn.Write(b[:n])
 		f.written.Write(b[:n])
@@ -72,8 +72,8 @@
 	} {
 		for _, reused := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", reused ", reused), func(t *testing.T) {
-				good := text("200 OK", "ID", "s", "abc")
-				withPool(t, &server{answers: []string{good, good, good}}, func(d *poolTest) {
+				good := answerText("200 OK", "ID", "s", "abc")
+				runFixture(t, &server{answers: []string{good, good, good}}, func(d *fixture) {
 					var conn *faultyConn
 					dial := d.Dial
 					d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -82,7 +82,7 @@
 						return conn, err
 					}
 					if reused {
-						d.ask("x0")
+						d.call("x0")
 						conn.ends = []writeEnd{c.end}
 					} else {
 						first := d.Dial
@@ -92,8 +92,8 @@
 							return conn, err
 						}
 					}
-					result, _ := d.ask("x1")
-					if c.end.taken < 1<<20 { // the whole request may be answered as well
+					result, _ := d.call("x1")
+					if c.end.accepted < 1<<20 { // the whole request may be answered as well
 						must.Eq(t, c.want, result)
 					} else {
 						must.False(t, result.NeverRan())
@@ -112,12 +112,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		wait := make(chan struct{})
-		conn := &faultyConn{Conn: near, ends: []writeEnd{{taken: 20, err: os.ErrDeadlineExceeded}}, written: &strings.Builder{}, wait: wait}
-		d := &poolTest{t: t, notes: make(chan any, 64)}
+		conn := &faultyConn{Conn: near, ends: []writeEnd{{accepted: 20, err: os.ErrDeadlineExceeded}}, written: &strings.Builder{}, wait: wait}
+		d := &fixture{t: t, events: make(chan any, 64)}
 		began := time.Now()
-		d.Pool = NewPool(func(v any) { d.notes <- v }, func() int64 { return int64(time.Since(began)) })
+		d.Pool = NewPool(func(v any) { d.events <- v }, func() int64 { return int64(time.Since(began)) })
 		d.Dial = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
-		d.SetAddress(0, Dial("i-1", "r:1"))
+		d.SetAddress(0, DestinationAddress("i-1", "r:1"))
 		defer func() {
 			far.Close()
 			near.Close()
@@ -125,19 +125,19 @@
 		}()
 		go func() {
 			io.ReadFull(far, make([]byte, 20))
-			io.WriteString(far, withLines(text("503 No", "x1", "", ""), notExecutedLine))
+			io.WriteString(far, withLines(answerText("503 No", "x1", "", ""), notExecutedLine))
 		}()
-		result, _ := d.ask("x1")
+		result, _ := d.call("x1")
 		must.Eq(t, balance.Full, result)
-		second := &replica.Ticket{Load: &Request{Attempt: "x2", Method: "GET", Head: []byte("GET /other HTTP/1.1\r\n"),
+		second := &replica.Ticket{Payload: &Request{Attempt: "x2", Method: "GET", Head: []byte("GET /other HTTP/1.1\r\n"),
 			Answers: map[int]*Answer{}}}
 		d.Send(0, []*replica.Ticket{second})
 		synctest.Wait()
 		play(far, conn, func() (ended []replica.Report) {
 			close(wait)
 			synctest.Wait()
-			for len(d.notes) > 0 {
-				reports, _ := d.Handle(<-d.notes)
+			for len(d.events) > 0 {
+				reports, _ := d.Handle(<-d.events)
 				ended = append(ended, reports...)
 				synctest.Wait()
 			}
@@ -172,10 +172,10 @@
 // TestDeadOnArrival: a connection that has ended before its first request was written proves that it did not run, also where
 // the reader is the one to tell.
 func TestDeadOnArrival(t *testing.T) {
-	withPool(t, &server{}, func(d *poolTest) {
+	runFixture(t, &server{}, func(d *fixture) {
 		d.Dial = func(context.Context, string, string) (net.Conn, error) { return deadConn{}, nil }
 		for range raceRounds {
-			result, _ := d.ask("x1")
+			result, _ := d.call("x1")
 			must.Eq(t, balance.ConnectFailed, result)
 			d.settle()
 		}
@@ -188,7 +188,7 @@
 	for name, end := range map[string]func(far net.Conn){
 		"closed":  func(far net.Conn) { far.Close() },
 		"garbage": func(far net.Conn) { io.WriteString(far, "x") },
-		"answer":  func(far net.Conn) { io.WriteString(far, text("200 OK", "x2", "s", "abc")) },
+		"answer":  func(far net.Conn) { io.WriteString(far, answerText("200 OK", "x2", "s", "abc")) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			stalledWrite(t, func(far net.Conn, conn *faultyConn, release func() []replica.Report) {
--- a/transport/sockets/sockets.go
+++ b/transport/sockets/sockets.go
@@ -3,60 +3,60 @@
 
 import "sync"
 
-// Use is what a descriptor is for.
-type Use int
+// Purpose is what a descriptor is for.
+type Purpose int
 
 // The uses: connections that clients opened, and connections to replicas.
 const (
-	Clients Use = iota
+	Clients Purpose = iota
 	Replicas
-	uses
+	purposeCount
 )
 
 const (
-	reserve = 32 // descriptors for standard streams, the poller, the listener, discovery and the runtime
-	least   = 8  // for clients and replicas together, however low the limit is
+	reservedDescriptors = 32 // descriptors for standard streams, the poller, the listener, discovery and the runtime
+	minBudget           = 8  // for clients and replicas together, however low the limit is
 )
 
 // Budget counts the descriptors in use against what is allowed for each use and for all.
 type Budget struct {
-	mu    sync.Mutex
-	all   int
-	most  [uses]int
-	taken [uses]int
+	mu     sync.Mutex
+	total  int
+	limits [purposeCount]int
+	inUse  [purposeCount]int
 }
 
 // NewBudget shares out a limit: neither use can take all that is there.
 func NewBudget(limit int) *Budget {
-	b := &Budget{all: max(limit-reserve, least)}
-	b.most = [uses]int{Clients: b.all * 3 / 4, Replicas: b.all / 2}
+	b := &Budget{total: max(limit-reservedDescriptors, minBudget)}
+	b.limits = [purposeCount]int{Clients: b.total * 3 / 4, Replicas: b.total / 2}
 	return b
 }
 
-// Take takes one descriptor, if there is one left.
-func (b *Budget) Take(u Use) bool {
+// Acquire takes one descriptor, if there is one left.
+func (b *Budget) Acquire(u Purpose) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.taken[u] >= b.most[u] || b.taken[Clients]+b.taken[Replicas] >= b.all {
+	if b.inUse[u] >= b.limits[u] || b.inUse[Clients]+b.inUse[Replicas] >= b.total {
 		return false
 	}
-	b.taken[u]++
+	b.inUse[u]++
 	return true
 }
 
-// Give gives one back.
-func (b *Budget) Give(u Use) {
+// Release gives one back.
+func (b *Budget) Release(u Purpose) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.taken[u]--
+	b.inUse[u]--
 }
 
-// Most is how many a use may take.
-func (b *Budget) Most(u Use) int { return b.most[u] }
+// Limit is how many a use may take.
+func (b *Budget) Limit(u Purpose) int { return b.limits[u] }
 
-// Taken is how many are in use.
-func (b *Budget) Taken(u Use) int {
+// InUse is how many are in use.
+func (b *Budget) InUse(u Purpose) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.taken[u]
+	return b.inUse[u]
 }
--- a/transport/statestore/format_test.go
+++ b/transport/statestore/format_test.go
@@ -36,18 +36,18 @@
 			Revision: 3, Body: []byte("body"), Size: 3}}
 	must.Eq(t, want, *found.State)
 	must.Eq(t, register.Order{Revision: 2}, found.Committed)
-	must.Eq(t, []registry.Record{{ID: "i-1", Service: "s", Address: "10.0.2.1:80", Seq: 7}}, found.List)
+	must.Eq(t, []registry.Record{{ID: "i-1", Service: "s", Address: "10.0.2.1:80", Seq: 7}}, found.Replicas)
 	must.NoError(t, b.Save(save(4)))
 	must.NoError(t, b.Close())
 	text, err := os.ReadFile(Path(dir))
 	must.NoError(t, err)
-	whole, version := scan(text)
+	whole, version := scanCommands(text)
 	must.Eq(t, len(text), whole)
 	must.Eq(t, formatVersion, version)
 	b, found, err = Open(dir)
 	must.NoError(t, err)
 	must.Eq(t, 4, found.State.Value.Revision)
-	must.Eq(t, "i-1", found.List[0].ID)
+	must.Eq(t, "i-1", found.Replicas[0].ID)
 	must.NoError(t, b.Close())
 }
 
@@ -117,7 +117,7 @@
 	for n := uint64(2); n <= 9; n++ {
 		must.NoError(t, b.Save(save(n)))
 	}
-	next := filepath.Join(dir, shrinkName)
+	next := filepath.Join(dir, compactedName)
 	must.NoError(t, b.writeAnew(next))
 	must.NoError(t, b.Close())
 	shrunk, err := os.ReadFile(next)
@@ -129,16 +129,16 @@
 		at := t.TempDir()
 		must.NoError(t, os.WriteFile(Path(at), text, 0o600))
 		if beside != nil {
-			must.NoError(t, os.WriteFile(filepath.Join(at, shrinkName), beside, 0o600))
+			must.NoError(t, os.WriteFile(filepath.Join(at, compactedName), beside, 0o600))
 		}
 		b, found, err := Open(at)
 		must.NoError(t, err, must.Sprint(what))
 		must.NotNil(t, found.State, must.Sprint(what))
 		must.Eq(t, 9, found.State.Value.Revision, must.Sprint(what))
-		must.Eq(t, "i-1", found.List[0].ID, must.Sprint(what))
+		must.Eq(t, "i-1", found.Replicas[0].ID, must.Sprint(what))
 		must.NoError(t, b.Save(save(10)))
 		must.NoError(t, b.Close())
-		_, err = os.Stat(filepath.Join(at, shrinkName))
+		_, err = os.Stat(filepath.Join(at, compactedName))
 		must.ErrorIs(t, err, os.ErrNotExist, must.Sprint(what))
 	}
 	for cut := 0; cut <= len(shrunk); cut += 13 {
@@ -163,8 +163,8 @@
 		steps = append(steps, "rename "+filepath.Base(from))
 		return os.Rename(from, to)
 	}
-	must.NoError(t, b.shrinkNow())
-	must.Eq(t, []string{"sync " + shrinkName, "rename " + shrinkName, "sync " + filepath.Base(dir)}, steps)
+	must.NoError(t, b.compact())
+	must.Eq(t, []string{"sync " + compactedName, "rename " + compactedName, "sync " + filepath.Base(dir)}, steps)
 	steps = nil
 	must.NoError(t, b.Save(save(2)))
 	must.Eq(t, []string{"sync " + fileName}, steps)
@@ -181,9 +181,9 @@
 	b, _, err := Open(dir)
 	must.NoError(t, err)
 	must.NoError(t, b.Save(save(1)))
-	blocked := filepath.Join(dir, shrinkName)
+	blocked := filepath.Join(dir, compactedName)
 	must.NoError(t, os.MkdirAll(filepath.Join(blocked, "in the way"), 0o700))
-	must.NoError(t, b.shrinkNow())
+	must.NoError(t, b.compact())
 	must.NoError(t, b.Save(save(2)))
 	must.NoError(t, os.RemoveAll(blocked))
 
--- a/transport/statestore/statestore.go
+++ b/transport/statestore/statestore.go
@@ -30,33 +30,33 @@
 var ErrNewerFormat = errors.New("the state file has a newer format than this program reads")
 
 const (
-	fileName   = "register.db"
-	shrinkName = fileName + ".new" // the file that is to take its place
-	listKey    = "list"
-	versionKey = "version"
+	fileName      = "register.db"
+	compactedName = fileName + ".new" // the file that is to take its place
+	listKey       = "list"
+	versionKey    = "version"
 
 	// formatVersion is that of the file. One without a version is of the first format, which is read as this one.
 	formatVersion = 2
 
-	mostDigits = 10 // of a length in the file
+	maxDigits = 10 // of a length in the file
 
-	slots     = 2        // saves go to them by turns, so that a torn one leaves the one before
-	shrinkMin = 24 << 20 // bytes of the file before it is written anew
+	slots           = 2        // saves go to them by turns, so that a torn one leaves the one before
+	compactMinBytes = 24 << 20 // bytes of the file before it is written anew
 )
 
 // Store is the open file.
 type Store struct {
-	db      *buntdb.DB
-	file    *os.File // the same file, to sync it
-	dir     string
-	number  uint64                      // of the last save
-	current bool                        // the file names the format's version
-	sync    func(*os.File) error        // of files and of the folder; tests put their own in its place
-	rename  func(from, to string) error // likewise
+	db             *buntdb.DB
+	file           *os.File // the same file, to sync it
+	dir            string
+	lastSave       uint64                      // of the last save
+	versionWritten bool                        // the file names the format's version
+	sync           func(*os.File) error        // of files and of the folder; tests put their own in its place
+	rename         func(from, to string) error // likewise
 }
 
-// kept is what a save holds.
-type kept struct {
+// savedState is what a save holds.
+type savedState struct {
 	State             register.State `cbor:"1,keyasint"`
 	CommittedRevision uint64         `cbor:"2,keyasint,omitempty"`
 	CommittedSum      uint64         `cbor:"3,keyasint,omitempty"` // of its content; 0 in a file of the former version
@@ -68,20 +68,20 @@
 	State     *register.State   // nil where none was ever saved
 	Committed register.Order    // the configuration last known to be committed
 	Rollouts  rollout.Set       // last known to be committed
-	List      []registry.Record // as it was last saved
+	Replicas  []registry.Record // as it was last saved
 }
 
 // Open opens the file in a folder. Its error is ErrNewerFormat, in a chain, where a newer version of the program
 // wrote the file; the file is left as it is then.
 func Open(dir string) (b *Store, found Found, err error) {
 	path := filepath.Join(dir, fileName)
-	if err := mend(path); err != nil {
+	if err := truncateTornEnd(path); err != nil {
 		return nil, found, ErrStore.Wrapf(err, "opening %s", path)
 	}
 	// What a shrink left behind that was cut short: the file itself is still the one before.
-	os.Remove(filepath.Join(dir, shrinkName))
+	os.Remove(filepath.Join(dir, compactedName))
 	b = &Store{dir: dir, sync: (*os.File).Sync, rename: os.Rename}
-	if err := b.attach(); err != nil {
+	if err := b.openFile(); err != nil {
 		return nil, found, ErrStore.Wrapf(err, "opening %s", path)
 	}
 	if found, err = b.load(); err != nil {
@@ -91,8 +91,8 @@
 	return b, found, nil
 }
 
-// attach opens the file as it is on disk.
-func (b *Store) attach() error {
+// openFile opens the file as it is on disk.
+func (b *Store) openFile() error {
 	path := filepath.Join(b.dir, fileName)
 	db, err := openDB(path)
 	if err != nil {
@@ -130,18 +130,18 @@
 			} else if err != nil {
 				return err
 			}
-			var k kept
-			if n, ok := unseal([]byte(text), &k); ok && n > b.number {
-				b.number, found.State = n, &k.State
+			var k savedState
+			if n, ok := unseal([]byte(text), &k); ok && n > b.lastSave {
+				b.lastSave, found.State = n, &k.State
 				found.Committed = register.Order{Revision: k.CommittedRevision, Sum: k.CommittedSum}
 				found.Rollouts = k.CommittedRollouts
 			}
 		}
 		if text, err := tx.Get(listKey); err == nil {
-			unseal([]byte(text), &found.List)
+			unseal([]byte(text), &found.Replicas)
 		}
 		if text, err := tx.Get(versionKey); err == nil {
-			b.current = versionOf([]byte(text)) == formatVersion
+			b.versionWritten = parseVersion([]byte(text)) == formatVersion
 		}
 		return nil
 	})
@@ -152,8 +152,8 @@
 //
 // Danger: a new file lasts only once the folder that holds its name is synced as well.
 func (b *Store) Save(s controller.Save) error {
-	n := b.number + 1
-	text, err := seal(n, kept{s.RegisterState, s.CommittedConfiguration.Revision, s.CommittedConfiguration.Sum, s.Rollouts})
+	n := b.lastSave + 1
+	text, err := seal(n, savedState{s.RegisterState, s.CommittedConfiguration.Revision, s.CommittedConfiguration.Sum, s.Rollouts})
 	if err != nil {
 		return ErrStore.Wrapf(err, "encoding")
 	}
@@ -168,7 +168,7 @@
 		return ErrStore.Wrapf(err, "encoding")
 	}
 	err = b.db.Update(func(tx *buntdb.Tx) error {
-		if !b.current {
+		if !b.versionWritten {
 			if _, _, err := tx.Set(versionKey, string(version), nil); err != nil {
 				return err
 			}
@@ -187,33 +187,33 @@
 	if err := b.sync(b.file); err != nil {
 		return ErrStore.Wrapf(err, "syncing")
 	}
-	if b.number == 0 {
+	if b.lastSave == 0 {
 		if err := b.syncDir(); err != nil {
 			return ErrStore.Wrapf(err, "syncing the folder")
 		}
 	}
-	b.number, b.current = n, true
-	return b.shrink()
+	b.lastSave, b.versionWritten = n, true
+	return b.compactIfLarge()
 }
 
-// shrink writes the file anew once it has grown.
-func (b *Store) shrink() error {
+// compactIfLarge writes the file anew once it has grown.
+func (b *Store) compactIfLarge() error {
 	info, err := b.file.Stat()
-	if err != nil || info.Size() < shrinkMin {
+	if err != nil || info.Size() < compactMinBytes {
 		return nil
 	}
-	return b.shrinkNow()
+	return b.compact()
 }
 
-// shrinkNow writes the file anew. What was saved is on disk already, so a disk that refuses the new file, as a
+// compact writes the file anew. What was saved is on disk already, so a disk that refuses the new file, as a
 // full one does, costs nothing but room: the next save tries again.
-func (b *Store) shrinkNow() error {
-	next := filepath.Join(b.dir, shrinkName)
+func (b *Store) compact() error {
+	next := filepath.Join(b.dir, compactedName)
 	if err := b.writeAnew(next); err != nil {
 		os.Remove(next)
 		return nil
 	}
-	return b.replaceBy(next)
+	return b.replaceWith(next)
 }
 
 // writeAnew puts what the file holds into a new one and syncs that.
@@ -245,14 +245,14 @@
 	return errors.Join(b.sync(file), file.Close())
 }
 
-// replaceBy gives a new file the name of the one that is open, and opens it.
-func (b *Store) replaceBy(path string) error {
+// replaceWith gives a new file the name of the one that is open, and opens it.
+func (b *Store) replaceWith(path string) error {
 	if err := b.rename(path, filepath.Join(b.dir, fileName)); err != nil {
 		os.Remove(path)
 		return nil
 	}
 	before := *b
-	if err := b.attach(); err != nil {
+	if err := b.openFile(); err != nil {
 		return ErrStore.Wrapf(err, "opening the shrunk file")
 	}
 	before.Close()
@@ -299,26 +299,26 @@
 	return binary.BigEndian.Uint64(body), true
 }
 
-// versionOf is the version that a sealed text names, 0 where the text is damaged: then the slots, each with a
+// parseVersion is the version that a sealed text names, 0 where the text is damaged: then the slots, each with a
 // check sum of its own, tell what can be read.
-func versionOf(text []byte) (version uint64) {
+func parseVersion(text []byte) (version uint64) {
 	if _, ok := unseal(text, &version); !ok {
 		return 0
 	}
 	return version
 }
 
-// mend cuts the file off behind its last whole command. It changes nothing in a file of a newer format.
+// truncateTornEnd cuts the file off behind its last whole command. It changes nothing in a file of a newer format.
 //
 // The database refuses a file whose end is torn, though all that was ever synced stands before it.
-func mend(path string) error {
+func truncateTornEnd(path string) error {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	} else if err != nil {
 		return err
 	}
-	whole, version := scan(text)
+	whole, version := scanCommands(text)
 	if version > formatVersion {
 		return fmt.Errorf("%w: it has version %d, this program reads up to %d", ErrNewerFormat, version, formatVersion)
 	}
@@ -336,29 +336,29 @@
 	return f.Sync()
 }
 
-// scan tells how many bytes of a file are whole commands, and the highest version that one of them sets.
-func scan(text []byte) (whole int, version uint64) {
+// scanCommands tells how many bytes of a file are whole commands, and the highest version that one of them sets.
+func scanCommands(text []byte) (whole int, version uint64) {
 	for {
-		words, rest, ok := command(text[whole:])
+		words, rest, ok := readCommand(text[whole:])
 		if !ok {
 			return whole, version
 		}
 		if len(words) >= 3 && string(words[0]) == "set" && string(words[1]) == versionKey {
-			version = max(version, versionOf(words[2]))
+			version = max(version, parseVersion(words[2]))
 		}
 		whole = len(text) - len(rest)
 	}
 }
 
-// command takes one command off a text: an array's count, then each string with its length.
-func command(text []byte) (words [][]byte, rest []byte, ok bool) {
-	count, rest, ok := number(text, '*')
+// readCommand takes one command off a text: an array's count, then each string with its length.
+func readCommand(text []byte) (words [][]byte, rest []byte, ok bool) {
+	count, rest, ok := readLength(text, '*')
 	if !ok || count == 0 {
 		return nil, nil, false
 	}
 	for range count {
 		var length int
-		if length, rest, ok = number(rest, '$'); !ok || length+2 > len(rest) || string(rest[length:length+2]) != "\r\n" {
+		if length, rest, ok = readLength(rest, '$'); !ok || length+2 > len(rest) || string(rest[length:length+2]) != "\r\n" {
 			return nil, nil, false
 		}
 		words, rest = append(words, rest[:length]), rest[length+2:]
@@ -366,12 +366,12 @@
 	return words, rest, true
 }
 
-// number takes a line off a text that holds a mark and a number.
-func number(text []byte, mark byte) (n int, rest []byte, ok bool) {
+// readLength takes a line off a text that holds a mark and a number.
+func readLength(text []byte, mark byte) (n int, rest []byte, ok bool) {
 	if len(text) == 0 || text[0] != mark {
 		return 0, nil, false
 	}
-	end := bytes.Index(text[:min(len(text), mostDigits+3)], []byte("\r\n"))
+	end := bytes.Index(text[:min(len(text), maxDigits+3)], []byte("\r\n"))
 	if end < 2 {
 		return 0, nil, false
 	}
--- a/transport/store/count.go
+++ b/transport/store/count.go
@@ -8,38 +8,38 @@
 	"willowsill/internal/counters"
 )
 
-// Count is what is told of the shared store among the process's counters.
-type Count struct {
-	Unsurveyed counters.Count // rounds for which the aggregator had no time to say what it knows
-	Odd        counters.Count // parts of answers that could not be used
-	BytesRead  counters.Count // of records
+// Counters is what is told of the shared store among the process's counters.
+type Counters struct {
+	SurveysSkipped counters.Count // rounds for which the aggregator had no time to say what it knows
+	UnusableParts  counters.Count // parts of answers that could not be used
+	BytesRead      counters.Count // of records
 
-	mu      sync.Mutex
-	figures sharedhealth.Stats
+	mu    sync.Mutex
+	stats sharedhealth.Stats
 }
 
-// show keeps the decider's figures.
-func (c *Count) show(f sharedhealth.Stats) {
+// setStats keeps the decider's figures.
+func (c *Counters) setStats(f sharedhealth.Stats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.figures = f
+	c.stats = f
 }
 
 // Stats are those of the last round.
-func (c *Count) Stats() sharedhealth.Stats {
+func (c *Counters) Stats() sharedhealth.Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.figures
+	return c.stats
 }
 
 // MarshalJSON encodes the present values.
-func (c *Count) MarshalJSON() ([]byte, error) {
+func (c *Counters) MarshalJSON() ([]byte, error) {
 	f := c.Stats()
 	return json.Marshal(map[string]any{
 		"state": f.State.String(), "age_ns": f.LastGoodRoundAge, "aggregators": f.LiveMembers, "rounds": f.Rounds, "failed": f.FailedRounds,
 		"contradictions": f.Contradictions, "refused": f.RecordsRefused, "records_heard": f.RecordsMerged, "findings_told": f.FindingsPublished,
 		"suspected": f.Suspected, "tries_moved": f.TrialsMoved, "passed_over": f.PassedOver,
-		"tokens_leased": f.TokensLeased, "leases_short": f.LeasesShort, "unsurveyed": c.Unsurveyed.Load(), "odd": c.Odd.Load(),
+		"tokens_leased": f.TokensLeased, "leases_short": f.LeasesShort, "unsurveyed": c.SurveysSkipped.Load(), "odd": c.UnusableParts.Load(),
 		"bytes_read": c.BytesRead.Load(),
 	})
 }
--- a/transport/store/hangup_test.go
+++ b/transport/store/hangup_test.go
@@ -28,24 +28,24 @@
 	return 0, errors.New("broken")
 }
 
-// lateConn ends its caller's context at each write, and waits until its deadline has been told.
-type lateConn struct {
+// stalledConn ends its caller's context at each write, and waits until its deadline has been told.
+type stalledConn struct {
 	net.Conn
-	end  context.CancelFunc
-	told chan struct{}
+	end         context.CancelFunc
+	deadlineSet chan struct{}
 }
 
-func (c *lateConn) Write(b []byte) (int, error) {
+func (c *stalledConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.end()
-	<-c.told
+	<-c.deadlineSet
 	return n, err
 }
 
-func (c *lateConn) SetDeadline(t time.Time) error {
+func (c *stalledConn) SetDeadline(t time.Time) error {
 	err := c.Conn.SetDeadline(t)
 	if time.Now().After(t) {
-		close(c.told)
+		close(c.deadlineSet)
 	}
 	return err
 }
@@ -62,7 +62,7 @@
 	t.Helper()
 	failed := make(chan error, 1)
 	go func() {
-		_, err := k.carry(ctx, &sharedhealth.Request{})
+		_, err := k.roundTrip(ctx, &sharedhealth.Request{})
 		failed <- err
 	}()
 	select {
@@ -77,8 +77,8 @@
 // replies ends, though the store says nothing.
 func TestContextEndsBeforeTheReply(t *testing.T) {
 	ctx, end := context.WithCancel(t.Context())
-	conn := &lateConn{silentStore(), end, make(chan struct{})}
-	k := newClient(t, Place{Address: "r:1", Prefix: "t", Dial: func(context.Context, string, string) (net.Conn, error) { return conn, nil }})
+	conn := &stalledConn{silentStore(), end, make(chan struct{})}
+	k := newClient(t, Endpoint{Address: "r:1", Prefix: "t", Dial: func(context.Context, string, string) (net.Conn, error) { return conn, nil }})
 	mustFail(t, k, ctx)
 }
 
@@ -88,16 +88,16 @@
 	must.NoError(t, os.WriteFile(password, []byte("word"), 0o600))
 	ctx, end := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer end()
-	k := newClient(t, Place{Address: "r:1", Prefix: "t", PasswordFile: password,
+	k := newClient(t, Endpoint{Address: "r:1", Prefix: "t", PasswordFile: password,
 		Dial: func(context.Context, string, string) (net.Conn, error) { return silentStore(), nil }})
 	mustFail(t, k, ctx)
 }
 
 // newClient is a client of that store, alone.
-func newClient(t *testing.T, place Place) *Client {
+func newClient(t *testing.T, place Endpoint) *Client {
 	terms := sharedhealth.Config{Name: "n", Incarnation: 7, RoundInterval: int64(round), RoundTimeout: int64(deadline), SampleSize: 24, Aggregators: 1, BaseEjection: 1e9,
 		HealthEnabled: true}
-	k, err := New(place, sharedhealth.New(0, terms), &core{}, func() int64 { return 1e9 }, &Count{}, zap.NewNop())
+	k, err := New(place, sharedhealth.New(0, terms), &testAggregator{}, func() int64 { return 1e9 }, &Counters{}, zap.NewNop())
 	must.NoError(t, err)
 	return k
 }
@@ -107,13 +107,13 @@
 func TestContextEndsWhileHangingUp(t *testing.T) {
 	for range 20 {
 		ctx, end := context.WithCancel(t.Context())
-		place := Place{Address: "r:1", Prefix: "t", Dial: func(context.Context, string, string) (net.Conn, error) {
+		place := Endpoint{Address: "r:1", Prefix: "t", Dial: func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			far.Close()
 			return &brokenConn{near, end}, nil
 		}}
 		k := newClient(t, place)
-		if _, err := k.carry(ctx, &sharedhealth.Request{}); err == nil {
+		if _, err := k.roundTrip(ctx, &sharedhealth.Request{}); err == nil {
 			t.Fatal("a round over a broken connection had no error")
 		}
 		end()
