--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -35,47 +35,47 @@
 	deadline = 150 * time.Millisecond
 )
 
-// core is an aggregator that knows what the test says.
-type core struct {
+// testAggregator is an aggregator that knows what the test says.
+type testAggregator struct {
 	mu      sync.Mutex
 	survey  sharedhealth.Survey
-	allowed []sharedhealth.RoundResult
+	applied []sharedhealth.RoundResult
 	crowded bool
 }
 
-func (c *core) Survey(context.Context) (sharedhealth.Survey, bool) {
+func (c *testAggregator) Survey(context.Context) (sharedhealth.Survey, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.survey, !c.crowded
 }
 
-func (c *core) ApplyShared(a sharedhealth.RoundResult) {
+func (c *testAggregator) ApplyShared(a sharedhealth.RoundResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a.Reports = slices.Clone(a.Reports)
-	c.allowed = append(c.allowed, a)
+	c.applied = append(c.applied, a)
 }
 
-// finds has it find something else of a replica from now on.
-func (c *core) finds(f balance.Finding) {
+// setFinding has it find something else of a replica from now on.
+func (c *testAggregator) setFinding(f balance.Finding) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.survey.Findings = slices.Clone(c.survey.Findings)
 	c.survey.Findings[f.Replica] = f
 }
 
-func (c *core) crowd() {
+func (c *testAggregator) setCrowded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.crowded = true
 }
 
-// passed are the replicas that it was last told to pass over.
-func (c *core) passed() (all []int) {
+// passedOver are the replicas that it was last told to pass over.
+func (c *testAggregator) passedOver() (all []int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if n := len(c.allowed); n > 0 {
-		for _, w := range c.allowed[n-1].Reports {
+	if n := len(c.applied); n > 0 {
+		for _, w := range c.applied[n-1].Reports {
 			if w.Weight > 0 {
 				all = append(all, w.Replica)
 			}
@@ -84,27 +84,27 @@
 	return all
 }
 
-// one is a client with its core.
-type one struct {
+// testClient is a client with its core.
+type testClient struct {
 	*Client
-	core *core
+	core *testAggregator
 	logs *observer.ObservedLogs
 }
 
-type world struct {
+type fixture struct {
 	*testing.T
 	server      *redis.Server
 	network     *pipes.Network
-	began       time.Time
-	aggregators []*one
+	startedAt   time.Time
+	aggregators []*testClient
 }
 
-func (w *world) now() int64 { return int64(time.Since(w.began)) + 1e9 }
+func (w *fixture) now() int64 { return int64(time.Since(w.startedAt)) + 1e9 }
 
-// play plays a test in a bubble of its own time with some aggregators at one server.
-func play(t *testing.T, aggregators int, change func(*Place, *sharedhealth.Config), do func(*world)) {
+// runFixture plays a test in a bubble of its own time with some aggregators at one server.
+func runFixture(t *testing.T, aggregators int, change func(*Endpoint, *sharedhealth.Config), do func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{T: t, server: &redis.Server{}, network: &pipes.Network{}, began: time.Now()}
+		w := &fixture{T: t, server: &redis.Server{}, network: &pipes.Network{}, startedAt: time.Now()}
 		l := w.network.Listen("r:1")
 		served := make(chan struct{})
 		go func() {
@@ -114,7 +114,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		for i := range aggregators {
-			p := Place{Address: "r:1", Prefix: "t", Dial: w.network.Dial}
+			p := Endpoint{Address: "r:1", Prefix: "t", Dial: w.network.Dial}
 			terms := sharedhealth.Config{Name: fmt.Sprint("n", i), Incarnation: 7, Seed: uint64(i), RoundInterval: int64(round),
 				RoundTimeout: int64(deadline), SampleSize: 24, Aggregators: aggregators, BaseEjection: 1e9, HealthEnabled: true,
 				Quotas: []sharedhealth.Quota{{Customer: "acme", Rate: 40}}}
@@ -122,8 +122,8 @@
 				change(&p, &terms)
 			}
 			seen, logs := observer.New(zap.InfoLevel)
-			k := &one{core: &core{survey: survey(20)}, logs: logs}
-			client, err := New(p, sharedhealth.New(w.now(), terms), k.core, w.now, &Count{}, zap.New(seen))
+			k := &testClient{core: &testAggregator{survey: survey(20)}, logs: logs}
+			client, err := New(p, sharedhealth.New(w.now(), terms), k.core, w.now, &Counters{}, zap.New(seen))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -135,7 +135,7 @@
 			}()
 		}
 		do(w)
-		w.server.Misbehave(redis.Fault{})
+		w.server.SetFault(redis.Fault{})
 		stop()
 		for range aggregators {
 			<-ended
@@ -154,9 +154,9 @@
 	return s
 }
 
-func (k *one) state() string { return k.count.Stats().State.String() }
+func (k *testClient) state() string { return k.counters.Stats().State.String() }
 
-func (w *world) states() string {
+func (w *fixture) states() string {
 	all := ""
 	for _, k := range w.aggregators {
 		all += k.state() + " "
@@ -166,25 +166,25 @@
 
 // What two set aside a third passes over, and not for longer than they say so.
 func TestHeard(t *testing.T) {
-	play(t, 3, nil, func(w *world) {
+	runFixture(t, 3, nil, func(w *fixture) {
 		time.Sleep(4 * round)
 		for _, k := range w.aggregators[:2] {
-			k.core.finds(balance.Finding{Replica: 3, Ejected: true, LastFailure: w.now()})
+			k.core.setFinding(balance.Finding{Replica: 3, Ejected: true, LastFailure: w.now()})
 		}
 		time.Sleep(4 * round)
 		synctest.Wait()
-		if got := w.aggregators[2].core.passed(); len(got) != 1 || got[0] != 3 || w.states() != "fresh fresh fresh" {
+		if got := w.aggregators[2].core.passedOver(); len(got) != 1 || got[0] != 3 || w.states() != "fresh fresh fresh" {
 			w.Errorf("passed over %v, %s", got, w.states())
 		}
-		if f := w.aggregators[2].count.Stats(); f.LiveMembers != 3 || f.RecordsMerged == 0 || f.RecordsRefused != 0 {
+		if f := w.aggregators[2].counters.Stats(); f.LiveMembers != 3 || f.RecordsMerged == 0 || f.RecordsRefused != 0 {
 			w.Errorf("%+v", f)
 		}
 		for _, k := range w.aggregators[:2] {
-			k.core.finds(balance.Finding{Replica: 3})
+			k.core.setFinding(balance.Finding{Replica: 3})
 		}
 		time.Sleep(20 * round) // it fades, not at once for all
 		synctest.Wait()
-		if got := w.aggregators[2].core.passed(); len(got) != 0 {
+		if got := w.aggregators[2].core.passedOver(); len(got) != 0 {
 			w.Errorf("still passes over %v", got)
 		}
 		if n := w.server.Connections(); n != 3 {
@@ -195,13 +195,13 @@
 
 // Tokens are leased by demand, and all together stay within the quota.
 func TestLeased(t *testing.T) {
-	play(t, 2, nil, func(w *world) {
+	runFixture(t, 2, nil, func(w *fixture) {
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
 		tokens := 0.0
 		for _, k := range w.aggregators {
 			k.core.mu.Lock()
-			for _, a := range k.core.allowed {
+			for _, a := range k.core.applied {
 				for _, l := range a.Leases {
 					tokens += l.Tokens
 				}
@@ -221,42 +221,42 @@
 		want  string // the state then; empty where rounds go on
 	}{
 		"2 s for 2 ms":       {redis.Fault{Delay: 2 * time.Second}, "lost"},
-		"silent":             {redis.Fault{Silent: true}, "lost"},
-		"carried out, mute":  {redis.Fault{Mute: true}, "lost"},
-		"stalls mid-reply":   {redis.Fault{Stall: 3}, "lost"},
+		"silent":             {redis.Fault{DropCommands: true}, "lost"},
+		"carried out, mute":  {redis.Fault{DropReplies: true}, "lost"},
+		"stalls mid-reply":   {redis.Fault{StallAfter: 3}, "lost"},
 		"closes mid-reply":   {redis.Fault{CutAfter: 3}, "lost"},
 		"refuses":            {redis.Fault{Refuse: true}, "lost"},
-		"a byte at a time":   {redis.Fault{Trickle: 50 * time.Millisecond}, "lost"},
-		"a gigabyte":         {redis.Fault{Huge: 1 << 30}, "lost"},
-		"a billion items":    {redis.Fault{Many: 1 << 30}, "lost"},
+		"a byte at a time":   {redis.Fault{ByteInterval: 50 * time.Millisecond}, "lost"},
+		"a gigabyte":         {redis.Fault{BulkLength: 1 << 30}, "lost"},
+		"a billion items":    {redis.Fault{ArrayLength: 1 << 30}, "lost"},
 		"loading":            {redis.Fault{Error: "LOADING Redis is loading the dataset in memory"}, "lost"},
 		"read only":          {redis.Fault{Error: "READONLY You can't write against a read only replica."}, "lost"},
 		"out of memory":      {redis.Fault{Error: "OOM command not allowed when used memory > 'maxmemory'."}, "lost"},
 		"no permission":      {redis.Fault{Error: "NOPERM this user has no permissions to run this command"}, "lost"},
 		"cluster moved":      {redis.Fault{Error: "MOVED 3999 127.0.0.1:6381"}, "lost"},
-		"garbled":            {redis.Fault{Garble: true}, "distrusted"},
-		"clock a day onward": {redis.Fault{Skew: 24 * time.Hour}, ""},
+		"garbled":            {redis.Fault{CorruptBulk: true}, "distrusted"},
+		"clock a day onward": {redis.Fault{ClockSkew: 24 * time.Hour}, ""},
 		"60 ms a command":    {redis.Fault{Delay: 60 * time.Millisecond}, "lost"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 2, nil, func(w *world) {
+			runFixture(t, 2, nil, func(w *fixture) {
 				time.Sleep(5 * round)
 				if synctest.Wait(); w.states() != "fresh fresh" {
 					w.Fatal(w.states())
 				}
-				w.server.Misbehave(c.fault)
-				w.server.Drop()
+				w.server.SetFault(c.fault)
+				w.server.CloseConnections()
 				time.Sleep(20 * round)
 				synctest.Wait()
 				if c.want != "" && w.states() != c.want+" "+c.want {
 					w.Errorf("in trouble %s", w.states())
 				}
 				for _, k := range w.aggregators {
-					if len(k.core.passed()) > 0 {
+					if len(k.core.passedOver()) > 0 {
 						w.Error("words of a store in trouble")
 					}
 				}
-				w.server.Misbehave(redis.Fault{})
+				w.server.SetFault(redis.Fault{})
 				time.Sleep(80 * time.Second)
 				if synctest.Wait(); w.states() != "fresh fresh" {
 					w.Errorf("long after %s", w.states())
@@ -268,11 +268,11 @@
 
 // A store that was emptied, or went back to an older state, is not believed for a while.
 func TestOlderState(t *testing.T) {
-	for name, fall := range map[string]func(*redis.Server){"emptied": (*redis.Server).Empty, "older": (*redis.Server).Return} {
+	for name, fall := range map[string]func(*redis.Server){"emptied": (*redis.Server).Clear, "older": (*redis.Server).RestoreSnapshot} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 2, nil, func(w *world) {
+			runFixture(t, 2, nil, func(w *fixture) {
 				time.Sleep(4 * round)
-				w.server.Keep()
+				w.server.SaveSnapshot()
 				time.Sleep(4 * round)
 				fall(w.server)
 				time.Sleep(2 * round)
@@ -290,29 +290,29 @@
 
 // What stands at the keys may be of another type, another program, or very much: each is refused by itself.
 func TestOddKeys(t *testing.T) {
-	play(t, 1, nil, func(w *world) {
+	runFixture(t, 1, nil, func(w *fixture) {
 		time.Sleep(4 * round)
 		for i := range 100_000 {
-			w.server.Plant("t:f", fmt.Sprint("x", i), "nonsense")
+			w.server.Inject("t:f", fmt.Sprint("x", i), "nonsense")
 		}
 		time.Sleep(2 * round)
 		synctest.Wait()
-		f := w.aggregators[0].count.Stats()
+		f := w.aggregators[0].counters.Stats()
 		if f.RecordsRefused == 0 || f.RecordsRefused > 3*24 || f.State != sharedhealth.Fresh {
 			w.Errorf("a hash of many fields: %+v", f)
 		}
-		w.server.Plant("t:f", "", "a string")
-		w.server.Plant("t:m", "", "a string")
-		odd := w.aggregators[0].count.Odd.Load()
+		w.server.Inject("t:f", "", "a string")
+		w.server.Inject("t:m", "", "a string")
+		odd := w.aggregators[0].counters.UnusableParts.Load()
 		time.Sleep(4 * round)
 		synctest.Wait()
-		if k := w.aggregators[0]; k.count.Odd.Load() == odd || k.state() != "fresh" {
-			w.Errorf("of the wrong type: %d odd parts, %s", k.count.Odd.Load(), k.state())
+		if k := w.aggregators[0]; k.counters.UnusableParts.Load() == odd || k.state() != "fresh" {
+			w.Errorf("of the wrong type: %d odd parts, %s", k.counters.UnusableParts.Load(), k.state())
 		}
-		w.server.Plant("t:a:n0", "", strings.Repeat("x", 10<<20))
+		w.server.Inject("t:a:n0", "", strings.Repeat("x", 10<<20))
 		time.Sleep(4 * round)
 		synctest.Wait()
-		if k := w.aggregators[0]; k.count.Stats().FailedRounds == 0 {
+		if k := w.aggregators[0]; k.counters.Stats().FailedRounds == 0 {
 			w.Errorf("ten megabytes at its own key: %s", k.state())
 		}
 	})
@@ -320,12 +320,12 @@
 
 // An aggregator that has no time to say what it knows goes on hearing.
 func TestCrowded(t *testing.T) {
-	play(t, 1, nil, func(w *world) {
-		w.aggregators[0].core.crowd()
+	runFixture(t, 1, nil, func(w *fixture) {
+		w.aggregators[0].core.setCrowded()
 		time.Sleep(10 * round)
 		synctest.Wait()
-		if k := w.aggregators[0]; k.count.Unsurveyed.Load() == 0 || k.state() != "fresh" {
-			w.Errorf("%d unsurveyed, %s", k.count.Unsurveyed.Load(), k.state())
+		if k := w.aggregators[0]; k.counters.SurveysSkipped.Load() == 0 || k.state() != "fresh" {
+			w.Errorf("%d unsurveyed, %s", k.counters.SurveysSkipped.Load(), k.state())
 		}
 	})
 }
@@ -343,8 +343,8 @@
 func TestPassword(t *testing.T) {
 	for _, c := range []struct{ password, state string }{{"open sesame", "fresh"}, {"wrong", "lost"}} {
 		file := write(t, []byte(c.password+"\n"))
-		play(t, 1, func(p *Place, _ *sharedhealth.Config) { p.User, p.PasswordFile = "willow", file }, func(w *world) {
-			w.server.Protect("willow", "open sesame")
+		runFixture(t, 1, func(p *Endpoint, _ *sharedhealth.Config) { p.User, p.PasswordFile = "willow", file }, func(w *fixture) {
+			w.server.SetCredentials("willow", "open sesame")
 			time.Sleep(40 * round)
 			if synctest.Wait(); w.states() != c.state {
 				w.Errorf("with %q: %s", c.password, w.states())
@@ -393,27 +393,27 @@
 			t.Fatal(err)
 		}
 		go server.Serve(tls.NewListener(l, &tls.Config{Certificates: []tls.Certificate{good}}))
-		place := Place{Address: l.Addr().String(), Prefix: "t", CAFile: write(t, c.authority), ServerName: c.name,
+		place := Endpoint{Address: l.Addr().String(), Prefix: "t", CAFile: write(t, c.authority), ServerName: c.name,
 			Dial: (&net.Dialer{}).DialContext}
 		k, err := New(place, sharedhealth.New(1, sharedhealth.Config{Name: "a", Incarnation: 1, RoundInterval: int64(round),
-			RoundTimeout: int64(deadline)}), &core{}, func() int64 { return 1 }, &Count{}, zap.NewNop())
+			RoundTimeout: int64(deadline)}), &testAggregator{}, func() int64 { return 1 }, &Counters{}, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
-		_, err = k.carry(ctx, &sharedhealth.Request{Presence: []byte("x"), PresenceTTL: 1e9})
+		_, err = k.roundTrip(ctx, &sharedhealth.Request{Presence: []byte("x"), PresenceTTL: 1e9})
 		if (err == nil) != c.want {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		cancel()
-		k.hangUp()
+		k.closeConn()
 		l.Close()
 	}
-	if _, err := New(Place{Address: "h:1", CAFile: write(t, []byte("none"))}, nil, nil, nil, nil, nil); err == nil ||
+	if _, err := New(Endpoint{Address: "h:1", CAFile: write(t, []byte("none"))}, nil, nil, nil, nil, nil); err == nil ||
 		!strings.Contains(err.Error(), `"ca_file"`) {
 		t.Errorf("a file without a certificate: %v", err)
 	}
-	if _, err := New(Place{Address: "h:1", PasswordFile: "no-such"}, nil, nil, nil, nil, nil); err == nil ||
+	if _, err := New(Endpoint{Address: "h:1", PasswordFile: "no-such"}, nil, nil, nil, nil, nil); err == nil ||
 		!strings.Contains(err.Error(), `"password_file"`) {
 		t.Errorf("no password file: %v", err)
 	}
@@ -426,16 +426,16 @@
 		want error
 	}{
 		{"+OK\r\n:5\r\n$3\r\nabc\r\n*2\r\n$1\r\na\r\n$-1\r\n_\r\n,1.5\r\n#t\r\n%1\r\n+a\r\n+b\r\n", nil},
-		{"$16385\r\n", errBulk}, {"$1073741824\r\n", errBulk}, {"*1073741824\r\n", errItems}, {"%5000\r\n", errItems},
-		{"$x\r\n", errSign}, {"?\r\n", errSign}, {"\r\n", errSign}, {"$-7\r\n", errSign},
-		{"-" + strings.Repeat("e", lineMost+1), errLine}, {"$12\r\n$999999999\r\n\r\n", nil},
-		{"$9999999999999999999999\r\n", errSign},
+		{"$16385\r\n", errStringTooLong}, {"$1073741824\r\n", errStringTooLong}, {"*1073741824\r\n", errTooManyItems}, {"%5000\r\n", errTooManyItems},
+		{"$x\r\n", errNotReply}, {"?\r\n", errNotReply}, {"\r\n", errNotReply}, {"$-7\r\n", errNotReply},
+		{"-" + strings.Repeat("e", maxLineBytes+1), errLineTooLong}, {"$12\r\n$999999999\r\n\r\n", nil},
+		{"$9999999999999999999999\r\n", errNotReply},
 	} {
 		for _, step := range []int{1, 3, 1 << 20} { // however it is cut up
-			g, err := &guard{}, error(nil)
+			g, err := &limitedConn{}, error(nil)
 			for rest := c.text; rest != "" && err == nil; {
 				n := min(step, len(rest))
-				err, rest = g.look([]byte(rest[:n])), rest[n:]
+				err, rest = g.scan([]byte(rest[:n])), rest[n:]
 			}
 			if err != c.want {
 				t.Errorf("%.20q by %d: %v, want %v", c.text, step, err, c.want)
@@ -447,16 +447,16 @@
 func FuzzGuard(f *testing.F) {
 	f.Add([]byte("$3\r\nabc\r\n*1\r\n:1\r\n"), 2)
 	f.Fuzz(func(t *testing.T, text []byte, step int) {
-		whole, parts := &guard{}, &guard{}
-		a := whole.look(text)
+		whole, parts := &limitedConn{}, &limitedConn{}
+		a := whole.scan(text)
 		step = max(step, 1)
 		var b error
 		for rest := text; len(rest) > 0 && b == nil; {
 			n := min(step, len(rest))
-			b, rest = parts.look(rest[:n]), rest[n:]
+			b, rest = parts.scan(rest[:n]), rest[n:]
 		}
-		if a != b || whole.skip > bulkMost+2 || len(whole.line) > lineMost+1 {
-			t.Errorf("%v and %v, %d to skip", a, b, whole.skip)
+		if a != b || whole.skipBytes > maxStringBytes+2 || len(whole.header) > maxLineBytes+1 {
+			t.Errorf("%v and %v, %d to skip", a, b, whole.skipBytes)
 		}
 	})
 }
@@ -471,27 +471,27 @@
 			}
 			defer l.Close()
 			go server.Serve(l)
-			k, err := New(Place{Address: l.Addr().String(), Prefix: "t", Dial: (&net.Dialer{}).DialContext},
+			k, err := New(Endpoint{Address: l.Addr().String(), Prefix: "t", Dial: (&net.Dialer{}).DialContext},
 				sharedhealth.New(1, sharedhealth.Config{Name: "a", Incarnation: 1, RoundInterval: int64(round), RoundTimeout: int64(deadline)}),
-				&core{}, func() int64 { return 1 }, &Count{}, zap.NewNop())
+				&testAggregator{}, func() int64 { return 1 }, &Counters{}, zap.NewNop())
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer k.hangUp()
+			defer k.closeConn()
 			record := sharedhealth.Record{Incarnation: 1, Sequence: 1, WrittenAt: 1}
 			for i := range 4 {
 				record.Findings = append(record.Findings, sharedhealth.Finding{Key: uint64(i), Verdict: sharedhealth.FoundEjected})
 			}
 			text := record.Append(nil)
 			for i := range n {
-				server.Plant("t:f", fmt.Sprint("n", i), string(text))
+				server.Inject("t:f", fmt.Sprint("n", i), string(text))
 			}
 			commandsWere, bytesWere := server.Traffic()
 			rounds := 0
 			for b.Loop() {
 				rounds++
 				r := &sharedhealth.Request{Presence: text, PresenceTTL: 1e9, Findings: text, SampleSize: 24, HeartbeatScore: 5, MinLiveScore: 1}
-				if _, err := k.carry(b.Context(), r); err != nil {
+				if _, err := k.roundTrip(b.Context(), r); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/transport/watch/loans.go
+++ b/transport/watch/loans.go
@@ -9,25 +9,25 @@
 	"willowsill/transport/peer"
 )
 
-// feeder is the neighbor that a process follows itself; its followers are known by their IPs.
-const feeder lending.Neighbor = "feeder"
+// upstreamNeighbor is the neighbor that a process follows itself; its followers are known by their IPs.
+const upstreamNeighbor lending.Neighbor = "feeder"
 
 // Loans passes on what edges lend each other, between those that follow this process and its own feeder.
 type Loans struct {
-	began time.Time
-	mu    sync.Mutex
-	relay *lending.Relay
+	startedAt time.Time
+	mu        sync.Mutex
+	relay     *lending.Relay
 }
 
 // NewLoans makes Loans of a bound that is judged over a window of so many ns.
 func NewLoans(window int64) *Loans {
-	return &Loans{began: time.Now(), relay: lending.NewRelay(lending.DefaultTiming(window))}
+	return &Loans{startedAt: time.Now(), relay: lending.NewRelay(lending.DefaultTiming(window))}
 }
 
-func (l *Loans) now() int64 { return int64(time.Since(l.began)) }
+func (l *Loans) now() int64 { return int64(time.Since(l.startedAt)) }
 
-// Reported takes in a follower's report and answers it, where there is anything to say; fresh is what is said beside it.
-func (l *Loans) Reported(link *peer.Link, report Report, fresh clusterstate.Freshness) {
+// HandleReport takes in a follower's report and answers it, where there is anything to say; fresh is what is said beside it.
+func (l *Loans) HandleReport(link *peer.Link, report Report, fresh clusterstate.Freshness) {
 	from := lending.Neighbor(report.Self.Edge.IP)
 	l.mu.Lock()
 	if report.Lending != nil {
@@ -40,21 +40,21 @@
 	}
 	m := newMessage(nil, fresh)
 	m.Lending = &note
-	link.Say(m)
+	link.SendMessage(m)
 }
 
-// Heard takes in what the feeder says.
-func (l *Loans) Heard(note lending.Message) {
+// HandleUpstream takes in what the feeder says.
+func (l *Loans) HandleUpstream(note lending.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.relay.Handle(l.now(), feeder, note)
+	l.relay.Handle(l.now(), upstreamNeighbor, note)
 }
 
-// Report is what the feeder is told, nil for nothing.
-func (l *Loans) Report() *lending.Message {
+// UpstreamMessage is what the feeder is told, nil for nothing.
+func (l *Loans) UpstreamMessage() *lending.Message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	note := l.relay.NextMessage(l.now(), feeder)
+	note := l.relay.NextMessage(l.now(), upstreamNeighbor)
 	if note.Empty() {
 		return nil
 	}
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	beatEvery    = 300 * time.Millisecond  // between two messages of a feeder
-	silentAfter  = 1000 * time.Millisecond // three messages left out, and the feeder is lost
-	sayEvery     = time.Second             // between two reports of a follower,
-	saySoon      = 200 * time.Millisecond  // or where they hold evidence of an active rollout
-	followerGone = 5 * time.Second         // without a report, and the follower is
-	nextAfter    = 100 * time.Millisecond  // before the next feeder is tried
-	stayFor      = 5 * time.Second         // before a follower goes back to the feeder that it should have,
-	firstStay    = sayEvery                // or from the first one in its life, which it chose before it knew any other
+	heartbeatInterval     = 300 * time.Millisecond  // between two messages of a feeder
+	upstreamTimeout       = 1000 * time.Millisecond // three messages left out, and the feeder is lost
+	reportInterval        = time.Second             // between two reports of a follower,
+	rolloutReportInterval = 200 * time.Millisecond  // or where they hold evidence of an active rollout
+	downstreamTimeout     = 5 * time.Second         // without a report, and the follower is
+	retryDelay            = 100 * time.Millisecond  // before the next feeder is tried
+	minStay               = 5 * time.Second         // before a follower goes back to the feeder that it should have,
+	firstMinStay          = reportInterval          // or from the first one in its life, which it chose before it knew any other
 )
 
 // Message is what a feeder says. Without an update it only says that it is there, and how fresh its state is.
@@ -40,11 +40,11 @@
 	Lending   *lending.Message        `cbor:"4,keyasint,omitempty"` // for this follower alone
 }
 
-// inContactWithin is the age up to which followers of the former version are told that the feeder is in contact.
-const inContactWithin = 2 * time.Second
+// maxContactAge is the age up to which followers of the former version are told that the feeder is in contact.
+const maxContactAge = 2 * time.Second
 
 func newMessage(u *clusterstate.Update, fresh clusterstate.Freshness) Message {
-	return Message{Update: u, InContact: fresh.Known && fresh.Age < int64(inContactWithin), Freshness: &fresh}
+	return Message{Update: u, InContact: fresh.Known && fresh.Age < int64(maxContactAge), Freshness: &fresh}
 }
 
 // freshness is what the message says; a feeder of the former version says only whether it is in contact.
@@ -57,26 +57,26 @@
 
 // Report is what a follower says, again and again: of itself, of those that follow it, and which configuration it holds.
 type Report struct {
-	Self     controller.EdgeReport   `cbor:"1,keyasint"`
-	Below    []controller.EdgeReport `cbor:"2,keyasint,omitempty"`
-	Revision uint64                  `cbor:"3,keyasint,omitempty"` // of the configuration held; its body need not come again
-	Changes  bool                    `cbor:"4,keyasint,omitempty"` // takes differences between fleets
-	Lending  *lending.Message        `cbor:"5,keyasint,omitempty"`
+	Self           controller.EdgeReport   `cbor:"1,keyasint"`
+	Downstream     []controller.EdgeReport `cbor:"2,keyasint,omitempty"`
+	Revision       uint64                  `cbor:"3,keyasint,omitempty"` // of the configuration held; its body need not come again
+	AcceptsChanges bool                    `cbor:"4,keyasint,omitempty"` // takes differences between fleets
+	Lending        *lending.Message        `cbor:"5,keyasint,omitempty"`
 }
 
-// Operator tells whether this is an operator who looks on, and no edge.
-func (h Report) Operator() bool { return h.Self.Edge.IP == "" }
+// IsOperator tells whether this is an operator who looks on, and no edge.
+func (h Report) IsOperator() bool { return h.Self.Edge.IP == "" }
 
 // All are the follower and those below it.
-func (h Report) All() []controller.EdgeReport { return append(h.Below, h.Self) }
+func (h Report) All() []controller.EdgeReport { return append(h.Downstream, h.Self) }
 
-// every is the time until the next report.
-func (h Report) every() time.Duration {
+// interval is the time until the next report.
+func (h Report) interval() time.Duration {
 	evidence := func(e controller.EdgeReport) bool { return len(e.Rollouts) > 0 }
-	if evidence(h.Self) || slices.ContainsFunc(h.Below, evidence) {
-		return saySoon
+	if evidence(h.Self) || slices.ContainsFunc(h.Downstream, evidence) {
+		return rolloutReportInterval
 	}
-	return sayEvery
+	return reportInterval
 }
 
 // Feed is the set of those who follow.
@@ -92,16 +92,16 @@
 	if f.links == nil {
 		f.links = map[*peer.Link]bool{}
 	}
-	f.links[l] = report.Changes
+	f.links[l] = report.AcceptsChanges
 	f.mu.Unlock()
 	if report.Revision >= snapshot.Revision {
 		snapshot.Body = nil
 	}
-	l.Say(newMessage(&snapshot, fresh))
+	l.SendMessage(newMessage(&snapshot, fresh))
 }
 
-// Part removes a follower.
-func (f *Feed) Part(l *peer.Link) {
+// Leave removes a follower.
+func (f *Feed) Leave(l *peer.Link) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.links, l)
@@ -146,9 +146,9 @@
 	return frame
 }
 
-// Beats publishes signs of life until ctx ends.
-func (f *Feed) Beats(ctx context.Context, fresh func() clusterstate.Freshness) {
-	t := time.NewTicker(beatEvery)
+// SendHeartbeats publishes signs of life until ctx ends.
+func (f *Feed) SendHeartbeats(ctx context.Context, fresh func() clusterstate.Freshness) {
+	t := time.NewTicker(heartbeatInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -160,35 +160,35 @@
 	}
 }
 
-// Attend takes a follower's words until it is gone; join is called with the first, here with every one.
-func Attend(l *peer.Link, join func(Report), here func(Report)) {
+// ReceiveReports takes a follower's words until it is gone; join is called with the first, here with every one.
+func ReceiveReports(l *peer.Link, onFirst func(Report), onReport func(Report)) {
 	for first := true; ; first = false {
 		var h Report
-		if l.Receive(&h, followerGone) != nil {
+		if l.Receive(&h, downstreamTimeout) != nil {
 			return
 		}
 		if first {
-			join(h)
+			onFirst(h)
 		}
-		here(h)
+		onReport(h)
 	}
 }
 
-// Follower keeps one link to a feeder. Its functions are called by the goroutine of Run.
-type Follower struct {
-	Report    func() Report
-	Addresses func() []string                    // feeders to try, the best first
-	Take      func(clusterstate.Update) bool     // false where it cannot be used and a snapshot is needed
-	Sign      func(fresh clusterstate.Freshness) // a message came, and said this of the feeder; nil where nobody wants it
-	Note      func(lending.Message)              // the feeder said what it lends and wants; nil where nobody wants it
+// Upstream keeps one link to a feeder. Its functions are called by the goroutine of Run.
+type Upstream struct {
+	Report      func() Report
+	Addresses   func() []string                    // feeders to try, the best first
+	Apply       func(clusterstate.Update) bool     // false where it cannot be used and a snapshot is needed
+	OnFreshness func(fresh clusterstate.Freshness) // a message came, and said this of the feeder; nil where nobody wants it
+	OnLending   func(lending.Message)              // the feeder said what it lends and wants; nil where nobody wants it
 
-	mu     sync.Mutex // guards what follows
-	base   time.Time
-	decide follower.Follower
+	mu      sync.Mutex // guards what follows
+	base    time.Time
+	decider follower.Follower
 }
 
 // now is the follower's steady clock, ns. The caller holds mu.
-func (f *Follower) now() int64 {
+func (f *Upstream) now() int64 {
 	if f.base.IsZero() {
 		f.base = time.Now().Add(-time.Hour)
 	}
@@ -196,53 +196,53 @@
 }
 
 // Freshness is how fresh the state held here is, for those that follow in turn.
-func (f *Follower) Freshness() clusterstate.Freshness {
+func (f *Upstream) Freshness() clusterstate.Freshness {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.decide.Freshness(f.now())
+	return f.decider.Freshness(f.now())
 }
 
-func (f *Follower) connected(alternatives int) {
+func (f *Upstream) connected(alternatives int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.decide.Connected(f.now(), alternatives)
+	f.decider.Connected(f.now(), alternatives)
 }
 
-func (f *Follower) disconnected() {
+func (f *Upstream) disconnected() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.decide.Disconnected()
+	f.decider.Disconnected()
 }
 
-func (f *Follower) heard(fresh clusterstate.Freshness) {
+func (f *Upstream) recordFreshness(fresh clusterstate.Freshness) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.decide.HandleFreshness(f.now(), fresh)
+	f.decider.HandleFreshness(f.now(), fresh)
 }
 
-func (f *Follower) leave() bool {
+func (f *Upstream) shouldLeave() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.decide.ShouldLeave(f.now())
+	return f.decider.ShouldLeave(f.now())
 }
 
-// report sends a report and returns the time until the next. What a Follower's Take is given may hold differences between
+// sendReport sends a report and returns the time until the next. What a Follower's Take is given may hold differences between
 // fleets.
-func (f *Follower) report(l *peer.Link) time.Duration {
+func (f *Upstream) sendReport(l *peer.Link) time.Duration {
 	r := f.Report()
-	r.Changes = true
-	l.Say(r)
-	return r.every()
+	r.AcceptsChanges = true
+	l.SendMessage(r)
+	return r.interval()
 }
 
 // Run follows one feeder after the other until ctx ends.
-func (f *Follower) Run(ctx context.Context) {
-	stay := firstStay
+func (f *Upstream) Run(ctx context.Context) {
+	stay := firstMinStay
 	for n := 0; ctx.Err() == nil; {
 		if addresses := f.Addresses(); len(addresses) > 0 {
 			n %= len(addresses)
-			lost := f.follow(ctx, addresses[n], len(addresses)-1, stay)
-			stay = stayFor
+			lost := f.receive(ctx, addresses[n], len(addresses)-1, stay)
+			stay = minStay
 			f.disconnected()
 			if n++; !lost {
 				n = 0
@@ -250,14 +250,14 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(nextAfter):
+		case <-time.After(retryDelay):
 		}
 	}
 }
 
-// follow tells whether the feeder was lost; else it was left, after stay at the earliest, for one that should be followed
+// receive tells whether the feeder was lost; else it was left, after stay at the earliest, for one that should be followed
 // instead.
-func (f *Follower) follow(ctx context.Context, address string, alternatives int, stay time.Duration) (lost bool) {
+func (f *Upstream) receive(ctx context.Context, address string, alternatives int, stay time.Duration) (lost bool) {
 	l, err := peer.Dial(ctx, address)
 	if err != nil {
 		klog.V(1).InfoS("a feeder cannot be reached", "address", address, "err", err.Error())
@@ -266,38 +266,38 @@
 	defer l.Close()
 	stop := context.AfterFunc(ctx, l.Close)
 	defer stop()
-	next := f.report(l)
+	next := f.sendReport(l)
 	f.connected(alternatives)
 	began := time.Now()
 	said := began
 	for {
 		var m Message
-		if err := l.Receive(&m, silentAfter); err != nil {
+		if err := l.Receive(&m, upstreamTimeout); err != nil {
 			klog.InfoS("a feeder is lost", "address", address, "err", err.Error())
 			return true
 		}
-		f.heard(m.freshness())
+		f.recordFreshness(m.freshness())
 		if m.Lending != nil {
-			if f.Note != nil {
-				f.Note(*m.Lending)
+			if f.OnLending != nil {
+				f.OnLending(*m.Lending)
 			}
 			continue
 		}
-		if m.Update != nil && !f.Take(*m.Update) {
+		if m.Update != nil && !f.Apply(*m.Update) {
 			klog.InfoS("a snapshot is asked for again", "address", address)
 			return false
 		}
-		if f.Sign != nil && (m.Update == nil || m.Update.Snapshot) {
-			f.Sign(f.Freshness())
+		if f.OnFreshness != nil && (m.Update == nil || m.Update.Snapshot) {
+			f.OnFreshness(f.Freshness())
 		}
-		if f.leave() {
+		if f.shouldLeave() {
 			klog.InfoS("a feeder is cut off from the others", "address", address)
 			return true
 		}
 		now := time.Now()
 		if now.Sub(said) > next {
 			said = now
-			next = f.report(l)
+			next = f.sendReport(l)
 			if a := f.Addresses(); now.Sub(began) >= stay && len(a) > 0 && a[0] != address {
 				klog.InfoS("another feeder is to be followed", "address", address, "next", a[0])
 				return false
--- a/transport/watch/watch_test.go
+++ b/transport/watch/watch_test.go
@@ -19,7 +19,7 @@
 func TestSnapshotThenChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		feeder, follower := peer.Over(near), peer.Over(far)
+		feeder, follower := peer.NewLink(near), peer.NewLink(far)
 		defer feeder.Close()
 		defer follower.Close()
 		var f Feed
@@ -44,7 +44,7 @@
 		must.False(t, p.InContact)
 		must.Eq(t, old, p.freshness())
 		must.Error(t, follower.Receive(&p, time.Second)) // silence shows
-		f.Part(feeder)
+		f.Leave(feeder)
 		must.Zero(t, f.Count())
 	})
 }
@@ -61,11 +61,11 @@
 			var f Feed
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			Attend(l, func(Report) {
+			ReceiveReports(l, func(Report) {
 				joined <- struct{}{}
 				f.Join(l, Report{}, clusterstate.Update{Snapshot: true}, fresh)
 				if beats {
-					go f.Beats(ctx, func() clusterstate.Freshness { return fresh })
+					go f.SendHeartbeats(ctx, func() clusterstate.Freshness { return fresh })
 				}
 			}, func(Report) {})
 		})
@@ -76,8 +76,8 @@
 	good, third := serve(true, true)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	f := Follower{Report: func() Report { return Report{} }, Addresses: func() []string { return []string{mute, cut, good} },
-		Take: func(clusterstate.Update) bool { return true }}
+	f := Upstream{Report: func() Report { return Report{} }, Addresses: func() []string { return []string{mute, cut, good} },
+		Apply: func(clusterstate.Update) bool { return true }}
 	go f.Run(ctx)
 	for _, joined := range []chan struct{}{first, second, third} {
 		select {
@@ -93,7 +93,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, held := range []uint64{0, 6, 7, 8} {
 			near, far := net.Pipe()
-			feeder, follower := peer.Over(near), peer.Over(far)
+			feeder, follower := peer.NewLink(near), peer.NewLink(far)
 			var f Feed
 			f.Join(feeder, Report{Revision: held}, clusterstate.Update{Snapshot: true, Revision: 7, Body: []byte("seven")}, clusterstate.Freshness{})
 			var m Message
@@ -125,8 +125,8 @@
 		feeder.Apply(clusterstate.Update{Fleet: clusterstate.Fleet{Most: 2, Edges: []clusterstate.Edge{{IP: "10.0.0.1"}, {IP: "10.0.0.2"}}}})
 		join := func(changes bool) *peer.Link {
 			near, far := net.Pipe()
-			link, follower := peer.Over(near), peer.Over(far)
-			f.Join(link, Report{Changes: changes}, feeder.Snapshot(), clusterstate.Freshness{})
+			link, follower := peer.NewLink(near), peer.NewLink(far)
+			f.Join(link, Report{AcceptsChanges: changes}, feeder.Snapshot(), clusterstate.Freshness{})
 			t.Cleanup(func() { link.Close(); follower.Close() })
 			return follower
 		}
--- a/transport/wire/settings_test.go
+++ b/transport/wire/settings_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// decide plays one batch on a fresh adapter, without a fault, and returns what it wrote.
-func decide(t *testing.T, events string) string {
+// playBatch plays one batch on a fresh adapter, without a fault, and returns what it wrote.
+func playBatch(t *testing.T, events string) string {
 	t.Helper()
 	out, err := serveBatch(events)
 	must.NoError(t, err)
@@ -22,8 +22,8 @@
 		news := `{"event_type":"POOL","sheet":1,"items":[{"place":0,"lifecycle":"` + state + `","launched":null,"replica":"r:1"}]}
 {"event_type":"MEMBERS","who":1,"scope":"Partial","gen":2,"sheet":1}
 `
-		must.StrContains(t, decide(t, boot+query), `"event_type":"SEND"`)
-		must.StrNotContains(t, decide(t, boot+news+query), `"event_type":"SEND"`)
+		must.StrContains(t, playBatch(t, boot+query), `"event_type":"SEND"`)
+		must.StrNotContains(t, playBatch(t, boot+news+query), `"event_type":"SEND"`)
 	}
 }
 
@@ -31,5 +31,5 @@
 func TestUnknownKeysAreIgnored(t *testing.T) {
 	more := strings.Replace(boot, `"tick":5,`, `"tick":5,"weights":"rough","over_share_worth":0.2,"of_late":{"x":[1]},`, 1)
 	more = strings.Replace(more, `"launched":null,`, `"launched":null,"weight":1.5,"zone":"z","of_late":true,`, 1)
-	must.StrContains(t, decide(t, more+query), `"event_type":"SEND"`)
+	must.StrContains(t, playBatch(t, more+query), `"event_type":"SEND"`)
 }
--- a/transport/wire/wire.go
+++ b/transport/wire/wire.go
@@ -21,46 +21,46 @@
 
 // instance is one aggregator with the names that its life has brought up.
 type instance struct {
-	agg       *balance.Aggregator
-	replicas  map[string]int
-	addresses []json.RawMessage
-	workloads map[string]int
-	shards    int
-	requests  map[uint64]request
-	groups    map[int64]*held
-	handles   map[*balance.Query]*held
-	timer     int64 // the earliest timer still to fire, 0 for none
+	aggregator *balance.Aggregator
+	replicas   map[string]int
+	addresses  []json.RawMessage
+	workloads  map[string]int
+	shards     int
+	requests   map[uint64]request
+	groups     map[int64]*queryState
+	queries    map[*balance.Query]*queryState
+	timerAt    int64 // the earliest timer still to fire, 0 for none
 }
 
-// held is what the adapter keeps of a query: the ids to give back.
-type held struct {
-	query *balance.Query
-	id    uint64
-	group int64
-	parts []uint64
-	out   int // executions without an outcome
-	over  bool
+// queryState is what the adapter keeps of a query: the ids to give back.
+type queryState struct {
+	query   *balance.Query
+	id      uint64
+	group   int64
+	parts   []uint64
+	running int // executions without an outcome
+	ended   bool
 }
 
 // request tells what an id stands for; part is -1 for the query itself.
 type request struct {
-	*held
+	*queryState
 	part int
 }
 
-// host is one adapter process.
-type host struct {
+// adapter is one adapter process.
+type adapter struct {
 	now       int64
 	batch     int64
 	instances map[int]*instance
 	touched   []int
-	sheets    map[int][]json.RawMessage
+	lists     map[int][]json.RawMessage
 	out       *bufio.Writer
 }
 
 // Serve plays batches from r until it ends.
 func Serve(r io.Reader, w io.Writer) error {
-	h := &host{instances: map[int]*instance{}, sheets: map[int][]json.RawMessage{}, out: bufio.NewWriter(w)}
+	h := &adapter{instances: map[int]*instance{}, lists: map[int][]json.RawMessage{}, out: bufio.NewWriter(w)}
 	lines := bufio.NewReaderSize(r, 1<<20)
 	open := false
 	for {
@@ -93,7 +93,7 @@
 }
 
 // line takes one message in; open tells whether a batch is under way, before and after it.
-func (h *host) line(line []byte, open bool) (bool, error) {
+func (h *adapter) line(line []byte, open bool) (bool, error) {
 	f := &fields.Object{}
 	if err := json.Unmarshal(line, &f.Raw); err != nil {
 		return open, fmt.Errorf("not a JSON object: %v", err)
@@ -104,13 +104,13 @@
 	}
 	switch {
 	case event == "TICK" && !open:
-		h.now = f.Time("at_time")
-		f.Into("n", &h.batch)
+		h.now = f.Duration("at_time")
+		f.Decode("n", &h.batch)
 		return true, f.Err
 	case event == "TICK" || !open:
 		return open, fmt.Errorf("%s out of place", event)
 	case event == "FLUSH":
-		return false, h.reply()
+		return false, h.decideAll()
 	}
 	if err := h.event(event, f); err != nil {
 		return open, fmt.Errorf("%s: %w", event, err)
@@ -119,11 +119,11 @@
 }
 
 // event turns one event into calls.
-func (h *host) event(event string, f *fields.Object) error {
+func (h *adapter) event(event string, f *fields.Object) error {
 	if event == "POOL" {
 		sheet, items := f.Int("sheet"), []json.RawMessage{}
-		f.Into("items", &items)
-		h.sheets[sheet] = items
+		f.Decode("items", &items)
+		h.lists[sheet] = items
 		return f.Err
 	}
 	who := f.Int("who")
@@ -135,7 +135,7 @@
 		if in != nil {
 			return fmt.Errorf("instance %d is open", who)
 		}
-		return h.open(who, f)
+		return h.openInstance(who, f)
 	}
 	if in == nil {
 		return fmt.Errorf("instance %d is not open", who)
@@ -145,21 +145,21 @@
 	case "TEARDOWN":
 		delete(h.instances, who)
 	case "MEMBERS":
-		return h.members(in, f)
+		return h.handleMembers(in, f)
 	case "KNOCK":
-		return in.knock(h.now, f)
+		return in.addQueryOrPart(h.now, f)
 	case "RESPONSE":
-		return in.response(h.now, f)
+		return in.recordResponse(h.now, f)
 	case "VANISHED":
 		var id uint64
-		f.Into("rid", &id)
-		if r, ok := in.requests[id]; ok && f.Err == nil && !r.over && r.part < 0 {
+		f.Decode("rid", &id)
+		if r, ok := in.requests[id]; ok && f.Err == nil && !r.ended && r.part < 0 {
 			r.query.ClientLeft(h.now)
-			in.end(r.held)
+			in.endQuery(r.queryState)
 		}
 	case "FIRED":
-		if f.String("token") == wakeToken && in.timer <= h.now {
-			in.timer = 0
+		if f.String("token") == wakeToken && in.timerAt <= h.now {
+			in.timerAt = 0
 		}
 	case "BEGUN", "HEARD", "SAMPLED": // streams, peers and probes have no part in this service
 	default:
@@ -169,7 +169,7 @@
 }
 
 // touch marks an instance as one that may act in this reply.
-func (h *host) touch(who int) {
+func (h *adapter) touch(who int) {
 	for _, w := range h.touched {
 		if w == who {
 			return
@@ -178,13 +178,13 @@
 	h.touched = append(h.touched, who)
 }
 
-func (h *host) open(who int, f *fields.Object) error {
+func (h *adapter) openInstance(who int, f *fields.Object) error {
 	in := &instance{
 		replicas: map[string]int{},
-		requests: map[uint64]request{}, groups: map[int64]*held{},
-		handles: map[*balance.Query]*held{},
+		requests: map[uint64]request{}, groups: map[int64]*queryState{},
+		queries: map[*balance.Query]*queryState{},
 	}
-	seed, boot := f.Number("prng"), f.Object("boot_info")
+	seed, boot := f.Float("prng"), f.Object("boot_info")
 	if f.Err != nil {
 		return f.Err
 	}
@@ -193,21 +193,21 @@
 		return err
 	}
 	d.Seed = math.Float64bits(seed)
-	in.workloads, in.shards = d.Workload, d.Shards
-	in.agg = balance.New(h.now, d.Deployment)
+	in.workloads, in.shards = d.WorkloadRow, d.Shards
+	in.aggregator = balance.New(h.now, d.Deployment)
 	h.instances[who] = in
 	h.touch(who)
 	return nil
 }
 
-// members turns news of the list into one call.
-func (h *host) members(in *instance, f *fields.Object) error {
+// handleMembers turns news of the list into one call.
+func (h *adapter) handleMembers(in *instance, f *fields.Object) error {
 	scope := f.String("scope")
 	if scope == "Error" {
-		in.agg.ListFailed(h.now)
+		in.aggregator.ListFailed(h.now)
 		return f.Err
 	}
-	items, ok := h.sheets[f.Int("sheet")]
+	items, ok := h.lists[f.Int("sheet")]
 	if !ok {
 		f.Fail("sheet", "names a list that never came")
 	}
@@ -218,7 +218,7 @@
 			f.Fail("items", "has an entry that is no object")
 			break
 		}
-		l := balance.Listing{Cell: e.Int("place"), StartedAt: e.MayTime("launched")}
+		l := balance.Listing{Cell: e.Int("place"), StartedAt: e.OptionalDuration("launched")}
 		switch e.String("lifecycle") {
 		case "U":
 			l.Status = balance.Up
@@ -229,7 +229,7 @@
 		default:
 			e.Fail("lifecycle", "is unknown")
 		}
-		l.Replica, l.New = in.replica(e)
+		l.Replica, l.New = in.replicaIndex(e)
 		if e.Err != nil {
 			return e.Err
 		}
@@ -240,19 +240,19 @@
 	}
 	switch scope {
 	case "Partial":
-		in.agg.UpdateList(h.now, listings)
+		in.aggregator.UpdateList(h.now, listings)
 	case "Complete":
-		in.agg.ReplaceList(h.now, listings, true)
+		in.aggregator.ReplaceList(h.now, listings, true)
 	case "Persisted":
-		in.agg.ReplaceList(h.now, listings, false)
+		in.aggregator.ReplaceList(h.now, listings, false)
 	default:
 		return fmt.Errorf("field %q is unknown", "scope")
 	}
 	return nil
 }
 
-// replica maps an address to its small index, and tells whether it is a new one.
-func (in *instance) replica(f *fields.Object) (i int, fresh bool) {
+// replicaIndex maps an address to its small index, and tells whether it is a new one.
+func (in *instance) replicaIndex(f *fields.Object) (i int, fresh bool) {
 	name := f.String("replica")
 	if f.Err != nil {
 		return 0, false
@@ -261,18 +261,18 @@
 	if !known {
 		i = len(in.addresses)
 		in.replicas[name] = i
-		in.addresses = append(in.addresses, f.Text("replica"))
+		in.addresses = append(in.addresses, f.RawValue("replica"))
 	}
 	return i, !known
 }
 
-// knock takes in a query or one of its parts.
-func (in *instance) knock(now int64, f *fields.Object) error {
+// addQueryOrPart takes in a query or one of its parts.
+func (in *instance) addQueryOrPart(now int64, f *fields.Object) error {
 	var id uint64
 	var group int64
-	f.Into("rid", &id)
-	f.Into("group_no", &group)
-	shard, measure := f.Int("slab"), f.Number("measure")
+	f.Decode("rid", &id)
+	f.Decode("group_no", &group)
+	shard, measure := f.Int("slab"), f.Float("measure")
 	if f.Err != nil {
 		return f.Err
 	}
@@ -293,27 +293,27 @@
 	if !ok {
 		f.Fail("grade", "is not among the classes")
 	}
-	a := balance.Arrival{Workload: w, Timeout: f.Time("grace"), Parts: int(measure)}
+	a := balance.Arrival{Workload: w, Timeout: f.Duration("grace"), Parts: int(measure)}
 	if f.Has("resent") && f.Bool("resent") {
 		a.Priority = balance.Retry
 	}
 	if f.Err != nil {
 		return f.Err
 	}
-	q := &held{id: id, group: group, query: in.agg.AddQuery(now, a)}
+	q := &queryState{id: id, group: group, query: in.aggregator.AddQuery(now, a)}
 	in.requests[id] = request{q, -1}
 	in.groups[group] = q
-	in.handles[q.query] = q
+	in.queries[q.query] = q
 	return nil
 }
 
-// response books the outcome of an execution.
-func (in *instance) response(now int64, f *fields.Object) error {
+// recordResponse books the outcome of an execution.
+func (in *instance) recordResponse(now int64, f *fields.Object) error {
 	var id uint64
-	f.Into("rid", &id)
-	execution, took, result := f.Int("attempt"), f.Time("cost_time"), resultOf(f)
+	f.Decode("rid", &id)
+	execution, took, result := f.Int("attempt"), f.Duration("cost_time"), parseResult(f)
 	var load []float64
-	f.May("gauge", &load)
+	f.DecodeOptional("gauge", &load)
 	if f.Err != nil {
 		return f.Err
 	}
@@ -322,32 +322,32 @@
 		return fmt.Errorf("request %d is not held", id)
 	}
 	if r.query.RecordResult(now, r.part, execution, result, took) {
-		r.out--
+		r.running--
 	}
-	in.forget(r.held)
+	in.releaseIfDone(r.queryState)
 	return nil
 }
 
-// end marks a query as over; its ids stay until the last outcome is in.
-func (in *instance) end(q *held) {
-	q.over = true
+// endQuery marks a query as over; its ids stay until the last outcome is in.
+func (in *instance) endQuery(q *queryState) {
+	q.ended = true
 	delete(in.groups, q.group)
 	delete(in.requests, q.id)
-	in.forget(q)
+	in.releaseIfDone(q)
 }
 
-func (in *instance) forget(q *held) {
-	if !q.over || q.out > 0 {
+func (in *instance) releaseIfDone(q *queryState) {
+	if !q.ended || q.running > 0 {
 		return
 	}
-	delete(in.handles, q.query)
+	delete(in.queries, q.query)
 	for _, id := range q.parts {
 		delete(in.requests, id)
 	}
 }
 
-// resultOf decodes an outcome code.
-func resultOf(f *fields.Object) balance.Result {
+// parseResult decodes an outcome code.
+func parseResult(f *fields.Object) balance.Result {
 	codes := [...]string{
 		balance.Fulfilled: "ok", balance.Errored: "error", balance.Full: "full", balance.TimedOut: "timeout",
 		balance.ConnectFailed: "connect_failed", balance.Reset: "reset", balance.Cancelled: "cancelled",
@@ -363,11 +363,11 @@
 	return balance.Errored
 }
 
-// reply lets every touched instance decide and writes what they ask for.
-func (h *host) reply() error {
+// decideAll lets every touched instance decide and writes what they ask for.
+func (h *adapter) decideAll() error {
 	for _, who := range h.touched {
 		if in := h.instances[who]; in != nil {
-			h.encode(who, in, in.agg.Decide(h.now))
+			h.writeRound(who, in, in.aggregator.Decide(h.now))
 		}
 	}
 	h.touched = h.touched[:0]
@@ -375,20 +375,20 @@
 	return h.out.Flush()
 }
 
-func (h *host) encode(who int, in *instance, round *balance.Round) {
-	ms := func(ns int64) string { return strconv.FormatFloat(fields.Millis(ns), 'f', -1, 64) }
+func (h *adapter) writeRound(who int, in *instance, round *balance.Round) {
+	ms := func(ns int64) string { return strconv.FormatFloat(fields.MsFromNs(ns), 'f', -1, 64) }
 	for _, s := range round.Sends {
-		q := in.handles[s.Query]
-		q.out++
+		q := in.queries[s.Query]
+		q.running++
 		fmt.Fprintf(h.out, `{"event_type":"SEND","who":%d,"rid":%d,"cut_at":%s,"replica":%s}`+"\n",
 			who, q.parts[s.Part], ms(s.Deadline), in.addresses[s.Replica])
 	}
 	for _, c := range round.Cancels {
 		fmt.Fprintf(h.out, `{"event_type":"WITHDRAW","who":%d,"rid":%d,"attempt":%d}`+"\n",
-			who, in.handles[c.Query].parts[c.Part], c.Execution)
+			who, in.queries[c.Query].parts[c.Part], c.Execution)
 	}
 	for _, e := range round.Endings {
-		q := in.handles[e.Query]
+		q := in.queries[e.Query]
 		switch e.Outcome {
 		case balance.Whole, balance.Partial:
 			fmt.Fprintf(h.out, `{"event_type":"MERGE","who":%d,"rid":%d,"whole":%t}`+"\n",
@@ -400,7 +400,7 @@
 			fmt.Fprintf(h.out, `{"event_type":"FINISH_ERROR","who":%d,"rid":%d}`+"\n", who, q.id)
 		}
 		if !e.Query.Open() {
-			in.end(q)
+			in.endQuery(q)
 		}
 	}
 	for _, replica := range round.CloseIdle {
@@ -409,9 +409,9 @@
 	if round.List == balance.Subscribe {
 		fmt.Fprintf(h.out, `{"event_type":"WATCH","who":%d,"whole":true}`+"\n", who)
 	}
-	if round.WakeAt > 0 && (in.timer == 0 || round.WakeAt < in.timer) {
-		in.timer = h.now + (max(round.WakeAt-h.now, 0)+999)/1e3*1e3 // the wire counts in microseconds
+	if round.WakeAt > 0 && (in.timerAt == 0 || round.WakeAt < in.timerAt) {
+		in.timerAt = h.now + (max(round.WakeAt-h.now, 0)+999)/1e3*1e3 // the wire counts in microseconds
 		fmt.Fprintf(h.out, `{"event_type":"DEFER","who":%d,"in":%s,"token":"%s"}`+"\n",
-			who, ms(in.timer-h.now), wakeToken)
+			who, ms(in.timerAt-h.now), wakeToken)
 	}
 }
