--- a/cmd/willowlab/recast.go
+++ b/cmd/willowlab/recast.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"willowsill/lab/experiment"
-	"willowsill/lab/experiment/recast"
+	"willowsill/lab/experiment/constoverride"
 )
 
 const asBuiltFlag = "as-built" // a flag: this program was built with the constants of the variant that it plays
@@ -29,7 +29,7 @@
 	}
 	defer os.RemoveAll(dir)
 	binary := filepath.Join(dir, "willowlab")
-	if err := recast.Build(source, "cmd/willowlab", binary, v.Constants); err != nil {
+	if err := constoverride.Build(source, "cmd/willowlab", binary, v.Constants); err != nil {
 		return err
 	}
 	run := exec.Command(binary, append(args, "--"+asBuiltFlag)...)
--- a/cmd/willowsill/demo_sites.go
+++ b/cmd/willowsill/demo_sites.go
@@ -9,15 +9,15 @@
 	"time"
 
 	"willowsill/deployment/operator"
+	"willowsill/standin/certificates"
 	"willowsill/standin/link"
-	"willowsill/standin/papers"
 	"willowsill/standin/ports"
 )
 
 // startTwoSites starts two sites with a link between them, of one aggregator each. The first is the one that is asked.
 func startTwoSites(dir string, l *link.Link) (sites [2]*fleet, err error) {
 	names, doors := [2]string{"east", "west"}, [2]string{}
-	authority, err := papers.New(dir)
+	authority, err := certificates.New(dir)
 	if err != nil {
 		return sites, err
 	}
--- a/cmd/willowsill/main_test.go
+++ b/cmd/willowsill/main_test.go
@@ -20,7 +20,7 @@
 	"willowsill/deployment"
 	"willowsill/deployment/operator"
 	"willowsill/internal/counters"
-	"willowsill/internal/pipes"
+	"willowsill/internal/pipenet"
 	"willowsill/standin"
 	"willowsill/transport/replica"
 )
@@ -47,8 +47,8 @@
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		network, list := &pipes.Network{}, standin.NewDiscovery()
-		var replicas []*pipes.Listener
+		network, list := &pipenet.Network{}, standin.NewDiscovery()
+		var replicas []*pipenet.Listener
 		for i := range 2 * start.Cells {
 			h := standin.Host{Host: fmt.Sprint("s-", i), Dial: fmt.Sprint("r:", i), Cell: i % start.Cells, Health: "active"}
 			list.Change(h)
@@ -132,7 +132,7 @@
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		if got := ask("d"); got != pipes.ErrRefused.Error() {
+		if got := ask("d"); got != pipenet.ErrRefused.Error() {
 			t.Errorf("after the end got %s", got)
 		}
 		last := logs.FilterMessage("ended").All()[0].ContextMap()["counters"].(*counters.Counters)
--- a/cmd/willowsill/ways_off.go
+++ b/cmd/willowsill/ways_off.go
@@ -28,5 +28,5 @@
 }
 
 func (*ways) follow(*operator.Settings) {}
-func (*ways) leave()                  {}
-func (*ways) end()                    {}
+func (*ways) leave()                    {}
+func (*ways) end()                      {}
--- a/cmd/willowsill/ways_test.go
+++ b/cmd/willowsill/ways_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"willowsill/deployment/operator"
-	"willowsill/standin/papers"
+	"willowsill/standin/certificates"
 )
 
 // Two whole sites on loopback sockets with certificates and 40 ms of way each: one goes dark and comes back, the link is
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	authority, err := papers.New(t.TempDir())
+	authority, err := certificates.New(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/front/clienthttp/clienthttp_test.go
+++ b/front/clienthttp/clienthttp_test.go
@@ -18,7 +18,7 @@
 	"willowsill/balance"
 	"willowsill/decide/routeconfig"
 	"willowsill/decide/routingtable"
-	"willowsill/internal/pipes"
+	"willowsill/internal/pipenet"
 	"willowsill/node"
 	"willowsill/transport/replicahttp"
 )
@@ -172,7 +172,7 @@
 // came under; what no connection is under any more is let go.
 func TestLimitsThatChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := &pipes.Network{}
+		network := &pipenet.Network{}
 		front := network.Listen("front:1")
 		s := &Servers{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })}
 		one, other := routeconfig.Limits{HeaderBytes: 1 << 10}, routeconfig.Limits{HeaderBytes: 1 << 10, IdleTimeoutMs: 50}
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -24,7 +24,7 @@
 
 	"willowsill/balance"
 	"willowsill/internal/counters"
-	"willowsill/internal/pipes"
+	"willowsill/internal/pipenet"
 	"willowsill/node"
 	"willowsill/transport/sockets"
 )
@@ -207,7 +207,7 @@
 // no descriptor taken.
 func on(t *testing.T, serve func(context.Context, node.Query) (node.Answer, bool), play func(*Server, func() *client)) {
 	synctest.Test(t, func(t *testing.T) {
-		network, budget := &pipes.Network{}, sockets.NewBudget(64)
+		network, budget := &pipenet.Network{}, sockets.NewBudget(64)
 		s := NewServer(makeFront(serve), network.Listen("w:1"), budget)
 		served := make(chan error, 1)
 		go func() { served <- s.Serve() }()
--- a/front/gateway/door_test.go
+++ b/front/gateway/door_test.go
@@ -17,12 +17,12 @@
 
 	"willowsill/decide/deduplication"
 	"willowsill/node"
-	"willowsill/standin/papers"
+	"willowsill/standin/certificates"
 )
 
-func newAuthority(t *testing.T) *papers.Authority {
+func newAuthority(t *testing.T) *certificates.Authority {
 	t.Helper()
-	a, err := papers.New(t.TempDir())
+	a, err := certificates.New(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 }
 
 // issue has an authority make papers for a name, good until then.
-func issue(t *testing.T, a *papers.Authority, file, name string, until time.Time) Certificates {
+func issue(t *testing.T, a *certificates.Authority, file, name string, until time.Time) Certificates {
 	t.Helper()
 	cert, key, err := a.Issue(file, name, until)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return Certificates{CertFile: cert, KeyFile: key, CAFile: a.CertFile}
 }
 
-// openDoor listens with a site's papers.
+// openDoor listens with a site's certificates.
 func openDoor(t *testing.T, p Certificates) (d *PeerServer, address string) {
 	t.Helper()
 	server, _, err := p.TLSConfigs()
--- a/front/gateway/gateway_test.go
+++ b/front/gateway/gateway_test.go
@@ -20,7 +20,7 @@
 	"willowsill/deployment"
 	"willowsill/front"
 	"willowsill/internal/counters"
-	"willowsill/internal/pipes"
+	"willowsill/internal/pipenet"
 	"willowsill/node"
 	"willowsill/standin"
 	"willowsill/standin/link"
@@ -50,7 +50,7 @@
 type world struct {
 	*testing.T
 	policy  siterouting.Policy
-	network *pipes.Network
+	network *pipenet.Network
 	sites   map[string]*site
 	links   map[string]*link.Link // FROM>TO
 }
@@ -76,7 +76,7 @@
 		if p == nowhere {
 			p = siterouting.Planned
 		}
-		w := &world{T: t, policy: p, network: &pipes.Network{}, sites: map[string]*site{}, links: map[string]*link.Link{}}
+		w := &world{T: t, policy: p, network: &pipenet.Network{}, sites: map[string]*site{}, links: map[string]*link.Link{}}
 		for _, from := range names {
 			for _, to := range names {
 				w.links[from+">"+to] = &link.Link{}
--- a/front/proxyserver/path_test.go
+++ b/front/proxyserver/path_test.go
@@ -20,7 +20,7 @@
 	"willowsill/decide/clusterstate"
 	"willowsill/decide/registry"
 	"willowsill/front/clienthttp"
-	"willowsill/internal/pipes"
+	"willowsill/internal/pipenet"
 	"willowsill/transport/replicahttp"
 )
 
@@ -43,8 +43,8 @@
 type proxyBubble struct {
 	*Server
 	t        *testing.T
-	network  *pipes.Network
-	front    *pipes.Listener
+	network  *pipenet.Network
+	front    *pipenet.Listener
 	replicas []string
 	closers  []func()
 
@@ -57,7 +57,7 @@
 // withProxy plays a test with a proxy that serves the routes, and one replica of each service named.
 func withProxy(t *testing.T, routes string, replicas map[string]replicaBehaviour, play func(b *proxyBubble)) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &proxyBubble{t: t, network: &pipes.Network{}}
+		b := &proxyBubble{t: t, network: &pipenet.Network{}}
 		b.Server = idleServer(t)
 		b.settings.Bounds.GraceS = 6
 		b.pool.Dial = b.network.Dial
@@ -337,7 +337,7 @@
 		must.GreaterEq(b.t, stayOpen, end.Sub(began))
 		must.LessEq(b.t, 6*time.Second, end.Sub(began))
 		_, err := b.network.Dial(context.Background(), "", frontAddress)
-		must.ErrorIs(b.t, err, pipes.ErrRefused)
+		must.ErrorIs(b.t, err, pipenet.ErrRefused)
 	})
 }
 
--- a/internal/pipes/pipes.go
+++ b/internal/pipenet/pipenet.go
@@ -1,5 +1,5 @@
-// Package pipes is a network of pipes inside the process, for tests.
-package pipes
+// Package pipenet is a network of pipes inside the process, for tests.
+package pipenet
 
 import (
 	"context"
--- a/lab/controlsim/world.go
+++ b/lab/controlsim/world.go
@@ -11,7 +11,7 @@
 
 	"willowsill/decide/locality"
 	"willowsill/lab/controlsim/checker"
-	"willowsill/lab/emulator/agenda"
+	"willowsill/lab/emulator/eventqueue"
 )
 
 const (
@@ -25,7 +25,7 @@
 type world struct {
 	plan            Plan
 	now             int64 // true time, ns
-	agenda          *agenda.Queue
+	agenda          *eventqueue.Queue
 	sequence        uint64
 	network         *network
 	machines        map[string]*machine
@@ -144,7 +144,7 @@
 }
 
 func newWorld(p Plan, trace func(int64, string, string)) *world {
-	w := &world{plan: p, agenda: agenda.New(0), machines: map[string]*machine{}, servers: map[string]*server{},
+	w := &world{plan: p, agenda: eventqueue.New(0), machines: map[string]*machine{}, servers: map[string]*server{},
 		edges: map[string]*edge{}, faultsAfterAck: map[uint64][]Fault{},
 		regions: locality.Regions{zoneName(0): "west", zoneName(1): "west", zoneName(2): "east"}, rng: rand.New(rand.NewPCG(p.Seed, 1)), trace: trace}
 	w.network = newNetwork(w, rand.New(rand.NewPCG(p.Seed, 2)))
@@ -182,7 +182,7 @@
 // scheduleAt has something done at a time.
 func (w *world) scheduleAt(when int64, do func()) {
 	w.sequence++
-	w.agenda.Push(agenda.Event{At: max(when, w.now), Seq: w.sequence, Payload: do})
+	w.agenda.Push(eventqueue.Event{At: max(when, w.now), Seq: w.sequence, Payload: do})
 }
 
 // scheduleAfter has something done once so much time has gone by.
--- a/lab/emulator/aggregator.go
+++ b/lab/emulator/aggregator.go
@@ -7,8 +7,8 @@
 	"strings"
 
 	"willowsill/balance"
-	"willowsill/lab/emulator/agenda"
 	"willowsill/lab/emulator/checker"
+	"willowsill/lab/emulator/eventqueue"
 )
 
 // execution is one run of a part, as its aggregator sees it.
@@ -117,12 +117,12 @@
 	case f.Kind == "freeze" && begins && now < origin+f.Until:
 		a.frozenUntil = now + f.ActiveTime
 		if f.Period > f.ActiveTime {
-			a.emit(now, agenda.Event{At: now + f.Period, To: a.entityID, Kind: eventFaultRepeats, Value: int64(number)})
+			a.emit(now, eventqueue.Event{At: now + f.Period, To: a.entityID, Kind: eventFaultRepeats, Value: int64(number)})
 		}
 	}
 }
 
-func (a *aggregator) handle(now int64, e agenda.Event) {
+func (a *aggregator) handle(now int64, e eventqueue.Event) {
 	switch e.Kind {
 	case eventFaultBegins, eventFaultRepeats, eventFaultEnds:
 		a.applyFault(now, int(e.Value), e.Kind != eventFaultEnds)
@@ -193,13 +193,13 @@
 		return
 	}
 	a.nextRound = at
-	a.emit(at, agenda.Event{At: at, To: a.entityID, Kind: eventRoundDue})
+	a.emit(at, eventqueue.Event{At: at, To: a.entityID, Kind: eventRoundDue})
 }
 
 // scheduleArrival has the next query of a load come, until the clients end.
 func (a *aggregator) scheduleArrival(now int64, load int) {
 	if at, comes := a.arrivals[load].Next(now - origin); comes {
-		a.emit(now, agenda.Event{At: origin + at, To: a.entityID, Kind: eventQueryArrives, Value: origin + at, Part: int16(load)})
+		a.emit(now, eventqueue.Event{At: origin + at, To: a.entityID, Kind: eventQueryArrives, Value: origin + at, Part: int16(load)})
 	}
 }
 
@@ -233,8 +233,8 @@
 	}
 	a.queries[number] = q
 	a.ruleChecker.RecordQuery(now, number, left, int(l.RetrySafety), q.weights)
-	a.emit(now, agenda.Event{At: now + left + 1, To: a.entityID, Kind: eventClientTimeout, Query: number})
-	a.emit(now, agenda.Event{At: now + 3*l.Timeout, To: a.entityID, Kind: eventForgetQuery, Query: number})
+	a.emit(now, eventqueue.Event{At: now + left + 1, To: a.entityID, Kind: eventClientTimeout, Query: number})
+	a.emit(now, eventqueue.Event{At: now + 3*l.Timeout, To: a.entityID, Kind: eventForgetQuery, Query: number})
 	mark := float64(uint32(number)*2654435761%1000) / 1000
 	if a.siteGateway != nil && !a.siteGateway.gateway.ServesLocally(now, mark, q.forwardedIn) {
 		if !a.tryForward(now, number, q, false) {
@@ -262,7 +262,7 @@
 	x := &q.parts[part][execution]
 	x.ended = true
 	if result == balance.TimedOut || result == balance.Cancelled {
-		a.emit(now, agenda.Event{At: now + a.drawDelay(), To: int32(a.Aggregators + x.replica), Kind: eventPartCancelled, Query: number, Part: int16(part),
+		a.emit(now, eventqueue.Event{At: now + a.drawDelay(), To: int32(a.Aggregators + x.replica), Kind: eventPartCancelled, Query: number, Part: int16(part),
 			Attempt: int16(execution)})
 	}
 	ended := checker.MayHaveRun
@@ -297,7 +297,7 @@
 				s.part, number, s.replica, float64(s.deadline-now)/1e6, a.describeInFlight(s.replica))
 		}
 		a.recorder.RecordExecution(q.askedAt-origin, number > 0)
-		e := agenda.Event{At: now + a.drawDelay(), To: int32(a.Aggregators + s.replica), Kind: eventPartArrives, Query: s.query, Part: int16(s.part),
+		e := eventqueue.Event{At: now + a.drawDelay(), To: int32(a.Aggregators + s.replica), Kind: eventPartArrives, Query: s.query, Part: int16(s.part),
 			Attempt: int16(number), Result: uint8(q.workload), Value: s.deadline}
 		a.emit(now, e)
 		e.At, e.To, e.Kind = s.deadline, a.entityID, eventExecutionTimeout
@@ -339,7 +339,7 @@
 	q.ended = true
 	a.trace(now, "query %d ends %s after %.3f ms", e.query, outcomeNames[e.outcome], float64(now-q.askedAt)/1e6)
 	if q.forwardedIn {
-		a.sendToSite(now, int(q.originAggregator), agenda.Event{Kind: eventForwardReply, Query: q.originQuery, Attempt: q.originAttempt,
+		a.sendToSite(now, int(q.originAggregator), eventqueue.Event{Kind: eventForwardReply, Query: q.originQuery, Attempt: q.originAttempt,
 			Payload: forwardedReply{outcome: e.outcome, advertisedRate: a.advertisedRate(now), retryAfter: e.retryAfter}})
 		return
 	}
--- a/lab/emulator/rivals/rivals.go
+++ b/lab/emulator/baselines/baselines.go
@@ -1,9 +1,9 @@
-// Package rivals holds textbook ways to choose a replica, as baselines that the decision module is measured against. It does
+// Package baselines holds textbook ways to choose a replica, as baselines that the decision module is measured against. It does
 // no I/O and reads no clock.
 //
 // Decides: which replica takes a part, by random choice, by turns, by least in flight, by the better of two, by a fading
 // mean of times, or with the truth in hand; each with plain retries and no guards.
-package rivals
+package baselines
 
 import (
 	"math"
--- a/lab/emulator/rivals/rivals_test.go
+++ b/lab/emulator/baselines/baselines_test.go
@@ -1,4 +1,4 @@
-package rivals
+package baselines
 
 import (
 	"testing"
--- a/lab/emulator/brain.go
+++ b/lab/emulator/brain.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"willowsill/balance"
-	"willowsill/lab/emulator/rivals"
+	"willowsill/lab/emulator/baselines"
 )
 
 // send, giveUp and ending are what a brain asks for, with the emulator's own numbers of queries.
@@ -100,15 +100,15 @@
 }
 
 // baselineDecider is a baseline.
-type baselineDecider struct{ *rivals.Baseline }
+type baselineDecider struct{ *baselines.Baseline }
 
 func newBaselineDecider(p *Plan, number int, whole []balance.Listing, sees func(int) (int64, bool)) baselineDecider {
-	t := rivals.Config{Policy: p.Policy, Seed: p.Seed*1_000_003 + uint64(number), Shards: p.Shards(), MaxExecutions: p.MaxExecutions,
+	t := baselines.Config{Policy: p.Policy, Seed: p.Seed*1_000_003 + uint64(number), Shards: p.Shards(), MaxExecutions: p.MaxExecutions,
 		MinCoverage: p.Workloads[0].MinCoverage, Oracle: sees}
 	for _, l := range p.Workloads {
 		t.RetrySafety = append(t.RetrySafety, l.RetrySafety)
 	}
-	r := baselineDecider{rivals.New(t)}
+	r := baselineDecider{baselines.New(t)}
 	for _, l := range whole {
 		r.SetListed(l.Replica, l.Cell, true)
 	}
--- a/lab/emulator/agenda/agenda.go
+++ b/lab/emulator/eventqueue/eventqueue.go
@@ -1,8 +1,8 @@
-// Package agenda keeps the events of a simulation in their order: a calendar of short days, of which only the present one is
+// Package eventqueue keeps the events of a simulation in their order: a calendar of short days, of which only the present one is
 // sorted, and a heap for what is far away. It is made for events that mostly come within the calendar's reach.
 //
 // Decides: which event is next, the same whatever order they were put in.
-package agenda
+package eventqueue
 
 import (
 	"cmp"
--- a/lab/emulator/agenda/agenda_test.go
+++ b/lab/emulator/eventqueue/eventqueue_test.go
@@ -1,4 +1,4 @@
-package agenda
+package eventqueue
 
 import (
 	"container/heap"
--- a/lab/emulator/kernel.go
+++ b/lab/emulator/kernel.go
@@ -6,8 +6,8 @@
 	"sync"
 	"sync/atomic"
 
-	"willowsill/lab/emulator/agenda"
 	"willowsill/lab/emulator/checker"
+	"willowsill/lab/emulator/eventqueue"
 )
 
 // eventLoopCount is into how many the entities are dealt. It does not depend on the machine, nor does the result depend on it: each
@@ -16,7 +16,7 @@
 
 // entity is an aggregator or a replica.
 type entity interface {
-	handle(now int64, e agenda.Event)
+	handle(now int64, e eventqueue.Event)
 }
 
 // simulation is one run. What an entity sends to another takes a way at least, so all sectors may play a stretch of that length
@@ -33,8 +33,8 @@
 
 type eventLoop struct {
 	*simulation
-	queue     *agenda.Queue
-	outbox    [eventLoopCount][]agenda.Event
+	queue     *eventqueue.Queue
+	outbox    [eventLoopCount][]eventqueue.Event
 	processed int64
 }
 
@@ -47,7 +47,7 @@
 
 // emit has an event happen to an entity. Danger: what comes to another sooner than a way would come into a stretch that its
 // sector may have played already; so it comes no sooner.
-func (o *emitter) emit(now int64, e agenda.Event) {
+func (o *emitter) emit(now int64, e eventqueue.Event) {
 	o.seq++
 	e.From, e.Seq = o.entityID, o.seq
 	if e.To != o.entityID {
--- a/lab/emulator/own.go
+++ b/lab/emulator/own.go
@@ -3,7 +3,7 @@
 import (
 	"willowsill/balance"
 	"willowsill/decide/overload"
-	"willowsill/lab/emulator/agenda"
+	"willowsill/lab/emulator/eventqueue"
 )
 
 // CPUModel is what an aggregator's own processor needs. Times in ns; with Query 0 it needs none.
@@ -22,7 +22,7 @@
 // processor is an aggregator's own: one thing at a time, in the order in which they came.
 type processor struct {
 	freeAt    int64
-	queue     []agenda.Event
+	queue     []eventqueue.Event
 	scheduled bool // an event is on its way for the next of them
 	detector  *overload.Detector
 
@@ -48,11 +48,11 @@
 		t.Workloads = append(t.Workloads, overload.Workload{Revenue: l.Revenue, LatencyGoal: l.LatencyGoal})
 	}
 	p.detector = overload.New(now, t)
-	a.emit(now, agenda.Event{At: now + readingInterval, To: a.entityID, Kind: eventReadingDue})
+	a.emit(now, eventqueue.Event{At: now + readingInterval, To: a.entityID, Kind: eventReadingDue})
 }
 
 // enqueue has what came wait for the processor; false where it needs none.
-func (a *aggregator) enqueue(now int64, e agenda.Event) bool {
+func (a *aggregator) enqueue(now int64, e eventqueue.Event) bool {
 	p := a.processor
 	if p == nil || a.down {
 		return false
@@ -82,7 +82,7 @@
 	if len(p.queue) > 0 && !p.scheduled {
 		p.scheduled = true
 		at := max(p.freeAt, now)
-		a.emit(now, agenda.Event{At: at, To: a.entityID, Kind: eventProcessorFree})
+		a.emit(now, eventqueue.Event{At: at, To: a.entityID, Kind: eventProcessorFree})
 	}
 }
 
@@ -109,7 +109,7 @@
 }
 
 // processQuery takes a query that waited in, or turns it away, and returns what that costs.
-func (a *aggregator) processQuery(now int64, e agenda.Event) (cost int64) {
+func (a *aggregator) processQuery(now int64, e eventqueue.Event) (cost int64) {
 	load, tries, shards := int(e.Part), int(e.Attempt), e.Payload.([]int)
 	left := e.Value + a.Workloads[load].Timeout - now
 	taken, comeBack := true, int64(0)
@@ -153,7 +153,7 @@
 		return
 	}
 	a.retryShards[number] = q.shards
-	a.emit(now, agenda.Event{At: now + wait, To: a.entityID, Kind: eventClientRetries, Query: number, Value: now + wait, Part: int16(q.workload),
+	a.emit(now, eventqueue.Event{At: now + wait, To: a.entityID, Kind: eventClientRetries, Query: number, Value: now + wait, Part: int16(q.workload),
 		Attempt: int16(q.retries + 1)})
 }
 
@@ -167,7 +167,7 @@
 	used := min(p.cpuTime, now-p.lastReading)
 	p.detector.Observe(now, overload.Reading{Span: now - p.lastReading, MeanWait: p.waitTime / max(p.dequeued, 1), SchedLatency: oldest, TimerLateness: oldest, CPUTime: used})
 	p.cpuTime, p.waitTime, p.dequeued, p.lastReading = p.cpuTime-used, 0, 0, now
-	a.emit(now, agenda.Event{At: now + readingInterval, To: a.entityID, Kind: eventReadingDue})
+	a.emit(now, eventqueue.Event{At: now + readingInterval, To: a.entityID, Kind: eventReadingDue})
 }
 
 // recordEnd tells strain how a query ended that was taken on.
--- a/lab/emulator/replica.go
+++ b/lab/emulator/replica.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"willowsill/balance"
-	"willowsill/lab/emulator/agenda"
 	"willowsill/lab/emulator/checker"
+	"willowsill/lab/emulator/eventqueue"
 )
 
 // What happens.
@@ -108,7 +108,7 @@
 	return flaps && f.active(now)
 }
 
-func (r *replica) handle(now int64, e agenda.Event) {
+func (r *replica) handle(now int64, e eventqueue.Event) {
 	switch e.Kind {
 	case eventPartArrives:
 		r.receive(now, executionKey{e.From, e.Query, e.Part, e.Attempt}, int(e.Result), e.Value)
@@ -138,7 +138,7 @@
 	if _, lost := r.activeFault("silence"); lost || r.partitioned(now, int(k.aggregator), r.number) {
 		return
 	}
-	r.emit(now, agenda.Event{At: now + after + r.drawDelay(), To: k.aggregator, Kind: eventReplyArrives, Query: k.query, Part: k.part, Attempt: k.attempt,
+	r.emit(now, eventqueue.Event{At: now + after + r.drawDelay(), To: k.aggregator, Kind: eventReplyArrives, Query: k.query, Part: k.part, Attempt: k.attempt,
 		Result: uint8(result)})
 }
 
@@ -195,7 +195,7 @@
 func (r *replica) scheduleDone(now int64, j *job, takes int64) {
 	r.lastService++
 	j.service, j.doneAt = r.lastService, now+takes
-	r.emit(now, agenda.Event{At: j.doneAt, To: r.entityID, Kind: eventWorkDone, Value: int64(j.service)})
+	r.emit(now, eventqueue.Event{At: j.doneAt, To: r.entityID, Kind: eventWorkDone, Value: int64(j.service)})
 }
 
 // drawServiceTime draws how long a part takes here and now.
@@ -268,7 +268,7 @@
 	if !r.overloadCrash {
 		r.overloadCrash = true
 		r.crash(now)
-		r.emit(now, agenda.Event{At: now + r.WarmUpTime, To: r.entityID, Kind: eventFaultEnds, Value: -1})
+		r.emit(now, eventqueue.Event{At: now + r.WarmUpTime, To: r.entityID, Kind: eventFaultEnds, Value: -1})
 	}
 }
 
@@ -284,7 +284,7 @@
 				at = origin + f.Until
 			}
 		}
-		r.emit(now, agenda.Event{At: at, To: int32(a), Kind: eventListingArrives, Query: int32(r.number), Result: uint8(standing), Value: r.startedAt})
+		r.emit(now, eventqueue.Event{At: at, To: int32(a), Kind: eventListingArrives, Query: int32(r.number), Result: uint8(standing), Value: r.startedAt})
 	}
 }
 
@@ -322,14 +322,14 @@
 		r.paused, r.pausedAt, r.pausedUntil = true, now, now
 	}
 	r.pausedUntil = max(r.pausedUntil, now+d)
-	r.emit(now, agenda.Event{At: r.pausedUntil, To: r.entityID, Kind: eventPauseEnds})
+	r.emit(now, eventqueue.Event{At: r.pausedUntil, To: r.entityID, Kind: eventPauseEnds})
 }
 
 // schedulePause has the next pause come that a replica makes by itself.
 func (r *replica) schedulePause(now int64) {
 	if r.PauseInterval > 0 {
 		at := now + max(int64(r.rng.ExpFloat64()*float64(r.PauseInterval)), 1)
-		r.emit(now, agenda.Event{At: at, To: r.entityID, Kind: eventPauseBegins})
+		r.emit(now, eventqueue.Event{At: at, To: r.entityID, Kind: eventPauseBegins})
 	}
 }
 
@@ -341,7 +341,7 @@
 	}
 	r.pauseFor(now, f.ActiveTime)
 	if f.Period > f.ActiveTime {
-		r.emit(now, agenda.Event{At: now + f.Period, To: r.entityID, Kind: eventFaultBegins, Value: int64(number)})
+		r.emit(now, eventqueue.Event{At: now + f.Period, To: r.entityID, Kind: eventFaultBegins, Value: int64(number)})
 	}
 }
 
--- a/lab/emulator/run.go
+++ b/lab/emulator/run.go
@@ -8,8 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"willowsill/balance"
-	"willowsill/lab/emulator/agenda"
 	"willowsill/lab/emulator/checker"
+	"willowsill/lab/emulator/eventqueue"
 )
 
 // Result is what came of a run. All but Lines counts queries asked in the stretch that counts.
@@ -176,7 +176,7 @@
 	}
 	w := &simulation{Plan: &p}
 	for i := range w.loops {
-		w.loops[i] = &eventLoop{simulation: w, queue: agenda.New(origin)}
+		w.loops[i] = &eventLoop{simulation: w, queue: eventqueue.New(origin)}
 	}
 	place := func(n int) emitter { return emitter{loop: w.loops[n%eventLoopCount], entityID: int32(n)} }
 	chance := func(n int, of uint64) *rand.Rand { return rand.New(rand.NewPCG(p.Seed, of<<32+uint64(n))) }
@@ -228,21 +228,21 @@
 		s := &sharedStore{emitter: place(p.Aggregators + p.Replicas), Plan: &p, current: newStoreData(), stale: newStoreData(), rng: chance(0, 5)}
 		w.entities = append(w.entities, s)
 		if p.StoreMode == "stale" {
-			s.emit(origin, agenda.Event{At: origin + staleStart, To: s.entityID, Kind: eventFaultRepeats})
+			s.emit(origin, eventqueue.Event{At: origin + staleStart, To: s.entityID, Kind: eventFaultRepeats})
 		}
 	}
 	for n, f := range p.Faults {
 		for _, number := range f.Replicas {
 			r := w.replicas[number]
-			r.emit(origin, agenda.Event{At: origin + f.From, To: r.entityID, Kind: eventFaultBegins, Value: int64(n)})
-			r.emit(origin, agenda.Event{At: origin + f.Until, To: r.entityID, Kind: eventFaultEnds, Value: int64(n)})
+			r.emit(origin, eventqueue.Event{At: origin + f.From, To: r.entityID, Kind: eventFaultBegins, Value: int64(n)})
+			r.emit(origin, eventqueue.Event{At: origin + f.Until, To: r.entityID, Kind: eventFaultEnds, Value: int64(n)})
 		}
 	}
 	for n, f := range p.Faults {
 		for _, number := range f.Aggregators {
 			a := w.aggregators[number]
-			a.emit(origin, agenda.Event{At: origin + f.From, To: a.entityID, Kind: eventFaultBegins, Value: int64(n)})
-			a.emit(origin, agenda.Event{At: origin + f.Until, To: a.entityID, Kind: eventFaultEnds, Value: int64(n)})
+			a.emit(origin, eventqueue.Event{At: origin + f.From, To: a.entityID, Kind: eventFaultBegins, Value: int64(n)})
+			a.emit(origin, eventqueue.Event{At: origin + f.Until, To: a.entityID, Kind: eventFaultEnds, Value: int64(n)})
 		}
 	}
 	w.run(origin+p.Duration+3*p.maxTimeout(), cores)
--- a/lab/emulator/sites.go
+++ b/lab/emulator/sites.go
@@ -6,7 +6,7 @@
 	"willowsill/balance"
 	"willowsill/decide/gateway"
 	"willowsill/decide/siterouting"
-	"willowsill/lab/emulator/agenda"
+	"willowsill/lab/emulator/eventqueue"
 )
 
 // Link is the way between any two sites. Times in ns.
@@ -129,7 +129,7 @@
 	g.siteBalancer = balance.New(now, d)
 	g.siteBalancer.ReplaceList(now, known, true)
 	a.siteGateway = g
-	a.emit(now, agenda.Event{At: now + pingInterval/10, To: a.entityID, Kind: eventPingsDue})
+	a.emit(now, eventqueue.Event{At: now + pingInterval/10, To: a.entityID, Kind: eventPingsDue})
 	a.scheduleGateway(now)
 }
 
@@ -143,7 +143,7 @@
 }
 
 // sendToSite sends a message to an aggregator of another site.
-func (a *aggregator) sendToSite(now int64, to int, e agenda.Event) {
+func (a *aggregator) sendToSite(now int64, to int, e eventqueue.Event) {
 	at, lost := a.crossLink(now, a.siteOfAggregator(int(a.entityID)), a.siteOfAggregator(to))
 	if !lost {
 		e.At, e.To = at, int32(to)
@@ -209,7 +209,7 @@
 	g := a.siteGateway
 	if at := max(g.gateway.Next(), now+1); g.wakeAt <= now || at < g.wakeAt {
 		g.wakeAt = at
-		a.emit(now, agenda.Event{At: at, To: a.entityID, Kind: eventGatewayDue})
+		a.emit(now, eventqueue.Event{At: at, To: a.entityID, Kind: eventGatewayDue})
 	}
 }
 
@@ -221,7 +221,7 @@
 func (a *aggregator) scheduleForwardRound(now, at int64) {
 	if g := a.siteGateway; g.roundDue == 0 || at < g.roundDue {
 		g.roundDue = at
-		a.emit(now, agenda.Event{At: at, To: a.entityID, Kind: eventForwardRoundDue})
+		a.emit(now, eventqueue.Event{At: at, To: a.entityID, Kind: eventForwardRoundDue})
 	}
 }
 
@@ -238,12 +238,12 @@
 		left := s.Deadline - now - g.gateway.MinDelay(q.link)
 		if left > 0 {
 			came := append(append([]int(nil), q.visited...), a.siteOfAggregator(int(a.entityID)))
-			a.sendToSite(now, s.Replica, agenda.Event{Kind: eventForwardArrives, Query: number, Attempt: run,
+			a.sendToSite(now, s.Replica, eventqueue.Event{Kind: eventForwardArrives, Query: number, Attempt: run,
 				Payload: forwardedQuery{workload: q.workload, shards: q.shards, timeLeft: left, visited: came, attempt: run}})
 		} else {
 			a.endForwardAttempt(now, number, int(run), balance.ConnectFailed, balance.Declined)
 		}
-		a.emit(now, agenda.Event{At: s.Deadline, To: a.entityID, Kind: eventForwardTimeout, Query: number, Attempt: run})
+		a.emit(now, eventqueue.Event{At: s.Deadline, To: a.entityID, Kind: eventForwardTimeout, Query: number, Attempt: run})
 	}
 	for _, c := range r.Cancels {
 		a.endForwardAttempt(now, g.queryNumbers[c.Query], c.Execution, balance.Cancelled, balance.Declined)
@@ -279,11 +279,11 @@
 }
 
 // handleGatewayEvent is an event of the gateway's.
-func (a *aggregator) handleGatewayEvent(now int64, e agenda.Event) {
+func (a *aggregator) handleGatewayEvent(now int64, e eventqueue.Event) {
 	g := a.siteGateway
 	if a.down || g == nil {
 		if e.Kind == eventForwardArrives { // nobody listens there
-			a.sendToSite(now, int(e.From), agenda.Event{Kind: eventForwardReply, Query: e.Query, Attempt: e.Attempt, Payload: forwardedReply{outcome: balance.Declined}})
+			a.sendToSite(now, int(e.From), eventqueue.Event{Kind: eventForwardReply, Query: e.Query, Attempt: e.Attempt, Payload: forwardedReply{outcome: balance.Declined}})
 		}
 		return
 	}
@@ -299,7 +299,7 @@
 	case eventPingsDue:
 		a.sendPings(now)
 	case eventPingArrives:
-		a.sendToSite(now, int(e.From), agenda.Event{Kind: eventPingReply, Value: e.Value, Payload: g.gateway.AdvertisedRate(now)})
+		a.sendToSite(now, int(e.From), eventqueue.Event{Kind: eventPingReply, Value: e.Value, Payload: g.gateway.AdvertisedRate(now)})
 	case eventPingReply:
 		link := int(e.Value)
 		if left := g.pingSentAt[link]; left > 0 {
@@ -341,10 +341,10 @@
 		}
 		there := (a.Aggregators - site + a.siteCount() - 1) / a.siteCount()
 		g.pingSentAt[link] = now
-		a.sendToSite(now, site+g.pingTurn%there*a.siteCount(), agenda.Event{Kind: eventPingArrives, Value: int64(link)})
+		a.sendToSite(now, site+g.pingTurn%there*a.siteCount(), eventqueue.Event{Kind: eventPingArrives, Value: int64(link)})
 	}
 	g.pingTurn++
-	a.emit(now, agenda.Event{At: now + pingInterval, To: a.entityID, Kind: eventPingsDue})
+	a.emit(now, eventqueue.Event{At: now + pingInterval, To: a.entityID, Kind: eventPingsDue})
 }
 
 // receiveForwarded takes a query in that another site carries.
--- a/lab/emulator/stores.go
+++ b/lab/emulator/stores.go
@@ -9,8 +9,8 @@
 	"strconv"
 
 	"willowsill/decide/sharedhealth"
-	"willowsill/lab/emulator/agenda"
 	"willowsill/lab/emulator/checker"
+	"willowsill/lab/emulator/eventqueue"
 )
 
 // StoreModes are the ways in which a shared store behaves; none is no store.
@@ -92,18 +92,18 @@
 	return false
 }
 
-func (s *sharedStore) handle(now int64, e agenda.Event) {
+func (s *sharedStore) handle(now int64, e eventqueue.Event) {
 	if e.Kind == eventFaultRepeats { // it falls back
 		was := s.current.clone()
 		s.current, s.stale = s.stale, was
-		s.emit(now, agenda.Event{At: now + staleInterval, To: s.entityID, Kind: eventFaultRepeats})
+		s.emit(now, eventqueue.Event{At: now + staleInterval, To: s.entityID, Kind: eventFaultRepeats})
 		return
 	}
 	if s.rounds++; s.isSilent(now) {
 		return
 	}
 	r := e.Payload.(storeRequest)
-	s.emit(now, agenda.Event{At: now + storeDelay, To: e.From, Kind: eventStoreReply, Value: e.Value, Payload: s.execute(now, r)})
+	s.emit(now, eventqueue.Event{At: now + storeDelay, To: e.From, Kind: eventStoreReply, Value: e.Value, Payload: s.execute(now, r)})
 }
 
 // execute does what a request asks for.
@@ -194,7 +194,7 @@
 	if len(t.Quotas) > 0 {
 		a.member.quotaBudget = sharedhealth.NewQuotaBudget(now, t.Quotas, t.Aggregators)
 	}
-	a.emit(now, agenda.Event{At: a.member.exchange.Next(), To: a.entityID, Kind: eventStoreRoundDue, Value: a.member.round})
+	a.emit(now, eventqueue.Event{At: a.member.exchange.Next(), To: a.entityID, Kind: eventStoreRoundDue, Value: a.member.round})
 }
 
 // overQuota tells whether a query's customer is over its quota, as far as this aggregator knows.
@@ -230,13 +230,13 @@
 	r := m.exchange.Decide(now)
 	m.round++
 	if r == nil {
-		a.emit(now, agenda.Event{At: max(m.exchange.Next(), now+storeDelay), To: a.entityID, Kind: eventStoreRoundDue, Value: m.round})
+		a.emit(now, eventqueue.Event{At: max(m.exchange.Next(), now+storeDelay), To: a.entityID, Kind: eventStoreRoundDue, Value: m.round})
 		return
 	}
 	m.roundOpen = true
-	a.emit(now, agenda.Event{At: now + storeDelay, To: int32(a.Aggregators + a.Replicas), Kind: eventStoreRequest, Value: m.round,
+	a.emit(now, eventqueue.Event{At: now + storeDelay, To: int32(a.Aggregators + a.Replicas), Kind: eventStoreRequest, Value: m.round,
 		Payload: storeRequest{m.name, r}})
-	a.emit(now, agenda.Event{At: r.Deadline, To: a.entityID, Kind: eventStoreTimeout, Value: m.round})
+	a.emit(now, eventqueue.Event{At: r.Deadline, To: a.entityID, Kind: eventStoreTimeout, Value: m.round})
 }
 
 // endStoreRound ends a round with what it allows.
@@ -250,11 +250,11 @@
 		m.quotaBudget.Apply(now, allowed.Leases, allowed.LocalRates)
 	}
 	a.requestRound(now)
-	a.emit(now, agenda.Event{At: m.exchange.Next(), To: a.entityID, Kind: eventStoreRoundDue, Value: m.round})
+	a.emit(now, eventqueue.Event{At: m.exchange.Next(), To: a.entityID, Kind: eventStoreRoundDue, Value: m.round})
 }
 
 // handleStoreEvent is an event of the store's, at an aggregator.
-func (a *aggregator) handleStoreEvent(now int64, e agenda.Event) {
+func (a *aggregator) handleStoreEvent(now int64, e eventqueue.Event) {
 	m := a.member
 	if m == nil || a.down || e.Value != m.round { // of a life before, or of a round that is over
 		return
--- a/lab/experiment/recast/recast.go
+++ b/lab/experiment/constoverride/constoverride.go
@@ -1,7 +1,7 @@
-// Package recast builds a command of this module with constants of its packages changed, so that another value of a constant is
+// Package constoverride builds a command of this module with constants of its packages changed, so that another value of a constant is
 // played by the same text, beside the one that holds. Nothing of the source is written to: go build is told of the changed files by
 // an overlay.
-package recast
+package constoverride
 
 import (
 	"encoding/json"
--- a/lab/experiment/recast/recast_test.go
+++ b/lab/experiment/constoverride/constoverride_test.go
@@ -1,4 +1,4 @@
-package recast
+package constoverride
 
 import (
 	"os"
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -14,8 +14,8 @@
 	"willowsill/decide/siterouting"
 	"willowsill/deployment/script"
 	"willowsill/lab/emulator"
-	"willowsill/lab/emulator/rivals"
-	"willowsill/lab/experiment/recast"
+	"willowsill/lab/emulator/baselines"
+	"willowsill/lab/experiment/constoverride"
 )
 
 // Experiment is what a script asks for.
@@ -35,7 +35,7 @@
 	apply         func(*emulator.Plan)
 
 	// Constants of the deciders are other than they stand in the text; nil for none. What plays it must be built with them.
-	Constants recast.Constants
+	Constants constoverride.Constants
 }
 
 // PlanFor is a variant's plan with a seed.
@@ -51,7 +51,7 @@
 	second = int64(1e9)
 )
 
-var policies = append([]string{"module"}, rivals.Policies...)
+var policies = append([]string{"module"}, baselines.Policies...)
 
 var retrySafeties = []string{"repeatable", "tagged", "once_only"}
 
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -15,7 +15,7 @@
 	"willowsill/decide/overload"
 	"willowsill/deployment"
 	"willowsill/internal/counters"
-	"willowsill/internal/pipes"
+	"willowsill/internal/pipenet"
 	"willowsill/standin"
 	"willowsill/transport/discovery"
 	"willowsill/transport/replica"
@@ -26,10 +26,10 @@
 type fixture struct {
 	*testing.T
 	*Node
-	network   *pipes.Network
+	network   *pipenet.Network
 	discovery *standin.Discovery
 	count     *counters.Counters
-	listeners []*pipes.Listener
+	listeners []*pipenet.Listener
 }
 
 type answerer func(ctx context.Context, p replica.Part) (replica.Reply, bool)
@@ -42,7 +42,7 @@
 // descriptor.
 func runNode(t *testing.T, change func(*Options), answer answerer, run func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &fixture{T: t, network: &pipes.Network{}, discovery: standin.NewDiscovery(listed(0, "active"), listed(1, "active"))}
+		w := &fixture{T: t, network: &pipenet.Network{}, discovery: standin.NewDiscovery(listed(0, "active"), listed(1, "active"))}
 		for i := range 2 {
 			l := w.network.Listen(fmt.Sprint("r:", i))
 			w.listeners = append(w.listeners, l)
--- a/standin/papers/papers.go
+++ b/standin/certificates/certificates.go
@@ -1,5 +1,5 @@
-// Package papers plays the authority that signs sites' certificates, for trials and tests.
-package papers
+// Package certificates plays the authority that signs sites' certificates, for trials and tests.
+package certificates
 
 import (
 	"crypto"
--- a/standin/sites/sites.go
+++ b/standin/sites/sites.go
@@ -26,8 +26,8 @@
 
 	"willowsill/internal/healthcheck"
 	"willowsill/standin"
+	"willowsill/standin/certificates"
 	"willowsill/standin/link"
-	"willowsill/standin/papers"
 	"willowsill/standin/ports"
 	"willowsill/transport/replica"
 )
@@ -105,7 +105,7 @@
 func Start(s Config) (*Testbed, error) {
 	w := &Testbed{Config: s, Sites: map[string]*Site{}, Links: map[string]*link.Link{}, executions: map[string]int{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Second}}}
-	authority, err := papers.New(s.Dir)
+	authority, err := certificates.New(s.Dir)
 	if err != nil {
 		return w, err
 	}
--- a/transport/discovery/discovery_test.go
+++ b/transport/discovery/discovery_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"willowsill/balance"
-	"willowsill/internal/pipes"
+	"willowsill/internal/pipenet"
 	"willowsill/standin"
 )
 
@@ -46,9 +46,9 @@
 }
 
 // runWatch plays a watch against a discovery; what it tells comes by the channel.
-func runWatch(t *testing.T, onAsk bool, play func(w *Watch, d *standin.Discovery, told chan Update, on *pipes.Network)) {
+func runWatch(t *testing.T, onAsk bool, play func(w *Watch, d *standin.Discovery, told chan Update, on *pipenet.Network)) {
 	synctest.Test(t, func(t *testing.T) {
-		network := &pipes.Network{}
+		network := &pipenet.Network{}
 		d := standin.NewDiscovery(standin.Host{Host: "s-1", Dial: "a:1", Health: "active"})
 		server := &http.Server{Handler: d}
 		go server.Serve(network.Listen("d:1"))
@@ -69,7 +69,7 @@
 }
 
 func TestWatch(t *testing.T) {
-	runWatch(t, false, func(_ *Watch, d *standin.Discovery, told chan Update, _ *pipes.Network) {
+	runWatch(t, false, func(_ *Watch, d *standin.Discovery, told chan Update, _ *pipenet.Network) {
 		if n := <-told; !n.Full || len(n.Entries) != 1 {
 			t.Fatalf("at first told %v", n)
 		}
@@ -91,7 +91,7 @@
 // Danger: a discovery that says nothing must not hold the watch up for ever.
 func TestWatchSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := &pipes.Network{}
+		network := &pipenet.Network{}
 		network.Blackhole("d:1")
 		failures := 0
 		w := NewWatch("d:1", 1, 0, network.Dial, func(_ context.Context, n Update) {
@@ -109,7 +109,7 @@
 }
 
 func TestWatchOnAsk(t *testing.T) {
-	runWatch(t, true, func(w *Watch, d *standin.Discovery, told chan Update, _ *pipes.Network) {
+	runWatch(t, true, func(w *Watch, d *standin.Discovery, told chan Update, _ *pipenet.Network) {
 		time.Sleep(time.Minute)
 		if len(told) != 0 {
 			t.Fatalf("unasked it told %v", <-told)
@@ -124,7 +124,7 @@
 // Danger: a watch that stays with a discovery that has moved goes on with an old list for ever.
 func TestWatchFollows(t *testing.T) {
 	for _, onAsk := range []bool{false, true} {
-		runWatch(t, onAsk, func(w *Watch, d *standin.Discovery, told chan Update, on *pipes.Network) {
+		runWatch(t, onAsk, func(w *Watch, d *standin.Discovery, told chan Update, on *pipenet.Network) {
 			if w.Request(); (<-told).Err != nil {
 				t.Fatal("the first call failed")
 			}
--- a/transport/replica/pool_test.go
+++ b/transport/replica/pool_test.go
@@ -12,7 +12,7 @@
 
 	"willowsill/balance"
 	"willowsill/internal/counters"
-	"willowsill/internal/pipes"
+	"willowsill/internal/pipenet"
 	"willowsill/transport/sockets"
 )
 
@@ -20,7 +20,7 @@
 type fixture struct {
 	*testing.T
 	*Pool
-	network *pipes.Network
+	network *pipenet.Network
 	events  chan Event
 }
 
@@ -29,7 +29,7 @@
 // runFixture plays a test in a bubble of its own time; in the end nothing may be left open or running.
 func runFixture(t *testing.T, play func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &fixture{T: t, network: &pipes.Network{}, events: make(chan Event, 64)}
+		b := &fixture{T: t, network: &pipenet.Network{}, events: make(chan Event, 64)}
 		base := time.Now().Add(-time.Second)
 		b.Pool = NewPool(Config{MaxCalls: 2, ConnectTimeout: 250e6, IdleTimeout: 15e9, Dial: b.network.Dial,
 			Now: func() int64 { return int64(time.Since(base)) }},
@@ -79,7 +79,7 @@
 }
 
 // accept takes the next connection in.
-func accept(l *pipes.Listener) net.Conn {
+func accept(l *pipenet.Listener) net.Conn {
 	c, _ := l.Accept()
 	return c
 }
@@ -96,7 +96,7 @@
 }
 
 // fulfilled has a replica answer a part on a new connection.
-func (b *fixture) fulfilled(l *pipes.Listener, id string) net.Conn {
+func (b *fixture) fulfilled(l *pipenet.Listener, id string) net.Conn {
 	b.Helper()
 	b.call(id)
 	c := accept(l)
@@ -208,7 +208,7 @@
 		// Danger: in a shared call a part whose query is over would be sent after the answer.
 		"given up out of a shared call": func(b *fixture) {
 			l := b.network.Listen(address)
-			for range pipes.Backlog {
+			for range pipenet.Backlog {
 				b.network.Dial(b.Context(), "", address)
 			}
 			tickets := b.call("a.1", "b.1")
@@ -216,7 +216,7 @@
 			if !b.Abandon(tickets[0], true) {
 				b.Error("what waits for its connection counts as sent")
 			}
-			for range pipes.Backlog {
+			for range pipenet.Backlog {
 				accept(l).Close()
 			}
 			c := accept(l)
--- a/transport/replicahttp/replicahttp_test.go
+++ b/transport/replicahttp/replicahttp_test.go
@@ -15,7 +15,7 @@
 	"github.com/shoenig/test/must"
 
 	"willowsill/balance"
-	"willowsill/internal/pipes"
+	"willowsill/internal/pipenet"
 	"willowsill/transport/replica"
 )
 
@@ -29,7 +29,7 @@
 	closesIdle bool   // it closes half a second after the first answer
 }
 
-func (s *server) serve(l *pipes.Listener) {
+func (s *server) serve(l *pipenet.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -84,7 +84,7 @@
 
 func runFixture(t *testing.T, s *server, play func(d *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &pipes.Network{}
+		n := &pipenet.Network{}
 		l := n.Listen("r:1")
 		go s.serve(l)
 		d := &fixture{t: t, events: make(chan any, 64)}
@@ -210,7 +210,7 @@
 func TestGivenUp(t *testing.T) {
 	s := &server{answers: []string{answerText("200 OK", "ID", "s", "abc")}}
 	runFixture(t, s, func(d *fixture) {
-		l := (&pipes.Network{})
+		l := (&pipenet.Network{})
 		r := &Request{Attempt: "x", Method: "GET", Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\n")}
 		ticket := &replica.Ticket{Payload: r}
 		l.Blackhole("r:1")
--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -26,7 +26,7 @@
 
 	"willowsill/balance"
 	"willowsill/decide/sharedhealth"
-	"willowsill/internal/pipes"
+	"willowsill/internal/pipenet"
 	"willowsill/standin/redis"
 )
 
@@ -94,7 +94,7 @@
 type fixture struct {
 	*testing.T
 	server      *redis.Server
-	network     *pipes.Network
+	network     *pipenet.Network
 	startedAt   time.Time
 	aggregators []*testClient
 }
@@ -104,7 +104,7 @@
 // runFixture plays a test in a bubble of its own time with some aggregators at one server.
 func runFixture(t *testing.T, aggregators int, change func(*Endpoint, *sharedhealth.Config), do func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &fixture{T: t, server: &redis.Server{}, network: &pipes.Network{}, startedAt: time.Now()}
+		w := &fixture{T: t, server: &redis.Server{}, network: &pipenet.Network{}, startedAt: time.Now()}
 		l := w.network.Listen("r:1")
 		served := make(chan struct{})
 		go func() {
