--- a/lab/controlsim/bench_test.go
+++ b/lab/controlsim/bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkRun plays drawn plans: how much virtual time goes by in a second.
+// BenchmarkRun measures the virtual seconds that are simulated in a second, with random plans.
 func BenchmarkRun(b *testing.B) {
 	virtual := 0.0
 	for n := range b.N {
--- a/lab/controlsim/checker/checker.go
+++ b/lab/controlsim/checker/checker.go
@@ -10,7 +10,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// The names of the checks.
+// The names of the checks, as printed with a violation.
 const (
 	LostRevision        = "acknowledged revision is lost"
 	ConflictingContents = "two contents under one number"
@@ -29,20 +29,22 @@
 	IdleController      = "controller in touch does no work"
 )
 
-// Checks are the names of all checks.
-var Checks = []string{LostRevision, ConflictingContents, NotLinearizable, RefusedInForce, ResendRefused, EdgeWentBack, EdgeBehind, EdgeBehindMajority, IsolatedAnswer, StaleReady, DrainIgnored,
-	DepartedUsed, OrderUnanswered, ReadUnanswered, IdleController}
+// Checks lists the names of all checks.
+var Checks = []string{LostRevision, ConflictingContents, NotLinearizable, RefusedInForce, ResendRefused, EdgeWentBack,
+	EdgeBehind, EdgeBehindMajority, IsolatedAnswer, StaleReady, DrainIgnored, DepartedUsed,
+	OrderUnanswered, ReadUnanswered, IdleController}
 
 const (
 	sampleInterval         = 250 * int64(time.Millisecond)
-	reachableTime          = 1500 * int64(time.Millisecond) // controllers that have been well for so long could have been asked
-	linearizabilityTimeout = 20 * time.Second               // of real time
-	cutDelay               = int64(time.Millisecond)
+	reachableTime          = 1500 * int64(time.Millisecond) // an edge can reach controllers that have had no fault for this time
+	linearizabilityTimeout = 20 * time.Second               // real time; the search for an order of all operations stops after it
+	cutDelay               = int64(time.Millisecond)        // an attempt counts as sent during a cut from this time after the start of the cut
 	noLimit                = int64(Never)
-	minIdleAttempts        = 3 // calls that a controller in touch fails one after the other, at the least
-	maxViolationsPerCheck  = 3 // of one check that are told
+	minIdleAttempts        = 3 // minimum number of calls in a row that a connected controller fails
+	maxViolationsPerCheck  = 3 // violations reported for one check
 )
 
+// runChecker checks one history.
 type runChecker struct {
 	History
 	stability        *stability
@@ -51,7 +53,7 @@
 	count            map[string]int
 }
 
-// Check returns what was broken, the first of each check in the order of time.
+// Check returns the violations in the order of time, at most three of each check.
 func Check(h History) []Violation {
 	j := &runChecker{History: h, stability: newStability(h), acknowledgements: newestAcknowledgements(h.Orders), count: map[string]int{}}
 	j.checkReads()
@@ -68,13 +70,14 @@
 	return j.violations
 }
 
+// broken records a violation.
 func (j *runChecker) broken(check string, at int64, format string, values ...any) {
 	if j.count[check]++; j.count[check] <= maxViolationsPerCheck {
 		j.violations = append(j.violations, Violation{check, at, fmt.Sprintf(format, values...)})
 	}
 }
 
-// newest is the newest revision acknowledged up to a time, and when it was.
+// newest returns the newest revision that was acknowledged up to a time, and the time of its acknowledgement.
 func (j *runChecker) newest(until int64) (revision uint64, at int64) {
 	n := sort.Search(len(j.acknowledgements), func(i int) bool { return j.acknowledgements[i].at > until })
 	if n == 0 {
@@ -83,13 +86,13 @@
 	return j.acknowledgements[n-1].revision, j.acknowledgements[n-1].at
 }
 
-// acknowledgement is a time from which on a revision is the newest that was acknowledged.
+// acknowledgement is the time from which a revision is the newest acknowledged one.
 type acknowledgement struct {
 	at       int64
 	revision uint64
 }
 
-// newestAcknowledgements puts the acknowledgements in order and keeps those of a newer revision than all before.
+// newestAcknowledgements returns, in order, the acknowledgements of a revision newer than all before.
 func newestAcknowledgements(orders []Order) (rises []acknowledgement) {
 	var all []acknowledgement
 	for _, o := range orders {
@@ -106,7 +109,7 @@
 	return rises
 }
 
-// checkReads: a read that begins after an acknowledgement returns that revision or a newer one.
+// checkReads checks that a read that starts after an acknowledgement returns that revision or a newer one.
 func (j *runChecker) checkReads() {
 	for _, r := range j.Reads {
 		if r.Answered == 0 {
@@ -118,7 +121,7 @@
 	}
 }
 
-// checkContents: whatever was acknowledged, read or in force under one number is one content.
+// checkContents checks that everything acknowledged, read or in force under one revision has the same content.
 func (j *runChecker) checkContents() {
 	type sighting struct {
 		at       int64
@@ -152,7 +155,7 @@
 	}
 }
 
-// checkRefusals: what was refused is in force nowhere, and what was acknowledged is not refused when it comes again.
+// checkRefusals checks that a refused order is in force nowhere, and that an acknowledged one is not refused when it is sent again.
 func (j *runChecker) checkRefusals() {
 	type key struct {
 		revision uint64
@@ -192,22 +195,22 @@
 	}
 }
 
-// endOf is the end of a life of an edge.
+// endOf returns the time at which a process of an edge ended.
 func (j *runChecker) endOf(l ProcessEvent) int64 {
 	for _, e := range j.ProcessEnds {
-		if e.Edge == l.Edge && e.Life == l.Life {
+		if e.Edge == l.Edge && e.Incarnation == l.Incarnation {
 			return e.At
 		}
 	}
 	return j.End
 }
 
-// checkEdges: no edge goes back in one life, and those in touch serve what was acknowledged.
+// checkEdges checks that no process of an edge goes back to an older revision, and that connected edges serve what was acknowledged.
 func (j *runChecker) checkEdges() {
 	for _, l := range j.ProcessStarts {
 		var serves []EdgeConfiguration
 		for _, s := range j.EdgeConfigurations {
-			if s.Edge == l.Edge && s.Incarnation == l.Life {
+			if s.Edge == l.Edge && s.Incarnation == l.Incarnation {
 				if n := len(serves); n > 0 && s.Revision < serves[n-1].Revision {
 					j.broken(EdgeWentBack, s.At, "%s goes from %d to %d", s.Edge, serves[n-1].Revision, s.Revision)
 				}
@@ -218,9 +221,11 @@
 	}
 }
 
+// checkBehind checks that a process of an edge serves the newest acknowledged revision in time: within Apply while the controllers are
+// settled, and within Apply and Stretch while a majority of them has no fault.
 func (j *runChecker) checkBehind(l ProcessEvent, serves []EdgeConfiguration) {
 	b, held := j.Bounds, uint64(0)
-	told, toldBeside := uint64(0), uint64(0)
+	reported, reportedMajority := uint64(0), uint64(0)
 	for at := l.At + b.Contact; at < j.endOf(l); at += sampleInterval {
 		for len(serves) > 0 && serves[0].At <= at {
 			held = max(held, serves[0].Revision)
@@ -229,43 +234,43 @@
 		if !j.stability.healthy(l.Edge, at-b.Contact, at) {
 			continue
 		}
-		if want, acked := j.newest(at - b.Apply); want > held && want > told && j.stability.settled(at) {
-			told = want
+		if want, acked := j.newest(at - b.Apply); want > held && want > reported && j.stability.settled(at) {
+			reported = want
 			j.broken(EdgeBehind, at, "%s serves %d; %d was acknowledged at %s", l.Edge, held, want, seconds(acked))
 		}
 		want, acked := j.newest(at - b.Apply - b.Stretch)
-		if want > held && want > toldBeside && j.stability.healthy(l.Edge, acked-b.Contact, at) && l.At <= acked && j.stability.healthyMajority(acked-b.Contact, at) {
-			toldBeside = want
+		if want > held && want > reportedMajority && j.stability.healthy(l.Edge, acked-b.Contact, at) && l.At <= acked && j.stability.healthyMajority(acked-b.Contact, at) {
+			reportedMajority = want
 			j.broken(EdgeBehindMajority, at, "%s serves %d; %d was acknowledged at %s", l.Edge, held, want, seconds(acked))
 		}
 	}
 }
 
-// checkIsolated: a controller that is cut off from a majority neither acknowledges nor refuses.
+// checkIsolated checks that a controller that is isolated from any majority neither acknowledges nor refuses an order or a drain.
 func (j *runChecker) checkIsolated() {
 	for _, c := range j.Cuts {
 		if !j.stability.isolates(c) {
 			continue
 		}
-		look := func(what string, tries []Attempt) {
-			for _, t := range tries {
+		check := func(what string, attempts []Attempt) {
+			for _, t := range attempts {
 				inside := t.Controller == c.Controller && t.Sent >= c.From+cutDelay && t.Answered > 0 && t.Answered <= c.Until
-				clear := t.Status == 200 || t.Status >= 400 && t.Status < 500 && t.Status != 408 && t.Status != 429
-				if inside && clear {
+				definite := t.Status == 200 || t.Status >= 400 && t.Status < 500 && t.Status != 408 && t.Status != 429
+				if inside && definite {
 					j.broken(IsolatedAnswer, t.Answered, "%s answers %s with %d while it is cut off from %s", t.Controller, what, t.Status, seconds(c.From))
 				}
 			}
 		}
 		for _, o := range j.Orders {
-			look(fmt.Sprintf("order %d (%s)", o.Number, o.Content), o.Attempts)
+			check(fmt.Sprintf("order %d (%s)", o.Number, o.Content), o.Attempts)
 		}
 		for _, d := range j.Drains {
-			look("the drain of "+d.Replica, d.Attempts)
+			check("the drain of "+d.Replica, d.Attempts)
 		}
 	}
 }
 
-// checkReadiness: an edge that begins beside a majority that could be asked is not ready with an old configuration.
+// checkReadiness checks that an edge does not become ready with an old configuration while it can reach a majority of the controllers.
 func (j *runChecker) checkReadiness() {
 	for _, r := range j.Readiness {
 		if !r.Ready {
@@ -273,7 +278,7 @@
 		}
 		started := int64(0)
 		for _, l := range j.ProcessStarts {
-			if l.Edge == r.Edge && l.Life == r.Life {
+			if l.Edge == r.Edge && l.Incarnation == r.Incarnation {
 				started = l.At
 			}
 		}
@@ -285,24 +290,24 @@
 	}
 }
 
-// checkDrains: an acknowledged drain is known at each edge in touch.
+// checkDrains checks that connected edges stop sending to a replica within Drain after the acknowledgement of its drain.
 func (j *runChecker) checkDrains() {
 	type key struct {
-		edge    string
-		life    int
-		replica string
+		edge        string
+		incarnation int
+		replica     string
 	}
-	takes := map[key][]ReplicaUse{}
+	uses := map[key][]ReplicaUse{}
 	for _, k := range j.ReplicaUses {
-		id := key{k.Edge, k.Life, k.Replica}
-		takes[id] = append(takes[id], k)
+		id := key{k.Edge, k.Incarnation, k.Replica}
+		uses[id] = append(uses[id], k)
 	}
 	for _, d := range j.Drains {
 		if d.Acknowledged == 0 {
 			continue
 		}
 		for _, l := range j.ProcessStarts {
-			known := takes[key{l.Edge, l.Life, d.Replica}]
+			known := uses[key{l.Edge, l.Incarnation, d.Replica}]
 			until := j.endOf(l)
 			for i, k := range known {
 				end := until
@@ -325,7 +330,7 @@
 	}
 }
 
-// firstConnected is the first time in a span at which an edge is in touch.
+// firstConnected returns the first time in a period at which an edge has no fault and the controllers are settled.
 func (j *runChecker) firstConnected(l ProcessEvent, from, until int64) (int64, bool) {
 	for at := max(from, l.At+j.Bounds.Contact); at < until; at += sampleInterval {
 		if j.stability.healthy(l.Edge, at-j.Bounds.Contact, at) && j.stability.settled(at) {
@@ -335,15 +340,15 @@
 	return 0, false
 }
 
-// checkAnswers: in calm times orders and reads have a clear answer.
+// checkAnswers checks that orders and reads get a definite answer while the controllers are settled.
 func (j *runChecker) checkAnswers() {
 	for _, o := range j.Orders {
 		ended := o.Ended
 		if ended == 0 {
 			ended = noLimit
 		}
-		if at, late := j.waitedTooLong(o.Sent, min(ended, j.End)); late {
-			j.broken(OrderUnanswered, at, "order %d (%s), sent at %s, has no clear answer after %d tries", o.Number, o.Content, seconds(o.Sent), len(o.Attempts))
+		if at, overdue := j.waitedTooLong(o.Sent, min(ended, j.End)); overdue {
+			j.broken(OrderUnanswered, at, "order %d (%s), sent at %s, has no definite answer after %d attempts", o.Number, o.Content, seconds(o.Sent), len(o.Attempts))
 		}
 	}
 	for _, r := range j.Reads {
@@ -351,13 +356,13 @@
 		if ended == 0 {
 			ended = noLimit
 		}
-		if at, late := j.waitedTooLong(r.Sent, min(ended, j.End)); late {
+		if at, overdue := j.waitedTooLong(r.Sent, min(ended, j.End)); overdue {
 			j.broken(ReadUnanswered, at, "a read sent at %s has no answer", seconds(r.Sent))
 		}
 	}
 }
 
-// waitedTooLong tells whether a call waited through a whole calm span.
+// waitedTooLong reports whether a call had no answer for OrderAck while no controller and no link had a fault, and when that time was up.
 func (j *runChecker) waitedTooLong(sent, ended int64) (int64, bool) {
 	for from := sent; from+j.Bounds.OrderAck < ended; from += sampleInterval {
 		until := from + j.Bounds.OrderAck
@@ -369,28 +374,28 @@
 	return 0, false
 }
 
-// checkIdle: a controller in touch does not fail one call after the other for as long as an order may take.
+// checkIdle checks that a connected controller does not fail all its calls in a row for as long as an order may take.
 func (j *runChecker) checkIdle() {
-	tries := map[string][]Attempt{}
+	attempts := map[string][]Attempt{}
 	for _, o := range j.Orders {
 		for _, t := range o.Attempts {
-			tries[t.Controller] = append(tries[t.Controller], t)
+			attempts[t.Controller] = append(attempts[t.Controller], t)
 		}
 	}
 	for _, r := range j.Reads {
 		for _, t := range r.Attempts {
-			tries[t.Controller] = append(tries[t.Controller], t)
+			attempts[t.Controller] = append(attempts[t.Controller], t)
 		}
 	}
 	for _, m := range j.stability.controllers {
-		mine := tries[m.Name]
-		slices.SortStableFunc(mine, func(a, b Attempt) int { return cmp.Compare(a.Sent, b.Sent) })
+		own := attempts[m.Name]
+		slices.SortStableFunc(own, func(a, b Attempt) int { return cmp.Compare(a.Sent, b.Sent) })
 		failed, since := 0, int64(0)
-		for _, t := range mine {
-			inTouch := t.Answered > 0 && j.stability.settled(t.Sent) && j.stability.settled(t.Answered) && j.stability.links.overlapsNone(t.Sent, t.Answered) &&
+		for _, t := range own {
+			connected := t.Answered > 0 && j.stability.settled(t.Sent) && j.stability.settled(t.Answered) && j.stability.links.overlapsNone(t.Sent, t.Answered) &&
 				j.stability.healthy(m.Name, t.Sent-j.Bounds.Contact, t.Answered)
 			switch {
-			case !inTouch:
+			case !connected:
 			case t.Status > 0 && t.Status < 500:
 				failed = 0
 			default:
@@ -399,7 +404,7 @@
 				}
 				if failed >= minIdleAttempts && t.Answered-since >= j.Bounds.OrderAck {
 					failed = 0
-					j.broken(IdleController, t.Answered, "%s does nothing for callers from %s on, the last answer is %d", m.Name, seconds(since), t.Status)
+					j.broken(IdleController, t.Answered, "%s fails all calls from %s on, the last status is %d", m.Name, seconds(since), t.Status)
 				}
 			}
 		}
@@ -408,20 +413,20 @@
 
 func seconds(at int64) string { return fmt.Sprintf("%.3f s", float64(at)/1e9) }
 
-// register is the state of the sequential register that the history is compared with.
+// register is the state of the sequential register to which the history is compared.
 type register struct {
 	revision uint64
 	content  string
 }
 
-// operation is the input of one operation: an order, or a read.
+// operation is the input of one operation of the model: an order or a read.
 type operation struct {
 	read    bool
 	order   register
 	outcome Outcome
 }
 
-// model is a register in which the highest revision holds.
+// model is a sequential register that keeps the order with the highest revision.
 var model = porcupine.Model{
 	Init: func() any { return register{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -439,7 +444,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// checkLinearizable: there is one order of all reads and orders that each saw.
+// checkLinearizable checks that the reads and orders are linearizable: one sequence of all of them explains every answer.
 func (j *runChecker) checkLinearizable() {
 	var operations []porcupine.Operation
 	for i, o := range j.Orders {
@@ -457,6 +462,6 @@
 		}
 	}
 	if porcupine.CheckOperationsTimeout(model, operations, linearizabilityTimeout) == porcupine.Illegal {
-		j.broken(NotLinearizable, j.End, "no order of %d operations explains what was seen", len(operations))
+		j.broken(NotLinearizable, j.End, "no sequence of the %d operations explains the answers", len(operations))
 	}
 }
--- a/lab/controlsim/checker/checker_test.go
+++ b/lab/controlsim/checker/checker_test.go
@@ -12,14 +12,14 @@
 
 var bounds = Bounds{Contact: 5 * sec, Apply: 3 * sec, Stretch: 15 * sec, Drain: 4 * sec, OrderAck: 6 * sec}
 
-// faultlessRun is a run in which all went well: two orders, a read, an edge that serves both, a drain.
+// faultlessRun returns the history of a run without faults: two orders, a read, an edge that serves both revisions, and a drain.
 func faultlessRun() History {
 	h := History{Bounds: bounds, End: 60 * sec}
 	for _, name := range []string{"c1", "c2", "c3"} {
 		h.Machines = append(h.Machines, Machine{Name: name, IsController: true, Until: Never})
 	}
 	h.Machines = append(h.Machines, Machine{Name: "e1", Until: Never})
-	h.ProcessStarts = []ProcessEvent{{Edge: "e1", Life: 1}}
+	h.ProcessStarts = []ProcessEvent{{Edge: "e1", Incarnation: 1}}
 	h.Orders = []Order{
 		{Number: 0, Revision: 5, Content: "5/one", Sent: 10 * sec, Ended: 11 * sec, Outcome: Acknowledged, Attempts: []Attempt{{"c1", 10 * sec, 11 * sec, 200}}},
 		{Number: 1, Revision: 9, Content: "9/one", Sent: 20 * sec, Ended: 21 * sec, Outcome: Acknowledged, Attempts: []Attempt{{"c2", 20 * sec, 21 * sec, 200}}},
@@ -40,10 +40,10 @@
 	return slices.Compact(names)
 }
 
-// TestQuiet: what went well breaks nothing.
+// TestQuiet checks that a run without faults breaks no check.
 func TestQuiet(t *testing.T) { must.SliceEmpty(t, checksOf(faultlessRun())) }
 
-// TestEachCheck: each check sees what it is there for, and no other sees it unless it has to.
+// TestEachCheck checks for each check that a history which violates it is found, and that no other check fails unless it has to.
 func TestEachCheck(t *testing.T) {
 	down := func(name string, from, until int64) FaultSpan {
 		return FaultSpan{Machine: name, From: from, Until: until}
@@ -60,7 +60,7 @@
 		{"another content is in force", func(h *History) { h.EdgeConfigurations[1].Content = "9/other" }, []string{ConflictingContents}},
 		{"reads go back", func(h *History) {
 			h.Orders[1].Outcome, h.Orders[1].Ended = Unclear, 0
-			h.Orders[1].Sent = 54 * sec // too late for an answer to be due
+			h.Orders[1].Sent = 54 * sec // too late in the run for an answer to be due
 			h.EdgeConfigurations = h.EdgeConfigurations[:1]
 			h.Reads = []Read{{Sent: 55 * sec, Answered: 56 * sec, Revision: 9, Content: "9/one"}, {Sent: 57 * sec, Answered: 58 * sec, Revision: 5, Content: "5/one"}}
 		}, []string{NotLinearizable}},
@@ -95,8 +95,8 @@
 			h.FaultSpans = []FaultSpan{{Machine: "c2", From: 19 * sec, Until: 25 * sec, Link: true}}
 		}, nil},
 		{"an edge begins with an old configuration", func(h *History) {
-			h.ProcessStarts = append(h.ProcessStarts, ProcessEvent{Edge: "e1", Life: 2, At: 30 * sec})
-			h.ProcessEnds = []ProcessEvent{{Edge: "e1", Life: 1, At: 29 * sec}}
+			h.ProcessStarts = append(h.ProcessStarts, ProcessEvent{Edge: "e1", Incarnation: 2, At: 30 * sec})
+			h.ProcessEnds = []ProcessEvent{{Edge: "e1", Incarnation: 1, At: 29 * sec}}
 			h.EdgeConfigurations = append(h.EdgeConfigurations, EdgeConfiguration{31 * sec, "e1", 2, 5, "5/one"}, EdgeConfiguration{32 * sec, "e1", 2, 9, "9/one"})
 			h.Readiness = append(h.Readiness, ReadinessChange{31 * sec, "e1", 2, true, 5, "c3"})
 		}, []string{StaleReady}},
--- a/lab/controlsim/checker/history.go
+++ b/lab/controlsim/checker/history.go
@@ -1,35 +1,35 @@
-// Package checker judges a run of a control cluster by what operators, replicas and edges saw of it, and by what befell the
-// machines. It shares no code with what it watches. All times are true time of the run, in ns.
+// Package checker checks the recorded history of a run of a control cluster: what operators, replicas and edges observed, and the
+// faults of the machines. It shares no code with the cluster. All times are true time of the run, in ns.
 package checker
 
 import "math"
 
-// Never is a time that does not come.
+// Never stands for a time after every run.
 const Never = math.MaxInt64
 
-// Bounds are the figures of a deployment, ns.
+// Bounds are the time limits of a deployment, ns; see controlsim.Bounds.
 type Bounds struct {
 	Contact, Apply, Stretch, Drain, OrderAck int64
 }
 
-// Outcome is what an operator knows of an order in the end.
+// Outcome is the result of an order as its operator knows it.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of an order.
 const (
-	Unclear Outcome = iota // no clear answer: it may be in force, now or later
+	Unclear Outcome = iota // no definite answer: the order may be in force now or later
 	Acknowledged
 	Refused
 )
 
-// Attempt is one call to one controller. Status 0 is silence, and -1 a connection that was refused or reset.
+// Attempt is one call to one controller. Status 0 stands for no answer, -1 for a connection that was refused or reset.
 type Attempt struct {
 	Controller     string
 	Sent, Answered int64
 	Status         int
 }
 
-// Order is one configuration that an operator sent, in one or more tries. Ended is 0 while it is under way.
+// Order is one configuration that an operator sent, in one or more attempts. Ended is 0 while it has no definite answer.
 type Order struct {
 	Number      int
 	Revision    uint64
@@ -39,7 +39,7 @@
 	Attempts    []Attempt
 }
 
-// Read is one question for the newest configuration. Answered is 0 where none came; Revision 0 tells that there was no
+// Read is one read of the newest configuration. Answered is 0 without an answer; Revision 0 is the answer that there is no
 // configuration.
 type Read struct {
 	Sent, Answered int64
@@ -48,7 +48,7 @@
 	Attempts       []Attempt
 }
 
-// EdgeConfiguration tells that a configuration is in force at an edge from a time on.
+// EdgeConfiguration records that a configuration is in force at an edge from a time on.
 type EdgeConfiguration struct {
 	At          int64
 	Edge        string
@@ -57,62 +57,63 @@
 	Content     string
 }
 
-// ReadinessChange tells that an edge calls itself ready, or no longer does.
+// ReadinessChange records that an edge reports that it is ready, or that it no longer is.
 type ReadinessChange struct {
-	At       int64
-	Edge     string
-	Life     int
-	Ready    bool
-	Revision uint64
-	Upstream string
+	At          int64
+	Edge        string
+	Incarnation int
+	Ready       bool
+	Revision    uint64
+	Upstream    string
 }
 
-// ReplicaUse tells whether an edge sends to a replica from a time on.
+// ReplicaUse records whether an edge sends to a replica from a time on.
 type ReplicaUse struct {
-	At      int64
-	Edge    string
-	Life    int
-	Replica string
-	Used    bool
+	At          int64
+	Edge        string
+	Incarnation int
+	Replica     string
+	Used        bool
 }
 
 // ProcessEvent is the start or the end of one process of an edge.
 type ProcessEvent struct {
-	Edge string
-	Life int
-	At   int64
+	Edge        string
+	Incarnation int
+	At          int64
 }
 
-// Drain is a replica that said that it leaves. Acknowledged is 0 where nobody did that, and Departed where it is still there.
+// Drain is the announced drain or departure of a replica. Acknowledged is 0 if no controller acknowledged it, and Departed is 0 while the
+// replica still runs.
 type Drain struct {
 	Replica                      string
 	Sent, Acknowledged, Departed int64
 	Attempts                     []Attempt
 }
 
-// FaultSpan is a span in which something befell a machine or its links.
+// FaultSpan is a period in which a machine or its links have a fault.
 type FaultSpan struct {
 	Machine     string
 	From, Until int64
-	Slow        bool // the machine or its links are slow, or harm what passes, for the whole span
-	Link        bool // links are in trouble
+	Slow        bool // the machine, its disk or its links are impaired for the whole span
+	Link        bool // links of the machine have a fault
 }
 
-// Cut is a span in which a controller could not hear others, could not be heard by them, or both.
+// Cut is a period in which messages between a controller and other machines are blocked, in one direction or both.
 type Cut struct {
 	Controller  string
 	Others      []string
 	From, Until int64
 }
 
-// Machine is one that is deployed for a span. Core machines are the controllers.
+// Machine is a machine that is deployed from From until Until.
 type Machine struct {
 	Name         string
 	IsController bool
 	From, Until  int64
 }
 
-// History is all that was seen in one run, each list in the order of its times.
+// History is everything that was observed in one run, each list in the order of time.
 type History struct {
 	Bounds             Bounds
 	End                int64
@@ -131,7 +132,7 @@
 
 // Violation is one check that failed.
 type Violation struct {
-	Check string // its name, one of Checks
+	Check string // name of the check, one of Checks
 	At    int64
 	Text  string
 }
--- a/lab/controlsim/checker/stability.go
+++ b/lab/controlsim/checker/stability.go
@@ -5,9 +5,11 @@
 	"sort"
 )
 
+// span is a period of time.
 type span struct{ from, until int64 }
 
-// spans are kept by their beginning. longest is the length of the longest, so that a look-up need not go through all.
+// spans is a list of periods, in the order of their start once sort was called. longest is the length of the longest one: a search need
+// not go back further than that.
 type spans struct {
 	all     []span
 	longest int64
@@ -22,7 +24,7 @@
 	slices.SortFunc(s.all, func(a, b span) int { return int(a.from - b.from) })
 }
 
-// overlapsNone tells whether none touches a window.
+// overlapsNone reports whether no span overlaps a window.
 func (s *spans) overlapsNone(from, until int64) bool {
 	if s == nil {
 		return true
@@ -39,15 +41,15 @@
 	return true
 }
 
-// stability answers when machines were in trouble, and when the controllers were settled.
+// stability answers when machines had faults, and when the controllers were free of them.
 type stability struct {
 	history     History
 	controllers []Machine
 	faults      map[string]*spans
-	events      *spans // moments at which something began or ended at a controller
-	majorFaults *spans // moments at which most controllers were hit at once
-	slow        *spans // in which a controller or its links were slow
-	links       *spans // in which links of controllers or operators were in trouble
+	events      *spans // times at which a fault of a controller, or its deployment, began or ended
+	majorFaults *spans // times at which a fault of most controllers at once began or ended
+	slow        *spans // periods in which a controller, its disk or its links were impaired
+	links       *spans // periods in which links of controllers or operators had a fault
 }
 
 func newStability(h History) *stability {
@@ -90,14 +92,14 @@
 	return c
 }
 
-// operator is the name under which troubles of the operators' links stand.
+// operator is the machine name of faults of the operators' links.
 const operator = "operator"
 
 func (c *stability) isController(name string) bool {
 	return slices.ContainsFunc(c.controllers, func(m Machine) bool { return m.Name == name })
 }
 
-// controllersAt is how many controllers there are at a time.
+// controllersAt returns the number of controllers that are deployed at a time.
 func (c *stability) controllersAt(at int64) (n int) {
 	for _, m := range c.controllers {
 		if m.From <= at && at < m.Until {
@@ -107,19 +109,19 @@
 	return n
 }
 
-// healthy tells whether a machine had no trouble in a window.
+// healthy reports whether a machine had no fault in a window.
 func (c *stability) healthy(name string, from, until int64) bool {
 	return c.faults[name].overlapsNone(from, until)
 }
 
-// settled tells whether more than half of the controllers run and are connected at a time, and nothing has happened to any for
-// long enough. A trouble that goes on is no event; a controller that is slow is.
+// settled reports whether at a time more than half of the controllers are free of faults and no controller's fault has begun or ended
+// within the contact time, twice that after a fault of most controllers. Faults that last may go on, except impaired controllers.
 func (c *stability) settled(at int64) bool {
 	contact := c.history.Bounds.Contact
 	return c.events.overlapsNone(at-contact, at) && c.slow.overlapsNone(at-contact, at) && c.majorFaults.overlapsNone(at-2*contact, at) && c.healthyMajority(at, at)
 }
 
-// healthyMajority tells whether more than half of the controllers that are deployed at the end of a window had no trouble in it.
+// healthyMajority reports whether more than half of the controllers that are deployed at the end of a window had no fault in it.
 func (c *stability) healthyMajority(from, until int64) bool {
 	well := 0
 	for _, m := range c.controllers {
@@ -130,7 +132,7 @@
 	return 2*well > c.controllersAt(until)
 }
 
-// isolates tells whether a cut leaves a controller without a majority.
+// isolates reports whether a cut separates a controller from any majority.
 func (c *stability) isolates(cut Cut) bool {
 	here, left := 0, 0
 	for _, m := range c.controllers {
--- a/lab/controlsim/clients.go
+++ b/lab/controlsim/clients.go
@@ -17,27 +17,27 @@
 
 // Times of operators and replicas, ns.
 const (
-	callTimeout       = second // of silence, and a caller goes on to the next
-	minBackoff        = 50 * millisecond
+	callTimeout       = second           // a call without an answer fails after this time
+	minBackoff        = 50 * millisecond // first pause before a retry; each further one doubles up to maxBackoff
 	maxBackoff        = 800 * millisecond
-	controllerListLag = 3 * second // the operator's list of controllers is so old
-	firstOrder        = 500 * millisecond
-	quietTime         = 14 * second // before the end, in which nothing new is sent
-	maxPendingOrders  = 8
-	retryTimeout      = 40 * second
-	drainTimeout      = 6 * second // a replica that nobody acknowledges ends all the same
-	maxRaceDelay      = 30 * millisecond
-	maxHeartbeatDelay = 6 * second  // by how much a beat may be late
-	maxServeTime      = 20 * second // beyond the time for a drain, before a replica departs
+	controllerListLag = 3 * second        // age of the operators' list of controllers
+	firstOrder        = 500 * millisecond // time of the first order of a run
+	quietTime         = 14 * second       // time before the end of the run in which no random order or drain is sent
+	maxPendingOrders  = 8                 // no new random order is sent while this many have no answer
+	retryTimeout      = 40 * second       // an operator stops retrying after this time
+	drainTimeout      = 6 * second        // a replica departs after this time even if no controller has acknowledged its drain
+	maxRaceDelay      = 30 * millisecond  // maximum delay of a second content under the same revision
+	maxHeartbeatDelay = 6 * second        // maximum delay of a heartbeat that arrives after its replica's departure
+	maxServeTime      = 20 * second       // maximum time that a draining replica still serves after Bounds.Drain
 )
 
-// How a call ended without an HTTP status.
+// Results of a call without an HTTP status: no answer within callTimeout, and a connection that is refused or reset.
 const (
 	noAnswer          = 0
 	connectionRefused = -1
 )
 
-// call carries one HTTP call to a controller; done is called once, with a status, or with silence or refused.
+// call simulates one HTTP call to a controller. done is called once, with an HTTP status, noAnswer or connectionRefused.
 func (w *world) call(from, to string, in func(s *server, answer func(controller.Answer)), done func(status int, body []byte)) {
 	over := false
 	end := func(status int, body []byte) {
@@ -60,17 +60,17 @@
 			w.scheduleAfter(n.latency(to, from), func() { end(connectionRefused, nil) })
 			return
 		}
-		life := m.incarnation
+		incarnation := m.incarnation
 		m.onExit = append(m.onExit, func(silently bool) {
 			if !silently && !over {
 				w.scheduleAfter(n.latency(to, from), func() { end(connectionRefused, nil) })
 			}
 		})
-		m.dispatch(life, func() {
+		m.dispatch(incarnation, func() {
 			in(s, func(a controller.Answer) {
-				late := n.latency(to, from)
+				latency := n.latency(to, from)
 				lost := w.answerLosses > 0 && w.rng.IntN(2) == 0
-				w.scheduleAfter(late, func() {
+				w.scheduleAfter(latency, func() {
 					if !n.blocked(to, from) && !lost {
 						end(a.Status, a.Body)
 					}
@@ -80,29 +80,29 @@
 	})
 }
 
-// scheduleClients makes the replicas, and has the operators do what the workload and the acts say.
+// scheduleClients adds the replicas and schedules the requests of the workload and the plan's actions.
 func (w *world) scheduleClients() {
-	draw := rand.New(rand.NewPCG(w.plan.Seed, 3))
+	rng := rand.New(rand.NewPCG(w.plan.Seed, 3))
 	load, end := w.plan.Workload, int64(w.plan.Length)-quietTime
 	for i := range w.plan.Replicas {
 		w.addReplica(fmt.Sprint("r", i+1))
 	}
-	w.scheduleAt(firstOrder, func() { w.newOrder(draw, "") })
-	for at := draw.Int64N(second) + 2*second; load.OrderEvery > 0 && at < end; at += 1 + int64(draw.ExpFloat64()*float64(load.OrderEvery)) {
-		w.scheduleAt(at, func() { w.randomOrder(draw) })
+	w.scheduleAt(firstOrder, func() { w.newOrder(rng, "") })
+	for at := rng.Int64N(second) + 2*second; load.OrderEvery > 0 && at < end; at += 1 + int64(rng.ExpFloat64()*float64(load.OrderEvery)) {
+		w.scheduleAt(at, func() { w.randomOrder(rng) })
 	}
 	for _, s := range load.Storms {
 		for i := range s.Orders {
-			w.scheduleAt(int64(s.At)+int64(i)*int64(s.For)/int64(s.Orders), func() { w.randomOrder(draw) })
+			w.scheduleAt(int64(s.At)+int64(i)*int64(s.For)/int64(s.Orders), func() { w.randomOrder(rng) })
 		}
 	}
-	for at := 3 * second; load.ReadEvery > 0 && at < int64(w.plan.Length)-2*second; at += 1 + int64(draw.ExpFloat64()*float64(load.ReadEvery)) {
+	for at := 3 * second; load.ReadEvery > 0 && at < int64(w.plan.Length)-2*second; at += 1 + int64(rng.ExpFloat64()*float64(load.ReadEvery)) {
 		w.scheduleAt(at, func() { w.startRead("", false) })
 	}
-	for at := 6 * second; load.DrainEvery > 0 && at < end; at += 1 + int64(draw.ExpFloat64()*float64(load.DrainEvery)) {
-		w.scheduleAt(at, func() { w.randomDrain(draw) })
+	for at := 6 * second; load.DrainEvery > 0 && at < end; at += 1 + int64(rng.ExpFloat64()*float64(load.DrainEvery)) {
+		w.scheduleAt(at, func() { w.randomDrain(rng) })
 	}
-	for i := range 5 { // the operator reads back at the end
+	for i := range 5 { // reads at the end of the run, when all faults are over
 		w.scheduleAt(int64(w.plan.Length)-8*second+int64(i)*second, func() { w.startRead("", false) })
 	}
 	for _, a := range w.plan.Actions {
@@ -131,46 +131,47 @@
 	}
 }
 
-// order is one configuration on its way, through as many tries as it takes.
+// order is one configuration that an operator sends, with retries.
 type order struct {
 	world      *world
 	body       []byte
-	record     checker.Order
+	record     checker.Order // for the history
 	attempts   int
 	backoff    int64
 	once       bool
-	unexpected int // answers of 4xx that do not end a call at once
+	unexpected int // number of 4xx answers with a status that does not end the order at once
 }
 
-// randomOrder sends a new order, at times beside another of the same number, or an old one once more.
-func (w *world) randomOrder(draw *rand.Rand) {
-	if draw.Float64() < w.plan.Workload.Resends && len(w.orders) > 0 {
-		old := w.orders[len(w.orders)-1-draw.IntN(min(len(w.orders), 6))]
+// randomOrder sends a new order or repeats a former one. A new order is sometimes followed by other content under its revision.
+func (w *world) randomOrder(rng *rand.Rand) {
+	if rng.Float64() < w.plan.Workload.Resends && len(w.orders) > 0 {
+		old := w.orders[len(w.orders)-1-rng.IntN(min(len(w.orders), 6))]
 		w.sendOrder(old.record.Revision, old.record.Content, "", false)
 		return
 	}
-	w.newOrder(draw, "")
-	if draw.Float64() < w.plan.Workload.Races {
+	w.newOrder(rng, "")
+	if rng.Float64() < w.plan.Workload.Races {
 		rev := w.highestRevision
-		w.scheduleAfter(randomBetween(draw, 0, maxRaceDelay), func() { w.sendOrder(rev, fmt.Sprint(rev, "/other"), "", false) })
+		w.scheduleAfter(randomBetween(rng, 0, maxRaceDelay), func() { w.sendOrder(rev, fmt.Sprint(rev, "/other"), "", false) })
 	}
 }
 
-func (w *world) newOrder(draw *rand.Rand, at string) {
-	under := 0
+// newOrder sends an order with a new revision, unless too many orders are without an answer.
+func (w *world) newOrder(rng *rand.Rand, at string) {
+	pending := 0
 	for _, o := range w.orders {
 		if o.record.Outcome == checker.Unclear && o.record.Ended == 0 {
-			under++
+			pending++
 		}
 	}
-	if under >= maxPendingOrders {
+	if pending >= maxPendingOrders {
 		return
 	}
-	w.highestRevision += 1 + uint64(draw.IntN(3))
+	w.highestRevision += 1 + uint64(rng.IntN(3))
 	w.sendOrder(w.highestRevision, fmt.Sprint(w.highestRevision, "/one"), at, false)
 }
 
-// sendOrder sends a configuration until there is a clear answer.
+// sendOrder sends a configuration, with retries until there is a definite answer unless once is set.
 func (w *world) sendOrder(revision uint64, content, first string, once bool) {
 	w.highestRevision = max(w.highestRevision, revision)
 	body := content
@@ -183,13 +184,13 @@
 	o.attempt(cmp.Or(first, w.randomController()))
 }
 
-// packers are kept, for one is costly to make.
+// packers keeps compressors for reuse, since a new one is expensive.
 var packers = sync.Pool{New: func() any {
 	w, _ := flate.NewWriter(nil, flate.DefaultCompression)
 	return w
 }}
 
-// pack packs a configuration as clusterstate.Pack does.
+// pack compresses a configuration as clusterstate.Pack does.
 func pack(content string) []byte {
 	var b bytes.Buffer
 	w := packers.Get().(*flate.Writer)
@@ -200,13 +201,13 @@
 	return b.Bytes()
 }
 
-// randomController is any controller of the operator's list.
+// randomController returns a random controller of the operators' list.
 func (w *world) randomController() string {
 	list := w.operatorList()
 	return list[w.rng.IntN(len(list))]
 }
 
-// otherController is any controller but one.
+// otherController returns a random controller other than the given one.
 func (w *world) otherController(than string) string {
 	for {
 		if c := w.randomController(); c != than {
@@ -252,7 +253,7 @@
 	})
 }
 
-// startRead asks for the newest configuration until there is a clear answer.
+// startRead reads the newest configuration, with retries until there is a definite answer unless once is set.
 func (w *world) startRead(first string, once bool) {
 	index := len(w.history.Reads)
 	w.history.Reads = append(w.history.Reads, checker.Read{Sent: w.now})
@@ -284,7 +285,7 @@
 	return revision
 }
 
-// replica sends heartbeats, drains and departs. Its successor has a name of its own.
+// replica sends heartbeats until it drains or departs. The replica that replaces it has a new name.
 type replica struct {
 	world      *world
 	name       string
@@ -304,7 +305,8 @@
 	return registry.Record{ID: r.name, Service: "service", Address: r.name + ":80", Zone: zoneName(0), Capacity: 4, Phase: phase, Seq: r.sequence}
 }
 
-// call makes one call of a replica.
+// call sends one record to the replica's controller. After a failure the replica changes to another controller; otherwise it uses the
+// one that the answer names.
 func (r *replica) call(record registry.Record, done func(status int)) {
 	w := r.world
 	if r.controller == "" {
@@ -327,7 +329,7 @@
 	})
 }
 
-// sendHeartbeat sends heartbeats until the replica leaves.
+// sendHeartbeat sends heartbeats until the replica drains or departs.
 func (r *replica) sendHeartbeat() {
 	if r.leaving {
 		return
@@ -341,39 +343,40 @@
 	})
 }
 
-func (w *world) randomDrain(draw *rand.Rand) {
-	var here []*replica
+// randomDrain drains a random replica and adds a new one in its place.
+func (w *world) randomDrain(rng *rand.Rand) {
+	var active []*replica
 	for _, r := range w.replicas {
 		if !r.leaving {
-			here = append(here, r)
+			active = append(active, r)
 		}
 	}
-	if len(here) < 2 {
+	if len(active) < 2 {
 		return
 	}
-	here[draw.IntN(len(here))].drainAndDepart()
+	active[rng.IntN(len(active))].drainAndDepart()
 	w.addReplica(fmt.Sprint("r", len(w.replicas)+1))
 }
 
-// drainAndDepart says that the replica drains until that is acknowledged, serves on for a while, and departs.
+// drainAndDepart announces a drain until it is acknowledged; the replica serves a while longer and then departs.
 func (r *replica) drainAndDepart() {
 	r.announceUntilAcknowledged(r.newRecord(registry.Draining), r.depart)
 }
 
-// departWithoutDrain says that the replica departs, without having drained, until that is acknowledged, and serves on for a while. A
-// beat that it sent before comes seconds later, to another controller.
+// departWithoutDrain announces the replica's departure, without a drain before it, until it is acknowledged. One of its earlier
+// heartbeats arrives seconds later, at a random controller.
 func (r *replica) departWithoutDrain() {
 	w := r.world
-	late := r.newRecord(registry.Ready)
+	delayed := r.newRecord(registry.Ready)
 	r.announceUntilAcknowledged(registry.Record{ID: r.name, Phase: registry.Gone}, func() {})
 	w.scheduleAfter(randomBetween(w.rng, second, maxHeartbeatDelay), func() {
 		r.controller = w.randomController()
-		r.call(late, func(int) {})
+		r.call(delayed, func(int) {})
 	})
 }
 
-// announceUntilAcknowledged says that the replica leaves, until a controller acknowledges it or the replica gives up; after an
-// acknowledgement it serves on for a while before it ends.
+// announceUntilAcknowledged sends a record until a controller acknowledges it or drainTimeout has passed. After an acknowledgement the
+// replica serves a while longer; then end is called.
 func (r *replica) announceUntilAcknowledged(record registry.Record, end func()) {
 	w := r.world
 	r.leaving = true
--- a/lab/controlsim/controlsim_test.go
+++ b/lab/controlsim/controlsim_test.go
@@ -12,34 +12,34 @@
 	"willowsill/lab/controlsim/checker"
 )
 
-// What CI plays; the flags are for those who look for more, and for lab/controlsim/planted.
+// The defaults are what CI runs. The flags allow longer searches, and lab/controlsim/planted sets them.
 var (
-	randomSeedCount   = flag.Int("drawn", 16, "seeds of which the faults are drawn")
-	scenarioSeedCount = flag.Int("days", 5, "seeds of each scripted day")
+	randomSeedCount   = flag.Int("drawn", 16, "number of seeds with random faults")
+	scenarioSeedCount = flag.Int("days", 5, "number of seeds of each scripted scenario")
 
-	threeControllerSeedCount = flag.Int("three", 12, "seeds of the day with three controllers")
+	threeControllerSeedCount = flag.Int("three", 12, "number of seeds of the scenario with three controllers")
 )
 
-// runPlan plays a plan and fails the test with what it broke. TestDepartedStayAway has a check of its own.
+// runPlan simulates a plan and fails the test if it breaks a check other than DepartedUsed, which TestDepartedStayAway covers.
 func runPlan(t *testing.T, p Plan) {
 	t.Helper()
 	runPlanChecking(t, p, func(check string) bool { return check != checker.DepartedUsed })
 }
 
-// runPlanChecking plays a plan and fails the test with what it broke of the checks that are meant.
-func runPlanChecking(t *testing.T, p Plan, meant func(check string) bool) {
+// runPlanChecking simulates a plan and fails the test if it breaks one of the selected checks.
+func runPlanChecking(t *testing.T, p Plan, selected func(check string) bool) {
 	t.Helper()
 	r, err := Run(p, nil)
 	must.NoError(t, err)
 	must.Positive(t, r.Acknowledged)
 	for _, v := range r.Violations {
-		if meant(v.Check) {
+		if selected(v.Check) {
 			t.Errorf("%s: broken: %s, at %.3f s: %s", p.Name, v.Check, float64(v.At)/1e9, v.Text)
 		}
 	}
 }
 
-// TestDrawn: faults that are drawn from a seed, within the budget, break nothing.
+// TestDrawn checks that random faults within the fault budget break no check.
 func TestDrawn(t *testing.T) {
 	for seed := range *randomSeedCount {
 		t.Run(fmt.Sprint(seed+1), func(t *testing.T) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestDays: the worst days break nothing, one point at a time.
+// TestDays checks that the scripted scenarios within the fault budget break no check.
 func TestDays(t *testing.T) {
 	for _, point := range []Scenario{IsolatedController, ConflictingOrders, ConsecutiveLosses, MissedChanges} {
 		for seed := range *scenarioSeedCount {
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestThreeControllers: where there are three controllers, losses one after the other leave a majority that works.
+// TestThreeControllers checks that consecutive losses with only three controllers break no check: the remaining majority works.
 func TestThreeControllers(t *testing.T) {
 	for seed := range *threeControllerSeedCount {
 		t.Run(fmt.Sprint("seed", seed+1), func(t *testing.T) {
@@ -71,7 +71,8 @@
 	}
 }
 
-// TestDepartedStayAway: an edge does not take a replica back that has departed, whatever a feeder says that was cut off.
+// TestDepartedStayAway guards against an edge that sends to a departed replica again because an upstream that was isolated still lists
+// the replica.
 func TestDepartedStayAway(t *testing.T) {
 	for seed := range *scenarioSeedCount {
 		t.Run(fmt.Sprint("seed", seed+1), func(t *testing.T) {
@@ -81,7 +82,7 @@
 	}
 }
 
-// TestSameSeedSameRun: a run can be played again, else no failing seed could be looked into.
+// TestSameSeedSameRun checks that a plan always gives the same run; otherwise a failing seed could not be investigated.
 func TestSameSeedSameRun(t *testing.T) {
 	for _, p := range []Plan{RandomPlan(3), ScenarioPlan(ConsecutiveLosses, 2)} {
 		p.Length = 40 * time.Second
@@ -94,7 +95,7 @@
 	}
 }
 
-// TestScript: a plan that was written is read back as it was, and one that cannot be played is refused.
+// TestScript checks that an encoded plan decodes to the same plan, and that a plan with an unknown fault is rejected.
 func TestScript(t *testing.T) {
 	p := ScenarioPlan(IsolatedController, 4)
 	script, err := p.Script()
@@ -109,7 +110,7 @@
 	must.Error(t, err)
 }
 
-// TestShrink: what is not needed to break a check is left out, and what is needed stays.
+// TestShrink checks that Shrink removes the faults that a failure does not need, and keeps those that it needs.
 func TestShrink(t *testing.T) {
 	p := RandomPlan(1)
 	p.Faults = nil
@@ -129,7 +130,7 @@
 	must.True(t, has(least, 4) && has(least, 19))
 }
 
-// TestBudget: no plan that is drawn loses more controllers at a time than the budget has, but for all at once.
+// TestBudget checks that no random plan loses more controllers at a time than its fault budget, except for losses of all at once.
 func TestBudget(t *testing.T) {
 	for seed := uint64(1); seed <= 200; seed++ {
 		p := RandomPlan(seed)
@@ -139,7 +140,7 @@
 		for _, f := range p.Faults {
 			if f.Machine[0] == 'c' || f.Machine == AllControllers {
 				until := f.At + f.For + p.Bounds.CatchUp
-				if f.Kind == ReplacePlanned { // the new one counts as lost, and then the old one goes
+				if f.Kind == ReplacePlanned { // first the new controller counts as lost, until it has caught up, then the old one
 					until = f.At + max(f.For, p.Bounds.CatchUp)
 				}
 				losses = append(losses, loss{f.At, until})
--- a/lab/controlsim/disk.go
+++ b/lab/controlsim/disk.go
@@ -9,45 +9,45 @@
 	"willowsill/decide/rollout"
 )
 
-// Times of a disk, ns.
+// Behaviour of disks; times in ns.
 const (
 	minSyncTime       = millisecond
-	maxSyncTime       = 30 * millisecond // of the slowest sound disk; each has a usual time of its own below it
-	writeErrorDelay   = 3 * millisecond
-	unsyncedKeptOneIn = 4          // saves that were under way as the power went, one is kept of so many
-	writeBackDelay    = 5 * second // after which the system writes by itself what nobody synced
+	maxSyncTime       = 30 * millisecond // of the slowest disk without a fault; each disk has its own usual time up to this
+	writeErrorDelay   = 3 * millisecond  // until a write to a full disk fails
+	unsyncedKeptOneIn = 4                // one in this many saves whose sync was not finished survives a loss of power
+	writeBackDelay    = 5 * second       // after this time the operating system writes data to the disk without a sync
 )
 
-// errDiskFull is what a write to a full disk ends with.
+// errDiskFull is the error of a write to a full disk.
 var errDiskFull = errors.New("no space left on device")
 
-// diskImage is what a file holds.
+// diskImage is the content of a controller's state file.
 type diskImage struct {
 	state     register.State
 	committed register.Order
-	rollouts  rollout.Set // committed
+	rollouts  rollout.Set // committed rollouts
 	replicas  []registry.Record
 }
 
-// disk stands in for transport/statestore. A save is written to the system's memory and then synced: a process that is killed
-// between finds the first at its next start, a machine that loses its power mostly does not. Of a torn write the save before
-// is found, as statestore's two slots have it.
+// disk simulates the disk below transport/statestore. A save is written to the operating system's cache and then synced. After a kill
+// between the two, the next process still reads the save; after a loss of power the save is mostly lost. A torn write leaves the save
+// before it, as the two slots of statestore ensure.
 type disk struct {
 	world        *world
-	syncTime     int64      // ns that a sync takes, half of it at the least
-	durable      *diskImage // synced; nil for an empty disk
-	written      *diskImage // what a process that starts finds
+	syncTime     int64      // maximum time of a sync, ns; the minimum is half of it
+	durable      *diskImage // last synced image; nil for an empty disk
+	written      *diskImage // image that a new process reads
 	stallCount   int
 	fullCount    int
-	slowSyncTime int64 // ns that a sync takes, 0 for the usual
+	slowSyncTime int64 // maximum time of a sync during a DiskSlow fault, ns; 0 without one
 	stalledSyncs []func()
 }
 
-// save writes a state and calls done once it is synced, or has failed.
+// save writes a state and calls done when it is synced or has failed.
 func (d *disk) save(m *machine, s controller.Save, done func(error)) {
-	life := m.incarnation
+	incarnation := m.incarnation
 	if d.fullCount > 0 {
-		d.world.scheduleAfter(writeErrorDelay, func() { m.dispatch(life, func() { done(errDiskFull) }) })
+		d.world.scheduleAfter(writeErrorDelay, func() { m.dispatch(incarnation, func() { done(errDiskFull) }) })
 		return
 	}
 	next := &diskImage{state: s.RegisterState, committed: s.CommittedConfiguration, rollouts: s.Rollouts, replicas: s.Replicas}
@@ -59,22 +59,22 @@
 	if d.slowSyncTime > 0 {
 		took = randomBetween(d.world.rng, d.slowSyncTime/2, d.slowSyncTime)
 	}
-	d.world.scheduleAfter(took, func() { d.finishSync(m, life, next, done) })
+	d.world.scheduleAfter(took, func() { d.finishSync(m, incarnation, next, done) })
 }
 
-func (d *disk) finishSync(m *machine, life int, next *diskImage, done func(error)) {
-	if d.written != next { // the power went, or the disk was emptied
+func (d *disk) finishSync(m *machine, incarnation int, next *diskImage, done func(error)) {
+	if d.written != next { // lost with the power or the disk
 		return
 	}
 	if d.stallCount > 0 {
-		d.stalledSyncs = append(d.stalledSyncs, func() { d.finishSync(m, life, next, done) })
+		d.stalledSyncs = append(d.stalledSyncs, func() { d.finishSync(m, incarnation, next, done) })
 		return
 	}
 	d.durable = next
-	m.dispatch(life, func() { done(nil) })
+	m.dispatch(incarnation, func() { done(nil) })
 }
 
-// stall begins or ends a time in which no sync ends.
+// stall begins or ends a period in which no sync finishes.
 func (d *disk) stall(begin bool) {
 	if begin {
 		d.stallCount++
@@ -89,7 +89,7 @@
 	}
 }
 
-// losePower loses what was not synced, or keeps it.
+// losePower mostly drops a save that is not synced; at random it keeps one in unsyncedKeptOneIn.
 func (d *disk) losePower() {
 	if d.written != d.durable && d.world.rng.IntN(unsyncedKeptOneIn) == 0 {
 		d.durable = d.written
@@ -100,7 +100,7 @@
 
 func (d *disk) wipe() { d.durable, d.written = nil, nil }
 
-// load is what a process finds at its start.
+// load returns the image that a new process reads. An image that is not synced becomes durable after writeBackDelay.
 func (d *disk) load() *diskImage {
 	found := d.written
 	if found != d.durable {
--- a/lab/controlsim/edge.go
+++ b/lab/controlsim/edge.go
@@ -11,20 +11,20 @@
 	"willowsill/lab/controlsim/checker"
 )
 
-// Times of an edge, ns; those of transport/agentserver.
+// Times of an edge, ns, as in transport/agentserver.
 const (
-	reportTTL         = 4 * second
-	detectorInterval  = 250 * millisecond
-	readinessInterval = 100 * millisecond // the platform asks once a second, at any moment of it
+	reportTTL         = 4 * second        // the report of a downstream edge is passed on for this time
+	detectorInterval  = 250 * millisecond // between two ticks of the failure detector
+	readinessInterval = 100 * millisecond // the platform asks once a second at an unknown moment, so this asks more often
 )
 
-// edge is an agent with its proxy, as transport/agentserver and front/proxyserver have them. A process begins with nothing.
+// edge is an agent with its proxy, as in transport/agentserver and front/proxyserver. A new process starts without any state.
 type edge struct {
 	world               *world
 	machine             *machine
 	zone                string
 	seeds               []string
-	preferredController string // the next process follows this controller first
+	preferredController string // if set, the next process connects to this controller first
 
 	state             *clusterstate.State
 	detector          *failuredetector.Detector
@@ -33,12 +33,12 @@
 	downstreamReports map[string]receivedReport
 	followLoop        *followLoop
 	upstream          string
-	upstreams         []string // that may be followed, the best first
+	upstreams         []string // possible upstreams, the best first
 	conn              *connection
 	ready             bool
 }
 
-// receivedReport is what a follower said last.
+// receivedReport is the last report of a downstream edge.
 type receivedReport struct {
 	controller.EdgeReport
 	at int64
@@ -62,10 +62,10 @@
 		e.seeds, e.preferredController = e.seedsWith(e.preferredController), ""
 	}
 	e.downstream, e.downstreamReports, e.followLoop, e.conn, e.ready = downstreamEdges{}, map[string]receivedReport{}, &followLoop{}, nil, false
-	e.world.history.ProcessStarts = append(e.world.history.ProcessStarts, checker.ProcessEvent{Edge: m.name, Life: m.incarnation, At: e.world.now})
-	life := m.incarnation
+	e.world.history.ProcessStarts = append(e.world.history.ProcessStarts, checker.ProcessEvent{Edge: m.name, Incarnation: m.incarnation, At: e.world.now})
+	incarnation := m.incarnation
 	m.onExit = append(m.onExit, func(bool) {
-		e.world.history.ProcessEnds = append(e.world.history.ProcessEnds, checker.ProcessEvent{Edge: m.name, Life: life, At: e.world.now})
+		e.world.history.ProcessEnds = append(e.world.history.ProcessEnds, checker.ProcessEvent{Edge: m.name, Incarnation: incarnation, At: e.world.now})
 	})
 	m.every(detectorInterval, e.tickDetector)
 	m.every(freshnessInterval, e.updateProxy)
@@ -74,11 +74,11 @@
 	e.dialUpstream()
 }
 
-// seedsWith are three seeds of which this edge follows the one named first, where there are such.
+// seedsWith returns random seeds such that this edge connects to the controller first, if 50 attempts find some.
 func (e *edge) seedsWith(first string) []string {
-	const tries = 50
+	const attempts = 50
 	seeds := []string{first}
-	for range tries {
+	for range attempts {
 		seeds = e.world.randomSeeds()
 		if !slices.Contains(seeds, first) {
 			seeds[0] = first
@@ -90,7 +90,7 @@
 	return seeds
 }
 
-// updateUpstreams finds those that may be followed, by what is known of the fleet.
+// updateUpstreams computes the possible upstreams from the known fleet and the seeds.
 func (e *edge) updateUpstreams() {
 	e.upstreams = nil
 	for _, f := range relaytree.Feeders(e.machine.name, e.zone, e.state.Fleet, e.seeds, e.world.regions) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// dialUpstream dials the next feeder.
+// dialUpstream connects to the next upstream.
 func (e *edge) dialUpstream() {
 	w, m := e.world, e.machine
 	e.upstream = e.followLoop.upstream(e.upstreams)
@@ -125,109 +125,112 @@
 	})
 }
 
-// leaveUpstream lets go of the feeder and dials another after a moment.
-func (e *edge) leaveUpstream(v upstreamDecision) {
+// leaveUpstream closes the connection to the upstream and dials the next one after reconnectDelay.
+func (e *edge) leaveUpstream(decision upstreamDecision) {
 	if e.conn != nil {
 		e.world.tracef(e.machine.name, "leaves %s", e.upstream)
 		e.conn.closeFrom(0)
 		e.conn = nil
 	}
-	e.followLoop.disconnected(v)
+	e.followLoop.disconnected(decision)
 	e.machine.timer(reconnectDelay, e.dialUpstream)
 }
 
+// checkSilence leaves the upstream if it is silent, and otherwise checks again later.
 func (e *edge) checkSilence(c *connection) {
 	if e.conn != c {
 		return
 	}
-	silent, again := e.followLoop.isSilent(e.machine.clock())
+	silent, checkAfter := e.followLoop.isSilent(e.machine.clock())
 	if silent {
 		e.leaveUpstream(tryNextUpstream)
 		return
 	}
-	e.machine.timer(max(again, millisecond), func() { e.checkSilence(c) })
+	e.machine.timer(max(checkAfter, millisecond), func() { e.checkSilence(c) })
 }
 
-// handleMessage takes a word of the feeder.
-func (e *edge) handleMessage(c *connection, n updateMessage) {
+// handleMessage handles a message from the upstream.
+func (e *edge) handleMessage(c *connection, m updateMessage) {
 	if e.conn != c {
 		return
 	}
 	now := e.machine.clock()
-	e.followLoop.handleFreshness(now, n.freshness)
-	if n.update != nil && !e.applyUpdate(*n.update) {
+	e.followLoop.handleFreshness(now, m.freshness)
+	if m.update != nil && !e.applyUpdate(*m.update) {
 		e.leaveUpstream(tryBestUpstream)
 		return
 	}
-	if n.update == nil || n.update.Snapshot {
+	if m.update == nil || m.update.Snapshot {
 		e.downstream.publish(updateMessage{freshness: e.followLoop.follower.Freshness(now)})
 	}
 	if e.followLoop.follower.ShouldLeave(now) {
 		e.leaveUpstream(tryNextUpstream)
 		return
 	}
-	due, v := e.followLoop.reportDue(e.machine.clock(), e.upstream, e.upstreams)
+	due, decision := e.followLoop.reportDue(e.machine.clock(), e.upstream, e.upstreams)
 	if due {
 		c.send(0, e.newReport())
 	}
-	if v != keepUpstream {
-		e.leaveUpstream(v)
+	if decision != keepUpstream {
+		e.leaveUpstream(decision)
 	}
 }
 
-// applyUpdate takes a notice in and passes on what is new; false where the whole book is needed.
-func (e *edge) applyUpdate(n clusterstate.Update) bool {
-	fresh := e.state.Apply(n)
-	if fresh.Empty() {
+// applyUpdate applies an update and sends what is new to downstream edges. It returns false if the edge needs a snapshot.
+func (e *edge) applyUpdate(update clusterstate.Update) bool {
+	changes := e.state.Apply(update)
+	if changes.Empty() {
 		return !e.state.NeedsSnapshot
 	}
-	e.recordChanges(fresh)
-	if f := fresh.Fleet; !f.Empty() {
+	e.recordChanges(changes)
+	if f := changes.Fleet; !f.Empty() {
 		e.detector.SetEdges(e.machine.clock(), f.EdgeIPsInZone(e.zone))
 		e.updateUpstreams()
 	}
 	now := e.machine.clock()
-	e.downstream.publish(updateMessage{&fresh, e.followLoop.follower.Freshness(now)})
-	if fresh.Revision > 0 {
-		e.followLoop.readiness.Configured(now, fresh.Revision)
+	e.downstream.publish(updateMessage{&changes, e.followLoop.follower.Freshness(now)})
+	if changes.Revision > 0 {
+		e.followLoop.readiness.Configured(now, changes.Revision)
 	}
 	e.state.DropGone()
 	return !e.state.NeedsSnapshot
 }
 
-// recordChanges writes down what is in force here now.
-func (e *edge) recordChanges(fresh clusterstate.Update) {
+// recordChanges records in the history which configuration and replicas this edge uses from now on.
+func (e *edge) recordChanges(changes clusterstate.Update) {
 	w, m := e.world, e.machine
-	if fresh.Revision > 0 {
-		content := contentName(string(fresh.Raw))
-		w.tracef(m.name, "serves %d %s from %s", fresh.Revision, content, e.upstream)
-		w.history.EdgeConfigurations = append(w.history.EdgeConfigurations, checker.EdgeConfiguration{At: w.now, Edge: m.name, Incarnation: m.incarnation, Revision: fresh.Revision, Content: content})
+	if changes.Revision > 0 {
+		content := contentName(string(changes.Raw))
+		w.tracef(m.name, "serves %d %s from %s", changes.Revision, content, e.upstream)
+		w.history.EdgeConfigurations = append(w.history.EdgeConfigurations, checker.EdgeConfiguration{At: w.now, Edge: m.name,
+			Incarnation: m.incarnation, Revision: changes.Revision, Content: content})
 	}
-	for _, r := range fresh.Replicas {
-		w.history.ReplicaUses = append(w.history.ReplicaUses, checker.ReplicaUse{At: w.now, Edge: m.name, Life: m.incarnation, Replica: r.ID, Used: r.Phase == registry.Ready})
+	for _, r := range changes.Replicas {
+		w.history.ReplicaUses = append(w.history.ReplicaUses, checker.ReplicaUse{At: w.now, Edge: m.name, Incarnation: m.incarnation,
+			Replica: r.ID, Used: r.Phase == registry.Ready})
 	}
 }
 
-// updateProxy tells the proxy beside the agent how fresh the agent's state is.
+// updateProxy passes the freshness of the agent's state to the proxy on the same machine.
 func (e *edge) updateProxy() {
 	now := e.machine.clock()
 	e.followLoop.readiness.HandleFreshness(now, e.followLoop.follower.Freshness(now))
 }
 
-// pollReadiness does what the platform does: it asks whether this edge is ready.
+// pollReadiness asks whether this edge is ready, as the platform does, and records changes.
 func (e *edge) pollReadiness() {
 	if now := e.followLoop.readiness.Ready(e.machine.clock()); now != e.ready {
 		e.ready = now
-		e.world.history.Readiness = append(e.world.history.Readiness, checker.ReadinessChange{At: e.world.now, Edge: e.machine.name, Life: e.machine.incarnation,
-			Ready: now, Revision: e.state.Revision, Upstream: e.upstream})
+		e.world.history.Readiness = append(e.world.history.Readiness, checker.ReadinessChange{At: e.world.now, Edge: e.machine.name,
+			Incarnation: e.machine.incarnation, Ready: now, Revision: e.state.Revision, Upstream: e.upstream})
 	}
 }
 
-// newReport is what this edge says to the one that it follows.
+// newReport returns the reports of this edge and of the edges downstream of it.
 func (e *edge) newReport() edgeReports {
 	r := edgeReports{revision: e.state.Revision}
 	now := e.machine.clock()
-	for _, name := range e.world.machineNames { // in a fixed order
+	for _, name := range e.world.machineNames { // in a fixed order, so that the run is deterministic
 		s, ok := e.downstreamReports[name]
 		if !ok {
 			continue
@@ -243,11 +246,11 @@
 	return r
 }
 
-// acceptFollower feeds another edge.
+// acceptFollower accepts the connection of a downstream edge and keeps its reports.
 func (e *edge) acceptFollower(c *connection) {
 	serveDownstream(e.machine, c, &e.downstream, func() updateMessage {
-		whole := e.state.Snapshot()
-		return updateMessage{&whole, e.followLoop.follower.Freshness(e.machine.clock())}
+		snapshot := e.state.Snapshot()
+		return updateMessage{&snapshot, e.followLoop.follower.Freshness(e.machine.clock())}
 	}, func(r edgeReports) {
 		for _, s := range r.edges {
 			if s.Edge.IP != e.machine.name {
@@ -257,7 +260,7 @@
 	})
 }
 
-// tickDetector sends heartbeats to the edges that watch this one, and notes whom it does not hear.
+// tickDetector sends heartbeats to the edges that monitor this one, and updates the edges that it suspects.
 func (e *edge) tickDetector() {
 	to, suspects := e.detector.Tick(e.machine.clock())
 	e.suspects = suspects
--- a/lab/controlsim/faults.go
+++ b/lab/controlsim/faults.go
@@ -6,14 +6,14 @@
 	"willowsill/lab/controlsim/checker"
 )
 
-// recordFault writes down, for the checker, that a machine is in trouble for a while.
+// recordFault records in the history that a fault affects a machine for a given time.
 func (w *world) recordFault(machine string, span int64, kind FaultKind) {
 	slow := slices.Contains([]FaultKind{SlowLink, Duplicate, DiskSlow, DiskStall, DiskFull}, kind)
 	link := slices.Contains([]FaultKind{Cut, CutOut, CutIn, SlowLink, Duplicate, LoseAnswers}, kind)
 	w.history.FaultSpans = append(w.history.FaultSpans, checker.FaultSpan{Machine: machine, From: w.now, Until: w.now + span, Slow: slow, Link: link})
 }
 
-// startFault has a fault begin.
+// startFault starts a fault and schedules its end.
 func (w *world) startFault(f Fault) {
 	w.tracef(f.Machine, "fault: %s for %s", f.Kind, f.For)
 	if f.Machine == AllControllers {
@@ -39,9 +39,9 @@
 	switch f.Kind {
 	case Freeze:
 		m.freeze()
-		life := m.incarnation
+		incarnation := m.incarnation
 		w.scheduleAfter(span, func() {
-			if m.incarnation == life {
+			if m.incarnation == incarnation {
 				m.thaw()
 			}
 		})
@@ -83,7 +83,7 @@
 	}
 }
 
-// startFaultOnAll has all controllers killed or without power at once; their disks are kept.
+// startFaultOnAll starts a fault on all controllers at once, and on all edges if the fault says so.
 func (w *world) startFaultOnAll(f Fault) {
 	names := slices.Clone(w.controllers)
 	if f.Edges {
@@ -111,7 +111,7 @@
 	}
 }
 
-// startAlongside has an edge start the moment that a controller does, and follow that one first.
+// startAlongside kills an edge's process and restarts it after the fault's time, with a controller that it connects to first.
 func (w *world) startAlongside(f Fault, m *machine) {
 	m.stop(false)
 	e := w.edges[f.Machine]
@@ -171,9 +171,9 @@
 	}
 }
 
-// replace puts an empty machine at another address in the place of one.
+// replace replaces a controller by a new machine with another address and an empty disk.
 func (w *world) replace(f Fault, m *machine) {
-	gone := func() {
+	remove := func() {
 		w.setControllers(slices.DeleteFunc(slices.Clone(w.controllers), func(c string) bool { return c == f.Machine }))
 		for i := range w.history.Machines {
 			if w.history.Machines[i].Name == f.Machine {
@@ -196,14 +196,14 @@
 			if s := w.servers[f.Machine]; s != nil {
 				s.shutDown(func() { m.powered = false })
 			}
-			gone()
+			remove()
 		})
 		return
 	}
 	w.recordFault(f.Machine, span, f.Kind)
 	w.losePower(m, true)
 	w.scheduleAfter(span, func() {
-		gone()
+		remove()
 		begin()
 	})
 }
--- a/lab/controlsim/followloop.go
+++ b/lab/controlsim/followloop.go
@@ -5,71 +5,71 @@
 	"willowsill/decide/follower"
 )
 
-// Times of a follower, ns; those of transport/watch.
+// Times of an edge that receives updates, ns, as in transport/watch.
 const (
-	upstreamTimeout = second
-	reportInterval  = second
-	reconnectDelay  = 100 * millisecond
-	minStay         = 5 * second
+	upstreamTimeout = second            // an upstream that sends nothing for this time is left
+	reportInterval  = second            // between two reports to the upstream
+	reconnectDelay  = 100 * millisecond // before the next upstream is dialled
+	minStay         = 5 * second        // after this time an edge changes to a better upstream
 )
 
-// upstreamDecision is what a follower is to do with its feeder.
+// upstreamDecision says whether an edge keeps its upstream.
 type upstreamDecision uint8
 
 const (
 	keepUpstream    upstreamDecision = iota
-	tryNextUpstream                  // the feeder is to be left; the next one is tried
-	tryBestUpstream                  // another is to be followed instead; the first one is tried
+	tryNextUpstream                  // leave the upstream and try the next one of the list
+	tryBestUpstream                  // leave the upstream and try the first one of the list
 )
 
-// followLoop is the loop of watch.Follower without its link: decide/follower says when a feeder is left. Times are of the edge's
-// clock.
+// followLoop does what the loop of watch.Follower does, without its connection: it chooses the upstream, and decide/follower decides
+// when to leave it. Times are on the edge's clock.
 type followLoop struct {
 	follower                            follower.Follower
-	readiness                           follower.Readiness // the proxy's
-	upstreamIndex                       int
+	readiness                           follower.Readiness // of the proxy on the same machine
+	upstreamIndex                       int                // in the list of possible upstreams
 	connectedAt, reportedAt, receivedAt int64
 }
 
-// upstream is the feeder to dial, of those that may be followed, the best first.
-func (f *followLoop) upstream(feeders []string) string {
-	f.upstreamIndex %= len(feeders)
-	return feeders[f.upstreamIndex]
+// upstream returns the upstream to dial. The list holds the possible ones, the best first.
+func (f *followLoop) upstream(upstreams []string) string {
+	f.upstreamIndex %= len(upstreams)
+	return upstreams[f.upstreamIndex]
 }
 
-// connected tells that the feeder dialled is followed now.
+// connected records that the edge has connected to an upstream, and how many others there are.
 func (f *followLoop) connected(now int64, alternatives int) {
 	f.connectedAt, f.reportedAt, f.receivedAt = now, now, now
 	f.follower.Connected(now, alternatives)
 }
 
-// handleFreshness takes how fresh the feeder says that it is.
-func (f *followLoop) handleFreshness(now int64, fresh clusterstate.Freshness) {
+// handleFreshness records the freshness that the upstream sent.
+func (f *followLoop) handleFreshness(now int64, freshness clusterstate.Freshness) {
 	f.receivedAt = now
-	f.follower.HandleFreshness(now, fresh)
+	f.follower.HandleFreshness(now, freshness)
 }
 
-// reportDue tells that a report is to be sent, and what becomes of the feeder with it.
-func (f *followLoop) reportDue(now int64, feeder string, feeders []string) (bool, upstreamDecision) {
+// reportDue reports whether a report has to be sent now and, if so, whether to change to a better upstream.
+func (f *followLoop) reportDue(now int64, current string, upstreams []string) (bool, upstreamDecision) {
 	if now-f.reportedAt <= reportInterval {
 		return false, keepUpstream
 	}
 	f.reportedAt = now
-	if now-f.connectedAt > minStay && len(feeders) > 0 && feeders[0] != feeder {
+	if now-f.connectedAt > minStay && len(upstreams) > 0 && upstreams[0] != current {
 		return true, tryBestUpstream
 	}
 	return true, keepUpstream
 }
 
-// isSilent tells whether the feeder has said nothing for too long; otherwise when to look again, in ns from now.
+// isSilent reports whether the upstream has sent nothing for upstreamTimeout, and otherwise after how many ns to check again.
 func (f *followLoop) isSilent(now int64) (bool, int64) {
 	return now-f.receivedAt >= upstreamTimeout, upstreamTimeout - (now - f.receivedAt)
 }
 
-// disconnected tells that the feeder is followed no longer.
-func (f *followLoop) disconnected(v upstreamDecision) {
+// disconnected records that the edge has left its upstream, and sets the next one to try.
+func (f *followLoop) disconnected(decision upstreamDecision) {
 	f.follower.Disconnected()
-	if f.upstreamIndex++; v != tryNextUpstream {
+	if f.upstreamIndex++; decision != tryNextUpstream {
 		f.upstreamIndex = 0
 	}
 }
--- a/lab/controlsim/machine.go
+++ b/lab/controlsim/machine.go
@@ -1,18 +1,18 @@
 package controlsim
 
-// machine runs one process at a time. Its steady clock has its own beginning and rate.
+// machine runs one process at a time. Its monotonic clock has its own start value and rate.
 type machine struct {
 	world        *world
 	name         string
-	isController bool // a controller's
+	isController bool // the machine of a controller
 	powered      bool
-	up           bool // a process runs
-	frozen       bool
-	incarnation  int // of the process, counted from 1
-	pending      []func()
-	clockOffset  int64   // what its clock showed at the start of the run, ns
-	clockDrift   float64 // how much faster than true time the clock runs
-	startProcess func()  // begins a process; the machine is up already
+	up           bool     // a process is running
+	frozen       bool     // the process is suspended
+	incarnation  int      // number of the current or last process, from 1
+	pending      []func() // work for a suspended process, run by thaw
+	clockOffset  int64    // the clock's value at the start of the run, ns
+	clockDrift   float64  // relative rate by which the clock is faster than true time
+	startProcess func()   // sets up a new process; the machine is up already
 	onExit       []func(silently bool)
 }
 
@@ -24,15 +24,15 @@
 	return m
 }
 
-// clock is what the machine's steady clock shows.
+// clock returns the value of the machine's monotonic clock.
 func (m *machine) clock() int64 {
 	return m.clockOffset + m.world.now + int64(float64(m.world.now)*m.clockDrift)
 }
 
-// trueDuration is how long it takes until so much has gone by on the machine's clock.
+// trueDuration converts a duration on the machine's clock to true time.
 func (m *machine) trueDuration(local int64) int64 { return int64(float64(local)/(1+m.clockDrift)) + 1 }
 
-// start begins a process.
+// start starts a process if none is running.
 func (m *machine) start() {
 	m.powered = true
 	if m.up {
@@ -44,7 +44,7 @@
 	m.startProcess()
 }
 
-// stop ends the process. silently tells that nobody's connections are reset: the machine has lost its power.
+// stop ends the process. If silently, the machine has lost its power, so the other ends of its connections see no reset.
 func (m *machine) stop(silently bool) {
 	if silently {
 		m.powered = false
@@ -62,10 +62,10 @@
 	m.world.network.processEnded(m, silently)
 }
 
-// freeze has the process stand still.
+// freeze suspends the process.
 func (m *machine) freeze() { m.frozen = m.up }
 
-// thaw lets it go on. What came meanwhile is done now, in its order.
+// thaw resumes a suspended process and runs, in order, what has been waiting for it.
 func (m *machine) thaw() {
 	if !m.frozen {
 		return
@@ -73,18 +73,18 @@
 	m.frozen = false
 	waiting := m.pending
 	m.pending = nil
-	life := m.incarnation
+	incarnation := m.incarnation
 	for _, f := range waiting {
-		if m.up && m.incarnation == life {
+		if m.up && m.incarnation == incarnation {
 			f()
 		}
 	}
 }
 
-// dispatch has something done by the process of a life: now, after a freeze, or never.
-func (m *machine) dispatch(life int, do func()) {
+// dispatch runs do in the process with a given incarnation: at once, after it is resumed, or never if that process has ended.
+func (m *machine) dispatch(incarnation int, do func()) {
 	switch {
-	case !m.up || m.incarnation != life:
+	case !m.up || m.incarnation != incarnation:
 	case m.frozen:
 		m.pending = append(m.pending, do)
 	default:
@@ -92,13 +92,13 @@
 	}
 }
 
-// timer has something done by this process once its clock has gone on by so much.
+// timer runs do in the current process after a duration on its machine's clock.
 func (m *machine) timer(local int64, do func()) {
-	life := m.incarnation
-	m.world.scheduleAfter(m.trueDuration(local), func() { m.dispatch(life, do) })
+	incarnation := m.incarnation
+	m.world.scheduleAfter(m.trueDuration(local), func() { m.dispatch(incarnation, do) })
 }
 
-// every has something done again and again, until the process ends.
+// every runs do repeatedly, after each interval on the machine's clock, until the process ends.
 func (m *machine) every(local int64, do func()) {
 	m.timer(local, func() {
 		do()
--- a/lab/controlsim/network.go
+++ b/lab/controlsim/network.go
@@ -5,37 +5,39 @@
 	"slices"
 )
 
-// Times of the network, ns; those of transport/peer.
+// Times of the network, ns; the timeouts are those of transport/peer.
 const (
 	minLatency  = millisecond / 2
 	maxLatency  = 8 * millisecond
 	maxJitter   = 2 * millisecond
 	dialTimeout = 300 * millisecond
-	userTimeout = 2 * second // unacknowledged for so long, a connection is broken
+	userTimeout = 2 * second // a connection breaks when data stays unacknowledged for this time
 )
 
 type direction struct{ from, to string }
 
-// network is what lies between the machines. A cut is of one direction, and is counted, for faults may overlap. What is sent on
-// a connection into a cut is held until the cut ends or the connection breaks, as TCP would send it again. The acknowledgements
-// of TCP itself pass a cut of one way, so that a connection that was open carries on in the other; opening one needs both.
+// network simulates the links between machines. Each cut blocks one direction between two machines; cuts are counted, since faults
+// may overlap. Messages sent over a connection into a cut are held until the cut ends or the connection breaks, as TCP would
+// retransmit them. TCP's own acknowledgements pass a cut of one direction, so an open connection still works in the other
+// direction; opening a connection needs both.
 type network struct {
 	world          *world
 	rng            *rand.Rand
 	baseLatency    map[direction]int64
 	cuts           map[direction]int
 	refusals       map[direction]int
-	extraDelay     map[string]int64 // of a machine's links
-	duplicateDelay map[string]int64 // what a machine sends comes again, so much later
+	extraDelay     map[string]int64 // extra latency of all links of a machine, ns
+	duplicateDelay map[string]int64 // delay of the second copy of each message from a machine, ns
 	connections    []*connection
 }
 
-func newNetwork(w *world, draw *rand.Rand) *network {
-	return &network{world: w, rng: draw, baseLatency: map[direction]int64{}, cuts: map[direction]int{}, refusals: map[direction]int{},
+func newNetwork(w *world, rng *rand.Rand) *network {
+	return &network{world: w, rng: rng, baseLatency: map[direction]int64{}, cuts: map[direction]int{}, refusals: map[direction]int{},
 		extraDelay: map[string]int64{}, duplicateDelay: map[string]int64{}}
 }
 
-// latency draws how long one message takes.
+// latency returns the random transfer time of one message: a fixed base for each direction between two machines, jitter, and the
+// extra latency of both machines.
 func (n *network) latency(from, to string) int64 {
 	p := direction{from, to}
 	base, known := n.baseLatency[p]
@@ -50,7 +52,7 @@
 	return n.cuts[direction{from, to}] > 0 || n.refusals[direction{from, to}] > 0
 }
 
-// cut begins a cut of one direction, or ends it.
+// cut begins or ends a cut of one direction. A refused cut also resets open connections, and attempts to connect fail at once.
 func (n *network) cut(from, to string, refused, begin bool) {
 	counts := n.cuts
 	if refused {
@@ -76,7 +78,7 @@
 	}
 }
 
-// reset breaks all connections of a machine.
+// reset closes all connections of a machine.
 func (n *network) reset(name string) {
 	for _, c := range slices.Clone(n.connections) {
 		if c.ends[0].name == name || c.ends[1].name == name {
@@ -85,6 +87,7 @@
 	}
 }
 
+// resetPair closes all connections between two machines.
 func (n *network) resetPair(a, b string) {
 	for _, c := range slices.Clone(n.connections) {
 		if c.ends[0].name == a && c.ends[1].name == b || c.ends[0].name == b && c.ends[1].name == a {
@@ -93,7 +96,8 @@
 	}
 }
 
-// processEnded tells the other ends that a process has ended; one that lost its power tells nobody.
+// processEnded closes a machine's ends of its connections after its process has ended. The other ends notice, unless the machine
+// ended silently by a loss of power.
 func (n *network) processEnded(m *machine, silently bool) {
 	for _, c := range slices.Clone(n.connections) {
 		for side := range c.ends {
@@ -108,7 +112,7 @@
 	}
 }
 
-// datagram carries something that may be lost.
+// datagram runs do at the receiver after the latency; it is lost if the direction is blocked by then.
 func (n *network) datagram(from, to *machine, do func()) {
 	n.world.scheduleAfter(n.latency(from.name, to.name), func() {
 		if !n.blocked(from.name, to.name) {
@@ -117,55 +121,58 @@
 	})
 }
 
-// dial opens a connection from one process to another; done is called with nil where it cannot be opened.
+// dial opens a connection from one process to another. It calls accept at the receiver and done at the caller, done with nil if the
+// connection cannot be opened.
 func (n *network) dial(from, to *machine, accept func(*connection), done func(*connection)) {
-	life := from.incarnation
-	fail := func(wait int64) { n.world.scheduleAfter(wait, func() { from.dispatch(life, func() { done(nil) }) }) }
+	incarnation := from.incarnation
+	fail := func(wait int64) {
+		n.world.scheduleAfter(wait, func() { from.dispatch(incarnation, func() { done(nil) }) })
+	}
 	if to == nil {
 		fail(dialTimeout)
 		return
 	}
-	round := n.latency(from.name, to.name) + n.latency(to.name, from.name)
+	roundTrip := n.latency(from.name, to.name) + n.latency(to.name, from.name)
 	refused := n.refusals[direction{from.name, to.name}] > 0 || n.refusals[direction{to.name, from.name}] > 0
 	switch {
 	case refused:
-		fail(round)
-	case n.blocked(from.name, to.name) || n.blocked(to.name, from.name) || !to.powered || round > dialTimeout:
+		fail(roundTrip)
+	case n.blocked(from.name, to.name) || n.blocked(to.name, from.name) || !to.powered || roundTrip > dialTimeout:
 		fail(dialTimeout)
 	case !to.up:
-		fail(round)
+		fail(roundTrip)
 	default:
 		target := to.incarnation
-		n.world.scheduleAfter(round, func() {
-			if !from.up || from.incarnation != life {
+		n.world.scheduleAfter(roundTrip, func() {
+			if !from.up || from.incarnation != incarnation {
 				return
 			}
 			if !to.up || to.incarnation != target {
-				from.dispatch(life, func() { done(nil) })
+				from.dispatch(incarnation, func() { done(nil) })
 				return
 			}
-			c := &connection{network: n, ends: [2]*machine{from, to}, incarnations: [2]int{life, target}, alive: [2]bool{true, true}}
+			c := &connection{network: n, ends: [2]*machine{from, to}, incarnations: [2]int{incarnation, target}, alive: [2]bool{true, true}}
 			n.connections = append(n.connections, c)
 			to.dispatch(target, func() { accept(c) })
-			from.dispatch(life, func() { done(c) })
+			from.dispatch(incarnation, func() { done(c) })
 		})
 	}
 }
 
-// connection carries messages in their order between two processes; side 0 has opened it.
+// connection carries messages in order between two processes. Side 0 opened it.
 type connection struct {
 	network      *network
 	ends         [2]*machine
 	incarnations [2]int
-	alive        [2]bool // this end has not closed
+	alive        [2]bool // the end of this side is open
 	lastArrival  [2]int64
-	held         [2][]any // what this end has sent and a cut holds up
+	held         [2][]any // messages from this side that a cut holds back
 	onMessage    [2]func(any)
 	onClosed     [2]func()
-	unhandled    [2][]any // came before anybody received
+	unhandled    [2][]any // messages that arrived before setHandlers
 }
 
-// send sends from a side.
+// send sends a message from one side to the other.
 func (c *connection) send(side int, message any) {
 	if !c.alive[side] {
 		return
@@ -175,12 +182,12 @@
 	at := max(c.lastArrival[side]+1, n.world.now+n.latency(from.name, to.name))
 	c.lastArrival[side] = at
 	n.world.scheduleAt(at, func() { c.arrive(side, message) })
-	if late := n.duplicateDelay[from.name]; late > 0 {
-		n.world.scheduleAt(at+late, func() { c.arrive(side, message) })
+	if delay := n.duplicateDelay[from.name]; delay > 0 {
+		n.world.scheduleAt(at+delay, func() { c.arrive(side, message) })
 	}
 }
 
-// arrive brings a message to the other end, or holds it where the way is cut or the other machine is off.
+// arrive delivers a message from a side to the other one, or holds it while the direction is cut or the other machine has no power.
 func (c *connection) arrive(side int, message any) {
 	from, to := c.ends[side], c.ends[1-side]
 	if !c.alive[0] && !c.alive[1] {
@@ -211,7 +218,7 @@
 	})
 }
 
-// setHandlers has a side take messages, and hear of the end.
+// setHandlers sets a side's handlers for messages and for the end of the connection, and delivers what has arrived so far.
 func (c *connection) setHandlers(side int, receive func(any), closed func()) {
 	c.onMessage[side], c.onClosed[side] = receive, closed
 	early := c.unhandled[side]
@@ -221,7 +228,7 @@
 	}
 }
 
-// breakIfHeld breaks the connection at a sender whose messages nobody has acknowledged.
+// breakIfHeld closes the sender's end of a connection if its messages are still held after userTimeout.
 func (c *connection) breakIfHeld(side int) {
 	if len(c.held[side]) > 0 {
 		c.held[side] = nil
@@ -229,7 +236,7 @@
 	}
 }
 
-// release sends on what a cut held up.
+// release sends the messages that a cut has held back.
 func (c *connection) release(side int) {
 	held := c.held[side]
 	c.held[side] = nil
@@ -241,7 +248,7 @@
 	}
 }
 
-// endAt has one end hear that the connection is over.
+// endAt closes one end and notifies its process.
 func (c *connection) endAt(side int) {
 	if !c.alive[side] {
 		return
@@ -255,7 +262,7 @@
 	}
 }
 
-// closeFrom ends the connection from one side; the other hears of it where the way is open.
+// closeFrom closes the connection from one side; the other side notices unless the direction is blocked.
 func (c *connection) closeFrom(side int) {
 	if !c.alive[side] {
 		return
@@ -275,7 +282,7 @@
 	})
 }
 
-// close breaks both ends.
+// close closes both ends at once.
 func (c *connection) close() {
 	c.held = [2][]any{}
 	c.endAt(0)
--- a/lab/controlsim/overbudget.go
+++ b/lab/controlsim/overbudget.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Days on which more is lost at once than the budget of faults has, though no more disks.
+// This file has the scenarios that lose more controllers at once than the fault budget allows, though no more disks.
 
-// splitInHalves: the controllers are cut into two halves for some seconds, and all others reach both. Orders, reads and drains go on at
-// both sides, some under one number. Where the number of controllers is even neither half is a majority.
+// splitInHalves divides the controllers into two halves for some seconds; all other machines reach both. Orders, reads and drains go on
+// at both sides, some orders with different contents under one revision. With an even number of controllers neither half is a
+// majority.
 func (d *scenarioBuilder) splitInHalves() {
 	p := d.plan
 	p.Controllers = []int{5, 6, 9}[d.IntN(3)]
@@ -24,14 +25,14 @@
 	for _, name := range one {
 		d.addFault(Fault{Kind: Cut, At: at, For: span, Machine: name, Others: slices.Clone(other), Refused: d.IntN(4) == 0})
 	}
-	for n := range 6 { // one number, another content at each side
+	for n := range 6 { // one revision with different content at each side
 		when, revision := at+time.Duration(n+1)*span/8, uint64(500+10*n)
 		d.addOrder(when, revision, fmt.Sprint(revision, "/here"), one[n%len(one)])
 		d.addOrder(when+d.duration(0, 30*time.Millisecond), revision, fmt.Sprint(revision, "/there"), other[n%len(other)])
 	}
 }
 
-// partitionEnd is when the cuts of a plan end.
+// partitionEnd returns the time at which the last cut of a plan ends.
 func (p Plan) partitionEnd() (at time.Duration) {
 	for _, f := range p.Faults {
 		if f.Kind == Cut {
@@ -41,14 +42,14 @@
 	return at
 }
 
-// powerLossRevision is what is acknowledged just before everything loses power.
+// powerLossRevision is the revision that is acknowledged just before all machines lose power.
 const powerLossRevision = 5000
 
-// powerLossTime is how long it stays so.
+// powerLossTime is the time that the machines stay without power.
 const powerLossTime = 600 * time.Millisecond
 
-// totalPowerLoss: right after an order was acknowledged every machine loses power, the edges too, and as many controllers as the
-// budget allows come back with empty disks. Nothing that remembers anything is left but the other disks.
+// totalPowerLoss takes the power from all machines, also the edges, right after an order was acknowledged. As many controllers as the
+// fault budget allows also lose their disks, so only the remaining disks still hold the order.
 func (d *scenarioBuilder) totalPowerLoss() {
 	p := d.plan
 	budget := 1
@@ -62,7 +63,7 @@
 		d.addOrder(time.Duration(n+3)*time.Second, revision, fmt.Sprint(revision, "/before"), "")
 	}
 	d.addOrder(12*time.Second, powerLossRevision, fmt.Sprint(powerLossRevision, "/last"), d.controller(0))
-	// Slow disks: what was acknowledged before it was synced would be on none of them.
+	// Slow disks: if the order were acknowledged before the sync, no disk would hold it.
 	d.addFault(Fault{Kind: DiskSlow, At: 11 * time.Second, For: 4 * time.Second, Machine: AllControllers, Amount: d.duration(20*time.Millisecond, 120*time.Millisecond)})
 	soon := d.duration(0, 4*time.Millisecond)
 	d.addFault(Fault{Kind: Power, At: soon, For: powerLossTime, Machine: AllControllers, After: powerLossRevision, Edges: true})
@@ -72,24 +73,25 @@
 	}
 }
 
-// overlappingLosses: most controllers are lost at a time, and one its disk. Once by lot, each before the ones before it are back; and once
-// as it is worst: two miss an order, and come back as those go of which alone the order's majority is made, one with its disk.
+// overlappingLosses loses most controllers at the same time, twice. First the worst case: two controllers miss an order, and when they
+// return the other three, which hold it, are lost, one of them with its disk. Later four controllers are lost at random times, each
+// before the ones before it have returned.
 func (d *scenarioBuilder) overlappingLosses() {
 	p := d.plan
 	p.Workload.OrderEvery, p.Workload.ReadEvery = 0, 200*time.Millisecond
 	at := d.duration(8*time.Second, 10*time.Second)
-	late, emptied, holders := []string{d.controller(0), d.controller(1)}, d.controller(2), []string{d.controller(3), d.controller(4)}
-	missed := d.duration(3*time.Second, 5*time.Second)
-	for _, name := range late {
-		d.addFault(Fault{Kind: []FaultKind{Power, Kill, Freeze}[d.IntN(3)], At: at, For: missed, Machine: name})
+	missing, emptied, holders := []string{d.controller(0), d.controller(1)}, d.controller(2), []string{d.controller(3), d.controller(4)}
+	missingFor := d.duration(3*time.Second, 5*time.Second)
+	for _, name := range missing {
+		d.addFault(Fault{Kind: []FaultKind{Power, Kill, Freeze}[d.IntN(3)], At: at, For: missingFor, Machine: name})
 	}
 	d.addOrder(at+time.Second, overlapRevision, fmt.Sprint(overlapRevision, "/held"), holders[0])
-	gone := at + missed
+	lostAt := at + missingFor
 	for _, name := range holders {
-		d.addFault(Fault{Kind: []FaultKind{Power, Kill, Freeze}[d.IntN(3)], At: gone - d.duration(0, 300*time.Millisecond), For: d.duration(5*time.Second, 8*time.Second), Machine: name})
+		d.addFault(Fault{Kind: []FaultKind{Power, Kill, Freeze}[d.IntN(3)], At: lostAt - d.duration(0, 300*time.Millisecond), For: d.duration(5*time.Second, 8*time.Second), Machine: name})
 	}
-	d.addFault(Fault{Kind: Wipe, At: gone, For: d.duration(200*time.Millisecond, time.Second), Machine: emptied})
-	d.addFault(Fault{Kind: EdgeRestart, At: gone + 2*time.Second, For: 500 * time.Millisecond, Machine: edgeName(1)})
+	d.addFault(Fault{Kind: Wipe, At: lostAt, For: d.duration(200*time.Millisecond, time.Second), Machine: emptied})
+	d.addFault(Fault{Kind: EdgeRestart, At: lostAt + 2*time.Second, For: 500 * time.Millisecond, Machine: edgeName(1)})
 	at = 36 * time.Second
 	for n := range 4 {
 		d.addFault(Fault{Kind: []FaultKind{Power, Kill, Freeze}[d.IntN(3)], At: at, For: d.duration(3*time.Second, 8*time.Second), Machine: d.controller(n)})
@@ -98,11 +100,11 @@
 	}
 }
 
-// overlapRevision is what a bare majority holds, of which then nobody is left.
+// overlapRevision is the revision that exactly a majority holds when all of that majority are lost.
 const overlapRevision = 700
 
-// departuresWithoutDrain: replicas depart without having said that they drain, and beats of theirs come seconds late, also at a controller
-// that was cut off meanwhile.
+// departuresWithoutDrain has replicas depart without a drain. Some of their earlier heartbeats arrive seconds later, also at a
+// controller that was isolated or frozen meanwhile.
 func (d *scenarioBuilder) departuresWithoutDrain() {
 	p := d.plan
 	p.Replicas, p.Workload.DrainEvery = 10, 0
@@ -118,8 +120,8 @@
 	}
 }
 
-// missedDepartures: replicas depart while the connections of a controller are reset and refused, so that what is told to it is
-// lost. Once it is joined again edges begin, and follow it first.
+// missedDepartures has replicas depart while the connections of one controller are reset and refused, so that it misses the messages
+// about the departures. When it is reachable again, edges restart and connect to it first.
 func (d *scenarioBuilder) missedDepartures() {
 	const cutFor = 6 * time.Second
 	p := d.plan
--- a/lab/controlsim/overbudget_test.go
+++ b/lab/controlsim/overbudget_test.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	recoveryTime = 12 * time.Second // after everything is back, a quarter of the requests are served again
-	settleTime   = 3 * time.Second  // contact counts for 1.6 s, and one silent for 2.5 s gives its place up
+	recoveryTime = 12 * time.Second // within this time after all machines are back, a quarter of the requests must be served again
+	settleTime   = 3 * time.Second  // contact with a peer counts for 1.6 s, and a controller that is silent for 2.5 s may be replaced as a member
 	maxAckTime   = 2 * time.Second
 )
 
-// checksFor tells whether a check is meant on a day. While more is lost than the budget has, nobody may be able to vouch for what
-// stands, though most controllers run: one of them has an empty disk, which counts for nothing. An edge that begins then
-// serves after 3 s what it was given, for it is not in touch, and the loss of control is to be no loss of service.
+// checksFor returns a function that selects the checks of a scenario. OverlappingLosses has no check of StaleReady: when more is lost
+// than the fault budget allows, perhaps no controller can confirm what is committed although most run, since one with an empty disk
+// does not count for a majority. An edge that starts then has no upstream in contact; after 3 s it serves the configuration that it
+// got, because a loss of the control plane must not stop the service.
 func checksFor(point Scenario) func(check string) bool {
 	return func(check string) bool { return point != OverlappingLosses || check != checker.StaleReady }
 }
 
-// TestWorse: days that lose more than the budget has break nothing.
+// TestWorse checks that the scenarios that lose more than the fault budget break no check.
 func TestWorse(t *testing.T) {
 	for _, point := range []Scenario{SplitInHalves, TotalPowerLoss, OverlappingLosses, DepartureWithoutDrain, MissedDeparture} {
 		for seed := range *scenarioSeedCount {
@@ -35,7 +36,8 @@
 	}
 }
 
-// TestOrdersAfterHalves: once two halves are one again, an order is acknowledged within seconds, and so is a read.
+// TestOrdersAfterHalves checks that after the end of a partition into halves an order is acknowledged and a read answered within
+// maxAckTime.
 func TestOrdersAfterHalves(t *testing.T) {
 	for seed := range *scenarioSeedCount {
 		t.Run(fmt.Sprint("seed", seed+1), func(t *testing.T) {
@@ -64,9 +66,8 @@
 	}
 }
 
-// TestEdgesAfterEverythingDark: when all machines have lost power right after an acknowledgement, and as many disks as the budget
-// has are empty, each edge serves what was acknowledged, and says that it is ready, within the time to recover. None of them
-// remembers anything.
+// TestEdgesAfterEverythingDark checks the recovery after all machines have lost power right after an acknowledgement, and some also
+// their disks: within recoveryTime each edge, which restarts without any state, serves the acknowledged revision and is ready.
 func TestEdgesAfterEverythingDark(t *testing.T) {
 	for seed := range 2 * *scenarioSeedCount {
 		t.Run(fmt.Sprint("seed", seed+1), func(t *testing.T) {
@@ -90,9 +91,9 @@
 						served = s.Revision
 					}
 				}
-				for _, said := range r.History.Readiness {
-					if said.Edge == name && said.Life == 2 && said.At <= until {
-						ready = said.Ready
+				for _, change := range r.History.Readiness {
+					if change.Edge == name && change.Incarnation == 2 && change.At <= until {
+						ready = change.Ready
 					}
 				}
 				must.Eq(t, powerLossRevision, served, must.Sprint(name))
--- a/lab/controlsim/random.go
+++ b/lab/controlsim/random.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// Times of the plans that are drawn, ns.
+// Times of random plans, ns.
 const (
 	randomPlanLength = 75 * second
-	faultsBegin      = 6 * second
-	faultsEnd        = randomPlanLength - 30*second
-	maxFaultTime     = 22 * second
-	maxSpareTime     = 2 * second // between the end of a trouble, with the time to catch up, and the next
+	faultsBegin      = 6 * second                   // earliest start of a fault
+	faultsEnd        = randomPlanLength - 30*second // no fault starts after this time
+	maxFaultTime     = 22 * second                  // of a cut; other faults are shorter
+	maxSpareTime     = 2 * second                   // maximum pause between the recovery from a fault and the next fault
 )
 
-// RandomPlan makes the plan of a seed: a workload, and faults within the budget. Of five controllers one may be lost at a time, of nine
-// two; a controller counts as lost until it has had the time to catch up.
+// RandomPlan returns the plan of a seed: a workload, and random faults within the fault budget. One of five controllers, or two of
+// nine, may be lost at a time; a controller counts as lost until it has had time to catch up. Sometimes all are lost at once.
 func RandomPlan(seed uint64) Plan {
-	draw := rand.New(rand.NewPCG(seed, 7))
+	rng := rand.New(rand.NewPCG(seed, 7))
 	p := Plan{Name: fmt.Sprint("seed ", seed), Seed: seed, Controllers: 5, Edges: 6, Replicas: 6, Length: time.Duration(randomPlanLength), Bounds: DefaultBounds,
 		Workload: Workload{OrderEvery: 600 * time.Millisecond, ReadEvery: 900 * time.Millisecond, DrainEvery: 4 * time.Second, Races: 0.15,
 			Resends: 0.15}}
 	budget := 1
-	if draw.IntN(4) == 0 {
+	if rng.IntN(4) == 0 {
 		p.Controllers, budget = 9, 2
 	}
-	if draw.IntN(3) == 0 {
-		at := randomBetween(draw, 5*second, 30*second)
-		p.Workload.Storms = append(p.Workload.Storms, Storm{At: time.Duration(at), For: 10 * time.Second, Orders: 100 + draw.IntN(200)})
+	if rng.IntN(3) == 0 {
+		at := randomBetween(rng, 5*second, 30*second)
+		p.Workload.Storms = append(p.Workload.Storms, Storm{At: time.Duration(at), For: 10 * time.Second, Orders: 100 + rng.IntN(200)})
 	}
-	d := &faultGenerator{Rand: draw, plan: &p, nextSuccessor: p.Controllers + 1}
+	d := &faultGenerator{Rand: rng, plan: &p, nextSuccessor: p.Controllers + 1}
 	for i := range p.Controllers {
 		d.controllers = append(d.controllers, controllerName(i+1))
 	}
@@ -43,19 +43,20 @@
 	return p
 }
 
-// faultGenerator draws the faults of one plan.
+// faultGenerator draws the random faults of one plan.
 type faultGenerator struct {
 	*rand.Rand
 	plan          *Plan
-	controllers   []string // deployed when the faults drawn so far are over
-	usedMachines  []string // hit by another slot: the budget counts machines
-	nextSuccessor int      // number of the next successor
+	controllers   []string // controllers that are deployed after the faults so far
+	usedMachines  []string // machines that another sequence already affects; two sequences on one machine would use less than the budget
+	nextSuccessor int      // number in the name of the next replacement controller
 }
 
+// controllerFaultKinds lists the kinds to choose from; a kind that is listed more often is more likely.
 var controllerFaultKinds = []FaultKind{Freeze, Freeze, Kill, Kill, Power, Power, Wipe, Wipe, Term, Cut, Cut, CutOut, CutOut, CutOut, CutIn, Reset, SlowLink,
 	Duplicate, DiskStall, DiskSlow, DiskFull, ReplacePlanned, ReplaceUnplanned, ReplaceUnplanned}
 
-// addSequence draws one sequence of faults, of which each begins once the one before is over.
+// addSequence adds a sequence of faults, each of which starts only after the controller of the one before has caught up.
 func (d *faultGenerator) addSequence() {
 	for at := randomBetween(d.Rand, faultsBegin, faultsBegin+8*second); at < faultsEnd; {
 		if d.IntN(10) == 0 && len(d.usedMachines) == 0 && d.plan.Controllers == 5 {
@@ -79,7 +80,7 @@
 	}
 }
 
-// addTotalLoss draws a loss of all controllers at once, and returns when it is over.
+// addTotalLoss adds the loss of all controllers at once and returns the time at which all have caught up again.
 func (d *faultGenerator) addTotalLoss(at int64) int64 {
 	f := Fault{Kind: Kill, Machine: AllControllers, At: time.Duration(at), For: time.Duration(randomBetween(d.Rand, second/2, 3*second)), Edges: d.IntN(2) == 0}
 	if d.IntN(2) == 0 {
@@ -89,7 +90,7 @@
 	return at + int64(f.For) + startSpread + int64(d.plan.Bounds.CatchUp)
 }
 
-// controllerFault draws a fault of one controller.
+// controllerFault returns a random fault of one controller.
 func (d *faultGenerator) controllerFault(at int64) Fault {
 	f := Fault{Kind: controllerFaultKinds[d.IntN(len(controllerFaultKinds))], At: time.Duration(at)}
 	for f.Machine = ""; f.Machine == "" || slices.Contains(d.usedMachines, f.Machine); {
@@ -129,7 +130,7 @@
 	return f
 }
 
-// addEdgeFaults draws troubles of edges and of the operators' answers, which no budget counts.
+// addEdgeFaults adds faults of edges and lost answers to operators, which do not count towards the fault budget.
 func (d *faultGenerator) addEdgeFaults() {
 	for range d.IntN(5) {
 		edge := edgeName(1 + d.IntN(d.plan.Edges))
--- a/lab/controlsim/scenarios.go
+++ b/lab/controlsim/scenarios.go
@@ -10,62 +10,62 @@
 	"willowsill/decide/relaytree"
 )
 
-// Scenario names what a plan is made for: one of the worst days, numbered as operators have them, or faults drawn at random.
+// Scenario identifies the type of a plan: a scripted scenario or random faults. The numbers of the scripted ones are the operators'.
 type Scenario string
 
-// The points. Point 5, callers and their connections, is no part of this simulation.
+// The scenarios. The operators' scenario 5, clients and their connections, is not simulated here.
 const (
 	RandomFaults       Scenario = "drawn"
-	IsolatedController Scenario = "1"       // a controller is cut off for some twenty seconds
-	ConflictingOrders  Scenario = "2"       // two contents under one number, and orders sent again
-	ConsecutiveLosses  Scenario = "3"       // a second loss right after a repair or a replacement
-	ThreeControllers   Scenario = "3-three" // the same where there are three controllers only
-	MissedChanges      Scenario = "4"       // hundreds of changes, and a controller that missed them
+	IsolatedController Scenario = "1"       // one controller is isolated for 20 s
+	ConflictingOrders  Scenario = "2"       // two contents are sent under one revision, and orders are repeated
+	ConsecutiveLosses  Scenario = "3"       // a controller is lost right after another one was repaired or replaced
+	ThreeControllers   Scenario = "3-three" // consecutive losses with only three controllers
+	MissedChanges      Scenario = "4"       // a controller returns after it has missed hundreds of changes
 
-	SplitInHalves         Scenario = "halves"     // the controllers are cut into two halves
-	TotalPowerLoss        Scenario = "dark"       // all machines lose power right after an acknowledgement, some their disks
-	OverlappingLosses     Scenario = "overlap"    // most controllers are lost at once, one with its disk
-	DepartureWithoutDrain Scenario = "departures" // replicas depart without draining, and their beats come late
+	SplitInHalves         Scenario = "halves"     // a partition divides the controllers into two halves
+	TotalPowerLoss        Scenario = "dark"       // all machines lose power right after an acknowledgement, and some lose their disks
+	OverlappingLosses     Scenario = "overlap"    // most controllers are lost at the same time, one with its disk
+	DepartureWithoutDrain Scenario = "departures" // replicas depart without a drain, and their heartbeats arrive late
 
-	MissedDeparture Scenario = "missed" // replicas depart while a controller is cut off, and edges begin beside it afterwards
+	MissedDeparture Scenario = "missed" // replicas depart while a controller is isolated, and edges connect to it afterwards
 )
 
-// maxStartSpread is by how much starts at once are apart at the most.
+// maxStartSpread is the maximum delay between the starts of machines that start together.
 const maxStartSpread = time.Duration(startSpread)
 
-// Scenarios are all of them.
-var Scenarios = []Scenario{RandomFaults, IsolatedController, ConflictingOrders, ConsecutiveLosses, ThreeControllers, MissedChanges, SplitInHalves, TotalPowerLoss, OverlappingLosses,
-	DepartureWithoutDrain, MissedDeparture}
+// Scenarios lists all scenarios.
+var Scenarios = []Scenario{RandomFaults, IsolatedController, ConflictingOrders, ConsecutiveLosses, ThreeControllers, MissedChanges,
+	SplitInHalves, TotalPowerLoss, OverlappingLosses, DepartureWithoutDrain, MissedDeparture}
 
-// PlanFor is the plan of a seed: every second one is drawn where that is among the points, and the others take the scripted days
-// by turns.
-func PlanFor(seed uint64, points []Scenario) Plan {
-	var days []Scenario
-	drawn := false
-	for _, p := range points {
-		if p == RandomFaults {
-			drawn = true
+// PlanFor returns the plan of a seed. If RandomFaults is among the scenarios, odd seeds get random plans; the other seeds go through
+// the scripted scenarios in turn.
+func PlanFor(seed uint64, scenarios []Scenario) Plan {
+	var scripted []Scenario
+	random := false
+	for _, s := range scenarios {
+		if s == RandomFaults {
+			random = true
 		} else {
-			days = append(days, p)
+			scripted = append(scripted, s)
 		}
 	}
-	if len(days) == 0 || drawn && seed%2 == 1 {
+	if len(scripted) == 0 || random && seed%2 == 1 {
 		return RandomPlan(seed)
 	}
 	turn := seed
-	if drawn {
+	if random {
 		turn = seed / 2
 	}
-	return ScenarioPlan(days[turn%uint64(len(days))], seed)
+	return ScenarioPlan(scripted[turn%uint64(len(scripted))], seed)
 }
 
-// ScenarioPlan is a scripted day of a point. The seed draws who is hit, and by how much the moments differ.
-func ScenarioPlan(point Scenario, seed uint64) Plan {
-	draw := rand.New(rand.NewPCG(seed, 11))
-	p := Plan{Name: fmt.Sprintf("point %s, seed %d", point, seed), Seed: seed, Controllers: 5, Edges: 6, Replicas: 5, Length: 70 * time.Second,
+// ScenarioPlan returns the plan of a scripted scenario. The seed decides which machines are affected and varies the times.
+func ScenarioPlan(scenario Scenario, seed uint64) Plan {
+	rng := rand.New(rand.NewPCG(seed, 11))
+	p := Plan{Name: fmt.Sprintf("point %s, seed %d", scenario, seed), Seed: seed, Controllers: 5, Edges: 6, Replicas: 5, Length: 70 * time.Second,
 		Bounds: DefaultBounds, Workload: Workload{OrderEvery: 500 * time.Millisecond, ReadEvery: time.Second, DrainEvery: 5 * time.Second, Resends: 0.1}}
-	d := &scenarioBuilder{draw, &p, draw.Perm(p.Controllers)}
-	switch point {
+	d := &scenarioBuilder{rng, &p, rng.Perm(p.Controllers)}
+	switch scenario {
 	case IsolatedController:
 		d.isolatedController()
 	case ConflictingOrders:
@@ -92,23 +92,24 @@
 	return p
 }
 
-// scenarioBuilder builds one scripted day.
+// scenarioBuilder builds the plan of one scripted scenario.
 type scenarioBuilder struct {
 	*rand.Rand
 	plan            *Plan
 	controllerOrder []int
 }
 
-// controller is the n-th in an order that the seed has drawn.
+// controller returns the n-th controller in the random order of the seed.
 func (d *scenarioBuilder) controller(n int) string {
 	return controllerName(d.controllerOrder[n%len(d.controllerOrder)] + 1)
 }
 
+// duration returns a random duration from low up to high.
 func (d *scenarioBuilder) duration(low, high time.Duration) time.Duration {
 	return time.Duration(randomBetween(d.Rand, int64(low), int64(high)))
 }
 
-// edgePreferring is the edge that follows a controller sooner than others do.
+// edgePreferring returns the edge that ranks a controller highest among its possible upstreams.
 func (d *scenarioBuilder) edgePreferring(controller string) (name string) {
 	var controllers []string
 	for i := range d.plan.Controllers {
@@ -127,8 +128,8 @@
 
 func (d *scenarioBuilder) addFault(f Fault) { d.plan.Faults = append(d.plan.Faults, f) }
 
-// isolatedController: one controller is cut off for 20 s while orders and drains go on, and are brought to it as well. An edge begins
-// beside it. On some days the process starts again while it is cut off.
+// isolatedController isolates one controller for 20 s. Orders and drains go on and are sent to this controller as well, and an edge
+// restarts and connects to it first. With some seeds the controller's process also restarts while it is isolated.
 func (d *scenarioBuilder) isolatedController() {
 	cut := d.controller(0)
 	at := d.duration(8*time.Second, 12*time.Second)
@@ -152,8 +153,8 @@
 	}
 }
 
-// conflictingOrders: two contents go out under one number to two controllers, at all distances, answers are lost, and what was sent goes
-// out again, right away and after newer ones.
+// conflictingOrders sends two contents under one revision to two controllers, up to 1.2 s apart, and then repeats one of them, before or
+// after newer orders. With some seeds answers are lost or a link is slow.
 func (d *scenarioBuilder) conflictingOrders() {
 	d.plan.Workload = Workload{ReadEvery: 500 * time.Millisecond, Bytes: 64}
 	if d.IntN(2) == 0 {
@@ -170,7 +171,7 @@
 		d.addOrder(at, rev, one, d.controller(i))
 		d.addOrder(at+d.duration(0, apart+time.Millisecond), rev, other, d.controller(i+1))
 		d.addOrder(at+d.duration(0, 3*time.Second), rev, []string{one, other}[d.IntN(2)], d.controller(i+2))
-		if i%6 == 5 { // eight at once
+		if i%6 == 5 { // six orders of one revision at the same time
 			for k := range 6 {
 				d.addOrder(at, rev+1, fmt.Sprint(rev+1, "/", k%2), d.controller(k))
 			}
@@ -182,7 +183,8 @@
 	d.plan.Actions = append(d.plan.Actions, Action{At: at, Do: ActionOrder, Controller: controller, Revision: revision, Content: content})
 }
 
-// consecutiveLosses: a controller is lost, or replaced, and the moment that it counts again the next is; or all lose power again and again.
+// consecutiveLosses loses or replaces one controller after the other, each as soon as the one before counts for a majority again, and
+// finally all at once. With half of the seeds it uses powerLossesAfterAcks instead.
 func (d *scenarioBuilder) consecutiveLosses() {
 	if d.IntN(2) == 0 {
 		d.powerLossesAfterAcks()
@@ -208,14 +210,14 @@
 	closing := Fault{Kind: []FaultKind{Kill, Power}[d.IntN(2)], At: at + d.duration(0, time.Second), For: 2 * time.Second, Machine: AllControllers, Edges: d.IntN(2) == 0}
 	d.addFault(closing)
 	d.plan.Replicas = 8
-	for i := range 3 { // drains that are acknowledged just before
+	for i := range 3 { // drains that are acknowledged just before the final loss
 		d.plan.Actions = append(d.plan.Actions, Action{At: closing.At - d.duration(20*time.Millisecond, 600*time.Millisecond), Do: ActionDrain, Replica: fmt.Sprint("r", i+1)})
 	}
 	d.plan.Workload.DrainEvery = 0
 }
 
-// powerLossesAfterAcks: right after an order was acknowledged all controllers lose power, and one its disk; they come back, and the same
-// befalls them again with another's disk.
+// powerLossesAfterAcks takes the power from all controllers right after an order was acknowledged, and one of them also loses its disk.
+// After they have recovered this happens again with another disk, nine times in all.
 func (d *scenarioBuilder) powerLossesAfterAcks() {
 	const rounds, down = 9, 500 * time.Millisecond
 	d.plan.Workload.OrderEvery, d.plan.Workload.DrainEvery = 0, 0
@@ -230,9 +232,9 @@
 	}
 }
 
-// threeControllers: of three controllers one misses an order; once it counts again another comes back with an empty disk, or is replaced;
-// once that one counts the third is lost, which alone of them had held the order all the time. Nothing else is sent meanwhile, for
-// that would bring the others up to date.
+// threeControllers has the first of three controllers miss an order. Once that one counts for a majority again, the second loses its
+// disk or is replaced, and once that has caught up too, the third is lost: the only one that has held the order all the time. No other
+// order is sent meanwhile, since it would update the other two.
 func (d *scenarioBuilder) threeControllers() {
 	p := d.plan
 	p.Controllers, p.Workload, p.Length = 3, Workload{}, 90*time.Second
@@ -241,8 +243,8 @@
 	names := []string{d.controller(0), d.controller(1), d.controller(2)}
 	at := 6 * time.Second
 	for n := range 2 {
-		late, emptied, holder := names[n%3], (n+1)%3, names[(n+2)%3]
-		missed := Fault{Kind: []FaultKind{Freeze, Kill, Cut}[d.IntN(3)], At: at, For: 2 * time.Second, Machine: late}
+		absent, emptied, holder := names[n%3], (n+1)%3, names[(n+2)%3]
+		missed := Fault{Kind: []FaultKind{Freeze, Kill, Cut}[d.IntN(3)], At: at, For: 2 * time.Second, Machine: absent}
 		d.addFault(missed)
 		revision := uint64(100 * (n + 1))
 		d.addOrder(at+time.Second, revision, fmt.Sprint(revision, "/held"), holder)
@@ -265,8 +267,8 @@
 	}
 }
 
-// missedChanges: hundreds of changes while one controller is away; it comes back, the next goes as soon as the budget allows it, and an
-// edge begins beside the one that came back.
+// missedChanges sends hundreds of orders while one controller is down. After its return the next controller goes down as soon as the
+// fault budget allows, and an edge restarts and connects first to the controller that has returned.
 func (d *scenarioBuilder) missedChanges() {
 	const early, late = "40/early", "40/late"
 	away := d.controller(0)
@@ -280,14 +282,14 @@
 	back := at + f.For
 	d.addFault(Fault{Kind: EdgeStartsAlongside, At: back - time.Second, For: time.Second + d.duration(0, 300*time.Millisecond), Machine: d.edgePreferring(away),
 		Others: []string{away}})
-	if d.IntN(2) == 0 { // it finds the others only a while later
+	if d.IntN(2) == 0 { // it is isolated for a while after its return
 		alone := 4 * time.Second
 		d.addFault(Fault{Kind: Cut, At: back - time.Second, For: time.Second + alone, Machine: away})
 		back += alone
 	}
 	d.addFault(Fault{Kind: []FaultKind{Kill, Wipe, Freeze}[d.IntN(3)], At: back + d.plan.Bounds.CatchUp, For: 4 * time.Second, Machine: d.controller(1)})
-	d.addOrder(10*time.Second, 40, late, d.controller(2))  // some hundred changes later: 256 are remembered
-	d.addOrder(26*time.Second, 40, early, d.controller(3)) // and hundreds later, the same that was confirmed
+	d.addOrder(10*time.Second, 40, late, d.controller(2))  // about a hundred changes later; the register remembers the newest 256 orders
+	d.addOrder(26*time.Second, 40, early, d.controller(3)) // hundreds of changes later, the same content that was acknowledged
 	if d.IntN(2) == 0 {
 		d.addFault(Fault{Kind: Power, At: back + 3*d.plan.Bounds.CatchUp, For: 2 * time.Second, Machine: AllControllers, Edges: true})
 	}
--- a/lab/controlsim/server.go
+++ b/lab/controlsim/server.go
@@ -12,27 +12,27 @@
 	"willowsill/lab/controlsim/checker"
 )
 
-// Times of a control server, ns; those of transport/controlserver, transport/peer and transport/watch.
+// Times of a control server, ns, as in transport/controlserver, transport/peer and transport/watch.
 const (
 	minTickInterval   = millisecond
-	shutdownWait      = 400 * millisecond
-	redialDelay       = 150 * millisecond
-	peerQueueLength   = 64
-	freshnessInterval = 300 * millisecond
-	followerTimeout   = 5 * second
-	heartbeatInterval = second // of replicas
-	startSpread       = 300 * millisecond
+	shutdownWait      = 400 * millisecond // between the announcement of a shutdown and the end of the process
+	redialDelay       = 150 * millisecond // after a failed attempt to connect to another controller
+	peerQueueLength   = 64                // messages that wait for the connection to another controller
+	freshnessInterval = 300 * millisecond // between two messages with the freshness to downstream edges
+	followerTimeout   = 5 * second        // a downstream edge without a report for this time is disconnected
+	heartbeatInterval = second            // between two heartbeats of a replica
+	startSpread       = 300 * millisecond // machines that start together start within this time
 )
 
-// server is a controller with what transport/controlserver puts around it. Its disk outlives its processes.
+// server is a controller with the surroundings that transport/controlserver gives it. Its disk outlives its processes.
 type server struct {
 	world     *world
 	machine   *machine
 	zone      string
 	disk      *disk
-	bootstrap bool // the next start is the first of the whole system
+	bootstrap bool // the next start is the first start of the snapshot system
 
-	controller    *controller.Controller // of the process that runs
+	controller    *controller.Controller // state machine of the current process
 	lastFreshness freshnessState
 	shuttingDown  bool
 	peers         map[string]*peerLink
@@ -42,40 +42,41 @@
 	calls         map[uint64]func(controller.Answer)
 }
 
-// peerLink is the connection to one other controller, and what waits for it.
+// peerLink is the connection to another controller, with the messages that wait for it.
 type peerLink struct {
 	conn    *connection
 	dialing bool
 	queue   []controller.Message
 }
 
-// downstreamEdges is the set of those who follow a process.
+// downstreamEdges is the set of connections over which a process sends updates to edges.
 type downstreamEdges struct{ connections []*connection }
 
-// updateMessage is what a feeder says; without an update it only says that it is there, and how fresh its state is.
+// updateMessage is a message to downstream edges. Without an update it only carries the sender's freshness.
 type updateMessage struct {
 	update    *clusterstate.Update
 	freshness clusterstate.Freshness
 }
 
-// edgeReports is what a follower says of itself and of those below it, and which configuration it holds.
+// edgeReports is a message of an edge to its upstream: the reports of the edge and of all edges downstream of it, and the revision
+// of its configuration.
 type edgeReports struct {
 	edges    []controller.EdgeReport
 	revision uint64
 }
 
-// freshnessState is what was last noted of how current a controller is.
+// freshnessState is the last recorded state from which a controller's freshness is computed.
 type freshnessState struct {
 	known           bool
-	since           int64 // on the machine's clock
+	since           int64 // time from the controller's CurrentSince, on the machine's clock
 	epoch, revision uint64
 }
 
-// publish tells all who follow. Each takes differences between fleets.
+// publish sends a message to all downstream edges, in the form for edges that accept differences between fleets.
 func (f *downstreamEdges) publish(n updateMessage) {
 	if n.update != nil {
-		told := n.update.ForWire(true)
-		n.update = &told
+		encoded := n.update.ForWire(true)
+		n.update = &encoded
 	}
 	for _, l := range slices.Clone(f.connections) {
 		l.send(1, n)
@@ -86,9 +87,11 @@
 	f.connections = slices.DeleteFunc(f.connections, func(o *connection) bool { return o == l })
 }
 
-// addController makes a controller's machine; it starts at once, or at the first start within 0.3 s of the others.
+// addController adds the machine of a controller. At the first start of the system its process starts within startSpread; otherwise
+// the caller starts it.
 func (w *world) addController(name string, first bool) *server {
-	s := &server{world: w, zone: zoneName(len(w.servers) % zones), machine: w.addMachine(name, true), disk: &disk{world: w, syncTime: randomBetween(w.rng, minSyncTime, maxSyncTime)}, bootstrap: first}
+	s := &server{world: w, zone: zoneName(len(w.servers) % zones), machine: w.addMachine(name, true),
+		disk: &disk{world: w, syncTime: randomBetween(w.rng, minSyncTime, maxSyncTime)}, bootstrap: first}
 	w.servers[name] = s
 	w.setControllers(append(slices.Clone(w.controllers), name))
 	w.history.Machines = append(w.history.Machines, checker.Machine{Name: name, IsController: true, From: w.now, Until: checker.Never})
@@ -99,13 +102,13 @@
 	return s
 }
 
-// startProcess begins a process with what the disk holds.
+// startProcess creates the controller of a new process from the content of the disk.
 func (s *server) startProcess() {
 	w, m := s.world, s.machine
 	w.processes++
-	draw := rand.New(rand.NewPCG(w.plan.Seed, 1000+uint64(w.processes)))
-	start := controller.Options{IP: m.name, Incarnation: fmt.Sprint("life", w.processes), Zone: s.zone, Regions: w.regions, Seeds: initialSeeds(), Bootstrap: s.bootstrap, ReplicaHeartbeatInterval: heartbeatInterval,
-		Random: draw.Float64}
+	rng := rand.New(rand.NewPCG(w.plan.Seed, 1000+uint64(w.processes)))
+	start := controller.Options{IP: m.name, Incarnation: fmt.Sprint("life", w.processes), Zone: s.zone, Regions: w.regions, Seeds: initialSeeds(),
+		Bootstrap: s.bootstrap, ReplicaHeartbeatInterval: heartbeatInterval, Random: rng.Float64}
 	if found := s.disk.load(); found != nil {
 		state := found.state
 		start.RegisterState, start.CommittedConfiguration, start.Rollouts, start.Replicas = &state, found.committed, found.rollouts, found.replicas
@@ -121,7 +124,7 @@
 	s.tick()
 }
 
-// tick has the controller do what is due, and sets the timer for what comes next.
+// tick runs the controller's timers that are due and schedules the next tick.
 func (s *server) tick() {
 	if now := s.machine.clock(); now >= s.controller.NextTick() {
 		s.apply(s.controller.Tick(now))
@@ -137,10 +140,10 @@
 		return
 	}
 	s.tickAt = at
-	life := m.incarnation
+	incarnation := m.incarnation
 	w.scheduleAt(at, func() {
-		if m.incarnation == life && s.tickAt == at {
-			m.dispatch(life, func() {
+		if m.incarnation == incarnation && s.tickAt == at {
+			m.dispatch(incarnation, func() {
 				s.tickAt = 0
 				s.tick()
 			})
@@ -148,18 +151,18 @@
 	})
 }
 
-// applyAndTick carries out a call of the controller.
+// applyAndTick applies the effects of a call of the controller and runs its timers that are due.
 func (s *server) applyAndTick(o controller.Effects) {
 	s.apply(o)
 	s.tick()
 }
 
-// recordFreshness notes how current the controller is.
+// recordFreshness records the state from which freshness is computed.
 func (s *server) recordFreshness() {
 	s.lastFreshness = freshnessState{true, s.controller.CurrentSince(), s.controller.Epoch(), s.controller.Revision()}
 }
 
-// freshness is what followers are told, as of now.
+// freshness returns the present freshness, as sent to downstream edges.
 func (s *server) freshness() clusterstate.Freshness {
 	fresh := clusterstate.Freshness{Epoch: s.lastFreshness.epoch, Revision: s.lastFreshness.revision}
 	if s.lastFreshness.known && s.lastFreshness.since != lease.Never {
@@ -197,7 +200,7 @@
 	}
 }
 
-// send sends to another controller as soon as there is a connection to it; the oldest of too many makes room.
+// send sends a message to another controller, or queues it until there is a connection; a full queue drops its oldest message.
 func (s *server) send(to string, m controller.Message) {
 	l := s.peers[to]
 	if l == nil {
@@ -214,7 +217,7 @@
 	s.connect(to, l)
 }
 
-// connect opens the connection; each try that fails loses the message that it was for.
+// connect opens the connection to another controller. Each failed attempt loses the first queued message.
 func (s *server) connect(to string, l *peerLink) {
 	if l.dialing || l.conn != nil || len(l.queue) == 0 {
 		return
@@ -248,11 +251,11 @@
 	c.setHandlers(1, func(m any) { s.applyAndTick(s.controller.HandleMessage(s.machine.clock(), m.(controller.Message))) }, func() {})
 }
 
-// acceptFollower feeds an edge from its first report on.
+// acceptFollower accepts the connection of a downstream edge and passes its reports to the controller.
 func (s *server) acceptFollower(c *connection) {
 	serveDownstream(s.machine, c, &s.downstream, func() updateMessage {
-		whole := s.controller.Snapshot()
-		return updateMessage{&whole, s.freshness()}
+		snapshot := s.controller.Snapshot()
+		return updateMessage{&snapshot, s.freshness()}
 	}, func(r edgeReports) {
 		for _, e := range r.edges {
 			s.applyAndTick(s.controller.HandleEdgeReport(s.machine.clock(), e))
@@ -260,48 +263,49 @@
 	})
 }
 
-// serveDownstream takes a follower's reports until it falls silent, and feeds it from the first one on.
-func serveDownstream(m *machine, c *connection, f *downstreamEdges, whole func() updateMessage, here func(edgeReports)) {
-	joined, heard := false, m.clock()
-	var look func()
-	look = func() {
+// serveDownstream handles the reports of a downstream edge until they stop for followerTimeout. With the first report the edge gets a
+// snapshot and joins the receivers of updates.
+func serveDownstream(m *machine, c *connection, edges *downstreamEdges, snapshot func() updateMessage, handle func(edgeReports)) {
+	joined, receivedAt := false, m.clock()
+	var checkTimeout func()
+	checkTimeout = func() {
 		if !c.alive[1] {
 			return
 		}
-		if m.clock()-heard >= followerTimeout {
-			f.remove(c)
+		if m.clock()-receivedAt >= followerTimeout {
+			edges.remove(c)
 			c.closeFrom(1)
 			return
 		}
-		m.timer(followerTimeout-(m.clock()-heard), look)
+		m.timer(followerTimeout-(m.clock()-receivedAt), checkTimeout)
 	}
 	c.setHandlers(1, func(message any) {
-		heard = m.clock()
+		receivedAt = m.clock()
 		if !joined {
 			joined = true
-			f.connections = append(f.connections, c)
-			first := whole()
+			edges.connections = append(edges.connections, c)
+			first := snapshot()
 			if message.(edgeReports).revision >= first.update.Revision {
 				first.update.Body = nil
 			}
 			c.send(1, first)
 		}
-		here(message.(edgeReports))
-	}, func() { f.remove(c) })
-	m.timer(followerTimeout, look)
+		handle(message.(edgeReports))
+	}, func() { edges.remove(c) })
+	m.timer(followerTimeout, checkTimeout)
 }
 
-// shutDown ends the process in order, as SIGTERM does.
+// shutDown announces the shutdown, ends the process after shutdownWait, as SIGTERM does, and calls then.
 func (s *server) shutDown(then func()) {
 	m := s.machine
-	life := m.incarnation
-	m.dispatch(life, func() {
+	incarnation := m.incarnation
+	m.dispatch(incarnation, func() {
 		s.shuttingDown = true
 		s.applyAndTick(s.controller.AnnounceShutdown(m.clock()))
 		m.timer(shutdownWait, func() {
 			s.apply(s.controller.AnnounceShutdown(m.clock()))
 			s.world.scheduleAt(s.world.now+millisecond, func() {
-				if m.incarnation == life {
+				if m.incarnation == incarnation {
 					m.stop(false)
 					then()
 				}
@@ -310,14 +314,14 @@
 	})
 }
 
-// call puts a call to the controller.
+// call runs a client's call at the controller; answer is called with the controller's answer.
 func (s *server) call(in func(now int64, id uint64) controller.Effects, answer func(controller.Answer)) {
 	s.lastCall++
 	s.calls[s.lastCall] = answer
 	s.applyAndTick(in(s.machine.clock(), s.lastCall))
 }
 
-// unpackContent unpacks a configuration that was read.
+// unpackContent returns the name of the content of a packed configuration.
 func unpackContent(body []byte) string {
 	raw, ok := clusterstate.Unpack(body)
 	if !ok {
@@ -326,7 +330,7 @@
 	return contentName(string(raw))
 }
 
-// contentName is the name of a content: its first word. The rest is there for its length.
+// contentName returns the name of a content, which is its first word; the rest is filler for the wanted size.
 func contentName(content string) string {
 	name, _, _ := strings.Cut(content, " ")
 	return name
--- a/lab/controlsim/shrink.go
+++ b/lab/controlsim/shrink.go
@@ -4,9 +4,9 @@
 	"slices"
 )
 
-// Shrink removes faults and acts from a plan that breaks a check, for as long as it still does: first many at a time, then fewer
-// (delta debugging). What is left breaks the same check, and none of its faults can be left out alone. broken tells which checks
-// a plan breaks.
+// Shrink removes faults, actions and storms from a plan that breaks a check, as long as the rest still breaks it: first many at a time,
+// then fewer (delta debugging). No single fault of the result can be removed without losing the failure. broken returns the names of
+// the checks that a plan breaks.
 func Shrink(p Plan, check string, broken func(Plan) []string) Plan {
 	breaks := func(q Plan) bool { return slices.Contains(broken(q), check) }
 	p.Faults = reduce(p.Faults, func(rest []Fault) bool {
@@ -27,7 +27,7 @@
 	return p
 }
 
-// reduce finds a part of a list, its order kept, that still breaks.
+// reduce returns a smaller part of a list, in the same order, for which breaks still returns true.
 func reduce[T any](list []T, breaks func([]T) bool) []T {
 	for chunk := (len(list) + 1) / 2; len(list) > 0 && chunk > 0; {
 		removed := false
@@ -49,7 +49,7 @@
 	return list
 }
 
-// BrokenChecks plays a plan and names the checks that it breaks.
+// BrokenChecks simulates a plan and returns the names of the checks that it breaks.
 func BrokenChecks(p Plan) []string {
 	r, err := Run(p, nil)
 	if err != nil {
--- a/lab/controlsim/world.go
+++ b/lab/controlsim/world.go
@@ -1,6 +1,7 @@
-// Package controlsim plays a control cluster in virtual time from one seed: controllers with their disks, edges, operators and
-// replicas. The state machines are the true ones of decide/, unchanged; sockets, disks, clocks and processes are simulated here as
-// transport/ has them. What operators, replicas and edges saw goes to lab/controlsim/checker, which shares no code with decide/.
+// Package controlsim simulates a control cluster deterministically from one seed, in virtual time: controllers with their disks,
+// edges, operators and replicas. It runs the state machines of decide/ unchanged, and simulates sockets, disks, clocks and processes
+// with the behaviour of transport/. A run records what operators, replicas and edges observe, and lab/controlsim/checker, which
+// shares no code with decide/, checks this history.
 package controlsim
 
 import (
@@ -17,36 +18,36 @@
 const (
 	millisecond   = int64(time.Millisecond)
 	second        = int64(time.Second)
-	seedCount     = 3
-	maxClockDrift = 0.001 // by how much a machine's steady clock runs fast or slow at the most
+	seedCount     = 3     // controllers that a machine's settings name as seeds
+	maxClockDrift = 0.001 // maximum relative error of a machine's monotonic clock, in either direction
 )
 
-// world is one run.
+// world is the state of one run.
 type world struct {
 	plan            Plan
 	now             int64 // true time, ns
-	agenda          *eventqueue.Queue
+	events          *eventqueue.Queue
 	sequence        uint64
 	network         *network
 	machines        map[string]*machine
-	machineNames    []string // of machines, in the order of their making
+	machineNames    []string // of the machines, in the order in which they were added
 	servers         map[string]*server
 	edges           map[string]*edge
 	controllers     []string // controllers that are deployed now
 	controllerLists []controllerList
 	replicas        []*replica
 	history         checker.History
-	rng             *rand.Rand // of disks, processes and clients
+	rng             *rand.Rand // random source of disks, processes and clients; the network has its own
 	regions         locality.Regions
 	orders          []*order
-	highestRevision uint64 // revision that an operator has given out
-	answerLosses    int    // faults under way that lose answers
+	highestRevision uint64 // highest revision that an operator has sent
+	answerLosses    int    // number of active faults that lose answers
 	processes       int
-	faultsAfterAck  map[uint64][]Fault // that begin after a revision is acknowledged
+	faultsAfterAck  map[uint64][]Fault // faults that start after a revision's first acknowledgement
 	trace           func(at int64, who, what string)
 }
 
-// startFaultsAfterAck has the faults begin that wait for a revision.
+// startFaultsAfterAck schedules the faults that start after a revision's first acknowledgement.
 func (w *world) startFaultsAfterAck(revision uint64) {
 	for _, f := range w.faultsAfterAck[revision] {
 		w.scheduleAfter(int64(f.At), func() { w.startFault(f) })
@@ -54,13 +55,13 @@
 	delete(w.faultsAfterAck, revision)
 }
 
-// controllerList is which controllers were deployed from a time on.
+// controllerList is the list of deployed controllers from a time on.
 type controllerList struct {
 	at          int64
 	controllers []string
 }
 
-// operatorList is the operators' list of controllers, which lags.
+// operatorList returns the operators' list of controllers, which is controllerListLag old.
 func (w *world) operatorList() []string {
 	list := w.controllerLists[0].controllers
 	for _, l := range w.controllerLists {
@@ -71,20 +72,20 @@
 	return list
 }
 
-// setControllers notes that the controllers are others than before.
+// setControllers records a changed list of deployed controllers.
 func (w *world) setControllers(core []string) {
 	w.controllers = core
 	w.controllerLists = append(w.controllerLists, controllerList{w.now, core})
 }
 
-// randomSeeds are what a settings file names when it is written now: three of the operators' list.
+// randomSeeds returns the seeds of a settings file that is written now: random controllers of the operators' list.
 func (w *world) randomSeeds() []string {
 	list := slices.Clone(w.operatorList())
 	w.rng.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
 	return list[:min(seedCount, len(list))]
 }
 
-// initialSeeds are the same for all machines at the first start.
+// initialSeeds returns the seeds of the first start, which are the same for all machines.
 func initialSeeds() (names []string) {
 	for i := range seedCount {
 		names = append(names, controllerName(i+1))
@@ -92,7 +93,7 @@
 	return names
 }
 
-// Result is what became of a run.
+// Result is the outcome of a run: counts of requests, violations and the recorded history.
 type Result struct {
 	Plan         Plan
 	Violations   []checker.Violation
@@ -104,7 +105,7 @@
 	History      checker.History
 }
 
-// FirstBroken is the first check that failed, empty where none did.
+// FirstBroken returns the name of the first check that failed, or an empty string.
 func (r Result) FirstBroken() string {
 	if len(r.Violations) == 0 {
 		return ""
@@ -112,7 +113,7 @@
 	return r.Violations[0].Check
 }
 
-// Run plays a plan and checks what was seen. trace, where given, is told what happens.
+// Run simulates a plan and checks its history. trace, if not nil, is called with each event of interest; at is in ns of virtual time.
 func Run(p Plan, trace func(at int64, who, what string)) (Result, error) {
 	if err := p.Validate(); err != nil {
 		return Result{}, err
@@ -120,7 +121,7 @@
 	w := newWorld(p, trace)
 	end := int64(p.Length)
 	for {
-		e, ok := w.agenda.Pop(end)
+		e, ok := w.events.Pop(end)
 		if !ok {
 			break
 		}
@@ -144,7 +145,7 @@
 }
 
 func newWorld(p Plan, trace func(int64, string, string)) *world {
-	w := &world{plan: p, agenda: eventqueue.New(0), machines: map[string]*machine{}, servers: map[string]*server{},
+	w := &world{plan: p, events: eventqueue.New(0), machines: map[string]*machine{}, servers: map[string]*server{},
 		edges: map[string]*edge{}, faultsAfterAck: map[uint64][]Fault{},
 		regions: locality.Regions{zoneName(0): "west", zoneName(1): "west", zoneName(2): "east"}, rng: rand.New(rand.NewPCG(p.Seed, 1)), trace: trace}
 	w.network = newNetwork(w, rand.New(rand.NewPCG(p.Seed, 2)))
@@ -173,19 +174,19 @@
 func edgeName(n int) string       { return fmt.Sprint("e", n) }
 func zoneName(n int) string       { return fmt.Sprint("zone", n+1) }
 
-// Controllers stand in all zones by turns, edges in the first ones, which are of one region.
+// Controllers are assigned to all zones in turn, edges to the first zones only, which are in one region.
 const (
 	zones     = 3
 	edgeZones = 2
 )
 
-// scheduleAt has something done at a time.
+// scheduleAt runs do at a given time.
 func (w *world) scheduleAt(when int64, do func()) {
 	w.sequence++
-	w.agenda.Push(eventqueue.Event{At: max(when, w.now), Seq: w.sequence, Payload: do})
+	w.events.Push(eventqueue.Event{At: max(when, w.now), Seq: w.sequence, Payload: do})
 }
 
-// scheduleAfter has something done once so much time has gone by.
+// scheduleAfter runs do after a delay.
 func (w *world) scheduleAfter(delay int64, do func()) { w.scheduleAt(w.now+delay, do) }
 
 func (w *world) tracef(who, format string, values ...any) {
@@ -194,7 +195,7 @@
 	}
 }
 
-// randomBetween draws a time from a range.
-func randomBetween(draw *rand.Rand, low, high int64) int64 {
-	return low + draw.Int64N(max(high-low, 1))
+// randomBetween returns a random duration from low up to high.
+func randomBetween(rng *rand.Rand, low, high int64) int64 {
+	return low + rng.Int64N(max(high-low, 1))
 }
