--- a/lab/controllercheck/controllercheck.go
+++ b/lab/controllercheck/controllercheck.go
@@ -1,11 +1,11 @@
-// Package controllercheck explores whole controllers: the changes of members that they make among themselves, orders,
-// departures and what followers are told. lab/modelcheck has every order of events of the register alone; controllers have
-// timers, and no such search would end. So this one is bounded by how far a play may go from the punctual one, in which
-// each message takes its time and nothing fails: all plays with one deviation are made, and of those with two as many as asked.
+// Package controllercheck explores schedules of events of whole controllers: membership changes, orders, drains and the updates sent
+// to edges. lab/modelcheck explores every order of events of the register alone; controllers have timers, so such a search would
+// not end. This search is bounded by the deviations from the schedule in which each message takes its usual time and nothing fails:
+// it runs all schedules with one deviation, and a given number of those with two.
 //
-// A deviation befalls one event: a message is late, lost or comes twice, a save fails or hangs, or the machine that the event
-// comes to is killed, loses power, or its disk as well. After the deviations everything goes well, and in the end the
-// controllers have to be whole again.
+// A deviation affects one event: a message is late, lost or duplicated, a save fails or is late, or the machine that receives the
+// event is killed, or loses its power or its disk. Nothing fails after the deviations, and at the end the controllers must have
+// recovered completely.
 package controllercheck
 
 import (
@@ -16,25 +16,25 @@
 	"sync/atomic"
 )
 
-// Deviation is what befalls one event of a play.
+// Deviation is a fault of one event of a schedule.
 type Deviation struct {
-	Event int // counted from the beginning of the scope
+	Event int // number of the event among those that may have a deviation
 	Kind  Kind
 }
 
-// Kind of a deviation.
+// Kind is the type of a deviation.
 type Kind uint8
 
-// The kinds. The last three befall the machine that the event comes to. A save under way is lost with a kill as with the
-// power, which is the harsher of what may become of it, so those two are one in effect.
+// The kinds of deviations. The last three affect the machine that receives the event. A save that is not finished is lost with a kill
+// too, which is the worse of the two possibilities, so Killed and Unpowered have the same effect.
 const (
-	Late     Kind = iota // the event comes 900 ms later
-	VeryLate             // it comes 3 s later
-	Lost                 // a message never comes, a save fails
-	Twice                // it comes again 300 ms later
+	Late     Kind = iota // the event happens 900 ms later
+	VeryLate             // the event happens 3 s later
+	Lost                 // a message is lost, or a save fails
+	Twice                // a message is delivered again 300 ms later
 	Killed
 	Unpowered
-	Emptied
+	Emptied // loses its power and its disk
 	kindCount
 )
 
@@ -56,52 +56,53 @@
 	return strings.Join(words, ", ")
 }
 
-// Violation is a promise that a play broke.
+// Violation is an invariant that a schedule broke.
 type Violation struct {
 	Schedule Schedule
 	Text     string
 }
 
-// Result is what an exploration found.
+// Result is the result of an exploration.
 type Result struct {
 	Scope string
 	Runs  int64
-	First *Violation // nil where nothing is broken
+	First *Violation // nil if no invariant is broken
 }
 
 func (r Result) String() string {
 	if r.First == nil {
-		return fmt.Sprintf("%s: %d plays, nothing broken", r.Scope, r.Runs)
+		return fmt.Sprintf("%s: %d schedules, nothing broken", r.Scope, r.Runs)
 	}
-	return fmt.Sprintf("%s: %d plays, broken: %s (%s)", r.Scope, r.Runs, r.First.Text, r.First.Schedule)
+	return fmt.Sprintf("%s: %d schedules, broken: %s (%s)", r.Scope, r.Runs, r.First.Text, r.First.Schedule)
 }
 
-// Explore makes all plays of a scope with one deviation, and of those with two so many at the most, evenly among them.
+// Explore runs all schedules of a scope with one deviation, and up to pairs of those with two, evenly chosen among them.
 func Explore(s Scope, pairs, cores int) Result {
 	x := &exploration{scope: s, result: Result{Scope: s.Name}}
 	events := x.run(nil)
-	var one, two []Schedule
-	x.extend(nil, events, func(p Schedule) { one = append(one, p) })
-	x.runAll(cores, one)
+	var single, double []Schedule
+	x.extend(nil, events, func(p Schedule) { single = append(single, p) })
+	x.runAll(cores, single)
 	all := 0
-	for _, p := range one {
+	for _, p := range single {
 		x.extend(p, events, func(Schedule) { all++ })
 	}
 	stride, n := max(all/max(pairs, 1), 1), 0
-	for _, p := range one {
-		// How many events a play has after its first deviation is known once it was made. The punctual one's number serves: a
-		// deviation of an event that does not come is none.
+	for _, p := range single {
+		// The number of events after the first deviation is known only after the run. The number without deviations is good enough:
+		// a deviation of an event that never happens has no effect.
 		x.extend(p, events, func(q Schedule) {
 			if n++; n%stride == 0 && pairs > 0 {
-				two = append(two, q)
+				double = append(double, q)
 			}
 		})
 	}
-	x.runAll(cores, two)
+	x.runAll(cores, double)
 	x.result.Runs = x.runs.Load()
 	return x.result
 }
 
+// exploration is the shared state of the goroutines of one Explore.
 type exploration struct {
 	scope  Scope
 	runs   atomic.Int64
@@ -109,7 +110,7 @@
 	result Result
 }
 
-// extend visits the plays that go on from one by one more deviation, later than its last one.
+// extend calls visit with each schedule that has one more deviation than p, at an event after p's last one.
 func (x *exploration) extend(p Schedule, events int, visit func(Schedule)) {
 	from := 0
 	if len(p) > 0 {
@@ -125,7 +126,7 @@
 	}
 }
 
-// runAll has plays made on so many cores, until one is broken.
+// runAll runs schedules in as many goroutines as cores, until one breaks an invariant.
 func (x *exploration) runAll(cores int, plays []Schedule) {
 	var at atomic.Int64
 	var all sync.WaitGroup
@@ -149,7 +150,7 @@
 	return x.result.First != nil
 }
 
-// run makes one play, notes what it broke, and returns how many events could have had a deviation.
+// run runs one schedule, records the first violation, and returns the number of events that could have had a deviation.
 func (x *exploration) run(p Schedule) int {
 	w := newWorld(x.scope, p)
 	w.run()
--- a/lab/controllercheck/controllercheck_test.go
+++ b/lab/controllercheck/controllercheck_test.go
@@ -11,9 +11,9 @@
 	"willowsill/lab/modelcheck/planted"
 )
 
-var pairs = flag.Int("pairs", 400, "plays with two deviations, of each scope")
+var pairs = flag.Int("pairs", 400, "number of schedules with two deviations in each scope")
 
-// TestScopes: no play with a deviation breaks a promise, nor does any with two of those that are made.
+// TestScopes checks that no schedule with one deviation breaks an invariant, nor one of the chosen schedules with two.
 func TestScopes(t *testing.T) {
 	for _, s := range Scopes {
 		t.Run(s.Name, func(t *testing.T) {
@@ -32,7 +32,7 @@
 	callersFile    = "decide/controller/callers.go"
 )
 
-// TestMutants: controllers with one defence taken out break a promise in the scope named.
+// TestMutants checks that the search finds known faults: controllers with one safeguard removed break an invariant in the named scope.
 func TestMutants(t *testing.T) {
 	edit := func(file, was, is string) []planted.Edit { return []planted.Edit{{File: file, Old: was, New: is}} }
 	for _, m := range []planted.Mutant{
--- a/lab/controllercheck/invariants.go
+++ b/lab/controllercheck/invariants.go
@@ -10,17 +10,17 @@
 	"willowsill/decide/registry"
 )
 
-// What is promised: checked at each answer, at each word to followers, and in the end.
+// This file has the invariants, which are checked at each answer, at each update to edges, and at the end.
 
 const (
 	statusOK       = 200
 	statusConflict = 409
 )
 
-// checkAnswer checks an answer to a caller.
+// checkAnswer checks an answer to a client.
 func (w *world) checkAnswer(a controller.Answer) {
-	c, asked := w.calls[a.Call]
-	if !asked {
+	c, pending := w.calls[a.Call]
+	if !pending {
 		w.violate("call %d is answered twice, or was never made", a.Call)
 		return
 	}
@@ -37,7 +37,7 @@
 	}
 }
 
-// checkOrder: one content a number is acknowledged at the most, and it is on a majority's disks.
+// checkOrder checks that at most one content is acknowledged under a revision, and that a majority's disks hold it.
 func (w *world) checkOrder(a Action, status int) {
 	content, known := w.acknowledged[a.Revision]
 	switch status {
@@ -55,20 +55,20 @@
 	}
 }
 
-// checkRead: nothing older is read than what was acknowledged before the question.
+// checkRead checks that a read does not return a configuration older than one that was acknowledged before the read.
 func (w *world) checkRead(c call, a controller.Answer) {
 	if a.Status != statusOK {
 		return
 	}
 	raw, _ := clusterstate.Unpack(a.Body)
-	// Anything newer than what is acknowledged may be read.
+	// A read may return a configuration that is newer than the acknowledged one.
 	if string(raw) == w.acknowledged[1] && w.newestAcknowledged > 1 && w.acknowledgedBefore(c.sent) {
 		w.violate("a read returns the first configuration, after revision %d was acknowledged", w.newestAcknowledged)
 	}
 }
 
-// acknowledgedBefore is true where the newest revision's order ended before a time. Orders of a scope are seldom: those that
-// wait are the ones that did not.
+// acknowledgedBefore reports whether no order from before a time still waits for its answer. The few orders of a scope make this a
+// good enough test that the newest acknowledgement came before that time.
 func (w *world) acknowledgedBefore(at int64) bool {
 	for _, c := range w.calls {
 		if c.action.Do == Order && c.sent <= at {
@@ -78,23 +78,24 @@
 	return true
 }
 
-// checkUpdate: followers are taken back by nobody, hear of nothing that does not stand, and of one list of members an epoch.
+// checkUpdate checks an update that a controller sends to edges: its revision never goes back, it has the acknowledged content, and a
+// majority's disks hold it.
 func (w *world) checkUpdate(m *machine, u clusterstate.Update) {
 	if u.Revision == 0 {
 		return
 	}
 	if u.Revision < m.highestSent {
-		w.violate("%s takes its followers back from %d to %d", m.name, m.highestSent, u.Revision)
+		w.violate("%s sends its edges back from revision %d to %d", m.name, m.highestSent, u.Revision)
 	}
 	m.highestSent = u.Revision
-	m.follower.Apply(u)
-	if content, known := w.acknowledged[u.Revision]; known && string(m.follower.Raw) != content {
-		w.violate("%s tells another content of %d than was acknowledged", m.name, u.Revision)
+	m.edgeState.Apply(u)
+	if content, known := w.acknowledged[u.Revision]; known && string(m.edgeState.Raw) != content {
+		w.violate("%s sends other content of revision %d than was acknowledged", m.name, u.Revision)
 	}
-	w.checkCommitted(u.Revision, "is told to followers of "+m.name)
+	w.checkCommitted(u.Revision, "is sent to edges of "+m.name)
 }
 
-// checkEpoch: an epoch has one list of members, and no controller goes back to an earlier one.
+// checkEpoch checks that each epoch has one list of members, and that no controller goes back to an earlier epoch.
 func (w *world) checkEpoch(m *machine) {
 	value := m.controller.Committed()
 	if value.Epoch == 0 {
@@ -111,8 +112,9 @@
 	}
 }
 
-// checkCommitted: a revision, or a higher one, is on the disks of a majority of some value's members, old and new. A disk that
-// was emptied counts for nothing until the others have told it, so it takes nothing from a majority.
+// checkCommitted checks that a revision, or a higher one, is on the disks of a majority of some value's members, and of its former
+// members during a change. A machine with an empty disk counts as holding it, since it takes no part in a majority until it has caught
+// up with the others.
 func (w *world) checkCommitted(revision uint64, what string) {
 	for _, name := range w.names {
 		disk := w.machines[name].disk
@@ -128,10 +130,10 @@
 			return
 		}
 	}
-	w.violate("revision %d %s and is on no majority's disks", revision, what)
+	w.violate("revision %d %s and is on the disks of no majority", revision, what)
 }
 
-// checkDrain: an acknowledged drain is in the saved lists of a majority.
+// checkDrain checks that an acknowledged drain is in the saved replica lists of a majority.
 func (w *world) checkDrain() {
 	saved := func(name string) bool {
 		m := w.machines[name]
@@ -148,8 +150,8 @@
 	}
 }
 
-// checkRecovered: in the end there is one list of members, of as many as there have to be, all live; each of them holds what was
-// acknowledged.
+// checkRecovered checks the end of a run: all controllers that run agree on one list of enough members, none of which was removed, hold
+// what was acknowledged, and are in contact with a majority.
 func (w *world) checkRecovered() {
 	var agreed register.Value
 	for _, name := range w.names {
@@ -162,22 +164,22 @@
 			agreed = value
 		}
 		if value.Epoch != agreed.Epoch || describeMembers(value) != describeMembers(agreed) {
-			w.violate("in the end %s knows epoch %d with %s, another %d with %s", name, value.Epoch, describeMembers(value), agreed.Epoch, describeMembers(agreed))
+			w.violate("at the end %s has epoch %d with %s, another controller has epoch %d with %s", name, value.Epoch, describeMembers(value), agreed.Epoch, describeMembers(agreed))
 			return
 		}
 		if value.Revision < w.newestAcknowledged {
-			w.violate("in the end %s knows revision %d; %d was acknowledged", name, value.Revision, w.newestAcknowledged)
+			w.violate("at the end %s has revision %d; %d was acknowledged", name, value.Revision, w.newestAcknowledged)
 		}
 		if !m.controller.InContact() {
-			w.violate("in the end %s is in contact with no majority of %s", name, describeMembers(value))
+			w.violate("at the end %s is in contact with no majority of %s", name, describeMembers(value))
 		}
 	}
 	if len(agreed.Prior) > 0 || len(agreed.Members) < w.scope.Size {
-		w.violate("in the end the members are %s, %d are wanted", describeMembers(agreed), w.scope.Size)
+		w.violate("at the end the members are %s, want %d of them", describeMembers(agreed), w.scope.Size)
 	}
 	for _, name := range agreed.Members {
 		if m := w.machines[name]; m == nil || m.removed {
-			w.violate("in the end %s is a member, which is gone (%s)", name, strings.Join(agreed.Members, " "))
+			w.violate("at the end %s is a member though it was removed (%s)", name, strings.Join(agreed.Members, " "))
 		}
 	}
 }
--- a/lab/controllercheck/scopes.go
+++ b/lab/controllercheck/scopes.go
@@ -1,24 +1,24 @@
 package controllercheck
 
-// Times of a play, ns.
+// Times of a run, ns.
 const (
 	millisecond      = 1_000_000
 	second           = 1000 * millisecond
 	latency          = 10 * millisecond
 	syncTime         = 5 * millisecond
-	settleTime       = 2 * second  // until the script of a scope begins
-	recoveryTime     = 12 * second // after which everything has to be whole again
+	settleTime       = 2 * second  // before the scope's actions begin
+	recoveryTime     = 12 * second // after the scope's window; then all controllers must have recovered
 	restartDelay     = 600 * millisecond
 	lateDelay        = 900 * millisecond
 	veryLateDelay    = 3 * second
 	duplicateDelay   = 300 * millisecond
 	receiveBlockTime = 4500 * millisecond
-	shutdownWait     = 900 * millisecond // between the word that a machine leaves and its end
+	shutdownWait     = 900 * millisecond // between the announcement of a shutdown and the end of the process
 )
 
-// Action is what befalls or is asked of a machine at a time of the script.
+// Action is a scripted fault of a machine, or a request to it.
 type Action struct {
-	At       int64 // since the script began
+	At       int64 // since the actions began, ns
 	Machine  string
 	Do       ActionKind
 	Revision uint64
@@ -26,33 +26,33 @@
 	Replica  string
 }
 
-// ActionKind of an act.
+// ActionKind is the type of an action.
 type ActionKind uint8
 
-// The deeds.
+// The kinds of actions.
 const (
-	Start    ActionKind = iota // a machine with an empty disk
-	Leave                      // in order, for good, after a while
-	Remove                     // it loses power for good
+	Start    ActionKind = iota // a machine with an empty disk starts
+	Leave                      // the machine announces its shutdown and ends after shutdownWait, for good
+	Remove                     // the machine loses power for good
 	Order                      // an operator sends a configuration
-	Read                       // an operator reads it back
-	Drain                      // a replica says that it drains
-	PowerAll                   // all lose power, and come back
+	Read                       // an operator reads the configuration
+	Drain                      // a replica announces that it drains
+	PowerAll                   // all machines lose power and come back after restartDelay
 )
 
-// Scope is a small system and what happens in it.
+// Scope is a small system and its scripted actions.
 type Scope struct {
 	Name         string
-	Members      []string // with disks that hold revision 1
+	Members      []string // controllers whose disks hold revision 1 at the start
 	Actions      []Action
-	From         int64  // events from this time of the script on may have deviations,
-	Window       int64  // up to this one
-	MaxEmptied   int    // disks that deviations may empty
-	Size         int    // members that there have to be in the end
-	BlockReceive string // hears nobody from the moment on at which it begins to change the members, for a while
+	From         int64  // time since the actions began from which events may have deviations
+	Window       int64  // time since the actions began until which events may have deviations
+	MaxEmptied   int    // maximum number of disks that deviations may empty
+	Size         int    // minimum number of members at the end
+	BlockReceive string // machine that receives nothing for receiveBlockTime after it begins to change the members
 }
 
-// mayEmptyDisk tells whether one more disk may be emptied after the deviations of a play.
+// mayEmptyDisk reports whether one more disk may be emptied after the deviations of a schedule.
 func (s Scope) mayEmptyDisk(p Schedule) bool {
 	n := 0
 	for _, d := range p {
@@ -63,7 +63,7 @@
 	return n < s.MaxEmptied
 }
 
-// Scopes are all of them.
+// Scopes lists all scopes.
 var Scopes = []Scope{
 	{Name: "replacement", Members: []string{"a", "b", "c"}, Window: 3500 * millisecond, Size: 3, Actions: []Action{
 		{At: 0, Machine: "c", Do: Remove},
--- a/lab/controllercheck/world.go
+++ b/lab/controllercheck/world.go
@@ -12,18 +12,18 @@
 	"willowsill/decide/registry"
 )
 
-// event is something that comes to a machine.
+// event is something that happens at a machine.
 type event struct {
 	at          int64
 	sequence    int
 	to          string
-	incarnation int  // of the machine that it is for; 0 for any
-	mayDeviate  bool // it may have a deviation
+	incarnation int  // of the machine's process that the event is for; 0 for any
+	mayDeviate  bool // the event may have a deviation
 	onLoss      func()
 	deliver     func()
 }
 
-// events is a heap, the soonest first.
+// events is a heap of events, the earliest first.
 type events []*event
 
 func (e events) Len() int { return len(e) }
@@ -32,10 +32,10 @@
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push adds an event.
+// Push appends an event, for container/heap.
 func (e *events) Push(x any) { *e = append(*e, x.(*event)) }
 
-// Pop takes the last one off.
+// Pop removes and returns the last event, for container/heap.
 func (e *events) Pop() any {
 	old := *e
 	last := old[len(old)-1]
@@ -48,36 +48,36 @@
 	name           string
 	controller     *controller.Controller
 	up, removed    bool
-	receiveBlocked bool // it hears nobody, and is heard
+	receiveBlocked bool // messages to it are lost, messages from it arrive
 	incarnation    int
-	disk           *controller.Save // nil for an empty one
+	disk           *controller.Save // last save; nil for an empty disk
 	replicas       []registry.Record
-	follower       *clusterstate.State
-	highestSent    uint64 // highest revision that followers of this life were told
-	epoch          uint64 // highest of a value that this life called committed
+	edgeState      *clusterstate.State // state of an edge that gets the updates of this process
+	highestSent    uint64              // highest revision that this process has sent to edges
+	epoch          uint64              // highest epoch of a value that this process considered committed
 }
 
-// call is something that a caller waits for.
+// call is a client's request without an answer so far.
 type call struct {
 	action Action
 	sent   int64
 }
 
-// world is one play.
+// world is the state of the run of one schedule.
 type world struct {
 	scope              Scope
 	schedule           Schedule
 	now                int64
 	queue              events
 	sequence           int
-	eligibleEvents     int // events so far that could have had a deviation
+	eligibleEvents     int // number of events so far that could have had a deviation
 	machines           map[string]*machine
 	names              []string
 	calls              map[uint64]call
 	lastCall           uint64
-	acknowledged       map[uint64]string   // contents by revision that were acknowledged
-	epochs             map[uint64][]string // members by epoch, of committed values
-	newestAcknowledged uint64              // acknowledged revision
+	acknowledged       map[uint64]string   // acknowledged contents by revision
+	epochs             map[uint64][]string // members of committed values, by epoch
+	newestAcknowledged uint64              // newest acknowledged revision
 	receiveBlockUsed   bool
 	violation          string
 }
@@ -123,12 +123,12 @@
 		start.RegisterState, start.CommittedConfiguration, start.Replicas = &state, m.disk.CommittedConfiguration, m.replicas
 	}
 	m.controller = controller.New(w.now, start)
-	m.follower = clusterstate.NewState()
-	m.follower.Apply(m.controller.Snapshot())
+	m.edgeState = clusterstate.NewState()
+	m.edgeState.Apply(m.controller.Snapshot())
 	w.tick(m)
 }
 
-// tick has a machine's timer go off when it is due. Timers have no deviations: a message that is late has the same effect.
+// tick schedules the next tick of a machine's controller. Timers have no deviations, since late messages have the same effect.
 func (w *world) tick(m *machine) {
 	w.scheduleAt(max(m.controller.NextTick(), w.now+millisecond), &event{to: m.name, incarnation: m.incarnation, deliver: func() {
 		w.apply(m, m.controller.Tick(w.now))
@@ -136,7 +136,7 @@
 	}})
 }
 
-// run plays the scope to its end.
+// run runs the scope to its end.
 func (w *world) run() {
 	end := settleTime + w.scope.Window + recoveryTime
 	for len(w.queue) > 0 && w.violation == "" {
@@ -159,6 +159,7 @@
 	}
 }
 
+// deliver runs an event, unless its machine is down or has another process now.
 func (w *world) deliver(e *event) {
 	if e.to != "" {
 		m := w.machines[e.to]
@@ -169,7 +170,7 @@
 	e.deliver()
 }
 
-// deviate has something befall an event.
+// deviate applies a deviation to an event.
 func (w *world) deviate(e *event, kind Kind) {
 	again := *e
 	again.mayDeviate = false
@@ -192,7 +193,8 @@
 	}
 }
 
-// crash ends a machine's process; what was not saved is lost. It comes back, with an empty disk where that went too.
+// crash ends a machine's process without the saves that are not finished, and restarts it after restartDelay, with an empty disk if
+// emptied is set.
 func (w *world) crash(m *machine, emptied bool) {
 	if !m.up {
 		return
@@ -208,7 +210,7 @@
 	}})
 }
 
-// apply does what a controller asks for.
+// apply carries out the effects that a controller returned, and checks the invariants.
 func (w *world) apply(m *machine, o controller.Effects) {
 	if s := o.Save; s != nil {
 		saved := func(err error) {
@@ -224,7 +226,7 @@
 	w.blockReceive(m, o.Log)
 	for _, s := range o.Sends {
 		for _, to := range s.To {
-			// Heartbeats have deviations as well: contact, duties and readiness go by them.
+			// Heartbeats may have deviations as well, since contact, the lease and readiness depend on them.
 			w.scheduleAt(w.now+latency, &event{to: to, mayDeviate: true, deliver: func() {
 				if y := w.machines[to]; !y.receiveBlocked {
 					w.apply(y, y.controller.HandleMessage(w.now, s.Message))
@@ -242,11 +244,11 @@
 	w.checkEpoch(m)
 }
 
-// changingMembers is what a controller logs as it begins to do so.
+// changingMembers is the log message of a controller that begins to change the members.
 const changingMembers = "changing the members"
 
-// blockReceive has the machine that the scope names hear nobody once it has begun to change the members. The others hear it, and
-// one of them takes the duty over.
+// blockReceive blocks all messages to the scope's machine once it has begun to change the members. Its own messages still arrive, and
+// another controller becomes the lease holder.
 func (w *world) blockReceive(m *machine, log []controller.LogLine) {
 	begins := slices.ContainsFunc(log, func(l controller.LogLine) bool { return l.Text == changingMembers })
 	if !begins || m.name != w.scope.BlockReceive || w.receiveBlockUsed {
@@ -256,7 +258,7 @@
 	w.scheduleAt(w.now+receiveBlockTime, &event{deliver: func() { m.receiveBlocked = false }})
 }
 
-// runAction does what the script says.
+// runAction runs a scripted action.
 func (w *world) runAction(a Action) {
 	switch a.Do {
 	case Start:
@@ -287,7 +289,7 @@
 	}
 }
 
-// call has a caller ask a machine.
+// call sends a client's request to a machine.
 func (w *world) call(m *machine, a Action) {
 	w.lastCall++
 	id := w.lastCall
--- a/lab/modelcheck/explore.go
+++ b/lab/modelcheck/explore.go
@@ -8,15 +8,15 @@
 	"sync/atomic"
 )
 
-// Result is what an exploration found.
+// Result is the result of an exploration.
 type Result struct {
 	Scope  string
 	States int64    // number of different states visited
 	Steps  int64    // number of transitions taken
-	Depth  int      // of the search, breadth first; 0 depth first
+	Depth  int      // depth of a breadth-first search; 0 for a depth-first one
 	All    bool     // every state of the scope was visited
 	Broken string   // the invariant that was found broken, empty for none
-	Trace  []string // the events that lead there; breadth first a shortest list
+	Trace  []string // the events that lead there; the shortest possible list if the search was breadth-first
 }
 
 // String returns the result in a line, with the trace below it.
@@ -31,16 +31,16 @@
 	return text
 }
 
-// keySet is a set of states' keys of a fixed capacity. Any number of goroutines may add to it at once.
+// keySet is a set of keys of states with a fixed capacity. It is safe for concurrent use.
 type keySet struct {
 	slots []atomic.Uint64
 	mask  uint64
 	n     atomic.Int64
 }
 
-func newKeySet(most int64) *keySet {
+func newKeySet(capacity int64) *keySet {
 	size := uint64(1 << 10)
-	for size < uint64(most)*3/2 {
+	for size < uint64(capacity)*3/2 {
 		size *= 2
 	}
 	return &keySet{slots: make([]atomic.Uint64, size), mask: size - 1}
@@ -63,7 +63,7 @@
 	}
 }
 
-// path is the list of events that led to a state, the last one first.
+// path is the list of events that led to a state, as a linked list from the last event to the first.
 type path struct {
 	before *path
 	event  event
@@ -82,19 +82,19 @@
 	path *path
 }
 
-// BreadthFirst explores a scope level by level, so that the first broken invariant comes with a shortest trace. It
-// stops once it has visited most states. 0 workers stand for one a core.
-func BreadthFirst(s Scope, most int64, workers int) Result {
+// BreadthFirst explores a scope breadth-first, so that the first broken invariant has the shortest possible trace. It
+// stops after maxStates states. 0 workers stand for one for each core.
+func BreadthFirst(s Scope, maxStates int64, workers int) Result {
 	x := newExploration(s)
 	r := Result{Scope: s.Name, All: true}
-	known := newKeySet(most + most/8)
+	known := newKeySet(maxStates + maxStates/8)
 	level := []node{{x.begin(known), &path{}}}
 	var steps atomic.Int64
 	for len(level) > 0 && r.Broken == "" {
 		var mu sync.Mutex
 		var next []node
 		x.each(workers, len(level), func(worker *worker, i int) {
-			var mine []node
+			var local []node
 			worker.next(level[i].w, func(e event, w *world, err error) bool {
 				steps.Add(1)
 				if err != nil {
@@ -105,16 +105,16 @@
 					}
 					return false
 				}
-				if known.n.Load() < most && known.add(w.key()) {
-					mine = append(mine, node{w, &path{level[i].path, e, level[i].path.depth + 1}})
+				if known.n.Load() < maxStates && known.add(w.key()) {
+					local = append(local, node{w, &path{level[i].path, e, level[i].path.depth + 1}})
 				}
 				return true
 			})
 			mu.Lock()
-			next = append(next, mine...)
+			next = append(next, local...)
 			mu.Unlock()
 		})
-		r.All = r.All && known.n.Load() < most
+		r.All = r.All && known.n.Load() < maxStates
 		if level = next; len(level) > 0 {
 			r.Depth++
 		}
@@ -123,7 +123,7 @@
 	return r
 }
 
-// each calls do for every number below n, spread over the workers.
+// each calls do for every number below n, distributed over several workers.
 func (x *exploration) each(workers, n int, do func(*worker, int)) {
 	if workers <= 0 {
 		workers = runtime.NumCPU()
@@ -155,17 +155,17 @@
 	return w
 }
 
-// maxLocalStates is how many states a worker keeps before it shares them with idle ones.
+// maxLocalStates is the number of states that a worker keeps to itself; with more, it gives half of them to idle workers.
 const maxLocalStates = 64
 
 // DepthFirst explores a scope depth first, with little memory for each state, for large scopes. It stops once it has
-// visited most states. progress, if not nil, is called now and then with the number of states so far.
-func DepthFirst(s Scope, most int64, workers int, progress func(states int64)) Result {
+// visited maxStates states. progress, if not nil, is called now and then with the number of states so far.
+func DepthFirst(s Scope, maxStates int64, workers int, progress func(states int64)) Result {
 	if workers <= 0 {
 		workers = runtime.NumCPU()
 	}
 	x := newExploration(s)
-	known := newKeySet(most + most/8)
+	known := newKeySet(maxStates + maxStates/8)
 	r := Result{Scope: s.Name, All: true}
 	var mu sync.Mutex
 	wake := sync.NewCond(&mu)
@@ -175,9 +175,9 @@
 	for range workers {
 		all.Go(func() {
 			worker := x.newWorker()
-			var mine []node
+			var local []node
 			for {
-				if len(mine) == 0 {
+				if len(local) == 0 {
 					mu.Lock()
 					waiting++
 					for len(pool) == 0 && !over && waiting < workers {
@@ -191,17 +191,17 @@
 					}
 					waiting--
 					n := max(len(pool)/workers, 1)
-					mine = append(mine, pool[len(pool)-n:]...)
+					local = append(local, pool[len(pool)-n:]...)
 					pool = pool[:len(pool)-n]
 					mu.Unlock()
 				}
-				from := mine[len(mine)-1]
-				mine = mine[:len(mine)-1]
+				from := local[len(local)-1]
+				local = local[:len(local)-1]
 				worker.next(from.w, func(e event, w *world, err error) bool {
 					steps.Add(1)
 					if err == nil {
-						if n := known.n.Load(); n < most && known.add(w.key()) {
-							mine = append(mine, node{w, &path{from.path, e, 0}})
+						if n := known.n.Load(); n < maxStates && known.add(w.key()) {
+							local = append(local, node{w, &path{from.path, e, 0}})
 							if n++; progress != nil && n%(1<<22) == 0 {
 								progress(n)
 							}
@@ -217,24 +217,24 @@
 					wake.Broadcast()
 					return false
 				})
-				if known.n.Load() >= most {
-					r.All = false // every worker writes the same
+				if known.n.Load() >= maxStates {
+					r.All = false // several workers may write this, all the same value
 					mu.Lock()
 					over = true
 					wake.Broadcast()
 					mu.Unlock()
 					return
 				}
-				if len(mine) > maxLocalStates || over {
+				if len(local) > maxLocalStates || over {
 					mu.Lock()
 					if over {
 						mu.Unlock()
 						return
 					}
 					if waiting > 0 {
-						n := len(mine) / 2
-						pool = append(pool, mine[:n]...)
-						mine = append(mine[:0], mine[n:]...)
+						n := len(local) / 2
+						pool = append(pool, local[:n]...)
+						local = append(local[:0], local[n:]...)
 						wake.Broadcast()
 					}
 					mu.Unlock()
--- a/lab/modelcheck/modelcheck_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -7,25 +7,25 @@
 	"github.com/shoenig/test/must"
 )
 
-var only = flag.String("scope", "", "the scope that TestScopes explores; all that CI has time for where it is not said")
+var only = flag.String("scope", "", "the only scope that TestScopes explores, with more states; without it all scopes with the states that CI has time for")
 
 const (
-	ciStates     = 15_000 // states of a scope that CI sees
-	mutantStates = 60_000 // and that a mutant has to show in
+	ciStates     = 15_000 // states of each scope that CI explores
+	mutantStates = 60_000 // states within which the tests of lab/modelcheck/planted must find their mutants, breadth-first
 )
 
-// TestScopes: nothing promised is broken in any order of events.
+// TestScopes checks that no explored order of events breaks an invariant.
 func TestScopes(t *testing.T) {
 	for _, s := range Scopes {
 		if *only == "" || s.Name == *only {
-			most := int64(ciStates)
+			maxStates := int64(ciStates)
 			if *only != "" {
-				most = mutantStates
+				maxStates = mutantStates
 			}
-			r := BreadthFirst(s, most, 0)
+			r := BreadthFirst(s, maxStates, 0)
 			t.Log(r)
 			must.Eq(t, "", r.Broken)
-			if *only != "" { // what lies deep is found sooner so
+			if *only != "" { // a depth-first search finds faults that need many events sooner
 				r = DepthFirst(s, 5*mutantStates, 0, nil)
 				t.Log(r)
 				must.Eq(t, "", r.Broken)
--- a/lab/modelcheck/scopes.go
+++ b/lab/modelcheck/scopes.go
@@ -1,6 +1,6 @@
 package modelcheck
 
-// Scopes are small systems that are explored whole, or as far as is said.
+// Scopes lists small systems, which are explored completely or up to a given number of states.
 var Scopes = []Scope{
 	{Name: "two contents", Members: three, Rounds: 2, Ops: []Op{
 		{At: "a", Revision: 5, Body: "x"}, {At: "b", Revision: 5, Body: "y"}}},
--- a/lab/modelcheck/step.go
+++ b/lab/modelcheck/step.go
@@ -10,44 +10,43 @@
 	"willowsill/decide/register"
 )
 
-// The kinds of events: an operation begins, a message is delivered, a proposer's timer fires, a joiner asks again, a
-// disk has synced, a machine loses power, a machine loses power and its disk.
+// The kinds of events.
 const (
-	eventOp uint8 = iota + 1
-	eventDeliver
-	eventTick
-	eventJoin
-	eventSync
-	eventCrash
-	eventWipe
+	eventOp      uint8 = iota + 1 // an operation begins
+	eventDeliver                  // a message is delivered
+	eventTick                     // a proposer's timer fires
+	eventJoin                     // a joiner asks the other machines again
+	eventSync                     // a disk has synced
+	eventCrash                    // a machine loses power and restarts
+	eventWipe                     // a machine loses power and its disk, and restarts
 )
 
-// committedNotice is the kind of the message by which controllers tell each other, beside the register's own messages,
-// that a value is committed.
+// committedNotice is the kind of the messages with which controllers notify each other of committed values. They are not part of
+// the register's own messages.
 const committedNotice register.Kind = 99
 
-// event leads from a state to the next.
+// event is a transition from one state to the next.
 type event struct {
 	kind    uint8
-	subject uint32 // the operation, the message's number, or the machine
+	subject uint32 // the index of the operation, the number of the message, or the index of the machine
 }
 
-// worker computes the states that follow a state. Each goroutine of an exploration has its own.
+// worker computes the successors of a state. Each goroutine of an exploration has its own.
 type worker struct {
 	*exploration
 	key []byte
-	ids map[string]uint32 // numbers of the messages met, by their keys
+	ids map[string]uint32 // numbers of the messages that this worker has met, by their keys
 }
 
 func (x *exploration) newWorker() *worker { return &worker{exploration: x, ids: map[string]uint32{}} }
 
-// message returns a message's number.
-func (s *worker) message(from, to, life int, m register.Message) uint32 {
-	s.key = m.Key(append(s.key[:0], byte(from), byte(to), byte(life)))
+// message returns the number of a message; equal messages have the same number.
+func (s *worker) message(from, to, incarnation int, m register.Message) uint32 {
+	s.key = m.Key(append(s.key[:0], byte(from), byte(to), byte(incarnation)))
 	id, ok := s.ids[string(s.key)]
 	if !ok {
 		key := string(s.key)
-		id = s.messages.number(key, func() *message { return &message{from, to, life, m, xxhash.Sum64String(key)} })
+		id = s.messages.number(key, func() *message { return &message{from, to, incarnation, m, xxhash.Sum64String(key)} })
 		s.ids[key] = id
 	}
 	return id
@@ -91,7 +90,7 @@
 	}
 }
 
-// membersCaughtUp returns whether every member's disk counts: a further one may be lost only then.
+// membersCaughtUp reports whether every member's disk counts for a majority. Only then another disk may be lost.
 func (s *worker) membersCaughtUp(w *world) bool {
 	return !slices.ContainsFunc(w.machines[:len(s.Members)], func(m *machine) bool { return !m.savedCaughtUp })
 }
@@ -104,6 +103,7 @@
 	err     error
 }
 
+// do builds the state after an event, checks it, and calls visit unless the event changed nothing.
 func (s *worker) do(from *world, e event, visit func(event, *world, error) bool) bool {
 	w := *from
 	w.machines = slices.Clone(from.machines)
@@ -195,11 +195,11 @@
 }
 
 func (t *transition) send(from, to int, m register.Message) {
-	life := 0
+	incarnation := 0
 	if m.Kind > register.Query && !t.LateAnswers {
-		life = t.w.machines[to].incarnation
+		incarnation = t.w.machines[to].incarnation
 	}
-	t.emit(t.message(from, to, life, m))
+	t.emit(t.message(from, to, incarnation, m))
 }
 
 // emit adds a message to those that were sent. A message of a machine to itself is delivered at once.
@@ -261,7 +261,7 @@
 	return false
 }
 
-// deliver delivers a message. An answer to a former life of the receiver is dropped, unless the scope says otherwise.
+// deliver delivers a message. An answer to a former incarnation of the receiver is dropped, unless the scope says otherwise.
 func (t *transition) deliver(p *message) {
 	if p.incarnation > 0 && p.incarnation != t.w.machines[p.to].incarnation {
 		return
@@ -301,11 +301,11 @@
 	m.proposer.CacheState(m.disk.State)
 	clean := m.savedCaughtUp && sameBallots(m.saved, m.disk.State)
 	if t.SlowDisks && !clean && !t.AnswerBeforeSync {
-		life := 0
+		incarnation := 0
 		if !t.LateAnswers {
-			life = t.w.machines[from].incarnation
+			incarnation = t.w.machines[from].incarnation
 		}
-		id := t.message(to, from, life, answer)
+		id := t.message(to, from, incarnation, answer)
 		if !slices.Contains(m.pendingAnswers, id) {
 			m.pendingAnswers = append(m.pendingAnswers, id)
 			slices.Sort(m.pendingAnswers)
@@ -336,7 +336,7 @@
 	}
 }
 
-// carryOut sends what a proposer asks for, and checks the values that it reports as committed.
+// carryOut sends a proposer's messages, and checks the values that it reports as committed.
 func (t *transition) carryOut(i int, out register.Out) {
 	m := t.machine(i)
 	if b := out.Send.Ballot; len(out.To) > 0 && out.Send.Kind != register.Accept && b != m.last {
@@ -356,26 +356,26 @@
 	}
 }
 
-// noteCommitted records that a value was acknowledged or read, and checks it against those before: one content a
-// revision, and no operation returns less than was acknowledged before it began.
+// noteCommitted records that a value was acknowledged or read, and checks it against the values before: a revision has one
+// content, and no operation returns a lower revision than was acknowledged before it began.
 func (t *transition) noteCommitted(v register.Value, floor uint64) {
 	body := slices.Index(t.bodies, string(v.Body))
 	if was, ok := t.w.committed[v.Revision]; ok && was != body {
-		t.err = fmt.Errorf("revision %d stands with %q and with %q", v.Revision, t.bodies[was], v.Body)
+		t.err = fmt.Errorf("revision %d is committed with %q and with %q", v.Revision, t.bodies[was], v.Body)
 		return
 	} else if !ok {
 		t.w.committed = maps.Clone(t.w.committed)
 		t.w.committed[v.Revision] = body
 	}
 	if v.Revision < floor {
-		t.err = fmt.Errorf("revision %d was acknowledged before an operation began that found %d standing", floor, v.Revision)
+		t.err = fmt.Errorf("revision %d was acknowledged before an operation began that found revision %d", floor, v.Revision)
 	}
 	t.w.floor = max(t.w.floor, v.Revision)
 }
 
-// checkDurable checks that what was acknowledged outlives the loss of all power: no majority of disks that count may
-// be without it. Which other disks are lost with the power makes no difference: the rest either is a majority, or
-// answers nothing.
+// checkDurable checks that an acknowledged revision survives the loss of all power: no majority of disks that have caught up may
+// lack it. It doesn't matter which other disks are lost with the power: the remaining ones either are a majority or answer
+// nothing.
 func (t *transition) checkDurable() error {
 	if t.w.floor == 0 {
 		return nil
@@ -391,7 +391,7 @@
 			}
 		}
 		if all && best.Value.Revision < t.w.floor && best.Value.Quorum(func(name string) bool { return set&(1<<t.number[name]) != 0 }) {
-			return fmt.Errorf("revision %d was acknowledged, and a majority is left that holds no more than %d", t.w.floor, best.Value.Revision)
+			return fmt.Errorf("revision %d was acknowledged, but a majority holds only revision %d", t.w.floor, best.Value.Revision)
 		}
 	}
 	return nil
@@ -406,19 +406,19 @@
 		case Put:
 			return fmt.Sprintf("%s is sent revision %d with %q", o.At, o.Revision, o.Body)
 		case Read:
-			return fmt.Sprintf("%s is asked for what stands", o.At)
+			return fmt.Sprintf("%s gets a read", o.At)
 		}
-		return fmt.Sprintf("%s takes %s in for %q", o.At, o.In, o.Out)
+		return fmt.Sprintf("%s replaces the member %[3]q by %[2]s", o.At, o.In, o.Out)
 	case eventDeliver:
 		p := x.messages.get(e.subject)
-		return fmt.Sprintf("%s hears from %s: %s", x.names[p.to], x.names[p.from], Describe(p.m))
+		return fmt.Sprintf("%s receives from %s: %s", x.names[p.to], x.names[p.from], Describe(p.m))
 	}
-	return x.names[e.subject] + map[uint8]string{eventTick: ": its timer fires", eventJoin: " asks to be whole again",
+	return x.names[e.subject] + map[uint8]string{eventTick: ": its timer fires", eventJoin: " asks again to catch up",
 		eventSync: ": its disk has synced", eventCrash: " loses power and is back", eventWipe: " loses power and its disk, and is back"}[e.kind]
 }
 
 var kinds = map[register.Kind]string{register.Prepare: "prepare", register.Accept: "accept", register.Query: "query",
-	register.Promised: "promised", register.Accepted: "accepted", register.Refused: "refused", register.Reported: "holds", committedNotice: "what stands"}
+	register.Promised: "promised", register.Accepted: "accepted", register.Refused: "refused", register.Reported: "holds", committedNotice: "committed value"}
 
 // Describe returns a message in a few words, for a trace.
 func Describe(m register.Message) string {
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -17,38 +17,38 @@
 	"willowsill/decide/register"
 )
 
-// Kind of an operation.
+// Kind is the type of an operation.
 type Kind uint8
 
-// The operations: an operator's write, an operator's read, and a change of the members.
+// The kinds of operations.
 const (
-	Put Kind = iota
-	Read
-	ReplaceMember
+	Put           Kind = iota // an operator writes a configuration
+	Read                      // an operator reads the configuration
+	ReplaceMember             // the members change
 )
 
-// Op is one operation, carried out once at most, at any moment, by the machine At. Its caller hears nothing
-// where that machine loses power first.
+// Op is one operation, which the machine At runs at most once, at any moment. Its caller gets no answer if that machine loses
+// power first.
 type Op struct {
 	At       string
 	Kind     Kind
 	Revision uint64 // of a Put
 	Body     string // of a Put
-	Out, In  string // of a ReplaceMember: members; an empty Out adds In
+	Out, In  string // of a ReplaceMember: the former and the new member; an empty Out only adds In
 }
 
-// Scope is a system to explore: its machines, the operations asked of it and the faults that may happen to it.
+// Scope is a system to explore: its machines, operations and possible faults.
 type Scope struct {
 	Name             string
-	Members          []string // at the first start, with disks that hold that
-	Spare            []string // machines that come with empty disks, and join
+	Members          []string // members at the first start, whose disks hold this list
+	Spare            []string // machines that start with empty disks and join
 	Ops              []Op
-	Crashes          int  // losses of power of one machine each, which is up again at once: for how long it is down shows in what reaches it late
-	Wipes            int  // the same with the disk lost; never a second one before the first has caught up
-	Rounds           int  // questions or ballots that one life of a proposer may begin
-	SlowDisks        bool // a disk's sync is a step of its own; else it comes with what it covers
-	LateAnswers      bool // answers to a former life of a machine reach the next one
-	AnswerBeforeSync bool // a mutant: answers leave before the sync that covers them
+	Crashes          int  // number of times that a machine loses power; it restarts at once, since late messages have the same effect as a longer downtime
+	Wipes            int  // number of times that a machine loses power and its disk; never a second one before the first has caught up
+	Rounds           int  // queries and ballots that one incarnation of a proposer may start
+	SlowDisks        bool // a disk's sync is an event of its own; otherwise each write is synced at once
+	LateAnswers      bool // answers to a former incarnation of a machine reach its next one
+	AnswerBeforeSync bool // a deliberate fault for lab/modelcheck/planted: answers are sent before the sync that covers them
 }
 
 // messageTable gives every message a number, so that a set of messages is a short list. It is safe for concurrent use;
@@ -61,7 +61,7 @@
 
 type message struct {
 	from, to    int
-	incarnation int // of the receiver that an answer is for, 0 for any
+	incarnation int // incarnation of the receiver that an answer is for, 0 for any
 	m           register.Message
 	hash        uint64
 }
@@ -90,33 +90,33 @@
 
 // machine is one controller. It is never changed in place.
 type machine struct {
-	disk           register.Acceptor // as its process knows it
-	saved          register.State    // as the disk holds it
-	savedCaughtUp  bool              // whether the saved state counts for a majority
+	disk           register.Acceptor // the disk as the process has written it
+	saved          register.State    // the synced state
+	savedCaughtUp  bool              // the synced state counts for a majority
 	pendingAnswers []uint32          // answers that wait for the next sync
 	proposer       *register.Proposer
 	joiner         *register.Joiner
 	incarnation    int
-	rounds         int // questions and ballots that its proposer began in this life
-	last           register.Ballot
-	op             int    // that runs, + 1
-	floor          uint64 // the highest revision acknowledged anywhere as that op began
+	rounds         int             // queries and ballots that its proposer has started in this incarnation
+	last           register.Ballot // ballot of the last one
+	op             int             // 1 + index of the operation that is running, 0 for none
+	floor          uint64          // the highest revision that was acknowledged when that operation began
 	hash           uint64
 }
 
 // world is one state of the whole system. It is never changed in place.
 type world struct {
 	machines  []*machine
-	sent      []uint32 // every message ever sent, in order of their numbers: each may come at any time, or again
+	sent      []uint32 // all messages sent so far, by number; each may be delivered at any time, repeatedly or never
 	sentHash  uint64
-	begun     uint32 // operations, a bit each
+	begun     uint32 // operations that have begun, a bit for each
 	crashes   int
 	wipes     int
 	floor     uint64         // the highest revision acknowledged or read
-	committed map[uint64]int // by revision: the index of the body that was acknowledged or read
+	committed map[uint64]int // index of the body that was acknowledged or read, by revision
 }
 
-// exploration is what all states of an exploration share.
+// exploration is what all workers of an exploration share.
 type exploration struct {
 	Scope
 	names    []string
@@ -139,6 +139,7 @@
 	return x
 }
 
+// fixedRandom replaces the random numbers of a proposer, whose delays don't matter here.
 func fixedRandom() float64 { return 0.5 }
 
 func (x *exploration) incarnationName(name string, n int) string { return fmt.Sprint(name, "/", n) }
@@ -173,6 +174,7 @@
 	m.proposer.CacheState(m.saved)
 }
 
+// rehash recomputes the machine's hash; key is a buffer for reuse.
 func (m *machine) rehash(key []byte) []byte {
 	key = m.saved.Key(m.disk.State.Key(key[:0]))
 	key = append(key, byte(m.incarnation), byte(m.rounds), byte(m.op), byte(m.floor))
@@ -194,7 +196,7 @@
 	return key
 }
 
-// key returns a hash of the state, never 0. Two different states share one with a probability of 2^-64.
+// key returns a hash of the state, never 0. Two different states have the same hash with a probability of 2^-64.
 func (w *world) key() uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/lab/rolloutcheck/rolloutcheck.go
+++ b/lab/rolloutcheck/rolloutcheck.go
@@ -1,7 +1,7 @@
-// Package rolloutcheck plays every order of events of one rollout in a small scope: two edges, two versions, one change of the
-// duty, one message that is lost, and an operator who takes the rollout back at any moment or not at all. What it drives is
-// the set and the managers of decide/rollout themselves; verdicts on answers are left out, since the operator's word can come
-// whenever a verdict could.
+// Package rolloutcheck explores every order of events of one rollout in a small system: two edges, two versions, one change of the
+// lease holder, one lost message, and an operator who aborts the rollout at any moment or never. It runs the rollout set and the
+// managers of decide/rollout unchanged. The detector of bad versions is left out, since the operator's abort can come at every
+// moment at which the detector could end the rollout.
 //
 // Decides: which events may come next, which states are the same, and whether an invariant is broken.
 package rolloutcheck
@@ -17,37 +17,37 @@
 	second         = 1_000_000_000 // ns
 	edges          = 2
 	managers       = 2
-	number         = 1 // of the rollout
-	deadline       = 9 // seconds by which it has to have ended
-	maxRequestTime = 2 // seconds that a request may be under way
-	replicas       = 4 // of either version
+	number         = 1 // number of the rollout
+	deadline       = 9 // time by which the rollout must have ended, s
+	maxRequestTime = 2 // maximum time of a request, s
+	replicas       = 4 // replicas of each version
 )
 
 var edgeNames = [edges]string{"a", "b"}
 
-// edge is one edge: the set that it goes by, and the request that it has under way at a replica of the old version.
+// edge is one edge with the rollout set that it uses and its request in flight at a replica of the old version, if any.
 type edge struct {
 	set         rollout.Set
-	oldInFlight int // 0 or 1
-	oldSince    int // the second in which it was sent
+	oldInFlight int // requests in flight at the old version, 0 or 1
+	oldSince    int // time at which that request was sent, s
 	seq         uint64
-	acted       bool // in this second
+	acted       bool // it has had its turn in the present second
 }
 
-// world is one state.
+// world is one state of the system.
 type world struct {
-	now           int // s
+	now           int // present time, s
 	set           rollout.Set
 	edges         [edges]edge
 	managers      [managers]*rollout.Manager
-	holder        int // of the duty
+	holder        int // index of the manager of the lease holder
 	holderChanged bool
-	messageLost   bool                      // the one message
-	proposed      [managers]*rollout.Change // decided by each, and not yet come to the register
+	messageLost   bool                      // the one message that may be lost was lost
+	proposed      [managers]*rollout.Change // the change that each manager has decided and that has not reached the register yet
 	trace         *step
 }
 
-// step is one event of a trace.
+// step is one event of a trace, linked to the events before it.
 type step struct {
 	before *step
 	event  string
@@ -61,14 +61,14 @@
 	return all
 }
 
-// Result is what an exploration found.
+// Result is the result of an exploration.
 type Result struct {
 	States int
-	Broken string   // the invariant, empty for none
-	Trace  []string // the events that lead there, a shortest list
+	Broken string   // the broken invariant, empty for none
+	Trace  []string // a shortest list of events that leads there
 }
 
-// start is the rollout as the switch has just come to stand: no edge has heard of it yet.
+// start returns the state just after the register has committed the switch of all traffic to the new version; no edge has received it yet.
 func start() world {
 	var before rollout.Set
 	set, _, _ := rollout.Set{}.Begin(rollout.Order{Service: "s", Target: "v2", OverMs: 4000})
@@ -88,6 +88,7 @@
 	return w
 }
 
+// clone returns a copy of the state that an event will change.
 func (w world) clone(event string) world {
 	for i, m := range w.managers {
 		w.managers[i] = m.Copy()
@@ -96,6 +97,7 @@
 	return w
 }
 
+// key returns an encoding of the state; states with equal keys are the same.
 func (w *world) key() string {
 	b := []byte{byte(w.now), byte(w.holder), flag(w.holderChanged), flag(w.messageLost)}
 	for _, p := range w.proposed {
@@ -121,7 +123,7 @@
 	return 0
 }
 
-// admitsOldVersion tells whether an edge may begin to send to a replica of the old version.
+// admitsOldVersion reports whether an edge may send new requests to a replica of the old version.
 func (w *world) admitsOldVersion(e int) bool {
 	r, _ := w.edges[e].set.NewestOf("s")
 	for i := range replicas {
@@ -132,7 +134,7 @@
 	return false
 }
 
-// successors are the states that one event leads to.
+// successors returns the states that one event leads to.
 func (w *world) successors() (all []world) {
 	for e := range edges {
 		if !w.edges[e].acted {
@@ -141,19 +143,19 @@
 	}
 	for m, p := range w.proposed {
 		if p != nil {
-			n := w.clone(fmt.Sprintf("a step of controller %d comes to the register", m))
+			n := w.clone(fmt.Sprintf("a change of controller %d reaches the register", m))
 			n.commit(*p)
 			n.proposed[m] = nil
 			all = append(all, n)
 		}
 	}
-	if aborted, changed := w.set.Abort("s", "an operator's word"); changed {
-		n := w.clone("an operator takes it back")
+	if aborted, changed := w.set.Abort("s", "an operator's abort"); changed {
+		n := w.clone("an operator aborts the rollout")
 		n.applySet(aborted)
 		all = append(all, n)
 	}
 	if !w.holderChanged {
-		n := w.clone("the duty changes hands")
+		n := w.clone("the lease holder changes")
 		n.holderChanged, n.holder = true, 1
 		all = append(all, n)
 	}
@@ -165,20 +167,20 @@
 	return all
 }
 
-// edgeAction is what one edge does.
+// edgeAction is one thing that an edge does.
 type edgeAction uint8
 
 const (
-	receive edgeAction = iota // of the newest step
-	report                    // to the holder of the duty
-	send                      // to the old version
-	answer                    // comes from the old version
+	receive edgeAction = iota // the newest rollout set
+	report                    // to the lease holder's manager
+	send                      // a request to the old version
+	answer                    // from the old version arrives
 )
 
 var actionNames = [...]string{"hears", "reports", "sends to the old version", "is answered by the old version"}
 
-// actionOrders are the orders of what an edge in touch does in a second: it hears and reports once each, in either order, and one
-// of the two may be lost; a request begins or ends before, between or after these, or none does.
+// actionOrders returns the possible sequences of what a connected edge does in a second: it receives the set and reports once each, in
+// either order, and one of the two messages may be lost; a request begins or ends before, between or after these, or none does.
 func actionOrders() (all [][]edgeAction) {
 	for _, messages := range [][]edgeAction{{receive, report}, {report, receive}, {receive}, {report}} {
 		all = append(all, messages)
@@ -193,7 +195,7 @@
 
 var allActionOrders = actionOrders()
 
-// edgeTurns are the states that a second at one edge leads to.
+// edgeTurns returns the states after one edge's turn in a second.
 func (w *world) edgeTurns(e int) (all []world) {
 	for _, order := range allActionOrders {
 		lost := !slices.Contains(order, receive) || !slices.Contains(order, report)
@@ -215,7 +217,7 @@
 	return all
 }
 
-// perform has an edge do one thing; false where it cannot.
+// perform has an edge do one thing. It returns false if the edge cannot do it now.
 func (w *world) perform(e int, a edgeAction) bool {
 	edge := &w.edges[e]
 	switch a {
@@ -237,7 +239,7 @@
 	return true
 }
 
-// report has an edge tell the holder of the duty what it goes by and has under way.
+// report sends the lease holder's manager an edge's version of the set and its requests in flight at the old version.
 func (w *world) report(e int) {
 	edge := &w.edges[e]
 	edge.seq++
@@ -250,18 +252,18 @@
 
 func (w *world) nanoseconds() int64 { return int64(w.now) * second }
 
-// secondMayPass tells whether all has happened that has to in each second while the edges are in touch.
+// secondMayPass reports whether everything has happened that happens in each second while the edges are connected.
 func (w *world) secondMayPass() bool {
 	for _, e := range w.edges {
 		if !e.acted || e.oldInFlight > 0 && w.now-e.oldSince >= maxRequestTime {
 			return false
 		}
 	}
-	// A step of whoever holds the duty comes to the register within a second; one of the former holder at any time.
+	// A change of the lease holder reaches the register within a second; one of the former holder may reach it at any time.
 	return w.now < deadline && w.proposed[w.holder] == nil
 }
 
-// passSecond lets a second pass, after which the holder of the duty decides.
+// passSecond lets a second pass; then the lease holder's manager decides.
 func (w *world) passSecond() {
 	w.now++
 	for e := range w.edges {
@@ -274,13 +276,14 @@
 	}
 }
 
-// commit brings a step to the register.
+// commit applies a change to the set in the register, if the set accepts it.
 func (w *world) commit(c rollout.Change) {
 	if set, changed := w.set.Apply(c); changed {
 		w.applySet(set)
 	}
 }
 
+// applySet makes a set the committed one and passes it to the managers.
 func (w *world) applySet(set rollout.Set) {
 	w.set = set
 	for _, m := range w.managers {
@@ -288,7 +291,7 @@
 	}
 }
 
-// brokenInvariant names the invariant that is broken, empty for none. before is the phase in the state before.
+// brokenInvariant describes the invariant that is broken, empty for none. before is the rollout's phase in the state before.
 func (w *world) brokenInvariant(before rollout.Phase) string {
 	r, _ := w.set.NewestOf("s")
 	if before != rollout.Active && r.Phase != before {
@@ -296,13 +299,13 @@
 	}
 	for e := range w.edges {
 		if w.edges[e].set.Version > w.set.Version {
-			return "an edge leads"
+			return "an edge has a newer set than the register"
 		}
 		if r.Phase == rollout.Complete && before == rollout.Active && (w.edges[e].oldInFlight > 0 || w.admitsOldVersion(e)) {
 			return "complete while edge " + edgeNames[e] + " uses the old version"
 		}
 		if held, _ := w.edges[e].set.NewestOf("s"); held.Phase == rollout.Reverted && held.Admits(edgeNames[e], "new0", "v2") {
-			return "a version that was taken back is open at edge " + edgeNames[e]
+			return "a reverted version is open at edge " + edgeNames[e]
 		}
 	}
 	if w.now >= deadline && r.Phase == rollout.Active {
@@ -311,7 +314,7 @@
 	return ""
 }
 
-// Explore visits every state.
+// Explore visits every state, breadth first, until an invariant is broken.
 func Explore() (result Result) {
 	first := start()
 	seen := map[string]bool{first.key(): true}
--- a/lab/rolloutcheck/rolloutcheck_test.go
+++ b/lab/rolloutcheck/rolloutcheck_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestAllOrders: in no order of events is a rollout complete while an edge uses the old version, a version open that was
-// taken back, an end undone, or a rollout stuck.
+// TestAllOrders checks that in no order of events a rollout completes while an edge uses the old version, a reverted version is open,
+// an ended rollout becomes active again, or a rollout never ends.
 func TestAllOrders(t *testing.T) {
 	result := Explore()
 	t.Log(result.States, "states")
