--- a/internal/ci/cleanbuild/cleanbuild_test.go
+++ b/internal/ci/cleanbuild/cleanbuild_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// cgoPackage is a module whose program wants a C compiler, a header and the C library.
+// cgoPackage is a program that needs a C compiler, a header and the C library.
 const cgoPackage = `package main
 
 // #include <stdlib.h>
@@ -17,7 +17,7 @@
 func main() { C.free(nil) }
 `
 
-// repository writes a module with one deploy file, and returns its root.
+// repository writes a module with one deploy file to a temporary folder, and returns its root.
 func repository(t *testing.T, deploy string) string {
 	root := t.TempDir()
 	for name, text := range map[string]string{"go.mod": "module m\n\ngo 1.26\n", "main.go": cgoPackage, "deploy.toml": deploy} {
@@ -28,7 +28,7 @@
 
 const buildLine = "build = \"CGO_ENABLED=1 go build -buildvcs=false -ldflags=-linkmode=external -o target/ .\"\n"
 
-// TestListedPackages: a list that lacks what the build runs, reads or links fails; the whole one passes.
+// TestListedPackages checks that a build fails if the list lacks a package that it runs, reads or links, and passes with the full list.
 func TestListedPackages(t *testing.T) {
 	for name, c := range map[string]struct{ deploy, fails string }{
 		"whole":                {deploy: buildLine + "packages = [\"gcc\", \"libc6-dev\"]\n"},
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestDependencyNames: versions, architectures and alternatives are left off.
+// TestDependencyNames checks that versions and architectures are removed, and that each alternative is returned.
 func TestDependencyNames(t *testing.T) {
 	must.Eq(t, []string{"cpp", "gcc-12", "gcc-11", "libc6"}, dependencyNames("cpp (= 4:12.2.0-3), gcc-12 (>= 12.2.0-1~) | gcc-11,, libc6:amd64"))
 }
--- a/internal/ci/cleanbuild/dpkg.go
+++ b/internal/ci/cleanbuild/dpkg.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// dpkg is this machine's index of packages.
+// dpkg is the packageIndex of this machine, read with dpkg-query.
 type dpkg struct{}
 
 func (dpkg) essential() ([]string, error) {
@@ -34,7 +34,7 @@
 	return dependencyNames(fields), nil
 }
 
-// dependencyNames reads a list such as "cpp (= 4:12), gcc-12 | gcc-11, libc6:amd64".
+// dependencyNames returns the package names in a list such as "cpp (= 4:12), gcc-12 | gcc-11, libc6:amd64".
 func dependencyNames(fields string) (names []string) {
 	for _, alternative := range strings.FieldsFunc(fields, func(r rune) bool { return r == ',' || r == '|' }) {
 		words := strings.Fields(alternative)
--- a/internal/ci/cleanbuild/machine.go
+++ b/internal/ci/cleanbuild/machine.go
@@ -8,24 +8,24 @@
 	"strings"
 )
 
-// packageIndex answers questions about installed packages.
+// packageIndex provides information about installed packages.
 type packageIndex interface {
-	// essential lists the packages that every machine has.
+	// essential returns the packages that every machine has.
 	essential() ([]string, error)
-	// dependencies lists what a package depends on, alternatives included; an error where it is not installed.
+	// dependencies returns the packages on which a package depends, alternatives included, or an error if it is not installed.
 	dependencies(name string) ([]string, error)
-	// files lists the paths that packages own.
+	// files returns the paths that packages own.
 	files(names []string) ([]string, error)
 }
 
-// machine is a machine with nothing but some packages, what these depend on, and the essential ones.
+// machine stands for a machine that has only the listed packages, their dependencies and the essential packages.
 type machine struct {
-	owned map[string]bool // paths
+	owned map[string]bool // paths that the packages own
 }
 
-// newMachine works out what a machine with these packages has.
+// newMachine returns the machine that has the listed packages.
 func newMachine(index packageIndex, listed []string) (*machine, error) {
-	waiting, err := index.essential()
+	pending, err := index.essential()
 	if err != nil {
 		return nil, err
 	}
@@ -34,22 +34,22 @@
 			return nil, ErrCleanBuild.Wrapf(err, "the listed package %q", name)
 		}
 	}
-	waiting = append(waiting, listed...)
+	pending = append(pending, listed...)
 	known := map[string]bool{}
 	var installed []string
-	for len(waiting) > 0 {
-		name := waiting[0]
-		waiting = waiting[1:]
+	for len(pending) > 0 {
+		name := pending[0]
+		pending = pending[1:]
 		if known[name] {
 			continue
 		}
 		known[name] = true
-		more, err := index.dependencies(name)
+		dependencies, err := index.dependencies(name)
 		if err != nil { // an alternative that is not installed, or a virtual package
 			continue
 		}
 		installed = append(installed, name)
-		waiting = append(waiting, more...)
+		pending = append(pending, dependencies...)
 	}
 	paths, err := index.files(installed)
 	if err != nil {
@@ -62,10 +62,10 @@
 	return m, nil
 }
 
-// programFolders hold what a shell finds.
+// programFolders are the folders in which a shell looks for programs.
 var programFolders = []string{"/usr/bin", "/bin", "/usr/sbin", "/sbin"}
 
-// linkPrograms fills a folder with the machine's programs and the Go tool.
+// linkPrograms fills a folder with links to the machine's programs and the Go tool.
 func (m *machine) linkPrograms(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return ErrCleanBuild.Wrap(err)
@@ -85,7 +85,7 @@
 	return os.Symlink(tool, filepath.Join(folder, "go"))
 }
 
-// has tells whether a package of the machine owns a file, under any of the names that links give it.
+// has reports whether a package of the machine owns a file under any of the names that it has through links.
 func (m *machine) has(path string) bool {
 	path = filepath.Clean(path)
 	names := []string{path}
@@ -93,7 +93,7 @@
 		names = append(names, real)
 	}
 	for _, name := range names {
-		// Where /bin and /lib are links into /usr, packages name their files either way.
+		// If /bin and /lib are links into /usr, packages may list their files with or without /usr.
 		inUsr := filepath.Join("/usr", name)
 		outside := strings.TrimPrefix(name, "/usr")
 		if m.owned[name] || m.owned[inUsr] || m.owned[outside] {
@@ -103,7 +103,7 @@
 	return false
 }
 
-// cgoProbe includes and links what the standard library's C code does: runtime/cgo, net and os/user.
+// cgoProbe includes the headers and links the libraries of the standard library's C code: runtime/cgo, net and os/user.
 const cgoProbe = `
 #include <errno.h>
 #include <grp.h>
@@ -124,8 +124,8 @@
 int main(void) { return 0; }
 `
 
-// checkCompilerFiles has the C compiler say which headers it reads and which files it links for cgoProbe, and looks
-// each up.
+// checkCompilerFiles compiles cgoProbe and checks that a package of the machine owns each header that the C compiler reads and each
+// file that it links.
 func (m *machine) checkCompilerFiles(scratch string, environment []string) error {
 	source := filepath.Join(scratch, "probe.c")
 	if err := os.WriteFile(source, []byte(cgoProbe), 0o600); err != nil {
--- a/internal/ci/cleanbuild/main.go
+++ b/internal/ci/cleanbuild/main.go
@@ -1,10 +1,10 @@
-// Command cleanbuild runs the build lines of deploy files with nothing but what the files list: the Go tool chain, the
-// packages that each file names under `packages` with all that these depend on, and what every Debian machine has. A
-// build that runs another program, reads another package's header or links another package's file fails.
+// Command cleanbuild runs the build lines of deploy files with only the Go tool chain, the packages that each file lists under
+// `packages`, their dependencies, and the essential packages of Debian. A build that runs another program, reads another package's
+// header or links another package's file fails.
 //
 //	go run ./internal/ci/cleanbuild deploy/balancer.toml deploy/system.toml
 //
-// It needs dpkg, and the packages installed. The exit code is 0 where all builds pass, else 1.
+// It needs dpkg, and the packages must be installed. The exit code is 0 if all builds pass, otherwise 1.
 package main
 
 import (
@@ -19,10 +19,10 @@
 	"github.com/samber/oops"
 )
 
-// ErrCleanBuild is the class of this command's errors.
+// ErrCleanBuild is the base of this command's errors.
 var ErrCleanBuild = oops.Code("clean_build")
 
-// deployFile is what is read of a deploy file.
+// deployFile has the fields of a deploy file that this command needs.
 type deployFile struct {
 	Build    string   `toml:"build"`
 	Packages []string `toml:"packages"`
@@ -36,7 +36,7 @@
 	}
 }
 
-// checkAll checks deploy files, which share a build cache that is empty at first.
+// checkAll checks deploy files one after the other, with a common build cache that is empty at first.
 func checkAll(root string, paths []string) error {
 	cache, err := os.MkdirTemp("", "cleanbuild-cache")
 	if err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// check builds what a deploy file orders, in the repository's root.
+// check runs the build line of a deploy file in the repository's root.
 func check(root, path, cache string) error {
 	text, err := os.ReadFile(filepath.Join(root, path))
 	if err != nil {
@@ -86,7 +86,7 @@
 	return machine.checkCompilerFiles(scratch, environment)
 }
 
-// run runs a program found in the PATH of an environment, and shows what it prints.
+// run runs a program of /bin in an environment and prints its output.
 func run(root string, environment []string, name string, args ...string) error {
 	command := exec.Command("/bin/"+name, args...)
 	command.Dir, command.Env, command.Stdout, command.Stderr = root, environment, os.Stdout, os.Stderr
--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -9,14 +9,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// The packages of the module that the tests run.
+// Test files of the module that these tests generate.
 const (
 	greenTest = "func TestGreen(t *testing.T) { t.Log(\"unseen\") }\n"
 	redTest   = "func TestRed(t *testing.T) { t.Run(\"case\", func(t *testing.T) { t.Error(\"wrong sum\") }) }\n"
 	otherTest = "func TestOther(t *testing.T) { t.Error(\"wrong product\") }\n"
 )
 
-// module writes a module with the test files and the list, and returns its root.
+// module writes a module with test files and KNOWN-RED.txt to a temporary folder, and returns its root.
 func module(t *testing.T, list string, packages map[string]string) string {
 	root := t.TempDir()
 	write := func(name, text string) {
@@ -34,12 +34,13 @@
 	return root
 }
 
+// TestVerdicts checks the error and the output for failures with and without an entry in the list.
 func TestVerdicts(t *testing.T) {
 	for name, c := range map[string]struct {
 		list     string
 		packages map[string]string
-		fails    string   // what CI says as it fails, empty where it passes
-		prints   []string // and what it prints before
+		fails    string   // part of the error, empty if CI passes
+		prints   []string // parts of the output
 	}{
 		"all pass, no list": {
 			packages: map[string]string{"a": greenTest},
@@ -141,12 +142,12 @@
 	}
 }
 
-// Where go test cannot even begin, CI fails.
+// TestNoPackages checks that CI fails if go test cannot start.
 func TestNoPackages(t *testing.T) {
 	must.Error(t, run(module(t, "", nil), nil, []string{"./nowhere"}, &strings.Builder{}))
 }
 
-// Packages that run apart are not beside any other: each notes when it begins and ends.
+// TestApart checks that packages that run apart do not overlap with any other: each records when it begins and ends.
 func TestApart(t *testing.T) {
 	t.Parallel()
 	const noted = "import (\"os\"; \"time\")\n\nfunc note(what string) { f, _ := os.OpenFile(\"../notes\", " +
@@ -161,7 +162,7 @@
 	must.EqOp(t, strings.Repeat("begin end ", len(packages)), string(notes))
 }
 
-// What runs apart is judged like the rest, and a package that is not there fails CI.
+// TestApartIsJudged checks that failures of packages that run apart count like all others, and that an unknown package fails CI.
 func TestApartIsJudged(t *testing.T) {
 	t.Parallel()
 	out := &strings.Builder{}
--- a/internal/ci/knownred/list.go
+++ b/internal/ci/knownred/list.go
@@ -6,26 +6,26 @@
 	"strings"
 )
 
-// maxListed is how many tests may be known to fail at one time.
+// maxListed is the maximum number of tests that may be listed at a time.
 const maxListed = 3
 
-// testName is a top-level test: the package's import path and the test's name.
+// testName identifies a top-level test by its package's import path and its name.
 type testName struct{ Package, Test string }
 
 func (n testName) String() string { return n.Package + "." + n.Test }
 
-// knownTest is a line of KNOWN-RED.txt: a test that fails for a known cause, which the issue is to mend.
+// knownTest is a line of KNOWN-RED.txt: a test that fails for a known cause, and the issue for its fix.
 type knownTest struct {
 	Name  testName
 	Cause string
 	Issue string
 }
 
-// listLine is "import/path.TestName, cause, issue 12"; the cause may hold commas. Subtests cannot be listed: a test
-// that fails beside its subtests looks like one that fails by them.
+// listLine matches "import/path.TestName, cause, issue 12"; the cause may contain commas. Subtests cannot be listed: the output does
+// not show whether a test fails only because of its subtests.
 var listLine = regexp.MustCompile(`^(\S+)\.((?:Test|Fuzz|Example)\w*), *(\S.*?), *(issue \d+)$`)
 
-// parseList reads the text of KNOWN-RED.txt. Empty lines are passed over.
+// parseList parses the text of KNOWN-RED.txt. Empty lines are ignored.
 func parseList(text string) ([]knownTest, error) {
 	var list []knownTest
 	seen := map[testName]bool{}
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -1,12 +1,11 @@
-// Command knownred runs go test for CI and judges it by KNOWN-RED.txt: a failed test fails CI unless the file lists
-// it. Listed tests that fail are passed over and printed; listed tests that pass are printed as to be taken out.
-// What go test prints without -v is printed as it comes, with its closing line for each package.
+// Command knownred runs go test for CI and compares the failures with KNOWN-RED.txt: a failed test fails CI unless the file lists
+// it. Listed tests that fail are excused and printed; listed tests that pass are printed too, since their lines have to be removed.
+// The output of go test without -v is printed as it comes, with its closing line for each package.
 //
 //	go run ./internal/ci/knownred -apart ./cmd/a,./b -- -race ./...
 //
-// All arguments after -- go to go test. Packages named by -apart run after all others, one at a time: their tests hold
-// real processes to real times, and beside others would measure their neighbours. The exit code is 0 where CI passes,
-// else 1.
+// All arguments after -- are passed to go test. Packages named by -apart run after all others, one at a time: their tests measure
+// the times of real processes, which other tests at the same time would distort. The exit code is 0 if CI passes, otherwise 1.
 package main
 
 import (
@@ -42,7 +41,7 @@
 	return strings.Split(text, ",")
 }
 
-// run runs go test in a module's root. The error says why CI fails.
+// run runs go test in a module's root. Its error is the reason why CI fails.
 func run(root string, apart, args []string, out io.Writer) error {
 	text, err := os.ReadFile(filepath.Join(root, listFile))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -68,7 +67,7 @@
 	return report.result(errors.Join(exits...))
 }
 
-// goTest runs go test once and hands its events to the report. exit is how it ended.
+// goTest runs go test once and passes its events to the report. exit is the error of the go command, if any.
 func goTest(root string, args []string, report *report, out io.Writer) (exit, err error) {
 	command := exec.Command("go", append([]string{"test", "-json"}, args...)...)
 	command.Dir, command.Stderr = root, out
@@ -85,7 +84,7 @@
 	return command.Wait(), nil
 }
 
-// readEvents hands the lines that go test -json writes to the report. A line that is no event is printed as it is.
+// readEvents passes the events that go test -json writes to the report. A line that is not an event is printed unchanged.
 func readEvents(from io.Reader, to *report, out io.Writer) error {
 	lines := bufio.NewReader(from)
 	for {
@@ -102,6 +101,7 @@
 	}
 }
 
+// handleLine passes one line to the report if it is an event, and prints it otherwise.
 func handleLine(line []byte, to *report, out io.Writer) {
 	var e event
 	if !bytes.HasPrefix(line, []byte("{")) || json.Unmarshal(line, &e) != nil {
--- a/internal/ci/knownred/report.go
+++ b/internal/ci/knownred/report.go
@@ -8,46 +8,47 @@
 	"strings"
 )
 
-// event is a line of go test -json; see go doc test2json.
+// event is a line of the output of go test -json; see go doc test2json.
 type event struct {
 	Action      string
 	Package     string
 	Test        string
 	Output      string
-	ImportPath  string // of a build event
-	FailedBuild string // the package that could not be built, in the end of the package's tests
+	ImportPath  string // package of a build event
+	FailedBuild string // in the last event of a package's tests: the package that could not be built
 }
 
-// closingFail is what a test binary prints last when tests failed and it came to its end. A binary that panics, is
-// killed or exits by itself does not print it.
+// closingFail is the last line that a test binary prints when tests have failed and all have run. A binary that panics, is killed or
+// calls os.Exit does not print it.
 const closingFail = "FAIL\n"
 
-// dataRace begins the race detector's report.
+// dataRace is the first line of a report of the race detector.
 const dataRace = "WARNING: DATA RACE"
 
-// packageRun is a package's tests while they run.
+// packageRun is the state of the run of a package's tests.
 type packageRun struct {
-	running  map[string]bool             // top-level tests without a result
-	outputs  map[string]*strings.Builder // by top-level test; "" is the package's own
-	failed   []string                    // top-level tests
-	finished bool                        // the binary came to its end
+	running  map[string]bool             // top-level tests without a result so far
+	outputs  map[string]*strings.Builder // output by top-level test; "" is for the package itself
+	failed   []string                    // top-level tests that failed
+	finished bool                        // the binary has run all tests
 	raced    bool
 }
 
-// report prints a run of go test and keeps what the verdict needs.
+// report prints a run of go test and collects its failures.
 type report struct {
 	out      io.Writer
 	list     []knownTest
 	packages map[string]*packageRun
 	passed   map[testName]bool
 	excused  map[testName]bool
-	failures []string // what fails CI
+	failures []string // failures that no listed test excuses
 }
 
 func newReport(list []knownTest, out io.Writer) *report {
 	return &report{out: out, list: list, packages: map[string]*packageRun{}, passed: map[testName]bool{}, excused: map[testName]bool{}}
 }
 
+// handle handles one event.
 func (r *report) handle(e event) {
 	switch {
 	case e.Action == "build-output":
@@ -78,7 +79,7 @@
 	p.raced = p.raced || strings.Contains(text, dataRace)
 }
 
-// handleTest takes an event of a test. Subtests count as part of their top-level test.
+// handleTest handles an event of a test. Subtests count as part of their top-level test.
 func (r *report) handleTest(e event) {
 	p := r.run(e.Package)
 	test, _, sub := strings.Cut(e.Test, "/")
@@ -103,7 +104,7 @@
 	}
 }
 
-// handlePackage takes an event of a package as a whole.
+// handlePackage handles an event of a package as a whole.
 func (r *report) handlePackage(e event) {
 	p := r.run(e.Package)
 	switch e.Action {
@@ -122,12 +123,12 @@
 	}
 }
 
-// isClosingLine tells the lines that go test prints for each package.
+// isClosingLine reports whether a line is the one that go test prints at the end of a package.
 func isClosingLine(line string) bool {
 	return strings.HasPrefix(line, "ok  \t") || strings.HasPrefix(line, "FAIL\t") || strings.HasPrefix(line, "?   \t")
 }
 
-// printOutputs prints what a package's failed tests, those without result and the package itself wrote.
+// printOutputs prints the output of a package's failed tests, of its tests without a result, and of the package itself.
 func (r *report) printOutputs(p *packageRun) {
 	tests := slices.Concat(p.failed, sortedKeys(p.running), []string{""})
 	for _, test := range tests {
@@ -146,10 +147,10 @@
 	return keys
 }
 
-// classifyFailure decides what a package's failure is: that of known tests alone, or one that fails CI.
+// classifyFailure decides whether only listed tests of a failed package have failed, or whether the failure fails CI.
 //
-// Danger: a panic in a listed test ends its package's other tests unheard, and a race may be any code's; neither is
-// covered by the list.
+// Danger: a panic in a listed test ends the package's other tests without a result, and a data race may be in any code, so the list
+// excuses neither.
 func (r *report) classifyFailure(e event, p *packageRun) {
 	switch {
 	case e.FailedBuild != "":
@@ -177,7 +178,7 @@
 	return slices.ContainsFunc(r.list, func(k knownTest) bool { return k.Name == name })
 }
 
-// result prints what became of the listed tests and returns an error where CI fails. exit is how go test ended.
+// result prints the state of the listed tests and returns an error if CI fails. exit is the error of go test.
 func (r *report) result(exit error) error {
 	for _, known := range r.list {
 		switch {
--- a/internal/ci/knownred/rounds.go
+++ b/internal/ci/knownred/rounds.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// packagePrefix begins each argument of go test that names packages; all others are its flags.
+// packagePrefix is the prefix of each argument of go test that names packages; all other arguments are flags.
 const packagePrefix = "./"
 
-// planRounds returns the arguments of each run of go test: one for all packages together, then, where packages are to
-// run apart, one more for these with a single package at a time.
+// planRounds returns the arguments of each run of go test: one run for all packages together, and, if some packages run apart, a second
+// one for these, a single package at a time.
 func planRounds(root string, apart, args []string) ([][]string, error) {
 	if len(apart) == 0 {
 		return [][]string{args}, nil
@@ -35,7 +35,7 @@
 	}
 	for _, name := range alone {
 		if !slices.Contains(all, name) {
-			return nil, fmt.Errorf("%s is to run apart and is not among the packages to test", name)
+			return nil, fmt.Errorf("%s has to run apart but is not among the packages to test", name)
 		}
 	}
 	oneByOne := slices.Concat(flags, []string{"-p", "1"}, alone)
@@ -46,7 +46,7 @@
 	return [][]string{slices.Concat(flags, together), oneByOne}, nil
 }
 
-// listPackages returns the import paths that the patterns name.
+// listPackages returns the import paths of the packages that match the patterns.
 func listPackages(root string, patterns []string) ([]string, error) {
 	command := exec.Command("go", append([]string{"list"}, patterns...)...)
 	command.Dir = root
--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -1,4 +1,4 @@
-// Package healthcheck waits until a program that was started answers its health check.
+// Package healthcheck waits until a program that was just started answers its health check.
 package healthcheck
 
 import (
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// path is where a program answers 200 once it serves.
+// path answers with status 200 once a program serves.
 const path = "/healthz"
 
-// Wait says how long to wait for a program, and how often to ask it.
+// Wait configures how long to wait for a program and how often to check it.
 type Wait struct {
 	Client   *http.Client
-	Interval time.Duration // between two questions
-	Timeout  time.Duration // the longest wait
-	Ended    <-chan error  // tells why the program ended; nil where nobody tells
+	Interval time.Duration // between two checks
+	Timeout  time.Duration // maximum time to wait
+	Ended    <-chan error  // receives the reason when the program ends; may be nil
 }
 
-// EndedError tells that a program ended before it served.
+// EndedError is the error for a program that ended before it served.
 type EndedError struct {
 	URL string
-	Err error // why, nil where it ended without an error
+	Err error // the reason, nil if the program ended without an error
 }
 
 func (e *EndedError) Error() string {
@@ -30,7 +30,7 @@
 
 func (e *EndedError) Unwrap() error { return e.Err }
 
-// TimeoutError tells that a program did not serve within the longest wait.
+// TimeoutError is the error for a program that did not serve in time.
 type TimeoutError struct {
 	URL    string
 	Within time.Duration
@@ -40,11 +40,11 @@
 	return fmt.Sprintf("the program at %s did not come up in %v", e.URL, e.Within)
 }
 
-// Until waits until the program at a URL serves. It returns an *EndedError or a *LateError where that does not come.
+// Until waits until the program at a URL serves. It returns an *EndedError or a *TimeoutError if the program does not.
 func (w Wait) Until(url string) error {
 	poll := time.NewTicker(w.Interval)
 	defer poll.Stop()
-	late := time.After(w.Timeout)
+	timeout := time.After(w.Timeout)
 	for {
 		if w.isServing(url) {
 			return nil
@@ -52,14 +52,14 @@
 		select {
 		case err := <-w.Ended:
 			return &EndedError{URL: url, Err: err}
-		case <-late:
+		case <-timeout:
 			return &TimeoutError{URL: url, Within: w.Timeout}
 		case <-poll.C:
 		}
 	}
 }
 
-// isServing asks once.
+// isServing makes one health check.
 func (w Wait) isServing(url string) bool {
 	r, err := w.Client.Get(url + path)
 	if err != nil {
--- a/internal/healthcheck/healthcheck_test.go
+++ b/internal/healthcheck/healthcheck_test.go
@@ -16,7 +16,7 @@
 	soon  = 50 * time.Millisecond
 )
 
-// answering is a program that answers 503 to the first questions, and 200 after.
+// answering starts a server that answers the first unready checks with 503 and then with 200. It returns the number of checks so far, too.
 func answering(t *testing.T, unready int32) (*httptest.Server, *atomic.Int32) {
 	asked := &atomic.Int32{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -37,18 +37,18 @@
 func TestLate(t *testing.T) {
 	s, _ := answering(t, 1<<30)
 	err := Wait{Client: s.Client(), Interval: every, Timeout: soon}.Until(s.URL)
-	var late *TimeoutError
-	must.True(t, errors.As(err, &late))
-	must.Eq(t, soon, late.Within)
+	var timeout *TimeoutError
+	must.True(t, errors.As(err, &timeout))
+	must.Eq(t, soon, timeout.Within)
 }
 
 func TestEnded(t *testing.T) {
 	s, _ := answering(t, 1<<30)
 	ended := make(chan error, 1)
-	why := errors.New("the port is taken")
-	ended <- why
+	reason := errors.New("the port is taken")
+	ended <- reason
 	err := Wait{Client: s.Client(), Interval: every, Timeout: 10 * time.Second, Ended: ended}.Until(s.URL)
-	must.ErrorIs(t, err, why)
-	var gone *EndedError
-	must.True(t, errors.As(err, &gone))
+	must.ErrorIs(t, err, reason)
+	var endedError *EndedError
+	must.True(t, errors.As(err, &endedError))
 }
--- a/internal/house/architecture_test.go
+++ b/internal/house/architecture_test.go
@@ -10,13 +10,13 @@
 	"github.com/shoenig/test/must"
 )
 
-const maxSteps = 10 // files that a walk through the code may name
+const maxSteps = 10 // maximum number of steps of a walk through the code
 
-// walkStep is a row of a walk in docs/architecture.md: a number, a file and its functions.
+// walkStep matches a table row of a walk in docs/architecture.md: a number, a file and its functions.
 var walkStep = regexp.MustCompile("^\\| (\\d+) \\| `([^`]+\\.go)` \\| ([^|]+) \\|")
 
-// TestWalksThroughTheCode: each step of docs/architecture.md names a file and functions that are there, and a walk
-// has ten steps at most.
+// TestWalksThroughTheCode checks that each step of the walks in docs/architecture.md names a file and functions that exist, and that
+// no walk has more than ten steps.
 func TestWalksThroughTheCode(t *testing.T) {
 	text, err := os.ReadFile("../../docs/architecture.md")
 	must.NoError(t, err)
@@ -39,7 +39,7 @@
 			}
 		}
 		if inSection > maxSteps {
-			t.Errorf("%d steps in %q", inSection, strings.SplitN(section, "\n", 2)[0])
+			t.Errorf("%d steps in %q, more than allowed", inSection, strings.SplitN(section, "\n", 2)[0])
 		}
 		steps += inSection
 	}
--- a/internal/house/comments_test.go
+++ b/internal/house/comments_test.go
@@ -7,14 +7,13 @@
 	"testing"
 )
 
-// TestExportedItemsHaveComments: what one package offers another says what it does. Methods that only fulfil a
-// well-known interface need no words.
+// TestExportedItemsHaveComments checks that exported declarations have doc comments. Methods of well-known interfaces need none.
 func TestExportedItemsHaveComments(t *testing.T) {
-	for name, r := range loadPackages(t) {
+	for name, source := range loadPackages(t) {
 		if !within(name, "transport", "decide", "front", "lab") {
 			continue
 		}
-		for path, file := range r.files {
+		for path, file := range source.files {
 			for _, item := range uncommented(file) {
 				t.Errorf("%s: %s has no doc comment", path, item)
 			}
@@ -22,11 +21,11 @@
 	}
 }
 
-// wellKnown are methods whose interface says what they do.
+// wellKnown lists methods of well-known interfaces.
 var wellKnown = []string{"Error", "String", "MarshalJSON", "UnmarshalJSON", "Unwrap", "Len", "Less", "Swap", "Push", "Pop",
 	"ServeHTTP", "Read", "Write", "Close"}
 
-// uncommented lists the exported items of a file that have no comment of their own nor one of their group.
+// uncommented returns the exported declarations of a file that have neither a comment of their own nor one of their group.
 func uncommented(file *ast.File) []string {
 	var found []string
 	for _, d := range file.Decls {
@@ -58,8 +57,8 @@
 	return ok && name.IsExported()
 }
 
-// uncommentedSpecs goes through a declaration of types, constants or variables. A comment above a group, or at the
-// end of the line, counts for constants and variables; a type wants its own.
+// uncommentedSpecs returns the exported names without a comment in a declaration of types, constants or variables. For constants and
+// variables a comment above the group or at the end of the line counts; a type needs its own.
 func uncommentedSpecs(d *ast.GenDecl) []string {
 	var found []string
 	for _, s := range d.Specs {
--- a/internal/house/deploy_test.go
+++ b/internal/house/deploy_test.go
@@ -13,13 +13,13 @@
 	"willowsill/transport/metrics"
 )
 
-// namedPackages finds the list of Debian packages in a page.
+// namedPackages matches the list of Debian packages in a page, and quotedName one name of it.
 var (
 	namedPackages = regexp.MustCompile("a build needs the Debian packages ([^:.\n]+?)[:.]")
 	quotedName    = regexp.MustCompile("`([^`]+)`")
 )
 
-// TestPagesNameThePackages: pages and deploy files name the same system packages for a build.
+// TestPagesNameThePackages checks that the pages and the deploy files name the same system packages for a build.
 func TestPagesNameThePackages(t *testing.T) {
 	const root = "../.."
 	var lists [][]string
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestEndpointsOfFigures: where the deploy file says that a role tells its figures is where its command line has it tell
-// them, and two roles on one machine have ports of their own, apart from those that the platform gives.
+// TestEndpointsOfFigures checks that the metrics endpoint of each role in the deploy file is the one of its command line, and that two
+// roles on one machine have different ports, outside of the range that the platform assigns.
 func TestEndpointsOfFigures(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/system.toml")
 	must.NoError(t, err)
@@ -68,9 +68,9 @@
 		endpoint, err := metrics.ParseEndpoint(role.Metrics)
 		must.NoError(t, err)
 		must.StrHasSuffix(t, " --metrics "+role.Metrics, role.Run)
-		must.Greater(t, 9000, endpoint.Port, must.Sprint("the platform gives ports from 7000 to 8999"))
+		must.Greater(t, 9000, endpoint.Port, must.Sprint("the platform assigns ports from 7000 to 8999"))
 		place := fmt.Sprint(role.On, ":", endpoint.Port)
-		must.MapNotContainsKey(t, taken, place, must.Sprint(name, " and ", taken[place]))
+		must.MapNotContainsKey(t, taken, place, must.Sprint(name, " shares its port with ", taken[place]))
 		taken[place] = name
 	}
 }
--- a/internal/house/names_test.go
+++ b/internal/house/names_test.go
@@ -12,24 +12,25 @@
 	"github.com/shoenig/test/must"
 )
 
-// withdrawn are names that the operators have withdrawn; docs/former-names.md has what took their place.
+// withdrawn lists names that the operators have withdrawn; docs/former-names.md has their replacements.
 var withdrawn = []string{"lighthouse", "pilot", "pilotage", "cutter", "keeper", "lantern", "tower", "helm", "skiff", "dinghy",
 	"muster", "beam", "beacons", "lookout", "gangway", "hail", "crew", "strongbox", "quay", "berth", "shoals", "moored", "sailor"}
 
-// withdrawnPaths are names of folders whose last part is a word of its own elsewhere.
+// withdrawnPaths lists withdrawn names of folders and files that are matched as paths, since parts of them are words in use elsewhere.
 var withdrawnPaths = []string{"carrier/", "cmd/pressed", "bin/pressed", "decide/chart", "decide/notices", "lab/spread",
 	"decide/rift", "decide/strain", "decide/window", "decide/fair/", "decide/commons", "decide/crossing", "decide/routes", "transport/roster",
 	"cmd/drill", "bin/drill", "balance/again.go", "balance/known.go", "balance/admit.go"}
 
-// historical says what things were called then.
+// historical lists the folders and files that may use names of their time.
 var historical = []string{"journal", ".git", "results", "docs/incidents", "CHANGELOG.md", "docs/former-names.md", "internal/house/names_test.go"}
 
+// checkedExtensions lists the extensions of the files whose text is checked.
 var checkedExtensions = []string{".go", ".md", ".toml", ".star", ".sh", ".json", ".txt", ".mod", ""}
 
-// namePart is a word, or the part of an identifier that begins with a capital.
+// namePart matches a word, or a part of an identifier that begins with a capital letter.
 var namePart = regexp.MustCompile(`[A-Z]?[a-z]+|[A-Z]+`)
 
-// withdrawnIn lists the withdrawn names in a text, whether they stand alone, in the plural or in an identifier.
+// withdrawnIn returns the withdrawn names in a text: as words, in the plural or as parts of identifiers.
 func withdrawnIn(text string) []string {
 	var found []string
 	for _, part := range namePart.FindAllString(text, -1) {
@@ -46,14 +47,14 @@
 	return found
 }
 
-// mayContain is a quick look whether a text has a withdrawn name, or a longer word that holds one.
+// mayContain reports whether a text contains a withdrawn name, possibly within a longer word. It is faster than withdrawnIn.
 func mayContain(text string) bool {
 	lower := strings.ToLower(text)
-	holds := func(name string) bool { return strings.Contains(lower, name) }
-	return slices.ContainsFunc(withdrawn, holds) || slices.ContainsFunc(withdrawnPaths, holds)
+	contains := func(name string) bool { return strings.Contains(lower, name) }
+	return slices.ContainsFunc(withdrawn, contains) || slices.ContainsFunc(withdrawnPaths, contains)
 }
 
-// TestWithdrawnNames: code and docs of today call things by the names of today.
+// TestWithdrawnNames checks that no file name, code or page of the present uses a withdrawn name.
 func TestWithdrawnNames(t *testing.T) {
 	root := "../.."
 	files := 0
@@ -72,7 +73,7 @@
 			return nil
 		}
 		if found := withdrawnIn(name + " "); len(found) > 0 {
-			t.Errorf("%s is named by %v", name, found)
+			t.Errorf("the path %s has the withdrawn names %v", name, found)
 		}
 		if d.IsDir() && (within(name, "bin", "target", "logs", "found") || d.Name() == "rapid") {
 			return fs.SkipDir
@@ -90,7 +91,7 @@
 		}
 		for i, line := range strings.Split(string(text), "\n") {
 			if found := withdrawnIn(line); len(found) > 0 {
-				t.Errorf("%s:%d: %v", name, i+1, found)
+				t.Errorf("%s:%d has the withdrawn names %v", name, i+1, found)
 			}
 		}
 		return nil
@@ -98,6 +99,7 @@
 	must.Greater(t, 300, files)
 }
 
+// TestWithdrawnIn checks which forms of a withdrawn name are found.
 func TestWithdrawnIn(t *testing.T) {
 	for text, want := range map[string][]string{
 		"two lighthouses and a Pilot": {"lighthouses", "pilot"},
--- a/internal/house/policy_test.go
+++ b/internal/house/policy_test.go
@@ -11,13 +11,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// The operators' limits on the decision module.
+// The operators' limits for the source of the decision module.
 const (
-	maxPolicyLines      = 920 // in all files, empty lines not counted
-	maxPolicyLineLength = 110 // in a line
+	maxPolicyLines      = 920 // lines of all files together, without empty ones
+	maxPolicyLineLength = 110 // characters of a line
 )
 
-// TestPolicySize: the files under `policy` in the deploy file keep to the operators' limits.
+// TestPolicySize checks that the files listed as `policy` in the deploy file keep the operators' limits.
 func TestPolicySize(t *testing.T) {
 	const root = "../.."
 	text, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
--- a/internal/pipenet/pipenet.go
+++ b/internal/pipenet/pipenet.go
@@ -1,4 +1,4 @@
-// Package pipenet is a network of pipes inside the process, for tests.
+// Package pipenet provides an in-memory network of pipes for tests.
 package pipenet
 
 import (
@@ -8,20 +8,20 @@
 	"sync"
 )
 
-// ErrRefused is what dialling an address where nobody listens gives.
+// ErrRefused is the error of dialling an address without a listener.
 var ErrRefused = errors.New("refused")
 
-// Backlog is how many connections may wait at a listener; dialling waits beyond that.
+// Backlog is the number of connections that may wait at a listener. Further calls of Dial block.
 const Backlog = 16
 
-// Network connects listeners with those who dial them. A nil listener's address is silent: a connection to
-// it never comes up.
+// Network connects callers of Dial with listeners. An address with a nil listener never answers: dialling it blocks until the
+// context ends.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*Listener
 }
 
-// Listener accepts connections of its network; some may wait to be accepted.
+// Listener accepts connections of its network. Up to Backlog connections wait to be accepted.
 type Listener struct {
 	address string
 	backlog chan net.Conn
@@ -29,14 +29,14 @@
 	once    sync.Once
 }
 
-// Listen listens at an address.
+// Listen returns a listener at an address and replaces any former one.
 func (n *Network) Listen(address string) *Listener {
 	l := &Listener{address: address, backlog: make(chan net.Conn, Backlog), closed: make(chan struct{})}
 	n.setListener(address, l)
 	return l
 }
 
-// Blackhole makes an address silent for new connections.
+// Blackhole makes dialling an address block until the context ends, as if packets were dropped.
 func (n *Network) Blackhole(address string) { n.setListener(address, nil) }
 
 func (n *Network) setListener(address string, l *Listener) {
@@ -48,12 +48,12 @@
 	n.listeners[address] = l
 }
 
-// Dial connects to an address.
+// Dial connects to an address. Its signature is that of net.Dialer.DialContext.
 func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mu.Lock()
-	l, there := n.listeners[address]
+	l, known := n.listeners[address]
 	n.mu.Unlock()
-	if !there {
+	if !known {
 		return nil, ErrRefused
 	}
 	if l == nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// Close refuses what comes from now on, and breaks what has not been accepted.
+// Close refuses new connections and closes those that wait to be accepted.
 func (l *Listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
@@ -102,9 +102,9 @@
 	return nil
 }
 
-// Addr is the listener's address.
+// Addr returns the listener's address.
 func (l *Listener) Addr() net.Addr { return l }
 
-// Network and String make the listener its own address.
+// Network and String let the listener be its own net.Addr.
 func (l *Listener) Network() string { return "pipe" }
 func (l *Listener) String() string  { return l.address }
