--- a/lab/controlsim/planted/planted.go
+++ b/lab/controlsim/planted/planted.go
@@ -1,5 +1,5 @@
-// Package planted holds the text of controllers and edges with one defence taken out at a time, to see that the simulation of
-// lab/controlsim would find such faults. It plays nothing itself.
+// Package planted has mutants of controllers and edges, each with one safeguard removed, to verify that the simulation of
+// lab/controlsim finds such faults. It simulates nothing itself.
 package planted
 
 import (
@@ -8,11 +8,11 @@
 	"willowsill/lab/modelcheck/planted"
 )
 
-// Mutant is the text with one of its defences taken out, the day that has to show it, and the checks of which one has to fail.
+// Mutant is the module with one safeguard removed, the scenario that must find it, and the checks of which one must fail.
 type Mutant struct {
 	planted.Mutant
 	Scenario controlsim.Scenario
-	Seeds    int // of the day that are played
+	Seeds    int // number of seeds of the scenario
 	Checks   []string
 }
 
@@ -57,7 +57,7 @@
 	behindChecks = []string{checker.EdgeBehind, checker.EdgeBehindMajority}
 )
 
-// Mutants are planted to see that the checks would find such faults.
+// Mutants lists the faults that the simulation must find.
 var Mutants = []Mutant{
 	mutant(controlsim.IsolatedController, 40, "contact goes by what is heard", behindChecks, edit(contactFile, contactOld, contactNew),
 		edit(contactFile, currentOld, currentNew)),
--- a/lab/controlsim/planted/planted_test.go
+++ b/lab/controlsim/planted/planted_test.go
@@ -10,7 +10,7 @@
 	"willowsill/lab/controlsim"
 )
 
-// testOf names the test that plays a day.
+// testOf is the test pattern of each scenario.
 var testOf = map[controlsim.Scenario]string{
 	controlsim.IsolatedController: "^TestDays$/^point1$",
 	controlsim.ConflictingOrders:  "^TestDays$/^point2$",
@@ -26,7 +26,7 @@
 	controlsim.MissedDeparture: "^TestWorse$/^missed$",
 }
 
-// TestMutants: each defence that is taken out shows in a check that stands for it.
+// TestMutants checks that the simulation of each mutant fails one of its checks.
 func TestMutants(t *testing.T) {
 	for _, m := range Mutants {
 		t.Run(m.Name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			for _, check := range m.Checks {
 				found = found || strings.Contains(out, "broken: "+check)
 			}
-			must.True(t, found, must.Sprint("none of ", m.Checks))
+			must.True(t, found, must.Sprint("no violation of ", m.Checks))
 		})
 	}
 }
--- a/lab/modelcheck/planted/planted.go
+++ b/lab/modelcheck/planted/planted.go
@@ -1,5 +1,6 @@
-// Package planted holds the register's text with one defence taken out at a time, to see that the exploration
-// of lab/modelcheck would find such faults. It writes what the Go tool builds them by, and explores nothing itself.
+// Package planted has mutants of decide/register, each with one safeguard removed, to verify that the exploration of
+// lab/modelcheck finds such faults. It writes the overlay with which the Go tool builds a mutant, and can run a package's tests
+// with it.
 package planted
 
 import (
@@ -10,23 +11,23 @@
 	"strings"
 )
 
-// Mutant is the register with one of its defences taken out, and the scope that has to show it.
+// Mutant is the module with one safeguard removed, and the scope in which the exploration must find it.
 type Mutant struct {
 	Name             string
 	Scope            string
 	Edits            []Edit
-	Slow             bool // it lies deep, and is found in some runs of 300,000 states and not in others: no part of CI
-	AnswerBeforeSync bool // instead: answers leave before the sync
+	Slow             bool // only some runs of 300,000 states find it, since it needs many events; CI leaves it out
+	AnswerBeforeSync bool // instead of edits: Scope.AnswerBeforeSync is set
 }
 
-// Edit is one change of the text.
+// Edit is one replacement in a source file.
 type Edit struct {
-	File string // in the module
-	Old  string // stands there just once
+	File string // path in the module
+	Old  string // must occur exactly once in the file
 	New  string
 }
 
-// Mutants are planted to see that the exploration would find such faults.
+// Mutants lists the faults that the exploration must find.
 var Mutants = []Mutant{
 	{Name: "answers leave before the sync", Scope: "slow disks", AnswerBeforeSync: true},
 	{Name: "a read writes nothing back", Scope: "power", Edits: []Edit{{File: "decide/register/proposer.go",
@@ -49,8 +50,8 @@
 		New: "if len(best.Value.Members) == 0 {"}}},
 }
 
-// Overlay writes to a folder what has the Go tool build the module at root with the mutant in it, and returns
-// the file to name to it. An error tells that the text it goes by is not there just once.
+// Overlay writes to a folder an overlay with which the Go tool builds the module at root with the mutant in it, and returns the
+// path for its flag -overlay. It fails if the text of an edit does not occur exactly once.
 func (m Mutant) Overlay(root, folder string) (string, error) {
 	replace := map[string]string{}
 	for i, e := range m.Edits {
@@ -58,8 +59,8 @@
 		if err != nil {
 			return "", err
 		}
-		edited, again := replace[path] // several edits of one file are made one after the other
-		if !again {
+		edited, found := replace[path] // a later edit of a file starts from the result of the former one
+		if !found {
 			edited = path
 		}
 		text, err := os.ReadFile(edited)
@@ -67,7 +68,7 @@
 			return "", err
 		}
 		if n := strings.Count(string(text), e.Old); n != 1 {
-			return "", fmt.Errorf("%s: %q stands there %d times, the mutant %q wants it once", e.File, e.Old, n, m.Name)
+			return "", fmt.Errorf("%s: %q occurs %d times, the mutant %q needs it exactly once", e.File, e.Old, n, m.Name)
 		}
 		replace[path] = filepath.Join(folder, fmt.Sprintf("mutant%d.go", i))
 		if err := os.WriteFile(replace[path], []byte(strings.Replace(string(text), e.Old, e.New, 1)), 0o600); err != nil {
--- a/lab/modelcheck/planted/planted_test.go
+++ b/lab/modelcheck/planted/planted_test.go
@@ -11,15 +11,15 @@
 	"willowsill/lab/modelcheck"
 )
 
-var long = flag.Bool("long", false, "try the mutants that lie deep as well")
+var long = flag.Bool("long", false, "also try the mutants that only some runs find")
 
-// TestMutants: each defence that is taken out shows, with a way there.
+// TestMutants checks that the exploration finds each mutant.
 func TestMutants(t *testing.T) {
 	for _, m := range Mutants {
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
 			if m.Slow && !*long {
-				t.Skip("it lies too deep for a run of fixed length: -long tries")
+				t.Skip("a run of this length may not find it; use -long to try")
 			}
 			if m.AnswerBeforeSync {
 				s := modelcheck.Scopes[slices.IndexFunc(modelcheck.Scopes, func(s modelcheck.Scope) bool { return s.Name == m.Scope })]
--- a/lab/modelcheck/planted/run.go
+++ b/lab/modelcheck/planted/run.go
@@ -2,8 +2,8 @@
 
 import "os/exec"
 
-// Run runs tests of a package of the module at root with the mutant in it, in a program of its own: the one that calls
-// was built of the true text. An error without "--- FAIL: " in what was printed is of a text that could not be built.
+// Run runs tests of a package of the module at root with the mutant in it, in a new process, since the calling program was built
+// without the mutant. If there is an error but printed has no "--- FAIL: ", the mutant could not be built.
 func (m Mutant) Run(root, folder, tests, testedPackage string, arguments ...string) (printed string, failed error) {
 	overlay, err := m.Overlay(root, folder)
 	if err != nil {
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -1,5 +1,6 @@
-// Package rules lists the operators' rules that are in force, what keeps each, and the test that fails without it. The page
-// docs/rules.md is written from it, and a test plants each break to see that its test finds it. It plays nothing itself.
+// Package rules lists the operators' rules that are in force, the mechanism that ensures each, and the test that fails without the
+// mechanism. The table of docs/rules.md is generated from this list, and a test removes each mechanism to verify that the named test
+// fails.
 package rules
 
 import (
@@ -9,24 +10,24 @@
 	"willowsill/lab/modelcheck/planted"
 )
 
-// Rule is one thing that the operators judge.
+// Rule is one behaviour that the operators check.
 type Rule struct {
-	Name      string // of the rule as the operators have it, and a word for the part of it
-	Violation string // what breaks it
-	Mechanism string // what keeps it, in words
-	Files     []string
-	Scenarios []string // kinds of days that bring it about; "any" for every day
+	Name      string   // the operators' name of the rule, and a name for this part of it
+	Violation string   // what violates the rule
+	Mechanism string   // what ensures the rule
+	Files     []string // source files of the mechanism
+	Scenarios []string // the operators' fault scenarios that can cause a violation; "any" for all
 	Mutation  Mutation
 }
 
-// Mutation takes the mechanism out.
+// Mutation removes the mechanism of a rule.
 type Mutation struct {
 	Edits   []planted.Edit
-	Package string // whose test fails then
-	Test    string // the test, and a subtest behind a slash
+	Package string // package of the test that fails then
+	Test    string // the name of the test, with a subtest after a slash
 }
 
-// Pattern is what go test is to run.
+// Pattern returns the -run pattern of go test that selects exactly the test.
 func (b Mutation) Pattern() string {
 	var names []string
 	for _, name := range strings.Split(b.Test, "/") {
@@ -35,20 +36,20 @@
 	return strings.Join(names, "/")
 }
 
-// Mutant is the module with the mechanism taken out.
+// Mutant returns the module without the mechanism.
 func (r Rule) Mutant() planted.Mutant { return planted.Mutant{Name: r.Name, Edits: r.Mutation.Edits} }
 
-// Row is the rule as a row of the page's table.
+// Row returns the rule as a row of the page's table.
 func (r Rule) Row() string {
 	quoted := func(words []string) string { return "`" + strings.Join(words, "`, `") + "`" }
 	return fmt.Sprintf("| %s | %s | %s (%s) | `%s` %s | %s |", r.Name, r.Violation, r.Mechanism, quoted(r.Files), r.Mutation.Package, quoted([]string{r.Mutation.Test}),
 		quoted(r.Scenarios))
 }
 
-// Heading is the table's heading.
+// Heading is the heading of the table.
 const Heading = "| rule | broken where | kept by | fails without it | kinds of days |\n|---|---|---|---|---|"
 
-// Table is the page's table.
+// Table returns the page's table.
 func Table() string {
 	rows := []string{Heading}
 	for _, r := range All {
--- a/lab/rules/rules_test.go
+++ b/lab/rules/rules_test.go
@@ -17,9 +17,9 @@
 	tableTo   = "<!-- end of the table -->\n"
 )
 
-var write = flag.Bool("write", false, "write the table of docs/rules.md anew")
+var write = flag.Bool("write", false, "write the table of docs/rules.md instead of comparing it")
 
-// TestPage: docs/rules.md has the table as it is here.
+// TestPage checks that docs/rules.md has the present table.
 func TestPage(t *testing.T) {
 	text, err := os.ReadFile(page)
 	must.NoError(t, err)
@@ -34,11 +34,11 @@
 	must.Eq(t, Table(), table)
 }
 
-// TestNoEmptyCell: each row says what is judged, what keeps it and where, which test fails and on which days it matters.
+// TestNoEmptyCell checks that each row has a unique name, texts, existing files, a test and scenarios.
 func TestNoEmptyCell(t *testing.T) {
 	names := map[string]bool{}
 	for _, r := range All {
-		must.False(t, names[r.Name], must.Sprint(r.Name, " stands twice"))
+		must.False(t, names[r.Name], must.Sprint(r.Name, " is listed twice"))
 		names[r.Name] = true
 		for what, cell := range map[string]string{"name": r.Name, "judged": r.Violation, "mechanism": r.Mechanism, "package": r.Mutation.Package, "test": r.Mutation.Test} {
 			must.NotEq(t, "", cell, must.Sprint(r.Name, " has no ", what))
@@ -54,13 +54,13 @@
 	}
 }
 
-// TestBreaks: each mechanism that is taken out is found by its test.
+// TestBreaks checks for each rule that its test fails when the mechanism is removed.
 func TestBreaks(t *testing.T) {
 	for _, r := range All {
 		t.Run(r.Name, func(t *testing.T) {
 			t.Parallel()
 			printed, err := r.Mutant().Run(root, t.TempDir(), r.Mutation.Pattern(), r.Mutation.Package)
-			must.Error(t, err, must.Sprint("it passes without what keeps it"))
+			must.Error(t, err, must.Sprint("the test passes without the mechanism"))
 			if !strings.Contains(printed, "--- FAIL: ") {
 				t.Errorf("no test failed: %v\n%s", err, printed)
 			}
