--- a/lab/controllercheck/controllercheck_test.go
+++ b/lab/controllercheck/controllercheck_test.go
@@ -34,7 +34,9 @@
 
 // TestMutants checks that the search finds known faults: controllers with one safeguard removed break an invariant in the named scope.
 func TestMutants(t *testing.T) {
-	edit := func(file, was, is string) []planted.Edit { return []planted.Edit{{File: file, Old: was, New: is}} }
+	edit := func(file, old, replacement string) []planted.Edit {
+		return []planted.Edit{{File: file, Old: old, New: replacement}}
+	}
 	for _, m := range []planted.Mutant{
 		{Name: "a change of members that others overtook is made all the same", Scope: "two_at_the_duty",
 			Edits: edit(membersFile, "if v.Epoch != epoch || len(v.Prior) > 0 {", "if false {")},
--- a/lab/controllercheck/world.go
+++ b/lab/controllercheck/world.go
@@ -17,10 +17,10 @@
 	at          int64
 	sequence    int
 	to          string
-	incarnation int  // of the machine's process that the event is for; 0 for any
-	mayDeviate  bool // the event may have a deviation
-	onLoss      func()
-	deliver     func()
+	incarnation int    // of the machine's process that the event is for; 0 for any
+	mayDeviate  bool   // the event may have a deviation
+	onLoss      func() // called if the event is lost; nil for messages
+	deliver     func() // called when the event happens
 }
 
 // events is a heap of events, the earliest first.
@@ -47,7 +47,7 @@
 type machine struct {
 	name           string
 	controller     *controller.Controller
-	up, removed    bool
+	up, removed    bool // a process is running; the machine is gone for good
 	receiveBlocked bool // messages to it are lost, messages from it arrive
 	incarnation    int
 	disk           *controller.Save // last save; nil for an empty disk
@@ -73,13 +73,13 @@
 	eligibleEvents     int // number of events so far that could have had a deviation
 	machines           map[string]*machine
 	names              []string
-	calls              map[uint64]call
+	calls              map[uint64]call // calls without an answer so far, by number
 	lastCall           uint64
 	acknowledged       map[uint64]string   // acknowledged contents by revision
 	epochs             map[uint64][]string // members of committed values, by epoch
 	newestAcknowledged uint64              // newest acknowledged revision
-	receiveBlockUsed   bool
-	violation          string
+	receiveBlockUsed   bool                // the scope's machine has been blocked once already
+	violation          string              // the first violation, empty for none
 }
 
 func newWorld(s Scope, p Schedule) *world {
@@ -228,8 +228,8 @@
 		for _, to := range s.To {
 			// Heartbeats may have deviations as well, since contact, the lease and readiness depend on them.
 			w.scheduleAt(w.now+latency, &event{to: to, mayDeviate: true, deliver: func() {
-				if y := w.machines[to]; !y.receiveBlocked {
-					w.apply(y, y.controller.HandleMessage(w.now, s.Message))
+				if receiver := w.machines[to]; !receiver.receiveBlocked {
+					w.apply(receiver, receiver.controller.HandleMessage(w.now, s.Message))
 				}
 			}})
 			if w.machines[to] == nil {
--- a/lab/controlsim/checker/checker.go
+++ b/lab/controlsim/checker/checker.go
@@ -35,7 +35,7 @@
 	OrderUnanswered, ReadUnanswered, IdleController}
 
 const (
-	sampleInterval         = 250 * int64(time.Millisecond)
+	sampleInterval         = 250 * int64(time.Millisecond)  // conditions over time are checked at this interval
 	reachableTime          = 1500 * int64(time.Millisecond) // an edge can reach controllers that have had no fault for this time
 	linearizabilityTimeout = 20 * time.Second               // real time; the search for an order of all operations stops after it
 	cutDelay               = int64(time.Millisecond)        // an attempt counts as sent during a cut from this time after the start of the cut
@@ -93,7 +93,7 @@
 }
 
 // newestAcknowledgements returns, in order, the acknowledgements of a revision newer than all before.
-func newestAcknowledgements(orders []Order) (rises []acknowledgement) {
+func newestAcknowledgements(orders []Order) (newest []acknowledgement) {
 	var all []acknowledgement
 	for _, o := range orders {
 		if o.Outcome == Acknowledged {
@@ -102,11 +102,11 @@
 	}
 	slices.SortStableFunc(all, func(a, b acknowledgement) int { return cmp.Compare(a.at, b.at) })
 	for _, r := range all {
-		if n := len(rises); n == 0 || r.revision > rises[n-1].revision {
-			rises = append(rises, r)
+		if n := len(newest); n == 0 || r.revision > newest[n-1].revision {
+			newest = append(newest, r)
 		}
 	}
-	return rises
+	return newest
 }
 
 // checkReads checks that a read that starts after an acknowledgement returns that revision or a newer one.
--- a/lab/controlsim/checker/stability.go
+++ b/lab/controlsim/checker/stability.go
@@ -66,11 +66,11 @@
 			c.faults[t.Machine] = &spans{}
 		}
 		c.faults[t.Machine].add(t.From, t.Until)
-		core := c.isController(t.Machine)
-		if t.Link && (core || t.Machine == operator) {
+		isController := c.isController(t.Machine)
+		if t.Link && (isController || t.Machine == operator) {
 			c.links.add(t.From, t.Until)
 		}
-		if !core {
+		if !isController {
 			continue
 		}
 		c.events.add(t.From, t.From)
@@ -123,26 +123,26 @@
 
 // healthyMajority reports whether more than half of the controllers that are deployed at the end of a window had no fault in it.
 func (c *stability) healthyMajority(from, until int64) bool {
-	well := 0
+	healthy := 0
 	for _, m := range c.controllers {
 		if m.From <= max(from, 0) && until < m.Until && c.healthy(m.Name, from, until) {
-			well++
+			healthy++
 		}
 	}
-	return 2*well > c.controllersAt(until)
+	return 2*healthy > c.controllersAt(until)
 }
 
 // isolates reports whether a cut separates a controller from any majority.
 func (c *stability) isolates(cut Cut) bool {
-	here, left := 0, 0
+	deployed, reachable := 0, 0
 	for _, m := range c.controllers {
 		if m.From > cut.From || m.Until <= cut.Until {
 			continue
 		}
-		here++
+		deployed++
 		if m.Name == cut.Controller || !slices.Contains(cut.Others, m.Name) {
-			left++
+			reachable++
 		}
 	}
-	return 2*left <= here
+	return 2*reachable <= deployed
 }
--- a/lab/controlsim/clients.go
+++ b/lab/controlsim/clients.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// newOrder sends an order with a new revision, unless too many orders are without an answer.
-func (w *world) newOrder(rng *rand.Rand, at string) {
+// newOrder sends an order with a new revision, first to the given controller, unless too many orders are without an answer.
+func (w *world) newOrder(rng *rand.Rand, first string) {
 	pending := 0
 	for _, o := range w.orders {
 		if o.record.Outcome == checker.Unclear && o.record.Ended == 0 {
@@ -168,7 +168,7 @@
 		return
 	}
 	w.highestRevision += 1 + uint64(rng.IntN(3))
-	w.sendOrder(w.highestRevision, fmt.Sprint(w.highestRevision, "/one"), at, false)
+	w.sendOrder(w.highestRevision, fmt.Sprint(w.highestRevision, "/one"), first, false)
 }
 
 // sendOrder sends a configuration, with retries until there is a definite answer unless once is set.
@@ -208,9 +208,9 @@
 }
 
 // otherController returns a random controller other than the given one.
-func (w *world) otherController(than string) string {
+func (w *world) otherController(excluded string) string {
 	for {
-		if c := w.randomController(); c != than {
+		if c := w.randomController(); c != excluded {
 			return c
 		}
 	}
@@ -219,9 +219,9 @@
 func (o *order) attempt(to string) {
 	w := o.world
 	o.attempts++
-	try := checker.Attempt{Controller: to, Sent: w.now}
+	attempt := checker.Attempt{Controller: to, Sent: w.now}
 	index := len(o.record.Attempts)
-	o.record.Attempts = append(o.record.Attempts, try)
+	o.record.Attempts = append(o.record.Attempts, attempt)
 	revision, body := o.record.Revision, o.body
 	w.call("operator", to, func(s *server, answer func(controller.Answer)) {
 		s.call(func(now int64, id uint64) controller.Effects {
--- a/lab/controlsim/network.go
+++ b/lab/controlsim/network.go
@@ -14,6 +14,7 @@
 	userTimeout = 2 * second // a connection breaks when data stays unacknowledged for this time
 )
 
+// direction is one direction between two machines.
 type direction struct{ from, to string }
 
 // network simulates the links between machines. Each cut blocks one direction between two machines; cuts are counted, since faults
@@ -24,10 +25,10 @@
 	world          *world
 	rng            *rand.Rand
 	baseLatency    map[direction]int64
-	cuts           map[direction]int
-	refusals       map[direction]int
-	extraDelay     map[string]int64 // extra latency of all links of a machine, ns
-	duplicateDelay map[string]int64 // delay of the second copy of each message from a machine, ns
+	cuts           map[direction]int // number of cuts that block a direction
+	refusals       map[direction]int // number of cuts that also refuse connections
+	extraDelay     map[string]int64  // extra latency of all links of a machine, ns
+	duplicateDelay map[string]int64  // delay of the second copy of each message from a machine, ns
 	connections    []*connection
 }
 
@@ -39,15 +40,16 @@
 // latency returns the random transfer time of one message: a fixed base for each direction between two machines, jitter, and the
 // extra latency of both machines.
 func (n *network) latency(from, to string) int64 {
-	p := direction{from, to}
-	base, known := n.baseLatency[p]
+	d := direction{from, to}
+	base, known := n.baseLatency[d]
 	if !known {
 		base = randomBetween(n.rng, minLatency, maxLatency)
-		n.baseLatency[p] = base
+		n.baseLatency[d] = base
 	}
 	return base + randomBetween(n.rng, 0, maxJitter) + n.extraDelay[from] + n.extraDelay[to]
 }
 
+// blocked reports whether a cut blocks messages from one machine to another.
 func (n *network) blocked(from, to string) bool {
 	return n.cuts[direction{from, to}] > 0 || n.refusals[direction{from, to}] > 0
 }
@@ -58,15 +60,15 @@
 	if refused {
 		counts = n.refusals
 	}
-	p := direction{from, to}
+	d := direction{from, to}
 	if begin {
-		counts[p]++
+		counts[d]++
 		if refused {
 			n.resetPair(from, to)
 		}
 		return
 	}
-	counts[p]--
+	counts[d]--
 	if !n.blocked(from, to) {
 		for _, c := range slices.Clone(n.connections) {
 			for side := range c.ends {
@@ -166,7 +168,7 @@
 	incarnations [2]int
 	alive        [2]bool // the end of this side is open
 	lastArrival  [2]int64
-	held         [2][]any // messages from this side that a cut holds back
+	held         [2][]any // messages from this side that wait for the end of a cut
 	onMessage    [2]func(any)
 	onClosed     [2]func()
 	unhandled    [2][]any // messages that arrived before setHandlers
--- a/lab/controlsim/plan.go
+++ b/lab/controlsim/plan.go
@@ -30,7 +30,7 @@
 	ReplaceUnplanned    FaultKind = "replace_unplanned"  // Machine loses power and never returns; Successor starts with an empty disk after For
 	LoseAnswers         FaultKind = "lose_answers"       // half of the controllers' answers to operators and replicas are lost
 	EdgeRestart         FaultKind = "edge_restart"       // an edge's process is killed; a new one starts after For without any state
-	EdgeStartsAlongside FaultKind = "edge_starts_beside" // an edge's process is killed; the new one starts after For and connects first to the controller Others[0]
+	EdgeStartsAlongside FaultKind = "edge_starts_beside" // an edge's process is killed; after For a new one connects first to the controller Others[0]
 )
 
 // Fault is one fault of a plan. Times count from the start of the run.
--- a/lab/controlsim/planted/planted.go
+++ b/lab/controlsim/planted/planted.go
@@ -30,10 +30,12 @@
 	readinessFile  = "decide/follower/readiness.go"
 )
 
-func edit(file, was, is string) planted.Edit { return planted.Edit{File: file, Old: was, New: is} }
+func edit(file, old, replacement string) planted.Edit {
+	return planted.Edit{File: file, Old: old, New: replacement}
+}
 
-func mutant(point controlsim.Scenario, seeds int, name string, checks []string, edits ...planted.Edit) Mutant {
-	return Mutant{planted.Mutant{Name: name, Edits: edits}, point, seeds, checks}
+func mutant(scenario controlsim.Scenario, seeds int, name string, checks []string, edits ...planted.Edit) Mutant {
+	return Mutant{planted.Mutant{Name: name, Edits: edits}, scenario, seeds, checks}
 }
 
 const (
--- a/lab/controlsim/server.go
+++ b/lab/controlsim/server.go
@@ -30,7 +30,7 @@
 	machine   *machine
 	zone      string
 	disk      *disk
-	bootstrap bool // the next start is the first start of the snapshot system
+	bootstrap bool // the next start is the first start of the whole system
 
 	controller    *controller.Controller // state machine of the current process
 	lastFreshness freshnessState
@@ -68,7 +68,7 @@
 // freshnessState is the last recorded state from which a controller's freshness is computed.
 type freshnessState struct {
 	known           bool
-	since           int64 // time from the controller's CurrentSince, on the machine's clock
+	since           int64 // the controller's CurrentSince, on the machine's clock
 	epoch, revision uint64
 }
 
--- a/lab/controlsim/world.go
+++ b/lab/controlsim/world.go
@@ -30,7 +30,7 @@
 	sequence        uint64
 	network         *network
 	machines        map[string]*machine
-	machineNames    []string // of the machines, in the order in which they were added
+	machineNames    []string // in the order in which the machines were added
 	servers         map[string]*server
 	edges           map[string]*edge
 	controllers     []string // controllers that are deployed now
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -43,8 +43,8 @@
 	Members          []string // members at the first start, whose disks hold this list
 	Spare            []string // machines that start with empty disks and join
 	Ops              []Op
-	Crashes          int  // number of times that a machine loses power; it restarts at once, since late messages have the same effect as a longer downtime
-	Wipes            int  // number of times that a machine loses power and its disk; never a second one before the first has caught up
+	Crashes          int  // losses of power; the machine restarts at once, since late messages have the same effect as a longer downtime
+	Wipes            int  // losses of power and disk; never a second one before the first machine has caught up
 	Rounds           int  // queries and ballots that one incarnation of a proposer may start
 	SlowDisks        bool // a disk's sync is an event of its own; otherwise each write is synced at once
 	LateAnswers      bool // answers to a former incarnation of a machine reach its next one
--- a/lab/rolloutcheck/rolloutcheck.go
+++ b/lab/rolloutcheck/rolloutcheck.go
@@ -42,7 +42,7 @@
 	managers      [managers]*rollout.Manager
 	holder        int // index of the manager of the lease holder
 	holderChanged bool
-	messageLost   bool                      // the one message that may be lost was lost
+	messageLost   bool                      // one message was lost already; no other may be
 	proposed      [managers]*rollout.Change // the change that each manager has decided and that has not reached the register yet
 	trace         *step
 }
@@ -171,10 +171,10 @@
 type edgeAction uint8
 
 const (
-	receive edgeAction = iota // the newest rollout set
-	report                    // to the lease holder's manager
-	send                      // a request to the old version
-	answer                    // from the old version arrives
+	receive edgeAction = iota // the edge receives the newest rollout set
+	report                    // the edge reports to the lease holder's manager
+	send                      // the edge sends a request to the old version
+	answer                    // the old version answers the edge's request
 )
 
 var actionNames = [...]string{"hears", "reports", "sends to the old version", "is answered by the old version"}
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -58,7 +58,9 @@
 	return strings.Join(rows, "\n") + "\n"
 }
 
-func edit(file, was, is string) planted.Edit { return planted.Edit{File: file, Old: was, New: is} }
+func edit(file, old, replacement string) planted.Edit {
+	return planted.Edit{File: file, Old: old, New: replacement}
+}
 
 func files(names ...string) []string { return names }
 
