--- a/front/clienthttp/callers_test.go
+++ b/front/clienthttp/callers_test.go
@@ -19,7 +19,8 @@
 	"willowsill/transport/replicahttp"
 )
 
-// echoCore answers each query with its own attempt id, once it is let; a client that leaves first gets none.
+// echoCore answers each query with its attempt id once hold allows it. A query whose client leaves first gets no
+// answer.
 type echoCore struct {
 	hold chan struct{} // nil to answer at once
 
@@ -50,7 +51,7 @@
 	return node.Answer{Outcome: balance.Whole, Values: []node.Value{{Shard: q.Parts[0].Shard}}}, true
 }
 
-// serveClients serves clients on a port of its own.
+// serveClients serves clients on a port and returns its address.
 func serveClients(t *testing.T, c *echoCore) (address string) {
 	c.came = make(chan struct{}, 64)
 	handler := handlerOf(t, nil)
@@ -73,7 +74,7 @@
 
 const chunked = "Transfer-Encoding: chunked\r\n"
 
-// answers reads all answers of a connection, until it ends, as "status body".
+// answers reads all answers on a connection until it ends, each as "status id".
 func answers(t *testing.T, c net.Conn) (all []string) {
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	r := bufio.NewReader(c)
@@ -95,14 +96,14 @@
 	}
 }
 
-// TestClientConnections: each way in which a client's connection ends or misbehaves, on its first request and behind one
-// that was answered. What did not come whole goes to no replica, each answer goes to its own request, in order, and none
-// is made up.
+// TestClientConnections: each way in which a client's connection can end or misbehave, on its first request and
+// behind one that was answered. An incomplete request must go to no replica, and each request must get its own
+// answer, in order.
 func TestClientConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		sent  string   // then the client ends its side
-		want  []string // answers
-		asked []string // attempt and body of what went on
+		sent  string   // after which the client closes its sending side
+		want  []string // expected answers
+		asked []string // attempt and body of the requests that reach the core
 	}{
 		"nothing":                   {"", nil, nil},
 		"ended in the first line":   {"POST /b", []string{"400"}, nil},
@@ -137,7 +138,7 @@
 				}
 				io.WriteString(conn, sent)
 				for range asked {
-					<-core.came // served at once, so that the end of the client's side is no departure
+					<-core.came // all are served before the client's side closes, which would abandon them
 				}
 				if len(want) > len(asked) || len(asked) == 0 {
 					conn.(*net.TCPConn).CloseWrite()
@@ -158,7 +159,7 @@
 	}
 }
 
-// answersUntil reads so many answers, and all that come until the end where there are to be none.
+// answersUntil reads up to most answers, or all until the connection ends if most is 0.
 func answersUntil(t *testing.T, c net.Conn, most int) (all []string) {
 	if most == 0 {
 		return answers(t, c)
@@ -184,8 +185,8 @@
 	return all
 }
 
-// TestClientLeaves: a client that leaves while its request is out is given up, and what it may still read is no success
-// and no promise.
+// TestClientLeaves: the query of a client that disconnects is abandoned. A client that closed only its sending
+// side must read neither a success nor a promise that its request has not run.
 func TestClientLeaves(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closed":      func(c *net.TCPConn) { c.Close() },
@@ -204,7 +205,7 @@
 				for _, got := range answers(t, conn) {
 					must.Eq(t, "502", got)
 				}
-				for range 500 { // the server sees it at once; the race with this check is short
+				for range 500 { // the server notices at once, but this check may come first
 					core.mu.Lock()
 					left := core.left
 					core.mu.Unlock()
@@ -213,13 +214,13 @@
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
-				t.Fatal("not given up")
+				t.Fatal("the query was not abandoned")
 			})
 		}
 	}
 }
 
-// TestPipelinedBehindOneThatWaits: a request behind one that is out waits, and each gets its own answer.
+// TestPipelinedBehindOneThatWaits: a pipelined request waits for the one before it, and each gets its own answer.
 func TestPipelinedBehindOneThatWaits(t *testing.T) {
 	core := &echoCore{hold: make(chan struct{})}
 	conn, err := net.Dial("tcp", serveClients(t, core))
@@ -232,7 +233,8 @@
 	must.Eq(t, []string{"200 x1", "200 x2"}, answersUntil(t, conn, 2))
 }
 
-// TestExpectContinue: a body is asked for before it is sent, and one that never comes goes to no replica.
+// TestExpectContinue: a client is asked for the body before it sends it, and a request whose body never arrives
+// goes to no replica.
 func TestExpectContinue(t *testing.T) {
 	for _, sent := range []string{"body", "bo"} {
 		core := &echoCore{}
@@ -262,7 +264,8 @@
 	}
 }
 
-// TestSlowHead: a head that does not come in time goes to no replica; net/http refuses it and ends the connection.
+// TestSlowHead: a request whose headers do not arrive in time goes to no replica; net/http answers with an error
+// and closes the connection.
 func TestSlowHead(t *testing.T) {
 	core := &echoCore{}
 	conn, err := net.Dial("tcp", serveClients(t, core))
--- a/front/clienthttp/clienthttp.go
+++ b/front/clienthttp/clienthttp.go
@@ -1,6 +1,6 @@
-// Package clienthttp takes clients' requests over HTTP, hands them to the core and writes the answers. It knows no
-// policy: what it refuses itself is what cannot be read, has no route, or comes before there is a
-// configuration.
+// Package clienthttp serves clients of a proxy over HTTP: it decodes requests, passes them to the core and writes
+// the answers. It makes no policy decisions; by itself it refuses only requests that are malformed, have no route,
+// or arrive before a configuration has been applied.
 package clienthttp
 
 import (
@@ -28,16 +28,16 @@
 	headerPartSeals     = "Willowsill-Part-Seals"
 	headerMissing       = "Willowsill-Missing-Parts"
 	millisecond         = int64(time.Millisecond)
-	defaultMaxBodyBytes = 1 << 20 // bytes of a request's body, where no limit is stated
+	defaultMaxBodyBytes = 1 << 20 // limit of a request's body if the configuration sets none
 	drawRange           = 1 << 32
 )
 
-// Core serves one query and gives its one answer, or false where the client left first.
+// Core serves queries. Serve returns the query's only answer, or false if the client disconnected first.
 type Core interface {
 	Serve(ctx context.Context, q node.Query) (node.Answer, bool)
 }
 
-// Handler is the handler of clients' requests.
+// Handler is the HTTP handler for clients' requests.
 type Handler struct {
 	Core     Core
 	Now      func() int64
@@ -45,10 +45,11 @@
 	state    atomic.Pointer[routingtable.State]
 }
 
-// SetState takes requests by this from now on. One under way goes on with what it began with.
+// SetState sets the state by which new requests are served. A request in progress keeps the state that it began
+// with.
 func (q *Handler) SetState(s *routingtable.State) { q.state.Store(s) }
 
-// hopHeaders concern one connection only, or are this side's to write.
+// hopHeaders are the headers that are not passed on, as they concern one connection or are set by the proxy.
 var hopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true,
 	"Content-Length": true, "Host": true, replicahttp.HeaderDeadline: true, replicahttp.HeaderTarget: true}
@@ -75,7 +76,8 @@
 		return
 	}
 	attempt := r.Header.Get(replicahttp.HeaderAttempt)
-	// Danger: of two ids a replica may answer by the other, and its answer would be nobody's.
+	// Danger: a replica may answer with either of two ids, and an answer with the wrong one would match no
+	// request.
 	if attempt == "" || len(r.Header[replicahttp.HeaderAttempt]) > 1 {
 		refuse(w, http.StatusBadRequest, 0)
 		return
@@ -104,15 +106,15 @@
 	row, known := state.Rows[route.ID()]
 	query := node.Query{ID: attempt, Workload: row, Deadline: until, Payload: req}
 	var served bool
-	// Danger: a route without a row of its own would be served on another's terms.
+	// Danger: a route without a row of its own would be served with another route's settings.
 	if query.Parts, served = routeParts(state, route); !served || !known {
 		refuse(w, http.StatusServiceUnavailable, int64(time.Second))
 		return
 	}
 	answer, here := q.Core.Serve(r.Context(), query)
 	if !here {
-		// Danger: a handler that returns without a word answers 200, and a client that has ended only its own side
-		// reads that as a success.
+		// Danger: if a handler returns without writing, net/http answers 200, and a client that has closed only
+		// its sending side would read that as a success.
 		w.Header().Set("Connection", "close")
 		refuse(w, http.StatusBadGateway, 0)
 		return
@@ -126,9 +128,10 @@
 	}
 }
 
-// routeParts are those of a route's next request, false where one of its services has no shard.
+// routeParts returns the parts of a request on a route: one for each service of a fan-out, else one. It returns
+// false if a service has no shard.
 //
-// Danger: what names no shard of its own would go to another service's replicas.
+// Danger: a part with the wrong shard would go to another service's replicas.
 func routeParts(state *routingtable.State, route *routeconfig.Route) (parts []node.Part, served bool) {
 	services := route.Fanout
 	if len(services) == 0 {
@@ -161,7 +164,8 @@
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, int64(most)))
 }
 
-// requestHead is the first line and the headers as they go to replicas, without those of one part.
+// requestHead returns the request line and the headers that go to the replicas, without those that differ from
+// part to part.
 func requestHead(r *http.Request, target string, length int) []byte {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -185,7 +189,7 @@
 	return b.Bytes()
 }
 
-// refuse answers for the system itself; a wait is told in seconds with fractions.
+// refuse answers a request on the proxy's own behalf. Retry-After is in seconds, with decimals.
 func refuse(w http.ResponseWriter, status int, wait int64) {
 	if wait > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(wait)/1e9, 'f', 3, 64))
@@ -194,8 +198,8 @@
 	w.WriteHeader(status)
 }
 
-// writeUnserved answers a query that brought nothing: a promise where it has not run and never will, none
-// otherwise.
+// writeUnserved answers a query that no replica has answered: 503 if it has not run and never will, 502 if it may
+// have run.
 func writeUnserved(w http.ResponseWriter, a node.Answer) {
 	if a.Outcome == balance.Declined {
 		refuse(w, http.StatusServiceUnavailable, a.RetryAfter)
@@ -204,10 +208,11 @@
 	refuse(w, http.StatusBadGateway, 0)
 }
 
-// passesThrough tells whether a replica's answer goes to the client: a success, and a failure of the replica's own.
+// passesThrough reports whether a replica's answer is passed on to the client, as successes and the replica's own
+// errors are.
 //
-// Danger: 503 promises a client that its request has not run and never will. A replica's own 503 without a proof promises
-// nothing, and a client would repeat an unsafe request that has run.
+// Danger: 503 tells a client that its request has not run and never will. A replica's own 503 without a proof does
+// not say that, and a client would repeat an unsafe request that has run.
 func passesThrough(got *replicahttp.Answer, final balance.Outcome) bool {
 	if got == nil || !got.Complete {
 		return false
@@ -221,7 +226,7 @@
 	return got.Seal != "" && got.Status >= http.StatusInternalServerError
 }
 
-// writeSingle passes one replica's answer on unchanged, also its failure where there is nothing better.
+// writeSingle writes a replica's answer unchanged, which may be an error if there is nothing better.
 func writeSingle(w http.ResponseWriter, req *replicahttp.Request, shard int, a node.Answer) {
 	got := req.Answers[shard]
 	if !passesThrough(got, a.Outcome) {
@@ -242,7 +247,7 @@
 	w.Write(got.Body)
 }
 
-// writeGathered merges the parts that are in.
+// writeGathered writes the merged answers of the parts that succeeded.
 func writeGathered(w http.ResponseWriter, route *routeconfig.Route, req *replicahttp.Request, parts []node.Part, a node.Answer) {
 	if a.Outcome > balance.Partial {
 		writeUnserved(w, a)
--- a/front/clienthttp/clienthttp_test.go
+++ b/front/clienthttp/clienthttp_test.go
@@ -28,7 +28,7 @@
 {"name":"debit","host":"h","path-prefix":"/b/","route-kind":"unsafe","deadline-ms":4000,"service":"s0"}],
 "services":[{"name":"s0"},{"name":"s1"},{"name":"s2"}],"limits":{"max-body-bytes":10}}`
 
-// core answers as it is told to, and keeps what it was asked.
+// core is a Core whose answers are set by the test. It records the query that it was asked.
 type core struct {
 	asked   node.Query
 	answers map[int]*replicahttp.Answer
@@ -77,7 +77,8 @@
 
 func record(c byte) string { return strings.Repeat(string(c), 16) }
 
-// TestGatheredAnswer: the greatest records of the parts that are in, their seals, and how many are missing.
+// TestGatheredAnswer: the answer has the greatest records of the parts that succeeded, their seals, and the number
+// of missing parts.
 func TestGatheredAnswer(t *testing.T) {
 	failed := &replicahttp.Answer{Status: 500, Seal: "bad", Complete: true}
 	c := &core{final: balance.Partial, answers: map[int]*replicahttp.Answer{0: part("x", record('b'), record('d')), 1: failed,
@@ -93,7 +94,8 @@
 	must.Eq(t, 1000+700*millisecond, c.asked.Deadline)
 }
 
-// TestWhatReplicasGet: the request unchanged, but for what concerns one connection or is this side's to say.
+// TestWhatReplicasGet: replicas get the request unchanged, except for headers that concern one connection or that
+// the proxy sets.
 func TestWhatReplicasGet(t *testing.T) {
 	c := &core{answers: map[int]*replicahttp.Answer{0: {Status: 200, Seal: "s", Complete: true, Body: []byte("ok"),
 		Header: http.Header{"Willowsill-Replica-Seal": {"s"}, "Connection": {"close"}, "X-More": {"1", "2"}}}}}
@@ -115,7 +117,7 @@
 	must.Eq(t, "body", string(r.Body))
 }
 
-// TestRefusals: each answer of the system's own, and what it promises.
+// TestRefusals: the status of each answer that the proxy gives on its own behalf.
 func TestRefusals(t *testing.T) {
 	declined := &core{final: balance.Declined, wait: int64(1500 * time.Millisecond)}
 	forfeited := &core{final: balance.Forfeited}
@@ -149,11 +151,12 @@
 		})
 	}
 	w := httptest.NewRecorder()
-	(&Handler{Now: func() int64 { return 0 }}).ServeHTTP(w, request("GET", "/a/", "")) // before any configuration
+	(&Handler{Now: func() int64 { return 0 }}).ServeHTTP(w, request("GET", "/a/", "")) // without a configuration
 	must.Eq(t, 503, w.Code)
 }
 
-// TestServiceWithoutAShard: a request of which one service has no shard goes to no replica of another one.
+// TestServiceWithoutAShard: if a service of a request has no shard, the request goes to no other service's
+// replica.
 func TestServiceWithoutAShard(t *testing.T) {
 	c := &core{}
 	handler := handlerOf(t, c)
@@ -168,8 +171,8 @@
 	}
 }
 
-// TestLimitsThatChange: a new connection comes under the new limits, and one that is open keeps those that it
-// came under; what no connection is under any more is let go.
+// TestLimitsThatChange: a new connection gets the new limits, an open one keeps its own, and servers without
+// connections are removed.
 func TestLimitsThatChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipenet.Network{}
@@ -206,7 +209,7 @@
 		}
 		must.SliceLen(t, 2, s.All())
 		time.Sleep(30 * time.Second)
-		ask() // still, by the limits that it came under
+		ask() // still allowed by the connection's own limits
 		open.Close()
 		synctest.Wait()
 		must.SliceLen(t, 1, s.All())
--- a/front/clienthttp/routes_test.go
+++ b/front/clienthttp/routes_test.go
@@ -14,7 +14,7 @@
 	"willowsill/deployment/settings"
 )
 
-// drawnConfiguration draws a valid configuration whose routes have few names between them, or none.
+// drawnConfiguration draws a valid configuration whose routes share a few names or have none.
 func drawnConfiguration(t *rapid.T, revision int) []byte {
 	type entry map[string]any
 	var routes []entry
@@ -31,8 +31,9 @@
 	return body
 }
 
-// TestRoutesOfOneName guards against an unsafe request that runs twice: each request is taken on the terms of its own
-// route, whatever the routes are called and whichever configurations were in force before.
+// TestRoutesOfOneName guards against an unsafe request that runs twice because another route's settings are
+// applied to it: each request is served by its own route, whatever the routes' names and the configurations
+// before.
 func TestRoutesOfOneName(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		asked := &core{}
@@ -58,7 +59,8 @@
 	})
 }
 
-// TestSplitsOfOneName guards against shares that are not those of the weights: a route's requests move its own split alone.
+// TestSplitsOfOneName guards against shares that differ from the weights: a route's requests advance only its own
+// split.
 func TestSplitsOfOneName(t *testing.T) {
 	const raw = `{"revision":1,"routes":[
 {"name":"r","host":"h","path-prefix":"/a/","deadline-ms":1000,"weighted-split":[{"service":"s1","weight":1},{"service":"s2","weight":1}]},
--- a/front/clienthttp/server.go
+++ b/front/clienthttp/server.go
@@ -14,28 +14,29 @@
 const (
 	defaultHeadTimeout = 10 * time.Second
 	defaultIdleTimeout = 60 * time.Second
-	handoverBacklog    = 16 // connections accepted and not yet taken up
+	handoverBacklog    = 16 // connections accepted but not yet taken by a server
 )
 
-// Servers accepts clients on one listener, under limits that may change: a connection keeps those that it
-// came under.
+// Servers serves the clients of one listener. Limits may change while it runs: a connection keeps the limits that
+// were in force when it was accepted.
 type Servers struct {
 	Handler http.Handler
 	mu      sync.Mutex
 	limits  routeconfig.Limits
-	current *connServer   // takes new connections; nil before the first limits
-	all     []*connServer // that may still have connections
+	current *connServer   // takes new connections; nil until limits are set
+	all     []*connServer // that take connections or have open ones
 }
 
-// connServer hands connections of the listener to a server of its own.
+// connServer is an http.Server with its limits. As the listener of that server it passes on the connections of the
+// real one.
 type connServer struct {
 	server  *http.Server
 	address net.Addr
 	conns   chan net.Conn
 	closed  chan struct{}
 	once    sync.Once
-	open    int  // connections handed over that have not ended; guarded by Servers.mu
-	retired bool // others take new connections; likewise
+	open    int  // connections taken that have not ended; guarded by Servers.mu
+	retired bool // another server takes new connections; guarded by Servers.mu
 }
 
 func (d *connServer) Accept() (net.Conn, error) {
@@ -54,7 +55,7 @@
 
 func (d *connServer) Addr() net.Addr { return d.address }
 
-// SetLimits sets the limits for connections from now on.
+// SetLimits sets the limits for connections that are accepted from now on.
 func (s *Servers) SetLimits(address net.Addr, l routeconfig.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +86,7 @@
 	}
 }
 
-// connEnded notes that a connection of a door has ended.
+// connEnded records that a connection of a server has ended.
 func (s *Servers) connEnded(d *connServer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,9 +94,10 @@
 	s.closeIfUnused(d)
 }
 
-// closeIfUnused lets go of a door that is retired and has no connection left.
+// closeIfUnused closes and forgets a server that is retired and has no connections left. The caller holds mu.
 //
-// Danger: limits may change thousands of times in the life of a process, and a server for each would be kept for ever.
+// Danger: limits may change thousands of times in the life of a process, and a server for each would otherwise be
+// kept for ever.
 func (s *Servers) closeIfUnused(d *connServer) {
 	if !d.retired || d.open > 0 {
 		return
@@ -104,7 +106,7 @@
 	d.Close()
 }
 
-// Accept takes connections from the listener until it is closed.
+// Accept accepts connections on the listener until it is closed.
 func (s *Servers) Accept(ln net.Listener) error {
 	for {
 		c, err := ln.Accept()
@@ -116,19 +118,20 @@
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			// Danger: out of descriptors for a moment, a server that gives up listening is lost for good.
+			// Danger: accept fails while the process has no free descriptors. A server that stopped accepting then
+			// would serve no clients any more.
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
 		s.mu.Lock()
 		d := s.current
-		d.open++ // before it is handed over, lest the door be dropped meanwhile
+		d.open++ // before the connection is passed on, so that the server is not closed meanwhile
 		s.mu.Unlock()
 		d.conns <- c
 	}
 }
 
-// All are the servers that may still have connections.
+// All returns the servers that take connections or have open ones.
 func (s *Servers) All() (servers []*http.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/front/front.go
+++ b/front/front.go
@@ -1,5 +1,6 @@
-// Package front takes queries in from clients over HTTP, hands them to the core and writes the answers. It
-// knows no policy: what it declines itself is what cannot be read, or has no time left.
+// Package front serves clients over HTTP: it decodes queries, passes them to a Core and writes the answers. It
+// makes no policy decisions; by itself it rejects only requests that are malformed, too long or incomplete, and
+// queries that the Guard rejects.
 package front
 
 import (
@@ -26,51 +27,56 @@
 	"willowsill/node"
 )
 
-// Core serves one query and gives its one answer, or false where the client left first.
+// Core serves queries. Serve returns the query's only answer, or false if the client disconnected first. Ready is
+// closed once a replica is known.
 type Core interface {
 	Serve(ctx context.Context, q node.Query) (node.Answer, bool)
 	Ready() <-chan struct{}
 }
 
-// Guard decides, before a query has cost much, whether it is taken on: where the process itself falls behind.
+// Guard protects an overloaded process: it rejects queries before they have cost much. Times are in ns.
 type Guard interface {
-	Admit(a overload.Arrival) (taken bool, comeBack int64)
-	RejectUnread(workload int) (away bool, comeBack int64) // of a request whose first line alone is read
+	// Admit decides on a query whose headers have been read. If it rejects the query, retryAfter is sent to the
+	// client.
+	Admit(a overload.Arrival) (admitted bool, retryAfter int64)
+	// RejectUnread decides on a request of which only the first line has been parsed.
+	RejectUnread(workload int) (rejected bool, retryAfter int64)
+	// RecordEnd records how long an admitted query took and whether it was answered.
 	RecordEnd(workload int, took int64, answered bool)
 }
 
-// Front is the handler of the clients' requests.
+// Front is the HTTP handler for client requests: queries, the health check and the counters.
 type Front struct {
 	Core        Core
 	Clock       node.Clock
-	WorkloadRow map[string]int // rows, by name
+	WorkloadRow map[string]int // row of each workload, by its name
 	Shards      int
 	Counters    *counters.Counters
 	Log         *zap.Logger
-	Guard       *SwitchableGuard // nil where all is taken on
+	Guard       *SwitchableGuard // nil to admit every query
 	closing     chan struct{}
-	openIDs     sync.Map // ids of the queries that have no answer yet
+	openIDs     sync.Map // ids of the queries that have not been answered yet
 }
 
-// HeaderRetry is the header by which a client marks a retry, with the value 1.
+// HeaderRetry is the header that marks a query as a client's retry, with the value 1.
 const HeaderRetry = "X-Second-Try"
 
 const (
-	maxBodyBytes    = 64 << 10  // bytes
-	maxIDBytes      = 128       // bytes of a query's id
-	maxTimeLeftMs   = 3_600_000 // ms: no client waits an hour
-	nsPerMs         = 1e6       // ns in a ms, as headers count
-	weightTolerance = 0.01      // weights are shares of one, written with few digits
-
-	writeTimeout        = 2 * time.Second        // a client that reads nothing for so long gets no answer
-	rejectedBodyTimeout = 5 * time.Millisecond   // for the body of a query that is turned away
-	drainTimeout        = 200 * time.Millisecond // for the rest of a request that has had its complaint
+	maxBodyBytes    = 64 << 10
+	maxIDBytes      = 128       // of a query's id
+	maxTimeLeftMs   = 3_600_000 // longest time left that a client may state
+	nsPerMs         = 1e6
+	weightTolerance = 0.01 // allowed distance of the sum of a query's weights from 1, as clients round them
+
+	writeTimeout        = 2 * time.Second        // for the client to read an answer
+	rejectedBodyTimeout = 5 * time.Millisecond   // for the body of a rejected query to arrive
+	drainTimeout        = 200 * time.Millisecond // for reading the rest of a request that was answered with an error
 )
 
-// SwitchableGuard is the place of a guard that may be switched on and off.
+// SwitchableGuard holds a Guard that can be set and removed while the server runs.
 type SwitchableGuard struct{ atomic.Pointer[Guard] }
 
-// currentGuard is the present one, or nil.
+// currentGuard returns the guard that is set, or nil.
 func (f *Front) currentGuard() Guard {
 	if f.Guard == nil {
 		return nil
@@ -81,7 +87,7 @@
 	return nil
 }
 
-// rejection is a query that is turned away before its body is read.
+// rejection is the error for a query that the guard rejects before its body is read.
 type rejection struct {
 	workload   string
 	retryAfter int64
@@ -89,7 +95,7 @@
 
 func (rejection) Error() string { return "declined" }
 
-// requestError is a request that is not served, with what the client hears.
+// requestError is the status and the message with which an invalid request is answered.
 type requestError struct {
 	status  int
 	message string
@@ -99,7 +105,7 @@
 
 func badRequest(text string) error { return requestError{http.StatusBadRequest, text} }
 
-// requestBody is the form of a request's body.
+// requestBody is the JSON body of a query.
 type requestBody struct {
 	Segments []struct {
 		Segment *int     `json:"segment"`
@@ -108,7 +114,7 @@
 	Text *string `json:"text"`
 }
 
-// answerBody is the form of an answer's body.
+// answerBody is the JSON body of an answer.
 type answerBody struct {
 	AllIn   bool    `json:"all_in"`
 	Matches []match `json:"matches"`
@@ -119,7 +125,7 @@
 	Payload string `json:"payload"`
 }
 
-// ServeHTTP serves one request. A panic in one does not end the others.
+// ServeHTTP serves one request. A panic ends only the request's own connection.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer func() {
 		switch p := recover(); p {
@@ -133,8 +139,9 @@
 		}
 	}()
 	f.closeIfStopping(w)
-	// Danger: a body that never ends would hold its connection for ever, here or in the stock server, which
-	// reads on after the answer. So there is a limit until a body is there, and it stays where none came.
+	// Danger: a request body that never ends would hold its connection for ever, in the handler or in net/http's
+	// server, which reads on after the answer. The read deadline set here is therefore removed only once a body
+	// has been read.
 	if c := connection(r); c != nil {
 		f.setReadTimeout(w, time.Duration(c.deadline()-f.Clock.Now()))
 	}
@@ -148,12 +155,12 @@
 	}
 }
 
-// setReadTimeout has reads of the request end so long from now.
+// setReadTimeout makes reads of the request fail after a time.
 func (f *Front) setReadTimeout(w http.ResponseWriter, d time.Duration) {
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(d))
 }
 
-// closeIfStopping has an answer close its connection once the word to stop has come.
+// closeIfStopping makes the response close its connection if the server is stopping, and reports whether it is.
 func (f *Front) closeIfStopping(w http.ResponseWriter) bool {
 	select {
 	case <-f.closing:
@@ -205,8 +212,8 @@
 	f.serve(w, r, q, guard)
 }
 
-// reject answers a query that the guard does not take on, without looking at its body. Its connection stays where the body is
-// there, for a new one would cost more than the answer; a client that is slow to send is not waited for.
+// reject answers a query that the guard rejects, without decoding its body. The connection is kept if the body has
+// arrived, as a new connection would cost more than the answer; a client that sends slowly is not waited for.
 func (f *Front) reject(w http.ResponseWriter, r *http.Request, a rejection) {
 	f.countRejected(a.workload)
 	if !f.discardBody(w, r) {
@@ -217,7 +224,8 @@
 	f.writeAnswer(w, node.Answer{Outcome: balance.Declined, RetryAfter: a.retryAfter})
 }
 
-// discardBody reads a body away, and tells whether it was there as a whole, with nothing behind it.
+// discardBody discards the request's body. It returns false unless the whole body arrived in time and nothing
+// followed it.
 func (f *Front) discardBody(w http.ResponseWriter, r *http.Request) bool {
 	c := connection(r)
 	if c == nil || r.ContentLength < 0 || r.ContentLength > maxBodyBytes || r.Header.Get("Expect") != "" {
@@ -231,37 +239,38 @@
 	return true
 }
 
-// countRejected counts a query that was turned away unserved.
+// countRejected counts a rejected query as received and declined.
 func (f *Front) countRejected(workload string) {
 	count := f.Counters.Workloads[workload]
 	count.Accepted.Add(1)
 	count.Declined.Add(1)
 }
 
-// serve has the core serve a query that was read.
+// serve passes a decoded query to the core and writes its answer.
 func (f *Front) serve(w http.ResponseWriter, r *http.Request, q node.Query, guard Guard) {
 	began := f.Clock.Now()
-	// Danger: ids name parts on connections that queries share, and replies go by them alone.
+	// Danger: queries share connections to replicas, and replies are matched by id alone. Two open queries with
+	// one id would get each other's answers.
 	if _, taken := f.openIDs.LoadOrStore(q.ID, nil); taken {
 		f.writeError(w, requestError{http.StatusConflict, "X-Trace-Id is that of an open query"})
 		return
 	}
 	a, ok := func() (node.Answer, bool) {
-		defer f.openIDs.Delete(q.ID) // before the answer is out
+		defer f.openIDs.Delete(q.ID) // before the answer is written, as the client may then reuse the id
 		return f.Core.Serve(r.Context(), q)
 	}()
 	if guard != nil {
 		guard.RecordEnd(q.Workload, f.Clock.Now()-began, ok && a.Outcome <= balance.Partial)
 	}
-	if !ok { // an empty answer would be one that no replica gave
+	if !ok { // the client left; an empty answer could be read as a replica's
 		panic(http.ErrAbortHandler)
 	}
-	f.closeIfStopping(w) // the word to stop may have come meanwhile
+	f.closeIfStopping(w) // the server may have begun to stop meanwhile
 	f.writeAnswer(w, a)
 }
 
-// decodeRequest decodes a request into a query. The client counts its patience from when it sent the request, which
-// is not told; the earliest that is known of it is when its first byte came.
+// decodeRequest decodes a request into a query. The client's timeout runs from when it sent the request, a time
+// that is not transmitted; the time at which the request's first byte arrived is the earliest known substitute.
 func (f *Front) decodeRequest(w http.ResponseWriter, r *http.Request, guard Guard) (q node.Query, err error) {
 	began, c := f.Clock.Now(), connection(r)
 	if c != nil {
@@ -285,7 +294,8 @@
 			return q, badRequest(name + " stands twice")
 		}
 	}
-	// Danger: a body that is told in two ways may hide a second request from one reader and show it to another.
+	// Danger: parsers disagree about a body with both a length and an encoding, so such a request may hide a
+	// second one.
 	if c != nil && c.hasLengthAndEncoding() {
 		return q, badRequest("the body has a length and an encoding")
 	}
@@ -306,7 +316,7 @@
 		}
 	}
 	tooLong := requestError{http.StatusRequestEntityTooLarge, "the body is over 64 KiB"}
-	if r.ContentLength > maxBodyBytes { // before a byte of it is read
+	if r.ContentLength > maxBodyBytes { // refused without reading any of it
 		return q, tooLong
 	}
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -320,15 +330,16 @@
 		return q, badRequest("the body ended early")
 	}
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
-	// Danger: what follows a request before its answer may be hidden in it. It is never read: chunks hide where
-	// they end, and past a length nothing may have come.
+	// Danger: bytes that follow a request before its answer may be a hidden request. The connection is closed
+	// instead of reading them if the body was chunked, as its end is then unknown here, or if more bytes arrived
+	// than its length.
 	if c != nil && c.bodyRead(r.ContentLength) {
 		w.Header().Set("Connection", "close")
 	}
 	return q, f.decodeBody(text, &q)
 }
 
-// arrivalOf is what a query's head shows of it.
+// arrivalOf returns what a query's headers say, for the guard.
 func arrivalOf(q node.Query, r *http.Request, now int64) overload.Arrival {
 	a := overload.Arrival{Workload: q.Workload, ID: xxhash.Sum64String(q.ID), TimeLeft: q.Deadline - now, Attempt: 1}
 	if q.Customer != "" {
@@ -340,8 +351,8 @@
 	return a
 }
 
-// decodeBody decodes a body. Its text must reach replicas as it came: the decoder takes no key that stands twice or
-// is written otherwise, and no text that is not Unicode, which others would mend in silence.
+// decodeBody decodes a query's body. Replicas must get the text unchanged, so the decoder rejects duplicate and
+// misspelt keys and invalid Unicode, which other decoders would silently correct.
 func (f *Front) decodeBody(text []byte, q *node.Query) error {
 	var b requestBody
 	if err := json.Unmarshal(text, &b); err != nil {
@@ -371,19 +382,19 @@
 	if math.Abs(sum-1) > weightTolerance {
 		return badRequest("the boosts do not add up to 1")
 	}
-	for i := range q.Parts { // they are shares of one, but for rounding
+	for i := range q.Parts { // corrects the clients' rounding
 		q.Parts[i].Weight /= sum
 	}
 	return nil
 }
 
-// validID tells whether an id can stand in a line of words.
+// validID reports whether an id has a valid length and only printable ASCII characters without spaces.
 func validID(id string) bool {
 	return id != "" && len(id) <= maxIDBytes &&
 		strings.IndexFunc(id, func(c rune) bool { return c <= ' ' || c >= 0x7f }) < 0
 }
 
-// writeError answers a request that is not served.
+// writeError answers an invalid request with the error and closes its connection.
 func (f *Front) writeError(w http.ResponseWriter, err error) {
 	f.Counters.BadRequests.Add(1)
 	status := http.StatusBadRequest
@@ -391,14 +402,14 @@
 	if errors.As(err, &c) {
 		status = c.status
 	}
-	// Danger: the stock server reads on to the end of a request, before its answer or after it. So the connection
-	// ends with the complaint, and what still comes has little time.
+	// Danger: net/http's server reads a request to its end before or after the answer. The connection is closed
+	// and the read deadline set, so that a slow client cannot hold it.
 	w.Header().Set("Connection", "close")
 	f.setReadTimeout(w, drainTimeout)
 	http.Error(w, err.Error(), status)
 }
 
-// writeAnswer writes an answer, whole and with its length.
+// writeAnswer writes an answer in one piece, with its length.
 func (f *Front) writeAnswer(w http.ResponseWriter, a node.Answer) {
 	switch a.Outcome {
 	case balance.Whole, balance.Partial:
@@ -414,7 +425,7 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-		// Danger: a client that reads nothing would hold its connection for ever.
+		// Danger: a client that never reads would hold its connection for ever.
 		control := http.NewResponseController(w)
 		control.SetWriteDeadline(time.Now().Add(writeTimeout))
 		_, err = w.Write(text)
@@ -433,7 +444,7 @@
 	}
 }
 
-// formatSeconds writes a time as decimal seconds, no earlier than it is.
+// formatSeconds formats a time in ns as decimal seconds, rounded up to a millisecond.
 func formatSeconds(ns int64) string {
 	return strconv.FormatFloat(float64((ns+nsPerMs-1)/nsPerMs)/1000, 'f', 3, 64)
 }
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -29,7 +29,7 @@
 	"willowsill/transport/sockets"
 )
 
-// core answers each query as serve says.
+// core is a Core whose answers come from the test.
 type core struct {
 	serve func(context.Context, node.Query) (node.Answer, bool)
 	ready chan struct{}
@@ -38,7 +38,7 @@
 func (c *core) Serve(ctx context.Context, q node.Query) (node.Answer, bool) { return c.serve(ctx, q) }
 func (c *core) Ready() <-chan struct{}                                      { return c.ready }
 
-// makeFront makes a front before a core that is ready.
+// makeFront returns a front with a core that is ready.
 func makeFront(serve func(context.Context, node.Query) (node.Answer, bool)) *Front {
 	c := &core{serve, make(chan struct{})}
 	close(c.ready)
@@ -57,12 +57,13 @@
 	return r
 }
 
-// twice repeats a header, and lengthy announces 60 MB.
+// twice repeats a header of a request.
 func twice(r *http.Request, name string) *http.Request {
 	r.Header.Add(name, r.Header.Get(name))
 	return r
 }
 
+// lengthy sets a request's Content-Length to 60 MB.
 func lengthy(r *http.Request) *http.Request {
 	r.ContentLength = 60 << 20
 	return r
@@ -143,8 +144,7 @@
 
 var makeClock = node.NewClock()
 
-// FuzzBody: whatever a body holds, what is taken in can be served.
-// Only X-Second-Try: 1 marks a retry.
+// TestRetryMark: only X-Second-Try: 1 marks a query as a retry.
 func TestRetryMark(t *testing.T) {
 	for value, marked := range map[string]bool{"1": true, "": false, "0": false, "true": false} {
 		f := makeFront(func(_ context.Context, q node.Query) (node.Answer, bool) {
@@ -155,6 +155,7 @@
 	}
 }
 
+// FuzzBody: any body is either refused or decoded to valid parts whose weights add up to 1.
 func FuzzBody(f *testing.F) {
 	f.Add([]byte(goodBody))
 	f.Add([]byte(`{"segments":[{"segment":1e9,"boost":-1}],"text":null}`))
@@ -168,13 +169,13 @@
 		sum, seen := 0.0, map[int]bool{}
 		for _, p := range q.Parts {
 			if p.Shard < 0 || p.Shard >= front.Shards || seen[p.Shard] || p.Weight < 0 {
-				t.Errorf("took in the part %v", p)
+				t.Errorf("accepted the part %v", p)
 			}
 			seen[p.Shard] = true
 			sum += p.Weight
 		}
 		if sum < 1-1e-9 || sum > 1+1e-9 {
-			t.Errorf("the weights make %g", sum)
+			t.Errorf("the weights add up to %g", sum)
 		}
 	})
 }
@@ -203,8 +204,8 @@
 	}
 }
 
-// on plays a test against a server in a bubble of its own time. In the end nothing may be left running, and
-// no descriptor taken.
+// on runs a test against a server on synctest's clock. Afterwards the server must have stopped, and no descriptor
+// may be taken.
 func on(t *testing.T, serve func(context.Context, node.Query) (node.Answer, bool), play func(*Server, func() *client)) {
 	synctest.Test(t, func(t *testing.T) {
 		network, budget := &pipenet.Network{}, sockets.NewBudget(64)
@@ -245,7 +246,8 @@
 
 func (c *client) send() { fmt.Fprintf(c, "%s%d\r\n\r\n%s", sent, len(goodBody), goodBody) }
 
-// status is that of the next answer, 0 for none; closing tells whether it is the connection's last.
+// status reads the next answer and returns its status, or 0 if there is none, and whether the connection closes
+// after it.
 func (c *client) status() (code int, closing bool) {
 	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -274,12 +276,12 @@
 		select {
 		case <-left:
 		default:
-			t.Error("the core was not told")
+			t.Error("the core's context did not end")
 		}
 	})
 }
 
-// Danger: a client's time runs from when it sent, however slowly its request comes.
+// Danger: a client's timeout runs from when it sent the query, however slowly the request arrives.
 func TestSlowRequest(t *testing.T) {
 	var until, began int64
 	on(t, func(_ context.Context, q node.Query) (node.Answer, bool) {
@@ -287,7 +289,7 @@
 		return node.Answer{Outcome: balance.Whole}, true
 	}, func(s *Server, dial func() *client) {
 		c := dial()
-		for range 2 { // on a new connection, and on one that has stood idle
+		for range 2 { // on a new connection, and on one that has been idle
 			time.Sleep(time.Second)
 			began = s.front.Clock.Now()
 			fmt.Fprint(c, sent[:60])
@@ -302,13 +304,13 @@
 		fmt.Fprintf(c, "%s%d\r\n\r\n%s", sent, len(goodBody), goodBody[:9])
 		began = s.front.Clock.Now()
 		if code, closing := c.status(); code != 408 || !closing || s.front.Clock.Now() != began+int64(requestTimeout) {
-			t.Errorf("a body that never ends got %d after %d ns", code, s.front.Clock.Now()-began)
+			t.Errorf("an incomplete body was answered with %d after %d ns", code, s.front.Clock.Now()-began)
 		}
 	})
 }
 
-// Danger: clients that mean no good hold connections, processor and memory for as long as they are let. Each gets
-// an error or a close soon after connecting, whatever it sends, and nothing of it runs.
+// Danger: malicious clients hold connections, processor and memory for as long as they are allowed to. Each must
+// get an error or a close soon after connecting, and nothing that it sends may reach the core.
 func TestRudeClients(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes string
@@ -350,7 +352,7 @@
 	}
 }
 
-// Danger: a request that is hidden behind another, or in its chunks, must not be served; its connection ends.
+// Danger: a request hidden behind another, or in its chunks, must not be served. The connection is closed instead.
 func TestHiddenRequest(t *testing.T) {
 	chunked := sent[:len(sent)-16] + "Transfer-Encoding: chunked\r\n\r\n"
 	on(t, whole, func(s *Server, dial func() *client) {
@@ -368,7 +370,7 @@
 	})
 }
 
-// Danger: two open queries of one id would get each other's answers.
+// Danger: two open queries with the same id would get each other's answers.
 func TestIDTwice(t *testing.T) {
 	on(t, func(context.Context, node.Query) (node.Answer, bool) {
 		time.Sleep(100 * time.Millisecond)
@@ -381,7 +383,7 @@
 		if code, _ := second.status(); code != 409 {
 			t.Errorf("the second got %d", code)
 		}
-		for range 2 { // once answered, the id is free
+		for range 2 { // the id is free again after the answer
 			if code, _ := first.status(); code != 200 {
 				t.Errorf("the first got %d", code)
 			}
@@ -391,7 +393,7 @@
 	})
 }
 
-// Danger: a client that reads nothing would hold its connection, and the stop, for ever.
+// Danger: a client that never reads would hold its connection, and delay the shutdown, for ever.
 func TestClientReadsNothing(t *testing.T) {
 	on(t, whole, func(s *Server, dial func() *client) {
 		dial().send()
@@ -418,7 +420,8 @@
 	})
 }
 
-// Danger: a flood of connections must not take the descriptors that replicas need; idle clients go first.
+// Danger: a flood of connections must not take the descriptors that connections to replicas need. Idle clients are
+// closed first.
 func TestFlood(t *testing.T) {
 	on(t, whole, func(s *Server, dial func() *client) {
 		idle := dial()
@@ -437,7 +440,7 @@
 			}
 		}
 		if most := s.budget.InUse(sockets.Clients); most > 24 {
-			t.Errorf("%d descriptors are taken by clients, of 24", most)
+			t.Errorf("clients hold %d descriptors, want at most 24", most)
 		}
 		if code, _ := idle.status(); code != 0 {
 			t.Error("the idle client is still there")
@@ -445,7 +448,8 @@
 	})
 }
 
-// Danger: clients that ask once and stay would use up what clients may hold together; the latest may stay a while.
+// Danger: clients that ask once and keep their connections would use up the descriptors for clients. The most
+// recent ones may stay for a while.
 func TestIdleClients(t *testing.T) {
 	on(t, whole, func(s *Server, dial func() *client) {
 		most := s.budget.Limit(sockets.Clients) / idleDivisor
@@ -458,7 +462,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		if synctest.Wait(); s.budget.InUse(sockets.Clients) != most {
-			t.Errorf("%d stay, of %d", s.budget.InUse(sockets.Clients), most)
+			t.Errorf("%d connections stay open, want %d", s.budget.InUse(sockets.Clients), most)
 		}
 		last := stay[len(stay)-1]
 		last.send()
@@ -466,12 +470,12 @@
 			t.Errorf("the last client got %d", code)
 		}
 		if time.Sleep(idleTimeout + time.Second); s.budget.InUse(sockets.Clients) != 0 {
-			t.Errorf("%d still stay after %v", s.budget.InUse(sockets.Clients), idleTimeout)
+			t.Errorf("%d connections are still open after %v", s.budget.InUse(sockets.Clients), idleTimeout)
 		}
 	})
 }
 
-// Danger: the stock shutdown loses what waits to be accepted, and clients that come a little later.
+// Danger: net/http's Shutdown loses connections that wait to be accepted, and clients that connect a little later.
 func TestStop(t *testing.T) {
 	on(t, func(_ context.Context, q node.Query) (node.Answer, bool) {
 		time.Sleep(150 * time.Millisecond)
@@ -486,7 +490,7 @@
 		go func() { stopped <- s.Stop(3 * time.Second) }()
 		synctest.Wait()
 		if code, closing := underWay.status(); code != 200 || !closing {
-			t.Errorf("what was under way got %d, closing %t", code, closing)
+			t.Errorf("the query in progress got %d, closing %t", code, closing)
 		}
 		for range 3 {
 			late := dial()
@@ -497,7 +501,7 @@
 		}
 		for _, c := range []*client{idle, fresh} {
 			if code, _ := c.status(); code != 0 {
-				t.Errorf("who asked nothing got %d", code)
+				t.Errorf("a client that sent nothing was answered with %d", code)
 			}
 		}
 		if err := <-stopped; err != nil || time.Since(began) > 2*time.Second {
@@ -509,8 +513,8 @@
 	})
 }
 
-// Danger: requests that came while the process stood would be closed unread as it goes on; one that comes byte by byte would
-// never end.
+// Danger: requests that arrive while the process is paused would be closed unread when it resumes. A request that
+// arrives byte by byte must still time out.
 func TestReadLate(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -529,7 +533,7 @@
 	defer near.Close()
 	s := &Server{front: &Front{Clock: node.NewClock()}}
 	c := &conn{Conn: near, server: s, since: s.front.Clock.Now()}
-	over := func() { near.SetReadDeadline(time.Now().Add(-time.Nanosecond)) } // a moment ago: that is all that a stop may leave to see
+	over := func() { near.SetReadDeadline(time.Now().Add(-time.Nanosecond)) } // only just past, as it may be after a pause
 	comes := func(text string) {
 		io.WriteString(far, text)
 		socket, err := near.(syscall.Conn).SyscallConn()
@@ -562,7 +566,7 @@
 	comes("POST")
 	over()
 	reads("while it is served", "")
-	c.phase = idle // its answer is out
+	c.phase = idle // the request has been answered
 	over()
 	reads("the next request", "POST")
 }
--- a/front/gateway/core.go
+++ b/front/gateway/core.go
@@ -24,25 +24,25 @@
 	"willowsill/transport/sockets"
 )
 
-// Site is another site and the way there.
+// Site is another site with the link to it.
 type Site struct {
 	siterouting.Link
-	Gateways []string // HOST:PORT of each
+	Gateways []string // HOST:PORT of each gateway
 }
 
-// Options is what a gateway is made from.
+// Options are the settings and dependencies of New.
 type Options struct {
 	Clock      node.Clock
-	Site       string // the own site's name
+	Site       string // name of this site
 	Deployment deployment.Deployment
 	Limits     deployment.Limits
-	Revenue    map[string]float64 // by workload; 1 where not stated
+	Revenue    map[string]float64 // revenue of a query, by workload; 1 for a workload that is not listed
 	Policy     siterouting.Policy
-	HTTP2      bool // queries to one gateway share a connection
+	HTTP2      bool // queries to one gateway share one connection
 	Sites      []Site
-	Local      front.Core // the own site's
+	Local      front.Core // serves queries at this site
 	Dial       replica.Dial
-	TLS        *tls.Config // for the way there; nil for none
+	TLS        *tls.Config // for connections to other sites; nil for no TLS
 	Log        *zap.Logger
 }
 
@@ -50,45 +50,45 @@
 	planInterval        = time.Second
 	pingInterval        = 500 * time.Millisecond
 	pingTimeout         = time.Second
-	maxAttempts         = 512      // queries on their way at a time
+	maxAttempts         = 512      // queries being forwarded at a time
 	maxGatewaysPerQuery = 2        // gateways of a site that one query may be sent to
-	retryRatio          = 0.1      // of what is carried may be carried again,
-	retrySlack          = 3        // and so many,
-	retryWindowNs       = 10 * 1e9 // ns, within
-	headBytes           = 700      // of the heads of a query and its answer, with TLS around them
-	initialServiceShare = 0.25     // of its goal that a workload takes at a site, until that is known
+	retryRatio          = 0.1      // retries allowed per forwarded query
+	retrySlack          = 3        // retries allowed in addition within retryWindowNs
+	retryWindowNs       = 10 * 1e9 // period over which retries are limited
+	headBytes           = 700      // bytes of the headers of a query and its answer, including TLS
+	initialServiceShare = 0.25     // service time of a workload as a share of its latency goal, until it is known
 )
 
-// Counters is what is told of a gateway among the process's counters.
+// Counters are a gateway's counters, part of the process's counters.
 type Counters struct {
-	Carried        counters.Count `json:"carried"`  // handed to the way to another site
-	Returned       counters.Count `json:"returned"` // with an answer
-	Refused        counters.Count `json:"refused"`  // by the other site, or by the way
+	Carried        counters.Count `json:"carried"`  // sent to another site
+	Returned       counters.Count `json:"returned"` // answered by another site
+	Refused        counters.Count `json:"refused"`  // declined by the other site, or not sent
 	Failed         counters.Count `json:"failed"`
-	NotForwarded   counters.Count `json:"stayed"` // declined here, and no way was open
-	Received       counters.Count `json:"taken"`  // from other sites
-	Joined         counters.Count `json:"joined"` // repeats that joined one under way
+	NotForwarded   counters.Count `json:"stayed"` // declined here when no link was open
+	Received       counters.Count `json:"taken"`  // received from other sites
+	Joined         counters.Count `json:"joined"` // repeats that waited for the first query's answer
 	Replayed       counters.Count `json:"repeated"`
 	OutcomeUnknown counters.Count `json:"cut_off"`
-	Strangers      counters.Count `json:"strangers"` // connections and requests that were not let in
+	Strangers      counters.Count `json:"strangers"` // connections and requests that were not admitted
 }
 
-// Core serves a query at the own site or carries it to another: front.Core for clients and for peers alike.
+// Core serves a query at this site or forwards it to another. It is the front.Core for clients and for peers.
 type Core struct {
 	options  Options
-	names    []string // of workloads, by row
+	names    []string // names of the workloads, by row
 	peerNode *node.Node
 	counters *Counters
 
-	mu            sync.Mutex // guards gateway, which is asked for no longer than a few µs
+	mu            sync.Mutex // guards gateway, whose calls take a few µs
 	gateway       *gateway.Gateway
-	decisionTimer *time.Timer // for the next time that it wants to be asked
+	decisionTimer *time.Timer // runs decide when the gateway next needs it
 
 	cancel  context.CancelFunc
 	pingers sync.WaitGroup
 }
 
-// New starts the way to other sites.
+// New returns a Core and starts the pings to the other sites.
 func New(p Options, count *Counters) (*Core, error) {
 	if len(p.Sites) == 0 {
 		return nil, errors.New("a gateway needs another site")
@@ -125,7 +125,7 @@
 	d.MaxExecutions, d.CanCancel, d.AsksForList = min(maxGatewaysPerQuery, d.MaxExecutions), true, false
 	d.Budgeted, d.RetrySlack, d.RetryRatio, d.RetryWindow = true, retrySlack, retryRatio, retryWindowNs
 	d.Workloads = append([]balance.Workload(nil), d.Workloads...)
-	for i := range d.Workloads { // a site's answer is whole for the way there, whatever it holds
+	for i := range d.Workloads { // an answer of a site counts as complete here, whatever it contains
 		d.Workloads[i].FullCoverage, d.Workloads[i].MinCoverage, d.Workloads[i].FollowUpParts = 1, 1, 0
 	}
 	c.peerNode = node.New(node.Options{Clock: p.Clock, Deployment: d, Terms: p.Limits, KnownList: known,
@@ -148,7 +148,7 @@
 	return c, nil
 }
 
-// sitePool makes a pool for the gateways of all sites.
+// sitePool returns a pool for the gateways of all sites.
 func (c *Core) sitePool(most int, tell func(any), now func() int64) *pool {
 	site := map[string]string{}
 	for _, s := range c.options.Sites {
@@ -159,7 +159,7 @@
 	return newPool(c.options.Dial, c.options.TLS, site, c.options.HTTP2, most, tell, now)
 }
 
-// Close ends the ways; no query may be under way any more.
+// Close stops the pings and closes the connections. No query may be in progress.
 func (c *Core) Close() {
 	c.cancel()
 	c.pingers.Wait()
@@ -170,56 +170,57 @@
 	c.peerNode.Close()
 }
 
-// Ready is the own site's.
+// Ready returns the channel of the core that serves this site.
 func (c *Core) Ready() <-chan struct{} { return c.options.Local.Ready() }
 
-// minDelay is the least way to a site and back, ns.
+// minDelay returns the lowest round-trip time measured to a site, ns.
 func (c *Core) minDelay(link int) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.gateway.MinDelay(link)
 }
 
-// observeAdvertised takes in how many queries a second another site would take.
+// observeAdvertised records how many queries per second another site would accept.
 func (c *Core) observeAdvertised(link int, rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.gateway.ObserveAdvertised(c.options.Clock.Now(), link, rate)
 }
 
-// AdvertisedRate is how many more queries a second this site would take from others.
+// AdvertisedRate returns how many more queries per second this site would accept from others.
 func (c *Core) AdvertisedRate() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.gateway.AdvertisedRate(c.options.Clock.Now())
 }
 
-// Evacuate leaves the own site, or takes it up again over a ramp.
+// Evacuate stops sending queries to this site's own replicas, or resumes it gradually.
 func (c *Core) Evacuate(evacuated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.gateway.Evacuate(c.options.Clock.Now(), evacuated)
 }
 
-// decide asks what is to be done now, carries it out, and has itself called again in time. It is called with the lock.
+// decide makes the decisions that are due, carries them out and schedules its next call. The caller holds the
+// lock.
 func (c *Core) decide() {
 	now := c.options.Clock.Now()
 	r := c.gateway.Decide(now)
 	for _, g := range r.Departures {
-		g.Handle.(chan bool) <- true // it has room for the one word that a query gets
+		g.Handle.(chan bool) <- true // never blocks: each query gets one value, and its channel has space for it
 	}
 	for _, load := range r.Rejected {
 		load.(chan bool) <- false
 	}
 	if r.Plan != nil && r.Plan.Greedy {
-		c.options.Log.Info("the ways were planned simply, for the solver gave no answer")
+		c.options.Log.Info("links were planned by a simple rule, as the solver found no solution")
 	}
 	if c.decisionTimer != nil {
 		c.decisionTimer.Reset(time.Duration(max(c.gateway.Next()-now, 0)))
 	}
 }
 
-// visitedKey is the key of the sites that a query came through, in its context.
+// visitedKey is the context key of the sites that a query has passed through.
 type visitedKey struct{}
 
 func visited(ctx context.Context) []string {
@@ -227,14 +228,14 @@
 	return v
 }
 
-// Serve serves a query here, or carries it to another site when this one declines it or is left.
+// Serve serves a query at this site, and forwards it to another if this site declines it or is evacuated.
 //
-// Danger: only a decline says that nothing has run and trying elsewhere does no harm. What may have run here is
-// answered as it ended here.
+// Danger: only a declined query has surely not run, so only that may be tried elsewhere. Any other outcome is
+// returned as it is.
 func (c *Core) Serve(ctx context.Context, q node.Query) (node.Answer, bool) {
 	declined := node.Answer{Outcome: balance.Declined}
-	asked := c.servesLocally(ctx, q)
-	if asked {
+	local := c.servesLocally(ctx, q)
+	if local {
 		a, ok := c.options.Local.Serve(ctx, q)
 		c.mu.Lock()
 		c.gateway.Ended(c.options.Clock.Now(), len(visited(ctx)) == 0, ok && a.Outcome == balance.Declined)
@@ -244,7 +245,7 @@
 		}
 		declined = a
 	}
-	link := c.reserveLink(ctx, q, asked)
+	link := c.reserveLink(ctx, q, local)
 	if link < 0 {
 		c.counters.NotForwarded.Add(1)
 		return declined, true
@@ -252,7 +253,7 @@
 	return c.forward(ctx, q, link, declined)
 }
 
-// servesLocally tells whether the own site is asked for a query.
+// servesLocally reports whether this site serves a query, as opposed to forwarding it at once.
 func (c *Core) servesLocally(ctx context.Context, q node.Query) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -260,37 +261,37 @@
 	return c.gateway.ServesLocally(c.options.Clock.Now(), mark, len(visited(ctx)) > 0)
 }
 
-// reserveLink takes a way for a query, or tells -1. It waits as long as it is told to.
-func (c *Core) reserveLink(ctx context.Context, q node.Query, asked bool) int {
+// reserveLink returns the link over which a query is forwarded, or -1 if it is not. It may wait for a free place.
+func (c *Core) reserveLink(ctx context.Context, q node.Query, local bool) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.options.Clock.Now()
-	room := make(chan bool, 1)
-	leaving := gateway.Query{Customer: q.Customer, Handle: room,
-		Query: siterouting.Query{Workload: q.Workload, TimeLeft: q.Deadline - now, Visited: visited(ctx), Declined: asked}}
-	link, waits := c.gateway.Forward(now, leaving)
+	granted := make(chan bool, 1)
+	query := gateway.Query{Customer: q.Customer, Handle: granted,
+		Query: siterouting.Query{Workload: q.Workload, TimeLeft: q.Deadline - now, Visited: visited(ctx), Declined: local}}
+	link, waits := c.gateway.Forward(now, query)
 	c.decide()
 	if !waits {
 		return link
 	}
 	c.mu.Unlock()
-	got := false
+	ok := false
 	select {
-	case got = <-room:
+	case ok = <-granted:
 		c.mu.Lock()
 	case <-ctx.Done():
 		c.mu.Lock()
-		if !c.gateway.Withdraw(leaving, link) { // it was told at the last moment
-			got = <-room
+		if !c.gateway.Withdraw(query, link) { // the place was granted while ctx ended
+			ok = <-granted
 		}
 	}
-	if !got {
+	if !ok {
 		return -1
 	}
 	return link
 }
 
-// forward takes a query to another site and brings its answer.
+// forward sends a query to another site and returns its answer.
 func (c *Core) forward(ctx context.Context, q node.Query, link int, declined node.Answer) (node.Answer, bool) {
 	text, err := encodeQuery(q)
 	c.counters.Carried.Add(1)
@@ -323,17 +324,18 @@
 	answer, err := decodeAnswer(q, a.Values[0].Value)
 	if err != nil {
 		c.counters.Failed.Add(1)
-		c.options.Log.Warn("a site answered what does not fit", zap.String("site", c.options.Sites[link].Site), zap.Error(err))
+		c.options.Log.Warn("a site's answer is invalid", zap.String("site", c.options.Sites[link].Site), zap.Error(err))
 		return node.Answer{Outcome: balance.Forfeited}, true
 	}
 	c.counters.Returned.Add(1)
 	return answer, true
 }
 
-// pingSite measures the way to a site, finds out within seconds when it is cut, and which gateways are about to close.
+// pingSite pings the gateways of a site until ctx ends: to measure the delay, to find an interrupted link within
+// seconds, and to learn which gateways are about to shut down.
 //
-// Danger: a connection that was cut says nothing, and TCP waits for minutes. Each ping goes on a connection of its own
-// pool, has a second, and three rounds without any answer close the way.
+// Danger: an interrupted connection shows no error, and TCP waits for minutes. So each ping has a pool of its own
+// and a second to be answered, and three rounds without any answer close the link.
 func (c *Core) pingSite(ctx context.Context, link int, s Site) {
 	p := c.sitePool(1, nil, nil)
 	defer p.client.CloseIdleConnections()
@@ -341,16 +343,16 @@
 	defer tick.Stop()
 	leaving := make([]bool, len(s.Gateways))
 	for {
-		signs := make([]pingResult, len(s.Gateways))
+		results := make([]pingResult, len(s.Gateways))
 		var all sync.WaitGroup
 		for i, address := range s.Gateways {
-			all.Go(func() { signs[i] = p.ping(ctx, address) })
+			all.Go(func() { results[i] = p.ping(ctx, address) })
 		}
 		all.Wait()
 		now := c.options.Clock.Now()
 		best := pingResult{err: errors.New("no gateway answered")}
-		for i, one := range signs {
-			if one.err != nil { // what it said last holds until it answers again
+		for i, one := range results {
+			if one.err != nil { // the gateway's last announcement holds until it answers again
 				p.client.CloseIdleConnections()
 				best.err = errors.Join(best.err, one.err)
 				continue
@@ -370,7 +372,7 @@
 		}
 		c.mu.Unlock()
 		if cut {
-			c.options.Log.Warn("the way to a site is cut", zap.String("site", s.Site), zap.Error(best.err))
+			c.options.Log.Warn("the link to a site is interrupted", zap.String("site", s.Site), zap.Error(best.err))
 		}
 		select {
 		case <-ctx.Done():
@@ -380,7 +382,7 @@
 	}
 }
 
-// updateGateway tells the module that a gateway is about to close, or has come back.
+// updateGateway tells the node that a gateway is about to shut down, or has come back.
 func (c *Core) updateGateway(ctx context.Context, link int, s Site, gateway int, leaving bool) {
 	e := s.listEntry(link, gateway)
 	if leaving {
@@ -389,7 +391,7 @@
 	c.peerNode.ApplyList(ctx, discovery.Update{Entries: []discovery.Entry{e}})
 }
 
-// LinkStats tell how the ways stand.
+// LinkStats returns the state of the link to each site, by the site's name.
 func (c *Core) LinkStats() map[string]any {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -401,7 +403,7 @@
 	return all
 }
 
-// listEntry is a gateway in the list that the way's own node is given.
+// listEntry describes a gateway as a replica for the list of peerNode.
 func (s Site) listEntry(link, gateway int) discovery.Entry {
 	address := s.Gateways[gateway]
 	return discovery.Entry{Host: s.Site + "/" + address, Dial: address, Cell: link}
--- a/front/gateway/gateway_test.go
+++ b/front/gateway/gateway_test.go
@@ -29,7 +29,7 @@
 	"willowsill/transport/sockets"
 )
 
-// site is a whole one: replicas, discovery, an aggregator, a gateway with its door.
+// site is a complete site: replicas, discovery, an aggregator, and a gateway with its server for peers.
 type site struct {
 	name    string
 	node    *node.Node
@@ -38,11 +38,11 @@
 	door    *PeerServer
 	server  *http.Server
 	address string
-	effects map[string]int // by id, how often a part ran at the replicas
+	effects map[string]int // number of times that a part ran at the replicas, by its id
 	mu      sync.Mutex
 	work    time.Duration
-	workers chan struct{} // parts that are worked on at a time; nil for any number
-	silent  bool          // replicas take parts and say nothing
+	workers chan struct{} // limits the parts being worked on at a time; nil for no limit
+	silent  bool          // replicas accept parts and never answer
 	ends    []func()
 	dead    bool
 }
@@ -52,7 +52,7 @@
 	policy  siterouting.Policy
 	network *pipenet.Network
 	sites   map[string]*site
-	links   map[string]*link.Link // FROM>TO
+	links   map[string]*link.Link // by "FROM>TO"
 }
 
 var workloads = map[string]int{"look": 0, "book": 1, "pay": 2}
@@ -68,7 +68,7 @@
 
 var theTerms = deployment.Limits{MaxHeld: 100, CallsPerConnection: 32, ConnectTimeout: 500e6, IdleTimeout: 15e9, LongestClientTimeout: 3e9}
 
-// play plays sites, each with a way to all others, in a bubble of its own time.
+// play runs a test with sites on synctest's clock, each with a link to all others.
 func play(t *testing.T, names []string, do func(*world)) { playBy(t, siterouting.Planned, names, do) }
 
 func playBy(t *testing.T, p siterouting.Policy, names []string, do func(*world)) {
@@ -85,12 +85,12 @@
 		for _, name := range names {
 			w.start(name, names)
 		}
-		time.Sleep(3 * time.Second) // the ways are known
+		time.Sleep(3 * time.Second) // until the links' delays are known
 		do(w)
 		for _, s := range w.sites {
 			s.stop()
 		}
-		time.Sleep(time.Minute) // what is on the links arrives
+		time.Sleep(time.Minute) // until everything on the links has arrived
 	})
 }
 
@@ -144,7 +144,7 @@
 	d, count := theDeployment(), counters.New(workloads)
 	watch := discovery.NewWatch("d-"+name+":1", 1, 0, w.network.Dial, func(ctx context.Context, n discovery.Update) { s.node.ApplyList(ctx, n) })
 	clock := node.NewClock()
-	if name == "b" { // Danger: a time of day on the wire would be an hour off; only time left may cross
+	if name == "b" { // Danger: a time of day sent to another site would be an hour off here; only the time left may be sent
 		clock = clock.Shifted(time.Hour)
 	}
 	s.node = node.New(node.Options{Clock: clock, Deployment: d, Terms: theTerms, Budget: sockets.NewBudget(256),
@@ -180,7 +180,7 @@
 	s.door = &PeerServer{AdvertisedRate: core.AdvertisedRate, Site: name, Front: f, Deployment: d, Clock: s.node.Clock, Counters: s.count, Log: zap.NewNop(),
 		Window: deduplication.New(deduplication.Limits{MaxIDs: 1000, MaxAnswerBytes: 1 << 20, Retention: 10e9})}
 	s.server = s.door.HTTPServer(nil)
-	if len(names) > 2 { // sites that say they take none are sent none: here they say nothing
+	if len(names) > 2 { // evacuated sites advertise a rate of 0 and would get no queries, so tests of loops advertise none
 		s.door.AdvertisedRate = nil
 	}
 	l := w.network.Listen(s.address)
@@ -189,10 +189,10 @@
 	w.sites[name] = s
 }
 
-// kill ends a site's gateway at once, as a machine that dies.
+// kill closes a site's gateway at once, as if its machine had crashed.
 func (s *site) kill() { s.server.Close() }
 
-// ask asks a site one query as a client and says how it ended.
+// ask sends a site one query as a client, and returns the outcome.
 func (s *site) ask(ctx context.Context, id, workload string, patience time.Duration) string {
 	began := time.Now()
 	a, ok := s.core.Serve(ctx, node.Query{ID: id, Workload: workloads[workload], Deadline: s.node.Clock.Now() + int64(patience),
@@ -210,7 +210,7 @@
 	return text
 }
 
-// carried asks until one query is carried, and returns how it ended.
+// carried sends queries until one is not declined, and returns its outcome.
 func (w *world) carried(from, id, workload string) (got string) {
 	w.Helper()
 	for i := range 60 {
@@ -224,23 +224,24 @@
 	return got
 }
 
-// What the own site serves stays; a site that is left has its queries carried, over 80 ms each way, and comes back.
+// Queries that the site can serve stay there. Those of an evacuated site are forwarded, here over 80 ms each way,
+// until it serves again.
 func TestCarried(t *testing.T) {
 	play(t, []string{"a", "b"}, func(w *world) {
 		far := link.Conditions{Delay: 80 * time.Millisecond}
 		w.links["a>b"].Set(far, far)
 		a := w.sites["a"]
 		if got := a.ask(w.Context(), "q", "look", 2*time.Second); got != "whole aq.0 aq.1" || a.count.Carried.Load() != 0 {
-			w.Errorf("at home %s", got)
+			w.Errorf("served locally: %s", got)
 		}
 		a.core.Evacuate(true)
 		if got := w.carried("a", "r", "look"); !strings.HasPrefix(got, "whole br") {
-			w.Errorf("carried %s", got)
+			w.Errorf("forwarded: %s", got)
 		}
 		time.Sleep(10 * time.Second)
 		f := a.core.LinkStats()["b"].(map[string]any)
 		if least := f["least_ns"].(int64); least < 1 || f["delay_ns"].(int64) < 150e6 || f["usable"] != true {
-			w.Errorf("of the way is known %v", f)
+			w.Errorf("link statistics: %v", f)
 		}
 		served := 0
 		for i := range 100 {
@@ -255,12 +256,13 @@
 		a.core.Evacuate(false)
 		time.Sleep(25 * time.Second)
 		if got := a.ask(w.Context(), "z", "look", 2*time.Second); got != "whole az.0 az.1" {
-			w.Errorf("back again %s", got)
+			w.Errorf("after the evacuation: %s", got)
 		}
 	})
 }
 
-// A gateway that dies with queries under way: each has one answer in time, and nothing but what may run twice does.
+// When a gateway is killed with queries in progress, each query gets one answer in time, and only parts that may
+// run twice do.
 func TestKilledMidQuery(t *testing.T) {
 	for _, workload := range []string{"look", "book", "pay"} {
 		t.Run(workload, func(t *testing.T) {
@@ -309,7 +311,8 @@
 	}
 }
 
-// A gateway that leaves as planned fails no query, not even a once-only one that was written as its connection was closed.
+// The planned shutdown of a gateway loses no query, not even one that must run once and was sent while its
+// connection was being closed.
 func TestLeaves(t *testing.T) {
 	play(t, []string{"a", "b"}, func(w *world) {
 		far := link.Conditions{Delay: 80 * time.Millisecond}
@@ -330,7 +333,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if ended[got]++; got == "whole" && late {
-					w.Errorf("query %d was carried to a door that is closed", i)
+					w.Errorf("query %d was answered by a server that is closed", i)
 				}
 			})
 		}
@@ -347,7 +350,7 @@
 	})
 }
 
-// A repeat of a query with an effect joins the one under way, or gets its answer.
+// A repeat of a query with an effect waits for the first one or gets its answer; it does not run again.
 func TestRepeats(t *testing.T) {
 	play(t, []string{"a", "b"}, func(w *world) {
 		b := w.sites["b"]
@@ -391,7 +394,8 @@
 	})
 }
 
-// A link cut one way, in silence: queries end in time, the way is closed within seconds, and opened again.
+// When a link silently loses everything in one direction, queries still end in time; the link is closed within
+// seconds, and opened again once it works.
 func TestCutOneWay(t *testing.T) {
 	play(t, []string{"a", "b"}, func(w *world) {
 		a := w.sites["a"]
@@ -406,7 +410,7 @@
 		time.Sleep(5 * time.Second)
 		began := time.Now()
 		if got := a.ask(w.Context(), "d", "look", 2*time.Second); got != "declined" || time.Since(began) > 0 {
-			w.Errorf("with the way closed %s after %v", got, time.Since(began))
+			w.Errorf("with the link closed: %s after %v", got, time.Since(began))
 		}
 		w.links["a>b"].Set(link.Conditions{}, link.Conditions{})
 		time.Sleep(5 * time.Second)
@@ -416,7 +420,7 @@
 	})
 }
 
-// Three sites that all send what they get: a query crosses two links at most at each try, and ends declined once.
+// Of three sites that all forward what they get, a query crosses at most two links per try and is declined once.
 func TestLoop(t *testing.T) {
 	play(t, []string{"a", "b", "c"}, func(w *world) {
 		for _, s := range w.sites {
@@ -435,8 +439,8 @@
 	})
 }
 
-// Over a full way five customers, of whom one asks as much as sixteen, take turns, and who waits is told in a tenth of its
-// time.
+// On a full link, five customers get places in turn, although one of them sends sixteen times as much as each
+// other. A query that waits is told within a tenth of its time whether it gets a place.
 func TestTakeTurns(t *testing.T) {
 	play(t, []string{"a", "b"}, func(w *world) {
 		far := link.Conditions{Delay: 150 * time.Millisecond}
@@ -444,7 +448,7 @@
 		a := w.sites["a"]
 		a.core.Evacuate(true)
 		w.carried("a", "warm", "look")
-		time.Sleep(20 * time.Second) // the way's least delay is found anew
+		time.Sleep(20 * time.Second) // until the link's lowest delay has been measured again
 		var mu sync.Mutex
 		served, asked := map[string]float64{}, map[string]float64{}
 		var all sync.WaitGroup
@@ -474,21 +478,21 @@
 		all.Wait()
 		greedy := served["greedy"] / asked["greedy"]
 		for _, c := range []string{"m1", "m2", "m3", "m4"} {
-			if meek := served[c] / asked[c]; meek < 2*greedy || served[c] == 0 {
-				w.Errorf("of %s's %.2f were served, of the greedy one's %.2f", c, meek, greedy)
+			if share := served[c] / asked[c]; share < 2*greedy || served[c] == 0 {
+				w.Errorf("share served: %.2f of %s's queries, %.2f of the greedy one's", share, c, greedy)
 			}
 		}
-		w.Logf("of the meek ones' %.2f were served, of the greedy one's %.2f", served["m1"]/asked["m1"], greedy)
+		w.Logf("share served: %.2f of a small customer's queries, %.2f of the greedy one's", served["m1"]/asked["m1"], greedy)
 		c := a.core
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if !c.gateway.Idle() {
-			w.Errorf("left: %+v, %d waiting", c.gateway.Links(), c.gateway.Waiting())
+			w.Errorf("not idle afterwards: %+v, %d waiting", c.gateway.Links(), c.gateway.Waiting())
 		}
 	})
 }
 
-// Danger: a peer's answer with a part that was not asked for, or one twice, must not be passed on.
+// Danger: an answer of a peer with a part that was not asked for, or with one part twice, must not be passed on.
 func TestDecode(t *testing.T) {
 	q := node.Query{Parts: []node.Part{{Shard: 1}, {Shard: 2}}}
 	for text, want := range map[string]bool{
--- a/front/gateway/history_test.go
+++ b/front/gateway/history_test.go
@@ -20,8 +20,8 @@
 	"willowsill/node"
 )
 
-// oneAnswer is what peers may see of a door: the first answer to an id is its answer for ever; that it is not known, or not
-// taken in, may be told at any time.
+// oneAnswer models what peers may observe of a PeerServer: the first answer to an id stays its only answer. An
+// error, modelled as an empty output, is allowed at any time.
 var oneAnswer = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byID := map[string][]porcupine.Operation{}
@@ -45,8 +45,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// history plays peers that ask and repeat once-only queries at a door which is restarted again and again, and returns what
-// they saw. Restarts keep the ids or, as a crash without a disk, forget them.
+// history lets peers send and repeat queries that must run once to a server that is restarted again and again, and
+// returns what they observed. With kept, the ids survive restarts; without, they are lost as in a crash.
 func history(t *testing.T, seed uint64, kept bool) []porcupine.Operation {
 	file := filepath.Join(t.TempDir(), "ids")
 	clock := node.NewClock()
@@ -72,7 +72,7 @@
 		}
 		return door
 	}
-	var at sync.RWMutex // held for reading by whoever is in: a planned restart lets them end
+	var at sync.RWMutex // held for reading by each request, so that a restart waits for the requests in progress
 	door := open()
 	var mu sync.Mutex
 	var all []porcupine.Operation
@@ -126,7 +126,8 @@
 	return all
 }
 
-// Over any number of planned restarts peers see one answer to an id. Without what is kept they do not, so the check can fail.
+// Over any number of planned restarts, peers see one answer per id. Without saved ids they see several, which
+// shows that the check can fail.
 func TestHistory(t *testing.T) {
 	for seed := range uint64(5) {
 		if !porcupine.CheckOperations(oneAnswer, history(t, seed, true)) {
@@ -134,6 +135,6 @@
 		}
 	}
 	if porcupine.CheckOperations(oneAnswer, history(t, 1, false)) {
-		t.Error("a door that forgets at each restart passed the check")
+		t.Error("a server that loses the ids at each restart passed the check")
 	}
 }
--- a/front/gateway/long_test.go
+++ b/front/gateway/long_test.go
@@ -17,9 +17,9 @@
 	"willowsill/standin/link"
 )
 
-var long = flag.Bool("long", false, "play half an hour of two sites, and three baselines; else a few minutes of the gateway alone")
+var long = flag.Bool("long", false, "simulate half an hour of two sites under four policies instead of a few minutes under two")
 
-// nowhere is the policy of a run without a gateway.
+// nowhere stands for a run without a gateway.
 const nowhere siterouting.Policy = 255
 
 func named(p siterouting.Policy) string {
@@ -29,12 +29,13 @@
 	return [...]string{"gateway", "all that is declined", "half and half"}[p]
 }
 
-// tally is what came of the queries of one phase.
+// tally counts the outcomes of the queries of one phase.
 type tally struct{ asked, goal, late, declined, failed, lost int }
 
 func (t tally) share() float64 { return float64(t.goal) / float64(max(t.asked, 1)) }
 
-// halfHour plays two sites of which one is dark in the middle, and returns what came of each phase: before, dark, after.
+// halfHour runs two sites, of which site a's replicas stop answering in the middle phase, and returns the outcomes
+// of each phase: before, dark, after.
 func halfHour(t *testing.T, p siterouting.Policy, whole time.Duration) (phases [3]tally, most int, carried int64) {
 	playBy(t, p, []string{"a", "b"}, func(w *world) {
 		far := link.Conditions{Delay: 80 * time.Millisecond, Jitter: 10 * time.Millisecond, Loss: 0.01, LossDelay: 200 * time.Millisecond}
@@ -52,7 +53,7 @@
 		}
 		var mu sync.Mutex
 		var under sync.WaitGroup
-		var pay []string // queries whose parts must run once, at whichever site
+		var pay []string // ids of queries whose parts must run once, at whichever site
 		for n, name := range []string{"a", "b"} {
 			s := w.sites[name]
 			s.mu.Lock()
@@ -119,7 +120,7 @@
 				times += b.effects[id+part]
 				b.mu.Unlock()
 				if times > 1 {
-					w.Errorf("%s%s, which must run once, ran %d times", id, part, times)
+					w.Errorf("part %s%s, which must run once, ran %d times", id, part, times)
 				}
 			}
 		}
@@ -127,8 +128,9 @@
 	return phases, most, carried
 }
 
-// TestHalfHour plays two sites with 80 ms of way each and a loss of 1%, one of them dark in the middle: no query is lost,
-// and the gateway serves more than without. With -long it is half an hour, against three baselines.
+// TestHalfHour runs two sites with 80 ms between them and a loss of 1%; the replicas of one stop answering in the
+// middle phase. No query may be lost, and the gateway must serve more than a run without it. With -long it runs
+// half an hour, and two other policies in addition.
 func TestHalfHour(t *testing.T) {
 	whole, policies := 3*time.Minute, []siterouting.Policy{siterouting.Planned, nowhere}
 	if *long {
@@ -153,9 +155,9 @@
 		table.Flush()
 	}
 	if with, without := shares[siterouting.Planned][1].share(), shares[nowhere][1].share(); with < without+0.1 {
-		t.Errorf("while one site is dark %.3f are served within the goal, %.3f without a gateway", with, without)
+		t.Errorf("in the dark phase %.3f of the queries are served within the goal, %.3f without a gateway", with, without)
 	}
 	if before, after := shares[siterouting.Planned][0].share(), shares[siterouting.Planned][2].share(); after < before-0.05 {
-		t.Errorf("%.3f before and %.3f after", before, after)
+		t.Errorf("share within the goal: %.3f before and %.3f after the dark phase", before, after)
 	}
 }
--- a/front/gateway/peerserver.go
+++ b/front/gateway/peerserver.go
@@ -29,39 +29,41 @@
 )
 
 const (
-	headTimeout       = 2 * time.Second  // for a request's head
-	idleTimeout       = 60 * time.Second // that a peer's connection may stand: longer than peers keep it
-	maxHeaderBytes    = 32 << 10
-	maxVisitedSites   = 8 // sites named on a query
+	headTimeout     = 2 * time.Second  // for the headers of a request
+	idleTimeout     = 60 * time.Second // for a peer's idle connection; longer than peers keep one
+	maxHeaderBytes  = 32 << 10
+	maxVisitedSites = 8 // on a query's X-Visited-Sites
+	// certificateSuffix follows the site's name in the DNS name of a gateway's certificate.
 	certificateSuffix = ".gateway"
 )
 
-// PeerServer takes in queries of other sites.
+// PeerServer serves the queries that other sites forward to this one.
 type PeerServer struct {
 	Site               string
-	PeerSites          []string // whose gateways are let in
+	PeerSites          []string // names of the sites whose gateways are admitted
 	Front              http.Handler
 	Deployment         deployment.Deployment
 	Clock              node.Clock
 	Window             *deduplication.Window
 	Counters           *Counters
 	Log                *zap.Logger
-	RequireCertificate bool // peers show certificates that name their sites
+	RequireCertificate bool // peers must show a certificate that names their site
 
-	// AdvertisedRate is how many more queries a second the site would take; nil where that is not told.
+	// AdvertisedRate returns how many more queries per second this site would accept; if nil, no rate is sent to
+	// peers.
 	AdvertisedRate func() float64
 
 	leaving atomic.Bool
-	mu      sync.Mutex // guards Window and waiting
-	waiting map[string]chan struct{}
+	mu      sync.Mutex               // guards Window and waiting
+	waiting map[string]chan struct{} // closed when the first query with the id has ended
 }
 
-// ServeHTTP serves one query of a peer.
+// ServeHTTP serves a ping or a query of a peer.
 func (d *PeerServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	site, err := d.peerSite(r)
 	if err != nil {
 		d.Counters.Strangers.Add(1)
-		d.Log.Warn("a peer was not let in", zap.Error(err))
+		d.Log.Warn("a peer was rejected", zap.Error(err))
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
 	}
@@ -73,14 +75,14 @@
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	came, err := d.visitedSites(r, site)
+	sites, err := d.visitedSites(r, site)
 	if err != nil {
 		w.Header().Set(headerMayHaveRun, "0")
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	d.Counters.Received.Add(1)
-	r = r.WithContext(context.WithValue(r.Context(), visitedKey{}, came))
+	r = r.WithContext(context.WithValue(r.Context(), visitedKey{}, sites))
 	row, known := d.Deployment.WorkloadRow[strings.TrimPrefix(r.URL.Path, "/")]
 	d.writeAdvertisedRate(w)
 	if !known || d.Deployment.Workloads[row].RetrySafety == balance.Repeatable {
@@ -90,14 +92,14 @@
 	d.serveOnce(w, r, r.Header.Get("X-Trace-Id"))
 }
 
-// writeAdvertisedRate tells a peer how much the site would take.
+// writeAdvertisedRate sets the header that tells a peer how many more queries this site would accept.
 func (d *PeerServer) writeAdvertisedRate(w http.ResponseWriter) {
 	if d.AdvertisedRate != nil {
 		w.Header().Set(headerWilling, strconv.FormatFloat(d.AdvertisedRate(), 'f', 2, 64))
 	}
 }
 
-// peerSite tells which site a request comes from.
+// peerSite returns the name of the site that a request comes from.
 func (d *PeerServer) peerSite(r *http.Request) (string, error) {
 	if !d.RequireCertificate {
 		all := strings.Split(r.Header.Get(headerVisited), ",")
@@ -115,8 +117,9 @@
 	return "", fmt.Errorf("a certificate for %q, and of none of the sites known here", names)
 }
 
-// visitedSites reads the sites that a query came through. Danger: a query that names none would go round for ever, and one that
-// names this site has.
+// visitedSites returns the sites that a query has passed through.
+//
+// Danger: a query without the list, or one that returned to a site on it, could be forwarded in a circle for ever.
 func (d *PeerServer) visitedSites(r *http.Request, peer string) ([]string, error) {
 	all := strings.Split(r.Header.Get(headerVisited), ",")
 	switch {
@@ -130,20 +133,20 @@
 	return all, nil
 }
 
-// serveOnce runs a query whose effect must not come twice, or gives a repeat the answer of the first.
+// serveOnce runs a query that must not run twice, or answers a repeat of it with the first run's answer.
 func (d *PeerServer) serveOnce(w http.ResponseWriter, r *http.Request, id string) {
 	for {
 		d.mu.Lock()
-		verdict, kept := d.Window.Begin(d.Clock.Now(), id)
+		outcome, kept := d.Window.Begin(d.Clock.Now(), id)
 		wait := d.waiting[id]
-		if verdict == deduplication.FirstSeen {
+		if outcome == deduplication.FirstSeen {
 			if d.waiting == nil {
 				d.waiting = map[string]chan struct{}{}
 			}
 			d.waiting[id] = make(chan struct{})
 		}
 		d.mu.Unlock()
-		switch verdict {
+		switch outcome {
 		case deduplication.FirstSeen:
 			d.runOnce(w, r, id)
 			return
@@ -169,31 +172,31 @@
 	}
 }
 
-// runOnce serves a query to its end, whether its peer still waits or not: what has begun has an effect, and a repeat of it
-// must find how it ended.
+// runOnce serves a query to its end even if its peer disconnects: a query that has begun has an effect, and a
+// repeat of it must get the outcome.
 func (d *PeerServer) runOnce(w http.ResponseWriter, r *http.Request, id string) {
-	k := &bufferedAnswer{ResponseWriter: w, status: http.StatusOK}
+	buffered := &bufferedAnswer{ResponseWriter: w, status: http.StatusOK}
 	ended := false
 	defer func() {
 		d.mu.Lock()
 		switch now := d.Clock.Now(); {
-		case !ended: // it ended in a panic
+		case !ended: // the handler panicked
 			d.Window.Interrupt(now, id)
-		case k.status == http.StatusServiceUnavailable || k.status >= 400 && k.status < 500: // it never ran
+		case buffered.status == http.StatusServiceUnavailable || buffered.status >= 400 && buffered.status < 500: // the query did not run
 			d.Window.Discard(id)
 		default:
-			d.Window.End(now, id, k.encode())
+			d.Window.End(now, id, buffered.encode())
 		}
 		close(d.waiting[id])
 		delete(d.waiting, id)
 		d.mu.Unlock()
 	}()
-	d.Front.ServeHTTP(k, r.WithContext(context.WithoutCancel(r.Context())))
+	d.Front.ServeHTTP(buffered, r.WithContext(context.WithoutCancel(r.Context())))
 	ended = true
-	replayAnswer(w, k.encode())
+	replayAnswer(w, buffered.encode())
 }
 
-// bufferedAnswer holds an answer back until it is whole.
+// bufferedAnswer collects an answer instead of writing it.
 type bufferedAnswer struct {
 	http.ResponseWriter
 	status int
@@ -209,7 +212,7 @@
 	return append(strconv.AppendInt(nil, int64(k.status), 10), k.body.Bytes()...)
 }
 
-// replayAnswer writes an answer that was kept: three digits of status, then the body.
+// replayAnswer writes a stored answer, which is three digits of status followed by the body.
 func replayAnswer(w http.ResponseWriter, kept []byte) {
 	status, err := strconv.Atoi(string(kept[:min(3, len(kept))]))
 	if err != nil {
@@ -221,11 +224,11 @@
 	w.Write(kept[3:])
 }
 
-// AnnounceShutdown tells peers at their next pings that the door is about to close, and serves all that comes until they know, or ctx
-// is over.
+// AnnounceShutdown announces the shutdown in answers to pings, and returns when all peers have had time to see it,
+// or when ctx ends. Queries are still served meanwhile.
 //
-// Danger: a peer may write a query while the news that its idle connection was closed is on the way. Nobody can tell it
-// from one that ran, so a once-only one would be forfeited at each planned restart.
+// Danger: a peer may send a query on an idle connection while it is being closed. The peer cannot tell whether
+// that query ran, so one that must run once would be lost at each planned restart.
 func (d *PeerServer) AnnounceShutdown(ctx context.Context) {
 	d.leaving.Store(true)
 	select {
@@ -234,13 +237,13 @@
 	}
 }
 
-// HTTPServer makes the server of a door, to be served on a listener.
+// HTTPServer returns the HTTP server for peers. The caller serves it on a listener.
 func (d *PeerServer) HTTPServer(secure *tls.Config) *http.Server {
 	return &http.Server{Handler: d, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		TLSConfig: secure, ErrorLog: zap.NewStdLog(d.Log)}
 }
 
-// TLSListener opens a door's listener, with TLS where secure is not nil.
+// TLSListener wraps a listener with TLS if secure is not nil.
 func TLSListener(l net.Listener, secure *tls.Config) net.Listener {
 	if secure == nil {
 		return l
@@ -248,15 +251,16 @@
 	return tls.NewListener(l, secure)
 }
 
-// Certificates are the files that prove a site to others and others to it. They are read anew at each handshake, so that new
-// ones count without a restart and what is under way goes on.
+// Certificates names the files of this site's certificate and key and of the certificate authority. They are read
+// at each handshake, so replaced files take effect without a restart and without closing connections.
 type Certificates struct {
 	CertFile, KeyFile, CAFile string
-	PasswordFile              string // of the key; empty where the key is not locked
+	PasswordFile              string // of the key; empty if the key is not encrypted
 }
 
-// TLSConfigs makes what both directions demand: TLS 1.3, each side with a certificate of the same authority. Whose gateway it
-// is for is asked by the door for callers, and by forSite for doors.
+// TLSConfigs returns the TLS settings for serving peers and for connecting to them: TLS 1.3, with certificates of
+// the same authority on both sides. Which site a certificate belongs to is checked by PeerServer for clients and
+// by requireSite for servers.
 func (p Certificates) TLSConfigs() (server, client *tls.Config, err error) {
 	if _, err := p.ownCertificate(); err != nil {
 		return nil, nil, err
@@ -282,7 +286,8 @@
 			own, err := p.ownCertificate()
 			return &own, err
 		},
-		// The name is a site's and not a host's, so the chain is checked here and not by the library's rule for hosts.
+		// The certificate names a site rather than a host, so its chain is verified below instead of by the
+		// library's check of host names.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
 			pool, err := p.authorityPool()
@@ -305,12 +310,13 @@
 	return server, client, nil
 }
 
-// protocols are what a door speaks; a caller chooses.
+// protocols are the application protocols that a PeerServer accepts; the client chooses one.
 var protocols = []string{"h2", "http/1.1"}
 
-// requireSite is what a caller of one site's gateways demands of them.
+// requireSite returns settings for connecting to the gateways of one site, whose certificates must name that site.
 //
-// Danger: with any site's certificate good for any address, one site could take the queries of another.
+// Danger: if the certificate of any site were accepted at any address, one site could receive the queries meant
+// for another.
 func requireSite(secure *tls.Config, site string, http2 bool) *tls.Config {
 	one := secure.Clone()
 	if one.NextProtos = protocols[1:]; http2 {
@@ -335,11 +341,11 @@
 	if err != nil {
 		return tls.Certificate{}, fmt.Errorf("the site's certificate: %w", err)
 	}
-	var how []pemutil.Options
+	var options []pemutil.Options
 	if p.PasswordFile != "" {
-		how = append(how, pemutil.WithPasswordFile(p.PasswordFile))
+		options = append(options, pemutil.WithPasswordFile(p.PasswordFile))
 	}
-	key, err := pemutil.Read(p.KeyFile, how...)
+	key, err := pemutil.Read(p.KeyFile, options...)
 	if err != nil {
 		return tls.Certificate{}, fmt.Errorf("the site's key: %w", err)
 	}
@@ -353,7 +359,7 @@
 	return c, nil
 }
 
-// Expiry is when the site's own certificate ends.
+// Expiry returns when the site's own certificate expires.
 func (p Certificates) Expiry() (time.Time, error) {
 	c, err := p.ownCertificate()
 	if err != nil {
@@ -378,15 +384,15 @@
 	return pool, nil
 }
 
-// pingResult is a gateway's sign of life.
+// pingResult is the outcome of one ping.
 type pingResult struct {
-	took           int64
-	advertisedRate string // what its site would take of each workload, as it says
+	took           int64  // round-trip time, ns
+	advertisedRate string // the header's value: queries per second that the site would accept
 	leaving        bool
 	err            error
 }
 
-// ping asks a gateway for a sign of life.
+// ping pings a gateway.
 func (p *pool) ping(ctx context.Context, address string) (s pingResult) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
--- a/front/gateway/peerserver_test.go
+++ b/front/gateway/peerserver_test.go
@@ -29,7 +29,7 @@
 	return a
 }
 
-// issue has an authority make papers for a name, good until then.
+// issue has an authority issue a certificate for a DNS name, valid until the time given.
 func issue(t *testing.T, a *certificates.Authority, file, name string, until time.Time) Certificates {
 	t.Helper()
 	cert, key, err := a.Issue(file, name, until)
@@ -39,7 +39,7 @@
 	return Certificates{CertFile: cert, KeyFile: key, CAFile: a.CertFile}
 }
 
-// openDoor listens with a site's certificates.
+// openDoor starts a PeerServer with a site's certificates.
 func openDoor(t *testing.T, p Certificates) (d *PeerServer, address string) {
 	t.Helper()
 	server, _, err := p.TLSConfigs()
@@ -58,12 +58,13 @@
 	return d, l.Addr().String()
 }
 
-// Who shows no certificate of a known site's gateway and the same authority, in its time, is not let in, either way.
+// A peer is admitted only with a valid certificate of the same authority that names the gateway of a known site; a
+// client checks the server's certificate likewise.
 func TestPapers(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	later, before := time.Now().Add(time.Hour), time.Now().Add(-time.Hour)
 	good := issue(t, ours, "1614", "b.gateway", later)
-	mixed := issue(t, theirs, "1667", "a.gateway", later) // signed elsewhere, and trusts us
+	mixed := issue(t, theirs, "1667", "a.gateway", later) // signed by another authority, but trusts ours
 	mixed.CAFile = ours.CertFile
 	for name, c := range map[string]struct {
 		door, caller Certificates
@@ -95,7 +96,7 @@
 	}
 }
 
-// New papers count for the next connection; one that is there goes on.
+// New certificate files are used for the next connection; open connections stay.
 func TestNewPapers(t *testing.T) {
 	root := newAuthority(t)
 	_, address := openDoor(t, issue(t, root, "b", "b.gateway", time.Now().Add(time.Hour)))
@@ -107,7 +108,7 @@
 	p := newPool((&net.Dialer{}).DialContext, secure, map[string]string{address: "b"}, false, 1, nil, nil)
 	defer p.client.CloseIdleConnections()
 	if err := p.ping(t.Context(), address).err; err == nil {
-		t.Error("an unknown site was let in")
+		t.Error("an unknown site was admitted")
 	}
 	issue(t, root, "caller", "a.gateway", time.Now().Add(time.Hour))
 	p.client.CloseIdleConnections()
@@ -116,21 +117,22 @@
 	}
 	os.WriteFile(caller.KeyFile, []byte("nonsense"), 0o600)
 	if err := p.ping(t.Context(), address).err; err != nil {
-		t.Errorf("on the connection that is there: %v", err)
+		t.Errorf("on the open connection: %v", err)
 	}
 	p.client.CloseIdleConnections()
 	if err := p.ping(t.Context(), address).err; err == nil || strings.Contains(err.Error(), "nonsense") {
-		t.Errorf("with papers that cannot be read: %v", err)
+		t.Errorf("with a key file that cannot be read: %v", err)
 	}
 }
 
-// A key may be locked; without its password, or with another's certificate, it is of no use, and no error shows it.
+// A private key may be encrypted. Without its password, or with a certificate of another key, it is refused, and
+// the password is in no error.
 func TestLockedKey(t *testing.T) {
 	a := newAuthority(t)
 	a.KeyPassword = []byte("a password of some length")
 	p := issue(t, a, "locked", "a.gateway", time.Now().Add(time.Hour))
 	if _, _, err := p.TLSConfigs(); err == nil {
-		t.Error("a locked key opened by itself")
+		t.Error("an encrypted key was read without a password")
 	}
 	p.PasswordFile = filepath.Join(t.TempDir(), "password")
 	os.WriteFile(p.PasswordFile, a.KeyPassword, 0o600)
@@ -140,11 +142,12 @@
 	other := issue(t, a, "other", "a.gateway", time.Now().Add(time.Hour))
 	p.CertFile = other.CertFile
 	if _, _, err := p.TLSConfigs(); err == nil || !strings.Contains(err.Error(), "is not the key of") {
-		t.Errorf("with another's certificate: %v", err)
+		t.Errorf("with the certificate of another key: %v", err)
 	}
 }
 
-// Whatever a peer's headers say, a query that has been here, or that names nobody, is not taken in, and nothing ends in a panic.
+// Whatever a peer's headers say, a query that has passed through this site or that names too many sites is
+// refused, and nothing panics.
 func FuzzHeaders(f *testing.F) {
 	f.Add("a", "q1", "look", "1000")
 	f.Add("b,a", "", "pay", "-1")
@@ -160,15 +163,15 @@
 		d.ServeHTTP(w, r)
 		all := strings.Split(sites, ",")
 		if in && (slices.Contains(all, "b") || len(all) > maxVisitedSites) {
-			t.Errorf("%q was taken in", sites)
+			t.Errorf("%q was admitted", sites)
 		}
 		if !in && workload != "gateway/ping" && w.Header().Get(headerMayHaveRun) != "0" {
-			t.Errorf("%q: %d, and nothing says that it never ran", sites, w.Code)
+			t.Errorf("%q: status %d without the header that says that it never ran", sites, w.Code)
 		}
 	})
 }
 
-// What a peer sends is checked before it reaches the front.
+// The list of visited sites is checked before a query reaches the front.
 func TestCame(t *testing.T) {
 	d := &PeerServer{Site: "b", PeerSites: []string{"a"}, Counters: &Counters{}, Log: zap.NewNop(), Front: http.HandlerFunc(
 		func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, visited(r.Context())) })}
@@ -182,12 +185,12 @@
 			t.Errorf("%q: %s, want %s", visited, got, want)
 		}
 		if w.Code == 400 && w.Header().Get(headerMayHaveRun) != "0" {
-			t.Errorf("%q: nothing says that it never ran", visited)
+			t.Errorf("%q: without the header that says that it never ran", visited)
 		}
 	}
 }
 
-// What a planned restart carries over is whole or nothing.
+// What Save wrote is restored completely or not at all.
 func TestKeepsake(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "ids")
 	door := func() *PeerServer {
@@ -195,7 +198,7 @@
 	}
 	first := door()
 	if err := first.Load(file); err != nil {
-		t.Errorf("where nothing was saved: %v", err)
+		t.Errorf("without a file: %v", err)
 	}
 	first.Window.Begin(first.Clock.Now(), "done")
 	first.Window.End(first.Clock.Now(), "done", []byte("200x"))
@@ -211,14 +214,14 @@
 		t.Errorf("%v %s", v, text)
 	}
 	if v, _ := second.Window.Begin(second.Clock.Now(), "under way"); v != deduplication.Interrupted {
-		t.Errorf("what was under way: %v", v)
+		t.Errorf("a query in progress at the save: %v", v)
 	}
 	text, _ := os.ReadFile(file)
 	os.WriteFile(file, text[:len(text)-3], 0o600)
 	if third := door(); third.Load(file) == nil || third.Window.Len() != 0 {
-		t.Error("a file cut short was taken")
+		t.Error("a truncated file was restored")
 	}
 	if left, _ := filepath.Glob(file + ".*"); len(left) != 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("temporary files left: %v", left)
 	}
 }
--- a/front/gateway/pool.go
+++ b/front/gateway/pool.go
@@ -1,7 +1,8 @@
-// Package gateway carries queries to co-ordinators at other sites over HTTP with mutual TLS, and takes in theirs. It
-// picks, retries and refuses nothing: which gateway of a site takes a query, and whether it is tried again, is decided by
-// balance through a node of its own, for which a site is a shard and its gateways are the replicas; whether a query leaves at
-// all is decided by routes, and whether one that came may run by window.
+// Package gateway forwards queries to co-ordinators at other sites over HTTP with mutual TLS, and serves the
+// queries that they forward. It makes no policy decisions. Which gateway of a site gets a query, and whether it is
+// retried, is decided by package balance through a node of its own, for which each site is a shard and its
+// gateways are the replicas. Whether a query is forwarded at all is decided by decide/gateway and
+// decide/siterouting, and whether a received one may run by decide/deduplication.
 package gateway
 
 import (
@@ -27,27 +28,28 @@
 	"willowsill/transport/replica"
 )
 
-// The words on the wire between gateways, beside those of the platform's front.
+// Paths, headers and limits of the protocol between gateways, which otherwise is that between clients and package
+// front.
 const (
 	pathPing         = "/gateway/ping"
-	headerVisited    = "X-Visited-Sites" // sites that a query came through, the first first
+	headerVisited    = "X-Visited-Sites" // names of the sites that a query has passed through, oldest first
 	headerTry        = "X-Try"
-	headerMayHaveRun = "X-May-Have-Run" // on what is no answer: 0 for surely not
-	headerWilling    = "X-Willing"      // queries a second that the site would take more
-	headerLeaving    = "X-Leaving"      // on a ping's answer: the gateway is about to close
+	headerMayHaveRun = "X-May-Have-Run" // on an error: 0 if the query surely has not run
+	headerWilling    = "X-Willing"      // queries per second that the site would accept in addition
+	headerLeaving    = "X-Leaving"      // on a ping's answer: the gateway is about to shut down
 
-	maxAnswerBytes    = 8 << 20 // bytes of an answer
-	maxIdlePerGateway = 64      // idle connections kept to one gateway
+	maxAnswerBytes    = 8 << 20
+	maxIdlePerGateway = 64 // idle connections kept open to one gateway
 
 	handshakeTimeout = 5 * time.Second
 	nsPerMs          = int64(time.Millisecond)
 )
 
-// forwardedQuery is a query on its way to another site.
+// forwardedQuery is a query on its way to another site, the payload of the node's query.
 type forwardedQuery struct {
 	workload string
 	customer string
-	retry    bool // its client marked it as a retry
+	retry    bool // the client marked the query as a retry
 	visited  []string
 	body     []byte
 	link     int
@@ -71,7 +73,7 @@
 	} `json:"matches"`
 }
 
-// encodeQuery makes a query's body, as the platform's clients write it.
+// encodeQuery returns the JSON body of a query, as clients send it to package front.
 func encodeQuery(q node.Query) ([]byte, error) {
 	b := queryBody{Text: string(q.Text)}
 	for _, p := range q.Parts {
@@ -80,12 +82,12 @@
 	return json.Marshal(b)
 }
 
-var errAnswerMismatch = errors.New("an answer that does not fit its query")
+var errAnswerMismatch = errors.New("answer does not match its query")
 
-// decodeAnswer reads an answer to a query.
+// decodeAnswer decodes the answer to a query.
 //
-// Danger: a peer may be of another version or be mistaken: an answer with a part that was not asked for, or one twice,
-// would be passed on as honest.
+// Danger: a peer may be faulty or of another version. An answer with a part that was not asked for, or with one
+// part twice, would be passed on to the client as correct.
 func decodeAnswer(q node.Query, text string) (node.Answer, error) {
 	var b answerBody
 	if err := json.Unmarshal([]byte(text), &b); err != nil {
@@ -112,16 +114,16 @@
 	return a, nil
 }
 
-// attempt is one query on its way to one gateway.
+// attempt is one query sent to one gateway.
 type attempt struct {
 	ticket  *replica.Ticket
 	gateway int
-	started atomic.Bool // it may have left; set once, by whoever comes first
+	started atomic.Bool // the request may have been sent, or never will be; set once, by run or by Withdraw
 	cancel  context.CancelFunc
 	since   int64
 }
 
-// attemptEnd is what a trip has to tell.
+// attemptEnd reports how an attempt ended.
 type attemptEnd struct {
 	attempt *attempt
 	result  balance.Result
@@ -130,23 +132,24 @@
 	err     error
 }
 
-// pool carries queries to gateways: node.Carrier over HTTP.
+// pool sends queries to gateways over HTTP. It implements node.Transport.
 type pool struct {
 	notify           func(any)
 	now              func() int64
 	client           *http.Transport
 	useTLS           bool
-	ownSite          string                       // the own site
-	minDelay         func(link int) int64         // the least way there and back, ns
-	onAdvertisedRate func(link int, rate float64) // a site said how many it takes
-	addresses        []string                     // addresses of the gateways, by index
+	ownSite          string                       // name of this site
+	minDelay         func(link int) int64         // lowest round-trip time measured to a site, ns
+	onAdvertisedRate func(link int, rate float64) // called when a site advertises how many queries it would accept
+	addresses        []string                     // HOST:PORT of the gateways, by index
 	retired          []bool
 	inFlight         map[*replica.Ticket]*attempt
-	maxRunning       int // trips at a time
-	running          int // goroutines that have not told their end
+	maxRunning       int // limit of running
+	running          int // goroutines that have not reported an attemptEnd
 }
 
-// newPool makes a pool that reaches gateways by dial, with TLS where secure is not nil; site tells whose an address is.
+// newPool returns a pool that connects with dial, and with TLS if secure is not nil; site maps an address to the
+// site whose gateway it is.
 func newPool(dial replica.Dial, secure *tls.Config, site map[string]string, http2 bool, most int, tell func(any),
 	now func() int64) *pool {
 	p := &pool{notify: tell, now: now, inFlight: map[*replica.Ticket]*attempt{}, maxRunning: most, useTLS: secure != nil,
@@ -203,7 +206,7 @@
 	return true
 }
 
-// run makes one trip and tells how it ended.
+// run makes one attempt and reports how it ended.
 func (p *pool) run(ctx context.Context, t *attempt, address string) {
 	defer t.cancel()
 	e := attemptEnd{attempt: t, result: balance.ConnectFailed}
@@ -214,7 +217,7 @@
 	p.notify(e)
 }
 
-// url is a path at a gateway.
+// url returns the URL of a path at a gateway.
 func (p *pool) url(address, path string) string {
 	if p.useTLS {
 		return "https://" + address + path
@@ -224,14 +227,14 @@
 
 // exchange sends the query and reads the answer.
 //
-// Danger: a query of which a byte has left may run there, whatever becomes of the connection. Only what never was
-// written is told as never run.
+// Danger: once a byte of a query has been sent it may run at the other site, whatever happens to the connection.
+// Only a query of which nothing was written is reported as not run.
 func (p *pool) exchange(ctx context.Context, t *attempt, address string) (result balance.Result, value string, err error) {
 	l := t.ticket.Payload.(*forwardedQuery)
 	var wrote atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteHeaderField: func(string, []string) { wrote.Store(true) }})
-	// The far side must answer while the way back is still free.
+	// Leaves time for the answer to travel back.
 	left := time.Duration(t.ticket.WaitMs*nsPerMs - p.minDelay(l.link))
 	if left <= 0 {
 		return balance.ConnectFailed, "", context.DeadlineExceeded
@@ -240,7 +243,7 @@
 	if err != nil {
 		return balance.ConnectFailed, "", err
 	}
-	r.GetBody = nil // Danger: the stock transport would send it a second time by itself
+	r.GetBody = nil // Danger: with GetBody set, net/http's transport may send the query a second time by itself
 	id, _, _ := strings.Cut(t.ticket.ID, "\x00")
 	for key, v := range map[string]string{"X-Qos": l.workload, "X-Trace-Id": id, "X-Customer": l.customer,
 		"X-Expires-In-Ms": strconv.FormatInt(left.Milliseconds(), 10),
@@ -270,7 +273,7 @@
 	case a.StatusCode == http.StatusOK:
 		return balance.Fulfilled, string(text), nil
 	case a.StatusCode == http.StatusServiceUnavailable || a.Header.Get(headerMayHaveRun) == "0":
-		return balance.Full, "", nil // turned away, and trying again is harmless
+		return balance.Full, "", nil // rejected before it ran, so a retry is harmless
 	}
 	return balance.Errored, "", fmt.Errorf("the gateway at %s answered %s", address, a.Status)
 }
@@ -289,7 +292,7 @@
 	if p.Withdraw(ticket) {
 		return true
 	}
-	if t := p.inFlight[ticket]; t != nil { // its connection closes, by which the far side sees that nobody waits
+	if t := p.inFlight[ticket]; t != nil { // closing its connection shows the other gateway that the answer is not wanted
 		delete(p.inFlight, ticket)
 		t.cancel()
 	}
@@ -302,7 +305,7 @@
 func (p *pool) Handle(v any) ([]replica.Report, error) {
 	e := v.(attemptEnd)
 	p.running--
-	if p.inFlight[e.attempt.ticket] != e.attempt { // it was given up
+	if p.inFlight[e.attempt.ticket] != e.attempt { // the attempt was abandoned
 		return nil, nil
 	}
 	delete(p.inFlight, e.attempt.ticket)
--- a/front/gateway/snapshot.go
+++ b/front/gateway/snapshot.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-const maxSnapshotBytes = 64 << 20 // bytes of a snapshot's file
+const maxSnapshotBytes = 64 << 20
 
-// Save writes the door's window to a file, whole or not at all, with the time of it. It is called when the door takes in
-// nothing more.
+// Save writes the server's deduplication window to a file, with the time of day. It is called when the server
+// accepts no more queries.
 //
-// Danger: a file that was cut short by a crash must not stand in the place of a whole one: it is written beside and renamed.
+// Danger: a file truncated by a crash must not replace a complete one, so a temporary file is written and renamed.
 func (d *PeerServer) Save(file string) (err error) {
 	d.mu.Lock()
 	text := d.Window.Snapshot(d.Clock.Now())
@@ -41,10 +41,10 @@
 	return os.Rename(f.Name(), file)
 }
 
-// Load takes in what Save wrote, if it is there. A damaged file changes nothing and is an error.
+// Load restores the window that Save wrote, if the file exists. A damaged file changes nothing and is an error.
 //
-// The machine's clock tells how long ago that was. Where it went back, ids are remembered from now on: for longer, and
-// never for too short.
+// The time between Save and Load is taken from the time of day. If the clock was set back, ids count as seen now,
+// so they are remembered longer than needed rather than forgotten too early.
 func (d *PeerServer) Load(file string) error {
 	info, err := os.Stat(file)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -60,8 +60,8 @@
 	if err != nil {
 		return err
 	}
-	away := time.Now().UnixNano() - int64(binary.LittleEndian.Uint64(text))
+	elapsed := time.Now().UnixNano() - int64(binary.LittleEndian.Uint64(text))
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.Window.Restore(d.Clock.Now(), max(away, 0), text[8:])
+	return d.Window.Restore(d.Clock.Now(), max(elapsed, 0), text[8:])
 }
--- a/front/guard_test.go
+++ b/front/guard_test.go
@@ -15,7 +15,7 @@
 	"willowsill/node"
 )
 
-// guard turns away what it is told to, and keeps what it was shown.
+// guard is a Guard whose decisions are set by the test. It records the arrivals and the ends that it is shown.
 type guard struct {
 	away, unseen bool
 	shown        []overload.Arrival
@@ -38,7 +38,7 @@
 	f.Counters = counters.New(f.WorkloadRow)
 }
 
-// counted answers all, and counts.
+// counted returns a core's Serve that answers every query and counts them.
 func counted(n *int) func(context.Context, node.Query) (node.Answer, bool) {
 	return func(context.Context, node.Query) (node.Answer, bool) {
 		*n++
@@ -46,7 +46,7 @@
 	}
 }
 
-// said is the next answer: its status, when to come back, and whether the connection stays.
+// said reads the next answer and returns its status, its Retry-After and whether the connection stays open.
 func (c *client) said() string {
 	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -59,8 +59,8 @@
 const guardedHead = "POST /lookup HTTP/1.1\r\nHost: a\r\nX-Qos: lookup\r\nX-Trace-Id: %s\r\nX-Expires-In-Ms: 900\r\n" +
 	"X-Customer: acme\r\nX-Try: 2\r\nContent-Length: %d\r\n\r\n"
 
-// A query that is turned away is answered without its body, and told when to come back; what the guard is shown is what stands
-// in the head.
+// A rejected query is answered without reading its body, with a Retry-After. The guard is shown the values in the
+// headers.
 func TestTurnedAway(t *testing.T) {
 	served := 0
 	on(t, counted(&served), func(s *Server, dial func() *client) {
@@ -68,13 +68,13 @@
 		guarded(s.front, g)
 		c := dial()
 		defer c.Close()
-		fmt.Fprintf(c, guardedHead, "a", 500) // and no byte of the body
+		fmt.Fprintf(c, guardedHead, "a", 500) // sends no byte of the body
 		if got := c.said(); !strings.HasPrefix(got, "503 0.700 close") {
 			t.Errorf("got %q", got)
 		}
 		d := dial()
 		defer d.Close()
-		for i := range 2 { // with its body there, the connection stays
+		for i := range 2 { // if the body has arrived, the connection stays open
 			fmt.Fprintf(d, guardedHead+goodBody, fmt.Sprint("b", i), len(goodBody))
 			if got := d.said(); !strings.HasPrefix(got, "503 0.700 open") {
 				t.Errorf("got %q", got)
@@ -96,7 +96,7 @@
 	})
 }
 
-// What follows a query that is turned away is never taken for part of it, nor hidden by it.
+// Bytes that follow a rejected query are neither taken for part of it nor served.
 func TestHiddenBehind(t *testing.T) {
 	served := 0
 	on(t, counted(&served), func(s *Server, dial func() *client) {
@@ -114,7 +114,8 @@
 	})
 }
 
-// At its first bytes nothing is turned away but a whole query of a workload that is known; all else goes the usual way.
+// Only a complete query of a known workload is rejected by its first bytes; any other request is handled the usual
+// way.
 func TestUnseen(t *testing.T) {
 	served := 0
 	on(t, counted(&served), func(s *Server, dial func() *client) {
@@ -128,7 +129,7 @@
 				t.Errorf("got %q", got)
 			}
 		}
-		fmt.Fprintf(c, guardedHead+goodBody[:20], "h", len(goodBody)) // the rest of its body comes with the next
+		fmt.Fprintf(c, guardedHead+goodBody[:20], "h", len(goodBody)) // the rest of its body is sent before the next query
 		if got := c.said(); !strings.HasPrefix(got, "503 0.300 open") {
 			t.Errorf("got %q", got)
 		}
@@ -162,7 +163,7 @@
 		}
 		c = dial()
 		defer c.Close()
-		for i := range 3 { // longer than a first request may take
+		for i := range 3 { // longer than the deadline of a first request
 			fmt.Fprintf(c, guardedHead+goodBody, fmt.Sprint("y", i), len(goodBody))
 			if got := c.said(); !strings.HasPrefix(got, "503 0.300 open") {
 				t.Errorf("got %q", got)
--- a/front/head.go
+++ b/front/head.go
@@ -2,18 +2,18 @@
 
 import "bytes"
 
-// requestHead watches the bytes of a request for what the stock server keeps to itself: it drops the length of a
-// request that comes in chunks as well, and a next request that comes before the answer looks like one after.
+// requestHead scans a request's bytes for two things that net/http's server does not report: a Content-Length next
+// to a chunked encoding, which it drops, and bytes that follow the request before its answer.
 type requestHead struct {
-	line        []byte // the present one, as far as its name can reach
-	started     bool   // a line that is not empty has come
-	complete    bool   // the rest is body
-	hasLength   bool   // there is a Content-Length,
-	hasEncoding bool   // and a Transfer-Encoding
-	bodyBytes   int64  // bytes that came after the head
+	line        []byte // beginning of the current line, as long as a header's name needs
+	started     bool   // a line that is not empty has been scanned
+	complete    bool   // the empty line after the headers has been scanned
+	hasLength   bool   // Content-Length is present
+	hasEncoding bool   // Transfer-Encoding is present
+	bodyBytes   int64  // bytes that followed the headers
 }
 
-const maxNameBytes = 32 // bytes of a line that are looked at: both names are shorter
+const maxNameBytes = 32 // bytes of a line that are kept; both names are shorter
 
 func (h *requestHead) scan(b []byte) {
 	for i, c := range b {
--- a/front/proxyserver/callers_test.go
+++ b/front/proxyserver/callers_test.go
@@ -34,33 +34,33 @@
 {"name":"safe","host":"h","path-prefix":"/safe/","route-kind":"safe","deadline-ms":10000,"target-ms":1000,"service":"s","max-tries":2},
 {"name":"unsafe","host":"h","path-prefix":"/unsafe/","route-kind":"unsafe","deadline-ms":10000,"target-ms":1000,"service":"s","max-tries":3}],
 "services":[{"name":"s"}]}`
-	longWaitMs     = 10000          // ms that a client waits, which no case needs but on a very busy machine
-	silentWaitMs   = 1500           // ms that it waits where nothing will come
-	shortWaitMs    = 300            // ms that it waits where its answer is not judged, only what the replica saw
-	maxOwnDeclines = 20             // that a client meets on a busy machine before the test gives up
-	warmPath       = "/unsafe/warm" // a replica always answers it well
+	longWaitMs     = 10000          // deadline of a client in ms, long enough on a very busy machine
+	silentWaitMs   = 1500           // deadline in ms of a client that gets no answer from the replica
+	shortWaitMs    = 300            // deadline in ms of a client whose answer does not matter, only what the replica received
+	maxOwnDeclines = 20             // requests that the proxy may decline on a busy machine before the test fails
+	warmPath       = "/unsafe/warm" // always answered correctly by the replica
 
-	replicaPrefix = "i-" // of the replicas' ids
+	replicaPrefix = "i-" // of replica ids
 )
 
-// call is one request as a replica reads it.
+// call is one request as a replica received it.
 type call struct {
 	target, host, path, attempt, body string
 }
 
-// lastReplica numbers the replicas of all tests here. Each proxy knows one of them, so a request to another one than it
-// comes to is of another test's proxy, whose replica had the same port before.
+// lastReplica numbers the replicas of all tests in this file. As each proxy knows one replica, a request with
+// another replica's id comes from another test's proxy, whose replica had the same port before.
 var lastReplica atomic.Int64
 
 // troubled is a replica whose connections end or misbehave in one way.
 type troubled struct {
-	misbehave func(c *net.TCPConn, r *bufio.Reader, attempt string) // instead of an answer; the connection ends after it
-	idle      func(c *net.TCPConn)                                  // after the answer to the warm request
-	unread    bool                                                  // a connection ends before anything is read
+	misbehave func(c *net.TCPConn, r *bufio.Reader, attempt string) // called instead of answering; the connection closes afterwards
+	idle      func(c *net.TCPConn)                                  // called after the answer to the warm-up request
+	unread    bool                                                  // misbehave is called before anything is read
 	id        string
 
 	mu    sync.Mutex
-	calls []call // without the warm ones
+	calls []call // without the warm-up requests
 	conns int
 }
 
@@ -112,13 +112,13 @@
 	}
 }
 
-// belongsToAnother tells whether a target is another test's replica.
+// belongsToAnother reports whether a target is another test's replica.
 func (s *troubled) belongsToAnother(target string) bool {
 	number, err := strconv.ParseInt(strings.TrimPrefix(target, replicaPrefix), 10, 64)
 	return err == nil && number > 0 && number <= lastReplica.Load() && target != s.id
 }
 
-// written sends text and reads on until the other side ends.
+// written sends text and then reads until the proxy closes the connection.
 func written(format string) func(*net.TCPConn, *bufio.Reader, string) {
 	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
 		io.WriteString(c, strings.ReplaceAll(format, "ID", attempt))
@@ -127,14 +127,14 @@
 	}
 }
 
-// closing sends text and closes.
+// closing sends text and closes the connection.
 func closing(format string) func(*net.TCPConn, *bufio.Reader, string) {
 	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
 		io.WriteString(c, strings.ReplaceAll(format, "ID", attempt))
 	}
 }
 
-// reset sends text and resets.
+// reset sends text and resets the connection.
 func reset(format string) func(*net.TCPConn, *bufio.Reader, string) {
 	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
 		io.WriteString(c, strings.ReplaceAll(format, "ID", attempt))
@@ -142,7 +142,7 @@
 	}
 }
 
-// halfClose sends text and ends its side alone.
+// halfClose sends text and closes only the sending side.
 func halfClose(format string) func(*net.TCPConn, *bufio.Reader, string) {
 	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
 		io.WriteString(c, strings.ReplaceAll(format, "ID", attempt))
@@ -152,7 +152,7 @@
 	}
 }
 
-// proxyBefore serves clients by handler, node and pool as a proxy does, before one replica.
+// proxyBefore starts a proxy's handler, node and pool with one replica, and returns the clients' address.
 func proxyBefore(t *testing.T, s *troubled) (front string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -173,7 +173,7 @@
 	n := node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
 		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: count, Log: zap.NewNop(), RequestList: func() {},
 		NewTransport: func(tell func(any), now func() int64) node.Transport { return replicahttp.NewPool(tell, now) }})
-	// Danger: a node that goes on after its test may reach another test's replica, which has got the port.
+	// Danger: a node that runs on after its test could reach another test's replica that has got the same port.
 	t.Cleanup(n.Close)
 	h := &Server{settings: set, node: n, counters: count, table: table}
 	c := table.Apply(clock.Now(), clusterstate.Update{Revision: 1, Raw: []byte(callersConfiguration),
@@ -209,16 +209,18 @@
 	return res, string(body)
 }
 
-// declinedUnsent tells whether the proxy declined a call by itself before a replica saw it, as it may on a busy machine.
+// declinedUnsent reports whether the proxy declined a request before a replica got it, as it may on a busy
+// machine.
 func declinedUnsent(s *troubled, res *http.Response) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return res.StatusCode == http.StatusServiceUnavailable && len(s.calls) == 0
 }
 
-// TestReplicaConnections: each way in which a connection to a replica ends or misbehaves, for safe and unsafe calls, on
-// their connection's first use and on a reused one. The answer goes to its own caller or to nobody, an unsafe call is
-// written once, and no promise that it has not run goes out where it may have.
+// TestReplicaConnections: each way in which a connection to a replica can end or misbehave, for safe and unsafe
+// requests, on the first use of a connection and on a reused one. An answer must go to its own client or to
+// nobody, an unsafe request must be sent once, and no client may be told that its request has not run if it may
+// have.
 func TestReplicaConnections(t *testing.T) {
 	good := goodAnswer("ID", "body of ID")
 	lines := func(status, more string) string {
@@ -229,10 +231,10 @@
 	served, lost, refused := []int{200}, []int{502}, []int{503}
 	for name, c := range map[string]struct {
 		s    *troubled
-		want []int // statuses that an unsafe call's client may get
-		runs bool  // the replica may have run it
+		want []int // statuses that the client of an unsafe request may get
+		runs bool  // the replica may have run the request
 
-		silent bool // until the client's time is up
+		silent bool // no answer comes before the client's deadline
 	}{
 		"well":                          {&troubled{}, served, true, false},
 		"closed before reading":         {&troubled{unread: true, misbehave: closing("")}, []int{502, 503}, false, false},
@@ -288,7 +290,7 @@
 		for _, unsafe := range []bool{false, true} {
 			for _, reused := range []bool{false, true} {
 				if reused && c.s.unread || !reused && c.s.idle != nil {
-					continue // says nothing about that
+					continue // the combination tests nothing
 				}
 				t.Run(fmt.Sprintf("%s, unsafe %t, reused %t", name, unsafe, reused), func(t *testing.T) {
 					t.Parallel()
@@ -308,7 +310,7 @@
 					}
 					path, patience := "/safe/x", longWaitMs
 					switch {
-					case !unsafe && c.want[0] != 200: // a safe call waits for a replica that does better
+					case !unsafe && c.want[0] != 200: // a safe request is retried until its deadline
 						patience = shortWaitMs
 					case c.silent:
 						patience = silentWaitMs
--- a/front/proxyserver/evidence.go
+++ b/front/proxyserver/evidence.go
@@ -11,19 +11,19 @@
 	"willowsill/node"
 )
 
-// rolloutEvidence counts what becomes of executions at replicas of services with an active rollout. The node's loop tells it of
-// executions, others have it report.
+// rolloutEvidence counts the outcomes of executions at replicas of services with an active rollout. It implements
+// node.Observer, whose methods the node's loop calls; the other methods are called from other goroutines.
 type rolloutEvidence struct {
 	mu       sync.Mutex
 	recorder *rollout.Recorder
-	routes   map[int]uint32 // by row, what all edges call the route
+	routes   map[int]uint32 // by row, the hash by which all edges identify the route
 }
 
 func newEvidence(life uint64) *rolloutEvidence {
 	return &rolloutEvidence{recorder: rollout.NewRecorder(life)}
 }
 
-// setRoutes takes in which rows the routes have.
+// setRoutes sets the rows of the routes that are served.
 func (e *rolloutEvidence) setRoutes(rows map[routeconfig.RouteID]int) {
 	routes := make(map[int]uint32, len(rows))
 	for id, row := range rows {
@@ -34,35 +34,35 @@
 	e.routes = routes
 }
 
-// watch goes by these rollouts and replicas from now on.
+// watch sets the rollouts and the replicas whose executions are counted.
 func (e *rolloutEvidence) watch(set rollout.Set, replicas []rollout.Replica) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.recorder.Watch(set, replicas)
 }
 
-// report returns what was seen so far.
+// report returns the counts so far.
 func (e *rolloutEvidence) report() []rollout.Evidence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.recorder.Evidence()
 }
 
-// Sent takes in that an execution goes to a replica.
+// Sent records that an execution is sent to a replica.
 func (e *rolloutEvidence) Sent(host string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.recorder.Sent(host)
 }
 
-// Ended takes in how it ended.
+// Ended records the outcome of an execution.
 func (e *rolloutEvidence) Ended(host string, end node.Execution) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.recorder.Ended(host, e.routes[end.Workload], outcomeOf(end), end.Took)
 }
 
-// outcomeOf says what an execution's end says of the replica's version.
+// outcomeOf returns what an execution's result says about the replica's version.
 func outcomeOf(end node.Execution) rollout.Outcome {
 	switch end.Result {
 	case balance.Fulfilled, balance.Cancelled:
--- a/front/proxyserver/evidence_test.go
+++ b/front/proxyserver/evidence_test.go
@@ -11,8 +11,8 @@
 	"willowsill/decide/rollout"
 )
 
-// TestRolloutOnTheWholePath: requests go to the version that the rollout opens, what becomes of them is in the proxy's
-// report, and nothing goes to a version once it was taken back.
+// TestRolloutOnTheWholePath: requests go to the version that the rollout targets, their outcomes are in the
+// proxy's report, and nothing goes to the version after the rollout is aborted.
 func TestRolloutOnTheWholePath(t *testing.T) {
 	withProxy(t, safeRoute, map[string]replicaBehaviour{"s1": answersAfter(time.Millisecond), "s1-2": answersAfter(time.Millisecond)}, func(b *proxyBubble) {
 		b.applyUpdate(clusterstate.Update{Replicas: []registry.Record{
--- a/front/proxyserver/metrics.go
+++ b/front/proxyserver/metrics.go
@@ -8,8 +8,8 @@
 	"willowsill/transport/metrics"
 )
 
-// writeMetrics tells this process's own figures: what it knows, how executions at replicas ended, and by route what became of
-// clients' queries since the route was there.
+// writeMetrics writes this process's metrics: the configuration, the replicas and edges that it knows, the
+// outcomes of executions at replicas, and for each route the outcomes of queries since the route was added.
 func (s *Server) writeMetrics(told metrics.Writer) {
 	now := s.totals()
 	for result, count := range map[string]int64{"fulfilled": now.fulfilled, "errored": now.errored, "full": now.full,
@@ -34,7 +34,8 @@
 	}
 }
 
-// writeRouteMetrics tells the counts of one route. Host and prefix are there because several routes may have one name.
+// writeRouteMetrics writes the counters of one route. The labels include host and prefix, as several routes may
+// have the same name.
 func writeRouteMetrics(told metrics.Writer, route *routeconfig.Route, row *counters.Workload) {
 	labels := fmt.Sprintf("route=%q,host=%q,prefix=%q", route.Name, route.Host, route.Prefix)
 	for outcome, count := range map[string]*counters.Count{"whole": &row.Complete, "partial": &row.Partial, "declined": &row.Declined,
--- a/front/proxyserver/metrics_test.go
+++ b/front/proxyserver/metrics_test.go
@@ -23,7 +23,7 @@
 	"willowsill/transport/replicahttp"
 )
 
-// idleServer is a proxy without sockets, agent and replicas.
+// idleServer returns a proxy without sockets, agent and replicas.
 func idleServer(t *testing.T) *Server {
 	set := settings.Settings{IP: "127.0.0.1"}
 	clock := node.NewClock()
@@ -53,7 +53,7 @@
 	return routeconfig.RouteID{Host: "h", Prefix: "/" + name + "/"}
 }
 
-// TestFiguresOfOneName: each of two routes of one name has counts of its own.
+// TestFiguresOfOneName: two routes with the same name have separate counters.
 func TestFiguresOfOneName(t *testing.T) {
 	s := idleServer(t)
 	s.applyRoutes(t, 3, `{"name":"r","host":"h","path-prefix":"/a/","deadline-ms":1000,"service":"s"},{"name":"r","host":"h","path-prefix":"/b/","deadline-ms":1000,"service":"s"}`)
@@ -65,8 +65,8 @@
 	must.StrContains(t, recorder.Body.String(), "willowsill_queries_total{route=\"r\",host=\"h\",prefix=\"/b/\",outcome=\"whole\"} 3\n")
 }
 
-// TestFiguresByRoute: counts are told by the names of the routes, and those of a route that takes the row of one that was
-// taken out begin at 0.
+// TestFiguresByRoute: counters are labelled with their route, and those of a route that takes a removed route's
+// row begin at 0.
 func TestFiguresByRoute(t *testing.T) {
 	s := idleServer(t)
 	figures := httptest.NewServer(metrics.Handler("/metrics", s.writeMetrics))
--- a/front/proxyserver/path_test.go
+++ b/front/proxyserver/path_test.go
@@ -24,22 +24,23 @@
 	"willowsill/transport/replicahttp"
 )
 
-// Tests of the whole path of a request through a proxy: client's connection, handler, node, module, pool, replica. Time
-// is the bubble's own.
+// Tests of the whole path of a request through a proxy: the client's connection, handler, node, decision module,
+// connection pool and replica. They run on synctest's clock.
 
-// arrival is a request as it reached a replica.
+// arrival is a request as a replica received it.
 type arrival struct {
 	replica  string
 	attempt  string
-	deadline time.Duration // that was handed on
+	deadline time.Duration // deadline that the proxy sent
 	at       time.Time
-	left     time.Time // when the proxy closed the connection under it, zero where it did not
+	left     time.Time // when the proxy closed the connection of the request; zero if it did not
 }
 
-// replicaBehaviour is what a replica does with a request. It returns a status and a body of records; status 0 is no answer.
+// replicaBehaviour handles a request at a replica. It returns a status and a body of records; status 0 closes the
+// connection without an answer.
 type replicaBehaviour func(r *http.Request) (status int, body string)
 
-// proxyBubble is a proxy on pipes, with replicas.
+// proxyBubble is a proxy with its replicas on in-memory connections, on synctest's clock.
 type proxyBubble struct {
 	*Server
 	t        *testing.T
@@ -54,7 +55,7 @@
 
 const frontAddress = "front:1"
 
-// withProxy plays a test with a proxy that serves the routes, and one replica of each service named.
+// withProxy runs a test with a proxy that serves the routes, and with a replica per entry.
 func withProxy(t *testing.T, routes string, replicas map[string]replicaBehaviour, play func(b *proxyBubble)) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &proxyBubble{t: t, network: &pipenet.Network{}}
@@ -86,10 +87,10 @@
 	b.settle()
 }
 
-// settle lets what is under way come to its end.
+// settle waits until everything in progress has ended.
 func (b *proxyBubble) settle() { time.Sleep(50 * time.Millisecond); synctest.Wait() }
 
-// listen starts a replica whose name is its service's, and with a number behind a dash for further ones.
+// listen starts a replica. Its name is that of its service, or the service's with a dash and a number.
 func (b *proxyBubble) listen(name string, answer replicaBehaviour) {
 	b.replicas = append(b.replicas, name)
 	l := b.network.Listen(name + ":80")
@@ -118,7 +119,7 @@
 	b.closers = append(b.closers, func() { server.Close() })
 }
 
-// configure puts routes in force over the replicas that listen.
+// configure applies a configuration with the routes, and the list of the replicas that were started.
 func (b *proxyBubble) configure(revision int, routes string) {
 	raw := fmt.Appendf(nil, `{"revision":%d,"routes":[%s],"services":[{"name":"s1"},{"name":"s2"},{"name":"s3"}],"limits":{"idle-timeout-ms":10000}}`,
 		revision, routes)
@@ -137,7 +138,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// send writes one request; a pipe holds the writer up until it is read.
+// send sends one request in a goroutine, as a write to an in-memory connection blocks until it is read.
 func send(c net.Conn, path, attempt string, patienceMs int) {
 	go fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: %d\r\n\r\n", path, replicahttp.HeaderAttempt, attempt, replicahttp.HeaderDeadline, patienceMs)
 }
@@ -151,7 +152,7 @@
 	return res, string(body)
 }
 
-// served is what reached replicas with an attempt id.
+// served returns the requests with an attempt id that reached replicas.
 func (b *proxyBubble) served(attempt string) (found []*arrival) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -187,11 +188,11 @@
 	unsafeRoute   = `{"name":"unsafe","host":"h","path-prefix":"/unsafe/","route-kind":"unsafe","deadline-ms":1000,"service":"s1","max-tries":1}`
 	gatheredRoute = `{"name":"all","host":"h","path-prefix":"/all/","deadline-ms":1000,"target-ms":500,"fanout":["s1","s2"],"max-tries":2,"result-count":4,"min-coverage":0.5}`
 	slack         = 100 * time.Millisecond
-	halfSecond    = 500 * time.Millisecond // within which the rules want an answer, or what was handed on withdrawn
+	halfSecond    = 500 * time.Millisecond // within which an answer, or the withdrawal of a request from its replicas, is required
 )
 
-// TestDeadlinesHandedOn: each send carries what is left of the client's time, and of the route's where that is shorter; a
-// second one ends no later than the first.
+// TestDeadlinesHandedOn: each request to a replica carries the time left of the client's deadline, or of the
+// route's if that is earlier. A retry ends no later than the first try.
 func TestDeadlinesHandedOn(t *testing.T) {
 	for _, patience := range []int{700, 5000} {
 		replicas := map[string]replicaBehaviour{"s1": failsAfter(300 * time.Millisecond), "s1-2": failsAfter(300 * time.Millisecond)}
@@ -213,8 +214,8 @@
 	}
 }
 
-// TestAnsweredByTheRoutesTime: a request whose replicas say nothing is answered at its route's deadline, however long its
-// client would wait; one that may have run is not promised that it has not.
+// TestAnsweredByTheRoutesTime: a request whose replicas never answer is answered at the route's deadline, even if
+// the client would wait longer. The status of one that may have run does not say that it has not.
 func TestAnsweredByTheRoutesTime(t *testing.T) {
 	for path, want := range map[string]int{"/safe/x": http.StatusServiceUnavailable, "/unsafe/x": http.StatusBadGateway, "/all/x": http.StatusServiceUnavailable} {
 		withProxy(t, safeRoute+","+unsafeRoute+","+gatheredRoute, map[string]replicaBehaviour{"s1": silent, "s1-2": silent, "s2": silent}, func(b *proxyBubble) {
@@ -230,7 +231,8 @@
 	}
 }
 
-// TestTriesOfARoute: one request runs at max-tries replicas at the most, each shard of a gathered one by itself.
+// TestTriesOfARoute: a request runs at no more than max-tries replicas; of a fan-out, each shard counts
+// separately.
 func TestTriesOfARoute(t *testing.T) {
 	failing := map[string]replicaBehaviour{}
 	for _, name := range []string{"s1", "s1-2", "s1-3", "s1-4", "s2"} {
@@ -256,8 +258,8 @@
 	})
 }
 
-// TestWithdrawnWhenTheClientLeaves: what was handed on for a client that has left is withdrawn within half a second, and
-// nothing more is sent for it.
+// TestWithdrawnWhenTheClientLeaves: when a client disconnects, its requests are withdrawn from the replicas within
+// half a second, and no further ones are sent.
 func TestWithdrawnWhenTheClientLeaves(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/all/x"} {
 		withProxy(t, safeRoute+","+gatheredRoute, map[string]replicaBehaviour{"s1": silent, "s1-2": silent, "s2": silent}, func(b *proxyBubble) {
@@ -279,7 +281,8 @@
 	}
 }
 
-// TestRestedConnections: a client's connection that has rested for four fifths of idle-timeout-ms is taken up again.
+// TestRestedConnections: a client's connection that has been idle for four fifths of idle-timeout-ms is still
+// usable.
 func TestRestedConnections(t *testing.T) {
 	withProxy(t, safeRoute, map[string]replicaBehaviour{"s1": answersAfter(10 * time.Millisecond)}, func(b *proxyBubble) {
 		c, r := b.dial()
@@ -294,8 +297,8 @@
 	})
 }
 
-// TestLeavingInOrder: from SIGTERM on a proxy is not ready; what is under way is answered, what still comes is served and
-// told to close its connection, and the proxy ends within its grace.
+// TestLeavingInOrder: after SIGTERM a proxy reports that it is not ready. Requests in progress are answered, later
+// ones are served with an answer that closes the connection, and the proxy ends within its grace period.
 func TestLeavingInOrder(t *testing.T) {
 	well := answersAfter(200 * time.Millisecond)
 	withProxy(t, safeRoute, map[string]replicaBehaviour{"s1": well, "s1-2": well, "s1-3": well, "s1-4": well}, func(b *proxyBubble) {
@@ -330,7 +333,7 @@
 		late, lateReader := b.dial()
 		defer late.Close()
 		time.Sleep(time.Until(began.Add(stayOpen - slack)))
-		send(late, "/safe/x", "late", 900) // is under way when the proxy takes no more
+		send(late, "/safe/x", "late", 900) // still in progress when the listener closes
 		res, _ = b.receive(lateReader)
 		must.Eq(b.t, http.StatusOK, res.StatusCode)
 		end := <-ended
@@ -347,8 +350,8 @@
 	return w.Code
 }
 
-// TestOneConfigurationAnAnswer: the parts of an answer, and how many are missing, are those of the configuration that it
-// began under, also where the shards change while it is out.
+// TestOneConfigurationAnAnswer: the parts of an answer, and the number of missing ones, follow the configuration
+// under which the request began, even if the shards change meanwhile.
 func TestOneConfigurationAnAnswer(t *testing.T) {
 	slow := answersAfter(150 * time.Millisecond)
 	withProxy(t, gatheredRoute, map[string]replicaBehaviour{"s1": slow, "s2": failsAfter(0), "s3": slow}, func(b *proxyBubble) {
@@ -368,7 +371,7 @@
 	})
 }
 
-// TestLeastCoverage: an answer from less than min-coverage of the shards is no success.
+// TestLeastCoverage: an answer with less than min-coverage of the shards is an error.
 func TestLeastCoverage(t *testing.T) {
 	route := strings.Replace(gatheredRoute, `"min-coverage":0.5`, `"min-coverage":0.9`, 1)
 	withProxy(t, route, map[string]replicaBehaviour{"s1": answersAfter(0), "s2": failsAfter(0)}, func(b *proxyBubble) {
@@ -380,7 +383,7 @@
 	})
 }
 
-// TestRoutesAddedLater: requests on a route that was just added are served as those on the first.
+// TestRoutesAddedLater: requests on a route that was just added are served like those on the first route.
 func TestRoutesAddedLater(t *testing.T) {
 	withProxy(t, safeRoute, map[string]replicaBehaviour{"s1": answersAfter(20 * time.Millisecond), "s2": answersAfter(20 * time.Millisecond)}, func(b *proxyBubble) {
 		c, r := b.dial()
@@ -399,8 +402,8 @@
 	})
 }
 
-// TestKeptConnectionsOverAChange: a configuration with other limits closes no connection that is open: what is under way on
-// it is answered, and so is what comes next.
+// TestKeptConnectionsOverAChange: a configuration with other limits closes no open connection. A request in
+// progress on it is answered, and so is the next.
 func TestKeptConnectionsOverAChange(t *testing.T) {
 	withProxy(t, safeRoute, map[string]replicaBehaviour{"s1": answersAfter(150 * time.Millisecond)}, func(b *proxyBubble) {
 		c, r := b.dial()
--- a/front/proxyserver/proxyserver.go
+++ b/front/proxyserver/proxyserver.go
@@ -1,5 +1,6 @@
-// Package proxyserver runs a proxy: it owns the sockets to clients, to replicas and to the agent beside it. The node
-// in the middle, with its decision module, is that of the co-ordinator in service. It decides nothing.
+// Package proxyserver runs a proxy. It owns the connections to clients, to replicas and to the agent on the same
+// machine. Requests are handled by a node, the same that the co-ordinator uses; this package makes no policy
+// decisions.
 package proxyserver
 
 import (
@@ -36,14 +37,14 @@
 	"willowsill/transport/watch"
 )
 
-// ErrProxy is the class of this package's errors.
+// ErrProxy is the class of this package's errors, all of which are about starting.
 var ErrProxy = oops.Code("proxy")
 
 const (
-	maxHeld    = 20000                   // queries and parts that the node holds at the most
-	stayOpen   = 2500 * time.Millisecond // after SIGTERM, until the platform sends no more
-	stopMargin = 400 * time.Millisecond  // the proxy ends so long before its grace does
-	startPoll  = 5 * time.Millisecond    // between two looks whether there is a configuration
+	maxHeld    = 20000                   // limit of queries and parts that the node holds
+	stayOpen   = 2500 * time.Millisecond // for which new connections are accepted after SIGTERM, as the platform still sends some
+	stopMargin = 400 * time.Millisecond  // time kept free at the end of the platform's grace period
+	startPoll  = 5 * time.Millisecond    // interval of checks for the first configuration
 )
 
 // Server is a running proxy.
@@ -56,25 +57,26 @@
 	address  net.Addr
 	counters *counters.Counters
 
-	mu          sync.Mutex // guards table and what is told to the node by it
+	mu          sync.Mutex // guards table, and orders the calls that pass its changes to the node
 	state       *clusterstate.State
 	table       *routingtable.Table
 	readiness   follower.Readiness
-	freshness   clusterstate.Freshness // as the agent said it at freshAt
+	freshness   clusterstate.Freshness // as the agent reported it at freshnessAt
 	freshnessAt int64
 	counterRows []*counters.Workload
-	routes      []routeconfig.Route         // that are served
-	rowByRoute  map[routeconfig.RouteID]int // the row of each
+	routes      []routeconfig.Route         // routes of the configuration in force
+	rowByRoute  map[routeconfig.RouteID]int // index in counterRows for each route
 	workloads   []balance.Workload
-	account     *lending.Account // of retries beyond the ratio
-	evidence    *rolloutEvidence // of rollouts
-	retrySlack  float64          // of these, what the node was told last
+	account     *lending.Account // lending of retries between edges
+	evidence    *rolloutEvidence // outcomes at replicas of services with a rollout
+	retrySlack  float64          // retries beyond the ratio that this edge may make, as set in the node
 
-	configured atomic.Bool // a configuration and a snapshot were there once
+	configured atomic.Bool // a configuration has been applied
 	leaving    atomic.Bool
 }
 
-// Run runs a proxy until ctx ends and then serves on for as long as clients come.
+// Run runs a proxy until ctx ends, and then until the requests in progress have been answered or the platform's
+// grace period is nearly over.
 func Run(ctx context.Context, local settings.Settings) error {
 	seed := rand.Uint64()
 	s := &Server{settings: local, counters: counters.New(nil), state: clusterstate.NewState()}
@@ -113,7 +115,8 @@
 	return nil
 }
 
-// accept takes clients in once there is a configuration; until then they wait to be accepted.
+// accept accepts clients once a configuration has been applied. Until then their connections wait in the kernel's
+// queue.
 func (s *Server) accept(front net.Listener) {
 	for !s.configured.Load() {
 		time.Sleep(startPoll)
@@ -121,10 +124,10 @@
 	s.servers.Accept(front)
 }
 
-// drain drains the proxy: clients are told to close their connections while they are still served, then the requests
-// under way are waited for, as long as the grace allows.
+// drain shuts the proxy down: for a while it still serves clients, with every answer closing its connection, then
+// it waits for the requests in progress, until the grace period is nearly over.
 //
-// Danger: the platform goes on sending for as long as it has not noticed; a request that was read must be
+// Danger: the platform goes on sending requests until it notices the shutdown. A request that was read must be
 // answered.
 func (s *Server) drain(front net.Listener) {
 	until := time.Now().Add(time.Duration(s.settings.Bounds.GraceS*float64(time.Second)) - stopMargin)
@@ -143,7 +146,8 @@
 	klog.InfoS("left", "late", wait.Err() != nil)
 }
 
-// serveReadiness answers the platform, which reads the status alone; the body says to people how old the knowledge here is.
+// serveReadiness answers the platform's readiness check. The platform reads only the status; the body tells
+// operators how current the configuration is.
 func (s *Server) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	now := s.node.Now()
@@ -165,7 +169,7 @@
 	w.Write(body)
 }
 
-// buildReport is what the proxy says to the agent beside it.
+// buildReport returns the report that the proxy sends to its agent.
 func (s *Server) buildReport() watch.Report {
 	note := s.nextLendingMessage()
 	s.mu.Lock()
@@ -174,7 +178,7 @@
 	return watch.Report{Self: self, Revision: s.state.Revision, Lending: note}
 }
 
-// handleFreshness takes how fresh the agent's knowledge is.
+// handleFreshness records how current the agent's knowledge is.
 func (s *Server) handleFreshness(fresh clusterstate.Freshness) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,8 +186,8 @@
 	s.readiness.HandleFreshness(s.freshnessAt, fresh)
 }
 
-// applyUpdate merges an update from the agent into the state and puts what is new in force. It returns false where the update
-// is a patch of another state than the one held, so that a snapshot is needed.
+// applyUpdate merges an update from the agent into the state and applies the changes. It returns false if the
+// update is a patch of a state that this edge does not hold, so that it needs a snapshot.
 func (s *Server) applyUpdate(update clusterstate.Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,9 +222,9 @@
 	return !s.state.NeedsSnapshot
 }
 
-// updateCounterRows gives each route that is new, or has taken another's row, counts that begin at 0.
+// updateCounterRows gives new counters to each route that is new or has moved to another row.
 func (s *Server) updateCounterRows(routes []routeconfig.Route, rowOf map[routeconfig.RouteID]int) {
-	s.counterRows = slices.Clone(s.counterRows) // the node reads the former one
+	s.counterRows = slices.Clone(s.counterRows) // the node still reads the previous slice
 	for len(s.counterRows) < len(s.workloads) {
 		s.counterRows = append(s.counterRows, &counters.Workload{})
 	}
@@ -232,12 +236,14 @@
 	s.routes, s.rowByRoute = routes, rowOf
 }
 
-// setWorkloads tells the node which workloads are served, and how many retries this edge may make beyond its ratio.
+// setWorkloads sets in the node which workloads are served, and how many retries this edge may make beyond its
+// ratio.
 func (s *Server) setWorkloads() {
 	s.node.SetWorkloads(node.WorkloadSet{Workloads: s.workloads, Counters: s.counterRows, RetrySlack: s.retrySlack})
 }
 
-// replicaList translates records of replicas for the node.
+// replicaList converts records of replicas to entries for the node. It leaves out replicas of services that have
+// no shard.
 func (s *Server) replicaList(records []registry.Record) (n discovery.Update) {
 	for _, r := range records {
 		slot, found := s.table.Shard(r.Service)
@@ -249,7 +255,7 @@
 			Distance: s.table.Distance(r.Zone), MaxCalls: s.table.MaxCalls(r.Service)}
 		switch r.Phase {
 		case registry.Ready:
-			if !s.table.Admits(r) { // what it has under way goes on
+			if !s.table.Admits(r) { // its executions in progress continue
 				entry.Status = balance.Draining
 			}
 		case registry.Draining:
--- a/front/proxyserver/proxyserver_bench_test.go
+++ b/front/proxyserver/proxyserver_bench_test.go
@@ -25,7 +25,8 @@
 	"willowsill/transport/replicahttp"
 )
 
-// answerer is a replica at the other end of a connection: it answers each request at once, with as little work as can be.
+// answerer is the proxy's connection to a replica that answers each request at once, with as little work as
+// possible.
 type answerer struct {
 	net.Conn
 	replies chan []byte
@@ -58,8 +59,8 @@
 func (a *answerer) Close() error                     { return nil }
 func (a *answerer) SetWriteDeadline(time.Time) error { return nil }
 
-// BenchmarkGathered is a gathered query of four parts on one connection: the front, the node, the module and the connections to
-// replicas; replicas themselves cost next to nothing.
+// BenchmarkGathered measures a fan-out query of four parts on one client connection, through the handler, the
+// node, the decision module and the pool. The replicas cost next to nothing.
 func BenchmarkGathered(b *testing.B) {
 	s := settings.Settings{IP: "127.0.0.1", Bounds: settings.Bounds{RetryRatio: 0.2, RetrySlack: 60, RetryWindowS: 10}}
 	clock := node.NewClock()
--- a/front/proxyserver/readiness.go
+++ b/front/proxyserver/readiness.go
@@ -2,17 +2,18 @@
 
 import "github.com/go-faster/jx"
 
-// readinessState is the body of a readiness answer, for people: the platform goes by the status alone.
+// readinessState is the body of the answer to a readiness check. It is meant for operators, as the platform reads
+// only the status.
 type readinessState struct {
 	Ready          bool
-	Behind         bool   // a newer configuration is known to be in force than the one served
-	Known          bool   // a controller in contact with a majority has vouched for what is served
+	Behind         bool   // the configuration served is older than the newest one known
+	Known          bool   // a controller in contact with a majority has confirmed the configuration served
 	Revision       uint64 // of the configuration served
-	NewestRevision uint64 // of the newest one known of
-	AgeMs          int64  // since what is served was known to be current; means nothing unless Known
+	NewestRevision uint64 // of the newest configuration known
+	AgeMs          int64  // since the configuration served was known to be the current one; valid only if Known
 }
 
-// encode writes the state as a JSON object.
+// encode returns the state as a JSON object.
 func (s readinessState) encode() []byte {
 	e := jx.Encoder{}
 	e.ObjStart()
--- a/front/proxyserver/retries.go
+++ b/front/proxyserver/retries.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	retrySlackPoll     = time.Second            // between two looks at this edge's share of the budget of retries
-	retriesUsedTimeout = 100 * time.Millisecond // the node says how much is used, or nothing is lent this time
+	retrySlackPoll     = time.Second            // interval of checks whether this edge's share of the retry budget has changed
+	retriesUsedTimeout = 100 * time.Millisecond // for the node's answer about its retries; without one nothing is lent this time
 )
 
-// pollRetrySlack tells the node when what this edge may use of the budget of retries has changed with time alone, until ctx ends.
+// pollRetrySlack updates the node's retry slack as this edge's share of the budget changes over time, until ctx
+// ends.
 func (s *Server) pollRetrySlack(ctx context.Context) {
 	ticker := time.NewTicker(retrySlackPoll)
 	defer ticker.Stop()
@@ -32,8 +33,8 @@
 	}
 }
 
-// updateRetrySlack tells the node how many retries this edge may make beyond its ratio, where that has changed. The caller holds
-// mu.
+// updateRetrySlack sets in the node how many retries this edge may make beyond its ratio, and reports whether that
+// has changed. The caller holds mu.
 func (s *Server) updateRetrySlack(now int64) (changed bool) {
 	free := s.account.Limit(now)
 	if free == s.retrySlack {
@@ -44,10 +45,10 @@
 	return true
 }
 
-// nextLendingMessage returns what this edge wants of others and lends to them, nil for nothing.
+// nextLendingMessage returns the requests and loans to send to other edges, or nil if there are none.
 //
-// Danger: what is used has to be read after the node goes by the limit that it was told last, or a loan would give away
-// what is used meanwhile. The node takes both in one queue.
+// Danger: the retries used must be read after the node has applied the limit set last; otherwise a loan could
+// include retries that are used in between. The node handles both in order, in one queue.
 func (s *Server) nextLendingMessage() *lending.Message {
 	ctx, cancel := context.WithTimeout(context.Background(), retriesUsedTimeout)
 	defer cancel()
@@ -69,7 +70,7 @@
 	return &note
 }
 
-// handleLendingMessage takes in what others lend to this edge and want of it.
+// handleLendingMessage applies the requests and loans of other edges.
 func (s *Server) handleLendingMessage(note lending.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/front/proxyserver/retries_test.go
+++ b/front/proxyserver/retries_test.go
@@ -16,7 +16,7 @@
 	"willowsill/transport/replicahttp"
 )
 
-// TestLendsAndBorrowsRetries: an edge gives up what it lends before it tells of it, and uses what it is lent.
+// TestLendsAndBorrowsRetries: an edge lowers its own limit before it sends a loan, and uses what it is lent.
 func TestLendsAndBorrowsRetries(t *testing.T) {
 	set := settings.Settings{IP: "127.0.0.1", Bounds: settings.Bounds{RetryRatio: 0.2, RetrySlack: 60, RetryWindowS: 10}}
 	clock := node.NewClock()
@@ -30,7 +30,7 @@
 	must.Nil(t, s.nextLendingMessage())
 	must.Eq(t, 4, s.retrySlack)
 	s.handleLendingMessage(lending.Message{Requests: []lending.LoanRequest{{Number: 5, Amount: 9}}})
-	must.Nil(t, s.nextLendingMessage()) // given up, and not told yet
+	must.Nil(t, s.nextLendingMessage()) // the limit is lowered, the loan not sent yet
 	must.Eq(t, 2, s.retrySlack)
 	told := s.nextLendingMessage()
 	must.Eq(t, []lending.Loan{{Answers: 5, Amount: 2, Duration: terms.Loan}}, told.Loans)
--- a/front/proxyserver/servedlog.go
+++ b/front/proxyserver/servedlog.go
@@ -7,16 +7,16 @@
 	"k8s.io/klog/v2"
 )
 
-// servedLogInterval is the time between two lines of the log about what was served.
+// servedLogInterval is the time between two log lines about what was served.
 const servedLogInterval = 5 * time.Second
 
-// totals are counts since the start of the process: executions sent to replicas and how they ended, connections opened
-// and queries turned away because too many were held.
+// totals are counts since the start of the process: executions sent to replicas and their outcomes, connections
+// opened, and queries rejected because the node held too many.
 type totals struct {
 	sent, fulfilled, errored, full, timedOut, connectFailed, reset, cancelled, moot, opened, crowded int64
 }
 
-// totals reads the counts as they are now.
+// totals returns the current counts.
 func (s *Server) totals() totals {
 	e := &s.counters.Executions
 	return totals{sent: e.Sent.Load(), fulfilled: e.Fulfilled.Load(), errored: e.Errored.Load(), full: e.Full.Load(),
@@ -24,7 +24,7 @@
 		moot: e.Unsent.Load(), opened: s.pool.Opened.Load(), crowded: s.counters.Rejected.Load()}
 }
 
-// logServed logs what was served since the line before, where anything was, until ctx ends.
+// logServed logs what was served since the previous line, unless it was nothing, until ctx ends.
 func (s *Server) logServed(ctx context.Context) {
 	ticker := time.NewTicker(servedLogInterval)
 	defer ticker.Stop()
--- a/front/server.go
+++ b/front/server.go
@@ -18,30 +18,30 @@
 )
 
 const (
-	maxHeaderBytes    = 32 << 10               // bytes
-	requestTimeout    = 2 * time.Second        // from connecting, or from the first byte of a later request, to its last
-	idleTimeout       = 2 * time.Second        // that a connection may stand between two requests
-	idleDivisor       = 4                      // and no more than this part of the clients' descriptors stand so
-	usualRequestDelay = 250 * time.Millisecond // a client that means well has sent its request so long after connecting
-
-	stopAcceptTime    = 600 * time.Millisecond // after the word to stop, new connections are accepted for so long,
-	stopQuietTime     = 100 * time.Millisecond // and until none has come for so long,
-	maxStopAcceptTime = time.Second            // at most
-	descriptorPoll    = 5 * time.Millisecond   // between two looks for a client's connection to close
+	maxHeaderBytes    = 32 << 10
+	requestTimeout    = 2 * time.Second        // from connecting, or from the first byte of a later request, until the request has been read
+	idleTimeout       = 2 * time.Second        // for a connection between two requests
+	idleDivisor       = 4                      // at most one in four of the descriptors for clients may belong to idle connections
+	usualRequestDelay = 250 * time.Millisecond // within which a well-behaved client sends its request after connecting
+
+	stopAcceptTime    = 600 * time.Millisecond // for which new connections are accepted once Stop is called
+	stopQuietTime     = 100 * time.Millisecond // without a new connection, after which a stopping server stops accepting
+	maxStopAcceptTime = time.Second            // limit of both together
+	descriptorPoll    = 5 * time.Millisecond   // interval between attempts to get a free descriptor
 )
 
-// connKey is the key of a connection in its requests' contexts.
+// connKey is the context key under which a request's connection is stored.
 type connKey struct{}
 
-// phase is where a client's connection stands.
+// phase is the state of a client's connection.
 type phase uint8
 
 const (
-	connected phase = iota // no byte has come yet
-	idle                   // between two requests
-	receiving              // a request has begun to come
-	serving                // it is whole, and its answer is not out
-	errorSent              // it has had its complaint: only what the client still sends is waited for
+	connected phase = iota // nothing has been received yet
+	idle                   // waiting for the next request
+	receiving              // a part of a request has arrived
+	serving                // the request has been read but not answered
+	errorSent              // an error was sent; the rest of the request is being discarded
 )
 
 // conn is one client's connection.
@@ -49,24 +49,25 @@
 	net.Conn
 	server             *Server
 	once               sync.Once
-	nextDeadlineUpdate int64 // when the deadlines want to be set anew, ns; as rest
-	unreadBody         int64 // bytes of the body of a request that was answered unseen; of the reader alone
+	nextDeadlineUpdate int64 // time at which the deadlines are set again, ns; used only by the goroutine that reads
+	unreadBody         int64 // bytes still to discard of the body of a request that was rejected unread; used only by the goroutine that reads
 
-	// Under the server's lock.
+	// The following fields are guarded by the server's mutex.
 	phase            phase
-	readPastDeadline bool        // the present request was read though its time was over
-	since            int64       // silent or idle since, or the first byte of the present request came, ns
-	requestDeadline  int64       // when the present request has to be whole
-	head             requestHead // of the present request
+	readPastDeadline bool        // the current request was read after its deadline
+	since            int64       // time of connecting, of becoming idle or of the current request's first byte, by phase; ns
+	requestDeadline  int64       // by when the current request must have been read, ns
+	head             requestHead // of the current request
 }
 
-// connection is the one that a request came on, nil in tests without one.
+// connection returns the connection of a request, or nil in tests without one.
 func connection(r *http.Request) *conn {
 	c, _ := r.Context().Value(connKey{}).(*conn)
 	return c
 }
 
-// Read notes when the first byte of a request comes: the stock server tells only when a header is whole.
+// Read records when the first byte of each request arrives, which net/http's server reports only once a whole
+// header has arrived.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
@@ -76,14 +77,14 @@
 		if n = c.skipBody(b[:n]); n > 0 && !c.rejectUnread(b[:n]) {
 			break
 		}
-		n, err = c.Conn.Read(b) // the answer is out, and the next request is waited for
+		n, err = c.Conn.Read(b) // the request was rejected unread; waits for the next one
 	}
 	if n > 0 {
 		c.server.mu.Lock()
 		if c.phase <= idle {
 			now := c.server.front.Clock.Now()
 			c.requestDeadline, c.head = now+int64(requestTimeout), requestHead{line: c.head.line[:0]}
-			if c.phase == connected { // since its client connected
+			if c.phase == connected { // the deadline of a first request runs from connecting
 				c.requestDeadline = c.since + int64(requestTimeout)
 			}
 			c.phase, c.since = receiving, now
@@ -94,12 +95,13 @@
 	return n, err
 }
 
-// readAfterDeadline reads once more what has come, though the time for it is over; once for a request, or one that comes byte by
-// byte would never end. It waits for nothing, so limits stay exact. While a request is served the stock server ends reads
-// by such times of its own.
+// readAfterDeadline reads what has arrived although the read deadline has passed. It never blocks, so deadlines
+// stay exact. It does so once per request, as a request that arrives byte by byte would otherwise never end, and
+// not while a request is served, when net/http's server ends reads by deadlines of its own.
 //
-// Danger: while the process itself stood, the time went by for connections whose requests had come and nobody read. They would be
-// closed, and their queries lost, as it goes on. How late that is noticed tells nothing: for one whose time ended just then, by ms.
+// Danger: while the process is paused, deadlines pass for connections whose requests have arrived but have not
+// been read. Without this read they would be closed, and their queries lost, when the process resumes. By how much
+// a deadline was missed does not show a pause, as it may have ended shortly before the process resumed.
 func (c *conn) readAfterDeadline(b []byte, late error) (int, error) {
 	c.server.mu.Lock()
 	over := c.readPastDeadline || c.phase >= serving
@@ -115,17 +117,17 @@
 	}
 	c.server.mu.Lock()
 	c.readPastDeadline = true
-	if c.phase == connected { // its time begins now
+	if c.phase == connected { // a request that begins now gets a deadline of its own
 		c.phase, c.since = idle, c.server.front.Clock.Now()
 	}
 	c.server.mu.Unlock()
 	return n, nil
 }
 
-// readBuffered reads what the machine holds of what the client sent, 0 for nothing.
+// readBuffered reads what the kernel has buffered from the client, 0 bytes if nothing.
 func (c *conn) readBuffered(b []byte) (n int) {
 	socket, is := c.Conn.(syscall.Conn)
-	if !is { // a pipe holds nothing
+	if !is { // an in-memory pipe buffers nothing
 		return 0
 	}
 	raw, err := socket.SyscallConn()
@@ -134,7 +136,7 @@
 	}
 	raw.Read(func(fd uintptr) bool {
 		n, err = syscall.Read(int(fd), b)
-		return true // also where there was nothing: it does not wait
+		return true // does not wait for more, even if there was nothing
 	})
 	if err != nil {
 		return 0
@@ -142,21 +144,21 @@
 	return n
 }
 
-// deadline is when the present request has to be whole.
+// deadline returns by when the current request must have been read.
 func (c *conn) deadline() int64 {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	return c.requestDeadline
 }
 
-// hasLengthAndEncoding tells whether the present request has both a length and an encoding.
+// hasLengthAndEncoding reports whether the current request has both a Content-Length and a Transfer-Encoding.
 func (c *conn) hasLengthAndEncoding() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	return c.head.hasLength && c.head.hasEncoding
 }
 
-// bodyRead notes that the present request is whole, and tells whether more may have come than belongs to it.
+// bodyRead records that the current request has been read, and reports whether bytes beyond it may have arrived.
 func (c *conn) bodyRead(length int64) (more bool) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -164,8 +166,8 @@
 	return length < 0 || c.head.bodyBytes > length
 }
 
-// CloseWrite lets the stock server end an answer to a request that it did not read to its end, so that the
-// client gets the answer and no reset.
+// CloseWrite closes the sending side. net/http's server calls it after answering a request that it has not read to
+// its end, so that the client receives the answer instead of a reset.
 func (c *conn) CloseWrite() error {
 	c.server.mu.Lock()
 	c.phase = errorSent
@@ -176,14 +178,14 @@
 	return nil
 }
 
-// requestStart tells when the first byte of the present request came.
+// requestStart returns when the first byte of the current request arrived.
 func (c *conn) requestStart() int64 {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	return c.since
 }
 
-// Close closes the connection and gives its descriptor back, once.
+// Close closes the connection and returns its descriptor to the budget, once.
 func (c *conn) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(func() {
@@ -195,7 +197,7 @@
 	return err
 }
 
-// Server is the clients' side on a socket: it owns the listener and all connections of clients.
+// Server serves clients on a listener. It owns the listener and all connections.
 type Server struct {
 	front    *Front
 	budget   *sockets.Budget
@@ -204,10 +206,10 @@
 
 	mu           sync.Mutex
 	conns        map[*conn]struct{}
-	lastAccepted time.Time // the last connection
+	lastAccepted time.Time // when the last connection was accepted
 }
 
-// NewServer makes a server on a listener.
+// NewServer returns a server for a listener.
 func NewServer(f *Front, l net.Listener, b *sockets.Budget) *Server {
 	f.closing = make(chan struct{})
 	s := &Server{front: f, budget: b, listener: l, conns: map[*conn]struct{}{}}
@@ -219,10 +221,10 @@
 	return s
 }
 
-// Serve serves until Stop has closed the listener.
+// Serve serves clients until Stop has closed the listener.
 func (s *Server) Serve() error { return s.http.Serve(listener{s}) }
 
-// listener accepts clients as far as there are descriptors.
+// listener accepts connections as long as the budget has descriptors.
 type listener struct{ *Server }
 
 func (l listener) Addr() net.Addr { return l.listener.Addr() }
@@ -230,8 +232,9 @@
 
 // Accept returns the next connection.
 //
-// Danger: out of descriptors the process can neither answer nor reach a replica. At the limit connections
-// that wait are closed; what has not been accepted stays where it is until then.
+// Danger: a process without free descriptors can neither answer nor reach a replica. At the limit one of the
+// present connections is closed for each new one; connections that are not accepted yet stay in the kernel's
+// queue.
 func (l listener) Accept() (net.Conn, error) {
 	accepted, err := l.listener.Accept()
 	if err != nil {
@@ -251,11 +254,11 @@
 	return c, nil
 }
 
-// connStateChanged follows the stock server: a connection waits again once its answer is out. With too many that do, the one
-// that has been idle for longest is closed.
+// connStateChanged marks a connection as idle once its answer has been written. If too many connections are idle,
+// it closes the one that has been idle longest.
 //
-// Danger: clients may hold only so many connections together. Those who ask once and stay would leave none to others,
-// long before descriptors run short here.
+// Danger: the clients' connections are limited in all. Clients that ask once and keep their connections would
+// leave none for others long before this process is short of descriptors.
 func (s *Server) connStateChanged(n net.Conn, state http.ConnState) {
 	if state != http.StateIdle {
 		return
@@ -263,31 +266,32 @@
 	c := n.(*conn)
 	s.mu.Lock()
 	c.phase, c.since = idle, s.front.Clock.Now()
-	stand := 0
+	idleConns := 0
 	for other := range s.conns {
 		if other.phase == idle {
-			stand++
+			idleConns++
 		}
 	}
 	s.mu.Unlock()
-	if stand > s.budget.Limit(sockets.Clients)/idleDivisor {
+	if idleConns > s.budget.Limit(sockets.Clients)/idleDivisor {
 		s.closeLowest(inPhases(idle))
 	}
 }
 
-// closeForDescriptor closes the connection that is least likely to be missed: one that has had its complaint; one that has
-// not brought a whole request though a client that means well would have; one between two requests, whose client
-// asks again on another. One that has just come is the last, for its request should be on its way.
+// closeForDescriptor closes the connection whose loss does the least harm, and returns false if none can be
+// closed. The order is: one that was answered with an error; one that has not sent a whole request in the usual
+// time; an idle one, whose client reconnects to ask again; and last one that has just connected, whose request
+// should be on its way.
 //
-// Danger: silent connections and halves of requests, by hundreds, would push out the idle ones of usual clients and
-// then starve their new ones.
+// Danger: hundreds of silent connections and incomplete requests would otherwise displace the idle connections of
+// normal clients, and then their new ones.
 func (s *Server) closeForDescriptor() bool {
-	sure := s.front.Clock.Now() - int64(usualRequestDelay)
+	latest := s.front.Clock.Now() - int64(usualRequestDelay)
 	rank := func(c *conn) int {
 		switch {
 		case c.phase == errorSent:
 			return 1
-		case c.phase != serving && c.phase != idle && c.since < sure:
+		case c.phase != serving && c.phase != idle && c.since < latest:
 			return 2
 		case c.phase == idle:
 			return 3
@@ -299,7 +303,7 @@
 	return s.closeLowest(rank)
 }
 
-// closeLowest closes the connection with the lowest rank above 0, the oldest of these.
+// closeLowest closes the connection with the lowest rank, the oldest of several. Rank 0 exempts a connection.
 func (s *Server) closeLowest(rank func(*conn) int) bool {
 	s.mu.Lock()
 	var chosen *conn
@@ -317,7 +321,7 @@
 	return true
 }
 
-// inPhases ranks the connections in these phases alike, and no others.
+// inPhases returns a ranking that gives rank 1 to connections in the phases, and exempts others.
 func inPhases(phases ...phase) func(*conn) int {
 	return func(c *conn) int {
 		if slices.Contains(phases, c.phase) {
@@ -327,12 +331,12 @@
 	}
 }
 
-// Stop ends the service without losing a query; what is under way is waited for as long as lastWait.
+// Stop shuts the server down without losing a query; it waits at most lastWait for queries in progress.
 //
-// Danger: for a while after the word to stop clients still come, and what the machine has accepted counts as
-// taken. The stock shutdown closes the listener first, and loses what waits there; it also waits seconds for
-// connections that never brought a request. So all goes on as before for that while, but every answer closes
-// its connection; then the listener is closed, and whatever waits.
+// Danger: clients still connect for a while after the server is told to stop, and a connection counts as accepted
+// once the kernel has accepted it. net/http's Shutdown closes the listener first, which loses the connections in
+// its queue, and it waits seconds for connections that never sent a request. So the server first goes on accepting
+// for a while, with every answer closing its connection; then the listener and the idle connections are closed.
 func (s *Server) Stop(lastWait time.Duration) error {
 	close(s.front.closing)
 	began := time.Now()
@@ -342,7 +346,7 @@
 		wait = time.Until(s.lastAccepted.Add(stopQuietTime))
 		s.mu.Unlock()
 	}
-	s.http.RegisterOnShutdown(func() { // once the listener is closed
+	s.http.RegisterOnShutdown(func() { // runs once the listener is closed
 		for s.closeLowest(inPhases(connected, idle)) {
 		}
 	})
--- a/front/unread.go
+++ b/front/unread.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// skipBody drops what still comes of the body of a request that was answered unseen, and returns how much of b is left, at its start.
+// skipBody drops bytes at the start of b that belong to the body of a request that was rejected unread. It moves
+// the others to the start of b and returns their number.
 func (c *conn) skipBody(b []byte) int {
 	if c.unreadBody == 0 {
 		return len(b)
@@ -16,11 +17,12 @@
 	return copy(b, b[dropped:])
 }
 
-// rejectUnread answers a request at its first bytes, where the guard turns such away. Nothing is parsed but its first line and how
-// long it is; its connection stays, and what still comes of its body is dropped.
+// rejectUnread answers a request by its first bytes if the guard rejects it, and reports whether it did. It parses
+// only the request line and the length; the connection is kept, and the rest of the body is dropped as it arrives.
 //
-// Danger: in a crowd even a refusal costs as much as reading a head does, and refusing all would leave nothing for those
-// that are served. What is not surely a query goes the usual way.
+// Danger: under overload even a rejection costs as much as parsing the headers, so rejecting queries the usual way
+// would leave no processor time for those that are served. Anything that is not clearly a query is handled the
+// usual way.
 func (c *conn) rejectUnread(b []byte) bool {
 	f := c.server.front
 	guard := f.currentGuard()
@@ -34,31 +36,32 @@
 		return false
 	}
 	name, row, is := f.parseRequestLine(b)
-	rest, plain := remainingBody(b)
-	if !is || !plain {
+	rest, simple := remainingBody(b)
+	if !is || !simple {
 		return false
 	}
-	away, comeBack := guard.RejectUnread(row)
-	if !away {
+	rejected, retryAfter := guard.RejectUnread(row)
+	if !rejected {
 		return false
 	}
 	f.countRejected(name)
 	c.unreadBody = rest
 	text := append(make([]byte, 0, 128), "HTTP/1.1 503 Service Unavailable\r\n"...)
-	if comeBack > 0 {
-		text = append(append(append(text, "Retry-After: "...), formatSeconds(comeBack)...), "\r\n"...)
+	if retryAfter > 0 {
+		text = append(append(append(text, "Retry-After: "...), formatSeconds(retryAfter)...), "\r\n"...)
 	}
 	text = append(text, "Content-Length: 0\r\n\r\n"...)
 	now := f.Clock.Now()
-	// Danger: the stock server still waits for its first request, with the time that was set for that. The client would find
-	// its connection closed as it asks again. To set a deadline costs a good part of the answer, so it is not done each time.
+	// Danger: net/http's server still waits for its first request on this connection, with the deadline for that.
+	// Without a new deadline the client would find its connection closed when it asks again. Setting one costs a
+	// good part of the answer, so it is not done each time.
 	if now >= c.nextDeadlineUpdate {
 		c.nextDeadlineUpdate = now + int64(idleTimeout)/4
 		c.Conn.SetDeadline(time.Now().Add(idleTimeout))
 	}
 	if _, err := c.Conn.Write(text); err != nil {
 		f.Counters.Undelivered.Add(1)
-		c.Conn.Close() // the next read tells
+		c.Conn.Close() // the next read returns the error
 		return true
 	}
 	c.server.mu.Lock()
@@ -67,7 +70,7 @@
 	return true
 }
 
-// parseRequestLine reads which workload a request's first line names.
+// parseRequestLine returns the workload that a request line names, and its row.
 func (f *Front) parseRequestLine(b []byte) (workload string, row int, is bool) {
 	line, _, whole := bytes.Cut(b, []byte("\r\n"))
 	path, isQuery := bytes.CutPrefix(line, []byte("POST /"))
@@ -81,9 +84,10 @@
 	return workload, row, is
 }
 
-// remainingBody tells how much is still to come of the body of a request of which these are the first bytes, with its whole head; not
-// plain is one that asks for more than an answer, or brings more than itself.
-func remainingBody(b []byte) (rest int64, plain bool) {
+// remainingBody returns how many bytes of a request's body are still to come, given its first bytes. simple is
+// false if the headers are not complete, if they ask for more than an answer, or if bytes beyond the body have
+// arrived.
+func remainingBody(b []byte) (rest int64, simple bool) {
 	head, body, whole := bytes.Cut(b, []byte("\r\n\r\n"))
 	if !whole {
 		return 0, false
@@ -94,7 +98,7 @@
 		switch {
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")), bytes.EqualFold(name, []byte("Connection")),
 			bytes.EqualFold(name, []byte("Expect")):
-			return 0, false // the usual way knows what that asks for
+			return 0, false // left to net/http's server
 		case bytes.EqualFold(name, []byte("Content-Length")):
 			n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 31)
 			if err != nil || length >= 0 || n > maxBodyBytes {
