--- a/deployment/deployment.go
+++ b/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment reads what an aggregator is told at its start, checks it and gives defaults. Its errors
-// name the key or the variable at fault.
+// Package deployment reads and checks the configuration with which an aggregator starts, and fills in defaults.
+// Its errors name the key or the environment variable at fault.
 package deployment
 
 import (
@@ -9,16 +9,16 @@
 	"willowsill/deployment/fields"
 )
 
-// Deployment is what the operators state of the whole service.
+// Deployment is the description of the whole service that all aggregators share.
 type Deployment struct {
 	balance.Deployment
-	WorkloadRow map[string]int // row of each workload, by name
+	WorkloadRow map[string]int // row of each workload in Workloads, by name
 }
 
-// minValue is what a workload that is stated to be worth nothing counts for: 0 would say that nothing is stated.
+// minValue replaces a stated value of 0 for a workload, as 0 in balance.Workload means that no value was stated.
 const minValue = 1e-9
 
-// Read reads the operators' statement.
+// Read reads the deployment's description from its JSON object.
 func Read(boot *fields.Object) (d Deployment, err error) {
 	caps, domain, rules := boot.Object("caps"), boot.Object("domain"), boot.Object("guarantees")
 	d.WorkloadRow = map[string]int{}
--- a/deployment/fields/fields.go
+++ b/deployment/fields/fields.go
@@ -1,4 +1,4 @@
-// Package fields reads JSON objects key by key and names the key that is at fault.
+// Package fields reads JSON objects key by key. Its errors name the key at fault.
 package fields
 
 import (
@@ -7,26 +7,27 @@
 	"math"
 )
 
-// Object is one JSON object, decoded no further than its keys. The getters keep the first
-// trouble they meet in Err, so that a caller reads all it wants and checks once.
+// Object is a JSON object of which only the keys are decoded. Its methods keep their first error in Err, so that a
+// caller can read all values and check once.
 type Object struct {
 	Raw map[string]json.RawMessage
 	Err error
 }
 
+// Fail sets Err for a key, unless it is set.
 func (f *Object) Fail(key, what string) {
 	if f.Err == nil {
 		f.Err = fmt.Errorf("field %q %s", key, what)
 	}
 }
 
-// Has tells whether the key is there and not null.
+// Has reports whether the key is present and not null.
 func (f *Object) Has(key string) bool {
 	raw, ok := f.Raw[key]
 	return ok && string(raw) != "null"
 }
 
-// RawValue returns a required value as it stands on the wire.
+// RawValue returns a required value undecoded.
 func (f *Object) RawValue(key string) json.RawMessage {
 	if !f.Has(key) {
 		f.Fail(key, "is missing")
@@ -35,7 +36,7 @@
 	return f.Raw[key]
 }
 
-// Decode decodes a required value.
+// Decode decodes a required value into v.
 func (f *Object) Decode(key string, v any) {
 	if raw := f.RawValue(key); raw != nil {
 		if err := json.Unmarshal(raw, v); err != nil {
@@ -44,7 +45,7 @@
 	}
 }
 
-// DecodeOptional decodes a value that can be left out.
+// DecodeOptional decodes a value into v if it is present.
 func (f *Object) DecodeOptional(key string, v any) {
 	if f.Has(key) {
 		f.Decode(key, v)
@@ -59,27 +60,27 @@
 }
 func (f *Object) Bool(key string) (b bool) { f.Decode(key, &b); return }
 
-// Duration returns a required time in whole nanoseconds.
+// Duration returns a required time, given in ms, in ns.
 func (f *Object) Duration(key string) int64 { return NsFromMs(f.Float(key)) }
 
-// OptionalDuration returns a time that can be left out, 0 then.
+// OptionalDuration returns a time, given in ms, in ns, or 0 if it is absent.
 func (f *Object) OptionalDuration(key string) int64 {
 	var ms float64
 	f.DecodeOptional(key, &ms)
 	return NsFromMs(ms)
 }
 
-// Object returns a required object's fields.
+// Object returns a required value that is an object.
 func (f *Object) Object(key string) *Object {
 	in := &Object{}
 	f.Decode(key, &in.Raw)
 	return in
 }
 
-// NsFromMs turns the wire's milliseconds, which count in whole microseconds, into whole nanoseconds.
+// NsFromMs converts milliseconds to nanoseconds, rounded to whole microseconds as on the wire.
 func NsFromMs(ms float64) int64 { return int64(math.Round(ms*1e3)) * 1e3 }
 
-// MsFromNs is the other way round.
+// MsFromNs converts nanoseconds to milliseconds, rounded down to whole microseconds.
 func MsFromNs(ns int64) float64 { return float64(ns/1e3) / 1e3 }
 
 // List returns a required list of objects.
--- a/deployment/operator/functions.go
+++ b/deployment/operator/functions.go
@@ -16,7 +16,7 @@
 	second      = int64(time.Second)
 )
 
-// functions are all that a script may call. Each is checked and given defaults here and nowhere else.
+// functions are the functions that a script may call, with the checks and defaults of their parameters.
 var functions = script.FunctionTable[Settings]{
 	"shared_store": {Name: "shared_store", Help: "shares what aggregators know through a Redis server", Parameters: []*script.Parameter{
 		{Name: "address", Kind: script.Address, Help: "where the store listens"},
@@ -73,7 +73,7 @@
 		{Name: "cost", Kind: script.Float, Default: 0.05, Max: 1e6, Help: "of one query carried, in revenue"},
 	}, Apply: func(o *Settings, c script.Call) error {
 		l := Link{c.Text("to"), c.AddressList("gateways"), c.Float("queries"), c.Int("bytes"), c.Float("cost")}
-		if slices.ContainsFunc(o.Links, func(was Link) bool { return was.To == l.To }) {
+		if slices.ContainsFunc(o.Links, func(other Link) bool { return other.To == l.To }) {
 			return fmt.Errorf("key %q: there is a link to %q already", "to", l.To)
 		}
 		o.Links = append(o.Links, l)
@@ -108,7 +108,7 @@
 		if q.Customer == "" {
 			return errors.New(`key "customer" is empty`)
 		}
-		if slices.ContainsFunc(o.Quotas, func(was Quota) bool { return was.Customer == q.Customer }) {
+		if slices.ContainsFunc(o.Quotas, func(other Quota) bool { return other.Customer == q.Customer }) {
 			return fmt.Errorf("key %q: %q has a quota already", "customer", q.Customer)
 		}
 		o.Quotas = append(o.Quotas, q)
@@ -116,7 +116,7 @@
 	}},
 }
 
-// siteName checks a site's name, which stands in certificates and headers.
+// siteName checks a site's name, which is used in certificates and headers.
 func siteName(name, key string) error {
 	if name == "" || strings.Trim(name, "abcdefghijklmnopqrstuvwxyz0123456789-") != "" {
 		return fmt.Errorf("key %q: %q is not made of a to z, digits and hyphens", key, name)
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// checkCombinations checks what no function can check alone.
+// checkCombinations checks what depends on several functions.
 func (o *Settings) checkCombinations(said script.Calls, complain script.ReportFault) {
 	site, isSite := said.First("site")
 	link, isLink := said.First("link")
--- a/deployment/operator/operator.go
+++ b/deployment/operator/operator.go
@@ -1,10 +1,10 @@
-// Package operator reads the operator's own file, a Starlark script that switches on what the platform does not
-// ask for: what a script may say, its defaults and its limits stand here.
+// Package operator reads the operator's Starlark script, which enables features that the platform's configuration
+// does not cover. It defines the script's functions with their defaults and limits.
 package operator
 
 import "willowsill/deployment/script"
 
-// Settings are what the operator asks for; what is nil is off.
+// Settings are the features that the script enables. A feature that is nil is disabled.
 type Settings struct {
 	File     string
 	Store    *SharedStore
@@ -12,81 +12,81 @@
 	Site     *Site
 	Links    []Link
 	Overload *Overload
-	Zones    *Zones // nil where zones are not watched
+	Zones    *Zones // detection of unreachable zones
 
-	calls script.Calls // for Explain
+	calls script.Calls // the script's calls, for Explain
 }
 
-// SharedStore is the shared store, and what is shared through it. Times in ns.
+// SharedStore configures the Redis store through which aggregators share reports. Times are in ns.
 type SharedStore struct {
 	Address       string
 	Database      int
-	Prefix        string // of every key
+	Prefix        string // of every key in the store
 	User          string
-	PasswordFile  string // empty for none
-	CAFile        string // of the authority that signed the store's certificate; empty for no TLS
-	ServerName    string // on that certificate; empty for the address's host
-	RoundInterval int64  // between two rounds
+	PasswordFile  string // file with the password for AUTH; empty for none
+	CAFile        string // of the authority of the store's certificate; empty for no TLS
+	ServerName    string // name on the store's certificate; empty for the host in Address
+	RoundInterval int64  // interval of rounds, in each of which the store is written and read
 	RoundTimeout  int64  // of one round
-	SampleSize    int    // most aggregators that are read in one round
-	Health        bool   // findings on replicas are told and heard
-	Quotas        bool   // quotas are kept over all aggregators
+	SampleSize    int    // limit of aggregators whose reports are read in one round
+	Health        bool   // findings about replicas' health are shared
+	Quotas        bool   // quotas hold for all aggregators together
 }
 
-// Site is this site among others, and the door that their gateways come in by.
+// Site configures the gateway of this site, for queries that sites forward to each other.
 type Site struct {
 	Name            string
-	Listen          string // HOST:PORT for other sites' gateways
-	CertFile        string // of this site's gateway, as is KeyFile
+	Listen          string // HOST:PORT on which other sites' gateways connect
+	CertFile        string // certificate of this site's gateway
 	KeyFile         string
-	KeyPasswordFile string             // the file of the key's password; empty for none
+	KeyPasswordFile string             // file with the password of the key; empty if the key is not encrypted
 	CAFile          string             // of the authority of all sites' certificates
-	IDFile          string             // where ids are kept over a planned restart; empty for nowhere
-	Evacuated       bool               // nothing new is asked of this site's replicas
-	Revenue         map[string]float64 // of a query served within its goal, by workload; 1 where it is not named
-	Policy          string             // of what is carried: "plan", or a baseline to measure it against
-	HTTP2           bool               // queries to one gateway share a connection
+	IDFile          string             // file that keeps ids of queries over a planned restart; empty for none
+	Evacuated       bool               // no new queries are sent to this site's replicas
+	Revenue         map[string]float64 // revenue of a query served within its goal, by workload; 1 for a workload that is not listed
+	Policy          string             // rule for forwarding: "plan", or a simple one to compare it with
+	HTTP2           bool               // queries to one gateway share one connection
 }
 
-// Overload is what the process does about its own.
+// Overload configures the protection of the process against its own overload.
 type Overload struct {
-	Shed          bool               // queries worth least are turned away
-	Immediate     bool               // rounds do not wait for the tick
-	Revenue       map[string]float64 // of a query served within its goal, by workload; 1 where it is not named
-	LimitKind     string             // one of strain.Limits
-	FixedRate     float64            // queries a second, for the fixed limit
-	MaxLateness   int64              // of the process itself that is borne, ns
-	CustomerFloor float64            // share of what can be served that customers are given by turns
+	Shed          bool               // under overload, queries of the least value are rejected
+	Immediate     bool               // decision rounds run at once instead of at the next tick
+	Revenue       map[string]float64 // revenue of a query served within its goal, by workload; 1 for a workload that is not listed
+	LimitKind     string             // one of overload.LimitKinds: how the rate that can be served is estimated
+	FixedRate     float64            // queries per second, for the fixed limit
+	MaxLateness   int64              // tolerated delay of the process's own work, ns
+	CustomerFloor float64            // share of the capacity that is given to customers in turn
 }
 
-// Zones is how zones out of reach are known.
+// Zones configures the detection of unreachable zones.
 type Zones struct {
-	MinFailedReplicas int // replicas of one zone that have to fail, with none of it heard between
+	MinFailedReplicas int // replicas of one zone that must fail in a row, without an answer from the zone in between
 }
 
-// Link is the way to another site.
+// Link configures the link to another site.
 type Link struct {
 	To        string
 	Gateways  []string
-	QueryRate float64 // a second, at most
-	ByteRate  int64   // a second, at most
-	Cost      float64 // of one query carried, in revenue
+	QueryRate float64 // queries per second, limit
+	ByteRate  int64   // bytes per second, limit
+	Cost      float64 // of one forwarded query, in the unit of Revenue
 }
 
-// Quota is what one customer may ask for over all aggregators.
+// Quota limits a customer's queries over all aggregators.
 type Quota struct {
 	Customer string
-	Rate     float64 // queries a second
-	Burst    float64 // queries that may be saved up
+	Rate     float64 // queries per second
+	Burst    float64 // queries that may be made at once after a pause
 }
 
-// Faults are all that is wrong with a script.
+// Faults are the errors of a script, each with its position.
 type Faults = script.Faults
 
-// EffectiveValue is one value that holds.
+// EffectiveValue is the value of one parameter of a call.
 type EffectiveValue = script.EffectiveValue
 
-// Read reads a script. The error is Faults, or says why there is no script to read.
+// Read reads and checks a script. The error is of type Faults if the script is wrong.
 func Read(file string) (*Settings, error) {
 	o := &Settings{File: file}
 	said, err := script.Read(file, functions, o, o.checkCombinations)
@@ -97,14 +97,16 @@
 	return o, nil
 }
 
-// Explain tells all that holds, in the order of the script; what was left out is marked as default.
+// Explain returns the parameters of all calls in the order of the script, with the defaults of those that were
+// left out.
 func (o *Settings) Explain() []EffectiveValue { return o.calls.Explain() }
 
-// Uncalled names the functions that the script did not call.
+// Uncalled returns the names of the functions that the script does not call.
 func (o *Settings) Uncalled() []string { return functions.Uncalled(o.calls) }
 
-// Describe describes a function and its keys; false where there is none of that name.
+// Describe returns the description of a function and its parameters, or false if there is no function of that
+// name.
 func Describe(name string) (string, bool) { return functions.Describe(name) }
 
-// FunctionNames are the functions that a script may call.
+// FunctionNames returns the names of the functions that a script may call, sorted.
 func FunctionNames() []string { return functions.Names() }
--- a/deployment/operator/operator_test.go
+++ b/deployment/operator/operator_test.go
@@ -11,7 +11,7 @@
 	"willowsill/deployment/script"
 )
 
-// beside writes files into one folder and returns the path of the first.
+// beside writes files, given as names and contents in turn, into a new folder and returns the path of the first.
 func beside(t *testing.T, files ...string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -47,7 +47,7 @@
 	}
 }
 
-// All that is wrong is told at once, each with its line and its key.
+// All errors of a script are reported at once, each with its line and its key.
 func TestFaults(t *testing.T) {
 	_, err := Read(beside(t, "a.star", `quota(customer = "", rate = 3)
 shared_store(
@@ -71,7 +71,7 @@
 		`:8:26: quota: key "rate" is 0, outside 0.001`, `:9:13: shared_store is called a second time`,
 		`:9:14: shared_store: key "address" is "nowhere"`} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("nothing says %s", want)
+			t.Errorf("the error does not contain %s", want)
 		}
 	}
 	if t.Failed() {
@@ -79,10 +79,10 @@
 	}
 }
 
-// mostTime is the reader's bound on the time of a whole script.
+// mostTime is the time limit for a script, as in package script.
 const mostTime = 2 * time.Second
 
-// Danger: a script must end, and reach nothing but what lies beside it.
+// Danger: a script must end, and must not read files outside its folder.
 func TestBounds(t *testing.T) {
 	for name, c := range map[string][]string{
 		"endless":   {"for i in range(1 << 30):\n    pass", "too many steps"},
@@ -110,7 +110,8 @@
 		t.Run(name, func(t *testing.T) {
 			want, began := c[1], time.Now()
 			_, err := Read(beside(t, "a.star", c[0], "a2.star", `load("a2.star", "x")`))
-			// On a busy machine the bound on time comes before the one on steps, and then it has to be what is named.
+			// On a busy machine the time limit may be reached before the limit of steps; the error must then name
+			// that.
 			if name == "endless" && time.Since(began) >= mostTime {
 				want = "takes longer than " + mostTime.String()
 			}
@@ -120,11 +121,12 @@
 		})
 	}
 	if _, err := Read("no-such.star"); err == nil {
-		t.Error("a file that is not there was read")
+		t.Error("no error for a missing file")
 	}
 }
 
-// The scripts that come with the program are right, and the platform's switches on what it allows and no more.
+// The scripts in examples are valid and enable features unless they are about customers; the platform's script
+// enables only what the platform allows.
 func TestOwnScripts(t *testing.T) {
 	all, _ := filepath.Glob("../../examples/*.star")
 	if o, err := Read("../../deploy/operator.star"); err != nil || len(o.calls) != 1 || o.Zones == nil {
@@ -140,6 +142,7 @@
 	}
 }
 
+// FuzzRead: a script that is accepted keeps the rule that a round's deadline is within its interval.
 func FuzzRead(f *testing.F) {
 	f.Add(`shared_store(address = "h:1", round = "1s")`)
 	f.Add(`quota(customer = "a" * 3, rate = 1e300)`)
@@ -147,7 +150,7 @@
 		file := filepath.Join(t.TempDir(), "a.star")
 		os.WriteFile(file, []byte(text), 0o600)
 		if o, err := Read(file); err == nil && o.Store != nil && o.Store.RoundTimeout > o.Store.RoundInterval {
-			t.Errorf("took %+v", o.Store)
+			t.Errorf("accepted %+v", o.Store)
 		}
 	})
 }
--- a/deployment/script/script.go
+++ b/deployment/script/script.go
@@ -1,6 +1,6 @@
-// Package script reads Starlark scripts that are made of calls with checked keys: what an operator or an experimenter
-// writes. It checks all that is said, gives defaults, and explains what holds in the end. It opens no file but the script and
-// those beside it that it loads, and starts nothing.
+// Package script reads Starlark scripts that configure something by calling functions with named, checked
+// parameters. It reports all errors at once, fills in defaults and explains the resulting values. It reads no
+// files but the script and those that it loads from the same folder.
 package script
 
 import (
@@ -20,23 +20,24 @@
 	"go.starlark.net/syntax"
 )
 
+// Limits of a script. MaxFileBytes is the limit for each file.
 const (
-	maxSteps        = 5_000_000       // of the script, in the interpreter's own count
-	maxDuration     = 2 * time.Second // for the whole script
-	MaxFileBytes    = 1 << 20         // bytes of one file
-	maxFaults       = 50              // that are told at once
-	maxEditDistance = 3               // edits between a word and what may have been meant
+	maxSteps        = 5_000_000       // interpreter steps of the whole script
+	maxDuration     = 2 * time.Second // for running the whole script
+	MaxFileBytes    = 1 << 20
+	maxFaults       = 50 // reported at once
+	maxEditDistance = 3  // edits from an unknown name to one that is suggested instead
 )
 
-// Fault is one thing that is wrong, where it stands.
+// Fault is one error in a script.
 type Fault struct {
-	Position string // FILE:LINE:COLUMN, or the file
-	Message  string // names the key
+	Position string // FILE:LINE:COLUMN, or the file alone
+	Message  string // names the key at fault
 }
 
 func (f Fault) Error() string { return f.Position + ": " + f.Message }
 
-// Faults are all that is wrong with a script.
+// Faults are the errors of a script.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -47,8 +48,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// Read reads a script whose calls are carried out on what it asks for. Once all calls are right, together checks what none
-// can check alone, by complaints; nil for nothing. The error is Faults, or says why there is no script to read.
+// Read runs a script and applies its calls to a value. If all calls are valid, together is called to check what
+// depends on several of them; it may be nil. The error is of type Faults, unless the script could not be read at
+// all.
 func Read[T any](file string, functions FunctionTable[T], to *T, together func(Calls, ReportFault)) (Calls, error) {
 	r := &reader[T]{functions: functions, target: to, dir: filepath.Dir(file), modules: map[string]*module{},
 		keyPositions: map[string]map[string]syntax.Position{}, firstCalls: map[string]syntax.Position{}}
@@ -70,28 +72,28 @@
 	return r.calls, nil
 }
 
-// ReportFault keeps a fault with its place, so that all are told at once.
+// ReportFault records an error at a position in the script.
 type ReportFault func(at syntax.Position, format string, args ...any)
 
-// module is one file that was loaded.
+// module is a file that the script loaded.
 type module struct {
 	globals starlark.StringDict
 	err     error
 }
 
-// reader is one reading of a script and of what it loads.
+// reader reads one script with the files that it loads.
 type reader[T any] struct {
 	functions    FunctionTable[T]
 	target       *T
 	calls        Calls
 	dir          string
-	modules      map[string]*module // nil while it is being read
-	keyPositions map[string]map[string]syntax.Position
-	firstCalls   map[string]syntax.Position // functions that may be called once, where they were
+	modules      map[string]*module                    // by file name; nil while the file is being read
+	keyPositions map[string]map[string]syntax.Position // by the position of a call's parenthesis, the positions of its keys
+	firstCalls   map[string]syntax.Position            // by function, the position of its latest call
 	faults       Faults
-	current      atomic.Pointer[starlark.Thread] // that runs now
-	timedOut     atomic.Bool                     // its time is up
-	steps        uint64
+	current      atomic.Pointer[starlark.Thread] // the thread that runs now
+	timedOut     atomic.Bool                     // the time limit was reached
+	steps        uint64                          // taken by the files that have ended
 }
 
 func (r *reader[T]) cancel() {
@@ -103,7 +105,8 @@
 
 // run runs one file of the script's folder.
 //
-// Danger: a script that never ends, or that names files elsewhere, would hold up the start or read what it must not.
+// Danger: a script that never ends would delay the start, and one that loads files from elsewhere would read what
+// it must not.
 func (r *reader[T]) run(name string) (starlark.StringDict, error) {
 	path := filepath.Join(r.dir, name)
 	info, err := os.Stat(path)
@@ -146,7 +149,7 @@
 	return globals, nil
 }
 
-// load brings in a file beside the script.
+// load runs a file that a script loads, once.
 func (r *reader[T]) load(name string) (starlark.StringDict, error) {
 	if name != filepath.Base(name) || !strings.HasSuffix(name, ".star") {
 		return nil, fmt.Errorf("%q is no .star file beside the script", name)
@@ -164,7 +167,8 @@
 	return m.globals, m.err
 }
 
-// recordKeyPositions keeps where the keys of each call stand, which the interpreter forgets.
+// recordKeyPositions records the positions of the keys in each call, which are not available when the call is
+// executed.
 func (r *reader[T]) recordKeyPositions(tree *syntax.File) {
 	syntax.Walk(tree, func(n syntax.Node) bool {
 		if c, ok := n.(*syntax.CallExpr); ok {
@@ -182,7 +186,7 @@
 	})
 }
 
-// asFault gives an error of the interpreter its place.
+// asFault converts an error of the interpreter to a Fault with its position.
 func asFault(path string, err error) error {
 	var own Fault
 	if errors.As(err, &own) {
@@ -204,7 +208,7 @@
 	return Fault{path, err.Error()}
 }
 
-// reportUndefined tells all names that nobody defined; the last is the error that ends the reading.
+// reportUndefined reports all undefined names. It returns the last as the error that ends the script.
 func (r *reader[T]) reportUndefined(path string, err error) error {
 	var all resolve.ErrorList
 	if !errors.As(err, &all) {
@@ -225,7 +229,7 @@
 	return last
 }
 
-// closestName is the word that was most likely meant, or empty.
+// closestName returns the most similar name, or "" if none is similar.
 func closestName(word string, among []string) string {
 	best, at := maxEditDistance+1, ""
 	for _, s := range among {
@@ -236,12 +240,12 @@
 	return at
 }
 
-// addFault keeps a fault and lets the script go on, so that all are told at once.
+// addFault records an error and lets the script go on, so that all errors are reported at once.
 func (r *reader[T]) addFault(at syntax.Position, format string, args ...any) {
 	r.faults = append(r.faults, Fault{at.String(), fmt.Sprintf(format, args...)})
 }
 
-// builtins are the functions that a script may call.
+// builtins returns the functions as predeclared names for the interpreter.
 func (r *reader[T]) builtins() starlark.StringDict {
 	d := starlark.StringDict{}
 	for name, f := range r.functions {
@@ -254,7 +258,7 @@
 	return d
 }
 
-// handleCall checks one call and carries out its order.
+// handleCall checks one call and applies it.
 func (r *reader[T]) handleCall(at syntax.Position, f *Function[T], args starlark.Tuple, named []starlark.Tuple) {
 	before := len(r.faults)
 	if len(args) > 0 {
--- a/deployment/script/values.go
+++ b/deployment/script/values.go
@@ -14,48 +14,49 @@
 	"go.starlark.net/syntax"
 )
 
-// Kind is the type of a value.
+// Kind is the type of a parameter's value.
 type Kind uint8
 
-// Kinds of values.
+// Kinds of values, with the Go type that a value is converted to.
 const (
-	Text Kind = iota
-	File
-	Address // HOST:PORT
-	Bool
-	Int
-	Float
-	Duration // a time: "250ms"
-	Size     // bytes: "64MiB"
-	AddressList
-	FloatMap // numbers, by name
-	IntList  // a list of whole numbers
+	Text        Kind = iota // string
+	File                    // string, a path
+	Address                 // string, HOST:PORT
+	Bool                    // bool
+	Int                     // int64
+	Float                   // float64
+	Duration                // int64 in ns, written as "250ms"
+	Size                    // int64 in bytes, written as "64MiB"
+	AddressList             // []string of HOST:PORT
+	FloatMap                // map[string]float64
+	IntList                 // []int
 )
 
 var kindNames = [...]string{"a string", "a file's path", "an address HOST:PORT", "True or False", "a whole number",
 	"a number", `a time such as "250ms"`, `a size such as "64MiB"`,
 	"a list of addresses HOST:PORT", "a dictionary of numbers by name", "a list of whole numbers"}
 
-// Parameter is one key of a function. Least and most are in the value's own unit: ns, bytes or as written.
+// Parameter is one key of a function. Min and Max are in the unit of the converted value, such as ns or bytes; Max
+// 0 means no upper limit.
 type Parameter struct {
 	Name     string
 	Kind     Kind
-	Default  any // where it is left out; nil where it must be there
+	Default  any // nil for a required key
 	Min, Max float64
-	Choices  []string // that a text may be; nil for any
+	Choices  []string // the strings allowed; nil for any
 	Help     string
 }
 
-// Function is one that a script may call, on what the script asks for.
+// Function is a function that a script may call. Apply applies a checked call to the script's result.
 type Function[T any] struct {
 	Name       string
 	Help       string
-	Repeatable bool // it may be called more than once
+	Repeatable bool // may be called more than once
 	Parameters []*Parameter
 	Apply      func(*T, Call) error
 }
 
-// Call is one call of the script, checked.
+// Call is one checked call of a function.
 type Call struct {
 	Function   string
 	Position   syntax.Position
@@ -64,10 +65,10 @@
 	explicit   map[string]bool
 }
 
-// Calls are the calls of a script, in its order.
+// Calls are the calls of a script, in order.
 type Calls []Call
 
-// First is where a function was called first; false where it was not.
+// First returns the position of the first call of a function, or false if it was not called.
 func (s Calls) First(function string) (syntax.Position, bool) {
 	i := slices.IndexFunc(s, func(c Call) bool { return c.Function == function })
 	if i < 0 {
@@ -76,6 +77,8 @@
 	return s[i].Position, true
 }
 
+// The following methods return the value of a key. They panic unless the key is of that kind.
+
 func (c Call) Text(key string) string   { return c.values[key].(string) }
 func (c Call) Bool(key string) bool     { return c.values[key].(bool) }
 func (c Call) Int(key string) int64     { return c.values[key].(int64) }
@@ -86,17 +89,17 @@
 func (c Call) IntList(key string) []int        { return c.values[key].([]int) }
 func (c Call) AddressList(key string) []string { return c.values[key].([]string) }
 
-// wasNamed tells whether the script named the key, be it with a wrong value.
+// wasNamed reports whether a call named the key, even with an invalid value.
 func (c Call) wasNamed(named []starlark.Tuple, key string) bool {
 	return slices.ContainsFunc(named, func(t starlark.Tuple) bool { return string(t[0].(starlark.String)) == key })
 }
 
-// FunctionTable are the functions that a script may call, by name.
+// FunctionTable holds the functions that a script may call, by name.
 type FunctionTable[T any] map[string]*Function[T]
 
 func (t FunctionTable[T]) names() []string { return slices.Sorted(maps.Keys(t)) }
 
-// Names are the functions, sorted.
+// Names returns the names of the functions, sorted.
 func (t FunctionTable[T]) Names() []string { return t.names() }
 
 func (f *Function[T]) parameter(key string) *Parameter {
@@ -114,7 +117,7 @@
 	return keys
 }
 
-// parse turns a value of the script into one of its kind.
+// parse converts a value of the script to the Go type of the parameter's kind.
 func (p *Parameter) parse(v starlark.Value) (any, error) {
 	wrong := fmt.Errorf("is %s, not %s", v.Type(), kindNames[p.Kind])
 	s, isText := starlark.AsString(v)
@@ -229,7 +232,7 @@
 	return err == nil && e == nil && n >= 1 && n <= 65535 && host != ""
 }
 
-// checkRange checks the limits of a value.
+// checkRange checks a value against Min and Max; as is the value as written in the script.
 func (p *Parameter) checkRange(x float64, as string) error {
 	if x < p.Min || p.Max > 0 && x > p.Max {
 		return fmt.Errorf("is %s, outside %s to %s", as, p.format(p.Min), p.format(p.Max))
@@ -237,7 +240,7 @@
 	return nil
 }
 
-// format is a value as a script would have it.
+// format returns a value as a script would write it.
 func (p *Parameter) format(v any) string {
 	if f, ok := v.(float64); ok && (p.Kind == Duration || p.Kind == Int || p.Kind == Size) {
 		v = int64(f)
@@ -284,7 +287,7 @@
 	n    int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}}
 
-// parseSize reads a size.
+// parseSize converts a size such as "64MiB" to bytes.
 func parseSize(s string) (int64, error) {
 	for _, u := range sizeUnits {
 		if rest, found := strings.CutSuffix(s, u.name); found {
@@ -296,7 +299,7 @@
 	return 0, fmt.Errorf("is %q, not %s", s, kindNames[Size])
 }
 
-// EffectiveValue is one value that holds.
+// EffectiveValue is the value of one parameter of a call, whether stated or a default.
 type EffectiveValue struct {
 	Function string `json:"function"`
 	Key      string `json:"key"`
@@ -306,7 +309,8 @@
 	Position string `json:"where"`
 }
 
-// Explain tells all that holds, in the order of the script; what was left out is marked as default.
+// Explain returns the parameters of all calls in the order of the script, with the defaults of those that were
+// left out.
 func (s Calls) Explain() (lines []EffectiveValue) {
 	for _, c := range s {
 		for _, p := range c.parameters {
@@ -317,7 +321,7 @@
 	return lines
 }
 
-// Uncalled names the functions that a script did not call.
+// Uncalled returns the names of the functions that a script did not call, sorted.
 func (t FunctionTable[T]) Uncalled(s Calls) (names []string) {
 	for _, name := range t.names() {
 		if _, called := s.First(name); !called {
@@ -327,7 +331,8 @@
 	return names
 }
 
-// Describe describes a function and its keys; false where there is none of that name.
+// Describe returns the description of a function and its parameters, or false if there is no function of that
+// name.
 func (t FunctionTable[T]) Describe(name string) (string, bool) {
 	f := t[name]
 	if f == nil {
--- a/deployment/settings/settings.go
+++ b/deployment/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings is where a process of the system lies: it reads and checks the settings file that the
-// platform hands it. It decides nothing; its errors name the file and the key.
+// Package settings reads and checks the settings file that the platform provides for each process. Its errors name
+// the file and the key.
 package settings
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/samber/oops"
 )
 
-// FileVariable names the settings file in the environment.
+// FileVariable is the environment variable with the path of the settings file.
 const FileVariable = "WILLOWSILL_NODE_FILE"
 
 const defaultFile = "/etc/willowsill/local.toml"
@@ -20,7 +20,7 @@
 // ErrSettings is the class of this package's errors.
 var ErrSettings = oops.Code("settings")
 
-// Settings are what a process is told. Times as their names say.
+// Settings are the contents of the settings file. Units are in the names of the fields.
 type Settings struct {
 	File                string            `toml:"-"`
 	Name                string            `toml:"node-name"`
@@ -38,7 +38,7 @@
 	HeartbeatIntervalMs int64             `toml:"beat-interval-ms"`
 	ActiveRules         []string          `toml:"active-rules"`
 	ConfigMode          string            `toml:"config_mode"`
-	Metrics             string            `toml:"metrics"` // PORT/PATH where the process tells its own figures; empty for nowhere
+	Metrics             string            `toml:"metrics"` // PORT/PATH at which the process serves its metrics; empty for none
 	Zones               map[string]string `toml:"zones"`
 	Bind                Bind              `toml:"bind-addrs"`
 	Limits              Limits            `toml:"limits"`
@@ -46,14 +46,14 @@
 	Bounds              Bounds            `toml:"bounds"`
 }
 
-// Bind are the addresses to listen on, empty where the role does not serve there.
+// Bind holds the addresses to listen on, empty for those that the role does not serve.
 type Bind struct {
 	Front     string `toml:"front"`
 	Readiness string `toml:"readiness"`
 	Control   string `toml:"control"`
 }
 
-// Limits of the machine and the process.
+// Limits describe the resources of the machine and the process.
 type Limits struct {
 	CPUFraction    float64 `toml:"cpu-fraction"`
 	Cores          float64 `toml:"core-count"`
@@ -63,14 +63,14 @@
 	DiskMB         int64   `toml:"disk-mb"`
 }
 
-// FaultBudget is what may be lost at the same time.
+// FaultBudget is how many failures at the same time the system must survive.
 type FaultBudget struct {
 	Machines int `toml:"machines"`
 	Zones    int `toml:"zones"`
 	Regions  int `toml:"regions"`
 }
 
-// Bounds are the figures of the rules.
+// Bounds are the limits that the platform's rules set.
 type Bounds struct {
 	ContactMs    int64   `toml:"contact-ms"`
 	DrainMs      int64   `toml:"drain-ms"`
@@ -80,20 +80,22 @@
 	RetryWindowS float64 `toml:"retry-window-s"`
 	RetrySlack   float64 `toml:"retry-slack"`
 
-	ExposureShare float64 `toml:"exposure-share"` // of a service's requests, most for a version that may be bad; 0 where no rule bounds it
+	// ExposureShare limits the share of a service's requests that goes to a version that may be bad; 0 if no rule
+	// limits it.
+	ExposureShare float64 `toml:"exposure-share"`
 }
 
-// RetryWindow is RetryWindowS in ns, 0 where no rule bounds retries.
+// RetryWindow returns RetryWindowS in ns, 0 if no rule limits retries.
 func (b Bounds) RetryWindow() int64 { return int64(b.RetryWindowS * float64(time.Second)) }
 
-// Default bounds, where the file gives none.
+// Defaults for settings that are missing, and the least number of internal ports.
 const (
 	defaultHeartbeatIntervalMs = 1000
 	defaultGraceS              = 5
 	minPorts                   = 4
 )
 
-// FromEnvironment reads the file that the environment names.
+// FromEnvironment reads the file that the environment names, or the default one.
 func FromEnvironment(get func(string) string) (Settings, error) {
 	file := get(FileVariable)
 	if file == "" {
@@ -102,8 +104,7 @@
 	return Read(file)
 }
 
-// Read reads and checks a settings file. Keys that it does not know it passes over, as the platform may add
-// some.
+// Read reads and checks a settings file. Unknown keys are ignored, as the platform may add keys.
 func Read(file string) (s Settings, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -167,13 +168,14 @@
 	return nil
 }
 
-// InternalAddress is the address of one of a machine's ports for traffic between the system's own processes.
+// InternalAddress returns the address on a machine for the port with this number, counted from the first internal
+// one.
 func (s *Settings) InternalAddress(ip string, port int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.InternalPorts[0]+port))
 }
 
-// Loopback is where the processes of this machine meet: a machine that is itself played on a loopback address
-// has that one.
+// Loopback returns the address on which processes of this machine reach each other. A machine that is simulated on
+// a loopback address uses its own.
 func (s *Settings) Loopback() string {
 	if ip := net.ParseIP(s.IP); ip.IsLoopback() {
 		return s.IP
@@ -181,7 +183,7 @@
 	return "127.0.0.1"
 }
 
-// SeedIPs are the machines of the seeds.
+// SeedIPs returns the IP addresses of the seed nodes.
 func (s *Settings) SeedIPs() (ips []string) {
 	for _, seed := range s.SeedNodes {
 		host, _, _ := net.SplitHostPort(seed)
@@ -190,10 +192,10 @@
 	return ips
 }
 
-// The ports between the system's own processes, counted from the first.
+// Internal ports of the system's processes, counted from the first.
 const (
-	PortControllers = 0 // controllers among themselves
-	PortWatch       = 1 // where edges follow a controller, or an agent
-	PortAgent       = 2 // on loopback: where the proxy follows its agent
-	PortHeartbeats  = 3 // datagrams: heartbeats of edges
+	PortControllers = 0 // between controllers
+	PortWatch       = 1 // edges receive updates from a controller or an agent
+	PortAgent       = 2 // on loopback: the proxy receives updates from its agent
+	PortHeartbeats  = 3 // UDP: heartbeats of edges
 )
--- a/deployment/settings/settings_test.go
+++ b/deployment/settings/settings_test.go
@@ -9,7 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestExposureShare: the share that bounds rollouts is read, and one that is no share is refused with its key.
+// TestExposureShare: the share that limits rollouts is read, and a value outside 0 to 1 is refused with an error
+// that names the key.
 func TestExposureShare(t *testing.T) {
 	read := func(share float64) (Settings, error) {
 		file := filepath.Join(t.TempDir(), "local.toml")
--- a/deployment/start.go
+++ b/deployment/start.go
@@ -15,31 +15,31 @@
 	"willowsill/transport/discovery"
 )
 
-// Limits are what the deployment states of an aggregator's sockets and of what it may hold. Times in ns.
+// Limits are an aggregator's limits on its queries and its connections to replicas. Times are in ns.
 type Limits struct {
-	MaxHeld              int   // queries and parts
+	MaxHeld              int   // queries and parts held at a time
 	CallsPerConnection   int   // calls at a time on one connection to a replica
-	ConnectTimeout       int64 // a connection to a replica is up by then, or not at all
-	IdleTimeout          int64 // a replica closes a connection that has carried nothing for so long
-	LongestClientTimeout int64 // of all workloads
+	ConnectTimeout       int64 // for opening a connection to a replica
+	IdleTimeout          int64 // after which a replica closes an unused connection
+	LongestClientTimeout int64 // longest time that clients of any workload wait
 }
 
-// Config is what one aggregator on sockets is told at its start.
+// Config is the configuration of one aggregator.
 type Config struct {
 	Deployment
 	Limits
 	Name          string
-	Listen        string // where clients connect
+	Listen        string // HOST:PORT for clients
 	Discovery     string
 	Cores         float64
-	MemoryBytes   int64            // bytes
-	Descriptors   int              // descriptors
-	KnownReplicas discovery.Update // the list as this aggregator last held it
+	MemoryBytes   int64
+	Descriptors   int              // limit of open file descriptors
+	KnownReplicas discovery.Update // the list of replicas that this aggregator held last
 	file          string
-	keys          map[string]json.RawMessage // the file's keys, as they stand
+	keys          map[string]json.RawMessage // top-level values of the file, undecoded
 }
 
-// variables are those of the environment that must be there.
+// Environment variables, all of which must be set.
 const (
 	envConfig    = "NODE_CONFIG"
 	envName      = "NODE_NAME"
@@ -49,14 +49,14 @@
 
 // Defaults for limits that are not stated.
 const (
-	defaultCores       = 1.0  // an aggregator has a core, shared or its own
-	defaultMemoryMB    = 192  // MB: thirty times what one at the first size was seen to use
-	defaultDescriptors = 1024 // descriptors: the usual limit of a process
-	minDescriptors     = 48   // descriptors: what the process needs for itself, and some to serve with
+	defaultCores       = 1.0  // cores available to the process, whether shared or its own
+	defaultMemoryMB    = 192  // 30 times what an aggregator at the first size was seen to use
+	defaultDescriptors = 1024 // the usual limit of open descriptors of a process
+	minDescriptors     = 48   // enough for the process itself and some clients
 	megabyte           = 1 << 20
 )
 
-// FromEnvironment reads what this process is told; get is os.Getenv.
+// FromEnvironment reads the environment and the configuration file that it names; get is os.Getenv.
 func FromEnvironment(get func(string) string) (s Config, err error) {
 	values := map[string]*string{envName: &s.Name, envListen: &s.Listen,
 		envDiscovery: &s.Discovery}
@@ -77,15 +77,15 @@
 	return s, s.readFile()
 }
 
-// Check reads a configuration alone, as a start would; the error names the key at fault.
+// Check reads a configuration file without an environment. The error names the key at fault.
 func Check(file string) (Config, error) {
 	s := Config{Name: "check", Discovery: "127.0.0.1:1", file: file}
 	return s, s.readFile()
 }
 
-// Reload reads the file once more for a process that runs. What it says of discovery can be followed; odd
-// names the other keys that now differ, which cannot change before the next start. With an error the file is
-// missing or wrong, and what was read before stays in force.
+// Reload reads the file again in a running process. The address of the discovery may change; odd lists the other
+// keys whose values differ, which take effect only at the next start. If the file is missing or wrong, Reload
+// returns an error and the present configuration remains in force.
 func (s *Config) Reload() (next Config, odd []string, err error) {
 	next = Config{Name: s.Name, Listen: s.Listen, Discovery: s.Discovery, file: s.file}
 	if err := next.readFile(); err != nil {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// decode reads the configuration's text.
+// decode decodes and checks the configuration.
 func (s *Config) decode(text []byte) error {
 	top := &fields.Object{}
 	if err := json.Unmarshal(text, &top.Raw); err != nil {
@@ -141,7 +141,7 @@
 		return fmt.Errorf("limits: %w", limits.Err)
 	}
 	s.keys = top.Raw
-	// The file can be replaced while the process runs and the environment can't, so the file has the last word.
+	// The file takes precedence over the environment, as it can be replaced while the process runs.
 	if top.DecodeOptional("discovery", &s.Discovery); top.Err != nil {
 		return top.Err
 	}
@@ -187,7 +187,7 @@
 		if c.Err != nil {
 			return fmt.Errorf("settings: classes: %w", c.Err)
 		}
-		if s.Workloads[i].FollowUpParts > 0 { // the protocol with clients and replicas has no form for it
+		if s.Workloads[i].FollowUpParts > 0 { // the protocols with clients and replicas do not support it
 			return errors.New(`settings: field "follow_up": a second step is not served on sockets`)
 		}
 	}
--- a/deployment/start_test.go
+++ b/deployment/start_test.go
@@ -19,7 +19,7 @@
 "parts_a_call":1,"slices":12},
 "guarantees":{"cold_from":0.16,"fall":1000,"fall_multiple":4,"ramp_time":16000}}}`
 
-// environment is what a process is started with, and where the configuration stands.
+// environment writes a configuration file and returns the environment variables of a process that uses it.
 func environment(t *testing.T, text string) map[string]string {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -29,7 +29,7 @@
 		"NODE_DISCOVERY": "127.0.0.1:8500"}
 }
 
-// started is what a process is told by a sound configuration.
+// started returns the Config read from a valid configuration.
 func started(t *testing.T, text string) Config {
 	t.Helper()
 	env := environment(t, text)
@@ -46,14 +46,14 @@
 		t.Errorf("read %+v", s)
 	}
 	if s.Limits != (Limits{MaxHeld: 277, CallsPerConnection: 32, ConnectTimeout: 250e6, IdleTimeout: 15e9, LongestClientTimeout: 3e9}) {
-		t.Errorf("read the terms %+v", s.Limits)
+		t.Errorf("read the limits %+v", s.Limits)
 	}
 	if s.Tick != 5e6 || s.Index != 1 || s.WorkloadRow["report"] != 0 || s.Workloads[0].LatencyGoal != 1500e6 {
 		t.Errorf("read the deployment %+v", s.Deployment)
 	}
 }
 
-// What a deployment states of its rules and of what its workloads are worth reaches the decision module.
+// The rules and the workloads' values of a configuration are passed to the decision module.
 func TestStartRules(t *testing.T) {
 	text := strings.NewReplacer(`"fall":1000,`, `"fall":1500,"ratio_span":10000,"budget_free":10,"extra_per_request":0.2,`,
 		`"repeat":"free"`, `"repeat":"single_shot","worth":3`, `"retry_after":true`, `"retry_after":false`,
@@ -70,7 +70,7 @@
 	}
 }
 
-// A workload stated to be worth nothing is told from one of which nothing is stated.
+// A workload with a stated value of 0 is distinguished from one without a stated value.
 func TestStartWorth(t *testing.T) {
 	for stated, want := range map[string]float64{`"slo":1500`: 0, `"slo":1500,"worth":0`: minValue, `"slo":1500,"worth":2.5`: 2.5} {
 		if got := started(t, strings.Replace(good, `"slo":1500`, stated, 1)).Workloads[0].Value; got != want {
@@ -79,7 +79,7 @@
 	}
 }
 
-// Each message names the key or the variable at fault.
+// Each error names the key or the variable at fault, in one line.
 func TestStartFaults(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"odd list":      {`"known":{"seq":41,`, `"known":{`, `"known": the list: key "seq" is missing`},
@@ -105,7 +105,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if !strings.Contains(good, c.old) {
-				t.Fatalf("%q is not there", c.old)
+				t.Fatalf("%q is not in the configuration", c.old)
 			}
 			env := environment(t, strings.Replace(good, c.old, c.new, 1))
 			_, err := FromEnvironment(func(k string) string { return env[k] })
