--- a/deployment/operator/operator.go
+++ b/deployment/operator/operator.go
@@ -89,11 +89,11 @@
 // Read reads and checks a script. The error is of type Faults if the script is wrong.
 func Read(file string) (*Settings, error) {
 	o := &Settings{File: file}
-	said, err := script.Read(file, functions, o, o.checkCombinations)
+	calls, err := script.Read(file, functions, o, o.checkCombinations)
 	if err != nil {
 		return nil, err
 	}
-	o.calls = said
+	o.calls = calls
 	return o, nil
 }
 
--- a/deployment/operator/operator_test.go
+++ b/deployment/operator/operator_test.go
@@ -11,8 +11,8 @@
 	"willowsill/deployment/script"
 )
 
-// beside writes files, given as names and contents in turn, into a new folder and returns the path of the first.
-func beside(t *testing.T, files ...string) string {
+// writeFiles writes files, given as names and contents in turn, into a new folder and returns the path of the first.
+func writeFiles(t *testing.T, files ...string) string {
 	t.Helper()
 	dir := t.TempDir()
 	for i := 0; i < len(files); i += 2 {
@@ -24,7 +24,7 @@
 }
 
 func TestOrders(t *testing.T) {
-	o, err := Read(beside(t, "a.star", `load("b.star", "rates")
+	o, err := Read(writeFiles(t, "a.star", `load("b.star", "rates")
 shared_store(address = "127.0.0.1:6379", round = "1s", health = False)
 for name, rate in rates.items():
     quota(customer = name, rate = rate)
@@ -49,7 +49,7 @@
 
 // All errors of a script are reported at once, each with its line and its key.
 func TestFaults(t *testing.T) {
-	_, err := Read(beside(t, "a.star", `quota(customer = "", rate = 3)
+	_, err := Read(writeFiles(t, "a.star", `quota(customer = "", rate = 3)
 shared_store(
     adress = "127.0.0.1:6379",
     round = "fast",
@@ -79,8 +79,8 @@
 	}
 }
 
-// mostTime is the time limit for a script, as in package script.
-const mostTime = 2 * time.Second
+// maxDuration is the time limit for a script, as in package script.
+const maxDuration = 2 * time.Second
 
 // Danger: a script must end, and must not read files outside its folder.
 func TestBounds(t *testing.T) {
@@ -109,11 +109,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			want, began := c[1], time.Now()
-			_, err := Read(beside(t, "a.star", c[0], "a2.star", `load("a2.star", "x")`))
+			_, err := Read(writeFiles(t, "a.star", c[0], "a2.star", `load("a2.star", "x")`))
 			// On a busy machine the time limit may be reached before the limit of steps; the error must then name
 			// that.
-			if name == "endless" && time.Since(began) >= mostTime {
-				want = "takes longer than " + mostTime.String()
+			if name == "endless" && time.Since(began) >= maxDuration {
+				want = "takes longer than " + maxDuration.String()
 			}
 			if err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("got %v, want %s", err, want)
--- a/deployment/script/script.go
+++ b/deployment/script/script.go
@@ -53,9 +53,9 @@
 // all.
 func Read[T any](file string, functions FunctionTable[T], to *T, together func(Calls, ReportFault)) (Calls, error) {
 	r := &reader[T]{functions: functions, target: to, dir: filepath.Dir(file), modules: map[string]*module{},
-		keyPositions: map[string]map[string]syntax.Position{}, firstCalls: map[string]syntax.Position{}}
-	late := time.AfterFunc(maxDuration, r.cancel)
-	defer late.Stop()
+		keyPositions: map[string]map[string]syntax.Position{}, lastCalls: map[string]syntax.Position{}}
+	timer := time.AfterFunc(maxDuration, r.cancel)
+	defer timer.Stop()
 	if _, err := r.run(filepath.Base(file)); err != nil {
 		if !errors.As(err, new(Fault)) {
 			return nil, err
@@ -89,7 +89,7 @@
 	dir          string
 	modules      map[string]*module                    // by file name; nil while the file is being read
 	keyPositions map[string]map[string]syntax.Position // by the position of a call's parenthesis, the positions of its keys
-	firstCalls   map[string]syntax.Position            // by function, the position of its latest call
+	lastCalls    map[string]syntax.Position            // by function, the position of its latest call
 	faults       Faults
 	current      atomic.Pointer[starlark.Thread] // the thread that runs now
 	timedOut     atomic.Bool                     // the time limit was reached
@@ -127,7 +127,7 @@
 	}
 	r.recordKeyPositions(tree)
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {},
-		Load: func(t *starlark.Thread, beside string) (starlark.StringDict, error) { return r.load(beside) }}
+		Load: func(t *starlark.Thread, file string) (starlark.StringDict, error) { return r.load(file) }}
 	if r.steps >= maxSteps || r.timedOut.Load() {
 		return nil, Fault{path, "the script is too long"}
 	}
@@ -188,22 +188,22 @@
 
 // asFault converts an error of the interpreter to a Fault with its position.
 func asFault(path string, err error) error {
-	var own Fault
-	if errors.As(err, &own) {
-		return own
+	var fault Fault
+	if errors.As(err, &fault) {
+		return fault
 	}
-	var wrong *starlark.EvalError
-	if errors.As(err, &wrong) {
-		for i := range wrong.CallStack {
-			if p := wrong.CallStack.At(i).Pos; p.Line > 0 {
-				return Fault{p.String(), wrong.Msg}
+	var evalErr *starlark.EvalError
+	if errors.As(err, &evalErr) {
+		for i := range evalErr.CallStack {
+			if p := evalErr.CallStack.At(i).Pos; p.Line > 0 {
+				return Fault{p.String(), evalErr.Msg}
 			}
 		}
-		return Fault{path, wrong.Msg}
+		return Fault{path, evalErr.Msg}
 	}
-	var form syntax.Error
-	if errors.As(err, &form) {
-		return Fault{form.Pos.String(), form.Msg}
+	var syntaxErr syntax.Error
+	if errors.As(err, &syntaxErr) {
+		return Fault{syntaxErr.Pos.String(), syntaxErr.Msg}
 	}
 	return Fault{path, err.Error()}
 }
@@ -264,10 +264,10 @@
 	if len(args) > 0 {
 		r.addFault(at, "%s: its values are given by key", f.Name)
 	}
-	if was, again := r.firstCalls[f.Name]; again && !f.Repeatable {
-		r.addFault(at, "%s is called a second time; first at %s", f.Name, was)
+	if earlier, again := r.lastCalls[f.Name]; again && !f.Repeatable {
+		r.addFault(at, "%s is called a second time; first at %s", f.Name, earlier)
 	}
-	r.firstCalls[f.Name] = at
+	r.lastCalls[f.Name] = at
 	c := Call{Function: f.Name, Position: at, parameters: f.Parameters, values: map[string]any{}, explicit: map[string]bool{}}
 	for _, pair := range named {
 		key := string(pair[0].(starlark.String))
--- a/deployment/script/values.go
+++ b/deployment/script/values.go
@@ -119,12 +119,12 @@
 
 // parse converts a value of the script to the Go type of the parameter's kind.
 func (p *Parameter) parse(v starlark.Value) (any, error) {
-	wrong := fmt.Errorf("is %s, not %s", v.Type(), kindNames[p.Kind])
+	errType := fmt.Errorf("is %s, not %s", v.Type(), kindNames[p.Kind])
 	s, isText := starlark.AsString(v)
 	switch p.Kind {
 	case Text, File:
 		if !isText {
-			return nil, wrong
+			return nil, errType
 		}
 		if p.Choices != nil && !slices.Contains(p.Choices, s) {
 			return nil, fmt.Errorf("is %q, not one of %s", s, strings.Join(p.Choices, ", "))
@@ -132,7 +132,7 @@
 		return s, nil
 	case Address:
 		if !isText {
-			return nil, wrong
+			return nil, errType
 		}
 		if !isAddress(s) {
 			return nil, fmt.Errorf("is %q, not %s", s, kindNames[p.Kind])
@@ -141,7 +141,7 @@
 	case AddressList:
 		list, ok := v.(*starlark.List)
 		if !ok || list.Len() == 0 {
-			return nil, wrong
+			return nil, errType
 		}
 		var all []string
 		for one := range list.Elements() {
@@ -155,7 +155,7 @@
 	case IntList:
 		list, ok := v.(starlark.Iterable)
 		if _, isText := v.(starlark.String); !ok || isText {
-			return nil, wrong
+			return nil, errType
 		}
 		all := []int{}
 		for one := range starlark.Elements(list) {
@@ -172,7 +172,7 @@
 	case FloatMap:
 		d, ok := v.(*starlark.Dict)
 		if !ok {
-			return nil, wrong
+			return nil, errType
 		}
 		all := map[string]float64{}
 		for _, pair := range d.Items() {
@@ -190,24 +190,24 @@
 	case Bool:
 		b, ok := v.(starlark.Bool)
 		if !ok {
-			return nil, wrong
+			return nil, errType
 		}
 		return bool(b), nil
 	case Int:
 		n, err := starlark.AsInt32(v)
 		if _, isInt := v.(starlark.Int); !isInt || err != nil {
-			return nil, wrong
+			return nil, errType
 		}
 		return int64(n), p.checkRange(float64(n), strconv.Itoa(n))
 	case Float:
 		x, ok := starlark.AsFloat(v)
 		if !ok || math.IsNaN(x) {
-			return nil, wrong
+			return nil, errType
 		}
 		return x, p.checkRange(x, v.String())
 	case Duration:
 		if !isText {
-			return nil, wrong
+			return nil, errType
 		}
 		d, err := time.ParseDuration(s)
 		if err != nil {
@@ -216,7 +216,7 @@
 		return int64(d), p.checkRange(float64(d), s)
 	default:
 		if !isText {
-			return nil, wrong
+			return nil, errType
 		}
 		n, err := parseSize(s)
 		if err != nil {
@@ -233,9 +233,9 @@
 }
 
 // checkRange checks a value against Min and Max; as is the value as written in the script.
-func (p *Parameter) checkRange(x float64, as string) error {
+func (p *Parameter) checkRange(x float64, written string) error {
 	if x < p.Min || p.Max > 0 && x > p.Max {
-		return fmt.Errorf("is %s, outside %s to %s", as, p.format(p.Min), p.format(p.Max))
+		return fmt.Errorf("is %s, outside %s to %s", written, p.format(p.Min), p.format(p.Max))
 	}
 	return nil
 }
--- a/deployment/start.go
+++ b/deployment/start.go
@@ -83,23 +83,23 @@
 	return s, s.readFile()
 }
 
-// Reload reads the file again in a running process. The address of the discovery may change; odd lists the other
+// Reload reads the file again in a running process. The address of the discovery may change; changedKeys lists the other
 // keys whose values differ, which take effect only at the next start. If the file is missing or wrong, Reload
 // returns an error and the present configuration remains in force.
-func (s *Config) Reload() (next Config, odd []string, err error) {
+func (s *Config) Reload() (next Config, changedKeys []string, err error) {
 	next = Config{Name: s.Name, Listen: s.Listen, Discovery: s.Discovery, file: s.file}
 	if err := next.readFile(); err != nil {
 		return next, nil, err
 	}
 	for _, key := range slices.Sorted(maps.Keys(next.keys)) {
-		var was, is any
-		json.Unmarshal(s.keys[key], &was)
-		json.Unmarshal(next.keys[key], &is)
-		if key != "discovery" && key != "known" && !reflect.DeepEqual(was, is) {
-			odd = append(odd, key)
+		var before, now any
+		json.Unmarshal(s.keys[key], &before)
+		json.Unmarshal(next.keys[key], &now)
+		if key != "discovery" && key != "known" && !reflect.DeepEqual(before, now) {
+			changedKeys = append(changedKeys, key)
 		}
 	}
-	return next, odd, nil
+	return next, changedKeys, nil
 }
 
 func (s *Config) readFile() error {
--- a/deployment/start_test.go
+++ b/deployment/start_test.go
@@ -9,7 +9,7 @@
 	"willowsill/balance"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.4:8081","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.4:8081","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"seq":41,"whole":true,"hosts":[]},
 "settings":{"balancers":2,"index":1,"tick":5,"membership_mode":"push",
 "caps":{"cancel":true,"conn_idle":15000,"connect_timeout":250,"max_attempts":3,"max_retry_after":2000,
@@ -29,8 +29,8 @@
 		"NODE_DISCOVERY": "127.0.0.1:8500"}
 }
 
-// started returns the Config read from a valid configuration.
-func started(t *testing.T, text string) Config {
+// readConfig returns the Config read from a valid configuration.
+func readConfig(t *testing.T, text string) Config {
 	t.Helper()
 	env := environment(t, text)
 	s, err := FromEnvironment(func(k string) string { return env[k] })
@@ -41,7 +41,7 @@
 }
 
 func TestStart(t *testing.T) {
-	s := started(t, strings.Replace(good, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1))
+	s := readConfig(t, strings.Replace(validConfig, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1))
 	if s.Seed != 0x8c1f30d27a5be964 || s.Descriptors != 1024 || s.MemoryBytes != 192<<20 || s.Cores != 1 || s.Listen != "127.0.0.4:8081" {
 		t.Errorf("read %+v", s)
 	}
@@ -57,8 +57,8 @@
 func TestStartRules(t *testing.T) {
 	text := strings.NewReplacer(`"fall":1000,`, `"fall":1500,"ratio_span":10000,"budget_free":10,"extra_per_request":0.2,`,
 		`"repeat":"free"`, `"repeat":"single_shot","worth":3`, `"retry_after":true`, `"retry_after":false`,
-		`"fall_multiple":4`, `"fall_multiple":2.5`).Replace(good)
-	d := started(t, text).Deployment.Deployment
+		`"fall_multiple":4`, `"fall_multiple":2.5`).Replace(validConfig)
+	d := readConfig(t, text).Deployment.Deployment
 	if !d.Budgeted || d.RetryWindow != 10e9 || d.RetrySlack != 10 || d.RetryRatio != 0.2 {
 		t.Errorf("read the budget %+v", d)
 	}
@@ -73,7 +73,7 @@
 // A workload with a stated value of 0 is distinguished from one without a stated value.
 func TestStartWorth(t *testing.T) {
 	for stated, want := range map[string]float64{`"slo":1500`: 0, `"slo":1500,"worth":0`: minValue, `"slo":1500,"worth":2.5`: 2.5} {
-		if got := started(t, strings.Replace(good, `"slo":1500`, stated, 1)).Workloads[0].Value; got != want {
+		if got := readConfig(t, strings.Replace(validConfig, `"slo":1500`, stated, 1)).Workloads[0].Value; got != want {
 			t.Errorf("%s: read %g, want %g", stated, got, want)
 		}
 	}
@@ -83,7 +83,7 @@
 func TestStartFaults(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"odd list":      {`"known":{"seq":41,`, `"known":{`, `"known": the list: key "seq" is missing`},
-		"not JSON":      {good, "{", "not a JSON object"},
+		"not JSON":      {validConfig, "{", "not a JSON object"},
 		"no seed":       {`"seed":"8c1f30d27a5be964",`, "", `"seed" is missing`},
 		"odd seed":      {`"8c1f30d27a5be964"`, `"seven"`, `"seed" is no number`},
 		"no statement":  {`"settings":`, `"other":`, `"settings" is missing`},
@@ -104,10 +104,10 @@
 		"memory's form": {`"memory_mb":192`, `"memory_mb":"192"`, `"memory_mb" has the wrong form`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if !strings.Contains(good, c.old) {
+			if !strings.Contains(validConfig, c.old) {
 				t.Fatalf("%q is not in the configuration", c.old)
 			}
-			env := environment(t, strings.Replace(good, c.old, c.new, 1))
+			env := environment(t, strings.Replace(validConfig, c.old, c.new, 1))
 			_, err := FromEnvironment(func(k string) string { return env[k] })
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("got %v, want %s", err, c.want)
@@ -115,7 +115,7 @@
 		})
 	}
 	for _, variable := range []string{"NODE_CONFIG", "NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY"} {
-		env := environment(t, good)
+		env := environment(t, validConfig)
 		for _, value := range []string{"", "nonsense"} {
 			env[variable] = value
 			_, err := FromEnvironment(func(k string) string { return env[k] })
--- a/front/clienthttp/callers_test.go
+++ b/front/clienthttp/callers_test.go
@@ -24,10 +24,10 @@
 type echoCore struct {
 	hold chan struct{} // nil to answer at once
 
-	mu    sync.Mutex
-	asked []*replicahttp.Request
-	left  int
-	came  chan struct{}
+	mu      sync.Mutex
+	asked   []*replicahttp.Request
+	left    int
+	reached chan struct{}
 }
 
 func (c *echoCore) Serve(ctx context.Context, q node.Query) (node.Answer, bool) {
@@ -35,7 +35,7 @@
 	c.mu.Lock()
 	c.asked = append(c.asked, r)
 	c.mu.Unlock()
-	c.came <- struct{}{}
+	c.reached <- struct{}{}
 	if c.hold != nil {
 		select {
 		case <-c.hold:
@@ -53,8 +53,8 @@
 
 // serveClients serves clients on a port and returns its address.
 func serveClients(t *testing.T, c *echoCore) (address string) {
-	c.came = make(chan struct{}, 64)
-	handler := handlerOf(t, nil)
+	c.reached = make(chan struct{}, 64)
+	handler := newHandler(t, nil)
 	handler.Core = c
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -68,7 +68,7 @@
 	return "POST /b/x HTTP/1.1\r\nHost: h\r\n" + replicahttp.HeaderAttempt + ": " + id + "\r\n" + lines + "\r\n" + body
 }
 
-func sized(id, body string) string {
+func postSized(id, body string) string {
 	return post(id, fmt.Sprintf("Content-Length: %d\r\n", len(body)), body)
 }
 
@@ -116,9 +116,9 @@
 		"ended in the last chunk":   {post("x1", chunked, "4\r\nbody\r\n0\r\n"), []string{"400"}, nil},
 		"a chunk that is none":      {post("x1", chunked, "zz\r\nbody\r\n0\r\n\r\n"), []string{"400"}, nil},
 		"whole in chunks":           {post("x1", chunked+"Connection: close\r\n", "4\r\nbody\r\n0\r\n\r\n"), []string{"200 x1"}, []string{"x1 body"}},
-		"two in one segment":        {sized("x1", "body") + sized("x2", "more"), []string{"200 x1", "200 x2"}, []string{"x1 body", "x2 more"}},
-		"two in one, second broken": {sized("x1", "body") + post("x2", "Content-Length: 4\r\n", "mo"), []string{"200 x1", "400"}, []string{"x1 body"}},
-		"garbage behind the body":   {sized("x1", "body") + "\x00garbage\r\n\r\n", []string{"200 x1", "400"}, []string{"x1 body"}},
+		"two in one segment":        {postSized("x1", "body") + postSized("x2", "more"), []string{"200 x1", "200 x2"}, []string{"x1 body", "x2 more"}},
+		"two in one, second broken": {postSized("x1", "body") + post("x2", "Content-Length: 4\r\n", "mo"), []string{"200 x1", "400"}, []string{"x1 body"}},
+		"garbage behind the body":   {postSized("x1", "body") + "\x00garbage\r\n\r\n", []string{"200 x1", "400"}, []string{"x1 body"}},
 		"two lengths":               {post("x1", "Content-Length: 4\r\nContent-Length: 5\r\n", "body"), []string{"400"}, nil},
 		"two ids":                   {post("x1", replicahttp.HeaderAttempt+": x2\r\nContent-Length: 4\r\nConnection: close\r\n", "body"), []string{"400"}, nil},
 		"length and chunks":         {post("x1", chunked+"Content-Length: 3\r\nConnection: close\r\n", "4\r\nbody\r\n0\r\n\r\n"), []string{"200 x1"}, []string{"x1 body"}},
@@ -132,13 +132,13 @@
 				defer conn.Close()
 				sent, want, asked := c.sent, c.want, c.asked
 				if reused {
-					sent = sized("x0", "first") + sent
+					sent = postSized("x0", "first") + sent
 					want = append([]string{"200 x0"}, want...)
 					asked = append([]string{"x0 first"}, asked...)
 				}
 				io.WriteString(conn, sent)
 				for range asked {
-					<-core.came // all are served before the client's side closes, which would abandon them
+					<-core.reached // all are served before the client's side closes, which would abandon them
 				}
 				if len(want) > len(asked) || len(asked) == 0 {
 					conn.(*net.TCPConn).CloseWrite()
@@ -199,8 +199,8 @@
 				conn, err := net.Dial("tcp", serveClients(t, core))
 				must.NoError(t, err)
 				defer conn.Close()
-				io.WriteString(conn, strings.Replace(sized("x1", "body"), "/b/x", path, 1))
-				<-core.came
+				io.WriteString(conn, strings.Replace(postSized("x1", "body"), "/b/x", path, 1))
+				<-core.reached
 				leave(conn.(*net.TCPConn))
 				for _, got := range answers(t, conn) {
 					must.Eq(t, "502", got)
@@ -226,9 +226,9 @@
 	conn, err := net.Dial("tcp", serveClients(t, core))
 	must.NoError(t, err)
 	defer conn.Close()
-	io.WriteString(conn, sized("x1", "body"))
-	<-core.came
-	io.WriteString(conn, sized("x2", "more"))
+	io.WriteString(conn, postSized("x1", "body"))
+	<-core.reached
+	io.WriteString(conn, postSized("x2", "more"))
 	close(core.hold)
 	must.Eq(t, []string{"200 x1", "200 x2"}, answersUntil(t, conn, 2))
 }
--- a/front/clienthttp/clienthttp.go
+++ b/front/clienthttp/clienthttp.go
@@ -47,7 +47,7 @@
 
 // SetState sets the state by which new requests are served. A request in progress keeps the state that it began
 // with.
-func (q *Handler) SetState(s *routingtable.State) { q.state.Store(s) }
+func (h *Handler) SetState(s *routingtable.State) { h.state.Store(s) }
 
 // hopHeaders are the headers that are not passed on, as they concern one connection or are set by the proxy.
 var hopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
@@ -55,12 +55,12 @@
 	"Content-Length": true, "Host": true, replicahttp.HeaderDeadline: true, replicahttp.HeaderTarget: true}
 
 // ServeHTTP serves one request.
-func (q *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	came := q.Now()
-	if q.Draining.Load() {
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	arrived := h.Now()
+	if h.Draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	state := q.state.Load()
+	state := h.state.Load()
 	if state == nil {
 		refuse(w, http.StatusServiceUnavailable, int64(time.Second))
 		return
@@ -82,19 +82,19 @@
 		refuse(w, http.StatusBadRequest, 0)
 		return
 	}
-	until := came + route.DeadlineMs*millisecond
+	deadline := arrived + route.DeadlineMs*millisecond
 	if v := r.Header.Get(replicahttp.HeaderDeadline); v != "" {
 		n, err := strconv.ParseInt(v, 10, 64)
 		if err != nil {
 			refuse(w, http.StatusBadRequest, 0)
 			return
 		}
-		until = min(until, came+n*millisecond)
+		deadline = min(deadline, arrived+n*millisecond)
 	}
 	body, err := readBody(w, r, state.Config.Limits.BodyBytes)
 	if err != nil {
-		var long *http.MaxBytesError
-		if errors.As(err, &long) {
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
 			refuse(w, http.StatusRequestEntityTooLarge, 0)
 		} else {
 			refuse(w, http.StatusBadRequest, 0)
@@ -104,15 +104,15 @@
 	req := &replicahttp.Request{Attempt: attempt, Method: r.Method, Body: body, Head: requestHead(r, target, len(body)),
 		Answers: map[int]*replicahttp.Answer{}}
 	row, known := state.Rows[route.ID()]
-	query := node.Query{ID: attempt, Workload: row, Deadline: until, Payload: req}
+	query := node.Query{ID: attempt, Workload: row, Deadline: deadline, Payload: req}
 	var served bool
 	// Danger: a route without a row of its own would be served with another route's settings.
 	if query.Parts, served = routeParts(state, route); !served || !known {
 		refuse(w, http.StatusServiceUnavailable, int64(time.Second))
 		return
 	}
-	answer, here := q.Core.Serve(r.Context(), query)
-	if !here {
+	answer, answered := h.Core.Serve(r.Context(), query)
+	if !answered {
 		// Danger: if a handler returns without writing, net/http answers 200, and a client that has closed only
 		// its sending side would read that as a success.
 		w.Header().Set("Connection", "close")
@@ -138,30 +138,30 @@
 		services = []string{state.Service(route)}
 	}
 	for _, service := range services {
-		slot, found := state.Shards[service]
+		shard, found := state.Shards[service]
 		if !found {
 			return nil, false
 		}
-		parts = append(parts, node.Part{Shard: slot, Weight: 1 / float64(len(services))})
+		parts = append(parts, node.Part{Shard: shard, Weight: 1 / float64(len(services))})
 	}
 	return parts, true
 }
 
-func readBody(w http.ResponseWriter, r *http.Request, most int) ([]byte, error) {
+func readBody(w http.ResponseWriter, r *http.Request, limit int) ([]byte, error) {
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil, nil
 	}
-	if most <= 0 {
-		most = defaultMaxBodyBytes
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
 	}
-	if n := r.ContentLength; n > int64(most) {
-		return nil, &http.MaxBytesError{Limit: int64(most)}
+	if n := r.ContentLength; n > int64(limit) {
+		return nil, &http.MaxBytesError{Limit: int64(limit)}
 	} else if n > 0 {
 		body := make([]byte, n)
 		_, err := io.ReadFull(r.Body, body)
 		return body, err
 	}
-	return io.ReadAll(http.MaxBytesReader(w, r.Body, int64(most)))
+	return io.ReadAll(http.MaxBytesReader(w, r.Body, int64(limit)))
 }
 
 // requestHead returns the request line and the headers that go to the replicas, without those that differ from
--- a/front/clienthttp/clienthttp_test.go
+++ b/front/clienthttp/clienthttp_test.go
@@ -28,17 +28,17 @@
 {"name":"debit","host":"h","path-prefix":"/b/","route-kind":"unsafe","deadline-ms":4000,"service":"s0"}],
 "services":[{"name":"s0"},{"name":"s1"},{"name":"s2"}],"limits":{"max-body-bytes":10}}`
 
-// core is a Core whose answers are set by the test. It records the query that it was asked.
-type core struct {
+// recordingCore is a Core whose answers are set by the test. It records the query that it was asked.
+type recordingCore struct {
 	asked   node.Query
 	answers map[int]*replicahttp.Answer
-	final   balance.Outcome
+	outcome balance.Outcome
 	wait    int64
 }
 
-func (c *core) Serve(_ context.Context, q node.Query) (node.Answer, bool) {
+func (c *recordingCore) Serve(_ context.Context, q node.Query) (node.Answer, bool) {
 	c.asked = q
-	a := node.Answer{Outcome: c.final, RetryAfter: c.wait}
+	a := node.Answer{Outcome: c.outcome, RetryAfter: c.wait}
 	r := q.Payload.(*replicahttp.Request)
 	for _, p := range q.Parts {
 		if got := c.answers[p.Shard]; got != nil {
@@ -51,7 +51,7 @@
 	return a, true
 }
 
-func handlerOf(t *testing.T, c *core) *Handler {
+func newHandler(t *testing.T, c *recordingCore) *Handler {
 	ch, err := routeconfig.Read([]byte(configuration))
 	must.NoError(t, err)
 	q := &Handler{Core: c, Now: func() int64 { return 1000 }}
@@ -81,10 +81,10 @@
 // of missing parts.
 func TestGatheredAnswer(t *testing.T) {
 	failed := &replicahttp.Answer{Status: 500, Seal: "bad", Complete: true}
-	c := &core{final: balance.Partial, answers: map[int]*replicahttp.Answer{0: part("x", record('b'), record('d')), 1: failed,
+	c := &recordingCore{outcome: balance.Partial, answers: map[int]*replicahttp.Answer{0: part("x", record('b'), record('d')), 1: failed,
 		2: part("y", record('d'), record('a'), "rest")}}
 	w := httptest.NewRecorder()
-	handlerOf(t, c).ServeHTTP(w, request("GET", "/a/q?x=1", ""))
+	newHandler(t, c).ServeHTTP(w, request("GET", "/a/q?x=1", ""))
 	must.Eq(t, 200, w.Code)
 	must.Eq(t, "x, y", w.Header().Get(headerPartSeals))
 	must.Eq(t, "1", w.Header().Get(headerMissing))
@@ -97,10 +97,10 @@
 // TestWhatReplicasGet: replicas get the request unchanged, except for headers that concern one connection or that
 // the proxy sets.
 func TestWhatReplicasGet(t *testing.T) {
-	c := &core{answers: map[int]*replicahttp.Answer{0: {Status: 200, Seal: "s", Complete: true, Body: []byte("ok"),
+	c := &recordingCore{answers: map[int]*replicahttp.Answer{0: {Status: 200, Seal: "s", Complete: true, Body: []byte("ok"),
 		Header: http.Header{"Willowsill-Replica-Seal": {"s"}, "Connection": {"close"}, "X-More": {"1", "2"}}}}}
 	w := httptest.NewRecorder()
-	handlerOf(t, c).ServeHTTP(w, request("POST", "/b/a%2Fb?x=%20", "body"))
+	newHandler(t, c).ServeHTTP(w, request("POST", "/b/a%2Fb?x=%20", "body"))
 	must.Eq(t, 200, w.Code)
 	must.Eq(t, "ok", w.Body.String())
 	must.Eq(t, "", w.Header().Get("Connection"))
@@ -119,19 +119,19 @@
 
 // TestRefusals: the status of each answer that the proxy gives on its own behalf.
 func TestRefusals(t *testing.T) {
-	declined := &core{final: balance.Declined, wait: int64(1500 * time.Millisecond)}
-	forfeited := &core{final: balance.Forfeited}
-	failed := &core{final: balance.Forfeited, answers: map[int]*replicahttp.Answer{0: {Status: 500, Seal: "s", Complete: true, Body: []byte("no")}}}
-	turned := &core{final: balance.Declined, answers: map[int]*replicahttp.Answer{0: {Status: 421, Complete: true}}}
+	declined := &recordingCore{outcome: balance.Declined, wait: int64(1500 * time.Millisecond)}
+	forfeited := &recordingCore{outcome: balance.Forfeited}
+	failed := &recordingCore{outcome: balance.Forfeited, answers: map[int]*replicahttp.Answer{0: {Status: 500, Seal: "s", Complete: true, Body: []byte("no")}}}
+	misdirected := &recordingCore{outcome: balance.Declined, answers: map[int]*replicahttp.Answer{0: {Status: 421, Complete: true}}}
 	for name, c := range map[string]struct {
-		core   *core
+		core   *recordingCore
 		change func(*http.Request)
 		want   int
 	}{
 		"declined":           {declined, func(*http.Request) {}, 503},
 		"may have run":       {forfeited, func(*http.Request) {}, 502},
 		"a replica's own":    {failed, func(*http.Request) {}, 500},
-		"another replica's":  {turned, func(*http.Request) {}, 503},
+		"another replica's":  {misdirected, func(*http.Request) {}, 503},
 		"no route":           {declined, func(r *http.Request) { r.RequestURI = "/c/" }, 404},
 		"another host":       {declined, func(r *http.Request) { r.Host = "other" }, 404},
 		"no id":              {declined, func(r *http.Request) { r.Header.Del(replicahttp.HeaderAttempt) }, 400},
@@ -143,7 +143,7 @@
 			r := request("POST", "/b/x", "body")
 			c.change(r)
 			w := httptest.NewRecorder()
-			handlerOf(t, c.core).ServeHTTP(w, r)
+			newHandler(t, c.core).ServeHTTP(w, r)
 			must.Eq(t, c.want, w.Code)
 			if c.want == 503 && c.core == declined {
 				must.Eq(t, "0.892", w.Header().Get("Retry-After"))
@@ -158,8 +158,8 @@
 // TestServiceWithoutAShard: if a service of a request has no shard, the request goes to no other service's
 // replica.
 func TestServiceWithoutAShard(t *testing.T) {
-	c := &core{}
-	handler := handlerOf(t, c)
+	c := &recordingCore{}
+	handler := newHandler(t, c)
 	state := *handler.state.Load()
 	state.Shards = map[string]int{"s1": 1, "s2": 2}
 	handler.SetState(&state)
--- a/front/clienthttp/routes_test.go
+++ b/front/clienthttp/routes_test.go
@@ -36,7 +36,7 @@
 // before.
 func TestRoutesOfOneName(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		asked := &core{}
+		asked := &recordingCore{}
 		handler := &Handler{Core: asked, Now: func() int64 { return 0 }}
 		table := routingtable.New(0, settings.Settings{IP: "10.0.0.1"})
 		now := int64(0)
--- a/front/clienthttp/server.go
+++ b/front/clienthttp/server.go
@@ -111,8 +111,8 @@
 	for {
 		c, err := ln.Accept()
 		if err != nil {
-			var ne net.Error
-			if errors.As(err, &ne) && ne.Timeout() {
+			var netErr net.Error
+			if errors.As(err, &netErr) && netErr.Timeout() {
 				continue
 			}
 			if errors.Is(err, net.ErrClosed) {
--- a/front/front.go
+++ b/front/front.go
@@ -103,7 +103,7 @@
 
 func (c requestError) Error() string { return c.message }
 
-func badRequest(text string) error { return requestError{http.StatusBadRequest, text} }
+func badRequest(message string) error { return requestError{http.StatusBadRequest, message} }
 
 // requestBody is the JSON body of a query.
 type requestBody struct {
@@ -200,10 +200,10 @@
 func (f *Front) query(w http.ResponseWriter, r *http.Request) {
 	guard := f.currentGuard()
 	q, err := f.decodeRequest(w, r, guard)
-	var a rejection
+	var rejected rejection
 	switch {
-	case errors.As(err, &a):
-		f.reject(w, r, a)
+	case errors.As(err, &rejected):
+		f.reject(w, r, rejected)
 		return
 	case err != nil:
 		f.writeError(w, err)
@@ -251,7 +251,7 @@
 	began := f.Clock.Now()
 	// Danger: queries share connections to replicas, and replies are matched by id alone. Two open queries with
 	// one id would get each other's answers.
-	if _, taken := f.openIDs.LoadOrStore(q.ID, nil); taken {
+	if _, open := f.openIDs.LoadOrStore(q.ID, nil); open {
 		f.writeError(w, requestError{http.StatusConflict, "X-Trace-Id is that of an open query"})
 		return
 	}
@@ -304,15 +304,15 @@
 	if !validID(q.ID) {
 		return q, badRequest("X-Trace-Id is missing or malformed")
 	}
-	wait, err := strconv.ParseUint(r.Header.Get("X-Expires-In-Ms"), 10, 63)
-	if err != nil || wait > maxTimeLeftMs {
+	timeLeftMs, err := strconv.ParseUint(r.Header.Get("X-Expires-In-Ms"), 10, 63)
+	if err != nil || timeLeftMs > maxTimeLeftMs {
 		return q, badRequest("X-Expires-In-Ms is missing or malformed")
 	}
-	q.Deadline = began + int64(wait)*nsPerMs
+	q.Deadline = began + int64(timeLeftMs)*nsPerMs
 
 	if guard != nil {
-		if taken, comeBack := guard.Admit(arrivalOf(q, r, f.Clock.Now())); !taken {
-			return q, rejection{name, comeBack}
+		if admitted, retryAfter := guard.Admit(arrivalOf(q, r, f.Clock.Now())); !admitted {
+			return q, rejection{name, retryAfter}
 		}
 	}
 	tooLong := requestError{http.StatusRequestEntityTooLarge, "the body is over 64 KiB"}
@@ -320,9 +320,9 @@
 		return q, tooLong
 	}
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
-	var long *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &long):
+	case errors.As(err, &tooLarge):
 		return q, tooLong
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return q, requestError{http.StatusRequestTimeout, "the body did not come in time"}
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -38,8 +38,8 @@
 func (c *core) Serve(ctx context.Context, q node.Query) (node.Answer, bool) { return c.serve(ctx, q) }
 func (c *core) Ready() <-chan struct{}                                      { return c.ready }
 
-// makeFront returns a front with a core that is ready.
-func makeFront(serve func(context.Context, node.Query) (node.Answer, bool)) *Front {
+// newFront returns a front with a core that is ready.
+func newFront(serve func(context.Context, node.Query) (node.Answer, bool)) *Front {
 	c := &core{serve, make(chan struct{})}
 	close(c.ready)
 	return &Front{Core: c, Clock: node.NewClock(), WorkloadRow: map[string]int{"report": 0, "lookup": 1}, Shards: 12,
@@ -57,14 +57,14 @@
 	return r
 }
 
-// twice repeats a header of a request.
-func twice(r *http.Request, name string) *http.Request {
+// repeatHeader repeats a header of a request.
+func repeatHeader(r *http.Request, name string) *http.Request {
 	r.Header.Add(name, r.Header.Get(name))
 	return r
 }
 
-// lengthy sets a request's Content-Length to 60 MB.
-func lengthy(r *http.Request) *http.Request {
+// withHugeLength sets a request's Content-Length to 60 MB.
+func withHugeLength(r *http.Request) *http.Request {
 	r.ContentLength = 60 << 20
 	return r
 }
@@ -88,10 +88,10 @@
 		"endless time":   {request("POST", "/lookup", goodBody, "X-Expires-In-Ms: 99999999999999"), 400},
 		"time of words":  {request("POST", "/lookup", goodBody, "X-Expires-In-Ms: soon"), 400},
 		"time with sign": {request("POST", "/lookup", goodBody, "X-Expires-In-Ms: +480"), 400},
-		"two ids":        {twice(request("POST", "/lookup", goodBody), "X-Trace-Id"), 400},
-		"two workloads":  {twice(request("POST", "/lookup", goodBody), "X-Qos"), 400},
-		"two times":      {twice(request("POST", "/lookup", goodBody), "X-Expires-In-Ms"), 400},
-		"huge length":    {lengthy(request("POST", "/lookup", "")), 413},
+		"two ids":        {repeatHeader(request("POST", "/lookup", goodBody), "X-Trace-Id"), 400},
+		"two workloads":  {repeatHeader(request("POST", "/lookup", goodBody), "X-Qos"), 400},
+		"two times":      {repeatHeader(request("POST", "/lookup", goodBody), "X-Expires-In-Ms"), 400},
+		"huge length":    {withHugeLength(request("POST", "/lookup", "")), 413},
 		"half a pair":    {request("POST", "/lookup", strings.Replace(goodBody, "c4", `\ud800`, 1)), 400},
 		"no Unicode":     {request("POST", "/lookup", strings.Replace(goodBody, "c4", "\xff", 1)), 400},
 		"key twice":      {request("POST", "/lookup", strings.Replace(goodBody, `"text"`, `"text":"","text"`, 1)), 400},
@@ -119,7 +119,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			served := 0
-			f := makeFront(func(_ context.Context, q node.Query) (node.Answer, bool) {
+			f := newFront(func(_ context.Context, q node.Query) (node.Answer, bool) {
 				served++
 				for i := range q.Parts {
 					q.Parts[i].Weight = math.Round(q.Parts[i].Weight*1000) / 1000
@@ -127,12 +127,12 @@
 				if got := fmt.Sprint(q.ID, q.Workload, string(q.Text), q.Parts); got != "9b1f1c41e77d0[{3 0.25} {9 0.75}]" {
 					t.Errorf("the core got %s", got)
 				}
-				if left := q.Deadline - makeClock.Now(); left > 480e6 {
+				if left := q.Deadline - testClock.Now(); left > 480e6 {
 					t.Errorf("the client has %d ns left", left)
 				}
 				return node.Answer{Outcome: balance.Whole}, true
 			})
-			f.Clock = makeClock
+			f.Clock = testClock
 			w := httptest.NewRecorder()
 			f.ServeHTTP(w, c.request)
 			if w.Code != c.status || served > 0 && c.status != 200 {
@@ -142,12 +142,12 @@
 	}
 }
 
-var makeClock = node.NewClock()
+var testClock = node.NewClock()
 
 // TestRetryMark: only X-Second-Try: 1 marks a query as a retry.
 func TestRetryMark(t *testing.T) {
 	for value, marked := range map[string]bool{"1": true, "": false, "0": false, "true": false} {
-		f := makeFront(func(_ context.Context, q node.Query) (node.Answer, bool) {
+		f := newFront(func(_ context.Context, q node.Query) (node.Answer, bool) {
 			must.Eq(t, marked, q.Retry, must.Sprint(value))
 			return node.Answer{Outcome: balance.Declined}, true
 		})
@@ -160,7 +160,7 @@
 	f.Add([]byte(goodBody))
 	f.Add([]byte(`{"segments":[{"segment":1e9,"boost":-1}],"text":null}`))
 	f.Add([]byte(`{"segments":[{"segment":1,"boost":1e308},{"segment":2,"boost":1e308}],"text":"\ud800"}`))
-	front := makeFront(nil)
+	front := newFront(nil)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var q node.Query
 		if front.decodeBody(text, &q) != nil {
@@ -194,7 +194,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := httptest.NewRecorder()
-			makeFront(func(context.Context, node.Query) (node.Answer, bool) { return c.answer, true }).
+			newFront(func(context.Context, node.Query) (node.Answer, bool) { return c.answer, true }).
 				ServeHTTP(w, request("POST", "/lookup", goodBody))
 			got := fmt.Sprint(w.Code, " ", w.Header().Get("Retry-After"), " ", strings.TrimSpace(w.Body.String()))
 			if got != c.want {
@@ -204,15 +204,15 @@
 	}
 }
 
-// on runs a test against a server on synctest's clock. Afterwards the server must have stopped, and no descriptor
+// withServer runs a test against a server on synctest's clock. Afterwards the server must have stopped, and no descriptor
 // may be taken.
-func on(t *testing.T, serve func(context.Context, node.Query) (node.Answer, bool), play func(*Server, func() *client)) {
+func withServer(t *testing.T, serve func(context.Context, node.Query) (node.Answer, bool), test func(*Server, func() *client)) {
 	synctest.Test(t, func(t *testing.T) {
 		network, budget := &pipenet.Network{}, sockets.NewBudget(64)
-		s := NewServer(makeFront(serve), network.Listen("w:1"), budget)
+		s := NewServer(newFront(serve), network.Listen("w:1"), budget)
 		served := make(chan error, 1)
 		go func() { served <- s.Serve() }()
-		play(s, func() *client {
+		test(s, func() *client {
 			c, err := network.Dial(t.Context(), "", "w:1")
 			if err != nil {
 				return nil
@@ -242,9 +242,11 @@
 	in *bufio.Reader
 }
 
-const sent = "POST /lookup HTTP/1.1\r\nHost: h\r\nX-Qos: lookup\r\nX-Trace-Id: 9b1f\r\nX-Expires-In-Ms: 480\r\nContent-Length: "
+const requestUntilLength = "POST /lookup HTTP/1.1\r\nHost: h\r\nX-Qos: lookup\r\nX-Trace-Id: 9b1f\r\nX-Expires-In-Ms: 480\r\nContent-Length: "
 
-func (c *client) send() { fmt.Fprintf(c, "%s%d\r\n\r\n%s", sent, len(goodBody), goodBody) }
+func (c *client) send() {
+	fmt.Fprintf(c, "%s%d\r\n\r\n%s", requestUntilLength, len(goodBody), goodBody)
+}
 
 // status reads the next answer and returns its status, or 0 if there is none, and whether the connection closes
 // after it.
@@ -257,13 +259,13 @@
 	return r.StatusCode, r.Close
 }
 
-func whole(context.Context, node.Query) (node.Answer, bool) {
+func serveWhole(context.Context, node.Query) (node.Answer, bool) {
 	return node.Answer{Outcome: balance.Whole}, true
 }
 
 func TestClientLeaves(t *testing.T) {
 	left := make(chan struct{})
-	on(t, func(ctx context.Context, _ node.Query) (node.Answer, bool) {
+	withServer(t, func(ctx context.Context, _ node.Query) (node.Answer, bool) {
 		<-ctx.Done()
 		close(left)
 		return node.Answer{}, false
@@ -284,7 +286,7 @@
 // Danger: a client's timeout runs from when it sent the query, however slowly the request arrives.
 func TestSlowRequest(t *testing.T) {
 	var until, began int64
-	on(t, func(_ context.Context, q node.Query) (node.Answer, bool) {
+	withServer(t, func(_ context.Context, q node.Query) (node.Answer, bool) {
 		until = q.Deadline
 		return node.Answer{Outcome: balance.Whole}, true
 	}, func(s *Server, dial func() *client) {
@@ -292,16 +294,16 @@
 		for range 2 { // on a new connection, and on one that has been idle
 			time.Sleep(time.Second)
 			began = s.front.Clock.Now()
-			fmt.Fprint(c, sent[:60])
+			fmt.Fprint(c, requestUntilLength[:60])
 			time.Sleep(100 * time.Millisecond)
-			fmt.Fprintf(c, "%s%d\r\n\r\n%s", sent[60:], len(goodBody), goodBody[:9])
+			fmt.Fprintf(c, "%s%d\r\n\r\n%s", requestUntilLength[60:], len(goodBody), goodBody[:9])
 			time.Sleep(100 * time.Millisecond)
 			fmt.Fprint(c, goodBody[9:])
 			if code, _ := c.status(); code != 200 || until != began+480e6 {
 				t.Errorf("status %d, %d ns from the first byte on", code, until-began)
 			}
 		}
-		fmt.Fprintf(c, "%s%d\r\n\r\n%s", sent, len(goodBody), goodBody[:9])
+		fmt.Fprintf(c, "%s%d\r\n\r\n%s", requestUntilLength, len(goodBody), goodBody[:9])
 		began = s.front.Clock.Now()
 		if code, closing := c.status(); code != 408 || !closing || s.front.Clock.Now() != began+int64(requestTimeout) {
 			t.Errorf("an incomplete body was answered with %d after %d ns", code, s.front.Clock.Now()-began)
@@ -319,22 +321,22 @@
 	}{
 		"silent":          {"", 0, requestTimeout},
 		"half a line":     {"POST /loo", 400, requestTimeout},
-		"half a head":     {sent, 0, requestTimeout},
-		"half a body":     {sent + "99\r\n\r\n{", 408, requestTimeout},
+		"half a head":     {requestUntilLength, 0, requestTimeout},
+		"half a body":     {requestUntilLength + "99\r\n\r\n{", 408, requestTimeout},
 		"no HTTP":         {"\x16\x03\x01\x02\r\n\r\n", 400, 0},
 		"endless head":    {"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 64<<10), 431, 0},
-		"below zero":      {sent + "-5\r\n\r\n", 400, 0},
-		"huge":            {sent + "99999999999999999999\r\n\r\n", 400, 0},
-		"60 MB":           {sent + "60000000\r\n\r\n{", 413, 0},
-		"two lengths":     {sent + "5\r\nContent-Length: 6\r\n\r\n{}", 400, 0},
-		"other encoding":  {sent[:len(sent)-16] + "Transfer-Encoding: gzip\r\n\r\n", 501, 0},
-		"endless chunks":  {sent[:len(sent)-16] + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4000\r\n"+strings.Repeat(" ", 0x4000)+"\r\n", 9), 413, 0},
-		"odd chunks":      {sent[:len(sent)-16] + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400, 0},
-		"early complaint": {strings.Replace(sent, "lookup", "other", 1) + "9\r\n\r\n", 404, 0},
-		"hidden request":  {sent + "3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n" + sent + "2\r\n\r\n{}", 400, 0},
+		"below zero":      {requestUntilLength + "-5\r\n\r\n", 400, 0},
+		"huge":            {requestUntilLength + "99999999999999999999\r\n\r\n", 400, 0},
+		"60 MB":           {requestUntilLength + "60000000\r\n\r\n{", 413, 0},
+		"two lengths":     {requestUntilLength + "5\r\nContent-Length: 6\r\n\r\n{}", 400, 0},
+		"other encoding":  {requestUntilLength[:len(requestUntilLength)-16] + "Transfer-Encoding: gzip\r\n\r\n", 501, 0},
+		"endless chunks":  {requestUntilLength[:len(requestUntilLength)-16] + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4000\r\n"+strings.Repeat(" ", 0x4000)+"\r\n", 9), 413, 0},
+		"odd chunks":      {requestUntilLength[:len(requestUntilLength)-16] + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400, 0},
+		"early complaint": {strings.Replace(requestUntilLength, "lookup", "other", 1) + "9\r\n\r\n", 404, 0},
+		"hidden request":  {requestUntilLength + "3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n" + requestUntilLength + "2\r\n\r\n{}", 400, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			on(t, func(context.Context, node.Query) (node.Answer, bool) {
+			withServer(t, func(context.Context, node.Query) (node.Answer, bool) {
 				t.Error("the core was asked")
 				return node.Answer{}, false
 			}, func(s *Server, dial func() *client) {
@@ -354,11 +356,11 @@
 
 // Danger: a request hidden behind another, or in its chunks, must not be served. The connection is closed instead.
 func TestHiddenRequest(t *testing.T) {
-	chunked := sent[:len(sent)-16] + "Transfer-Encoding: chunked\r\n\r\n"
-	on(t, whole, func(s *Server, dial func() *client) {
+	chunked := requestUntilLength[:len(requestUntilLength)-16] + "Transfer-Encoding: chunked\r\n\r\n"
+	withServer(t, serveWhole, func(s *Server, dial func() *client) {
 		for _, text := range []string{
-			fmt.Sprintf("%s%d\r\n\r\n%s%s", sent, len(goodBody), goodBody, sent),
-			fmt.Sprintf("%s%x\r\n%s\r\n0\r\n\r\n%s", chunked, len(goodBody), goodBody, sent),
+			fmt.Sprintf("%s%d\r\n\r\n%s%s", requestUntilLength, len(goodBody), goodBody, requestUntilLength),
+			fmt.Sprintf("%s%x\r\n%s\r\n0\r\n\r\n%s", chunked, len(goodBody), goodBody, requestUntilLength),
 		} {
 			c := dial()
 			go io.WriteString(c, text)
@@ -372,7 +374,7 @@
 
 // Danger: two open queries with the same id would get each other's answers.
 func TestIDTwice(t *testing.T) {
-	on(t, func(context.Context, node.Query) (node.Answer, bool) {
+	withServer(t, func(context.Context, node.Query) (node.Answer, bool) {
 		time.Sleep(100 * time.Millisecond)
 		return node.Answer{Outcome: balance.Whole}, true
 	}, func(s *Server, dial func() *client) {
@@ -395,7 +397,7 @@
 
 // Danger: a client that never reads would hold its connection, and delay the shutdown, for ever.
 func TestClientReadsNothing(t *testing.T) {
-	on(t, whole, func(s *Server, dial func() *client) {
+	withServer(t, serveWhole, func(s *Server, dial func() *client) {
 		dial().send()
 		time.Sleep(writeTimeout)
 		synctest.Wait()
@@ -406,7 +408,7 @@
 }
 
 func TestPanic(t *testing.T) {
-	on(t, func(_ context.Context, q node.Query) (node.Answer, bool) { panic(q.ID) }, func(s *Server, dial func() *client) {
+	withServer(t, func(_ context.Context, q node.Query) (node.Answer, bool) { panic(q.ID) }, func(s *Server, dial func() *client) {
 		for range 2 {
 			c := dial()
 			c.send()
@@ -423,14 +425,14 @@
 // Danger: a flood of connections must not take the descriptors that connections to replicas need. Idle clients are
 // closed first.
 func TestFlood(t *testing.T) {
-	on(t, whole, func(s *Server, dial func() *client) {
+	withServer(t, serveWhole, func(s *Server, dial func() *client) {
 		idle := dial()
 		idle.send()
 		idle.status()
 		for i := range 200 {
 			c := dial()
 			if synctest.Wait(); i%2 > 0 { // half of a request
-				io.WriteString(c, sent)
+				io.WriteString(c, requestUntilLength)
 			}
 			if i == 150 {
 				c.send()
@@ -451,7 +453,7 @@
 // Danger: clients that ask once and keep their connections would use up the descriptors for clients. The most
 // recent ones may stay for a while.
 func TestIdleClients(t *testing.T) {
-	on(t, whole, func(s *Server, dial func() *client) {
+	withServer(t, serveWhole, func(s *Server, dial func() *client) {
 		most := s.budget.Limit(sockets.Clients) / idleDivisor
 		var stay []*client
 		for range most + 3 {
@@ -477,7 +479,7 @@
 
 // Danger: net/http's Shutdown loses connections that wait to be accepted, and clients that connect a little later.
 func TestStop(t *testing.T) {
-	on(t, func(_ context.Context, q node.Query) (node.Answer, bool) {
+	withServer(t, func(_ context.Context, q node.Query) (node.Answer, bool) {
 		time.Sleep(150 * time.Millisecond)
 		return node.Answer{Outcome: balance.Whole}, true
 	}, func(s *Server, dial func() *client) {
@@ -521,22 +523,22 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	far, err := net.Dial("tcp", l.Addr().String())
+	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
-	near, err := l.Accept()
+	defer client.Close()
+	server, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
+	defer server.Close()
 	s := &Server{front: &Front{Clock: node.NewClock()}}
-	c := &conn{Conn: near, server: s, since: s.front.Clock.Now()}
-	over := func() { near.SetReadDeadline(time.Now().Add(-time.Nanosecond)) } // only just past, as it may be after a pause
-	comes := func(text string) {
-		io.WriteString(far, text)
-		socket, err := near.(syscall.Conn).SyscallConn()
+	c := &conn{Conn: server, server: s, since: s.front.Clock.Now()}
+	expire := func() { server.SetReadDeadline(time.Now().Add(-time.Nanosecond)) } // only just past, as it may be after a pause
+	receive := func(text string) {
+		io.WriteString(client, text)
+		socket, err := server.(syscall.Conn).SyscallConn()
 		for n := 0; err == nil && n < len(text); runtime.Gosched() {
 			socket.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.TIOCINQ) })
 		}
@@ -544,7 +546,7 @@
 			t.Fatal(err)
 		}
 	}
-	reads := func(what, want string) {
+	expectRead := func(what, want string) {
 		t.Helper()
 		b := make([]byte, 100)
 		n, err := c.Read(b)
@@ -552,21 +554,21 @@
 			t.Errorf("%s: read %q, %v", what, b[:n], err)
 		}
 	}
-	over()
-	reads("nothing had come", "")
-	comes("POST /lookup")
-	over()
-	reads("it had come", "POST /lookup")
-	comes(" HTTP/1.1")
-	over()
-	reads("a second time", "")
-	near.SetReadDeadline(time.Time{})
-	reads("in its time", " HTTP/1.1")
+	expire()
+	expectRead("nothing had come", "")
+	receive("POST /lookup")
+	expire()
+	expectRead("it had come", "POST /lookup")
+	receive(" HTTP/1.1")
+	expire()
+	expectRead("a second time", "")
+	server.SetReadDeadline(time.Time{})
+	expectRead("in its time", " HTTP/1.1")
 	c.bodyRead(0)
-	comes("POST")
-	over()
-	reads("while it is served", "")
+	receive("POST")
+	expire()
+	expectRead("while it is served", "")
 	c.phase = idle // the request has been answered
-	over()
-	reads("the next request", "POST")
+	expire()
+	expectRead("the next request", "POST")
 }
--- a/front/gateway/core.go
+++ b/front/gateway/core.go
@@ -130,8 +130,8 @@
 	}
 	c.peerNode = node.New(node.Options{Clock: p.Clock, Deployment: d, Terms: p.Limits, KnownList: known,
 		Budget: sockets.NewBudget(maxAttempts), Count: counters.New(d.WorkloadRow), Log: p.Log, RequestList: func() {}, Dial: p.Dial,
-		NewTransport: func(tell func(any), now func() int64) node.Transport {
-			pool := c.sitePool(maxAttempts, tell, now)
+		NewTransport: func(notify func(any), now func() int64) node.Transport {
+			pool := c.sitePool(maxAttempts, notify, now)
 			pool.ownSite, pool.minDelay, pool.onAdvertisedRate = p.Site, c.minDelay, c.observeAdvertised
 			return pool
 		}})
@@ -149,14 +149,14 @@
 }
 
 // sitePool returns a pool for the gateways of all sites.
-func (c *Core) sitePool(most int, tell func(any), now func() int64) *pool {
+func (c *Core) sitePool(maxRunning int, notify func(any), now func() int64) *pool {
 	site := map[string]string{}
 	for _, s := range c.options.Sites {
 		for _, address := range s.Gateways {
 			site[address] = s.Site
 		}
 	}
-	return newPool(c.options.Dial, c.options.TLS, site, c.options.HTTP2, most, tell, now)
+	return newPool(c.options.Dial, c.options.TLS, site, c.options.HTTP2, maxRunning, notify, now)
 }
 
 // Close stops the pings and closes the connections. No query may be in progress.
@@ -257,8 +257,8 @@
 func (c *Core) servesLocally(ctx context.Context, q node.Query) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	mark := float64(xxhash.Sum64String(q.ID)%1000) / 1000
-	return c.gateway.ServesLocally(c.options.Clock.Now(), mark, len(visited(ctx)) > 0)
+	draw := float64(xxhash.Sum64String(q.ID)%1000) / 1000
+	return c.gateway.ServesLocally(c.options.Clock.Now(), draw, len(visited(ctx)) > 0)
 }
 
 // reserveLink returns the link over which a query is forwarded, or -1 if it is not. It may wait for a free place.
@@ -293,19 +293,19 @@
 
 // forward sends a query to another site and returns its answer.
 func (c *Core) forward(ctx context.Context, q node.Query, link int, declined node.Answer) (node.Answer, bool) {
-	text, err := encodeQuery(q)
+	body, err := encodeQuery(q)
 	c.counters.Carried.Add(1)
 	var a node.Answer
 	ok := true
 	if err == nil {
 		a, ok = c.peerNode.Serve(ctx, node.Query{ID: q.ID + "\x00", Workload: q.Workload, Deadline: q.Deadline,
 			Parts:   []node.Part{{Shard: link, Weight: 1}},
-			Payload: &forwardedQuery{workload: c.names[q.Workload], customer: q.Customer, retry: q.Retry, visited: visited(ctx), body: text, link: link}})
+			Payload: &forwardedQuery{workload: c.names[q.Workload], customer: q.Customer, retry: q.Retry, visited: visited(ctx), body: body, link: link}})
 	}
 	c.mu.Lock()
 	bytes := 0.0
 	if len(a.Values) == 1 {
-		bytes = float64(headBytes + len(text) + len(a.Values[0].Value))
+		bytes = float64(headBytes + len(body) + len(a.Values[0].Value))
 	}
 	c.gateway.Returned(c.options.Clock.Now(), q.Workload, link, ok && a.Outcome == balance.Declined, bytes)
 	c.decide()
@@ -351,27 +351,27 @@
 		all.Wait()
 		now := c.options.Clock.Now()
 		best := pingResult{err: errors.New("no gateway answered")}
-		for i, one := range results {
-			if one.err != nil { // the gateway's last announcement holds until it answers again
+		for i, result := range results {
+			if result.err != nil { // the gateway's last announcement holds until it answers again
 				p.client.CloseIdleConnections()
-				best.err = errors.Join(best.err, one.err)
+				best.err = errors.Join(best.err, result.err)
 				continue
 			}
-			if best.err != nil || one.took < best.took {
-				best = one
+			if best.err != nil || result.took < best.took {
+				best = result
 			}
-			if one.leaving != leaving[i] {
-				leaving[i] = one.leaving
-				c.updateGateway(ctx, link, s, i, one.leaving)
+			if result.leaving != leaving[i] {
+				leaving[i] = result.leaving
+				c.updateGateway(ctx, link, s, i, result.leaving)
 			}
 		}
 		c.mu.Lock()
-		cut := c.gateway.Pinged(now, link, best.took, best.err != nil)
+		interrupted := c.gateway.Pinged(now, link, best.took, best.err != nil)
 		if rate, e := strconv.ParseFloat(best.advertisedRate, 64); e == nil && rate >= 0 {
 			c.gateway.ObserveAdvertised(now, link, rate)
 		}
 		c.mu.Unlock()
-		if cut {
+		if interrupted {
 			c.options.Log.Warn("the link to a site is interrupted", zap.String("site", s.Site), zap.Error(best.err))
 		}
 		select {
@@ -396,9 +396,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := map[string]any{}
-	for i, w := range c.gateway.Links() {
-		all[c.options.Sites[i].Site] = map[string]any{"usable": w.Usable, "delay_ns": w.Delay, "least_ns": w.MinDelay, "limit": w.Limit,
-			"in_flight": w.InFlight}
+	for i, link := range c.gateway.Links() {
+		all[c.options.Sites[i].Site] = map[string]any{"usable": link.Usable, "delay_ns": link.Delay, "least_ns": link.MinDelay, "limit": link.Limit,
+			"in_flight": link.InFlight}
 	}
 	return all
 }
--- a/front/gateway/gateway_test.go
+++ b/front/gateway/gateway_test.go
@@ -31,20 +31,20 @@
 
 // site is a complete site: replicas, discovery, an aggregator, and a gateway with its server for peers.
 type site struct {
-	name    string
-	node    *node.Node
-	core    *Core
-	count   *Counters
-	door    *PeerServer
-	server  *http.Server
-	address string
-	effects map[string]int // number of times that a part ran at the replicas, by its id
-	mu      sync.Mutex
-	work    time.Duration
-	workers chan struct{} // limits the parts being worked on at a time; nil for no limit
-	silent  bool          // replicas accept parts and never answer
-	ends    []func()
-	dead    bool
+	name       string
+	node       *node.Node
+	core       *Core
+	count      *Counters
+	peerServer *PeerServer
+	server     *http.Server
+	address    string
+	effects    map[string]int // number of times that a part ran at the replicas, by its id
+	mu         sync.Mutex
+	work       time.Duration
+	workers    chan struct{} // limits the parts being worked on at a time; nil for no limit
+	silent     bool          // replicas accept parts and never answer
+	ends       []func()
+	dead       bool
 }
 
 type world struct {
@@ -57,7 +57,7 @@
 
 var workloads = map[string]int{"look": 0, "book": 1, "pay": 2}
 
-func theDeployment() deployment.Deployment {
+func testDeployment() deployment.Deployment {
 	row := balance.Workload{LatencyGoal: 1500e6, LateShare: 0.3, MinCoverage: 1, FullCoverage: 1, PartialShare: 0.9, DedupWindow: 10e9}
 	rows := []balance.Workload{row, row, row}
 	rows[1].RetrySafety, rows[2].RetrySafety = balance.Deduplicated, balance.OnceOnly
@@ -66,14 +66,16 @@
 		ColdCapacity: 0.2, WarmUpTime: 9000e6, OverloadFactor: 4, OverloadSpan: 1000e6}}
 }
 
-var theTerms = deployment.Limits{MaxHeld: 100, CallsPerConnection: 32, ConnectTimeout: 500e6, IdleTimeout: 15e9, LongestClientTimeout: 3e9}
+var testLimits = deployment.Limits{MaxHeld: 100, CallsPerConnection: 32, ConnectTimeout: 500e6, IdleTimeout: 15e9, LongestClientTimeout: 3e9}
 
 // play runs a test with sites on synctest's clock, each with a link to all others.
-func play(t *testing.T, names []string, do func(*world)) { playBy(t, siterouting.Planned, names, do) }
+func play(t *testing.T, names []string, test func(*world)) {
+	playWithPolicy(t, siterouting.Planned, names, test)
+}
 
-func playBy(t *testing.T, p siterouting.Policy, names []string, do func(*world)) {
+func playWithPolicy(t *testing.T, p siterouting.Policy, names []string, test func(*world)) {
 	synctest.Test(t, func(t *testing.T) {
-		if p == nowhere {
+		if p == noGateway {
 			p = siterouting.Planned
 		}
 		w := &world{T: t, policy: p, network: &pipenet.Network{}, sites: map[string]*site{}, links: map[string]*link.Link{}}
@@ -86,7 +88,7 @@
 			w.start(name, names)
 		}
 		time.Sleep(3 * time.Second) // until the links' delays are known
-		do(w)
+		test(w)
 		for _, s := range w.sites {
 			s.stop()
 		}
@@ -111,7 +113,7 @@
 	list := standin.NewDiscovery()
 	for i := range 2 {
 		l := w.network.Listen(fmt.Sprint("r-", name, ":", i))
-		toy := &standin.Replica{Answer: func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
+		replicaServer := &standin.Replica{Answer: func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
 			s.mu.Lock()
 			s.effects[p.ID]++
 			work, workers, silent := s.work, s.workers, s.silent
@@ -135,19 +137,19 @@
 			}
 			return replica.Reply{ID: p.ID, Value: name + p.ID}, true
 		}}
-		go toy.Serve(l)
+		go replicaServer.Serve(l)
 		s.ends = append(s.ends, func() { l.Close() })
 		list.Change(standin.Host{Host: fmt.Sprint("s-", i), Dial: l.String(), Health: "active"})
 	}
 	lists := &http.Server{Handler: list}
 	go lists.Serve(w.network.Listen("d-" + name + ":1"))
-	d, count := theDeployment(), counters.New(workloads)
+	d, count := testDeployment(), counters.New(workloads)
 	watch := discovery.NewWatch("d-"+name+":1", 1, 0, w.network.Dial, func(ctx context.Context, n discovery.Update) { s.node.ApplyList(ctx, n) })
 	clock := node.NewClock()
 	if name == "b" { // Danger: a time of day sent to another site would be an hour off here; only the time left may be sent
 		clock = clock.Shifted(time.Hour)
 	}
-	s.node = node.New(node.Options{Clock: clock, Deployment: d, Terms: theTerms, Budget: sockets.NewBudget(256),
+	s.node = node.New(node.Options{Clock: clock, Deployment: d, Terms: testLimits, Budget: sockets.NewBudget(256),
 		Count: count, Log: zap.NewNop(), RequestList: watch.Request, Dial: w.network.Dial})
 	ctx, stop := context.WithCancel(w.Context())
 	watched := make(chan struct{})
@@ -160,7 +162,7 @@
 		<-watched
 		lists.Close()
 	})
-	p := Options{Clock: s.node.Clock, Site: name, Deployment: d, Limits: theTerms, Local: s.node, Policy: w.policy, Log: zap.NewNop()}
+	p := Options{Clock: s.node.Clock, Site: name, Deployment: d, Limits: testLimits, Local: s.node, Policy: w.policy, Log: zap.NewNop()}
 	for _, other := range names {
 		if other != name {
 			p.Sites = append(p.Sites, Site{Link: siterouting.Link{Site: other, QueryRate: 200, ByteRate: 1e7, Cost: 0.01},
@@ -177,11 +179,11 @@
 	}
 	s.core = core
 	f := &front.Front{Core: core, Clock: s.node.Clock, WorkloadRow: workloads, Shards: 2, Counters: count, Log: zap.NewNop()}
-	s.door = &PeerServer{AdvertisedRate: core.AdvertisedRate, Site: name, Front: f, Deployment: d, Clock: s.node.Clock, Counters: s.count, Log: zap.NewNop(),
+	s.peerServer = &PeerServer{AdvertisedRate: core.AdvertisedRate, Site: name, Front: f, Deployment: d, Clock: s.node.Clock, Counters: s.count, Log: zap.NewNop(),
 		Window: deduplication.New(deduplication.Limits{MaxIDs: 1000, MaxAnswerBytes: 1 << 20, Retention: 10e9})}
-	s.server = s.door.HTTPServer(nil)
+	s.server = s.peerServer.HTTPServer(nil)
 	if len(names) > 2 { // evacuated sites advertise a rate of 0 and would get no queries, so tests of loops advertise none
-		s.door.AdvertisedRate = nil
+		s.peerServer.AdvertisedRate = nil
 	}
 	l := w.network.Listen(s.address)
 	go s.server.Serve(l)
@@ -193,11 +195,11 @@
 func (s *site) kill() { s.server.Close() }
 
 // ask sends a site one query as a client, and returns the outcome.
-func (s *site) ask(ctx context.Context, id, workload string, patience time.Duration) string {
+func (s *site) ask(ctx context.Context, id, workload string, timeout time.Duration) string {
 	began := time.Now()
-	a, ok := s.core.Serve(ctx, node.Query{ID: id, Workload: workloads[workload], Deadline: s.node.Clock.Now() + int64(patience),
+	a, ok := s.core.Serve(ctx, node.Query{ID: id, Workload: workloads[workload], Deadline: s.node.Clock.Now() + int64(timeout),
 		Text: []byte("t"), Parts: []node.Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
-	if took := time.Since(began); took > patience {
+	if took := time.Since(began); took > timeout {
 		return fmt.Sprint("late: ", took)
 	}
 	if !ok {
@@ -210,8 +212,8 @@
 	return text
 }
 
-// carried sends queries until one is not declined, and returns its outcome.
-func (w *world) carried(from, id, workload string) (got string) {
+// askUntilForwarded sends queries until one is not declined, and returns its outcome.
+func (w *world) askUntilForwarded(from, id, workload string) (got string) {
 	w.Helper()
 	for i := range 60 {
 		got = w.sites[from].ask(w.Context(), fmt.Sprint(id, i), workload, 2*time.Second)
@@ -220,7 +222,7 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	w.Errorf("nothing was carried; the last ended %s", got)
+	w.Errorf("no query was forwarded; the last ended %s", got)
 	return got
 }
 
@@ -235,7 +237,7 @@
 			w.Errorf("served locally: %s", got)
 		}
 		a.core.Evacuate(true)
-		if got := w.carried("a", "r", "look"); !strings.HasPrefix(got, "whole br") {
+		if got := w.askUntilForwarded("a", "r", "look"); !strings.HasPrefix(got, "whole br") {
 			w.Errorf("forwarded: %s", got)
 		}
 		time.Sleep(10 * time.Second)
@@ -269,7 +271,7 @@
 			play(t, []string{"a", "b"}, func(w *world) {
 				a, b := w.sites["a"], w.sites["b"]
 				a.core.Evacuate(true)
-				w.carried("a", "warm", workload)
+				w.askUntilForwarded("a", "warm", workload)
 				time.Sleep(20 * time.Second)
 				b.mu.Lock()
 				b.work = 300 * time.Millisecond
@@ -338,7 +340,7 @@
 			})
 		}
 		time.Sleep(15 * time.Second)
-		b.door.AnnounceShutdown(w.Context())
+		b.peerServer.AnnounceShutdown(w.Context())
 		b.server.Shutdown(w.Context())
 		mu.Lock()
 		left = true
@@ -400,7 +402,7 @@
 	play(t, []string{"a", "b"}, func(w *world) {
 		a := w.sites["a"]
 		a.core.Evacuate(true)
-		w.carried("a", "warm", "look")
+		w.askUntilForwarded("a", "warm", "look")
 		w.links["a>b"].Set(link.Conditions{}, link.Conditions{Cut: true})
 		for i := range 20 {
 			if got := a.ask(w.Context(), fmt.Sprint("c", i), "look", 2*time.Second); strings.HasPrefix(got, "late") || got == "left" {
@@ -414,7 +416,7 @@
 		}
 		w.links["a>b"].Set(link.Conditions{}, link.Conditions{})
 		time.Sleep(5 * time.Second)
-		if got := w.carried("a", "e", "look"); !strings.HasPrefix(got, "whole b") {
+		if got := w.askUntilForwarded("a", "e", "look"); !strings.HasPrefix(got, "whole b") {
 			w.Error(got)
 		}
 	})
@@ -434,7 +436,7 @@
 		}
 		a, b, c := w.sites["a"].count, w.sites["b"].count, w.sites["c"].count
 		if a.Carried.Load() == 0 || a.Received.Load() != 0 || b.Received.Load()+c.Received.Load() > 2*maxGatewaysPerQuery*a.Carried.Load() {
-			w.Errorf("a carried %d and took %d, b took %d, c took %d", a.Carried.Load(), a.Received.Load(), b.Received.Load(), c.Received.Load())
+			w.Errorf("a forwarded %d and received %d, b received %d, c received %d", a.Carried.Load(), a.Received.Load(), b.Received.Load(), c.Received.Load())
 		}
 	})
 }
@@ -447,7 +449,7 @@
 		w.links["a>b"].Set(far, far)
 		a := w.sites["a"]
 		a.core.Evacuate(true)
-		w.carried("a", "warm", "look")
+		w.askUntilForwarded("a", "warm", "look")
 		time.Sleep(20 * time.Second) // until the link's lowest delay has been measured again
 		var mu sync.Mutex
 		served, asked := map[string]float64{}, map[string]float64{}
@@ -476,13 +478,13 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		all.Wait()
-		greedy := served["greedy"] / asked["greedy"]
+		greedyShare := served["greedy"] / asked["greedy"]
 		for _, c := range []string{"m1", "m2", "m3", "m4"} {
-			if share := served[c] / asked[c]; share < 2*greedy || served[c] == 0 {
-				w.Errorf("share served: %.2f of %s's queries, %.2f of the greedy one's", share, c, greedy)
+			if share := served[c] / asked[c]; share < 2*greedyShare || served[c] == 0 {
+				w.Errorf("share served: %.2f of %s's queries, %.2f of the greedy one's", share, c, greedyShare)
 			}
 		}
-		w.Logf("share served: %.2f of a small customer's queries, %.2f of the greedy one's", served["m1"]/asked["m1"], greedy)
+		w.Logf("share served: %.2f of a small customer's queries, %.2f of the greedy one's", served["m1"]/asked["m1"], greedyShare)
 		c := a.core
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/front/gateway/history_test.go
+++ b/front/gateway/history_test.go
@@ -54,7 +54,7 @@
 	d := deployment.Deployment{WorkloadRow: map[string]int{"pay": 0},
 		Deployment: balance.Deployment{Workloads: []balance.Workload{{RetrySafety: balance.OnceOnly}}}}
 	open := func() *PeerServer {
-		door := &PeerServer{Site: "b", Deployment: d, Clock: clock, Counters: &Counters{}, Log: zap.NewNop(),
+		server := &PeerServer{Site: "b", Deployment: d, Clock: clock, Counters: &Counters{}, Log: zap.NewNop(),
 			Window: deduplication.New(deduplication.Limits{MaxIDs: 1000, MaxAnswerBytes: 1 << 20, Retention: 3600e9}),
 			Front: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				n := ran.Add(1)
@@ -66,31 +66,31 @@
 				fmt.Fprintf(w, "run %d", n)
 			})}
 		if kept {
-			if err := door.Load(file); err != nil {
+			if err := server.Load(file); err != nil {
 				t.Error(err)
 			}
 		}
-		return door
+		return server
 	}
-	var at sync.RWMutex // held for reading by each request, so that a restart waits for the requests in progress
-	door := open()
+	var inProgress sync.RWMutex // held for reading by each request, so that a restart waits for the requests in progress
+	server := open()
 	var mu sync.Mutex
 	var all []porcupine.Operation
 	var peers sync.WaitGroup
 	for n := range 6 {
-		chance := rand.New(rand.NewPCG(seed, uint64(n)))
+		rng := rand.New(rand.NewPCG(seed, uint64(n)))
 		peers.Go(func() {
 			for range 150 {
-				id := fmt.Sprint("q", chance.IntN(40))
+				id := fmt.Sprint("q", rng.IntN(40))
 				r := httptest.NewRequest("POST", "/pay", nil)
 				r.Header.Set(headerVisited, "a")
 				r.Header.Set("X-Trace-Id", id)
 				w := httptest.NewRecorder()
-				at.RLock()
+				inProgress.RLock()
 				began := clock.Now()
-				door.ServeHTTP(w, r)
+				server.ServeHTTP(w, r)
 				ended := clock.Now()
-				at.RUnlock()
+				inProgress.RUnlock()
 				got := ""
 				if w.Code == http.StatusOK {
 					got = w.Body.String()
@@ -110,14 +110,14 @@
 				return
 			case <-time.After(5 * time.Millisecond):
 			}
-			at.Lock()
+			inProgress.Lock()
 			if kept {
-				if err := door.Save(file); err != nil {
+				if err := server.Save(file); err != nil {
 					t.Error(err)
 				}
 			}
-			door = open()
-			at.Unlock()
+			server = open()
+			inProgress.Unlock()
 		}
 	}()
 	peers.Wait()
--- a/front/gateway/long_test.go
+++ b/front/gateway/long_test.go
@@ -19,25 +19,25 @@
 
 var long = flag.Bool("long", false, "simulate half an hour of two sites under four policies instead of a few minutes under two")
 
-// nowhere stands for a run without a gateway.
-const nowhere siterouting.Policy = 255
+// noGateway stands for a run without a gateway.
+const noGateway siterouting.Policy = 255
 
-func named(p siterouting.Policy) string {
-	if p == nowhere {
+func policyName(p siterouting.Policy) string {
+	if p == noGateway {
 		return "no gateway"
 	}
 	return [...]string{"gateway", "all that is declined", "half and half"}[p]
 }
 
-// tally counts the outcomes of the queries of one phase.
-type tally struct{ asked, goal, late, declined, failed, lost int }
+// outcomes counts the outcomes of the queries of one phase.
+type outcomes struct{ asked, inGoal, late, declined, failed, lost int }
 
-func (t tally) share() float64 { return float64(t.goal) / float64(max(t.asked, 1)) }
+func (t outcomes) share() float64 { return float64(t.inGoal) / float64(max(t.asked, 1)) }
 
 // halfHour runs two sites, of which site a's replicas stop answering in the middle phase, and returns the outcomes
 // of each phase: before, dark, after.
-func halfHour(t *testing.T, p siterouting.Policy, whole time.Duration) (phases [3]tally, most int, carried int64) {
-	playBy(t, p, []string{"a", "b"}, func(w *world) {
+func halfHour(t *testing.T, p siterouting.Policy, whole time.Duration) (phases [3]outcomes, maxInFlight int, carried int64) {
+	playWithPolicy(t, p, []string{"a", "b"}, func(w *world) {
 		far := link.Conditions{Delay: 80 * time.Millisecond, Jitter: 10 * time.Millisecond, Loss: 0.01, LossDelay: 200 * time.Millisecond}
 		w.links["a>b"].Set(far, far)
 		w.links["b>a"].Set(far, far)
@@ -52,32 +52,32 @@
 			return 2
 		}
 		var mu sync.Mutex
-		var under sync.WaitGroup
+		var running sync.WaitGroup
 		var pay []string // ids of queries whose parts must run once, at whichever site
 		for n, name := range []string{"a", "b"} {
 			s := w.sites[name]
 			s.mu.Lock()
 			s.workers = make(chan struct{}, 6)
 			s.mu.Unlock()
-			chance := rand.New(rand.NewPCG(7, uint64(n)))
-			under.Go(func() {
+			rng := rand.New(rand.NewPCG(7, uint64(n)))
+			running.Go(func() {
 				for i := 0; time.Since(began) < whole; i++ {
-					time.Sleep(time.Duration(chance.ExpFloat64() * 1e9 / 20))
-					workload, number := chance.IntN(3), phase()
+					time.Sleep(time.Duration(rng.ExpFloat64() * 1e9 / 20))
+					workload, number := rng.IntN(3), phase()
 					if name == "a" {
 						s.mu.Lock()
 						s.silent = number == 1
 						s.mu.Unlock()
 					}
-					under.Go(func() {
+					running.Go(func() {
 						asked := time.Now()
-						patience := 3 * time.Second
+						timeout := 3 * time.Second
 						var core front.Core = s.core
-						if p == nowhere {
+						if p == noGateway {
 							core = s.node
 						}
 						a, ok := core.Serve(w.Context(), node.Query{ID: fmt.Sprint(name, i), Workload: workload,
-							Deadline: s.node.Clock.Now() + int64(patience), Text: []byte("t"),
+							Deadline: s.node.Clock.Now() + int64(timeout), Text: []byte("t"),
 							Parts: []node.Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
 						took := time.Since(asked)
 						mu.Lock()
@@ -88,10 +88,10 @@
 						row := &phases[number]
 						row.asked++
 						switch {
-						case !ok || took > patience:
+						case !ok || took > timeout:
 							row.lost++
 						case a.Outcome == balance.Whole && took <= 1500*time.Millisecond:
-							row.goal++
+							row.inGoal++
 						case a.Outcome == balance.Whole:
 							row.late++
 						case a.Outcome == balance.Declined:
@@ -101,14 +101,14 @@
 						}
 						if name == "a" {
 							s.core.mu.Lock()
-							most = max(most, s.core.gateway.Links()[0].InFlight)
+							maxInFlight = max(maxInFlight, s.core.gateway.Links()[0].InFlight)
 							s.core.mu.Unlock()
 						}
 					})
 				}
 			})
 		}
-		under.Wait()
+		running.Wait()
 		carried = w.sites["a"].count.Carried.Load()
 		a, b := w.sites["a"], w.sites["b"]
 		for _, id := range pay {
@@ -125,36 +125,36 @@
 			}
 		}
 	})
-	return phases, most, carried
+	return phases, maxInFlight, carried
 }
 
 // TestHalfHour runs two sites with 80 ms between them and a loss of 1%; the replicas of one stop answering in the
 // middle phase. No query may be lost, and the gateway must serve more than a run without it. With -long it runs
 // half an hour, and two other policies in addition.
 func TestHalfHour(t *testing.T) {
-	whole, policies := 3*time.Minute, []siterouting.Policy{siterouting.Planned, nowhere}
+	whole, policies := 3*time.Minute, []siterouting.Policy{siterouting.Planned, noGateway}
 	if *long {
-		whole, policies = 30*time.Minute, []siterouting.Policy{siterouting.Planned, nowhere, siterouting.AllDeclined, siterouting.HalfOfOwn}
+		whole, policies = 30*time.Minute, []siterouting.Policy{siterouting.Planned, noGateway, siterouting.AllDeclined, siterouting.HalfOfOwn}
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(table, "| policy\t| phase\t| asked\t| within goal\t| late\t| declined\t| failed\t| lost\t|")
-	shares := map[siterouting.Policy][3]tally{}
+	shares := map[siterouting.Policy][3]outcomes{}
 	for _, p := range policies {
-		phases, most, carried := halfHour(t, p, whole)
+		phases, maxInFlight, carried := halfHour(t, p, whole)
 		shares[p] = phases
 		for i, row := range phases {
-			fmt.Fprintf(table, "| %s\t| %s\t| %d\t| %.4f\t| %d\t| %d\t| %d\t| %d\t|\n", named(p), []string{"before", "dark", "after"}[i],
+			fmt.Fprintf(table, "| %s\t| %s\t| %d\t| %.4f\t| %d\t| %d\t| %d\t| %d\t|\n", policyName(p), []string{"before", "dark", "after"}[i],
 				row.asked, row.share(), row.late, row.declined, row.failed, row.lost)
 			if row.lost > 0 {
-				t.Errorf("%s: %d queries lost", named(p), row.lost)
+				t.Errorf("%s: %d queries lost", policyName(p), row.lost)
 			}
 		}
-		t.Logf("%s: %d carried, at most %d in flight", named(p), carried, most)
+		t.Logf("%s: %d forwarded, at most %d in flight", policyName(p), carried, maxInFlight)
 	}
 	if testing.Verbose() {
 		table.Flush()
 	}
-	if with, without := shares[siterouting.Planned][1].share(), shares[nowhere][1].share(); with < without+0.1 {
+	if with, without := shares[siterouting.Planned][1].share(), shares[noGateway][1].share(); with < without+0.1 {
 		t.Errorf("in the dark phase %.3f of the queries are served within the goal, %.3f without a gateway", with, without)
 	}
 	if before, after := shares[siterouting.Planned][0].share(), shares[siterouting.Planned][2].share(); after < before-0.05 {
--- a/front/gateway/peerserver.go
+++ b/front/gateway/peerserver.go
@@ -137,7 +137,7 @@
 func (d *PeerServer) serveOnce(w http.ResponseWriter, r *http.Request, id string) {
 	for {
 		d.mu.Lock()
-		outcome, kept := d.Window.Begin(d.Clock.Now(), id)
+		outcome, stored := d.Window.Begin(d.Clock.Now(), id)
 		wait := d.waiting[id]
 		if outcome == deduplication.FirstSeen {
 			if d.waiting == nil {
@@ -152,7 +152,7 @@
 			return
 		case deduplication.Answered:
 			d.Counters.Replayed.Add(1)
-			replayAnswer(w, kept)
+			replayAnswer(w, stored)
 			return
 		case deduplication.Full:
 			http.Error(w, "declined", http.StatusServiceUnavailable)
@@ -213,15 +213,15 @@
 }
 
 // replayAnswer writes a stored answer, which is three digits of status followed by the body.
-func replayAnswer(w http.ResponseWriter, kept []byte) {
-	status, err := strconv.Atoi(string(kept[:min(3, len(kept))]))
+func replayAnswer(w http.ResponseWriter, stored []byte) {
+	status, err := strconv.Atoi(string(stored[:min(3, len(stored))]))
 	if err != nil {
 		http.Error(w, "no answer", http.StatusInternalServerError)
 		return
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(len(kept)-3))
+	w.Header().Set("Content-Length", strconv.Itoa(len(stored)-3))
 	w.WriteHeader(status)
-	w.Write(kept[3:])
+	w.Write(stored[3:])
 }
 
 // AnnounceShutdown announces the shutdown in answers to pings, and returns when all peers have had time to see it,
@@ -238,17 +238,17 @@
 }
 
 // HTTPServer returns the HTTP server for peers. The caller serves it on a listener.
-func (d *PeerServer) HTTPServer(secure *tls.Config) *http.Server {
+func (d *PeerServer) HTTPServer(tlsConfig *tls.Config) *http.Server {
 	return &http.Server{Handler: d, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		TLSConfig: secure, ErrorLog: zap.NewStdLog(d.Log)}
+		TLSConfig: tlsConfig, ErrorLog: zap.NewStdLog(d.Log)}
 }
 
 // TLSListener wraps a listener with TLS if secure is not nil.
-func TLSListener(l net.Listener, secure *tls.Config) net.Listener {
-	if secure == nil {
+func TLSListener(l net.Listener, tlsConfig *tls.Config) net.Listener {
+	if tlsConfig == nil {
 		return l
 	}
-	return tls.NewListener(l, secure)
+	return tls.NewListener(l, tlsConfig)
 }
 
 // Certificates names the files of this site's certificate and key and of the certificate authority. They are read
@@ -297,11 +297,11 @@
 			if len(s.PeerCertificates) == 0 {
 				return errors.New("the gateway showed no certificate")
 			}
-			inner := x509.NewCertPool()
+			intermediates := x509.NewCertPool()
 			for _, c := range s.PeerCertificates[1:] {
-				inner.AddCert(c)
+				intermediates.AddCert(c)
 			}
-			if _, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: pool, Intermediates: inner,
+			if _, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: pool, Intermediates: intermediates,
 				KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}}); err != nil {
 				return err
 			}
@@ -317,14 +317,14 @@
 //
 // Danger: if the certificate of any site were accepted at any address, one site could receive the queries meant
 // for another.
-func requireSite(secure *tls.Config, site string, http2 bool) *tls.Config {
-	one := secure.Clone()
-	if one.NextProtos = protocols[1:]; http2 {
-		one.NextProtos = protocols
+func requireSite(tlsConfig *tls.Config, site string, http2 bool) *tls.Config {
+	config := tlsConfig.Clone()
+	if config.NextProtos = protocols[1:]; http2 {
+		config.NextProtos = protocols
 	}
-	one.VerifyConnection = func(s tls.ConnectionState) error {
-		if secure.VerifyConnection != nil {
-			if err := secure.VerifyConnection(s); err != nil {
+	config.VerifyConnection = func(s tls.ConnectionState) error {
+		if tlsConfig.VerifyConnection != nil {
+			if err := tlsConfig.VerifyConnection(s); err != nil {
 				return err
 			}
 		}
@@ -333,7 +333,7 @@
 		}
 		return nil
 	}
-	return one
+	return config
 }
 
 func (p Certificates) ownCertificate() (tls.Certificate, error) {
@@ -353,8 +353,8 @@
 		return tls.Certificate{}, fmt.Errorf("%s is not the key of %s: %w", p.KeyFile, p.CertFile, err)
 	}
 	c := tls.Certificate{PrivateKey: key, Leaf: chain[0]}
-	for _, one := range chain {
-		c.Certificate = append(c.Certificate, one.Raw)
+	for _, certificate := range chain {
+		c.Certificate = append(c.Certificate, certificate.Raw)
 	}
 	return c, nil
 }
@@ -378,8 +378,8 @@
 		return nil, fmt.Errorf("the authority: %s: %w", p.CAFile, err)
 	}
 	pool := x509.NewCertPool()
-	for _, one := range all {
-		pool.AddCert(one)
+	for _, certificate := range all {
+		pool.AddCert(certificate)
 	}
 	return pool, nil
 }
--- a/front/gateway/peerserver_test.go
+++ b/front/gateway/peerserver_test.go
@@ -39,8 +39,8 @@
 	return Certificates{CertFile: cert, KeyFile: key, CAFile: a.CertFile}
 }
 
-// openDoor starts a PeerServer with a site's certificates.
-func openDoor(t *testing.T, p Certificates) (d *PeerServer, address string) {
+// startPeerServer starts a PeerServer with a site's certificates.
+func startPeerServer(t *testing.T, p Certificates) (d *PeerServer, address string) {
 	t.Helper()
 	server, _, err := p.TLSConfigs()
 	if err != nil {
@@ -61,28 +61,28 @@
 // A peer is admitted only with a valid certificate of the same authority that names the gateway of a known site; a
 // client checks the server's certificate likewise.
 func TestPapers(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
+	trusted, untrusted := newAuthority(t), newAuthority(t)
 	later, before := time.Now().Add(time.Hour), time.Now().Add(-time.Hour)
-	good := issue(t, ours, "1614", "b.gateway", later)
-	mixed := issue(t, theirs, "1667", "a.gateway", later) // signed by another authority, but trusts ours
-	mixed.CAFile = ours.CertFile
+	good := issue(t, trusted, "1614", "b.gateway", later)
+	foreign := issue(t, untrusted, "1667", "a.gateway", later) // signed by another authority, but trusts ours
+	foreign.CAFile = trusted.CertFile
 	for name, c := range map[string]struct {
-		door, caller Certificates
-		want         string
+		server, client Certificates
+		want           string
 	}{
-		"good":               {good, issue(t, ours, "1904", "a.gateway", later), ""},
-		"caller expired":     {good, issue(t, ours, "1989", "a.gateway", before), "certificate"},
-		"caller of others":   {good, mixed, "certificate"},
-		"caller unknown":     {good, issue(t, ours, "2140", "z.gateway", later), "403"},
-		"caller no gateway":  {good, issue(t, ours, "2228", "a", later), "403"},
-		"door expired":       {issue(t, ours, "2302", "b.gateway", before), issue(t, ours, "2352", "a.gateway", later), "expired"},
-		"door is no gateway": {issue(t, ours, "2438", "www.b", later), issue(t, ours, "2483", "a.gateway", later), "not for a gateway of site"},
-		"door of a third":    {issue(t, ours, "2440", "c.gateway", later), issue(t, ours, "2484", "a.gateway", later), `not for a gateway of site "b"`},
-		"door of others":     {issue(t, theirs, "2534", "b.gateway", later), issue(t, ours, "2630", "a.gateway", later), "unknown authority"},
+		"good":               {good, issue(t, trusted, "1904", "a.gateway", later), ""},
+		"caller expired":     {good, issue(t, trusted, "1989", "a.gateway", before), "certificate"},
+		"caller of others":   {good, foreign, "certificate"},
+		"caller unknown":     {good, issue(t, trusted, "2140", "z.gateway", later), "403"},
+		"caller no gateway":  {good, issue(t, trusted, "2228", "a", later), "403"},
+		"door expired":       {issue(t, trusted, "2302", "b.gateway", before), issue(t, trusted, "2352", "a.gateway", later), "expired"},
+		"door is no gateway": {issue(t, trusted, "2438", "www.b", later), issue(t, trusted, "2483", "a.gateway", later), "not for a gateway of site"},
+		"door of a third":    {issue(t, trusted, "2440", "c.gateway", later), issue(t, trusted, "2484", "a.gateway", later), `not for a gateway of site "b"`},
+		"door of others":     {issue(t, untrusted, "2534", "b.gateway", later), issue(t, trusted, "2630", "a.gateway", later), "unknown authority"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, address := openDoor(t, c.door)
-			_, secure, err := c.caller.TLSConfigs()
+			_, address := startPeerServer(t, c.server)
+			_, secure, err := c.client.TLSConfigs()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -99,9 +99,9 @@
 // New certificate files are used for the next connection; open connections stay.
 func TestNewPapers(t *testing.T) {
 	root := newAuthority(t)
-	_, address := openDoor(t, issue(t, root, "b", "b.gateway", time.Now().Add(time.Hour)))
-	caller := issue(t, root, "caller", "z.gateway", time.Now().Add(time.Hour))
-	_, secure, err := caller.TLSConfigs()
+	_, address := startPeerServer(t, issue(t, root, "b", "b.gateway", time.Now().Add(time.Hour)))
+	client := issue(t, root, "caller", "z.gateway", time.Now().Add(time.Hour))
+	_, secure, err := client.TLSConfigs()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 	if err := p.ping(t.Context(), address).err; err != nil {
 		t.Error(err)
 	}
-	os.WriteFile(caller.KeyFile, []byte("nonsense"), 0o600)
+	os.WriteFile(client.KeyFile, []byte("nonsense"), 0o600)
 	if err := p.ping(t.Context(), address).err; err != nil {
 		t.Errorf("on the open connection: %v", err)
 	}
@@ -153,19 +153,19 @@
 	f.Add("b,a", "", "pay", "-1")
 	f.Add("a,,a", "q\x00", "pay", "99999999999999999999")
 	f.Fuzz(func(t *testing.T, sites, id, workload, left string) {
-		in := false
-		d := &PeerServer{Site: "b", PeerSites: []string{"a"}, Counters: &Counters{}, Log: zap.NewNop(), Clock: node.NewClock(), Deployment: theDeployment(),
+		admitted := false
+		d := &PeerServer{Site: "b", PeerSites: []string{"a"}, Counters: &Counters{}, Log: zap.NewNop(), Clock: node.NewClock(), Deployment: testDeployment(),
 			Window: deduplication.New(deduplication.Limits{MaxIDs: 9, MaxAnswerBytes: 99, Retention: 1e9}),
-			Front:  http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { in = true })}
+			Front:  http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { admitted = true })}
 		r := &http.Request{Method: "POST", URL: &url.URL{Path: "/" + workload}, Body: http.NoBody, Header: http.Header{
 			headerVisited: {sites}, "X-Trace-Id": {id}, "X-Expires-In-Ms": {left}, "X-Qos": {workload}}}
 		w := httptest.NewRecorder()
 		d.ServeHTTP(w, r)
 		all := strings.Split(sites, ",")
-		if in && (slices.Contains(all, "b") || len(all) > maxVisitedSites) {
+		if admitted && (slices.Contains(all, "b") || len(all) > maxVisitedSites) {
 			t.Errorf("%q was admitted", sites)
 		}
-		if !in && workload != "gateway/ping" && w.Header().Get(headerMayHaveRun) != "0" {
+		if !admitted && workload != "gateway/ping" && w.Header().Get(headerMayHaveRun) != "0" {
 			t.Errorf("%q: status %d without the header that says that it never ran", sites, w.Code)
 		}
 	})
@@ -193,10 +193,10 @@
 // What Save wrote is restored completely or not at all.
 func TestKeepsake(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "ids")
-	door := func() *PeerServer {
+	newServer := func() *PeerServer {
 		return &PeerServer{Clock: node.NewClock(), Window: deduplication.New(deduplication.Limits{MaxIDs: 9, MaxAnswerBytes: 999, Retention: 60e9})}
 	}
-	first := door()
+	first := newServer()
 	if err := first.Load(file); err != nil {
 		t.Errorf("without a file: %v", err)
 	}
@@ -206,7 +206,7 @@
 	if err := first.Save(file); err != nil {
 		t.Fatal(err)
 	}
-	second := door()
+	second := newServer()
 	if err := second.Load(file); err != nil {
 		t.Fatal(err)
 	}
@@ -218,7 +218,7 @@
 	}
 	text, _ := os.ReadFile(file)
 	os.WriteFile(file, text[:len(text)-3], 0o600)
-	if third := door(); third.Load(file) == nil || third.Window.Len() != 0 {
+	if third := newServer(); third.Load(file) == nil || third.Window.Len() != 0 {
 		t.Error("a truncated file was restored")
 	}
 	if left, _ := filepath.Glob(file + ".*"); len(left) != 0 {
--- a/front/gateway/pool.go
+++ b/front/gateway/pool.go
@@ -150,12 +150,12 @@
 
 // newPool returns a pool that connects with dial, and with TLS if secure is not nil; site maps an address to the
 // site whose gateway it is.
-func newPool(dial replica.Dial, secure *tls.Config, site map[string]string, http2 bool, most int, tell func(any),
+func newPool(dial replica.Dial, tlsConfig *tls.Config, siteOf map[string]string, http2 bool, maxRunning int, notify func(any),
 	now func() int64) *pool {
-	p := &pool{notify: tell, now: now, inFlight: map[*replica.Ticket]*attempt{}, maxRunning: most, useTLS: secure != nil,
+	p := &pool{notify: notify, now: now, inFlight: map[*replica.Ticket]*attempt{}, maxRunning: maxRunning, useTLS: tlsConfig != nil,
 		client: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdlePerGateway, IdleConnTimeout: 30 * time.Second,
 			DisableCompression: true, ForceAttemptHTTP2: http2}}
-	if secure != nil {
+	if tlsConfig != nil {
 		p.client.DialTLSContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 			defer cancel()
@@ -163,7 +163,7 @@
 			if err != nil {
 				return nil, err
 			}
-			c := tls.Client(plain, requireSite(secure, site[address], http2))
+			c := tls.Client(plain, requireSite(tlsConfig, siteOf[address], http2))
 			if err := c.HandshakeContext(ctx); err != nil {
 				plain.Close()
 				return nil, err
@@ -230,39 +230,39 @@
 // Danger: once a byte of a query has been sent it may run at the other site, whatever happens to the connection.
 // Only a query of which nothing was written is reported as not run.
 func (p *pool) exchange(ctx context.Context, t *attempt, address string) (result balance.Result, value string, err error) {
-	l := t.ticket.Payload.(*forwardedQuery)
-	var wrote atomic.Bool
+	query := t.ticket.Payload.(*forwardedQuery)
+	var written atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		WroteHeaderField: func(string, []string) { wrote.Store(true) }})
+		WroteHeaderField: func(string, []string) { written.Store(true) }})
 	// Leaves time for the answer to travel back.
-	left := time.Duration(t.ticket.WaitMs*nsPerMs - p.minDelay(l.link))
-	if left <= 0 {
+	timeLeft := time.Duration(t.ticket.WaitMs*nsPerMs - p.minDelay(query.link))
+	if timeLeft <= 0 {
 		return balance.ConnectFailed, "", context.DeadlineExceeded
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url(address, "/"+l.workload), bytes.NewReader(l.body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url(address, "/"+query.workload), bytes.NewReader(query.body))
 	if err != nil {
 		return balance.ConnectFailed, "", err
 	}
 	r.GetBody = nil // Danger: with GetBody set, net/http's transport may send the query a second time by itself
 	id, _, _ := strings.Cut(t.ticket.ID, "\x00")
-	for key, v := range map[string]string{"X-Qos": l.workload, "X-Trace-Id": id, "X-Customer": l.customer,
-		"X-Expires-In-Ms": strconv.FormatInt(left.Milliseconds(), 10),
-		headerVisited:     strings.Join(append(l.visited[:len(l.visited):len(l.visited)], p.ownSite), ",")} {
+	for key, v := range map[string]string{"X-Qos": query.workload, "X-Trace-Id": id, "X-Customer": query.customer,
+		"X-Expires-In-Ms": strconv.FormatInt(timeLeft.Milliseconds(), 10),
+		headerVisited:     strings.Join(append(query.visited[:len(query.visited):len(query.visited)], p.ownSite), ",")} {
 		r.Header.Set(key, v)
 	}
-	if l.retry {
+	if query.retry {
 		r.Header.Set(front.HeaderRetry, "1")
 	}
 	a, err := p.client.RoundTrip(r)
 	if err != nil {
-		if !wrote.Load() {
+		if !written.Load() {
 			return balance.ConnectFailed, "", err
 		}
 		return balance.Reset, "", err
 	}
 	defer a.Body.Close()
 	if rate, err := strconv.ParseFloat(a.Header.Get(headerWilling), 64); err == nil && rate >= 0 {
-		p.onAdvertisedRate(l.link, rate)
+		p.onAdvertisedRate(query.link, rate)
 	}
 	text, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
 	switch {
--- a/front/gateway/snapshot.go
+++ b/front/gateway/snapshot.go
@@ -54,7 +54,7 @@
 		return err
 	}
 	if info.Size() > maxSnapshotBytes || info.Size() < 8 {
-		return errors.New("the file of remembered ids has an odd size")
+		return errors.New("the file of remembered ids is too short or too long")
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/front/guard_test.go
+++ b/front/guard_test.go
@@ -17,37 +17,37 @@
 
 // guard is a Guard whose decisions are set by the test. It records the arrivals and the ends that it is shown.
 type guard struct {
-	away, unseen bool
-	shown        []overload.Arrival
-	ended        []string
+	rejects, rejectsUnread bool
+	shown                  []overload.Arrival
+	ended                  []string
 }
 
 func (g *guard) Admit(a overload.Arrival) (bool, int64) {
 	g.shown = append(g.shown, a)
-	return !g.away, 700e6
+	return !g.rejects, 700e6
 }
-func (g *guard) RejectUnread(int) (bool, int64) { return g.unseen, 300e6 }
+func (g *guard) RejectUnread(int) (bool, int64) { return g.rejectsUnread, 300e6 }
 func (g *guard) RecordEnd(workload int, took int64, answered bool) {
 	g.ended = append(g.ended, fmt.Sprint(workload, " ", took >= 0, " ", answered))
 }
 
-func guarded(f *Front, g *guard) {
+func setGuard(f *Front, g *guard) {
 	f.Guard = &SwitchableGuard{}
-	as := Guard(g)
-	f.Guard.Store(&as)
+	asGuard := Guard(g)
+	f.Guard.Store(&asGuard)
 	f.Counters = counters.New(f.WorkloadRow)
 }
 
-// counted returns a core's Serve that answers every query and counts them.
-func counted(n *int) func(context.Context, node.Query) (node.Answer, bool) {
+// countingServe returns a core's Serve that answers every query and counts them.
+func countingServe(n *int) func(context.Context, node.Query) (node.Answer, bool) {
 	return func(context.Context, node.Query) (node.Answer, bool) {
 		*n++
 		return node.Answer{Outcome: balance.Whole, Values: []node.Value{{Shard: 3, Value: "x"}}}, true
 	}
 }
 
-// said reads the next answer and returns its status, its Retry-After and whether the connection stays open.
-func (c *client) said() string {
+// readAnswer reads the next answer and returns its status, its Retry-After and whether the connection stays open.
+func (c *client) readAnswer() string {
 	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return err.Error()
@@ -63,26 +63,26 @@
 // headers.
 func TestTurnedAway(t *testing.T) {
 	served := 0
-	on(t, counted(&served), func(s *Server, dial func() *client) {
-		g := &guard{away: true}
-		guarded(s.front, g)
+	withServer(t, countingServe(&served), func(s *Server, dial func() *client) {
+		g := &guard{rejects: true}
+		setGuard(s.front, g)
 		c := dial()
 		defer c.Close()
 		fmt.Fprintf(c, guardedHead, "a", 500) // sends no byte of the body
-		if got := c.said(); !strings.HasPrefix(got, "503 0.700 close") {
+		if got := c.readAnswer(); !strings.HasPrefix(got, "503 0.700 close") {
 			t.Errorf("got %q", got)
 		}
 		d := dial()
 		defer d.Close()
 		for i := range 2 { // if the body has arrived, the connection stays open
 			fmt.Fprintf(d, guardedHead+goodBody, fmt.Sprint("b", i), len(goodBody))
-			if got := d.said(); !strings.HasPrefix(got, "503 0.700 open") {
+			if got := d.readAnswer(); !strings.HasPrefix(got, "503 0.700 open") {
 				t.Errorf("got %q", got)
 			}
 		}
-		g.away = false
+		g.rejects = false
 		fmt.Fprintf(d, guardedHead+goodBody, "c", len(goodBody))
-		if got := d.said(); !strings.HasPrefix(got, "200") {
+		if got := d.readAnswer(); !strings.HasPrefix(got, "200") {
 			t.Errorf("got %q", got)
 		}
 		if a := g.shown[0]; len(g.shown) != 4 || a.Workload != 1 || a.Attempt != 2 || a.Customer == 0 || a.ID == g.shown[1].ID ||
@@ -99,13 +99,13 @@
 // Bytes that follow a rejected query are neither taken for part of it nor served.
 func TestHiddenBehind(t *testing.T) {
 	served := 0
-	on(t, counted(&served), func(s *Server, dial func() *client) {
-		g := &guard{away: true}
-		guarded(s.front, g)
+	withServer(t, countingServe(&served), func(s *Server, dial func() *client) {
+		g := &guard{rejects: true}
+		setGuard(s.front, g)
 		c := dial()
 		defer c.Close()
 		fmt.Fprintf(c, guardedHead+goodBody+guardedHead+goodBody, "a", len(goodBody), "b", len(goodBody))
-		if got := c.said(); !strings.HasPrefix(got, "503 0.700 close") {
+		if got := c.readAnswer(); !strings.HasPrefix(got, "503 0.700 close") {
 			t.Errorf("got %q", got)
 		}
 		if rest, _ := io.ReadAll(c.in); len(rest) > 0 || len(g.shown) != 1 {
@@ -118,25 +118,25 @@
 // way.
 func TestUnseen(t *testing.T) {
 	served := 0
-	on(t, counted(&served), func(s *Server, dial func() *client) {
-		g := &guard{unseen: true}
-		guarded(s.front, g)
+	withServer(t, countingServe(&served), func(s *Server, dial func() *client) {
+		g := &guard{rejectsUnread: true}
+		setGuard(s.front, g)
 		c := dial()
 		defer c.Close()
 		for i := range 3 {
 			fmt.Fprintf(c, guardedHead+goodBody, fmt.Sprint("a", i), len(goodBody))
-			if got := c.said(); !strings.HasPrefix(got, "503 0.300 open") {
+			if got := c.readAnswer(); !strings.HasPrefix(got, "503 0.300 open") {
 				t.Errorf("got %q", got)
 			}
 		}
 		fmt.Fprintf(c, guardedHead+goodBody[:20], "h", len(goodBody)) // the rest of its body is sent before the next query
-		if got := c.said(); !strings.HasPrefix(got, "503 0.300 open") {
+		if got := c.readAnswer(); !strings.HasPrefix(got, "503 0.300 open") {
 			t.Errorf("got %q", got)
 		}
 		io.WriteString(c, goodBody[20:40])
 		time.Sleep(time.Millisecond)
 		fmt.Fprintf(c, goodBody[40:]+guardedHead+goodBody, "i", len(goodBody))
-		if got := c.said(); !strings.HasPrefix(got, "503 0.300 open") {
+		if got := c.readAnswer(); !strings.HasPrefix(got, "503 0.300 open") {
 			t.Errorf("behind the rest of a body: %q", got)
 		}
 		if len(g.shown) != 0 || s.front.Counters.Workloads["lookup"].Declined.Load() != 5 {
@@ -156,7 +156,7 @@
 				time.Sleep(5 * time.Millisecond)
 				io.WriteString(d, fmt.Sprintf(guardedHead, "h", len(goodBody))[90:]+goodBody)
 			}
-			if got := d.said(); strings.HasPrefix(got, "503 0.300") {
+			if got := d.readAnswer(); strings.HasPrefix(got, "503 0.300") {
 				t.Errorf("%s: %q", name, got)
 			}
 			d.Close()
@@ -165,14 +165,14 @@
 		defer c.Close()
 		for i := range 3 { // longer than the deadline of a first request
 			fmt.Fprintf(c, guardedHead+goodBody, fmt.Sprint("y", i), len(goodBody))
-			if got := c.said(); !strings.HasPrefix(got, "503 0.300 open") {
+			if got := c.readAnswer(); !strings.HasPrefix(got, "503 0.300 open") {
 				t.Errorf("got %q", got)
 			}
 			time.Sleep(1500 * time.Millisecond)
 		}
-		g.unseen = false
+		g.rejectsUnread = false
 		fmt.Fprintf(c, guardedHead+goodBody, "z", len(goodBody))
-		if got := c.said(); !strings.HasPrefix(got, "200") {
+		if got := c.readAnswer(); !strings.HasPrefix(got, "200") {
 			t.Errorf("on the same connection: %q", got)
 		}
 	})
--- a/front/proxyserver/callers_test.go
+++ b/front/proxyserver/callers_test.go
@@ -52,8 +52,8 @@
 // another replica's id comes from another test's proxy, whose replica had the same port before.
 var lastReplica atomic.Int64
 
-// troubled is a replica whose connections end or misbehave in one way.
-type troubled struct {
+// faultyReplica is a replica whose connections end or misbehave in one way.
+type faultyReplica struct {
 	misbehave func(c *net.TCPConn, r *bufio.Reader, attempt string) // called instead of answering; the connection closes afterwards
 	idle      func(c *net.TCPConn)                                  // called after the answer to the warm-up request
 	unread    bool                                                  // misbehave is called before anything is read
@@ -69,7 +69,7 @@
 		replicahttp.HeaderSeal, attempt, len(body), body)
 }
 
-func (s *troubled) serve(c *net.TCPConn) {
+func (s *faultyReplica) serve(c *net.TCPConn) {
 	defer c.Close()
 	s.mu.Lock()
 	s.conns++
@@ -113,13 +113,13 @@
 }
 
 // belongsToAnother reports whether a target is another test's replica.
-func (s *troubled) belongsToAnother(target string) bool {
+func (s *faultyReplica) belongsToAnother(target string) bool {
 	number, err := strconv.ParseInt(strings.TrimPrefix(target, replicaPrefix), 10, 64)
 	return err == nil && number > 0 && number <= lastReplica.Load() && target != s.id
 }
 
-// written sends text and then reads until the proxy closes the connection.
-func written(format string) func(*net.TCPConn, *bufio.Reader, string) {
+// sendsAndReads sends text and then reads until the proxy closes the connection.
+func sendsAndReads(format string) func(*net.TCPConn, *bufio.Reader, string) {
 	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
 		io.WriteString(c, strings.ReplaceAll(format, "ID", attempt))
 		c.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -152,8 +152,8 @@
 	}
 }
 
-// proxyBefore starts a proxy's handler, node and pool with one replica, and returns the clients' address.
-func proxyBefore(t *testing.T, s *troubled) (front string) {
+// startProxy starts a proxy's handler, node and pool with one replica, and returns the clients' address.
+func startProxy(t *testing.T, s *faultyReplica) (front string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -172,7 +172,7 @@
 	table, count := routingtable.New(clock.Now(), set), counters.New(nil)
 	n := node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
 		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: count, Log: zap.NewNop(), RequestList: func() {},
-		NewTransport: func(tell func(any), now func() int64) node.Transport { return replicahttp.NewPool(tell, now) }})
+		NewTransport: func(notify func(any), now func() int64) node.Transport { return replicahttp.NewPool(notify, now) }})
 	// Danger: a node that runs on after its test could reach another test's replica that has got the same port.
 	t.Cleanup(n.Close)
 	h := &Server{settings: set, node: n, counters: count, table: table}
@@ -197,11 +197,11 @@
 }
 
 // ask sends one request and reads its answer.
-func ask(t *testing.T, c net.Conn, r *bufio.Reader, path, attempt string, patienceMs int) (*http.Response, string) {
+func ask(t *testing.T, c net.Conn, r *bufio.Reader, path, attempt string, deadlineMs int) (*http.Response, string) {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: %d\r\nContent-Length: 4\r\n\r\nbody", path, replicahttp.HeaderAttempt, attempt,
-		replicahttp.HeaderDeadline, patienceMs)
+		replicahttp.HeaderDeadline, deadlineMs)
 	res, err := http.ReadResponse(r, nil)
 	must.NoError(t, err)
 	body, err := io.ReadAll(res.Body)
@@ -211,7 +211,7 @@
 
 // declinedUnsent reports whether the proxy declined a request before a replica got it, as it may on a busy
 // machine.
-func declinedUnsent(s *troubled, res *http.Response) bool {
+func declinedUnsent(s *faultyReplica, res *http.Response) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return res.StatusCode == http.StatusServiceUnavailable && len(s.calls) == 0
@@ -230,62 +230,62 @@
 	seal, proof := replicahttp.HeaderSeal+": s\r\n", replicahttp.HeaderNotExecuted+": 1\r\n"
 	served, lost, refused := []int{200}, []int{502}, []int{503}
 	for name, c := range map[string]struct {
-		s    *troubled
+		s    *faultyReplica
 		want []int // statuses that the client of an unsafe request may get
 		runs bool  // the replica may have run the request
 
 		silent bool // no answer comes before the client's deadline
 	}{
-		"well":                          {&troubled{}, served, true, false},
-		"closed before reading":         {&troubled{unread: true, misbehave: closing("")}, []int{502, 503}, false, false},
-		"reset before reading":          {&troubled{unread: true, misbehave: reset("")}, []int{502, 503}, false, false},
-		"closed in the request's head":  {&troubled{unread: true, misbehave: func(c *net.TCPConn, r *bufio.Reader, _ string) { r.ReadByte() }}, lost, true, false},
-		"closed after the request":      {&troubled{misbehave: closing("")}, lost, true, false},
-		"reset after the request":       {&troubled{misbehave: reset("")}, lost, true, false},
-		"half closed after the request": {&troubled{misbehave: halfClose("")}, lost, true, false},
-		"silent":                        {&troubled{misbehave: written("")}, lost, true, true},
-		"closed in the answer's head":   {&troubled{misbehave: closing(good[:40])}, lost, true, false},
-		"reset in the answer's head":    {&troubled{misbehave: reset(good[:40])}, lost, true, false},
-		"silent in the answer's head":   {&troubled{misbehave: written(good[:40])}, lost, true, true},
-		"closed in the body":            {&troubled{misbehave: closing(good[:len(good)-3])}, lost, true, false},
-		"reset in the body":             {&troubled{misbehave: reset(good[:len(good)-3])}, lost, true, false},
-		"half closed in the body":       {&troubled{misbehave: halfClose(good[:len(good)-3])}, lost, true, false},
-		"silent in the body":            {&troubled{misbehave: written(good[:len(good)-3])}, lost, true, true},
-		"garbage":                       {&troubled{misbehave: written("\x00\x01 no answer\r\n\r\n")}, lost, true, false},
-		"another's answer instead":      {&troubled{misbehave: closing(goodAnswer("other", "body of other"))}, lost, true, false},
-		"another's answer, then silent": {&troubled{misbehave: written(goodAnswer("other", "body of other"))}, lost, true, true},
-		"another's answer before":       {&troubled{misbehave: written(goodAnswer("other", "body of other") + good)}, served, true, false},
-		"another's answer behind":       {&troubled{misbehave: written(good + goodAnswer("other", "body of other"))}, served, true, false},
-		"twice the same":                {&troubled{misbehave: written(good + good)}, served, true, false},
-		"garbage behind":                {&troubled{misbehave: written(good + "junk")}, served, true, false},
-		"no id":                         {&troubled{misbehave: written("HTTP/1.1 200 OK\r\n" + seal + "Content-Length: 2\r\n\r\nok")}, lost, true, true},
-		"Connection: close":             {&troubled{misbehave: closing(strings.Replace(good, "\r\n", "\r\nConnection: close\r\n", 1))}, served, true, false},
-		"HTTP/1.0":                      {&troubled{misbehave: closing(strings.Replace(good, "HTTP/1.1", "HTTP/1.0", 1))}, served, true, false},
-		"1xx before":                    {&troubled{misbehave: written("HTTP/1.1 103 Early\r\n\r\n" + good)}, served, true, false},
-		"1xx alone":                     {&troubled{misbehave: closing("HTTP/1.1 103 Early\r\n\r\n")}, lost, true, false},
-		"no length":                     {&troubled{misbehave: closing(unsized + "body of ID")}, served, true, false},
-		"no length, half closed":        {&troubled{misbehave: halfClose(unsized + "body of ID")}, served, true, false},
-		"no length, reset":              {&troubled{misbehave: reset(unsized + "body of")}, lost, true, false},
-		"no length, silent":             {&troubled{misbehave: written(unsized + "body of")}, lost, true, true},
-		"no length, another behind":     {&troubled{misbehave: closing(unsized + "body of ID" + goodAnswer("other", "body of other"))}, lost, true, false},
-		"no length in HTTP/1.0":         {&troubled{misbehave: closing(strings.Replace(unsized, "HTTP/1.1", "HTTP/1.0", 1) + "body of ID")}, served, true, false},
-		"chunks broken off":             {&troubled{misbehave: closing("HTTP/1.1 200 OK\r\n" + replicahttp.HeaderAttempt + ": ID\r\n" + seal + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n")}, lost, true, false},
-		"success without a seal":        {&troubled{misbehave: written(lines("200 OK", ""))}, lost, true, false},
-		"503 without proof":             {&troubled{misbehave: written(lines("503 No", ""))}, lost, true, false},
-		"503 of its own":                {&troubled{misbehave: written(lines("503 No", seal))}, lost, true, false},
-		"429 without proof":             {&troubled{misbehave: written(lines("429 No", ""))}, lost, true, false},
-		"429 of its own":                {&troubled{misbehave: written(lines("429 No", seal))}, lost, true, false},
-		"408 of its own":                {&troubled{misbehave: written(lines("408 No", seal))}, lost, true, false},
-		"400 of its own":                {&troubled{misbehave: written(lines("400 No", seal))}, lost, true, false},
-		"500 of its own":                {&troubled{misbehave: written(lines("500 No", seal))}, []int{500}, true, false},
-		"503 with proof":                {&troubled{misbehave: written(lines("503 No", proof))}, refused, false, false},
-		"503 of its own with proof":     {&troubled{misbehave: written(lines("503 No", seal+proof))}, refused, false, false},
-		"429 with proof":                {&troubled{misbehave: written(lines("429 No", proof))}, refused, false, false},
-		"421":                           {&troubled{misbehave: written(lines("421 No", ""))}, refused, false, false},
-		"closed while idle":             {&troubled{idle: func(c *net.TCPConn) { c.Close() }}, []int{200, 502, 503}, true, false},
-		"reset while idle":              {&troubled{idle: func(c *net.TCPConn) { c.SetLinger(0); c.Close() }}, []int{200, 502, 503}, true, false},
-		"half closed while idle":        {&troubled{idle: func(c *net.TCPConn) { c.CloseWrite() }}, []int{200, 502, 503}, true, false},
-		"surplus while idle":            {&troubled{idle: func(c *net.TCPConn) { io.WriteString(c, goodAnswer("other", "body of other")) }}, []int{200, 502, 503}, true, false},
+		"well":                          {&faultyReplica{}, served, true, false},
+		"closed before reading":         {&faultyReplica{unread: true, misbehave: closing("")}, []int{502, 503}, false, false},
+		"reset before reading":          {&faultyReplica{unread: true, misbehave: reset("")}, []int{502, 503}, false, false},
+		"closed in the request's head":  {&faultyReplica{unread: true, misbehave: func(c *net.TCPConn, r *bufio.Reader, _ string) { r.ReadByte() }}, lost, true, false},
+		"closed after the request":      {&faultyReplica{misbehave: closing("")}, lost, true, false},
+		"reset after the request":       {&faultyReplica{misbehave: reset("")}, lost, true, false},
+		"half closed after the request": {&faultyReplica{misbehave: halfClose("")}, lost, true, false},
+		"silent":                        {&faultyReplica{misbehave: sendsAndReads("")}, lost, true, true},
+		"closed in the answer's head":   {&faultyReplica{misbehave: closing(good[:40])}, lost, true, false},
+		"reset in the answer's head":    {&faultyReplica{misbehave: reset(good[:40])}, lost, true, false},
+		"silent in the answer's head":   {&faultyReplica{misbehave: sendsAndReads(good[:40])}, lost, true, true},
+		"closed in the body":            {&faultyReplica{misbehave: closing(good[:len(good)-3])}, lost, true, false},
+		"reset in the body":             {&faultyReplica{misbehave: reset(good[:len(good)-3])}, lost, true, false},
+		"half closed in the body":       {&faultyReplica{misbehave: halfClose(good[:len(good)-3])}, lost, true, false},
+		"silent in the body":            {&faultyReplica{misbehave: sendsAndReads(good[:len(good)-3])}, lost, true, true},
+		"garbage":                       {&faultyReplica{misbehave: sendsAndReads("\x00\x01 no answer\r\n\r\n")}, lost, true, false},
+		"another's answer instead":      {&faultyReplica{misbehave: closing(goodAnswer("other", "body of other"))}, lost, true, false},
+		"another's answer, then silent": {&faultyReplica{misbehave: sendsAndReads(goodAnswer("other", "body of other"))}, lost, true, true},
+		"another's answer before":       {&faultyReplica{misbehave: sendsAndReads(goodAnswer("other", "body of other") + good)}, served, true, false},
+		"another's answer behind":       {&faultyReplica{misbehave: sendsAndReads(good + goodAnswer("other", "body of other"))}, served, true, false},
+		"twice the same":                {&faultyReplica{misbehave: sendsAndReads(good + good)}, served, true, false},
+		"garbage behind":                {&faultyReplica{misbehave: sendsAndReads(good + "junk")}, served, true, false},
+		"no id":                         {&faultyReplica{misbehave: sendsAndReads("HTTP/1.1 200 OK\r\n" + seal + "Content-Length: 2\r\n\r\nok")}, lost, true, true},
+		"Connection: close":             {&faultyReplica{misbehave: closing(strings.Replace(good, "\r\n", "\r\nConnection: close\r\n", 1))}, served, true, false},
+		"HTTP/1.0":                      {&faultyReplica{misbehave: closing(strings.Replace(good, "HTTP/1.1", "HTTP/1.0", 1))}, served, true, false},
+		"1xx before":                    {&faultyReplica{misbehave: sendsAndReads("HTTP/1.1 103 Early\r\n\r\n" + good)}, served, true, false},
+		"1xx alone":                     {&faultyReplica{misbehave: closing("HTTP/1.1 103 Early\r\n\r\n")}, lost, true, false},
+		"no length":                     {&faultyReplica{misbehave: closing(unsized + "body of ID")}, served, true, false},
+		"no length, half closed":        {&faultyReplica{misbehave: halfClose(unsized + "body of ID")}, served, true, false},
+		"no length, reset":              {&faultyReplica{misbehave: reset(unsized + "body of")}, lost, true, false},
+		"no length, silent":             {&faultyReplica{misbehave: sendsAndReads(unsized + "body of")}, lost, true, true},
+		"no length, another behind":     {&faultyReplica{misbehave: closing(unsized + "body of ID" + goodAnswer("other", "body of other"))}, lost, true, false},
+		"no length in HTTP/1.0":         {&faultyReplica{misbehave: closing(strings.Replace(unsized, "HTTP/1.1", "HTTP/1.0", 1) + "body of ID")}, served, true, false},
+		"chunks broken off":             {&faultyReplica{misbehave: closing("HTTP/1.1 200 OK\r\n" + replicahttp.HeaderAttempt + ": ID\r\n" + seal + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n")}, lost, true, false},
+		"success without a seal":        {&faultyReplica{misbehave: sendsAndReads(lines("200 OK", ""))}, lost, true, false},
+		"503 without proof":             {&faultyReplica{misbehave: sendsAndReads(lines("503 No", ""))}, lost, true, false},
+		"503 of its own":                {&faultyReplica{misbehave: sendsAndReads(lines("503 No", seal))}, lost, true, false},
+		"429 without proof":             {&faultyReplica{misbehave: sendsAndReads(lines("429 No", ""))}, lost, true, false},
+		"429 of its own":                {&faultyReplica{misbehave: sendsAndReads(lines("429 No", seal))}, lost, true, false},
+		"408 of its own":                {&faultyReplica{misbehave: sendsAndReads(lines("408 No", seal))}, lost, true, false},
+		"400 of its own":                {&faultyReplica{misbehave: sendsAndReads(lines("400 No", seal))}, lost, true, false},
+		"500 of its own":                {&faultyReplica{misbehave: sendsAndReads(lines("500 No", seal))}, []int{500}, true, false},
+		"503 with proof":                {&faultyReplica{misbehave: sendsAndReads(lines("503 No", proof))}, refused, false, false},
+		"503 of its own with proof":     {&faultyReplica{misbehave: sendsAndReads(lines("503 No", seal+proof))}, refused, false, false},
+		"429 with proof":                {&faultyReplica{misbehave: sendsAndReads(lines("429 No", proof))}, refused, false, false},
+		"421":                           {&faultyReplica{misbehave: sendsAndReads(lines("421 No", ""))}, refused, false, false},
+		"closed while idle":             {&faultyReplica{idle: func(c *net.TCPConn) { c.Close() }}, []int{200, 502, 503}, true, false},
+		"reset while idle":              {&faultyReplica{idle: func(c *net.TCPConn) { c.SetLinger(0); c.Close() }}, []int{200, 502, 503}, true, false},
+		"half closed while idle":        {&faultyReplica{idle: func(c *net.TCPConn) { c.CloseWrite() }}, []int{200, 502, 503}, true, false},
+		"surplus while idle":            {&faultyReplica{idle: func(c *net.TCPConn) { io.WriteString(c, goodAnswer("other", "body of other")) }}, []int{200, 502, 503}, true, false},
 	} {
 		for _, unsafe := range []bool{false, true} {
 			for _, reused := range []bool{false, true} {
@@ -294,8 +294,8 @@
 				}
 				t.Run(fmt.Sprintf("%s, unsafe %t, reused %t", name, unsafe, reused), func(t *testing.T) {
 					t.Parallel()
-					s := &troubled{misbehave: c.s.misbehave, idle: c.s.idle, unread: c.s.unread}
-					front := proxyBefore(t, s)
+					s := &faultyReplica{misbehave: c.s.misbehave, idle: c.s.idle, unread: c.s.unread}
+					front := startProxy(t, s)
 					conn, err := net.Dial("tcp", front)
 					must.NoError(t, err)
 					defer conn.Close()
@@ -308,19 +308,19 @@
 						must.Eq(t, 200, res.StatusCode)
 						must.Eq(t, "warm", body)
 					}
-					path, patience := "/safe/x", longWaitMs
+					path, deadlineMs := "/safe/x", longWaitMs
 					switch {
 					case !unsafe && c.want[0] != 200: // a safe request is retried until its deadline
-						patience = shortWaitMs
+						deadlineMs = shortWaitMs
 					case c.silent:
-						patience = silentWaitMs
+						deadlineMs = silentWaitMs
 					}
 					if unsafe {
 						path = "/unsafe/x"
 					}
-					res, body := ask(t, conn, r, path, "t1", patience)
+					res, body := ask(t, conn, r, path, "t1", deadlineMs)
 					for try := 0; try < maxOwnDeclines && declinedUnsent(s, res) && !slices.Contains(c.want, 503); try++ {
-						res, body = ask(t, conn, r, path, "t1", patience)
+						res, body = ask(t, conn, r, path, "t1", deadlineMs)
 					}
 					if res.StatusCode/100 == 2 {
 						must.Eq(t, "body of t1", body)
--- a/front/proxyserver/evidence.go
+++ b/front/proxyserver/evidence.go
@@ -19,8 +19,8 @@
 	routes   map[int]uint32 // by row, the hash by which all edges identify the route
 }
 
-func newEvidence(life uint64) *rolloutEvidence {
-	return &rolloutEvidence{recorder: rollout.NewRecorder(life)}
+func newEvidence(incarnation uint64) *rolloutEvidence {
+	return &rolloutEvidence{recorder: rollout.NewRecorder(incarnation)}
 }
 
 // setRoutes sets the rows of the routes that are served.
--- a/front/proxyserver/metrics_test.go
+++ b/front/proxyserver/metrics_test.go
@@ -32,8 +32,8 @@
 		evidence: newEvidence(1), servers: &clienthttp.Servers{}, handler: &clienthttp.Handler{}}
 	s.node = node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
 		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), RequestList: func() {}, Observer: s.evidence,
-		NewTransport: func(tell func(any), now func() int64) node.Transport {
-			s.pool = replicahttp.NewPool(tell, now)
+		NewTransport: func(notify func(any), now func() int64) node.Transport {
+			s.pool = replicahttp.NewPool(notify, now)
 			return s.pool
 		}})
 	t.Cleanup(s.node.Close)
@@ -71,7 +71,7 @@
 	s := idleServer(t)
 	figures := httptest.NewServer(metrics.Handler("/metrics", s.writeMetrics))
 	defer figures.Close()
-	told := func() string {
+	read := func() string {
 		response, err := http.Get(figures.URL + "/metrics")
 		must.NoError(t, err)
 		defer response.Body.Close()
@@ -79,21 +79,21 @@
 		must.NoError(t, err)
 		return string(body)
 	}
-	must.StrContains(t, told(), "willowsill_configuration_revision 0\n")
+	must.StrContains(t, read(), "willowsill_configuration_revision 0\n")
 	s.applyRoutes(t, 3, route("scan"))
 	s.counterRows[s.rowByRoute[routeID("scan")]].Complete.Add(7)
 	s.counters.Executions.Sent.Add(9)
-	text := told()
+	text := read()
 	must.StrContains(t, text, "willowsill_queries_total{route=\"scan\",host=\"h\",prefix=\"/scan/\",outcome=\"whole\"} 7\n")
 	must.StrContains(t, text, "willowsill_executions_sent_total 9\n")
 	must.StrContains(t, text, "willowsill_configuration_revision 3\n")
 	row := s.rowByRoute[routeID("scan")]
 	s.applyRoutes(t, 4, route("debit"))
 	s.updateCounterRows(s.routes, map[routeconfig.RouteID]int{routeID("debit"): row})
-	text = told()
+	text = read()
 	must.StrContains(t, text, "willowsill_queries_total{route=\"debit\",host=\"h\",prefix=\"/debit/\",outcome=\"whole\"} 0\n")
 	must.StrNotContains(t, text, "scan")
 	s.counterRows[row].Complete.Add(1)
 	s.updateCounterRows(s.routes, map[routeconfig.RouteID]int{routeID("debit"): row, routeID("scan"): row + 1})
-	must.StrContains(t, told(), "willowsill_queries_total{route=\"debit\",host=\"h\",prefix=\"/debit/\",outcome=\"whole\"} 1\n")
+	must.StrContains(t, read(), "willowsill_queries_total{route=\"debit\",host=\"h\",prefix=\"/debit/\",outcome=\"whole\"} 1\n")
 }
--- a/front/proxyserver/path_test.go
+++ b/front/proxyserver/path_test.go
@@ -27,13 +27,13 @@
 // Tests of the whole path of a request through a proxy: the client's connection, handler, node, decision module,
 // connection pool and replica. They run on synctest's clock.
 
-// arrival is a request as a replica received it.
-type arrival struct {
-	replica  string
-	attempt  string
-	deadline time.Duration // deadline that the proxy sent
-	at       time.Time
-	left     time.Time // when the proxy closed the connection of the request; zero if it did not
+// receivedRequest is a request as a replica received it.
+type receivedRequest struct {
+	replica     string
+	attempt     string
+	deadline    time.Duration // deadline that the proxy sent
+	at          time.Time
+	withdrawnAt time.Time // when the proxy closed the connection of the request; zero if it did not
 }
 
 // replicaBehaviour handles a request at a replica. It returns a status and a body of records; status 0 closes the
@@ -50,13 +50,13 @@
 	closers  []func()
 
 	mu       sync.Mutex
-	arrivals []*arrival
+	arrivals []*receivedRequest
 }
 
 const frontAddress = "front:1"
 
 // withProxy runs a test with a proxy that serves the routes, and with a replica per entry.
-func withProxy(t *testing.T, routes string, replicas map[string]replicaBehaviour, play func(b *proxyBubble)) {
+func withProxy(t *testing.T, routes string, replicas map[string]replicaBehaviour, test func(b *proxyBubble)) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &proxyBubble{t: t, network: &pipenet.Network{}}
 		b.Server = idleServer(t)
@@ -72,7 +72,7 @@
 		go b.servers.Accept(b.front)
 		defer b.end()
 		b.settle()
-		play(b)
+		test(b)
 	})
 }
 
@@ -96,7 +96,7 @@
 	l := b.network.Listen(name + ":80")
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		milliseconds, _ := strconv.Atoi(r.Header.Get(replicahttp.HeaderDeadline))
-		a := &arrival{replica: name, attempt: r.Header.Get(replicahttp.HeaderAttempt), deadline: time.Duration(milliseconds) * time.Millisecond, at: time.Now()}
+		a := &receivedRequest{replica: name, attempt: r.Header.Get(replicahttp.HeaderAttempt), deadline: time.Duration(milliseconds) * time.Millisecond, at: time.Now()}
 		b.mu.Lock()
 		b.arrivals = append(b.arrivals, a)
 		b.mu.Unlock()
@@ -104,7 +104,7 @@
 		status, body := answer(r)
 		if r.Context().Err() != nil {
 			b.mu.Lock()
-			a.left = time.Now()
+			a.withdrawnAt = time.Now()
 			b.mu.Unlock()
 		}
 		if status == 0 {
@@ -139,8 +139,8 @@
 }
 
 // send sends one request in a goroutine, as a write to an in-memory connection blocks until it is read.
-func send(c net.Conn, path, attempt string, patienceMs int) {
-	go fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: %d\r\n\r\n", path, replicahttp.HeaderAttempt, attempt, replicahttp.HeaderDeadline, patienceMs)
+func send(c net.Conn, path, attempt string, deadlineMs int) {
+	go fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\n%s: %d\r\n\r\n", path, replicahttp.HeaderAttempt, attempt, replicahttp.HeaderDeadline, deadlineMs)
 }
 
 // receive reads one answer.
@@ -153,7 +153,7 @@
 }
 
 // served returns the requests with an attempt id that reached replicas.
-func (b *proxyBubble) served(attempt string) (found []*arrival) {
+func (b *proxyBubble) served(attempt string) (found []*receivedRequest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, a := range b.arrivals {
@@ -194,17 +194,17 @@
 // TestDeadlinesHandedOn: each request to a replica carries the time left of the client's deadline, or of the
 // route's if that is earlier. A retry ends no later than the first try.
 func TestDeadlinesHandedOn(t *testing.T) {
-	for _, patience := range []int{700, 5000} {
+	for _, timeoutMs := range []int{700, 5000} {
 		replicas := map[string]replicaBehaviour{"s1": failsAfter(300 * time.Millisecond), "s1-2": failsAfter(300 * time.Millisecond)}
 		withProxy(t, safeRoute, replicas, func(b *proxyBubble) {
 			c, r := b.dial()
 			defer c.Close()
 			began := time.Now()
-			send(c, "/safe/x", "t1", patience)
+			send(c, "/safe/x", "t1", timeoutMs)
 			b.receive(r)
 			sends := b.served("t1")
 			must.SliceLen(b.t, 2, sends)
-			limit := time.Duration(min(patience, 1000)) * time.Millisecond
+			limit := time.Duration(min(timeoutMs, 1000)) * time.Millisecond
 			for _, a := range sends {
 				must.Positive(b.t, a.deadline)
 				must.LessEq(b.t, limit, a.at.Add(a.deadline).Sub(began))
@@ -274,8 +274,8 @@
 			time.Sleep(2 * time.Second)
 			must.SliceLen(b.t, sent, b.served("t1"))
 			for _, a := range b.served("t1") {
-				must.False(b.t, a.left.IsZero(), must.Sprint("never withdrawn"))
-				must.LessEq(b.t, halfSecond, a.left.Sub(left))
+				must.False(b.t, a.withdrawnAt.IsZero(), must.Sprint("never withdrawn"))
+				must.LessEq(b.t, halfSecond, a.withdrawnAt.Sub(left))
 			}
 		})
 	}
@@ -302,14 +302,14 @@
 func TestLeavingInOrder(t *testing.T) {
 	well := answersAfter(200 * time.Millisecond)
 	withProxy(t, safeRoute, map[string]replicaBehaviour{"s1": well, "s1-2": well, "s1-3": well, "s1-4": well}, func(b *proxyBubble) {
-		under, underReader := b.dial()
-		defer under.Close()
+		inProgress, inProgressReader := b.dial()
+		defer inProgress.Close()
 		idle, idleReader := b.dial()
 		defer idle.Close()
 		send(idle, "/safe/x", "first", 900)
 		res, _ := b.receive(idleReader)
 		must.False(b.t, res.Close)
-		send(under, "/safe/x", "under way", 900)
+		send(inProgress, "/safe/x", "under way", 900)
 		b.settle()
 		began := time.Now()
 		b.handleFreshness(clusterstate.Freshness{Known: true, Revision: 1})
@@ -325,7 +325,7 @@
 		defer fresh.Close()
 		send(fresh, "/safe/x", "new", 900)
 		send(idle, "/safe/x", "kept", 900)
-		for name, r := range map[string]*bufio.Reader{"under way": underReader, "new": freshReader, "kept": idleReader} {
+		for name, r := range map[string]*bufio.Reader{"under way": inProgressReader, "new": freshReader, "kept": idleReader} {
 			res, _ := b.receive(r)
 			must.Eq(b.t, http.StatusOK, res.StatusCode, must.Sprint(name))
 			must.True(b.t, res.Close || name == "under way", must.Sprint(name))
--- a/front/proxyserver/proxyserver.go
+++ b/front/proxyserver/proxyserver.go
@@ -86,8 +86,8 @@
 	s.evidence = newEvidence(seed)
 	s.node = node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(local, seed)},
 		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), RequestList: func() {}, Observer: s.evidence,
-		NewTransport: func(tell func(any), now func() int64) node.Transport {
-			s.pool = replicahttp.NewPool(tell, now)
+		NewTransport: func(notify func(any), now func() int64) node.Transport {
+			s.pool = replicahttp.NewPool(notify, now)
 			return s.pool
 		}})
 	front, err := net.Listen("tcp", local.Bind.Front)
@@ -100,14 +100,14 @@
 	}
 	s.handler = &clienthttp.Handler{Core: s.node, Now: clock.Now}
 	s.servers, s.address = &clienthttp.Servers{Handler: s.handler}, front.Addr()
-	inner, end := context.WithCancel(context.Background())
-	defer end()
-	up := watch.Upstream{Report: s.buildReport, Apply: s.applyUpdate, OnFreshness: s.handleFreshness, OnLending: s.handleLendingMessage,
+	background, stop := context.WithCancel(context.Background())
+	defer stop()
+	upstream := watch.Upstream{Report: s.buildReport, Apply: s.applyUpdate, OnFreshness: s.handleFreshness, OnLending: s.handleLendingMessage,
 		Addresses: func() []string { return []string{local.InternalAddress(local.Loopback(), settings.PortAgent)} }}
-	go up.Run(inner)
-	go s.pollRetrySlack(inner)
-	go s.logServed(inner)
-	metrics.Serve(inner, local.IP, local.Metrics, s.writeMetrics)
+	go upstream.Run(background)
+	go s.pollRetrySlack(background)
+	go s.logServed(background)
+	metrics.Serve(background, local.IP, local.Metrics, s.writeMetrics)
 	go (&http.Server{Handler: http.HandlerFunc(s.serveReadiness), ReadHeaderTimeout: time.Second}).Serve(ready)
 	go s.accept(front)
 	<-ctx.Done()
@@ -130,19 +130,19 @@
 // Danger: the platform goes on sending requests until it notices the shutdown. A request that was read must be
 // answered.
 func (s *Server) drain(front net.Listener) {
-	until := time.Now().Add(time.Duration(s.settings.Bounds.GraceS*float64(time.Second)) - stopMargin)
+	deadline := time.Now().Add(time.Duration(s.settings.Bounds.GraceS*float64(time.Second)) - stopMargin)
 	klog.InfoS("leaving")
 	s.leaving.Store(true)
 	s.handler.Draining.Store(true)
-	time.Sleep(min(stayOpen, time.Until(until)/2))
+	time.Sleep(min(stayOpen, time.Until(deadline)/2))
 	front.Close()
-	wait, cancel := context.WithDeadline(context.Background(), until)
+	wait, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	var all sync.WaitGroup
+	var shutdowns sync.WaitGroup
 	for _, server := range s.servers.All() {
-		all.Go(func() { server.Shutdown(wait) })
+		shutdowns.Go(func() { server.Shutdown(wait) })
 	}
-	all.Wait()
+	shutdowns.Wait()
 	klog.InfoS("left", "late", wait.Err() != nil)
 }
 
@@ -171,11 +171,11 @@
 
 // buildReport returns the report that the proxy sends to its agent.
 func (s *Server) buildReport() watch.Report {
-	note := s.nextLendingMessage()
+	lending := s.nextLendingMessage()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	self := controller.EdgeReport{Edge: clusterstate.Edge{IP: s.settings.IP, Zone: s.settings.Zone}, Rollouts: s.evidence.report()}
-	return watch.Report{Self: self, Revision: s.state.Revision, Lending: note}
+	return watch.Report{Self: self, Revision: s.state.Revision, Lending: lending}
 }
 
 // handleFreshness records how current the agent's knowledge is.
@@ -229,7 +229,7 @@
 		s.counterRows = append(s.counterRows, &counters.Workload{})
 	}
 	for route, row := range rowOf {
-		if former, served := s.rowByRoute[route]; !served || former != row {
+		if previous, served := s.rowByRoute[route]; !served || previous != row {
 			s.counterRows[row] = &counters.Workload{}
 		}
 	}
@@ -246,12 +246,12 @@
 // no shard.
 func (s *Server) replicaList(records []registry.Record) (n discovery.Update) {
 	for _, r := range records {
-		slot, found := s.table.Shard(r.Service)
+		shard, found := s.table.Shard(r.Service)
 		if !found {
 			klog.InfoS("a replica is not used: its service has no shard", "replica", r.ID, "service", r.Service)
 			continue
 		}
-		entry := discovery.Entry{Host: r.ID, Dial: replicahttp.DestinationAddress(r.ID, r.Address), Cell: slot, Zone: r.Zone,
+		entry := discovery.Entry{Host: r.ID, Dial: replicahttp.DestinationAddress(r.ID, r.Address), Cell: shard, Zone: r.Zone,
 			Distance: s.table.Distance(r.Zone), MaxCalls: s.table.MaxCalls(r.Service)}
 		switch r.Phase {
 		case registry.Ready:
--- a/front/proxyserver/proxyserver_bench_test.go
+++ b/front/proxyserver/proxyserver_bench_test.go
@@ -25,15 +25,15 @@
 	"willowsill/transport/replicahttp"
 )
 
-// answerer is the proxy's connection to a replica that answers each request at once, with as little work as
+// instantReplica is the proxy's connection to a replica that answers each request at once, with as little work as
 // possible.
-type answerer struct {
+type instantReplica struct {
 	net.Conn
 	replies chan []byte
 	rest    []byte
 }
 
-func (a *answerer) Write(b []byte) (int, error) {
+func (a *instantReplica) Write(b []byte) (int, error) {
 	id := "?"
 	if at := bytes.Index(b, []byte(replicahttp.HeaderAttempt+": ")); at >= 0 {
 		id, _, _ = strings.Cut(string(b[at+len(replicahttp.HeaderAttempt)+2:]), "\r\n")
@@ -43,7 +43,7 @@
 	return len(b), nil
 }
 
-func (a *answerer) Read(b []byte) (int, error) {
+func (a *instantReplica) Read(b []byte) (int, error) {
 	if len(a.rest) == 0 {
 		r, ok := <-a.replies
 		if !ok {
@@ -56,8 +56,8 @@
 	return n, nil
 }
 
-func (a *answerer) Close() error                     { return nil }
-func (a *answerer) SetWriteDeadline(time.Time) error { return nil }
+func (a *instantReplica) Close() error                     { return nil }
+func (a *instantReplica) SetWriteDeadline(time.Time) error { return nil }
 
 // BenchmarkGathered measures a fan-out query of four parts on one client connection, through the handler, the
 // node, the decision module and the pool. The replicas cost next to nothing.
@@ -68,10 +68,10 @@
 	count := counters.New(nil)
 	n := node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(s, 1)},
 		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: count, Log: zap.NewNop(), RequestList: func() {},
-		NewTransport: func(tell func(any), now func() int64) node.Transport {
-			pool := replicahttp.NewPool(tell, now)
+		NewTransport: func(notify func(any), now func() int64) node.Transport {
+			pool := replicahttp.NewPool(notify, now)
 			pool.Dial = func(context.Context, string, string) (net.Conn, error) {
-				return &answerer{replies: make(chan []byte, 4)}, nil
+				return &instantReplica{replies: make(chan []byte, 4)}, nil
 			}
 			return pool
 		}})
--- a/front/proxyserver/retries.go
+++ b/front/proxyserver/retries.go
@@ -59,25 +59,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.node.Now()
-	note := s.account.NextMessage(now, lending.Usage{Amount: used.Slack, Any: used.Any})
+	message := s.account.NextMessage(now, lending.Usage{Amount: used.Slack, Any: used.Any})
 	s.updateRetrySlack(now)
-	if note.Empty() {
+	if message.Empty() {
 		return nil
 	}
-	for _, loan := range note.Loans {
+	for _, loan := range message.Loans {
 		klog.InfoS("retries are lent", "amount", loan.Amount, "for_ms", time.Duration(loan.Duration).Milliseconds())
 	}
-	return &note
+	return &message
 }
 
 // handleLendingMessage applies the requests and loans of other edges.
-func (s *Server) handleLendingMessage(note lending.Message) {
+func (s *Server) handleLendingMessage(message lending.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.node.Now()
-	s.account.Handle(now, note)
+	s.account.Handle(now, message)
 	s.updateRetrySlack(now)
-	for _, loan := range note.Loans {
+	for _, loan := range message.Loans {
 		klog.InfoS("retries are borrowed", "amount", loan.Amount, "for_ms", time.Duration(loan.Duration).Milliseconds())
 	}
 }
--- a/front/proxyserver/retries_test.go
+++ b/front/proxyserver/retries_test.go
@@ -22,7 +22,7 @@
 	clock := node.NewClock()
 	n := node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
 		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: counters.New(nil), Log: zap.NewNop(), RequestList: func() {},
-		NewTransport: func(tell func(any), now func() int64) node.Transport { return replicahttp.NewPool(tell, now) }})
+		NewTransport: func(notify func(any), now func() int64) node.Transport { return replicahttp.NewPool(notify, now) }})
 	t.Cleanup(n.Close)
 	terms := lending.DefaultTiming(set.Bounds.RetryWindow())
 	s := &Server{settings: set, node: n, account: lending.NewAccount(clock.Now()-int64(time.Hour), terms)}
@@ -32,8 +32,8 @@
 	s.handleLendingMessage(lending.Message{Requests: []lending.LoanRequest{{Number: 5, Amount: 9}}})
 	must.Nil(t, s.nextLendingMessage()) // the limit is lowered, the loan not sent yet
 	must.Eq(t, 2, s.retrySlack)
-	told := s.nextLendingMessage()
-	must.Eq(t, []lending.Loan{{Answers: 5, Amount: 2, Duration: terms.Loan}}, told.Loans)
+	message := s.nextLendingMessage()
+	must.Eq(t, []lending.Loan{{Answers: 5, Amount: 2, Duration: terms.Loan}}, message.Loans)
 	must.Eq(t, 2, s.retrySlack)
 	must.Nil(t, s.nextLendingMessage())
 
--- a/front/server.go
+++ b/front/server.go
@@ -100,20 +100,21 @@
 // not while a request is served, when net/http's server ends reads by deadlines of its own.
 //
 // Danger: while the process is paused, deadlines pass for connections whose requests have arrived but have not
-// been read. Without this read they would be closed, and their queries lost, when the process resumes. By how much
-// a deadline was missed does not show a pause, as it may have ended shortly before the process resumed.
-func (c *conn) readAfterDeadline(b []byte, late error) (int, error) {
+// been read. Without this read they would be closed, and their queries lost, when the process resumes. How late a
+// missed deadline is noticed does not show whether there was a pause, as the deadline may have passed just before
+// the process resumed.
+func (c *conn) readAfterDeadline(b []byte, timeout error) (int, error) {
 	c.server.mu.Lock()
-	over := c.readPastDeadline || c.phase >= serving
+	skip := c.readPastDeadline || c.phase >= serving
 	c.server.mu.Unlock()
-	if over {
-		return 0, late
+	if skip {
+		return 0, timeout
 	}
 	c.Conn.SetReadDeadline(time.Now().Add(requestTimeout))
 	n := c.readBuffered(b)
 	if n == 0 {
 		c.Conn.SetReadDeadline(time.Now())
-		return 0, late
+		return 0, timeout
 	}
 	c.server.mu.Lock()
 	c.readPastDeadline = true
@@ -126,8 +127,8 @@
 
 // readBuffered reads what the kernel has buffered from the client, 0 bytes if nothing.
 func (c *conn) readBuffered(b []byte) (n int) {
-	socket, is := c.Conn.(syscall.Conn)
-	if !is { // an in-memory pipe buffers nothing
+	socket, ok := c.Conn.(syscall.Conn)
+	if !ok { // an in-memory pipe buffers nothing
 		return 0
 	}
 	raw, err := socket.SyscallConn()
--- a/front/unread.go
+++ b/front/unread.go
@@ -35,9 +35,9 @@
 	if !first {
 		return false
 	}
-	name, row, is := f.parseRequestLine(b)
+	name, row, isQuery := f.parseRequestLine(b)
 	rest, simple := remainingBody(b)
-	if !is || !simple {
+	if !isQuery || !simple {
 		return false
 	}
 	rejected, retryAfter := guard.RejectUnread(row)
