--- a/deployment/operator/operator.go
+++ b/deployment/operator/operator.go
@@ -39,24 +39,26 @@
 	Listen          string // HOST:PORT on which other sites' gateways connect
 	CertFile        string // certificate of this site's gateway
 	KeyFile         string
-	KeyPasswordFile string             // file with the password of the key; empty if the key is not encrypted
-	CAFile          string             // of the authority of all sites' certificates
-	IDFile          string             // file that keeps ids of queries over a planned restart; empty for none
-	Evacuated       bool               // no new queries are sent to this site's replicas
-	Revenue         map[string]float64 // revenue of a query served within its goal, by workload; 1 for a workload that is not listed
-	Policy          string             // rule for forwarding: "plan", or a simple one to compare it with
-	HTTP2           bool               // queries to one gateway share one connection
+	KeyPasswordFile string // file with the password of the key; empty if the key is not encrypted
+	CAFile          string // of the authority of all sites' certificates
+	IDFile          string // file that keeps ids of queries over a planned restart; empty for none
+	Evacuated       bool   // no new queries are sent to this site's replicas
+	// Revenue of a query served within its goal, by workload; 1 for a workload that is not listed.
+	Revenue map[string]float64
+	Policy  string // rule for forwarding: "plan", or a simple one to compare it with
+	HTTP2   bool   // queries to one gateway share one connection
 }
 
 // Overload configures the protection of the process against its own overload.
 type Overload struct {
-	Shed          bool               // under overload, queries of the least value are rejected
-	Immediate     bool               // decision rounds run at once instead of at the next tick
-	Revenue       map[string]float64 // revenue of a query served within its goal, by workload; 1 for a workload that is not listed
-	LimitKind     string             // one of overload.LimitKinds: how the rate that can be served is estimated
-	FixedRate     float64            // queries per second, for the fixed limit
-	MaxLateness   int64              // tolerated delay of the process's own work, ns
-	CustomerFloor float64            // share of the capacity that is given to customers in turn
+	Shed      bool // under overload, queries of the least value are rejected
+	Immediate bool // decision rounds run at once instead of at the next tick
+	// Revenue of a query served within its goal, by workload; 1 for a workload that is not listed.
+	Revenue       map[string]float64
+	LimitKind     string  // one of overload.LimitKinds: how the rate that can be served is estimated
+	FixedRate     float64 // queries per second, for the fixed limit
+	MaxLateness   int64   // tolerated delay of the process's own work, ns
+	CustomerFloor float64 // share of the capacity that is given to customers in turn
 }
 
 // Zones configures the detection of unreachable zones.
--- a/deployment/settings/settings.go
+++ b/deployment/settings/settings.go
@@ -22,28 +22,29 @@
 
 // Settings are the contents of the settings file. Units are in the names of the fields.
 type Settings struct {
-	File                string            `toml:"-"`
-	Name                string            `toml:"node-name"`
-	Role                string            `toml:"role"`
-	MachineClass        string            `toml:"machine-class"`
-	Serves              []string          `toml:"serves"`
-	IP                  string            `toml:"ip"`
-	Zone                string            `toml:"zone"`
-	Region              string            `toml:"region"`
-	DataDir             string            `toml:"data-dir"`
-	InternalPorts       []int             `toml:"internal-ports"`
-	SeedNodes           []string          `toml:"seed-nodes"`
-	Bootstrap           bool              `toml:"bootstrap"`
-	QuorumMember        bool              `toml:"quorum-member"`
-	HeartbeatIntervalMs int64             `toml:"beat-interval-ms"`
-	ActiveRules         []string          `toml:"active-rules"`
-	ConfigMode          string            `toml:"config_mode"`
-	Metrics             string            `toml:"metrics"` // PORT/PATH at which the process serves its metrics; empty for none
-	Zones               map[string]string `toml:"zones"`
-	Bind                Bind              `toml:"bind-addrs"`
-	Limits              Limits            `toml:"limits"`
-	FaultBudget         FaultBudget       `toml:"fault-budget"`
-	Bounds              Bounds            `toml:"bounds"`
+	File                string   `toml:"-"`
+	Name                string   `toml:"node-name"`
+	Role                string   `toml:"role"`
+	MachineClass        string   `toml:"machine-class"`
+	Serves              []string `toml:"serves"`
+	IP                  string   `toml:"ip"`
+	Zone                string   `toml:"zone"`
+	Region              string   `toml:"region"`
+	DataDir             string   `toml:"data-dir"`
+	InternalPorts       []int    `toml:"internal-ports"`
+	SeedNodes           []string `toml:"seed-nodes"`
+	Bootstrap           bool     `toml:"bootstrap"`
+	QuorumMember        bool     `toml:"quorum-member"`
+	HeartbeatIntervalMs int64    `toml:"beat-interval-ms"`
+	ActiveRules         []string `toml:"active-rules"`
+	ConfigMode          string   `toml:"config_mode"`
+	// PORT/PATH at which the process serves its metrics; empty for none.
+	Metrics     string            `toml:"metrics"`
+	Zones       map[string]string `toml:"zones"`
+	Bind        Bind              `toml:"bind-addrs"`
+	Limits      Limits            `toml:"limits"`
+	FaultBudget FaultBudget       `toml:"fault-budget"`
+	Bounds      Bounds            `toml:"bounds"`
 }
 
 // Bind holds the addresses to listen on, empty for those that the role does not serve.
--- a/front/gateway/core.go
+++ b/front/gateway/core.go
@@ -80,7 +80,7 @@
 	peerNode *node.Node
 	counters *Counters
 
-	mu            sync.Mutex // guards gateway, whose calls take a few µs
+	mu            sync.Mutex // guards gateway; held for a few µs at a time
 	gateway       *gateway.Gateway
 	decisionTimer *time.Timer // runs decide when the gateway next needs it
 
@@ -209,8 +209,8 @@
 	for _, g := range r.Departures {
 		g.Handle.(chan bool) <- true // never blocks: each query gets one value, and its channel has space for it
 	}
-	for _, load := range r.Rejected {
-		load.(chan bool) <- false
+	for _, handle := range r.Rejected {
+		handle.(chan bool) <- false
 	}
 	if r.Plan != nil && r.Plan.Greedy {
 		c.options.Log.Info("links were planned by a simple rule, as the solver found no solution")
@@ -334,8 +334,9 @@
 // pingSite pings the gateways of a site until ctx ends: to measure the delay, to find an interrupted link within
 // seconds, and to learn which gateways are about to shut down.
 //
-// Danger: an interrupted connection shows no error, and TCP waits for minutes. So each ping has a pool of its own
-// and a second to be answered, and three rounds without any answer close the link.
+// Danger: an interrupted connection shows no error, and TCP waits for minutes. So pings use
+// connections of their own, each ping must be answered within a second, and three rounds without any answer close
+// the link.
 func (c *Core) pingSite(ctx context.Context, link int, s Site) {
 	p := c.sitePool(1, nil, nil)
 	defer p.client.CloseIdleConnections()
--- a/front/gateway/peerserver.go
+++ b/front/gateway/peerserver.go
@@ -59,49 +59,49 @@
 }
 
 // ServeHTTP serves a ping or a query of a peer.
-func (d *PeerServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	site, err := d.peerSite(r)
+func (s *PeerServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	site, err := s.peerSite(r)
 	if err != nil {
-		d.Counters.Strangers.Add(1)
-		d.Log.Warn("a peer was rejected", zap.Error(err))
+		s.Counters.Strangers.Add(1)
+		s.Log.Warn("a peer was rejected", zap.Error(err))
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
 	}
 	if r.URL.Path == pathPing {
-		d.writeAdvertisedRate(w)
-		if d.leaving.Load() {
+		s.writeAdvertisedRate(w)
+		if s.leaving.Load() {
 			w.Header().Set(headerLeaving, "1")
 		}
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	sites, err := d.visitedSites(r, site)
+	sites, err := s.visitedSites(r, site)
 	if err != nil {
 		w.Header().Set(headerMayHaveRun, "0")
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	d.Counters.Received.Add(1)
+	s.Counters.Received.Add(1)
 	r = r.WithContext(context.WithValue(r.Context(), visitedKey{}, sites))
-	row, known := d.Deployment.WorkloadRow[strings.TrimPrefix(r.URL.Path, "/")]
-	d.writeAdvertisedRate(w)
-	if !known || d.Deployment.Workloads[row].RetrySafety == balance.Repeatable {
-		d.Front.ServeHTTP(w, r)
+	row, known := s.Deployment.WorkloadRow[strings.TrimPrefix(r.URL.Path, "/")]
+	s.writeAdvertisedRate(w)
+	if !known || s.Deployment.Workloads[row].RetrySafety == balance.Repeatable {
+		s.Front.ServeHTTP(w, r)
 		return
 	}
-	d.serveOnce(w, r, r.Header.Get("X-Trace-Id"))
+	s.serveOnce(w, r, r.Header.Get("X-Trace-Id"))
 }
 
 // writeAdvertisedRate sets the header that tells a peer how many more queries this site would accept.
-func (d *PeerServer) writeAdvertisedRate(w http.ResponseWriter) {
-	if d.AdvertisedRate != nil {
-		w.Header().Set(headerWilling, strconv.FormatFloat(d.AdvertisedRate(), 'f', 2, 64))
+func (s *PeerServer) writeAdvertisedRate(w http.ResponseWriter) {
+	if s.AdvertisedRate != nil {
+		w.Header().Set(headerAdvertisedRate, strconv.FormatFloat(s.AdvertisedRate(), 'f', 2, 64))
 	}
 }
 
 // peerSite returns the name of the site that a request comes from.
-func (d *PeerServer) peerSite(r *http.Request) (string, error) {
-	if !d.RequireCertificate {
+func (s *PeerServer) peerSite(r *http.Request) (string, error) {
+	if !s.RequireCertificate {
 		all := strings.Split(r.Header.Get(headerVisited), ",")
 		return all[len(all)-1], nil
 	}
@@ -109,7 +109,7 @@
 		return "", errors.New("no certificate")
 	}
 	names := r.TLS.PeerCertificates[0].DNSNames
-	for _, s := range d.PeerSites {
+	for _, s := range s.PeerSites {
 		if slices.Contains(names, s+certificateSuffix) {
 			return s, nil
 		}
@@ -120,50 +120,50 @@
 // visitedSites returns the sites that a query has passed through.
 //
 // Danger: a query without the list, or one that returned to a site on it, could be forwarded in a circle for ever.
-func (d *PeerServer) visitedSites(r *http.Request, peer string) ([]string, error) {
+func (s *PeerServer) visitedSites(r *http.Request, peer string) ([]string, error) {
 	all := strings.Split(r.Header.Get(headerVisited), ",")
 	switch {
 	case len(r.Header[headerVisited]) != 1 || all[len(all)-1] != peer:
 		return nil, errors.New(headerVisited + " does not end with the peer's site")
 	case len(all) > maxVisitedSites:
 		return nil, errors.New(headerVisited + " names too many sites")
-	case slices.Contains(all, d.Site):
+	case slices.Contains(all, s.Site):
 		return nil, errors.New("the query has been here")
 	}
 	return all, nil
 }
 
 // serveOnce runs a query that must not run twice, or answers a repeat of it with the first run's answer.
-func (d *PeerServer) serveOnce(w http.ResponseWriter, r *http.Request, id string) {
+func (s *PeerServer) serveOnce(w http.ResponseWriter, r *http.Request, id string) {
 	for {
-		d.mu.Lock()
-		outcome, stored := d.Window.Begin(d.Clock.Now(), id)
-		wait := d.waiting[id]
+		s.mu.Lock()
+		outcome, stored := s.Window.Begin(s.Clock.Now(), id)
+		wait := s.waiting[id]
 		if outcome == deduplication.FirstSeen {
-			if d.waiting == nil {
-				d.waiting = map[string]chan struct{}{}
+			if s.waiting == nil {
+				s.waiting = map[string]chan struct{}{}
 			}
-			d.waiting[id] = make(chan struct{})
+			s.waiting[id] = make(chan struct{})
 		}
-		d.mu.Unlock()
+		s.mu.Unlock()
 		switch outcome {
 		case deduplication.FirstSeen:
-			d.runOnce(w, r, id)
+			s.runOnce(w, r, id)
 			return
 		case deduplication.Answered:
-			d.Counters.Replayed.Add(1)
+			s.Counters.Replayed.Add(1)
 			replayAnswer(w, stored)
 			return
 		case deduplication.Full:
 			http.Error(w, "declined", http.StatusServiceUnavailable)
 			return
 		case deduplication.Interrupted:
-			d.Counters.OutcomeUnknown.Add(1)
+			s.Counters.OutcomeUnknown.Add(1)
 			w.Header().Set(headerMayHaveRun, "1")
 			http.Error(w, "how it ended is not known", http.StatusInternalServerError)
 			return
 		}
-		d.Counters.Joined.Add(1)
+		s.Counters.Joined.Add(1)
 		select {
 		case <-wait:
 		case <-r.Context().Done():
@@ -174,24 +174,24 @@
 
 // runOnce serves a query to its end even if its peer disconnects: a query that has begun has an effect, and a
 // repeat of it must get the outcome.
-func (d *PeerServer) runOnce(w http.ResponseWriter, r *http.Request, id string) {
+func (s *PeerServer) runOnce(w http.ResponseWriter, r *http.Request, id string) {
 	buffered := &bufferedAnswer{ResponseWriter: w, status: http.StatusOK}
 	ended := false
 	defer func() {
-		d.mu.Lock()
-		switch now := d.Clock.Now(); {
+		s.mu.Lock()
+		switch now := s.Clock.Now(); {
 		case !ended: // the handler panicked
-			d.Window.Interrupt(now, id)
+			s.Window.Interrupt(now, id)
 		case buffered.status == http.StatusServiceUnavailable || buffered.status >= 400 && buffered.status < 500: // the query did not run
-			d.Window.Discard(id)
+			s.Window.Discard(id)
 		default:
-			d.Window.End(now, id, buffered.encode())
+			s.Window.End(now, id, buffered.encode())
 		}
-		close(d.waiting[id])
-		delete(d.waiting, id)
-		d.mu.Unlock()
+		close(s.waiting[id])
+		delete(s.waiting, id)
+		s.mu.Unlock()
 	}()
-	d.Front.ServeHTTP(buffered, r.WithContext(context.WithoutCancel(r.Context())))
+	s.Front.ServeHTTP(buffered, r.WithContext(context.WithoutCancel(r.Context())))
 	ended = true
 	replayAnswer(w, buffered.encode())
 }
@@ -229,8 +229,8 @@
 //
 // Danger: a peer may send a query on an idle connection while it is being closed. The peer cannot tell whether
 // that query ran, so one that must run once would be lost at each planned restart.
-func (d *PeerServer) AnnounceShutdown(ctx context.Context) {
-	d.leaving.Store(true)
+func (s *PeerServer) AnnounceShutdown(ctx context.Context) {
+	s.leaving.Store(true)
 	select {
 	case <-time.After(pingInterval + 2*pingTimeout):
 	case <-ctx.Done():
@@ -238,12 +238,12 @@
 }
 
 // HTTPServer returns the HTTP server for peers. The caller serves it on a listener.
-func (d *PeerServer) HTTPServer(tlsConfig *tls.Config) *http.Server {
-	return &http.Server{Handler: d, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		TLSConfig: tlsConfig, ErrorLog: zap.NewStdLog(d.Log)}
+func (s *PeerServer) HTTPServer(tlsConfig *tls.Config) *http.Server {
+	return &http.Server{Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		TLSConfig: tlsConfig, ErrorLog: zap.NewStdLog(s.Log)}
 }
 
-// TLSListener wraps a listener with TLS if secure is not nil.
+// TLSListener wraps a listener with TLS if tlsConfig is not nil.
 func TLSListener(l net.Listener, tlsConfig *tls.Config) net.Listener {
 	if tlsConfig == nil {
 		return l
@@ -411,7 +411,7 @@
 	if a.StatusCode != http.StatusNoContent {
 		s.err = fmt.Errorf("the gateway at %s answered %s", address, a.Status)
 	}
-	s.advertisedRate, s.leaving = a.Header.Get(headerWilling), a.Header.Get(headerLeaving) != ""
+	s.advertisedRate, s.leaving = a.Header.Get(headerAdvertisedRate), a.Header.Get(headerLeaving) != ""
 	return s
 }
 
--- a/front/gateway/peerserver_test.go
+++ b/front/gateway/peerserver_test.go
@@ -126,7 +126,7 @@
 }
 
 // A private key may be encrypted. Without its password, or with a certificate of another key, it is refused, and
-// the password is in no error.
+// no error text contains it.
 func TestLockedKey(t *testing.T) {
 	a := newAuthority(t)
 	a.KeyPassword = []byte("a password of some length")
--- a/front/gateway/pool.go
+++ b/front/gateway/pool.go
@@ -31,12 +31,12 @@
 // Paths, headers and limits of the protocol between gateways, which otherwise is that between clients and package
 // front.
 const (
-	pathPing         = "/gateway/ping"
-	headerVisited    = "X-Visited-Sites" // names of the sites that a query has passed through, oldest first
-	headerTry        = "X-Try"
-	headerMayHaveRun = "X-May-Have-Run" // on an error: 0 if the query surely has not run
-	headerWilling    = "X-Willing"      // queries per second that the site would accept in addition
-	headerLeaving    = "X-Leaving"      // on a ping's answer: the gateway is about to shut down
+	pathPing             = "/gateway/ping"
+	headerVisited        = "X-Visited-Sites" // names of the sites that a query has passed through, oldest first
+	headerTry            = "X-Try"
+	headerMayHaveRun     = "X-May-Have-Run" // on an error: 0 if the query surely has not run
+	headerAdvertisedRate = "X-Willing"      // queries per second that the site would accept in addition
+	headerLeaving        = "X-Leaving"      // on a ping's answer: the gateway is about to shut down
 
 	maxAnswerBytes    = 8 << 20
 	maxIdlePerGateway = 64 // idle connections kept open to one gateway
@@ -148,7 +148,7 @@
 	running          int // goroutines that have not reported an attemptEnd
 }
 
-// newPool returns a pool that connects with dial, and with TLS if secure is not nil; site maps an address to the
+// newPool returns a pool that connects with dial, and with TLS if tlsConfig is not nil; siteOf maps an address to the
 // site whose gateway it is.
 func newPool(dial replica.Dial, tlsConfig *tls.Config, siteOf map[string]string, http2 bool, maxRunning int, notify func(any),
 	now func() int64) *pool {
@@ -261,7 +261,7 @@
 		return balance.Reset, "", err
 	}
 	defer a.Body.Close()
-	if rate, err := strconv.ParseFloat(a.Header.Get(headerWilling), 64); err == nil && rate >= 0 {
+	if rate, err := strconv.ParseFloat(a.Header.Get(headerAdvertisedRate), 64); err == nil && rate >= 0 {
 		p.onAdvertisedRate(query.link, rate)
 	}
 	text, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
--- a/front/gateway/snapshot.go
+++ b/front/gateway/snapshot.go
@@ -15,10 +15,10 @@
 // accepts no more queries.
 //
 // Danger: a file truncated by a crash must not replace a complete one, so a temporary file is written and renamed.
-func (d *PeerServer) Save(file string) (err error) {
-	d.mu.Lock()
-	text := d.Window.Snapshot(d.Clock.Now())
-	d.mu.Unlock()
+func (s *PeerServer) Save(file string) (err error) {
+	s.mu.Lock()
+	text := s.Window.Snapshot(s.Clock.Now())
+	s.mu.Unlock()
 	text = append(binary.LittleEndian.AppendUint64(nil, uint64(time.Now().UnixNano())), text...)
 	f, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
 	if err != nil {
@@ -45,7 +45,7 @@
 //
 // The time between Save and Load is taken from the time of day. If the clock was set back, ids count as seen now,
 // so they are remembered longer than needed rather than forgotten too early.
-func (d *PeerServer) Load(file string) error {
+func (s *PeerServer) Load(file string) error {
 	info, err := os.Stat(file)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -61,7 +61,7 @@
 		return err
 	}
 	elapsed := time.Now().UnixNano() - int64(binary.LittleEndian.Uint64(text))
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.Window.Restore(d.Clock.Now(), max(elapsed, 0), text[8:])
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.Window.Restore(s.Clock.Now(), max(elapsed, 0), text[8:])
 }
--- a/front/proxyserver/callers_test.go
+++ b/front/proxyserver/callers_test.go
@@ -34,9 +34,10 @@
 {"name":"safe","host":"h","path-prefix":"/safe/","route-kind":"safe","deadline-ms":10000,"target-ms":1000,"service":"s","max-tries":2},
 {"name":"unsafe","host":"h","path-prefix":"/unsafe/","route-kind":"unsafe","deadline-ms":10000,"target-ms":1000,"service":"s","max-tries":3}],
 "services":[{"name":"s"}]}`
-	longWaitMs     = 10000          // deadline of a client in ms, long enough on a very busy machine
-	silentWaitMs   = 1500           // deadline in ms of a client that gets no answer from the replica
-	shortWaitMs    = 300            // deadline in ms of a client whose answer does not matter, only what the replica received
+	longWaitMs   = 10000 // deadline of a client in ms, long enough on a very busy machine
+	silentWaitMs = 1500  // deadline in ms of a client that gets no answer from the replica
+	// Deadline in ms of a client whose answer does not matter, only what the replica received.
+	shortWaitMs    = 300
 	maxOwnDeclines = 20             // requests that the proxy may decline on a busy machine before the test fails
 	warmPath       = "/unsafe/warm" // always answered correctly by the replica
 
--- a/front/proxyserver/path_test.go
+++ b/front/proxyserver/path_test.go
@@ -188,7 +188,8 @@
 	unsafeRoute   = `{"name":"unsafe","host":"h","path-prefix":"/unsafe/","route-kind":"unsafe","deadline-ms":1000,"service":"s1","max-tries":1}`
 	gatheredRoute = `{"name":"all","host":"h","path-prefix":"/all/","deadline-ms":1000,"target-ms":500,"fanout":["s1","s2"],"max-tries":2,"result-count":4,"min-coverage":0.5}`
 	slack         = 100 * time.Millisecond
-	halfSecond    = 500 * time.Millisecond // within which an answer, or the withdrawal of a request from its replicas, is required
+	// An answer, or the withdrawal of a request from its replicas, is required within this time.
+	halfSecond = 500 * time.Millisecond
 )
 
 // TestDeadlinesHandedOn: each request to a replica carries the time left of the client's deadline, or of the
--- a/front/proxyserver/proxyserver.go
+++ b/front/proxyserver/proxyserver.go
@@ -37,14 +37,15 @@
 	"willowsill/transport/watch"
 )
 
-// ErrProxy is the class of this package's errors, all of which are about starting.
+// ErrProxy is the class of this package's errors.
 var ErrProxy = oops.Code("proxy")
 
 const (
-	maxHeld    = 20000                   // limit of queries and parts that the node holds
-	stayOpen   = 2500 * time.Millisecond // for which new connections are accepted after SIGTERM, as the platform still sends some
-	stopMargin = 400 * time.Millisecond  // time kept free at the end of the platform's grace period
-	startPoll  = 5 * time.Millisecond    // interval of checks for the first configuration
+	maxHeld = 20000 // limit of queries and parts that the node holds
+	// New connections are accepted for this long after SIGTERM, as the platform still sends some.
+	stayOpen   = 2500 * time.Millisecond
+	stopMargin = 400 * time.Millisecond // time kept free at the end of the platform's grace period
+	startPoll  = 5 * time.Millisecond   // interval of checks for the first configuration
 )
 
 // Server is a running proxy.
@@ -171,11 +172,11 @@
 
 // buildReport returns the report that the proxy sends to its agent.
 func (s *Server) buildReport() watch.Report {
-	lending := s.nextLendingMessage()
+	lendingMessage := s.nextLendingMessage()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	self := controller.EdgeReport{Edge: clusterstate.Edge{IP: s.settings.IP, Zone: s.settings.Zone}, Rollouts: s.evidence.report()}
-	return watch.Report{Self: self, Revision: s.state.Revision, Lending: lending}
+	return watch.Report{Self: self, Revision: s.state.Revision, Lending: lendingMessage}
 }
 
 // handleFreshness records how current the agent's knowledge is.
@@ -223,17 +224,17 @@
 }
 
 // updateCounterRows gives new counters to each route that is new or has moved to another row.
-func (s *Server) updateCounterRows(routes []routeconfig.Route, rowOf map[routeconfig.RouteID]int) {
+func (s *Server) updateCounterRows(routes []routeconfig.Route, rowByRoute map[routeconfig.RouteID]int) {
 	s.counterRows = slices.Clone(s.counterRows) // the node still reads the previous slice
 	for len(s.counterRows) < len(s.workloads) {
 		s.counterRows = append(s.counterRows, &counters.Workload{})
 	}
-	for route, row := range rowOf {
+	for route, row := range rowByRoute {
 		if previous, served := s.rowByRoute[route]; !served || previous != row {
 			s.counterRows[row] = &counters.Workload{}
 		}
 	}
-	s.routes, s.rowByRoute = routes, rowOf
+	s.routes, s.rowByRoute = routes, rowByRoute
 }
 
 // setWorkloads sets in the node which workloads are served, and how many retries this edge may make beyond its
--- a/front/proxyserver/retries.go
+++ b/front/proxyserver/retries.go
@@ -10,8 +10,10 @@
 )
 
 const (
-	retrySlackPoll     = time.Second            // interval of checks whether this edge's share of the retry budget has changed
-	retriesUsedTimeout = 100 * time.Millisecond // for the node's answer about its retries; without one nothing is lent this time
+	// Interval of checks whether this edge's share of the retry budget has changed.
+	retrySlackPoll = time.Second
+	// Timeout for the node's answer about its retries. Without an answer nothing is lent this time.
+	retriesUsedTimeout = 100 * time.Millisecond
 )
 
 // pollRetrySlack updates the node's retry slack as this edge's share of the budget changes over time, until ctx
@@ -36,11 +38,11 @@
 // updateRetrySlack sets in the node how many retries this edge may make beyond its ratio, and reports whether that
 // has changed. The caller holds mu.
 func (s *Server) updateRetrySlack(now int64) (changed bool) {
-	free := s.account.Limit(now)
-	if free == s.retrySlack {
+	slack := s.account.Limit(now)
+	if slack == s.retrySlack {
 		return false
 	}
-	s.retrySlack = free
+	s.retrySlack = slack
 	s.setWorkloads()
 	return true
 }
--- a/front/server.go
+++ b/front/server.go
@@ -18,10 +18,12 @@
 )
 
 const (
-	maxHeaderBytes    = 32 << 10
-	requestTimeout    = 2 * time.Second        // from connecting, or from the first byte of a later request, until the request has been read
-	idleTimeout       = 2 * time.Second        // for a connection between two requests
-	idleDivisor       = 4                      // at most one in four of the descriptors for clients may belong to idle connections
+	maxHeaderBytes = 32 << 10
+	// Time from connecting, or from the first byte of a later request, until the request has been read.
+	requestTimeout = 2 * time.Second
+	idleTimeout    = 2 * time.Second // for a connection between two requests
+	// At most one in four of the descriptors for clients may belong to idle connections.
+	idleDivisor       = 4
 	usualRequestDelay = 250 * time.Millisecond // within which a well-behaved client sends its request after connecting
 
 	stopAcceptTime    = 600 * time.Millisecond // for which new connections are accepted once Stop is called
@@ -50,14 +52,17 @@
 	server             *Server
 	once               sync.Once
 	nextDeadlineUpdate int64 // time at which the deadlines are set again, ns; used only by the goroutine that reads
-	unreadBody         int64 // bytes still to discard of the body of a request that was rejected unread; used only by the goroutine that reads
+	// Bytes still to discard of the body of a request that was rejected unread; used only by the goroutine that
+	// reads.
+	unreadBody int64
 
 	// The following fields are guarded by the server's mutex.
 	phase            phase
-	readPastDeadline bool        // the current request was read after its deadline
-	since            int64       // time of connecting, of becoming idle or of the current request's first byte, by phase; ns
-	requestDeadline  int64       // by when the current request must have been read, ns
-	head             requestHead // of the current request
+	readPastDeadline bool // the current request was read after its deadline
+	// Time of connecting, of becoming idle or of the current request's first byte, by phase; ns.
+	since           int64
+	requestDeadline int64       // by when the current request must have been read, ns
+	head            requestHead // of the current request
 }
 
 // connection returns the connection of a request, or nil in tests without one.
--- a/front/unread.go
+++ b/front/unread.go
@@ -70,8 +70,9 @@
 	return true
 }
 
-// parseRequestLine returns the workload that a request line names, and its row.
-func (f *Front) parseRequestLine(b []byte) (workload string, row int, is bool) {
+// parseRequestLine returns the workload that a request line names, and its row. known is false if the line is not
+// that of a query or names no known workload.
+func (f *Front) parseRequestLine(b []byte) (workload string, row int, known bool) {
 	line, _, whole := bytes.Cut(b, []byte("\r\n"))
 	path, isQuery := bytes.CutPrefix(line, []byte("POST /"))
 	path, version, _ := bytes.Cut(path, []byte(" "))
@@ -80,8 +81,8 @@
 	}
 	name, _, _ := bytes.Cut(path, []byte("/"))
 	workload = string(name)
-	row, is = f.WorkloadRow[workload]
-	return workload, row, is
+	row, known = f.WorkloadRow[workload]
+	return workload, row, known
 }
 
 // remainingBody returns how many bytes of a request's body are still to come, given its first bytes. simple is
