--- a/front/clienthttp/clienthttp.go
+++ b/front/clienthttp/clienthttp.go
@@ -54,7 +54,7 @@
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true,
 	"Content-Length": true, "Host": true, replicahttp.HeaderDeadline: true, replicahttp.HeaderTarget: true}
 
-// ServeHTTP serves one request.
+// ServeHTTP serves one request: it finds its route, passes it to the core and writes the answer.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := h.Now()
 	if h.Draining.Load() {
--- a/front/clienthttp/server.go
+++ b/front/clienthttp/server.go
@@ -106,7 +106,7 @@
 	d.Close()
 }
 
-// Accept accepts connections on the listener until it is closed.
+// Accept passes connections from the listener to the current server until the listener is closed.
 func (s *Servers) Accept(ln net.Listener) error {
 	for {
 		c, err := ln.Accept()
