--- a/front/clienthttp/callers_test.go
+++ b/front/clienthttp/callers_test.go
@@ -19,14 +19,15 @@
 	"willowsill/transport/replicahttp"
 )
 
-// echoCore answers each query with its own attempt id, once it is let; a client that leaves first gets none.
+// echoCore answers each query with its attempt id once hold allows it. A query whose client leaves first gets no
+// answer.
 type echoCore struct {
 	hold chan struct{} // nil to answer at once
 
-	mu    sync.Mutex
-	asked []*replicahttp.Request
-	left  int
-	came  chan struct{}
+	mu      sync.Mutex
+	asked   []*replicahttp.Request
+	left    int
+	reached chan struct{}
 }
 
 func (c *echoCore) Serve(ctx context.Context, q node.Query) (node.Answer, bool) {
@@ -34,7 +35,7 @@
 	c.mu.Lock()
 	c.asked = append(c.asked, r)
 	c.mu.Unlock()
-	c.came <- struct{}{}
+	c.reached <- struct{}{}
 	if c.hold != nil {
 		select {
 		case <-c.hold:
@@ -50,10 +51,10 @@
 	return node.Answer{Outcome: balance.Whole, Values: []node.Value{{Shard: q.Parts[0].Shard}}}, true
 }
 
-// serveClients serves clients on a port of its own.
+// serveClients serves clients on a port and returns its address.
 func serveClients(t *testing.T, c *echoCore) (address string) {
-	c.came = make(chan struct{}, 64)
-	handler := handlerOf(t, nil)
+	c.reached = make(chan struct{}, 64)
+	handler := newHandler(t, nil)
 	handler.Core = c
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -67,13 +68,13 @@
 	return "POST /b/x HTTP/1.1\r\nHost: h\r\n" + replicahttp.HeaderAttempt + ": " + id + "\r\n" + lines + "\r\n" + body
 }
 
-func sized(id, body string) string {
+func postSized(id, body string) string {
 	return post(id, fmt.Sprintf("Content-Length: %d\r\n", len(body)), body)
 }
 
 const chunked = "Transfer-Encoding: chunked\r\n"
 
-// answers reads all answers of a connection, until it ends, as "status body".
+// answers reads all answers on a connection until it ends, each as "status id".
 func answers(t *testing.T, c net.Conn) (all []string) {
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	r := bufio.NewReader(c)
@@ -95,14 +96,14 @@
 	}
 }
 
-// TestClientConnections: each way in which a client's connection ends or misbehaves, on its first request and behind one
-// that was answered. What did not come whole goes to no replica, each answer goes to its own request, in order, and none
-// is made up.
+// TestClientConnections: each way in which a client's connection can end or misbehave, on its first request and
+// behind one that was answered. An incomplete request must go to no replica, and each request must get its own
+// answer, in order.
 func TestClientConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		sent  string   // then the client ends its side
-		want  []string // answers
-		asked []string // attempt and body of what went on
+		sent  string   // after which the client closes its sending side
+		want  []string // expected answers
+		asked []string // attempt and body of the requests that reach the core
 	}{
 		"nothing":                   {"", nil, nil},
 		"ended in the first line":   {"POST /b", []string{"400"}, nil},
@@ -115,9 +116,9 @@
 		"ended in the last chunk":   {post("x1", chunked, "4\r\nbody\r\n0\r\n"), []string{"400"}, nil},
 		"a chunk that is none":      {post("x1", chunked, "zz\r\nbody\r\n0\r\n\r\n"), []string{"400"}, nil},
 		"whole in chunks":           {post("x1", chunked+"Connection: close\r\n", "4\r\nbody\r\n0\r\n\r\n"), []string{"200 x1"}, []string{"x1 body"}},
-		"two in one segment":        {sized("x1", "body") + sized("x2", "more"), []string{"200 x1", "200 x2"}, []string{"x1 body", "x2 more"}},
-		"two in one, second broken": {sized("x1", "body") + post("x2", "Content-Length: 4\r\n", "mo"), []string{"200 x1", "400"}, []string{"x1 body"}},
-		"garbage behind the body":   {sized("x1", "body") + "\x00garbage\r\n\r\n", []string{"200 x1", "400"}, []string{"x1 body"}},
+		"two in one segment":        {postSized("x1", "body") + postSized("x2", "more"), []string{"200 x1", "200 x2"}, []string{"x1 body", "x2 more"}},
+		"two in one, second broken": {postSized("x1", "body") + post("x2", "Content-Length: 4\r\n", "mo"), []string{"200 x1", "400"}, []string{"x1 body"}},
+		"garbage behind the body":   {postSized("x1", "body") + "\x00garbage\r\n\r\n", []string{"200 x1", "400"}, []string{"x1 body"}},
 		"two lengths":               {post("x1", "Content-Length: 4\r\nContent-Length: 5\r\n", "body"), []string{"400"}, nil},
 		"two ids":                   {post("x1", replicahttp.HeaderAttempt+": x2\r\nContent-Length: 4\r\nConnection: close\r\n", "body"), []string{"400"}, nil},
 		"length and chunks":         {post("x1", chunked+"Content-Length: 3\r\nConnection: close\r\n", "4\r\nbody\r\n0\r\n\r\n"), []string{"200 x1"}, []string{"x1 body"}},
@@ -131,13 +132,13 @@
 				defer conn.Close()
 				sent, want, asked := c.sent, c.want, c.asked
 				if reused {
-					sent = sized("x0", "first") + sent
+					sent = postSized("x0", "first") + sent
 					want = append([]string{"200 x0"}, want...)
 					asked = append([]string{"x0 first"}, asked...)
 				}
 				io.WriteString(conn, sent)
 				for range asked {
-					<-core.came // served at once, so that the end of the client's side is no departure
+					<-core.reached // all are served before the client's side closes, which would abandon them
 				}
 				if len(want) > len(asked) || len(asked) == 0 {
 					conn.(*net.TCPConn).CloseWrite()
@@ -158,7 +159,7 @@
 	}
 }
 
-// answersUntil reads so many answers, and all that come until the end where there are to be none.
+// answersUntil reads up to most answers, or all until the connection ends if most is 0.
 func answersUntil(t *testing.T, c net.Conn, most int) (all []string) {
 	if most == 0 {
 		return answers(t, c)
@@ -184,8 +185,8 @@
 	return all
 }
 
-// TestClientLeaves: a client that leaves while its request is out is given up, and what it may still read is no success
-// and no promise.
+// TestClientLeaves: the query of a client that disconnects is abandoned. A client that closed only its sending
+// side must read neither a success nor a promise that its request has not run.
 func TestClientLeaves(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closed":      func(c *net.TCPConn) { c.Close() },
@@ -198,13 +199,13 @@
 				conn, err := net.Dial("tcp", serveClients(t, core))
 				must.NoError(t, err)
 				defer conn.Close()
-				io.WriteString(conn, strings.Replace(sized("x1", "body"), "/b/x", path, 1))
-				<-core.came
+				io.WriteString(conn, strings.Replace(postSized("x1", "body"), "/b/x", path, 1))
+				<-core.reached
 				leave(conn.(*net.TCPConn))
 				for _, got := range answers(t, conn) {
 					must.Eq(t, "502", got)
 				}
-				for range 500 { // the server sees it at once; the race with this check is short
+				for range 500 { // the server notices at once, but this check may come first
 					core.mu.Lock()
 					left := core.left
 					core.mu.Unlock()
@@ -213,26 +214,27 @@
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
-				t.Fatal("not given up")
+				t.Fatal("the query was not abandoned")
 			})
 		}
 	}
 }
 
-// TestPipelinedBehindOneThatWaits: a request behind one that is out waits, and each gets its own answer.
+// TestPipelinedBehindOneThatWaits: a pipelined request waits for the one before it, and each gets its own answer.
 func TestPipelinedBehindOneThatWaits(t *testing.T) {
 	core := &echoCore{hold: make(chan struct{})}
 	conn, err := net.Dial("tcp", serveClients(t, core))
 	must.NoError(t, err)
 	defer conn.Close()
-	io.WriteString(conn, sized("x1", "body"))
-	<-core.came
-	io.WriteString(conn, sized("x2", "more"))
+	io.WriteString(conn, postSized("x1", "body"))
+	<-core.reached
+	io.WriteString(conn, postSized("x2", "more"))
 	close(core.hold)
 	must.Eq(t, []string{"200 x1", "200 x2"}, answersUntil(t, conn, 2))
 }
 
-// TestExpectContinue: a body is asked for before it is sent, and one that never comes goes to no replica.
+// TestExpectContinue: a client is asked for the body before it sends it, and a request whose body never arrives
+// goes to no replica.
 func TestExpectContinue(t *testing.T) {
 	for _, sent := range []string{"body", "bo"} {
 		core := &echoCore{}
@@ -262,7 +264,8 @@
 	}
 }
 
-// TestSlowHead: a head that does not come in time goes to no replica; net/http refuses it and ends the connection.
+// TestSlowHead: a request whose headers do not arrive in time goes to no replica; net/http answers with an error
+// and closes the connection.
 func TestSlowHead(t *testing.T) {
 	core := &echoCore{}
 	conn, err := net.Dial("tcp", serveClients(t, core))
--- a/front/clienthttp/clienthttp_test.go
+++ b/front/clienthttp/clienthttp_test.go
@@ -28,17 +28,17 @@
 {"name":"debit","host":"h","path-prefix":"/b/","route-kind":"unsafe","deadline-ms":4000,"service":"s0"}],
 "services":[{"name":"s0"},{"name":"s1"},{"name":"s2"}],"limits":{"max-body-bytes":10}}`
 
-// core answers as it is told to, and keeps what it was asked.
-type core struct {
+// recordingCore is a Core whose answers are set by the test. It records the query that it was asked.
+type recordingCore struct {
 	asked   node.Query
 	answers map[int]*replicahttp.Answer
-	final   balance.Outcome
+	outcome balance.Outcome
 	wait    int64
 }
 
-func (c *core) Serve(_ context.Context, q node.Query) (node.Answer, bool) {
+func (c *recordingCore) Serve(_ context.Context, q node.Query) (node.Answer, bool) {
 	c.asked = q
-	a := node.Answer{Outcome: c.final, RetryAfter: c.wait}
+	a := node.Answer{Outcome: c.outcome, RetryAfter: c.wait}
 	r := q.Payload.(*replicahttp.Request)
 	for _, p := range q.Parts {
 		if got := c.answers[p.Shard]; got != nil {
@@ -51,7 +51,7 @@
 	return a, true
 }
 
-func handlerOf(t *testing.T, c *core) *Handler {
+func newHandler(t *testing.T, c *recordingCore) *Handler {
 	ch, err := routeconfig.Read([]byte(configuration))
 	must.NoError(t, err)
 	q := &Handler{Core: c, Now: func() int64 { return 1000 }}
@@ -77,13 +77,14 @@
 
 func record(c byte) string { return strings.Repeat(string(c), 16) }
 
-// TestGatheredAnswer: the greatest records of the parts that are in, their seals, and how many are missing.
+// TestGatheredAnswer: the answer has the greatest records of the parts that succeeded, their seals, and the number
+// of missing parts.
 func TestGatheredAnswer(t *testing.T) {
 	failed := &replicahttp.Answer{Status: 500, Seal: "bad", Complete: true}
-	c := &core{final: balance.Partial, answers: map[int]*replicahttp.Answer{0: part("x", record('b'), record('d')), 1: failed,
+	c := &recordingCore{outcome: balance.Partial, answers: map[int]*replicahttp.Answer{0: part("x", record('b'), record('d')), 1: failed,
 		2: part("y", record('d'), record('a'), "rest")}}
 	w := httptest.NewRecorder()
-	handlerOf(t, c).ServeHTTP(w, request("GET", "/a/q?x=1", ""))
+	newHandler(t, c).ServeHTTP(w, request("GET", "/a/q?x=1", ""))
 	must.Eq(t, 200, w.Code)
 	must.Eq(t, "x, y", w.Header().Get(headerPartSeals))
 	must.Eq(t, "1", w.Header().Get(headerMissing))
@@ -93,12 +94,13 @@
 	must.Eq(t, 1000+700*millisecond, c.asked.Deadline)
 }
 
-// TestWhatReplicasGet: the request unchanged, but for what concerns one connection or is this side's to say.
+// TestWhatReplicasGet: replicas get the request unchanged, except for headers that concern one connection or that
+// the proxy sets.
 func TestWhatReplicasGet(t *testing.T) {
-	c := &core{answers: map[int]*replicahttp.Answer{0: {Status: 200, Seal: "s", Complete: true, Body: []byte("ok"),
+	c := &recordingCore{answers: map[int]*replicahttp.Answer{0: {Status: 200, Seal: "s", Complete: true, Body: []byte("ok"),
 		Header: http.Header{"Willowsill-Replica-Seal": {"s"}, "Connection": {"close"}, "X-More": {"1", "2"}}}}}
 	w := httptest.NewRecorder()
-	handlerOf(t, c).ServeHTTP(w, request("POST", "/b/a%2Fb?x=%20", "body"))
+	newHandler(t, c).ServeHTTP(w, request("POST", "/b/a%2Fb?x=%20", "body"))
 	must.Eq(t, 200, w.Code)
 	must.Eq(t, "ok", w.Body.String())
 	must.Eq(t, "", w.Header().Get("Connection"))
@@ -115,21 +117,21 @@
 	must.Eq(t, "body", string(r.Body))
 }
 
-// TestRefusals: each answer of the system's own, and what it promises.
+// TestRefusals: the status of each answer that the proxy gives on its own behalf.
 func TestRefusals(t *testing.T) {
-	declined := &core{final: balance.Declined, wait: int64(1500 * time.Millisecond)}
-	forfeited := &core{final: balance.Forfeited}
-	failed := &core{final: balance.Forfeited, answers: map[int]*replicahttp.Answer{0: {Status: 500, Seal: "s", Complete: true, Body: []byte("no")}}}
-	turned := &core{final: balance.Declined, answers: map[int]*replicahttp.Answer{0: {Status: 421, Complete: true}}}
+	declined := &recordingCore{outcome: balance.Declined, wait: int64(1500 * time.Millisecond)}
+	forfeited := &recordingCore{outcome: balance.Forfeited}
+	failed := &recordingCore{outcome: balance.Forfeited, answers: map[int]*replicahttp.Answer{0: {Status: 500, Seal: "s", Complete: true, Body: []byte("no")}}}
+	misdirected := &recordingCore{outcome: balance.Declined, answers: map[int]*replicahttp.Answer{0: {Status: 421, Complete: true}}}
 	for name, c := range map[string]struct {
-		core   *core
+		core   *recordingCore
 		change func(*http.Request)
 		want   int
 	}{
 		"declined":           {declined, func(*http.Request) {}, 503},
 		"may have run":       {forfeited, func(*http.Request) {}, 502},
 		"a replica's own":    {failed, func(*http.Request) {}, 500},
-		"another replica's":  {turned, func(*http.Request) {}, 503},
+		"another replica's":  {misdirected, func(*http.Request) {}, 503},
 		"no route":           {declined, func(r *http.Request) { r.RequestURI = "/c/" }, 404},
 		"another host":       {declined, func(r *http.Request) { r.Host = "other" }, 404},
 		"no id":              {declined, func(r *http.Request) { r.Header.Del(replicahttp.HeaderAttempt) }, 400},
@@ -141,7 +143,7 @@
 			r := request("POST", "/b/x", "body")
 			c.change(r)
 			w := httptest.NewRecorder()
-			handlerOf(t, c.core).ServeHTTP(w, r)
+			newHandler(t, c.core).ServeHTTP(w, r)
 			must.Eq(t, c.want, w.Code)
 			if c.want == 503 && c.core == declined {
 				must.Eq(t, "0.892", w.Header().Get("Retry-After"))
@@ -149,14 +151,15 @@
 		})
 	}
 	w := httptest.NewRecorder()
-	(&Handler{Now: func() int64 { return 0 }}).ServeHTTP(w, request("GET", "/a/", "")) // before any configuration
+	(&Handler{Now: func() int64 { return 0 }}).ServeHTTP(w, request("GET", "/a/", "")) // without a configuration
 	must.Eq(t, 503, w.Code)
 }
 
-// TestServiceWithoutAShard: a request of which one service has no shard goes to no replica of another one.
+// TestServiceWithoutAShard: if a service of a request has no shard, the request goes to no other service's
+// replica.
 func TestServiceWithoutAShard(t *testing.T) {
-	c := &core{}
-	handler := handlerOf(t, c)
+	c := &recordingCore{}
+	handler := newHandler(t, c)
 	state := *handler.state.Load()
 	state.Shards = map[string]int{"s1": 1, "s2": 2}
 	handler.SetState(&state)
@@ -168,8 +171,8 @@
 	}
 }
 
-// TestLimitsThatChange: a new connection comes under the new limits, and one that is open keeps those that it
-// came under; what no connection is under any more is let go.
+// TestLimitsThatChange: a new connection gets the new limits, an open one keeps its own, and servers without
+// connections are removed.
 func TestLimitsThatChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipenet.Network{}
@@ -206,7 +209,7 @@
 		}
 		must.SliceLen(t, 2, s.All())
 		time.Sleep(30 * time.Second)
-		ask() // still, by the limits that it came under
+		ask() // still allowed by the connection's own limits
 		open.Close()
 		synctest.Wait()
 		must.SliceLen(t, 1, s.All())
--- a/front/proxyserver/retries_test.go
+++ b/front/proxyserver/retries_test.go
@@ -16,13 +16,13 @@
 	"willowsill/transport/replicahttp"
 )
 
-// TestLendsAndBorrowsRetries: an edge gives up what it lends before it tells of it, and uses what it is lent.
+// TestLendsAndBorrowsRetries: an edge lowers its own limit before it sends a loan, and uses what it is lent.
 func TestLendsAndBorrowsRetries(t *testing.T) {
 	set := settings.Settings{IP: "127.0.0.1", Bounds: settings.Bounds{RetryRatio: 0.2, RetrySlack: 60, RetryWindowS: 10}}
 	clock := node.NewClock()
 	n := node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
 		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: counters.New(nil), Log: zap.NewNop(), RequestList: func() {},
-		NewTransport: func(tell func(any), now func() int64) node.Transport { return replicahttp.NewPool(tell, now) }})
+		NewTransport: func(notify func(any), now func() int64) node.Transport { return replicahttp.NewPool(notify, now) }})
 	t.Cleanup(n.Close)
 	terms := lending.DefaultTiming(set.Bounds.RetryWindow())
 	s := &Server{settings: set, node: n, account: lending.NewAccount(clock.Now()-int64(time.Hour), terms)}
@@ -30,10 +30,10 @@
 	must.Nil(t, s.nextLendingMessage())
 	must.Eq(t, 4, s.retrySlack)
 	s.handleLendingMessage(lending.Message{Requests: []lending.LoanRequest{{Number: 5, Amount: 9}}})
-	must.Nil(t, s.nextLendingMessage()) // given up, and not told yet
+	must.Nil(t, s.nextLendingMessage()) // the limit is lowered, the loan not sent yet
 	must.Eq(t, 2, s.retrySlack)
-	told := s.nextLendingMessage()
-	must.Eq(t, []lending.Loan{{Answers: 5, Amount: 2, Duration: terms.Loan}}, told.Loans)
+	message := s.nextLendingMessage()
+	must.Eq(t, []lending.Loan{{Answers: 5, Amount: 2, Duration: terms.Loan}}, message.Loans)
 	must.Eq(t, 2, s.retrySlack)
 	must.Nil(t, s.nextLendingMessage())
 
