--- a/cmd/willowsill/main.go
+++ b/cmd/willowsill/main.go
@@ -112,7 +112,7 @@
 	var core *node.Node
 	watch := discovery.NewWatch(start.Discovery, start.Cells, start.KnownReplicas.Sequence, dial,
 		func(ctx context.Context, n discovery.Update) { core.ApplyList(ctx, n) })
-	core = node.New(node.Options{Clock: clock, Deployment: start.Deployment, Terms: start.Limits, KnownList: start.KnownReplicas,
+	core = node.New(node.Options{Clock: clock, Deployment: start.Deployment, Limits: start.Limits, KnownList: start.KnownReplicas,
 		Budget: budget, Count: count, Log: log, RequestList: watch.Request, Dial: dial})
 	shares := &sharedStore{start: start, core: core, dial: dial, count: count, log: log}
 	if err := shares.apply(orders); err != nil {
--- a/front/gateway/core.go
+++ b/front/gateway/core.go
@@ -128,7 +128,7 @@
 	for i := range d.Workloads { // an answer of a site counts as complete here, whatever it contains
 		d.Workloads[i].FullCoverage, d.Workloads[i].MinCoverage, d.Workloads[i].FollowUpParts = 1, 1, 0
 	}
-	c.peerNode = node.New(node.Options{Clock: p.Clock, Deployment: d, Terms: p.Limits, KnownList: known,
+	c.peerNode = node.New(node.Options{Clock: p.Clock, Deployment: d, Limits: p.Limits, KnownList: known,
 		Budget: sockets.NewBudget(maxAttempts), Count: counters.New(d.WorkloadRow), Log: p.Log, RequestList: func() {}, Dial: p.Dial,
 		NewTransport: func(notify func(any), now func() int64) node.Transport {
 			pool := c.sitePool(maxAttempts, notify, now)
--- a/front/gateway/gateway_test.go
+++ b/front/gateway/gateway_test.go
@@ -149,7 +149,7 @@
 	if name == "b" { // Danger: a time of day sent to another site would be an hour off here; only the time left may be sent
 		clock = clock.Shifted(time.Hour)
 	}
-	s.node = node.New(node.Options{Clock: clock, Deployment: d, Terms: testLimits, Budget: sockets.NewBudget(256),
+	s.node = node.New(node.Options{Clock: clock, Deployment: d, Limits: testLimits, Budget: sockets.NewBudget(256),
 		Count: count, Log: zap.NewNop(), RequestList: watch.Request, Dial: w.network.Dial})
 	ctx, stop := context.WithCancel(w.Context())
 	watched := make(chan struct{})
--- a/front/proxyserver/callers_test.go
+++ b/front/proxyserver/callers_test.go
@@ -172,7 +172,7 @@
 	clock := node.NewClock()
 	table, count := routingtable.New(clock.Now(), set), counters.New(nil)
 	n := node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
-		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: count, Log: zap.NewNop(), RequestList: func() {},
+		Limits: deployment.Limits{MaxHeld: maxHeld}, Count: count, Log: zap.NewNop(), RequestList: func() {},
 		NewTransport: func(notify func(any), now func() int64) node.Transport { return replicahttp.NewPool(notify, now) }})
 	// Danger: a node that runs on after its test could reach another test's replica that has got the same port.
 	t.Cleanup(n.Close)
--- a/front/proxyserver/metrics_test.go
+++ b/front/proxyserver/metrics_test.go
@@ -31,7 +31,7 @@
 		account:  lending.NewAccount(clock.Now(), lending.DefaultTiming(set.Bounds.RetryWindow())),
 		evidence: newEvidence(1), servers: &clienthttp.Servers{}, handler: &clienthttp.Handler{}}
 	s.node = node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
-		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), RequestList: func() {}, Observer: s.evidence,
+		Limits: deployment.Limits{MaxHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), RequestList: func() {}, Observer: s.evidence,
 		NewTransport: func(notify func(any), now func() int64) node.Transport {
 			s.pool = replicahttp.NewPool(notify, now)
 			return s.pool
--- a/front/proxyserver/proxyserver.go
+++ b/front/proxyserver/proxyserver.go
@@ -86,7 +86,7 @@
 	s.account = lending.NewAccount(clock.Now(), lending.DefaultTiming(local.Bounds.RetryWindow()))
 	s.evidence = newEvidence(seed)
 	s.node = node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(local, seed)},
-		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), RequestList: func() {}, Observer: s.evidence,
+		Limits: deployment.Limits{MaxHeld: maxHeld}, Count: s.counters, Log: zap.NewNop(), RequestList: func() {}, Observer: s.evidence,
 		NewTransport: func(notify func(any), now func() int64) node.Transport {
 			s.pool = replicahttp.NewPool(notify, now)
 			return s.pool
--- a/front/proxyserver/proxyserver_bench_test.go
+++ b/front/proxyserver/proxyserver_bench_test.go
@@ -67,7 +67,7 @@
 	p := routingtable.New(clock.Now(), s)
 	count := counters.New(nil)
 	n := node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(s, 1)},
-		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: count, Log: zap.NewNop(), RequestList: func() {},
+		Limits: deployment.Limits{MaxHeld: maxHeld}, Count: count, Log: zap.NewNop(), RequestList: func() {},
 		NewTransport: func(notify func(any), now func() int64) node.Transport {
 			pool := replicahttp.NewPool(notify, now)
 			pool.Dial = func(context.Context, string, string) (net.Conn, error) {
--- a/front/proxyserver/retries_test.go
+++ b/front/proxyserver/retries_test.go
@@ -21,7 +21,7 @@
 	set := settings.Settings{IP: "127.0.0.1", Bounds: settings.Bounds{RetryRatio: 0.2, RetrySlack: 60, RetryWindowS: 10}}
 	clock := node.NewClock()
 	n := node.New(node.Options{Clock: clock, Deployment: deployment.Deployment{Deployment: routingtable.Deployment(set, 1)},
-		Terms: deployment.Limits{MaxHeld: maxHeld}, Count: counters.New(nil), Log: zap.NewNop(), RequestList: func() {},
+		Limits: deployment.Limits{MaxHeld: maxHeld}, Count: counters.New(nil), Log: zap.NewNop(), RequestList: func() {},
 		NewTransport: func(notify func(any), now func() int64) node.Transport { return replicahttp.NewPool(notify, now) }})
 	t.Cleanup(n.Close)
 	terms := lending.DefaultTiming(set.Bounds.RetryWindow())
--- a/node/admit.go
+++ b/node/admit.go
@@ -76,7 +76,7 @@
 	count.Accepted.Add(1)
 	timeout := q.Deadline - now - n.lateness
 	// Danger: in a round after its deadline the client would be answered too late.
-	if n.held >= n.terms.MaxHeld || timeout <= max(n.lastRound+n.roundGap()-now, 0) {
+	if n.held >= n.limits.MaxHeld || timeout <= max(n.lastRound+n.roundGap()-now, 0) {
 		count.Declined.Add(1)
 		q.ended = true
 		q.answer <- n.declineUnseen()
--- a/node/node.go
+++ b/node/node.go
@@ -60,7 +60,7 @@
 type Node struct {
 	Clock
 	deployment.Deployment
-	terms       deployment.Limits
+	limits      deployment.Limits
 	rows        []*counters.Workload // by row of the workload
 	log         *zap.Logger
 	count       *counters.Counters
@@ -124,7 +124,7 @@
 type Options struct {
 	Clock       Clock
 	Deployment  deployment.Deployment
-	Terms       deployment.Limits
+	Limits      deployment.Limits
 	KnownList   discovery.Update // the last list that an earlier process knew
 	Budget      *sockets.Budget
 	Count       *counters.Counters
@@ -141,7 +141,7 @@
 // New starts a node.
 func New(p Options) *Node {
 	n := &Node{
-		Clock: p.Clock, Deployment: p.Deployment, terms: p.Terms, log: p.Log, count: p.Count, requestList: p.RequestList, observer: p.Observer,
+		Clock: p.Clock, Deployment: p.Deployment, limits: p.Limits, log: p.Log, count: p.Count, requestList: p.RequestList, observer: p.Observer,
 		events: make(chan event, queueLength), done: make(chan struct{}), ready: make(chan struct{}),
 		indices: map[string]int{}, lastRetryAt: map[int]int64{}, queries: map[*balance.Query]*query{}, running: map[*replica.Ticket]*execution{},
 		rows: make([]*counters.Workload, len(p.Deployment.Workloads)),
@@ -155,8 +155,8 @@
 	if p.NewTransport != nil {
 		n.transport = p.NewTransport(tell, n.Now)
 	} else {
-		n.transport = frameTransport{replica.NewPool(replica.Config{MaxCalls: p.Terms.CallsPerConnection, ConnectTimeout: p.Terms.ConnectTimeout,
-			IdleTimeout: p.Terms.IdleTimeout, Now: n.Now, Dial: p.Dial}, func(v replica.Event) { tell(v) }, p.Budget, p.Count)}
+		n.transport = frameTransport{replica.NewPool(replica.Config{MaxCalls: p.Limits.CallsPerConnection, ConnectTimeout: p.Limits.ConnectTimeout,
+			IdleTimeout: p.Limits.IdleTimeout, Now: n.Now, Dial: p.Dial}, func(v replica.Event) { tell(v) }, p.Budget, p.Count)}
 	}
 	n.applyList(n.Now(), p.KnownList, false)
 	n.changed = true // the first round may have to request the list
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -56,7 +56,7 @@
 				Aggregators: 1, Tick: 5e6, Workloads: []balance.Workload{row}, Shards: 2, Cells: 1, CellsPerShard: 1,
 				PartsPerCall: 1, MaxExecutions: 3, CanCancel: true, MaxRetryAfter: 2000e6, ColdCapacity: 0.2,
 				WarmUpTime: 9000e6, OverloadFactor: 4, OverloadSpan: 1000e6}},
-			Terms: deployment.Limits{MaxHeld: 30, CallsPerConnection: 32, ConnectTimeout: 250e6, IdleTimeout: 15e9}}
+			Limits: deployment.Limits{MaxHeld: 30, CallsPerConnection: 32, ConnectTimeout: 250e6, IdleTimeout: 15e9}}
 		p.Count = counters.New(p.Deployment.WorkloadRow)
 		w.count = p.Count
 		watch := discovery.NewWatch("d:1", 1, 0, w.network.Dial, func(ctx context.Context, n discovery.Update) { w.ApplyList(ctx, n) })
@@ -213,7 +213,7 @@
 
 // Danger: a part that still waits for its connection must not be sent once its query is answered or its client has left.
 func TestNothingAfterTheAnswer(t *testing.T) {
-	runNode(t, func(p *Options) { p.Terms.ConnectTimeout, p.Deployment.CanCancel = 5e9, false }, value, func(w *fixture) {
+	runNode(t, func(p *Options) { p.Limits.ConnectTimeout, p.Deployment.CanCancel = 5e9, false }, value, func(w *fixture) {
 		w.network.Blackhole("r:0")
 		w.network.Blackhole("r:1")
 		w.serve(w.Context(), "q", 300*time.Millisecond)
