--- a/cmd/willowsill/background.go
+++ b/cmd/willowsill/background.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// background is what runs beside the service for as long as the operator's script asks for it.
+// background is a goroutine that runs beside the server while the operator's script enables its feature.
 type background struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// startBackground runs it.
+// startBackground runs the function in a goroutine until stop is called.
 func startBackground(run func(context.Context)) *background {
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &background{cancel, make(chan struct{})}
@@ -19,7 +19,7 @@
 	return b
 }
 
-// stop stops it, and returns when it has ended.
+// stop cancels the goroutine's context and waits for the goroutine to return.
 func (b *background) stop() {
 	b.cancel()
 	<-b.done
--- a/cmd/willowsill/commands.go
+++ b/cmd/willowsill/commands.go
@@ -15,14 +15,14 @@
 	"willowsill/deployment/operator"
 )
 
-// coded is an error with the exit code that it ends the process with.
-type coded struct {
+// exitError is an error that carries the exit code of the process.
+type exitError struct {
 	error
 	code int
 }
 
-// executeCommand runs the command line and returns the exit code.
-func executeCommand(reload <-chan os.Signal, args []string, out, complaints io.Writer) int {
+// executeCommand parses the command line, runs the subcommand and returns the exit code. Errors go to stderr.
+func executeCommand(reload <-chan os.Signal, args []string, out, stderr io.Writer) int {
 	code := 0
 	root := &cobra.Command{
 		Use:   "willowsill",
@@ -48,13 +48,13 @@
 	}
 	serving.Flags().StringVar(&script, "operator", "", "the operator's script; SIGHUP reads it again")
 	serving.MarkFlagFilename("operator", "star")
-	root.AddCommand(serving, checkCommand(), explainCommand(), demonstrating())
+	root.AddCommand(serving, checkCommand(), explainCommand(), demoCommand())
 	root.SetArgs(args)
 	root.SetOut(out)
-	root.SetErr(complaints)
+	root.SetErr(stderr)
 	if err := root.Execute(); err != nil {
-		fmt.Fprintln(complaints, "willowsill:", err)
-		var c coded
+		fmt.Fprintln(stderr, "willowsill:", err)
+		var c exitError
 		if errors.As(err, &c) {
 			return c.code
 		}
@@ -68,8 +68,8 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE",
-		Short:   "Say all that is wrong with a script or a configuration",
-		Long:    "check reads an operator's script (.star) or a configuration (JSON) as a start would.\nWhat is wrong is told with file, line and key on standard error, and the exit code is 2.\n\n" + scriptHelp(),
+		Short:   "Report every error in a script or a configuration",
+		Long:    "check reads an operator's script (.star) or a configuration (JSON) as a start would.\nErrors are printed to standard error with file, line and key, and the exit code is 2.\n\n" + scriptHelp(),
 		Example: "  willowsill check examples/store.star\n  willowsill check examples/config.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -80,7 +80,7 @@
 				_, err = deployment.Check(args[0])
 			}
 			if err != nil {
-				return coded{err, 2}
+				return exitError{err, 2}
 			}
 			fmt.Fprintln(c.OutOrStdout(), args[0], "is right")
 			return nil
@@ -88,7 +88,7 @@
 	}
 }
 
-// scriptHelp is what a script may say.
+// scriptHelp describes every function that an operator's script may call, with its keys.
 func scriptHelp() string {
 	var b strings.Builder
 	b.WriteString("What a script may call:\n\n")
@@ -103,18 +103,18 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:     "explain FILE",
-		Short:   "Print what holds by a script in the end, defaults marked",
+		Short:   "Print the settings that result from a script, defaults marked",
 		Example: "  willowsill explain examples/store.star\n  willowsill explain --json examples/store.star",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if !isScript(args[0]) {
-				return coded{errors.New("explain wants an operator's script, a .star file"), 2}
+				return exitError{errors.New("explain wants an operator's script, a .star file"), 2}
 			}
-			orders, err := operator.Read(args[0])
+			settings, err := operator.Read(args[0])
 			if err != nil {
-				return coded{err, 2}
+				return exitError{err, 2}
 			}
-			lines, off := orders.Explain(), orders.Uncalled()
+			lines, off := settings.Explain(), settings.Uncalled()
 			if asJSON {
 				return writeJSON(c.OutOrStdout(), map[string]any{"holds": lines, "off": off})
 			}
--- a/cmd/willowsill/demo.go
+++ b/cmd/willowsill/demo.go
@@ -31,23 +31,24 @@
 	"willowsill/transport/replica"
 )
 
-// The demonstration's fleet.
+// Size and timing of the demonstration's fleet.
 const (
 	demoAggregators      = 3
 	demoShards           = 4
-	demoReplicasPerShard = 3 // of each shard
-	demoWork             = 20 * time.Millisecond
+	demoReplicasPerShard = 3
+	demoWork             = 20 * time.Millisecond // a replica's processing time for one part
 	demoClientTimeout    = 1500 * time.Millisecond
-	demoClientSlack      = 50 * time.Millisecond // limits on sockets are so much longer
-	// An aggregator has so long to come up, is asked so often, and each question may take so long.
-	demoStartupTimeout     = 30 * time.Second
-	demoHealthPollInterval = 20 * time.Millisecond
-	demoHealthTimeout      = time.Second
-	demoLatencyGoal        = 800 * time.Millisecond
-	systemDemoQueries      = 200 // queries a phase of the whole system
+	demoClientSlack      = 50 * time.Millisecond // added to client timeouts for the delay of real sockets
+	demoLatencyGoal      = 800 * time.Millisecond
+
+	demoStartupTimeout     = 30 * time.Second      // for an aggregator to pass its first health check
+	demoHealthPollInterval = 20 * time.Millisecond // between two health checks during startup
+	demoHealthTimeout      = time.Second           // of one health check
+
+	systemDemoQueries = 200 // queries per phase in the demonstration of the whole system
 )
 
-// phase is a stretch of the demonstration and what came of it.
+// phase holds the results of one phase of the demonstration. Its JSON keys are printed by demo --json.
 type phase struct {
 	Name             string         `json:"name"`
 	Answers          map[string]int `json:"answers"`
@@ -58,21 +59,21 @@
 	latencies        []time.Duration
 }
 
-func demonstrating() *cobra.Command {
+func demoCommand() *cobra.Command {
 	var withStore, asJSON, system bool
 	var each time.Duration
 	var sites int
 	c := &cobra.Command{
 		Use:   "demo",
 		Short: "Run a small fleet of stand-ins and some queries, and print what happened",
-		Long: "demo starts replicas, a discovery and three aggregators on loopback, asks queries of them, makes one\n" +
-			"replica fail and mends it. With --store the aggregators share what they find through a stand-in of a\n" +
-			"Redis server, which stalls and vanishes on the way.",
+		Long: "demo starts replicas, a discovery service and three aggregators on loopback, sends queries to them, makes one\n" +
+			"replica fail and repairs it. With --store the aggregators share replica health through a stand-in of a\n" +
+			"Redis server, which stalls and stops answering during the run.",
 		Example: "  willowsill demo\n  willowsill demo --store --json\n  willowsill demo --sites 2\n  willowsill demo --system",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if each < 200*time.Millisecond || each > time.Minute {
-				return coded{fmt.Errorf("--each is %v, outside 200ms to 1m", each), 2}
+				return exitError{fmt.Errorf("--each is %v, outside 200ms to 1m", each), 2}
 			}
 			var phases []phase
 			var err error
@@ -84,10 +85,10 @@
 			case sites == 2 && !withStore:
 				phases, err = runSitesDemo(c.Context(), each)
 			default:
-				return coded{fmt.Errorf("--sites is 1 or 2, and 2 goes without --store"), 2}
+				return exitError{fmt.Errorf("--sites must be 1 or 2, and --store needs --sites 1"), 2}
 			}
 			if err != nil {
-				return coded{err, 1}
+				return exitError{err, 1}
 			}
 			if asJSON {
 				return writeJSON(c.OutOrStdout(), phases)
@@ -105,22 +106,23 @@
 			return table.Flush()
 		},
 	}
-	c.Flags().BoolVar(&withStore, "store", false, "share what is found through a stand-in store")
-	c.Flags().BoolVar(&system, "system", false, "the whole system: controllers, proxies and agents as processes, one of each killed")
-	c.Flags().IntVar(&sites, "sites", 1, "two: one goes dark, and its queries are carried to the other")
+	c.Flags().BoolVar(&withStore, "store", false, "share replica health through a stand-in store")
+	c.Flags().BoolVar(&system, "system", false, "run the whole system: controllers, proxies and agents as processes; one of each is killed")
+	c.Flags().IntVar(&sites, "sites", 1, "number of sites; with 2, the replicas of one fail and its queries are forwarded to the other")
 	c.Flags().DurationVar(&each, "each", 2*time.Second, "how long each phase takes")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
 
-// part plays one process of the whole system's demonstration, where this process was started for that.
-func part() bool { return rehearsal.RunChild() }
+// runSystemDemoPart runs one process of the whole-system demonstration if this process was started as one, and reports
+// whether it was.
+func runSystemDemoPart() bool { return rehearsal.RunChild() }
 
-// runSystemDemo plays the whole system with copies of this program.
+// runSystemDemo runs the demonstration of the whole system, with copies of this program as its processes.
 func runSystemDemo(c *cobra.Command, asJSON bool) error {
 	phases, err := rehearsal.Run(c.Context(), systemDemoQueries)
 	if err != nil {
-		return coded{err, 1}
+		return exitError{err, 1}
 	}
 	if asJSON {
 		return writeJSON(c.OutOrStdout(), phases)
@@ -129,12 +131,12 @@
 	return nil
 }
 
-// fleet is what the demonstration starts; stop ends all of it.
+// fleet holds everything that the demonstration starts; stop shuts all of it down.
 type fleet struct {
 	frontURLs        []string
-	oneFails         atomic.Bool // the first replica fails
-	allFail          atomic.Bool // all do
-	discoveryAddress string      // the discovery's address
+	oneFails         atomic.Bool // replica 0 answers every part with an error
+	allFail          atomic.Bool // every replica answers every part with an error
+	discoveryAddress string
 	firstReplicaHits atomic.Int64
 	store            *redis.Server
 	closers          []func()
@@ -147,7 +149,7 @@
 	}
 }
 
-// listen opens a loopback port and serves on it until the end.
+// listen opens a loopback port and serves on it until the fleet stops.
 func (f *fleet) listen(serve func(net.Listener)) (string, error) {
 	address, end, err := ports.Serve(serve)
 	if err == nil {
@@ -156,12 +158,12 @@
 	return address, err
 }
 
-// startReplicas starts replicas and the discovery that names them.
+// startReplicas starts the replicas and the discovery service that lists them.
 func startReplicas() (*fleet, error) {
 	f := &fleet{}
-	list := standin.NewDiscovery()
+	registry := standin.NewDiscovery()
 	for i := range demoShards * demoReplicasPerShard {
-		toy := &standin.Replica{Answer: func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
+		standIn := &standin.Replica{Answer: func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
 			if i == 0 {
 				f.firstReplicaHits.Add(1)
 				if f.oneFails.Load() {
@@ -178,14 +180,14 @@
 			}
 			return replica.Reply{ID: p.ID, Value: "v" + strconv.Itoa(p.Shard)}, true
 		}}
-		address, err := f.listen(func(l net.Listener) { toy.Serve(l) })
+		address, err := f.listen(func(l net.Listener) { standIn.Serve(l) })
 		if err != nil {
 			return f, err
 		}
-		list.Change(standin.Host{Host: fmt.Sprint("s-", i), Dial: address, Cell: i % demoShards, Health: "active"})
+		registry.Change(standin.Host{Host: fmt.Sprint("s-", i), Dial: address, Cell: i % demoShards, Health: "active"})
 	}
 	var err error
-	f.discoveryAddress, err = f.listen(func(l net.Listener) { (&http.Server{Handler: list}).Serve(l) })
+	f.discoveryAddress, err = f.listen(func(l net.Listener) { (&http.Server{Handler: registry}).Serve(l) })
 	return f, err
 }
 
@@ -194,30 +196,30 @@
 	if err != nil {
 		return f, err
 	}
-	orders := &operator.Settings{}
+	settings := &operator.Settings{}
 	if withStore {
 		f.store = &redis.Server{}
 		address, err := f.listen(func(l net.Listener) { f.store.Serve(l) })
 		if err != nil {
 			return f, err
 		}
-		orders.Store = &operator.SharedStore{Address: address, Prefix: "demo", RoundInterval: 200e6, RoundTimeout: 100e6, SampleSize: 24, Health: true}
+		settings.Store = &operator.SharedStore{Address: address, Prefix: "demo", RoundInterval: 200e6, RoundTimeout: 100e6, SampleSize: 24, Health: true}
 	}
 	for i := range demoAggregators {
-		if err := f.startAggregator(i, orders, (&net.Dialer{}).DialContext); err != nil {
+		if err := f.startAggregator(i, settings, (&net.Dialer{}).DialContext); err != nil {
 			return f, err
 		}
 	}
 	return f, nil
 }
 
-// startAggregator starts the whole program once, but for its process.
-func (f *fleet) startAggregator(number int, orders *operator.Settings, dial replica.Dial) error {
-	row := balance.Workload{LatencyGoal: int64(demoLatencyGoal), LateShare: 0.3, MinCoverage: 1, FullCoverage: 1, PartialShare: 0.9}
+// startAggregator runs the whole aggregator in this process, as main would, and waits until it is healthy.
+func (f *fleet) startAggregator(number int, settings *operator.Settings, dial replica.Dial) error {
+	workload := balance.Workload{LatencyGoal: int64(demoLatencyGoal), LateShare: 0.3, MinCoverage: 1, FullCoverage: 1, PartialShare: 0.9}
 	start := deployment.Config{Name: fmt.Sprint("n", number), Discovery: f.discoveryAddress, Descriptors: 512,
 		Deployment: deployment.Deployment{WorkloadRow: map[string]int{"lookup": 0}, Deployment: balance.Deployment{
 			Index: number, Aggregators: demoAggregators, Seed: uint64(7 + number), Tick: 5e6,
-			Workloads: []balance.Workload{row}, Shards: demoShards, Cells: demoShards, CellsPerShard: 1, PartsPerCall: 1,
+			Workloads: []balance.Workload{workload}, Shards: demoShards, Cells: demoShards, CellsPerShard: 1, PartsPerCall: 1,
 			MaxExecutions: 3, CanCancel: true, MaxRetryAfter: 2000e6, ColdCapacity: 0.2, WarmUpTime: 9000e6, OverloadFactor: 4,
 			OverloadSpan: 1000e6}},
 		Limits: deployment.Limits{MaxHeld: 200, CallsPerConnection: 32, ConnectTimeout: 250e6, IdleTimeout: 15e9,
@@ -226,26 +228,26 @@
 	if err != nil {
 		return err
 	}
-	stop, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- run(stop, nil, start, orders, l, dial, zap.NewNop())
+		ended <- run(ctx, nil, start, settings, l, dial, zap.NewNop())
 	}()
 	f.frontURLs = append(f.frontURLs, "http://"+l.Addr().String())
 	health := healthcheck.Wait{Client: &http.Client{Timeout: demoHealthTimeout}, Interval: demoHealthPollInterval, Timeout: demoStartupTimeout, Ended: ended}
 	if err := health.Until(f.frontURLs[number]); err != nil {
-		end()
+		cancel()
 		l.Close()
 		return err
 	}
 	f.closers = append(f.closers, func() {
-		end()
+		cancel()
 		<-ended
 	})
 	return nil
 }
 
-// ask asks one query and says how it ended.
+// ask sends one query and returns "200", "503" or "failed".
 func (f *fleet) ask(ctx context.Context, front string) string {
 	ctx, cancel := context.WithTimeout(ctx, demoClientTimeout+demoClientSlack)
 	defer cancel()
@@ -271,7 +273,7 @@
 	return strconv.Itoa(a.StatusCode)
 }
 
-// storeStats are the first aggregator's figures of the store.
+// storeStats returns the first aggregator's counters of the shared store, or nil if it does not answer.
 func (f *fleet) storeStats() map[string]any {
 	r, err := http.Get(f.frontURLs[0] + "/counters")
 	if err != nil {
@@ -285,22 +287,22 @@
 	return all.Store
 }
 
-// runPhase asks queries for a time, from each aggregator's front, and returns what came of it.
+// runPhase sends a query to every aggregator each 25 ms for the given time and returns the results.
 func (f *fleet) runPhase(ctx context.Context, name string, each time.Duration) phase {
 	p := phase{Name: name, Answers: map[string]int{}}
-	met := f.firstReplicaHits.Load()
+	hitsBefore := f.firstReplicaHits.Load()
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	every := time.NewTicker(25 * time.Millisecond)
-	defer every.Stop()
-	for until := time.Now().Add(each); time.Now().Before(until) && ctx.Err() == nil; <-every.C {
+	ticker := time.NewTicker(25 * time.Millisecond)
+	defer ticker.Stop()
+	for end := time.Now().Add(each); time.Now().Before(end) && ctx.Err() == nil; <-ticker.C {
 		for _, front := range f.frontURLs {
 			all.Go(func() {
 				began := time.Now()
-				how := f.ask(ctx, front)
+				outcome := f.ask(ctx, front)
 				mu.Lock()
 				defer mu.Unlock()
-				p.Answers[how]++
+				p.Answers[outcome]++
 				p.latencies = append(p.latencies, time.Since(began))
 			})
 		}
@@ -310,12 +312,12 @@
 	if n := len(p.latencies); n > 0 {
 		p.MedianMS, p.WorstMS = p.latencies[n/2].Seconds()*1e3, p.latencies[n-1].Seconds()*1e3
 	}
-	p.FaultyExecutions = f.firstReplicaHits.Load() - met
+	p.FaultyExecutions = f.firstReplicaHits.Load() - hitsBefore
 	p.Store = f.storeStats()
 	return p
 }
 
-// runDemo plays all phases.
+// runDemo starts a fleet and runs all phases. The context is nil where a caller gave cobra none.
 func runDemo(ctx context.Context, withStore bool, each time.Duration) (phases []phase, err error) {
 	if ctx == nil {
 		ctx = context.Background()
--- a/cmd/willowsill/demo_off.go
+++ b/cmd/willowsill/demo_off.go
@@ -8,12 +8,12 @@
 	"github.com/spf13/cobra"
 )
 
-// demonstrating is left out of the platform's build, with the stand-ins that it starts.
-func demonstrating() *cobra.Command {
+// demoCommand returns a hidden stub: builds with the tag platform contain no stand-ins to run a demonstration with.
+func demoCommand() *cobra.Command {
 	return &cobra.Command{Use: "demo", Short: "Not in this build", Hidden: true,
 		RunE: func(*cobra.Command, []string) error {
-			return coded{errors.New("this build has no demonstration; it needs one without the tag platform"), 2}
+			return exitError{errors.New("this build has no demonstration; it needs one without the tag platform"), 2}
 		}}
 }
 
-func part() bool { return false }
+func runSystemDemoPart() bool { return false }
--- a/cmd/willowsill/demo_sites.go
+++ b/cmd/willowsill/demo_sites.go
@@ -14,23 +14,24 @@
 	"willowsill/standin/ports"
 )
 
-// startTwoSites starts two sites with a link between them, of one aggregator each. The first is the one that is asked.
+// startTwoSites starts two sites of one aggregator each, with a simulated link between them. Clients send their queries to
+// the first.
 func startTwoSites(dir string, l *link.Link) (sites [2]*fleet, err error) {
-	names, doors := [2]string{"east", "west"}, [2]string{}
+	names, gatewayAddresses := [2]string{"east", "west"}, [2]string{}
 	authority, err := certificates.New(dir)
 	if err != nil {
 		return sites, err
 	}
-	for i := range doors {
-		if doors[i], err = ports.Free(); err != nil {
+	for i := range gatewayAddresses {
+		if gatewayAddresses[i], err = ports.Free(); err != nil {
 			return sites, err
 		}
 	}
 	direct := (&net.Dialer{}).DialContext
-	over := l.Dialer(direct)
+	linkDial := l.Dialer(direct)
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-		if address == doors[1] {
-			return over(ctx, network, address)
+		if address == gatewayAddresses[1] {
+			return linkDial(ctx, network, address)
 		}
 		return direct(ctx, network, address)
 	}
@@ -42,17 +43,18 @@
 		if err != nil {
 			return sites, err
 		}
-		orders := &operator.Settings{
-			Site:  &operator.Site{Name: name, Listen: doors[i], CertFile: cert, KeyFile: key, CAFile: authority.CertFile},
-			Links: []operator.Link{{To: names[1-i], Gateways: []string{doors[1-i]}, QueryRate: 200, ByteRate: 4 << 20, Cost: 0.05}}}
-		if err := sites[i].startAggregator(0, orders, dial); err != nil {
+		settings := &operator.Settings{
+			Site:  &operator.Site{Name: name, Listen: gatewayAddresses[i], CertFile: cert, KeyFile: key, CAFile: authority.CertFile},
+			Links: []operator.Link{{To: names[1-i], Gateways: []string{gatewayAddresses[1-i]}, QueryRate: 200, ByteRate: 4 << 20, Cost: 0.05}}}
+		if err := sites[i].startAggregator(0, settings, dial); err != nil {
 			return sites, err
 		}
 	}
 	return sites, nil
 }
 
-// runSitesDemo plays two sites, of which the first goes dark.
+// runSitesDemo runs the demonstration of two sites, in which all replicas of the first fail and recover and the link is cut
+// in one direction. The context is nil where a caller gave cobra none.
 func runSitesDemo(ctx context.Context, each time.Duration) (phases []phase, err error) {
 	if ctx == nil {
 		ctx = context.Background()
--- a/cmd/willowsill/demo_test.go
+++ b/cmd/willowsill/demo_test.go
@@ -17,55 +17,56 @@
 	"willowsill/standin/redis"
 )
 
-// On sockets, with the store slow, silent and back while one replica fails: no query is lost, none is late by the store.
+// While one replica fails, the shared store becomes slow, stops answering and recovers. No query may be lost or miss its
+// latency goal because of the store.
 func TestDemoWithStore(t *testing.T) {
 	phases, err := runDemo(t.Context(), true, 400*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(phases) != 6 {
-		t.Errorf("%d phases", len(phases))
+		t.Errorf("%d phases, want 6", len(phases))
 	}
 	for _, p := range phases {
 		if p.Answers["200"] == 0 || p.Answers["failed"] != 0 || p.WorstMS > float64(demoLatencyGoal.Milliseconds()) {
-			t.Errorf("%s: %v, the worst %.0f ms", p.Name, p.Answers, p.WorstMS)
+			t.Errorf("%s: outcomes %v, maximum latency %.0f ms", p.Name, p.Answers, p.WorstMS)
 		}
 	}
 	if phases[0].Store == nil || phases[2].Store["state"] == "fresh" {
-		t.Errorf("of the store is said %v, and when it takes 2 s %v", phases[0].Store, phases[2].Store)
+		t.Errorf("store counters %v; with a delay of 2 s %v, which should not be fresh", phases[0].Store, phases[2].Store)
 	}
 }
 
-func commandOutput(t *testing.T, args ...string) (code int, out, complaints string) {
+func commandOutput(t *testing.T, args ...string) (code int, out, stderr string) {
 	var o, c bytes.Buffer
 	code = executeCommand(nil, args, &o, &c)
 	return code, o.String(), c.String()
 }
 
 func TestCommands(t *testing.T) {
-	wrong := filepath.Join(t.TempDir(), "a.star")
-	os.WriteFile(wrong, []byte("shared_store(adress = 'h:1')"), 0o600)
+	wrongScript := filepath.Join(t.TempDir(), "a.star")
+	os.WriteFile(wrongScript, []byte("shared_store(adress = 'h:1')"), 0o600)
 	for _, c := range []struct {
-		args      []string
-		code      int
-		out, wail string
+		args        []string
+		code        int
+		out, stderr string
 	}{
 		{[]string{"check", "../../examples/store.star"}, 0, "is right", ""},
 		{[]string{"check", "../../examples/config.json"}, 0, "is right", ""},
-		{[]string{"check", wrong}, 2, "", `"adress" is unknown; is address meant?`},
+		{[]string{"check", wrongScript}, 2, "", `"adress" is unknown; is address meant?`},
 		{[]string{"check", "no-such.json"}, 2, "", "no-such.json"},
 		{[]string{"explain", "../../deploy/operator.star"}, 0, "shared_store is off", ""},
 		{[]string{"explain", "../../examples/config.json"}, 2, "", ".star"},
-		{[]string{"serve", "--operator", wrong}, 2, "", ""},
+		{[]string{"serve", "--operator", wrongScript}, 2, "", ""},
 		{[]string{"demo", "--each", "1ns"}, 2, "", "--each"},
 		{[]string{"sevre"}, 2, "", "unknown command"},
 		{[]string{"check"}, 2, "", "accepts 1 arg"},
 		{[]string{"completion", "bash"}, 0, "bash completion", ""},
 		{[]string{"check", "--help"}, 0, "password_file", ""},
 	} {
-		code, out, wail := commandOutput(t, c.args...)
-		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(wail, c.wail) {
-			t.Errorf("%v: %d, %q, %q", c.args, code, out, wail)
+		code, out, stderr := commandOutput(t, c.args...)
+		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(stderr, c.stderr) {
+			t.Errorf("%v: exit code %d, stdout %q, stderr %q", c.args, code, out, stderr)
 		}
 	}
 	_, out, _ := commandOutput(t, "explain", "--json", "../../examples/store.star")
@@ -76,16 +77,16 @@
 		}
 	}
 	if err := json.Unmarshal([]byte(out), &all); err != nil || len(all.Holds) != 18 || all.Holds[0].Default {
-		t.Errorf("%v, %d lines", err, len(all.Holds))
+		t.Errorf("explain --json: error %v, %d settings, want 18 with the first set by the script", err, len(all.Holds))
 	}
 }
 
-// saturate keeps so many queries under way at each aggregator for a time.
-func (f *fleet) saturate(ctx context.Context, under int, each time.Duration) {
+// saturate keeps the given number of queries in flight at each aggregator for a time.
+func (f *fleet) saturate(ctx context.Context, inFlight int, each time.Duration) {
 	var all sync.WaitGroup
 	until := time.Now().Add(each)
 	for _, front := range f.frontURLs {
-		for range under {
+		for range inFlight {
 			all.Go(func() {
 				for time.Now().Before(until) {
 					f.ask(ctx, front)
@@ -96,7 +97,8 @@
 	all.Wait()
 }
 
-// BenchmarkLoopDelay measures how long facts wait for the loop, the 99th hundredth, with and without a store in trouble.
+// BenchmarkLoopDelay measures how long events wait in the node's event queue (median and 99th percentile) without a shared
+// store, with a healthy one and with a faulty one.
 func BenchmarkLoopDelay(b *testing.B) {
 	for _, c := range []struct {
 		name  string
--- a/cmd/willowsill/main.go
+++ b/cmd/willowsill/main.go
@@ -1,6 +1,5 @@
-// Command willowsill is one aggregator on sockets. It reads what it is told from the environment and the
-// configuration, follows it when it is replaced and SIGHUP says so, serves until SIGTERM, answers what it has
-// taken and ends with 0.
+// Command willowsill runs one aggregator. It is configured by environment variables and a configuration file, which it
+// reads again on SIGHUP. On SIGTERM it stops accepting queries, answers those in flight and exits with code 0.
 package main
 
 import (
@@ -31,32 +30,33 @@
 )
 
 const (
-	heapShare           = 0.7                    // of the limit for the heap: the rest is for stacks, sockets and the runtime
-	logSampleInterval   = time.Second            // the log is thinned out by text in spans of this,
-	logSampleFirst      = 5                      // so many lines of one text are kept, then
-	logSampleThereafter = 100                    // one in so many
-	minDrainTimeNs      = 3 * int64(time.Second) // for what is under way when it is told to stop
+	heapShare           = 0.7                    // share of the memory limit for the heap; the rest is for stacks, sockets and the runtime
+	logSampleInterval   = time.Second            // log lines with the same message are sampled per interval
+	logSampleFirst      = 5                      // lines of one message that are kept in each interval
+	logSampleThereafter = 100                    // after these, every n-th line is kept
+	minDrainTimeNs      = 3 * int64(time.Second) // shortest time that queries in flight get on shutdown
 )
 
 func main() {
-	if part() { // one process of the demonstration of the whole system
+	if runSystemDemoPart() { // this process was a child of the whole-system demonstration
 		return
 	}
-	// Danger: a SIGHUP that nobody hears ends the process, so one is heard from the first to the last.
+	// Danger: SIGHUP without a handler ends the process, so the handler is installed first and never removed.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	if len(os.Args) == 1 { // as the platform starts it: nothing else is made ready
+	if len(os.Args) == 1 { // as the platform starts it: skip building the command tree
 		os.Exit(serve(reload, ""))
 	}
 	os.Exit(executeCommand(reload, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// serve serves from the environment, with the operator's script if there is one, and returns the exit code.
+// serve runs the aggregator with the configuration from the environment and, unless empty, the operator's script. It returns
+// the exit code.
 func serve(reload <-chan os.Signal, script string) int {
 	start, err := deployment.FromEnvironment(os.Getenv)
-	orders := &operator.Settings{}
+	settings := &operator.Settings{}
 	if err == nil && script != "" {
-		orders, err = operator.Read(script)
+		settings, err = operator.Read(script)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "willowsill:", err)
@@ -76,8 +76,8 @@
 	if err != nil {
 		err = fmt.Errorf("variable NODE_LISTEN: %w", err)
 	} else {
-		// TCP's own keep-alive would not notice a machine that vanished, and parts have limits of their own.
-		err = run(stop, reload, start, orders, listener, (&net.Dialer{KeepAlive: -1}).DialContext, log)
+		// TCP keep-alive is off: it would not notice a machine that vanished, and every part has its own timeout.
+		err = run(stop, reload, start, settings, listener, (&net.Dialer{KeepAlive: -1}).DialContext, log)
 	}
 	if err != nil {
 		log.Error("failed", zap.Error(err))
@@ -86,11 +86,10 @@
 	return 0
 }
 
-// cancelOnSignal cancels at the first signal to stop.
+// cancelOnSignal calls cancel at the first SIGTERM or SIGINT.
 //
-// Danger: a signal without a handler ends the process at once, with the queries that it answers and the lines of its
-// log that wait; so the handlers stay until the process has ended, and a reader of the log that goes away (SIGPIPE) is
-// no reason to end.
+// Danger: a signal without a handler ends the process at once and loses the queries in flight and the buffered log lines.
+// So the handlers stay installed until the process exits, and SIGPIPE, sent when the reader of the log goes away, is ignored.
 func cancelOnSignal(cancel context.CancelFunc) {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
@@ -101,9 +100,9 @@
 	}()
 }
 
-// run serves until stop is over, and ends when all it has taken is answered and all it holds is given back. At
-// each word on reload it reads its configuration again.
-func run(stop context.Context, reload <-chan os.Signal, start deployment.Config, orders *operator.Settings,
+// run serves until stop is cancelled, and returns when every accepted query is answered and all resources are released.
+// Each value on reload makes it read its configuration again.
+func run(stop context.Context, reload <-chan os.Signal, start deployment.Config, settings *operator.Settings,
 	l net.Listener, dial replica.Dial, log *zap.Logger) error {
 	count := counters.New(start.WorkloadRow)
 	budget := sockets.NewBudget(start.Descriptors)
@@ -114,21 +113,21 @@
 		func(ctx context.Context, n discovery.Update) { core.ApplyList(ctx, n) })
 	core = node.New(node.Options{Clock: clock, Deployment: start.Deployment, Terms: start.Limits, KnownList: start.KnownReplicas,
 		Budget: budget, Count: count, Log: log, RequestList: watch.Request, Dial: dial})
-	shares := &sharedStore{start: start, core: core, dial: dial, count: count, log: log}
-	if err := shares.apply(orders); err != nil {
+	sharing := &sharedStore{start: start, core: core, dial: dial, count: count, log: log}
+	if err := sharing.apply(settings); err != nil {
 		core.Close()
 		return err
 	}
-	own := &overloadWatch{start: start, core: core, budget: budget, count: count, guard: &front.SwitchableGuard{}, log: log}
-	if err := own.apply(orders); err != nil {
-		shares.stop()
+	overloads := &overloadWatch{start: start, core: core, budget: budget, count: count, guard: &front.SwitchableGuard{}, log: log}
+	if err := overloads.apply(settings); err != nil {
+		sharing.stop()
 		core.Close()
 		return err
 	}
-	areas := &zoneWatch{start: start, core: core, log: log}
-	if err := areas.apply(orders); err != nil {
-		own.stop()
-		shares.stop()
+	zones := &zoneWatch{start: start, core: core, log: log}
+	if err := zones.apply(settings); err != nil {
+		overloads.stop()
+		sharing.stop()
 		core.Close()
 		return err
 	}
@@ -140,15 +139,15 @@
 		watch.Run(watching, start.AsksForList)
 	}()
 
-	serving, ways, err := openWays(start, orders, core, clock, count, dial, own.guard, log)
+	serving, sites, err := openSiteGateway(start, settings, core, clock, count, dial, overloads.guard, log)
 	if err != nil {
-		own.stop()
-		shares.stop()
+		overloads.stop()
+		sharing.stop()
 		core.Close()
 		return err
 	}
 	server := front.NewServer(&front.Front{Core: serving, Clock: clock, WorkloadRow: start.WorkloadRow,
-		Shards: start.Shards, Counters: count, Guard: own.guard, Log: log}, l, budget)
+		Shards: start.Shards, Counters: count, Guard: overloads.guard, Log: log}, l, budget)
 	served := make(chan error, 1)
 	go func() { served <- server.Serve() }()
 	log.Info("serving", zap.String("listen", start.Listen), zap.Int("known", len(start.KnownReplicas.Entries)))
@@ -158,59 +157,59 @@
 		case err := <-served:
 			return err
 		case <-reload:
-			reloadConfiguration(&start, watch, shares, own, areas, ways, count, log)
+			reloadConfiguration(&start, watch, sharing, overloads, zones, sites, count, log)
 		case <-stop.Done():
 			leaving = true
 		}
 	}
 	log.Info("leaving")
-	ways.leave()
+	sites.announceShutdown()
 	err = server.Stop(time.Duration(max(start.LongestClientTimeout, minDrainTimeNs)))
-	ways.end()
+	sites.stop()
 	if e := <-served; err == nil && !errors.Is(e, http.ErrServerClosed) {
 		err = e
 	}
 	unwatch()
 	<-watched
-	own.stop()
-	shares.stop()
+	overloads.stop()
+	sharing.stop()
 	core.Close()
 	log.Info("ended", zap.Any("counters", count))
 	return err
 }
 
-// reloadConfiguration reads the configuration and the operator's script again, turns the watch to the discovery that is named now,
-// and switches on and off what the script says.
+// reloadConfiguration reads the configuration and the operator's script again, points the watch to the discovery address that
+// the configuration names, and enables or disables features as the script says.
 //
-// Danger: a file that is missing, half-written or wrong must not end what runs well, nor change a part of it.
-func reloadConfiguration(start *deployment.Config, watch *discovery.Watch, shares *sharedStore, own *overloadWatch, areas *zoneWatch, ways *ways,
+// Danger: a file that is missing, half-written or invalid must neither end the process nor be applied in part.
+func reloadConfiguration(start *deployment.Config, watch *discovery.Watch, sharing *sharedStore, overloads *overloadWatch, zones *zoneWatch, sites *siteGateway,
 	count *counters.Counters, log *zap.Logger) {
 	count.Reloads.Add(1)
-	next, odd, err := start.Reload()
-	orders := shares.orders
-	if err == nil && orders.File != "" {
-		orders, err = operator.Read(orders.File)
+	updated, deferred, err := start.Reload()
+	settings := sharing.settings
+	if err == nil && settings.File != "" {
+		settings, err = operator.Read(settings.File)
 	}
 	if err == nil {
-		if err = errors.Join(own.validate(orders), areas.validate(orders)); err == nil {
-			err = shares.apply(orders)
+		if err = errors.Join(overloads.validate(settings), zones.validate(settings)); err == nil {
+			err = sharing.apply(settings)
 		}
 		if err == nil {
-			err = own.apply(orders)
+			err = overloads.apply(settings)
 		}
 		if err == nil {
-			err = areas.apply(orders)
+			err = zones.apply(settings)
 		}
 	}
 	if err != nil {
 		count.ReloadsFailed.Add(1)
-		log.Error("the configuration cannot be used, what was read before stays in force", zap.Error(err))
+		log.Error("the new configuration is invalid, the previous one stays in force", zap.Error(err))
 		return
 	}
-	if len(odd) > 0 {
-		log.Warn("what these keys say now holds from the next start on", zap.Strings("keys", odd))
+	if len(deferred) > 0 {
+		log.Warn("changed keys take effect at the next start", zap.Strings("keys", deferred))
 	}
-	ways.follow(orders)
-	log.Info("the configuration was read again", zap.String("discovery", next.Discovery))
-	watch.SetAddress(next.Discovery)
+	sites.apply(settings)
+	log.Info("the configuration was read again", zap.String("discovery", updated.Discovery))
+	watch.SetAddress(updated.Discovery)
 }
--- a/cmd/willowsill/main_test.go
+++ b/cmd/willowsill/main_test.go
@@ -25,21 +25,21 @@
 	"willowsill/transport/replica"
 )
 
-// The whole program with toy peers: a new configuration, a query before the word to stop, one under way at it,
-// and one after it.
-// In the end nothing may be left running, and every connection must have been closed.
+// Runs the whole program with stand-in peers on an in-memory network: two invalid configurations are rejected and a third is
+// applied; a query is answered before the stop, during it and while the server drains. At the end no goroutine may be left
+// and every connection must be closed.
 func TestProgram(t *testing.T) {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "config.json")
-	told := func(text string) {
+	writeConfig := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Error(err)
 		}
 	}
-	told(string(text))
+	writeConfig(string(text))
 	env := map[string]string{"NODE_NAME": "n0", "NODE_LISTEN": "127.0.0.1:8081", "NODE_DISCOVERY": "127.0.0.1:8500",
 		"NODE_CONFIG": file}
 	start, err := deployment.FromEnvironment(func(name string) string { return env[name] })
@@ -47,32 +47,34 @@
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		network, list := &pipenet.Network{}, standin.NewDiscovery()
+		network, registry := &pipenet.Network{}, standin.NewDiscovery()
 		var replicas []*pipenet.Listener
 		for i := range 2 * start.Cells {
 			h := standin.Host{Host: fmt.Sprint("s-", i), Dial: fmt.Sprint("r:", i), Cell: i % start.Cells, Health: "active"}
-			list.Change(h)
+			registry.Change(h)
 			replicas = append(replicas, network.Listen(h.Dial))
-			toy := standin.Replica{Answer: func(_ context.Context, p replica.Part) (replica.Reply, bool) {
+			standIn := standin.Replica{Answer: func(_ context.Context, p replica.Part) (replica.Reply, bool) {
 				time.Sleep(100 * time.Millisecond)
 				return replica.Reply{ID: p.ID, Value: "v" + p.ID}, true
 			}}
-			go toy.Serve(replicas[i])
+			go standIn.Serve(replicas[i])
 		}
-		discovery := &http.Server{Handler: list}
+		discovery := &http.Server{Handler: registry}
 		old, moved := network.Listen(start.Discovery), network.Listen("127.0.0.1:8501")
 		go discovery.Serve(old)
 		reload := make(chan os.Signal, 1)
-		hangUp := func(text string) {
-			told(text)
+		reloadWith := func(text string) {
+			writeConfig(text)
 			reload <- syscall.SIGHUP
 			time.Sleep(10 * time.Millisecond)
 		}
-		stop, leave := context.WithCancel(t.Context())
+		stopContext, stop := context.WithCancel(t.Context())
 		core, logs := observer.New(zap.InfoLevel)
 		ended := make(chan error, 1)
 		listener := network.Listen(start.Listen)
-		go func() { ended <- run(stop, reload, start, &operator.Settings{}, listener, network.Dial, zap.New(core)) }()
+		go func() {
+			ended <- run(stopContext, reload, start, &operator.Settings{}, listener, network.Dial, zap.New(core))
+		}()
 		time.Sleep(10 * time.Millisecond)
 
 		ask := func(id string) string {
@@ -96,48 +98,48 @@
 				`{"segment":2,"payload":"v%[1]s.2"}]}`, id)
 		}
 		if got := ask("a"); got != want("a") {
-			t.Errorf("answered %s", got)
+			t.Errorf("answer to the first query: %s", got)
 		}
 		old.Close()
-		hangUp(string(text[:len(text)/2]))
-		hangUp(strings.Replace(string(text), `"seed": "`, `"discovery": "nowhere", "seed": "`, 1))
+		reloadWith(string(text[:len(text)/2]))
+		reloadWith(strings.Replace(string(text), `"seed": "`, `"discovery": "nowhere", "seed": "`, 1))
 		go discovery.Serve(moved)
-		hangUp(strings.Replace(string(text), `"seed": "0`, `"discovery": "127.0.0.1:8501", "seed": "b`, 1))
+		reloadWith(strings.Replace(string(text), `"seed": "0`, `"discovery": "127.0.0.1:8501", "seed": "b`, 1))
 		if wrong := logs.FilterLevelExact(zap.ErrorLevel).All(); len(wrong) != 2 ||
 			!strings.Contains(fmt.Sprint(wrong[1].ContextMap()), `"discovery"`) {
-			t.Errorf("of wrong configurations said %v", wrong)
+			t.Errorf("errors logged for the two invalid configurations: %v", wrong)
 		}
-		if odd := logs.FilterField(zap.Strings("keys", []string{"seed"})); odd.Len() != 1 {
-			t.Errorf("%d lines name the key that cannot change now", odd.Len())
+		if deferred := logs.FilterField(zap.Strings("keys", []string{"seed"})); deferred.Len() != 1 {
+			t.Errorf("%d lines name the key that needs a restart, want 1", deferred.Len())
 		}
-		for _, l := range replicas[:start.Cells] { // half of all go, and only the new discovery says so
+		for _, l := range replicas[:start.Cells] { // half of the replicas leave, and only the new discovery service lists that
 			l.Close()
-			list.Change(standin.Host{Host: "s-" + strings.TrimPrefix(l.String(), "r:"), Health: "left"})
+			registry.Change(standin.Host{Host: "s-" + strings.TrimPrefix(l.String(), "r:"), Health: "left"})
 		}
 		time.Sleep(10 * time.Millisecond)
 		if got := ask("m"); got != want("m") {
-			t.Errorf("from the new list answered %s", got)
+			t.Errorf("answer after the list changed: %s", got)
 		}
-		underWay := make(chan string, 1)
-		go func() { underWay <- ask("b") }()
+		inFlight := make(chan string, 1)
+		go func() { inFlight <- ask("b") }()
 		time.Sleep(20 * time.Millisecond)
-		leave()
+		stop()
 		time.Sleep(400 * time.Millisecond)
-		if got := <-underWay; got != want("b") {
-			t.Errorf("what was under way got %s", got)
+		if got := <-inFlight; got != want("b") {
+			t.Errorf("answer to the query in flight at the stop: %s", got)
 		}
 		if got := ask("c"); got != want("c") {
-			t.Errorf("what came after the word to stop got %s", got)
+			t.Errorf("answer to the query sent after the stop: %s", got)
 		}
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 		if got := ask("d"); got != pipenet.ErrRefused.Error() {
-			t.Errorf("after the end got %s", got)
+			t.Errorf("connecting after the end: %s", got)
 		}
 		last := logs.FilterMessage("ended").All()[0].ContextMap()["counters"].(*counters.Counters)
 		if failed := last.ConnectionsFailed.Load(); last.Reloads.Load() != 3 || last.ReloadsFailed.Load() != 2 || failed != 0 {
-			t.Errorf("%d reloads, %d wrong; %d connections to what has left", last.Reloads.Load(), last.ReloadsFailed.Load(), failed)
+			t.Errorf("%d reloads, %d invalid; %d failed connections to replicas that have left", last.Reloads.Load(), last.ReloadsFailed.Load(), failed)
 		}
 		if opened, closed := last.ConnectionsOpened.Load(), last.ConnectionsClosed.Load(); opened == 0 || opened != closed {
 			t.Errorf("%d connections opened, %d closed", opened, closed)
--- a/cmd/willowsill/overloadwatch.go
+++ b/cmd/willowsill/overloadwatch.go
@@ -17,7 +17,7 @@
 	"willowsill/transport/sockets"
 )
 
-// overloadWatch has the process watch its own load as the operator's script says.
+// overloadWatch runs the overload detection and load shedding of this process as the operator's script configures them.
 type overloadWatch struct {
 	start      deployment.Config
 	core       *node.Node
@@ -25,11 +25,11 @@
 	count      *counters.Counters
 	guard      *front.SwitchableGuard
 	log        *zap.Logger
-	orders     *operator.Settings
-	background *background // nil while it is off
+	settings   *operator.Settings
+	background *background // nil while overload detection is off
 }
 
-// validate tells what the orders cannot be here.
+// validate reports settings that don't fit the deployment.
 func (s *overloadWatch) validate(o *operator.Settings) error {
 	if o.Overload == nil {
 		return nil
@@ -40,51 +40,51 @@
 	return nil
 }
 
-// apply makes what runs what the orders say. With an error nothing has changed.
+// apply starts, restarts or stops overload detection to match the settings. On an error nothing has changed.
 func (s *overloadWatch) apply(o *operator.Settings) error {
-	if s.orders != nil && reflect.DeepEqual(s.orders.Overload, o.Overload) {
-		s.orders = o
+	if s.settings != nil && reflect.DeepEqual(s.settings.Overload, o.Overload) {
+		s.settings = o
 		return nil
 	}
 	if err := s.validate(o); err != nil {
 		return err
 	}
-	var watch *machine.Monitor
+	var monitor *machine.Monitor
 	if o.Overload != nil {
-		terms, _ := s.config(o.Overload)
-		watch = machine.New(terms, machine.Sources{Now: s.core.Now, QueueFill: s.core.QueueFill,
+		config, _ := s.config(o.Overload)
+		monitor = machine.New(config, machine.Sources{Now: s.core.Now, QueueFill: s.core.QueueFill,
 			Events: func() (n, waited int64) { return s.count.Facts.Load(), s.count.DelayTotal.Load() },
 			ClientDescriptors: func() float64 {
 				return float64(s.budget.InUse(sockets.Clients)) / float64(s.budget.Limit(sockets.Clients))
 			}, MemoryLimit: int64(heapShare * float64(s.start.MemoryBytes))}, s.log)
 	}
 	s.stop()
-	s.orders = o
-	if watch == nil {
+	s.settings = o
+	if monitor == nil {
 		return nil
 	}
-	rhythm := &node.Schedule{OnWait: watch.RecordWait, OnStall: func(ns int64) { watch.Stalled.Add(ns) }}
+	schedule := &node.Schedule{OnWait: monitor.RecordWait, OnStall: func(ns int64) { monitor.Stalled.Add(ns) }}
 	if o.Overload.Immediate {
-		rhythm.Pace = &overload.Pacer{MaxGap: s.start.Tick}
+		schedule.Pace = &overload.Pacer{MaxGap: s.start.Tick}
 	}
-	s.core.SetSchedule(rhythm)
+	s.core.SetSchedule(schedule)
 	if o.Overload.Shed {
-		guard := front.Guard(watch)
+		guard := front.Guard(monitor)
 		s.guard.Store(&guard)
 	}
-	s.count.Overload.Set(json.Marshaler(watch))
-	s.background = startBackground(watch.Run)
-	s.log.Info("the process watches its own strain", zap.Bool("shed", o.Overload.Shed), zap.Bool("at_once", o.Overload.Immediate))
+	s.count.Overload.Set(json.Marshaler(monitor))
+	s.background = startBackground(monitor.Run)
+	s.log.Info("overload detection is on", zap.Bool("shed", o.Overload.Shed), zap.Bool("at_once", o.Overload.Immediate))
 	return nil
 }
 
-// config are what the orders and the deployment ask for.
+// config combines the settings with the deployment's values. A workload without a stated revenue has revenue 1.
 func (s *overloadWatch) config(o *operator.Overload) (overload.Config, error) {
-	t := overload.Config{Cores: s.start.Cores, LimitKind: o.LimitKind, FixedRate: o.FixedRate, WaitTarget: o.MaxLateness, MaxRetryAfter: s.start.MaxRetryAfter,
+	config := overload.Config{Cores: s.start.Cores, LimitKind: o.LimitKind, FixedRate: o.FixedRate, WaitTarget: o.MaxLateness, MaxRetryAfter: s.start.MaxRetryAfter,
 		CustomerFloor: o.CustomerFloor, Seed: s.start.Seed, Workloads: make([]overload.Workload, len(s.start.Workloads))}
 	for name := range o.Revenue {
 		if _, known := s.start.WorkloadRow[name]; !known {
-			return t, fmt.Errorf(`key "revenue": %q is no workload of the deployment`, name)
+			return config, fmt.Errorf(`key "revenue": %q is no workload of the deployment`, name)
 		}
 	}
 	for name, row := range s.start.WorkloadRow {
@@ -92,12 +92,12 @@
 		if !stated {
 			revenue = 1
 		}
-		t.Workloads[row] = overload.Workload{Revenue: revenue, LatencyGoal: s.start.Workloads[row].LatencyGoal}
+		config.Workloads[row] = overload.Workload{Revenue: revenue, LatencyGoal: s.start.Workloads[row].LatencyGoal}
 	}
-	return t, t.Validate()
+	return config, config.Validate()
 }
 
-// stop ends it; queries are taken on as they come again, and rounds wait for the tick.
+// stop stops overload detection. Afterwards no query is shed, and decision rounds wait for the next tick again.
 func (s *overloadWatch) stop() {
 	if s.background == nil {
 		return
@@ -107,5 +107,5 @@
 	s.background = nil
 	s.core.SetSchedule(nil)
 	s.count.Overload.Set(nil)
-	s.log.Info("the process no longer watches its own strain")
+	s.log.Info("overload detection is off")
 }
--- a/cmd/willowsill/platform_test.go
+++ b/cmd/willowsill/platform_test.go
@@ -13,7 +13,7 @@
 	"willowsill/deployment/operator"
 )
 
-// deployLine is a line of the deploy file.
+// deployLine returns the value of a key in the deploy file.
 func deployLine(t *testing.T, key string) string {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -32,15 +32,17 @@
 	return ""
 }
 
-// TestPlatform builds the program by the deploy file's line and looks at what came of it. Danger: without the C library the
-// platform's clock and sockets pass the program by, and no aggregator of it comes up.
+// TestPlatform builds the program with the build command of the deploy file and inspects the binary.
+//
+// Danger: the platform replaces clock and sockets through the C library. A statically linked program bypasses them, and none of
+// its aggregators would start.
 func TestPlatform(t *testing.T) {
 	run, is := strings.CutPrefix(deployLine(t, "run"), "exec ")
 	if !is || strings.ContainsAny(run, "&|;$`") {
-		t.Fatalf("run is %q: it has to end by exec in one process", run)
+		t.Fatalf("run is %q: it must be exec of a single process", run)
 	}
 	words := strings.Fields(run)
-	// What it is started with holds as well, or it would not come up.
+	// The operator's script of the run command must be valid, or the program would not start.
 	if i := slices.Index(words, "--operator"); i > 0 && i+1 < len(words) {
 		if _, err := operator.Read(filepath.Join("../..", words[i+1])); err != nil {
 			t.Error(err)
@@ -50,7 +52,7 @@
 	build := deployLine(t, "build")
 	line := strings.NewReplacer("mkdir -p bin &&", "", "-o bin/", "-o "+into+"/", "./cmd/...", "./cmd/willowsill").Replace(build)
 	if line == build || strings.Contains(line, " bin/") {
-		t.Fatalf("build is %q: not as this test knows it", build)
+		t.Fatalf("build is %q: this test does not know that form", build)
 	}
 	command := exec.Command("sh", "-ec", line)
 	command.Dir = "../.."
@@ -63,10 +65,10 @@
 	}
 	defer program.Close()
 	if !slices.ContainsFunc(program.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("the program names no interpreter: it is not linked dynamically")
+		t.Error("the program has no ELF interpreter: it is not linked dynamically")
 	}
 	libraries, err := program.ImportedLibraries()
 	if err != nil || !slices.Contains(libraries, "libc.so.6") {
-		t.Errorf("the program wants %v, %v: not the C library", libraries, err)
+		t.Errorf("imported libraries %v, error %v: the C library is missing", libraries, err)
 	}
 }
--- a/cmd/willowsill/sharedstore.go
+++ b/cmd/willowsill/sharedstore.go
@@ -16,21 +16,22 @@
 	"willowsill/transport/store"
 )
 
-// sharedStore switches the shared store on and off as the operator's script says.
+// sharedStore runs the client of the shared store as the operator's script configures it. Aggregators use the store to share
+// replica health and quota usage.
 type sharedStore struct {
 	start      deployment.Config
 	core       *node.Node
 	dial       replica.Dial
 	count      *counters.Counters
 	log        *zap.Logger
-	orders     *operator.Settings
-	background *background // nil while it is off
+	settings   *operator.Settings
+	background *background // nil while sharing is off
 }
 
-// apply makes what runs what the orders say. With an error nothing has changed.
+// apply starts, restarts or stops the client to match the settings. On an error nothing has changed.
 func (s *sharedStore) apply(o *operator.Settings) error {
-	if s.orders != nil && reflect.DeepEqual(s.orders.Store, o.Store) && reflect.DeepEqual(s.orders.Quotas, o.Quotas) {
-		s.orders = o
+	if s.settings != nil && reflect.DeepEqual(s.settings.Store, o.Store) && reflect.DeepEqual(s.settings.Quotas, o.Quotas) {
+		s.settings = o
 		return nil
 	}
 	var client *store.Client
@@ -43,33 +44,33 @@
 		}
 	}
 	s.stop()
-	s.orders = o
+	s.settings = o
 	if client == nil {
 		return nil
 	}
-	s.log.Info("knowledge is shared through a store", zap.String("address", o.Store.Address))
+	s.log.Info("sharing through the store is on", zap.String("address", o.Store.Address))
 	s.core.SetSharing(true, quotas)
 	s.count.SharedStore.Set(count)
 	s.background = startBackground(client.Run)
 	return nil
 }
 
-// newClient makes what the orders ask for.
+// newClient creates a client with the settings, and returns it with the quotas that it shares.
 func (s *sharedStore) newClient(o *operator.Settings, count *store.Counters) (*store.Client, []sharedhealth.Quota, error) {
-	terms := sharedhealth.Config{Name: s.start.Name, Incarnation: uint64(time.Now().UnixNano()), Seed: s.start.Seed,
+	config := sharedhealth.Config{Name: s.start.Name, Incarnation: uint64(time.Now().UnixNano()), Seed: s.start.Seed,
 		RoundInterval: o.Store.RoundInterval, RoundTimeout: o.Store.RoundTimeout, SampleSize: o.Store.SampleSize,
 		Aggregators: s.start.Aggregators, BaseEjection: s.start.BaseEjection(), HealthEnabled: o.Store.Health}
 	for _, q := range o.Quotas {
-		terms.Quotas = append(terms.Quotas, sharedhealth.Quota(q))
+		config.Quotas = append(config.Quotas, sharedhealth.Quota(q))
 	}
-	k, err := store.New(store.Endpoint{Address: o.Store.Address, Database: o.Store.Database, Prefix: o.Store.Prefix,
+	client, err := store.New(store.Endpoint{Address: o.Store.Address, Database: o.Store.Database, Prefix: o.Store.Prefix,
 		User: o.Store.User, PasswordFile: o.Store.PasswordFile, CAFile: o.Store.CAFile,
 		ServerName: o.Store.ServerName, Dial: s.dial},
-		sharedhealth.New(s.core.Now(), terms), s.core, s.core.Now, count, s.log)
-	return k, terms.Quotas, err
+		sharedhealth.New(s.core.Now(), config), s.core, s.core.Now, count, s.log)
+	return client, config.Quotas, err
 }
 
-// stop ends sharing; what others said fades from the module by itself.
+// stop ends sharing. Reports of other aggregators that the decision module already holds expire by themselves.
 func (s *sharedStore) stop() {
 	if s.background == nil {
 		return
@@ -78,5 +79,5 @@
 	s.background = nil
 	s.core.SetSharing(false, nil)
 	s.count.SharedStore.Set(nil)
-	s.log.Info("knowledge is no longer shared")
+	s.log.Info("sharing through the store is off")
 }
--- a/cmd/willowsill/signals_test.go
+++ b/cmd/willowsill/signals_test.go
@@ -13,7 +13,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// childVariable in the environment of the test binary makes it the program as the platform starts it.
+// childVariable is an environment variable that makes the test binary run the program as the platform starts it.
 const childVariable = "WILLOWSILL_TEST_SERVE"
 
 func TestMain(m *testing.M) {
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-// startChild starts the program with a discovery that does not answer, and waits until it serves.
+// startChild starts the program with a discovery address that does not answer, and waits until it serves.
 func startChild(t *testing.T) (process *exec.Cmd, stderr io.ReadCloser) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -49,7 +49,7 @@
 	return nil, nil
 }
 
-// Once told to stop, the program answers what it has taken and ends with 0, whatever signals come until then.
+// After SIGTERM the program must drain and exit with code 0, whatever other signals arrive meanwhile.
 func TestSignalsWhileLeaving(t *testing.T) {
 	process, stderr := startChild(t)
 	go io.Copy(io.Discard, stderr)
@@ -69,7 +69,7 @@
 	}
 }
 
-// A reader of the log that goes away does not end the program.
+// The program must survive a closed reader of its log (SIGPIPE) and still shut down normally.
 func TestLogReaderGone(t *testing.T) {
 	process, stderr := startChild(t)
 	must.NoError(t, stderr.Close())
--- a/cmd/willowsill/sitegateway.go
+++ b/cmd/willowsill/sitegateway.go
@@ -25,25 +25,25 @@
 	"willowsill/transport/replica"
 )
 
-// What the door remembers of queries that came from other sites.
+// Limits of the memory of query IDs by which repeats of once-only queries from other sites are recognised.
 const (
 	maxRememberedIDs   = 1 << 16
 	maxRememberedBytes = 64 << 20
-	rememberedFor      = time.Minute // far longer than any client waits
+	rememberedFor      = time.Minute // far longer than any client timeout
 )
 
-// ways are the ways to other sites and the door that they come in by.
-type ways struct {
-	orders      *operator.Settings
-	core        *gateway.Core
-	gatewayDoor *gateway.PeerServer
-	server      *http.Server
-	served      chan struct{}
-	wait        time.Duration
-	log         *zap.Logger
+// siteGateway forwards queries to other sites and serves the queries that their gateways forward here.
+type siteGateway struct {
+	settings     *operator.Settings
+	core         *gateway.Core
+	peerServer   *gateway.PeerServer
+	server       *http.Server
+	served       chan struct{}
+	drainTimeout time.Duration
+	log          *zap.Logger
 }
 
-// gatewayCounters is what /counters tells of them.
+// gatewayCounters is the gateway section of /counters.
 type gatewayCounters struct {
 	*gateway.Counters
 	core *gateway.Core
@@ -53,20 +53,20 @@
 	return json.Marshal(map[string]any{"queries": c.Counters, "ways": c.core.LinkStats()})
 }
 
-// openWays opens the ways that the orders ask for; without any the own site serves alone.
-func openWays(start deployment.Config, o *operator.Settings, own *node.Node, clock node.Clock, count *counters.Counters,
-	dial replica.Dial, guard *front.SwitchableGuard, log *zap.Logger) (front.Core, *ways, error) {
+// openSiteGateway starts the gateway that the settings ask for. Without one the own node serves every query by itself.
+func openSiteGateway(start deployment.Config, o *operator.Settings, own *node.Node, clock node.Clock, count *counters.Counters,
+	dial replica.Dial, guard *front.SwitchableGuard, log *zap.Logger) (front.Core, *siteGateway, error) {
 	if o.Site == nil {
-		return own, &ways{orders: o, log: log}, nil
+		return own, &siteGateway{settings: o, log: log}, nil
 	}
-	papers := gateway.Certificates{CertFile: o.Site.CertFile, KeyFile: o.Site.KeyFile, CAFile: o.Site.CAFile,
+	certificates := gateway.Certificates{CertFile: o.Site.CertFile, KeyFile: o.Site.KeyFile, CAFile: o.Site.CAFile,
 		PasswordFile: o.Site.KeyPasswordFile}
-	atDoor, outside, err := papers.TLSConfigs()
+	serverTLS, clientTLS, err := certificates.TLSConfigs()
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: site: %w", o.File, err)
 	}
-	plan := gateway.Options{Clock: clock, Site: o.Site.Name, Deployment: start.Deployment, Limits: start.Limits, Local: own,
-		Dial: dial, TLS: outside, Log: log, Revenue: o.Site.Revenue, HTTP2: o.Site.HTTP2,
+	options := gateway.Options{Clock: clock, Site: o.Site.Name, Deployment: start.Deployment, Limits: start.Limits, Local: own,
+		Dial: dial, TLS: clientTLS, Log: log, Revenue: o.Site.Revenue, HTTP2: o.Site.HTTP2,
 		Policy: siterouting.Policy(max(slices.Index(siterouting.PolicyNames, o.Site.Policy), 0))}
 	for name := range o.Site.Revenue {
 		if _, known := start.WorkloadRow[name]; !known {
@@ -76,79 +76,81 @@
 	var names []string
 	for _, l := range o.Links {
 		names = append(names, l.To)
-		plan.Sites = append(plan.Sites, gateway.Site{Gateways: l.Gateways,
+		options.Sites = append(options.Sites, gateway.Site{Gateways: l.Gateways,
 			Link: siterouting.Link{Site: l.To, QueryRate: l.QueryRate, ByteRate: float64(l.ByteRate), Cost: l.Cost}})
 	}
 	listener, err := net.Listen("tcp", o.Site.Listen)
 	if err != nil {
 		return nil, nil, fmt.Errorf(`%s: site: key "listen": %w`, o.File, err)
 	}
-	figures := &gateway.Counters{}
-	core, err := gateway.New(plan, figures)
+	counts := &gateway.Counters{}
+	core, err := gateway.New(options, counts)
 	if err != nil {
 		listener.Close()
 		return nil, nil, err
 	}
-	w := &ways{orders: o, core: core, served: make(chan struct{}), log: log,
-		wait: time.Duration(max(start.LongestClientTimeout, minDrainTimeNs))}
-	w.gatewayDoor = &gateway.PeerServer{Site: o.Site.Name, PeerSites: names, Deployment: start.Deployment, Clock: clock, Counters: figures, Log: log,
+	g := &siteGateway{settings: o, core: core, served: make(chan struct{}), log: log,
+		drainTimeout: time.Duration(max(start.LongestClientTimeout, minDrainTimeNs))}
+	g.peerServer = &gateway.PeerServer{Site: o.Site.Name, PeerSites: names, Deployment: start.Deployment, Clock: clock, Counters: counts, Log: log,
 		RequireCertificate: true, AdvertisedRate: core.AdvertisedRate, Window: deduplication.New(deduplication.Limits{MaxIDs: maxRememberedIDs, MaxAnswerBytes: maxRememberedBytes, Retention: int64(rememberedFor)}),
 		Front: &front.Front{Core: core, Clock: clock, WorkloadRow: start.WorkloadRow, Shards: start.Shards, Counters: count, Guard: guard, Log: log}}
 	if o.Site.IDFile != "" {
-		if err := w.gatewayDoor.Load(o.Site.IDFile); err != nil {
-			log.Error("the ids of before the restart are not known", zap.Error(err))
+		if err := g.peerServer.Load(o.Site.IDFile); err != nil {
+			log.Error("cannot load the query IDs of the previous run", zap.Error(err))
 		}
 	}
-	w.server = w.gatewayDoor.HTTPServer(nil)
+	g.server = g.peerServer.HTTPServer(nil)
 	go func() {
-		defer close(w.served)
-		w.server.Serve(gateway.TLSListener(listener, atDoor))
+		defer close(g.served)
+		g.server.Serve(gateway.TLSListener(listener, serverTLS))
 	}()
 	core.Evacuate(o.Site.Evacuated)
-	count.Gateway.Set(gatewayCounters{figures, core})
-	until, _ := papers.Expiry()
-	log.Info("there are ways to other sites", zap.String("site", o.Site.Name), zap.Strings("to", names), zap.Time("papers_until", until))
-	return core, w, nil
+	count.Gateway.Set(gatewayCounters{counts, core})
+	expiry, _ := certificates.Expiry()
+	log.Info("the gateway to other sites is open", zap.String("site", o.Site.Name), zap.Strings("to", names), zap.Time("papers_until", expiry))
+	return core, g, nil
 }
 
-// follow leaves the site or takes it up again as the orders say now; all else of sites and links waits for a start.
-func (w *ways) follow(o *operator.Settings) {
-	if w.core == nil {
+// apply evacuates the own site or ends the evacuation as the settings say. Every other change of site and links takes effect
+// at the next start.
+func (g *siteGateway) apply(o *operator.Settings) {
+	if g.core == nil {
 		if o.Site != nil {
-			w.log.Warn("what the script says of sites and links now holds from the next start on")
+			g.log.Warn("changes of site and links in the script take effect at the next start")
 		}
 		return
 	}
-	if o.Site == nil || !reflect.DeepEqual(o.Links, w.orders.Links) {
-		w.log.Warn("what the script says of sites and links now holds from the next start on")
+	if o.Site == nil || !reflect.DeepEqual(o.Links, g.settings.Links) {
+		g.log.Warn("changes of site and links in the script take effect at the next start")
 	}
 	if o.Site != nil {
-		w.core.Evacuate(o.Site.Evacuated)
+		g.core.Evacuate(o.Site.Evacuated)
 	}
 }
 
-// leave tells peers that the door is about to close, and waits until they know.
-func (w *ways) leave() {
-	if w.core != nil {
-		w.gatewayDoor.AnnounceShutdown(context.Background())
+// announceShutdown tells other sites' gateways that this one is about to close, and waits until they know.
+func (g *siteGateway) announceShutdown() {
+	if g.core != nil {
+		g.peerServer.AnnounceShutdown(context.Background())
 	}
 }
 
-// end closes the door, waits for what is under way there, and keeps the ids for the next start.
-func (w *ways) end() {
-	if w.core == nil {
+// stop closes the server for other sites after their queries in flight have ended, and saves the query IDs for the next
+// start.
+func (g *siteGateway) stop() {
+	if g.core == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), w.wait)
+	ctx, cancel := context.WithTimeout(context.Background(), g.drainTimeout)
 	defer cancel()
-	if err := w.server.Shutdown(ctx); err != nil {
-		w.server.Close()
+	if err := g.server.Shutdown(ctx); err != nil {
+		g.server.Close()
 	}
-	<-w.served
-	if file := w.orders.Site.IDFile; file != "" {
-		if err := w.gatewayDoor.Save(file); err != nil {
-			w.log.Error("the ids could not be kept for the next start", zap.Error(err))
+	<-g.served
+	if file := g.settings.Site.IDFile; file != "" {
+		if err := g.peerServer.Save(file); err != nil {
+			g.log.Error("cannot save the query IDs for the next start", zap.Error(err))
 		}
 	}
-	w.core.Close()
+	g.core.Close()
 }
--- a/cmd/willowsill/sitegateway_off.go
+++ b/cmd/willowsill/sitegateway_off.go
@@ -15,18 +15,18 @@
 	"willowsill/transport/replica"
 )
 
-// ways are the ways to other sites, which the platform's build leaves out: it gives no listener for them, and what they
-// need would cost its memory.
-type ways struct{}
+// siteGateway does nothing in builds with the tag platform: the platform offers no listener for other sites, and the
+// gateway's dependencies would take memory.
+type siteGateway struct{}
 
-func openWays(_ deployment.Config, o *operator.Settings, own *node.Node, _ node.Clock, _ *counters.Counters, _ replica.Dial,
-	_ *front.SwitchableGuard, _ *zap.Logger) (front.Core, *ways, error) {
+func openSiteGateway(_ deployment.Config, o *operator.Settings, own *node.Node, _ node.Clock, _ *counters.Counters, _ replica.Dial,
+	_ *front.SwitchableGuard, _ *zap.Logger) (front.Core, *siteGateway, error) {
 	if o.Site != nil {
 		return nil, nil, errors.New("this build has no gateway; site and link need one without the tag platform")
 	}
-	return own, &ways{}, nil
+	return own, &siteGateway{}, nil
 }
 
-func (*ways) follow(*operator.Settings) {}
-func (*ways) leave()                    {}
-func (*ways) end()                      {}
+func (*siteGateway) apply(*operator.Settings) {}
+func (*siteGateway) announceShutdown()        {}
+func (*siteGateway) stop()                    {}
--- a/cmd/willowsill/sitegateway_test.go
+++ b/cmd/willowsill/sitegateway_test.go
@@ -13,27 +13,28 @@
 	"willowsill/standin/certificates"
 )
 
-// Two whole sites on loopback sockets with certificates and 40 ms of way each: one goes dark and comes back, the link is
-// cut one way and mended. Each query has one answer in time, and the other site serves while one is dark.
+// Two whole sites with certificates are joined by a link with a delay of 40 ms in each direction. The replicas of one site
+// fail and recover, and the link is cut in one direction and repaired. Each query must be answered within its timeout, and the
+// other site must serve while one fails.
 func TestTwoSites(t *testing.T) {
 	phases, err := runSitesDemo(t.Context(), 2500*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, p := range phases {
-		t.Logf("%s: %v, the worst %.0f ms", p.Name, p.Answers, p.WorstMS)
+		t.Logf("%s: outcomes %v, maximum latency %.0f ms", p.Name, p.Answers, p.WorstMS)
 		if p.Answers["failed"] != 0 || p.WorstMS > (demoClientTimeout+demoClientSlack).Seconds()*1e3 {
-			t.Errorf("%s: %v, the worst %.0f ms", p.Name, p.Answers, p.WorstMS)
+			t.Errorf("%s: outcomes %v, maximum latency %.0f ms", p.Name, p.Answers, p.WorstMS)
 		}
 	}
 	if first, dark, last := phases[0].Answers, phases[2].Answers, phases[len(phases)-1].Answers; first["503"] != 0 ||
 		dark["200"] == 0 || last["200"] < 9*last["503"] {
-		t.Errorf("well %v, dark %v, well again %v", first, dark, last)
+		t.Errorf("outcomes before the failure %v, during it %v, after it %v", first, dark, last)
 	}
 }
 
-// An aggregator that cannot serve, for another process has its gateway's address, says so at once: the listener for
-// clients stays open without anybody who accepts, and a question to it would wait for good.
+// An aggregator whose gateway address is in use by another process must fail at once. Its client listener is open already
+// but nobody accepts from it, so without the error a client would wait for ever.
 func TestGatewayAddressIsTaken(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,10 +54,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	orders := &operator.Settings{Site: &operator.Site{Name: "east", Listen: taken.Addr().String(), CertFile: cert, KeyFile: key,
+	settings := &operator.Settings{Site: &operator.Site{Name: "east", Listen: taken.Addr().String(), CertFile: cert, KeyFile: key,
 		CAFile: authority.CertFile}}
-	err = f.startAggregator(0, orders, (&net.Dialer{}).DialContext)
+	err = f.startAggregator(0, settings, (&net.Dialer{}).DialContext)
 	if !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("the aggregator says %v", err)
+		t.Errorf("error %v, want EADDRINUSE", err)
 	}
 }
--- a/cmd/willowsill/zonewatch.go
+++ b/cmd/willowsill/zonewatch.go
@@ -12,19 +12,19 @@
 	"willowsill/node"
 )
 
-// zoneWatch has the node know zones out of reach as the operator's script says.
+// zoneWatch turns the node's detection of unreachable zones on and off as the operator's script says.
 type zoneWatch struct {
-	start  deployment.Config
-	core   *node.Node
-	log    *zap.Logger
-	orders *operator.Zones
+	start    deployment.Config
+	core     *node.Node
+	log      *zap.Logger
+	settings *operator.Zones
 }
 
 func (z *zoneWatch) config(o *operator.Zones) zonehealth.Config {
 	return zonehealth.Config{BaseEjection: z.start.BaseEjection(), MinFailedReplicas: o.MinFailedReplicas, Seed: z.start.Seed}
 }
 
-// validate tells what the orders cannot be here.
+// validate reports settings that don't fit the deployment.
 func (z *zoneWatch) validate(o *operator.Settings) error {
 	if o.Zones == nil {
 		return nil
@@ -35,21 +35,21 @@
 	return nil
 }
 
-// apply makes what runs what the orders say. With an error nothing has changed.
+// apply starts, restarts or stops the detection to match the settings. On an error nothing has changed.
 func (z *zoneWatch) apply(o *operator.Settings) error {
 	if err := z.validate(o); err != nil {
 		return err
 	}
-	if reflect.DeepEqual(z.orders, o.Zones) {
+	if reflect.DeepEqual(z.settings, o.Zones) {
 		return nil
 	}
-	z.orders = o.Zones
+	z.settings = o.Zones
 	if o.Zones == nil {
 		z.core.WatchZones(nil)
-		z.log.Info("zones are no longer watched")
+		z.log.Info("detection of unreachable zones is off")
 		return nil
 	}
 	z.core.WatchZones(zonehealth.New(z.config(o.Zones)))
-	z.log.Info("zones are watched", zap.Int("few", o.Zones.MinFailedReplicas))
+	z.log.Info("detection of unreachable zones is on", zap.Int("few", o.Zones.MinFailedReplicas))
 	return nil
 }
