--- a/cmd/sites/dark.go
+++ b/cmd/sites/dark.go
@@ -18,17 +18,18 @@
 	"willowsill/standin/sites"
 )
 
-// A run has three phases: all well, the first site dark, all well again.
+// A run has three phases: before, during and after an outage of all replicas of the first site. Start and end of the outage are
+// fractions of the run.
 const (
 	outageStart       = 0.3
 	outageEnd         = 0.6
-	rowDuration       = 10 * time.Second // of the timeline
-	recoveryTolerance = 0.02             // of the level before: so close counts as back
+	rowDuration       = 10 * time.Second // interval that one row of the timeline covers
+	recoveryTolerance = 0.02             // revenue share below the level before the outage that still counts as recovered
 )
 
-// variant is one world of a run.
+// variant is one pair of sites in a run, with its policy and its results.
 type variant struct {
-	size, policy string
+	size, policy string // size is the other site's capacity: "room" for all queries of both sites, or "short" of it
 	isolated     bool
 	workers      int
 	partDuration time.Duration
@@ -36,25 +37,25 @@
 	peaks        peaks
 }
 
-// peaks are the most that was seen of what has a limit.
+// peaks holds the highest values that were sampled of quantities with a limit, and two totals.
 type peaks struct {
-	queryRate float64 // carried in a second by one process
-	overLimit int     // samples with more in flight than the process's own limit said
-	byteRate  float64 // that crossed a link in a second, both ways
-	carried   float64
-	strangers float64
+	queryRate float64 // queries a second forwarded by one process
+	overLimit int     // samples in which a process had more queries in flight on a link than its limit
+	byteRate  float64 // bytes a second over a link, both directions together
+	carried   float64 // queries forwarded by all processes until the last sample
+	strangers float64 // counters of requests rejected for their certificate, summed over all samples
 }
 
 func darkCommand() *cobra.Command {
-	var whole time.Duration
+	var duration time.Duration
 	var binary, results string
 	var rate float64
 	var seed uint64
 	c := &cobra.Command{
 		Use:   "dark",
-		Short: "Two sites, one dark in the middle: the gateway against three baselines, all at the same time",
-		Long: "dark starts two sites of two processes each, 80 ms of way each way between them with up to 10 ms more and 1% of\n" +
-			"packets lost, for each policy, once where the other site has room for all and once where it has not.",
+		Short: "Two sites, one of which fails in the middle of the run: the gateway against three baselines, all at the same time",
+		Long: "dark starts two sites of two processes each for every policy, once with enough capacity at the other site for all\n" +
+			"queries and once with too little. The link delays each direction by 80 to 90 ms and loses 1% of the packets.",
 		Example: "  go build -o bin/ ./cmd/... && bin/sites dark --for 30m --results results/gateway",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -73,28 +74,28 @@
 				}
 			}
 			errs := make([]error, len(variants))
-			var under sync.WaitGroup
+			var running sync.WaitGroup
 			for i, v := range variants {
-				under.Go(func() {
-					errs[i] = v.run(binary, sites.Load{Rate: rate, Seed: seed, Duration: whole, RowDuration: rowDuration})
+				running.Go(func() {
+					errs[i] = v.run(binary, sites.Load{Rate: rate, Seed: seed, Duration: duration, RowDuration: rowDuration})
 				})
 			}
-			under.Wait()
+			running.Wait()
 			if err := errors.Join(errs...); err != nil {
 				return err
 			}
-			return writeReport(variants, results, whole, rate, seed)
+			return writeReport(variants, results, duration, rate, seed)
 		},
 	}
-	c.Flags().DurationVar(&whole, "for", 3*time.Minute, "how long")
+	c.Flags().DurationVar(&duration, "for", 3*time.Minute, "duration of the run")
 	c.Flags().Float64Var(&rate, "rate", 20, "queries a second at each site")
-	c.Flags().Uint64Var(&seed, "seed", 7, "of the clients' chance")
+	c.Flags().Uint64Var(&seed, "seed", 7, "seed of the clients' random arrivals")
 	c.Flags().StringVar(&binary, "program", "bin/willowsill", "the program")
-	c.Flags().StringVar(&results, "results", "", "a folder for the tables; else they are only printed")
+	c.Flags().StringVar(&results, "results", "", "folder for the tables; without it they are only printed")
 	return c
 }
 
-// config is a variant's world.
+// config returns the configuration of a variant's two sites.
 func (v *variant) config(binary, dir string) sites.Config {
 	return sites.Config{Binary: binary, Dir: dir, SiteNames: []string{"east", "west"}, ProcessesPerSite: 2, Isolated: v.isolated, Policy: v.policy,
 		PartDuration: v.partDuration, WorkersPerReplica: v.workers, ReplicasPerShard: 2, LinkQueryRate: 40, LinkByteRate: 1 << 20,
@@ -103,6 +104,7 @@
 			LossDelay: 200 * time.Millisecond}}
 }
 
+// run starts the variant's sites, sends the load, makes the first site's replicas fail and recover, and stores the results.
 func (v *variant) run(binary string, l sites.Load) error {
 	dir, err := os.MkdirTemp("", "sites")
 	if err != nil {
@@ -114,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	time.Sleep(3 * time.Second) // the ways are known
+	time.Sleep(3 * time.Second) // until the gateways have connected
 	stop, watched := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(watched)
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// watch samples what has a limit each second.
+// watch takes a sample every second until stop is closed.
 func (p *peaks) watch(w *sites.Testbed, stop <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -170,7 +172,7 @@
 	}
 }
 
-// phaseTallies sums a timeline up: before, dark, after.
+// phaseTallies sums up the rows of the timeline before, during and after the outage.
 func (v *variant) phaseTallies() (all [3]sites.Tally) {
 	n := float64(len(v.timeline.Rows))
 	for i := range v.timeline.Rows {
@@ -186,7 +188,8 @@
 	return all
 }
 
-// recoveryTime is how long after the return the share of revenue is as before, for good but for single rows; below 0 for never.
+// recoveryTime returns how long after the end of the outage the revenue share is back at its level before the outage for three
+// consecutive rows, or -1 if that never happens.
 func (v *variant) recoveryTime() time.Duration {
 	before := v.phaseTallies()[0]
 	level := before.RevenueShare() - recoveryTolerance
@@ -205,7 +208,8 @@
 	return -1
 }
 
-func writeReport(variants []*variant, dir string, whole time.Duration, rate float64, seed uint64) error {
+// writeReport prints the tables of all variants, or writes them to files if dir is not empty.
+func writeReport(variants []*variant, dir string, duration time.Duration, rate float64, seed uint64) error {
 	out := os.Stdout
 	if dir != "" {
 		if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -222,7 +226,7 @@
 		}
 	}
 	fmt.Fprintf(out, "%v on loopback sockets, %g queries a second at each of two sites, seed %d, %d cores, all variants at once.\n\n",
-		whole, rate, seed, runtime.NumCPU())
+		duration, rate, seed, runtime.NumCPU())
 	t := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(t, "| other site\t| policy\t| phase\t| asked\t| revenue within goal\t| in goal\t| late\t| declined\t| failed\t| lost\t| wrong\t|")
 	fmt.Fprintln(t, "|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|")
@@ -248,7 +252,7 @@
 	return t.Flush()
 }
 
-// writeTimeline writes each variant's share of revenue, row by row.
+// writeTimeline writes the revenue share of each variant and row to a CSV file.
 func writeTimeline(variants []*variant, name string) error {
 	file, err := os.Create(name)
 	if err != nil {
--- a/cmd/sites/hop.go
+++ b/cmd/sites/hop.go
@@ -16,11 +16,12 @@
 )
 
 const (
-	warmUpTime = 12 * time.Second
-	retryPause = 100 * time.Millisecond // of a client that has got no answer
+	warmUpTime = 12 * time.Second       // until the gateways know each other and have ended their slow start
+	retryPause = 100 * time.Millisecond // wait of a client after a query without an answer in goal
 )
 
-// hopCase is one way of asking: at home, or over the link at a site that is left.
+// hopCase is one setup that is measured: queries are served by the own site, or the own site is evacuated and they are
+// forwarded over a link. It also holds the results.
 type hopCase struct {
 	name       string
 	http2      bool
@@ -28,7 +29,7 @@
 	conditions link.Conditions
 	p50        time.Duration
 	p99        time.Duration
-	cpu        time.Duration // a query, of all processes
+	cpu        time.Duration // per answered query, of all processes together
 	outcomes   [6]int
 }
 
@@ -38,9 +39,10 @@
 	var clients, rounds int
 	c := &cobra.Command{
 		Use:   "hop",
-		Short: "What a query costs more when it is carried, over HTTP/1.1 and HTTP/2",
-		Long: "hop asks with a fixed number of clients, each its next query when it has the last answer, at replicas that\n" +
-			"take no time: at home, and at a site that is left, over a link without delay and over one of 80 ms that loses 1%.",
+		Short: "Additional latency and CPU time of a forwarded query, over HTTP/1.1 and HTTP/2",
+		Long: "hop runs a fixed number of clients, each of which sends its next query after the last answer, against replicas without\n" +
+			"processing time: at a site that serves itself, and at an evacuated site whose queries are forwarded, over a link\n" +
+			"without delay and over one of 80 ms that loses 1%.",
 		Example: "  bin/sites hop --each 10s --rounds 3",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
@@ -49,50 +51,51 @@
 			all := []*hopCase{{name: "at home"}, {name: "HTTP/1.1", remote: true}, {name: "HTTP/2", remote: true, http2: true},
 				{name: "HTTP/1.1, 80 ms, 1% lost", remote: true, conditions: lossy},
 				{name: "HTTP/2, 80 ms, 1% lost", remote: true, conditions: lossy, http2: true}}
-			got := map[*hopCase][]hopCase{}
-			for range rounds { // by turns, so that all meet the same machine
+			results := map[*hopCase][]hopCase{}
+			for range rounds { // in turns, so that a change in the machine's load affects all cases alike
 				for _, h := range all {
-					one := *h
-					if err := one.run(binary, clients, each); err != nil {
+					result := *h
+					if err := result.run(binary, clients, each); err != nil {
 						return err
 					}
-					got[h] = append(got[h], one)
+					results[h] = append(results[h], result)
 				}
 			}
 			t := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
 			fmt.Fprintf(t, "%d clients, %d rounds of %v, medians of rounds, %d cores\n", clients, rounds, each, runtime.NumCPU())
 			fmt.Fprintln(t, "| way\t| p50 ms\t| p99 ms\t| CPU us a query\t| answers\t| declined\t| others\t|")
 			for _, h := range all {
-				middle := func(of func(hopCase) float64) float64 {
+				median := func(of func(hopCase) float64) float64 {
 					var v []float64
-					for _, one := range got[h] {
-						v = append(v, of(one))
+					for _, result := range results[h] {
+						v = append(v, of(result))
 					}
 					slices.Sort(v)
 					return v[len(v)/2]
 				}
 				var ends [6]int
-				for _, one := range got[h] {
-					for i, n := range one.outcomes {
+				for _, result := range results[h] {
+					for i, n := range result.outcomes {
 						ends[i] += n
 					}
 				}
 				fmt.Fprintf(t, "| %s\t| %.2f\t| %.2f\t| %.0f\t| %d\t| %d\t| %d\t|\n", h.name,
-					middle(func(o hopCase) float64 { return o.p50.Seconds() * 1e3 }),
-					middle(func(o hopCase) float64 { return o.p99.Seconds() * 1e3 }),
-					middle(func(o hopCase) float64 { return o.cpu.Seconds() * 1e6 }),
+					median(func(o hopCase) float64 { return o.p50.Seconds() * 1e3 }),
+					median(func(o hopCase) float64 { return o.p99.Seconds() * 1e3 }),
+					median(func(o hopCase) float64 { return o.cpu.Seconds() * 1e6 }),
 					ends[sites.InGoal]+ends[sites.Late], ends[sites.Declined], ends[sites.Failed]+ends[sites.Lost]+ends[sites.Wrong])
 			}
 			return t.Flush()
 		},
 	}
-	c.Flags().DurationVar(&each, "each", 10*time.Second, "how long each way is asked in a round")
-	c.Flags().IntVar(&clients, "clients", 8, "how many ask at a time")
-	c.Flags().IntVar(&rounds, "rounds", 3, "how often each way is asked")
+	c.Flags().DurationVar(&each, "each", 10*time.Second, "how long each case runs in a round")
+	c.Flags().IntVar(&clients, "clients", 8, "number of concurrent clients")
+	c.Flags().IntVar(&rounds, "rounds", 3, "how often each case runs")
 	c.Flags().StringVar(&binary, "program", "bin/willowsill", "the program")
 	return c
 }
 
+// run measures the case once and stores the results in it.
 func (h *hopCase) run(binary string, clients int, each time.Duration) error {
 	dir, err := os.MkdirTemp("", "sites")
 	if err != nil {
@@ -105,12 +108,12 @@
 	if err != nil {
 		return err
 	}
-	// The ways become known, and gateways that were not known before are asked little at first.
+	// The gateways need time to learn of each other, and a newly known gateway gets few queries at first.
 	for until := time.Now().Add(warmUpTime); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		w.Ask(sites.Query{Site: "east", ID: fmt.Sprint("w", time.Now().UnixNano())})
 	}
 	var mu sync.Mutex
-	var took []time.Duration
+	var latencies []time.Duration
 	var all sync.WaitGroup
 	before := w.CPU()
 	until := time.Now().Add(each)
@@ -121,7 +124,7 @@
 				mu.Lock()
 				h.outcomes[end]++
 				if end == sites.InGoal {
-					took = append(took, d)
+					latencies = append(latencies, d)
 				}
 				mu.Unlock()
 				if end != sites.InGoal {
@@ -132,16 +135,17 @@
 	}
 	all.Wait()
 	spent := w.CPU() - before
-	slices.Sort(took)
-	if len(took) == 0 {
+	slices.Sort(latencies)
+	if len(latencies) == 0 {
 		return fmt.Errorf("%s: no query was answered: %v", h.name, h.outcomes)
 	}
-	h.p50, h.p99, h.cpu = took[len(took)/2], took[len(took)*99/100], spent/time.Duration(len(took))
+	h.p50, h.p99, h.cpu = latencies[len(latencies)/2], latencies[len(latencies)*99/100], spent/time.Duration(len(latencies))
 	return nil
 }
 
-func evacuatedIf(far bool) []string {
-	if far {
+// evacuatedIf returns the sites to evacuate: the first one if its queries are to be forwarded.
+func evacuatedIf(remote bool) []string {
+	if remote {
 		return []string{"east"}
 	}
 	return nil
--- a/cmd/sites/main.go
+++ b/cmd/sites/main.go
@@ -1,5 +1,5 @@
-// Command sites measures the gateway between sites on loopback sockets: whole sites of the true program and stand-in
-// replicas, with a link between them that is slow and loses packets. Its results go into files.
+// Command sites measures the gateway between sites on loopback sockets. It runs whole sites of the real program with stand-in
+// replicas, joined by a simulated link that delays and loses packets, and prints the results or writes them to files.
 package main
 
 import (
--- a/cmd/sites/restart.go
+++ b/cmd/sites/restart.go
@@ -14,17 +14,17 @@
 
 func restartCommand() *cobra.Command {
 	var binary string
-	var whole time.Duration
+	var duration time.Duration
 	c := &cobra.Command{
 		Use:     "restart",
-		Short:   "Gateways of the other site are killed and restarted as planned while queries are carried to it",
+		Short:   "Restart the other site's gateways, gracefully and by killing them, while queries are forwarded to it",
 		Example: "  bin/sites restart --for 1m",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			t := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
 			fmt.Fprintln(t, "| what\t| asked\t| in goal\t| late\t| declined\t| failed\t| lost\t| wrong\t| doubled\t|")
 			for _, killed := range []bool{false, true} {
-				line, err := RunRestarts(binary, whole, killed)
+				line, err := RunRestarts(binary, duration, killed)
 				if err != nil {
 					return err
 				}
@@ -41,14 +41,14 @@
 			return t.Flush()
 		},
 	}
-	c.Flags().DurationVar(&whole, "for", time.Minute, "how long each")
+	c.Flags().DurationVar(&duration, "for", time.Minute, "duration of each run")
 	c.Flags().StringVar(&binary, "program", "bin/willowsill", "the program")
 	return c
 }
 
-// RunRestarts has one site left and its queries carried, while the other's processes are restarted one by one, as planned or by
-// killing them.
-func RunRestarts(binary string, whole time.Duration, killed bool) (*sites.Timeline, error) {
+// RunRestarts evacuates the site east, so that its queries are forwarded to west, and restarts west's processes one after the
+// other: gracefully, or by killing them.
+func RunRestarts(binary string, duration time.Duration, killed bool) (*sites.Timeline, error) {
 	dir, err := os.MkdirTemp("", "sites")
 	if err != nil {
 		return nil, err
@@ -63,9 +63,9 @@
 	}
 	time.Sleep(3 * time.Second)
 	west := w.Sites["west"]
-	each := whole / 4
+	each := duration / 4
 	failed := make(chan error, 1)
-	line := w.RunLoad(sites.Load{Rate: 20, Seed: 11, Duration: whole, RowDuration: each, OnlySite: "east"}, func(span int) {
+	line := w.RunLoad(sites.Load{Rate: 20, Seed: 11, Duration: duration, RowDuration: each, OnlySite: "east"}, func(span int) {
 		if span == 0 {
 			return
 		}
--- a/cmd/sites/sites_test.go
+++ b/cmd/sites/sites_test.go
@@ -8,8 +8,9 @@
 	"willowsill/standin/sites"
 )
 
-// Processes of a site are restarted under load, as planned or killed. Whatever happens to them, each query has one right answer
-// in its time and no once-only part runs twice; of planned restarts no client hears but by a decline.
+// Processes of a site are restarted under load, gracefully or by killing them. No query may be lost or get a wrong answer and no
+// once-only part may run twice; a graceful restart may only decline queries, never fail them. The subtest dark makes all replicas
+// of a site fail and compares the revenue with the gateway to that without one.
 func TestRestarts(t *testing.T) {
 	binary := program.Build(t)
 	for name, killed := range map[string]bool{"planned": false, "killed": true} {
@@ -28,7 +29,7 @@
 				t.Errorf("%v of %d: %v, %d once-only parts ran twice", sites.OutcomeNames, sum.Asked, sum.Outcomes, line.DuplicateExecutions)
 			}
 			if !killed && sum.Outcomes[sites.Failed] > 0 {
-				t.Errorf("%d queries failed by planned restarts", sum.Outcomes[sites.Failed])
+				t.Errorf("%d queries failed during graceful restarts", sum.Outcomes[sites.Failed])
 			}
 		})
 	}
@@ -47,9 +48,9 @@
 			}
 		}
 		a, b := with.phaseTallies()[1], without.phaseTallies()[1]
-		t.Logf("in the dark %.3f with the gateway, %.3f without", a.RevenueShare(), b.RevenueShare())
+		t.Logf("revenue share during the outage: %.3f with the gateway, %.3f without", a.RevenueShare(), b.RevenueShare())
 		if a.RevenueShare() < b.RevenueShare()+0.15 || with.timeline.DuplicateExecutions > 0 || with.peaks.overLimit > 0 {
-			t.Errorf("in the dark %.3f with the gateway, %.3f without; %d doubled, %d times over the limit in flight", a.RevenueShare(), b.RevenueShare(),
+			t.Errorf("revenue share during the outage: %.3f with the gateway, %.3f without; %d duplicate executions, %d samples over the limit in flight", a.RevenueShare(), b.RevenueShare(),
 				with.timeline.DuplicateExecutions, with.peaks.overLimit)
 		}
 		for _, p := range with.phaseTallies() {
--- a/standin/sites/load.go
+++ b/standin/sites/load.go
@@ -13,23 +13,23 @@
 	"time"
 )
 
-// Outcome is what became of a query, as its client saw it.
+// Outcome classifies how a query ended, as its client saw it.
 type Outcome uint8
 
-// InGoal is an answer within the goal.
+// The outcomes of a query.
 const (
-	InGoal Outcome = iota
-	Late
-	Declined
-	Failed
-	Lost  // no answer in the client's time
-	Wrong // an answer that is none to this query
+	InGoal   Outcome = iota // a correct answer within LatencyGoal
+	Late                    // a correct answer after LatencyGoal
+	Declined                // status 503
+	Failed                  // any other status than 200 and 503
+	Lost                    // no answer within the client's timeout
+	Wrong                   // an answer that does not match the query
 )
 
-// OutcomeNames are their names.
+// OutcomeNames are the printed names of the outcomes, indexed by Outcome.
 var OutcomeNames = []string{"in goal", "late", "declined", "failed", "lost", "wrong"}
 
-// Query is one that a client asks.
+// Query is one query of a client; Process and Workload are indexes.
 type Query struct {
 	Site     string
 	Process  int
@@ -38,9 +38,9 @@
 	Customer string
 }
 
-// Ask asks one query and tells its end.
+// Ask sends one query and returns its outcome and latency.
 //
-// Danger: an answer is only right if each part stands in it once, with the value of that very part.
+// Danger: an answer is correct only if it contains every part once, each with its own value.
 func (w *Testbed) Ask(q Query) (Outcome, time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), ClientTimeout+clientSlack)
 	defer cancel()
@@ -80,6 +80,7 @@
 	return InGoal, took
 }
 
+// correct reports whether an answer's body contains every part of the query once, each with its own value.
 func correct(id string, text []byte) bool {
 	var a struct {
 		Matches []struct {
@@ -100,16 +101,16 @@
 	return true
 }
 
-// Tally is what came of the queries of a span.
+// Tally sums up the outcomes of the queries of an interval.
 type Tally struct {
 	Asked      int
 	Outcomes   [6]int
-	Revenue    float64 // within goal,
-	MaxRevenue float64 // and if all had been
+	Revenue    float64 // of the queries answered within the goal
+	MaxRevenue float64 // of all queries, as if all had been answered within the goal
 	Latencies  []time.Duration
 }
 
-// RevenueShare is the share of revenue within the goal; 1 where nothing was asked.
+// RevenueShare returns Revenue as a fraction of MaxRevenue, or 1 without queries.
 func (t *Tally) RevenueShare() float64 {
 	if t.MaxRevenue == 0 {
 		return 1
@@ -117,7 +118,7 @@
 	return t.Revenue / t.MaxRevenue
 }
 
-// Add takes another's in.
+// Add adds another tally to this one.
 func (t *Tally) Add(o *Tally) {
 	t.Asked += o.Asked
 	for i, n := range o.Outcomes {
@@ -128,80 +129,80 @@
 	t.Latencies = append(t.Latencies, o.Latencies...)
 }
 
-// Load is a stream of queries to all sites.
+// Load describes a stream of queries to the sites.
 type Load struct {
-	Rate        float64 // a second at each site, by chance
+	Rate        float64 // mean queries a second at each site; arrivals are a Poisson process
 	Seed        uint64
 	Duration    time.Duration
-	RowDuration time.Duration // of a row of the timeline
-	OnlySite    string        // the one site that is asked; empty for all
+	RowDuration time.Duration // interval that one row of the timeline covers
+	OnlySite    string        // the only site that gets queries; empty for all
 }
 
-// Timeline is what came of a load: a tally for each span by when queries were asked, and what broke the rules.
+// Timeline holds the results of a load, in one row per interval. A query counts in the row in which it was due.
 type Timeline struct {
 	Rows                []Tally
 	DuplicateExecutions int // once-only parts that ran more than once
 }
 
-// RunLoad asks queries of all sites for a time, while at is called with the number of each span as it begins. It returns when the
-// last has ended.
-func (w *Testbed) RunLoad(l Load, at func(span int)) *Timeline {
-	line := &Timeline{Rows: make([]Tally, int(l.Duration/l.RowDuration))}
+// RunLoad sends the load, and calls at with the index of each row when the row's interval begins. It returns when the last query
+// has ended.
+func (w *Testbed) RunLoad(l Load, at func(row int)) *Timeline {
+	timeline := &Timeline{Rows: make([]Tally, int(l.Duration/l.RowDuration))}
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	var pay []string
+	var onceOnlyIDs []string
 	began := time.Now()
 	for n, name := range w.SiteNames {
 		if l.OnlySite != "" && l.OnlySite != name {
 			continue
 		}
-		chance := rand.New(rand.NewPCG(l.Seed, uint64(n)))
+		rng := rand.New(rand.NewPCG(l.Seed, uint64(n)))
 		all.Go(func() {
 			next := began
 			for i := 0; ; i++ {
-				next = next.Add(time.Duration(chance.ExpFloat64() * 1e9 / l.Rate))
+				next = next.Add(time.Duration(rng.ExpFloat64() * 1e9 / l.Rate))
 				span := int(next.Sub(began) / l.RowDuration)
-				if span >= len(line.Rows) {
+				if span >= len(timeline.Rows) {
 					return
 				}
 				q := Query{Site: name, Process: i % w.ProcessesPerSite, ID: fmt.Sprintf("%s-%d", name, i),
-					Workload: chance.IntN(len(Workloads))}
+					Workload: rng.IntN(len(Workloads))}
 				time.Sleep(time.Until(next))
 				all.Go(func() {
 					end, took := w.Ask(q)
-					worth := 1.0
+					revenue := 1.0
 					if x, stated := w.Revenue[Workloads[q.Workload]]; stated {
-						worth = x
+						revenue = x
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					row := &line.Rows[span]
+					row := &timeline.Rows[span]
 					row.Asked++
 					row.Outcomes[end]++
-					row.MaxRevenue += worth
+					row.MaxRevenue += revenue
 					if row.Latencies = append(row.Latencies, took); end == InGoal {
-						row.Revenue += worth
+						row.Revenue += revenue
 					}
 					if Workloads[q.Workload] == "pay" {
-						pay = append(pay, q.ID)
+						onceOnlyIDs = append(onceOnlyIDs, q.ID)
 					}
 				})
 			}
 		})
 	}
-	for span := range line.Rows {
+	for span := range timeline.Rows {
 		time.Sleep(time.Until(began.Add(time.Duration(span) * l.RowDuration)))
 		if at != nil {
 			at(span)
 		}
 	}
 	all.Wait()
-	for _, id := range pay {
+	for _, id := range onceOnlyIDs {
 		for shard := range DefaultShards {
 			if w.ExecutionCount(fmt.Sprintf("%s.%d", id, shard)) > 1 {
-				line.DuplicateExecutions++
+				timeline.DuplicateExecutions++
 			}
 		}
 	}
-	return line
+	return timeline
 }
--- a/standin/sites/sites.go
+++ b/standin/sites/sites.go
@@ -1,6 +1,6 @@
-// Package sites starts whole sites on loopback for trials and tests: stand-in replicas and a discovery, the true program as
-// processes of its own, a link between the sites, and clients that ask and tally. It judges nothing that the program decides;
-// it only sees what clients, replicas and the link see.
+// Package sites starts whole sites on loopback addresses for measurements and tests: stand-in replicas, a discovery service, the
+// real program as child processes, a simulated link between the sites, and clients that count outcomes. It measures only what
+// clients, replicas and the link can observe and does not check the program's decisions.
 package sites
 
 import (
@@ -32,76 +32,78 @@
 	"willowsill/transport/replica"
 )
 
-// Config is what is started.
+// Config describes the sites to start.
 type Config struct {
-	Binary            string // the program
-	Dir               string // for files; each world wants one of its own
+	Binary            string // path of the program
+	Dir               string // for the files of the testbed; not to be shared with another one
 	SiteNames         []string
-	ProcessesPerSite  int  // processes of a site, each of which serves clients and is a gateway
-	Isolated          bool // no site knows of another
-	Policy            string
+	ProcessesPerSite  int    // processes of a site, each of which serves clients and is a gateway
+	Isolated          bool   // the sites have no gateways to each other
+	Policy            string // of the gateways: plan, all or half
 	HTTP2             bool
-	PartDuration      time.Duration // of a part
-	WorkersPerReplica int           // parts that a replica works on at a time
-	ReplicasPerShard  int           // replicas of each shard
-	LinkQueryRate     float64       // a second over a link, for each process
-	LinkByteRate      int64
-	LinkConditions    link.Conditions    // each direction of each link
-	Revenue           map[string]float64 // by workload
-	Evacuated         []string           // sites that are left by hand from the start on
-	Script            string             // what else the operator of each process says
-	MaxHeld           int                // queries and parts that a process may hold; 0 for 200
-	MaxSockets        int                // descriptors of a process; 0 for 512
-	ShardCount        int                // shards of each site; 0 for Shards
+	PartDuration      time.Duration // processing time of one part
+	WorkersPerReplica int           // parts that a replica processes at the same time
+	ReplicasPerShard  int
+	LinkQueryRate     float64            // queries a second that each process may forward over a link
+	LinkByteRate      int64              // bytes a second that each process may send over a link
+	LinkConditions    link.Conditions    // of each direction of each link
+	Revenue           map[string]float64 // of a query answered within its goal, by workload; 1 for others
+	Evacuated         []string           // sites whose operator evacuates them from the start
+	Script            string             // additional statements of every process's operator script
+	MaxHeld           int                // queries and parts that a process may hold at a time; 0 for 200
+	MaxSockets        int                // socket descriptors that a process may use; 0 for 512
+	ShardCount        int                // shards of each site; 0 for DefaultShards
 }
 
 func (s *Config) shards() int { return cmp.Or(s.ShardCount, DefaultShards) }
 
-// DefaultShards of each site, and Patience and Goal of its clients.
+// The number of shards of a site unless Config says otherwise, and the timing of clients and processes.
 const (
 	DefaultShards      = 2
 	ClientTimeout      = 3 * time.Second
 	LatencyGoal        = 1500 * time.Millisecond
-	clientSlack        = 50 * time.Millisecond // that a client waits longer on sockets
-	startupTimeout     = 10 * time.Second
-	healthPollInterval = 20 * time.Millisecond
+	clientSlack        = 50 * time.Millisecond // added to the clients' timeout for the delay of real sockets
+	startupTimeout     = 10 * time.Second      // for a process to pass its first health check
+	healthPollInterval = 20 * time.Millisecond // between two health checks during startup
 )
 
-// Workloads are a site's, by what a further execution of them means.
+// Workloads are the workloads of every site. Repeated executions are harmless for look, are recognised and ignored by replicas for
+// book, and must not happen for pay.
 var Workloads = []string{"look", "book", "pay"}
 
-// Testbed is what was started.
+// Testbed holds the running sites, their links and the clients.
 type Testbed struct {
 	Config
 	Sites   map[string]*Site
-	Links   map[string]*link.Link // FROM>TO
+	Links   map[string]*link.Link // by "FROM>TO"
 	closers []func()
 	client  *http.Client
 
 	mu         sync.Mutex
-	executions map[string]int // by part, how often it ran, at whichever site
+	executions map[string]int // by part ID, at all sites together
 }
 
-// Site is one of them.
+// Site is one running site.
 type Site struct {
 	testbed          *Testbed
 	name             string
-	discoveryAddress string // its discovery
+	discoveryAddress string
 	gatewayAddresses []string
-	clientAddresses  []string // addresses for clients
+	clientAddresses  []string
 	processes        []*siteProcess
 
 	mu           sync.Mutex
-	unresponsive bool // its replicas take parts and say nothing
+	unresponsive bool // the replicas accept parts and never reply
 }
 
+// siteProcess is one child process of a site.
 type siteProcess struct {
 	cmd     *exec.Cmd
 	done    chan struct{}
-	cpuTime time.Duration // CPU, once it has ended
+	cpuTime time.Duration // user and system time; valid once done is closed
 }
 
-// Start starts a world. Stop ends it, also after an error.
+// Start starts the sites. The caller must call Stop on the result, also after an error.
 func Start(s Config) (*Testbed, error) {
 	w := &Testbed{Config: s, Sites: map[string]*Site{}, Links: map[string]*link.Link{}, executions: map[string]int{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Second}}}
@@ -146,7 +148,7 @@
 	return w, nil
 }
 
-// Stop ends all processes and stand-ins.
+// Stop kills all processes and closes all stand-ins and links.
 func (w *Testbed) Stop() {
 	for _, s := range w.Sites {
 		for i := range s.processes {
@@ -159,7 +161,7 @@
 	w.client.CloseIdleConnections()
 }
 
-// listen serves on a loopback port until the world's end.
+// listen serves on a loopback port until the testbed is stopped.
 func (w *Testbed) listen(serve func(net.Listener)) (string, error) {
 	address, end, err := ports.Serve(serve)
 	if err == nil {
@@ -168,34 +170,34 @@
 	return address, err
 }
 
-// startReplicas starts a site's replicas and the discovery that names them.
+// startReplicas starts the site's replicas and the discovery service that lists them.
 func (s *Site) startReplicas() error {
-	list := standin.NewDiscovery()
+	registry := standin.NewDiscovery()
 	for i := range s.testbed.shards() * s.testbed.ReplicasPerShard {
 		workers := make(chan struct{}, s.testbed.WorkersPerReplica)
-		toy := &standin.Replica{Answer: func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
+		standIn := &standin.Replica{Answer: func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
 			return s.answer(ctx, p, workers)
 		}}
-		address, err := s.testbed.listen(func(l net.Listener) { toy.Serve(l) })
+		address, err := s.testbed.listen(func(l net.Listener) { standIn.Serve(l) })
 		if err != nil {
 			return err
 		}
-		list.Change(standin.Host{Host: fmt.Sprint("s-", i), Dial: address, Cell: i % s.testbed.shards(), Health: "active"})
+		registry.Change(standin.Host{Host: fmt.Sprint("s-", i), Dial: address, Cell: i % s.testbed.shards(), Health: "active"})
 	}
 	var err error
-	s.discoveryAddress, err = s.testbed.listen(func(l net.Listener) { (&http.Server{Handler: list}).Serve(l) })
+	s.discoveryAddress, err = s.testbed.listen(func(l net.Listener) { (&http.Server{Handler: registry}).Serve(l) })
 	return err
 }
 
-// answer works on one part. What is taken has its effect, whatever becomes of its answer.
+// answer processes one part. The part counts as executed on arrival, even if its reply never comes.
 func (s *Site) answer(ctx context.Context, p replica.Part, workers chan struct{}) (replica.Reply, bool) {
 	s.testbed.mu.Lock()
 	s.testbed.executions[p.ID]++
 	s.testbed.mu.Unlock()
 	s.mu.Lock()
-	dark := s.unresponsive
+	unresponsive := s.unresponsive
 	s.mu.Unlock()
-	if dark {
+	if unresponsive {
 		<-ctx.Done()
 		return replica.Reply{}, false
 	}
@@ -213,14 +215,14 @@
 	}
 }
 
-// SetUnresponsive has the site's replicas take parts and say nothing, or work again.
-func (s *Site) SetUnresponsive(dark bool) {
+// SetUnresponsive makes the site's replicas accept parts without ever replying, or makes them work again.
+func (s *Site) SetUnresponsive(unresponsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unresponsive = dark
+	s.unresponsive = unresponsive
 }
 
-// writeFiles makes the files that the site's processes read.
+// writeFiles writes the configuration and the operator scripts that the site's processes read.
 func (s *Site) writeFiles() error {
 	var rows []map[string]any
 	for i, name := range Workloads {
@@ -256,9 +258,9 @@
 	return nil
 }
 
-func (s *Site) path(end string) string { return filepath.Join(s.testbed.Dir, s.name+"."+end) }
+func (s *Site) path(suffix string) string { return filepath.Join(s.testbed.Dir, s.name+"."+suffix) }
 
-// script is what the operator of a site would write for one process, links crossing the world's.
+// script returns the operator's script for one process. Its links lead through the testbed's simulated links.
 func (s *Site) script(i int) (string, error) {
 	w := s.testbed
 	if w.Isolated {
@@ -283,17 +285,17 @@
 			w.Links[key] = &link.Link{}
 			w.Links[key].Set(w.LinkConditions, w.LinkConditions)
 		}
-		var doors []string
-		between := w.Links[key] // the map grows while they serve
-		for _, door := range w.Sites[other].gatewayAddresses {
-			address, err := w.listen(func(l net.Listener) { between.Serve(l, door) })
+		var proxyAddresses []string
+		siteLink := w.Links[key] // captured here because the map may grow while the listeners serve
+		for _, gatewayAddress := range w.Sites[other].gatewayAddresses {
+			address, err := w.listen(func(l net.Listener) { siteLink.Serve(l, gatewayAddress) })
 			if err != nil {
 				return "", err
 			}
-			doors = append(doors, strconv.Quote(address))
+			proxyAddresses = append(proxyAddresses, strconv.Quote(address))
 		}
 		fmt.Fprintf(&b, "link(to = %q, gateways = [%s], queries = %g, bytes = \"%dB\", cost = 0.05)\n", other,
-			strings.Join(doors, ", "), w.LinkQueryRate, w.LinkByteRate)
+			strings.Join(proxyAddresses, ", "), w.LinkQueryRate, w.LinkByteRate)
 	}
 	return b.String(), nil
 }
@@ -305,7 +307,7 @@
 	return "False"
 }
 
-// CPU is what all running processes have used.
+// CPU returns the CPU time that all running processes have used.
 func (w *Testbed) CPU() (sum time.Duration) {
 	for _, s := range w.Sites {
 		for _, p := range s.processes {
@@ -319,7 +321,7 @@
 	return sum
 }
 
-// Start starts one of the site's processes, for the first time or again.
+// Start starts process i of the site, for the first time or again.
 func (s *Site) Start(i int) error {
 	log, err := os.OpenFile(s.path(strconv.Itoa(i)+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -351,25 +353,25 @@
 	return nil
 }
 
-// Kill ends a process as a machine that dies; CPU that it has used is returned.
+// Kill ends process i with SIGKILL, as if its machine had crashed, and returns the CPU time that it used.
 func (s *Site) Kill(i int) time.Duration {
 	s.processes[i].cmd.Process.Kill()
 	<-s.processes[i].done
 	return s.processes[i].cpuTime
 }
 
-// URL is where a process serves clients.
+// URL returns the address where process i serves clients.
 func (s *Site) URL(i int) string { return "http://" + s.clientAddresses[i] }
 
-// Signal sends a process a signal.
+// Signal sends a signal to process i.
 func (s *Site) Signal(i int, what syscall.Signal) error {
 	return s.processes[i].cmd.Process.Signal(what)
 }
 
-// PID is a process's number.
+// PID returns the process ID of process i.
 func (s *Site) PID(i int) int { return s.processes[i].cmd.Process.Pid }
 
-// Terminate has a process stop as for a planned restart, and waits until it has.
+// Terminate ends process i with SIGTERM, as for a planned restart, and waits until it has drained and exited.
 func (s *Site) Terminate(i int) error {
 	p := s.processes[i]
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -383,7 +385,7 @@
 	}
 }
 
-// waitAllReady waits until all of the site's processes serve.
+// waitAllReady waits until all of the site's processes pass their health check.
 func (s *Site) waitAllReady() error {
 	for i := range s.clientAddresses {
 		if err := s.WaitReady(i); err != nil {
@@ -393,7 +395,7 @@
 	return nil
 }
 
-// WaitReady waits until a process serves.
+// WaitReady waits until process i passes its health check.
 func (s *Site) WaitReady(i int) error {
 	health := healthcheck.Wait{Client: s.testbed.client, Interval: healthPollInterval, Timeout: startupTimeout}
 	if err := health.Until("http://" + s.clientAddresses[i]); err != nil {
@@ -402,7 +404,7 @@
 	return nil
 }
 
-// Counters are a process's own, or nil where it does not answer.
+// Counters returns the counters that process i serves, or nil if it does not answer.
 func (s *Site) Counters(i int) (all map[string]any) {
 	r, err := s.testbed.client.Get("http://" + s.clientAddresses[i] + "/counters")
 	if err != nil {
@@ -416,7 +418,7 @@
 	return all
 }
 
-// Counter is a number among the counters of a process; path is its keys.
+// Counter returns one number of a process's counters, or 0 if it is missing; path holds the nested JSON keys.
 func Counter(all map[string]any, path ...string) float64 {
 	var v any = all
 	for _, key := range path {
@@ -427,7 +429,7 @@
 	return x
 }
 
-// ExecutionCount is how often a part ran, at whichever site.
+// ExecutionCount returns how often a part was executed, at all sites together.
 func (w *Testbed) ExecutionCount(part string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
