--- a/standin/certificates/certificates.go
+++ b/standin/certificates/certificates.go
@@ -1,4 +1,4 @@
-// Package certificates plays the authority that signs sites' certificates, for trials and tests.
+// Package certificates is a certificate authority for measurements and tests: it signs the certificates of sites.
 package certificates
 
 import (
@@ -14,26 +14,26 @@
 	"go.step.sm/crypto/x509util"
 )
 
-// Authority signs certificates and keeps all files in a folder of its own.
+// Authority signs certificates and writes them and their keys into a folder.
 type Authority struct {
-	CertFile    string // its own certificate
-	KeyPassword []byte // the password that keys are locked with; empty for none
+	CertFile    string // path of the authority's own certificate
+	KeyPassword []byte // encrypts the keys that Issue writes; empty for no encryption
 	dir         string
 	cert        *x509.Certificate
 	key         crypto.Signer
 	nextSerial  int64
 }
 
-// New makes an authority with a folder for its files.
+// New creates an authority and writes its certificate, authority.pem, into dir.
 func New(dir string) (*Authority, error) {
 	key, err := keyutil.GenerateDefaultSigner()
 	if err != nil {
 		return nil, err
 	}
-	form := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "sites"}, IsCA: true,
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "sites"}, IsCA: true,
 		BasicConstraintsValid: true, NotBefore: time.Now().Add(-24 * time.Hour), NotAfter: time.Now().Add(24 * time.Hour),
 		KeyUsage: x509.KeyUsageCertSign}
-	cert, err := x509util.CreateCertificate(form, form, key.Public(), key)
+	cert, err := x509util.CreateCertificate(template, template, key.Public(), key)
 	if err != nil {
 		return nil, err
 	}
@@ -41,18 +41,18 @@
 	return a, writePEM(a.CertFile, cert)
 }
 
-// Issue writes a certificate for a name, good until then, and its key, into FILE.pem and FILE.key of the folder; files
-// that are there are replaced.
+// Issue writes a certificate for a DNS name, valid until the given time, and its key to FILE.pem and FILE.key in the folder.
+// Existing files are replaced.
 func (a *Authority) Issue(file, name string, until time.Time) (cert, key string, err error) {
-	own, err := keyutil.GenerateDefaultSigner()
+	leafKey, err := keyutil.GenerateDefaultSigner()
 	if err != nil {
 		return "", "", err
 	}
-	form := &x509.Certificate{SerialNumber: big.NewInt(a.nextSerial), DNSNames: []string{name},
+	template := &x509.Certificate{SerialNumber: big.NewInt(a.nextSerial), DNSNames: []string{name},
 		NotBefore: time.Now().Add(-12 * time.Hour), NotAfter: until,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 	a.nextSerial++
-	signed, err := x509util.CreateCertificate(form, a.cert, own.Public(), a.key)
+	signed, err := x509util.CreateCertificate(template, a.cert, leafKey.Public(), a.key)
 	if err != nil {
 		return "", "", err
 	}
@@ -60,14 +60,14 @@
 	if err := writePEM(cert, signed); err != nil {
 		return "", "", err
 	}
-	var how []pemutil.Options
+	var options []pemutil.Options
 	if len(a.KeyPassword) > 0 {
-		how = append(how, pemutil.WithPassword(a.KeyPassword))
+		options = append(options, pemutil.WithPassword(a.KeyPassword))
 	}
-	return cert, key, writePEM(key, own, how...)
+	return cert, key, writePEM(key, leafKey, options...)
 }
 
-func writePEM(file string, what any, how ...pemutil.Options) error {
-	_, err := pemutil.Serialize(what, append(how, pemutil.ToFile(file, 0o600))...)
+func writePEM(file string, value any, options ...pemutil.Options) error {
+	_, err := pemutil.Serialize(value, append(options, pemutil.ToFile(file, 0o600))...)
 	return err
 }
--- a/standin/discovery.go
+++ b/standin/discovery.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Host is one replica on the list.
+// Host is one replica's entry in the discovery list.
 type Host struct {
 	Host        string  `json:"host"`
 	Dial        string  `json:"dial"`
@@ -21,16 +21,16 @@
 	StartedAtMs int64   `json:"born_ms"`
 }
 
-// Discovery serves a list and its changes.
+// Discovery is a stand-in discovery service: it serves a list of replicas and its changes over HTTP.
 type Discovery struct {
 	mu       sync.Mutex
 	seq      int64
 	hosts    []Host
-	versions []int64 // the version of each host's last change
+	versions []int64 // list version of each host's last change
 	updated  chan struct{}
 }
 
-// NewDiscovery makes a discovery with a list.
+// NewDiscovery creates a discovery service with an initial list.
 func NewDiscovery(hosts ...Host) *Discovery {
 	d := &Discovery{updated: make(chan struct{})}
 	for _, h := range hosts {
@@ -39,7 +39,7 @@
 	return d
 }
 
-// Change adds a host or replaces the entry of that name.
+// Change adds a host, or replaces the entry with the same name.
 func (d *Discovery) Change(h Host) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,7 +54,7 @@
 	d.updated = make(chan struct{})
 }
 
-// ServeHTTP answers calls for the whole list and for what is new since a version.
+// ServeHTTP answers requests for the whole list, and long polls for the entries that changed after a version.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/servers" || r.Method != http.MethodGet {
 		http.NotFound(w, r)
--- a/standin/lab/lab.go
+++ b/standin/lab/lab.go
@@ -1,6 +1,6 @@
-// Package lab plays an emulator's plan on loopback sockets: the true program as processes, stand-in replicas that do what the
-// plan's models do, in real time, a discovery, and clients that ask the very queries that the emulator would have come. It
-// shows whether the emulator flatters.
+// Package lab runs an emulator's plan in real time on loopback sockets: the real program as child processes, stand-in replicas that
+// behave as the plan's model of replicas, a discovery service, and clients that send exactly the queries of the emulator. It shows
+// whether the emulator's results are too optimistic.
 package lab
 
 import (
@@ -30,12 +30,12 @@
 )
 
 const (
-	startupTimeout     = 15 * time.Second
-	healthPollInterval = 20 * time.Millisecond
-	clientSlack        = 50 * time.Millisecond // that clients wait longer on sockets
+	startupTimeout     = 15 * time.Second      // for a process to pass its first health check
+	healthPollInterval = 20 * time.Millisecond // between two health checks during startup
+	clientSlack        = 50 * time.Millisecond // added to the clients' timeout for the delay of real sockets
 )
 
-// testbed is one plan being played.
+// testbed holds the processes, stand-ins and clients of one plan that is being run.
 type testbed struct {
 	emulator.Plan
 	dir              string
@@ -46,22 +46,22 @@
 	processes        []*exec.Cmd
 	closers          []func()
 	client           *http.Client
-	runStart         time.Time // the clients' start
+	runStart         time.Time // when the clients start; plan times count from here
 
 	mu             sync.Mutex
 	tally          *emulator.Recorder
-	dueTimes       map[string]int64 // when a query was asked, by id; its parts name it
-	attemptsByPart map[string]int   // how often a part came to a replica
-	faultyHits     int
+	dueTimes       map[string]int64 // plan time at which a query was due, by its ID, which the IDs of its parts begin with
+	attemptsByPart map[string]int   // how often a part arrived at a replica, by its ID
+	faultyHits     int              // parts that arrived at a replica with an active fault
 }
 
-// Run plays a plan with the program.
+// Run runs a plan with the program and returns what its clients and replicas measured.
 func Run(binary string, p emulator.Plan) (*emulator.Result, error) {
 	if err := p.Validate(); err != nil {
 		return nil, err
 	}
 	if p.Policy != "module" {
-		return nil, errors.New("on sockets there is only the true program")
+		return nil, errors.New("only the policy module can run on sockets")
 	}
 	dir, err := os.MkdirTemp("", "lab")
 	if err != nil {
@@ -80,6 +80,7 @@
 	return r, nil
 }
 
+// start starts the replicas, the discovery service and the program's processes, and waits until these are healthy.
 func (w *testbed) start(binary string) error {
 	for i := range w.Replicas {
 		b := &simReplica{testbed: w, index: i, rng: rand.New(rand.NewPCG(w.Seed, 1<<32+uint64(i))), workers: make(chan struct{}, w.Workers)}
@@ -95,17 +96,17 @@
 		return err
 	}
 	w.discoveryAddress = l.Addr().String()
-	lists := &http.Server{Handler: w.discovery}
-	go lists.Serve(l)
-	w.closers = append(w.closers, func() { lists.Close() })
+	discoveryServer := &http.Server{Handler: w.discovery}
+	go discoveryServer.Serve(l)
+	w.closers = append(w.closers, func() { discoveryServer.Close() })
 	for i := range w.Aggregators {
 		if err := w.startAggregator(binary, i); err != nil {
 			return err
 		}
 	}
 	health := healthcheck.Wait{Client: w.client, Interval: healthPollInterval, Timeout: startupTimeout}
-	for _, front := range w.frontURLs {
-		if err := health.Until(front); err != nil {
+	for _, frontURL := range w.frontURLs {
+		if err := health.Until(frontURL); err != nil {
 			return err
 		}
 	}
@@ -126,31 +127,31 @@
 	w.client.CloseIdleConnections()
 }
 
-// startAggregator starts one process.
-func (w *testbed) startAggregator(binary string, number int) error {
-	text, err := json.Marshal(w.config(number))
+// startAggregator starts one process of the program.
+func (w *testbed) startAggregator(binary string, index int) error {
+	text, err := json.Marshal(w.config(index))
 	if err != nil {
 		return err
 	}
-	file := filepath.Join(w.dir, fmt.Sprint(number, ".json"))
+	file := filepath.Join(w.dir, fmt.Sprint(index, ".json"))
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return err
 	}
-	front, err := ports.Free()
+	frontURL, err := ports.Free()
 	if err != nil {
 		return err
 	}
 	p := exec.Command(binary)
-	p.Env = append(os.Environ(), "NODE_NAME=n"+strconv.Itoa(number), "NODE_LISTEN="+front, "NODE_DISCOVERY="+w.discoveryAddress, "NODE_CONFIG="+file)
+	p.Env = append(os.Environ(), "NODE_NAME=n"+strconv.Itoa(index), "NODE_LISTEN="+frontURL, "NODE_DISCOVERY="+w.discoveryAddress, "NODE_CONFIG="+file)
 	if err := p.Start(); err != nil {
 		return err
 	}
-	w.processes, w.frontURLs = append(w.processes, p), append(w.frontURLs, "http://"+front)
+	w.processes, w.frontURLs = append(w.processes, p), append(w.frontURLs, "http://"+frontURL)
 	return nil
 }
 
-// config is what a process is told of the plan.
-func (w *testbed) config(number int) map[string]any {
+// config returns the configuration file of one process, with the values of the plan.
+func (w *testbed) config(index int) map[string]any {
 	var rows []map[string]any
 	var ones, floors, partial []float64
 	var none []int
@@ -163,9 +164,9 @@
 	if w.Budgeted {
 		rules["ratio_span"], rules["budget_free"], rules["extra_per_request"] = w.RetryWindow/1e6, w.RetrySlack, w.RetryRatio
 	}
-	return map[string]any{"seed": fmt.Sprintf("%016x", w.Seed*1_000_003+uint64(number)),
+	return map[string]any{"seed": fmt.Sprintf("%016x", w.Seed*1_000_003+uint64(index)),
 		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 1024},
-		"settings": map[string]any{"index": number, "balancers": w.Aggregators, "tick": w.Tick / 1e6, "membership_mode": "push",
+		"settings": map[string]any{"index": index, "balancers": w.Aggregators, "tick": w.Tick / 1e6, "membership_mode": "push",
 			"caps": map[string]any{"max_attempts": w.MaxExecutions, "most_held": 2000, "cancel": w.CanCancel, "retry_after": true,
 				"max_retry_after": 2000, "streams_per_conn": 32, "connect_timeout": 200, "conn_idle": 20000},
 			"domain": map[string]any{"slices": w.Shards(), "cells": w.Shards(), "in_a_row": 1, "parts_a_call": 1, "class_need": ones,
@@ -173,10 +174,10 @@
 			"classes": rows, "guarantees": rules}}
 }
 
-// runTime is the run's time, ns.
+// runTime returns the time since the start of the run in ns, the time scale of the plan.
 func (w *testbed) runTime() int64 { return int64(time.Since(w.runStart)) }
 
-// runLoad has the faults and the clients come.
+// runLoad runs all faults and clients of the plan and waits for their end.
 func (w *testbed) runLoad() {
 	w.runStart = time.Now()
 	var all sync.WaitGroup
@@ -185,19 +186,19 @@
 			all.Go(func() { w.replicas[r].runFault(n) })
 		}
 	}
-	for i, front := range w.frontURLs {
+	for i, frontURL := range w.frontURLs {
 		for n := range w.Workloads {
 			arrivals := w.Arrivals(i, n)
 			all.Go(func() {
-				var under sync.WaitGroup
-				defer under.Wait()
-				number := 0
+				var inFlight sync.WaitGroup
+				defer inFlight.Wait()
+				index := 0
 				for at, comes := arrivals.Next(0); comes; at, comes = arrivals.Next(at) {
 					shards := arrivals.DrawShards()
 					time.Sleep(time.Until(w.runStart.Add(time.Duration(at))))
-					number++
-					id := fmt.Sprintf("%d-%d-%d", i, n, number)
-					under.Go(func() { w.ask(front, id, n, at, shards) })
+					index++
+					id := fmt.Sprintf("%d-%d-%d", i, n, index)
+					inFlight.Go(func() { w.ask(frontURL, id, n, at, shards) })
 				}
 			})
 		}
@@ -205,21 +206,22 @@
 	all.Wait()
 }
 
-// ask asks one query and books its end. Times count from when it was due.
-func (w *testbed) ask(front, id string, load int, due int64, shards []int) {
+// ask sends one query and records its outcome. Latencies count from the time at which the query was due.
+func (w *testbed) ask(frontURL, id string, load int, due int64, shards []int) {
 	l := &w.Workloads[load]
 	w.mu.Lock()
 	w.tally.RecordQuery(due, load)
 	w.dueTimes[id] = due
 	w.mu.Unlock()
-	final := w.post(front, id, l, shards)
+	final := w.post(frontURL, id, l, shards)
 	ended := w.runTime()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.tally.RecordAnswer(due, ended, load, 0, final)
 }
 
-func (w *testbed) post(front, id string, l *emulator.Workload, shards []int) balance.Outcome {
+// post sends one query over HTTP and classifies the answer.
+func (w *testbed) post(frontURL, id string, l *emulator.Workload, shards []int) balance.Outcome {
 	type segment struct {
 		Segment int     `json:"segment"`
 		Boost   float64 `json:"boost"`
@@ -237,7 +239,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(l.Timeout)+clientSlack)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, front+"/"+l.Name, bytes.NewReader(text))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, frontURL+"/"+l.Name, bytes.NewReader(text))
 	if err != nil {
 		return balance.Forfeited
 	}
@@ -264,7 +266,7 @@
 	return balance.Partial
 }
 
-// recordPart books a part at a replica.
+// recordPart counts a part that arrived at a replica.
 func (w *testbed) recordPart(p replica.Part, faulty bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/standin/lab/simreplica.go
+++ b/standin/lab/simreplica.go
@@ -14,21 +14,21 @@
 	"willowsill/transport/replica"
 )
 
-// simReplica is a replica that does in real time what the emulator's model does.
+// simReplica is a stand-in replica that behaves in real time as the emulator's model of a replica does.
 type simReplica struct {
 	*testbed
 	index   int
-	speed   float64
+	speed   float64 // factor on the service time
 	workers chan struct{}
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	rng           *rand.Rand
 	address       string
 	closeListener func()
-	startTime     time.Time // when it started, if it started in the run
+	startTime     time.Time // of the last restart during the run; zero if there was none
 	activeFaults  map[int]bool
 	queued        int
-	paused        chan struct{} // closed when a pause is over; nil for none
+	paused        chan struct{} // closed at the end of the current pause; nil outside pauses
 }
 
 func (b *simReplica) discoveryEntry(health string) standin.Host {
@@ -39,7 +39,7 @@
 	return h
 }
 
-// startListening opens the replica, at its old address if it had one.
+// startListening starts to serve, at the previous address after a restart.
 func (b *simReplica) startListening() error {
 	address := b.address
 	if address == "" {
@@ -50,11 +50,11 @@
 		return err
 	}
 	b.address = l.Addr().String()
-	toy := &standin.Replica{Answer: b.answer}
+	standIn := &standin.Replica{Answer: b.answer}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		toy.Serve(l)
+		standIn.Serve(l)
 	}()
 	b.closeListener = func() {
 		l.Close()
@@ -70,8 +70,8 @@
 	}
 }
 
-// activeFault tells whether a fault of a kind holds here now.
-func (b *simReplica) activeFault(kind string) (f emulator.Fault, holds bool) {
+// activeFault returns the fault of a kind that currently affects this replica, if there is one.
+func (b *simReplica) activeFault(kind string) (f emulator.Fault, active bool) {
 	for i := range b.Faults {
 		if b.activeFaults[i] && b.Faults[i].Kind == kind {
 			return b.Faults[i], true
@@ -80,6 +80,7 @@
 	return f, false
 }
 
+// isHung reports whether the replica accepts parts without replying: it hangs, or flaps and is in the hanging part of its period.
 func (b *simReplica) isHung() bool {
 	if _, hung := b.activeFault("hang"); hung {
 		return true
@@ -108,18 +109,18 @@
 	case full:
 		return replica.Reply{ID: p.ID, Outcome: replica.Rejected}, true
 	}
-	got := false
+	hasWorker := false
 	select {
 	case b.workers <- struct{}{}:
-		got = true
+		hasWorker = true
 		defer func() { <-b.workers }()
 	case <-ctx.Done():
 	}
 	b.mu.Lock()
 	b.queued--
-	takes := b.drawServiceTime()
+	serviceTime := b.drawServiceTime()
 	b.mu.Unlock()
-	if !got || !b.doWork(ctx, takes) {
+	if !hasWorker || !b.doWork(ctx, serviceTime) {
 		return replica.Reply{}, false
 	}
 	b.mu.Lock()
@@ -133,7 +134,7 @@
 	return replica.Reply{ID: p.ID, Value: "v"}, true
 }
 
-// drawServiceTime draws how long a part takes here and now, by the emulator's law.
+// drawServiceTime draws a random service time from the emulator's distribution, lengthened by active faults and warm-up.
 func (b *simReplica) drawServiceTime() time.Duration {
 	t := float64(b.ServiceTime) * math.Exp(b.ServiceTimeSigma*b.rng.NormFloat64()) * b.speed
 	if b.HeavyTailShare > 0 && b.rng.Float64() < b.HeavyTailShare {
@@ -148,21 +149,21 @@
 	return time.Duration(min(t, 600e9))
 }
 
-// doWork takes a time, pauses left out.
+// doWork waits until the given service time has passed, not counting pauses; false if the context ended before.
 func (b *simReplica) doWork(ctx context.Context, left time.Duration) bool {
 	for {
 		b.mu.Lock()
-		held := b.paused
+		resumed := b.paused
 		b.mu.Unlock()
-		if held != nil {
+		if resumed != nil {
 			select {
-			case <-held:
+			case <-resumed:
 				continue
 			case <-ctx.Done():
 				return false
 			}
 		}
-		slice := min(left, 5*time.Millisecond) // how late a pause is noticed
+		slice := min(left, 5*time.Millisecond) // a pause is noticed at most this much too late
 		began := time.Now()
 		select {
 		case <-time.After(slice):
@@ -175,23 +176,23 @@
 	}
 }
 
-// updateDiscovery has the list change after its delay.
+// updateDiscovery changes the replica's health in the discovery list after a random delay of one to two times ListDelay.
 func (b *simReplica) updateDiscovery(health string) {
 	b.mu.Lock()
-	h, wait := b.discoveryEntry(health), b.ListDelay+b.rng.Int64N(b.ListDelay+1)
+	h, delay := b.discoveryEntry(health), b.ListDelay+b.rng.Int64N(b.ListDelay+1)
 	b.mu.Unlock()
-	time.AfterFunc(time.Duration(wait), func() { b.discovery.Change(h) })
+	time.AfterFunc(time.Duration(delay), func() { b.discovery.Change(h) })
 }
 
-// runFault has one of the plan's faults begin and end here.
-func (b *simReplica) runFault(number int) {
-	f := b.Faults[number]
+// runFault applies one fault of the plan to this replica at its start time and removes it at its end time.
+func (b *simReplica) runFault(faultIndex int) {
+	f := b.Faults[faultIndex]
 	time.Sleep(time.Until(b.runStart.Add(time.Duration(f.From))))
 	b.mu.Lock()
 	if b.activeFaults == nil {
 		b.activeFaults = map[int]bool{}
 	}
-	b.activeFaults[number] = true
+	b.activeFaults[faultIndex] = true
 	b.mu.Unlock()
 	switch f.Kind {
 	case "restart":
@@ -204,7 +205,7 @@
 	}
 	time.Sleep(time.Until(b.runStart.Add(time.Duration(f.Until))))
 	b.mu.Lock()
-	delete(b.activeFaults, number)
+	delete(b.activeFaults, faultIndex)
 	if f.Kind == "restart" {
 		b.startTime = time.Now()
 	}
@@ -219,18 +220,18 @@
 	}
 }
 
-// pause has all work stand still for a stretch of each period.
+// pause stops all work for ActiveTime in each period of the fault.
 func (b *simReplica) pause(f emulator.Fault) {
 	for at := f.From; at < f.Until; at += max(f.Period, f.ActiveTime) {
 		time.Sleep(time.Until(b.runStart.Add(time.Duration(at))))
-		held := make(chan struct{})
+		resumed := make(chan struct{})
 		b.mu.Lock()
-		b.paused = held
+		b.paused = resumed
 		b.mu.Unlock()
 		time.Sleep(time.Duration(f.ActiveTime))
 		b.mu.Lock()
 		b.paused = nil
 		b.mu.Unlock()
-		close(held)
+		close(resumed)
 	}
 }
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,5 +1,5 @@
-// Package link plays a link between sites for trials and tests: what crosses it takes a time each way, and it can be cut
-// one way or both, silently or with resets. Bytes keep their order, as on TCP; what is lost there shows as a stall.
+// Package link simulates a network link between sites for measurements and tests. It delays data, and it can be cut in one or both
+// directions, silently or by closing connections. Bytes keep their order, as on TCP, so a lost packet shows as a longer delay.
 package link
 
 import (
@@ -13,17 +13,17 @@
 	"willowsill/standin"
 )
 
-// Conditions is how one direction behaves.
+// Conditions describes the behaviour of one direction of a link.
 type Conditions struct {
-	Delay     time.Duration
-	Jitter    time.Duration // up to so much more, by chance
-	LossDelay time.Duration // that a lost packet costs,
-	Loss      float64       // the share of writes that meet it
+	Delay     time.Duration // shortest delay of a packet
+	Jitter    time.Duration // upper bound of a random addition to Delay
+	LossDelay time.Duration // added to the delay of a lost packet, as for its retransmission
+	Loss      float64       // probability that a packet is lost
 	ByteRate  float64       // bytes a second; 0 for no limit
-	Cut       bool          // nothing comes through, and nobody is told
+	Cut       bool          // data is held back without an error
 }
 
-// Link carries connections. Its zero value is a link without delay.
+// Link is a simulated link that carries connections. Its zero value is a link without delay.
 type Link struct {
 	mu      sync.Mutex
 	forward Conditions
@@ -34,18 +34,18 @@
 	bytes   int64
 }
 
-// Set changes both directions from now on.
-func (l *Link) Set(there, back Conditions) {
+// Set changes the conditions of both directions from now on.
+func (l *Link) Set(forward, reversed Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.forward, l.reverse = there, back
+	l.forward, l.reverse = forward, reversed
 	if l.changed != nil {
 		close(l.changed)
 	}
 	l.changed = make(chan struct{})
 }
 
-// Reset breaks all connections.
+// Reset closes all connections that cross the link.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,20 +54,20 @@
 	}
 }
 
-// Bytes is how many have crossed.
+// Bytes returns the number of bytes that have entered the link, in both directions together.
 func (l *Link) Bytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.bytes
 }
 
-// Serve carries each connection of a listener over the link to an address, until the listener is closed; then it breaks
-// all of the link's connections.
+// Serve forwards each connection of a listener over the link to an address. When the listener is closed, it closes the
+// connections that it serves and returns.
 func (l *Link) Serve(from net.Listener, to string) {
-	over := l.Dialer((&net.Dialer{}).DialContext)
+	dial := l.Dialer((&net.Dialer{}).DialContext)
 	standin.Serve(from, func(ctx context.Context, near net.Conn) {
 		defer near.Close()
-		far, err := over(ctx, "tcp", to)
+		far, err := dial(ctx, "tcp", to)
 		if err != nil {
 			if tcp, ok := near.(*net.TCPConn); ok {
 				tcp.SetLinger(0)
@@ -77,9 +77,9 @@
 		stop := context.AfterFunc(ctx, func() { far.Close() })
 		defer stop()
 		var both sync.WaitGroup
-		for _, way := range [][2]net.Conn{{near, far}, {far, near}} {
+		for _, direction := range [][2]net.Conn{{near, far}, {far, near}} {
 			both.Go(func() {
-				io.Copy(way[0], way[1])
+				io.Copy(direction[0], direction[1])
 				near.Close()
 				far.Close()
 			})
@@ -88,13 +88,14 @@
 	})
 }
 
+// dialFunc has the signature of net.Dialer.DialContext.
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dialer makes a dial function whose connections cross the link. A connection takes a way there and back to come up.
+// Dialer returns a dial function whose connections cross the link. Connecting takes one round trip over the link.
 func (l *Link) Dialer(to dialFunc) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		for _, back := range []bool{false, true} {
-			if err := l.waitOneWay(ctx, back); err != nil {
+		for _, reversed := range []bool{false, true} {
+			if err := l.waitOneWay(ctx, reversed); err != nil {
 				return nil, err
 			}
 		}
@@ -123,16 +124,16 @@
 	}
 }
 
-// packet is what was written at once, and when it arrives.
+// packet is the data of one read and the time at which it leaves the link.
 type packet struct {
 	bytes   []byte
 	arrival time.Time
 }
 
-// relay carries one direction of a connection until one side ends.
-func (l *Link) relay(to, from net.Conn, back bool) {
-	gone, leave := context.WithCancel(context.Background()) // nothing more is to be read
-	defer leave()
+// relay carries one direction of a connection until either side closes.
+func (l *Link) relay(to, from net.Conn, reversed bool) {
+	readEnded, cancel := context.WithCancel(context.Background()) // cancelled when from returns an error
+	defer cancel()
 	defer to.Close()
 	defer from.Close()
 	queue := make(chan packet, 1024)
@@ -143,7 +144,7 @@
 		defer from.Close()
 		for p := range queue {
 			time.Sleep(time.Until(p.arrival))
-			if !l.waitUntilOpen(gone, back) {
+			if !l.waitUntilOpen(readEnded, reversed) {
 				return
 			}
 			if _, err := to.Write(p.bytes); err != nil {
@@ -151,7 +152,7 @@
 			}
 		}
 	}()
-	free := time.Now() // when the link has taken what came before
+	free := time.Now() // when the link has sent all earlier packets at its byte rate
 	for {
 		b := make([]byte, 4<<10)
 		n, err := from.Read(b)
@@ -159,7 +160,7 @@
 			l.mu.Lock()
 			l.bytes += int64(n)
 			l.mu.Unlock()
-			w := l.conditions(back)
+			w := l.conditions(reversed)
 			if now := time.Now(); free.Before(now) {
 				free = now
 			}
@@ -173,7 +174,7 @@
 			}
 		}
 		if err != nil {
-			leave()
+			cancel()
 			close(queue)
 			<-ended
 			return
@@ -181,16 +182,17 @@
 	}
 }
 
-func (l *Link) conditions(back bool) Conditions {
+// conditions returns the current conditions of a direction.
+func (l *Link) conditions(reversed bool) Conditions {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if back {
+	if reversed {
 		return l.reverse
 	}
 	return l.forward
 }
 
-// packetDelay draws how long a packet takes.
+// packetDelay draws the random delay of one packet.
 func (l *Link) packetDelay(w Conditions) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -207,11 +209,11 @@
 	return d
 }
 
-// waitUntilOpen waits while a direction is cut; false where the connection ended meanwhile.
-func (l *Link) waitUntilOpen(ctx context.Context, back bool) bool {
+// waitUntilOpen waits while a direction is cut; false if the context ends before.
+func (l *Link) waitUntilOpen(ctx context.Context, reversed bool) bool {
 	for {
 		l.mu.Lock()
-		cut := l.forward.Cut && !back || l.reverse.Cut && back
+		cut := l.forward.Cut && !reversed || l.reverse.Cut && reversed
 		if l.changed == nil {
 			l.changed = make(chan struct{})
 		}
@@ -220,7 +222,7 @@
 		if !cut {
 			return true
 		}
-		select { // what a cut holds when its connection ends never comes
+		select { // data that a cut holds back is dropped when its connection ends
 		case <-changed:
 		case <-ctx.Done():
 			return false
@@ -228,13 +230,13 @@
 	}
 }
 
-// waitOneWay waits for one way of the link.
-func (l *Link) waitOneWay(ctx context.Context, back bool) error {
-	if !l.waitUntilOpen(ctx, back) {
+// waitOneWay waits for the delay of one packet, and before that while the direction is cut.
+func (l *Link) waitOneWay(ctx context.Context, reversed bool) error {
+	if !l.waitUntilOpen(ctx, reversed) {
 		return ctx.Err()
 	}
 	select {
-	case <-time.After(l.packetDelay(l.conditions(back))):
+	case <-time.After(l.packetDelay(l.conditions(reversed))):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/standin/ports/ports.go
+++ b/standin/ports/ports.go
@@ -1,5 +1,5 @@
-// Package ports finds loopback addresses: for processes that must be told theirs before they start, and for
-// stand-ins inside this one.
+// Package ports finds free loopback addresses, for child processes that need their address before they start and for stand-ins
+// inside this process.
 package ports
 
 import (
@@ -10,8 +10,8 @@
 	"sync/atomic"
 )
 
-// Ports that processes are given lie below those that systems hand out by themselves, so that nobody takes one between
-// its choice and its use.
+// The port range for child processes. It lies below the range of ephemeral ports, so that no outgoing connection takes a port
+// between its choice and its use.
 const (
 	firstPort = 18000
 	endPort   = 30000
@@ -21,7 +21,7 @@
 
 func init() { nextPort.Store(firstPort + int64(os.Getpid()*131%(endPort-firstPort))) }
 
-// Free is a loopback address that nobody listens on now.
+// Free returns a loopback address on which nobody listens at the moment.
 func Free() (string, error) {
 	for range endPort - firstPort {
 		n := firstPort + (nextPort.Add(1)-firstPort)%(endPort-firstPort)
@@ -33,7 +33,8 @@
 	return "", errors.New("no port is free")
 }
 
-// Serve serves on a loopback port of the system's choice until end is called, which waits for serve to return.
+// Serve calls serve in a goroutine with a listener on a loopback port that the system chooses. The returned end closes the
+// listener and waits for serve to return.
 func Serve(serve func(net.Listener)) (address string, end func(), err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/standin/program/program.go
+++ b/standin/program/program.go
@@ -1,4 +1,4 @@
-// Package program builds the program for tests that run it as a process.
+// Package program builds this module's commands for tests that run them as processes.
 package program
 
 import (
@@ -7,13 +7,14 @@
 	"testing"
 )
 
-// Build builds willowsill into a folder that ends with the test, and returns its file.
+// Build builds the command willowsill into a temporary folder of the test and returns the binary's path.
 func Build(t testing.TB) string {
 	t.Helper()
 	return BuildCommand(t, "willowsill")
 }
 
-// BuildCommand builds a command of cmd, without the race detector, into a folder that ends with the test, and returns its file.
+// BuildCommand builds a command of the folder cmd, without the race detector, into a temporary folder of the test and returns the
+// binary's path.
 func BuildCommand(t testing.TB, command string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), command)
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -1,5 +1,5 @@
-// Package standin plays the outside systems that an aggregator meets, for trials and tests: a replica and a
-// discovery, each with the published protocol and none of the real thing's work.
+// Package standin has stand-ins for the external systems of an aggregator, for measurements and tests: a replica and a discovery
+// service. They speak the published protocols without doing the real work.
 package standin
 
 import (
@@ -12,18 +12,18 @@
 	"willowsill/transport/replica"
 )
 
-// Replica serves parts on all connections of a listener.
+// Replica is a stand-in replica: it answers parts on all connections of a listener.
 type Replica struct {
-	// Answer makes a part's reply; false leaves the part without one. Its context ends when the part is given
-	// up, its time is up, or the connection ends.
+	// Answer returns the reply to a part, or false to send none. Its context ends when the part is cancelled or times out, or
+	// when the connection closes.
 	Answer func(context.Context, replica.Part) (replica.Reply, bool)
 }
 
 // Serve serves until the listener is closed, and returns when all connections have ended.
 func (r *Replica) Serve(l net.Listener) error { return Serve(l, r.serveConnection) }
 
-// Serve hands each connection of a listener to a goroutine of its own until the listener is closed, ends them then, and
-// returns when all have.
+// Serve runs connection in a goroutine for each connection of a listener. When the listener is closed, it closes all
+// connections and returns when their goroutines have returned.
 func Serve(l net.Listener, connection func(context.Context, net.Conn)) error {
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -51,8 +51,8 @@
 		conn.Close()
 		parts.Wait()
 	}()
-	var mu sync.Mutex // guards writes and under
-	under := map[string]context.CancelFunc{}
+	var mu sync.Mutex // guards writes and cancels
+	cancels := map[string]context.CancelFunc{}
 	write := func(frame []byte) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -71,7 +71,7 @@
 			write(replica.AppendFrame(nil, letter, "-"))
 		case replica.LetterAbandon:
 			mu.Lock()
-			if end := under[string(rest)]; end != nil {
+			if end := cancels[string(rest)]; end != nil {
 				end()
 			}
 			mu.Unlock()
@@ -84,7 +84,7 @@
 			for _, p := range call {
 				ctx, cancel := context.WithTimeout(ctx, time.Duration(p.WaitMs)*time.Millisecond)
 				mu.Lock()
-				under[p.ID] = cancel
+				cancels[p.ID] = cancel
 				mu.Unlock()
 				parts.Go(func() {
 					defer cancel()
--- a/standin/systemreplica/systemreplica.go
+++ b/standin/systemreplica/systemreplica.go
@@ -1,6 +1,6 @@
-// Package systemreplica is a stand-in for a replica of the whole system, written from the operators' page: it serves
-// HTTP/1.1, seals its answers, sends heartbeats to control and says when it leaves. Faults are made by those
-// who own it: it can be stopped dead.
+// Package systemreplica is a stand-in for a replica of the whole system that follows the operators' documentation: it serves
+// HTTP/1.1, adds a seal header to its answers, sends heartbeats to the controllers and announces its departure. It can also be
+// killed without an announcement.
 package systemreplica
 
 import (
@@ -19,18 +19,18 @@
 )
 
 const (
-	recordsPerPart = 6 // in a part
-	callTimeout    = time.Second
+	recordsPerPart = 6
+	callTimeout    = time.Second // of a call to a controller
 )
 
-// Replica is one stand-in.
+// Replica is one stand-in replica.
 type Replica struct {
 	ID, Service, Zone string
-	WorkTime          time.Duration // that a request takes
+	WorkTime          time.Duration // processing time of one request
 	HeartbeatInterval time.Duration // between two heartbeats
-	ControlAddresses  []string      // addresses, tried in order from the last that answered
+	ControlAddresses  []string      // of the controllers; calls begin with the one that answered last
 
-	Executions   atomic.Int64 // requests that were begun
+	Executions   atomic.Int64 // requests that the replica has begun to process
 	callSeq      int64
 	controlIndex int
 	listener     net.Listener
@@ -38,7 +38,7 @@
 	stop         context.CancelFunc
 }
 
-// Start listens on an address and begins to send heartbeats.
+// Start serves on an address and starts to send heartbeats.
 func (r *Replica) Start(address string) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -52,13 +52,14 @@
 	return nil
 }
 
-// Kill ends it without a word.
+// Kill stops the replica without announcing its departure.
 func (r *Replica) Kill() {
 	r.stop()
 	r.server.Close()
 }
 
-// Leave says that it drains and then that it is gone; it tells whether both were acknowledged.
+// Leave announces that the replica drains, waits for the drain time, announces its departure and stops. It reports whether both
+// announcements were acknowledged.
 func (r *Replica) Leave(drain time.Duration) bool {
 	r.stop()
 	ok := r.callControl("heartbeat", "draining")
@@ -78,7 +79,8 @@
 	}
 }
 
-// callControl calls one control address after the other until one acknowledges.
+// callControl sends a heartbeat or departure to one controller after the other until one acknowledges it, and reports whether one
+// did.
 func (r *Replica) callControl(what, phase string) bool {
 	r.callSeq++
 	var body []byte
@@ -101,7 +103,7 @@
 	return false
 }
 
-// ServeHTTP runs a request, unless it is meant for another.
+// ServeHTTP processes a request, and rejects one that names another replica or has no attempt ID.
 func (r *Replica) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	w.Header().Set("Willowsill-Replica-Id", r.ID)
 	attempt := q.Header.Get("Willowsill-Attempt-Id")
