--- a/standin/redis/commands.go
+++ b/standin/redis/commands.go
@@ -14,7 +14,7 @@
 	text      string
 	hash      map[string]string
 	scores    map[string]float64
-	expiresAt time.Time // zero for ever
+	expiresAt time.Time // zero if the key does not expire
 }
 
 func (v value) copy() value {
@@ -30,14 +30,15 @@
 	syntax    = "-ERR syntax error\r\n"
 )
 
+// ensureData creates the table of a new or cleared server.
 func (s *Server) ensureData() {
 	if s.data == nil {
 		s.data = map[string]value{}
 	}
 }
 
-// execute carries a command out.
-func (s *Server) execute(me *session, f Fault, args []string) []byte {
+// execute executes a command, unless the fault replaces its reply, and returns the encoded reply.
+func (s *Server) execute(client *session, f Fault, args []string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ensureData()
@@ -48,7 +49,7 @@
 	s.countByName[name]++
 	greeting := name == "HELLO" || name == "AUTH" || name == "QUIT"
 	switch {
-	case !greeting && s.password != "" && !me.authenticated:
+	case !greeting && s.password != "" && !client.authenticated:
 		return []byte("-NOAUTH Authentication required.\r\n")
 	case !greeting && f.Error != "":
 		return []byte("-" + f.Error + "\r\n")
@@ -62,22 +63,22 @@
 	if n := len(args); n < c.minArgs || c.maxArgs > 0 && n > c.maxArgs {
 		return []byte("-ERR wrong number of arguments for '" + strings.ToLower(name) + "' command\r\n")
 	}
-	w := &writer{resp3: me.resp3, fault: f}
+	w := &writer{resp3: client.resp3, fault: f}
 	if greeting {
 		w.fault = Fault{}
 	}
-	c.run(s, me, w, args)
+	c.run(s, client, w, args)
 	return w.out
 }
 
-// CommandCount is how often a command came.
+// CommandCount returns how often the server received a command; name is in capitals.
 func (s *Server) CommandCount(name string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.countByName[name]
 }
 
-// writer makes a reply.
+// writer encodes a reply, changed as the fault demands.
 type writer struct {
 	out   []byte
 	resp3 bool
@@ -111,9 +112,10 @@
 	}
 }
 
+// command is the implementation of a command and the number of arguments that it takes.
 type command struct {
-	minArgs, maxArgs int // arguments with the name; 0 for no limit
-	run              func(s *Server, me *session, w *writer, args []string)
+	minArgs, maxArgs int // arguments, the command's name included; maxArgs is 0 for no limit
+	run              func(s *Server, client *session, w *writer, args []string)
 }
 
 var commands map[string]command
@@ -144,45 +146,46 @@
 	}
 }
 
-// base gives each database keys of its own.
-func (me *session) key(k string) string {
-	if me.database == 0 {
+// key returns the key under which the data table holds k of the session's database.
+func (client *session) key(k string) string {
+	if client.database == 0 {
 		return k
 	}
-	return strconv.Itoa(me.database) + "\x00" + k
+	return strconv.Itoa(client.database) + "\x00" + k
 }
 
-// lookup is a key's value if it is there; right tells whether it has the type that is wanted.
-func (s *Server) lookup(me *session, k string, right func(value) bool, w *writer) (v value, there, fits bool) {
-	k = me.key(k)
-	v, there = s.data[k]
-	if there && v.expired(time.Now()) {
+// lookup returns a key's value. exists reports whether the key exists and has not expired, and typeOK whether isType accepts its
+// value; if not, lookup has written the error reply.
+func (s *Server) lookup(client *session, k string, isType func(value) bool, w *writer) (v value, exists, typeOK bool) {
+	k = client.key(k)
+	v, exists = s.data[k]
+	if exists && v.expired(time.Now()) {
 		delete(s.data, k)
-		v, there = value{}, false
+		v, exists = value{}, false
 	}
-	if there && !right(v) {
+	if exists && !isType(v) {
 		w.errorReply(wrongType)
 		return v, true, false
 	}
-	return v, there, true
+	return v, exists, true
 }
 
 func isText(v value) bool   { return v.hash == nil && v.scores == nil }
 func isHash(v value) bool   { return v.hash != nil }
 func isScores(v value) bool { return v.scores != nil }
 
-func hello(s *Server, me *session, w *writer, args []string) {
+func hello(s *Server, client *session, w *writer, args []string) {
 	for i := 2; i < len(args); i++ {
 		if strings.EqualFold(args[i], "AUTH") && i+2 < len(args) {
 			if args[i+1] != s.expectedUser() || args[i+2] != s.password {
 				w.raw("-WRONGPASS invalid username-password pair or user is disabled.\r\n")
 				return
 			}
-			me.authenticated = true
+			client.authenticated = true
 			i += 2
 		}
 	}
-	if s.password != "" && !me.authenticated {
+	if s.password != "" && !client.authenticated {
 		w.raw("-NOAUTH HELLO must be called with the client already authenticated\r\n")
 		return
 	}
@@ -191,10 +194,10 @@
 			w.raw("-NOPROTO unsupported protocol version\r\n")
 			return
 		}
-		me.resp3 = args[1] == "3"
+		client.resp3 = args[1] == "3"
 	}
 	pairs := []string{"server", "redis", "version", "7.0.0", "mode", "standalone", "role", "master"}
-	if me.resp3 {
+	if client.resp3 {
 		w.raw("%" + strconv.Itoa(len(pairs)/2+1) + "\r\n")
 	} else {
 		w.array(len(pairs) + 2)
@@ -203,7 +206,7 @@
 		w.bulk(p)
 	}
 	w.bulk("proto")
-	w.integer(map[bool]int64{false: 2, true: 3}[me.resp3])
+	w.integer(map[bool]int64{false: 2, true: 3}[client.resp3])
 }
 
 func (s *Server) expectedUser() string {
@@ -213,7 +216,7 @@
 	return s.username
 }
 
-func auth(s *Server, me *session, w *writer, args []string) {
+func auth(s *Server, client *session, w *writer, args []string) {
 	user := "default"
 	if len(args) == 3 {
 		user = args[1]
@@ -222,33 +225,33 @@
 		w.raw("-WRONGPASS invalid username-password pair or user is disabled.\r\n")
 		return
 	}
-	me.authenticated = true
+	client.authenticated = true
 	w.ok()
 }
 
-func selectDatabase(_ *Server, me *session, w *writer, args []string) {
+func selectDatabase(_ *Server, client *session, w *writer, args []string) {
 	n, err := strconv.Atoi(args[1])
 	if err != nil || n < 0 || n > 15 {
 		w.raw("-ERR DB index is out of range\r\n")
 		return
 	}
-	me.database = n
+	client.database = n
 	w.ok()
 }
 
 func serverTime(_ *Server, _ *session, w *writer, _ []string) {
 	now := time.Now().Add(w.fault.ClockSkew)
-	skewless := *w
-	skewless.fault = Fault{}
-	skewless.array(2)
-	skewless.bulk(strconv.FormatInt(now.Unix(), 10))
-	skewless.bulk(strconv.Itoa(now.Nanosecond() / 1000))
-	w.out = skewless.out
+	faultless := *w
+	faultless.fault = Fault{}
+	faultless.array(2)
+	faultless.bulk(strconv.FormatInt(now.Unix(), 10))
+	faultless.bulk(strconv.Itoa(now.Nanosecond() / 1000))
+	w.out = faultless.out
 }
 
-func get(s *Server, me *session, w *writer, args []string) {
-	if v, there, fits := s.lookup(me, args[1], isText, w); fits {
-		if there {
+func get(s *Server, client *session, w *writer, args []string) {
+	if v, exists, typeOK := s.lookup(client, args[1], isText, w); typeOK {
+		if exists {
 			w.bulk(v.text)
 		} else {
 			w.null()
@@ -256,11 +259,11 @@
 	}
 }
 
-func mget(s *Server, me *session, w *writer, args []string) {
+func mget(s *Server, client *session, w *writer, args []string) {
 	w.array(len(args) - 1)
 	for _, k := range args[1:] {
-		quiet := &writer{}
-		if v, there, fits := s.lookup(me, k, isText, quiet); there && fits {
+		discarded := &writer{}
+		if v, exists, typeOK := s.lookup(client, k, isText, discarded); exists && typeOK {
 			w.bulk(v.text)
 		} else {
 			w.null()
@@ -268,7 +271,7 @@
 	}
 }
 
-func set(s *Server, me *session, w *writer, args []string) {
+func set(s *Server, client *session, w *writer, args []string) {
 	v := value{text: args[2]}
 	for i := 3; i < len(args); i += 2 {
 		unit := map[string]time.Duration{"PX": time.Millisecond, "EX": time.Second}[strings.ToUpper(args[i])]
@@ -283,63 +286,63 @@
 		}
 		v.expiresAt = time.Now().Add(time.Duration(n) * unit)
 	}
-	s.data[me.key(args[1])] = v
+	s.data[client.key(args[1])] = v
 	w.ok()
 }
 
-func del(s *Server, me *session, w *writer, args []string) {
+func del(s *Server, client *session, w *writer, args []string) {
 	n := int64(0)
 	for _, k := range args[1:] {
-		if _, there := s.data[me.key(k)]; there {
-			delete(s.data, me.key(k))
+		if _, exists := s.data[client.key(k)]; exists {
+			delete(s.data, client.key(k))
 			n++
 		}
 	}
 	w.integer(n)
 }
 
-func incrBy(s *Server, me *session, w *writer, args []string) {
+func incrBy(s *Server, client *session, w *writer, args []string) {
 	by, err := strconv.ParseInt(args[2], 10, 64)
 	if err != nil {
 		w.errorReply(notInt)
 		return
 	}
-	v, there, fits := s.lookup(me, args[1], isText, w)
-	if !fits {
+	v, exists, typeOK := s.lookup(client, args[1], isText, w)
+	if !typeOK {
 		return
 	}
 	n := int64(0)
-	if there {
+	if exists {
 		if n, err = strconv.ParseInt(v.text, 10, 64); err != nil {
 			w.errorReply(notInt)
 			return
 		}
 	}
 	v.text = strconv.FormatInt(n+by, 10)
-	s.data[me.key(args[1])] = v
+	s.data[client.key(args[1])] = v
 	w.integer(n + by)
 }
 
-func pexpire(s *Server, me *session, w *writer, args []string) {
+func pexpire(s *Server, client *session, w *writer, args []string) {
 	n, err := strconv.ParseInt(args[2], 10, 40)
 	if err != nil {
 		w.errorReply(notInt)
 		return
 	}
-	v, there, _ := s.lookup(me, args[1], func(value) bool { return true }, w)
-	if !there {
+	v, exists, _ := s.lookup(client, args[1], func(value) bool { return true }, w)
+	if !exists {
 		w.integer(0)
 		return
 	}
 	v.expiresAt = time.Now().Add(time.Duration(n) * time.Millisecond)
-	s.data[me.key(args[1])] = v
+	s.data[client.key(args[1])] = v
 	w.integer(1)
 }
 
-func pttl(s *Server, me *session, w *writer, args []string) {
-	v, there, _ := s.lookup(me, args[1], func(value) bool { return true }, w)
+func pttl(s *Server, client *session, w *writer, args []string) {
+	v, exists, _ := s.lookup(client, args[1], func(value) bool { return true }, w)
 	switch {
-	case !there:
+	case !exists:
 		w.integer(-2)
 	case v.expiresAt.IsZero():
 		w.integer(-1)
@@ -348,26 +351,27 @@
 	}
 }
 
-func zadd(s *Server, me *session, w *writer, args []string) {
+func zadd(s *Server, client *session, w *writer, args []string) {
 	score, err := strconv.ParseFloat(args[2], 64)
 	if err != nil {
 		w.errorReply("-ERR value is not a valid float\r\n")
 		return
 	}
-	v, there, fits := s.lookup(me, args[1], isScores, w)
-	if !fits {
+	v, exists, typeOK := s.lookup(client, args[1], isScores, w)
+	if !typeOK {
 		return
 	}
-	if !there {
+	if !exists {
 		v = value{scores: map[string]float64{}}
 	}
 	_, old := v.scores[args[3]]
 	v.scores[args[3]] = score
-	s.data[me.key(args[1])] = v
+	s.data[client.key(args[1])] = v
 	w.integer(map[bool]int64{true: 0, false: 1}[old])
 }
 
-// scoreRange reads a score's bound; an opening bracket leaves the bound itself out.
+// scoreRange parses the bounds of a range of scores and returns its predicate; an opening bracket excludes the bound. The second
+// result is false if a bound is not a number.
 func scoreRange(low, high string) (func(float64) bool, bool) {
 	read := func(s string) (x float64, open, ok bool) {
 		s, open = strings.CutPrefix(s, "(")
@@ -379,13 +383,13 @@
 	return func(x float64) bool { return (x > a || x == a && !openA) && (x < b || x == b && !openB) }, okA && okB
 }
 
-func zcount(s *Server, me *session, w *writer, args []string) {
+func zcount(s *Server, client *session, w *writer, args []string) {
 	inside, ok := scoreRange(args[2], args[3])
 	if !ok {
 		w.errorReply("-ERR min or max is not a float\r\n")
 		return
 	}
-	if v, _, fits := s.lookup(me, args[1], isScores, w); fits {
+	if v, _, typeOK := s.lookup(client, args[1], isScores, w); typeOK {
 		n := int64(0)
 		for _, x := range v.scores {
 			if inside(x) {
@@ -396,69 +400,69 @@
 	}
 }
 
-func zremRangeByScore(s *Server, me *session, w *writer, args []string) {
+func zremRangeByScore(s *Server, client *session, w *writer, args []string) {
 	inside, ok := scoreRange(args[2], args[3])
 	if !ok {
 		w.errorReply("-ERR min or max is not a float\r\n")
 		return
 	}
-	if v, _, fits := s.lookup(me, args[1], isScores, w); fits {
+	if v, _, typeOK := s.lookup(client, args[1], isScores, w); typeOK {
 		was := len(v.scores)
 		maps.DeleteFunc(v.scores, func(_ string, x float64) bool { return inside(x) })
 		if len(v.scores) == 0 {
-			delete(s.data, me.key(args[1]))
+			delete(s.data, client.key(args[1]))
 		}
 		w.integer(int64(was - len(v.scores)))
 	}
 }
 
-func hset(s *Server, me *session, w *writer, args []string) {
-	v, there, fits := s.lookup(me, args[1], isHash, w)
-	if !fits {
+func hset(s *Server, client *session, w *writer, args []string) {
+	v, exists, typeOK := s.lookup(client, args[1], isHash, w)
+	if !typeOK {
 		return
 	}
-	if !there {
+	if !exists {
 		v = value{hash: map[string]string{}}
 	}
 	_, old := v.hash[args[2]]
 	v.hash[args[2]] = args[3]
-	s.data[me.key(args[1])] = v
+	s.data[client.key(args[1])] = v
 	w.integer(map[bool]int64{true: 0, false: 1}[old])
 }
 
-func hdel(s *Server, me *session, w *writer, args []string) {
-	v, _, fits := s.lookup(me, args[1], isHash, w)
-	if !fits {
+func hdel(s *Server, client *session, w *writer, args []string) {
+	v, _, typeOK := s.lookup(client, args[1], isHash, w)
+	if !typeOK {
 		return
 	}
 	n := int64(0)
 	for _, field := range args[2:] {
-		if _, there := v.hash[field]; there {
+		if _, exists := v.hash[field]; exists {
 			delete(v.hash, field)
 			n++
 		}
 	}
 	if len(v.hash) == 0 {
-		delete(s.data, me.key(args[1]))
+		delete(s.data, client.key(args[1]))
 	}
 	w.integer(n)
 }
 
-func hlen(s *Server, me *session, w *writer, args []string) {
-	if v, _, fits := s.lookup(me, args[1], isHash, w); fits {
+func hlen(s *Server, client *session, w *writer, args []string) {
+	if v, _, typeOK := s.lookup(client, args[1], isHash, w); typeOK {
 		w.integer(int64(len(v.hash)))
 	}
 }
 
-// hrandField gives distinct fields by chance, with their values.
-func hrandField(s *Server, me *session, w *writer, args []string) {
+// hrandField replies with distinct random fields and their values.
+func hrandField(s *Server, client *session, w *writer, args []string) {
 	n, err := strconv.Atoi(args[2])
 	if err != nil || n < 0 || !strings.EqualFold(args[3], "WITHVALUES") {
 		w.errorReply(syntax)
 		return
 	}
-	v, _, fits := s.lookup(me, args[1], isHash, w)
-	if !fits {
+	v, _, typeOK := s.lookup(client, args[1], isHash, w)
+	if !typeOK {
 		return
 	}
 	fields := slices.Sorted(maps.Keys(v.hash))
--- a/standin/redis/redis.go
+++ b/standin/redis/redis.go
@@ -1,5 +1,5 @@
-// Package redis plays a Redis server for trials and tests: the published protocol (RESP2 and RESP3) and the few
-// commands that the shared store uses, in memory, with faults on demand. It is no store to keep anything in.
+// Package redis is a stand-in for a Redis server in measurements and tests. It speaks the published protocol (RESP2 and RESP3),
+// knows the few commands that the shared store uses, keeps all data in memory and can simulate faults.
 package redis
 
 import (
@@ -19,38 +19,38 @@
 
 const (
 	maxArguments     = 4096
-	maxArgumentBytes = 1 << 20 // of one argument
+	maxArgumentBytes = 1 << 20
 )
 
-// Fault is how the server misbehaves; the zero value is none. All but Refuse act on connections that are there, too.
+// Fault describes how the server misbehaves; the zero value is no fault. All faults but Refuse affect existing connections too.
 type Fault struct {
-	Refuse       bool          // connections end as soon as they are accepted
-	Delay        time.Duration // before each command is carried out
-	DropCommands bool          // commands are read and neither carried out nor answered
-	DropReplies  bool          // commands are carried out and not answered
-	CutAfter     int           // bytes of a reply after which the connection closes; 0 for never
-	StallAfter   int           // bytes of a reply after which nothing more comes; 0 for never
-	ByteInterval time.Duration // between two bytes of a reply
-	Error        string        // the reply to every command but HELLO and AUTH, such as "LOADING ..."
-	BulkLength   int64         // bulk strings are announced with this length and never come
-	ArrayLength  int64         // replies are announced as arrays of so many
-	CorruptBulk  bool          // a byte in the middle of every bulk string is another
-	ClockSkew    time.Duration // of the clock that TIME tells
+	Refuse       bool          // new connections are closed as soon as they are accepted
+	Delay        time.Duration // wait before each command is executed
+	DropCommands bool          // commands are read, but neither executed nor answered
+	DropReplies  bool          // commands are executed, but not answered
+	CutAfter     int           // the connection closes after this many bytes of a reply; 0 for never
+	StallAfter   int           // the reply stops after this many bytes and the connection stays open; 0 for never
+	ByteInterval time.Duration // wait after each byte of a reply
+	Error        string        // reply to every command but HELLO, AUTH and QUIT, such as "LOADING ..."
+	BulkLength   int64         // every bulk string is announced with this length and its data is not sent; 0 for no fault
+	ArrayLength  int64         // every reply is the header of an array of this length without elements; 0 for no fault
+	CorruptBulk  bool          // the middle byte of every bulk string is changed
+	ClockSkew    time.Duration // added to the clock that TIME returns
 }
 
-// Server serves on listeners. Its zero value has no password and is empty.
+// Server is a stand-in Redis server. Its zero value is empty and needs no password.
 type Server struct {
 	mu           sync.Mutex
-	username     string // for AUTH
-	password     string // empty: nobody is asked
+	username     string // for AUTH; empty for the default user
+	password     string // empty if clients need no authentication
 	fault        Fault
 	faultChanged chan struct{} // closed when the fault changes
 	data         map[string]value
-	snapshot     map[string]value
+	snapshot     map[string]value // saved by SaveSnapshot
 	conns        map[net.Conn]struct{}
-	commandCount int64
-	bytesWritten int64
-	countByName  map[string]int64
+	commandCount int64            // replies made, whether they were written or not
+	bytesWritten int64            // length of these replies
+	countByName  map[string]int64 // commands received, by name in capitals
 }
 
 // Serve serves until the listener is closed, and returns when all connections have ended.
@@ -66,20 +66,21 @@
 	})
 }
 
-func (s *Server) trackConnection(conn net.Conn, is bool) {
+// trackConnection adds a connection to the open ones or removes it.
+func (s *Server) trackConnection(conn net.Conn, open bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conns == nil {
 		s.conns = map[net.Conn]struct{}{}
 	}
-	if is {
+	if open {
 		s.conns[conn] = struct{}{}
 	} else {
 		delete(s.conns, conn)
 	}
 }
 
-// SetCredentials asks for a name and a password from now on, of those who come and of those who are there.
+// SetCredentials makes the server demand a user name and a password from now on, on new and on existing connections.
 func (s *Server) SetCredentials(name, password string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,6 +98,7 @@
 	s.faultChanged = make(chan struct{})
 }
 
+// currentFault returns the fault that was set last.
 func (s *Server) currentFault() Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,21 +114,21 @@
 	}
 }
 
-// Connections is how many are open.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Traffic is how many commands were carried out, and how many bytes were written.
+// Traffic returns how many commands were executed and how long their replies were in all, in bytes.
 func (s *Server) Traffic() (commands, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.commandCount, s.bytesWritten
 }
 
-// SaveSnapshot saves all that is held, for Return.
+// SaveSnapshot copies all data, for RestoreSnapshot.
 func (s *Server) SaveSnapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +138,7 @@
 	}
 }
 
-// RestoreSnapshot brings back what Keep saved, as a replica that was behind and took over would.
+// RestoreSnapshot replaces the data by the last snapshot, as happens when a lagging replica takes over.
 func (s *Server) RestoreSnapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,14 +148,14 @@
 	}
 }
 
-// Clear forgets all that is held.
+// Clear deletes all data.
 func (s *Server) Clear() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.data = nil
 }
 
-// Inject sets a key to a string, or a field of a hash where field is not empty, past all checks.
+// Inject sets a key to a string, or a field of the key's hash if field is not empty, without any checks.
 func (s *Server) Inject(key, field, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,7 +172,7 @@
 	s.data[key] = v
 }
 
-// Keys are the names of all that is held and has not expired.
+// Keys returns all keys that have not expired.
 func (s *Server) Keys() (keys []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,17 +184,17 @@
 	return keys
 }
 
-// session is what a connection has said of itself.
+// session is the state of one connection.
 type session struct {
-	resp3         bool // RESP3
-	authenticated bool // it has given the password
-	database      int
+	resp3         bool // the client has chosen RESP3 over RESP2
+	authenticated bool
+	database      int // chosen by SELECT
 }
 
 // serveConnection serves one connection until it ends.
 func (s *Server) serveConnection(ctx context.Context, conn net.Conn) {
-	in := bufio.NewReaderSize(conn, 64<<10) // a whole round: on a pipe the client does not read while it writes
-	me := &session{}
+	in := bufio.NewReaderSize(conn, 64<<10) // holds all commands of a round: on an in-memory pipe the client does not read replies while it writes
+	client := &session{}
 	for {
 		args, err := readCommand(in)
 		if err != nil {
@@ -208,13 +210,13 @@
 		if f.DropCommands {
 			continue
 		}
-		if !s.write(ctx, conn, f, s.execute(me, f, args)) {
+		if !s.write(ctx, conn, f, s.execute(client, f, args)) {
 			return
 		}
 	}
 }
 
-// wait waits out a time, or until the fault changes; false where the server ends.
+// wait waits for a time or until the fault changes; false if the context ends before.
 func (s *Server) wait(ctx context.Context, d time.Duration) bool {
 	s.mu.Lock()
 	if s.faultChanged == nil {
@@ -231,7 +233,7 @@
 	return true
 }
 
-// write writes a reply as the fault has it; false where the connection is at its end.
+// write writes a reply as the fault demands; false if the connection must be closed.
 func (s *Server) write(ctx context.Context, conn net.Conn, f Fault, reply []byte) bool {
 	s.mu.Lock()
 	s.commandCount++
@@ -283,7 +285,8 @@
 	return args, nil
 }
 
-func readLength(in *bufio.Reader, sign byte, most int) (int, error) {
+// readLength reads a line that consists of the type character sign and a length of at most limit.
+func readLength(in *bufio.Reader, sign byte, limit int) (int, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return 0, err
@@ -293,7 +296,7 @@
 		return 0, fmt.Errorf("expected '%c'", sign)
 	}
 	n, err := strconv.Atoi(line[1:])
-	if err != nil || n < 0 || n > most {
+	if err != nil || n < 0 || n > limit {
 		return 0, errors.New("invalid length")
 	}
 	return n, nil
