--- a/cmd/overloadtest/burst.go
+++ b/cmd/overloadtest/burst.go
@@ -16,7 +16,7 @@
 	"willowsill/standin/sites"
 )
 
-// What the clients ask: a cheap workload, and one in ten queries of a dear one that is worth ten times as much.
+// The clients' workloads: one in ten queries belongs to a workload whose queries earn ten times the revenue of the others.
 const (
 	highValue        = "book"
 	lowValue         = "look"
@@ -24,52 +24,53 @@
 	highValueShare   = 0.1
 )
 
-// shedVariants are the program without and with the script.
+// shedVariants returns the program without overload detection, and with it and load shedding. limit names the method that finds the
+// limit of the query rate.
 func shedVariants(limit string) []variant {
 	return []variant{{"former", ""}, {"strain", fmt.Sprintf("strain(revenue = {%q: %g}, limit = %q)\n", highValue, highValueRevenue, limit)}}
 }
 
-// LoadResult is what came of one load.
+// LoadResult holds the measurements of one load.
 type LoadResult struct {
-	Rate                float64 // asked a second, in all
+	Rate                float64 // queries a second, both workloads together
 	LowValue, HighValue *load.Outcome
 	CPU                 time.Duration
 	Duration            time.Duration
-	RejectedRead        float64 // turned away by strain, with heads read,
-	RejectedUnread      float64 // and without
+	RejectedRead        float64 // requests shed after their header was read
+	RejectedUnread      float64 // requests shed before their header was read
 }
 
-// Revenue is what was served within the goal, a second.
+// Revenue returns the revenue per second of queries answered within their goal.
 func (c *LoadResult) Revenue() float64 {
 	return (float64(c.LowValue.InGoal) + highValueRevenue*float64(c.HighValue.InGoal)) / c.Duration.Seconds()
 }
 
-// BestRevenue is what a perfect shedder would earn a second that can serve so many.
+// BestRevenue returns the revenue per second of a perfect shedder that can serve the given number of queries a second.
 func (c *LoadResult) BestRevenue(served float64) float64 {
 	d := min(highValueShare*c.Rate, served)
 	return highValueRevenue*d + min(served-d, c.Rate*(1-highValueShare))
 }
 
-// runLoad asks at a rate for a while.
-func runLoad(ctx context.Context, w *sites.Testbed, parts int, rate float64, span time.Duration, seed uint64) (*LoadResult, error) {
+// runLoad sends both workloads at the given total rate and returns the measurements.
+func runLoad(ctx context.Context, w *sites.Testbed, parts int, rate float64, duration time.Duration, seed uint64) (*LoadResult, error) {
 	c := &LoadResult{Rate: rate}
 	before := w.CPU()
-	was := w.Sites["one"].Counters(0)
+	countersBefore := w.Sites["one"].Counters(0)
 	var both sync.WaitGroup
 	errs := make(chan error, 2)
-	for i, kind := range []struct {
+	for i, workload := range []struct {
 		name string
 		rate float64
 		to   **load.Outcome
 	}{{lowValue, rate * (1 - highValueShare), &c.LowValue}, {highValue, rate * highValueShare, &c.HighValue}} {
 		both.Go(func() {
-			clients, err := newClients(w, kind.name, parts, 700)
+			clients, err := newClients(w, workload.name, parts, 700)
 			if err != nil {
 				errs <- err
 				return
 			}
 			defer clients.Close()
-			*kind.to = clients.RunOpenLoop(ctx, kind.rate, span, seed+uint64(i))
+			*workload.to = clients.RunOpenLoop(ctx, workload.rate, duration, seed+uint64(i))
 		})
 	}
 	both.Wait()
@@ -78,14 +79,14 @@
 		return nil, err
 	default:
 	}
-	c.Duration, c.CPU = span, w.CPU()-before
-	is := w.Sites["one"].Counters(0)
-	c.RejectedRead = sites.Counter(is, "strain", "shed") - sites.Counter(was, "strain", "shed")
-	c.RejectedUnread = sites.Counter(is, "strain", "unseen") - sites.Counter(was, "strain", "unseen")
+	c.Duration, c.CPU = duration, w.CPU()-before
+	countersAfter := w.Sites["one"].Counters(0)
+	c.RejectedRead = sites.Counter(countersAfter, "strain", "shed") - sites.Counter(countersBefore, "strain", "shed")
+	c.RejectedUnread = sites.Counter(countersAfter, "strain", "unseen") - sites.Counter(countersBefore, "strain", "unseen")
 	return c, nil
 }
 
-// firstShards are the shards up to n.
+// firstShards returns the shards 0 to n-1.
 func firstShards(n int) (shards []int) {
 	for i := range n {
 		shards = append(shards, i)
@@ -93,7 +94,7 @@
 	return shards
 }
 
-// burstOptions are the flags of the command burst.
+// burstOptions holds the flags of the command burst.
 type burstOptions struct {
 	binary, limit string
 	duration      time.Duration
@@ -102,22 +103,22 @@
 	json          bool
 }
 
-// BurstResult is what one way of running the program kept of one load, as the command prints it.
+// BurstResult holds the measurements of one variant under one load, as burst --json prints them.
 type BurstResult struct {
 	Variant        string        `json:"way"`
-	LoadFactor     float64       `json:"times"`    // the load, as a multiple of Capacity
-	Duration       time.Duration `json:"span_ns"`  // how long the load was asked
-	Capacity       float64       `json:"capacity"` // queries a second that the program without strain can serve
-	Revenue        float64       `json:"revenue"`  // a second
-	BestRevenue    float64       `json:"best"`     // revenue a second of a perfect shedder
+	LoadFactor     float64       `json:"times"`    // rate of the load as a multiple of Capacity
+	Duration       time.Duration `json:"span_ns"`  // duration of the load
+	Capacity       float64       `json:"capacity"` // queries a second that the program can serve without overload detection
+	Revenue        float64       `json:"revenue"`  // per second
+	BestRevenue    float64       `json:"best"`     // revenue per second of a perfect shedder
 	HighValue      *load.Outcome `json:"dear"`
 	LowValue       *load.Outcome `json:"cheap"`
-	RejectedRead   float64       `json:"refused"` // turned away by strain with their heads read
-	RejectedUnread float64       `json:"unseen"`  // and without
+	RejectedRead   float64       `json:"refused"` // requests shed after their header was read
+	RejectedUnread float64       `json:"unseen"`  // requests shed before their header was read
 	Cores          float64       `json:"cores"`   // cores that the program used
 }
 
-// measureCapacity finds how many cheap queries a second the program serves to clients that each wait for their last answer.
+// measureCapacity returns how many low-value queries a second the program serves to clients that each wait for their last answer.
 func measureCapacity(ctx context.Context, w *sites.Testbed, parts int) (float64, error) {
 	clients, err := newClients(w, lowValue, parts, 0)
 	if err != nil {
@@ -128,8 +129,8 @@
 	return clients.RunClosedLoop(ctx, 256, 3*time.Second).ServedPerSecond, nil
 }
 
-// run plays every load against each way to run the program and hands each result to emit. The capacity is found once, with
-// the program without strain.
+// run applies every load to each variant and passes each result to emit. The capacity is measured once, with the program
+// without overload detection.
 func (o *burstOptions) run(ctx context.Context, emit func(*BurstResult) error) error {
 	highest := 0.0
 	for _, one := range shedVariants(o.limit) {
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// runVariant plays every load against one way to run the program.
+// runVariant applies every load to one variant. It measures the capacity if *highest is 0.
 func (o *burstOptions) runVariant(ctx context.Context, one variant, highest *float64, emit func(*BurstResult) error) error {
 	w, end, err := startSingle(o.binary, one.script, o.parts, 0)
 	defer end()
@@ -152,16 +153,16 @@
 			return err
 		}
 	}
-	const warmUp = 99 // the seed of the load before the first that counts
+	const warmUp = 99 // seed of the load that warms the process up before the measured ones
 	if _, err := runLoad(ctx, w, o.parts, 0.5**highest, 4*time.Second, warmUp); err != nil {
 		return err
 	}
-	for i, times := range o.loadFactors {
-		c, err := runLoad(ctx, w, o.parts, times**highest, o.duration, uint64(i))
+	for i, factor := range o.loadFactors {
+		c, err := runLoad(ctx, w, o.parts, factor**highest, o.duration, uint64(i))
 		if err != nil {
 			return err
 		}
-		if err := emit(c.result(one.name, times, *highest)); err != nil {
+		if err := emit(c.result(one.name, factor, *highest)); err != nil {
 			return err
 		}
 		time.Sleep(2 * time.Second)
@@ -169,13 +170,13 @@
 	return nil
 }
 
-// result names what came of a load.
-func (c *LoadResult) result(way string, times, capacity float64) *BurstResult {
-	return &BurstResult{Variant: way, LoadFactor: times, Duration: c.Duration, Capacity: capacity, Revenue: c.Revenue(), BestRevenue: c.BestRevenue(capacity),
+// result returns the measurements of a load in the printed form.
+func (c *LoadResult) result(variant string, factor, capacity float64) *BurstResult {
+	return &BurstResult{Variant: variant, LoadFactor: factor, Duration: c.Duration, Capacity: capacity, Revenue: c.Revenue(), BestRevenue: c.BestRevenue(capacity),
 		HighValue: c.HighValue, LowValue: c.LowValue, RejectedRead: c.RejectedRead, RejectedUnread: c.RejectedUnread, Cores: c.CPU.Seconds() / c.Duration.Seconds()}
 }
 
-// printTable prints results as the rows of a table.
+// printTable runs all loads and prints the results as a table.
 func (o *burstOptions) printTable(ctx context.Context, out io.Writer) error {
 	t := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	headed := false
@@ -193,7 +194,7 @@
 	return errors.Join(err, t.Flush())
 }
 
-// printJSON prints results as JSON lines.
+// printJSON runs all loads and prints each result as a JSON line.
 func (o *burstOptions) printJSON(ctx context.Context, out io.Writer) error {
 	lines := json.NewEncoder(out)
 	return o.run(ctx, func(r *BurstResult) error { return lines.Encode(r) })
@@ -202,7 +203,7 @@
 func burstCommand() *cobra.Command {
 	o := &burstOptions{}
 	c := &cobra.Command{
-		Use: "burst", Short: "More than can be served for a while: what is kept, and what a refusal costs",
+		Use: "burst", Short: "Send more than can be served: revenue that is kept, and the cost of a rejection",
 		Example: "  bin/overloadtest burst --times 1,2,5,10 --for 5s", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if o.json {
@@ -211,10 +212,10 @@
 			return o.printTable(c.Context(), c.OutOrStdout())
 		},
 	}
-	c.Flags().DurationVar(&o.duration, "for", 5*time.Second, "how long each load is asked")
-	c.Flags().Float64SliceVar(&o.loadFactors, "times", []float64{1, 2, 5, 10}, "of what can be served")
-	c.Flags().IntVar(&o.parts, "parts", 16, "of each query")
-	c.Flags().StringVar(&o.limit, "limit", "model", "how the limit is found")
+	c.Flags().DurationVar(&o.duration, "for", 5*time.Second, "duration of each load")
+	c.Flags().Float64SliceVar(&o.loadFactors, "times", []float64{1, 2, 5, 10}, "loads, as multiples of what can be served")
+	c.Flags().IntVar(&o.parts, "parts", 16, "parts of each query")
+	c.Flags().StringVar(&o.limit, "limit", "model", "method that finds the limit of the query rate")
 	c.Flags().StringVar(&o.binary, "program", "bin/willowsill", "the program")
 	c.Flags().BoolVar(&o.json, "json", false, "print each result as a JSON line")
 	c.SetContext(context.Background())
--- a/cmd/overloadtest/main.go
+++ b/cmd/overloadtest/main.go
@@ -1,6 +1,6 @@
-// Command overloadtest measures what an aggregator does when it is itself what falls behind: on loopback sockets, with the true
-// program on one core, stand-in replicas, and clients that ask for more than it can serve. What is held against it in the
-// same run is the same program with the operator's script off.
+// Command overloadtest measures how an aggregator behaves when it is itself the bottleneck: it runs the real program on one core,
+// on loopback sockets, with stand-in replicas and with clients that send more than it can serve. The baseline in the same run is
+// the same program without the operator's script, that is without overload detection.
 package main
 
 import (
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "overloadtest", Short: "Measure an aggregator that is itself what falls behind",
+	root := &cobra.Command{Use: "overloadtest", Short: "Measure an aggregator that is itself the bottleneck",
 		SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(roundsCommand(), burstCommand(), stopsCommand())
 	if err := root.Execute(); err != nil {
--- a/cmd/overloadtest/overloadtest_test.go
+++ b/cmd/overloadtest/overloadtest_test.go
@@ -12,7 +12,8 @@
 	"willowsill/standin/program"
 )
 
-// The process is stopped by a signal while it serves: it sees how long it stood, loses no query, and blames no replica.
+// The process is stopped by a signal while it serves. It must detect for how long, fail no query, and count almost no execution as
+// timed out or cancelled because of the stop.
 func TestStops(t *testing.T) {
 	s, err := RunStops(t.Context(), program.Build(t), "strain()\n", 100, time.Second, 2*time.Second, 1)
 	if err != nil {
@@ -24,9 +25,9 @@
 	}
 }
 
-// Five times what can be served: more of the revenue is kept than by the program without its strain known. The clients are a
-// process of their own without the race detector, and the load follows what the program serves here: 6,000 a second from clients
-// of this process were, on a slow or busy machine, more than the clients could send within the goal, whatever the program did.
+// Under five times the load that it can serve, the program must earn at least twice the revenue with overload detection that it
+// earns without. The clients run in a process of their own without the race detector, and the load depends on the capacity measured
+// here: clients in this process could not send a fixed 6,000 queries a second within the goal on a slow or busy machine.
 func TestBurst(t *testing.T) {
 	out, err := exec.CommandContext(t.Context(), program.BuildCommand(t, "overloadtest"), "burst", "--json", "--times", "5", "--for", "4s",
 		"--parts", "32", "--program", program.Build(t)).Output()
@@ -43,17 +44,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: %.0f a second can be served; revenue %.0f of %.0f, refused %.0f, unseen %.0f, dear %+v, cheap %+v", r.Variant, r.Capacity,
+		t.Logf("%s: capacity %.0f queries/s; revenue %.0f of %.0f, rejected %.0f with and %.0f without reading the header, high value %+v, low value %+v", r.Variant, r.Capacity,
 			r.Revenue, r.BestRevenue, r.RejectedRead, r.RejectedUnread, *r.HighValue, *r.LowValue)
 		kept = append(kept, r)
 	}
 	if len(kept) != 2 || kept[0].HighValue.Asked == 0 || kept[1].HighValue.Asked == 0 {
-		t.Fatalf("results of both ways wanted: %s", out)
+		t.Fatalf("want results of both variants: %s", out)
 	}
 	if kept[1].Revenue < 2*kept[0].Revenue {
-		t.Errorf("%.0f a second with its strain known, %.0f without", kept[1].Revenue, kept[0].Revenue)
+		t.Errorf("revenue %.0f per second with overload detection, %.0f without", kept[1].Revenue, kept[0].Revenue)
 	}
 	if kept[1].Revenue < kept[1].BestRevenue/4 {
-		t.Errorf("%.0f a second with its strain known, of %.0f that a perfect shedder earns", kept[1].Revenue, kept[1].BestRevenue)
+		t.Errorf("revenue %.0f per second with overload detection, %.0f with a perfect shedder", kept[1].Revenue, kept[1].BestRevenue)
 	}
 }
--- a/cmd/overloadtest/rounds.go
+++ b/cmd/overloadtest/rounds.go
@@ -14,13 +14,14 @@
 	"willowsill/standin/sites"
 )
 
-// variant is one way to run the program.
+// variant is an operator's script to run the program with, and its name in the tables.
 type variant struct{ name, script string }
 
-// variants are the program as it was, and as it is with the script.
+// variants are the program without overload detection, and with decision rounds that run at once instead of at the next tick.
 var variants = []variant{{"former", ""}, {"at once", "strain(shed = False)\n"}}
 
-// startSingle is one process of the program with replicas that take no time.
+// startSingle starts one process of the program with replicas of the given processing time. The caller must call the returned
+// function, also after an error.
 func startSingle(binary, script string, parts int, work time.Duration) (*sites.Testbed, func(), error) {
 	dir, err := os.MkdirTemp("", "overloadtest")
 	if err != nil {
@@ -35,7 +36,7 @@
 	}, err
 }
 
-// newClients are clients of a world's process, on so many connections at a time; 0 for any number.
+// newClients creates clients of the testbed's process with at most the given number of connections, 0 for no limit.
 func newClients(w *sites.Testbed, workload string, parts, sockets int) (*load.Clients, error) {
 	return load.New(load.Target{URL: w.Sites["one"].URL(0), Workload: workload, Shards: firstShards(parts), Text: "t", Timeout: sites.ClientTimeout,
 		LatencyGoal: sites.LatencyGoal, MaxConns: sockets})
@@ -47,14 +48,14 @@
 	var rates []float64
 	var parts int
 	c := &cobra.Command{
-		Use: "rounds", Short: "What a query waits for the tick, what it costs, and the highest rate",
+		Use: "rounds", Short: "Latency and CPU time of a query with and without waiting for the tick, and the highest rate",
 		Example: "  bin/overloadtest rounds --each 5s", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 1, ' ', 0)
 			fmt.Fprintf(t, "one core of %d for the program, replicas without work, %v each\n", runtime.NumCPU(), each)
 			fmt.Fprintln(t, "| way\t| asked\t| served a second\t| p50 ms\t| p99 ms\t| CPU us a query\t| cores\t| not served\t|")
-			for _, one := range variants {
-				w, end, err := startSingle(binary, one.script, parts, 0)
+			for _, variant := range variants {
+				w, end, err := startSingle(binary, variant.script, parts, 0)
 				if err != nil {
 					end()
 					return err
@@ -70,9 +71,9 @@
 					row := func(name string, ask func() *load.Outcome) {
 						before, began := w.CPU(), time.Now()
 						o := ask()
-						used, span := w.CPU()-before, time.Since(began)
-						fmt.Fprintf(t, "| %s\t| %s\t| %.0f\t| %.2f\t| %.2f\t| %.0f\t| %.2f\t| %d\t|\n", one.name, name, o.ServedPerSecond, o.P50.Seconds()*1e3,
-							o.P99.Seconds()*1e3, used.Seconds()*1e6/float64(max(o.InGoal+o.Late, 1)), used.Seconds()/span.Seconds(),
+						cpuUsed, elapsed := w.CPU()-before, time.Since(began)
+						fmt.Fprintf(t, "| %s\t| %s\t| %.0f\t| %.2f\t| %.2f\t| %.0f\t| %.2f\t| %d\t|\n", variant.name, name, o.ServedPerSecond, o.P50.Seconds()*1e3,
+							o.P99.Seconds()*1e3, cpuUsed.Seconds()*1e6/float64(max(o.InGoal+o.Late, 1)), cpuUsed.Seconds()/elapsed.Seconds(),
 							o.Declined+o.Failed)
 					}
 					row("64 clients", func() *load.Outcome { return clients.RunClosedLoop(c.Context(), 64, each) })
@@ -89,8 +90,8 @@
 			return nil
 		},
 	}
-	c.Flags().DurationVar(&each, "each", 5*time.Second, "how long each load is asked")
-	c.Flags().IntVar(&parts, "parts", 2, "of each query")
+	c.Flags().DurationVar(&each, "each", 5*time.Second, "duration of each load")
+	c.Flags().IntVar(&parts, "parts", 2, "parts of each query")
 	c.Flags().Float64SliceVar(&rates, "rates", []float64{200, 1000, 2000, 3000}, "queries a second")
 	c.Flags().StringVar(&binary, "program", "bin/willowsill", "the program")
 	c.SetContext(context.Background())
--- a/cmd/overloadtest/stops.go
+++ b/cmd/overloadtest/stops.go
@@ -19,16 +19,16 @@
 	"willowsill/standin/sites"
 )
 
-// StopResult is what came of a process that was stopped again and again while it served.
+// StopResult holds the measurements of a process that served while it was stopped by signals or competed for its core.
 type StopResult struct {
 	Outcome             *load.Outcome
-	TimedOut, Cancelled float64 // executions, as the process counts them
-	Stood               float64 // seconds
-	Further             float64 // executions beyond one a part
+	TimedOut, Cancelled float64 // executions that the process counted as timed out or cancelled
+	Stood               float64 // seconds for which the process detected that it had not run
+	Further             float64 // executions beyond one per part
 }
 
-// measure has clients ask at a steady rate for a while, and sees what the process did meanwhile.
-func measure(ctx context.Context, binary, script string, rate float64, span time.Duration, trouble func(*sites.Site) error) (*StopResult, error) {
+// measure sends queries at a steady rate for the given time while disturb acts on the process, and returns the measurements.
+func measure(ctx context.Context, binary, script string, rate float64, span time.Duration, disturb func(*sites.Site) error) (*StopResult, error) {
 	w, end, err := startSingle(binary, script, 2, 40*time.Millisecond)
 	defer end()
 	if err != nil {
@@ -41,21 +41,21 @@
 	defer clients.Close()
 	clients.RunOpenLoop(ctx, rate, 4*time.Second, 1)
 	one := w.Sites["one"]
-	was := one.Counters(0)
+	before := one.Counters(0)
 	s := &StopResult{}
 	var both sync.WaitGroup
 	both.Go(func() { s.Outcome = clients.RunOpenLoop(ctx, rate, span, 2) })
-	err = trouble(one)
+	err = disturb(one)
 	both.Wait()
-	is := one.Counters(0)
-	of := func(path ...string) float64 { return sites.Counter(is, path...) - sites.Counter(was, path...) }
-	s.TimedOut, s.Cancelled = of("executions", "timed_out"), of("executions", "cancelled")
-	s.Stood = sites.Counter(is, "strain", "stood_ns") / 1e9
-	s.Further = of("executions", "sent") - 2*(of("workloads", lowValue, "taken")-of("workloads", lowValue, "declined"))
+	after := one.Counters(0)
+	difference := func(path ...string) float64 { return sites.Counter(after, path...) - sites.Counter(before, path...) }
+	s.TimedOut, s.Cancelled = difference("executions", "timed_out"), difference("executions", "cancelled")
+	s.Stood = sites.Counter(after, "strain", "stood_ns") / 1e9
+	s.Further = difference("executions", "sent") - 2*(difference("workloads", lowValue, "taken")-difference("workloads", lowValue, "declined"))
 	return s, err
 }
 
-// RunNeighbours has busy processes on the one core that the process may use, for the middle of a while.
+// RunNeighbours pins the process and n busy processes to the same core during the middle half of the measurement.
 func RunNeighbours(ctx context.Context, binary, script string, rate float64, n int, span time.Duration) (*StopResult, error) {
 	return measure(ctx, binary, script, rate, span, func(one *sites.Site) error {
 		var core unix.CPUSet
@@ -98,7 +98,8 @@
 	})
 }
 
-// RunStops stops the process for so long each time, with signals, and has clients ask at a steady rate.
+// RunStops measures the process while it is stopped by SIGSTOP the given number of times, each time for the duration stopped after
+// running for the duration each.
 func RunStops(ctx context.Context, binary, script string, rate float64, each, stopped time.Duration, times int) (*StopResult, error) {
 	return measure(ctx, binary, script, rate, time.Duration(times+1)*(each+stopped), func(one *sites.Site) (err error) {
 		for range times {
@@ -120,7 +121,7 @@
 	var rate float64
 	var times int
 	c := &cobra.Command{
-		Use: "stops", Short: "The process is stopped by signals while it serves: what it blames on its replicas",
+		Use: "stops", Short: "Stop the process by signals while it serves, and count what it attributes to its replicas",
 		Example: "  bin/overloadtest stops --times 5", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 1, ' ', 0)
@@ -152,7 +153,7 @@
 		},
 	}
 	c.Flags().Float64Var(&rate, "rate", 200, "queries a second")
-	c.Flags().IntVar(&times, "times", 5, "that it is stopped")
+	c.Flags().IntVar(&times, "times", 5, "number of times that the process is stopped")
 	c.Flags().StringVar(&binary, "program", "bin/willowsill", "the program")
 	return c
 }
