--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,5 +1,5 @@
-// Agent is the agent beside a proxy: it follows the controllers and feeds the proxy over loopback, so that
-// the proxy has nobody else to know.
+// Agent runs on each frontend machine beside a proxy. It receives updates from the controllers and passes them to the proxy over
+// loopback, so that the proxy needs no other connection to the control plane.
 package main
 
 import (
--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,5 +1,5 @@
-// Controller is a control process: it keeps a part of the register on its disk, takes heartbeats and
-// configurations, and tells the edges what stands.
+// Controller is a control-plane process. It stores its copy of the replicated register on disk, accepts heartbeats from replicas and
+// configurations from operators, and sends the committed state to the edges.
 package main
 
 import (
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,5 +1,4 @@
-// Proxy is the proxy: it takes clients' requests and brings each part of them to a replica, as the decision
-// module says.
+// Proxy accepts clients' requests and sends each part of them to a replica that the decision module chooses.
 package main
 
 import (
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter plays the decision module on the simulator's wire: events on standard input, actions on
-// standard output. It ends with 0 when the input ends, and with 1 and one line on standard error when the
-// input is malformed.
+// Command simadapter connects the decision module to an external simulator: it reads events from standard input and writes actions to
+// standard output. It exits with 0 at the end of the input. Malformed input makes it print one line to standard error and exit
+// with 1.
 package main
 
 import (
--- a/cmd/willowctl/main.go
+++ b/cmd/willowctl/main.go
@@ -1,6 +1,6 @@
-// Willowctl is the operators' client: it checks configurations and settings files, sends and reads
-// configurations, compares them, explains where a request goes, and shows what a controller or an agent tells
-// its followers.
+// Willowctl is the operators' client. It checks configurations and settings files, sends, reads and compares configurations,
+// explains how a request is routed, controls rollouts, saves snapshots, and shows the updates that a controller or an agent sends
+// to its subscribers.
 package main
 
 import (
@@ -28,11 +28,13 @@
 	"willowsill/transport/controlclient"
 )
 
+// command is a subcommand with its usage text.
 type command struct {
-	name, args, description, example string // args in brackets are counted by the command itself
+	name, args, description, example string // a command whose args begin with [ checks their number itself
 	run                              func(ctx context.Context, f *flags, args []string) error
 }
 
+// flags holds the values of the flags, which all subcommands share, and the standard output.
 type flags struct {
 	*flag.FlagSet
 	control         string
@@ -96,7 +98,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if !slices.Contains(f.Args()[:min(f.NArg(), 2)], "watch") { // these go on until they are stopped
+	if !slices.Contains(f.Args()[:min(f.NArg(), 2)], "watch") { // watch runs until it is interrupted
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, f.timeout)
 		defer cancel()
@@ -111,11 +113,13 @@
 	return 0
 }
 
-// usageError marks what is the caller's to mend: exit code 2, and 1 for all else.
+// usageError marks errors in the command line or in a given file, which end the program with exit code 2; all others end it with 1.
 type usageError struct{ error }
 
+// asUsageError marks an error as a usageError.
 func asUsageError(err error) error { return usageError{err} }
 
+// loadConfiguration returns the configuration in a file and its bytes, or the newest one of the controllers if file is "-".
 func loadConfiguration(ctx context.Context, f *flags, file string) (*routeconfig.Configuration, []byte, error) {
 	var body []byte
 	var err error
@@ -183,7 +187,7 @@
 	return nil
 }
 
-// renumber writes a configuration with another revision; all else stays byte by byte.
+// renumber returns the JSON of a configuration with another revision; all other values keep their bytes.
 func renumber(body []byte, revision uint64) ([]byte, error) {
 	e := jx.Encoder{}
 	e.ObjStart()
@@ -281,9 +285,9 @@
 }
 
 func watch(ctx context.Context, f *flags, _ []string) error {
-	book := clusterstate.NewState()
+	state := clusterstate.NewState()
 	return controlclient.Watch(ctx, f.watch, func(n clusterstate.Update) bool {
-		fresh := book.Apply(n)
+		fresh := state.Apply(n)
 		at := time.Now().Format(time.RFC3339)
 		if f.json {
 			json.NewEncoder(f.out).Encode(fresh)
--- a/cmd/willowctl/rollout.go
+++ b/cmd/willowctl/rollout.go
@@ -10,13 +10,13 @@
 	"willowsill/transport/controlclient"
 )
 
-// rolloutPollInterval is the time between two looks at a rollout that is watched.
+// rolloutPollInterval is the interval in which rollout watch reads the rollout's state.
 const rolloutPollInterval = 500 * time.Millisecond
 
-// rolloutArgumentCounts is how many arguments follow each action of the rollout command.
+// rolloutArgumentCounts holds the number of arguments that each action of the rollout command takes.
 var rolloutArgumentCounts = map[string]int{"begin": 2, "watch": 1, "abort": 1, "history": 0}
 
-// rollout begins a rollout, follows one until it ends, takes one back, or lists those that are kept.
+// rollout runs an action of the rollout command: it begins a rollout, watches or aborts one, or prints the history.
 func rollout(ctx context.Context, f *flags, args []string) error {
 	if len(args) == 0 {
 		return asUsageError(fmt.Errorf("rollout: one of begin, watch, abort and history is missing"))
@@ -85,7 +85,7 @@
 	return w.Flush()
 }
 
-// printRollout prints where a rollout stands.
+// printRollout prints the state of a rollout, unless err is not nil, which it returns.
 func (f *flags) printRollout(r controlclient.Rollout, err error) error {
 	if err != nil {
 		return err
--- a/cmd/willowctl/snapshot.go
+++ b/cmd/willowctl/snapshot.go
@@ -20,8 +20,8 @@
 	snapshotFormat = 1
 )
 
-// snapshotFile is a snapshot's file: the newest configuration as it was sent, with what tells whether it is still that.
-// Which replicas and edges there are is no part of it: they tell themselves.
+// snapshotFile is the content of a snapshot file: the newest configuration, with a checksum that detects changes. Replicas and
+// edges are not part of it, because they register themselves.
 type snapshotFile struct {
 	Kind          string          `json:"kind"`
 	Format        int             `json:"format"`
@@ -31,8 +31,8 @@
 	Configuration json.RawMessage `json:"configuration,omitempty"`
 }
 
-// snapshot saves the newest configuration in a file, looks whether a file is whole, or gives it to a system that
-// has none.
+// snapshot runs an action of the snapshot command: it saves the newest configuration to a file, verifies a file, or restores one in
+// a system that has no configuration.
 func snapshot(ctx context.Context, f *flags, args []string) error {
 	switch action, file := args[0], args[1]; action {
 	case "save":
@@ -49,11 +49,12 @@
 	return asUsageError(fmt.Errorf("snapshot: %q is none of save, verify and restore", args[0]))
 }
 
-func (k snapshotFile) summary(file, what string) string {
-	return fmt.Sprintf("%s %s: revision %d of %s, %d bytes", file, what, k.Revision, k.At.UTC().Format(time.RFC3339), len(k.Configuration))
+// summary describes the snapshot in one line; state is a phrase such as "is saved".
+func (k snapshotFile) summary(file, state string) string {
+	return fmt.Sprintf("%s %s: revision %d of %s, %d bytes", file, state, k.Revision, k.At.UTC().Format(time.RFC3339), len(k.Configuration))
 }
 
-// printSnapshot prints a line, or data where that is asked for; the configuration itself is left out.
+// printSnapshot prints the line, or with -json the snapshot without the configuration itself.
 func (f *flags) printSnapshot(line string, k snapshotFile) error {
 	if f.json {
 		k.Configuration = nil
@@ -63,15 +64,15 @@
 	return err
 }
 
-// saveSnapshot writes beside the file first.
+// saveSnapshot saves the newest configuration to a temporary file and then renames it.
 //
-// Danger: a file that is half written when the machine stops would be what is left of the snapshot before.
+// Danger: if it wrote to the file itself and the machine stopped midway, the previous snapshot would be lost as well.
 func saveSnapshot(ctx context.Context, f *flags, file string) error {
 	c, body, err := loadConfiguration(ctx, f, "-")
 	if err != nil {
 		return err
 	}
-	var compact bytes.Buffer // as an encoder writes it, so that the sum holds for what is read back
+	var compact bytes.Buffer // the form in which the encoder writes it, so that the checksum matches what is read back
 	if err := json.Compact(&compact, body); err != nil {
 		return err
 	}
@@ -83,22 +84,22 @@
 	if err := e.Encode(k); err != nil {
 		return err
 	}
-	other, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
+	temporary, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(other.Name())
-	_, err = other.Write(text.Bytes())
-	if err = errors.Join(err, other.Sync(), other.Close()); err != nil {
+	defer os.Remove(temporary.Name())
+	_, err = temporary.Write(text.Bytes())
+	if err = errors.Join(err, temporary.Sync(), temporary.Close()); err != nil {
 		return err
 	}
-	if err := os.Rename(other.Name(), file); err != nil {
+	if err := os.Rename(temporary.Name(), file); err != nil {
 		return err
 	}
 	return f.printSnapshot(k.summary(file, "is saved"), k)
 }
 
-// readSnapshot reads a file and tells whether it is what was saved.
+// readSnapshot reads a snapshot file and verifies that it is what was saved.
 func readSnapshot(file string) (k snapshotFile, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -126,10 +127,10 @@
 	return k, nil
 }
 
-// restoreSnapshot sends what a file holds, under its own number, to a system that has no configuration.
+// restoreSnapshot sends the configuration of a snapshot, with its own revision, to a system that has no configuration.
 //
-// Danger: to one that lives it would say nothing new, or take it back by surprise. That is done by `send` with a
-// number of its own.
+// Danger: a system that has one would ignore the old revision or silently return to it. Operators must use `send` with a new
+// revision for that.
 func restoreSnapshot(ctx context.Context, f *flags, file string) error {
 	k, err := readSnapshot(file)
 	if err != nil {
--- a/cmd/willowctl/willowctl_test.go
+++ b/cmd/willowctl/willowctl_test.go
@@ -17,7 +17,8 @@
 const configuration = `{"revision": 7, "routes": [{"name":"r","host":"h&h.example","path-prefix":"/x/","route-kind":"safe","deadline-ms":1000,
 "target-ms":100,"service":"s","max-tries":2}], "services": [{"name":"s"}], "limits": {}}`
 
-// startControl is a stand-in for a controller's resource of the configuration.
+// startControl starts a stand-in for a controller that serves the configuration resource. got points to the configuration that it
+// holds.
 func startControl(t *testing.T, held string) (address string, got *string) {
 	got = &held
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -43,24 +44,25 @@
 	return code, o.String(), e.String()
 }
 
-// TestSnapshot: what was saved comes back whole in an empty system, and in no other; what was changed on the way is told.
+// TestSnapshot: a saved snapshot can be restored in a system without a configuration, and in no other; verify reports each kind of
+// change to the file.
 func TestSnapshot(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "a.json")
-	lives, held := startControl(t, configuration)
-	empty, came := startControl(t, "")
-	code, out, errs := run("-control", lives, "snapshot", "save", file)
+	running, held := startControl(t, configuration)
+	empty, restored := startControl(t, "")
+	code, out, errs := run("-control", running, "snapshot", "save", file)
 	must.Eq(t, 0, code, must.Sprint(errs))
 	must.StrContains(t, out, "revision 7")
 	code, out, _ = run("-json", "snapshot", "verify", file)
 	must.Eq(t, 0, code)
 	must.StrContains(t, out, `"revision":7`)
-	code, _, errs = run("-control", lives, "snapshot", "restore", file)
+	code, _, errs = run("-control", running, "snapshot", "restore", file)
 	must.Eq(t, 2, code)
 	must.StrContains(t, errs, "has a configuration already")
 	must.Eq(t, configuration, *held)
 	code, _, errs = run("-control", empty, "snapshot", "restore", file)
 	must.Eq(t, 0, code, must.Sprint(errs))
-	must.StrContains(t, *came, `"host":"h&h.example"`)
+	must.StrContains(t, *restored, `"host":"h&h.example"`)
 	text, err := os.ReadFile(file)
 	must.NoError(t, err)
 	for name, c := range map[string]struct{ was, is, says string }{
@@ -81,7 +83,7 @@
 	}
 }
 
-// TestWrongCalls: what is the caller's to mend ends with 2 and says what it is.
+// TestWrongCalls: wrong arguments and missing files make the program fail with a message that names them.
 func TestWrongCalls(t *testing.T) {
 	for _, c := range []struct {
 		args []string
@@ -100,8 +102,8 @@
 	}
 }
 
-// TestRollout: an order goes out as it was given, a watch ends with the rollout and prints each step once, and what is wrong with a call is
-// told without one.
+// TestRollout: begin sends the request as given, watch prints each step once and ends with the rollout, and wrong arguments fail
+// with exit code 2.
 func TestRollout(t *testing.T) {
 	var order string
 	steps := []string{`"phase":"active","stage":"canary","step":1`, `"phase":"active","stage":"canary","step":1`, `"phase":"reverted","stage":"reverted","step":2,"reason":"fails more"`}
--- a/cmd/willowlab/control.go
+++ b/cmd/willowlab/control.go
@@ -21,34 +21,35 @@
 )
 
 const (
-	gcPercent        = 1500    // memory is plenty, and runs make much garbage
-	memoryLimitBytes = 6 << 30 // bytes
-	maxSeedsShown    = 5       // of each check that failed
-	progressInterval = 500     // runs
+	gcPercent        = 1500    // runs allocate much and the machine has memory to spare, so garbage is collected rarely
+	memoryLimitBytes = 6 << 30 // near this heap size garbage is collected as often as needed
+	maxSeedsShown    = 5       // failing seeds printed per check
+	progressInterval = 500     // runs between two progress lines
 )
 
-// controlCommand plays control clusters in virtual time.
+// controlCommand runs simulated control clusters in virtual time.
 func controlCommand() *cobra.Command {
 	o := controlOptions{seeds: 100, firstSeed: 1, raceShare: -1}
-	c := &cobra.Command{Use: "control", Short: "Play a control cluster in virtual time, with faults drawn from seeds, and check what was seen",
-		Long: "Plays the state machines of controllers and edges with simulated disks, links, clocks, operators and replicas. Each seed is\n" +
-			"one run. The first run that breaks a check is cut down to the fewest faults and printed as a script.",
+	c := &cobra.Command{Use: "control", Short: "Simulate a control cluster in virtual time with random faults from seeds, and check its history",
+		Long: "Runs the state machines of controllers and edges with simulated disks, links, clocks, operators and replicas. Each seed is\n" +
+			"one run. The first run that violates a check is reduced to the fewest faults and printed as a script.",
 		Example: "  willowlab control --seeds 10000 --points all\n  willowlab control --seeds 200 --points 1\n  willowlab control --replay day.json --trace",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return o.run(c.OutOrStdout()) }}
 	f := c.Flags()
-	f.Uint64Var(&o.seeds, "seeds", o.seeds, "how many seeds")
+	f.Uint64Var(&o.seeds, "seeds", o.seeds, "number of seeds")
 	f.Uint64Var(&o.firstSeed, "from", o.firstSeed, "the first seed")
-	f.IntVar(&o.workers, "workers", 0, "runs at once, 0 for one a core")
-	f.StringVar(&o.points, "points", "all", "which plans: all, or some of drawn, 1, 2, 3, 3-three, 4, with commas between")
-	f.DurationVar(&o.timeLimit, "for", 0, "begin no more runs after so long; 0 for no bound")
-	f.StringVar(&o.replay, "replay", "", "play a script instead")
-	f.StringVar(&o.shrunkPrefix, "shrunk", "", "write the script of each check's first failing seed, cut down, to files that begin so")
-	f.BoolVar(&o.trace, "trace", false, "with --replay or one seed: print what happens")
-	f.Float64Var(&o.raceShare, "races", o.raceShare, "share of drawn orders beside which another content goes out under the same number; below 0 as the plan has it")
+	f.IntVar(&o.workers, "workers", 0, "concurrent runs, 0 for one per core")
+	f.StringVar(&o.points, "points", "all", "scenarios to run: all, or a comma-separated list of drawn, 1, 2, 3, 3-three, 4")
+	f.DurationVar(&o.timeLimit, "for", 0, "start no more runs after this time; 0 for no limit")
+	f.StringVar(&o.replay, "replay", "", "run a script instead")
+	f.StringVar(&o.shrunkPrefix, "shrunk", "", "write the reduced script of each check's first failing seed to files whose names begin with this prefix")
+	f.BoolVar(&o.trace, "trace", false, "with --replay or a single seed: print every event")
+	f.Float64Var(&o.raceShare, "races", o.raceShare, "share of random configuration changes that are sent with a second content under the same revision; below 0 for the plan's share")
 	return c
 }
 
+// controlOptions holds the flags of the command control.
 type controlOptions struct {
 	seeds, firstSeed             uint64
 	workers                      int
@@ -60,7 +61,7 @@
 
 func (o controlOptions) run(out io.Writer) error {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(memoryLimitBytes) // from here on garbage is collected as often as needed
+	debug.SetMemoryLimit(memoryLimitBytes)
 	if o.replay != "" {
 		script, err := os.ReadFile(o.replay)
 		if err != nil {
@@ -72,17 +73,18 @@
 		}
 		return o.runPlan(out, plan)
 	}
-	points, err := parsePoints(o.points)
+	scenarios, err := parsePoints(o.points)
 	if err != nil {
 		return err
 	}
 	if o.seeds == 1 && o.trace {
-		return o.runPlan(out, o.plan(o.firstSeed, points))
+		return o.runPlan(out, o.plan(o.firstSeed, scenarios))
 	}
-	return o.runSeeds(out, points)
+	return o.runSeeds(out, scenarios)
 }
 
-func parsePoints(text string) (points []controlsim.Scenario, err error) {
+// parsePoints parses the flag --points.
+func parsePoints(text string) (scenarios []controlsim.Scenario, err error) {
 	if text == "all" {
 		return controlsim.Scenarios, nil
 	}
@@ -91,20 +93,21 @@
 		if !slices.Contains(controlsim.Scenarios, p) {
 			return nil, fmt.Errorf("--points: %q is none of %v", name, controlsim.Scenarios)
 		}
-		points = append(points, p)
+		scenarios = append(scenarios, p)
 	}
-	return points, nil
+	return scenarios, nil
 }
 
-func (o controlOptions) plan(seed uint64, points []controlsim.Scenario) controlsim.Plan {
-	p := controlsim.PlanFor(seed, points)
+// plan returns the plan of a seed, changed as the flags say.
+func (o controlOptions) plan(seed uint64, scenarios []controlsim.Scenario) controlsim.Plan {
+	p := controlsim.PlanFor(seed, scenarios)
 	if o.raceShare >= 0 {
 		p.Workload.Races = o.raceShare
 	}
 	return p
 }
 
-// runPlan plays one plan and prints what it broke.
+// runPlan runs one plan and prints the checks that it violates.
 func (o controlOptions) runPlan(out io.Writer, plan controlsim.Plan) error {
 	var trace func(int64, string, string)
 	if o.trace {
@@ -124,15 +127,16 @@
 	return nil
 }
 
-// runTotals is what many runs came to.
+// runTotals sums up the results of many runs.
 type runTotals struct {
 	mu                                          sync.Mutex
 	runs, broken, orders, acknowledged, drained int
 	virtualTime                                 time.Duration
-	failingSeeds                                map[string][]uint64 // seeds, by the check that they broke
-	firstViolation                              map[string]string   // what the least of them broke
+	failingSeeds                                map[string][]uint64 // by the check that they violate
+	firstViolation                              map[string]string   // text of the lowest seed's violation, by check
 }
 
+// add counts one run. It is called from several goroutines.
 func (t *runTotals) add(seed uint64, r controlsim.Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -160,8 +164,8 @@
 	}
 }
 
-// runSeeds plays the plans of many seeds.
-func (o controlOptions) runSeeds(out io.Writer, points []controlsim.Scenario) error {
+// runSeeds runs the plans of all seeds and prints a summary. If a check failed, it prints or writes a reduced script.
+func (o controlOptions) runSeeds(out io.Writer, scenarios []controlsim.Scenario) error {
 	workers := o.workers
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
@@ -177,7 +181,7 @@
 				if n >= o.seeds || o.timeLimit > 0 && time.Since(began) > o.timeLimit {
 					return
 				}
-				r, err := controlsim.Run(o.plan(o.firstSeed+n, points), nil)
+				r, err := controlsim.Run(o.plan(o.firstSeed+n, scenarios), nil)
 				if err == nil {
 					t.add(o.firstSeed+n, r)
 				}
@@ -185,9 +189,9 @@
 		})
 	}
 	all.Wait()
-	took := time.Since(began).Seconds()
+	seconds := time.Since(began).Seconds()
 	fmt.Fprintf(out, "%d runs, %d broken; %d orders, %d acknowledged; %d drains; %.1f virtual hours in %.1f s: %.2f an hour a second\n", t.runs, t.broken,
-		t.orders, t.acknowledged, t.drained, t.virtualTime.Hours(), took, t.virtualTime.Hours()/took)
+		t.orders, t.acknowledged, t.drained, t.virtualTime.Hours(), seconds, t.virtualTime.Hours()/seconds)
 	if t.broken == 0 {
 		return nil
 	}
@@ -201,30 +205,31 @@
 		fmt.Fprintf(w, "%s\t%d seeds\t%v\t%s\n", check, len(seeds), seeds[:min(len(seeds), maxSeedsShown)], t.firstViolation[check])
 	}
 	w.Flush()
-	return o.shrink(out, t, points)
+	return o.shrink(out, t, scenarios)
 }
 
-// shrink cuts the first failing seed of each check down, and prints or writes its script.
-func (o controlOptions) shrink(out io.Writer, t *runTotals, points []controlsim.Scenario) error {
+// shrink reduces the plan of each check's first failing seed to the fewest faults that violate the check, and writes the scripts to
+// files. Without a file prefix it prints only the first.
+func (o controlOptions) shrink(out io.Writer, t *runTotals, scenarios []controlsim.Scenario) error {
 	for i, check := range checker.Checks {
 		seeds := t.failingSeeds[check]
 		if len(seeds) == 0 {
 			continue
 		}
-		least := controlsim.Shrink(o.plan(seeds[0], points), check, controlsim.BrokenChecks)
-		script, err := least.Script()
+		shrunk := controlsim.Shrink(o.plan(seeds[0], scenarios), check, controlsim.BrokenChecks)
+		script, err := shrunk.Script()
 		if err != nil {
 			return err
 		}
 		if o.shrunkPrefix == "" {
-			fmt.Fprintf(out, "\nseed %d, %s, cut down to %d faults:\n%s\n", seeds[0], check, len(least.Faults), script)
+			fmt.Fprintf(out, "\nseed %d, %s, cut down to %d faults:\n%s\n", seeds[0], check, len(shrunk.Faults), script)
 			break
 		}
 		path := fmt.Sprintf("%s%d.json", o.shrunkPrefix, i)
 		if err := os.WriteFile(path, script, 0o644); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%s: seed %d, %s, cut down to %d faults and %d acts\n", path, seeds[0], check, len(least.Faults), len(least.Actions))
+		fmt.Fprintf(out, "%s: seed %d, %s, cut down to %d faults and %d acts\n", path, seeds[0], check, len(shrunk.Faults), len(shrunk.Actions))
 	}
 	return errRuleBroken
 }
--- a/cmd/willowlab/experiments.go
+++ b/cmd/willowlab/experiments.go
@@ -19,10 +19,10 @@
 	"willowsill/lab/experiment"
 )
 
-// errRuleBroken ends a run in which a rule was broken.
+// errRuleBroken is returned by commands whose run broke a rule.
 var errRuleBroken = errors.New("a rule was broken")
 
-// exitCode is the exit code of an error: 2 for a script that is wrong, 3 for a broken rule.
+// exitCode returns the exit code for an error: 2 for an invalid script, 3 for a broken rule, 1 for others.
 func exitCode(err error) int {
 	var faults script.Faults
 	switch {
@@ -40,7 +40,7 @@
 	var results, binary, source, only string
 	c := &cobra.Command{
 		Use:     "run FILE...",
-		Short:   "Play experiments and print what came of them",
+		Short:   "Run experiments and print the results",
 		Example: "  willowlab run experiments/hang.star\n  willowlab run experiments/*.star --seeds 20 --results results/lab",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
@@ -54,18 +54,18 @@
 				if seeds > 0 {
 					e.Seeds = seeds
 				}
-				way := experiment.EmulatorRunner()
+				runner := experiment.EmulatorRunner()
 				if sockets {
-					if way, err = socketVariants(e, binary, 1); err != nil {
+					if runner, err = socketVariants(e, binary, 1); err != nil {
 						return fmt.Errorf("%s: %w", file, err)
 					}
 				}
 				var t *experiment.Table
-				if only != "" { // this program is the one that was built for it
+				if only != "" { // this program was built with the constants of that variant
 					e.Variants = slices.DeleteFunc(e.Variants, func(v experiment.Variant) bool { return v.Name != only })
-					t, err = runExperiment(e, way, true)
+					t, err = runExperiment(e, runner, true)
 				} else {
-					t, err = runVariants(e, way, file, source, quiet || asJSON)
+					t, err = runVariants(e, runner, file, source, quiet || asJSON)
 				}
 				if err != nil {
 					return fmt.Errorf("%s: %w", file, err)
@@ -94,26 +94,27 @@
 			return nil
 		},
 	}
-	c.Flags().IntVar(&seeds, "seeds", 0, "runs of each variant, in place of the script's")
+	c.Flags().IntVar(&seeds, "seeds", 0, "runs of each variant, overriding the script")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	c.Flags().BoolVar(&sockets, "sockets", false, "in real time, with the true program; what the module decides alone")
+	c.Flags().BoolVar(&sockets, "sockets", false, "run in real time with the real program; only variants of the decision module")
 	c.Flags().StringVar(&binary, "program", "bin/willowsill", "the program, for --sockets")
 	c.Flags().BoolVar(&quiet, "quiet", false, "no progress")
 	addSourceFlag(c, &source)
-	c.Flags().StringVar(&only, "only", "", "one variant, as this program was built")
+	c.Flags().StringVar(&only, "only", "", "run only this variant, with the constants that this program was built with")
 	c.Flags().MarkHidden("only")
-	c.Flags().StringVar(&results, "results", "", "a folder for a table and a chart of each experiment")
+	c.Flags().StringVar(&results, "results", "", "folder for a table and a chart of each experiment")
 	return c
 }
 
-// runVariants plays all variants: those with other constants by a program built with them.
-func runVariants(e *experiment.Experiment, way experiment.Runner, file, source string, quiet bool) (*experiment.Table, error) {
-	mine := *e
-	mine.Variants = nil
+// runVariants runs all variants of an experiment. Variants with changed constants run in a copy of this program that is built with
+// them.
+func runVariants(e *experiment.Experiment, runner experiment.Runner, file, source string, quiet bool) (*experiment.Table, error) {
+	unchanged := *e
+	unchanged.Variants = nil
 	var tables []*experiment.Table
 	for _, v := range e.Variants {
 		if v.Constants == nil {
-			mine.Variants = append(mine.Variants, v)
+			unchanged.Variants = append(unchanged.Variants, v)
 			continue
 		}
 		t, err := runRebuiltVariant(e, v, file, source)
@@ -122,8 +123,8 @@
 		}
 		tables = append(tables, t)
 	}
-	if len(mine.Variants) > 0 {
-		t, err := runExperiment(&mine, way, quiet)
+	if len(unchanged.Variants) > 0 {
+		t, err := runExperiment(&unchanged, runner, quiet)
 		if err != nil {
 			return nil, err
 		}
@@ -132,16 +133,16 @@
 	return e.JoinTables(tables...)
 }
 
-// runExperiment plays an experiment with its progress on standard error.
-func runExperiment(e *experiment.Experiment, way experiment.Runner, quiet bool) (*experiment.Table, error) {
+// runExperiment runs an experiment and, unless quiet, shows its progress on standard error.
+func runExperiment(e *experiment.Experiment, runner experiment.Runner, quiet bool) (*experiment.Table, error) {
 	if quiet {
-		return e.Run(way, nil)
+		return e.Run(runner, nil)
 	}
 	bars := mpb.New(mpb.WithOutput(os.Stderr), mpb.WithWidth(50))
 	bar := bars.AddBar(int64(e.Seeds*len(e.Variants)), mpb.BarRemoveOnComplete(),
 		mpb.PrependDecorators(decor.Name(e.Name+" "), decor.CountersNoUnit("%d of %d")),
 		mpb.AppendDecorators(decor.Elapsed(decor.ET_STYLE_GO)))
-	t, err := e.Run(way, func() { bar.Increment() })
+	t, err := e.Run(runner, func() { bar.Increment() })
 	if err != nil {
 		bar.Abort(true)
 	}
@@ -149,6 +150,7 @@
 	return t, err
 }
 
+// printTable prints a table of results, and the broken rules below it.
 func printTable(out io.Writer, t *experiment.Table) {
 	fmt.Fprintf(out, "%s: %s (%d seeds, script %s)\n", t.Name, t.Question, t.Seeds, t.Hash)
 	w := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
@@ -179,7 +181,7 @@
 	fmt.Fprintln(out)
 }
 
-// saveTable writes an experiment's table and chart into a folder.
+// saveTable writes a table as JSON and its chart as SVG into a folder.
 func saveTable(t *experiment.Table, dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -204,7 +206,7 @@
 	return e.Encode(v)
 }
 
-// readTable reads a table that was kept.
+// readTable reads a table that saveTable has written.
 func readTable(file string) (*experiment.Table, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -215,8 +217,8 @@
 
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "check FILE...", Short: "Say all that is wrong with experiments", Example: "  willowlab check experiments/*.star",
-		Long: "check reads experiments as run would.\n\nWhat an experiment may call:\n\n" + strings.TrimSpace(experiment.DescribeFunctions()),
+		Use: "check FILE...", Short: "Report every error in experiments", Example: "  willowlab check experiments/*.star",
+		Long: "check reads experiments as run does.\n\nWhat an experiment may call:\n\n" + strings.TrimSpace(experiment.DescribeFunctions()),
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			for _, file := range files {
@@ -232,7 +234,7 @@
 
 func compareCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "compare A B", Short: "Hold two kept tables of one experiment against each other, seed by seed",
+		Use: "compare A B", Short: "Compare two saved tables of one experiment, seed by seed",
 		Example: "  willowlab compare before/hang.json after/hang.json", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, files []string) error {
 			a, err := readTable(files[0])
@@ -261,7 +263,7 @@
 func reportCommand() *cobra.Command {
 	var out string
 	c := &cobra.Command{
-		Use: "report DIR", Short: "Make one page of all tables in a folder", Example: "  willowlab report results/lab --out report.html",
+		Use: "report DIR", Short: "Write a page with all tables of a folder", Example: "  willowlab report results/lab --out report.html",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			files, _ := filepath.Glob(filepath.Join(args[0], "*.json"))
@@ -274,7 +276,7 @@
 				tables = append(tables, t)
 			}
 			if len(tables) == 0 {
-				return fmt.Errorf("%s holds no tables", args[0])
+				return fmt.Errorf("%s contains no tables", args[0])
 			}
 			file, err := os.Create(out)
 			if err != nil {
@@ -283,6 +285,6 @@
 			return errors.Join(experiment.Report(file, tables), file.Close())
 		},
 	}
-	c.Flags().StringVar(&out, "out", "report.html", "the page")
+	c.Flags().StringVar(&out, "out", "report.html", "file of the page")
 	return c
 }
--- a/cmd/willowlab/explore.go
+++ b/cmd/willowlab/explore.go
@@ -16,8 +16,8 @@
 	"willowsill/lab/propagation"
 )
 
-// selectScopes returns the scopes that the arguments name, all of them where there are none.
-func selectScopes[S any](all []S, name func(S) string, args []string) (named []S, err error) {
+// selectScopes returns the scopes that the arguments name, or all scopes without arguments.
+func selectScopes[S any](all []S, name func(S) string, args []string) (selected []S, err error) {
 	for _, a := range args {
 		if !slices.ContainsFunc(all, func(s S) bool { return name(s) == a }) {
 			return nil, fmt.Errorf("there is no scope %q; --list names them", a)
@@ -25,20 +25,20 @@
 	}
 	for _, s := range all {
 		if len(args) == 0 || slices.Contains(args, name(s)) {
-			named = append(named, s)
+			selected = append(selected, s)
 		}
 	}
-	return named, nil
+	return selected, nil
 }
 
-// exploreCommand plays every order of events of small registers.
+// exploreCommand checks the controllers' register in every order of events of small scopes.
 func exploreCommand() *cobra.Command {
 	var most int64
 	var workers int
 	var list, deep bool
-	c := &cobra.Command{Use: "explore [SCOPE ...]", Short: "Play every order of events of small registers",
-		Long: "Plays the register of the controllers in every order of events: each message at any time, again or never; timers;\n" +
-			"losses of power and of disks. The first promise that is found broken is printed with a shortest way to it.",
+	c := &cobra.Command{Use: "explore [SCOPE ...]", Short: "Model-check the controllers' register in every order of events",
+		Long: "Runs the register of the controllers in every order of events: each message arrives at any time, repeatedly or never;\n" +
+			"timers fire; machines lose power or their disk. The first violated guarantee is printed with a shortest trace to it.",
 		Example: "  willowlab explore 'two contents'\n  willowlab explore --deep --states 100000000 replacement",
 		RunE: func(c *cobra.Command, args []string) error {
 			scopes, err := selectScopes(modelcheck.Scopes, func(s modelcheck.Scope) string { return s.Name }, args)
@@ -65,21 +65,21 @@
 			}
 			return nil
 		}}
-	c.Flags().Int64Var(&most, "states", 1_000_000, "how many states to see at the most")
+	c.Flags().Int64Var(&most, "states", 1_000_000, "maximum number of states to visit")
 	c.Flags().IntVar(&workers, "cores", 0, "cores to use, 0 for all")
-	c.Flags().BoolVar(&list, "list", false, "name the scopes")
-	c.Flags().BoolVar(&deep, "deep", false, "depth first, with less memory a state; a way that is found is not the shortest")
+	c.Flags().BoolVar(&list, "list", false, "list the scopes")
+	c.Flags().BoolVar(&deep, "deep", false, "depth first, with less memory per state; a trace that is found is not the shortest")
 	return c
 }
 
-// exploreControllersCommand plays whole controllers with deviations from the punctual order of events.
+// exploreControllersCommand runs whole controllers with one or two deviations from the regular order of events.
 func exploreControllersCommand() *cobra.Command {
 	var pairs, cores int
 	var list bool
-	c := &cobra.Command{Use: "explore-controllers [SCOPE ...]", Short: "Play whole controllers with messages late, lost or doubled and machines lost",
-		Long: "Plays small systems of whole controllers: changes of members, orders, departures. Each play deviates from the punctual one at\n" +
-			"one event, or at two: a message is late, lost or doubled, a save fails or hangs, the machine is killed, loses power or its disk.\n" +
-			"All plays with one deviation are made, and of those with two as many as asked. The first broken promise is printed.",
+	c := &cobra.Command{Use: "explore-controllers [SCOPE ...]", Short: "Run whole controllers with late, lost or duplicated messages and failed machines",
+		Long: "Runs small systems of whole controllers: membership changes, configuration changes, departures. Each run deviates from the\n" +
+			"regular one at one or two events: a message is late, lost or duplicated, a save fails or hangs, the machine is killed, loses\n" +
+			"power or its disk. All runs with one deviation are made, and --pairs of those with two. The first violated guarantee is printed.",
 		Example: "  willowlab explore-controllers\n  willowlab explore-controllers --pairs 100000 'two at the duty'",
 		RunE: func(c *cobra.Command, args []string) error {
 			scopes, err := selectScopes(controllercheck.Scopes, func(s controllercheck.Scope) string { return s.Name }, args)
@@ -100,20 +100,20 @@
 			}
 			return nil
 		}}
-	c.Flags().IntVar(&pairs, "pairs", 1000, "plays with two deviations, of each scope")
+	c.Flags().IntVar(&pairs, "pairs", 1000, "runs with two deviations per scope")
 	c.Flags().IntVar(&cores, "cores", runtime.NumCPU(), "cores to use")
-	c.Flags().BoolVar(&list, "list", false, "name the scopes")
+	c.Flags().BoolVar(&list, "list", false, "list the scopes")
 	return c
 }
 
-// propagationCommand counts the messages that bring one update to all edges.
+// propagationCommand compares how many messages three topologies need to bring one update to all edges.
 func propagationCommand() *cobra.Command {
 	f := propagation.Fleet{Edges: 60, Controllers: 9, Zones: 6, Regions: 3}
-	c := &cobra.Command{Use: "propagation", Aliases: []string{"spread"}, Short: "Count the messages that bring one update to all edges: tree, star, flood",
+	c := &cobra.Command{Use: "propagation", Aliases: []string{"spread"}, Short: "Count the messages that bring one update to all edges, by tree, star and flood",
 		Example: "  willowlab propagation --edges 1000", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if f.Edges < 1 || f.Controllers < 1 || f.Zones < 1 || f.Regions < 1 || f.Regions > f.Zones {
-				return fmt.Errorf("edges, controllers, zones and regions are 1 at least, and regions no more than zones")
+				return fmt.Errorf("--edges, --controllers, --zones and --regions must be at least 1, and --regions at most --zones")
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', tabwriter.AlignRight)
 			fmt.Fprintln(w, "way\tcopies\tbetween zones\tbetween regions\tmost at a controller\tmost at an edge\thops\treached\t")
@@ -122,9 +122,9 @@
 			}
 			return w.Flush()
 		}}
-	c.Flags().IntVar(&f.Edges, "edges", f.Edges, "edges")
-	c.Flags().IntVar(&f.Controllers, "controllers", f.Controllers, "controllers")
-	c.Flags().IntVar(&f.Zones, "zones", f.Zones, "zones")
-	c.Flags().IntVar(&f.Regions, "regions", f.Regions, "regions")
+	c.Flags().IntVar(&f.Edges, "edges", f.Edges, "number of edges")
+	c.Flags().IntVar(&f.Controllers, "controllers", f.Controllers, "number of controllers")
+	c.Flags().IntVar(&f.Zones, "zones", f.Zones, "number of zones")
+	c.Flags().IntVar(&f.Regions, "regions", f.Regions, "number of regions")
 	return c
 }
--- a/cmd/willowlab/growth.go
+++ b/cmd/willowlab/growth.go
@@ -14,8 +14,8 @@
 	"willowsill/lab/experiment"
 )
 
-// growthPlan is a fleet of a size: a hundred queries a second at each aggregator, and at a thousand a tenth of that, which is as
-// many as at a hundred from ten times as many.
+// growthPlan returns the plan of a fleet with 100 queries a second at each aggregator, or 10 from a thousand aggregators on, so that
+// a thousand aggregators get as many queries in all as a hundred.
 func growthPlan(aggregators int, span time.Duration) emulator.Plan {
 	p := emulator.Plan{Policy: "module", Seed: 1, Duration: int64(span), MeasureUntil: int64(span), Aggregators: aggregators,
 		Replicas: 10 * aggregators, ReplicasPerShard: 5, Workers: 2, ServiceTime: 20e6, ServiceTimeSigma: 0.4, NetworkDelay: 500e3, ListDelay: 1e9, Tick: 5e6, MaxExecutions: 3,
@@ -33,7 +33,7 @@
 	var chart string
 	c := &cobra.Command{
 		Use:     "growth",
-		Short:   "How fast the emulator plays fleets of growing size, and in how much memory",
+		Short:   "Speed and memory use of the emulator for fleets of growing size",
 		Example: "  willowlab growth --span 10s --cores 4 --chart growth.svg",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -72,13 +72,13 @@
 			return w.Flush()
 		},
 	}
-	c.Flags().DurationVar(&span, "span", 10*time.Second, "of virtual time")
-	c.Flags().IntVar(&cores, "cores", emulator.MaxCores(), "that are used")
-	c.Flags().StringVar(&chart, "chart", "", "a file for a plot, SVG")
+	c.Flags().DurationVar(&span, "span", 10*time.Second, "virtual time of each run")
+	c.Flags().IntVar(&cores, "cores", emulator.MaxCores(), "cores to use")
+	c.Flags().StringVar(&chart, "chart", "", "file for an SVG chart")
 	return c
 }
 
-// watchHeap watches the heap until stop is called.
+// watchHeap samples the heap size every 50 ms until stop is called; afterwards *peak holds the largest sample in bytes.
 func watchHeap() (peak *uint64, stop func()) {
 	peak = new(uint64)
 	end, ended := make(chan struct{}), make(chan struct{})
--- a/cmd/willowlab/hunt.go
+++ b/cmd/willowlab/hunt.go
@@ -22,9 +22,9 @@
 	var source string
 	c := &cobra.Command{
 		Use:   "hunt FILE",
-		Short: "Look for the faults that harm an experiment's first variant most, or break a rule",
-		Long: "hunt plays the first variant with schedules of faults of its own, keeps the worst, changes it, and cuts what it has found\n" +
-			"down to what is needed. What it prints can stand in an experiment.",
+		Short: "Search for the faults that harm an experiment's first variant most, or break a rule",
+		Long: "hunt runs the first variant with random schedules of faults, mutates the worst one, and finally reduces it to the faults\n" +
+			"that are needed. It prints statements that can be copied into an experiment.",
 		Example: "  willowlab hunt experiments/calm.star --tries 200 --faults 3",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -46,7 +46,7 @@
 					p.Faults = faults
 					r, err := emulator.Run(p, runtime.GOMAXPROCS(0))
 					if err != nil {
-						panic(err) // the search made a schedule that no plan can have
+						panic(err) // the search has generated an invalid schedule
 					}
 					if sum.Share += r.RevenueShare() / float64(seeds); r.Rule > 0 {
 						sum.Rule, text = r.Rule, r.Violation
@@ -55,7 +55,7 @@
 				}
 				if tried++; sum.Rule > 0 || sum.Share < best.Share {
 					best = sum
-					fmt.Fprintf(os.Stderr, "after %d: %.4f\n", tried, best.Share)
+					fmt.Fprintf(os.Stderr, "after %d schedules: lowest share %.4f\n", tried, best.Share)
 				}
 				return sum
 			})
@@ -74,12 +74,12 @@
 		},
 	}
 	addSourceFlag(c, &source)
-	c.Flags().Uint64Var(&t.Seed, "seed", 1, "of the search")
-	c.Flags().IntVar(&t.MaxSchedules, "tries", 100, "schedules that are tried")
-	c.Flags().IntVar(&t.MaxFaults, "faults", 3, "of a schedule at most")
-	c.Flags().IntVar(&t.MaxReplicasPerFault, "most", 4, "replicas that one fault may befall")
-	c.Flags().IntVar(&seeds, "runs", 2, "of each schedule, with other seeds")
-	c.Flags().StringSliceVar(&t.Kinds, "kinds", nil, "of faults; all if none are named")
+	c.Flags().Uint64Var(&t.Seed, "seed", 1, "seed of the search")
+	c.Flags().IntVar(&t.MaxSchedules, "tries", 100, "number of schedules to try")
+	c.Flags().IntVar(&t.MaxFaults, "faults", 3, "maximum number of faults in a schedule")
+	c.Flags().IntVar(&t.MaxReplicasPerFault, "most", 4, "maximum number of replicas that one fault affects")
+	c.Flags().IntVar(&seeds, "runs", 2, "runs of each schedule, with different seeds")
+	c.Flags().StringSliceVar(&t.Kinds, "kinds", nil, "kinds of faults to use; all by default")
 	c.PreRunE = func(*cobra.Command, []string) error {
 		for _, k := range t.Kinds {
 			if !slices.Contains(emulator.FaultKinds, k) {
@@ -87,7 +87,7 @@
 			}
 		}
 		if t.MaxSchedules < 1 || t.MaxFaults < 1 || t.MaxReplicasPerFault < 1 || seeds < 1 {
-			return fmt.Errorf("--tries, --faults, --most and --runs are 1 at least")
+			return fmt.Errorf("--tries, --faults, --most and --runs must be at least 1")
 		}
 		return nil
 	}
@@ -100,7 +100,7 @@
 	var variant, who, source string
 	c := &cobra.Command{
 		Use:   "replay FILE",
-		Short: "Print the decisions of one run in a stretch of time, each with what its pick goes by",
+		Short: "Print the decisions of one run in an interval, each with the values that it is based on",
 		Example: "  willowlab replay experiments/hang.star --seed 3 --from 12s --to 12.1s\n" +
 			"  willowlab replay experiments/hang.star --from 12s --to 13s --who 'aggregator 4'",
 		Args: cobra.ExactArgs(1),
@@ -121,9 +121,9 @@
 				return runRebuilt(v, source, c.OutOrStdout(), os.Args[1:]...)
 			}
 			p := e.PlanFor(v, seed)
-			p.Trace = func(at int64, of, what string) {
-				if at >= int64(from) && at < int64(until) && (who == "" || who == of) {
-					fmt.Fprintf(c.OutOrStdout(), "%10.6f %s: %s\n", float64(at)/1e9, of, what)
+			p.Trace = func(at int64, source, what string) {
+				if at >= int64(from) && at < int64(until) && (who == "" || who == source) {
+					fmt.Fprintf(c.OutOrStdout(), "%10.6f %s: %s\n", float64(at)/1e9, source, what)
 				}
 			}
 			r, err := emulator.Run(p, 1)
@@ -135,10 +135,10 @@
 		},
 	}
 	addSourceFlag(c, &source)
-	c.Flags().DurationVar(&from, "from", 0, "of the run's time")
-	c.Flags().DurationVar(&until, "to", time.Hour, "of the run's time")
-	c.Flags().IntVar(&seed, "seed", 1, "of the run")
-	c.Flags().StringVar(&variant, "variant", "", "by name; else the first")
-	c.Flags().StringVar(&who, "who", "", "one aggregator alone")
+	c.Flags().DurationVar(&from, "from", 0, "start of the interval, in the run's time")
+	c.Flags().DurationVar(&until, "to", time.Hour, "end of the interval, in the run's time")
+	c.Flags().IntVar(&seed, "seed", 1, "seed of the run")
+	c.Flags().StringVar(&variant, "variant", "", "name of the variant; the first by default")
+	c.Flags().StringVar(&who, "who", "", "print only this aggregator's decisions")
 	return c
 }
--- a/cmd/willowlab/load.go
+++ b/cmd/willowlab/load.go
@@ -19,25 +19,25 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "load URL",
-		Short: "Ask queries of a running aggregator, and tell how it answers",
-		Long: "load asks at a steady rate (--rate), by a fixed number of clients (--clients), or at growing rates until the share\n" +
-			"within the goal falls under --wanted (--steps). Times count from when a query was due.",
+		Short: "Send queries to a running aggregator, and measure its answers",
+		Long: "load sends queries at a steady rate (--rate), from a fixed number of clients (--clients), or at growing rates until the\n" +
+			"share within the goal falls below --wanted (--steps). Latencies count from the time at which a query was due.",
 		Example: "  willowlab load http://127.0.0.1:8081 --workload lookup --shards 0,1 --rate 200 --for 10s\n" +
 			"  willowlab load http://127.0.0.1:8081 --workload lookup --shards 0,1 --rate 100 --steps 10",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			t.URL = args[0]
-			asking, err := load.New(t)
+			loadClients, err := load.New(t)
 			if err != nil {
 				return err
 			}
-			defer asking.Close()
+			defer loadClients.Close()
 			var all []*load.Outcome
 			best := 0.0
-			open := func(rate float64) *load.Outcome { return asking.RunOpenLoop(c.Context(), rate, span, seed) }
+			open := func(rate float64) *load.Outcome { return loadClients.RunOpenLoop(c.Context(), rate, span, seed) }
 			switch {
 			case clients > 0:
-				all = append(all, asking.RunClosedLoop(c.Context(), clients, span))
+				all = append(all, loadClients.RunClosedLoop(c.Context(), clients, span))
 			case steps > 0:
 				all, best = load.FindMaxRate(rate, 1.5, steps, wanted, open)
 			default:
@@ -58,17 +58,17 @@
 			return w.Flush()
 		},
 	}
-	c.Flags().StringVar(&t.Workload, "workload", "lookup", "its name")
-	c.Flags().IntSliceVar(&t.Shards, "shards", []int{0}, "that each query asks")
-	c.Flags().StringVar(&t.Text, "text", "load", "of the queries")
-	c.Flags().DurationVar(&t.Timeout, "patience", time.Second, "the clients' time")
-	c.Flags().DurationVar(&t.LatencyGoal, "goal", 200*time.Millisecond, "an answer within it counts")
+	c.Flags().StringVar(&t.Workload, "workload", "lookup", "name of the workload")
+	c.Flags().IntSliceVar(&t.Shards, "shards", []int{0}, "shards of each query")
+	c.Flags().StringVar(&t.Text, "text", "load", "text of the queries")
+	c.Flags().DurationVar(&t.Timeout, "patience", time.Second, "timeout of the clients")
+	c.Flags().DurationVar(&t.LatencyGoal, "goal", 200*time.Millisecond, "latency goal")
 	c.Flags().Float64Var(&rate, "rate", 100, "queries a second; the first rate with --steps")
-	c.Flags().IntVar(&clients, "clients", 0, "that ask one query after the other, in place of a rate")
-	c.Flags().IntVar(&steps, "steps", 0, "rates to try at most, until the goal breaks")
+	c.Flags().IntVar(&clients, "clients", 0, "number of clients that send one query after the other, instead of a rate")
+	c.Flags().IntVar(&steps, "steps", 0, "maximum number of rates to try until the goal is missed")
 	c.Flags().Float64Var(&wanted, "wanted", 0.99, "share within the goal that --steps looks for")
-	c.Flags().DurationVar(&span, "for", 5*time.Second, "each rate")
-	c.Flags().Uint64Var(&seed, "seed", 1, "of the clients' chance")
+	c.Flags().DurationVar(&span, "for", 5*time.Second, "duration of each rate")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the clients' random arrivals")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
--- a/cmd/willowlab/losses.go
+++ b/cmd/willowlab/losses.go
@@ -12,13 +12,13 @@
 	"github.com/spf13/cobra"
 )
 
-// dayReport is what is read of the operators' bench's report of one day.
+// dayReport holds the fields that are read from the report of the operators' benchmark on one simulated day.
 type dayReport struct {
 	G       float64
 	Fault   any
 	Breaks  map[string]any
-	Parts   [][]any // name, weight, share of the worth
-	Prices  [][]any // name, quantity, share of the worth
+	Parts   [][]any // name, weight, earned share of the weight's value
+	Prices  [][]any // name, quantity, share of the day's value that is deducted
 	Classes []struct {
 		Name                     string
 		N, Late, Refused, Failed int
@@ -27,13 +27,13 @@
 	AckMs *float64 `json:"config_ack_ms"`
 }
 
-// loss is one cause and what it took of the day's worth.
+// loss is one cause of lost value and the share of the day's value that it cost.
 type loss struct {
 	cause string
 	value float64
 }
 
-// losses are a day's, the dearest first.
+// losses returns all losses of the day, the largest first.
 func (r dayReport) losses() (all []loss) {
 	num := func(v any) float64 { f, _ := v.(float64); return f }
 	for _, p := range r.Parts {
@@ -50,11 +50,11 @@
 	return all
 }
 
-// lossesCommand says where the worth of days went, from the reports of the operators' bench.
+// lossesCommand prints the largest losses of each day from the reports of the operators' benchmark.
 func lossesCommand() *cobra.Command {
 	var most int
-	c := &cobra.Command{Use: "losses REPORT ...", Short: "Say where the worth of days went, from the operators' bench's reports",
-		Long:    "Reads what `run ... --report FILE` of the operators' bench wrote: rules broken, what each day lost to what, by kind of request,\nand how long acknowledgements of configurations took.",
+	c := &cobra.Command{Use: "losses REPORT ...", Short: "Print the largest losses of days, from the reports of the operators' benchmark",
+		Long:    "Reads the files that `run ... --report FILE` of the operators' benchmark has written, and prints broken rules, the losses of each\nday by cause and by class of requests, and the time that acknowledgements of configurations took.",
 		Example: "  willowlab losses reports/*.json", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
@@ -102,6 +102,6 @@
 			}
 			return nil
 		}}
-	c.Flags().IntVar(&most, "most", 4, "causes named for a day")
+	c.Flags().IntVar(&most, "most", 4, "causes printed per day")
 	return c
 }
--- a/cmd/willowlab/main.go
+++ b/cmd/willowlab/main.go
@@ -1,5 +1,5 @@
-// Command willowlab plays experiments on fleets in virtual time, looks for schedules of faults that harm most, and loads a
-// running aggregator. Its results are kept as tables and charts.
+// Command willowlab runs experiments on emulated fleets in virtual time, simulates and model-checks the controllers, searches for the
+// most harmful faults, and sends load to a running aggregator. It can save results as tables and charts.
 package main
 
 import (
--- a/cmd/willowlab/rebuild.go
+++ b/cmd/willowlab/rebuild.go
@@ -15,13 +15,14 @@
 	"willowsill/lab/experiment/constoverride"
 )
 
-const asBuiltFlag = "as-built" // a flag: this program was built with the constants of the variant that it plays
+const asBuiltFlag = "as-built" // hidden flag: this program was built with the constants of the variant that it runs
 
+// addSourceFlag adds the flag --source.
 func addSourceFlag(c *cobra.Command, source *string) {
-	c.Flags().StringVar(source, "source", ".", "the module's folder, to build variants with other constants from")
+	c.Flags().StringVar(source, "source", ".", "folder of the module's source, from which variants with changed constants are built")
 }
 
-// runRebuilt runs this program, built with a variant's constants, with the same arguments or others.
+// runRebuilt builds this program with a variant's constants and runs it with the given arguments.
 func runRebuilt(v experiment.Variant, source string, out io.Writer, args ...string) error {
 	dir, err := os.MkdirTemp("", "willowlab")
 	if err != nil {
@@ -32,21 +33,21 @@
 	if err := constoverride.Build(source, "cmd/willowlab", binary, v.Constants); err != nil {
 		return err
 	}
-	run := exec.Command(binary, append(args, "--"+asBuiltFlag)...)
-	run.Stdout, run.Stderr = out, os.Stderr
-	err = run.Run()
-	var ended *exec.ExitError
-	if errors.As(err, &ended) && ended.ExitCode() == exitCode(errRuleBroken) {
+	child := exec.Command(binary, append(args, "--"+asBuiltFlag)...)
+	child.Stdout, child.Stderr = out, os.Stderr
+	err = child.Run()
+	var exitError *exec.ExitError
+	if errors.As(err, &exitError) && exitError.ExitCode() == exitCode(errRuleBroken) {
 		return errRuleBroken
 	}
 	return err
 }
 
-// runRebuiltVariant plays a variant with other constants.
+// runRebuiltVariant runs a variant with changed constants in a copy of this program and returns its table.
 func runRebuiltVariant(e *experiment.Experiment, v experiment.Variant, file, source string) (*experiment.Table, error) {
 	var out bytes.Buffer
 	err := runRebuilt(v, source, &out, "run", file, "--only", v.Name, "--json", "--seeds", strconv.Itoa(e.Seeds))
-	if err != nil && !errors.Is(err, errRuleBroken) { // a broken rule stands in the table
+	if err != nil && !errors.Is(err, errRuleBroken) { // the table contains the broken rule
 		return nil, err
 	}
 	tables, err := experiment.DecodeAll(out.Bytes(), v.Name)
--- a/cmd/willowlab/rebuild_test.go
+++ b/cmd/willowlab/rebuild_test.go
@@ -8,7 +8,8 @@
 	"willowsill/lab/experiment"
 )
 
-// A variant with other constants is played by a program that has them: with one channel where three are as it is, it does worse.
+// A variant with changed constants must run in a program that is built with them: with at most one call per replica it does worse
+// than the unchanged module, and with the value that the source has too its results are equal.
 func TestConstants(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "a.star")
 	if err := os.WriteFile(file, []byte(`experiment(name = "a", question = "b?", span = "6s", count_from = "1s", count_until = "5s", seeds = 2)
--- a/cmd/willowlab/sockets.go
+++ b/cmd/willowlab/sockets.go
@@ -13,11 +13,12 @@
 	"willowsill/standin/lab"
 )
 
-// socketVariants leaves of an experiment the variants that the true program can play, and is the way to play them.
+// socketVariants removes the variants that the real program cannot run from the experiment, and returns the runner that runs the
+// others on sockets.
 func socketVariants(e *experiment.Experiment, binary string, atOnce int) (experiment.Runner, error) {
 	e.Variants = slices.DeleteFunc(e.Variants, func(v experiment.Variant) bool { return !v.RunsOnSockets })
 	if len(e.Variants) == 0 {
-		return experiment.Runner{}, errors.New("there is no variant of the decision module")
+		return experiment.Runner{}, errors.New("the experiment has no variant of the decision module")
 	}
 	return experiment.Runner{Parallel: atOnce, Run: func(p emulator.Plan, _ int) (*emulator.Result, error) { return lab.Run(binary, p) }}, nil
 }
@@ -28,9 +29,9 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "sockets FILE...",
-		Short: "Play experiments in the emulator and on loopback sockets, and tell how far they are apart",
-		Long: "sockets plays what the decision module decides a second time in real time: with the true program, stand-in replicas\n" +
-			"and the very queries that the emulator had come. A run takes as long as its span says.",
+		Short: "Run experiments in the emulator and on loopback sockets, and compare the results",
+		Long: "sockets runs the variants of the decision module a second time in real time, with the real program, stand-in replicas\n" +
+			"and exactly the queries of the emulator. A run takes as long as the experiment's span.",
 		Example: "  go build -o bin/ ./cmd/... && bin/willowlab sockets experiments/hang.star experiments/slow.star",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
@@ -41,13 +42,13 @@
 					return err
 				}
 				e.Seeds = seeds
-				real, err := socketVariants(e, binary, atOnce)
+				socketRunner, err := socketVariants(e, binary, atOnce)
 				if err != nil {
 					return fmt.Errorf("%s: %w", file, err)
 				}
 				var pair [2]*experiment.Table
-				for i, way := range []experiment.Runner{experiment.EmulatorRunner(), real} {
-					if pair[i], err = runExperiment(e, way, asJSON); err != nil {
+				for i, runner := range []experiment.Runner{experiment.EmulatorRunner(), socketRunner} {
+					if pair[i], err = runExperiment(e, runner, asJSON); err != nil {
 						return fmt.Errorf("%s: %w", file, err)
 					}
 				}
@@ -72,7 +73,7 @@
 	}
 	c.Flags().StringVar(&binary, "program", "bin/willowsill", "the program")
 	c.Flags().IntVar(&seeds, "seeds", 1, "runs of each variant")
-	c.Flags().IntVar(&atOnce, "at-once", 1, "runs on sockets at a time")
+	c.Flags().IntVar(&atOnce, "at-once", 1, "concurrent runs on sockets")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
--- a/examples/customers.star
+++ b/examples/customers.star
@@ -1,2 +1,2 @@
-# Queries a second that each customer may ask for over all aggregators. Loaded by store.star.
+# Quota of each customer over all aggregators, in queries a second. Loaded by store.star.
 customers = {"acme": 40, "souq": 15}
--- a/examples/site.star
+++ b/examples/site.star
@@ -1,4 +1,4 @@
-# A site "east" that carries what it cannot serve to "west", and takes in what west cannot.
+# A site "east" that forwards queries that it cannot serve to "west", and serves those that west forwards.
 site(
     name = "east",
     listen = "127.0.0.1:8443",
--- a/examples/store.star
+++ b/examples/store.star
@@ -1,4 +1,4 @@
-# A fleet that shares what it knows through a Redis server, and keeps two customers' quotas over all aggregators.
+# Aggregators that share replica health through a Redis server and limit two customers by a quota over all aggregators.
 load("customers.star", "customers")
 
 shared_store(
--- a/examples/toydiscovery/main.go
+++ b/examples/toydiscovery/main.go
@@ -1,5 +1,5 @@
-// Command toydiscovery plays a discovery for a trial. Its list is made of the arguments, one CELL=ADDRESS for
-// each replica, named s-0, s-1 and so on. A line "NAME HEALTH" on standard input changes a replica's health.
+// Command toydiscovery runs a stand-in discovery service for experiments. Each argument CELL=ADDRESS adds a replica to its list, with
+// the names s-0, s-1 and so on. A line "NAME HEALTH" on standard input changes a replica's health.
 package main
 
 import (
@@ -22,17 +22,17 @@
 	}
 	flag.Parse()
 	hosts := map[string]standin.Host{}
-	list := standin.NewDiscovery()
-	for i, word := range flag.Args() {
-		cell, address, ok := strings.Cut(word, "=")
-		block, err := strconv.Atoi(cell)
+	registry := standin.NewDiscovery()
+	for i, argument := range flag.Args() {
+		cellText, address, ok := strings.Cut(argument, "=")
+		cell, err := strconv.Atoi(cellText)
 		if !ok || err != nil {
 			flag.Usage()
 			os.Exit(2)
 		}
-		h := standin.Host{Host: fmt.Sprint("s-", i), Dial: address, Cell: block, Health: "active", Share: 1}
+		h := standin.Host{Host: fmt.Sprint("s-", i), Dial: address, Cell: cell, Health: "active", Share: 1}
 		hosts[h.Host] = h
-		list.Change(h)
+		registry.Change(h)
 	}
 	go func() {
 		for lines := bufio.NewScanner(os.Stdin); lines.Scan(); {
@@ -43,9 +43,9 @@
 			}
 			h := hosts[words[0]]
 			h.Health = words[1]
-			list.Change(h)
+			registry.Change(h)
 		}
 	}()
-	fmt.Fprintln(os.Stderr, "toydiscovery:", http.ListenAndServe(*listen, list))
+	fmt.Fprintln(os.Stderr, "toydiscovery:", http.ListenAndServe(*listen, registry))
 	os.Exit(1)
 }
--- a/examples/toyreplica/main.go
+++ b/examples/toyreplica/main.go
@@ -1,5 +1,5 @@
-// Command toyreplica plays replicas for a trial: at each address it is given it answers every part, after some
-// work that it only waits for, with a value made from the part's text and shard.
+// Command toyreplica runs stand-in replicas for experiments: at each given address it answers every part, after waiting for the
+// simulated processing time, with a hash of the part's text and shard.
 package main
 
 import (
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	work := flag.Duration("work", 50*time.Millisecond, "time that a part takes")
+	work := flag.Duration("work", 50*time.Millisecond, "processing time of a part")
 	flag.Usage = func() {
 		fmt.Fprintln(flag.CommandLine.Output(), "usage: toyreplica [-work TIME] ADDRESS ...")
 		flag.PrintDefaults()
@@ -33,7 +33,7 @@
 			fmt.Fprintln(os.Stderr, "toyreplica:", err)
 			os.Exit(1)
 		}
-		toy := standin.Replica{Answer: func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
+		standIn := standin.Replica{Answer: func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
 			select {
 			case <-time.After(*work):
 			case <-ctx.Done():
@@ -43,7 +43,7 @@
 			fmt.Fprint(sum, string(p.Text), p.Shard)
 			return replica.Reply{ID: p.ID, Value: fmt.Sprintf("%016x", sum.Sum64())}, true
 		}}
-		go func() { ended <- toy.Serve(l) }()
+		go func() { ended <- standIn.Serve(l) }()
 	}
 	fmt.Fprintln(os.Stderr, "toyreplica:", <-ended)
 	os.Exit(1)
