--- a/cmd/overloadtest/rounds.go
+++ b/cmd/overloadtest/rounds.go
@@ -17,7 +17,8 @@
 // variant is an operator's script to run the program with, and its name in the tables.
 type variant struct{ name, script string }
 
-// variants are the program without overload detection, and with decision rounds that run at once instead of at the next tick.
+// variants are the program without overload detection, and with it but without shedding: then decision rounds run at once instead
+// of at the next tick.
 var variants = []variant{{"former", ""}, {"at once", "strain(shed = False)\n"}}
 
 // startSingle starts one process of the program with replicas of the given processing time. The caller must call the returned
--- a/cmd/willowsill/demo.go
+++ b/cmd/willowsill/demo.go
@@ -317,7 +317,7 @@
 	return p
 }
 
-// runDemo starts a fleet and runs all phases. The context is nil where a caller gave cobra none.
+// runDemo starts a fleet and runs all phases. ctx is nil if the command was executed without a context.
 func runDemo(ctx context.Context, withStore bool, each time.Duration) (phases []phase, err error) {
 	if ctx == nil {
 		ctx = context.Background()
--- a/cmd/willowsill/demo_sites.go
+++ b/cmd/willowsill/demo_sites.go
@@ -54,7 +54,7 @@
 }
 
 // runSitesDemo runs the demonstration of two sites, in which all replicas of the first fail and recover and the link is cut
-// in one direction. The context is nil where a caller gave cobra none.
+// in one direction. ctx is nil if the command was executed without a context.
 func runSitesDemo(ctx context.Context, each time.Duration) (phases []phase, err error) {
 	if ctx == nil {
 		ctx = context.Background()
--- a/cmd/willowsill/main.go
+++ b/cmd/willowsill/main.go
@@ -1,5 +1,5 @@
 // Command willowsill runs one aggregator. It is configured by environment variables and a configuration file, which it
-// reads again on SIGHUP. On SIGTERM it stops accepting queries, answers those in flight and exits with code 0.
+// reads again on SIGHUP. On SIGTERM it answers the queries that it has accepted and exits with code 0.
 package main
 
 import (
--- a/standin/lab/lab.go
+++ b/standin/lab/lab.go
@@ -127,7 +127,7 @@
 	w.client.CloseIdleConnections()
 }
 
-// startAggregator starts one process of the program.
+// startAggregator writes the configuration of the aggregator with the given index and starts it as a child process.
 func (w *testbed) startAggregator(binary string, index int) error {
 	text, err := json.Marshal(w.config(index))
 	if err != nil {
--- a/standin/redis/commands.go
+++ b/standin/redis/commands.go
@@ -71,7 +71,7 @@
 	return w.out
 }
 
-// CommandCount returns how often the server received a command; name is in capitals.
+// CommandCount returns how often the server has handled a command, not counting DropCommands; name is in capitals.
 func (s *Server) CommandCount(name string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/redis/redis.go
+++ b/standin/redis/redis.go
@@ -50,7 +50,7 @@
 	conns        map[net.Conn]struct{}
 	commandCount int64            // replies made, whether they were written or not
 	bytesWritten int64            // length of these replies
-	countByName  map[string]int64 // commands received, by name in capitals
+	countByName  map[string]int64 // commands handled, by name in capitals
 }
 
 // Serve serves until the listener is closed, and returns when all connections have ended.
@@ -191,7 +191,7 @@
 	database      int // chosen by SELECT
 }
 
-// serveConnection serves one connection until it ends.
+// serveConnection reads, executes and answers commands one after the other until the connection ends or a fault closes it.
 func (s *Server) serveConnection(ctx context.Context, conn net.Conn) {
 	in := bufio.NewReaderSize(conn, 64<<10) // holds all commands of a round: on an in-memory pipe the client does not read replies while it writes
 	client := &session{}
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// serveConnection serves one connection until it ends.
+// serveConnection reads frames until the connection ends, and answers the parts of each call concurrently.
 func (r *Replica) serveConnection(ctx context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	var parts sync.WaitGroup
--- a/standin/systemreplica/systemreplica.go
+++ b/standin/systemreplica/systemreplica.go
@@ -23,7 +23,7 @@
 	callTimeout    = time.Second // of a call to a controller
 )
 
-// Replica is one stand-in replica.
+// Replica is a stand-in replica of one service. Its settings must not change after Start.
 type Replica struct {
 	ID, Service, Zone string
 	WorkTime          time.Duration // processing time of one request
