--- a/cmd/willowlab/explore.go
+++ b/cmd/willowlab/explore.go
@@ -122,9 +122,9 @@
 			}
 			return w.Flush()
 		}}
-	c.Flags().IntVar(&f.Edges, "edges", f.Edges, "number of edges")
-	c.Flags().IntVar(&f.Controllers, "controllers", f.Controllers, "number of controllers")
-	c.Flags().IntVar(&f.Zones, "zones", f.Zones, "number of zones")
-	c.Flags().IntVar(&f.Regions, "regions", f.Regions, "number of regions")
+	c.Flags().IntVar(&f.Edges, "edges", f.Edges, "edges")
+	c.Flags().IntVar(&f.Controllers, "controllers", f.Controllers, "controllers")
+	c.Flags().IntVar(&f.Zones, "zones", f.Zones, "zones")
+	c.Flags().IntVar(&f.Regions, "regions", f.Regions, "regions")
 	return c
 }
--- a/cmd/willowsill/demo.go
+++ b/cmd/willowsill/demo.go
@@ -39,12 +39,12 @@
 	demoWork             = 20 * time.Millisecond // a replica's processing time for one part
 	demoClientTimeout    = 1500 * time.Millisecond
 	demoClientSlack      = 50 * time.Millisecond // added to client timeouts for the delay of real sockets
-	demoLatencyGoal      = 800 * time.Millisecond
 
 	demoStartupTimeout     = 30 * time.Second      // for an aggregator to pass its first health check
 	demoHealthPollInterval = 20 * time.Millisecond // between two health checks during startup
 	demoHealthTimeout      = time.Second           // of one health check
 
+	demoLatencyGoal   = 800 * time.Millisecond
 	systemDemoQueries = 200 // queries per phase in the demonstration of the whole system
 )
 
