--- a/standin/lab/lab.go
+++ b/standin/lab/lab.go
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	if p.Policy != "module" {
-		return nil, errors.New("only the policy module can run on sockets")
+		return nil, errors.New(`only the policy "module" can run on sockets`)
 	}
 	dir, err := os.MkdirTemp("", "lab")
 	if err != nil {
--- a/standin/lab/lab_test.go
+++ b/standin/lab/lab_test.go
@@ -7,7 +7,7 @@
 	"willowsill/standin/program"
 )
 
-// A short run on sockets, with several kinds of faults, must send as many queries as the emulator and keep a share within the goal
+// A short run on sockets, with several kinds of faults, must send as many queries as the emulator and keep a revenue share
 // that is at most 0.15 lower.
 func TestNear(t *testing.T) {
 	binary := program.Build(t)
@@ -29,9 +29,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("emulator: share %.3f of %d queries, %.2f executions per query; sockets: %.3f of %d, %.2f", model.RevenueShare(), model.Asked,
+	t.Logf("emulator: revenue share %.3f of %d queries, %.2f executions per query; sockets: %.3f of %d, %.2f", model.RevenueShare(), model.Asked,
 		float64(model.Executions)/float64(model.Asked), real.RevenueShare(), real.Asked, float64(real.Executions)/float64(real.Asked))
 	if real.Asked != model.Asked || real.RevenueShare() < model.RevenueShare()-0.15 {
-		t.Errorf("share within the goal: emulator %.3f of %d queries, sockets %.3f of %d", model.RevenueShare(), model.Asked, real.RevenueShare(), real.Asked)
+		t.Errorf("revenue share: emulator %.3f of %d queries, sockets %.3f of %d", model.RevenueShare(), model.Asked, real.RevenueShare(), real.Asked)
 	}
 }
