--- a/cmd/sites/dark.go
+++ b/cmd/sites/dark.go
@@ -123,8 +123,8 @@
 		v.peaks.watch(w, stop)
 	}()
 	rows := float64(l.Duration / l.RowDuration)
-	v.timeline = w.RunLoad(l, func(span int) {
-		at := float64(span) / rows
+	v.timeline = w.RunLoad(l, func(rowIndex int) {
+		at := float64(rowIndex) / rows
 		w.Sites["east"].SetUnresponsive(at >= outageStart && at < outageEnd)
 	})
 	close(stop)
--- a/cmd/sites/restart.go
+++ b/cmd/sites/restart.go
@@ -24,19 +24,19 @@
 			t := tabwriter.NewWriter(os.Stdout, 0, 0, 1, ' ', 0)
 			fmt.Fprintln(t, "| what\t| asked\t| in goal\t| late\t| declined\t| failed\t| lost\t| wrong\t| doubled\t|")
 			for _, killed := range []bool{false, true} {
-				line, err := RunRestarts(binary, duration, killed)
+				timeline, err := RunRestarts(binary, duration, killed)
 				if err != nil {
 					return err
 				}
 				var sum sites.Tally
-				for i := range line.Rows {
-					sum.Add(&line.Rows[i])
+				for i := range timeline.Rows {
+					sum.Add(&timeline.Rows[i])
 				}
 				fmt.Fprintf(t, "| %s\t| %d\t", map[bool]string{false: "planned", true: "killed"}[killed], sum.Asked)
 				for _, n := range sum.Outcomes {
 					fmt.Fprintf(t, "| %d\t", n)
 				}
-				fmt.Fprintf(t, "| %d\t|\n", line.DuplicateExecutions)
+				fmt.Fprintf(t, "| %d\t|\n", timeline.DuplicateExecutions)
 			}
 			return t.Flush()
 		},
@@ -65,11 +65,11 @@
 	west := w.Sites["west"]
 	each := duration / 4
 	failed := make(chan error, 1)
-	line := w.RunLoad(sites.Load{Rate: 20, Seed: 11, Duration: duration, RowDuration: each, OnlySite: "east"}, func(span int) {
-		if span == 0 {
+	timeline := w.RunLoad(sites.Load{Rate: 20, Seed: 11, Duration: duration, RowDuration: each, OnlySite: "east"}, func(rowIndex int) {
+		if rowIndex == 0 {
 			return
 		}
-		i := span % 2
+		i := rowIndex % 2
 		if killed {
 			west.Kill(i)
 			time.Sleep(each / 4)
@@ -90,8 +90,8 @@
 	})
 	select {
 	case err := <-failed:
-		return line, err
+		return timeline, err
 	default:
-		return line, nil
+		return timeline, nil
 	}
 }
--- a/cmd/willowctl/willowctl_test.go
+++ b/cmd/willowctl/willowctl_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestWrongCalls: wrong arguments and missing files make the program fail with a message that names them.
+// TestWrongCalls: wrong arguments and missing files make the program fail with the usage text or a message that names the fault.
 func TestWrongCalls(t *testing.T) {
 	for _, c := range []struct {
 		args []string
--- a/standin/sites/load.go
+++ b/standin/sites/load.go
@@ -144,9 +144,9 @@
 	DuplicateExecutions int // once-only parts that ran more than once
 }
 
-// RunLoad sends the load, and calls at with the index of each row when the row's interval begins. It returns when the last query
+// RunLoad sends the load, and calls onRow with the index of each row when the row's interval begins. It returns when the last query
 // has ended.
-func (w *Testbed) RunLoad(l Load, at func(row int)) *Timeline {
+func (w *Testbed) RunLoad(l Load, onRow func(row int)) *Timeline {
 	timeline := &Timeline{Rows: make([]Tally, int(l.Duration/l.RowDuration))}
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -161,8 +161,8 @@
 			next := began
 			for i := 0; ; i++ {
 				next = next.Add(time.Duration(rng.ExpFloat64() * 1e9 / l.Rate))
-				span := int(next.Sub(began) / l.RowDuration)
-				if span >= len(timeline.Rows) {
+				rowIndex := int(next.Sub(began) / l.RowDuration)
+				if rowIndex >= len(timeline.Rows) {
 					return
 				}
 				q := Query{Site: name, Process: i % w.ProcessesPerSite, ID: fmt.Sprintf("%s-%d", name, i),
@@ -176,7 +176,7 @@
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					row := &timeline.Rows[span]
+					row := &timeline.Rows[rowIndex]
 					row.Asked++
 					row.Outcomes[end]++
 					row.MaxRevenue += revenue
@@ -190,10 +190,10 @@
 			}
 		})
 	}
-	for span := range timeline.Rows {
-		time.Sleep(time.Until(began.Add(time.Duration(span) * l.RowDuration)))
-		if at != nil {
-			at(span)
+	for rowIndex := range timeline.Rows {
+		time.Sleep(time.Until(began.Add(time.Duration(rowIndex) * l.RowDuration)))
+		if onRow != nil {
+			onRow(rowIndex)
 		}
 	}
 	all.Wait()
