--- a/lab/emulator/aggregator.go
+++ b/lab/emulator/aggregator.go
@@ -11,60 +11,60 @@
 	"willowsill/lab/emulator/eventqueue"
 )
 
-// execution is one run of a part, as its aggregator sees it.
+// execution is one execution of a part, as its aggregator sees it.
 type execution struct {
 	replica int
 	sentAt  int64
 	ended   bool
 }
 
-// pendingQuery is a query that an aggregator holds.
+// pendingQuery is a query at an aggregator, kept until eventForgetQuery.
 type pendingQuery struct {
 	workload int
 	askedAt  int64
 	ended    bool
-	retries  int
+	retries  int // how often the client has asked before; 1 for queries forwarded by another site
 	shards   []int
 
-	visited          []int // sites that it came through
-	originAggregator int32 // the aggregator that carried it here,
-	originQuery      int32 // by its number
-	originAttempt    int16
-	forwardedIn      bool
-	forwardedOut     bool // to another site,
-	link             int  // over this
-	parts            [][]execution
+	visited          []int         // sites that have forwarded it
+	originAggregator int32         // if forwardedIn: the aggregator that forwarded it here
+	originQuery      int32         // if forwardedIn: the query's number there
+	originAttempt    int16         // if forwardedIn: the forward attempt there
+	forwardedIn      bool          // it came from another site
+	forwardedOut     bool          // it is served by another site
+	link             int           // if forwardedOut: the link to that site
+	parts            [][]execution // the executions of each part
 	weights          []float64
 }
 
-// aggregator is one with its brain, and with the clients that ask it.
+// aggregator simulates an aggregator with its decider, and the clients that send it queries.
 type aggregator struct {
 	emitter
 	*Plan
-	arrivals    []*Arrivals // by load
-	clientRNG   *rand.Rand  // of who asks again
-	networkRNG  *rand.Rand
+	arrivals    []*Arrivals // by workload
+	clientRNG   *rand.Rand  // for client retries
+	networkRNG  *rand.Rand  // for network delays and losses
 	decider     decider
 	ruleChecker *checker.Aggregator
 	queries     map[int32]*pendingQuery
-	retryShards map[int32][]int // the shards of queries that will be asked again
-	lastRound   int64           // the last round
-	nextRound   int64           // the next, 0 for none
-	lastQuery   int32
-	listingSeq  []uint64 // by replica: the newest that the list told
+	retryShards map[int32][]int // by query number: the shards of queries that clients will retry
+	lastRound   int64           // time of the last decision round
+	nextRound   int64           // time of the next decision round, 0 if none is scheduled
+	lastQuery   int32           // the last query number given
+	listingSeq  []uint64        // by replica: sequence number of the newest listing
 	recorder    *Recorder
 	simulation  *simulation
-	member      *storeMember      // nil without a store
-	quotaUses   map[int][]int64   // by load: when a query was let in as within its quota
-	siteGateway *siteGateway      // nil without other sites
-	listings    []balance.Listing // as it was told last
+	member      *storeMember      // nil without a shared store
+	quotaUses   map[int][]int64   // by workload: when a query was admitted as within its quota
+	siteGateway *siteGateway      // nil where queries are not forwarded between sites
+	listings    []balance.Listing // the newest known state of each replica of its site
 	down        bool
-	frozenUntil int64 // it does nothing until then, 0 for not
+	frozenUntil int64 // end of a freeze, 0 if none has been
 
-	processor *processor // its own; nil where what it does costs nothing
+	processor *processor // nil if the aggregator's own work costs no time
 }
 
-// start begins anew, with nothing but the list.
+// start starts the aggregator with no state but the replica list, at the beginning and after a crash.
 func (a *aggregator) start(now int64) {
 	for _, l := range a.listings {
 		a.ruleChecker.RecordListing(now, l.Replica, l.Cell, l.Status == balance.Up)
@@ -89,18 +89,18 @@
 	}
 }
 
-// listingOf is what it was told last of a replica of its site.
+// listingOf returns the newest known listing of a replica of its site.
 func (a *aggregator) listingOf(replica int) *balance.Listing {
 	return &a.listings[replica-a.siteOfAggregator(int(a.entityID))*a.replicasPerSite()]
 }
 
-// applyFault has a fault of its own begin or end.
+// applyFault begins or ends a fault of this aggregator, or begins its next period.
 func (a *aggregator) applyFault(now int64, number int, begins bool) {
 	f := a.Faults[number]
 	switch {
 	case f.Kind == "crash" && begins:
 		a.down = true
-		for _, q := range a.queries { // their clients see the connection break
+		for _, q := range a.queries { // their clients see a broken connection
 			if !q.ended {
 				q.ended = true
 				a.recorder.RecordAnswer(q.askedAt-origin, now-origin, q.workload, q.retries, balance.Forfeited)
@@ -108,12 +108,12 @@
 		}
 		a.queries, a.siteGateway = map[int32]*pendingQuery{}, nil
 		a.ruleChecker.RecordCrash()
-		a.trace(now, "dies")
+		a.trace(now, "crashes")
 	case f.Kind == "crash":
 		a.down, a.nextRound, a.lastRound = false, 0, 0
 		a.start(now)
 		a.requestRound(now)
-		a.trace(now, "is back")
+		a.trace(now, "restarts")
 	case f.Kind == "freeze" && begins && now < origin+f.Until:
 		a.frozenUntil = now + f.ActiveTime
 		if f.Period > f.ActiveTime {
@@ -127,11 +127,11 @@
 	case eventFaultBegins, eventFaultRepeats, eventFaultEnds:
 		a.applyFault(now, int(e.Value), e.Kind != eventFaultEnds)
 		return
-	case eventClientTimeout: // the client's own clock
+	case eventClientTimeout: // also while the aggregator is frozen: this clock is the client's
 		a.ruleChecker.ClientTimeout(now, e.Query)
 		return
 	}
-	if a.frozenUntil > now { // whatever comes waits, in its order, until it goes on
+	if a.frozenUntil > now { // all events are delayed until the freeze ends, in their order
 		e.At = a.frozenUntil
 		a.loop.queue.Push(e)
 		return
@@ -178,14 +178,14 @@
 				return
 			}
 			a.ruleChecker.RecordListing(now, l.Replica, l.Cell, l.Status == balance.Up)
-			a.trace(now, "the list has replica %d %s", e.Query, [...]string{"up", "draining", "gone"}[e.Result])
+			a.trace(now, "the list shows replica %d as %s", e.Query, [...]string{"up", "draining", "gone"}[e.Result])
 			a.decider.updateListing(now, l)
 			a.requestRound(now)
 		}
 	}
 }
 
-// requestRound has a round come as soon as one may.
+// requestRound schedules a decision round as early as Tick allows.
 func (a *aggregator) requestRound(now int64) { a.scheduleRound(max(a.lastRound+a.Tick, now)) }
 
 func (a *aggregator) scheduleRound(at int64) {
@@ -196,24 +196,24 @@
 	a.emit(at, eventqueue.Event{At: at, To: a.entityID, Kind: eventRoundDue})
 }
 
-// scheduleArrival has the next query of a load come, until the clients end.
+// scheduleArrival schedules the next query of a workload, if there is one within the duration of the plan.
 func (a *aggregator) scheduleArrival(now int64, load int) {
 	if at, comes := a.arrivals[load].Next(now - origin); comes {
 		a.emit(now, eventqueue.Event{At: origin + at, To: a.entityID, Kind: eventQueryArrives, Value: origin + at, Part: int16(load)})
 	}
 }
 
-// receiveQuery takes a query in that was asked at a time: now, or before a freeze.
+// receiveQuery handles a query that was asked at a time, which is before now if the aggregator was frozen or busy.
 func (a *aggregator) receiveQuery(now, at int64, load, tries int, shards []int) {
 	l := &a.Workloads[load]
 	if tries == 0 {
 		a.recorder.RecordQuery(at-origin, load)
 	}
 	switch {
-	case a.down: // nobody listens
+	case a.down: // no process listens
 		a.recorder.RecordAnswer(at-origin, now-origin, load, tries, balance.Declined)
 		return
-	case now >= at+l.Timeout: // its client has left
+	case now >= at+l.Timeout: // the client no longer waits
 		a.recorder.RecordAnswer(at-origin, now-origin, load, tries, balance.Forfeited)
 		a.lastQuery++
 		a.scheduleClientRetry(now, a.lastQuery, &pendingQuery{workload: load, askedAt: at, retries: tries, shards: shards}, balance.Forfeited, 0)
@@ -222,7 +222,7 @@
 	a.serveQuery(now, &pendingQuery{workload: load, askedAt: at, retries: tries, shards: shards}, at+l.Timeout-now)
 }
 
-// serveQuery has a query that was taken in served here, or elsewhere.
+// serveQuery registers a query and has it served here or by another site.
 func (a *aggregator) serveQuery(now int64, q *pendingQuery, left int64) {
 	a.lastQuery++
 	number := a.lastQuery
@@ -243,11 +243,11 @@
 		return
 	}
 	a.decider.addQuery(now, number, q.workload, left, !q.forwardedIn && a.overQuota(now, q.workload), q.shards, q.weights)
-	a.trace(now, "query %d taken: %s, shards %v", number, l.Name, q.shards)
+	a.trace(now, "query %d received: %s, shards %v", number, l.Name, q.shards)
 	a.requestRound(now)
 }
 
-// trace tells who asked for it what happens here.
+// trace passes an event of this aggregator to Plan.Trace.
 func (a *aggregator) trace(now int64, format string, args ...any) {
 	if a.Trace != nil {
 		a.Trace(now-origin, fmt.Sprint("aggregator ", a.entityID), fmt.Sprintf(format, args...))
@@ -283,7 +283,7 @@
 	return a.NetworkDelay + int64(a.networkRNG.ExpFloat64()*float64(a.NetworkDelay)/4)
 }
 
-// runRound lets the brain decide, and carries it out in the node's order.
+// runRound asks the decider and carries out its decision, in the same order as package node.
 func (a *aggregator) runRound(now int64) {
 	a.lastRound = now
 	r := a.decider.decide(now)
@@ -293,7 +293,7 @@
 		number := len(q.parts[s.part])
 		q.parts[s.part] = append(q.parts[s.part], execution{replica: s.replica, sentAt: now})
 		if a.Trace != nil {
-			a.trace(now, "query %d part %d execution %d to replica %d, cut off in %.1f ms; own parts in flight at its holders: %s", s.query,
+			a.trace(now, "query %d part %d execution %d to replica %d, deadline in %.1f ms; own parts in flight at replicas of its shard: %s", s.query,
 				s.part, number, s.replica, float64(s.deadline-now)/1e6, a.describeInFlight(s.replica))
 		}
 		a.recorder.RecordExecution(q.askedAt-origin, number > 0)
@@ -314,7 +314,7 @@
 	}
 }
 
-// handleEnding is what the own module ends a query with. What it declines may go elsewhere first.
+// handleEnding handles the decider's ending of a query. A declined query is forwarded to another site if one accepts it.
 func (a *aggregator) handleEnding(now int64, e ending) {
 	q := a.queries[e.query]
 	if q != nil && !q.ended && a.siteGateway != nil {
@@ -326,7 +326,7 @@
 	a.finish(now, e)
 }
 
-// finish gives a query its one answer.
+// finish answers a query, to its client or to the site that forwarded it.
 func (a *aggregator) finish(now int64, e ending) {
 	q := a.queries[e.query]
 	if q != nil && q.forwardedOut {
@@ -356,12 +356,12 @@
 }
 
 var (
-	resultNames  = [...]string{"fulfilled", "an error", "turned away", "timed out", "no connection", "reset", "cancelled", "never left"}
+	resultNames  = [...]string{"fulfilled", "an error", "rejected", "timed out", "no connection", "reset", "cancelled", "never sent"}
 	outcomeNames = [...]string{"whole", "partial", "declined", "forfeited"}
 )
 
-// describeInFlight tells how many own parts are out at each holder of a replica's shard: what the module's pick goes by, and a reader
-// wants to see beside it.
+// describeInFlight lists the number of own parts in flight at each replica of a replica's shard. The module's pick is based on
+// it, so the trace shows it with each send.
 func (a *aggregator) describeInFlight(replica int) string {
 	count := map[int]int{}
 	for _, q := range a.queries {
--- a/lab/emulator/arrivals.go
+++ b/lab/emulator/arrivals.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 )
 
-// Arrivals are the queries of one load at one aggregator: when they come, and which shards they need. They go by the seed
-// alone, so the same come whatever is decided, and whether the fleet is emulated or real.
+// Arrivals generates the queries of one workload at one aggregator: when they arrive and which shards they need. They depend on
+// the seed alone, so they are the same for every policy, and for an emulated fleet and a real one.
 type Arrivals struct {
 	workload *Workload
 	rate     float64
@@ -16,9 +16,9 @@
 	rng      *rand.Rand
 }
 
-// Arrivals are those of a load at an aggregator, both by number.
+// Arrivals returns the generator of a workload at an aggregator, both by index.
 func (p *Plan) Arrivals(aggregator, load int) *Arrivals {
-	// One draw for all loads of an aggregator: where it gets much, it gets much of all.
+	// One draw for all workloads of an aggregator, so that a busy aggregator gets more queries of each kind.
 	share := math.Exp(p.LoadSigma*rand.New(rand.NewPCG(p.Seed, 4<<32+uint64(aggregator))).NormFloat64() - p.LoadSigma*p.LoadSigma/2)
 	a := &Arrivals{workload: &p.Workloads[load], duration: p.Duration, shards: p.Shards(),
 		rng: rand.New(rand.NewPCG(p.Seed, 2<<32+uint64(aggregator)<<8+uint64(load)))}
@@ -29,11 +29,12 @@
 	return a
 }
 
-// Next is when the next query after a time comes, ns from the run's start; false where none comes any more.
+// Next returns the arrival of the first query after a time, both in ns from the start of the run. It returns false if there is
+// none within the duration of the plan.
 func (a *Arrivals) Next(at int64) (int64, bool) {
 	for {
 		next, comes := a.nextWithoutWave(at)
-		// Of queries that come as at the height of the day so many are left out as it is lower now.
+		// Arrivals are drawn at the highest rate of the wave, then thinned to the present rate.
 		if l := a.workload; !comes || l.WaveAmplitude <= 0 || l.WavePeriod <= 0 ||
 			a.rng.Float64()*(1+l.WaveAmplitude) < 1+l.WaveAmplitude*math.Sin(2*math.Pi*float64(next)/float64(l.WavePeriod)) {
 			return next, comes
@@ -42,15 +43,15 @@
 	}
 }
 
-// nextWithoutWave is the next by a rate that changes at the edges of bursts alone.
+// nextWithoutWave returns the next arrival at the highest rate of the wave, which changes only at the edges of bursts.
 func (a *Arrivals) nextWithoutWave(at int64) (int64, bool) {
 	l := a.workload
 	for at < a.duration {
 		rate, until := a.rate*(1+max(l.WaveAmplitude, 0)), int64(math.MaxInt64)
-		if l.BurstInterval > 0 { // a rate that holds until the burst's next edge
+		if l.BurstInterval > 0 { // the rate is constant until the next edge of a burst
 			since := at - l.BurstStart
 			if since < 0 {
-				since = l.BurstInterval + since%l.BurstInterval // the end of a stretch without a burst
+				since = l.BurstInterval + since%l.BurstInterval // before the first burst: count back from it, in whole intervals
 			}
 			since %= l.BurstInterval
 			if until = at - since + l.BurstInterval; since < l.BurstTime && at >= l.BurstStart {
@@ -60,12 +61,12 @@
 		if next := at + int64(a.rng.ExpFloat64()*1e9/max(rate, 1e-9)); next < until {
 			return next, next < a.duration
 		}
-		at = until // by the law's want of memory the wait begins anew there
+		at = until // exponential waits are memoryless, so the draw can be repeated from the edge
 	}
 	return at, false
 }
 
-// DrawShards draws which shards the next query needs: all alike, or by Zipf's law, the first ones hot.
+// DrawShards draws the shards that the next query needs, uniformly or from a Zipf distribution in which the first shards are hot.
 func (a *Arrivals) DrawShards() []int {
 	if a.zipf == nil {
 		return a.rng.Perm(a.shards)[:a.workload.Parts]
@@ -80,7 +81,7 @@
 	return all
 }
 
-// zipf draws numbers by Zipf's law.
+// zipf draws numbers from a Zipf distribution, by its cumulative weights.
 type zipf struct{ cumulative []float64 }
 
 func newZipf(n int, skew float64) *zipf {
--- a/lab/emulator/baselines/baselines.go
+++ b/lab/emulator/baselines/baselines.go
@@ -1,8 +1,9 @@
-// Package baselines holds textbook ways to choose a replica, as baselines that the decision module is measured against. It does
-// no I/O and reads no clock.
+// Package baselines implements textbook policies for choosing a replica, which the decision module is compared with. It does no I/O
+// and reads no clock.
 //
-// Decides: which replica takes a part, by random choice, by turns, by least in flight, by the better of two, by a fading
-// mean of times, or with the truth in hand; each with plain retries and no guards.
+// Decides: which replica gets a part: a random one, the next in turn, the one with the fewest parts in flight, the better of two
+// random ones, the one with the lowest moving average of latencies, or the best by its true state. Each policy retries failed parts,
+// without the limits and guards of the decision module.
 package baselines
 
 import (
@@ -13,27 +14,27 @@
 	"willowsill/balance"
 )
 
-// Policies are the policies.
+// Policies are the names of the policies.
 var Policies = []string{"random", "turns", "least", "two", "ewma", "oracle"}
 
-// Config are what a rival is told. Times in ns.
+// Config configures a baseline. Times are in ns.
 type Config struct {
-	Policy        string
+	Policy        string // one of Policies
 	Seed          uint64
 	Shards        int
-	MaxExecutions int
-	MinCoverage   float64
+	MaxExecutions int                                        // of one part, the first included
+	MinCoverage   float64                                    // least share of the weight for a partial answer
 	RetrySafety   []balance.RetrySafety                      // by workload
-	Oracle        func(replica int) (wait int64, sound bool) // for the oracle alone: what a part there would wait
+	Oracle        func(replica int) (wait int64, sound bool) // for the policy "oracle": true wait for a new part at a replica, and whether it answers
 }
 
 const (
-	meanDecayNs      = 10e9    // ns in which a time is forgotten
-	attemptTimeShare = 1.0 / 3 // of the client's time that an execution has before it is dropped and tried elsewhere
-	answerMarginNs   = 10e6    // ns before a client's time is up that it is answered
+	meanDecayNs      = 10e9    // time constant of the moving average of latencies
+	attemptTimeShare = 1.0 / 3 // share of the client's timeout that an execution gets before it is retried elsewhere
+	answerMarginNs   = 10e6    // an answer is given this long before the client's timeout at the latest
 )
 
-// Send starts an execution.
+// Send is the decision to start an execution; Part is an index in the query.
 type Send struct {
 	Query    int32
 	Part     int
@@ -41,27 +42,27 @@
 	Deadline int64
 }
 
-// Ending is a final answer.
+// Ending is the decision to answer a query.
 type Ending struct {
 	Query   int32
 	Outcome balance.Outcome
 }
 
 type replica struct {
-	shard       int
+	shard       int // -1 before it is first listed
 	up          bool
 	inFlight    int
-	meanLatency float64 // ns
-	meanAt      int64
+	meanLatency float64 // moving average, ns
+	meanAt      int64   // time of its last update
 }
 
 type part struct {
 	shard        int
 	weight       float64
-	tried        []int // replicas
-	inFlight     bool  // the last one is under way
+	tried        []int // replica of each execution, in order
+	inFlight     bool  // the last execution has not ended
 	done         bool
-	unrepeatable bool // it may have run and must not again
+	unrepeatable bool // it is once-only and may have run
 }
 
 type query struct {
@@ -71,27 +72,27 @@
 	arrivedAt int64
 	parts     []part
 	ended     bool
-	inFlight  int
+	inFlight  int // executions in flight
 }
 
-// Baseline is one aggregator's decisions.
+// Baseline makes the decisions of one aggregator.
 type Baseline struct {
 	Config
 	rng      *rand.Rand
 	replicas []replica
-	holders  [][]int
-	nextTurn []int // by shard
+	holders  [][]int // replicas by shard
+	nextTurn []int   // by shard: count of picks, for round-robin
 	queries  map[int32]*query
-	open     []*query // open ones, the oldest first
+	open     []*query // unanswered queries, the oldest first
 }
 
-// New makes one.
+// New returns a baseline without replicas.
 func New(t Config) *Baseline {
 	return &Baseline{Config: t, rng: rand.New(rand.NewPCG(t.Seed, 77)), holders: make([][]int, t.Shards), nextTurn: make([]int, t.Shards),
 		queries: map[int32]*query{}}
 }
 
-// SetListed takes a replica's place on the list in.
+// SetListed records whether a replica of a shard is listed as up.
 func (r *Baseline) SetListed(number, shard int, up bool) {
 	for len(r.replicas) <= number {
 		r.replicas = append(r.replicas, replica{shard: -1})
@@ -103,7 +104,7 @@
 	r.replicas[number].up = up
 }
 
-// AddQuery takes a query in.
+// AddQuery adds a query that arrives now. It has one part for each of shards.
 func (r *Baseline) AddQuery(now int64, number int32, workload int, patience int64, shards []int, weights []float64) {
 	q := &query{number: number, workload: workload, arrivedAt: now, deadline: now + patience}
 	for i, s := range shards {
@@ -113,7 +114,7 @@
 	r.open = append(r.open, q)
 }
 
-// RecordOutcome takes an execution's end in.
+// RecordOutcome records the end of the last execution of part i of a query.
 func (r *Baseline) RecordOutcome(now int64, number int32, i int, result balance.Result, took int64) {
 	q := r.queries[number]
 	if q == nil {
@@ -127,7 +128,7 @@
 	if result == balance.Cancelled {
 		took = 0
 	}
-	if took > 0 { // a failure counts as at least as long as it held its place
+	if took > 0 { // failures count too, with the time until they ended
 		keep := math.Exp(-float64(now-at.meanAt) / meanDecayNs)
 		at.meanLatency, at.meanAt = keep*at.meanLatency+(1-keep)*float64(took), now
 	}
@@ -142,7 +143,7 @@
 	}
 }
 
-// Decide returns what is to be sent and answered now, and when it wants to be called again, 0 for no such time.
+// Decide returns the executions to send and the queries to answer now, and when it must be called again (0 if there is no such time).
 func (r *Baseline) Decide(now int64) (sends []Send, endings []Ending, wake int64) {
 	r.open = slices.DeleteFunc(r.open, func(q *query) bool {
 		final, over := r.outcome(now, q)
@@ -180,7 +181,7 @@
 	return sends, endings, wake
 }
 
-// outcome tells whether a query ends now, and how.
+// outcome returns how a query ends, and whether it ends now.
 func (r *Baseline) outcome(now int64, q *query) (balance.Outcome, bool) {
 	done, open, ran := 0.0, false, false
 	for i := range q.parts {
@@ -206,7 +207,7 @@
 	return balance.Declined, true
 }
 
-// pick chooses a replica for a part, or -1. One that it ran at is left out while there are others.
+// pick chooses a replica for a part, or returns -1. It avoids replicas that were tried before, while there are others.
 func (r *Baseline) pick(now int64, p *part) int {
 	var able []int
 	for _, h := range r.holders[p.shard] {
@@ -255,7 +256,7 @@
 	return able[r.rng.IntN(len(able))]
 }
 
-// leastBy is the one with the least of something; of equals the next by turns.
+// leastBy returns the replica with the lowest value of of. Among equals it takes turns, starting at index first.
 func leastBy(able []int, first int, of func(int) float64) int {
 	best, at := -1, math.Inf(1)
 	for i := range able {
--- a/lab/emulator/baselines/baselines_test.go
+++ b/lab/emulator/baselines/baselines_test.go
@@ -8,7 +8,8 @@
 
 const ms = int64(1e6)
 
-// fourHolders holders of one shard; the second is up to nothing good where a test says so.
+// fourHolders returns a baseline with four replicas of one shard. For the policy "oracle", replica 3 is unhealthy and replica 2 has the
+// shortest wait of the others.
 func fourHolders(policy string, effect balance.RetrySafety) *Baseline {
 	r := New(Config{Policy: policy, Seed: 1, Shards: 1, MaxExecutions: 3, MinCoverage: 1, RetrySafety: []balance.RetrySafety{effect},
 		Oracle: func(replica int) (int64, bool) { return int64(10-replica) * ms, replica != 3 }})
@@ -18,7 +19,7 @@
 	return r
 }
 
-// firstSend takes a query of one part in and returns where it goes, or -1.
+// firstSend adds a query of one part and returns the replica that it is sent to, or -1.
 func (r *Baseline) firstSend(now int64, number int32) int {
 	r.AddQuery(now, number, 0, 1000*ms, []int{0}, []float64{1})
 	sends, _, _ := r.Decide(now)
@@ -30,12 +31,12 @@
 	return -1
 }
 
-// Each policy chooses as its name says.
+// Each policy chooses replicas as its name says.
 func TestPick(t *testing.T) {
 	turns := fourHolders("turns", balance.Repeatable)
 	for i := range int32(8) {
 		if to := turns.firstSend(0, i+1); to != int(i%4) {
-			t.Errorf("by turns query %d goes to %d", i, to)
+			t.Errorf("turns: query %d was sent to replica %d", i, to)
 		}
 	}
 	least := fourHolders("least", balance.Repeatable)
@@ -44,13 +45,13 @@
 		seen[least.firstSend(0, i+1)]++
 	}
 	if seen[0] != 2 || seen[1] != 2 || seen[2] != 2 || seen[3] != 2 {
-		t.Errorf("least in flight: %v", seen)
+		t.Errorf("least in flight: queries by replica %v", seen)
 	}
 	if to := fourHolders("oracle", balance.Repeatable).firstSend(0, 1); to != 2 {
-		t.Errorf("the oracle, who sees that 3 is sick and 2 the emptiest, goes to %d", to)
+		t.Errorf("oracle: sent to replica %d, want 2, as 3 is unhealthy and 2 has the shortest wait", to)
 	}
 	ewma := fourHolders("ewma", balance.Repeatable)
-	for i := range int32(4) { // 0 is slow, the others quick
+	for i := range int32(4) { // replica 0 is slow, the others are fast
 		to := ewma.firstSend(0, i+1)
 		took := 10 * ms
 		if to == 0 {
@@ -61,7 +62,7 @@
 	for i := range int32(20) {
 		to := ewma.firstSend(600*ms, 100+i)
 		if ewma.RecordOutcome(610*ms, 100+i, 0, balance.Fulfilled, 10*ms); to == 0 {
-			t.Errorf("the fading mean goes to the slow one, query %d", i)
+			t.Errorf("moving average: query %d was sent to the slow replica", i)
 		}
 	}
 	for _, policy := range []string{"random", "two"} {
@@ -75,43 +76,43 @@
 	}
 }
 
-// A part that fails is tried elsewhere while that is allowed, and a query has one end in its time.
+// A part that fails is retried on another replica if that is safe, and each query is answered once, before its timeout.
 func TestEnds(t *testing.T) {
 	r := fourHolders("turns", balance.Repeatable)
 	first := r.firstSend(0, 1)
 	r.RecordOutcome(5*ms, 1, 0, balance.Errored, 5*ms)
 	sends, ends, _ := r.Decide(5 * ms)
 	if len(sends) != 1 || sends[0].Replica == first || len(ends) != 0 {
-		t.Errorf("after an error: %v %v", sends, ends)
+		t.Errorf("after an error: sends %v, endings %v", sends, ends)
 	}
 	r.RecordOutcome(9*ms, 1, 0, balance.Fulfilled, 4*ms)
 	if _, ends, _ = r.Decide(9 * ms); len(ends) != 1 || ends[0].Outcome != balance.Whole {
-		t.Errorf("fulfilled: %v", ends)
+		t.Errorf("after the part was fulfilled: endings %v", ends)
 	}
 	if _, ends, _ = r.Decide(10 * ms); len(ends) != 0 {
-		t.Errorf("a second end: %v", ends)
+		t.Errorf("the query was answered again: %v", ends)
 	}
 	once := fourHolders("turns", balance.OnceOnly)
 	once.firstSend(0, 1)
 	once.RecordOutcome(5*ms, 1, 0, balance.Reset, 5*ms)
 	if sends, ends, _ = once.Decide(5 * ms); len(sends) != 0 || len(ends) != 1 || ends[0].Outcome != balance.Forfeited {
-		t.Errorf("once-only, and may have run: %v %v", sends, ends)
+		t.Errorf("a once-only part that may have run: sends %v, endings %v", sends, ends)
 	}
 	once.firstSend(10*ms, 2)
 	once.RecordOutcome(11*ms, 2, 0, balance.ConnectFailed, ms)
 	if sends, _, _ = once.Decide(11 * ms); len(sends) != 1 {
-		t.Error("once-only, and never ran: not tried again")
+		t.Error("a once-only part that never ran was not retried")
 	}
 	late := fourHolders("turns", balance.Repeatable)
 	late.firstSend(0, 1)
 	if _, ends, _ = late.Decide(995 * ms); len(ends) != 1 || ends[0].Outcome != balance.Declined {
-		t.Errorf("at the end of its time: %v", ends)
+		t.Errorf("just before its timeout: endings %v", ends)
 	}
 	none := fourHolders("turns", balance.Repeatable)
 	for i := range 4 {
 		none.SetListed(i, 0, false)
 	}
 	if to := none.firstSend(0, 1); to >= 0 {
-		t.Errorf("with none up it goes to %d", to)
+		t.Errorf("with no replica up it was sent to replica %d", to)
 	}
 }
--- a/lab/emulator/checker/checker.go
+++ b/lab/emulator/checker/checker.go
@@ -1,5 +1,10 @@
-// Package checker watches what one aggregator and one replica do in a simulation and tells when a rule is broken. It keeps
-// books of its own and shares no code with what it watches.
+// Package checker observes aggregators and replicas in a simulation and reports violations of the rules that the decision module
+// must keep. It has its own state and shares no code with what it observes.
+//
+// The rules by number: 0, no healthy replica is starved; 1, each query gets exactly one answer in the client's time, and no part is
+// sent after it; 2, a part runs again only where that is safe; 3, parts go only to replicas that are listed as up; 4, no cold
+// replica is overloaded; 5, an answer covers as much of the query as it claims; 6, executions keep their limit and the retry
+// budget; 7, a link keeps its rate; 8, a customer keeps its quota.
 package checker
 
 import (
@@ -7,33 +12,33 @@
 	"strings"
 )
 
-// What an execution did, as its outcome says; the numbers are the checker's own.
+// Results of an execution, as far as its outcome shows them. The numbers are independent of package balance.
 const (
-	Fulfilled = iota
-	NeverRan
-	MayHaveRun
+	Fulfilled  = iota // it ran and its reply arrived
+	NeverRan          // it certainly had no effect
+	MayHaveRun        // it may have had its effect
 )
 
-// Effects of a workload.
+// Kinds of retry safety of a workload.
 const (
-	Repeatable = iota
-	Tagged
-	OnceOnly
+	Repeatable = iota // may run any number of times
+	Tagged            // replicas recognise repeats within a window
+	OnceOnly          // must not run a second time
 )
 
-// Bounds are what the rules of a deployment state. Times in ns.
+// Bounds are the limits of a deployment that the rules refer to. Times are in ns.
 type Bounds struct {
-	DedupWindow   int64   // for which repeats of a tagged part are recognised
-	MinCoverage   float64 // least share of the weight for an answer
-	FullCoverage  float64 // share of the weight for a whole one
-	MaxExecutions int     // of one part
-	Budgeted      bool
-	RetrySlack    float64 // further executions,
-	RetryRatio    float64 // and so many for each query or part taken,
-	RetryWindow   int64   // within any such span
+	DedupWindow   int64   // how long repeats of a tagged part are recognised
+	MinCoverage   float64 // least share of the weight for an answer with values
+	FullCoverage  float64 // least share of the weight for a whole answer
+	MaxExecutions int     // executions of one part, the first included
+	Budgeted      bool    // the retry budget below applies
+	RetrySlack    float64 // retries allowed in any RetryWindow
+	RetryRatio    float64 // additional retries allowed per query and part received in it
+	RetryWindow   int64
 }
 
-// Violation is a rule that was broken. Text ends with what was seen of the query or the replica, the first first.
+// Violation is a violated rule. Text ends with the history of the query, if there is one, the oldest event first.
 type Violation struct {
 	Rule    int
 	At      int64
@@ -45,7 +50,7 @@
 	what := fmt.Sprint("rule ", b.Rule)
 	switch b.Rule {
 	case RuleStarvation:
-		what = "the mechanism"
+		what = "starvation"
 	case RuleLinkRate:
 		what = "a link's limit"
 	case RuleQuota:
@@ -54,51 +59,52 @@
 	return fmt.Sprintf("%s at %.6f s, %s: %s", what, float64(b.At)/1e9, b.Subject, b.Text)
 }
 
-// Aggregator watches one aggregator.
+// Aggregator checks one aggregator.
 type Aggregator struct {
 	Bounds
 	Name            string
-	CheckStarvation bool // parts go by what is in flight, so nobody may be starved
+	CheckStarvation bool // whether rule 0 applies: only to policies that choose by parts in flight
 	queries         map[int32]*query
-	listed          map[int]bool // replicas that may be sent to, as the list says
-	loads           map[int]*replicaLoad
-	holders         map[int][]int   // replicas, by shard
-	arrivals        []int64         // times of queries and parts within the budget's span
-	retries         []int64         // and of further executions
-	forwards        map[int][]int64 // by link, when queries left over it
+	listed          map[int]bool         // replicas that the list shows as up
+	loads           map[int]*replicaLoad // by replica
+	holders         map[int][]int        // the replicas of each shard
+	arrivals        []int64              // times at which queries and parts arrived, within the retry window
+	retries         []int64              // times of retries, within the retry window
+	forwards        map[int][]int64      // by link: times at which queries were forwarded in the last second
 	Violations      []Violation
 }
 
-// replicaLoad is what a replica gets of its shard's parts.
+// replicaLoad is how the parts of a shard are distributed, from one replica's view.
 type replicaLoad struct {
 	shard         int
-	upSince       int64 // the list has let it be sent to since then, -1 for not
-	lastFailure   int64 // an execution there last ended otherwise than fulfilled
-	partsToOthers int   // parts that its shard's others got since
-	inFlight      int   // parts in flight, by the checker's own count
+	upSince       int64 // since when it is listed as up, -1 if it isn't
+	lastFailure   int64 // when an execution there last ended unfulfilled
+	partsToOthers int   // parts that other replicas of its shard got since it last got one
+	inFlight      int   // parts in flight, as counted by the checker
 }
 
-// RuleStarvation is rule 0, of the mechanism itself: parts go by what is in flight, so a replica that has nothing in flight, is up and
-// has not failed lately must get some of its shard's parts.
+// Numbers of the rules that are named in code. RuleStarvation: where replicas are chosen by parts in flight, one that has none, is up and has
+// not failed recently must get some of its shard's parts. If it doesn't, its count of parts in flight is probably wrong.
 const (
 	RuleStarvation = 0
-	RuleLinkRate   = 7 // a link's limit
-	RuleQuota      = 8 // a quota's bound
+	RuleLinkRate   = 7 // more queries forwarded over a link than its rate allows
+	RuleQuota      = 8 // more queries admitted for a customer than its quota allows
 )
 
 const (
-	starvationParts  = 400  // parts of its shard that went to others,
-	starvationCalmNs = 20e9 // ns without a failure there
+	starvationParts  = 400  // parts to other replicas of the shard after which a replica counts as starved
+	starvationCalmNs = 20e9 // time without failures after which a replica must not be starved
 )
 
+// query is what the checker has seen of a query.
 type query struct {
 	deadline          int64
 	retrySafety       int
 	weights           []float64
 	executions        [][]execution
 	answered          bool
-	answeredElsewhere bool // its answer comes from elsewhere
-	history           []string
+	answeredElsewhere bool     // another site answers it, so this site's executions don't have to cover it
+	history           []string // what happened, for the text of violations
 }
 
 type execution struct {
@@ -108,7 +114,7 @@
 	result  int
 }
 
-// NewAggregator makes a watch over one.
+// NewAggregator returns a checker for the aggregator of this name.
 func NewAggregator(name string, b Bounds) *Aggregator {
 	return &Aggregator{Bounds: b, Name: name, queries: map[int32]*query{}, listed: map[int]bool{}, loads: map[int]*replicaLoad{}, holders: map[int][]int{}}
 }
@@ -116,7 +122,7 @@
 func (a *Aggregator) violate(rule int, now int64, q *query, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if q != nil {
-		text += "; seen: " + strings.Join(q.history, ", ")
+		text += "; history: " + strings.Join(q.history, ", ")
 	}
 	a.Violations = append(a.Violations, Violation{rule, now, a.Name, text})
 }
@@ -125,7 +131,7 @@
 	q.history = append(q.history, fmt.Sprintf("%.6f ", float64(now)/1e9)+fmt.Sprintf(format, args...))
 }
 
-// RecordListing tells whether the list now lets a replica of a shard be sent to.
+// RecordListing records whether the list shows a replica of a shard as up.
 func (a *Aggregator) RecordListing(now int64, replica, shard int, up bool) {
 	a.listed[replica] = up
 	r := a.loads[replica]
@@ -140,7 +146,7 @@
 	}
 }
 
-// checkStarvation looks for a replica that gets nothing while its shard's others do.
+// checkStarvation counts a part that was sent to a replica, and checks that no other replica of the shard is starved.
 func (a *Aggregator) checkStarvation(now int64, replica int) {
 	to := a.loads[replica]
 	if to == nil || !a.CheckStarvation {
@@ -160,17 +166,17 @@
 	}
 }
 
-// RecordQuery tells of a query.
+// RecordQuery records a query that arrives.
 func (a *Aggregator) RecordQuery(now int64, number int32, patience int64, effect int, weights []float64) {
 	q := &query{deadline: now + patience, retrySafety: effect, weights: weights, executions: make([][]execution, len(weights))}
-	q.record(now, "taken")
+	q.record(now, "received")
 	a.queries[number] = q
-	for range 1 + len(weights) { // the budget goes by queries and parts
+	for range 1 + len(weights) { // the retry budget grows with queries and with parts
 		a.arrivals = append(a.arrivals, now)
 	}
 }
 
-// RecordSend tells of an execution that leaves.
+// RecordSend checks an execution that is sent.
 func (a *Aggregator) RecordSend(now int64, number int32, part, replica int) {
 	q := a.queries[number]
 	if q == nil {
@@ -179,10 +185,10 @@
 	}
 	q.record(now, "part %d to replica %d", part, replica)
 	if q.answered || now > q.deadline {
-		a.violate(1, now, q, "a send after the final answer or the client's time")
+		a.violate(1, now, q, "an execution sent after the final answer or the client's timeout")
 	}
 	if !a.listed[replica] {
-		a.violate(3, now, q, "a send to replica %d, which drains or has gone", replica)
+		a.violate(3, now, q, "an execution sent to replica %d, which is draining or not listed", replica)
 	}
 	a.checkStarvation(now, replica)
 	if r := a.loads[replica]; r != nil {
@@ -207,12 +213,13 @@
 	if len(runs) > 0 && a.Budgeted {
 		a.arrivals, a.retries = dropBefore(a.arrivals, now-a.RetryWindow), dropBefore(a.retries, now-a.RetryWindow)
 		if a.retries = append(a.retries, now); float64(len(a.retries)) > a.RetrySlack+a.RetryRatio*float64(len(a.arrivals)) {
-			a.violate(6, now, q, "%d further executions for %d queries and parts", len(a.retries), len(a.arrivals))
+			a.violate(6, now, q, "%d retries for %d queries and parts", len(a.retries), len(a.arrivals))
 		}
 	}
 	q.executions[part] = append(runs, execution{sentAt: now, replica: replica})
 }
 
+// dropBefore removes the times before since from a sorted list.
 func dropBefore(times []int64, since int64) []int64 {
 	n := 0
 	for n < len(times) && times[n] < since {
@@ -221,7 +228,7 @@
 	return times[n:]
 }
 
-// RecordOutcome tells how an execution ended in truth.
+// RecordOutcome records the result of an execution, independently of how the decider interprets it.
 func (a *Aggregator) RecordOutcome(now int64, number int32, part, execution, ended int) {
 	q := a.queries[number]
 	if q == nil || execution >= len(q.executions[part]) {
@@ -237,7 +244,7 @@
 	q.record(now, "execution %d of part %d %s", execution, part, [...]string{"fulfilled", "never ran", "may have run"}[ended])
 }
 
-// RecordAnswer tells of a final answer: with values, all that is needed or less, or none.
+// RecordAnswer checks a final answer: whether it comes with values, and whether it claims to be whole.
 func (a *Aggregator) RecordAnswer(now int64, number int32, values, whole bool) {
 	q := a.queries[number]
 	if q == nil {
@@ -249,7 +256,7 @@
 		a.violate(1, now, q, "a second final answer")
 	}
 	if now > q.deadline {
-		a.violate(1, now, q, "an answer after the client's time")
+		a.violate(1, now, q, "an answer after the client's timeout")
 	}
 	q.answered = true
 	share, total := 0.0, 0.0
@@ -272,20 +279,21 @@
 	}
 }
 
-// RecordForward tells of a query that leaves over a link which bears so many a second: in no second may more, and half a second's
-// worth beside.
+// RecordForward checks a query that is forwarded over a link with a limit of queries per second. In any second, one and a half times
+// the limit is allowed, plus one query.
 func (a *Aggregator) RecordForward(now int64, link int, limit float64) {
 	if a.forwards == nil {
 		a.forwards = map[int][]int64{}
 	}
 	all := append(dropBefore(a.forwards[link], now-1e9), now)
 	if a.forwards[link] = all; float64(len(all)) > 1.5*limit+1 {
-		a.violate(RuleLinkRate, now, nil, "%d queries in a second over link %d, which bears %.1f", len(all), link, limit)
+		a.violate(RuleLinkRate, now, nil, "%d queries in a second over link %d, whose limit is %.1f", len(all), link, limit)
 	}
 }
 
-// CheckQuota checks when all aggregators together let queries of a customer in as within its quota: in any stretch of S seconds no more
-// than three times the rate for S and two windows, what may be saved up, and one for each aggregator. Times are sorted.
+// CheckQuota checks the sorted times at which all aggregators together admitted queries of a customer as within its quota. In any
+// interval of S seconds, the bound is three times the rate over S plus two windows, plus the burst and one query per aggregator. S is
+// one, three and ten windows; window is in seconds.
 func CheckQuota(times []int64, customer string, rate, burst, window float64, aggregators int) []Violation {
 	for _, windows := range []float64{1, 3, 10} {
 		span := windows * window
@@ -296,56 +304,55 @@
 				first++
 			}
 			if n := i - first + 1; float64(n) > most {
-				return []Violation{{RuleQuota, at, "customer " + customer, fmt.Sprintf("%d queries within its quota in %.0f s, at most %.0f", n, span, most)}}
+				return []Violation{{RuleQuota, at, "customer " + customer, fmt.Sprintf("%d queries admitted within its quota in %.0f s, at most %.0f are allowed", n, span, most)}}
 			}
 		}
 	}
 	return nil
 }
 
-// RecordElsewhere tells that a query's answer comes from another site, which has a watch of its own.
+// RecordElsewhere records that a query is answered by another site, whose aggregator has its own checker.
 func (a *Aggregator) RecordElsewhere(number int32) {
 	if q := a.queries[number]; q != nil {
 		q.answeredElsewhere = true
 	}
 }
 
-// ClientTimeout tells that a client's time is over; a query without its answer by then is lost. What was kept of it is forgotten later,
-// by Forget.
+// ClientTimeout reports a query as lost if it has no answer when its client stops waiting. Forget drops its state later.
 func (a *Aggregator) ClientTimeout(now int64, number int32) {
 	if q := a.queries[number]; q != nil && !q.answered {
-		a.violate(1, now, q, "no answer in the client's time")
+		a.violate(1, now, q, "no answer before the client's timeout")
 	}
 }
 
-// Forget drops a query of which nothing more can come.
+// Forget drops the state of a query, for which no more events can follow.
 func (a *Aggregator) Forget(number int32) { delete(a.queries, number) }
 
-// RecordCrash tells that the aggregator died with all it held: its queries are nobody's fault. What it was told of the list it is
-// told again.
+// RecordCrash forgets all queries, whose loss by a crash is no violation, and all listings, which the aggregator gets again when it
+// restarts.
 func (a *Aggregator) RecordCrash() {
 	a.queries, a.loads, a.holders, a.listed, a.retries = map[int32]*query{}, map[int]*replicaLoad{}, map[int][]int{}, map[int]bool{}, nil
 }
 
-// Replica watches what comes to one replica.
+// Replica checks the load on one replica while it is cold.
 type Replica struct {
 	Name           string
 	Violations     []Violation
-	ColdCapacity   float64 // share of its capacity that a fresh one has
-	WarmUpTime     int64
-	OverloadFactor float64 // its present capacity, that push a cold one over
-	OverloadSpan   int64   // when kept up for so long
-	WarmRate       float64 // executions a second that it can do when warm
-
-	startedAt int64
-	arrivals  []int64
+	ColdCapacity   float64 // share of its capacity right after the start
+	WarmUpTime     int64   // until full capacity, ns; the capacity grows linearly
+	OverloadFactor float64 // multiple of its present capacity that crashes a cold replica
+	OverloadSpan   int64   // interval in which the load is counted, ns
+	WarmRate       float64 // executions per second when warm
+
+	startedAt int64   // 0 if warm since before the run
+	arrivals  []int64 // within OverloadSpan
 }
 
-// RecordStart tells that it is fresh.
+// RecordStart records that the replica has started and is cold.
 func (r *Replica) RecordStart(now int64) { r.startedAt, r.arrivals = now, r.arrivals[:0] }
 
-// RecordArrival tells of an execution that arrives, and whether the replica falls over by it: more than so many times its present
-// capacity, within the span, while it is cold.
+// RecordArrival records an execution that arrives. It returns true if the replica crashes by it, because it is cold and more than
+// OverloadFactor times its present capacity has arrived within OverloadSpan.
 func (r *Replica) RecordArrival(now int64) (falls bool) {
 	age := now - r.startedAt
 	if r.startedAt == 0 || age >= r.WarmUpTime {
@@ -357,6 +364,6 @@
 		return false
 	}
 	r.Violations = append(r.Violations, Violation{4, now, r.Name,
-		fmt.Sprintf("%d executions in %d ms, with room for %.1f a second: pushed over", len(r.arrivals), r.OverloadSpan/1e6, capacity)})
+		fmt.Sprintf("overloaded during warm-up: %d executions in %d ms, with a capacity of %.1f per second", len(r.arrivals), r.OverloadSpan/1e6, capacity)})
 	return true
 }
--- a/lab/emulator/checker/checker_test.go
+++ b/lab/emulator/checker/checker_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Each bound is told when it is passed, and not before.
+// The checks of link rates and quotas report a violation when the bound is exceeded, and none below it.
 func TestBounds(t *testing.T) {
 	a := NewAggregator("a", Bounds{FullCoverage: 1, MaxExecutions: 3})
-	for i := range 200 { // a hundred a second, of a hundred that the link bears
+	for i := range 200 { // 100 per second, at a limit of 100
 		a.RecordForward(int64(i)*10e6, 0, 100)
 	}
 	if len(a.Violations) > 0 {
@@ -19,7 +19,7 @@
 	}
 	var times []int64
 	for i := range 1000 {
-		times = append(times, int64(i)*100e6) // ten a second
+		times = append(times, int64(i)*100e6) // 10 per second
 	}
 	if b := CheckQuota(times, "c", 10, 10, 10, 5); b != nil {
 		t.Errorf("within its quota: %v", b)
--- a/lab/emulator/decider.go
+++ b/lab/emulator/decider.go
@@ -7,7 +7,7 @@
 	"willowsill/lab/emulator/baselines"
 )
 
-// send, giveUp and ending are what a brain asks for, with the emulator's own numbers of queries.
+// send is a decision to start an execution. Queries are identified by the emulator's own numbers, here and below.
 type send struct {
 	query    int32
 	part     int
@@ -15,17 +15,20 @@
 	deadline int64
 }
 
+// cancellation is a decision to cancel an execution; execution is its index among those of the part.
 type cancellation struct {
 	query           int32
 	part, execution int
 }
 
+// ending is a decision to answer a query. retryAfter is the time after which a declined client may retry, 0 for none given.
 type ending struct {
 	query      int32
 	outcome    balance.Outcome
 	retryAfter int64
 }
 
+// decision is what a decider wants done, and when it wants to be asked again (0 for no such time).
 type decision struct {
 	sends         []send
 	cancellations []cancellation
@@ -33,7 +36,8 @@
 	wakeAt        int64
 }
 
-// decider decides for one aggregator: the module, or a rival.
+// decider makes the decisions of one aggregator: the production module or a baseline. overQuota says that the customer has
+// exceeded its quota.
 type decider interface {
 	updateListing(now int64, l balance.Listing)
 	addQuery(now int64, number int32, load int, patience int64, over bool, shards []int, weights []float64)
@@ -42,12 +46,12 @@
 	forget(number int32)
 }
 
-// moduleDecider is the true one, called as the node calls it.
+// moduleDecider runs the production module (package balance), called in the same way as package node calls it.
 type moduleDecider struct {
 	aggregator *balance.Aggregator
 	queries    map[int32]*balance.Query
 	numbers    map[*balance.Query]int32
-	buffers    decision
+	buffers    decision // the last decision, whose slices are reused
 }
 
 func newModuleDecider(now int64, d balance.Deployment, whole []balance.Listing) *moduleDecider {
@@ -99,7 +103,7 @@
 	delete(m.queries, number)
 }
 
-// baselineDecider is a baseline.
+// baselineDecider adapts a baseline policy to decider.
 type baselineDecider struct{ *baselines.Baseline }
 
 func newBaselineDecider(p *Plan, number int, whole []balance.Listing, sees func(int) (int64, bool)) baselineDecider {
@@ -141,7 +145,7 @@
 
 func (r baselineDecider) forget(int32) {}
 
-// defectiveDecider is a module that is broken on purpose, to show that the checker tells.
+// defectiveDecider introduces one of Defects into a decider, to show that the checker detects it.
 type defectiveDecider struct {
 	decider
 	defect string
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -15,7 +15,7 @@
 	second = int64(1e9)
 )
 
-// smallPlan is a plan of a small fleet in which all goes well.
+// smallPlan returns a plan of a small fleet without faults.
 func smallPlan(policy string, seed uint64) Plan {
 	return Plan{Policy: policy, Seed: seed, Duration: 12 * second, MeasureFrom: 3 * second, MeasureUntil: 11 * second, Aggregators: 6, Replicas: 24,
 		ReplicasPerShard: 4, Workers: 2, ServiceTime: 20 * ms, ServiceTimeSigma: 0.4, QueueLimit: 40, NetworkDelay: 500_000, ListDelay: second / 2, Tick: 5 * ms,
@@ -25,6 +25,7 @@
 			{Name: "pay", Rate: 5, Parts: 2, LatencyGoal: 300 * ms, Timeout: 900 * ms, MinCoverage: 1, Revenue: 4, RetrySafety: balance.OnceOnly}}}
 }
 
+// allFaults has one fault of each kind that affects replicas, at overlapping times.
 var allFaults = []Fault{
 	{Kind: "hang", Replicas: []int{0}, From: 2 * second, Until: 8 * second},
 	{Kind: "slow", Replicas: []int{1}, From: 3 * second, Until: 9 * second, Slowdown: 6},
@@ -36,6 +37,7 @@
 	{Kind: "drain", Replicas: []int{7}, From: 3 * second, Until: 6 * second},
 }
 
+// mustRun runs a plan and returns the result, also as JSON for comparison.
 func mustRun(t *testing.T, p Plan, cores int) (*Result, string) {
 	t.Helper()
 	r, err := Run(p, cores)
@@ -46,7 +48,7 @@
 	return r, string(text)
 }
 
-// One seed gives one run, on any number of cores, and another seed another.
+// The same seed gives the same result on any number of cores, and another seed gives another result.
 func TestSame(t *testing.T) {
 	t.Parallel()
 	for _, policy := range []string{"module", "shared", "sites", "two", "oracle"} {
@@ -65,17 +67,17 @@
 		_, one := mustRun(t, p, 1)
 		for _, cores := range []int{3, 8} {
 			if _, other := mustRun(t, p, cores); other != one {
-				t.Errorf("%s on %d cores: %s and %s", policy, cores, one, other)
+				t.Errorf("%s: on %d cores the result is %s, on one core %s", policy, cores, other, one)
 			}
 		}
 		p.Seed = 4
 		if _, other := mustRun(t, p, 2); other == one {
-			t.Errorf("%s: another seed gave the same run", policy)
+			t.Errorf("%s: another seed gave the same result", policy)
 		}
 	}
 }
 
-// The module keeps the rules under all faults together, and serves more than a random choice.
+// The decision module violates no rule under many simultaneous faults, and earns more than random choice.
 func TestKeepsRules(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(2) {
@@ -88,14 +90,15 @@
 		p.Policy = "random"
 		p.Budgeted = false
 		other, _ := mustRun(t, p, MaxCores())
-		t.Logf("seed %d: %.3f of %d, by random choice %.3f; %d events", seed, r.RevenueShare(), r.Asked, other.RevenueShare(), r.Events)
+		t.Logf("seed %d: revenue share %.3f of %d queries, by random choice %.3f; %d events", seed, r.RevenueShare(), r.Asked, other.RevenueShare(), r.Events)
 		if r.Asked < 1000 || r.RevenueShare() <= other.RevenueShare() {
-			t.Errorf("%.3f of %d in goal, by random choice %.3f", r.RevenueShare(), r.Asked, other.RevenueShare())
+			t.Errorf("revenue share %.3f of %d queries, by random choice %.3f", r.RevenueShare(), r.Asked, other.RevenueShare())
 		}
 	}
 }
 
-// Danger: a checker that sees nothing would pass everything: a module that is broken on purpose is caught, by its rule.
+// Danger: a checker that detects nothing would let every run pass. So each deliberate defect of the module must be reported as a violation
+// of the rule that it breaks.
 func TestBreaks(t *testing.T) {
 	t.Parallel()
 	rules := map[string]int{"count not lowered on reset": 0, "drain ignored": 3, "cold guard off": 4, "budget off": 6, "second answer": 1,
@@ -110,26 +113,27 @@
 			p = coldRestartPlan(1)
 			p.Defect = how
 		case "count not lowered on reset":
-			// Much is in flight when they die, and little later: where nothing else is in flight, one that counts as busy gets nothing.
+			// Many parts are in flight at the crash and few later. Only then does a replica whose count of parts in flight stays too high
+			// get no parts at all.
 			p.Duration, p.MeasureUntil, p.Aggregators, p.Workloads = 80*second, 79*second, 2, p.Workloads[:1]
 			p.Workloads[0].BurstFactor, p.Workloads[0].BurstInterval, p.Workloads[0].BurstTime, p.Workloads[0].Rate = 12, 100*second, 6*second, 20
 			p.Faults = []Fault{{Kind: "restart", Replicas: []int{3, 9}, From: 4 * second, Until: 5 * second}}
 		}
 		r, _ := mustRun(t, p, MaxCores())
 		if r.Violation == "" || r.Rule != rules[how] || !strings.Contains(r.Violation, " at ") {
-			t.Errorf("%s: %q", how, r.Violation)
+			t.Errorf("defect %q: got violation %q of rule %d, want rule %d", how, r.Violation, r.Rule, rules[how])
 		}
 		if p.Defect = ""; how == "count not lowered on reset" {
-			continue // a long one; all others show the same plan unbroken
+			continue // a long run; the other plans without a defect show the same
 		}
 		if r, _ := mustRun(t, p, MaxCores()); r.Violation != "" {
-			t.Errorf("%s taken back: %q", how, r.Violation)
+			t.Errorf("without the defect %q: %q", how, r.Violation)
 		}
 	}
 }
 
-// An aggregator that dies loses what it held and no more; one that freezes answers late what it must, and loses nothing that it
-// had time for.
+// An aggregator that crashes loses only the queries that it had, and one that freezes answers late, so both earn part of the revenue. A
+// crash violates no rule.
 func TestOwnFaults(t *testing.T) {
 	t.Parallel()
 	for _, kind := range AggregatorFaultKinds {
@@ -140,12 +144,13 @@
 			t.Error(r.Violation)
 		}
 		if share := r.RevenueShare(); share < 0.5 || share > 0.999 {
-			t.Errorf("%s: %.3f", kind, share)
+			t.Errorf("%s: revenue share %.3f", kind, share)
 		}
 	}
 }
 
-// coldRestartPlan has three of four holders of a shard restart, and be far slower at first than what all would send them.
+// coldRestartPlan returns a plan in which three of the four replicas of a shard restart, with a cold capacity far below the load that
+// all aggregators together would send them.
 func coldRestartPlan(seed uint64) Plan {
 	p := smallPlan("module", seed)
 	p.Workloads = p.Workloads[:1]
@@ -154,20 +159,22 @@
 	return p
 }
 
-// Cold replicas that all send to at once are pushed over, and the checker tells. The module's guard does not do it.
+// Cold replicas that all aggregators send to at once crash, and the checker reports it (rule 4). The decision module limits the load on
+// cold replicas, so they don't crash.
 func TestCold(t *testing.T) {
 	t.Parallel()
 	p := coldRestartPlan(2)
 	if r, _ := mustRun(t, p, MaxCores()); r.Violation != "" {
-		t.Errorf("the module: %s", r.Violation)
+		t.Errorf("decision module: %s", r.Violation)
 	}
 	p.Policy = "least"
 	if r, _ := mustRun(t, p, MaxCores()); r.Rule != 4 {
-		t.Errorf("by least in flight: %q", r.Violation)
+		t.Errorf("least in flight: got %q, want a violation of rule 4", r.Violation)
 	}
 }
 
-// With a store that answers, aggregators find what hangs together; whatever else it does, no rule is broken.
+// With a shared store that works, aggregators detect a hung replica together, so fewer executions reach it. However the store fails, no
+// rule is violated.
 func TestStores(t *testing.T) {
 	t.Parallel()
 	met := map[string]int{}
@@ -185,11 +192,11 @@
 		met[mode] = r.FaultyExecutions
 	}
 	if met["good"] > 7*met["none"]/10 {
-		t.Errorf("executions at the replica that hangs: %v", met)
+		t.Errorf("executions at the hung replica, by store mode: %v", met)
 	}
 }
 
-// With a site dark its queries are served at the other, and no rule is broken at either; without a gateway they are not.
+// When all replicas of a site hang, its queries are served by the other site if they can be forwarded, and no rule is violated.
 func TestSites(t *testing.T) {
 	t.Parallel()
 	shares := map[string]float64{}
@@ -213,7 +220,7 @@
 		shares[route] = r.RevenueShare()
 	}
 	if shares["none"] > 0.6 || shares["plan"] < 0.8 || shares["all"] < 0.8 {
-		t.Errorf("with a site dark %v", shares)
+		t.Errorf("revenue shares with one site down, by routing policy: %v", shares)
 	}
 }
 
@@ -230,7 +237,7 @@
 		p := smallPlan("module", 1)
 		change(&p)
 		if _, err := Run(p, 1); err == nil {
-			t.Errorf("%s: nothing was said", name)
+			t.Errorf("%s: the invalid plan was accepted", name)
 		}
 	}
 }
@@ -256,8 +263,8 @@
 	}
 }
 
-// Replicas that stand still now and then, that lose speed under many parts, that drop what nobody waits for, and that work on what
-// was given up: each of these moves what is served, the way it should.
+// Spontaneous pauses, slowdown by crowding, dropping of expired parts and finishing of cancelled parts each change the revenue or the
+// latency in the expected direction.
 func TestLaws(t *testing.T) {
 	t.Parallel()
 	play := func(change func(*Plan)) *Result {
@@ -265,18 +272,18 @@
 		p.Budgeted, p.Workloads = false, p.Workloads[:1]
 		change(&p)
 		r, _ := mustRun(t, p, MaxCores())
-		t.Logf("%.3f in goal, p50 %.1f ms, p99 %.1f ms", r.RevenueShare(), float64(r.P50)/1e6, float64(r.P99)/1e6)
+		t.Logf("revenue share %.3f, p50 %.1f ms, p99 %.1f ms", r.RevenueShare(), float64(r.P50)/1e6, float64(r.P99)/1e6)
 		return r
 	}
 	stops := func(p *Plan) { p.PauseInterval, p.PauseTime = 2*second, 150*ms }
 	plain, stopped := play(func(*Plan) {}), play(stops)
 	if stopped.P99 < plain.P99+75*ms || stopped.P50 > plain.P50+20*ms {
-		t.Errorf("with pauses of 150 ms the slowest take %d ns, without %d", stopped.P99, plain.P99)
+		t.Errorf("with pauses of 150 ms the p99 is %d ns, without pauses %d ns", stopped.P99, plain.P99)
 	}
 	crowd := func(p *Plan) { p.Workloads[0].Rate, p.CrowdingSlowdown, p.CrowdingThreshold = 80, 0.1, 2 }
 	busy, crowded := play(func(p *Plan) { p.Workloads[0].Rate = 80 }), play(crowd)
 	if crowded.RevenueShare() > busy.RevenueShare()-0.02 {
-		t.Errorf("%.3f served by replicas that slow down under many parts, %.3f else", crowded.RevenueShare(), busy.RevenueShare())
+		t.Errorf("revenue share %.3f with crowding, %.3f without", crowded.RevenueShare(), busy.RevenueShare())
 	}
 	keeps := play(func(p *Plan) {
 		crowd(p)
@@ -287,7 +294,7 @@
 		p.FinishCancelled, p.KeepCancelledQueued, p.DropExpired = true, true, true
 	})
 	if keeps.RevenueShare() > crowded.RevenueShare()-0.1 || drops.RevenueShare() <= keeps.RevenueShare() {
-		t.Errorf("%.3f served where what is given up is worked on, %.3f where it is not, %.3f where what waits too long is dropped",
+		t.Errorf("revenue share %.3f if cancelled parts are finished, %.3f if they are not, %.3f if expired parts are dropped as well",
 			keeps.RevenueShare(), crowded.RevenueShare(), drops.RevenueShare())
 	}
 }
--- a/lab/emulator/eventqueue/eventqueue.go
+++ b/lab/emulator/eventqueue/eventqueue.go
@@ -1,7 +1,8 @@
-// Package eventqueue keeps the events of a simulation in their order: a calendar of short days, of which only the present one is
-// sorted, and a heap for what is far away. It is made for events that mostly come within the calendar's reach.
+// Package eventqueue holds the events of a simulation in order. It is a calendar queue: events of the next half second are in
+// short buckets, of which only the current one is sorted, and later events are in a heap. It is fast for events that are mostly
+// less than half a second ahead.
 //
-// Decides: which event is next, the same whatever order they were put in.
+// Decides: which event is next, independent of the order in which events were pushed.
 package eventqueue
 
 import (
@@ -11,12 +12,12 @@
 	"slices"
 )
 
-// Event is one thing that happens to one entity. Two are never equal in At, From and Seq together.
+// Event is an event at one entity. No two events have the same At, From and Seq. The fields from Result on are the sender's.
 type Event struct {
-	At   int64 // ns
-	From int32 // who caused it,
-	To   int32 // and whom it befalls
-	Seq  uint64
+	At   int64  // ns
+	From int32  // entity that scheduled it
+	To   int32  // entity at which it happens
+	Seq  uint64 // increases with each event that From schedules
 	Kind uint8
 
 	Result  uint8
@@ -24,10 +25,10 @@
 	Attempt int16
 	Query   int32
 	Value   int64
-	Payload any // what a message carries; whoever gets it owns it
+	Payload any // owned by the receiver
 }
 
-// Compare orders events in time, and those of one time by who caused them and in what order.
+// Compare orders events by time, and those of the same time by the entity that scheduled them and the order in which it did.
 func Compare(a, b Event) int {
 	if a.At != b.At {
 		return cmp.Compare(a.At, b.At)
@@ -36,32 +37,32 @@
 }
 
 const (
-	bucketBits  = 17                // a day has 2^17 ns, 0.13 ms,
-	bucketCount = 1 << 12           // and the calendar 4096 of them: half a second
-	bucketMask  = bucketCount - 1   // of a day's number
-	never       = math.MaxInt64 / 2 // no event is so far away
+	bucketBits  = 17                // a bucket covers 2^17 ns (0.13 ms)
+	bucketCount = 1 << 12           // all buckets together cover half a second
+	bucketMask  = bucketCount - 1   // gives the slot of a bucket number
+	never       = math.MaxInt64 / 2 // later than any event
 )
 
-// Queue is the queue. Its zero value is not usable; see New.
+// Queue is a priority queue of events. Its zero value is not usable; see New.
 type Queue struct {
-	current   int64     // its number
-	sorted    []Event   // of today and before, sorted, the next one last
-	added     []Event   // put in for today since it was sorted, a heap
-	buckets   [][]Event // of the days that follow, not sorted
-	occupied  [bucketCount / 64]uint64
-	overflow  byTime // beyond the calendar
-	inBuckets int    // in days
+	current   int64                    // number of the current bucket
+	sorted    []Event                  // events of the current bucket and earlier, the next one last
+	added     []Event                  // events pushed for the current bucket since it was sorted, a heap
+	buckets   [][]Event                // events of the buckets that follow, unsorted, by bucket number & bucketMask
+	occupied  [bucketCount / 64]uint64 // bitmap of the slots with events
+	overflow  byTime                   // events later than all buckets, a heap
+	inBuckets int                      // number of events in buckets
 }
 
-// New makes an empty agenda; no event may come before start, ns from 0 on.
+// New returns an empty queue. start is the earliest time of an event, in ns and not negative.
 func New(start int64) *Queue {
 	return &Queue{current: start >> bucketBits, buckets: make([][]Event, bucketCount)}
 }
 
-// Len is how many events wait.
+// Len returns the number of queued events.
 func (a *Queue) Len() int { return len(a.sorted) + len(a.added) + a.inBuckets + len(a.overflow) }
 
-// Push puts an event in. One before the present day counts as of today.
+// Push adds an event. One earlier than the current bucket is put into that bucket.
 func (a *Queue) Push(e Event) {
 	switch day := e.At >> bucketBits; {
 	case day <= a.current:
@@ -76,7 +77,7 @@
 	}
 }
 
-// NextTime is when the next event comes; a time that never comes where there is none.
+// NextTime returns the time of the next event, or a time later than any event if the queue is empty.
 func (a *Queue) NextTime() int64 {
 	if len(a.sorted) == 0 && len(a.added) == 0 && !a.advance() {
 		return never
@@ -91,7 +92,7 @@
 	return at
 }
 
-// Pop takes the next event out if it comes before a time.
+// Pop removes and returns the next event if it is before a time.
 func (a *Queue) Pop(before int64) (Event, bool) {
 	if a.NextTime() >= before {
 		return Event{}, false
@@ -105,20 +106,20 @@
 	return e, true
 }
 
-// advance goes to the next day that has events.
+// advance makes the next bucket with events the current one. It returns false if there is none.
 func (a *Queue) advance() bool {
 	if a.inBuckets == 0 {
 		if len(a.overflow) == 0 {
 			return false
 		}
-		a.current = a.overflow[0].At>>bucketBits - 1 // nothing lies between
+		a.current = a.overflow[0].At>>bucketBits - 1 // no bucket in between has events
 	}
 	a.current = a.nextBucket()
-	// What was far may be near now.
+	// Events of the overflow heap may be within the buckets now.
 	for len(a.overflow) > 0 && a.overflow[0].At>>bucketBits-a.current < bucketCount {
 		e := heap.Pop(&a.overflow).(Event)
 		if e.At>>bucketBits <= a.current {
-			a.added = append(a.added, e) // comes sorted, so it is a heap
+			a.added = append(a.added, e) // appended in order, which keeps the heap property
 			continue
 		}
 		slot := e.At >> bucketBits & bucketMask
@@ -134,7 +135,7 @@
 	return true
 }
 
-// nextBucket is the first day after today that has events, near or far.
+// nextBucket returns the number of the first bucket after the current one with events, in the buckets or in the overflow heap.
 func (a *Queue) nextBucket() int64 {
 	far := int64(never)
 	if len(a.overflow) > 0 {
--- a/lab/emulator/eventqueue/eventqueue_test.go
+++ b/lab/emulator/eventqueue/eventqueue_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is put in whenever, near or far or in the past, events come out in their order.
+// Events pushed in any order, for the near or far future or the past, are popped in order.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, seq := New(0), uint64(0)
@@ -28,20 +28,20 @@
 			before := now + rapid.Int64Range(0, 2e9).Draw(t, "before")
 			got, ok := a.Pop(before)
 			if want := len(model) > 0 && model[0].At < before; ok != want || ok && got != model[0] {
-				t.Fatalf("got %v %v of %v", got, ok, model)
+				t.Fatalf("popped %v %v, queued are %v", got, ok, model)
 			}
 			if ok {
 				now = got.At
 				model = model[1:]
 			}
 			if a.Len() != len(model) {
-				t.Fatalf("%d wait, want %d", a.Len(), len(model))
+				t.Fatalf("length %d, want %d", a.Len(), len(model))
 			}
 		}
 	})
 }
 
-// Each turn takes the next event out and puts one in for later, as a simulation does.
+// Each iteration pops the next event and pushes a later one, as a simulation does.
 func BenchmarkTurn(b *testing.B) {
 	const waiting = 100_000
 	later := func(chance *rand.Rand) int64 { return int64(chance.ExpFloat64() * 40e6) }
--- a/lab/emulator/hunt/hunt.go
+++ b/lab/emulator/hunt/hunt.go
@@ -1,7 +1,7 @@
-// Package hunt looks for the schedule of faults that harms a fleet most, or breaks a rule, and cuts it down to what is needed
-// for that. It plays nothing itself: how bad a schedule is, is told to it.
+// Package hunt searches for the schedule of faults that harms a fleet most or makes it violate a rule, and minimizes it. It runs no
+// simulation itself: its caller evaluates each schedule.
 //
-// Decides: which schedule of faults is tried next, which one is kept, and what can be left out of it.
+// Decides: which schedule of faults is tried next, which ones are kept for mutation, and what can be left out of the worst one.
 package hunt
 
 import (
@@ -11,22 +11,22 @@
 	"willowsill/lab/emulator"
 )
 
-// Config bound the search. Times in ns.
+// Config bounds the search. Times are in ns from the start of a run.
 type Config struct {
 	Seed                uint64
-	MaxSchedules        int // schedules that are tried
-	MaxFaults           int // of a schedule at most
-	Replicas            int
-	MaxReplicasPerFault int // replicas that one fault may befall
-	From                int64
-	Until               int64
-	Kinds               []string // that may befall; all where there are none
+	MaxSchedules        int      // schedules to try, without those of the minimization
+	MaxFaults           int      // faults per schedule
+	Replicas            int      // of the fleet
+	MaxReplicasPerFault int      // replicas that one fault may affect
+	From                int64    // earliest start of a fault
+	Until               int64    // latest end of a fault
+	Kinds               []string // kinds of faults to use; empty for all of emulator.FaultKinds
 }
 
-// Score is how a schedule went: a broken rule is worse than any share.
+// Score says how bad a schedule is. A violated rule is worse than any share of the revenue.
 type Score struct {
-	Rule  int // 0 for none
-	Share float64
+	Rule  int     // the violated rule, 0 for none
+	Share float64 // of the revenue
 }
 
 func (v Score) worseThan(than Score) bool {
@@ -36,22 +36,23 @@
 	return v.Share < than.Share
 }
 
-// Result is the worst schedule.
+// Result is the worst schedule found, minimized.
 type Result struct {
 	Faults []emulator.Fault
 	Score  Score
-	Tried  int
+	Tried  int // number of schedules evaluated
 }
 
 const (
-	newScheduleShare = 0.25 // of the tries are new schedules, the others small changes of the worst few so far
-	poolSize         = 4    // schedules that are changed further
-	shareTolerance   = 0.02 // of the share that a cut-down schedule may be milder
-	shrinkStep       = 0.5  // of a fault's length that is cut off at a time
-	minFaultNs       = 200e6
+	newScheduleShare = 0.25  // share of the schedules that are drawn afresh; the others are mutations of the worst few so far
+	poolSize         = 4     // number of worst schedules that are kept for mutation
+	shareTolerance   = 0.02  // how much higher the revenue share of a minimized schedule may be
+	shrinkStep       = 0.5   // share of a fault's length that remains after one step of shortening
+	minFaultNs       = 200e6 // shortest fault that is drawn or kept by shortening
 )
 
-// Search looks for the worst schedule and cuts it down. With the same terms and the same judge it finds the same.
+// Search finds the worst schedule by random search and mutation, and minimizes it. With the same configuration and a deterministic
+// evaluate the result is always the same. The search ends at the first violated rule.
 func Search(t Config, judge func([]emulator.Fault) Score) Result {
 	if len(t.Kinds) == 0 {
 		t.Kinds = emulator.FaultKinds
@@ -89,7 +90,7 @@
 	return f
 }
 
-// randomFault makes a fault by chance.
+// randomFault draws a fault.
 func (t *Config) randomFault(chance *rand.Rand) emulator.Fault {
 	span := t.Until - t.From
 	length := int64(minFaultNs) + chance.Int64N(max(span/2, 1))
@@ -102,7 +103,7 @@
 	return f
 }
 
-// mutate is a schedule with one fault drawn anew, moved, added or left out.
+// mutate returns a copy of a schedule with one fault redrawn, moved in time, added or removed.
 func (t *Config) mutate(chance *rand.Rand, was []emulator.Fault) []emulator.Fault {
 	faults := slices.Clone(was)
 	i := chance.IntN(len(faults))
@@ -123,10 +124,10 @@
 	return faults
 }
 
-// minimize leaves out of a schedule what it does not need: whole faults, then replicas, then time.
+// minimize removes from a schedule what is not needed for its effect: whole faults, then replicas, then time.
 //
-// Danger: a long schedule shows what went wrong to nobody; but one that is cut until the harm is another's would mislead, so
-// each cut must keep the rule, or nearly all of the harm.
+// Danger: minimizing can lead to a schedule that does its harm in a different way, which would mislead the reader. So each step must
+// keep the violated rule, or nearly all of the harm.
 func (t *Config) minimize(f *Result, judge func([]emulator.Fault) Score) {
 	as := func(v Score) bool {
 		if f.Score.Rule > 0 {
@@ -155,7 +156,7 @@
 			faults[i].Replicas = slices.Delete(slices.Clone(faults[i].Replicas), r, r+1)
 			try(faults)
 		}
-		for range 4 { // halves of its time
+		for range 4 { // keep the first or the second half of the fault, if that is enough
 			was := f.Faults[i]
 			length := int64(shrinkStep * float64(was.Until-was.From))
 			if length < minFaultNs {
--- a/lab/emulator/hunt/hunt_test.go
+++ b/lab/emulator/hunt/hunt_test.go
@@ -8,10 +8,10 @@
 	"willowsill/lab/emulator"
 )
 
-// What does the harm is found and all else is cut away; the same search finds the same.
+// The search finds the fault that does harm and removes all others, and the same search gives the same result.
 func TestSearch(t *testing.T) {
 	terms := Config{Seed: 5, MaxSchedules: 150, MaxFaults: 4, Replicas: 12, MaxReplicasPerFault: 4, From: 1e9, Until: 20e9}
-	judge := func(faults []emulator.Fault) Score { // a hang at replica 3 or 4 harms, for as long as it is beyond 10 s
+	judge := func(faults []emulator.Fault) Score { // harmful is only a hang of replica 3 or 4 that covers the time 12 s
 		share := 1.0
 		for _, f := range faults {
 			if f.Kind == "hang" && (slices.Contains(f.Replicas, 3) || slices.Contains(f.Replicas, 4)) && f.From < 12e9 && f.Until > 12e9 {
@@ -22,12 +22,12 @@
 	}
 	found := Search(terms, judge)
 	if len(found.Faults) != 1 || found.Faults[0].Kind != "hang" || len(found.Faults[0].Replicas) != 1 || found.Score.Share != 0.5 {
-		t.Errorf("%+v", found)
+		t.Errorf("found %+v, want one hang of one replica with share 0.5", found)
 	}
 	if again := Search(terms, judge); !reflect.DeepEqual(again, found) {
-		t.Errorf("%+v and %+v", found, again)
+		t.Errorf("the same search found %+v and then %+v", found, again)
 	}
-	rules := Search(terms, func(faults []emulator.Fault) Score { // a rule goes before any share
+	rules := Search(terms, func(faults []emulator.Fault) Score { // a violated rule is worse than any share
 		v := judge(faults)
 		for _, f := range faults {
 			if f.Kind == "drain" {
@@ -37,6 +37,6 @@
 		return v
 	})
 	if rules.Score.Rule != 3 || len(rules.Faults) != 1 || rules.Faults[0].Kind != "drain" {
-		t.Errorf("%+v", rules)
+		t.Errorf("found %+v, want one drain that violates rule 3", rules)
 	}
 }
--- a/lab/emulator/plan.go
+++ b/lab/emulator/plan.go
@@ -1,6 +1,7 @@
-// Package emulator plays whole fleets in virtual time: many aggregators, each with the true decision module unchanged, against
-// models of clients, replicas, a network and a list. One seed gives one run, always the same, on any number of cores. It
-// measures; it is no part of what serves. What its models leave out stands in docs/emulator.md.
+// Package emulator simulates whole fleets in virtual time: many aggregators, each running the production decision module
+// (package balance), against models of clients, replicas, the network and the replica list of service discovery. A run is
+// deterministic: the same seed gives the same result on any number of cores. The package is for measurements and is not part
+// of the serving programs. docs/emulator.md lists what the models leave out.
 package emulator
 
 import (
@@ -11,141 +12,141 @@
 	"willowsill/balance"
 )
 
-// Plan is one run. Times in ns, from the run's start.
+// Plan describes one run. Times are in ns, counted from the start of the run.
 type Plan struct {
-	Policy                    string // "module", or one of rivals.Names
+	Policy                    string // "module", or one of baselines.Policies
 	Seed                      uint64
-	Duration                  int64 // clients ask for so long
-	MeasureFrom, MeasureUntil int64 // what is asked in this stretch counts
+	Duration                  int64 // how long clients send queries
+	MeasureFrom, MeasureUntil int64 // only queries asked in this interval are counted
 
 	Aggregators, Replicas int
-	ReplicasPerShard      int     // replicas of each shard
-	Workers               int     // parts that a replica works on at a time
-	ServiceTime           int64   // that a part takes, the median
-	ServiceTimeSigma      float64 // of that, the standard deviation of its logarithm
-	HeavyTailShare        float64 // share of parts with a heavy tail: a Pareto law
-	SpeedSigma            float64 // of replicas' speed, the standard deviation of its logarithm
-	QueueLimit            int     // parts that may wait at a replica; more are turned away
-	CrowdingSlowdown      float64 // of its speed that a replica loses for each part a worker that it holds
-	CrowdingThreshold     float64 // beyond so many a worker
-	PauseInterval         int64   // between two pauses that a replica makes by itself, in the mean; 0 for none
-	PauseTime             int64   // and how long one is, from half to one and a half times this
-	DropExpired           bool    // what waits at a replica is dropped there once its time is up
-	NetworkDelay          int64   // to a replica, and back: at least, with a quarter more in the mean
-	ListDelay             int64   // until the list tells of a change, up to twice
-	Tick                  int64
-
-	MaxExecutions          int
-	CanCancel              bool
-	FinishCancelled        bool // what is given up is worked on to its end all the same,
-	KeepCancelledQueued    bool // and so is what was given up while it still waited
-	ColdCapacity           float64
-	WarmUpTime             int64
-	OverloadFactor         float64
-	OverloadSpan           int64
-	Budgeted               bool
+	ReplicasPerShard      int     // replicas that hold each shard
+	Workers               int     // parts that a replica processes concurrently
+	ServiceTime           int64   // median time to process a part
+	ServiceTimeSigma      float64 // standard deviation of the logarithm of the service time
+	HeavyTailShare        float64 // share of parts whose service time is multiplied by a Pareto draw
+	SpeedSigma            float64 // standard deviation of the logarithm of the replicas' speed
+	QueueLimit            int     // parts that may queue at a replica, which rejects more; 0 for no limit
+	CrowdingSlowdown      float64 // how much longer each part takes per queued or running part per worker
+	CrowdingThreshold     float64 // parts per worker up to which there is no such slowdown
+	PauseInterval         int64   // mean time between spontaneous pauses of a replica; 0 for none
+	PauseTime             int64   // mean length of such a pause; each is between 0.5 and 1.5 times this
+	DropExpired           bool    // a replica drops queued parts whose deadline has passed
+	NetworkDelay          int64   // least delay in each direction; exponential jitter adds a quarter on average
+	ListDelay             int64   // least time until a change is listed; at most twice this
+	Tick                  int64   // least time between two decision rounds of an aggregator
+
+	MaxExecutions          int     // of one part, the first included
+	CanCancel              bool    // executions can be cancelled
+	FinishCancelled        bool    // a replica finishes cancelled executions that are already running
+	KeepCancelledQueued    bool    // a replica also executes parts that were cancelled while queued
+	ColdCapacity           float64 // share of its capacity that a replica has right after its start
+	WarmUpTime             int64   // from a start to full capacity; the capacity grows linearly
+	OverloadFactor         float64 // multiple of its present capacity at which a cold replica crashes
+	OverloadSpan           int64   // interval in which that load is counted
+	Budgeted               bool    // retries are limited to RetrySlack + RetryRatio per query and part
 	RetrySlack, RetryRatio float64
-	RetryWindow            int64
-	LoadSigma              float64 // of the aggregators' shares of the load, as a standard deviation of the logarithm
-
-	CPU               CPUModel // of each aggregator's own processor
-	Zones             int      // that replicas are dealt over in blocks, and aggregators by turns; 0 or 1 for one
-	ZoneHealthEnabled bool     // aggregators know zones out of reach by few failures
-	Sites             int      // that the fleet is dealt over, replicas in blocks, aggregators by turns; 0 or 1 for one
-	Link              Link     // between any two of them
-	RoutingPolicy     string   // by what queries are carried: none, or one of routes.Policies
-	StoreMode         string   // how the shared store behaves, of Stores; empty for none
+	RetryWindow            int64   // interval that the retry budget covers
+	LoadSigma              float64 // standard deviation of the logarithm of an aggregator's load
+
+	CPU               CPUModel // cost of the work that an aggregator does itself
+	Zones             int      // number of zones; replicas are assigned in blocks, aggregators round-robin; 0 counts as 1
+	ZoneHealthEnabled bool     // aggregators detect unreachable zones with package zonehealth
+	Sites             int      // number of sites, assigned like zones; 0 counts as 1
+	Link              Link     // network between any two sites
+	RoutingPolicy     string   // how queries are forwarded to other sites: "none", or one of siterouting.PolicyNames
+	StoreMode         string   // behaviour of the shared store, one of StoreModes; empty for no store
 	Workloads         []Workload
 	Faults            []Fault
-	Trace             func(at int64, who, what string) // told of each decision and outcome, in its order on one core; nil for nobody
-	Defect            string                           // a way that the module is broken on purpose; see Breaks
+	Trace             func(at int64, who, what string) // called for each decision and outcome, in order if the run uses one core; nil for no trace
+	Defect            string                           // one of Defects to introduce deliberately; empty for none
 }
 
-// Workload is one kind of query.
+// Workload is one kind of query and the rate at which clients send it.
 type Workload struct {
 	Name                string
-	Rate                float64 // queries a second at each aggregator, in the mean
-	Parts               int     // each of another shard
-	LatencyGoal         int64
-	Timeout             int64
+	Rate                float64 // mean queries per second at each aggregator
+	Parts               int     // parts per query, each of a different shard
+	LatencyGoal         int64   // a complete answer within it earns Revenue
+	Timeout             int64   // after which the client stops waiting
 	RetrySafety         balance.RetrySafety
-	DedupWindow         int64 // tagged: how long repeats are recognised
-	MinCoverage         float64
+	DedupWindow         int64   // for tagged parts: how long replicas recognise a repeated execution
+	MinCoverage         float64 // least share of the weight for a partial answer
 	Revenue             float64
-	Skew                float64 // of shards: the exponent of Zipf's law; 0 for all alike
-	BurstFactor         float64 // times the rate,
-	BurstStart          int64   // from then on,
-	BurstInterval       int64   // at the start of each such stretch, 0 for none,
-	BurstTime           int64   // for so long
-	WaveAmplitude       float64 // of the rate, that it swings up and down by, as by day and night,
-	WavePeriod          int64   // once in so long
-	Quota               float64 // queries a second that its customer may ask over all aggregators, kept by the shared store; 0 for none
-	ImmediateRetryShare float64 // share of queries without an answer, or declined without advice, that their clients ask again soon
-	AdvisedRetryShare   float64 // share of declined queries that their clients ask again, when they are told to come back
+	Skew                float64 // exponent of the Zipf distribution of shards; 0 for a uniform one
+	BurstFactor         float64 // factor on the rate during a burst
+	BurstStart          int64   // start of the first burst
+	BurstInterval       int64   // time from the start of a burst to the next; 0 for no bursts
+	BurstTime           int64   // length of a burst
+	WaveAmplitude       float64 // relative amplitude of a sine wave on the rate (day and night); 0 for none
+	WavePeriod          int64   // period of that wave
+	Quota               float64 // queries per second of the customer over all aggregators, enforced through the shared store; 0 for none
+	ImmediateRetryShare float64 // share of queries that got no answer, or were declined without a retry time, which clients soon repeat
+	AdvisedRetryShare   float64 // share of declined queries with a retry time, which clients repeat at that time
 }
 
-// Fault is what befalls some replicas for a while.
+// Fault is a failure of some replicas, aggregators, zones or sites for a limited time.
 type Fault struct {
-	Kind        string // see Kinds
+	Kind        string // one of FaultKinds or AggregatorFaultKinds
 	Replicas    []int
-	Aggregators []int // for faults of theirs
-	Sites       []int // cut: which
-	Zones       []int // rift: which
-	Workload    int   // unanswered: the load, by number
+	Aggregators []int // for AggregatorFaultKinds
+	Sites       []int // for cut: the sites that are cut off
+	Zones       []int // for rift: the zones that are cut off
+	Workload    int   // for unanswered: index of the workload
 	From, Until int64
-	Slowdown    float64 // slow: how much
-	Period      int64   // flapping and pauses: the period
-	ActiveTime  int64   // and how long of it it lasts
+	Slowdown    float64 // for slow: factor on the service time
+	Period      int64   // for flap, pause and freeze: length of a period
+	ActiveTime  int64   // for flap, pause and freeze: bad time at the start of each period
 }
 
-// FaultKinds are the faults there are.
+// FaultKinds are the faults of replicas, zones, sites and the replica list.
 var FaultKinds = []string{
-	"hang",       // takes parts and says nothing
-	"slow",       // works so many times longer
-	"errors",     // answers with an error at once
-	"restart",    // dies at the start of the fault and is back, cold, at its end
-	"pause",      // works on nothing for a stretch of each period, then goes on
-	"flap",       // hangs for a stretch of each period
-	"unanswered", // parts of one load are taken and nothing is said, all others are well
-	"silence",    // what it answers is lost on the way
-	"rift",       // parts and answers between a zone and the others are lost, and nobody is told
-	"cut",        // the links of a site carry nothing, and nobody is told
-	"list",       // the list tells nobody of any change until the end; it befalls all
-	"drain",      // is told to drain at the start, and is up again at the end
+	"hang",       // accepts parts and never answers
+	"slow",       // multiplies the service time by Slowdown
+	"errors",     // answers every part with an error after 1 ms
+	"restart",    // crashes at the start of the fault and starts again, cold, at its end
+	"pause",      // stops all work for ActiveTime in each period, then continues
+	"flap",       // hangs for ActiveTime in each period
+	"unanswered", // never answers parts of one workload; serves all others
+	"silence",    // its replies are lost on the network
+	"rift",       // drops all messages between a zone and the others without an error
+	"cut",        // drops all messages between a site and the others without an error
+	"list",       // delays all updates of the replica list until the end of the fault
+	"drain",      // drains from the start of the fault and is up again at its end
 }
 
-// AggregatorFaultKinds are the faults that befall aggregators.
+// AggregatorFaultKinds are the faults of aggregators.
 var AggregatorFaultKinds = []string{
-	"crash",  // dies with all it holds at the start, and is back, knowing nothing but the list, at the end
-	"freeze", // does nothing for a stretch of each period; what comes meanwhile waits
+	"crash",  // crashes at the start and restarts at the end with no state but the replica list
+	"freeze", // stops for ActiveTime in each period; events meanwhile are delayed until it continues
 }
 
-// Defects are ways to break the module on purpose, each of which the checker must tell.
+// Defects are deliberate faults of the decision module. Tests use them to show that the checker detects each.
 var Defects = []string{"count not lowered on reset", "drain ignored", "cold guard off", "budget off", "second answer",
 	"runs before the outcome", "whole from a part"}
 
-// Validate tells what a plan cannot be.
+// Validate returns an error for a plan that cannot be run.
 func (p *Plan) Validate() error {
 	switch {
 	case p.Aggregators < 1 || p.Replicas < 1 || p.ReplicasPerShard < 1 || p.Replicas%p.ReplicasPerShard != 0:
-		return fmt.Errorf("%d aggregators, %d replicas in groups of %d: there must be some of each, and whole groups", p.Aggregators,
+		return fmt.Errorf("%d aggregators, %d replicas, %d replicas per shard: all must be positive, and replicas must form whole groups", p.Aggregators,
 			p.Replicas, p.ReplicasPerShard)
 	case p.Replicas%(p.ReplicasPerShard*p.siteCount()) != 0 || p.Aggregators < p.siteCount():
-		return fmt.Errorf("%d aggregators and %d replicas in groups of %d cannot be dealt over %d sites", p.Aggregators, p.Replicas, p.ReplicasPerShard, p.Sites)
+		return fmt.Errorf("%d aggregators and %d replicas, %d per shard, cannot be divided over %d sites", p.Aggregators, p.Replicas, p.ReplicasPerShard, p.Sites)
 	case p.siteCount() > 1 && p.RoutingPolicy != "none" && p.RoutingPolicy != "" && (p.Link.Delay < p.NetworkDelay || p.Link.QueryRate <= 0 || p.Link.ByteRate <= 0):
-		return errors.New("a link is no faster than a way within a site, and carries something")
+		return errors.New("the link between sites needs a delay of at least the network delay within a site, and positive query and byte rates")
 	case len(p.Workloads) == 0:
-		return errors.New("nobody asks")
+		return errors.New("no queries are defined")
 	case p.NetworkDelay < 1000:
-		return errors.New("a way of less than a microsecond")
+		return errors.New("the network delay is less than a microsecond")
 	case p.PauseInterval > 0 && p.PauseInterval < 3*p.PauseTime:
-		return errors.New("replicas would stand still most of the time")
+		return errors.New("the interval between pauses is less than three times their length")
 	case p.MeasureUntil > p.Duration || p.MeasureFrom >= p.MeasureUntil:
-		return errors.New("the stretch that counts is not within the span")
+		return errors.New("the counted interval is not within the span")
 	}
 	for _, l := range p.Workloads {
 		if l.Parts < 1 || l.Parts > p.Shards() {
-			return fmt.Errorf("load %q has %d parts, and there are %d shards", l.Name, l.Parts, p.Shards())
+			return fmt.Errorf("query kind %q has %d parts, and there are %d shards", l.Name, l.Parts, p.Shards())
 		}
 	}
 	for _, f := range p.Faults {
@@ -170,18 +171,18 @@
 			}
 		}
 		if own := slices.Contains(AggregatorFaultKinds, f.Kind); own && len(f.Replicas) > 0 || !own && len(f.Aggregators) > 0 {
-			return fmt.Errorf("fault %q is none of those that it is to befall", f.Kind)
+			return fmt.Errorf("fault %q does not apply to these targets: crash and freeze take aggregators, all others take replicas, zones or sites", f.Kind)
 		}
 	}
 	return nil
 }
 
-// Shards is how many there are.
+// Shards returns the number of shards. Every site holds all of them.
 func (p *Plan) Shards() int { return p.replicasPerSite() / p.ReplicasPerShard }
 
 func (p *Plan) shardOf(replica int) int { return replica % p.replicasPerSite() % p.Shards() }
 
-const origin = int64(1000e9) // virtual time starts here, so that replicas can have started before
+const origin = int64(1000e9) // virtual time at the start of a run, above 0 so that replicas can have started before it
 
 func (p *Plan) maxTimeout() (patience int64) {
 	for _, l := range p.Workloads {
--- a/lab/emulator/processor.go
+++ b/lab/emulator/processor.go
@@ -6,33 +6,33 @@
 	"willowsill/lab/emulator/eventqueue"
 )
 
-// CPUModel is what an aggregator's own processor needs. Times in ns; with Query 0 it needs none.
+// CPUModel gives the processor time of an aggregator's own work, in ns. With QueryCost 0 all of it takes no time.
 type CPUModel struct {
-	QueryCost     int64  // to take a query in and answer it
-	ReplyCost     int64  // to take in what a replica says
-	RejectCost    int64  // to turn a query away unserved
-	OverloadLimit string // the limit by which it knows its strain, of strain.Limits; "none" for not at all
+	QueryCost     int64  // to receive a query and answer it
+	ReplyCost     int64  // to handle a replica's reply
+	RejectCost    int64  // to reject a query because of overload
+	OverloadLimit string // how it detects overload: one of OverloadLimits
 }
 
-// OverloadLimits are the ways that an aggregator may know its strain.
+// OverloadLimits are the ways in which an aggregator may detect its overload; "none" is no detection.
 var OverloadLimits = append([]string{"none"}, overload.LimitKinds...)
 
-const readingInterval = int64(100e6)
+const readingInterval = int64(100e6) // between two readings for the overload detector
 
-// processor is an aggregator's own: one thing at a time, in the order in which they came.
+// processor models an aggregator's processor as one core that handles queued events in order of arrival.
 type processor struct {
 	freeAt    int64
 	queue     []eventqueue.Event
-	scheduled bool // an event is on its way for the next of them
-	detector  *overload.Detector
+	scheduled bool               // an eventProcessorFree is scheduled for the first in the queue
+	detector  *overload.Detector // nil for no overload detection
 
-	lastReading int64 // the last reading
-	cpuTime     int64 // since then
-	waitTime    int64
-	dequeued    int64
+	lastReading int64 // time of the last reading
+	cpuTime     int64 // used since the last reading
+	waitTime    int64 // total wait of the events dequeued since then
+	dequeued    int64 // number of those events
 }
 
-// startProcessor gives an aggregator a processor where the plan has costs for it.
+// startProcessor creates the processor and its overload detector, if the plan asks for them.
 func (a *aggregator) startProcessor(now int64) {
 	if a.CPU.QueryCost == 0 {
 		return
@@ -51,7 +51,7 @@
 	a.emit(now, eventqueue.Event{At: now + readingInterval, To: a.entityID, Kind: eventReadingDue})
 }
 
-// enqueue has what came wait for the processor; false where it needs none.
+// enqueue queues an event for the processor. It returns false for events that need no processor time.
 func (a *aggregator) enqueue(now int64, e eventqueue.Event) bool {
 	p := a.processor
 	if p == nil || a.down {
@@ -70,13 +70,13 @@
 	default:
 		return false
 	}
-	e.At = now // since when it waits
+	e.At = now // from now on the time since when the event waits
 	p.queue = append(p.queue, e)
 	a.scheduleNext(now)
 	return true
 }
 
-// scheduleNext has the processor come to the next that waits, now or when it is free.
+// scheduleNext schedules the first queued event for when the processor is free.
 func (a *aggregator) scheduleNext(now int64) {
 	p := a.processor
 	if len(p.queue) > 0 && !p.scheduled {
@@ -86,7 +86,7 @@
 	}
 }
 
-// processNext does the next thing that waits.
+// processNext handles the first queued event and charges its cost.
 func (a *aggregator) processNext(now int64) {
 	p := a.processor
 	p.scheduled = false
@@ -108,7 +108,7 @@
 	a.scheduleNext(now)
 }
 
-// processQuery takes a query that waited in, or turns it away, and returns what that costs.
+// processQuery admits or rejects a query that was queued, and returns the processor time for it.
 func (a *aggregator) processQuery(now int64, e eventqueue.Event) (cost int64) {
 	load, tries, shards := int(e.Part), int(e.Attempt), e.Payload.([]int)
 	left := e.Value + a.Workloads[load].Timeout - now
@@ -117,7 +117,7 @@
 		s.RecordWait(now - e.At)
 		taken, comeBack = s.Admit(now, overload.Arrival{Workload: load, ID: uint64(e.Value), TimeLeft: left, Attempt: tries + 1})
 	}
-	if taken && left > 0 && left <= a.Tick { // there is no round in its time; on sockets limits are 50 ms longer
+	if taken && left > 0 && left <= a.Tick { // no decision round fits before its deadline; the client on sockets waits 50 ms longer than its limit
 		taken, comeBack = false, 0
 	}
 	if taken {
@@ -131,15 +131,16 @@
 	return a.CPU.RejectCost
 }
 
-// reject ends a query that was turned away before the module heard of it.
+// reject declines a query because of overload, before the decider gets it.
 func (a *aggregator) reject(now int64, q *pendingQuery, comeBack int64) {
 	a.lastQuery++
-	a.trace(now, "query %d is turned away, to come back in %.3f ms", a.lastQuery, float64(comeBack)/1e6)
+	a.trace(now, "query %d is rejected, to be retried after %.3f ms", a.lastQuery, float64(comeBack)/1e6)
 	a.scheduleClientRetry(now, a.lastQuery, q, balance.Declined, comeBack)
 	a.recorder.RecordAnswer(q.askedAt-origin, now-origin, q.workload, q.retries, balance.Declined)
 }
 
-// scheduleClientRetry has a client ask again: as it was told, or, where it was told nothing, soon.
+// scheduleClientRetry decides whether the client of a declined or forfeited query retries: after the given retry time plus up to
+// a tenth, or after 50 to 150 ms if none was given. A client retries at most three times.
 func (a *aggregator) scheduleClientRetry(now int64, number int32, q *pendingQuery, final balance.Outcome, comeBack int64) {
 	l := &a.Workloads[q.workload]
 	if final != balance.Declined && final != balance.Forfeited || q.retries >= 3 {
@@ -157,7 +158,7 @@
 		Attempt: int16(q.retries + 1)})
 }
 
-// reportLoad tells strain how the processor stands.
+// reportLoad gives the overload detector a reading of the processor, and schedules the next.
 func (a *aggregator) reportLoad(now int64) {
 	p := a.processor
 	oldest := int64(0)
@@ -170,7 +171,7 @@
 	a.emit(now, eventqueue.Event{At: now + readingInterval, To: a.entityID, Kind: eventReadingDue})
 }
 
-// recordEnd tells strain how a query ended that was taken on.
+// recordEnd reports the end of an admitted query to the overload detector.
 func (a *aggregator) recordEnd(now int64, q *pendingQuery, final balance.Outcome) {
 	if a.processor != nil && a.processor.detector != nil {
 		a.processor.detector.RecordEnd(q.workload, now-q.askedAt, final <= balance.Partial)
--- a/lab/emulator/processor_test.go
+++ b/lab/emulator/processor_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A crowd of ten times what an aggregator's own processor can do, whose clients insist: without its strain known the repeats keep
-// it down after the crowd has gone, with it all is served again within seconds.
+// A burst of ten times the normal rate overloads an aggregator's own processor, and its clients retry. Without overload detection the
+// retries keep it overloaded after the burst. With detection all queries are served again within seconds.
 func TestOwnCrowd(t *testing.T) {
 	t.Parallel()
 	after := map[string]float64{}
@@ -26,14 +26,14 @@
 				first = r
 			}
 			if r.Revenue != first.Revenue || r.Events != first.Events {
-				t.Errorf("%s: %v and %v on other cores", strain, r, first)
+				t.Errorf("%s: %v, but %v on one core", strain, r, first)
 			}
 		}
 		if first.Violation != "" {
 			t.Errorf("%s: %s", strain, first.Violation)
 		}
 		if before := first.ShareBySecond[4]; before < 0.99 {
-			t.Errorf("%s: %.3f before the crowd", strain, before)
+			t.Errorf("%s: revenue share %.3f before the burst", strain, before)
 		}
 		for _, share := range first.ShareBySecond[16:24] {
 			after[strain] += share / 8
@@ -41,6 +41,6 @@
 		t.Logf("%s: %.2f", strain, first.ShareBySecond)
 	}
 	if after["none"] > 0.5 || after["model"] < 0.98 {
-		t.Errorf("six to fourteen seconds after the crowd: %v", after)
+		t.Errorf("revenue shares six to fourteen seconds after the burst: %v", after)
 	}
 }
--- a/lab/emulator/replica.go
+++ b/lab/emulator/replica.go
@@ -10,84 +10,86 @@
 	"willowsill/lab/emulator/eventqueue"
 )
 
-// What happens.
+// Kinds of events. The comments name the fields of eventqueue.Event with a special meaning.
 const (
-	eventPartArrives   uint8 = iota // a part at a replica; Result is its load, Value until when it is waited for
-	eventPartCancelled              // it is given up by its aggregator
-	eventWorkDone                   // a worker has done one
-	eventFaultBegins                // a fault; Value is its number
-	eventFaultEnds
-	eventFaultRepeats     // the next period of one
-	eventPauseEnds        // a pause is over
-	eventReplyArrives     // an outcome at an aggregator
-	eventExecutionTimeout // an execution's time is up
-	eventRoundDue         // a round is due
-	eventQueryArrives     // a client's query; Value is its load
-	eventClientRetries    // a client asks again; Value is its load
-	eventClientTimeout    // a client's time is up
-	eventProcessorFree    // an aggregator's own processor comes to what waits next
-	eventQueryDequeued    // a query that waited for it
-	eventReadingDue       // strain is told how it stands
-	eventForgetQuery      // nothing more can come of a query
-	eventStoreRoundDue    // a round with the store is due; Value is the round before
-	eventStoreRequest     // a round comes to the store
-	eventStoreReply       // and back
-	eventStoreTimeout     // it did not come back in time
-	eventPingsDue         // the gateway's: pings are due,
-	eventPingArrives      // one comes,
-	eventPingReply        // and is back; Value is the link
-	eventGatewayDue       // gateway wants to be asked
-	eventForwardRoundDue  // a round of the hop is due
-	eventForwardArrives   // a query comes from another site
-	eventForwardReply     // and its answer goes back
-	eventForwardTimeout   // a trip's time is up
-	eventListingArrives   // the list tells of a replica; Query is its number, Result its standing, Value its start
-	eventPauseBegins      // a replica makes a pause by itself
+	eventPartArrives      uint8 = iota // at a replica: a part arrives; Result is the workload, Value the deadline
+	eventPartCancelled                 // at a replica: the aggregator has cancelled an execution
+	eventWorkDone                      // at a replica: a worker finishes; Value is job.service
+	eventFaultBegins                   // a fault begins; Value is its index, here and at its end
+	eventFaultEnds                     // a fault ends; Value -1 restarts a replica after a crash by overload
+	eventFaultRepeats                  // the next period of a fault begins; at the store: the mode "stale" swaps its data
+	eventPauseEnds                     // at a replica: a pause is over
+	eventReplyArrives                  // at an aggregator: the reply of a replica
+	eventExecutionTimeout              // at an aggregator: the deadline of an execution has passed
+	eventRoundDue                      // at an aggregator: a decision round is due
+	eventQueryArrives                  // at an aggregator: a client's query; Part is the workload, Value the time of asking
+	eventClientRetries                 // at an aggregator: a client's retry, with the same fields; Query is its key in retryShards
+	eventClientTimeout                 // at an aggregator: a client stops waiting
+	eventProcessorFree                 // at an aggregator: its processor is free for the next queued event
+	eventQueryDequeued                 // kind of a queued query or client retry until the processor takes it
+	eventReadingDue                    // at an aggregator: the overload detector needs a reading
+	eventForgetQuery                   // at an aggregator: the state of a query can be dropped
+	eventStoreRoundDue                 // at an aggregator: an exchange with the store is due; Value is the number of the last one
+	eventStoreRequest                  // at the store: the request of an exchange
+	eventStoreReply                    // at an aggregator: the reply of the store
+	eventStoreTimeout                  // at an aggregator: the store has not replied in time
+	eventPingsDue                      // at an aggregator: pings to the other sites are due
+	eventPingArrives                   // at an aggregator: a ping from another site; Value is the sender's link
+	eventPingReply                     // at an aggregator: the reply to a ping; Value is the link
+	eventGatewayDue                    // at an aggregator: the gateway has a decision due
+	eventForwardRoundDue               // at an aggregator: a round of the site balancer is due
+	eventForwardArrives                // at an aggregator: a query forwarded by another site
+	eventForwardReply                  // at an aggregator: the answer to a query that it forwarded
+	eventForwardTimeout                // at an aggregator: the deadline of a forward attempt has passed
+	eventListingArrives                // at an aggregator: an update of the replica list; Query is the replica, Result its status, Value its start
+	eventPauseBegins                   // at a replica: a spontaneous pause begins
 )
 
-// executionKey names an execution among those that a replica has.
+// executionKey identifies an execution at a replica: query is the aggregator's number of it.
 type executionKey struct {
 	aggregator    int32
 	query         int32
 	part, attempt int16
 }
 
+// job is an execution that is queued or running at a replica.
 type job struct {
 	executionKey
-	service  uint64 // of its service, so that an old end does nothing
-	doneAt   int64  // its service ends
-	deadline int64  // nobody waits for it from then on
+	service  uint64 // number of the scheduled end, so that an outdated eventWorkDone is ignored
+	doneAt   int64  // when a worker finishes it
+	deadline int64  // when its aggregator stops waiting
 }
 
-// oracleView is what the oracle may see of a replica.
+// oracleView is the true state of a replica, which only the baseline "oracle" sees.
 type oracleView struct {
-	wait    int64
+	wait    int64 // expected time until a new part would be done, ns
 	healthy bool
 }
 
-// replica is a model: workers that take parts from one queue.
+// replica models a replica as workers that take parts from one queue.
 type replica struct {
 	emitter
 	*Plan
 	number            int
 	rng               *rand.Rand
-	serviceTimeFactor float64
-	startedAt         int64 // 0 for long ago
+	serviceTimeFactor float64 // on the service time of all parts; below 1 for a fast replica
+	startedAt         int64   // 0 for a replica that is warm from the start of the run
 	down              bool
 	queue             []job
 	running           []job
 	lastService       uint64
-	activeFaults      map[int]bool // faults by number that hold now
-	paused            bool         // it is paused,
-	pausedAt          int64        // from then
-	pausedUntil       int64        // until then
+	activeFaults      map[int]bool // by index in Plan.Faults
+	paused            bool
+	pausedAt          int64
+	pausedUntil       int64
 	ruleChecker       *checker.Replica
-	faultyExecutions  int // executions while a fault holds
-	overloadCrash     bool
+	faultyExecutions  int  // executions that arrived while a fault was active
+	overloadCrash     bool // it is down because of load in its warm-up
 }
 
+// activeFault returns the first active fault of a kind.
 func (r *replica) activeFault(kind string) (Fault, bool) {
-	for i := range r.Faults { // in their order
+	for i := range r.Faults { // in the order of the plan, because map order is random
 		if r.activeFaults[i] && r.Faults[i].Kind == kind {
 			return r.Faults[i], true
 		}
@@ -95,7 +97,7 @@
 	return Fault{}, false
 }
 
-// active tells whether a fault with a period is in its bad stretch.
+// active reports whether a periodic fault is in the bad part of its period. Faults without a period are always active.
 func (f Fault) active(now int64) bool {
 	return f.Period <= 0 || (now-origin-f.From)%f.Period < f.ActiveTime
 }
@@ -122,18 +124,18 @@
 		r.pauseFor(now, r.PauseTime/2+r.rng.Int64N(r.PauseTime+1))
 		r.schedulePause(now)
 	case eventPauseEnds:
-		if !r.paused || now < r.pausedUntil { // a longer pause has begun meanwhile
+		if !r.paused || now < r.pausedUntil { // a longer pause has begun since this event was scheduled
 			return
 		}
 		r.paused = false
-		for i := range r.running { // what was under way goes on where it was
+		for i := range r.running { // running parts continue with the time that they had left
 			r.scheduleDone(now, &r.running[i], max(r.running[i].doneAt-r.pausedAt, 0))
 		}
 		r.startQueued(now)
 	}
 }
 
-// reply tells an aggregator how an execution ended.
+// reply sends the result of an execution to its aggregator, unless a fault drops it.
 func (r *replica) reply(now int64, k executionKey, result balance.Result, after int64) {
 	if _, lost := r.activeFault("silence"); lost || r.partitioned(now, int(k.aggregator), r.number) {
 		return
@@ -142,13 +144,14 @@
 		Result: uint8(result)})
 }
 
+// drawDelay draws the network delay of a message: the least delay plus exponential jitter.
 func (r *replica) drawDelay() int64 {
 	return r.NetworkDelay + int64(r.rng.ExpFloat64()*float64(r.NetworkDelay)/4)
 }
 
-const errorReplyNs = int64(1e6)
+const errorReplyNs = int64(1e6) // time until a replica with the fault "errors" answers
 
-// receive takes a part of a load in that is waited for until by.
+// receive handles the arrival of a part, for which the aggregator waits until deadline.
 func (r *replica) receive(now int64, k executionKey, load int, by int64) {
 	if r.partitioned(now, int(k.aggregator), r.number) {
 		return
@@ -179,7 +182,7 @@
 	r.startQueued(now)
 }
 
-// startQueued puts waiting parts to work.
+// startQueued starts queued parts while workers are free.
 func (r *replica) startQueued(now int64) {
 	for !r.paused && len(r.running) < r.Workers && len(r.queue) > 0 {
 		j := r.queue[0]
@@ -198,16 +201,16 @@
 	r.emit(now, eventqueue.Event{At: j.doneAt, To: r.entityID, Kind: eventWorkDone, Value: int64(j.service)})
 }
 
-// drawServiceTime draws how long a part takes here and now.
+// drawServiceTime draws the time that a part takes if it starts now.
 func (r *replica) drawServiceTime(now int64) int64 {
 	t := float64(r.ServiceTime) * math.Exp(r.ServiceTimeSigma*r.rng.NormFloat64()) * r.serviceTimeFactor
 	if r.HeavyTailShare > 0 && r.rng.Float64() < r.HeavyTailShare {
-		t *= math.Pow(1-r.rng.Float64(), -1/1.5) // Pareto's law with a tail of 1.5
+		t *= math.Pow(1-r.rng.Float64(), -1/1.5) // a Pareto distribution with shape 1.5
 	}
 	return int64(min(t*r.slowdown(now), 600e9))
 }
 
-// slowdown is how many times as long a part takes here and now, by faults, cold and crowd.
+// slowdown returns the present factor on service times, from faults, warm-up and crowding.
 func (r *replica) slowdown(now int64) float64 {
 	t := 1.0
 	if f, slow := r.activeFault("slow"); slow {
@@ -220,6 +223,7 @@
 	return t * (1 + r.CrowdingSlowdown*max(held-r.CrowdingThreshold, 0))
 }
 
+// finish ends the job whose end was scheduled with this service number, unless that was rescheduled.
 func (r *replica) finish(now int64, turn uint64) {
 	i := slices.IndexFunc(r.running, func(j job) bool { return j.service == turn })
 	if i < 0 || r.paused {
@@ -233,7 +237,7 @@
 	r.startQueued(now)
 }
 
-// cancel gives an execution up: it leaves the queue or its worker.
+// cancel removes an execution from the queue and from its worker, as far as the plan says that replicas do so.
 func (r *replica) cancel(now int64, k executionKey) {
 	same := func(j job) bool { return j.executionKey == k }
 	if !r.KeepCancelledQueued {
@@ -247,7 +251,7 @@
 	}
 }
 
-// crash ends all that is there.
+// crash resets all connections, drops all parts and has the replica delisted.
 func (r *replica) crash(now int64) {
 	r.down = true
 	for _, j := range append(slices.Clone(r.running), r.queue...) {
@@ -263,7 +267,7 @@
 	r.announce(now, balance.Up)
 }
 
-// crashByOverload has a cold replica that was pushed over die, and come back after a while.
+// crashByOverload crashes a replica that got too much load in its warm-up. It restarts after WarmUpTime.
 func (r *replica) crashByOverload(now int64) {
 	if !r.overloadCrash {
 		r.overloadCrash = true
@@ -272,7 +276,7 @@
 	}
 }
 
-// announce has the list tell all aggregators of a change, each in its own time.
+// announce sends a change of status to all aggregators of the site, each with its own list delay.
 func (r *replica) announce(now int64, standing balance.Status) {
 	for a := range r.Aggregators {
 		if r.siteOfAggregator(a) != r.siteOfReplica(r.number) {
@@ -288,9 +292,9 @@
 	}
 }
 
-// applyFault has a fault begin or end here.
+// applyFault begins or ends a fault at this replica; a number below 0 restarts it after a crash by overload.
 func (r *replica) applyFault(now int64, number int, begins bool) {
-	if number < 0 { // it is back after it was pushed over
+	if number < 0 {
 		r.restart(now)
 		return
 	}
@@ -316,7 +320,7 @@
 	}
 }
 
-// pauseFor has all work stand still for so long, or longer where it does already.
+// pauseFor stops all work for d, and does not shorten a pause that lasts longer.
 func (r *replica) pauseFor(now, d int64) {
 	if !r.paused {
 		r.paused, r.pausedAt, r.pausedUntil = true, now, now
@@ -325,7 +329,7 @@
 	r.emit(now, eventqueue.Event{At: r.pausedUntil, To: r.entityID, Kind: eventPauseEnds})
 }
 
-// schedulePause has the next pause come that a replica makes by itself.
+// schedulePause schedules the next spontaneous pause.
 func (r *replica) schedulePause(now int64) {
 	if r.PauseInterval > 0 {
 		at := now + max(int64(r.rng.ExpFloat64()*float64(r.PauseInterval)), 1)
@@ -333,7 +337,7 @@
 	}
 }
 
-// applyPauseFault has all work stand still for a stretch, and again at each period while the fault holds.
+// applyPauseFault pauses the replica and schedules the next period of the fault.
 func (r *replica) applyPauseFault(now int64, number int) {
 	f := r.Faults[number]
 	if now >= origin+f.Until {
@@ -345,7 +349,7 @@
 	}
 }
 
-// oracleView is what a part would wait here, for the oracle.
+// oracleView estimates the wait for a new part from the true state of the replica.
 func (r *replica) oracleView(now int64) oracleView {
 	_, errs := r.activeFault("errors")
 	_, lost := r.activeFault("silence")
--- a/lab/emulator/run.go
+++ b/lab/emulator/run.go
@@ -12,7 +12,8 @@
 	"willowsill/lab/emulator/eventqueue"
 )
 
-// Result is what came of a run. All but Lines counts queries asked in the stretch that counts.
+// Result holds the measurements of a run. All but ShareBySecond, FaultyExecutions and Events cover only the queries asked in the
+// counted interval of the plan.
 type Result struct {
 	Asked            int              `json:"asked"`
 	InGoal           int              `json:"in_goal"`
@@ -20,45 +21,45 @@
 	Partial          int              `json:"partial"`
 	Declined         int              `json:"declined"`
 	Forfeited        int              `json:"forfeited"`
-	Revenue          float64          `json:"revenue"` // earned within the goal,
-	MaxRevenue       float64          `json:"most"`    // and asked for
+	Revenue          float64          `json:"revenue"` // of complete answers within the latency goal
+	MaxRevenue       float64          `json:"most"`    // what Revenue would be if all queries were answered in time
 	Executions       int              `json:"executions"`
 	Retries          int              `json:"further"`
-	P50              int64            `json:"p50_ns"` // of answers with values
+	P50              int64            `json:"p50_ns"` // median latency of whole and partial answers
 	P99              int64            `json:"p99_ns"`
 	P999             int64            `json:"p999_ns"`
-	Latencies        []int64          `json:"times_ns"`  // of answers, at Percents
-	FaultyExecutions int              `json:"at_faulty"` // executions at replicas while a fault holds there
-	ShareBySecond    []float64        `json:"lines"`     // share of the revenue, by second asked; 1 where nobody asked
-	Workloads        []WorkloadResult `json:"loads"`     // by load
+	Latencies        []int64          `json:"times_ns"`  // latency of answers in ns at each of Percentiles
+	FaultyExecutions int              `json:"at_faulty"` // executions that reached a replica with an active fault
+	ShareBySecond    []float64        `json:"lines"`     // earned share of the revenue by second of asking; 1 for seconds without queries
+	Workloads        []WorkloadResult `json:"loads"`     // in the order of Plan.Workloads
 	Events           int64            `json:"events"`
-	Violation        string           `json:"broken,omitempty"` // the first broken rule
+	Violation        string           `json:"broken,omitempty"` // description of the first broken rule, empty for none
 	Rule             int              `json:"rule,omitempty"`
 }
 
-// Percentiles are those that the times of answers are kept at.
+// Percentiles are the percentages at which Result.Latencies gives the latency.
 var Percentiles = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.9, 100}
 
-// WorkloadResult is what came of one load's queries.
+// WorkloadResult counts the queries of one workload.
 type WorkloadResult struct {
 	Name   string `json:"name"`
 	Asked  int    `json:"asked"`
 	InGoal int    `json:"in_goal"`
 }
 
-// RevenueShare is the share of the revenue earned within the goal.
+// RevenueShare returns the earned part of the possible revenue.
 func (r *Result) RevenueShare() float64 { return r.Revenue / max(r.MaxRevenue, 1e-9) }
 
-// Recorder counts what came of queries. Times in ns from the run's start.
+// Recorder collects a Result while a run goes on. Times are in ns from the start of the run.
 type Recorder struct {
 	Result
 	plan      *Plan
 	latencies *hdrhistogram.Histogram
-	earned    []float64
-	possible  []float64
+	earned    []float64 // revenue by second of asking
+	possible  []float64 // revenue by second of asking, if all queries were answered in time
 }
 
-// NewRecorder makes an empty one.
+// NewRecorder returns an empty recorder for runs of a plan.
 func NewRecorder(p *Plan) *Recorder {
 	seconds := int(p.Duration/1e9) + 1
 	t := &Recorder{plan: p, latencies: hdrhistogram.New(1000, max(2*p.maxTimeout(), 2000), 3), earned: make([]float64, seconds),
@@ -95,7 +96,8 @@
 	}
 }
 
-// RecordAnswer books an answer. What a client got by asking again, try by try, earns nothing more: it was late for its first.
+// RecordAnswer counts the end of a query. The answer to a client's retry (retries > 0) earns nothing and is not counted among
+// the outcomes, because the first attempt has already been counted; its latency is recorded.
 func (t *Recorder) RecordAnswer(asked, ended int64, load, tries int, final balance.Outcome) {
 	l := &t.plan.Workloads[load]
 	took := ended - asked
@@ -128,7 +130,7 @@
 	}
 }
 
-// Merge takes another's counts in.
+// Merge adds the counts of another recorder of the same plan.
 func (t *Recorder) Merge(o *Recorder) {
 	t.Asked += o.Asked
 	t.InGoal += o.InGoal
@@ -151,7 +153,7 @@
 	}
 }
 
-// Summary is the result of what was counted.
+// Summary computes the percentiles and shares and returns the result.
 func (t *Recorder) Summary() *Result {
 	r := &t.Result
 	r.P50, r.P99, r.P999 = t.latencies.ValueAtPercentile(50), t.latencies.ValueAtPercentile(99), t.latencies.ValueAtPercentile(99.9)
@@ -169,7 +171,7 @@
 	return r
 }
 
-// Run plays a plan on so many cores; the result does not depend on them.
+// Run simulates a plan on the given number of cores, which does not influence the result.
 func Run(p Plan, cores int) (*Result, error) {
 	if err := p.Validate(); err != nil {
 		return nil, err
@@ -249,7 +251,7 @@
 	return w.result(), nil
 }
 
-// result sums up all aggregators.
+// result merges the results of all aggregators and the first rule violation.
 func (w *simulation) result() *Result {
 	all := NewRecorder(w.Plan)
 	for _, a := range w.aggregators {
@@ -276,7 +278,7 @@
 	return b
 }
 
-// deployment is what the module is told.
+// deployment returns the configuration of an aggregator's decision module.
 func (p *Plan) deployment(number int) balance.Deployment {
 	d := balance.Deployment{Index: number, Aggregators: p.Aggregators, Seed: p.Seed*1_000_003 + uint64(number), Tick: p.Tick,
 		Shards: p.Shards(), Cells: p.Shards(), CellsPerShard: 1, PartsPerCall: 1, MaxExecutions: p.MaxExecutions, CanCancel: p.CanCancel,
--- a/lab/emulator/sharedstore.go
+++ b/lab/emulator/sharedstore.go
@@ -13,37 +13,40 @@
 	"willowsill/lab/emulator/eventqueue"
 )
 
-// StoreModes are the ways in which a shared store behaves; none is no store.
+// StoreModes are the ways in which the shared store may behave: "late" and "flapping" do not reply in time, always or for three
+// of each five seconds; "stale" falls back to old data again and again; with "liar" one aggregator publishes false findings;
+// "vanished" stops replying one second into the counted interval.
 var StoreModes = []string{"none", "good", "late", "flapping", "stale", "liar", "vanished"}
 
 const (
-	storeDelay         = int64(1e6) // to the store, and back
-	storeClock         = int64(1_700_000_000e9)
-	storeRoundInterval = int64(500e6)
-	storeRoundTimeout  = int64(150e6)
-	staleStart         = int64(10e9)
-	staleInterval      = int64(5e9) // a stale store falls back to what it held a while before
+	storeDelay         = int64(1e6)             // network delay to the store and back, each
+	storeClock         = int64(1_700_000_000e9) // store's time at the start of a run
+	storeRoundInterval = int64(500e6)           // between an aggregator's exchanges with the store
+	storeRoundTimeout  = int64(150e6)           // of an exchange
+	staleStart         = int64(10e9)            // from the start of a run until a stale store first falls back
+	staleInterval      = int64(5e9)             // between the later swaps of a stale store's data with an older copy
 )
 
-var errStoreSilent = errors.New("no answer")
+var errStoreSilent = errors.New("no reply from the shared store")
 
-// storeRequest and reply are what travels between an aggregator and the store; a message is handed over whole.
+// storeRequest is an aggregator's request to the store. The whole exchange is one message, and one reply.
 type storeRequest struct {
 	member string
 	body   *sharedhealth.Request
 }
 
-// sharedStore is a model of the shared store: an entity of its own.
+// sharedStore models the shared store, an entity of its own.
 type sharedStore struct {
 	emitter
 	*Plan
 	current, stale storeData
 	rng            *rand.Rand
-	rounds         int64
-	commands       int64
-	bytes          int64
+	rounds         int64 // requests received
+	commands       int64 // commands that a real store would have executed
+	bytes          int64 // payload written and read
 }
 
+// storeData is the content of the store, by member or key.
 type storeData struct {
 	presence map[string][]byte
 	findings map[string][]byte
@@ -59,7 +62,7 @@
 	return storeData{maps.Clone(s.presence), maps.Clone(s.findings), maps.Clone(s.members), maps.Clone(s.tokens)}
 }
 
-// quotaViolations checks the quotas' bounds over all aggregators.
+// quotaViolations checks for each quota that all aggregators together kept it.
 func (w *simulation) quotaViolations() (all []checker.Violation) {
 	if w.StoreMode == "" || w.StoreMode == "none" {
 		return nil
@@ -73,27 +76,27 @@
 			times = append(times, a.quotaUses[n]...)
 		}
 		slices.Sort(times)
-		window := max(10, 10*float64(w.Aggregators)/l.Quota) // seconds: ten queries at each aggregator, ten seconds at least
+		window := max(10, 10*float64(w.Aggregators)/l.Quota) // in s: the quota of ten queries for each aggregator, but at least 10 s
 		all = append(all, checker.CheckQuota(times, l.Name, l.Quota, l.Quota, window, w.Aggregators)...)
 	}
 	return all
 }
 
-// isSilent tells whether the store answers nothing now.
+// isSilent reports whether the store now sends no reply that arrives in time.
 func (s *sharedStore) isSilent(now int64) bool {
 	switch since := now - origin; s.StoreMode {
 	case "late":
-		return true // it answers, and long after the deadline
+		return true // it replies long after the deadline, which is simulated as no reply
 	case "flapping":
 		return since/1e9%5 >= 2
-	case "vanished": // once the trouble is there, when what it says is wanted most
+	case "vanished": // one second into the counted interval, when faults are active and the shared findings matter most
 		return since >= s.MeasureFrom+1e9
 	}
 	return false
 }
 
 func (s *sharedStore) handle(now int64, e eventqueue.Event) {
-	if e.Kind == eventFaultRepeats { // it falls back
+	if e.Kind == eventFaultRepeats { // the mode "stale"
 		was := s.current.clone()
 		s.current, s.stale = s.stale, was
 		s.emit(now, eventqueue.Event{At: now + staleInterval, To: s.entityID, Kind: eventFaultRepeats})
@@ -106,7 +109,7 @@
 	s.emit(now, eventqueue.Event{At: now + storeDelay, To: e.From, Kind: eventStoreReply, Value: e.Value, Payload: s.execute(now, r)})
 }
 
-// execute does what a request asks for.
+// execute applies a request to the data and returns the reply.
 func (s *sharedStore) execute(now int64, q storeRequest) (reply sharedhealth.Reply) {
 	st, r := &s.current, q.body
 	reply.StoreTime = now - origin + storeClock
@@ -160,17 +163,17 @@
 	return reply
 }
 
-// storeMember is an aggregator's part in what is shared.
+// storeMember is an aggregator's client of the shared store.
 type storeMember struct {
 	name        string
 	exchange    *sharedhealth.Exchange
 	quotaBudget *sharedhealth.QuotaBudget
-	quotas      map[int]int // of loads, by number
-	round       int64       // the round that is under way, or the last
+	quotas      map[int]int // by workload: index of its quota
+	round       int64       // number of the exchange that is open, or of the last
 	roundOpen   bool
 }
 
-// joinStore gives an aggregator that begins its part in what is shared.
+// joinStore creates the store client of an aggregator that starts, if the plan has a shared store.
 func (a *aggregator) joinStore(now int64) {
 	_, isTrue := a.decider.(*moduleDecider)
 	if a.StoreMode == "none" || a.StoreMode == "" || !isTrue {
@@ -197,7 +200,7 @@
 	a.emit(now, eventqueue.Event{At: a.member.exchange.Next(), To: a.entityID, Kind: eventStoreRoundDue, Value: a.member.round})
 }
 
-// overQuota tells whether a query's customer is over its quota, as far as this aggregator knows.
+// overQuota spends one query of the customer's quota at this aggregator, and returns true if none is left.
 func (a *aggregator) overQuota(now int64, load int) bool {
 	if a.member == nil || a.member.quotaBudget == nil {
 		return false
@@ -213,7 +216,7 @@
 	return false
 }
 
-// beginStoreRound begins a round with the store.
+// beginStoreRound starts an exchange with the store, if one is due.
 func (a *aggregator) beginStoreRound(now int64) {
 	m := a.member
 	survey := sharedhealth.Survey{Findings: a.decider.(*moduleDecider).aggregator.Findings(now, nil)}
@@ -239,7 +242,7 @@
 	a.emit(now, eventqueue.Event{At: r.Deadline, To: a.entityID, Kind: eventStoreTimeout, Value: m.round})
 }
 
-// endStoreRound ends a round with what it allows.
+// endStoreRound applies the result of an exchange, and schedules the next.
 func (a *aggregator) endStoreRound(now int64, allowed sharedhealth.RoundResult) {
 	m := a.member
 	m.roundOpen = false
@@ -253,10 +256,10 @@
 	a.emit(now, eventqueue.Event{At: m.exchange.Next(), To: a.entityID, Kind: eventStoreRoundDue, Value: m.round})
 }
 
-// handleStoreEvent is an event of the store's, at an aggregator.
+// handleStoreEvent handles the timers and the replies of the exchange with the store.
 func (a *aggregator) handleStoreEvent(now int64, e eventqueue.Event) {
 	m := a.member
-	if m == nil || a.down || e.Value != m.round { // of a life before, or of a round that is over
+	if m == nil || a.down || e.Value != m.round { // from before a crash, or from an exchange that has ended
 		return
 	}
 	switch {
@@ -269,7 +272,8 @@
 	}
 }
 
-// falsify accuses as many sound replicas as a witness may and be heard, and finds the sick ones well.
+// falsify reports every third replica as failing, which is as many as one member may report without being ignored, and all
+// others, failing ones included, as healthy.
 func falsify(now int64, survey *sharedhealth.Survey) {
 	for i := range survey.Findings {
 		f := &survey.Findings[i]
--- a/lab/emulator/simulation.go
+++ b/lab/emulator/simulation.go
@@ -10,43 +10,44 @@
 	"willowsill/lab/emulator/eventqueue"
 )
 
-// eventLoopCount is into how many the entities are dealt. It does not depend on the machine, nor does the result depend on it: each
-// entity has its events in their order, and entities share nothing but events.
+// eventLoopCount is the number of event loops that the entities are divided over. It does not depend on the machine. The result
+// does not depend on it either: each entity handles its events in their order, and entities share nothing but events.
 const eventLoopCount = 16
 
-// entity is an aggregator or a replica.
+// entity is an aggregator, a replica or the shared store.
 type entity interface {
 	handle(now int64, e eventqueue.Event)
 }
 
-// simulation is one run. What an entity sends to another takes a way at least, so all sectors may play a stretch of that length
-// apart from each other before what they sent is handed on.
+// simulation is one run. A message between two entities takes at least NetworkDelay, so all event loops can process an interval
+// of that length independently before the messages between them are delivered.
 type simulation struct {
 	*Plan
 	entities    []entity
 	loops       [eventLoopCount]*eventLoop
 	aggregators []*aggregator
 	replicas    []*replica
-	oracleViews []oracleView // as of the last stretch, for the oracle
+	oracleViews []oracleView // the replicas at the end of the last interval; nil without the baseline "oracle"
 	events      int64
 }
 
+// eventLoop processes the events of a part of the entities.
 type eventLoop struct {
 	*simulation
 	queue     *eventqueue.Queue
-	outbox    [eventLoopCount][]eventqueue.Event
-	processed int64
+	outbox    [eventLoopCount][]eventqueue.Event // by receiving loop
+	processed int64                              // number of events
 }
 
-// emitter is how an entity causes events: its own place, and a count that orders what it causes.
+// emitter lets an entity schedule events. seq orders the events that one entity schedules for the same time.
 type emitter struct {
 	loop     *eventLoop
 	entityID int32
 	seq      uint64
 }
 
-// emit has an event happen to an entity. Danger: what comes to another sooner than a way would come into a stretch that its
-// sector may have played already; so it comes no sooner.
+// emit schedules an event for this entity or another. Danger: an event for another entity sooner than NetworkDelay could fall
+// into an interval that the other's loop has already processed, so it is delayed to that time at least.
 func (o *emitter) emit(now int64, e eventqueue.Event) {
 	o.seq++
 	e.From, e.Seq = o.entityID, o.seq
@@ -60,7 +61,7 @@
 	o.loop.queue.Push(e)
 }
 
-// runUntil plays all events before a time.
+// runUntil processes all events before a time.
 func (s *eventLoop) runUntil(until int64) {
 	for {
 		e, ok := s.queue.Pop(until)
@@ -72,7 +73,7 @@
 	}
 }
 
-// receive takes in what other sectors sent.
+// receive collects the events that other loops have for this one.
 func (s *eventLoop) receive() {
 	me := 0
 	for i, other := range s.loops {
@@ -88,7 +89,8 @@
 	}
 }
 
-// run plays until a time, on so many cores; it ends early at a broken rule, in the same stretch wherever it runs.
+// run simulates until a time, on the given number of cores. It ends early at a rule violation, at the same time on any number of
+// cores.
 func (w *simulation) run(until int64, cores int) {
 	team := newWorkerPool(min(max(cores, 1), eventLoopCount))
 	defer team.stop()
@@ -117,7 +119,7 @@
 	}
 }
 
-// firstViolation is the first broken rule, if any.
+// firstViolation returns the earliest rule violation, or nil.
 func (w *simulation) firstViolation() (first *checker.Violation) {
 	look := func(all []checker.Violation) {
 		if len(all) > 0 && (first == nil || all[0].At < first.At) {
@@ -133,10 +135,10 @@
 	return first
 }
 
-// workerPool is goroutines that do one thing after the other together.
+// workerPool is a set of goroutines that apply one function after the other to all event loops.
 type workerPool struct {
 	size    int
-	next    atomic.Int64
+	next    atomic.Int64 // index of the next loop to take
 	do      func(int)
 	wakeups []chan struct{}
 	done    sync.WaitGroup
@@ -157,6 +159,7 @@
 	return t
 }
 
+// work takes loops and calls do with them until none is left.
 func (t *workerPool) work() {
 	for {
 		i := int(t.next.Add(1)) - 1
@@ -167,7 +170,7 @@
 	}
 }
 
-// forEachLoop calls do with all sectors' numbers, and returns when all have ended.
+// forEachLoop calls do with the index of each event loop, concurrently, and returns when all calls have returned.
 func (t *workerPool) forEachLoop(do func(int)) {
 	t.do = do
 	t.next.Store(0)
@@ -185,5 +188,5 @@
 	}
 }
 
-// MaxCores are those of the machine that a single run uses at most.
+// MaxCores returns the number of the machine's cores that a single run can use.
 func MaxCores() int { return min(runtime.GOMAXPROCS(0), eventLoopCount) }
--- a/lab/emulator/sites.go
+++ b/lab/emulator/sites.go
@@ -9,37 +9,37 @@
 	"willowsill/lab/emulator/eventqueue"
 )
 
-// Link is the way between any two sites. Times in ns.
+// Link is the network between any two sites. Times are in ns.
 type Link struct {
-	Delay       int64   // each way
-	Loss        float64 // share of messages that are sent again by the network, a stall later
+	Delay       int64   // least delay in each direction
+	Loss        float64 // share of messages that are lost once and resent after ResendDelay
 	ResendDelay int64
-	QueryRate   float64 // a second that one aggregator may carry to one site,
-	ByteRate    float64 // and bytes
+	QueryRate   float64 // queries per second that one aggregator may forward to one site
+	ByteRate    float64 // bytes per second that one aggregator may send to one site
 }
 
 const (
 	pingInterval        = int64(500e6)
 	pingTimeout         = int64(1e9)
-	maxForwards         = 2
-	queryBytes          = 3000.0
-	assumedServiceShare = 0.25 // of its goal that a workload takes at a site, until that is known
-	forwardRetryRatio   = 0.1  // of what is carried may be carried again,
-	forwardRetrySlack   = 3    // and so many,
-	forwardRetryWindow  = int64(10e9)
+	maxForwards         = 2           // forward attempts per query
+	queryBytes          = 3000.0      // of a forwarded query
+	assumedServiceShare = 0.25        // service time that is assumed until measured, as a share of the latency goal
+	forwardRetryRatio   = 0.1         // second forward attempts allowed per forwarded query and part
+	forwardRetrySlack   = 3           // second forward attempts allowed in addition
+	forwardRetryWindow  = int64(10e9) // interval that this budget covers
 )
 
-// Sites is how many there are.
+// siteCount returns the number of sites.
 func (p *Plan) siteCount() int { return max(p.Sites, 1) }
 
-// replicasPerSite is how many replicas a site has.
+// replicasPerSite returns the number of replicas of each site.
 func (p *Plan) replicasPerSite() int { return p.Replicas / p.siteCount() }
 
 func (p *Plan) siteOfReplica(r int) int { return r / p.replicasPerSite() }
 
 func (p *Plan) siteOfAggregator(aggregator int) int { return aggregator % p.siteCount() }
 
-// siteCutOff tells whether a fault has cut one of two sites off now.
+// siteCutOff reports whether a fault "cut" now isolates one of two sites.
 func (p *Plan) siteCutOff(now int64, a, b int) bool {
 	for _, f := range p.Faults {
 		if f.Kind != "cut" || now < origin+f.From || now >= origin+f.Until {
@@ -54,21 +54,23 @@
 	return false
 }
 
-// siteGateway is an aggregator's gateway to the other sites, with the true deciders.
+// siteGateway forwards an aggregator's queries to other sites. It runs the production deciders: gateway chooses the site, and
+// siteBalancer, a second instance of the decision module, chooses the aggregator there and retries. The sites are its shards.
 type siteGateway struct {
 	gateway      *gateway.Gateway
 	siteBalancer *balance.Aggregator
-	remoteSites  []int // sites, by link
-	queryNumbers map[*balance.Query]int32
-	forwarded    map[int32]*balance.Query
+	remoteSites  []int                    // the other sites; the index is the number of the link
+	queryNumbers map[*balance.Query]int32 // the emulator's number of each query of siteBalancer
+	forwarded    map[int32]*balance.Query // by that number
 	attempts     map[int32][]forwardAttempt
-	roundDue     int64 // of a round of the hop, 0 for none
-	lastRound    int64
-	wakeAt       int64 // when gateway wants to be asked
-	pingTurn     int
-	pingSentAt   map[int]int64 // by link: when the ping that is out left, 0 for none
+	roundDue     int64         // of the next round of siteBalancer, 0 if none is scheduled
+	lastRound    int64         // of siteBalancer
+	wakeAt       int64         // when gateway is to decide next
+	pingTurn     int           // selects the aggregator of a site that is pinged, round-robin
+	pingSentAt   map[int]int64 // by link: when the outstanding ping was sent, 0 for none
 }
 
+// forwardAttempt is one attempt to have a query served by an aggregator of another site.
 type forwardAttempt struct {
 	aggregator int
 	sentAt     int64
@@ -76,22 +78,23 @@
 	outcome    balance.Outcome
 }
 
-// forwardedQuery is a query on its way to another site, and carriedBack its answer.
+// forwardedQuery is the message that forwards a query to another site.
 type forwardedQuery struct {
 	workload int
 	shards   []int
 	timeLeft int64
-	visited  []int // sites
+	visited  []int // sites that have forwarded it, the sender included
 	attempt  int16
 }
 
+// forwardedReply is the message that answers a forwardedQuery. advertisedRate is the rate of further queries that the site accepts.
 type forwardedReply struct {
 	outcome        balance.Outcome
 	advertisedRate float64
 	retryAfter     int64
 }
 
-// openGateway gives an aggregator that begins its gateway, where there are other sites.
+// openGateway creates the gateway of an aggregator that starts, if the plan forwards queries between sites.
 func (a *aggregator) openGateway(now int64) {
 	if a.siteCount() < 2 || a.RoutingPolicy == "none" || a.RoutingPolicy == "" || a.Policy != "module" {
 		return
@@ -133,7 +136,7 @@
 	a.scheduleGateway(now)
 }
 
-// crossLink is how a message crosses: when it arrives, and whether at all.
+// crossLink draws when a message between two sites arrives, and whether a fault drops it.
 func (a *aggregator) crossLink(now int64, from, to int) (at int64, lost bool) {
 	at = now + a.Link.Delay + int64(a.networkRNG.ExpFloat64()*float64(a.Link.Delay)/20)
 	if a.networkRNG.Float64() < a.Link.Loss {
@@ -151,7 +154,7 @@
 	}
 }
 
-// tryForward takes a query that the own site does not serve to another; false where it stays declined.
+// tryForward offers a query to the gateway, which forwards it to another site now or later. It returns false if no site takes it.
 func (a *aggregator) tryForward(now int64, number int32, q *pendingQuery, declined bool) bool {
 	g := a.siteGateway
 	if g == nil {
@@ -165,6 +168,7 @@
 	return link >= 0
 }
 
+// gatewayQuery describes a query to the gateway.
 func (a *aggregator) gatewayQuery(now int64, number int32, q *pendingQuery, declined bool) gateway.Query {
 	r := siterouting.Query{Workload: q.workload, TimeLeft: q.askedAt + a.Workloads[q.workload].Timeout - now, Declined: declined}
 	for _, s := range q.visited {
@@ -173,11 +177,11 @@
 	return gateway.Query{Query: r, Customer: a.Workloads[q.workload].Name, Handle: number}
 }
 
-// forward hands a query to the hop.
+// forward hands a query to the site balancer, to be sent over a link.
 func (a *aggregator) forward(now int64, number int32, q *pendingQuery, link int) {
 	g := a.siteGateway
 	q.link, q.forwardedOut = link, true
-	if a.RoutingPolicy == "plan" { // the baselines know no limit
+	if a.RoutingPolicy == "plan" { // the other routing policies ignore the rate limit of a link
 		a.ruleChecker.RecordForward(now, link, a.Link.QueryRate)
 	}
 	h := g.siteBalancer.AddQuery(now, balance.Arrival{Workload: q.workload, Timeout: q.askedAt + a.Workloads[q.workload].Timeout - now, Parts: 1})
@@ -186,7 +190,7 @@
 	a.requestForwardRound(now)
 }
 
-// runGateway carries out what gateway asks for.
+// runGateway asks the gateway for its decision and carries it out.
 func (a *aggregator) runGateway(now int64) {
 	g := a.siteGateway
 	r := g.gateway.Decide(now)
@@ -204,7 +208,7 @@
 	a.scheduleGateway(now)
 }
 
-// scheduleGateway has gateway asked again when it wants to be.
+// scheduleGateway schedules the gateway's next decision for when it wants it.
 func (a *aggregator) scheduleGateway(now int64) {
 	g := a.siteGateway
 	if at := max(g.gateway.Next(), now+1); g.wakeAt <= now || at < g.wakeAt {
@@ -213,7 +217,7 @@
 	}
 }
 
-// requestForwardRound has a round of the hop come as soon as one may.
+// requestForwardRound schedules a round of the site balancer as early as Tick allows.
 func (a *aggregator) requestForwardRound(now int64) {
 	a.scheduleForwardRound(now, max(a.siteGateway.lastRound+a.Tick, now))
 }
@@ -225,7 +229,7 @@
 	}
 }
 
-// runForwardRound lets the hop's module decide.
+// runForwardRound asks the site balancer for its decision and carries it out.
 func (a *aggregator) runForwardRound(now int64) {
 	g := a.siteGateway
 	g.roundDue, g.lastRound = 0, now
@@ -266,7 +270,7 @@
 	a.runGateway(now)
 }
 
-// endForwardAttempt books how a trip ended.
+// endForwardAttempt records the result of a forward attempt, unless it has ended already.
 func (a *aggregator) endForwardAttempt(now int64, number int32, run int, result balance.Result, final balance.Outcome) {
 	g := a.siteGateway
 	runs, h := g.attempts[number], g.forwarded[number]
@@ -278,11 +282,11 @@
 	a.requestForwardRound(now)
 }
 
-// handleGatewayEvent is an event of the gateway's.
+// handleGatewayEvent handles the events of the gateway and the messages of other sites.
 func (a *aggregator) handleGatewayEvent(now int64, e eventqueue.Event) {
 	g := a.siteGateway
 	if a.down || g == nil {
-		if e.Kind == eventForwardArrives { // nobody listens there
+		if e.Kind == eventForwardArrives { // this aggregator is down or has no gateway
 			a.sendToSite(now, int(e.From), eventqueue.Event{Kind: eventForwardReply, Query: e.Query, Attempt: e.Attempt, Payload: forwardedReply{outcome: balance.Declined}})
 		}
 		return
@@ -329,7 +333,7 @@
 	}
 }
 
-// sendPings sends a ping over each link, one gateway after the other, and counts those that are lost.
+// sendPings pings one aggregator of each other site, round-robin, and reports pings without a reply as lost.
 func (a *aggregator) sendPings(now int64) {
 	g := a.siteGateway
 	for link, site := range g.remoteSites {
@@ -347,14 +351,14 @@
 	a.emit(now, eventqueue.Event{At: now + pingInterval, To: a.entityID, Kind: eventPingsDue})
 }
 
-// receiveForwarded takes a query in that another site carries.
+// receiveForwarded serves a query that another site has forwarded.
 func (a *aggregator) receiveForwarded(now int64, from, number int32, c forwardedQuery) {
 	q := &pendingQuery{workload: c.workload, askedAt: now + c.timeLeft - a.Workloads[c.workload].Timeout, retries: 1, shards: c.shards, visited: c.visited, originAggregator: from, originQuery: number,
 		originAttempt: c.attempt, forwardedIn: true}
 	a.serveQuery(now, q, c.timeLeft)
 }
 
-// forgetForwarded drops a query of which nothing more can come.
+// forgetForwarded drops the gateway's state of a query.
 func (a *aggregator) forgetForwarded(number int32) {
 	if g := a.siteGateway; g != nil {
 		delete(g.queryNumbers, g.forwarded[number])
--- a/lab/emulator/zones.go
+++ b/lab/emulator/zones.go
@@ -9,13 +9,13 @@
 	"willowsill/decide/zonehealth"
 )
 
-// zoneOfReplica is the zone that a replica stands in.
+// zoneOfReplica returns the zone of a replica. Zones hold consecutive blocks of replicas.
 func (p *Plan) zoneOfReplica(r int) int { return r * max(p.Zones, 1) / p.Replicas }
 
-// zoneOfAggregator is the zone that an aggregator stands in.
+// zoneOfAggregator returns the zone of an aggregator. Aggregators are assigned round-robin.
 func (p *Plan) zoneOfAggregator(aggregator int) int { return aggregator % max(p.Zones, 1) }
 
-// partitioned tells whether a rift lies between an aggregator and a replica now.
+// partitioned reports whether a fault "rift" now separates an aggregator and a replica.
 func (p *Plan) partitioned(now int64, aggregator, replica int) bool {
 	if p.Zones < 2 {
 		return false
@@ -27,16 +27,18 @@
 	})
 }
 
-// zoneAwareDecider is the module with a decider of zones out of reach beside it, called as the node calls it.
+// zoneAwareDecider adds the detection of unreachable zones (package zonehealth) to the production module. It calls both in the
+// same way as package node does.
 type zoneAwareDecider struct {
 	*moduleDecider
 	plan           *Plan
 	zoneHealth     *zonehealth.Tracker
 	reports        []balance.SharedReport
-	replicaOf      map[executionID]int // the replica of each execution that is out
-	sentExecutions map[int32][]int     // by query: executions so far of each part
+	replicaOf      map[executionID]int // the replica of each execution in flight
+	sentExecutions map[int32][]int     // by query: number of executions of each part so far
 }
 
+// executionID identifies an execution of a query; execution is its index among those of the part.
 type executionID struct {
 	query           int32
 	part, execution int
--- a/lab/experiment/constoverride/constoverride.go
+++ b/lab/experiment/constoverride/constoverride.go
@@ -1,6 +1,5 @@
-// Package constoverride builds a command of this module with constants of its packages changed, so that another value of a constant is
-// played by the same text, beside the one that holds. Nothing of the source is written to: go build is told of the changed files by
-// an overlay.
+// Package constoverride builds a command of this module with some constants of its packages changed, so that other values of a constant
+// can be tried with otherwise the same source. It doesn't change the source: go build gets the changed files as an overlay.
 package constoverride
 
 import (
@@ -19,10 +18,11 @@
 	"strings"
 )
 
-// Constants are values by name, as in "balance.warmUpSafety": the package's folder in the module, and the constant. Times are in ns.
+// Constants holds new values by name. A name is the package's folder in the module and the constant, as in "balance.warmUpSafety". Times
+// are in ns.
 type Constants map[string]float64
 
-// goLiteral is a value as Go is told it: whole ones stay whole, for a constant may be needed so.
+// goLiteral formats a value as a Go literal. Whole numbers have no fraction, as the constant may be used as an integer.
 func goLiteral(v float64) string {
 	if v == float64(int64(v)) {
 		return strconv.FormatInt(int64(v), 10)
@@ -30,8 +30,8 @@
 	return strconv.FormatFloat(v, 'g', -1, 64)
 }
 
-// Build writes to binary the command in the folder command of the module at root, with constants changed. The error names a
-// constant that is not there, or holds what the compiler said.
+// Build builds the command in the folder command of the module at root, with constants changed, and writes it to the file binary. The
+// error names constants that were not found, or holds the output of the compiler.
 func Build(root, command, binary string, constants Constants) error {
 	work, err := os.MkdirTemp("", "recast")
 	if err != nil {
@@ -68,7 +68,7 @@
 		}
 	}
 	if len(left) > 0 {
-		return fmt.Errorf("no constant with a value of its own is called %s in %s",
+		return fmt.Errorf("no constant with a value of its own is named %s in %s",
 			strings.Join(slices.Sorted(maps.Keys(left)), ", "), root)
 	}
 	list, err := json.Marshal(overlay)
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// packageFolders are the packages that constants are of.
+// packageFolders returns the folders of the packages that constants belong to.
 func packageFolders(constants Constants) (all []string) {
 	for name := range constants {
 		folder, _, _ := strings.Cut(name, ".")
@@ -101,7 +101,8 @@
 	return slices.Compact(all)
 }
 
-// replaceConstants returns a file's text with the constants that it declares changed, and takes them out of left; nil where it declares none.
+// replaceConstants returns the text of a file with the constants changed that it declares, and removes them from left. It returns nil if
+// the file declares none of them.
 func replaceConstants(file, folder string, left Constants) ([]byte, error) {
 	source, err := os.ReadFile(file)
 	if err != nil {
@@ -139,7 +140,7 @@
 	if places == nil {
 		return nil, nil
 	}
-	slices.SortFunc(places, func(a, b place) int { return b.from - a.from }) // from the end, so that offsets hold
+	slices.SortFunc(places, func(a, b place) int { return b.from - a.from }) // from the end of the file, so that earlier offsets stay valid
 	for _, p := range places {
 		source = slices.Concat(source[:p.from], []byte(p.with), source[p.to:])
 	}
--- a/lab/experiment/constoverride/constoverride_test.go
+++ b/lab/experiment/constoverride/constoverride_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A command built with other constants says so; the source stays as it is, and what is no constant is refused.
+// A command built with changed constants uses them, and names that are not constants are an error.
 func TestBuild(t *testing.T) {
 	root := t.TempDir()
 	for name, text := range map[string]string{
@@ -48,6 +48,6 @@
 		}
 	}
 	if err := Build(root, "cmd/c", binary, Constants{"a.span": 0.5}); err == nil || !strings.Contains(err.Error(), "truncated") {
-		t.Errorf("a share where a whole number is needed: %v", err)
+		t.Errorf("a fraction for a constant that must be an integer: %v", err)
 	}
 }
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment reads experiments, plays their variants in the emulator with the same seeds, and tells what may be said
-// of the difference. An experiment is a Starlark script, read and checked as the operator's is.
+// Package experiment reads experiments, runs their variants in the emulator with the same seeds, and tests whether the variants differ.
+// An experiment is a Starlark script, read and checked in the same way as the operator's script.
 package experiment
 
 import (
@@ -18,27 +18,27 @@
 	"willowsill/lab/experiment/constoverride"
 )
 
-// Experiment is what a script asks for.
+// Experiment is the content of a script.
 type Experiment struct {
 	Name     string
 	Question string
-	Seeds    int
-	Plan     emulator.Plan // of all variants, but for what they change
+	Seeds    int           // runs of each variant, with the seeds 1 to Seeds
+	Plan     emulator.Plan // common to all variants, which may change parts of it
 	Variants []Variant
-	Hash     string // of the script's text
+	Hash     string // of the script's text, in hexadecimal
 }
 
-// Variant is one way to play it.
+// Variant is one of the configurations that an experiment compares.
 type Variant struct {
 	Name          string
 	RunsOnSockets bool // the decision module decides, and so it can be played on sockets
 	apply         func(*emulator.Plan)
 
-	// Constants of the deciders are other than they stand in the text; nil for none. What plays it must be built with them.
+	// Constants are changed constants of the deciders, nil for none. The program that runs the variant must be built with them.
 	Constants constoverride.Constants
 }
 
-// PlanFor is a variant's plan with a seed.
+// PlanFor returns the plan of a variant with a seed.
 func (e *Experiment) PlanFor(v Variant, seed int) emulator.Plan {
 	p := e.Plan
 	v.apply(&p)
@@ -56,53 +56,53 @@
 var retrySafeties = []string{"repeatable", "tagged", "once_only"}
 
 var functions = script.FunctionTable[Experiment]{
-	"experiment": {Name: "experiment", Help: "says what is asked, and how long", Parameters: []*script.Parameter{
-		{Name: "name", Kind: script.Text, Help: "of its results"},
-		{Name: "question", Kind: script.Text, Help: "that it answers"},
-		{Name: "span", Kind: script.Duration, Default: 40 * second, Min: 1e9, Max: 3600e9, Help: "that clients ask"},
-		{Name: "count_from", Kind: script.Duration, Default: 10 * second, Max: 3600e9, Help: "what is asked before does not count"},
-		{Name: "count_until", Kind: script.Duration, Default: 38 * second, Min: 1e9, Max: 3600e9, Help: "nor what is asked later"},
+	"experiment": {Name: "experiment", Help: "names the experiment, and sets the length of its runs", Parameters: []*script.Parameter{
+		{Name: "name", Kind: script.Text, Help: "of the experiment and of the files with its results"},
+		{Name: "question", Kind: script.Text, Help: "that the experiment answers"},
+		{Name: "span", Kind: script.Duration, Default: 40 * second, Min: 1e9, Max: 3600e9, Help: "how long clients send queries"},
+		{Name: "count_from", Kind: script.Duration, Default: 10 * second, Max: 3600e9, Help: "queries asked before are not counted"},
+		{Name: "count_until", Kind: script.Duration, Default: 38 * second, Min: 1e9, Max: 3600e9, Help: "queries asked later are not counted"},
 		{Name: "seeds", Kind: script.Int, Default: int64(10), Min: 1, Max: 1000, Help: "runs of each variant"},
 	}, Apply: func(e *Experiment, c script.Call) error {
 		e.Name, e.Question, e.Seeds = c.Text("name"), c.Text("question"), int(c.Int("seeds"))
 		e.Plan.Duration, e.Plan.MeasureFrom, e.Plan.MeasureUntil = c.Int("span"), c.Int("count_from"), c.Int("count_until")
 		return nil
 	}},
-	"fleet": {Name: "fleet", Help: "is the fleet and its network", Parameters: []*script.Parameter{
-		{Name: "aggregators", Kind: script.Int, Default: int64(10), Min: 1, Max: 5000, Help: "how many"},
-		{Name: "replicas", Kind: script.Int, Default: int64(40), Min: 1, Max: 20000, Help: "how many"},
-		{Name: "holders", Kind: script.Int, Default: int64(4), Min: 1, Max: 1000, Help: "replicas of each shard"},
-		{Name: "sites", Kind: script.Int, Default: int64(1), Min: 1, Max: 32, Help: "that all of it is dealt over"},
-		{Name: "zones", Kind: script.Int, Default: int64(1), Min: 1, Max: 64, Help: "that replicas are dealt over in blocks, and aggregators by turns"},
-		{Name: "workers", Kind: script.Int, Default: int64(2), Min: 1, Max: 1000, Help: "parts that a replica works on at a time"},
-		{Name: "work", Kind: script.Duration, Default: 20 * milli, Min: 1e3, Max: 60e9, Help: "that a part takes, the median"},
-		{Name: "spread", Kind: script.Float, Default: 0.4, Max: 3, Help: "of that: the standard deviation of its logarithm"},
-		{Name: "tail", Kind: script.Float, Default: 0.0, Max: 1, Help: "share of parts with a heavy tail (Pareto, 1.5)"},
-		{Name: "unlike", Kind: script.Float, Default: 0.0, Max: 3, Help: "of replicas' speeds, as spread"},
-		{Name: "uneven", Kind: script.Float, Default: 0.0, Max: 3, Help: "of aggregators' shares of the load, as spread"},
-		{Name: "room", Kind: script.Int, Default: int64(0), Max: 1e6, Help: "parts that may wait at a replica; 0 for any number"},
-		{Name: "crowd", Kind: script.Float, Default: 0.0, Max: 100, Help: "of its speed that a replica loses for each part a worker that it holds"},
-		{Name: "crowd_at", Kind: script.Float, Default: 4.0, Max: 1e6, Help: "beyond so many a worker"},
-		{Name: "stop_every", Kind: script.Duration, Default: int64(0), Max: 3600e9, Help: "between two pauses that a replica makes by itself, in the mean; 0s for none"},
-		{Name: "stop_for", Kind: script.Duration, Default: 180 * milli, Min: 1e6, Max: 60e9, Help: "and how long one is, from half to one and a half times this"},
-		{Name: "expires", Kind: script.Bool, Default: false, Help: "what waits at a replica is dropped there once its time is up"},
-		{Name: "way", Kind: script.Duration, Default: milli / 2, Min: 1e3, Max: 10e9, Help: "to a replica, and back, at least"},
-		{Name: "list_delay", Kind: script.Duration, Default: second, Min: 1, Max: 600e9, Help: "until the list tells of a change, up to twice"},
-		{Name: "tick", Kind: script.Duration, Default: 5 * milli, Min: 1e3, Max: 1e9, Help: "between two rounds of an aggregator at least"},
-		{Name: "executions", Kind: script.Int, Default: int64(3), Min: 1, Max: 16, Help: "of one part at most"},
-		{Name: "cancels", Kind: script.Bool, Default: true, Help: "executions may be given up"},
-		{Name: "goes_on", Kind: script.Bool, Default: false, Help: "what is given up is worked on to its end all the same"},
-		{Name: "keeps_place", Kind: script.Bool, Default: false, Help: "and so is what was given up while it still waited"},
-		{Name: "cold_share", Kind: script.Float, Default: 0.2, Min: 0.001, Max: 1, Help: "of its capacity that a fresh replica has"},
-		{Name: "cold_ramp", Kind: script.Duration, Default: 9 * second, Min: 1e6, Max: 600e9, Help: "until it is warm"},
-		{Name: "fall_multiple", Kind: script.Float, Default: 4.0, Min: 1, Max: 1000, Help: "of its present capacity pushes a cold one over,"},
-		{Name: "fall_span", Kind: script.Duration, Default: second, Min: 1e6, Max: 600e9, Help: "when kept up so long"},
-		{Name: "own_query", Kind: script.Duration, Default: int64(0), Max: 1e9, Help: "of an aggregator's own processor for a query; 0s for none,"},
-		{Name: "own_reply", Kind: script.Duration, Default: int64(0), Max: 1e9, Help: "for a replica's answer,"},
-		{Name: "own_refusal", Kind: script.Duration, Default: int64(0), Max: 1e9, Help: "and for a query that strain turns away"},
-		{Name: "budget", Kind: script.Float, Default: 0.0, Max: 10, Help: "further executions for each query; 0 for no budget"},
-		{Name: "budget_free", Kind: script.Float, Default: 5.0, Max: 1e6, Help: "and so many beside,"},
-		{Name: "budget_span", Kind: script.Duration, Default: 10 * second, Min: 1e6, Max: 600e9, Help: "in any such span"},
+	"fleet": {Name: "fleet", Help: "describes the fleet and its network", Parameters: []*script.Parameter{
+		{Name: "aggregators", Kind: script.Int, Default: int64(10), Min: 1, Max: 5000, Help: "number of aggregators"},
+		{Name: "replicas", Kind: script.Int, Default: int64(40), Min: 1, Max: 20000, Help: "number of replicas"},
+		{Name: "holders", Kind: script.Int, Default: int64(4), Min: 1, Max: 1000, Help: "replicas that hold each shard"},
+		{Name: "sites", Kind: script.Int, Default: int64(1), Min: 1, Max: 32, Help: "number of sites; replicas are assigned in blocks, aggregators round-robin"},
+		{Name: "zones", Kind: script.Int, Default: int64(1), Min: 1, Max: 64, Help: "number of zones, assigned like sites"},
+		{Name: "workers", Kind: script.Int, Default: int64(2), Min: 1, Max: 1000, Help: "parts that a replica processes concurrently"},
+		{Name: "work", Kind: script.Duration, Default: 20 * milli, Min: 1e3, Max: 60e9, Help: "median time to process a part"},
+		{Name: "spread", Kind: script.Float, Default: 0.4, Max: 3, Help: "standard deviation of the logarithm of that time"},
+		{Name: "tail", Kind: script.Float, Default: 0.0, Max: 1, Help: "share of parts whose time has a heavy tail (Pareto with shape 1.5)"},
+		{Name: "unlike", Kind: script.Float, Default: 0.0, Max: 3, Help: "standard deviation of the logarithm of the replicas' speed"},
+		{Name: "uneven", Kind: script.Float, Default: 0.0, Max: 3, Help: "standard deviation of the logarithm of the aggregators' load"},
+		{Name: "room", Kind: script.Int, Default: int64(0), Max: 1e6, Help: "parts that may queue at a replica; 0 for no limit"},
+		{Name: "crowd", Kind: script.Float, Default: 0.0, Max: 100, Help: "slowdown of a replica per queued or running part per worker, as a share of the service time"},
+		{Name: "crowd_at", Kind: script.Float, Default: 4.0, Max: 1e6, Help: "parts per worker up to which there is no such slowdown"},
+		{Name: "stop_every", Kind: script.Duration, Default: int64(0), Max: 3600e9, Help: "mean time between spontaneous pauses of a replica; 0s for none"},
+		{Name: "stop_for", Kind: script.Duration, Default: 180 * milli, Min: 1e6, Max: 60e9, Help: "mean length of such a pause; each is between 0.5 and 1.5 times this"},
+		{Name: "expires", Kind: script.Bool, Default: false, Help: "replicas drop queued parts whose deadline has passed"},
+		{Name: "way", Kind: script.Duration, Default: milli / 2, Min: 1e3, Max: 10e9, Help: "least network delay to a replica and back, each"},
+		{Name: "list_delay", Kind: script.Duration, Default: second, Min: 1, Max: 600e9, Help: "least time until a change is listed; at most twice this"},
+		{Name: "tick", Kind: script.Duration, Default: 5 * milli, Min: 1e3, Max: 1e9, Help: "least time between two decision rounds of an aggregator"},
+		{Name: "executions", Kind: script.Int, Default: int64(3), Min: 1, Max: 16, Help: "most executions of one part"},
+		{Name: "cancels", Kind: script.Bool, Default: true, Help: "executions can be cancelled"},
+		{Name: "goes_on", Kind: script.Bool, Default: false, Help: "replicas finish cancelled executions that are running"},
+		{Name: "keeps_place", Kind: script.Bool, Default: false, Help: "replicas also execute parts that were cancelled while queued"},
+		{Name: "cold_share", Kind: script.Float, Default: 0.2, Min: 0.001, Max: 1, Help: "share of its capacity that a replica has right after its start"},
+		{Name: "cold_ramp", Kind: script.Duration, Default: 9 * second, Min: 1e6, Max: 600e9, Help: "time from the start of a replica to its full capacity"},
+		{Name: "fall_multiple", Kind: script.Float, Default: 4.0, Min: 1, Max: 1000, Help: "multiple of its present capacity at which a cold replica crashes"},
+		{Name: "fall_span", Kind: script.Duration, Default: second, Min: 1e6, Max: 600e9, Help: "interval in which that load is counted"},
+		{Name: "own_query", Kind: script.Duration, Default: int64(0), Max: 1e9, Help: "processor time of an aggregator for a query; 0s for a processor that is never busy"},
+		{Name: "own_reply", Kind: script.Duration, Default: int64(0), Max: 1e9, Help: "processor time of an aggregator for a replica's reply"},
+		{Name: "own_refusal", Kind: script.Duration, Default: int64(0), Max: 1e9, Help: "processor time of an aggregator for a query rejected by overload"},
+		{Name: "budget", Kind: script.Float, Default: 0.0, Max: 10, Help: "retries allowed for each query and part; 0 for no budget"},
+		{Name: "budget_free", Kind: script.Float, Default: 5.0, Max: 1e6, Help: "retries allowed in addition"},
+		{Name: "budget_span", Kind: script.Duration, Default: 10 * second, Min: 1e6, Max: 600e9, Help: "interval that the retry budget covers"},
 	}, Apply: func(e *Experiment, c script.Call) error {
 		p := &e.Plan
 		p.Aggregators, p.Replicas, p.ReplicasPerShard = int(c.Int("aggregators")), int(c.Int("replicas")), int(c.Int("holders"))
@@ -121,37 +121,37 @@
 		p.CPU = emulator.CPUModel{QueryCost: c.Int("own_query"), ReplyCost: c.Int("own_reply"), RejectCost: c.Int("own_refusal")}
 		return nil
 	}},
-	"link": {Name: "link", Help: "is the way between any two sites", Parameters: []*script.Parameter{
-		{Name: "way", Kind: script.Duration, Default: 40 * milli, Min: 1e3, Max: 10e9, Help: "each way, at least"},
-		{Name: "loss", Kind: script.Float, Default: 0.0, Max: 1, Help: "share of messages that are sent again,"},
-		{Name: "stall", Kind: script.Duration, Default: 200 * milli, Max: 10e9, Help: "so much later"},
-		{Name: "queries", Kind: script.Float, Default: 50.0, Min: 0.1, Max: 1e6, Help: "a second that one aggregator may carry to one site"},
-		{Name: "bytes", Kind: script.Size, Default: int64(1 << 20), Min: 1024, Help: "and bytes"},
+	"link": {Name: "link", Help: "describes the network between any two sites", Parameters: []*script.Parameter{
+		{Name: "way", Kind: script.Duration, Default: 40 * milli, Min: 1e3, Max: 10e9, Help: "least delay in each direction"},
+		{Name: "loss", Kind: script.Float, Default: 0.0, Max: 1, Help: "share of messages that are lost once and resent"},
+		{Name: "stall", Kind: script.Duration, Default: 200 * milli, Max: 10e9, Help: "extra delay of a message that is resent"},
+		{Name: "queries", Kind: script.Float, Default: 50.0, Min: 0.1, Max: 1e6, Help: "queries per second that one aggregator may forward to one site"},
+		{Name: "bytes", Kind: script.Size, Default: int64(1 << 20), Min: 1024, Help: "bytes per second that one aggregator may send to one site"},
 	}, Apply: func(e *Experiment, c script.Call) error {
 		e.Plan.Link = emulator.Link{Delay: c.Int("way"), Loss: c.Float("loss"), ResendDelay: c.Int("stall"), QueryRate: c.Float("queries"),
 			ByteRate: float64(c.Int("bytes"))}
 		return nil
 	}},
-	"queries": {Name: "queries", Repeatable: true, Help: "is one kind of query", Parameters: []*script.Parameter{
-		{Name: "name", Kind: script.Text, Default: "query", Help: "of the kind"},
-		{Name: "rate", Kind: script.Float, Min: 0.001, Max: 1e6, Help: "queries a second at each aggregator, in the mean"},
-		{Name: "parts", Kind: script.Int, Default: int64(3), Min: 1, Max: 1000, Help: "each of another shard"},
-		{Name: "goal", Kind: script.Duration, Default: 200 * milli, Min: 1e6, Max: 60e9, Help: "an answer within it earns the revenue"},
-		{Name: "patience", Kind: script.Duration, Default: second, Min: 1e6, Max: 60e9, Help: "the client's time"},
-		{Name: "effect", Kind: script.Text, Default: "repeatable", Choices: retrySafeties, Help: "of a further execution"},
-		{Name: "window", Kind: script.Duration, Default: 10 * second, Max: 600e9, Help: "for which repeats of a tagged one are recognised"},
-		{Name: "floor", Kind: script.Float, Default: 1.0, Max: 1, Help: "least share of the weight for an answer"},
-		{Name: "revenue", Kind: script.Float, Default: 1.0, Max: 1e6, Help: "of one served within its goal"},
-		{Name: "skew", Kind: script.Float, Default: 0.0, Max: 5, Help: "of shards: the exponent of Zipf's law"},
-		{Name: "burst", Kind: script.Float, Default: 1.0, Min: 0, Max: 1000, Help: "times the rate,"},
-		{Name: "burst_at", Kind: script.Duration, Default: int64(0), Max: 3600e9, Help: "from then on,"},
-		{Name: "every", Kind: script.Duration, Default: int64(0), Max: 3600e9, Help: "at the start of each such stretch; 0s for none,"},
-		{Name: "burst_for", Kind: script.Duration, Default: int64(0), Max: 3600e9, Help: "for so long"},
-		{Name: "wave", Kind: script.Float, Default: 0.0, Max: 1, Help: "of the rate, that it swings by as by day and night,"},
-		{Name: "day", Kind: script.Duration, Default: int64(0), Max: 3600e9, Help: "once in so long"},
-		{Name: "quota", Kind: script.Float, Default: 0.0, Max: 1e7, Help: "of its customer over all aggregators, kept by the shared store; 0 for none"},
-		{Name: "insist", Kind: script.Float, Default: 0.0, Max: 1, Help: "share of those without an answer, or declined without advice, that are asked again soon"},
-		{Name: "retry", Kind: script.Float, Default: 0.0, Max: 1, Help: "share of declined ones that are asked again when told to"},
+	"queries": {Name: "queries", Repeatable: true, Help: "describes one kind of query", Parameters: []*script.Parameter{
+		{Name: "name", Kind: script.Text, Default: "query", Help: "of the kind of query"},
+		{Name: "rate", Kind: script.Float, Min: 0.001, Max: 1e6, Help: "mean queries per second at each aggregator"},
+		{Name: "parts", Kind: script.Int, Default: int64(3), Min: 1, Max: 1000, Help: "parts per query, each of a different shard"},
+		{Name: "goal", Kind: script.Duration, Default: 200 * milli, Min: 1e6, Max: 60e9, Help: "a complete answer within this time earns the revenue"},
+		{Name: "patience", Kind: script.Duration, Default: second, Min: 1e6, Max: 60e9, Help: "after which the client stops waiting"},
+		{Name: "effect", Kind: script.Text, Default: "repeatable", Choices: retrySafeties, Help: "whether a part may run again"},
+		{Name: "window", Kind: script.Duration, Default: 10 * second, Max: 600e9, Help: "how long repeats of a tagged part are recognised"},
+		{Name: "floor", Kind: script.Float, Default: 1.0, Max: 1, Help: "least share of the weight for a partial answer"},
+		{Name: "revenue", Kind: script.Float, Default: 1.0, Max: 1e6, Help: "of a query answered within its goal"},
+		{Name: "skew", Kind: script.Float, Default: 0.0, Max: 5, Help: "exponent of the Zipf distribution of shards"},
+		{Name: "burst", Kind: script.Float, Default: 1.0, Min: 0, Max: 1000, Help: "factor on the rate during a burst"},
+		{Name: "burst_at", Kind: script.Duration, Default: int64(0), Max: 3600e9, Help: "start of the first burst"},
+		{Name: "every", Kind: script.Duration, Default: int64(0), Max: 3600e9, Help: "time from the start of a burst to the next; 0s for no bursts"},
+		{Name: "burst_for", Kind: script.Duration, Default: int64(0), Max: 3600e9, Help: "length of a burst"},
+		{Name: "wave", Kind: script.Float, Default: 0.0, Max: 1, Help: "relative amplitude of a wave on the rate, as of day and night"},
+		{Name: "day", Kind: script.Duration, Default: int64(0), Max: 3600e9, Help: "period of that wave"},
+		{Name: "quota", Kind: script.Float, Default: 0.0, Max: 1e7, Help: "queries per second of its customer over all aggregators, enforced through the shared store; 0 for none"},
+		{Name: "insist", Kind: script.Float, Default: 0.0, Max: 1, Help: "share of queries without an answer, or declined without a retry time, that clients soon repeat"},
+		{Name: "retry", Kind: script.Float, Default: 0.0, Max: 1, Help: "share of queries declined with a retry time that clients repeat at that time"},
 	}, Apply: func(e *Experiment, c script.Call) error {
 		l := emulator.Workload{Name: c.Text("name"), Rate: c.Float("rate"), Parts: int(c.Int("parts")), LatencyGoal: c.Int("goal"),
 			Timeout: c.Int("patience"), RetrySafety: balance.RetrySafety(slices.Index(retrySafeties, c.Text("effect"))), DedupWindow: c.Int("window"),
@@ -167,19 +167,19 @@
 		e.Plan.Workloads = append(e.Plan.Workloads, l)
 		return nil
 	}},
-	"fault": {Name: "fault", Repeatable: true, Help: "befalls some replicas for a while", Parameters: []*script.Parameter{
-		{Name: "kind", Kind: script.Text, Choices: append(slices.Clone(emulator.FaultKinds), emulator.AggregatorFaultKinds...), Help: "what befalls them"},
-		{Name: "replicas", Kind: script.IntList, Default: []int{}, Help: "which"},
-		{Name: "aggregators", Kind: script.IntList, Default: []int{}, Help: "which, for crash and freeze"},
-		{Name: "sites", Kind: script.IntList, Default: []int{}, Help: "which, for cut"},
-		{Name: "zones", Kind: script.IntList, Default: []int{}, Help: "which, for rift"},
-		{Name: "at", Kind: script.Duration, Max: 3600e9, Help: "when it begins"},
-		{Name: "until", Kind: script.Duration, Max: 3600e9, Help: "when it ends"},
-		{Name: "only", Kind: script.Int, Default: int64(0), Max: 1000, Help: "unanswered: which queries, by number"},
-		{Name: "times", Kind: script.Float, Default: 5.0, Min: 0.01, Max: 1e4, Help: "slow: how much"},
-		{Name: "burst_at", Kind: script.Duration, Default: int64(0), Max: 3600e9, Help: "from then on,"},
-		{Name: "every", Kind: script.Duration, Default: 4 * second, Min: 1e6, Max: 3600e9, Help: "flap, pause, freeze: the period,"},
-		{Name: "bad_for", Kind: script.Duration, Default: 2 * second, Min: 1e5, Max: 3600e9, Help: "and how much of it is bad"},
+	"fault": {Name: "fault", Repeatable: true, Help: "is a failure of replicas, aggregators, zones or sites for a limited time", Parameters: []*script.Parameter{
+		{Name: "kind", Kind: script.Text, Choices: append(slices.Clone(emulator.FaultKinds), emulator.AggregatorFaultKinds...), Help: "of fault"},
+		{Name: "replicas", Kind: script.IntList, Default: []int{}, Help: "that are affected, by number"},
+		{Name: "aggregators", Kind: script.IntList, Default: []int{}, Help: "that are affected, for crash and freeze"},
+		{Name: "sites", Kind: script.IntList, Default: []int{}, Help: "that are affected, for cut"},
+		{Name: "zones", Kind: script.IntList, Default: []int{}, Help: "that are affected, for rift"},
+		{Name: "at", Kind: script.Duration, Max: 3600e9, Help: "start of the fault"},
+		{Name: "until", Kind: script.Duration, Max: 3600e9, Help: "end of the fault"},
+		{Name: "only", Kind: script.Int, Default: int64(0), Max: 1000, Help: "for unanswered: the kind of query, by its position in the script from 0"},
+		{Name: "times", Kind: script.Float, Default: 5.0, Min: 0.01, Max: 1e4, Help: "for slow: factor on the service time"},
+		{Name: "burst_at", Kind: script.Duration, Default: int64(0), Max: 3600e9, Help: "not used by faults"},
+		{Name: "every", Kind: script.Duration, Default: 4 * second, Min: 1e6, Max: 3600e9, Help: "for flap, pause and freeze: length of a period"},
+		{Name: "bad_for", Kind: script.Duration, Default: 2 * second, Min: 1e5, Max: 3600e9, Help: "for flap, pause and freeze: bad time at the start of each period"},
 	}, Apply: func(e *Experiment, c script.Call) error {
 		f := emulator.Fault{Kind: c.Text("kind"), Replicas: c.IntList("replicas"), Aggregators: c.IntList("aggregators"),
 			Workload: int(c.Int("only")), Sites: c.IntList("sites"), Zones: c.IntList("zones"), From: c.Int("at"), Until: c.Int("until"),
@@ -188,24 +188,24 @@
 			return errors.New(`key "until" is not after "at"`)
 		}
 		if len(f.Replicas)+len(f.Aggregators)+len(f.Sites)+len(f.Zones) == 0 && f.Kind != "list" {
-			return errors.New(`keys "replicas", "aggregators", "sites" and "zones" name nobody`)
+			return errors.New(`keys "replicas", "aggregators", "sites" and "zones" are all empty`)
 		}
 		e.Plan.Faults = append(e.Plan.Faults, f)
 		return nil
 	}},
-	"variant": {Name: "variant", Repeatable: true, Help: "is one way to play it; the first is what the others are held against",
+	"variant": {Name: "variant", Repeatable: true, Help: "is one of the configurations compared; the others are compared with the first",
 		Parameters: []*script.Parameter{
 			{Name: "name", Kind: script.Text, Help: "of the variant"},
-			{Name: "policy", Kind: script.Text, Default: "module", Choices: policies, Help: "who decides"},
-			{Name: "executions", Kind: script.Int, Default: int64(0), Max: 16, Help: "of one part at most; 0 for the fleet's"},
-			{Name: "store", Kind: script.Text, Default: "none", Choices: emulator.StoreModes, Help: "how the shared store behaves"},
-			{Name: "route", Kind: script.Text, Default: "none", Choices: append([]string{"none"}, siterouting.PolicyNames...), Help: "by what queries are carried to other sites"},
-			{Name: "strain", Kind: script.Text, Default: "none", Choices: emulator.OverloadLimits, Help: "the limit by which aggregators know their own strain"},
-			{Name: "watch_zones", Kind: script.Bool, Default: false, Help: "aggregators know zones out of reach by few failures"},
-			{Name: "calm", Kind: script.Bool, Default: false, Help: "no fault befalls anybody"},
-			{Name: "list_delay", Kind: script.Duration, Default: int64(0), Max: 600e9, Help: "0s for the fleet's"},
+			{Name: "policy", Kind: script.Text, Default: "module", Choices: policies, Help: "that makes the decisions"},
+			{Name: "executions", Kind: script.Int, Default: int64(0), Max: 16, Help: "most executions of one part; 0 for the fleet's"},
+			{Name: "store", Kind: script.Text, Default: "none", Choices: emulator.StoreModes, Help: "behaviour of the shared store"},
+			{Name: "route", Kind: script.Text, Default: "none", Choices: append([]string{"none"}, siterouting.PolicyNames...), Help: "policy of forwarding queries to other sites"},
+			{Name: "strain", Kind: script.Text, Default: "none", Choices: emulator.OverloadLimits, Help: "limit by which aggregators detect their own overload"},
+			{Name: "watch_zones", Kind: script.Bool, Default: false, Help: "aggregators detect unreachable zones"},
+			{Name: "calm", Kind: script.Bool, Default: false, Help: "run without faults"},
+			{Name: "list_delay", Kind: script.Duration, Default: int64(0), Max: 600e9, Help: "list delay of this variant; 0s for the fleet's"},
 			{Name: "constants", Kind: script.FloatMap, Default: map[string]float64(nil), Min: -1e15, Max: 1e15,
-				Help: "of deciders that are other: {\"balance.warmUpSafety\": 0.7}; times in ns"},
+				Help: "changed constants of deciders: {\"balance.warmUpSafety\": 0.7}; times in ns"},
 		}, Apply: func(e *Experiment, c script.Call) error {
 			other := c.FloatMap("constants")
 			v := Variant{Name: c.Text("name"), Constants: other, RunsOnSockets: c.Text("policy") == "module" && c.Text("store") == "none" &&
@@ -222,7 +222,7 @@
 					p.Faults = nil
 				}
 				if p.Policy != "module" {
-					p.Budgeted = false // rivals know none
+					p.Budgeted = false // baselines have no retry budget
 				}
 			}}
 			if slices.ContainsFunc(e.Variants, func(was Variant) bool { return was.Name == v.Name }) {
@@ -233,7 +233,7 @@
 		}},
 }
 
-// Read reads an experiment. The error is script.Faults, or says why there is no script to read.
+// Read reads an experiment. The error is script.Faults for a script with mistakes, or says why the file can't be read.
 func Read(file string) (*Experiment, error) {
 	e := &Experiment{}
 	_, err := script.Read(file, functions, e, func(said script.Calls, complain script.ReportFault) {
@@ -259,7 +259,7 @@
 	return e, nil
 }
 
-// DescribeFunctions tells what a script may call.
+// DescribeFunctions returns a description of the functions that a script may call.
 func DescribeFunctions() (text string) {
 	for _, name := range functions.Names() {
 		one, _ := functions.Describe(name)
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -15,9 +15,9 @@
 	"willowsill/lab/emulator"
 )
 
-var update = flag.Bool("update", false, "write what the twins come to now as what is expected")
+var update = flag.Bool("update", false, "write the present results of the short runs as the expected ones")
 
-// shrinkExperiment is an experiment cut down: fewer of all, a shorter span, faults at the same share of it.
+// shrinkExperiment reduces an experiment to one seed, a small fleet and 5 s, with its faults at the same relative times.
 func shrinkExperiment(e *Experiment) {
 	p := &e.Plan
 	e.Seeds = 1
@@ -42,11 +42,11 @@
 	}
 }
 
-// Short twins of all standing experiments come to what is expected, to the last query.
+// Short runs of all experiments of the repository give exactly the expected counts, so that unintended changes of behaviour show.
 func TestTwins(t *testing.T) {
 	files, _ := filepath.Glob("../../experiments/*.star")
 	if len(files) < 12 {
-		t.Fatalf("%d experiments", len(files))
+		t.Fatalf("found only %d experiments", len(files))
 	}
 	var lines []string
 	var mu sync.Mutex // guards lines
@@ -58,11 +58,11 @@
 			t.Fatal(err)
 		}
 		if want := strings.TrimSuffix(filepath.Base(file), ".star"); e.Name != want {
-			t.Errorf("%s calls itself %q", file, e.Name)
+			t.Errorf("%s has the name %q", file, e.Name)
 		}
 		shrinkExperiment(e)
 		for _, v := range e.Variants {
-			if v.Constants != nil { // it is for a program built so
+			if v.Constants != nil { // it needs a program built with these constants
 				continue
 			}
 			mu.Lock()
@@ -102,7 +102,7 @@
 	lines = strings.Split(got, "\n")
 	for i, line := range strings.Split(string(want), "\n") {
 		if i >= len(lines) || lines[i] != line {
-			t.Errorf("expected %q, came to %q", line, lines[min(i, len(lines)-1)])
+			t.Errorf("expected %q, got %q", line, lines[min(i, len(lines)-1)])
 		}
 	}
 }
@@ -123,7 +123,7 @@
 variant(name = "random", policy = "random")
 `
 
-// All that is wrong is told with its place.
+// Each mistake in a script is reported, with its position.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string][2]string{
 		"no variant":   {strings.Split(validScript, "variant")[0], "variant is missing"},
@@ -144,7 +144,7 @@
 	}
 }
 
-// Tables are the same each time, say what may be said, and are kept and compared whole.
+// Two runs of an experiment give the same table. Its verdicts are right, and it survives storing, comparing and reporting.
 func TestTable(t *testing.T) {
 	var texts [2]string
 	var table *Table
@@ -160,10 +160,10 @@
 		texts[i] = string(text)
 	}
 	if texts[0] != texts[1] {
-		t.Errorf("%s and %s", texts[0], texts[1])
+		t.Errorf("two runs gave different tables: %s and %s", texts[0], texts[1])
 	}
 	if v := table.Rows[1].Verdict; v != "less" || table.Rows[0].Mean <= table.Rows[1].Mean {
-		t.Errorf("random choice is told %q: %+v", v, table.Rows)
+		t.Errorf("the verdict on random choice is %q: %+v", v, table.Rows)
 	}
 	back, err := Decode([]byte(texts[0]), "x")
 	if err != nil {
@@ -176,22 +176,22 @@
 	other := *table
 	other.Hash = "0"
 	if _, err := Compare(&other, table); err == nil {
-		t.Error("tables of other scripts were compared")
+		t.Error("tables of different scripts were compared")
 	}
 	other = *table
 	other.Seeds++
 	if _, err := Compare(&other, table); err == nil {
-		t.Error("tables of other seeds were compared")
+		t.Error("tables with different numbers of seeds were compared")
 	}
 	if _, err := Decode([]byte(`{"form":9}`), "x"); err == nil {
-		t.Error("a table of another form was read")
+		t.Error("a table of an unknown format was read")
 	}
 	var page bytes.Buffer
 	if err := Report(&page, []*Table{table}); err != nil || strings.Count(page.String(), "<svg") != 4 ||
 		!strings.Contains(page.String(), "random") {
 		t.Errorf("%v: %.300s", err, page.String())
 	}
-	old := *table // kept before the times of answers were
+	old := *table // stored before tables had latencies
 	old.Rows = append([]Row(nil), table.Rows...)
 	for i := range old.Rows {
 		old.Rows[i].Latencies = nil
@@ -201,7 +201,7 @@
 	}
 }
 
-// Variants played by two programs come to the table that one would make, in the script's order.
+// Variants run by two programs are joined to the same table that one program would make, in the script's order.
 func TestJoin(t *testing.T) {
 	e, err := read(t, validScript+`variant(name = "other", constants = {"balance.maxCalls": 3})`)
 	if err != nil {
@@ -231,18 +231,18 @@
 	a, _ := json.Marshal(whole)
 	b, _ := json.Marshal(joined)
 	if !bytes.Equal(a, b) {
-		t.Errorf("%s and %s", a, b)
+		t.Errorf("the table of one program is %s, the joined one %s", a, b)
 	}
 	if _, err := e.JoinTables(some[0]); err == nil {
-		t.Error("a table without all variants was made")
+		t.Error("a table without all variants was joined")
 	}
 	some[1].Seeds++
 	if _, err := e.JoinTables(some...); err == nil {
-		t.Error("tables of other seeds were joined")
+		t.Error("tables with different numbers of seeds were joined")
 	}
 }
 
-// The interval holds the mean nine times of ten at least, and is a point where there is no chance.
+// The confidence interval is a point if all values are equal, and contains the mean of symmetric values.
 func TestInterval(t *testing.T) {
 	if low, high := ConfidenceInterval([]float64{2, 2, 2}); low != 2 || high != 2 {
 		t.Errorf("%v to %v", low, high)
--- a/lab/experiment/play.go
+++ b/lab/experiment/play.go
@@ -11,12 +11,12 @@
 	"willowsill/lab/emulator"
 )
 
-// Table is what came of an experiment, as it is kept.
+// Table holds the results of an experiment in the form in which they are stored.
 type Table struct {
 	Format       int         `json:"form"`
 	Name         string      `json:"name"`
 	Question     string      `json:"question"`
-	Hash         string      `json:"script"`
+	Hash         string      `json:"script"` // of the script's text
 	Seeds        int         `json:"seeds"`
 	Duration     int64       `json:"span_ns"`
 	MeasureFrom  int64       `json:"count_from_ns"`
@@ -25,57 +25,58 @@
 	Rows         []Row       `json:"variants"`
 }
 
-// FaultSpan is a stretch that a fault takes.
+// FaultSpan is the time of a fault, in ns from the start of a run.
 type FaultSpan struct {
 	Kind        string
 	From, Until int64
 }
 
-// Row is one variant over all seeds. Shares are of the revenue within the goal.
+// Row holds the results of one variant over all seeds. Shares are earned shares of the possible revenue.
 type Row struct {
 	Name             string          `json:"name"`
-	Shares           []float64       `json:"shares"` // by seed
-	Mean             float64         `json:"mean"`
-	Against          float64         `json:"against_first"` // the mean of what each seed has more than the first variant's same seed
-	Low              float64         `json:"low"`           // of that, with 95% confidence,
-	High             float64         `json:"high"`
+	Shares           []float64       `json:"shares"`        // by seed
+	Mean             float64         `json:"mean"`          // of Shares
+	Against          float64         `json:"against_first"` // mean difference from the first variant with the same seed
+	Low              float64         `json:"low"`           // lower end of the 95% confidence interval of Against
+	High             float64         `json:"high"`          // upper end of that interval
 	Verdict          string          `json:"verdict"`
-	Late             float64         `json:"late"` // of 1 asked, as are the next three
+	Late             float64         `json:"late"` // share of the queries asked, like the next three
 	Partial          float64         `json:"partial"`
 	Declined         float64         `json:"declined"`
 	Forfeited        float64         `json:"forfeited"`
 	Executions       float64         `json:"executions_a_query"`
-	Further          float64         `json:"further_a_query"`
-	FaultyExecutions float64         `json:"at_faulty"`
-	P50              int64           `json:"p50_ns"` // medians over the seeds
+	Further          float64         `json:"further_a_query"` // retries per query
+	FaultyExecutions float64         `json:"at_faulty"`       // executions at replicas with a fault, the mean over seeds
+	P50              int64           `json:"p50_ns"`          // median over the seeds, like the next two
 	P99              int64           `json:"p99_ns"`
 	P999             int64           `json:"p999_ns"`
-	Latencies        []int64         `json:"times_ns"` // at emulator.Percents, the mean over seeds
+	Latencies        []int64         `json:"times_ns"` // in ns at each of emulator.Percentiles, the mean over seeds
 	Workloads        []WorkloadShare `json:"loads"`
-	ShareBySecond    []float64       `json:"lines"`  // share by second, the mean over seeds
-	Broken           []string        `json:"broken"` // rules, with their seeds
+	ShareBySecond    []float64       `json:"lines"`  // share of the revenue by second, the mean over seeds
+	Broken           []string        `json:"broken"` // the first violation of each run that had one
 	Events           int64           `json:"events"`
 }
 
-// WorkloadShare is the share of one load's queries within the goal, the mean over seeds.
+// WorkloadShare is the share of one workload's queries that were answered within the goal, the mean over seeds.
 type WorkloadShare struct {
 	Name   string  `json:"name"`
 	InGoal float64 `json:"in_goal"`
 }
 
-const tableFormat = 1
+const tableFormat = 1 // of stored tables
 
-// Runner is how runs are made: in the emulator, or on sockets.
+// Runner runs plans, either in the emulator or with real processes on sockets.
 type Runner struct {
 	Run      func(p emulator.Plan, cores int) (*emulator.Result, error)
-	Parallel int // runs
+	Parallel int // number of runs at a time
 }
 
-// EmulatorRunner is the way of the emulator: as many runs at a time as there are cores.
+// EmulatorRunner returns a runner that uses the emulator, with as many runs at a time as there are cores.
 func EmulatorRunner() Runner { return Runner{emulator.Run, runtime.GOMAXPROCS(0)} }
 
-// Run plays all variants with all seeds; step is called as each run ends.
-// Danger: the order in which runs end is the machine's; what is made of them goes by variant and seed alone.
+// Run runs all variants with all seeds. It calls step, if that is not nil, after each run.
+//
+// Danger: the order in which runs end depends on the machine, so results are collected by variant and seed and never by that order.
 func (e *Experiment) Run(way Runner, step func()) (*Table, error) {
 	t := &Table{Format: tableFormat, Name: e.Name, Question: e.Question, Hash: e.Hash, Seeds: e.Seeds, Duration: e.Plan.Duration, MeasureFrom: e.Plan.MeasureFrom,
 		MeasureUntil: e.Plan.MeasureUntil}
@@ -113,7 +114,7 @@
 	return t, nil
 }
 
-// compareToFirst holds all rows against the first, seed by seed.
+// compareToFirst compares all rows with the first, seed by seed.
 func (t *Table) compareToFirst() {
 	for i := range t.Rows {
 		t.Rows[i].compareTo(&t.Rows[0])
@@ -123,7 +124,7 @@
 	}
 }
 
-// compareTo holds a row against another of the same seeds.
+// compareTo compares a row with another of the same seeds and sets the fields that depend on it.
 func (r *Row) compareTo(first *Row) {
 	var more []float64
 	for i := range r.Shares {
@@ -136,7 +137,7 @@
 	}
 }
 
-// newRow makes a row of a variant's runs.
+// newRow summarizes the runs of a variant.
 func newRow(name string, runs []*emulator.Result) Row {
 	r := Row{Name: name, Broken: []string{}}
 	n := float64(len(runs))
@@ -186,7 +187,7 @@
 	return r
 }
 
-// verdict is what may be said of a difference that lies between these.
+// verdict describes a difference by its confidence interval.
 func verdict(low, high float64) string {
 	switch {
 	case low > 0:
@@ -197,10 +198,10 @@
 	return "not told apart"
 }
 
-const resamples = 4000
+const resamples = 4000 // of the bootstrap
 
-// ConfidenceInterval is where the mean of what these were drawn from lies, with 95% confidence, by drawing from them again and again
-// (the bootstrap). It is the same for the same numbers.
+// ConfidenceInterval returns the 95% confidence interval of the mean of the distribution that x was drawn from, by bootstrap resampling.
+// Its seed is fixed, so the same numbers give the same interval.
 func ConfidenceInterval(x []float64) (low, high float64) {
 	chance := rand.New(rand.NewPCG(1, uint64(len(x))))
 	means := make([]float64, resamples)
--- a/lab/experiment/report.go
+++ b/lab/experiment/report.go
@@ -15,7 +15,7 @@
 	"willowsill/lab/emulator"
 )
 
-// RevenueChart draws each variant's share of revenue second by second, with the stretches of the faults behind, as SVG.
+// RevenueChart draws each variant's share of the revenue by second, with the times of the faults in the background, as SVG.
 func (t *Table) RevenueChart() ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = t.Question
@@ -47,10 +47,10 @@
 	return renderSVG(p)
 }
 
-// OutcomeChart draws what became of the queries, variant by variant: late, partial, declined and forfeited, stacked.
+// OutcomeChart draws the late, partial, declined and forfeited queries of each variant as stacked bars.
 func (t *Table) OutcomeChart() ([]byte, error) {
 	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = "what was not within the goal, of 1 asked", "share"
+	p.Title.Text, p.Y.Label.Text = "queries not answered within the goal", "share"
 	var below *plotter.BarChart
 	for i, of := range []struct {
 		name string
@@ -73,7 +73,7 @@
 	return renderSVG(p)
 }
 
-// GapChart draws how much each variant earns less than the oracle, or than the best where there is none.
+// GapChart draws how much less each variant earns than the variant "oracle", or than the best one if there is no oracle.
 func (t *Table) GapChart() ([]byte, error) {
 	ceiling := 0.0
 	for _, r := range t.Rows {
@@ -83,7 +83,7 @@
 		}
 	}
 	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = "revenue less than the oracle's, or the best's", "share"
+	p.Title.Text, p.Y.Label.Text = "revenue below that of the oracle, or of the best variant", "share"
 	bars, err := t.barChart(func(r Row) float64 { return ceiling - r.Mean }, 0)
 	if err != nil {
 		return nil, err
@@ -93,10 +93,10 @@
 	return renderSVG(p)
 }
 
-// LatencyChart draws each variant's times of answers: the share of them that took no longer.
+// LatencyChart draws the cumulative distribution of each variant's latencies.
 func (t *Table) LatencyChart() ([]byte, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "times of answers", "ms", "share that took no longer"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "latency of answers", "ms", "share of answers"
 	for i, r := range t.Rows {
 		if len(r.Latencies) == 0 || r.Latencies[0] <= 0 {
 			continue
@@ -112,7 +112,7 @@
 		line.Color = plotutil.Color(i)
 		p.Add(line)
 		p.Legend.Add(r.Name, line)
-		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1} // which cannot be where nothing is drawn
+		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1} // only with data, as a logarithmic scale needs positive values
 	}
 	return renderSVG(p)
 }
@@ -136,23 +136,23 @@
 	return all
 }
 
-// FleetSize is how a fleet of a size was played.
+// FleetSize holds the speed and memory of the emulator for a fleet of one size.
 type FleetSize struct {
 	Aggregators     int
-	EventsPerSecond float64 // a second of real time
-	HeapBytes       float64 // bytes at the most
+	EventsPerSecond float64 // events per second of real time
+	HeapBytes       float64 // peak heap in bytes
 }
 
 // GrowthChart draws speed and memory against the size of the fleet, both on logarithmic scales, as SVG.
 func GrowthChart(sizes []FleetSize) ([]byte, error) {
 	p := plot.New()
-	p.Title.Text = "events a second, and heap in KB, by aggregators"
+	p.Title.Text = "events per second, and heap in KB, by number of aggregators"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	for i, of := range []struct {
 		name string
 		y    func(FleetSize) float64
-	}{{"events a second", func(s FleetSize) float64 { return s.EventsPerSecond }}, {"heap, KB", func(s FleetSize) float64 { return s.HeapBytes / 1e3 }}} {
+	}{{"events per second", func(s FleetSize) float64 { return s.EventsPerSecond }}, {"heap, KB", func(s FleetSize) float64 { return s.HeapBytes / 1e3 }}} {
 		points := make(plotter.XYs, len(sizes))
 		for n, s := range sizes {
 			points[n] = plotter.XY{X: float64(s.Aggregators), Y: of.y(s)}
@@ -185,7 +185,7 @@
 <style>body{font:15px sans-serif;margin:2em;max-width:75em}table{border-collapse:collapse;margin:1em 0}
 td,th{padding:.2em .6em;border-bottom:1px solid #ccc;text-align:right}td:first-child,th:first-child{text-align:left}
 .broken{color:#a00}</style>
-<h1>Experiments</h1><p>Model replicas and clients in virtual time; what the models leave out stands in the project's pages.</p>
+<h1>Experiments</h1><p>Simulated replicas and clients in virtual time. The project's pages say what the models leave out.</p>
 {{range .}}<h2>{{.Table.Name}}</h2><p>{{.Table.Question}}</p>{{range .Charts}}{{svg .}}{{end}}
 <table><tr><th>variant<th>within goal<th>against the first<th>95% from<th>to<th>verdict<th>late<th>partial<th>declined<th>forfeited
 <th>executions a query<th>further<th>p50 ms<th>p99 ms<th>p99.9 ms</tr>
@@ -196,7 +196,7 @@
 <p>{{.Table.Seeds}} seeds, script {{.Table.Hash}}.</p>{{end}}</html>
 `))
 
-// Report writes one page of tables with their charts, which opens from a disk.
+// Report writes one self-contained HTML page with tables and their charts.
 func Report(out io.Writer, tables []*Table) error {
 	type part struct {
 		Table  *Table
