--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load asks queries of a running aggregator over HTTP, at a steady rate or by a fixed number of clients, and looks for
-// the rate at which the goal breaks. Times are counted from when a query was due, so that a slow aggregator cannot hide behind
-// clients that wait for it.
+// Package load sends queries to a running aggregator over HTTP, at a constant rate or from a fixed number of clients, and finds the highest
+// rate at which enough queries are answered within the goal. Latency counts from the time when a query was due, so that a slow aggregator
+// doesn't look fast because its clients wait for it.
 package load
 
 import (
@@ -18,54 +18,55 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Target is whom to ask what.
+// Target is an aggregator and the query to send to it.
 type Target struct {
 	URL         string // of the aggregator
-	Workload    string
-	Shards      []int // each query asks all of them, with equal weights
+	Workload    string // name of the workload, the last part of the path
+	Shards      []int  // each query asks all of them, with equal weights
 	Text        string
-	Timeout     time.Duration
+	Timeout     time.Duration // after which the client stops waiting
 	LatencyGoal time.Duration
-	MaxConns    int // connections at a time; 0 for any number
+	MaxConns    int // 0 for no limit
 }
 
-// Outcome is what came of one stretch.
+// Outcome holds the results of one measurement.
 type Outcome struct {
-	Rate            float64       `json:"rate"` // queries a second that were due, 0 for a fixed number of clients
+	Rate            float64       `json:"rate"` // queries per second that were due; 0 for a fixed number of clients
 	Asked           int64         `json:"asked"`
 	InGoal          int64         `json:"in_goal"`
 	Late            int64         `json:"late"`
 	Declined        int64         `json:"declined"`
-	Failed          int64         `json:"failed"` // an error, or no answer in time
+	Failed          int64         `json:"failed"` // queries with an error or without an answer in time
 	ServedPerSecond float64       `json:"served_a_second"`
-	P50             time.Duration `json:"p50_ns"` // of answers
+	P50             time.Duration `json:"p50_ns"` // median latency of answers with values
 	P99             time.Duration `json:"p99_ns"`
 	P999            time.Duration `json:"p999_ns"`
 }
 
-// GoalShare is the share within the goal.
+// GoalShare returns the share of the queries that were answered within the goal.
 func (o *Outcome) GoalShare() float64 { return float64(o.InGoal) / float64(max(o.Asked, 1)) }
 
-// Clients asks.
+// Clients sends queries to one target.
 type Clients struct {
 	Target
 	client   *http.Client
 	body     []byte
 	lastID   uint64
-	idPrefix string
+	idPrefix string // random, so that query ids of different runs differ
 	mu       sync.Mutex
 	current  *measurement
 }
 
+// measurement is an outcome while queries are being sent.
 type measurement struct {
 	Outcome
 	times *hdrhistogram.Histogram
 }
 
-// New makes clients; Close ends them.
+// New returns clients for a target. Close closes their connections.
 func New(t Target) (*Clients, error) {
 	if len(t.Shards) == 0 || t.Timeout <= 0 {
-		return nil, errors.New("a query needs a shard and some time")
+		return nil, errors.New("a query needs at least one shard and a positive timeout")
 	}
 	var b bytes.Buffer
 	b.WriteString(`{"segments":[`)
@@ -80,7 +81,7 @@
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, MaxConnsPerHost: t.MaxConns, IdleConnTimeout: 1500 * time.Millisecond}}}, nil
 }
 
-// Close gives the connections back.
+// Close closes the idle connections.
 func (c *Clients) Close() { c.client.CloseIdleConnections() }
 
 func (c *Clients) startMeasurement(rate float64) *measurement {
@@ -91,7 +92,7 @@
 	return s
 }
 
-// RunOpenLoop asks so many queries a second, by chance, whether answers come or not.
+// RunOpenLoop sends queries with random (Poisson) arrivals at a mean rate per second, independently of the answers, for a time span.
 func (c *Clients) RunOpenLoop(ctx context.Context, rate float64, span time.Duration, seed uint64) *Outcome {
 	s := c.startMeasurement(rate)
 	chance := rand.New(rand.NewPCG(seed, 1))
@@ -109,7 +110,7 @@
 	return s.finish(time.Since(began))
 }
 
-// RunClosedLoop has so many clients ask, each its next query when the last is answered.
+// RunClosedLoop runs a number of clients for a time span. Each sends its next query when the last is answered.
 func (c *Clients) RunClosedLoop(ctx context.Context, clients int, span time.Duration) *Outcome {
 	s := c.startMeasurement(0)
 	var all sync.WaitGroup
@@ -118,7 +119,7 @@
 		all.Go(func() {
 			for ctx.Err() == nil && time.Since(began) < span {
 				if !c.query(ctx, s, time.Now()) {
-					time.Sleep(10 * time.Millisecond) // an aggregator that declines at once is not to be asked in a circle
+					time.Sleep(10 * time.Millisecond) // don't busy-loop if the aggregator declines at once
 				}
 			}
 		})
@@ -135,7 +136,7 @@
 	return &s.Outcome
 }
 
-// query asks one query that was due at a time; false where there was no answer with values.
+// query sends a query that was due at a time and records the outcome. It returns false if there was no answer with values.
 func (c *Clients) query(ctx context.Context, s *measurement, due time.Time) bool {
 	c.mu.Lock()
 	c.lastID++
@@ -163,6 +164,7 @@
 	return false
 }
 
+// post sends a query and returns the HTTP status, or 0 without an answer in time.
 func (c *Clients) post(ctx context.Context, id string, due time.Time) int {
 	left := c.Timeout - time.Since(due)
 	if left < time.Millisecond {
@@ -188,8 +190,8 @@
 	return a.StatusCode
 }
 
-// FindMaxRate asks at growing rates until the share within the goal falls under what is wanted, then halves its way to where it
-// breaks; ask plays one rate.
+// FindMaxRate finds the highest rate at which the share of queries within the goal is at least wanted. It multiplies the rate by factor
+// until the share is lower, then bisects. measure measures one rate, and is called at most maxSteps times.
 func FindMaxRate(first, factor float64, most int, wanted float64, ask func(rate float64) *Outcome) (all []*Outcome, best float64) {
 	low, high := 0.0, 0.0
 	for rate, n := first, 0; n < most; n++ {
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -20,7 +20,7 @@
 	return c
 }
 
-// Each answer is booked by what it says.
+// Answers are counted by their status and latency.
 func TestOutcomes(t *testing.T) {
 	var n atomic.Int64
 	c := clients(t, func(w http.ResponseWriter, r *http.Request) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// Danger: clients that wait for a server that stands still ask little meanwhile, and hide it. Times count from when a query was
-// due, so a stall of 300 ms is seen by all that were due in it.
+// Danger: clients that wait for a stalled server send few queries meanwhile, which hides the stall (coordinated omission). Latency counts
+// from when a query was due, so a stall of 300 ms shows in all queries that were due in it.
 func TestStall(t *testing.T) {
 	began := time.Now()
 	c := clients(t, func(http.ResponseWriter, *http.Request) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Steps closes in on the rate at which the goal breaks.
+// FindMaxRate converges to the highest rate that keeps the goal, and returns 0 if no rate does.
 func TestSteps(t *testing.T) {
 	all, best := FindMaxRate(10, 2, 20, 0.9, func(rate float64) *Outcome {
 		o := &Outcome{Rate: rate, Asked: 100, InGoal: 100}
@@ -68,9 +68,9 @@
 		return o
 	})
 	if best < 125 || best > 137 || len(all) > 12 {
-		t.Errorf("best %v after %d", best, len(all))
+		t.Errorf("got the rate %v after %d steps", best, len(all))
 	}
 	if _, best := FindMaxRate(10, 2, 5, 0.9, func(float64) *Outcome { return &Outcome{Asked: 1} }); best != 0 {
-		t.Errorf("nothing was within, and %v is told", best)
+		t.Errorf("no query was within the goal, and the rate is %v", best)
 	}
 }
--- a/lab/localsettings/localsettings.go
+++ b/lab/localsettings/localsettings.go
@@ -1,5 +1,5 @@
-// Package localsettings writes the settings files of the system's daemons for runs on the loopback addresses of one machine. Every
-// daemon has an address of its own, and the ports are alike on all of them. It starts nothing.
+// Package localsettings writes the settings files of the system's daemons for runs on the loopback addresses of one machine. Each machine
+// of the simulated system has its own loopback address, and all use the same ports. The package starts no processes.
 package localsettings
 
 import (
@@ -11,49 +11,49 @@
 	"time"
 )
 
-// The roles that need more than the settings common to all.
+// Roles that have settings of their own.
 const (
 	roleController = "controller"
 	roleProxy      = "proxy"
 )
 
 const (
-	internalPorts   = 10 // ports from the first one on that are free for traffic between daemons
-	controlOffset   = 10 // of the control port from the first one
-	frontOffset     = 11 // of the port for clients
-	readinessOffset = 12 // of the port for questions of readiness
+	internalPorts   = 10 // ports for traffic between daemons, from the first port on
+	controlOffset   = 10 // offset of a controller's port for replicas and operators
+	frontOffset     = 11 // offset of a proxy's port for clients
+	readinessOffset = 12 // offset of a proxy's port for readiness checks
 )
 
-// Ports are the ports of every daemon of a run: the number is the first one.
+// Ports is the range of ports that every daemon of a run uses, given by its first port.
 type Ports int
 
 // Internal returns the first and the last port for traffic between daemons.
 func (p Ports) Internal() []int { return []int{int(p), int(p) + internalPorts - 1} }
 
-// Control returns the address for replicas and operators of a controller.
+// Control returns the address of a controller for replicas and operators.
 func (p Ports) Control(ip string) string { return p.address(ip, controlOffset) }
 
-// Front returns the address for clients of a proxy.
+// Front returns the address of a proxy for clients.
 func (p Ports) Front(ip string) string { return p.address(ip, frontOffset) }
 
-// Readiness returns the address at which a proxy says whether it is ready.
+// Readiness returns the address of a proxy for readiness checks.
 func (p Ports) Readiness(ip string) string { return p.address(ip, readinessOffset) }
 
 func (p Ports) address(ip string, offset int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(int(p)+offset))
 }
 
-// Daemon is what the settings of one daemon say. DataDir is used for controllers alone.
+// Daemon holds the settings of one daemon.
 type Daemon struct {
 	Role, IP, Zone string
-	SeedNodes      []string // control addresses
+	SeedNodes      []string // control addresses of the controllers
 	Heartbeat      time.Duration
-	DataDir        string
-	MemoryMB       int // 0 for no limit stated
-	GraceS         int // from SIGTERM to the end, s
+	DataDir        string // only for controllers
+	MemoryMB       int    // memory limit, 0 for none
+	GraceS         int    // seconds between SIGTERM and the end of the process
 }
 
-// Write writes the settings of a daemon into a file.
+// Write writes the settings file of a daemon.
 func (p Ports) Write(file string, d Daemon) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "node-name = %q\nip = %q\nzone = %q\n", d.Role+"-"+d.IP, d.IP, d.Zone)
--- a/lab/localsettings/localsettings_test.go
+++ b/lab/localsettings/localsettings_test.go
@@ -10,7 +10,7 @@
 	"willowsill/deployment/settings"
 )
 
-// What is written is what a daemon reads.
+// A daemon reads the same settings that were written.
 func TestReadBack(t *testing.T) {
 	const ports Ports = 7000
 	for _, role := range []string{"controller", "proxy", "agent"} {
--- a/lab/propagation/propagation.go
+++ b/lab/propagation/propagation.go
@@ -1,5 +1,5 @@
-// Package propagation counts the messages that bring one update to all edges: by the tree of decide/relaytree, by a star
-// (each edge follows a controller) and by a flood (each edge passes what it hears first to a few others). It does no I/O.
+// Package propagation counts the messages that bring one update to all edges with three strategies: the tree of package relaytree, a star
+// (each edge gets updates directly from a controller), and a flood (each edge forwards a new update to a few random edges). It does no I/O.
 package propagation
 
 import (
@@ -10,33 +10,35 @@
 	"willowsill/decide/relaytree"
 )
 
-// Fleet is a system's size: edges and controllers spread evenly over zones, and zones over regions.
+// Fleet is the size of a system. Edges and controllers are spread evenly over zones, and zones over regions.
 type Fleet struct{ Edges, Controllers, Zones, Regions int }
 
-// Cost is what one update costs. A copy is one message over one link.
+// Cost is the cost of sending one update to all edges. A copy is one message over one link.
 type Cost struct {
 	Strategy     string
-	Copies       int     // in all, those between controllers not counted
-	CrossZone    int     // of them between zones of a region
-	CrossRegion  int     // and between regions
-	AtController int     // the most that one controller sends
-	AtEdge       int     // the most that one edge sends
-	MaxHops      int     // from a controller to the last edge
-	ReachedShare float64 // share of the edges
+	Copies       int     // all copies but those between controllers
+	CrossZone    int     // copies between zones of a region
+	CrossRegion  int     // copies between regions
+	AtController int     // most copies that one controller sends
+	AtEdge       int     // most copies that one edge sends
+	MaxHops      int     // most links between a controller and an edge
+	ReachedShare float64 // share of the edges that get the update
 }
 
 const (
-	floodFanout = 3 // others that an edge tells in a flood: fewer leave many out
-	floodSeeds  = 2 // edges that controllers begin a flood with
+	floodFanout = 3 // edges that each edge forwards to; with fewer, the flood misses many edges
+	floodSeeds  = 2 // edges that each controller sends to
 )
 
+// location is where a daemon runs.
 type location struct{ zone, region int }
 
+// locationOf returns the location of the edge or controller with index i.
 func (f Fleet) locationOf(i int) location {
 	return location{i % f.Zones, i % f.Zones * f.Regions / f.Zones}
 }
 
-// countCopy books one copy.
+// countCopy counts one copy from a to b.
 func (c *Cost) countCopy(a, b location) {
 	switch c.Copies++; {
 	case a.region != b.region:
@@ -46,7 +48,7 @@
 	}
 }
 
-// Compare compares the three ways.
+// Compare returns the costs of the tree, the star and the flood for a fleet.
 func Compare(f Fleet) (all []Cost) {
 	edges, controllers := map[string]location{}, map[string]location{}
 	var fleet clusterstate.Fleet
@@ -62,7 +64,7 @@
 		controllers[ip] = f.locationOf(i)
 		fleet.Controllers = append(fleet.Controllers, ip)
 	}
-	first := func(ip string) relaytree.Feeder { // whom it follows
+	first := func(ip string) relaytree.Feeder { // the first upstream of an edge
 		return relaytree.Feeders(ip, fmt.Sprint("z", edges[ip].zone), fleet, nil, nil)[0]
 	}
 	tree, star := Cost{Strategy: "tree", ReachedShare: 1}, Cost{Strategy: "star", ReachedShare: 1, MaxHops: 1}
@@ -98,7 +100,7 @@
 	return []Cost{tree, star, flood(f, names, edges, controllers)}
 }
 
-// flood is one drawing of it.
+// flood simulates a flood once, with a fixed seed.
 func flood(f Fleet, names []string, edges, controllers map[string]location) Cost {
 	c := Cost{Strategy: "flood", AtController: floodSeeds, AtEdge: floodFanout}
 	rng := rand.New(rand.NewPCG(uint64(f.Edges), 1))
--- a/lab/rehearsal/rehearsal.go
+++ b/lab/rehearsal/rehearsal.go
@@ -1,6 +1,6 @@
-// Package rehearsal plays the whole system on loopback addresses with real processes: controllers, proxies and
-// their agents, stand-in replicas, an operator and clients. One of each is killed on the way, and what
-// clients saw is counted.
+// Package rehearsal runs the whole system on loopback addresses: controllers, proxies and their agents as real processes, and stand-in
+// replicas, an operator and clients in this process. It kills one controller, agent, replica and proxy in turn, and counts the answers
+// that clients get.
 package rehearsal
 
 import (
@@ -29,33 +29,33 @@
 	"willowsill/transport/daemon"
 )
 
-// RoleVariable names the part that a child process plays.
+// RoleVariable is the environment variable that holds the role of a child process.
 const RoleVariable = "WILLOWSILL_REHEARSAL_PART"
 
 const (
 	controllers        = 3
 	proxies            = 2
 	shards             = 3
-	replicasPerService = 2 // of each shard, and of the ledger
+	replicasPerService = 2 // of each shard and of the ledger
 	serviceTime        = 8 * time.Millisecond
 	heartbeat          = 300 * time.Millisecond
 	clients            = 8
 	deadlineMs         = 1500
 	ports              = localsettings.Ports(17080)
 	startWait          = 20 * time.Second
-	settleWait         = 1200 * time.Millisecond // after a loss, before what follows is counted apart
+	settleWait         = 1200 * time.Millisecond // after a controller is killed, before the next phase starts
 )
 
-// Phase is a stretch of the rehearsal and what came of it.
+// Phase holds the results of one phase of the rehearsal.
 type Phase struct {
 	Name         string         `json:"name"`
-	Answers      map[string]int `json:"answers"`
+	Answers      map[string]int `json:"answers"` // by HTTP status, or by error
 	MissingParts int            `json:"parts_missing"`
 	MedianMS     float64        `json:"median_ms"`
 	WorstMS      float64        `json:"worst_ms"`
 }
 
-// RunChild runs one process of the rehearsal, where this process is one; it tells whether it was.
+// RunChild runs the daemon that the environment asks for and exits, if this process is a child of a rehearsal. Otherwise it returns false.
 func RunChild() bool {
 	switch os.Getenv(RoleVariable) {
 	case "controller":
@@ -68,7 +68,7 @@
 	return false
 }
 
-// deployment holds what runs.
+// deployment is the running system.
 type deployment struct {
 	dir            string
 	exe            string
@@ -79,7 +79,7 @@
 	readinessAddrs []string
 }
 
-// Run plays it with copies of this program, queries each a phase, and returns what came of each phase.
+// Run runs the rehearsal with this program as the daemons, with a number of queries in each phase, and returns the results.
 func Run(ctx context.Context, queries int) ([]Phase, error) {
 	dir, err := os.MkdirTemp("", "rehearsal")
 	if err != nil {
@@ -181,7 +181,7 @@
 	c.Wait()
 }
 
-// stopAll ends all.
+// stopAll kills all replicas and processes.
 func (s *deployment) stopAll() {
 	for _, r := range s.replicas {
 		r.Kill()
@@ -218,12 +218,12 @@
 	defer stop()
 	control := controlclient.Client{Addresses: s.controlAddrs}
 	if err := control.SendConfiguration(ctx, []byte(body)); err != nil {
-		return fmt.Errorf("configuration %d was not taken: %w", revision, err)
+		return fmt.Errorf("configuration %d was not acknowledged: %w", revision, err)
 	}
 	return nil
 }
 
-// waitReady waits until all proxies are ready and know the replicas.
+// waitReady waits until all proxies are ready, and for two more heartbeats, in which they learn of the replicas.
 func (s *deployment) waitReady() error {
 	for until := time.Now().Add(startWait); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
 		n := 0
@@ -240,11 +240,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("the proxies did not get ready")
+	return fmt.Errorf("the proxies did not become ready in time")
 }
 
-// runPhase asks queries of the proxies and counts the answers. A client whose proxy does not answer goes to the
-// next.
+// runPhase sends queries to the proxies from several clients and counts the answers. A client whose proxy doesn't answer tries the next.
 func (s *deployment) runPhase(ctx context.Context, name, path string, queries int) Phase {
 	p := Phase{Name: name, Answers: map[string]int{}}
 	var mu sync.Mutex
--- a/lab/rehearsal/rehearsal_test.go
+++ b/lab/rehearsal/rehearsal_test.go
@@ -13,7 +13,7 @@
 	os.Exit(m.Run())
 }
 
-// TestRehearsal: with one of each killed, clients get their answers.
+// TestRehearsal checks that clients get nearly all answers while a controller, an agent, a replica and a proxy are killed.
 func TestRehearsal(t *testing.T) {
 	phases, err := Run(t.Context(), 60)
 	must.NoError(t, err)
