--- a/lab/emulator/aggregator.go
+++ b/lab/emulator/aggregator.go
@@ -70,17 +70,17 @@
 		a.ruleChecker.RecordListing(now, l.Replica, l.Cell, l.Status == balance.Up)
 	}
 	if a.Policy == "module" {
-		whole := slices.DeleteFunc(slices.Clone(a.listings), func(l balance.Listing) bool { return l.Status == balance.Gone })
-		for i := range whole {
-			whole[i].New = true
+		listings := slices.DeleteFunc(slices.Clone(a.listings), func(l balance.Listing) bool { return l.Status == balance.Gone })
+		for i := range listings {
+			listings[i].New = true
 		}
-		m := newModuleDecider(now, a.deployment(int(a.entityID)), whole)
+		m := newModuleDecider(now, a.deployment(int(a.entityID)), listings)
 		if a.decider = m; a.ZoneHealthEnabled {
-			a.decider = newZoneAwareDecider(m, a.Plan, int(a.entityID), whole)
+			a.decider = newZoneAwareDecider(m, a.Plan, int(a.entityID), listings)
 		}
 	} else {
-		truths := &a.simulation.oracleViews
-		a.decider = newBaselineDecider(a.Plan, int(a.entityID), a.listings, func(r int) (int64, bool) { return (*truths)[r].wait, (*truths)[r].healthy })
+		views := &a.simulation.oracleViews
+		a.decider = newBaselineDecider(a.Plan, int(a.entityID), a.listings, func(r int) (int64, bool) { return (*views)[r].wait, (*views)[r].healthy })
 	}
 	a.joinStore(now)
 	a.openGateway(now)
@@ -197,33 +197,33 @@
 }
 
 // scheduleArrival schedules the next query of a workload, if there is one within the duration of the plan.
-func (a *aggregator) scheduleArrival(now int64, load int) {
-	if at, comes := a.arrivals[load].Next(now - origin); comes {
-		a.emit(now, eventqueue.Event{At: origin + at, To: a.entityID, Kind: eventQueryArrives, Value: origin + at, Part: int16(load)})
+func (a *aggregator) scheduleArrival(now int64, workload int) {
+	if at, ok := a.arrivals[workload].Next(now - origin); ok {
+		a.emit(now, eventqueue.Event{At: origin + at, To: a.entityID, Kind: eventQueryArrives, Value: origin + at, Part: int16(workload)})
 	}
 }
 
 // receiveQuery handles a query that was asked at a time, which is before now if the aggregator was frozen or busy.
-func (a *aggregator) receiveQuery(now, at int64, load, tries int, shards []int) {
-	l := &a.Workloads[load]
-	if tries == 0 {
-		a.recorder.RecordQuery(at-origin, load)
+func (a *aggregator) receiveQuery(now, askedAt int64, workload, retries int, shards []int) {
+	l := &a.Workloads[workload]
+	if retries == 0 {
+		a.recorder.RecordQuery(askedAt-origin, workload)
 	}
 	switch {
 	case a.down: // no process listens
-		a.recorder.RecordAnswer(at-origin, now-origin, load, tries, balance.Declined)
+		a.recorder.RecordAnswer(askedAt-origin, now-origin, workload, retries, balance.Declined)
 		return
-	case now >= at+l.Timeout: // the client no longer waits
-		a.recorder.RecordAnswer(at-origin, now-origin, load, tries, balance.Forfeited)
+	case now >= askedAt+l.Timeout: // the client no longer waits
+		a.recorder.RecordAnswer(askedAt-origin, now-origin, workload, retries, balance.Forfeited)
 		a.lastQuery++
-		a.scheduleClientRetry(now, a.lastQuery, &pendingQuery{workload: load, askedAt: at, retries: tries, shards: shards}, balance.Forfeited, 0)
+		a.scheduleClientRetry(now, a.lastQuery, &pendingQuery{workload: workload, askedAt: askedAt, retries: retries, shards: shards}, balance.Forfeited, 0)
 		return
 	}
-	a.serveQuery(now, &pendingQuery{workload: load, askedAt: at, retries: tries, shards: shards}, at+l.Timeout-now)
+	a.serveQuery(now, &pendingQuery{workload: workload, askedAt: askedAt, retries: retries, shards: shards}, askedAt+l.Timeout-now)
 }
 
 // serveQuery registers a query and has it served here or by another site.
-func (a *aggregator) serveQuery(now int64, q *pendingQuery, left int64) {
+func (a *aggregator) serveQuery(now int64, q *pendingQuery, timeLeft int64) {
 	a.lastQuery++
 	number := a.lastQuery
 	l := &a.Workloads[q.workload]
@@ -232,17 +232,17 @@
 		q.weights = append(q.weights, 1/float64(len(q.shards)))
 	}
 	a.queries[number] = q
-	a.ruleChecker.RecordQuery(now, number, left, int(l.RetrySafety), q.weights)
-	a.emit(now, eventqueue.Event{At: now + left + 1, To: a.entityID, Kind: eventClientTimeout, Query: number})
+	a.ruleChecker.RecordQuery(now, number, timeLeft, int(l.RetrySafety), q.weights)
+	a.emit(now, eventqueue.Event{At: now + timeLeft + 1, To: a.entityID, Kind: eventClientTimeout, Query: number})
 	a.emit(now, eventqueue.Event{At: now + 3*l.Timeout, To: a.entityID, Kind: eventForgetQuery, Query: number})
-	mark := float64(uint32(number)*2654435761%1000) / 1000
-	if a.siteGateway != nil && !a.siteGateway.gateway.ServesLocally(now, mark, q.forwardedIn) {
+	draw := float64(uint32(number)*2654435761%1000) / 1000
+	if a.siteGateway != nil && !a.siteGateway.gateway.ServesLocally(now, draw, q.forwardedIn) {
 		if !a.tryForward(now, number, q, false) {
 			a.finish(now, ending{query: number, outcome: balance.Declined, retryAfter: 1e9})
 		}
 		return
 	}
-	a.decider.addQuery(now, number, q.workload, left, !q.forwardedIn && a.overQuota(now, q.workload), q.shards, q.weights)
+	a.decider.addQuery(now, number, q.workload, timeLeft, !q.forwardedIn && a.overQuota(now, q.workload), q.shards, q.weights)
 	a.trace(now, "query %d received: %s, shards %v", number, l.Name, q.shards)
 	a.requestRound(now)
 }
@@ -265,14 +265,14 @@
 		a.emit(now, eventqueue.Event{At: now + a.drawDelay(), To: int32(a.Aggregators + x.replica), Kind: eventPartCancelled, Query: number, Part: int16(part),
 			Attempt: int16(execution)})
 	}
-	ended := checker.MayHaveRun
+	checkerResult := checker.MayHaveRun
 	switch {
 	case result == balance.Fulfilled:
-		ended = checker.Fulfilled
+		checkerResult = checker.Fulfilled
 	case result.NeverRan():
-		ended = checker.NeverRan
+		checkerResult = checker.NeverRan
 	}
-	a.ruleChecker.RecordOutcome(now, number, part, execution, ended)
+	a.ruleChecker.RecordOutcome(now, number, part, execution, checkerResult)
 	a.trace(now, "query %d part %d execution %d at replica %d: %s after %.3f ms", number, part, execution, x.replica, resultNames[result],
 		float64(now-x.sentAt)/1e6)
 	a.decider.recordOutcome(now, number, part, execution, result, now-x.sentAt)
@@ -365,8 +365,8 @@
 func (a *aggregator) describeInFlight(replica int) string {
 	count := map[int]int{}
 	for _, q := range a.queries {
-		for _, runs := range q.parts {
-			for _, x := range runs {
+		for _, executions := range q.parts {
+			for _, x := range executions {
 				if !x.ended {
 					count[x.replica]++
 				}
--- a/lab/emulator/arrivals.go
+++ b/lab/emulator/arrivals.go
@@ -17,12 +17,12 @@
 }
 
 // Arrivals returns the generator of a workload at an aggregator, both by index.
-func (p *Plan) Arrivals(aggregator, load int) *Arrivals {
+func (p *Plan) Arrivals(aggregator, workload int) *Arrivals {
 	// One draw for all workloads of an aggregator, so that a busy aggregator gets more queries of each kind.
-	share := math.Exp(p.LoadSigma*rand.New(rand.NewPCG(p.Seed, 4<<32+uint64(aggregator))).NormFloat64() - p.LoadSigma*p.LoadSigma/2)
-	a := &Arrivals{workload: &p.Workloads[load], duration: p.Duration, shards: p.Shards(),
-		rng: rand.New(rand.NewPCG(p.Seed, 2<<32+uint64(aggregator)<<8+uint64(load)))}
-	a.rate = a.workload.Rate * share
+	factor := math.Exp(p.LoadSigma*rand.New(rand.NewPCG(p.Seed, 4<<32+uint64(aggregator))).NormFloat64() - p.LoadSigma*p.LoadSigma/2)
+	a := &Arrivals{workload: &p.Workloads[workload], duration: p.Duration, shards: p.Shards(),
+		rng: rand.New(rand.NewPCG(p.Seed, 2<<32+uint64(aggregator)<<8+uint64(workload)))}
+	a.rate = a.workload.Rate * factor
 	if a.workload.Skew > 0 {
 		a.zipf = newZipf(a.shards, a.workload.Skew)
 	}
@@ -33,11 +33,11 @@
 // none within the duration of the plan.
 func (a *Arrivals) Next(at int64) (int64, bool) {
 	for {
-		next, comes := a.nextWithoutWave(at)
+		next, ok := a.nextWithoutWave(at)
 		// Arrivals are drawn at the highest rate of the wave, then thinned to the present rate.
-		if l := a.workload; !comes || l.WaveAmplitude <= 0 || l.WavePeriod <= 0 ||
+		if l := a.workload; !ok || l.WaveAmplitude <= 0 || l.WavePeriod <= 0 ||
 			a.rng.Float64()*(1+l.WaveAmplitude) < 1+l.WaveAmplitude*math.Sin(2*math.Pi*float64(next)/float64(l.WavePeriod)) {
-			return next, comes
+			return next, ok
 		}
 		at = next
 	}
@@ -45,23 +45,23 @@
 
 // nextWithoutWave returns the next arrival at the highest rate of the wave, which changes only at the edges of bursts.
 func (a *Arrivals) nextWithoutWave(at int64) (int64, bool) {
-	l := a.workload
+	w := a.workload
 	for at < a.duration {
-		rate, until := a.rate*(1+max(l.WaveAmplitude, 0)), int64(math.MaxInt64)
-		if l.BurstInterval > 0 { // the rate is constant until the next edge of a burst
-			since := at - l.BurstStart
+		rate, end := a.rate*(1+max(w.WaveAmplitude, 0)), int64(math.MaxInt64)
+		if w.BurstInterval > 0 { // the rate is constant until the next edge of a burst
+			since := at - w.BurstStart
 			if since < 0 {
-				since = l.BurstInterval + since%l.BurstInterval // before the first burst: count back from it, in whole intervals
+				since = w.BurstInterval + since%w.BurstInterval // before the first burst: count back from it, in whole intervals
 			}
-			since %= l.BurstInterval
-			if until = at - since + l.BurstInterval; since < l.BurstTime && at >= l.BurstStart {
-				rate, until = rate*l.BurstFactor, at-since+l.BurstTime
+			since %= w.BurstInterval
+			if end = at - since + w.BurstInterval; since < w.BurstTime && at >= w.BurstStart {
+				rate, end = rate*w.BurstFactor, at-since+w.BurstTime
 			}
 		}
-		if next := at + int64(a.rng.ExpFloat64()*1e9/max(rate, 1e-9)); next < until {
+		if next := at + int64(a.rng.ExpFloat64()*1e9/max(rate, 1e-9)); next < end {
 			return next, next < a.duration
 		}
-		at = until // exponential waits are memoryless, so the draw can be repeated from the edge
+		at = end // exponential waits are memoryless, so the draw can be repeated from the edge
 	}
 	return at, false
 }
@@ -94,8 +94,8 @@
 	return z
 }
 
-func (z *zipf) draw(chance *rand.Rand) int {
-	x := chance.Float64() * z.cumulative[len(z.cumulative)-1]
+func (z *zipf) draw(rng *rand.Rand) int {
+	x := rng.Float64() * z.cumulative[len(z.cumulative)-1]
 	low, high := 0, len(z.cumulative)-1
 	for low < high {
 		if mid := (low + high) / 2; z.cumulative[mid] <= x {
--- a/lab/emulator/baselines/baselines.go
+++ b/lab/emulator/baselines/baselines.go
@@ -87,8 +87,8 @@
 }
 
 // New returns a baseline without replicas.
-func New(t Config) *Baseline {
-	return &Baseline{Config: t, rng: rand.New(rand.NewPCG(t.Seed, 77)), holders: make([][]int, t.Shards), nextTurn: make([]int, t.Shards),
+func New(c Config) *Baseline {
+	return &Baseline{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 77)), holders: make([][]int, c.Shards), nextTurn: make([]int, c.Shards),
 		queries: map[int32]*query{}}
 }
 
@@ -105,8 +105,8 @@
 }
 
 // AddQuery adds a query that arrives now. It has one part for each of shards.
-func (r *Baseline) AddQuery(now int64, number int32, workload int, patience int64, shards []int, weights []float64) {
-	q := &query{number: number, workload: workload, arrivedAt: now, deadline: now + patience}
+func (r *Baseline) AddQuery(now int64, number int32, workload int, timeout int64, shards []int, weights []float64) {
+	q := &query{number: number, workload: workload, arrivedAt: now, deadline: now + timeout}
 	for i, s := range shards {
 		q.parts = append(q.parts, part{shard: s, weight: weights[i]})
 	}
@@ -121,16 +121,16 @@
 		return
 	}
 	p := &q.parts[i]
-	at := &r.replicas[p.tried[len(p.tried)-1]]
-	at.inFlight--
+	replica := &r.replicas[p.tried[len(p.tried)-1]]
+	replica.inFlight--
 	p.inFlight = false
 	q.inFlight--
 	if result == balance.Cancelled {
 		took = 0
 	}
 	if took > 0 { // failures count too, with the time until they ended
-		keep := math.Exp(-float64(now-at.meanAt) / meanDecayNs)
-		at.meanLatency, at.meanAt = keep*at.meanLatency+(1-keep)*float64(took), now
+		weight := math.Exp(-float64(now-replica.meanAt) / meanDecayNs)
+		replica.meanLatency, replica.meanAt = weight*replica.meanLatency+(1-weight)*float64(took), now
 	}
 	switch {
 	case result == balance.Fulfilled:
@@ -144,12 +144,12 @@
 }
 
 // Decide returns the executions to send and the queries to answer now, and when it must be called again (0 if there is no such time).
-func (r *Baseline) Decide(now int64) (sends []Send, endings []Ending, wake int64) {
+func (r *Baseline) Decide(now int64) (sends []Send, endings []Ending, wakeAt int64) {
 	r.open = slices.DeleteFunc(r.open, func(q *query) bool {
-		final, over := r.outcome(now, q)
-		if over {
+		outcome, ended := r.outcome(now, q)
+		if ended {
 			q.ended = true
-			endings = append(endings, Ending{q.number, final})
+			endings = append(endings, Ending{q.number, outcome})
 			if q.inFlight == 0 {
 				delete(r.queries, q.number)
 			}
@@ -160,48 +160,48 @@
 			if p.done || p.inFlight || p.unrepeatable || len(p.tried) >= r.MaxExecutions {
 				continue
 			}
-			to := r.pick(now, p)
-			if to < 0 {
+			replica := r.pick(now, p)
+			if replica < 0 {
 				continue
 			}
-			p.tried, p.inFlight = append(p.tried, to), true
+			p.tried, p.inFlight = append(p.tried, replica), true
 			q.inFlight++
-			r.replicas[to].inFlight++
-			cut := q.deadline
+			r.replicas[replica].inFlight++
+			deadline := q.deadline
 			if len(p.tried) < r.MaxExecutions && r.RetrySafety[q.workload] != balance.OnceOnly {
-				cut = min(cut, now+int64(attemptTimeShare*float64(q.deadline-q.arrivedAt)))
+				deadline = min(deadline, now+int64(attemptTimeShare*float64(q.deadline-q.arrivedAt)))
 			}
-			sends = append(sends, Send{q.number, i, to, cut})
+			sends = append(sends, Send{q.number, i, replica, deadline})
 		}
-		if at := q.deadline - answerMarginNs; wake == 0 || at < wake {
-			wake = at
+		if at := q.deadline - answerMarginNs; wakeAt == 0 || at < wakeAt {
+			wakeAt = at
 		}
 		return false
 	})
-	return sends, endings, wake
+	return sends, endings, wakeAt
 }
 
 // outcome returns how a query ends, and whether it ends now.
 func (r *Baseline) outcome(now int64, q *query) (balance.Outcome, bool) {
-	done, open, ran := 0.0, false, false
+	done, open, mayRun := 0.0, false, false
 	for i := range q.parts {
 		p := &q.parts[i]
-		ran = ran || p.unrepeatable || p.inFlight
+		mayRun = mayRun || p.unrepeatable || p.inFlight
 		if p.done {
 			done += p.weight
 		} else {
 			open = open || p.inFlight || !p.unrepeatable && len(p.tried) < r.MaxExecutions
 		}
 	}
-	const grain = 1e-9
-	switch late := now >= q.deadline-answerMarginNs; {
-	case done >= 1-grain:
+	const epsilon = 1e-9
+	switch overdue := now >= q.deadline-answerMarginNs; {
+	case done >= 1-epsilon:
 		return balance.Whole, true
-	case open && !late:
+	case open && !overdue:
 		return 0, false
-	case done >= r.MinCoverage-grain && done > 0:
+	case done >= r.MinCoverage-epsilon && done > 0:
 		return balance.Partial, true
-	case ran && r.RetrySafety[q.workload] == balance.OnceOnly:
+	case mayRun && r.RetrySafety[q.workload] == balance.OnceOnly:
 		return balance.Forfeited, true
 	}
 	return balance.Declined, true
@@ -209,20 +209,20 @@
 
 // pick chooses a replica for a part, or returns -1. It avoids replicas that were tried before, while there are others.
 func (r *Baseline) pick(now int64, p *part) int {
-	var able []int
+	var candidates []int
 	for _, h := range r.holders[p.shard] {
 		if r.replicas[h].up && !slices.Contains(p.tried, h) {
-			able = append(able, h)
+			candidates = append(candidates, h)
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		for _, h := range r.holders[p.shard] {
 			if r.replicas[h].up {
-				able = append(able, h)
+				candidates = append(candidates, h)
 			}
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return -1
 	}
 	load := func(h int) float64 { return float64(r.replicas[h].inFlight) }
@@ -230,39 +230,39 @@
 	r.nextTurn[p.shard]++
 	switch r.Policy {
 	case "turns":
-		return able[first%len(able)]
+		return candidates[first%len(candidates)]
 	case "least":
-		return leastBy(able, first, load)
+		return leastBy(candidates, first, load)
 	case "two":
-		a, b := able[r.rng.IntN(len(able))], able[r.rng.IntN(len(able))]
+		a, b := candidates[r.rng.IntN(len(candidates))], candidates[r.rng.IntN(len(candidates))]
 		if load(b) < load(a) {
 			return b
 		}
 		return a
 	case "ewma":
-		return leastBy(able, first, func(h int) float64 {
+		return leastBy(candidates, first, func(h int) float64 {
 			at := &r.replicas[h]
 			return at.meanLatency * math.Exp(-float64(now-at.meanAt)/meanDecayNs) * (load(h) + 1)
 		})
 	case "oracle":
-		return leastBy(able, first, func(h int) float64 {
-			wait, sound := r.Oracle(h)
-			if !sound {
+		return leastBy(candidates, first, func(h int) float64 {
+			wait, healthy := r.Oracle(h)
+			if !healthy {
 				return math.MaxFloat64
 			}
 			return float64(wait)
 		})
 	}
-	return able[r.rng.IntN(len(able))]
+	return candidates[r.rng.IntN(len(candidates))]
 }
 
 // leastBy returns the replica with the lowest value of of. Among equals it takes turns, starting at index first.
-func leastBy(able []int, first int, of func(int) float64) int {
-	best, at := -1, math.Inf(1)
-	for i := range able {
-		h := able[(first+i)%len(able)]
-		if x := of(h); x < at {
-			best, at = h, x
+func leastBy(candidates []int, first int, value func(int) float64) int {
+	best, lowest := -1, math.Inf(1)
+	for i := range candidates {
+		h := candidates[(first+i)%len(candidates)]
+		if x := value(h); x < lowest {
+			best, lowest = h, x
 		}
 	}
 	return best
--- a/lab/emulator/checker/checker.go
+++ b/lab/emulator/checker/checker.go
@@ -148,12 +148,12 @@
 
 // checkStarvation counts a part that was sent to a replica, and checks that no other replica of the shard is starved.
 func (a *Aggregator) checkStarvation(now int64, replica int) {
-	to := a.loads[replica]
-	if to == nil || !a.CheckStarvation {
+	target := a.loads[replica]
+	if target == nil || !a.CheckStarvation {
 		return
 	}
-	to.partsToOthers = 0
-	for _, number := range a.holders[to.shard] {
+	target.partsToOthers = 0
+	for _, number := range a.holders[target.shard] {
 		r := a.loads[number]
 		if number == replica || r.upSince < 0 || r.inFlight > 0 || now-r.lastFailure < starvationCalmNs {
 			r.partsToOthers = 0
@@ -167,8 +167,8 @@
 }
 
 // RecordQuery records a query that arrives.
-func (a *Aggregator) RecordQuery(now int64, number int32, patience int64, effect int, weights []float64) {
-	q := &query{deadline: now + patience, retrySafety: effect, weights: weights, executions: make([][]execution, len(weights))}
+func (a *Aggregator) RecordQuery(now int64, number int32, timeout int64, retrySafety int, weights []float64) {
+	q := &query{deadline: now + timeout, retrySafety: retrySafety, weights: weights, executions: make([][]execution, len(weights))}
 	q.record(now, "received")
 	a.queries[number] = q
 	for range 1 + len(weights) { // the retry budget grows with queries and with parts
@@ -194,8 +194,8 @@
 	if r := a.loads[replica]; r != nil {
 		r.inFlight++
 	}
-	runs := q.executions[part]
-	for i, r := range runs {
+	executions := q.executions[part]
+	for i, r := range executions {
 		switch {
 		case !r.ended:
 			a.violate(2, now, q, "part %d runs again before the outcome of execution %d", part, i)
@@ -207,16 +207,16 @@
 			a.violate(2, now, q, "part %d runs again after it was fulfilled", part)
 		}
 	}
-	if len(runs) >= a.MaxExecutions {
-		a.violate(6, now, q, "execution %d of part %d", len(runs)+1, part)
+	if len(executions) >= a.MaxExecutions {
+		a.violate(6, now, q, "execution %d of part %d", len(executions)+1, part)
 	}
-	if len(runs) > 0 && a.Budgeted {
+	if len(executions) > 0 && a.Budgeted {
 		a.arrivals, a.retries = dropBefore(a.arrivals, now-a.RetryWindow), dropBefore(a.retries, now-a.RetryWindow)
 		if a.retries = append(a.retries, now); float64(len(a.retries)) > a.RetrySlack+a.RetryRatio*float64(len(a.arrivals)) {
 			a.violate(6, now, q, "%d retries for %d queries and parts", len(a.retries), len(a.arrivals))
 		}
 	}
-	q.executions[part] = append(runs, execution{sentAt: now, replica: replica})
+	q.executions[part] = append(executions, execution{sentAt: now, replica: replica})
 }
 
 // dropBefore removes the times before since from a sorted list.
@@ -229,29 +229,29 @@
 }
 
 // RecordOutcome records the result of an execution, independently of how the decider interprets it.
-func (a *Aggregator) RecordOutcome(now int64, number int32, part, execution, ended int) {
+func (a *Aggregator) RecordOutcome(now int64, number int32, part, execution, outcome int) {
 	q := a.queries[number]
 	if q == nil || execution >= len(q.executions[part]) {
 		return
 	}
 	r := &q.executions[part][execution]
-	if at := a.loads[r.replica]; at != nil && !r.ended {
-		if at.inFlight--; ended != Fulfilled {
-			at.lastFailure = now
+	if load := a.loads[r.replica]; load != nil && !r.ended {
+		if load.inFlight--; outcome != Fulfilled {
+			load.lastFailure = now
 		}
 	}
-	r.ended, r.result = true, ended
-	q.record(now, "execution %d of part %d %s", execution, part, [...]string{"fulfilled", "never ran", "may have run"}[ended])
+	r.ended, r.result = true, outcome
+	q.record(now, "execution %d of part %d %s", execution, part, [...]string{"fulfilled", "never ran", "may have run"}[outcome])
 }
 
 // RecordAnswer checks a final answer: whether it comes with values, and whether it claims to be whole.
-func (a *Aggregator) RecordAnswer(now int64, number int32, values, whole bool) {
+func (a *Aggregator) RecordAnswer(now int64, number int32, hasValues, whole bool) {
 	q := a.queries[number]
 	if q == nil {
 		a.violate(1, now, nil, "query %d has a second answer", number)
 		return
 	}
-	q.record(now, "answered, values %v, whole %v", values, whole)
+	q.record(now, "answered, values %v, whole %v", hasValues, whole)
 	if q.answered {
 		a.violate(1, now, q, "a second final answer")
 	}
@@ -260,9 +260,9 @@
 	}
 	q.answered = true
 	share, total := 0.0, 0.0
-	for part, runs := range q.executions {
+	for part, executions := range q.executions {
 		total += q.weights[part]
-		for _, r := range runs {
+		for _, r := range executions {
 			if r.ended && r.result == Fulfilled {
 				share += q.weights[part]
 				break
@@ -270,12 +270,12 @@
 		}
 	}
 	share /= total
-	const grain = 1e-9
+	const epsilon = 1e-9
 	if q.answeredElsewhere {
 		return
 	}
-	if values && share < a.MinCoverage-grain || whole && share < a.FullCoverage-grain {
-		a.violate(5, now, q, "an answer with values %v, whole %v from %.3f of the weight", values, whole, share)
+	if hasValues && share < a.MinCoverage-epsilon || whole && share < a.FullCoverage-epsilon {
+		a.violate(5, now, q, "an answer with values %v, whole %v from %.3f of the weight", hasValues, whole, share)
 	}
 }
 
@@ -297,14 +297,14 @@
 func CheckQuota(times []int64, customer string, rate, burst, window float64, aggregators int) []Violation {
 	for _, windows := range []float64{1, 3, 10} {
 		span := windows * window
-		most := 3*rate*(span+2*window) + burst + float64(aggregators)
+		bound := 3*rate*(span+2*window) + burst + float64(aggregators)
 		first := 0
 		for i, at := range times {
 			for float64(at-times[first])/1e9 > span {
 				first++
 			}
-			if n := i - first + 1; float64(n) > most {
-				return []Violation{{RuleQuota, at, "customer " + customer, fmt.Sprintf("%d queries admitted within its quota in %.0f s, at most %.0f are allowed", n, span, most)}}
+			if n := i - first + 1; float64(n) > bound {
+				return []Violation{{RuleQuota, at, "customer " + customer, fmt.Sprintf("%d queries admitted within its quota in %.0f s, at most %.0f are allowed", n, span, bound)}}
 			}
 		}
 	}
@@ -353,7 +353,7 @@
 
 // RecordArrival records an execution that arrives. It returns true if the replica crashes by it, because it is cold and more than
 // OverloadFactor times its present capacity has arrived within OverloadSpan.
-func (r *Replica) RecordArrival(now int64) (falls bool) {
+func (r *Replica) RecordArrival(now int64) (crashes bool) {
 	age := now - r.startedAt
 	if r.startedAt == 0 || age >= r.WarmUpTime {
 		return false
--- a/lab/emulator/decider.go
+++ b/lab/emulator/decider.go
@@ -54,9 +54,9 @@
 	buffers    decision // the last decision, whose slices are reused
 }
 
-func newModuleDecider(now int64, d balance.Deployment, whole []balance.Listing) *moduleDecider {
+func newModuleDecider(now int64, d balance.Deployment, listings []balance.Listing) *moduleDecider {
 	m := &moduleDecider{aggregator: balance.New(now, d), queries: map[int32]*balance.Query{}, numbers: map[*balance.Query]int32{}}
-	m.aggregator.ReplaceList(now, whole, true)
+	m.aggregator.ReplaceList(now, listings, true)
 	return m
 }
 
@@ -64,12 +64,12 @@
 	m.aggregator.UpdateList(now, []balance.Listing{l})
 }
 
-func (m *moduleDecider) addQuery(now int64, number int32, load int, patience int64, over bool, shards []int, weights []float64) {
-	claim := balance.FirstTry
-	if over {
-		claim = balance.OverQuota
+func (m *moduleDecider) addQuery(now int64, number int32, workload int, timeout int64, overQuota bool, shards []int, weights []float64) {
+	priority := balance.FirstTry
+	if overQuota {
+		priority = balance.OverQuota
 	}
-	q := m.aggregator.AddQuery(now, balance.Arrival{Workload: load, Timeout: patience, Parts: len(shards), Priority: claim})
+	q := m.aggregator.AddQuery(now, balance.Arrival{Workload: workload, Timeout: timeout, Parts: len(shards), Priority: priority})
 	for i, s := range shards {
 		q.AddPart(s, weights[i])
 	}
@@ -106,14 +106,14 @@
 // baselineDecider adapts a baseline policy to decider.
 type baselineDecider struct{ *baselines.Baseline }
 
-func newBaselineDecider(p *Plan, number int, whole []balance.Listing, sees func(int) (int64, bool)) baselineDecider {
-	t := baselines.Config{Policy: p.Policy, Seed: p.Seed*1_000_003 + uint64(number), Shards: p.Shards(), MaxExecutions: p.MaxExecutions,
-		MinCoverage: p.Workloads[0].MinCoverage, Oracle: sees}
+func newBaselineDecider(p *Plan, number int, listings []balance.Listing, oracle func(int) (int64, bool)) baselineDecider {
+	c := baselines.Config{Policy: p.Policy, Seed: p.Seed*1_000_003 + uint64(number), Shards: p.Shards(), MaxExecutions: p.MaxExecutions,
+		MinCoverage: p.Workloads[0].MinCoverage, Oracle: oracle}
 	for _, l := range p.Workloads {
-		t.RetrySafety = append(t.RetrySafety, l.RetrySafety)
+		c.RetrySafety = append(c.RetrySafety, l.RetrySafety)
 	}
-	r := baselineDecider{baselines.New(t)}
-	for _, l := range whole {
+	r := baselineDecider{baselines.New(c)}
+	for _, l := range listings {
 		r.SetListed(l.Replica, l.Cell, true)
 	}
 	return r
@@ -123,8 +123,8 @@
 	r.SetListed(l.Replica, l.Cell, l.Status == balance.Up)
 }
 
-func (r baselineDecider) addQuery(now int64, number int32, load int, patience int64, _ bool, shards []int, weights []float64) {
-	r.AddQuery(now, number, load, patience, shards, weights)
+func (r baselineDecider) addQuery(now int64, number int32, workload int, timeout int64, _ bool, shards []int, weights []float64) {
+	r.AddQuery(now, number, workload, timeout, shards, weights)
 }
 
 func (r baselineDecider) recordOutcome(now int64, number int32, part, _ int, result balance.Result, took int64) {
@@ -132,14 +132,14 @@
 }
 
 func (r baselineDecider) decide(now int64) (out decision) {
-	sends, endings, wake := r.Decide(now)
+	sends, endings, wakeAt := r.Decide(now)
 	for _, s := range sends {
 		out.sends = append(out.sends, send{s.Query, s.Part, s.Replica, s.Deadline})
 	}
 	for _, e := range endings {
 		out.endings = append(out.endings, ending{e.Query, e.Outcome, 0})
 	}
-	out.wakeAt = wake
+	out.wakeAt = wakeAt
 	return out
 }
 
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -64,14 +64,14 @@
 			p.Policy, p.Sites, p.RoutingPolicy, p.Link = "module", 2, "plan", Link{Delay: 20 * ms, Loss: 0.02, ResendDelay: 200 * ms, QueryRate: 50, ByteRate: 1e6}
 			p.Faults = append(p.Faults, Fault{Kind: "cut", Sites: []int{1}, From: 7 * second, Until: 9 * second})
 		}
-		_, one := mustRun(t, p, 1)
+		_, onOneCore := mustRun(t, p, 1)
 		for _, cores := range []int{3, 8} {
-			if _, other := mustRun(t, p, cores); other != one {
-				t.Errorf("%s: on %d cores the result is %s, on one core %s", policy, cores, other, one)
+			if _, other := mustRun(t, p, cores); other != onOneCore {
+				t.Errorf("%s: on %d cores the result is %s, on one core %s", policy, cores, other, onOneCore)
 			}
 		}
 		p.Seed = 4
-		if _, other := mustRun(t, p, 2); other == one {
+		if _, other := mustRun(t, p, 2); other == onOneCore {
 			t.Errorf("%s: another seed gave the same result", policy)
 		}
 	}
@@ -103,15 +103,15 @@
 	t.Parallel()
 	rules := map[string]int{"count not lowered on reset": 0, "drain ignored": 3, "cold guard off": 4, "budget off": 6, "second answer": 1,
 		"runs before the outcome": 2, "whole from a part": 5}
-	for _, how := range Defects {
+	for _, defect := range Defects {
 		p := smallPlan("module", 1)
-		p.Faults, p.Defect = allFaults, how
-		switch how {
+		p.Faults, p.Defect = allFaults, defect
+		switch defect {
 		case "budget off":
 			p.RetrySlack, p.RetryRatio = 1, 0.01
 		case "cold guard off":
 			p = coldRestartPlan(1)
-			p.Defect = how
+			p.Defect = defect
 		case "count not lowered on reset":
 			// Many parts are in flight at the crash and few later. Only then does a replica whose count of parts in flight stays too high
 			// get no parts at all.
@@ -120,14 +120,14 @@
 			p.Faults = []Fault{{Kind: "restart", Replicas: []int{3, 9}, From: 4 * second, Until: 5 * second}}
 		}
 		r, _ := mustRun(t, p, MaxCores())
-		if r.Violation == "" || r.Rule != rules[how] || !strings.Contains(r.Violation, " at ") {
-			t.Errorf("defect %q: got violation %q of rule %d, want rule %d", how, r.Violation, r.Rule, rules[how])
+		if r.Violation == "" || r.Rule != rules[defect] || !strings.Contains(r.Violation, " at ") {
+			t.Errorf("defect %q: got violation %q of rule %d, want rule %d", defect, r.Violation, r.Rule, rules[defect])
 		}
-		if p.Defect = ""; how == "count not lowered on reset" {
+		if p.Defect = ""; defect == "count not lowered on reset" {
 			continue // a long run; the other plans without a defect show the same
 		}
 		if r, _ := mustRun(t, p, MaxCores()); r.Violation != "" {
-			t.Errorf("without the defect %q: %q", how, r.Violation)
+			t.Errorf("without the defect %q: %q", defect, r.Violation)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 // rule is violated.
 func TestStores(t *testing.T) {
 	t.Parallel()
-	met := map[string]int{}
+	executions := map[string]int{}
 	for _, mode := range StoreModes {
 		p := smallPlan("module", 1)
 		p.StoreMode, p.Aggregators, p.Replicas, p.ReplicasPerShard = mode, 40, 20, 5
@@ -189,10 +189,10 @@
 		if r.Violation != "" {
 			t.Errorf("%s: %s", mode, r.Violation)
 		}
-		met[mode] = r.FaultyExecutions
+		executions[mode] = r.FaultyExecutions
 	}
-	if met["good"] > 7*met["none"]/10 {
-		t.Errorf("executions at the hung replica, by store mode: %v", met)
+	if executions["good"] > 7*executions["none"]/10 {
+		t.Errorf("executions at the hung replica, by store mode: %v", executions)
 	}
 }
 
--- a/lab/emulator/eventqueue/eventqueue.go
+++ b/lab/emulator/eventqueue/eventqueue.go
@@ -64,11 +64,11 @@
 
 // Push adds an event. One earlier than the current bucket is put into that bucket.
 func (a *Queue) Push(e Event) {
-	switch day := e.At >> bucketBits; {
-	case day <= a.current:
+	switch bucket := e.At >> bucketBits; {
+	case bucket <= a.current:
 		heap.Push((*byTime)(&a.added), e)
-	case day-a.current < bucketCount:
-		slot := day & bucketMask
+	case bucket-a.current < bucketCount:
+		slot := bucket & bucketMask
 		a.buckets[slot] = append(a.buckets[slot], e)
 		a.occupied[slot/64] |= 1 << (slot % 64)
 		a.inBuckets++
@@ -137,23 +137,23 @@
 
 // nextBucket returns the number of the first bucket after the current one with events, in the buckets or in the overflow heap.
 func (a *Queue) nextBucket() int64 {
-	far := int64(never)
+	firstOverflow := int64(never)
 	if len(a.overflow) > 0 {
-		far = a.overflow[0].At >> bucketBits
+		firstOverflow = a.overflow[0].At >> bucketBits
 	}
 	if a.inBuckets == 0 {
-		return far
+		return firstOverflow
 	}
-	for day := a.current + 1; ; {
-		slot := day & bucketMask
+	for bucket := a.current + 1; ; {
+		slot := bucket & bucketMask
 		if word := a.occupied[slot/64] >> (slot % 64); word != 0 {
 			for word&1 == 0 {
 				word >>= 1
-				day++
+				bucket++
 			}
-			return min(day, far)
+			return min(bucket, firstOverflow)
 		}
-		day += 64 - slot%64
+		bucket += 64 - slot%64
 	}
 }
 
--- a/lab/emulator/eventqueue/eventqueue_test.go
+++ b/lab/emulator/eventqueue/eventqueue_test.go
@@ -44,27 +44,27 @@
 // Each iteration pops the next event and pushes a later one, as a simulation does.
 func BenchmarkTurn(b *testing.B) {
 	const waiting = 100_000
-	later := func(chance *rand.Rand) int64 { return int64(chance.ExpFloat64() * 40e6) }
+	later := func(rng *rand.Rand) int64 { return int64(rng.ExpFloat64() * 40e6) }
 	b.Run("calendar", func(b *testing.B) {
-		chance, a := rand.New(rand.NewPCG(1, 2)), New(0)
+		rng, a := rand.New(rand.NewPCG(1, 2)), New(0)
 		for i := range waiting {
-			a.Push(Event{At: later(chance), Seq: uint64(i)})
+			a.Push(Event{At: later(rng), Seq: uint64(i)})
 		}
 		for i := 0; b.Loop(); i++ {
 			e, _ := a.Pop(never)
-			e.At += later(chance)
+			e.At += later(rng)
 			e.Seq = uint64(waiting + i)
 			a.Push(e)
 		}
 	})
 	b.Run("heap", func(b *testing.B) {
-		chance, q := rand.New(rand.NewPCG(1, 2)), byTime{}
+		rng, q := rand.New(rand.NewPCG(1, 2)), byTime{}
 		for i := range waiting {
-			heap.Push(&q, Event{At: later(chance), Seq: uint64(i)})
+			heap.Push(&q, Event{At: later(rng), Seq: uint64(i)})
 		}
 		for i := 0; b.Loop(); i++ {
 			e := heap.Pop(&q).(Event)
-			e.At += later(chance)
+			e.At += later(rng)
 			e.Seq = uint64(waiting + i)
 			heap.Push(&q, e)
 		}
--- a/lab/emulator/hunt/hunt.go
+++ b/lab/emulator/hunt/hunt.go
@@ -53,24 +53,24 @@
 
 // Search finds the worst schedule by random search and mutation, and minimizes it. With the same configuration and a deterministic
 // evaluate the result is always the same. The search ends at the first violated rule.
-func Search(t Config, judge func([]emulator.Fault) Score) Result {
-	if len(t.Kinds) == 0 {
-		t.Kinds = emulator.FaultKinds
+func Search(c Config, evaluate func([]emulator.Fault) Score) Result {
+	if len(c.Kinds) == 0 {
+		c.Kinds = emulator.FaultKinds
 	}
-	chance := rand.New(rand.NewPCG(t.Seed, 9))
+	rng := rand.New(rand.NewPCG(c.Seed, 9))
 	var best []Result
-	f := Result{}
-	for n := range t.MaxSchedules {
+	result := Result{}
+	for n := range c.MaxSchedules {
 		var faults []emulator.Fault
-		if n < poolSize || chance.Float64() < newScheduleShare {
-			for range 1 + chance.IntN(t.MaxFaults) {
-				faults = append(faults, t.randomFault(chance))
+		if n < poolSize || rng.Float64() < newScheduleShare {
+			for range 1 + rng.IntN(c.MaxFaults) {
+				faults = append(faults, c.randomFault(rng))
 			}
 		} else {
-			faults = t.mutate(chance, best[chance.IntN(len(best))].Faults)
+			faults = c.mutate(rng, best[rng.IntN(len(best))].Faults)
 		}
-		f.Tried++
-		best = append(best, Result{Faults: faults, Score: judge(faults)})
+		result.Tried++
+		best = append(best, Result{Faults: faults, Score: evaluate(faults)})
 		slices.SortStableFunc(best, func(a, b Result) int {
 			switch {
 			case a.Score.worseThan(b.Score):
@@ -85,41 +85,41 @@
 			break
 		}
 	}
-	f.Faults, f.Score = best[0].Faults, best[0].Score
-	t.minimize(&f, judge)
-	return f
+	result.Faults, result.Score = best[0].Faults, best[0].Score
+	c.minimize(&result, evaluate)
+	return result
 }
 
 // randomFault draws a fault.
-func (t *Config) randomFault(chance *rand.Rand) emulator.Fault {
-	span := t.Until - t.From
-	length := int64(minFaultNs) + chance.Int64N(max(span/2, 1))
-	at := t.From + chance.Int64N(max(span-length, 1))
-	f := emulator.Fault{Kind: t.Kinds[chance.IntN(len(t.Kinds))], From: at, Until: at + length, Slowdown: 2 + 8*chance.Float64()}
-	f.Period = int64(500e6) + chance.Int64N(4e9)
-	f.ActiveTime = f.Period/10 + chance.Int64N(f.Period/2)
-	f.Replicas = chance.Perm(t.Replicas)[:1+chance.IntN(max(min(t.MaxReplicasPerFault, t.Replicas), 1))]
+func (c *Config) randomFault(rng *rand.Rand) emulator.Fault {
+	span := c.Until - c.From
+	length := int64(minFaultNs) + rng.Int64N(max(span/2, 1))
+	at := c.From + rng.Int64N(max(span-length, 1))
+	f := emulator.Fault{Kind: c.Kinds[rng.IntN(len(c.Kinds))], From: at, Until: at + length, Slowdown: 2 + 8*rng.Float64()}
+	f.Period = int64(500e6) + rng.Int64N(4e9)
+	f.ActiveTime = f.Period/10 + rng.Int64N(f.Period/2)
+	f.Replicas = rng.Perm(c.Replicas)[:1+rng.IntN(max(min(c.MaxReplicasPerFault, c.Replicas), 1))]
 	slices.Sort(f.Replicas)
 	return f
 }
 
 // mutate returns a copy of a schedule with one fault redrawn, moved in time, added or removed.
-func (t *Config) mutate(chance *rand.Rand, was []emulator.Fault) []emulator.Fault {
-	faults := slices.Clone(was)
-	i := chance.IntN(len(faults))
-	switch n := chance.IntN(4); {
-	case n == 0 && len(faults) < t.MaxFaults:
-		return append(faults, t.randomFault(chance))
+func (c *Config) mutate(rng *rand.Rand, base []emulator.Fault) []emulator.Fault {
+	faults := slices.Clone(base)
+	i := rng.IntN(len(faults))
+	switch n := rng.IntN(4); {
+	case n == 0 && len(faults) < c.MaxFaults:
+		return append(faults, c.randomFault(rng))
 	case n == 1 && len(faults) > 1:
 		return slices.Delete(faults, i, i+1)
 	case n == 2:
 		f := faults[i]
 		length := f.Until - f.From
-		f.From = t.From + chance.Int64N(max(t.Until-t.From-length, 1))
+		f.From = c.From + rng.Int64N(max(c.Until-c.From-length, 1))
 		f.Until = f.From + length
 		faults[i] = f
 	default:
-		faults[i] = t.randomFault(chance)
+		faults[i] = c.randomFault(rng)
 	}
 	return faults
 }
@@ -128,46 +128,46 @@
 //
 // Danger: minimizing can lead to a schedule that does its harm in a different way, which would mislead the reader. So each step must
 // keep the violated rule, or nearly all of the harm.
-func (t *Config) minimize(f *Result, judge func([]emulator.Fault) Score) {
-	as := func(v Score) bool {
-		if f.Score.Rule > 0 {
-			return v.Rule == f.Score.Rule
+func (c *Config) minimize(result *Result, evaluate func([]emulator.Fault) Score) {
+	sameEffect := func(v Score) bool {
+		if result.Score.Rule > 0 {
+			return v.Rule == result.Score.Rule
 		}
-		return v.Rule > 0 || v.Share <= f.Score.Share+shareTolerance
+		return v.Rule > 0 || v.Share <= result.Score.Share+shareTolerance
 	}
 	try := func(faults []emulator.Fault) bool {
-		f.Tried++
-		v := judge(faults)
-		if !as(v) {
+		result.Tried++
+		v := evaluate(faults)
+		if !sameEffect(v) {
 			return false
 		}
-		f.Faults = faults
-		if f.Score.Rule == 0 && v.Rule > 0 {
-			f.Score = v
+		result.Faults = faults
+		if result.Score.Rule == 0 && v.Rule > 0 {
+			result.Score = v
 		}
 		return true
 	}
-	for i := len(f.Faults) - 1; i >= 0 && len(f.Faults) > 1; i-- {
-		try(slices.Delete(slices.Clone(f.Faults), i, i+1))
+	for i := len(result.Faults) - 1; i >= 0 && len(result.Faults) > 1; i-- {
+		try(slices.Delete(slices.Clone(result.Faults), i, i+1))
 	}
-	for i := range f.Faults {
-		for r := len(f.Faults[i].Replicas) - 1; r >= 0 && len(f.Faults[i].Replicas) > 1; r-- {
-			faults := slices.Clone(f.Faults)
+	for i := range result.Faults {
+		for r := len(result.Faults[i].Replicas) - 1; r >= 0 && len(result.Faults[i].Replicas) > 1; r-- {
+			faults := slices.Clone(result.Faults)
 			faults[i].Replicas = slices.Delete(slices.Clone(faults[i].Replicas), r, r+1)
 			try(faults)
 		}
 		for range 4 { // keep the first or the second half of the fault, if that is enough
-			was := f.Faults[i]
-			length := int64(shrinkStep * float64(was.Until-was.From))
+			fault := result.Faults[i]
+			length := int64(shrinkStep * float64(fault.Until-fault.From))
 			if length < minFaultNs {
 				break
 			}
-			first, second := slices.Clone(f.Faults), slices.Clone(f.Faults)
-			first[i].Until, second[i].From = was.From+length, was.Until-length
+			first, second := slices.Clone(result.Faults), slices.Clone(result.Faults)
+			first[i].Until, second[i].From = fault.From+length, fault.Until-length
 			if !try(first) && !try(second) {
 				break
 			}
 		}
 	}
-	f.Score = judge(f.Faults)
+	result.Score = evaluate(result.Faults)
 }
--- a/lab/emulator/plan.go
+++ b/lab/emulator/plan.go
@@ -184,9 +184,9 @@
 
 const origin = int64(1000e9) // virtual time at the start of a run, above 0 so that replicas can have started before it
 
-func (p *Plan) maxTimeout() (patience int64) {
+func (p *Plan) maxTimeout() (timeout int64) {
 	for _, l := range p.Workloads {
-		patience = max(patience, l.Timeout)
+		timeout = max(timeout, l.Timeout)
 	}
-	return patience
+	return timeout
 }
--- a/lab/emulator/processor.go
+++ b/lab/emulator/processor.go
@@ -42,12 +42,12 @@
 	if a.CPU.OverloadLimit == "" || a.CPU.OverloadLimit == "none" {
 		return
 	}
-	t := overload.Config{Cores: 1, LimitKind: a.CPU.OverloadLimit, FixedRate: 0.8e9 / float64(a.CPU.QueryCost), WaitTarget: 10e6, MaxRetryAfter: 2e9, CustomerFloor: 0.05,
+	c := overload.Config{Cores: 1, LimitKind: a.CPU.OverloadLimit, FixedRate: 0.8e9 / float64(a.CPU.QueryCost), WaitTarget: 10e6, MaxRetryAfter: 2e9, CustomerFloor: 0.05,
 		Seed: a.Seed*1_000_003 + uint64(a.entityID)}
 	for _, l := range a.Workloads {
-		t.Workloads = append(t.Workloads, overload.Workload{Revenue: l.Revenue, LatencyGoal: l.LatencyGoal})
+		c.Workloads = append(c.Workloads, overload.Workload{Revenue: l.Revenue, LatencyGoal: l.LatencyGoal})
 	}
-	p.detector = overload.New(now, t)
+	p.detector = overload.New(now, c)
 	a.emit(now, eventqueue.Event{At: now + readingInterval, To: a.entityID, Kind: eventReadingDue})
 }
 
@@ -110,44 +110,44 @@
 
 // processQuery admits or rejects a query that was queued, and returns the processor time for it.
 func (a *aggregator) processQuery(now int64, e eventqueue.Event) (cost int64) {
-	load, tries, shards := int(e.Part), int(e.Attempt), e.Payload.([]int)
-	left := e.Value + a.Workloads[load].Timeout - now
-	taken, comeBack := true, int64(0)
+	workload, retries, shards := int(e.Part), int(e.Attempt), e.Payload.([]int)
+	timeLeft := e.Value + a.Workloads[workload].Timeout - now
+	admitted, retryAfter := true, int64(0)
 	if s := a.processor.detector; s != nil {
 		s.RecordWait(now - e.At)
-		taken, comeBack = s.Admit(now, overload.Arrival{Workload: load, ID: uint64(e.Value), TimeLeft: left, Attempt: tries + 1})
+		admitted, retryAfter = s.Admit(now, overload.Arrival{Workload: workload, ID: uint64(e.Value), TimeLeft: timeLeft, Attempt: retries + 1})
 	}
-	if taken && left > 0 && left <= a.Tick { // no decision round fits before its deadline; the client on sockets waits 50 ms longer than its limit
-		taken, comeBack = false, 0
+	if admitted && timeLeft > 0 && timeLeft <= a.Tick { // no decision round fits before its deadline; the client on sockets waits 50 ms longer than its limit
+		admitted, retryAfter = false, 0
 	}
-	if taken {
-		a.receiveQuery(now, e.Value, load, tries, shards)
+	if admitted {
+		a.receiveQuery(now, e.Value, workload, retries, shards)
 		return a.CPU.QueryCost
 	}
-	if tries == 0 {
-		a.recorder.RecordQuery(e.Value-origin, load)
+	if retries == 0 {
+		a.recorder.RecordQuery(e.Value-origin, workload)
 	}
-	a.reject(now, &pendingQuery{workload: load, askedAt: e.Value, retries: tries, shards: shards}, comeBack)
+	a.reject(now, &pendingQuery{workload: workload, askedAt: e.Value, retries: retries, shards: shards}, retryAfter)
 	return a.CPU.RejectCost
 }
 
 // reject declines a query because of overload, before the decider gets it.
-func (a *aggregator) reject(now int64, q *pendingQuery, comeBack int64) {
+func (a *aggregator) reject(now int64, q *pendingQuery, retryAfter int64) {
 	a.lastQuery++
-	a.trace(now, "query %d is rejected, to be retried after %.3f ms", a.lastQuery, float64(comeBack)/1e6)
-	a.scheduleClientRetry(now, a.lastQuery, q, balance.Declined, comeBack)
+	a.trace(now, "query %d is rejected, to be retried after %.3f ms", a.lastQuery, float64(retryAfter)/1e6)
+	a.scheduleClientRetry(now, a.lastQuery, q, balance.Declined, retryAfter)
 	a.recorder.RecordAnswer(q.askedAt-origin, now-origin, q.workload, q.retries, balance.Declined)
 }
 
 // scheduleClientRetry decides whether the client of a declined or forfeited query retries: after the given retry time plus up to
 // a tenth, or after 50 to 150 ms if none was given. A client retries at most three times.
-func (a *aggregator) scheduleClientRetry(now int64, number int32, q *pendingQuery, final balance.Outcome, comeBack int64) {
+func (a *aggregator) scheduleClientRetry(now int64, number int32, q *pendingQuery, outcome balance.Outcome, retryAfter int64) {
 	l := &a.Workloads[q.workload]
-	if final != balance.Declined && final != balance.Forfeited || q.retries >= 3 {
+	if outcome != balance.Declined && outcome != balance.Forfeited || q.retries >= 3 {
 		return
 	}
-	share, wait := l.AdvisedRetryShare, comeBack+int64(a.clientRNG.Float64()*float64(comeBack)/10)
-	if final == balance.Forfeited || comeBack <= 0 {
+	share, wait := l.AdvisedRetryShare, retryAfter+int64(a.clientRNG.Float64()*float64(retryAfter)/10)
+	if outcome == balance.Forfeited || retryAfter <= 0 {
 		share, wait = l.ImmediateRetryShare, int64(50e6+a.clientRNG.Float64()*100e6)
 	}
 	if share == 0 || a.clientRNG.Float64() >= share {
@@ -172,8 +172,8 @@
 }
 
 // recordEnd reports the end of an admitted query to the overload detector.
-func (a *aggregator) recordEnd(now int64, q *pendingQuery, final balance.Outcome) {
+func (a *aggregator) recordEnd(now int64, q *pendingQuery, outcome balance.Outcome) {
 	if a.processor != nil && a.processor.detector != nil {
-		a.processor.detector.RecordEnd(q.workload, now-q.askedAt, final <= balance.Partial)
+		a.processor.detector.RecordEnd(q.workload, now-q.askedAt, outcome <= balance.Partial)
 	}
 }
--- a/lab/emulator/replica.go
+++ b/lab/emulator/replica.go
@@ -152,7 +152,7 @@
 const errorReplyNs = int64(1e6) // time until a replica with the fault "errors" answers
 
 // receive handles the arrival of a part, for which the aggregator waits until deadline.
-func (r *replica) receive(now int64, k executionKey, load int, by int64) {
+func (r *replica) receive(now int64, k executionKey, workload int, deadline int64) {
 	if r.partitioned(now, int(k.aggregator), r.number) {
 		return
 	}
@@ -167,18 +167,18 @@
 		r.crashByOverload(now)
 		return
 	}
-	if _, errs := r.activeFault("errors"); errs {
+	if _, failing := r.activeFault("errors"); failing {
 		r.reply(now, k, balance.Errored, errorReplyNs)
 		return
 	}
-	if f, some := r.activeFault("unanswered"); r.isHung(now) || some && f.Workload == load {
+	if f, unanswered := r.activeFault("unanswered"); r.isHung(now) || unanswered && f.Workload == workload {
 		return
 	}
 	if r.QueueLimit > 0 && len(r.queue) >= r.QueueLimit {
 		r.reply(now, k, balance.Full, 0)
 		return
 	}
-	r.queue = append(r.queue, job{executionKey: k, deadline: by})
+	r.queue = append(r.queue, job{executionKey: k, deadline: deadline})
 	r.startQueued(now)
 }
 
@@ -195,9 +195,9 @@
 	}
 }
 
-func (r *replica) scheduleDone(now int64, j *job, takes int64) {
+func (r *replica) scheduleDone(now int64, j *job, duration int64) {
 	r.lastService++
-	j.service, j.doneAt = r.lastService, now+takes
+	j.service, j.doneAt = r.lastService, now+duration
 	r.emit(now, eventqueue.Event{At: j.doneAt, To: r.entityID, Kind: eventWorkDone, Value: int64(j.service)})
 }
 
@@ -219,13 +219,13 @@
 	if age := now - r.startedAt; r.startedAt > 0 && age < r.WarmUpTime {
 		t /= r.ColdCapacity + (1-r.ColdCapacity)*float64(age)/float64(r.WarmUpTime)
 	}
-	held := float64(len(r.queue)+len(r.running)) / float64(r.Workers)
-	return t * (1 + r.CrowdingSlowdown*max(held-r.CrowdingThreshold, 0))
+	partsPerWorker := float64(len(r.queue)+len(r.running)) / float64(r.Workers)
+	return t * (1 + r.CrowdingSlowdown*max(partsPerWorker-r.CrowdingThreshold, 0))
 }
 
 // finish ends the job whose end was scheduled with this service number, unless that was rescheduled.
-func (r *replica) finish(now int64, turn uint64) {
-	i := slices.IndexFunc(r.running, func(j job) bool { return j.service == turn })
+func (r *replica) finish(now int64, service uint64) {
+	i := slices.IndexFunc(r.running, func(j job) bool { return j.service == service })
 	if i < 0 || r.paused {
 		return
 	}
@@ -277,7 +277,7 @@
 }
 
 // announce sends a change of status to all aggregators of the site, each with its own list delay.
-func (r *replica) announce(now int64, standing balance.Status) {
+func (r *replica) announce(now int64, status balance.Status) {
 	for a := range r.Aggregators {
 		if r.siteOfAggregator(a) != r.siteOfReplica(r.number) {
 			continue
@@ -288,7 +288,7 @@
 				at = origin + f.Until
 			}
 		}
-		r.emit(now, eventqueue.Event{At: at, To: int32(a), Kind: eventListingArrives, Query: int32(r.number), Result: uint8(standing), Value: r.startedAt})
+		r.emit(now, eventqueue.Event{At: at, To: int32(a), Kind: eventListingArrives, Query: int32(r.number), Result: uint8(status), Value: r.startedAt})
 	}
 }
 
@@ -310,11 +310,11 @@
 	case f.Kind == "restart" && !begins && !r.overloadCrash:
 		r.restart(now)
 	case f.Kind == "drain" && !r.down:
-		standing := balance.Up
+		status := balance.Up
 		if begins {
-			standing = balance.Draining
+			status = balance.Draining
 		}
-		r.announce(now, standing)
+		r.announce(now, status)
 	case f.Kind == "pause" && begins:
 		r.applyPauseFault(now, number)
 	}
@@ -351,9 +351,9 @@
 
 // oracleView estimates the wait for a new part from the true state of the replica.
 func (r *replica) oracleView(now int64) oracleView {
-	_, errs := r.activeFault("errors")
+	_, failing := r.activeFault("errors")
 	_, lost := r.activeFault("silence")
 	work := float64(r.ServiceTime) * r.serviceTimeFactor * r.slowdown(now)
-	waiting := max(float64(len(r.queue)+len(r.running)-r.Workers+1), 0)
-	return oracleView{int64(work * (1 + waiting/float64(r.Workers))), !r.down && !errs && !lost && !r.isHung(now) && !r.paused}
+	queued := max(float64(len(r.queue)+len(r.running)-r.Workers+1), 0)
+	return oracleView{int64(work * (1 + queued/float64(r.Workers))), !r.down && !failing && !lost && !r.isHung(now) && !r.paused}
 }
--- a/lab/emulator/run.go
+++ b/lab/emulator/run.go
@@ -77,20 +77,20 @@
 func (t *Recorder) secondIndex(asked int64) int { return min(int(asked/1e9), len(t.earned)-1) }
 
 // RecordQuery counts a query that was asked.
-func (t *Recorder) RecordQuery(asked int64, load int) {
-	revenue := t.plan.Workloads[load].Revenue
+func (t *Recorder) RecordQuery(asked int64, workload int) {
+	revenue := t.plan.Workloads[workload].Revenue
 	t.possible[t.secondIndex(asked)] += revenue
 	if t.measured(asked) {
 		t.Asked++
-		t.Workloads[load].Asked++
+		t.Workloads[workload].Asked++
 		t.MaxRevenue += revenue
 	}
 }
 
 // RecordExecution counts an execution of a query's part.
-func (t *Recorder) RecordExecution(asked int64, further bool) {
+func (t *Recorder) RecordExecution(asked int64, retry bool) {
 	if t.measured(asked) {
-		if t.Executions++; further {
+		if t.Executions++; retry {
 			t.Retries++
 		}
 	}
@@ -98,32 +98,32 @@
 
 // RecordAnswer counts the end of a query. The answer to a client's retry (retries > 0) earns nothing and is not counted among
 // the outcomes, because the first attempt has already been counted; its latency is recorded.
-func (t *Recorder) RecordAnswer(asked, ended int64, load, tries int, final balance.Outcome) {
-	l := &t.plan.Workloads[load]
+func (t *Recorder) RecordAnswer(asked, ended int64, workload, retries int, outcome balance.Outcome) {
+	l := &t.plan.Workloads[workload]
 	took := ended - asked
-	inGoal := final == balance.Whole && took <= l.LatencyGoal && tries == 0
+	inGoal := outcome == balance.Whole && took <= l.LatencyGoal && retries == 0
 	if inGoal {
 		t.earned[t.secondIndex(asked)] += l.Revenue
 	}
 	if !t.measured(asked) {
 		return
 	}
-	if final == balance.Whole || final == balance.Partial {
+	if outcome == balance.Whole || outcome == balance.Partial {
 		t.latencies.RecordValue(took)
 	}
-	if tries > 0 {
+	if retries > 0 {
 		return
 	}
 	switch {
 	case inGoal:
 		t.InGoal++
-		t.Workloads[load].InGoal++
+		t.Workloads[workload].InGoal++
 		t.Revenue += l.Revenue
-	case final == balance.Whole:
+	case outcome == balance.Whole:
 		t.Late++
-	case final == balance.Partial:
+	case outcome == balance.Partial:
 		t.Partial++
-	case final == balance.Declined:
+	case outcome == balance.Declined:
 		t.Declined++
 	default:
 		t.Forfeited++
@@ -180,17 +180,17 @@
 	for i := range w.loops {
 		w.loops[i] = &eventLoop{simulation: w, queue: eventqueue.New(origin)}
 	}
-	place := func(n int) emitter { return emitter{loop: w.loops[n%eventLoopCount], entityID: int32(n)} }
-	chance := func(n int, of uint64) *rand.Rand { return rand.New(rand.NewPCG(p.Seed, of<<32+uint64(n))) }
-	var whole []balance.Listing
+	newEmitter := func(n int) emitter { return emitter{loop: w.loops[n%eventLoopCount], entityID: int32(n)} }
+	newRNG := func(n int, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(p.Seed, stream<<32+uint64(n))) }
+	var listings []balance.Listing
 	for i := range p.Replicas {
-		r := &replica{emitter: place(p.Aggregators + i), Plan: &p, number: i, rng: chance(i, 1), activeFaults: map[int]bool{},
+		r := &replica{emitter: newEmitter(p.Aggregators + i), Plan: &p, number: i, rng: newRNG(i, 1), activeFaults: map[int]bool{},
 			ruleChecker: &checker.Replica{Name: fmt.Sprint("replica ", i), ColdCapacity: p.ColdCapacity, WarmUpTime: p.WarmUpTime, OverloadFactor: p.OverloadFactor,
 				OverloadSpan: p.OverloadSpan}}
 		r.serviceTimeFactor = math.Exp(p.SpeedSigma * r.rng.NormFloat64())
 		r.ruleChecker.WarmRate = float64(p.Workers) * 1e9 / (float64(p.ServiceTime) * r.serviceTimeFactor * math.Exp(p.ServiceTimeSigma*p.ServiceTimeSigma/2))
 		w.replicas = append(w.replicas, r)
-		whole = append(whole, balance.Listing{Replica: i, New: true, Cell: p.shardOf(i), Status: balance.Up})
+		listings = append(listings, balance.Listing{Replica: i, New: true, Cell: p.shardOf(i), Status: balance.Up})
 	}
 	if p.Policy == "oracle" {
 		w.oracleViews = make([]oracleView, p.Replicas)
@@ -199,13 +199,13 @@
 		}
 	}
 	for i := range p.Aggregators {
-		a := &aggregator{emitter: place(i), Plan: &p, clientRNG: chance(i, 2), networkRNG: chance(i, 3), queries: map[int32]*pendingQuery{}, retryShards: map[int32][]int{}, quotaUses: map[int][]int64{},
+		a := &aggregator{emitter: newEmitter(i), Plan: &p, clientRNG: newRNG(i, 2), networkRNG: newRNG(i, 3), queries: map[int32]*pendingQuery{}, retryShards: map[int32][]int{}, quotaUses: map[int][]int64{},
 			listingSeq: make([]uint64, p.Replicas), recorder: NewRecorder(&p),
 			ruleChecker: checker.NewAggregator(fmt.Sprint("aggregator ", i), p.checkerBounds())}
 		for n := range p.Workloads {
 			a.arrivals = append(a.arrivals, p.Arrivals(i, n))
 		}
-		for _, l := range whole {
+		for _, l := range listings {
 			if p.siteOfReplica(l.Replica) == p.siteOfAggregator(i) {
 				a.listings = append(a.listings, l)
 			}
@@ -227,7 +227,7 @@
 		r.schedulePause(origin)
 	}
 	if p.StoreMode != "" && p.StoreMode != "none" {
-		s := &sharedStore{emitter: place(p.Aggregators + p.Replicas), Plan: &p, current: newStoreData(), stale: newStoreData(), rng: chance(0, 5)}
+		s := &sharedStore{emitter: newEmitter(p.Aggregators + p.Replicas), Plan: &p, current: newStoreData(), stale: newStoreData(), rng: newRNG(0, 5)}
 		w.entities = append(w.entities, s)
 		if p.StoreMode == "stale" {
 			s.emit(origin, eventqueue.Event{At: origin + staleStart, To: s.entityID, Kind: eventFaultRepeats})
@@ -258,8 +258,8 @@
 		all.Merge(a.recorder)
 	}
 	r := all.Summary()
-	for _, b := range w.replicas {
-		r.FaultyExecutions += b.faultyExecutions
+	for _, violation := range w.replicas {
+		r.FaultyExecutions += violation.faultyExecutions
 	}
 	r.Events = w.events
 	b := w.firstViolation()
--- a/lab/emulator/sharedstore.go
+++ b/lab/emulator/sharedstore.go
@@ -97,8 +97,8 @@
 
 func (s *sharedStore) handle(now int64, e eventqueue.Event) {
 	if e.Kind == eventFaultRepeats { // the mode "stale"
-		was := s.current.clone()
-		s.current, s.stale = s.stale, was
+		previous := s.current.clone()
+		s.current, s.stale = s.stale, previous
 		s.emit(now, eventqueue.Event{At: now + staleInterval, To: s.entityID, Kind: eventFaultRepeats})
 		return
 	}
@@ -111,16 +111,16 @@
 
 // execute applies a request to the data and returns the reply.
 func (s *sharedStore) execute(now int64, q storeRequest) (reply sharedhealth.Reply) {
-	st, r := &s.current, q.body
+	data, r := &s.current, q.body
 	reply.StoreTime = now - origin + storeClock
-	reply.OwnPresence = st.presence[q.member]
-	st.presence[q.member] = r.Presence
+	reply.OwnPresence = data.presence[q.member]
+	data.presence[q.member] = r.Presence
 	s.commands += 4
 	s.bytes += int64(2 * len(r.Presence))
 	if r.HeartbeatScore > 0 {
 		s.commands += 2
-		st.members[q.member] = r.HeartbeatScore
-		for _, at := range st.members {
+		data.members[q.member] = r.HeartbeatScore
+		for _, at := range data.members {
 			if at >= r.MinLiveScore {
 				reply.LiveMembers++
 			}
@@ -128,37 +128,37 @@
 	}
 	if r.SweepMaxScore > 0 {
 		s.commands++
-		maps.DeleteFunc(st.members, func(_ string, at int64) bool { return at <= r.SweepMaxScore })
+		maps.DeleteFunc(data.members, func(_ string, at int64) bool { return at <= r.SweepMaxScore })
 	}
-	if delete(st.findings, q.member); r.Findings != nil {
-		st.findings[q.member] = r.Findings
+	if delete(data.findings, q.member); r.Findings != nil {
+		data.findings[q.member] = r.Findings
 		s.bytes += int64(len(r.Findings))
 	}
 	for _, name := range r.DropFindings {
-		delete(st.findings, name)
+		delete(data.findings, name)
 	}
 	if r.SampleSize > 0 {
 		s.commands++
-		names := slices.Sorted(maps.Keys(st.findings))
+		names := slices.Sorted(maps.Keys(data.findings))
 		s.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 		for _, name := range names[:min(len(names), r.SampleSize)] {
-			reply.Entries = append(reply.Entries, sharedhealth.Entry{Name: name, Data: st.findings[name]})
-			s.bytes += int64(len(name) + len(st.findings[name]))
+			reply.Entries = append(reply.Entries, sharedhealth.Entry{Name: name, Data: data.findings[name]})
+			s.bytes += int64(len(name) + len(data.findings[name]))
 		}
 	}
 	key := func(quota int, window int64) string { return fmt.Sprint(quota, ":", window) }
 	for _, q := range r.CountReads {
 		counts := make([]int64, q.Windows())
 		for i := range counts {
-			counts[i] = st.tokens[key(q.Quota, q.Window-1-int64(i))]
+			counts[i] = data.tokens[key(q.Quota, q.Window-1-int64(i))]
 		}
 		s.commands++
 		reply.Counts = append(reply.Counts, counts)
 	}
-	for _, take := range r.TokenRequests {
+	for _, request := range r.TokenRequests {
 		s.commands += 2
-		st.tokens[key(take.Quota, take.Window)] += take.Units
-		reply.Totals = append(reply.Totals, st.tokens[key(take.Quota, take.Window)])
+		data.tokens[key(request.Quota, request.Window)] += request.Units
+		reply.Totals = append(reply.Totals, data.tokens[key(request.Quota, request.Window)])
 	}
 	return reply
 }
@@ -175,44 +175,44 @@
 
 // joinStore creates the store client of an aggregator that starts, if the plan has a shared store.
 func (a *aggregator) joinStore(now int64) {
-	_, isTrue := a.decider.(*moduleDecider)
-	if a.StoreMode == "none" || a.StoreMode == "" || !isTrue {
+	_, isModule := a.decider.(*moduleDecider)
+	if a.StoreMode == "none" || a.StoreMode == "" || !isModule {
 		return
 	}
 	d := a.deployment(int(a.entityID))
-	t := sharedhealth.Config{Name: fmt.Sprint("n", a.entityID), Incarnation: uint64(now), Seed: a.Seed<<20 + uint64(a.entityID), RoundInterval: storeRoundInterval,
+	c := sharedhealth.Config{Name: fmt.Sprint("n", a.entityID), Incarnation: uint64(now), Seed: a.Seed<<20 + uint64(a.entityID), RoundInterval: storeRoundInterval,
 		RoundTimeout: storeRoundTimeout, SampleSize: 24, Aggregators: a.Aggregators, BaseEjection: d.BaseEjection(), HealthEnabled: true}
-	was := a.member
-	a.member = &storeMember{name: t.Name, quotas: map[int]int{}}
-	if was != nil {
-		a.member.round = was.round
+	previous := a.member
+	a.member = &storeMember{name: c.Name, quotas: map[int]int{}}
+	if previous != nil {
+		a.member.round = previous.round
 	}
 	for n, l := range a.Workloads {
 		if l.Quota > 0 {
-			a.member.quotas[n] = len(t.Quotas)
-			t.Quotas = append(t.Quotas, sharedhealth.Quota{Customer: l.Name, Rate: l.Quota, Burst: l.Quota})
+			a.member.quotas[n] = len(c.Quotas)
+			c.Quotas = append(c.Quotas, sharedhealth.Quota{Customer: l.Name, Rate: l.Quota, Burst: l.Quota})
 		}
 	}
-	a.member.exchange = sharedhealth.New(now, t)
-	if len(t.Quotas) > 0 {
-		a.member.quotaBudget = sharedhealth.NewQuotaBudget(now, t.Quotas, t.Aggregators)
+	a.member.exchange = sharedhealth.New(now, c)
+	if len(c.Quotas) > 0 {
+		a.member.quotaBudget = sharedhealth.NewQuotaBudget(now, c.Quotas, c.Aggregators)
 	}
 	a.emit(now, eventqueue.Event{At: a.member.exchange.Next(), To: a.entityID, Kind: eventStoreRoundDue, Value: a.member.round})
 }
 
 // overQuota spends one query of the customer's quota at this aggregator, and returns true if none is left.
-func (a *aggregator) overQuota(now int64, load int) bool {
+func (a *aggregator) overQuota(now int64, workload int) bool {
 	if a.member == nil || a.member.quotaBudget == nil {
 		return false
 	}
-	quota, has := a.member.quotas[load]
-	if !has {
+	quota, ok := a.member.quotas[workload]
+	if !ok {
 		return false
 	}
 	if !a.member.quotaBudget.Spend(now, quota) {
 		return true
 	}
-	a.quotaUses[load] = append(a.quotaUses[load], now)
+	a.quotaUses[workload] = append(a.quotaUses[workload], now)
 	return false
 }
 
@@ -243,14 +243,14 @@
 }
 
 // endStoreRound applies the result of an exchange, and schedules the next.
-func (a *aggregator) endStoreRound(now int64, allowed sharedhealth.RoundResult) {
+func (a *aggregator) endStoreRound(now int64, result sharedhealth.RoundResult) {
 	m := a.member
 	m.roundOpen = false
-	for _, w := range allowed.Reports {
-		a.decider.(*moduleDecider).aggregator.ApplyReport(now, w)
+	for _, report := range result.Reports {
+		a.decider.(*moduleDecider).aggregator.ApplyReport(now, report)
 	}
 	if m.quotaBudget != nil {
-		m.quotaBudget.Apply(now, allowed.Leases, allowed.LocalRates)
+		m.quotaBudget.Apply(now, result.Leases, result.LocalRates)
 	}
 	a.requestRound(now)
 	a.emit(now, eventqueue.Event{At: m.exchange.Next(), To: a.entityID, Kind: eventStoreRoundDue, Value: m.round})
--- a/lab/emulator/simulation.go
+++ b/lab/emulator/simulation.go
@@ -75,25 +75,25 @@
 
 // receive collects the events that other loops have for this one.
 func (s *eventLoop) receive() {
-	me := 0
+	self := 0
 	for i, other := range s.loops {
 		if other == s {
-			me = i
+			self = i
 		}
 	}
 	for _, other := range s.loops {
-		for _, e := range other.outbox[me] {
+		for _, e := range other.outbox[self] {
 			s.queue.Push(e)
 		}
-		other.outbox[me] = other.outbox[me][:0]
+		other.outbox[self] = other.outbox[self][:0]
 	}
 }
 
 // run simulates until a time, on the given number of cores. It ends early at a rule violation, at the same time on any number of
 // cores.
 func (w *simulation) run(until int64, cores int) {
-	team := newWorkerPool(min(max(cores, 1), eventLoopCount))
-	defer team.stop()
+	pool := newWorkerPool(min(max(cores, 1), eventLoopCount))
+	defer pool.stop()
 	for {
 		next := int64(math.MaxInt64)
 		for _, s := range w.loops {
@@ -102,12 +102,12 @@
 		if next >= until {
 			break
 		}
-		stretch := min(next+w.NetworkDelay, until)
-		team.forEachLoop(func(i int) { w.loops[i].runUntil(stretch) })
-		team.forEachLoop(func(i int) { w.loops[i].receive() })
+		end := min(next+w.NetworkDelay, until)
+		pool.forEachLoop(func(i int) { w.loops[i].runUntil(end) })
+		pool.forEachLoop(func(i int) { w.loops[i].receive() })
 		if w.oracleViews != nil {
 			for i, r := range w.replicas {
-				w.oracleViews[i] = r.oracleView(stretch)
+				w.oracleViews[i] = r.oracleView(end)
 			}
 		}
 		if w.firstViolation() != nil {
@@ -121,16 +121,16 @@
 
 // firstViolation returns the earliest rule violation, or nil.
 func (w *simulation) firstViolation() (first *checker.Violation) {
-	look := func(all []checker.Violation) {
+	consider := func(all []checker.Violation) {
 		if len(all) > 0 && (first == nil || all[0].At < first.At) {
 			first = &all[0]
 		}
 	}
 	for _, a := range w.aggregators {
-		look(a.ruleChecker.Violations)
+		consider(a.ruleChecker.Violations)
 	}
 	for _, r := range w.replicas {
-		look(r.ruleChecker.Violations)
+		consider(r.ruleChecker.Violations)
 	}
 	return first
 }
--- a/lab/emulator/sites.go
+++ b/lab/emulator/sites.go
@@ -100,37 +100,37 @@
 		return
 	}
 	g := &siteGateway{queryNumbers: map[*balance.Query]int32{}, forwarded: map[int32]*balance.Query{}, attempts: map[int32][]forwardAttempt{}, pingSentAt: map[int]int64{}}
-	own := a.siteOfAggregator(int(a.entityID))
-	t := siterouting.Config{Site: fmt.Sprint("s", own), Interval: 1e9}
+	ownSite := a.siteOfAggregator(int(a.entityID))
+	c := siterouting.Config{Site: fmt.Sprint("s", ownSite), Interval: 1e9}
 	for i, name := range siterouting.PolicyNames {
 		if name == a.RoutingPolicy {
-			t.Policy = siterouting.Policy(i)
+			c.Policy = siterouting.Policy(i)
 		}
 	}
 	d := a.deployment(int(a.entityID))
 	for _, l := range a.Workloads {
-		t.Workloads = append(t.Workloads, siterouting.Workload{Name: l.Name, Revenue: l.Revenue, Bytes: queryBytes,
+		c.Workloads = append(c.Workloads, siterouting.Workload{Name: l.Name, Revenue: l.Revenue, Bytes: queryBytes,
 			ServiceTime: int64(assumedServiceShare * float64(l.LatencyGoal))})
 	}
-	var known []balance.Listing
+	var remotes []balance.Listing
 	for s := range a.siteCount() {
-		if s == own {
+		if s == ownSite {
 			continue
 		}
-		t.Links = append(t.Links, siterouting.Link{Site: fmt.Sprint("s", s), QueryRate: a.Link.QueryRate, ByteRate: a.Link.ByteRate, Cost: 0.05})
+		c.Links = append(c.Links, siterouting.Link{Site: fmt.Sprint("s", s), QueryRate: a.Link.QueryRate, ByteRate: a.Link.ByteRate, Cost: 0.05})
 		for n := s; n < a.Aggregators; n += a.siteCount() {
-			known = append(known, balance.Listing{Replica: n, New: true, Cell: len(g.remoteSites), Status: balance.Up})
+			remotes = append(remotes, balance.Listing{Replica: n, New: true, Cell: len(g.remoteSites), Status: balance.Up})
 		}
 		g.remoteSites = append(g.remoteSites, s)
 	}
-	g.gateway = gateway.New(now, t)
+	g.gateway = gateway.New(now, c)
 	d.Shards, d.Cells, d.CellsPerShard, d.MaxExecutions, d.CanCancel = len(g.remoteSites), len(g.remoteSites), 1, min(maxForwards, a.MaxExecutions), true
 	d.Budgeted, d.RetrySlack, d.RetryRatio, d.RetryWindow = true, forwardRetrySlack, forwardRetryRatio, forwardRetryWindow
 	for i := range d.Workloads {
 		d.Workloads[i].FullCoverage, d.Workloads[i].MinCoverage = 1, 1
 	}
 	g.siteBalancer = balance.New(now, d)
-	g.siteBalancer.ReplaceList(now, known, true)
+	g.siteBalancer.ReplaceList(now, remotes, true)
 	a.siteGateway = g
 	a.emit(now, eventqueue.Event{At: now + pingInterval/10, To: a.entityID, Kind: eventPingsDue})
 	a.scheduleGateway(now)
@@ -160,8 +160,8 @@
 	if g == nil {
 		return false
 	}
-	link, waits := g.gateway.Forward(now, a.gatewayQuery(now, number, q, declined))
-	if link >= 0 && !waits {
+	link, queued := g.gateway.Forward(now, a.gatewayQuery(now, number, q, declined))
+	if link >= 0 && !queued {
 		a.forward(now, number, q, link)
 	}
 	a.runGateway(now)
@@ -184,9 +184,9 @@
 	if a.RoutingPolicy == "plan" { // the other routing policies ignore the rate limit of a link
 		a.ruleChecker.RecordForward(now, link, a.Link.QueryRate)
 	}
-	h := g.siteBalancer.AddQuery(now, balance.Arrival{Workload: q.workload, Timeout: q.askedAt + a.Workloads[q.workload].Timeout - now, Parts: 1})
-	h.AddPart(link, 1)
-	g.forwarded[number], g.queryNumbers[h] = h, number
+	forwarded := g.siteBalancer.AddQuery(now, balance.Arrival{Workload: q.workload, Timeout: q.askedAt + a.Workloads[q.workload].Timeout - now, Parts: 1})
+	forwarded.AddPart(link, 1)
+	g.forwarded[number], g.queryNumbers[forwarded] = forwarded, number
 	a.requestForwardRound(now)
 }
 
@@ -194,16 +194,16 @@
 func (a *aggregator) runGateway(now int64) {
 	g := a.siteGateway
 	r := g.gateway.Decide(now)
-	for _, going := range r.Departures {
-		number := going.Handle.(int32)
+	for _, departure := range r.Departures {
+		number := departure.Handle.(int32)
 		if q := a.queries[number]; q != nil && !q.ended {
-			a.forward(now, number, q, going.Link)
+			a.forward(now, number, q, departure.Link)
 			continue
 		}
-		g.gateway.Returned(now, 0, going.Link, false, 0)
+		g.gateway.Returned(now, 0, departure.Link, false, 0)
 	}
-	for _, load := range r.Rejected {
-		a.finish(now, ending{query: load.(int32), outcome: balance.Declined, retryAfter: 1e9})
+	for _, handle := range r.Rejected {
+		a.finish(now, ending{query: handle.(int32), outcome: balance.Declined, retryAfter: 1e9})
 	}
 	a.scheduleGateway(now)
 }
@@ -237,17 +237,17 @@
 	for _, s := range r.Sends {
 		number := g.queryNumbers[s.Query]
 		q := a.queries[number]
-		run := int16(len(g.attempts[number]))
+		attempt := int16(len(g.attempts[number]))
 		g.attempts[number] = append(g.attempts[number], forwardAttempt{aggregator: s.Replica, sentAt: now})
-		left := s.Deadline - now - g.gateway.MinDelay(q.link)
-		if left > 0 {
-			came := append(append([]int(nil), q.visited...), a.siteOfAggregator(int(a.entityID)))
-			a.sendToSite(now, s.Replica, eventqueue.Event{Kind: eventForwardArrives, Query: number, Attempt: run,
-				Payload: forwardedQuery{workload: q.workload, shards: q.shards, timeLeft: left, visited: came, attempt: run}})
+		timeLeft := s.Deadline - now - g.gateway.MinDelay(q.link)
+		if timeLeft > 0 {
+			visited := append(append([]int(nil), q.visited...), a.siteOfAggregator(int(a.entityID)))
+			a.sendToSite(now, s.Replica, eventqueue.Event{Kind: eventForwardArrives, Query: number, Attempt: attempt,
+				Payload: forwardedQuery{workload: q.workload, shards: q.shards, timeLeft: timeLeft, visited: visited, attempt: attempt}})
 		} else {
-			a.endForwardAttempt(now, number, int(run), balance.ConnectFailed, balance.Declined)
+			a.endForwardAttempt(now, number, int(attempt), balance.ConnectFailed, balance.Declined)
 		}
-		a.emit(now, eventqueue.Event{At: s.Deadline, To: a.entityID, Kind: eventForwardTimeout, Query: number, Attempt: run})
+		a.emit(now, eventqueue.Event{At: s.Deadline, To: a.entityID, Kind: eventForwardTimeout, Query: number, Attempt: attempt})
 	}
 	for _, c := range r.Cancels {
 		a.endForwardAttempt(now, g.queryNumbers[c.Query], c.Execution, balance.Cancelled, balance.Declined)
@@ -255,13 +255,13 @@
 	for _, e := range r.Endings {
 		number := g.queryNumbers[e.Query]
 		q := a.queries[number]
-		final, refused := e.Outcome, e.Outcome == balance.Declined
-		if runs := g.attempts[number]; final == balance.Whole && len(runs) > 0 {
-			final = runs[len(runs)-1].outcome
+		outcome, declined := e.Outcome, e.Outcome == balance.Declined
+		if attempts := g.attempts[number]; outcome == balance.Whole && len(attempts) > 0 {
+			outcome = attempts[len(attempts)-1].outcome
 		}
 		if q != nil {
-			g.gateway.Returned(now, q.workload, q.link, refused, queryBytes)
-			a.finish(now, ending{query: number, outcome: final, retryAfter: e.RetryAfter})
+			g.gateway.Returned(now, q.workload, q.link, declined, queryBytes)
+			a.finish(now, ending{query: number, outcome: outcome, retryAfter: e.RetryAfter})
 		}
 	}
 	if r.WakeAt > 0 {
@@ -271,14 +271,14 @@
 }
 
 // endForwardAttempt records the result of a forward attempt, unless it has ended already.
-func (a *aggregator) endForwardAttempt(now int64, number int32, run int, result balance.Result, final balance.Outcome) {
+func (a *aggregator) endForwardAttempt(now int64, number int32, attempt int, result balance.Result, outcome balance.Outcome) {
 	g := a.siteGateway
-	runs, h := g.attempts[number], g.forwarded[number]
-	if h == nil || run >= len(runs) || runs[run].ended {
+	attempts, forwarded := g.attempts[number], g.forwarded[number]
+	if forwarded == nil || attempt >= len(attempts) || attempts[attempt].ended {
 		return
 	}
-	runs[run].ended, runs[run].outcome = true, final
-	h.RecordResult(now, 0, run, result, now-runs[run].sentAt)
+	attempts[attempt].ended, attempts[attempt].outcome = true, outcome
+	forwarded.RecordResult(now, 0, attempt, result, now-attempts[attempt].sentAt)
 	a.requestForwardRound(now)
 }
 
@@ -306,9 +306,9 @@
 		a.sendToSite(now, int(e.From), eventqueue.Event{Kind: eventPingReply, Value: e.Value, Payload: g.gateway.AdvertisedRate(now)})
 	case eventPingReply:
 		link := int(e.Value)
-		if left := g.pingSentAt[link]; left > 0 {
+		if sentAt := g.pingSentAt[link]; sentAt > 0 {
 			g.pingSentAt[link] = 0
-			g.gateway.Pinged(now, link, now-left, false)
+			g.gateway.Pinged(now, link, now-sentAt, false)
 			g.gateway.ObserveAdvertised(now, link, e.Payload.(float64))
 		}
 	case eventForwardArrives:
@@ -337,15 +337,15 @@
 func (a *aggregator) sendPings(now int64) {
 	g := a.siteGateway
 	for link, site := range g.remoteSites {
-		if left := g.pingSentAt[link]; left > 0 {
-			if now-left < pingTimeout {
+		if sentAt := g.pingSentAt[link]; sentAt > 0 {
+			if now-sentAt < pingTimeout {
 				continue
 			}
-			g.gateway.Pinged(now, link, now-left, true)
+			g.gateway.Pinged(now, link, now-sentAt, true)
 		}
-		there := (a.Aggregators - site + a.siteCount() - 1) / a.siteCount()
+		aggregators := (a.Aggregators - site + a.siteCount() - 1) / a.siteCount()
 		g.pingSentAt[link] = now
-		a.sendToSite(now, site+g.pingTurn%there*a.siteCount(), eventqueue.Event{Kind: eventPingArrives, Value: int64(link)})
+		a.sendToSite(now, site+g.pingTurn%aggregators*a.siteCount(), eventqueue.Event{Kind: eventPingArrives, Value: int64(link)})
 	}
 	g.pingTurn++
 	a.emit(now, eventqueue.Event{At: now + pingInterval, To: a.entityID, Kind: eventPingsDue})
--- a/lab/emulator/zones.go
+++ b/lab/emulator/zones.go
@@ -44,11 +44,11 @@
 	part, execution int
 }
 
-func newZoneAwareDecider(m *moduleDecider, p *Plan, number int, whole []balance.Listing) *zoneAwareDecider {
+func newZoneAwareDecider(m *moduleDecider, p *Plan, number int, listings []balance.Listing) *zoneAwareDecider {
 	d := p.deployment(number)
 	w := &zoneAwareDecider{moduleDecider: m, plan: p, replicaOf: map[executionID]int{}, sentExecutions: map[int32][]int{},
 		zoneHealth: zonehealth.New(zonehealth.Config{BaseEjection: d.BaseEjection(), MinFailedReplicas: 3, Seed: d.Seed})}
-	for _, l := range whole {
+	for _, l := range listings {
 		w.updateZoneHealth(l, false)
 	}
 	return w
@@ -69,17 +69,17 @@
 
 func (w *zoneAwareDecider) recordOutcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
 	k := executionID{number, part, execution}
-	if to, out := w.replicaOf[k]; out {
+	if replica, inFlight := w.replicaOf[k]; inFlight {
 		delete(w.replicaOf, k)
-		w.zoneHealth.ExecutionEnded(now, to, result, took)
+		w.zoneHealth.ExecutionEnded(now, replica, result, took)
 	}
 	w.moduleDecider.recordOutcome(now, number, part, execution, result, took)
 }
 
 func (w *zoneAwareDecider) decide(now int64) decision {
 	w.reports = w.zoneHealth.Decide(now, w.reports[:0])
-	for _, word := range w.reports {
-		w.aggregator.ApplyReport(now, word)
+	for _, report := range w.reports {
+		w.aggregator.ApplyReport(now, report)
 	}
 	r := w.moduleDecider.decide(now)
 	for _, s := range r.sends {
--- a/lab/experiment/compare.go
+++ b/lab/experiment/compare.go
@@ -43,11 +43,11 @@
 	}
 	var rows []Row
 	for _, r := range second.Rows {
-		for _, was := range first.Rows {
-			if was.Name != r.Name {
+		for _, other := range first.Rows {
+			if other.Name != r.Name {
 				continue
 			}
-			r.compareTo(&was)
+			r.compareTo(&other)
 			rows = append(rows, r)
 		}
 	}
--- a/lab/experiment/constoverride/constoverride.go
+++ b/lab/experiment/constoverride/constoverride.go
@@ -33,13 +33,13 @@
 // Build builds the command in the folder command of the module at root, with constants changed, and writes it to the file binary. The
 // error names constants that were not found, or holds the output of the compiler.
 func Build(root, command, binary string, constants Constants) error {
-	work, err := os.MkdirTemp("", "recast")
+	dir, err := os.MkdirTemp("", "recast")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(work)
+	defer os.RemoveAll(dir)
 	overlay := struct{ Replace map[string]string }{map[string]string{}}
-	left := maps.Clone(constants)
+	remaining := maps.Clone(constants)
 	for _, folder := range packageFolders(constants) {
 		files, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
 		if err != nil {
@@ -49,7 +49,7 @@
 			if strings.HasSuffix(file, "_test.go") {
 				continue
 			}
-			changed, err := replaceConstants(file, folder, left)
+			changed, err := replaceConstants(file, folder, remaining)
 			if err != nil {
 				return err
 			}
@@ -60,30 +60,30 @@
 			if err != nil {
 				return err
 			}
-			other := filepath.Join(work, strconv.Itoa(len(overlay.Replace))+".go")
-			overlay.Replace[full] = other
-			if err := os.WriteFile(other, changed, 0o600); err != nil {
+			copyFile := filepath.Join(dir, strconv.Itoa(len(overlay.Replace))+".go")
+			overlay.Replace[full] = copyFile
+			if err := os.WriteFile(copyFile, changed, 0o600); err != nil {
 				return err
 			}
 		}
 	}
-	if len(left) > 0 {
+	if len(remaining) > 0 {
 		return fmt.Errorf("no constant with a value of its own is named %s in %s",
-			strings.Join(slices.Sorted(maps.Keys(left)), ", "), root)
+			strings.Join(slices.Sorted(maps.Keys(remaining)), ", "), root)
 	}
 	list, err := json.Marshal(overlay)
 	if err != nil {
 		return err
 	}
-	at := filepath.Join(work, "overlay.json")
-	if err := os.WriteFile(at, list, 0o600); err != nil {
+	overlayFile := filepath.Join(dir, "overlay.json")
+	if err := os.WriteFile(overlayFile, list, 0o600); err != nil {
 		return err
 	}
 	full, err := filepath.Abs(binary)
 	if err != nil {
 		return err
 	}
-	build := exec.Command("go", "build", "-overlay", at, "-o", full, "./"+command)
+	build := exec.Command("go", "build", "-overlay", overlayFile, "-o", full, "./"+command)
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
 		return errors.Join(fmt.Errorf("go build: %w", err), errors.New(strings.TrimSpace(string(out))))
@@ -103,7 +103,7 @@
 
 // replaceConstants returns the text of a file with the constants changed that it declares, and removes them from left. It returns nil if
 // the file declares none of them.
-func replaceConstants(file, folder string, left Constants) ([]byte, error) {
+func replaceConstants(file, folder string, remaining Constants) ([]byte, error) {
 	source, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -113,36 +113,36 @@
 	if err != nil {
 		return nil, err
 	}
-	type place struct {
+	type edit struct {
 		from, to int
-		with     string
+		text     string
 	}
-	var places []place
+	var edits []edit
 	for _, d := range tree.Decls {
-		decl, is := d.(*ast.GenDecl)
-		if !is || decl.Tok != token.CONST {
+		decl, ok := d.(*ast.GenDecl)
+		if !ok || decl.Tok != token.CONST {
 			continue
 		}
 		for _, s := range decl.Specs {
 			spec := s.(*ast.ValueSpec)
 			for i, name := range spec.Names {
 				full := folder + "." + name.Name
-				v, wanted := left[full]
-				if !wanted || i >= len(spec.Values) {
+				v, ok := remaining[full]
+				if !ok || i >= len(spec.Values) {
 					continue
 				}
-				delete(left, full)
-				places = append(places, place{files.Position(spec.Values[i].Pos()).Offset, files.Position(spec.Values[i].End()).Offset,
+				delete(remaining, full)
+				edits = append(edits, edit{files.Position(spec.Values[i].Pos()).Offset, files.Position(spec.Values[i].End()).Offset,
 					goLiteral(v)})
 			}
 		}
 	}
-	if places == nil {
+	if edits == nil {
 		return nil, nil
 	}
-	slices.SortFunc(places, func(a, b place) int { return b.from - a.from }) // from the end of the file, so that earlier offsets stay valid
-	for _, p := range places {
-		source = slices.Concat(source[:p.from], []byte(p.with), source[p.to:])
+	slices.SortFunc(edits, func(a, b edit) int { return b.from - a.from }) // from the end of the file, so that earlier offsets stay valid
+	for _, p := range edits {
+		source = slices.Concat(source[:p.from], []byte(p.text), source[p.to:])
 	}
 	return source, nil
 }
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -21,24 +21,24 @@
 func shrinkExperiment(e *Experiment) {
 	p := &e.Plan
 	e.Seeds = 1
-	shrink := float64(5*second) / float64(p.Duration)
-	at := func(t int64) int64 { return int64(float64(t) * shrink) }
+	factor := float64(5*second) / float64(p.Duration)
+	scaled := func(t int64) int64 { return int64(float64(t) * factor) }
 	if big := p.Aggregators > 20; big {
 		p.Aggregators, p.Replicas = 10, 10*p.ReplicasPerShard
 	}
-	p.Duration, p.MeasureFrom, p.MeasureUntil = at(p.Duration), at(p.MeasureFrom), at(p.MeasureUntil)
+	p.Duration, p.MeasureFrom, p.MeasureUntil = scaled(p.Duration), scaled(p.MeasureFrom), scaled(p.MeasureUntil)
 	p.WarmUpTime = min(p.WarmUpTime, 3*second)
 	for i := range p.Faults {
 		f := &p.Faults[i]
-		f.From, f.Until = at(f.From), at(f.Until)
-		few := func(all []int, most int) []int {
-			return slices.DeleteFunc(slices.Clone(all), func(n int) bool { return n >= most })
+		f.From, f.Until = scaled(f.From), scaled(f.Until)
+		below := func(all []int, limit int) []int {
+			return slices.DeleteFunc(slices.Clone(all), func(n int) bool { return n >= limit })
 		}
-		f.Replicas, f.Aggregators = few(f.Replicas, p.Replicas/3), few(f.Aggregators, p.Aggregators)
+		f.Replicas, f.Aggregators = below(f.Replicas, p.Replicas/3), below(f.Aggregators, p.Aggregators)
 	}
 	for i := range p.Workloads {
 		p.Workloads[i].Parts = min(p.Workloads[i].Parts, p.Shards())
-		p.Workloads[i].BurstInterval, p.Workloads[i].BurstTime = at(p.Workloads[i].BurstInterval), at(p.Workloads[i].BurstTime)
+		p.Workloads[i].BurstInterval, p.Workloads[i].BurstTime = scaled(p.Workloads[i].BurstInterval), scaled(p.Workloads[i].BurstTime)
 	}
 }
 
@@ -50,8 +50,8 @@
 	}
 	var lines []string
 	var mu sync.Mutex // guards lines
-	var under sync.WaitGroup
-	free := make(chan struct{}, emulator.MaxCores())
+	var wg sync.WaitGroup
+	slots := make(chan struct{}, emulator.MaxCores())
 	for _, file := range files {
 		e, err := Read(file)
 		if err != nil {
@@ -69,9 +69,9 @@
 			at := len(lines)
 			lines = append(lines, "")
 			mu.Unlock()
-			under.Go(func() {
-				free <- struct{}{}
-				defer func() { <-free }()
+			wg.Go(func() {
+				slots <- struct{}{}
+				defer func() { <-slots }()
 				r, err := emulator.Run(e.PlanFor(v, 1), 1)
 				if err != nil {
 					t.Error(err)
@@ -87,7 +87,7 @@
 			})
 		}
 	}
-	under.Wait()
+	wg.Wait()
 	got := strings.Join(lines, "\n") + "\n"
 	const file = "testdata/twins.txt"
 	if *update {
--- a/lab/experiment/play.go
+++ b/lab/experiment/play.go
@@ -77,7 +77,7 @@
 // Run runs all variants with all seeds. It calls step, if that is not nil, after each run.
 //
 // Danger: the order in which runs end depends on the machine, so results are collected by variant and seed and never by that order.
-func (e *Experiment) Run(way Runner, step func()) (*Table, error) {
+func (e *Experiment) Run(runner Runner, progress func()) (*Table, error) {
 	t := &Table{Format: tableFormat, Name: e.Name, Question: e.Question, Hash: e.Hash, Seeds: e.Seeds, Duration: e.Plan.Duration, MeasureFrom: e.Plan.MeasureFrom,
 		MeasureUntil: e.Plan.MeasureUntil}
 	for _, f := range e.Plan.Faults {
@@ -85,23 +85,23 @@
 	}
 	runs := make([][]*emulator.Result, len(e.Variants))
 	errs := make([][]error, len(e.Variants))
-	free := make(chan struct{}, way.Parallel)
+	slots := make(chan struct{}, runner.Parallel)
 	cores := max(1, runtime.GOMAXPROCS(0)/(len(e.Variants)*e.Seeds))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for v := range e.Variants {
 		runs[v], errs[v] = make([]*emulator.Result, e.Seeds), make([]error, e.Seeds)
 		for seed := range e.Seeds {
-			all.Go(func() {
-				free <- struct{}{}
-				defer func() { <-free }()
-				runs[v][seed], errs[v][seed] = way.Run(e.PlanFor(e.Variants[v], seed+1), cores)
-				if step != nil {
-					step()
+			wg.Go(func() {
+				slots <- struct{}{}
+				defer func() { <-slots }()
+				runs[v][seed], errs[v][seed] = runner.Run(e.PlanFor(e.Variants[v], seed+1), cores)
+				if progress != nil {
+					progress()
 				}
 			})
 		}
 	}
-	all.Wait()
+	wg.Wait()
 	for v, variant := range e.Variants {
 		for _, err := range errs[v] {
 			if err != nil {
@@ -126,12 +126,12 @@
 
 // compareTo compares a row with another of the same seeds and sets the fields that depend on it.
 func (r *Row) compareTo(first *Row) {
-	var more []float64
+	var differences []float64
 	for i := range r.Shares {
-		more = append(more, r.Shares[i]-first.Shares[i])
+		differences = append(differences, r.Shares[i]-first.Shares[i])
 	}
-	r.Against = stat.Mean(more, nil)
-	r.Low, r.High = ConfidenceInterval(more)
+	r.Against = stat.Mean(differences, nil)
+	r.Low, r.High = ConfidenceInterval(differences)
 	if r.Verdict = verdict(r.Low, r.High); len(r.Broken) > 0 {
 		r.Verdict = "a rule is broken"
 	}
@@ -142,47 +142,47 @@
 	r := Row{Name: name, Broken: []string{}}
 	n := float64(len(runs))
 	var p50, p99, p999 []int64
-	for seed, one := range runs {
-		r.Shares = append(r.Shares, one.RevenueShare())
-		asked := max(float64(one.Asked), 1) * n
-		r.Late += float64(one.Late) / asked
-		r.Partial += float64(one.Partial) / asked
-		r.Declined += float64(one.Declined) / asked
-		r.Forfeited += float64(one.Forfeited) / asked
-		r.Executions += float64(one.Executions) / asked
-		r.Further += float64(one.Retries) / asked
-		r.FaultyExecutions += float64(one.FaultyExecutions) / n
-		p50, p99, p999 = append(p50, one.P50), append(p99, one.P99), append(p999, one.P999)
-		r.Events += one.Events
+	for seed, run := range runs {
+		r.Shares = append(r.Shares, run.RevenueShare())
+		asked := max(float64(run.Asked), 1) * n
+		r.Late += float64(run.Late) / asked
+		r.Partial += float64(run.Partial) / asked
+		r.Declined += float64(run.Declined) / asked
+		r.Forfeited += float64(run.Forfeited) / asked
+		r.Executions += float64(run.Executions) / asked
+		r.Further += float64(run.Retries) / asked
+		r.FaultyExecutions += float64(run.FaultyExecutions) / n
+		p50, p99, p999 = append(p50, run.P50), append(p99, run.P99), append(p999, run.P999)
+		r.Events += run.Events
 		if r.Latencies == nil {
-			r.Latencies = make([]int64, len(one.Latencies))
+			r.Latencies = make([]int64, len(run.Latencies))
 		}
-		for i, ns := range one.Latencies {
+		for i, ns := range run.Latencies {
 			r.Latencies[i] += ns / int64(len(runs))
 		}
-		for i, l := range one.Workloads {
+		for i, l := range run.Workloads {
 			if seed == 0 {
 				r.Workloads = append(r.Workloads, WorkloadShare{Name: l.Name})
 			}
 			r.Workloads[i].InGoal += float64(l.InGoal) / max(float64(l.Asked), 1) / n
 		}
 		if r.ShareBySecond == nil {
-			r.ShareBySecond = make([]float64, len(one.ShareBySecond))
+			r.ShareBySecond = make([]float64, len(run.ShareBySecond))
 		}
-		for i, x := range one.ShareBySecond {
+		for i, x := range run.ShareBySecond {
 			r.ShareBySecond[i] += x / n
 		}
-		if one.Violation != "" {
-			r.Broken = append(r.Broken, one.Violation)
+		if run.Violation != "" {
+			r.Broken = append(r.Broken, run.Violation)
 		}
 	}
 	r.Mean = stat.Mean(r.Shares, nil)
 	for _, p := range []struct {
-		of []int64
-		to *int64
+		values []int64
+		to     *int64
 	}{{p50, &r.P50}, {p99, &r.P99}, {p999, &r.P999}} {
-		slices.Sort(p.of)
-		*p.to = p.of[len(p.of)/2]
+		slices.Sort(p.values)
+		*p.to = p.values[len(p.values)/2]
 	}
 	return r
 }
@@ -203,11 +203,11 @@
 // ConfidenceInterval returns the 95% confidence interval of the mean of the distribution that x was drawn from, by bootstrap resampling.
 // Its seed is fixed, so the same numbers give the same interval.
 func ConfidenceInterval(x []float64) (low, high float64) {
-	chance := rand.New(rand.NewPCG(1, uint64(len(x))))
+	rng := rand.New(rand.NewPCG(1, uint64(len(x))))
 	means := make([]float64, resamples)
 	for i := range means {
 		for range x {
-			means[i] += x[chance.IntN(len(x))] / float64(len(x))
+			means[i] += x[rng.IntN(len(x))] / float64(len(x))
 		}
 	}
 	slices.Sort(means)
--- a/lab/experiment/report.go
+++ b/lab/experiment/report.go
@@ -51,22 +51,22 @@
 func (t *Table) OutcomeChart() ([]byte, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "queries not answered within the goal", "share"
-	var below *plotter.BarChart
-	for i, of := range []struct {
+	var previous *plotter.BarChart
+	for i, series := range []struct {
 		name string
 		y    func(Row) float64
 	}{{"late", func(r Row) float64 { return r.Late }}, {"partial", func(r Row) float64 { return r.Partial }},
 		{"declined", func(r Row) float64 { return r.Declined }}, {"forfeited", func(r Row) float64 { return r.Forfeited }}} {
-		bars, err := t.barChart(of.y, i)
+		bars, err := t.barChart(series.y, i)
 		if err != nil {
 			return nil, err
 		}
-		if below != nil {
-			bars.StackOn(below)
+		if previous != nil {
+			bars.StackOn(previous)
 		}
-		below = bars
+		previous = bars
 		p.Add(bars)
-		p.Legend.Add(of.name, bars)
+		p.Legend.Add(series.name, bars)
 	}
 	p.Legend.Top = true
 	p.NominalX(t.variantNames()...)
@@ -117,10 +117,10 @@
 	return renderSVG(p)
 }
 
-func (t *Table) barChart(of func(Row) float64, color int) (*plotter.BarChart, error) {
+func (t *Table) barChart(value func(Row) float64, color int) (*plotter.BarChart, error) {
 	var values plotter.Values
 	for _, r := range t.Rows {
-		values = append(values, of(r))
+		values = append(values, value(r))
 	}
 	bars, err := plotter.NewBarChart(values, vg.Points(24))
 	if err == nil {
@@ -149,13 +149,13 @@
 	p.Title.Text = "events per second, and heap in KB, by number of aggregators"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
-	for i, of := range []struct {
+	for i, series := range []struct {
 		name string
 		y    func(FleetSize) float64
 	}{{"events per second", func(s FleetSize) float64 { return s.EventsPerSecond }}, {"heap, KB", func(s FleetSize) float64 { return s.HeapBytes / 1e3 }}} {
 		points := make(plotter.XYs, len(sizes))
 		for n, s := range sizes {
-			points[n] = plotter.XY{X: float64(s.Aggregators), Y: of.y(s)}
+			points[n] = plotter.XY{X: float64(s.Aggregators), Y: series.y(s)}
 		}
 		line, dots, err := plotter.NewLinePoints(points)
 		if err != nil {
@@ -163,7 +163,7 @@
 		}
 		line.Color, dots.Color = plotutil.Color(i), plotutil.Color(i)
 		p.Add(line, dots)
-		p.Legend.Add(of.name, line)
+		p.Legend.Add(series.name, line)
 	}
 	return renderSVG(p)
 }
@@ -204,7 +204,7 @@
 	}
 	var parts []part
 	for _, t := range tables {
-		one := part{Table: t}
+		p := part{Table: t}
 		for _, draw := range []func() ([]byte, error){t.RevenueChart, t.LatencyChart, t.OutcomeChart, t.GapChart} {
 			chart, err := draw()
 			if err != nil {
@@ -213,9 +213,9 @@
 			if i := bytes.Index(chart, []byte("<svg")); i >= 0 {
 				chart = chart[i:]
 			}
-			one.Charts = append(one.Charts, chart)
+			p.Charts = append(p.Charts, chart)
 		}
-		parts = append(parts, one)
+		parts = append(parts, p)
 	}
 	return reportPage.Execute(out, parts)
 }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -94,38 +94,38 @@
 
 // RunOpenLoop sends queries with random (Poisson) arrivals at a mean rate per second, independently of the answers, for a time span.
 func (c *Clients) RunOpenLoop(ctx context.Context, rate float64, span time.Duration, seed uint64) *Outcome {
-	s := c.startMeasurement(rate)
-	chance := rand.New(rand.NewPCG(seed, 1))
-	var all sync.WaitGroup
-	began := time.Now()
-	for due := began; ctx.Err() == nil; {
-		due = due.Add(time.Duration(chance.ExpFloat64() * 1e9 / rate))
-		if due.Sub(began) >= span {
+	m := c.startMeasurement(rate)
+	rng := rand.New(rand.NewPCG(seed, 1))
+	var wg sync.WaitGroup
+	start := time.Now()
+	for due := start; ctx.Err() == nil; {
+		due = due.Add(time.Duration(rng.ExpFloat64() * 1e9 / rate))
+		if due.Sub(start) >= span {
 			break
 		}
 		time.Sleep(time.Until(due))
-		all.Go(func() { c.query(ctx, s, due) })
+		wg.Go(func() { c.query(ctx, m, due) })
 	}
-	all.Wait()
-	return s.finish(time.Since(began))
+	wg.Wait()
+	return m.finish(time.Since(start))
 }
 
 // RunClosedLoop runs a number of clients for a time span. Each sends its next query when the last is answered.
 func (c *Clients) RunClosedLoop(ctx context.Context, clients int, span time.Duration) *Outcome {
-	s := c.startMeasurement(0)
-	var all sync.WaitGroup
-	began := time.Now()
+	m := c.startMeasurement(0)
+	var wg sync.WaitGroup
+	start := time.Now()
 	for range clients {
-		all.Go(func() {
-			for ctx.Err() == nil && time.Since(began) < span {
-				if !c.query(ctx, s, time.Now()) {
+		wg.Go(func() {
+			for ctx.Err() == nil && time.Since(start) < span {
+				if !c.query(ctx, m, time.Now()) {
 					time.Sleep(10 * time.Millisecond) // don't busy-loop if the aggregator declines at once
 				}
 			}
 		})
 	}
-	all.Wait()
-	return s.finish(time.Since(began))
+	wg.Wait()
+	return m.finish(time.Since(start))
 }
 
 func (s *measurement) finish(took time.Duration) *Outcome {
@@ -192,12 +192,12 @@
 
 // FindMaxRate finds the highest rate at which the share of queries within the goal is at least wanted. It multiplies the rate by factor
 // until the share is lower, then bisects. measure measures one rate, and is called at most maxSteps times.
-func FindMaxRate(first, factor float64, most int, wanted float64, ask func(rate float64) *Outcome) (all []*Outcome, best float64) {
+func FindMaxRate(first, factor float64, maxSteps int, wantedShare float64, measure func(rate float64) *Outcome) (outcomes []*Outcome, best float64) {
 	low, high := 0.0, 0.0
-	for rate, n := first, 0; n < most; n++ {
-		o := ask(rate)
-		all = append(all, o)
-		if o.GoalShare() >= wanted {
+	for rate, n := first, 0; n < maxSteps; n++ {
+		o := measure(rate)
+		outcomes = append(outcomes, o)
+		if o.GoalShare() >= wantedShare {
 			low = rate
 		} else {
 			high = rate
@@ -206,10 +206,10 @@
 		case high == 0:
 			rate *= factor
 		case high-low < high/20:
-			return all, low
+			return outcomes, low
 		default:
 			rate = (low + high) / 2
 		}
 	}
-	return all, low
+	return outcomes, low
 }
--- a/lab/propagation/propagation.go
+++ b/lab/propagation/propagation.go
@@ -49,37 +49,37 @@
 }
 
 // Compare returns the costs of the tree, the star and the flood for a fleet.
-func Compare(f Fleet) (all []Cost) {
+func Compare(f Fleet) (costs []Cost) {
 	edges, controllers := map[string]location{}, map[string]location{}
 	var fleet clusterstate.Fleet
-	var names []string
+	var ips []string
 	for i := range f.Edges {
 		ip := fmt.Sprintf("10.%d.%d.%d", i%f.Zones, i/250, i%250)
 		edges[ip] = f.locationOf(i)
 		fleet.Edges = append(fleet.Edges, clusterstate.Edge{IP: ip, Zone: fmt.Sprint("z", i%f.Zones)})
-		names = append(names, ip)
+		ips = append(ips, ip)
 	}
 	for i := range f.Controllers {
 		ip := fmt.Sprintf("10.200.0.%d", i)
 		controllers[ip] = f.locationOf(i)
 		fleet.Controllers = append(fleet.Controllers, ip)
 	}
-	first := func(ip string) relaytree.Feeder { // the first upstream of an edge
+	firstUpstream := func(ip string) relaytree.Feeder { // the first upstream of an edge
 		return relaytree.Feeders(ip, fmt.Sprint("z", edges[ip].zone), fleet, nil, nil)[0]
 	}
 	tree, star := Cost{Strategy: "tree", ReachedShare: 1}, Cost{Strategy: "star", ReachedShare: 1, MaxHops: 1}
-	sends := map[string]int{}
+	treeSends := map[string]int{}
 	starSends := map[string]int{}
-	for _, ip := range names {
-		up := first(ip)
-		from := controllers[up.IP]
-		if !up.Controller {
-			from = edges[up.IP]
+	for _, ip := range ips {
+		upstream := firstUpstream(ip)
+		from := controllers[upstream.IP]
+		if !upstream.Controller {
+			from = edges[upstream.IP]
 		}
 		tree.countCopy(from, edges[ip])
-		sends[up.IP]++
+		treeSends[upstream.IP]++
 		hops := 1
-		for at := up; !at.Controller; at = first(at.IP) {
+		for node := upstream; !node.Controller; node = firstUpstream(node.IP) {
 			hops++
 		}
 		tree.MaxHops = max(tree.MaxHops, hops)
@@ -87,7 +87,7 @@
 		star.countCopy(controllers[order[0].IP], edges[ip])
 		starSends[order[0].IP]++
 	}
-	for ip, n := range sends {
+	for ip, n := range treeSends {
 		if _, controller := controllers[ip]; controller {
 			tree.AtController = max(tree.AtController, n)
 		} else {
@@ -97,39 +97,39 @@
 	for _, n := range starSends {
 		star.AtController = max(star.AtController, n)
 	}
-	return []Cost{tree, star, flood(f, names, edges, controllers)}
+	return []Cost{tree, star, flood(f, ips, edges, controllers)}
 }
 
 // flood simulates a flood once, with a fixed seed.
-func flood(f Fleet, names []string, edges, controllers map[string]location) Cost {
+func flood(f Fleet, ips []string, edges, controllers map[string]location) Cost {
 	c := Cost{Strategy: "flood", AtController: floodSeeds, AtEdge: floodFanout}
 	rng := rand.New(rand.NewPCG(uint64(f.Edges), 1))
-	heard := map[string]bool{}
-	var wave []string
-	for _, at := range controllers {
+	reached := map[string]bool{}
+	var frontier []string
+	for _, from := range controllers {
 		for range floodSeeds {
-			to := names[rng.IntN(len(names))]
-			c.countCopy(at, edges[to])
-			if !heard[to] {
-				heard[to] = true
-				wave = append(wave, to)
+			to := ips[rng.IntN(len(ips))]
+			c.countCopy(from, edges[to])
+			if !reached[to] {
+				reached[to] = true
+				frontier = append(frontier, to)
 			}
 		}
 	}
-	for ; len(wave) > 0; c.MaxHops++ {
+	for ; len(frontier) > 0; c.MaxHops++ {
 		var next []string
-		for _, from := range wave {
+		for _, from := range frontier {
 			for range floodFanout {
-				to := names[rng.IntN(len(names))]
+				to := ips[rng.IntN(len(ips))]
 				c.countCopy(edges[from], edges[to])
-				if !heard[to] {
-					heard[to] = true
+				if !reached[to] {
+					reached[to] = true
 					next = append(next, to)
 				}
 			}
 		}
-		wave = next
+		frontier = next
 	}
-	c.ReachedShare = float64(len(heard)) / float64(len(names))
+	c.ReachedShare = float64(len(reached)) / float64(len(ips))
 	return c
 }
--- a/lab/rehearsal/rehearsal.go
+++ b/lab/rehearsal/rehearsal.go
@@ -196,21 +196,21 @@
 
 // configure sends a configuration to one controller after the other until it is acknowledged.
 func (s *deployment) configure(revision int, added string) error {
-	var fan, services []string
+	var shardNames, services []string
 	for i := range shards {
-		fan = append(fan, fmt.Sprint("shard-", i))
+		shardNames = append(shardNames, fmt.Sprint("shard-", i))
 	}
-	for _, n := range append(slices.Clone(fan), "ledger") {
+	for _, n := range append(slices.Clone(shardNames), "ledger") {
 		services = append(services, fmt.Sprintf(`{"name":%q,"health-path":"/health","max-conns":64}`, n))
 	}
-	names, _ := json.Marshal(fan)
-	scan := func(name string) string {
+	names, _ := json.Marshal(shardNames)
+	scanRoute := func(name string) string {
 		return fmt.Sprintf(`{"name":%q,"host":"hall.example","path-prefix":"/%s/","route-kind":"safe","deadline-ms":%d,"target-ms":200,"rank":1,"fanout":%s,"max-tries":2,"result-count":5,"min-coverage":0.6}`,
 			name, name, deadlineMs, names)
 	}
-	routes := []string{scan("scan"), fmt.Sprintf(`{"name":"debit","host":"hall.example","path-prefix":"/debit/","route-kind":"unsafe","deadline-ms":%d,"target-ms":400,"rank":0,"service":"ledger","max-tries":1}`, deadlineMs)}
+	routes := []string{scanRoute("scan"), fmt.Sprintf(`{"name":"debit","host":"hall.example","path-prefix":"/debit/","route-kind":"unsafe","deadline-ms":%d,"target-ms":400,"rank":0,"service":"ledger","max-tries":1}`, deadlineMs)}
 	if added != "" {
-		routes = append(routes, scan(added))
+		routes = append(routes, scanRoute(added))
 	}
 	body := fmt.Sprintf(`{"revision":%d,"routes":[%s],"services":[%s],"limits":{"max-body-bytes":65536}}`, revision,
 		strings.Join(routes, ","), strings.Join(services, ","))
@@ -248,12 +248,12 @@
 	p := Phase{Name: name, Answers: map[string]int{}}
 	var mu sync.Mutex
 	var times []time.Duration
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	ids := make(chan int)
 	client := &http.Client{Timeout: 2 * deadlineMs * time.Millisecond, Transport: &http.Transport{MaxIdleConnsPerHost: clients,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	for range clients {
-		all.Go(func() {
+		wg.Go(func() {
 			for id := range ids {
 				began := time.Now()
 				answer, missing := s.query(ctx, client, path, fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(name, " ", "-"), began.UnixNano(), id), id)
@@ -272,7 +272,7 @@
 		}
 	}
 	close(ids)
-	all.Wait()
+	wg.Wait()
 	slices.Sort(times)
 	if len(times) > 0 {
 		p.MedianMS = float64(times[len(times)/2].Microseconds()) / 1000
