--- a/lab/emulator/aggregator.go
+++ b/lab/emulator/aggregator.go
@@ -108,12 +108,12 @@
 		}
 		a.queries, a.siteGateway = map[int32]*pendingQuery{}, nil
 		a.ruleChecker.RecordCrash()
-		a.trace(now, "crashes")
+		a.trace(now, "dies")
 	case f.Kind == "crash":
 		a.down, a.nextRound, a.lastRound = false, 0, 0
 		a.start(now)
 		a.requestRound(now)
-		a.trace(now, "restarts")
+		a.trace(now, "is running again")
 	case f.Kind == "freeze" && begins && now < origin+f.Until:
 		a.frozenUntil = now + f.ActiveTime
 		if f.Period > f.ActiveTime {
@@ -356,7 +356,7 @@
 }
 
 var (
-	resultNames  = [...]string{"fulfilled", "an error", "rejected", "timed out", "no connection", "reset", "cancelled", "never sent"}
+	resultNames  = [...]string{"fulfilled", "an error", "queue full", "timed out", "no connection", "reset", "cancelled", "never sent"}
 	outcomeNames = [...]string{"whole", "partial", "declined", "forfeited"}
 )
 
--- a/lab/emulator/baselines/baselines.go
+++ b/lab/emulator/baselines/baselines.go
@@ -22,10 +22,10 @@
 	Policy        string // one of Policies
 	Seed          uint64
 	Shards        int
-	MaxExecutions int                                        // of one part, the first included
-	MinCoverage   float64                                    // least share of the weight for a partial answer
-	RetrySafety   []balance.RetrySafety                      // by workload
-	Oracle        func(replica int) (wait int64, sound bool) // for the policy "oracle": true wait for a new part at a replica, and whether it answers
+	MaxExecutions int                                          // of one part, the first included
+	MinCoverage   float64                                      // least share of the weight for a partial answer
+	RetrySafety   []balance.RetrySafety                        // by workload
+	Oracle        func(replica int) (wait int64, healthy bool) // for the policy "oracle": true wait for a new part at a replica, and whether it answers
 }
 
 const (
@@ -256,7 +256,7 @@
 	return candidates[r.rng.IntN(len(candidates))]
 }
 
-// leastBy returns the replica with the lowest value of of. Among equals it takes turns, starting at index first.
+// leastBy returns the replica with the lowest value. Among equals it takes turns, starting at index first.
 func leastBy(candidates []int, first int, value func(int) float64) int {
 	best, lowest := -1, math.Inf(1)
 	for i := range candidates {
--- a/lab/emulator/checker/checker.go
+++ b/lab/emulator/checker/checker.go
@@ -1,8 +1,8 @@
 // Package checker observes aggregators and replicas in a simulation and reports violations of the rules that the decision module
 // must keep. It has its own state and shares no code with what it observes.
 //
-// The rules by number: 0, no healthy replica is starved; 1, each query gets exactly one answer in the client's time, and no part is
-// sent after it; 2, a part runs again only where that is safe; 3, parts go only to replicas that are listed as up; 4, no cold
+// The rules by number: 0, no healthy replica is starved; 1, each query gets exactly one answer, before the client's timeout, and no
+// part is sent after that; 2, a part runs again only where that is safe; 3, parts go only to replicas that are listed as up; 4, no cold
 // replica is overloaded; 5, an answer covers as much of the query as it claims; 6, executions keep their limit and the retry
 // budget; 7, a link keeps its rate; 8, a customer keeps its quota.
 package checker
@@ -50,7 +50,7 @@
 	what := fmt.Sprint("rule ", b.Rule)
 	switch b.Rule {
 	case RuleStarvation:
-		what = "starvation"
+		what = "the starvation rule"
 	case RuleLinkRate:
 		what = "a link's limit"
 	case RuleQuota:
@@ -83,8 +83,8 @@
 	inFlight      int   // parts in flight, as counted by the checker
 }
 
-// Numbers of the rules that are named in code. RuleStarvation: where replicas are chosen by parts in flight, one that has none, is up and has
-// not failed recently must get some of its shard's parts. If it doesn't, its count of parts in flight is probably wrong.
+// Numbers of the rules that are named in code. RuleStarvation: where replicas are chosen by parts in flight, one that has none, is up
+// and has not failed recently must get some of its shard's parts. If it gets none, the decider's count of its parts in flight is wrong.
 const (
 	RuleStarvation = 0
 	RuleLinkRate   = 7 // more queries forwarded over a link than its rate allows
@@ -169,7 +169,7 @@
 // RecordQuery records a query that arrives.
 func (a *Aggregator) RecordQuery(now int64, number int32, timeout int64, retrySafety int, weights []float64) {
 	q := &query{deadline: now + timeout, retrySafety: retrySafety, weights: weights, executions: make([][]execution, len(weights))}
-	q.record(now, "received")
+	q.record(now, "taken")
 	a.queries[number] = q
 	for range 1 + len(weights) { // the retry budget grows with queries and with parts
 		a.arrivals = append(a.arrivals, now)
--- a/lab/emulator/hunt/hunt_test.go
+++ b/lab/emulator/hunt/hunt_test.go
@@ -22,7 +22,7 @@
 	}
 	found := Search(terms, evaluate)
 	if len(found.Faults) != 1 || found.Faults[0].Kind != "hang" || len(found.Faults[0].Replicas) != 1 || found.Score.Share != 0.5 {
-		t.Errorf("found %+v, want one hang of one replica with share 0.5", found)
+		t.Errorf("%+v", found)
 	}
 	if again := Search(terms, evaluate); !reflect.DeepEqual(again, found) {
 		t.Errorf("the same search found %+v and then %+v", found, again)
@@ -37,6 +37,6 @@
 		return v
 	})
 	if rules.Score.Rule != 3 || len(rules.Faults) != 1 || rules.Faults[0].Kind != "drain" {
-		t.Errorf("found %+v, want one drain that violates rule 3", rules)
+		t.Errorf("%+v", rules)
 	}
 }
--- a/lab/emulator/plan.go
+++ b/lab/emulator/plan.go
@@ -27,8 +27,8 @@
 	HeavyTailShare        float64 // share of parts whose service time is multiplied by a Pareto draw
 	SpeedSigma            float64 // standard deviation of the logarithm of the replicas' speed
 	QueueLimit            int     // parts that may queue at a replica, which rejects more; 0 for no limit
-	CrowdingSlowdown      float64 // how much longer each part takes per queued or running part per worker
-	CrowdingThreshold     float64 // parts per worker up to which there is no such slowdown
+	CrowdingSlowdown      float64 // relative increase of service times for each part per worker, queued or running, above CrowdingThreshold
+	CrowdingThreshold     float64 // parts per worker up to which service times don't increase
 	PauseInterval         int64   // mean time between spontaneous pauses of a replica; 0 for none
 	PauseTime             int64   // mean length of such a pause; each is between 0.5 and 1.5 times this
 	DropExpired           bool    // a replica drops queued parts whose deadline has passed
--- a/lab/emulator/processor.go
+++ b/lab/emulator/processor.go
@@ -70,7 +70,7 @@
 	default:
 		return false
 	}
-	e.At = now // from now on the time since when the event waits
+	e.At = now // time at which it was queued, from which its wait counts
 	p.queue = append(p.queue, e)
 	a.scheduleNext(now)
 	return true
--- a/lab/emulator/replica.go
+++ b/lab/emulator/replica.go
@@ -45,7 +45,7 @@
 	eventPauseBegins                   // at a replica: a spontaneous pause begins
 )
 
-// executionKey identifies an execution at a replica: query is the aggregator's number of it.
+// executionKey identifies an execution at a replica. query is the number that the aggregator gave it.
 type executionKey struct {
 	aggregator    int32
 	query         int32
--- a/lab/emulator/run.go
+++ b/lab/emulator/run.go
@@ -70,6 +70,7 @@
 	return t
 }
 
+// measured reports whether a query asked at this time is in the counted interval.
 func (t *Recorder) measured(asked int64) bool {
 	return asked >= t.plan.MeasureFrom && asked < t.plan.MeasureUntil
 }
@@ -258,20 +259,21 @@
 		all.Merge(a.recorder)
 	}
 	r := all.Summary()
-	for _, violation := range w.replicas {
-		r.FaultyExecutions += violation.faultyExecutions
+	for _, replica := range w.replicas {
+		r.FaultyExecutions += replica.faultyExecutions
 	}
 	r.Events = w.events
-	b := w.firstViolation()
-	if over := w.quotaViolations(); b == nil && len(over) > 0 {
-		b = &over[0]
+	violation := w.firstViolation()
+	if over := w.quotaViolations(); violation == nil && len(over) > 0 {
+		violation = &over[0]
 	}
-	if b != nil {
-		r.Violation, r.Rule = b.String(), b.Rule
+	if violation != nil {
+		r.Violation, r.Rule = violation.String(), violation.Rule
 	}
 	return r
 }
 
+// checkerBounds returns the limits for the checker. MinCoverage and DedupWindow are those of the first workload.
 func (p *Plan) checkerBounds() checker.Bounds {
 	b := checker.Bounds{FullCoverage: 1, MaxExecutions: p.MaxExecutions, Budgeted: p.Budgeted, RetrySlack: p.RetrySlack, RetryRatio: p.RetryRatio, RetryWindow: p.RetryWindow}
 	b.MinCoverage, b.DedupWindow = p.Workloads[0].MinCoverage, p.Workloads[0].DedupWindow
--- a/lab/emulator/sharedstore.go
+++ b/lab/emulator/sharedstore.go
@@ -29,7 +29,7 @@
 
 var errStoreSilent = errors.New("no reply from the shared store")
 
-// storeRequest is an aggregator's request to the store. The whole exchange is one message, and one reply.
+// storeRequest is an aggregator's request to the store. Each exchange is one request and one sharedhealth.Reply.
 type storeRequest struct {
 	member string
 	body   *sharedhealth.Request
@@ -46,12 +46,12 @@
 	bytes          int64 // payload written and read
 }
 
-// storeData is the content of the store, by member or key.
+// storeData is the content of the store.
 type storeData struct {
-	presence map[string][]byte
-	findings map[string][]byte
-	members  map[string]int64
-	tokens   map[string]int64
+	presence map[string][]byte // by member
+	findings map[string][]byte // by member
+	members  map[string]int64  // by member: time of its last heartbeat
+	tokens   map[string]int64  // by quota and window: units taken
 }
 
 func newStoreData() storeData {
--- a/lab/experiment/constoverride/constoverride.go
+++ b/lab/experiment/constoverride/constoverride.go
@@ -101,8 +101,8 @@
 	return slices.Compact(all)
 }
 
-// replaceConstants returns the text of a file with the constants changed that it declares, and removes them from left. It returns nil if
-// the file declares none of them.
+// replaceConstants returns the text of a file with those constants changed that it declares, and removes them from remaining. It returns
+// nil if the file declares none.
 func replaceConstants(file, folder string, remaining Constants) ([]byte, error) {
 	source, err := os.ReadFile(file)
 	if err != nil {
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -31,7 +31,7 @@
 // Variant is one of the configurations that an experiment compares.
 type Variant struct {
 	Name          string
-	RunsOnSockets bool // the decision module decides, and so it can be played on sockets
+	RunsOnSockets bool // it uses the decision module without extensions, so it can also run with real processes on sockets
 	apply         func(*emulator.Plan)
 
 	// Constants are changed constants of the deciders, nil for none. The program that runs the variant must be built with them.
@@ -169,7 +169,7 @@
 	}},
 	"fault": {Name: "fault", Repeatable: true, Help: "is a failure of replicas, aggregators, zones or sites for a limited time", Parameters: []*script.Parameter{
 		{Name: "kind", Kind: script.Text, Choices: append(slices.Clone(emulator.FaultKinds), emulator.AggregatorFaultKinds...), Help: "of fault"},
-		{Name: "replicas", Kind: script.IntList, Default: []int{}, Help: "that are affected, by number"},
+		{Name: "replicas", Kind: script.IntList, Default: []int{}, Help: "which"},
 		{Name: "aggregators", Kind: script.IntList, Default: []int{}, Help: "that are affected, for crash and freeze"},
 		{Name: "sites", Kind: script.IntList, Default: []int{}, Help: "that are affected, for cut"},
 		{Name: "zones", Kind: script.IntList, Default: []int{}, Help: "that are affected, for rift"},
--- a/lab/experiment/play.go
+++ b/lab/experiment/play.go
@@ -74,7 +74,7 @@
 // EmulatorRunner returns a runner that uses the emulator, with as many runs at a time as there are cores.
 func EmulatorRunner() Runner { return Runner{emulator.Run, runtime.GOMAXPROCS(0)} }
 
-// Run runs all variants with all seeds. It calls step, if that is not nil, after each run.
+// Run runs all variants with all seeds. It calls progress, if that is not nil, after each run.
 //
 // Danger: the order in which runs end depends on the machine, so results are collected by variant and seed and never by that order.
 func (e *Experiment) Run(runner Runner, progress func()) (*Table, error) {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load sends queries to a running aggregator over HTTP, at a constant rate or from a fixed number of clients, and finds the highest
-// rate at which enough queries are answered within the goal. Latency counts from the time when a query was due, so that a slow aggregator
-// doesn't look fast because its clients wait for it.
+// Package load sends queries to a running aggregator over HTTP, at a constant rate or from a fixed number of clients, and finds the
+// highest rate at which enough queries are answered within the goal. Latency counts from the time when a query was due, so that a slow
+// aggregator doesn't look fast because its clients wait for it.
 package load
 
 import (
--- a/lab/propagation/propagation.go
+++ b/lab/propagation/propagation.go
@@ -1,5 +1,6 @@
-// Package propagation counts the messages that bring one update to all edges with three strategies: the tree of package relaytree, a star
-// (each edge gets updates directly from a controller), and a flood (each edge forwards a new update to a few random edges). It does no I/O.
+// Package propagation counts the messages that bring one update to all edges with three strategies: the tree of package relaytree, a
+// star (each edge gets updates directly from a controller), and a flood (each edge forwards a new update to a few random edges). It does
+// no I/O.
 package propagation
 
 import (
--- a/lab/propagation/propagation_test.go
+++ b/lab/propagation/propagation_test.go
@@ -6,7 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestTreeIsCheap checks that with the tree each edge gets one copy, few copies leave their zone, and no edge sends many, at any fleet size.
+// TestTreeIsCheap checks that with the tree each edge gets one copy, few copies leave their zone, and no edge sends many, at any size of
+// the fleet.
 func TestTreeIsCheap(t *testing.T) {
 	for _, f := range []Fleet{{9, 5, 3, 3}, {60, 9, 6, 3}, {1000, 9, 6, 3}} {
 		all := Compare(f)
--- a/lab/rehearsal/rehearsal.go
+++ b/lab/rehearsal/rehearsal.go
@@ -59,11 +59,11 @@
 func RunChild() bool {
 	switch os.Getenv(RoleVariable) {
 	case "controller":
-		os.Exit(daemon.Run("controller", "plays a part", nil, controlserver.Run))
+		os.Exit(daemon.Run("controller", "runs in a rehearsal", nil, controlserver.Run))
 	case "agent":
-		os.Exit(daemon.Run("agent", "plays a part", nil, agentserver.Run))
+		os.Exit(daemon.Run("agent", "runs in a rehearsal", nil, agentserver.Run))
 	case "proxy":
-		os.Exit(daemon.Run("proxy", "plays a part", nil, proxyserver.Run))
+		os.Exit(daemon.Run("proxy", "runs in a rehearsal", nil, proxyserver.Run))
 	}
 	return false
 }
