--- a/lab/emulator/baselines/baselines.go
+++ b/lab/emulator/baselines/baselines.go
@@ -93,35 +93,35 @@
 }
 
 // SetListed records whether a replica of a shard is listed as up.
-func (r *Baseline) SetListed(number, shard int, up bool) {
-	for len(r.replicas) <= number {
-		r.replicas = append(r.replicas, replica{shard: -1})
+func (b *Baseline) SetListed(number, shard int, up bool) {
+	for len(b.replicas) <= number {
+		b.replicas = append(b.replicas, replica{shard: -1})
 	}
-	if p := &r.replicas[number]; p.shard < 0 {
+	if p := &b.replicas[number]; p.shard < 0 {
 		p.shard = shard
-		r.holders[shard] = append(r.holders[shard], number)
+		b.holders[shard] = append(b.holders[shard], number)
 	}
-	r.replicas[number].up = up
+	b.replicas[number].up = up
 }
 
 // AddQuery adds a query that arrives now. It has one part for each of shards.
-func (r *Baseline) AddQuery(now int64, number int32, workload int, timeout int64, shards []int, weights []float64) {
+func (b *Baseline) AddQuery(now int64, number int32, workload int, timeout int64, shards []int, weights []float64) {
 	q := &query{number: number, workload: workload, arrivedAt: now, deadline: now + timeout}
 	for i, s := range shards {
 		q.parts = append(q.parts, part{shard: s, weight: weights[i]})
 	}
-	r.queries[number] = q
-	r.open = append(r.open, q)
+	b.queries[number] = q
+	b.open = append(b.open, q)
 }
 
 // RecordOutcome records the end of the last execution of part i of a query.
-func (r *Baseline) RecordOutcome(now int64, number int32, i int, result balance.Result, took int64) {
-	q := r.queries[number]
+func (b *Baseline) RecordOutcome(now int64, number int32, i int, result balance.Result, took int64) {
+	q := b.queries[number]
 	if q == nil {
 		return
 	}
 	p := &q.parts[i]
-	replica := &r.replicas[p.tried[len(p.tried)-1]]
+	replica := &b.replicas[p.tried[len(p.tried)-1]]
 	replica.inFlight--
 	p.inFlight = false
 	q.inFlight--
@@ -135,40 +135,40 @@
 	switch {
 	case result == balance.Fulfilled:
 		p.done = true
-	case !result.NeverRan() && r.RetrySafety[q.workload] == balance.OnceOnly:
+	case !result.NeverRan() && b.RetrySafety[q.workload] == balance.OnceOnly:
 		p.unrepeatable = true
 	}
 	if q.ended && q.inFlight == 0 {
-		delete(r.queries, number)
+		delete(b.queries, number)
 	}
 }
 
 // Decide returns the executions to send and the queries to answer now, and when it must be called again (0 if there is no such time).
-func (r *Baseline) Decide(now int64) (sends []Send, endings []Ending, wakeAt int64) {
-	r.open = slices.DeleteFunc(r.open, func(q *query) bool {
-		outcome, ended := r.outcome(now, q)
+func (b *Baseline) Decide(now int64) (sends []Send, endings []Ending, wakeAt int64) {
+	b.open = slices.DeleteFunc(b.open, func(q *query) bool {
+		outcome, ended := b.outcome(now, q)
 		if ended {
 			q.ended = true
 			endings = append(endings, Ending{q.number, outcome})
 			if q.inFlight == 0 {
-				delete(r.queries, q.number)
+				delete(b.queries, q.number)
 			}
 			return true
 		}
 		for i := range q.parts {
 			p := &q.parts[i]
-			if p.done || p.inFlight || p.unrepeatable || len(p.tried) >= r.MaxExecutions {
+			if p.done || p.inFlight || p.unrepeatable || len(p.tried) >= b.MaxExecutions {
 				continue
 			}
-			replica := r.pick(now, p)
+			replica := b.pick(now, p)
 			if replica < 0 {
 				continue
 			}
 			p.tried, p.inFlight = append(p.tried, replica), true
 			q.inFlight++
-			r.replicas[replica].inFlight++
+			b.replicas[replica].inFlight++
 			deadline := q.deadline
-			if len(p.tried) < r.MaxExecutions && r.RetrySafety[q.workload] != balance.OnceOnly {
+			if len(p.tried) < b.MaxExecutions && b.RetrySafety[q.workload] != balance.OnceOnly {
 				deadline = min(deadline, now+int64(attemptTimeShare*float64(q.deadline-q.arrivedAt)))
 			}
 			sends = append(sends, Send{q.number, i, replica, deadline})
@@ -182,7 +182,7 @@
 }
 
 // outcome returns how a query ends, and whether it ends now.
-func (r *Baseline) outcome(now int64, q *query) (balance.Outcome, bool) {
+func (b *Baseline) outcome(now int64, q *query) (balance.Outcome, bool) {
 	done, open, mayRun := 0.0, false, false
 	for i := range q.parts {
 		p := &q.parts[i]
@@ -190,7 +190,7 @@
 		if p.done {
 			done += p.weight
 		} else {
-			open = open || p.inFlight || !p.unrepeatable && len(p.tried) < r.MaxExecutions
+			open = open || p.inFlight || !p.unrepeatable && len(p.tried) < b.MaxExecutions
 		}
 	}
 	const epsilon = 1e-9
@@ -199,25 +199,25 @@
 		return balance.Whole, true
 	case open && !overdue:
 		return 0, false
-	case done >= r.MinCoverage-epsilon && done > 0:
+	case done >= b.MinCoverage-epsilon && done > 0:
 		return balance.Partial, true
-	case mayRun && r.RetrySafety[q.workload] == balance.OnceOnly:
+	case mayRun && b.RetrySafety[q.workload] == balance.OnceOnly:
 		return balance.Forfeited, true
 	}
 	return balance.Declined, true
 }
 
 // pick chooses a replica for a part, or returns -1. It avoids replicas that were tried before, while there are others.
-func (r *Baseline) pick(now int64, p *part) int {
+func (b *Baseline) pick(now int64, p *part) int {
 	var candidates []int
-	for _, h := range r.holders[p.shard] {
-		if r.replicas[h].up && !slices.Contains(p.tried, h) {
+	for _, h := range b.holders[p.shard] {
+		if b.replicas[h].up && !slices.Contains(p.tried, h) {
 			candidates = append(candidates, h)
 		}
 	}
 	if len(candidates) == 0 {
-		for _, h := range r.holders[p.shard] {
-			if r.replicas[h].up {
+		for _, h := range b.holders[p.shard] {
+			if b.replicas[h].up {
 				candidates = append(candidates, h)
 			}
 		}
@@ -225,35 +225,35 @@
 	if len(candidates) == 0 {
 		return -1
 	}
-	load := func(h int) float64 { return float64(r.replicas[h].inFlight) }
-	first := r.nextTurn[p.shard]
-	r.nextTurn[p.shard]++
-	switch r.Policy {
+	load := func(h int) float64 { return float64(b.replicas[h].inFlight) }
+	first := b.nextTurn[p.shard]
+	b.nextTurn[p.shard]++
+	switch b.Policy {
 	case "turns":
 		return candidates[first%len(candidates)]
 	case "least":
 		return leastBy(candidates, first, load)
 	case "two":
-		a, b := candidates[r.rng.IntN(len(candidates))], candidates[r.rng.IntN(len(candidates))]
+		a, b := candidates[b.rng.IntN(len(candidates))], candidates[b.rng.IntN(len(candidates))]
 		if load(b) < load(a) {
 			return b
 		}
 		return a
 	case "ewma":
 		return leastBy(candidates, first, func(h int) float64 {
-			at := &r.replicas[h]
-			return at.meanLatency * math.Exp(-float64(now-at.meanAt)/meanDecayNs) * (load(h) + 1)
+			replica := &b.replicas[h]
+			return replica.meanLatency * math.Exp(-float64(now-replica.meanAt)/meanDecayNs) * (load(h) + 1)
 		})
 	case "oracle":
 		return leastBy(candidates, first, func(h int) float64 {
-			wait, healthy := r.Oracle(h)
+			wait, healthy := b.Oracle(h)
 			if !healthy {
 				return math.MaxFloat64
 			}
 			return float64(wait)
 		})
 	}
-	return candidates[r.rng.IntN(len(candidates))]
+	return candidates[b.rng.IntN(len(candidates))]
 }
 
 // leastBy returns the replica with the lowest value. Among equals it takes turns, starting at index first.
--- a/lab/emulator/baselines/baselines_test.go
+++ b/lab/emulator/baselines/baselines_test.go
@@ -10,19 +10,19 @@
 
 // fourHolders returns a baseline with four replicas of one shard. For the policy "oracle", replica 3 is unhealthy and replica 2 has the
 // shortest wait of the others.
-func fourHolders(policy string, effect balance.RetrySafety) *Baseline {
-	r := New(Config{Policy: policy, Seed: 1, Shards: 1, MaxExecutions: 3, MinCoverage: 1, RetrySafety: []balance.RetrySafety{effect},
+func fourHolders(policy string, retrySafety balance.RetrySafety) *Baseline {
+	b := New(Config{Policy: policy, Seed: 1, Shards: 1, MaxExecutions: 3, MinCoverage: 1, RetrySafety: []balance.RetrySafety{retrySafety},
 		Oracle: func(replica int) (int64, bool) { return int64(10-replica) * ms, replica != 3 }})
 	for i := range 4 {
-		r.SetListed(i, 0, true)
+		b.SetListed(i, 0, true)
 	}
-	return r
+	return b
 }
 
 // firstSend adds a query of one part and returns the replica that it is sent to, or -1.
-func (r *Baseline) firstSend(now int64, number int32) int {
-	r.AddQuery(now, number, 0, 1000*ms, []int{0}, []float64{1})
-	sends, _, _ := r.Decide(now)
+func (b *Baseline) firstSend(now int64, number int32) int {
+	b.AddQuery(now, number, 0, 1000*ms, []int{0}, []float64{1})
+	sends, _, _ := b.Decide(now)
 	for _, s := range sends {
 		if s.Query == number {
 			return s.Replica
@@ -92,27 +92,27 @@
 	if _, ends, _ = r.Decide(10 * ms); len(ends) != 0 {
 		t.Errorf("the query was answered again: %v", ends)
 	}
-	once := fourHolders("turns", balance.OnceOnly)
-	once.firstSend(0, 1)
-	once.RecordOutcome(5*ms, 1, 0, balance.Reset, 5*ms)
-	if sends, ends, _ = once.Decide(5 * ms); len(sends) != 0 || len(ends) != 1 || ends[0].Outcome != balance.Forfeited {
+	onceOnly := fourHolders("turns", balance.OnceOnly)
+	onceOnly.firstSend(0, 1)
+	onceOnly.RecordOutcome(5*ms, 1, 0, balance.Reset, 5*ms)
+	if sends, ends, _ = onceOnly.Decide(5 * ms); len(sends) != 0 || len(ends) != 1 || ends[0].Outcome != balance.Forfeited {
 		t.Errorf("a once-only part that may have run: sends %v, endings %v", sends, ends)
 	}
-	once.firstSend(10*ms, 2)
-	once.RecordOutcome(11*ms, 2, 0, balance.ConnectFailed, ms)
-	if sends, _, _ = once.Decide(11 * ms); len(sends) != 1 {
+	onceOnly.firstSend(10*ms, 2)
+	onceOnly.RecordOutcome(11*ms, 2, 0, balance.ConnectFailed, ms)
+	if sends, _, _ = onceOnly.Decide(11 * ms); len(sends) != 1 {
 		t.Error("a once-only part that never ran was not retried")
 	}
-	late := fourHolders("turns", balance.Repeatable)
-	late.firstSend(0, 1)
-	if _, ends, _ = late.Decide(995 * ms); len(ends) != 1 || ends[0].Outcome != balance.Declined {
+	overdue := fourHolders("turns", balance.Repeatable)
+	overdue.firstSend(0, 1)
+	if _, ends, _ = overdue.Decide(995 * ms); len(ends) != 1 || ends[0].Outcome != balance.Declined {
 		t.Errorf("just before its timeout: endings %v", ends)
 	}
-	none := fourHolders("turns", balance.Repeatable)
+	noneUp := fourHolders("turns", balance.Repeatable)
 	for i := range 4 {
-		none.SetListed(i, 0, false)
+		noneUp.SetListed(i, 0, false)
 	}
-	if to := none.firstSend(0, 1); to >= 0 {
+	if to := noneUp.firstSend(0, 1); to >= 0 {
 		t.Errorf("with no replica up it was sent to replica %d", to)
 	}
 }
--- a/lab/emulator/checker/checker.go
+++ b/lab/emulator/checker/checker.go
@@ -46,9 +46,9 @@
 	Text    string
 }
 
-func (b Violation) String() string {
-	what := fmt.Sprint("rule ", b.Rule)
-	switch b.Rule {
+func (v Violation) String() string {
+	what := fmt.Sprint("rule ", v.Rule)
+	switch v.Rule {
 	case RuleStarvation:
 		what = "the starvation rule"
 	case RuleLinkRate:
@@ -56,7 +56,7 @@
 	case RuleQuota:
 		what = "a quota's bound"
 	}
-	return fmt.Sprintf("%s at %.6f s, %s: %s", what, float64(b.At)/1e9, b.Subject, b.Text)
+	return fmt.Sprintf("%s at %.6f s, %s: %s", what, float64(v.At)/1e9, v.Subject, v.Text)
 }
 
 // Aggregator checks one aggregator.
@@ -107,6 +107,7 @@
 	history           []string // what happened, for the text of violations
 }
 
+// execution is what the checker has seen of an execution; result is one of Fulfilled, NeverRan and MayHaveRun.
 type execution struct {
 	replica int
 	sentAt  int64
@@ -119,6 +120,7 @@
 	return &Aggregator{Bounds: b, Name: name, queries: map[int32]*query{}, listed: map[int]bool{}, loads: map[int]*replicaLoad{}, holders: map[int][]int{}}
 }
 
+// violate adds a violation, with the history of the query if q is not nil.
 func (a *Aggregator) violate(rule int, now int64, q *query, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if q != nil {
--- a/lab/emulator/decider.go
+++ b/lab/emulator/decider.go
@@ -40,7 +40,7 @@
 // exceeded its quota.
 type decider interface {
 	updateListing(now int64, l balance.Listing)
-	addQuery(now int64, number int32, load int, patience int64, over bool, shards []int, weights []float64)
+	addQuery(now int64, number int32, workload int, timeout int64, overQuota bool, shards []int, weights []float64)
 	recordOutcome(now int64, number int32, part, execution int, result balance.Result, took int64)
 	decide(now int64) decision
 	forget(number int32)
@@ -119,20 +119,20 @@
 	return r
 }
 
-func (r baselineDecider) updateListing(_ int64, l balance.Listing) {
-	r.SetListed(l.Replica, l.Cell, l.Status == balance.Up)
+func (b baselineDecider) updateListing(_ int64, l balance.Listing) {
+	b.SetListed(l.Replica, l.Cell, l.Status == balance.Up)
 }
 
-func (r baselineDecider) addQuery(now int64, number int32, workload int, timeout int64, _ bool, shards []int, weights []float64) {
-	r.AddQuery(now, number, workload, timeout, shards, weights)
+func (b baselineDecider) addQuery(now int64, number int32, workload int, timeout int64, _ bool, shards []int, weights []float64) {
+	b.AddQuery(now, number, workload, timeout, shards, weights)
 }
 
-func (r baselineDecider) recordOutcome(now int64, number int32, part, _ int, result balance.Result, took int64) {
-	r.RecordOutcome(now, number, part, result, took)
+func (b baselineDecider) recordOutcome(now int64, number int32, part, _ int, result balance.Result, took int64) {
+	b.RecordOutcome(now, number, part, result, took)
 }
 
-func (r baselineDecider) decide(now int64) (out decision) {
-	sends, endings, wakeAt := r.Decide(now)
+func (b baselineDecider) decide(now int64) (out decision) {
+	sends, endings, wakeAt := b.Decide(now)
 	for _, s := range sends {
 		out.sends = append(out.sends, send{s.Query, s.Part, s.Replica, s.Deadline})
 	}
@@ -143,7 +143,7 @@
 	return out
 }
 
-func (r baselineDecider) forget(int32) {}
+func (b baselineDecider) forget(int32) {}
 
 // defectiveDecider introduces one of Defects into a decider, to show that the checker detects it.
 type defectiveDecider struct {
@@ -151,23 +151,23 @@
 	defect string
 }
 
-func (b *defectiveDecider) recordOutcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
-	if b.defect == "count not lowered on reset" && result == balance.Reset {
+func (d *defectiveDecider) recordOutcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
+	if d.defect == "count not lowered on reset" && result == balance.Reset {
 		return
 	}
-	b.decider.recordOutcome(now, number, part, execution, result, took)
+	d.decider.recordOutcome(now, number, part, execution, result, took)
 }
 
-func (b *defectiveDecider) updateListing(now int64, l balance.Listing) {
-	if b.defect == "drain ignored" && l.Status != balance.Up {
+func (d *defectiveDecider) updateListing(now int64, l balance.Listing) {
+	if d.defect == "drain ignored" && l.Status != balance.Up {
 		return
 	}
-	b.decider.updateListing(now, l)
+	d.decider.updateListing(now, l)
 }
 
-func (b *defectiveDecider) decide(now int64) decision {
-	r := b.decider.decide(now)
-	switch b.defect {
+func (d *defectiveDecider) decide(now int64) decision {
+	r := d.decider.decide(now)
+	switch d.defect {
 	case "second answer":
 		if len(r.endings) > 0 {
 			r.endings = append(slices.Clone(r.endings), r.endings[0])
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -208,11 +208,11 @@
 			p.Workloads[i].LatencyGoal, p.Workloads[i].Timeout = 600*ms, 2*second
 		}
 		p.Workloads[0].Rate = 10
-		var dark []int
+		var hungReplicas []int
 		for r := range p.Replicas / 2 {
-			dark = append(dark, r)
+			hungReplicas = append(hungReplicas, r)
 		}
-		p.Faults = []Fault{{Kind: "hang", Replicas: dark, From: 6 * second, Until: 20 * second}}
+		p.Faults = []Fault{{Kind: "hang", Replicas: hungReplicas, From: 6 * second, Until: 20 * second}}
 		r, _ := mustRun(t, p, MaxCores())
 		if r.Violation != "" {
 			t.Errorf("%s: %s", route, r.Violation)
@@ -224,6 +224,7 @@
 	}
 }
 
+// Invalid plans are rejected.
 func TestCheck(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(*Plan){
@@ -242,6 +243,7 @@
 	}
 }
 
+// BenchmarkRun measures the speed of simulations of a small and a large fleet, in events per second.
 func BenchmarkRun(b *testing.B) {
 	for _, size := range []struct{ aggregators, replicas int }{{10, 100}, {100, 1000}} {
 		b.Run(fmt.Sprint(size.aggregators, "x", size.replicas), func(b *testing.B) {
@@ -267,7 +269,7 @@
 // latency in the expected direction.
 func TestLaws(t *testing.T) {
 	t.Parallel()
-	play := func(change func(*Plan)) *Result {
+	run := func(change func(*Plan)) *Result {
 		p := smallPlan("random", 5)
 		p.Budgeted, p.Workloads = false, p.Workloads[:1]
 		change(&p)
@@ -275,26 +277,26 @@
 		t.Logf("revenue share %.3f, p50 %.1f ms, p99 %.1f ms", r.RevenueShare(), float64(r.P50)/1e6, float64(r.P99)/1e6)
 		return r
 	}
-	stops := func(p *Plan) { p.PauseInterval, p.PauseTime = 2*second, 150*ms }
-	plain, stopped := play(func(*Plan) {}), play(stops)
-	if stopped.P99 < plain.P99+75*ms || stopped.P50 > plain.P50+20*ms {
-		t.Errorf("with pauses of 150 ms the p99 is %d ns, without pauses %d ns", stopped.P99, plain.P99)
+	withPauses := func(p *Plan) { p.PauseInterval, p.PauseTime = 2*second, 150*ms }
+	plain, paused := run(func(*Plan) {}), run(withPauses)
+	if paused.P99 < plain.P99+75*ms || paused.P50 > plain.P50+20*ms {
+		t.Errorf("with pauses of 150 ms the p99 is %d ns, without pauses %d ns", paused.P99, plain.P99)
 	}
-	crowd := func(p *Plan) { p.Workloads[0].Rate, p.CrowdingSlowdown, p.CrowdingThreshold = 80, 0.1, 2 }
-	busy, crowded := play(func(p *Plan) { p.Workloads[0].Rate = 80 }), play(crowd)
+	withCrowding := func(p *Plan) { p.Workloads[0].Rate, p.CrowdingSlowdown, p.CrowdingThreshold = 80, 0.1, 2 }
+	busy, crowded := run(func(p *Plan) { p.Workloads[0].Rate = 80 }), run(withCrowding)
 	if crowded.RevenueShare() > busy.RevenueShare()-0.02 {
 		t.Errorf("revenue share %.3f with crowding, %.3f without", crowded.RevenueShare(), busy.RevenueShare())
 	}
-	keeps := play(func(p *Plan) {
-		crowd(p)
+	finishing := run(func(p *Plan) {
+		withCrowding(p)
 		p.FinishCancelled, p.KeepCancelledQueued = true, true
 	})
-	drops := play(func(p *Plan) {
-		crowd(p)
+	dropping := run(func(p *Plan) {
+		withCrowding(p)
 		p.FinishCancelled, p.KeepCancelledQueued, p.DropExpired = true, true, true
 	})
-	if keeps.RevenueShare() > crowded.RevenueShare()-0.1 || drops.RevenueShare() <= keeps.RevenueShare() {
+	if finishing.RevenueShare() > crowded.RevenueShare()-0.1 || dropping.RevenueShare() <= finishing.RevenueShare() {
 		t.Errorf("revenue share %.3f if cancelled parts are finished, %.3f if they are not, %.3f if expired parts are dropped as well",
-			keeps.RevenueShare(), crowded.RevenueShare(), drops.RevenueShare())
+			finishing.RevenueShare(), crowded.RevenueShare(), dropping.RevenueShare())
 	}
 }
--- a/lab/emulator/eventqueue/eventqueue.go
+++ b/lab/emulator/eventqueue/eventqueue.go
@@ -60,93 +60,93 @@
 }
 
 // Len returns the number of queued events.
-func (a *Queue) Len() int { return len(a.sorted) + len(a.added) + a.inBuckets + len(a.overflow) }
+func (q *Queue) Len() int { return len(q.sorted) + len(q.added) + q.inBuckets + len(q.overflow) }
 
 // Push adds an event. One earlier than the current bucket is put into that bucket.
-func (a *Queue) Push(e Event) {
+func (q *Queue) Push(e Event) {
 	switch bucket := e.At >> bucketBits; {
-	case bucket <= a.current:
-		heap.Push((*byTime)(&a.added), e)
-	case bucket-a.current < bucketCount:
+	case bucket <= q.current:
+		heap.Push((*byTime)(&q.added), e)
+	case bucket-q.current < bucketCount:
 		slot := bucket & bucketMask
-		a.buckets[slot] = append(a.buckets[slot], e)
-		a.occupied[slot/64] |= 1 << (slot % 64)
-		a.inBuckets++
+		q.buckets[slot] = append(q.buckets[slot], e)
+		q.occupied[slot/64] |= 1 << (slot % 64)
+		q.inBuckets++
 	default:
-		heap.Push(&a.overflow, e)
+		heap.Push(&q.overflow, e)
 	}
 }
 
 // NextTime returns the time of the next event, or a time later than any event if the queue is empty.
-func (a *Queue) NextTime() int64 {
-	if len(a.sorted) == 0 && len(a.added) == 0 && !a.advance() {
+func (q *Queue) NextTime() int64 {
+	if len(q.sorted) == 0 && len(q.added) == 0 && !q.advance() {
 		return never
 	}
 	at := int64(never)
-	if n := len(a.sorted); n > 0 {
-		at = a.sorted[n-1].At
+	if n := len(q.sorted); n > 0 {
+		at = q.sorted[n-1].At
 	}
-	if len(a.added) > 0 {
-		at = min(at, a.added[0].At)
+	if len(q.added) > 0 {
+		at = min(at, q.added[0].At)
 	}
 	return at
 }
 
 // Pop removes and returns the next event if it is before a time.
-func (a *Queue) Pop(before int64) (Event, bool) {
-	if a.NextTime() >= before {
+func (q *Queue) Pop(before int64) (Event, bool) {
+	if q.NextTime() >= before {
 		return Event{}, false
 	}
-	n := len(a.sorted)
-	if n == 0 || len(a.added) > 0 && Compare(a.added[0], a.sorted[n-1]) < 0 {
-		return heap.Pop((*byTime)(&a.added)).(Event), true
+	n := len(q.sorted)
+	if n == 0 || len(q.added) > 0 && Compare(q.added[0], q.sorted[n-1]) < 0 {
+		return heap.Pop((*byTime)(&q.added)).(Event), true
 	}
-	e := a.sorted[n-1]
-	a.sorted = a.sorted[:n-1]
+	e := q.sorted[n-1]
+	q.sorted = q.sorted[:n-1]
 	return e, true
 }
 
 // advance makes the next bucket with events the current one. It returns false if there is none.
-func (a *Queue) advance() bool {
-	if a.inBuckets == 0 {
-		if len(a.overflow) == 0 {
+func (q *Queue) advance() bool {
+	if q.inBuckets == 0 {
+		if len(q.overflow) == 0 {
 			return false
 		}
-		a.current = a.overflow[0].At>>bucketBits - 1 // no bucket in between has events
+		q.current = q.overflow[0].At>>bucketBits - 1 // no bucket in between has events
 	}
-	a.current = a.nextBucket()
+	q.current = q.nextBucket()
 	// Events of the overflow heap may be within the buckets now.
-	for len(a.overflow) > 0 && a.overflow[0].At>>bucketBits-a.current < bucketCount {
-		e := heap.Pop(&a.overflow).(Event)
-		if e.At>>bucketBits <= a.current {
-			a.added = append(a.added, e) // appended in order, which keeps the heap property
+	for len(q.overflow) > 0 && q.overflow[0].At>>bucketBits-q.current < bucketCount {
+		e := heap.Pop(&q.overflow).(Event)
+		if e.At>>bucketBits <= q.current {
+			q.added = append(q.added, e) // appended in order, which keeps the heap property
 			continue
 		}
 		slot := e.At >> bucketBits & bucketMask
-		a.buckets[slot] = append(a.buckets[slot], e)
-		a.occupied[slot/64] |= 1 << (slot % 64)
-		a.inBuckets++
+		q.buckets[slot] = append(q.buckets[slot], e)
+		q.occupied[slot/64] |= 1 << (slot % 64)
+		q.inBuckets++
 	}
-	slot := a.current & bucketMask
-	a.sorted, a.buckets[slot] = a.buckets[slot], a.sorted[:0]
-	a.occupied[slot/64] &^= 1 << (slot % 64)
-	a.inBuckets -= len(a.sorted)
-	slices.SortFunc(a.sorted, func(x, y Event) int { return Compare(y, x) })
+	slot := q.current & bucketMask
+	q.sorted, q.buckets[slot] = q.buckets[slot], q.sorted[:0]
+	q.occupied[slot/64] &^= 1 << (slot % 64)
+	q.inBuckets -= len(q.sorted)
+	slices.SortFunc(q.sorted, func(x, y Event) int { return Compare(y, x) })
 	return true
 }
 
 // nextBucket returns the number of the first bucket after the current one with events, in the buckets or in the overflow heap.
-func (a *Queue) nextBucket() int64 {
+func (q *Queue) nextBucket() int64 {
 	firstOverflow := int64(never)
-	if len(a.overflow) > 0 {
-		firstOverflow = a.overflow[0].At >> bucketBits
+	if len(q.overflow) > 0 {
+		firstOverflow = q.overflow[0].At >> bucketBits
 	}
-	if a.inBuckets == 0 {
+	if q.inBuckets == 0 {
 		return firstOverflow
 	}
-	for bucket := a.current + 1; ; {
+	for bucket := q.current + 1; ; {
 		slot := bucket & bucketMask
-		if word := a.occupied[slot/64] >> (slot % 64); word != 0 {
+		if word := q.occupied[slot/64] >> (slot % 64); word != 0 {
 			for word&1 == 0 {
 				word >>= 1
 				bucket++
--- a/lab/emulator/eventqueue/eventqueue_test.go
+++ b/lab/emulator/eventqueue/eventqueue_test.go
@@ -43,29 +43,29 @@
 
 // Each iteration pops the next event and pushes a later one, as a simulation does.
 func BenchmarkTurn(b *testing.B) {
-	const waiting = 100_000
-	later := func(rng *rand.Rand) int64 { return int64(rng.ExpFloat64() * 40e6) }
+	const queued = 100_000
+	delay := func(rng *rand.Rand) int64 { return int64(rng.ExpFloat64() * 40e6) }
 	b.Run("calendar", func(b *testing.B) {
 		rng, a := rand.New(rand.NewPCG(1, 2)), New(0)
-		for i := range waiting {
-			a.Push(Event{At: later(rng), Seq: uint64(i)})
+		for i := range queued {
+			a.Push(Event{At: delay(rng), Seq: uint64(i)})
 		}
 		for i := 0; b.Loop(); i++ {
 			e, _ := a.Pop(never)
-			e.At += later(rng)
-			e.Seq = uint64(waiting + i)
+			e.At += delay(rng)
+			e.Seq = uint64(queued + i)
 			a.Push(e)
 		}
 	})
 	b.Run("heap", func(b *testing.B) {
 		rng, q := rand.New(rand.NewPCG(1, 2)), byTime{}
-		for i := range waiting {
-			heap.Push(&q, Event{At: later(rng), Seq: uint64(i)})
+		for i := range queued {
+			heap.Push(&q, Event{At: delay(rng), Seq: uint64(i)})
 		}
 		for i := 0; b.Loop(); i++ {
 			e := heap.Pop(&q).(Event)
-			e.At += later(rng)
-			e.Seq = uint64(waiting + i)
+			e.At += delay(rng)
+			e.Seq = uint64(queued + i)
 			heap.Push(&q, e)
 		}
 	})
--- a/lab/emulator/run.go
+++ b/lab/emulator/run.go
@@ -62,114 +62,114 @@
 // NewRecorder returns an empty recorder for runs of a plan.
 func NewRecorder(p *Plan) *Recorder {
 	seconds := int(p.Duration/1e9) + 1
-	t := &Recorder{plan: p, latencies: hdrhistogram.New(1000, max(2*p.maxTimeout(), 2000), 3), earned: make([]float64, seconds),
+	r := &Recorder{plan: p, latencies: hdrhistogram.New(1000, max(2*p.maxTimeout(), 2000), 3), earned: make([]float64, seconds),
 		possible: make([]float64, seconds)}
 	for _, l := range p.Workloads {
-		t.Workloads = append(t.Workloads, WorkloadResult{Name: l.Name})
+		r.Workloads = append(r.Workloads, WorkloadResult{Name: l.Name})
 	}
-	return t
+	return r
 }
 
 // measured reports whether a query asked at this time is in the counted interval.
-func (t *Recorder) measured(asked int64) bool {
-	return asked >= t.plan.MeasureFrom && asked < t.plan.MeasureUntil
+func (r *Recorder) measured(asked int64) bool {
+	return asked >= r.plan.MeasureFrom && asked < r.plan.MeasureUntil
 }
 
-func (t *Recorder) secondIndex(asked int64) int { return min(int(asked/1e9), len(t.earned)-1) }
+func (r *Recorder) secondIndex(asked int64) int { return min(int(asked/1e9), len(r.earned)-1) }
 
 // RecordQuery counts a query that was asked.
-func (t *Recorder) RecordQuery(asked int64, workload int) {
-	revenue := t.plan.Workloads[workload].Revenue
-	t.possible[t.secondIndex(asked)] += revenue
-	if t.measured(asked) {
-		t.Asked++
-		t.Workloads[workload].Asked++
-		t.MaxRevenue += revenue
+func (r *Recorder) RecordQuery(asked int64, workload int) {
+	revenue := r.plan.Workloads[workload].Revenue
+	r.possible[r.secondIndex(asked)] += revenue
+	if r.measured(asked) {
+		r.Asked++
+		r.Workloads[workload].Asked++
+		r.MaxRevenue += revenue
 	}
 }
 
 // RecordExecution counts an execution of a query's part.
-func (t *Recorder) RecordExecution(asked int64, retry bool) {
-	if t.measured(asked) {
-		if t.Executions++; retry {
-			t.Retries++
+func (r *Recorder) RecordExecution(asked int64, retry bool) {
+	if r.measured(asked) {
+		if r.Executions++; retry {
+			r.Retries++
 		}
 	}
 }
 
 // RecordAnswer counts the end of a query. The answer to a client's retry (retries > 0) earns nothing and is not counted among
 // the outcomes, because the first attempt has already been counted; its latency is recorded.
-func (t *Recorder) RecordAnswer(asked, ended int64, workload, retries int, outcome balance.Outcome) {
-	l := &t.plan.Workloads[workload]
+func (r *Recorder) RecordAnswer(asked, ended int64, workload, retries int, outcome balance.Outcome) {
+	l := &r.plan.Workloads[workload]
 	took := ended - asked
 	inGoal := outcome == balance.Whole && took <= l.LatencyGoal && retries == 0
 	if inGoal {
-		t.earned[t.secondIndex(asked)] += l.Revenue
+		r.earned[r.secondIndex(asked)] += l.Revenue
 	}
-	if !t.measured(asked) {
+	if !r.measured(asked) {
 		return
 	}
 	if outcome == balance.Whole || outcome == balance.Partial {
-		t.latencies.RecordValue(took)
+		r.latencies.RecordValue(took)
 	}
 	if retries > 0 {
 		return
 	}
 	switch {
 	case inGoal:
-		t.InGoal++
-		t.Workloads[workload].InGoal++
-		t.Revenue += l.Revenue
+		r.InGoal++
+		r.Workloads[workload].InGoal++
+		r.Revenue += l.Revenue
 	case outcome == balance.Whole:
-		t.Late++
+		r.Late++
 	case outcome == balance.Partial:
-		t.Partial++
+		r.Partial++
 	case outcome == balance.Declined:
-		t.Declined++
+		r.Declined++
 	default:
-		t.Forfeited++
+		r.Forfeited++
 	}
 }
 
 // Merge adds the counts of another recorder of the same plan.
-func (t *Recorder) Merge(o *Recorder) {
-	t.Asked += o.Asked
-	t.InGoal += o.InGoal
-	t.Late += o.Late
-	t.Partial += o.Partial
-	t.Declined += o.Declined
-	t.Forfeited += o.Forfeited
-	t.Revenue += o.Revenue
-	t.MaxRevenue += o.MaxRevenue
-	t.Executions += o.Executions
-	t.Retries += o.Retries
-	t.latencies.Merge(o.latencies)
+func (r *Recorder) Merge(o *Recorder) {
+	r.Asked += o.Asked
+	r.InGoal += o.InGoal
+	r.Late += o.Late
+	r.Partial += o.Partial
+	r.Declined += o.Declined
+	r.Forfeited += o.Forfeited
+	r.Revenue += o.Revenue
+	r.MaxRevenue += o.MaxRevenue
+	r.Executions += o.Executions
+	r.Retries += o.Retries
+	r.latencies.Merge(o.latencies)
 	for i, l := range o.Workloads {
-		t.Workloads[i].Asked += l.Asked
-		t.Workloads[i].InGoal += l.InGoal
+		r.Workloads[i].Asked += l.Asked
+		r.Workloads[i].InGoal += l.InGoal
 	}
 	for i := range o.earned {
-		t.earned[i] += o.earned[i]
-		t.possible[i] += o.possible[i]
+		r.earned[i] += o.earned[i]
+		r.possible[i] += o.possible[i]
 	}
 }
 
 // Summary computes the percentiles and shares and returns the result.
-func (t *Recorder) Summary() *Result {
-	r := &t.Result
-	r.P50, r.P99, r.P999 = t.latencies.ValueAtPercentile(50), t.latencies.ValueAtPercentile(99), t.latencies.ValueAtPercentile(99.9)
-	r.ShareBySecond, r.Latencies = nil, nil
+func (r *Recorder) Summary() *Result {
+	result := &r.Result
+	result.P50, result.P99, result.P999 = r.latencies.ValueAtPercentile(50), r.latencies.ValueAtPercentile(99), r.latencies.ValueAtPercentile(99.9)
+	result.ShareBySecond, result.Latencies = nil, nil
 	for _, p := range Percentiles {
-		r.Latencies = append(r.Latencies, t.latencies.ValueAtPercentile(p))
+		result.Latencies = append(result.Latencies, r.latencies.ValueAtPercentile(p))
 	}
-	for i := range int(t.plan.Duration / 1e9) {
+	for i := range int(r.plan.Duration / 1e9) {
 		share := 1.0
-		if t.possible[i] > 0 {
-			share = t.earned[i] / t.possible[i]
+		if r.possible[i] > 0 {
+			share = r.earned[i] / r.possible[i]
 		}
-		r.ShareBySecond = append(r.ShareBySecond, share)
+		result.ShareBySecond = append(result.ShareBySecond, share)
 	}
-	return r
+	return result
 }
 
 // Run simulates a plan on the given number of cores, which does not influence the result.
@@ -177,11 +177,11 @@
 	if err := p.Validate(); err != nil {
 		return nil, err
 	}
-	w := &simulation{Plan: &p}
-	for i := range w.loops {
-		w.loops[i] = &eventLoop{simulation: w, queue: eventqueue.New(origin)}
+	sim := &simulation{Plan: &p}
+	for i := range sim.loops {
+		sim.loops[i] = &eventLoop{simulation: sim, queue: eventqueue.New(origin)}
 	}
-	newEmitter := func(n int) emitter { return emitter{loop: w.loops[n%eventLoopCount], entityID: int32(n)} }
+	newEmitter := func(n int) emitter { return emitter{loop: sim.loops[n%eventLoopCount], entityID: int32(n)} }
 	newRNG := func(n int, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(p.Seed, stream<<32+uint64(n))) }
 	var listings []balance.Listing
 	for i := range p.Replicas {
@@ -190,13 +190,13 @@
 				OverloadSpan: p.OverloadSpan}}
 		r.serviceTimeFactor = math.Exp(p.SpeedSigma * r.rng.NormFloat64())
 		r.ruleChecker.WarmRate = float64(p.Workers) * 1e9 / (float64(p.ServiceTime) * r.serviceTimeFactor * math.Exp(p.ServiceTimeSigma*p.ServiceTimeSigma/2))
-		w.replicas = append(w.replicas, r)
+		sim.replicas = append(sim.replicas, r)
 		listings = append(listings, balance.Listing{Replica: i, New: true, Cell: p.shardOf(i), Status: balance.Up})
 	}
 	if p.Policy == "oracle" {
-		w.oracleViews = make([]oracleView, p.Replicas)
-		for i, r := range w.replicas {
-			w.oracleViews[i] = r.oracleView(origin)
+		sim.oracleViews = make([]oracleView, p.Replicas)
+		for i, r := range sim.replicas {
+			sim.oracleViews[i] = r.oracleView(origin)
 		}
 	}
 	for i := range p.Aggregators {
@@ -211,60 +211,60 @@
 				a.listings = append(a.listings, l)
 			}
 		}
-		a.simulation, a.ruleChecker.CheckStarvation = w, p.Policy == "module"
+		a.simulation, a.ruleChecker.CheckStarvation = sim, p.Policy == "module"
 		a.start(origin)
 		a.startProcessor(origin)
-		w.aggregators = append(w.aggregators, a)
+		sim.aggregators = append(sim.aggregators, a)
 	}
-	for _, a := range w.aggregators {
-		w.entities = append(w.entities, a)
+	for _, a := range sim.aggregators {
+		sim.entities = append(sim.entities, a)
 		for n := range p.Workloads {
 			a.scheduleArrival(origin, n)
 		}
 		a.requestRound(origin)
 	}
-	for _, r := range w.replicas {
-		w.entities = append(w.entities, r)
+	for _, r := range sim.replicas {
+		sim.entities = append(sim.entities, r)
 		r.schedulePause(origin)
 	}
 	if p.StoreMode != "" && p.StoreMode != "none" {
 		s := &sharedStore{emitter: newEmitter(p.Aggregators + p.Replicas), Plan: &p, current: newStoreData(), stale: newStoreData(), rng: newRNG(0, 5)}
-		w.entities = append(w.entities, s)
+		sim.entities = append(sim.entities, s)
 		if p.StoreMode == "stale" {
 			s.emit(origin, eventqueue.Event{At: origin + staleStart, To: s.entityID, Kind: eventFaultRepeats})
 		}
 	}
 	for n, f := range p.Faults {
 		for _, number := range f.Replicas {
-			r := w.replicas[number]
+			r := sim.replicas[number]
 			r.emit(origin, eventqueue.Event{At: origin + f.From, To: r.entityID, Kind: eventFaultBegins, Value: int64(n)})
 			r.emit(origin, eventqueue.Event{At: origin + f.Until, To: r.entityID, Kind: eventFaultEnds, Value: int64(n)})
 		}
 	}
 	for n, f := range p.Faults {
 		for _, number := range f.Aggregators {
-			a := w.aggregators[number]
+			a := sim.aggregators[number]
 			a.emit(origin, eventqueue.Event{At: origin + f.From, To: a.entityID, Kind: eventFaultBegins, Value: int64(n)})
 			a.emit(origin, eventqueue.Event{At: origin + f.Until, To: a.entityID, Kind: eventFaultEnds, Value: int64(n)})
 		}
 	}
-	w.run(origin+p.Duration+3*p.maxTimeout(), cores)
-	return w.result(), nil
+	sim.run(origin+p.Duration+3*p.maxTimeout(), cores)
+	return sim.result(), nil
 }
 
 // result merges the results of all aggregators and the first rule violation.
-func (w *simulation) result() *Result {
-	all := NewRecorder(w.Plan)
-	for _, a := range w.aggregators {
+func (sim *simulation) result() *Result {
+	all := NewRecorder(sim.Plan)
+	for _, a := range sim.aggregators {
 		all.Merge(a.recorder)
 	}
 	r := all.Summary()
-	for _, replica := range w.replicas {
+	for _, replica := range sim.replicas {
 		r.FaultyExecutions += replica.faultyExecutions
 	}
-	r.Events = w.events
-	violation := w.firstViolation()
-	if over := w.quotaViolations(); violation == nil && len(over) > 0 {
+	r.Events = sim.events
+	violation := sim.firstViolation()
+	if over := sim.quotaViolations(); violation == nil && len(over) > 0 {
 		violation = &over[0]
 	}
 	if violation != nil {
--- a/lab/emulator/sharedstore.go
+++ b/lab/emulator/sharedstore.go
@@ -63,21 +63,21 @@
 }
 
 // quotaViolations checks for each quota that all aggregators together kept it.
-func (w *simulation) quotaViolations() (all []checker.Violation) {
-	if w.StoreMode == "" || w.StoreMode == "none" {
+func (sim *simulation) quotaViolations() (all []checker.Violation) {
+	if sim.StoreMode == "" || sim.StoreMode == "none" {
 		return nil
 	}
-	for n, l := range w.Workloads {
+	for n, l := range sim.Workloads {
 		if l.Quota <= 0 {
 			continue
 		}
 		var times []int64
-		for _, a := range w.aggregators {
+		for _, a := range sim.aggregators {
 			times = append(times, a.quotaUses[n]...)
 		}
 		slices.Sort(times)
-		window := max(10, 10*float64(w.Aggregators)/l.Quota) // in s: the quota of ten queries for each aggregator, but at least 10 s
-		all = append(all, checker.CheckQuota(times, l.Name, l.Quota, l.Quota, window, w.Aggregators)...)
+		window := max(10, 10*float64(sim.Aggregators)/l.Quota) // in s: the quota of ten queries for each aggregator, but at least 10 s
+		all = append(all, checker.CheckQuota(times, l.Name, l.Quota, l.Quota, window, sim.Aggregators)...)
 	}
 	return all
 }
--- a/lab/emulator/simulation.go
+++ b/lab/emulator/simulation.go
@@ -62,28 +62,28 @@
 }
 
 // runUntil processes all events before a time.
-func (s *eventLoop) runUntil(until int64) {
+func (l *eventLoop) runUntil(until int64) {
 	for {
-		e, ok := s.queue.Pop(until)
+		e, ok := l.queue.Pop(until)
 		if !ok {
 			return
 		}
-		s.processed++
-		s.entities[e.To].handle(e.At, e)
+		l.processed++
+		l.entities[e.To].handle(e.At, e)
 	}
 }
 
 // receive collects the events that other loops have for this one.
-func (s *eventLoop) receive() {
+func (l *eventLoop) receive() {
 	self := 0
-	for i, other := range s.loops {
-		if other == s {
+	for i, other := range l.loops {
+		if other == l {
 			self = i
 		}
 	}
-	for _, other := range s.loops {
+	for _, other := range l.loops {
 		for _, e := range other.outbox[self] {
-			s.queue.Push(e)
+			l.queue.Push(e)
 		}
 		other.outbox[self] = other.outbox[self][:0]
 	}
@@ -91,45 +91,45 @@
 
 // run simulates until a time, on the given number of cores. It ends early at a rule violation, at the same time on any number of
 // cores.
-func (w *simulation) run(until int64, cores int) {
+func (sim *simulation) run(until int64, cores int) {
 	pool := newWorkerPool(min(max(cores, 1), eventLoopCount))
 	defer pool.stop()
 	for {
 		next := int64(math.MaxInt64)
-		for _, s := range w.loops {
+		for _, s := range sim.loops {
 			next = min(next, s.queue.NextTime())
 		}
 		if next >= until {
 			break
 		}
-		end := min(next+w.NetworkDelay, until)
-		pool.forEachLoop(func(i int) { w.loops[i].runUntil(end) })
-		pool.forEachLoop(func(i int) { w.loops[i].receive() })
-		if w.oracleViews != nil {
-			for i, r := range w.replicas {
-				w.oracleViews[i] = r.oracleView(end)
+		end := min(next+sim.NetworkDelay, until)
+		pool.forEachLoop(func(i int) { sim.loops[i].runUntil(end) })
+		pool.forEachLoop(func(i int) { sim.loops[i].receive() })
+		if sim.oracleViews != nil {
+			for i, r := range sim.replicas {
+				sim.oracleViews[i] = r.oracleView(end)
 			}
 		}
-		if w.firstViolation() != nil {
+		if sim.firstViolation() != nil {
 			break
 		}
 	}
-	for _, s := range w.loops {
-		w.events += s.processed
+	for _, s := range sim.loops {
+		sim.events += s.processed
 	}
 }
 
 // firstViolation returns the earliest rule violation, or nil.
-func (w *simulation) firstViolation() (first *checker.Violation) {
+func (sim *simulation) firstViolation() (first *checker.Violation) {
 	consider := func(all []checker.Violation) {
 		if len(all) > 0 && (first == nil || all[0].At < first.At) {
 			first = &all[0]
 		}
 	}
-	for _, a := range w.aggregators {
+	for _, a := range sim.aggregators {
 		consider(a.ruleChecker.Violations)
 	}
-	for _, r := range w.replicas {
+	for _, r := range sim.replicas {
 		consider(r.ruleChecker.Violations)
 	}
 	return first
@@ -160,30 +160,30 @@
 }
 
 // work takes loops and calls do with them until none is left.
-func (t *workerPool) work() {
+func (p *workerPool) work() {
 	for {
-		i := int(t.next.Add(1)) - 1
+		i := int(p.next.Add(1)) - 1
 		if i >= eventLoopCount {
 			return
 		}
-		t.do(i)
+		p.do(i)
 	}
 }
 
 // forEachLoop calls do with the index of each event loop, concurrently, and returns when all calls have returned.
-func (t *workerPool) forEachLoop(do func(int)) {
-	t.do = do
-	t.next.Store(0)
-	t.done.Add(len(t.wakeups))
-	for _, c := range t.wakeups {
+func (p *workerPool) forEachLoop(do func(int)) {
+	p.do = do
+	p.next.Store(0)
+	p.done.Add(len(p.wakeups))
+	for _, c := range p.wakeups {
 		c <- struct{}{}
 	}
-	t.work()
-	t.done.Wait()
+	p.work()
+	p.done.Wait()
 }
 
-func (t *workerPool) stop() {
-	for _, c := range t.wakeups {
+func (p *workerPool) stop() {
+	for _, c := range p.wakeups {
 		close(c)
 	}
 }
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -207,9 +207,9 @@
 			{Name: "constants", Kind: script.FloatMap, Default: map[string]float64(nil), Min: -1e15, Max: 1e15,
 				Help: "changed constants of deciders: {\"balance.warmUpSafety\": 0.7}; times in ns"},
 		}, Apply: func(e *Experiment, c script.Call) error {
-			other := c.FloatMap("constants")
-			v := Variant{Name: c.Text("name"), Constants: other, RunsOnSockets: c.Text("policy") == "module" && c.Text("store") == "none" &&
-				c.Text("route") == "none" && c.Text("strain") == "none" && !c.Bool("watch_zones") && other == nil, apply: func(p *emulator.Plan) {
+			constants := c.FloatMap("constants")
+			v := Variant{Name: c.Text("name"), Constants: constants, RunsOnSockets: c.Text("policy") == "module" && c.Text("store") == "none" &&
+				c.Text("route") == "none" && c.Text("strain") == "none" && !c.Bool("watch_zones") && constants == nil, apply: func(p *emulator.Plan) {
 				p.Policy, p.StoreMode, p.RoutingPolicy = c.Text("policy"), c.Text("store"), c.Text("route")
 				p.CPU.OverloadLimit, p.ZoneHealthEnabled = c.Text("strain"), c.Bool("watch_zones")
 				if n := int(c.Int("executions")); n > 0 {
@@ -225,7 +225,7 @@
 					p.Budgeted = false // baselines have no retry budget
 				}
 			}}
-			if slices.ContainsFunc(e.Variants, func(was Variant) bool { return was.Name == v.Name }) {
+			if slices.ContainsFunc(e.Variants, func(existing Variant) bool { return existing.Name == v.Name }) {
 				return fmt.Errorf("key %q: there is a variant %q already", "name", v.Name)
 			}
 			e.Variants = append(e.Variants, v)
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -165,22 +165,22 @@
 	if v := table.Rows[1].Verdict; v != "less" || table.Rows[0].Mean <= table.Rows[1].Mean {
 		t.Errorf("the verdict on random choice is %q: %+v", v, table.Rows)
 	}
-	back, err := Decode([]byte(texts[0]), "x")
+	decoded, err := Decode([]byte(texts[0]), "x")
 	if err != nil {
 		t.Fatal(err)
 	}
-	rows, err := Compare(back, table)
+	rows, err := Compare(decoded, table)
 	if err != nil || len(rows) != 2 || rows[1].Against != 0 || rows[1].Verdict != "not told apart" {
 		t.Errorf("%+v %v", rows, err)
 	}
-	other := *table
-	other.Hash = "0"
-	if _, err := Compare(&other, table); err == nil {
+	changed := *table
+	changed.Hash = "0"
+	if _, err := Compare(&changed, table); err == nil {
 		t.Error("tables of different scripts were compared")
 	}
-	other = *table
-	other.Seeds++
-	if _, err := Compare(&other, table); err == nil {
+	changed = *table
+	changed.Seeds++
+	if _, err := Compare(&changed, table); err == nil {
 		t.Error("tables with different numbers of seeds were compared")
 	}
 	if _, err := Decode([]byte(`{"form":9}`), "x"); err == nil {
@@ -191,12 +191,12 @@
 		!strings.Contains(page.String(), "random") {
 		t.Errorf("%v: %.300s", err, page.String())
 	}
-	old := *table // stored before tables had latencies
-	old.Rows = append([]Row(nil), table.Rows...)
-	for i := range old.Rows {
-		old.Rows[i].Latencies = nil
+	withoutLatencies := *table // stored before tables had latencies
+	withoutLatencies.Rows = append([]Row(nil), table.Rows...)
+	for i := range withoutLatencies.Rows {
+		withoutLatencies.Rows[i].Latencies = nil
 	}
-	if err := Report(&page, []*Table{&old}); err != nil {
+	if err := Report(&page, []*Table{&withoutLatencies}); err != nil {
 		t.Error(err)
 	}
 }
@@ -210,34 +210,34 @@
 	if v := e.Variants[2]; v.RunsOnSockets || v.Constants["balance.maxCalls"] != 3 {
 		t.Errorf("%+v", v)
 	}
-	whole, err := e.Run(EmulatorRunner(), nil)
+	want, err := e.Run(EmulatorRunner(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var some []*Table
+	var tables []*Table
 	for _, of := range [][]Variant{e.Variants[1:2], {e.Variants[0], e.Variants[2]}} {
-		one := *e
-		one.Variants = of
-		table, err := one.Run(EmulatorRunner(), nil)
+		part := *e
+		part.Variants = of
+		table, err := part.Run(EmulatorRunner(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		some = append(some, table)
+		tables = append(tables, table)
 	}
-	joined, err := e.JoinTables(some...)
+	joined, err := e.JoinTables(tables...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, _ := json.Marshal(whole)
+	a, _ := json.Marshal(want)
 	b, _ := json.Marshal(joined)
 	if !bytes.Equal(a, b) {
 		t.Errorf("the table of one program is %s, the joined one %s", a, b)
 	}
-	if _, err := e.JoinTables(some[0]); err == nil {
+	if _, err := e.JoinTables(tables[0]); err == nil {
 		t.Error("a table without all variants was joined")
 	}
-	some[1].Seeds++
-	if _, err := e.JoinTables(some...); err == nil {
+	tables[1].Seeds++
+	if _, err := e.JoinTables(tables...); err == nil {
 		t.Error("tables with different numbers of seeds were joined")
 	}
 }
--- a/lab/experiment/report.go
+++ b/lab/experiment/report.go
@@ -75,16 +75,16 @@
 
 // GapChart draws how much less each variant earns than the variant "oracle", or than the best one if there is no oracle.
 func (t *Table) GapChart() ([]byte, error) {
-	ceiling := 0.0
+	reference := 0.0
 	for _, r := range t.Rows {
-		if ceiling = max(ceiling, r.Mean); r.Name == "oracle" {
-			ceiling = r.Mean
+		if reference = max(reference, r.Mean); r.Name == "oracle" {
+			reference = r.Mean
 			break
 		}
 	}
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "revenue below that of the oracle, or of the best variant", "share"
-	bars, err := t.barChart(func(r Row) float64 { return ceiling - r.Mean }, 0)
+	bars, err := t.barChart(func(r Row) float64 { return reference - r.Mean }, 0)
 	if err != nil {
 		return nil, err
 	}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -128,20 +128,20 @@
 	return m.finish(time.Since(start))
 }
 
-func (s *measurement) finish(took time.Duration) *Outcome {
-	s.ServedPerSecond = float64(s.InGoal+s.Late) / took.Seconds()
-	s.P50 = time.Duration(s.times.ValueAtPercentile(50))
-	s.P99 = time.Duration(s.times.ValueAtPercentile(99))
-	s.P999 = time.Duration(s.times.ValueAtPercentile(99.9))
-	return &s.Outcome
+func (m *measurement) finish(took time.Duration) *Outcome {
+	m.ServedPerSecond = float64(m.InGoal+m.Late) / took.Seconds()
+	m.P50 = time.Duration(m.times.ValueAtPercentile(50))
+	m.P99 = time.Duration(m.times.ValueAtPercentile(99))
+	m.P999 = time.Duration(m.times.ValueAtPercentile(99.9))
+	return &m.Outcome
 }
 
 // query sends a query that was due at a time and records the outcome. It returns false if there was no answer with values.
-func (c *Clients) query(ctx context.Context, s *measurement, due time.Time) bool {
+func (c *Clients) query(ctx context.Context, m *measurement, due time.Time) bool {
 	c.mu.Lock()
 	c.lastID++
 	id := fmt.Sprint(c.idPrefix, "-", c.lastID)
-	s.Asked++
+	m.Asked++
 	c.mu.Unlock()
 	status := c.post(ctx, id, due)
 	took := time.Since(due)
@@ -149,17 +149,17 @@
 	defer c.mu.Unlock()
 	switch {
 	case status == http.StatusOK:
-		s.times.RecordValue(int64(took))
+		m.times.RecordValue(int64(took))
 		if took <= c.LatencyGoal {
-			s.InGoal++
+			m.InGoal++
 		} else {
-			s.Late++
+			m.Late++
 		}
 		return true
 	case status == http.StatusServiceUnavailable:
-		s.Declined++
+		m.Declined++
 	default:
-		s.Failed++
+		m.Failed++
 	}
 	return false
 }
--- a/lab/localsettings/localsettings.go
+++ b/lab/localsettings/localsettings.go
@@ -78,6 +78,7 @@
 	return os.WriteFile(file, []byte(b.String()), 0o600)
 }
 
+// quotedList formats texts as the elements of a TOML array.
 func quotedList(texts []string) string {
 	quoted := make([]string, len(texts))
 	for i, text := range texts {
--- a/lab/rehearsal/rehearsal.go
+++ b/lab/rehearsal/rehearsal.go
@@ -144,58 +144,60 @@
 }
 
 // writeSettings writes a process's settings file and returns its name.
-func (s *deployment) writeSettings(role, ip string) (string, error) {
-	data := filepath.Join(s.dir, role+ip)
+func (d *deployment) writeSettings(role, ip string) (string, error) {
+	data := filepath.Join(d.dir, role+ip)
 	if err := os.MkdirAll(data, 0o700); err != nil {
 		return "", err
 	}
 	file := filepath.Join(data, "local.toml")
-	return file, ports.Write(file, localsettings.Daemon{Role: role, IP: ip, Zone: "hall", SeedNodes: s.controlAddrs, Heartbeat: heartbeat,
+	return file, ports.Write(file, localsettings.Daemon{Role: role, IP: ip, Zone: "hall", SeedNodes: d.controlAddrs, Heartbeat: heartbeat,
 		DataDir: data, MemoryMB: 256, GraceS: 2})
 }
 
-func (s *deployment) start(role, ip string) error {
-	file, err := s.writeSettings(role, ip)
+// start starts the daemon of a role at an IP.
+func (d *deployment) start(role, ip string) error {
+	file, err := d.writeSettings(role, ip)
 	if err != nil {
 		return err
 	}
-	log, err := os.Create(filepath.Join(s.dir, role+ip+".log"))
+	log, err := os.Create(filepath.Join(d.dir, role+ip+".log"))
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	c := exec.Command(s.exe)
+	c := exec.Command(d.exe)
 	c.Env = append(os.Environ(), RoleVariable+"="+role, settings.FileVariable+"="+file)
 	c.Stdout, c.Stderr = log, log
 	if err := c.Start(); err != nil {
 		return err
 	}
-	s.processes[role+ip] = c
+	d.processes[role+ip] = c
 	return nil
 }
 
-func (s *deployment) kill(role, ip string) {
-	c := s.processes[role+ip]
-	delete(s.processes, role+ip)
+// kill kills a daemon with SIGKILL and waits for its end.
+func (d *deployment) kill(role, ip string) {
+	c := d.processes[role+ip]
+	delete(d.processes, role+ip)
 	c.Process.Kill()
 	c.Wait()
 }
 
 // stopAll kills all replicas and processes.
-func (s *deployment) stopAll() {
-	for _, r := range s.replicas {
+func (d *deployment) stopAll() {
+	for _, r := range d.replicas {
 		r.Kill()
 	}
-	for _, c := range s.processes {
+	for _, c := range d.processes {
 		c.Process.Kill()
 	}
-	for _, c := range s.processes {
+	for _, c := range d.processes {
 		c.Wait()
 	}
 }
 
 // configure sends a configuration to one controller after the other until it is acknowledged.
-func (s *deployment) configure(revision int, added string) error {
+func (d *deployment) configure(revision int, added string) error {
 	var shardNames, services []string
 	for i := range shards {
 		shardNames = append(shardNames, fmt.Sprint("shard-", i))
@@ -216,7 +218,7 @@
 		strings.Join(routes, ","), strings.Join(services, ","))
 	ctx, stop := context.WithTimeout(context.Background(), startWait)
 	defer stop()
-	control := controlclient.Client{Addresses: s.controlAddrs}
+	control := controlclient.Client{Addresses: d.controlAddrs}
 	if err := control.SendConfiguration(ctx, []byte(body)); err != nil {
 		return fmt.Errorf("configuration %d was not acknowledged: %w", revision, err)
 	}
@@ -224,10 +226,10 @@
 }
 
 // waitReady waits until all proxies are ready, and for two more heartbeats, in which they learn of the replicas.
-func (s *deployment) waitReady() error {
+func (d *deployment) waitReady() error {
 	for until := time.Now().Add(startWait); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
 		n := 0
-		for _, r := range s.readinessAddrs {
+		for _, r := range d.readinessAddrs {
 			if res, err := http.Get("http://" + r + "/v1/readiness"); err == nil {
 				res.Body.Close()
 				if res.StatusCode == http.StatusOK {
@@ -235,7 +237,7 @@
 				}
 			}
 		}
-		if n == len(s.readinessAddrs) {
+		if n == len(d.readinessAddrs) {
 			time.Sleep(2 * heartbeat)
 			return nil
 		}
@@ -244,7 +246,7 @@
 }
 
 // runPhase sends queries to the proxies from several clients and counts the answers. A client whose proxy doesn't answer tries the next.
-func (s *deployment) runPhase(ctx context.Context, name, path string, queries int) Phase {
+func (d *deployment) runPhase(ctx context.Context, name, path string, queries int) Phase {
 	p := Phase{Name: name, Answers: map[string]int{}}
 	var mu sync.Mutex
 	var times []time.Duration
@@ -256,7 +258,7 @@
 		wg.Go(func() {
 			for id := range ids {
 				began := time.Now()
-				answer, missing := s.query(ctx, client, path, fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(name, " ", "-"), began.UnixNano(), id), id)
+				answer, missing := d.query(ctx, client, path, fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(name, " ", "-"), began.UnixNano(), id), id)
 				mu.Lock()
 				p.Answers[answer]++
 				p.MissingParts += missing
@@ -281,15 +283,16 @@
 	return p
 }
 
-func (s *deployment) query(ctx context.Context, client *http.Client, path, id string, first int) (answer string, missing int) {
+// query sends a query to the proxies in turn, from index first on, until one answers. It returns the HTTP status and the missing parts.
+func (d *deployment) query(ctx context.Context, client *http.Client, path, id string, first int) (answer string, missing int) {
 	answer = "no connection"
-	for try := range s.frontAddrs {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.frontAddrs[(first+try)%len(s.frontAddrs)]+path, nil)
+	for attempt := range d.frontAddrs {
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.frontAddrs[(first+attempt)%len(d.frontAddrs)]+path, nil)
 		if err != nil {
 			return err.Error(), 0
 		}
 		req.Host = "hall.example"
-		req.Header.Set("Willowsill-Attempt-Id", fmt.Sprint(id, "-", try))
+		req.Header.Set("Willowsill-Attempt-Id", fmt.Sprint(id, "-", attempt))
 		req.Header.Set("Willowsill-Deadline-Ms", fmt.Sprint(deadlineMs))
 		res, err := client.Do(req)
 		if err != nil {
