--- a/lab/emulator/baselines/baselines.go
+++ b/lab/emulator/baselines/baselines.go
@@ -1,8 +1,9 @@
-// Package baselines holds textbook ways to choose a replica, as baselines that the decision module is measured against. It does
-// no I/O and reads no clock.
+// Package baselines implements textbook policies for choosing a replica, which the decision module is compared with. It does no I/O
+// and reads no clock.
 //
-// Decides: which replica takes a part, by random choice, by turns, by least in flight, by the better of two, by a fading
-// mean of times, or with the truth in hand; each with plain retries and no guards.
+// Decides: which replica gets a part: a random one, the next in turn, the one with the fewest parts in flight, the better of two
+// random ones, the one with the lowest moving average of latencies, or the best by its true state. Each policy retries failed parts,
+// without the limits and guards of the decision module.
 package baselines
 
 import (
@@ -13,27 +14,27 @@
 	"willowsill/balance"
 )
 
-// Policies are the policies.
+// Policies are the names of the policies.
 var Policies = []string{"random", "turns", "least", "two", "ewma", "oracle"}
 
-// Config are what a rival is told. Times in ns.
+// Config configures a baseline. Times are in ns.
 type Config struct {
-	Policy        string
+	Policy        string // one of Policies
 	Seed          uint64
 	Shards        int
-	MaxExecutions int
-	MinCoverage   float64
-	RetrySafety   []balance.RetrySafety                      // by workload
-	Oracle        func(replica int) (wait int64, sound bool) // for the oracle alone: what a part there would wait
+	MaxExecutions int                                          // of one part, the first included
+	MinCoverage   float64                                      // least share of the weight for a partial answer
+	RetrySafety   []balance.RetrySafety                        // by workload
+	Oracle        func(replica int) (wait int64, healthy bool) // for the policy "oracle": true wait for a new part at a replica, and whether it answers
 }
 
 const (
-	meanDecayNs      = 10e9    // ns in which a time is forgotten
-	attemptTimeShare = 1.0 / 3 // of the client's time that an execution has before it is dropped and tried elsewhere
-	answerMarginNs   = 10e6    // ns before a client's time is up that it is answered
+	meanDecayNs      = 10e9    // time constant of the moving average of latencies
+	attemptTimeShare = 1.0 / 3 // share of the client's timeout that an execution gets before it is retried elsewhere
+	answerMarginNs   = 10e6    // an answer is given this long before the client's timeout at the latest
 )
 
-// Send starts an execution.
+// Send is the decision to start an execution; Part is an index in the query.
 type Send struct {
 	Query    int32
 	Part     int
@@ -41,27 +42,27 @@
 	Deadline int64
 }
 
-// Ending is a final answer.
+// Ending is the decision to answer a query.
 type Ending struct {
 	Query   int32
 	Outcome balance.Outcome
 }
 
 type replica struct {
-	shard       int
+	shard       int // -1 before it is first listed
 	up          bool
 	inFlight    int
-	meanLatency float64 // ns
-	meanAt      int64
+	meanLatency float64 // moving average, ns
+	meanAt      int64   // time of its last update
 }
 
 type part struct {
 	shard        int
 	weight       float64
-	tried        []int // replicas
-	inFlight     bool  // the last one is under way
+	tried        []int // replica of each execution, in order
+	inFlight     bool  // the last execution has not ended
 	done         bool
-	unrepeatable bool // it may have run and must not again
+	unrepeatable bool // it is once-only and may have run
 }
 
 type query struct {
@@ -71,197 +72,197 @@
 	arrivedAt int64
 	parts     []part
 	ended     bool
-	inFlight  int
+	inFlight  int // executions in flight
 }
 
-// Baseline is one aggregator's decisions.
+// Baseline makes the decisions of one aggregator.
 type Baseline struct {
 	Config
 	rng      *rand.Rand
 	replicas []replica
-	holders  [][]int
-	nextTurn []int // by shard
+	holders  [][]int // replicas by shard
+	nextTurn []int   // by shard: count of picks, for round-robin
 	queries  map[int32]*query
-	open     []*query // open ones, the oldest first
+	open     []*query // unanswered queries, the oldest first
 }
 
-// New makes one.
-func New(t Config) *Baseline {
-	return &Baseline{Config: t, rng: rand.New(rand.NewPCG(t.Seed, 77)), holders: make([][]int, t.Shards), nextTurn: make([]int, t.Shards),
+// New returns a baseline without replicas.
+func New(c Config) *Baseline {
+	return &Baseline{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 77)), holders: make([][]int, c.Shards), nextTurn: make([]int, c.Shards),
 		queries: map[int32]*query{}}
 }
 
-// SetListed takes a replica's place on the list in.
-func (r *Baseline) SetListed(number, shard int, up bool) {
-	for len(r.replicas) <= number {
-		r.replicas = append(r.replicas, replica{shard: -1})
+// SetListed records whether a replica of a shard is listed as up.
+func (b *Baseline) SetListed(number, shard int, up bool) {
+	for len(b.replicas) <= number {
+		b.replicas = append(b.replicas, replica{shard: -1})
 	}
-	if p := &r.replicas[number]; p.shard < 0 {
+	if p := &b.replicas[number]; p.shard < 0 {
 		p.shard = shard
-		r.holders[shard] = append(r.holders[shard], number)
+		b.holders[shard] = append(b.holders[shard], number)
 	}
-	r.replicas[number].up = up
+	b.replicas[number].up = up
 }
 
-// AddQuery takes a query in.
-func (r *Baseline) AddQuery(now int64, number int32, workload int, patience int64, shards []int, weights []float64) {
-	q := &query{number: number, workload: workload, arrivedAt: now, deadline: now + patience}
+// AddQuery adds a query that arrives now. It has one part for each of shards.
+func (b *Baseline) AddQuery(now int64, number int32, workload int, timeout int64, shards []int, weights []float64) {
+	q := &query{number: number, workload: workload, arrivedAt: now, deadline: now + timeout}
 	for i, s := range shards {
 		q.parts = append(q.parts, part{shard: s, weight: weights[i]})
 	}
-	r.queries[number] = q
-	r.open = append(r.open, q)
+	b.queries[number] = q
+	b.open = append(b.open, q)
 }
 
-// RecordOutcome takes an execution's end in.
-func (r *Baseline) RecordOutcome(now int64, number int32, i int, result balance.Result, took int64) {
-	q := r.queries[number]
+// RecordOutcome records the end of the last execution of part i of a query.
+func (b *Baseline) RecordOutcome(now int64, number int32, i int, result balance.Result, took int64) {
+	q := b.queries[number]
 	if q == nil {
 		return
 	}
 	p := &q.parts[i]
-	at := &r.replicas[p.tried[len(p.tried)-1]]
-	at.inFlight--
+	replica := &b.replicas[p.tried[len(p.tried)-1]]
+	replica.inFlight--
 	p.inFlight = false
 	q.inFlight--
 	if result == balance.Cancelled {
 		took = 0
 	}
-	if took > 0 { // a failure counts as at least as long as it held its place
-		keep := math.Exp(-float64(now-at.meanAt) / meanDecayNs)
-		at.meanLatency, at.meanAt = keep*at.meanLatency+(1-keep)*float64(took), now
+	if took > 0 { // failures count too, with the time until they ended
+		weight := math.Exp(-float64(now-replica.meanAt) / meanDecayNs)
+		replica.meanLatency, replica.meanAt = weight*replica.meanLatency+(1-weight)*float64(took), now
 	}
 	switch {
 	case result == balance.Fulfilled:
 		p.done = true
-	case !result.NeverRan() && r.RetrySafety[q.workload] == balance.OnceOnly:
+	case !result.NeverRan() && b.RetrySafety[q.workload] == balance.OnceOnly:
 		p.unrepeatable = true
 	}
 	if q.ended && q.inFlight == 0 {
-		delete(r.queries, number)
+		delete(b.queries, number)
 	}
 }
 
-// Decide returns what is to be sent and answered now, and when it wants to be called again, 0 for no such time.
-func (r *Baseline) Decide(now int64) (sends []Send, endings []Ending, wake int64) {
-	r.open = slices.DeleteFunc(r.open, func(q *query) bool {
-		final, over := r.outcome(now, q)
-		if over {
+// Decide returns the executions to send and the queries to answer now, and when it must be called again (0 if there is no such time).
+func (b *Baseline) Decide(now int64) (sends []Send, endings []Ending, wakeAt int64) {
+	b.open = slices.DeleteFunc(b.open, func(q *query) bool {
+		outcome, ended := b.outcome(now, q)
+		if ended {
 			q.ended = true
-			endings = append(endings, Ending{q.number, final})
+			endings = append(endings, Ending{q.number, outcome})
 			if q.inFlight == 0 {
-				delete(r.queries, q.number)
+				delete(b.queries, q.number)
 			}
 			return true
 		}
 		for i := range q.parts {
 			p := &q.parts[i]
-			if p.done || p.inFlight || p.unrepeatable || len(p.tried) >= r.MaxExecutions {
+			if p.done || p.inFlight || p.unrepeatable || len(p.tried) >= b.MaxExecutions {
 				continue
 			}
-			to := r.pick(now, p)
-			if to < 0 {
+			replica := b.pick(now, p)
+			if replica < 0 {
 				continue
 			}
-			p.tried, p.inFlight = append(p.tried, to), true
+			p.tried, p.inFlight = append(p.tried, replica), true
 			q.inFlight++
-			r.replicas[to].inFlight++
-			cut := q.deadline
-			if len(p.tried) < r.MaxExecutions && r.RetrySafety[q.workload] != balance.OnceOnly {
-				cut = min(cut, now+int64(attemptTimeShare*float64(q.deadline-q.arrivedAt)))
+			b.replicas[replica].inFlight++
+			deadline := q.deadline
+			if len(p.tried) < b.MaxExecutions && b.RetrySafety[q.workload] != balance.OnceOnly {
+				deadline = min(deadline, now+int64(attemptTimeShare*float64(q.deadline-q.arrivedAt)))
 			}
-			sends = append(sends, Send{q.number, i, to, cut})
+			sends = append(sends, Send{q.number, i, replica, deadline})
 		}
-		if at := q.deadline - answerMarginNs; wake == 0 || at < wake {
-			wake = at
+		if at := q.deadline - answerMarginNs; wakeAt == 0 || at < wakeAt {
+			wakeAt = at
 		}
 		return false
 	})
-	return sends, endings, wake
+	return sends, endings, wakeAt
 }
 
-// outcome tells whether a query ends now, and how.
-func (r *Baseline) outcome(now int64, q *query) (balance.Outcome, bool) {
-	done, open, ran := 0.0, false, false
+// outcome returns how a query ends, and whether it ends now.
+func (b *Baseline) outcome(now int64, q *query) (balance.Outcome, bool) {
+	done, open, mayRun := 0.0, false, false
 	for i := range q.parts {
 		p := &q.parts[i]
-		ran = ran || p.unrepeatable || p.inFlight
+		mayRun = mayRun || p.unrepeatable || p.inFlight
 		if p.done {
 			done += p.weight
 		} else {
-			open = open || p.inFlight || !p.unrepeatable && len(p.tried) < r.MaxExecutions
+			open = open || p.inFlight || !p.unrepeatable && len(p.tried) < b.MaxExecutions
 		}
 	}
-	const grain = 1e-9
-	switch late := now >= q.deadline-answerMarginNs; {
-	case done >= 1-grain:
+	const epsilon = 1e-9
+	switch overdue := now >= q.deadline-answerMarginNs; {
+	case done >= 1-epsilon:
 		return balance.Whole, true
-	case open && !late:
+	case open && !overdue:
 		return 0, false
-	case done >= r.MinCoverage-grain && done > 0:
+	case done >= b.MinCoverage-epsilon && done > 0:
 		return balance.Partial, true
-	case ran && r.RetrySafety[q.workload] == balance.OnceOnly:
+	case mayRun && b.RetrySafety[q.workload] == balance.OnceOnly:
 		return balance.Forfeited, true
 	}
 	return balance.Declined, true
 }
 
-// pick chooses a replica for a part, or -1. One that it ran at is left out while there are others.
-func (r *Baseline) pick(now int64, p *part) int {
-	var able []int
-	for _, h := range r.holders[p.shard] {
-		if r.replicas[h].up && !slices.Contains(p.tried, h) {
-			able = append(able, h)
+// pick chooses a replica for a part, or returns -1. It avoids replicas that were tried before, while there are others.
+func (b *Baseline) pick(now int64, p *part) int {
+	var candidates []int
+	for _, h := range b.holders[p.shard] {
+		if b.replicas[h].up && !slices.Contains(p.tried, h) {
+			candidates = append(candidates, h)
 		}
 	}
-	if len(able) == 0 {
-		for _, h := range r.holders[p.shard] {
-			if r.replicas[h].up {
-				able = append(able, h)
+	if len(candidates) == 0 {
+		for _, h := range b.holders[p.shard] {
+			if b.replicas[h].up {
+				candidates = append(candidates, h)
 			}
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return -1
 	}
-	load := func(h int) float64 { return float64(r.replicas[h].inFlight) }
-	first := r.nextTurn[p.shard]
-	r.nextTurn[p.shard]++
-	switch r.Policy {
+	load := func(h int) float64 { return float64(b.replicas[h].inFlight) }
+	first := b.nextTurn[p.shard]
+	b.nextTurn[p.shard]++
+	switch b.Policy {
 	case "turns":
-		return able[first%len(able)]
+		return candidates[first%len(candidates)]
 	case "least":
-		return leastBy(able, first, load)
+		return leastBy(candidates, first, load)
 	case "two":
-		a, b := able[r.rng.IntN(len(able))], able[r.rng.IntN(len(able))]
+		a, b := candidates[b.rng.IntN(len(candidates))], candidates[b.rng.IntN(len(candidates))]
 		if load(b) < load(a) {
 			return b
 		}
 		return a
 	case "ewma":
-		return leastBy(able, first, func(h int) float64 {
-			at := &r.replicas[h]
-			return at.meanLatency * math.Exp(-float64(now-at.meanAt)/meanDecayNs) * (load(h) + 1)
+		return leastBy(candidates, first, func(h int) float64 {
+			replica := &b.replicas[h]
+			return replica.meanLatency * math.Exp(-float64(now-replica.meanAt)/meanDecayNs) * (load(h) + 1)
 		})
 	case "oracle":
-		return leastBy(able, first, func(h int) float64 {
-			wait, sound := r.Oracle(h)
-			if !sound {
+		return leastBy(candidates, first, func(h int) float64 {
+			wait, healthy := b.Oracle(h)
+			if !healthy {
 				return math.MaxFloat64
 			}
 			return float64(wait)
 		})
 	}
-	return able[r.rng.IntN(len(able))]
+	return candidates[b.rng.IntN(len(candidates))]
 }
 
-// leastBy is the one with the least of something; of equals the next by turns.
-func leastBy(able []int, first int, of func(int) float64) int {
-	best, at := -1, math.Inf(1)
-	for i := range able {
-		h := able[(first+i)%len(able)]
-		if x := of(h); x < at {
-			best, at = h, x
+// leastBy returns the replica with the lowest value. Among equals it takes turns, starting at index first.
+func leastBy(candidates []int, first int, value func(int) float64) int {
+	best, lowest := -1, math.Inf(1)
+	for i := range candidates {
+		h := candidates[(first+i)%len(candidates)]
+		if x := value(h); x < lowest {
+			best, lowest = h, x
 		}
 	}
 	return best
--- a/lab/emulator/brain.go
+++ b/lab/emulator/decider.go
@@ -7,7 +7,7 @@
 	"willowsill/lab/emulator/baselines"
 )
 
-// send, giveUp and ending are what a brain asks for, with the emulator's own numbers of queries.
+// send is a decision to start an execution. Queries are identified by the emulator's own numbers, here and below.
 type send struct {
 	query    int32
 	part     int
@@ -15,17 +15,20 @@
 	deadline int64
 }
 
+// cancellation is a decision to cancel an execution; execution is its index among those of the part.
 type cancellation struct {
 	query           int32
 	part, execution int
 }
 
+// ending is a decision to answer a query. retryAfter is the time after which a declined client may retry, 0 for none given.
 type ending struct {
 	query      int32
 	outcome    balance.Outcome
 	retryAfter int64
 }
 
+// decision is what a decider wants done, and when it wants to be asked again (0 for no such time).
 type decision struct {
 	sends         []send
 	cancellations []cancellation
@@ -33,26 +36,27 @@
 	wakeAt        int64
 }
 
-// decider decides for one aggregator: the module, or a rival.
+// decider makes the decisions of one aggregator: the production module or a baseline. overQuota says that the customer has
+// exceeded its quota.
 type decider interface {
 	updateListing(now int64, l balance.Listing)
-	addQuery(now int64, number int32, load int, patience int64, over bool, shards []int, weights []float64)
+	addQuery(now int64, number int32, workload int, timeout int64, overQuota bool, shards []int, weights []float64)
 	recordOutcome(now int64, number int32, part, execution int, result balance.Result, took int64)
 	decide(now int64) decision
 	forget(number int32)
 }
 
-// moduleDecider is the true one, called as the node calls it.
+// moduleDecider runs the production module (package balance), called in the same way as package node calls it.
 type moduleDecider struct {
 	aggregator *balance.Aggregator
 	queries    map[int32]*balance.Query
 	numbers    map[*balance.Query]int32
-	buffers    decision
+	buffers    decision // the last decision, whose slices are reused
 }
 
-func newModuleDecider(now int64, d balance.Deployment, whole []balance.Listing) *moduleDecider {
+func newModuleDecider(now int64, d balance.Deployment, listings []balance.Listing) *moduleDecider {
 	m := &moduleDecider{aggregator: balance.New(now, d), queries: map[int32]*balance.Query{}, numbers: map[*balance.Query]int32{}}
-	m.aggregator.ReplaceList(now, whole, true)
+	m.aggregator.ReplaceList(now, listings, true)
 	return m
 }
 
@@ -60,12 +64,12 @@
 	m.aggregator.UpdateList(now, []balance.Listing{l})
 }
 
-func (m *moduleDecider) addQuery(now int64, number int32, load int, patience int64, over bool, shards []int, weights []float64) {
-	claim := balance.FirstTry
-	if over {
-		claim = balance.OverQuota
+func (m *moduleDecider) addQuery(now int64, number int32, workload int, timeout int64, overQuota bool, shards []int, weights []float64) {
+	priority := balance.FirstTry
+	if overQuota {
+		priority = balance.OverQuota
 	}
-	q := m.aggregator.AddQuery(now, balance.Arrival{Workload: load, Timeout: patience, Parts: len(shards), Priority: claim})
+	q := m.aggregator.AddQuery(now, balance.Arrival{Workload: workload, Timeout: timeout, Parts: len(shards), Priority: priority})
 	for i, s := range shards {
 		q.AddPart(s, weights[i])
 	}
@@ -99,71 +103,71 @@
 	delete(m.queries, number)
 }
 
-// baselineDecider is a baseline.
+// baselineDecider adapts a baseline policy to decider.
 type baselineDecider struct{ *baselines.Baseline }
 
-func newBaselineDecider(p *Plan, number int, whole []balance.Listing, sees func(int) (int64, bool)) baselineDecider {
-	t := baselines.Config{Policy: p.Policy, Seed: p.Seed*1_000_003 + uint64(number), Shards: p.Shards(), MaxExecutions: p.MaxExecutions,
-		MinCoverage: p.Workloads[0].MinCoverage, Oracle: sees}
+func newBaselineDecider(p *Plan, number int, listings []balance.Listing, oracle func(int) (int64, bool)) baselineDecider {
+	c := baselines.Config{Policy: p.Policy, Seed: p.Seed*1_000_003 + uint64(number), Shards: p.Shards(), MaxExecutions: p.MaxExecutions,
+		MinCoverage: p.Workloads[0].MinCoverage, Oracle: oracle}
 	for _, l := range p.Workloads {
-		t.RetrySafety = append(t.RetrySafety, l.RetrySafety)
+		c.RetrySafety = append(c.RetrySafety, l.RetrySafety)
 	}
-	r := baselineDecider{baselines.New(t)}
-	for _, l := range whole {
+	r := baselineDecider{baselines.New(c)}
+	for _, l := range listings {
 		r.SetListed(l.Replica, l.Cell, true)
 	}
 	return r
 }
 
-func (r baselineDecider) updateListing(_ int64, l balance.Listing) {
-	r.SetListed(l.Replica, l.Cell, l.Status == balance.Up)
+func (b baselineDecider) updateListing(_ int64, l balance.Listing) {
+	b.SetListed(l.Replica, l.Cell, l.Status == balance.Up)
 }
 
-func (r baselineDecider) addQuery(now int64, number int32, load int, patience int64, _ bool, shards []int, weights []float64) {
-	r.AddQuery(now, number, load, patience, shards, weights)
+func (b baselineDecider) addQuery(now int64, number int32, workload int, timeout int64, _ bool, shards []int, weights []float64) {
+	b.AddQuery(now, number, workload, timeout, shards, weights)
 }
 
-func (r baselineDecider) recordOutcome(now int64, number int32, part, _ int, result balance.Result, took int64) {
-	r.RecordOutcome(now, number, part, result, took)
+func (b baselineDecider) recordOutcome(now int64, number int32, part, _ int, result balance.Result, took int64) {
+	b.RecordOutcome(now, number, part, result, took)
 }
 
-func (r baselineDecider) decide(now int64) (out decision) {
-	sends, endings, wake := r.Decide(now)
+func (b baselineDecider) decide(now int64) (out decision) {
+	sends, endings, wakeAt := b.Decide(now)
 	for _, s := range sends {
 		out.sends = append(out.sends, send{s.Query, s.Part, s.Replica, s.Deadline})
 	}
 	for _, e := range endings {
 		out.endings = append(out.endings, ending{e.Query, e.Outcome, 0})
 	}
-	out.wakeAt = wake
+	out.wakeAt = wakeAt
 	return out
 }
 
-func (r baselineDecider) forget(int32) {}
+func (b baselineDecider) forget(int32) {}
 
-// defectiveDecider is a module that is broken on purpose, to show that the checker tells.
+// defectiveDecider introduces one of Defects into a decider, to show that the checker detects it.
 type defectiveDecider struct {
 	decider
 	defect string
 }
 
-func (b *defectiveDecider) recordOutcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
-	if b.defect == "count not lowered on reset" && result == balance.Reset {
+func (d *defectiveDecider) recordOutcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
+	if d.defect == "count not lowered on reset" && result == balance.Reset {
 		return
 	}
-	b.decider.recordOutcome(now, number, part, execution, result, took)
+	d.decider.recordOutcome(now, number, part, execution, result, took)
 }
 
-func (b *defectiveDecider) updateListing(now int64, l balance.Listing) {
-	if b.defect == "drain ignored" && l.Status != balance.Up {
+func (d *defectiveDecider) updateListing(now int64, l balance.Listing) {
+	if d.defect == "drain ignored" && l.Status != balance.Up {
 		return
 	}
-	b.decider.updateListing(now, l)
+	d.decider.updateListing(now, l)
 }
 
-func (b *defectiveDecider) decide(now int64) decision {
-	r := b.decider.decide(now)
-	switch b.defect {
+func (d *defectiveDecider) decide(now int64) decision {
+	r := d.decider.decide(now)
+	switch d.defect {
 	case "second answer":
 		if len(r.endings) > 0 {
 			r.endings = append(slices.Clone(r.endings), r.endings[0])
--- a/lab/emulator/run.go
+++ b/lab/emulator/run.go
@@ -12,7 +12,8 @@
 	"willowsill/lab/emulator/eventqueue"
 )
 
-// Result is what came of a run. All but Lines counts queries asked in the stretch that counts.
+// Result holds the measurements of a run. All but ShareBySecond, FaultyExecutions and Events cover only the queries asked in the
+// counted interval of the plan.
 type Result struct {
 	Asked            int              `json:"asked"`
 	InGoal           int              `json:"in_goal"`
@@ -20,263 +21,266 @@
 	Partial          int              `json:"partial"`
 	Declined         int              `json:"declined"`
 	Forfeited        int              `json:"forfeited"`
-	Revenue          float64          `json:"revenue"` // earned within the goal,
-	MaxRevenue       float64          `json:"most"`    // and asked for
+	Revenue          float64          `json:"revenue"` // of complete answers within the latency goal
+	MaxRevenue       float64          `json:"most"`    // what Revenue would be if all queries were answered in time
 	Executions       int              `json:"executions"`
 	Retries          int              `json:"further"`
-	P50              int64            `json:"p50_ns"` // of answers with values
+	P50              int64            `json:"p50_ns"` // median latency of whole and partial answers
 	P99              int64            `json:"p99_ns"`
 	P999             int64            `json:"p999_ns"`
-	Latencies        []int64          `json:"times_ns"`  // of answers, at Percents
-	FaultyExecutions int              `json:"at_faulty"` // executions at replicas while a fault holds there
-	ShareBySecond    []float64        `json:"lines"`     // share of the revenue, by second asked; 1 where nobody asked
-	Workloads        []WorkloadResult `json:"loads"`     // by load
+	Latencies        []int64          `json:"times_ns"`  // latency of answers in ns at each of Percentiles
+	FaultyExecutions int              `json:"at_faulty"` // executions that reached a replica with an active fault
+	ShareBySecond    []float64        `json:"lines"`     // earned share of the revenue by second of asking; 1 for seconds without queries
+	Workloads        []WorkloadResult `json:"loads"`     // in the order of Plan.Workloads
 	Events           int64            `json:"events"`
-	Violation        string           `json:"broken,omitempty"` // the first broken rule
+	Violation        string           `json:"broken,omitempty"` // description of the first broken rule, empty for none
 	Rule             int              `json:"rule,omitempty"`
 }
 
-// Percentiles are those that the times of answers are kept at.
+// Percentiles are the percentages at which Result.Latencies gives the latency.
 var Percentiles = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.9, 100}
 
-// WorkloadResult is what came of one load's queries.
+// WorkloadResult counts the queries of one workload.
 type WorkloadResult struct {
 	Name   string `json:"name"`
 	Asked  int    `json:"asked"`
 	InGoal int    `json:"in_goal"`
 }
 
-// RevenueShare is the share of the revenue earned within the goal.
+// RevenueShare returns the earned part of the possible revenue.
 func (r *Result) RevenueShare() float64 { return r.Revenue / max(r.MaxRevenue, 1e-9) }
 
-// Recorder counts what came of queries. Times in ns from the run's start.
+// Recorder collects a Result while a run goes on. Times are in ns from the start of the run.
 type Recorder struct {
 	Result
 	plan      *Plan
 	latencies *hdrhistogram.Histogram
-	earned    []float64
-	possible  []float64
+	earned    []float64 // revenue by second of asking
+	possible  []float64 // revenue by second of asking, if all queries were answered in time
 }
 
-// NewRecorder makes an empty one.
+// NewRecorder returns an empty recorder for runs of a plan.
 func NewRecorder(p *Plan) *Recorder {
 	seconds := int(p.Duration/1e9) + 1
-	t := &Recorder{plan: p, latencies: hdrhistogram.New(1000, max(2*p.maxTimeout(), 2000), 3), earned: make([]float64, seconds),
+	r := &Recorder{plan: p, latencies: hdrhistogram.New(1000, max(2*p.maxTimeout(), 2000), 3), earned: make([]float64, seconds),
 		possible: make([]float64, seconds)}
 	for _, l := range p.Workloads {
-		t.Workloads = append(t.Workloads, WorkloadResult{Name: l.Name})
+		r.Workloads = append(r.Workloads, WorkloadResult{Name: l.Name})
 	}
-	return t
+	return r
 }
 
-func (t *Recorder) measured(asked int64) bool {
-	return asked >= t.plan.MeasureFrom && asked < t.plan.MeasureUntil
+// measured reports whether a query asked at this time is in the counted interval.
+func (r *Recorder) measured(asked int64) bool {
+	return asked >= r.plan.MeasureFrom && asked < r.plan.MeasureUntil
 }
 
-func (t *Recorder) secondIndex(asked int64) int { return min(int(asked/1e9), len(t.earned)-1) }
+func (r *Recorder) secondIndex(asked int64) int { return min(int(asked/1e9), len(r.earned)-1) }
 
 // RecordQuery counts a query that was asked.
-func (t *Recorder) RecordQuery(asked int64, load int) {
-	revenue := t.plan.Workloads[load].Revenue
-	t.possible[t.secondIndex(asked)] += revenue
-	if t.measured(asked) {
-		t.Asked++
-		t.Workloads[load].Asked++
-		t.MaxRevenue += revenue
+func (r *Recorder) RecordQuery(asked int64, workload int) {
+	revenue := r.plan.Workloads[workload].Revenue
+	r.possible[r.secondIndex(asked)] += revenue
+	if r.measured(asked) {
+		r.Asked++
+		r.Workloads[workload].Asked++
+		r.MaxRevenue += revenue
 	}
 }
 
 // RecordExecution counts an execution of a query's part.
-func (t *Recorder) RecordExecution(asked int64, further bool) {
-	if t.measured(asked) {
-		if t.Executions++; further {
-			t.Retries++
+func (r *Recorder) RecordExecution(asked int64, retry bool) {
+	if r.measured(asked) {
+		if r.Executions++; retry {
+			r.Retries++
 		}
 	}
 }
 
-// RecordAnswer books an answer. What a client got by asking again, try by try, earns nothing more: it was late for its first.
-func (t *Recorder) RecordAnswer(asked, ended int64, load, tries int, final balance.Outcome) {
-	l := &t.plan.Workloads[load]
+// RecordAnswer counts the end of a query. The answer to a client's retry (retries > 0) earns nothing and is not counted among
+// the outcomes, because the first attempt has already been counted; its latency is recorded.
+func (r *Recorder) RecordAnswer(asked, ended int64, workload, retries int, outcome balance.Outcome) {
+	l := &r.plan.Workloads[workload]
 	took := ended - asked
-	inGoal := final == balance.Whole && took <= l.LatencyGoal && tries == 0
+	inGoal := outcome == balance.Whole && took <= l.LatencyGoal && retries == 0
 	if inGoal {
-		t.earned[t.secondIndex(asked)] += l.Revenue
+		r.earned[r.secondIndex(asked)] += l.Revenue
 	}
-	if !t.measured(asked) {
+	if !r.measured(asked) {
 		return
 	}
-	if final == balance.Whole || final == balance.Partial {
-		t.latencies.RecordValue(took)
+	if outcome == balance.Whole || outcome == balance.Partial {
+		r.latencies.RecordValue(took)
 	}
-	if tries > 0 {
+	if retries > 0 {
 		return
 	}
 	switch {
 	case inGoal:
-		t.InGoal++
-		t.Workloads[load].InGoal++
-		t.Revenue += l.Revenue
-	case final == balance.Whole:
-		t.Late++
-	case final == balance.Partial:
-		t.Partial++
-	case final == balance.Declined:
-		t.Declined++
+		r.InGoal++
+		r.Workloads[workload].InGoal++
+		r.Revenue += l.Revenue
+	case outcome == balance.Whole:
+		r.Late++
+	case outcome == balance.Partial:
+		r.Partial++
+	case outcome == balance.Declined:
+		r.Declined++
 	default:
-		t.Forfeited++
+		r.Forfeited++
 	}
 }
 
-// Merge takes another's counts in.
-func (t *Recorder) Merge(o *Recorder) {
-	t.Asked += o.Asked
-	t.InGoal += o.InGoal
-	t.Late += o.Late
-	t.Partial += o.Partial
-	t.Declined += o.Declined
-	t.Forfeited += o.Forfeited
-	t.Revenue += o.Revenue
-	t.MaxRevenue += o.MaxRevenue
-	t.Executions += o.Executions
-	t.Retries += o.Retries
-	t.latencies.Merge(o.latencies)
+// Merge adds the counts of another recorder of the same plan.
+func (r *Recorder) Merge(o *Recorder) {
+	r.Asked += o.Asked
+	r.InGoal += o.InGoal
+	r.Late += o.Late
+	r.Partial += o.Partial
+	r.Declined += o.Declined
+	r.Forfeited += o.Forfeited
+	r.Revenue += o.Revenue
+	r.MaxRevenue += o.MaxRevenue
+	r.Executions += o.Executions
+	r.Retries += o.Retries
+	r.latencies.Merge(o.latencies)
 	for i, l := range o.Workloads {
-		t.Workloads[i].Asked += l.Asked
-		t.Workloads[i].InGoal += l.InGoal
+		r.Workloads[i].Asked += l.Asked
+		r.Workloads[i].InGoal += l.InGoal
 	}
 	for i := range o.earned {
-		t.earned[i] += o.earned[i]
-		t.possible[i] += o.possible[i]
+		r.earned[i] += o.earned[i]
+		r.possible[i] += o.possible[i]
 	}
 }
 
-// Summary is the result of what was counted.
-func (t *Recorder) Summary() *Result {
-	r := &t.Result
-	r.P50, r.P99, r.P999 = t.latencies.ValueAtPercentile(50), t.latencies.ValueAtPercentile(99), t.latencies.ValueAtPercentile(99.9)
-	r.ShareBySecond, r.Latencies = nil, nil
+// Summary computes the percentiles and shares and returns the result.
+func (r *Recorder) Summary() *Result {
+	result := &r.Result
+	result.P50, result.P99, result.P999 = r.latencies.ValueAtPercentile(50), r.latencies.ValueAtPercentile(99), r.latencies.ValueAtPercentile(99.9)
+	result.ShareBySecond, result.Latencies = nil, nil
 	for _, p := range Percentiles {
-		r.Latencies = append(r.Latencies, t.latencies.ValueAtPercentile(p))
+		result.Latencies = append(result.Latencies, r.latencies.ValueAtPercentile(p))
 	}
-	for i := range int(t.plan.Duration / 1e9) {
+	for i := range int(r.plan.Duration / 1e9) {
 		share := 1.0
-		if t.possible[i] > 0 {
-			share = t.earned[i] / t.possible[i]
+		if r.possible[i] > 0 {
+			share = r.earned[i] / r.possible[i]
 		}
-		r.ShareBySecond = append(r.ShareBySecond, share)
+		result.ShareBySecond = append(result.ShareBySecond, share)
 	}
-	return r
+	return result
 }
 
-// Run plays a plan on so many cores; the result does not depend on them.
+// Run simulates a plan on the given number of cores, which does not influence the result.
 func Run(p Plan, cores int) (*Result, error) {
 	if err := p.Validate(); err != nil {
 		return nil, err
 	}
-	w := &simulation{Plan: &p}
-	for i := range w.loops {
-		w.loops[i] = &eventLoop{simulation: w, queue: eventqueue.New(origin)}
+	sim := &simulation{Plan: &p}
+	for i := range sim.loops {
+		sim.loops[i] = &eventLoop{simulation: sim, queue: eventqueue.New(origin)}
 	}
-	place := func(n int) emitter { return emitter{loop: w.loops[n%eventLoopCount], entityID: int32(n)} }
-	chance := func(n int, of uint64) *rand.Rand { return rand.New(rand.NewPCG(p.Seed, of<<32+uint64(n))) }
-	var whole []balance.Listing
+	newEmitter := func(n int) emitter { return emitter{loop: sim.loops[n%eventLoopCount], entityID: int32(n)} }
+	newRNG := func(n int, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(p.Seed, stream<<32+uint64(n))) }
+	var listings []balance.Listing
 	for i := range p.Replicas {
-		r := &replica{emitter: place(p.Aggregators + i), Plan: &p, number: i, rng: chance(i, 1), activeFaults: map[int]bool{},
+		r := &replica{emitter: newEmitter(p.Aggregators + i), Plan: &p, number: i, rng: newRNG(i, 1), activeFaults: map[int]bool{},
 			ruleChecker: &checker.Replica{Name: fmt.Sprint("replica ", i), ColdCapacity: p.ColdCapacity, WarmUpTime: p.WarmUpTime, OverloadFactor: p.OverloadFactor,
 				OverloadSpan: p.OverloadSpan}}
 		r.serviceTimeFactor = math.Exp(p.SpeedSigma * r.rng.NormFloat64())
 		r.ruleChecker.WarmRate = float64(p.Workers) * 1e9 / (float64(p.ServiceTime) * r.serviceTimeFactor * math.Exp(p.ServiceTimeSigma*p.ServiceTimeSigma/2))
-		w.replicas = append(w.replicas, r)
-		whole = append(whole, balance.Listing{Replica: i, New: true, Cell: p.shardOf(i), Status: balance.Up})
+		sim.replicas = append(sim.replicas, r)
+		listings = append(listings, balance.Listing{Replica: i, New: true, Cell: p.shardOf(i), Status: balance.Up})
 	}
 	if p.Policy == "oracle" {
-		w.oracleViews = make([]oracleView, p.Replicas)
-		for i, r := range w.replicas {
-			w.oracleViews[i] = r.oracleView(origin)
+		sim.oracleViews = make([]oracleView, p.Replicas)
+		for i, r := range sim.replicas {
+			sim.oracleViews[i] = r.oracleView(origin)
 		}
 	}
 	for i := range p.Aggregators {
-		a := &aggregator{emitter: place(i), Plan: &p, clientRNG: chance(i, 2), networkRNG: chance(i, 3), queries: map[int32]*pendingQuery{}, retryShards: map[int32][]int{}, quotaUses: map[int][]int64{},
+		a := &aggregator{emitter: newEmitter(i), Plan: &p, clientRNG: newRNG(i, 2), networkRNG: newRNG(i, 3), queries: map[int32]*pendingQuery{}, retryShards: map[int32][]int{}, quotaUses: map[int][]int64{},
 			listingSeq: make([]uint64, p.Replicas), recorder: NewRecorder(&p),
 			ruleChecker: checker.NewAggregator(fmt.Sprint("aggregator ", i), p.checkerBounds())}
 		for n := range p.Workloads {
 			a.arrivals = append(a.arrivals, p.Arrivals(i, n))
 		}
-		for _, l := range whole {
+		for _, l := range listings {
 			if p.siteOfReplica(l.Replica) == p.siteOfAggregator(i) {
 				a.listings = append(a.listings, l)
 			}
 		}
-		a.simulation, a.ruleChecker.CheckStarvation = w, p.Policy == "module"
+		a.simulation, a.ruleChecker.CheckStarvation = sim, p.Policy == "module"
 		a.start(origin)
 		a.startProcessor(origin)
-		w.aggregators = append(w.aggregators, a)
+		sim.aggregators = append(sim.aggregators, a)
 	}
-	for _, a := range w.aggregators {
-		w.entities = append(w.entities, a)
+	for _, a := range sim.aggregators {
+		sim.entities = append(sim.entities, a)
 		for n := range p.Workloads {
 			a.scheduleArrival(origin, n)
 		}
 		a.requestRound(origin)
 	}
-	for _, r := range w.replicas {
-		w.entities = append(w.entities, r)
+	for _, r := range sim.replicas {
+		sim.entities = append(sim.entities, r)
 		r.schedulePause(origin)
 	}
 	if p.StoreMode != "" && p.StoreMode != "none" {
-		s := &sharedStore{emitter: place(p.Aggregators + p.Replicas), Plan: &p, current: newStoreData(), stale: newStoreData(), rng: chance(0, 5)}
-		w.entities = append(w.entities, s)
+		s := &sharedStore{emitter: newEmitter(p.Aggregators + p.Replicas), Plan: &p, current: newStoreData(), stale: newStoreData(), rng: newRNG(0, 5)}
+		sim.entities = append(sim.entities, s)
 		if p.StoreMode == "stale" {
 			s.emit(origin, eventqueue.Event{At: origin + staleStart, To: s.entityID, Kind: eventFaultRepeats})
 		}
 	}
 	for n, f := range p.Faults {
 		for _, number := range f.Replicas {
-			r := w.replicas[number]
+			r := sim.replicas[number]
 			r.emit(origin, eventqueue.Event{At: origin + f.From, To: r.entityID, Kind: eventFaultBegins, Value: int64(n)})
 			r.emit(origin, eventqueue.Event{At: origin + f.Until, To: r.entityID, Kind: eventFaultEnds, Value: int64(n)})
 		}
 	}
 	for n, f := range p.Faults {
 		for _, number := range f.Aggregators {
-			a := w.aggregators[number]
+			a := sim.aggregators[number]
 			a.emit(origin, eventqueue.Event{At: origin + f.From, To: a.entityID, Kind: eventFaultBegins, Value: int64(n)})
 			a.emit(origin, eventqueue.Event{At: origin + f.Until, To: a.entityID, Kind: eventFaultEnds, Value: int64(n)})
 		}
 	}
-	w.run(origin+p.Duration+3*p.maxTimeout(), cores)
-	return w.result(), nil
+	sim.run(origin+p.Duration+3*p.maxTimeout(), cores)
+	return sim.result(), nil
 }
 
-// result sums up all aggregators.
-func (w *simulation) result() *Result {
-	all := NewRecorder(w.Plan)
-	for _, a := range w.aggregators {
+// result merges the results of all aggregators and the first rule violation.
+func (sim *simulation) result() *Result {
+	all := NewRecorder(sim.Plan)
+	for _, a := range sim.aggregators {
 		all.Merge(a.recorder)
 	}
 	r := all.Summary()
-	for _, b := range w.replicas {
-		r.FaultyExecutions += b.faultyExecutions
+	for _, replica := range sim.replicas {
+		r.FaultyExecutions += replica.faultyExecutions
 	}
-	r.Events = w.events
-	b := w.firstViolation()
-	if over := w.quotaViolations(); b == nil && len(over) > 0 {
-		b = &over[0]
+	r.Events = sim.events
+	violation := sim.firstViolation()
+	if over := sim.quotaViolations(); violation == nil && len(over) > 0 {
+		violation = &over[0]
 	}
-	if b != nil {
-		r.Violation, r.Rule = b.String(), b.Rule
+	if violation != nil {
+		r.Violation, r.Rule = violation.String(), violation.Rule
 	}
 	return r
 }
 
+// checkerBounds returns the limits for the checker. MinCoverage and DedupWindow are those of the first workload.
 func (p *Plan) checkerBounds() checker.Bounds {
 	b := checker.Bounds{FullCoverage: 1, MaxExecutions: p.MaxExecutions, Budgeted: p.Budgeted, RetrySlack: p.RetrySlack, RetryRatio: p.RetryRatio, RetryWindow: p.RetryWindow}
 	b.MinCoverage, b.DedupWindow = p.Workloads[0].MinCoverage, p.Workloads[0].DedupWindow
 	return b
 }
 
-// deployment is what the module is told.
+// deployment returns the configuration of an aggregator's decision module.
 func (p *Plan) deployment(number int) balance.Deployment {
 	d := balance.Deployment{Index: number, Aggregators: p.Aggregators, Seed: p.Seed*1_000_003 + uint64(number), Tick: p.Tick,
 		Shards: p.Shards(), Cells: p.Shards(), CellsPerShard: 1, PartsPerCall: 1, MaxExecutions: p.MaxExecutions, CanCancel: p.CanCancel,
--- a/lab/emulator/stores.go
+++ b/lab/emulator/sharedstore.go
@@ -13,42 +13,45 @@
 	"willowsill/lab/emulator/eventqueue"
 )
 
-// StoreModes are the ways in which a shared store behaves; none is no store.
+// StoreModes are the ways in which the shared store may behave: "late" and "flapping" do not reply in time, always or for three
+// of each five seconds; "stale" falls back to old data again and again; with "liar" one aggregator publishes false findings;
+// "vanished" stops replying one second into the counted interval.
 var StoreModes = []string{"none", "good", "late", "flapping", "stale", "liar", "vanished"}
 
 const (
-	storeDelay         = int64(1e6) // to the store, and back
-	storeClock         = int64(1_700_000_000e9)
-	storeRoundInterval = int64(500e6)
-	storeRoundTimeout  = int64(150e6)
-	staleStart         = int64(10e9)
-	staleInterval      = int64(5e9) // a stale store falls back to what it held a while before
+	storeDelay         = int64(1e6)             // network delay to the store and back, each
+	storeClock         = int64(1_700_000_000e9) // store's time at the start of a run
+	storeRoundInterval = int64(500e6)           // between an aggregator's exchanges with the store
+	storeRoundTimeout  = int64(150e6)           // of an exchange
+	staleStart         = int64(10e9)            // from the start of a run until a stale store first falls back
+	staleInterval      = int64(5e9)             // between the later swaps of a stale store's data with an older copy
 )
 
-var errStoreSilent = errors.New("no answer")
+var errStoreSilent = errors.New("no reply from the shared store")
 
-// storeRequest and reply are what travels between an aggregator and the store; a message is handed over whole.
+// storeRequest is an aggregator's request to the store. Each exchange is one request and one sharedhealth.Reply.
 type storeRequest struct {
 	member string
 	body   *sharedhealth.Request
 }
 
-// sharedStore is a model of the shared store: an entity of its own.
+// sharedStore models the shared store, an entity of its own.
 type sharedStore struct {
 	emitter
 	*Plan
 	current, stale storeData
 	rng            *rand.Rand
-	rounds         int64
-	commands       int64
-	bytes          int64
+	rounds         int64 // requests received
+	commands       int64 // commands that a real store would have executed
+	bytes          int64 // payload written and read
 }
 
+// storeData is the content of the store.
 type storeData struct {
-	presence map[string][]byte
-	findings map[string][]byte
-	members  map[string]int64
-	tokens   map[string]int64
+	presence map[string][]byte // by member
+	findings map[string][]byte // by member
+	members  map[string]int64  // by member: time of its last heartbeat
+	tokens   map[string]int64  // by quota and window: units taken
 }
 
 func newStoreData() storeData {
@@ -59,43 +62,43 @@
 	return storeData{maps.Clone(s.presence), maps.Clone(s.findings), maps.Clone(s.members), maps.Clone(s.tokens)}
 }
 
-// quotaViolations checks the quotas' bounds over all aggregators.
-func (w *simulation) quotaViolations() (all []checker.Violation) {
-	if w.StoreMode == "" || w.StoreMode == "none" {
+// quotaViolations checks for each quota that all aggregators together kept it.
+func (sim *simulation) quotaViolations() (all []checker.Violation) {
+	if sim.StoreMode == "" || sim.StoreMode == "none" {
 		return nil
 	}
-	for n, l := range w.Workloads {
+	for n, l := range sim.Workloads {
 		if l.Quota <= 0 {
 			continue
 		}
 		var times []int64
-		for _, a := range w.aggregators {
+		for _, a := range sim.aggregators {
 			times = append(times, a.quotaUses[n]...)
 		}
 		slices.Sort(times)
-		window := max(10, 10*float64(w.Aggregators)/l.Quota) // seconds: ten queries at each aggregator, ten seconds at least
-		all = append(all, checker.CheckQuota(times, l.Name, l.Quota, l.Quota, window, w.Aggregators)...)
+		window := max(10, 10*float64(sim.Aggregators)/l.Quota) // in s: the quota of ten queries for each aggregator, but at least 10 s
+		all = append(all, checker.CheckQuota(times, l.Name, l.Quota, l.Quota, window, sim.Aggregators)...)
 	}
 	return all
 }
 
-// isSilent tells whether the store answers nothing now.
+// isSilent reports whether the store now sends no reply that arrives in time.
 func (s *sharedStore) isSilent(now int64) bool {
 	switch since := now - origin; s.StoreMode {
 	case "late":
-		return true // it answers, and long after the deadline
+		return true // it replies long after the deadline, which is simulated as no reply
 	case "flapping":
 		return since/1e9%5 >= 2
-	case "vanished": // once the trouble is there, when what it says is wanted most
+	case "vanished": // one second into the counted interval, when faults are active and the shared findings matter most
 		return since >= s.MeasureFrom+1e9
 	}
 	return false
 }
 
 func (s *sharedStore) handle(now int64, e eventqueue.Event) {
-	if e.Kind == eventFaultRepeats { // it falls back
-		was := s.current.clone()
-		s.current, s.stale = s.stale, was
+	if e.Kind == eventFaultRepeats { // the mode "stale"
+		previous := s.current.clone()
+		s.current, s.stale = s.stale, previous
 		s.emit(now, eventqueue.Event{At: now + staleInterval, To: s.entityID, Kind: eventFaultRepeats})
 		return
 	}
@@ -106,18 +109,18 @@
 	s.emit(now, eventqueue.Event{At: now + storeDelay, To: e.From, Kind: eventStoreReply, Value: e.Value, Payload: s.execute(now, r)})
 }
 
-// execute does what a request asks for.
+// execute applies a request to the data and returns the reply.
 func (s *sharedStore) execute(now int64, q storeRequest) (reply sharedhealth.Reply) {
-	st, r := &s.current, q.body
+	data, r := &s.current, q.body
 	reply.StoreTime = now - origin + storeClock
-	reply.OwnPresence = st.presence[q.member]
-	st.presence[q.member] = r.Presence
+	reply.OwnPresence = data.presence[q.member]
+	data.presence[q.member] = r.Presence
 	s.commands += 4
 	s.bytes += int64(2 * len(r.Presence))
 	if r.HeartbeatScore > 0 {
 		s.commands += 2
-		st.members[q.member] = r.HeartbeatScore
-		for _, at := range st.members {
+		data.members[q.member] = r.HeartbeatScore
+		for _, at := range data.members {
 			if at >= r.MinLiveScore {
 				reply.LiveMembers++
 			}
@@ -125,95 +128,95 @@
 	}
 	if r.SweepMaxScore > 0 {
 		s.commands++
-		maps.DeleteFunc(st.members, func(_ string, at int64) bool { return at <= r.SweepMaxScore })
+		maps.DeleteFunc(data.members, func(_ string, at int64) bool { return at <= r.SweepMaxScore })
 	}
-	if delete(st.findings, q.member); r.Findings != nil {
-		st.findings[q.member] = r.Findings
+	if delete(data.findings, q.member); r.Findings != nil {
+		data.findings[q.member] = r.Findings
 		s.bytes += int64(len(r.Findings))
 	}
 	for _, name := range r.DropFindings {
-		delete(st.findings, name)
+		delete(data.findings, name)
 	}
 	if r.SampleSize > 0 {
 		s.commands++
-		names := slices.Sorted(maps.Keys(st.findings))
+		names := slices.Sorted(maps.Keys(data.findings))
 		s.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 		for _, name := range names[:min(len(names), r.SampleSize)] {
-			reply.Entries = append(reply.Entries, sharedhealth.Entry{Name: name, Data: st.findings[name]})
-			s.bytes += int64(len(name) + len(st.findings[name]))
+			reply.Entries = append(reply.Entries, sharedhealth.Entry{Name: name, Data: data.findings[name]})
+			s.bytes += int64(len(name) + len(data.findings[name]))
 		}
 	}
 	key := func(quota int, window int64) string { return fmt.Sprint(quota, ":", window) }
 	for _, q := range r.CountReads {
 		counts := make([]int64, q.Windows())
 		for i := range counts {
-			counts[i] = st.tokens[key(q.Quota, q.Window-1-int64(i))]
+			counts[i] = data.tokens[key(q.Quota, q.Window-1-int64(i))]
 		}
 		s.commands++
 		reply.Counts = append(reply.Counts, counts)
 	}
-	for _, take := range r.TokenRequests {
+	for _, request := range r.TokenRequests {
 		s.commands += 2
-		st.tokens[key(take.Quota, take.Window)] += take.Units
-		reply.Totals = append(reply.Totals, st.tokens[key(take.Quota, take.Window)])
+		data.tokens[key(request.Quota, request.Window)] += request.Units
+		reply.Totals = append(reply.Totals, data.tokens[key(request.Quota, request.Window)])
 	}
 	return reply
 }
 
-// storeMember is an aggregator's part in what is shared.
+// storeMember is an aggregator's client of the shared store.
 type storeMember struct {
 	name        string
 	exchange    *sharedhealth.Exchange
 	quotaBudget *sharedhealth.QuotaBudget
-	quotas      map[int]int // of loads, by number
-	round       int64       // the round that is under way, or the last
+	quotas      map[int]int // by workload: index of its quota
+	round       int64       // number of the exchange that is open, or of the last
 	roundOpen   bool
 }
 
-// joinStore gives an aggregator that begins its part in what is shared.
+// joinStore creates the store client of an aggregator that starts, if the plan has a shared store.
 func (a *aggregator) joinStore(now int64) {
-	_, isTrue := a.decider.(*moduleDecider)
-	if a.StoreMode == "none" || a.StoreMode == "" || !isTrue {
+	_, isModule := a.decider.(*moduleDecider)
+	if a.StoreMode == "none" || a.StoreMode == "" || !isModule {
 		return
 	}
 	d := a.deployment(int(a.entityID))
-	t := sharedhealth.Config{Name: fmt.Sprint("n", a.entityID), Incarnation: uint64(now), Seed: a.Seed<<20 + uint64(a.entityID), RoundInterval: storeRoundInterval,
+	c := sharedhealth.Config{Name: fmt.Sprint("n", a.entityID), Incarnation: uint64(now), Seed: a.Seed<<20 + uint64(a.entityID), RoundInterval: storeRoundInterval,
 		RoundTimeout: storeRoundTimeout, SampleSize: 24, Aggregators: a.Aggregators, BaseEjection: d.BaseEjection(), HealthEnabled: true}
-	was := a.member
-	a.member = &storeMember{name: t.Name, quotas: map[int]int{}}
-	if was != nil {
-		a.member.round = was.round
+	previous := a.member
+	a.member = &storeMember{name: c.Name, quotas: map[int]int{}}
+	if previous != nil {
+		a.member.round = previous.round
 	}
 	for n, l := range a.Workloads {
 		if l.Quota > 0 {
-			a.member.quotas[n] = len(t.Quotas)
-			t.Quotas = append(t.Quotas, sharedhealth.Quota{Customer: l.Name, Rate: l.Quota, Burst: l.Quota})
+			a.member.quotas[n] = len(c.Quotas)
+			c.Quotas = append(c.Quotas, sharedhealth.Quota{Customer: l.Name, Rate: l.Quota, Burst: l.Quota})
 		}
 	}
-	a.member.exchange = sharedhealth.New(now, t)
-	if len(t.Quotas) > 0 {
-		a.member.quotaBudget = sharedhealth.NewQuotaBudget(now, t.Quotas, t.Aggregators)
+	a.member.exchange = sharedhealth.New(now, c)
+	if len(c.Quotas) > 0 {
+		a.member.quotaBudget = sharedhealth.NewQuotaBudget(now, c.Quotas, c.Aggregators)
 	}
 	a.emit(now, eventqueue.Event{At: a.member.exchange.Next(), To: a.entityID, Kind: eventStoreRoundDue, Value: a.member.round})
 }
 
-// overQuota tells whether a query's customer is over its quota, as far as this aggregator knows.
-func (a *aggregator) overQuota(now int64, load int) bool {
+// overQuota spends one query of the customer's quota at this aggregator, and returns true if none is left.
+func (a *aggregator) overQuota(now int64, workload int) bool {
 	if a.member == nil || a.member.quotaBudget == nil {
 		return false
 	}
-	quota, has := a.member.quotas[load]
-	if !has {
+	quota, ok := a.member.quotas[workload]
+	if !ok {
 		return false
 	}
 	if !a.member.quotaBudget.Spend(now, quota) {
 		return true
 	}
-	a.quotaUses[load] = append(a.quotaUses[load], now)
+	a.quotaUses[workload] = append(a.quotaUses[workload], now)
 	return false
 }
 
-// beginStoreRound begins a round with the store.
+// beginStoreRound starts an exchange with the store, if one is due.
 func (a *aggregator) beginStoreRound(now int64) {
 	m := a.member
 	survey := sharedhealth.Survey{Findings: a.decider.(*moduleDecider).aggregator.Findings(now, nil)}
@@ -239,24 +242,24 @@
 	a.emit(now, eventqueue.Event{At: r.Deadline, To: a.entityID, Kind: eventStoreTimeout, Value: m.round})
 }
 
-// endStoreRound ends a round with what it allows.
-func (a *aggregator) endStoreRound(now int64, allowed sharedhealth.RoundResult) {
+// endStoreRound applies the result of an exchange, and schedules the next.
+func (a *aggregator) endStoreRound(now int64, result sharedhealth.RoundResult) {
 	m := a.member
 	m.roundOpen = false
-	for _, w := range allowed.Reports {
-		a.decider.(*moduleDecider).aggregator.ApplyReport(now, w)
+	for _, report := range result.Reports {
+		a.decider.(*moduleDecider).aggregator.ApplyReport(now, report)
 	}
 	if m.quotaBudget != nil {
-		m.quotaBudget.Apply(now, allowed.Leases, allowed.LocalRates)
+		m.quotaBudget.Apply(now, result.Leases, result.LocalRates)
 	}
 	a.requestRound(now)
 	a.emit(now, eventqueue.Event{At: m.exchange.Next(), To: a.entityID, Kind: eventStoreRoundDue, Value: m.round})
 }
 
-// handleStoreEvent is an event of the store's, at an aggregator.
+// handleStoreEvent handles the timers and the replies of the exchange with the store.
 func (a *aggregator) handleStoreEvent(now int64, e eventqueue.Event) {
 	m := a.member
-	if m == nil || a.down || e.Value != m.round { // of a life before, or of a round that is over
+	if m == nil || a.down || e.Value != m.round { // from before a crash, or from an exchange that has ended
 		return
 	}
 	switch {
@@ -269,7 +272,8 @@
 	}
 }
 
-// falsify accuses as many sound replicas as a witness may and be heard, and finds the sick ones well.
+// falsify reports every third replica as failing, which is as many as one member may report without being ignored, and all
+// others, failing ones included, as healthy.
 func falsify(now int64, survey *sharedhealth.Survey) {
 	for i := range survey.Findings {
 		f := &survey.Findings[i]
--- a/lab/emulator/sites.go
+++ b/lab/emulator/sites.go
@@ -9,37 +9,37 @@
 	"willowsill/lab/emulator/eventqueue"
 )
 
-// Link is the way between any two sites. Times in ns.
+// Link is the network between any two sites. Times are in ns.
 type Link struct {
-	Delay       int64   // each way
-	Loss        float64 // share of messages that are sent again by the network, a stall later
+	Delay       int64   // least delay in each direction
+	Loss        float64 // share of messages that are lost once and resent after ResendDelay
 	ResendDelay int64
-	QueryRate   float64 // a second that one aggregator may carry to one site,
-	ByteRate    float64 // and bytes
+	QueryRate   float64 // queries per second that one aggregator may forward to one site
+	ByteRate    float64 // bytes per second that one aggregator may send to one site
 }
 
 const (
 	pingInterval        = int64(500e6)
 	pingTimeout         = int64(1e9)
-	maxForwards         = 2
-	queryBytes          = 3000.0
-	assumedServiceShare = 0.25 // of its goal that a workload takes at a site, until that is known
-	forwardRetryRatio   = 0.1  // of what is carried may be carried again,
-	forwardRetrySlack   = 3    // and so many,
-	forwardRetryWindow  = int64(10e9)
+	maxForwards         = 2           // forward attempts per query
+	queryBytes          = 3000.0      // of a forwarded query
+	assumedServiceShare = 0.25        // service time that is assumed until measured, as a share of the latency goal
+	forwardRetryRatio   = 0.1         // second forward attempts allowed per forwarded query and part
+	forwardRetrySlack   = 3           // second forward attempts allowed in addition
+	forwardRetryWindow  = int64(10e9) // interval that this budget covers
 )
 
-// Sites is how many there are.
+// siteCount returns the number of sites.
 func (p *Plan) siteCount() int { return max(p.Sites, 1) }
 
-// replicasPerSite is how many replicas a site has.
+// replicasPerSite returns the number of replicas of each site.
 func (p *Plan) replicasPerSite() int { return p.Replicas / p.siteCount() }
 
 func (p *Plan) siteOfReplica(r int) int { return r / p.replicasPerSite() }
 
 func (p *Plan) siteOfAggregator(aggregator int) int { return aggregator % p.siteCount() }
 
-// siteCutOff tells whether a fault has cut one of two sites off now.
+// siteCutOff reports whether a fault "cut" now isolates one of two sites.
 func (p *Plan) siteCutOff(now int64, a, b int) bool {
 	for _, f := range p.Faults {
 		if f.Kind != "cut" || now < origin+f.From || now >= origin+f.Until {
@@ -54,21 +54,23 @@
 	return false
 }
 
-// siteGateway is an aggregator's gateway to the other sites, with the true deciders.
+// siteGateway forwards an aggregator's queries to other sites. It runs the production deciders: gateway chooses the site, and
+// siteBalancer, a second instance of the decision module, chooses the aggregator there and retries. The sites are its shards.
 type siteGateway struct {
 	gateway      *gateway.Gateway
 	siteBalancer *balance.Aggregator
-	remoteSites  []int // sites, by link
-	queryNumbers map[*balance.Query]int32
-	forwarded    map[int32]*balance.Query
+	remoteSites  []int                    // the other sites; the index is the number of the link
+	queryNumbers map[*balance.Query]int32 // the emulator's number of each query of siteBalancer
+	forwarded    map[int32]*balance.Query // by that number
 	attempts     map[int32][]forwardAttempt
-	roundDue     int64 // of a round of the hop, 0 for none
-	lastRound    int64
-	wakeAt       int64 // when gateway wants to be asked
-	pingTurn     int
-	pingSentAt   map[int]int64 // by link: when the ping that is out left, 0 for none
+	roundDue     int64         // of the next round of siteBalancer, 0 if none is scheduled
+	lastRound    int64         // of siteBalancer
+	wakeAt       int64         // when gateway is to decide next
+	pingTurn     int           // selects the aggregator of a site that is pinged, round-robin
+	pingSentAt   map[int]int64 // by link: when the outstanding ping was sent, 0 for none
 }
 
+// forwardAttempt is one attempt to have a query served by an aggregator of another site.
 type forwardAttempt struct {
 	aggregator int
 	sentAt     int64
@@ -76,64 +78,65 @@
 	outcome    balance.Outcome
 }
 
-// forwardedQuery is a query on its way to another site, and carriedBack its answer.
+// forwardedQuery is the message that forwards a query to another site.
 type forwardedQuery struct {
 	workload int
 	shards   []int
 	timeLeft int64
-	visited  []int // sites
+	visited  []int // sites that have forwarded it, the sender included
 	attempt  int16
 }
 
+// forwardedReply is the message that answers a forwardedQuery. advertisedRate is the rate of further queries that the site accepts.
 type forwardedReply struct {
 	outcome        balance.Outcome
 	advertisedRate float64
 	retryAfter     int64
 }
 
-// openGateway gives an aggregator that begins its gateway, where there are other sites.
+// openGateway creates the gateway of an aggregator that starts, if the plan forwards queries between sites.
 func (a *aggregator) openGateway(now int64) {
 	if a.siteCount() < 2 || a.RoutingPolicy == "none" || a.RoutingPolicy == "" || a.Policy != "module" {
 		return
 	}
 	g := &siteGateway{queryNumbers: map[*balance.Query]int32{}, forwarded: map[int32]*balance.Query{}, attempts: map[int32][]forwardAttempt{}, pingSentAt: map[int]int64{}}
-	own := a.siteOfAggregator(int(a.entityID))
-	t := siterouting.Config{Site: fmt.Sprint("s", own), Interval: 1e9}
+	ownSite := a.siteOfAggregator(int(a.entityID))
+	c := siterouting.Config{Site: fmt.Sprint("s", ownSite), Interval: 1e9}
 	for i, name := range siterouting.PolicyNames {
 		if name == a.RoutingPolicy {
-			t.Policy = siterouting.Policy(i)
+			c.Policy = siterouting.Policy(i)
 		}
 	}
 	d := a.deployment(int(a.entityID))
 	for _, l := range a.Workloads {
-		t.Workloads = append(t.Workloads, siterouting.Workload{Name: l.Name, Revenue: l.Revenue, Bytes: queryBytes,
+		c.Workloads = append(c.Workloads, siterouting.Workload{Name: l.Name, Revenue: l.Revenue, Bytes: queryBytes,
 			ServiceTime: int64(assumedServiceShare * float64(l.LatencyGoal))})
 	}
-	var known []balance.Listing
+	var remotes []balance.Listing
 	for s := range a.siteCount() {
-		if s == own {
+		if s == ownSite {
 			continue
 		}
-		t.Links = append(t.Links, siterouting.Link{Site: fmt.Sprint("s", s), QueryRate: a.Link.QueryRate, ByteRate: a.Link.ByteRate, Cost: 0.05})
+		c.Links = append(c.Links, siterouting.Link{Site: fmt.Sprint("s", s), QueryRate: a.Link.QueryRate, ByteRate: a.Link.ByteRate, Cost: 0.05})
 		for n := s; n < a.Aggregators; n += a.siteCount() {
-			known = append(known, balance.Listing{Replica: n, New: true, Cell: len(g.remoteSites), Status: balance.Up})
+			remotes = append(remotes, balance.Listing{Replica: n, New: true, Cell: len(g.remoteSites), Status: balance.Up})
 		}
 		g.remoteSites = append(g.remoteSites, s)
 	}
-	g.gateway = gateway.New(now, t)
+	g.gateway = gateway.New(now, c)
 	d.Shards, d.Cells, d.CellsPerShard, d.MaxExecutions, d.CanCancel = len(g.remoteSites), len(g.remoteSites), 1, min(maxForwards, a.MaxExecutions), true
 	d.Budgeted, d.RetrySlack, d.RetryRatio, d.RetryWindow = true, forwardRetrySlack, forwardRetryRatio, forwardRetryWindow
 	for i := range d.Workloads {
 		d.Workloads[i].FullCoverage, d.Workloads[i].MinCoverage = 1, 1
 	}
 	g.siteBalancer = balance.New(now, d)
-	g.siteBalancer.ReplaceList(now, known, true)
+	g.siteBalancer.ReplaceList(now, remotes, true)
 	a.siteGateway = g
 	a.emit(now, eventqueue.Event{At: now + pingInterval/10, To: a.entityID, Kind: eventPingsDue})
 	a.scheduleGateway(now)
 }
 
-// crossLink is how a message crosses: when it arrives, and whether at all.
+// crossLink draws when a message between two sites arrives, and whether a fault drops it.
 func (a *aggregator) crossLink(now int64, from, to int) (at int64, lost bool) {
 	at = now + a.Link.Delay + int64(a.networkRNG.ExpFloat64()*float64(a.Link.Delay)/20)
 	if a.networkRNG.Float64() < a.Link.Loss {
@@ -151,20 +154,21 @@
 	}
 }
 
-// tryForward takes a query that the own site does not serve to another; false where it stays declined.
+// tryForward offers a query to the gateway, which forwards it to another site now or later. It returns false if no site takes it.
 func (a *aggregator) tryForward(now int64, number int32, q *pendingQuery, declined bool) bool {
 	g := a.siteGateway
 	if g == nil {
 		return false
 	}
-	link, waits := g.gateway.Forward(now, a.gatewayQuery(now, number, q, declined))
-	if link >= 0 && !waits {
+	link, queued := g.gateway.Forward(now, a.gatewayQuery(now, number, q, declined))
+	if link >= 0 && !queued {
 		a.forward(now, number, q, link)
 	}
 	a.runGateway(now)
 	return link >= 0
 }
 
+// gatewayQuery describes a query to the gateway.
 func (a *aggregator) gatewayQuery(now int64, number int32, q *pendingQuery, declined bool) gateway.Query {
 	r := siterouting.Query{Workload: q.workload, TimeLeft: q.askedAt + a.Workloads[q.workload].Timeout - now, Declined: declined}
 	for _, s := range q.visited {
@@ -173,38 +177,38 @@
 	return gateway.Query{Query: r, Customer: a.Workloads[q.workload].Name, Handle: number}
 }
 
-// forward hands a query to the hop.
+// forward hands a query to the site balancer, to be sent over a link.
 func (a *aggregator) forward(now int64, number int32, q *pendingQuery, link int) {
 	g := a.siteGateway
 	q.link, q.forwardedOut = link, true
-	if a.RoutingPolicy == "plan" { // the baselines know no limit
+	if a.RoutingPolicy == "plan" { // the other routing policies ignore the rate limit of a link
 		a.ruleChecker.RecordForward(now, link, a.Link.QueryRate)
 	}
-	h := g.siteBalancer.AddQuery(now, balance.Arrival{Workload: q.workload, Timeout: q.askedAt + a.Workloads[q.workload].Timeout - now, Parts: 1})
-	h.AddPart(link, 1)
-	g.forwarded[number], g.queryNumbers[h] = h, number
+	forwarded := g.siteBalancer.AddQuery(now, balance.Arrival{Workload: q.workload, Timeout: q.askedAt + a.Workloads[q.workload].Timeout - now, Parts: 1})
+	forwarded.AddPart(link, 1)
+	g.forwarded[number], g.queryNumbers[forwarded] = forwarded, number
 	a.requestForwardRound(now)
 }
 
-// runGateway carries out what gateway asks for.
+// runGateway asks the gateway for its decision and carries it out.
 func (a *aggregator) runGateway(now int64) {
 	g := a.siteGateway
 	r := g.gateway.Decide(now)
-	for _, going := range r.Departures {
-		number := going.Handle.(int32)
+	for _, departure := range r.Departures {
+		number := departure.Handle.(int32)
 		if q := a.queries[number]; q != nil && !q.ended {
-			a.forward(now, number, q, going.Link)
+			a.forward(now, number, q, departure.Link)
 			continue
 		}
-		g.gateway.Returned(now, 0, going.Link, false, 0)
+		g.gateway.Returned(now, 0, departure.Link, false, 0)
 	}
-	for _, load := range r.Rejected {
-		a.finish(now, ending{query: load.(int32), outcome: balance.Declined, retryAfter: 1e9})
+	for _, handle := range r.Rejected {
+		a.finish(now, ending{query: handle.(int32), outcome: balance.Declined, retryAfter: 1e9})
 	}
 	a.scheduleGateway(now)
 }
 
-// scheduleGateway has gateway asked again when it wants to be.
+// scheduleGateway schedules the gateway's next decision for when it wants it.
 func (a *aggregator) scheduleGateway(now int64) {
 	g := a.siteGateway
 	if at := max(g.gateway.Next(), now+1); g.wakeAt <= now || at < g.wakeAt {
@@ -213,7 +217,7 @@
 	}
 }
 
-// requestForwardRound has a round of the hop come as soon as one may.
+// requestForwardRound schedules a round of the site balancer as early as Tick allows.
 func (a *aggregator) requestForwardRound(now int64) {
 	a.scheduleForwardRound(now, max(a.siteGateway.lastRound+a.Tick, now))
 }
@@ -225,7 +229,7 @@
 	}
 }
 
-// runForwardRound lets the hop's module decide.
+// runForwardRound asks the site balancer for its decision and carries it out.
 func (a *aggregator) runForwardRound(now int64) {
 	g := a.siteGateway
 	g.roundDue, g.lastRound = 0, now
@@ -233,17 +237,17 @@
 	for _, s := range r.Sends {
 		number := g.queryNumbers[s.Query]
 		q := a.queries[number]
-		run := int16(len(g.attempts[number]))
+		attempt := int16(len(g.attempts[number]))
 		g.attempts[number] = append(g.attempts[number], forwardAttempt{aggregator: s.Replica, sentAt: now})
-		left := s.Deadline - now - g.gateway.MinDelay(q.link)
-		if left > 0 {
-			came := append(append([]int(nil), q.visited...), a.siteOfAggregator(int(a.entityID)))
-			a.sendToSite(now, s.Replica, eventqueue.Event{Kind: eventForwardArrives, Query: number, Attempt: run,
-				Payload: forwardedQuery{workload: q.workload, shards: q.shards, timeLeft: left, visited: came, attempt: run}})
+		timeLeft := s.Deadline - now - g.gateway.MinDelay(q.link)
+		if timeLeft > 0 {
+			visited := append(append([]int(nil), q.visited...), a.siteOfAggregator(int(a.entityID)))
+			a.sendToSite(now, s.Replica, eventqueue.Event{Kind: eventForwardArrives, Query: number, Attempt: attempt,
+				Payload: forwardedQuery{workload: q.workload, shards: q.shards, timeLeft: timeLeft, visited: visited, attempt: attempt}})
 		} else {
-			a.endForwardAttempt(now, number, int(run), balance.ConnectFailed, balance.Declined)
+			a.endForwardAttempt(now, number, int(attempt), balance.ConnectFailed, balance.Declined)
 		}
-		a.emit(now, eventqueue.Event{At: s.Deadline, To: a.entityID, Kind: eventForwardTimeout, Query: number, Attempt: run})
+		a.emit(now, eventqueue.Event{At: s.Deadline, To: a.entityID, Kind: eventForwardTimeout, Query: number, Attempt: attempt})
 	}
 	for _, c := range r.Cancels {
 		a.endForwardAttempt(now, g.queryNumbers[c.Query], c.Execution, balance.Cancelled, balance.Declined)
@@ -251,13 +255,13 @@
 	for _, e := range r.Endings {
 		number := g.queryNumbers[e.Query]
 		q := a.queries[number]
-		final, refused := e.Outcome, e.Outcome == balance.Declined
-		if runs := g.attempts[number]; final == balance.Whole && len(runs) > 0 {
-			final = runs[len(runs)-1].outcome
+		outcome, declined := e.Outcome, e.Outcome == balance.Declined
+		if attempts := g.attempts[number]; outcome == balance.Whole && len(attempts) > 0 {
+			outcome = attempts[len(attempts)-1].outcome
 		}
 		if q != nil {
-			g.gateway.Returned(now, q.workload, q.link, refused, queryBytes)
-			a.finish(now, ending{query: number, outcome: final, retryAfter: e.RetryAfter})
+			g.gateway.Returned(now, q.workload, q.link, declined, queryBytes)
+			a.finish(now, ending{query: number, outcome: outcome, retryAfter: e.RetryAfter})
 		}
 	}
 	if r.WakeAt > 0 {
@@ -266,23 +270,23 @@
 	a.runGateway(now)
 }
 
-// endForwardAttempt books how a trip ended.
-func (a *aggregator) endForwardAttempt(now int64, number int32, run int, result balance.Result, final balance.Outcome) {
+// endForwardAttempt records the result of a forward attempt, unless it has ended already.
+func (a *aggregator) endForwardAttempt(now int64, number int32, attempt int, result balance.Result, outcome balance.Outcome) {
 	g := a.siteGateway
-	runs, h := g.attempts[number], g.forwarded[number]
-	if h == nil || run >= len(runs) || runs[run].ended {
+	attempts, forwarded := g.attempts[number], g.forwarded[number]
+	if forwarded == nil || attempt >= len(attempts) || attempts[attempt].ended {
 		return
 	}
-	runs[run].ended, runs[run].outcome = true, final
-	h.RecordResult(now, 0, run, result, now-runs[run].sentAt)
+	attempts[attempt].ended, attempts[attempt].outcome = true, outcome
+	forwarded.RecordResult(now, 0, attempt, result, now-attempts[attempt].sentAt)
 	a.requestForwardRound(now)
 }
 
-// handleGatewayEvent is an event of the gateway's.
+// handleGatewayEvent handles the events of the gateway and the messages of other sites.
 func (a *aggregator) handleGatewayEvent(now int64, e eventqueue.Event) {
 	g := a.siteGateway
 	if a.down || g == nil {
-		if e.Kind == eventForwardArrives { // nobody listens there
+		if e.Kind == eventForwardArrives { // this aggregator is down or has no gateway
 			a.sendToSite(now, int(e.From), eventqueue.Event{Kind: eventForwardReply, Query: e.Query, Attempt: e.Attempt, Payload: forwardedReply{outcome: balance.Declined}})
 		}
 		return
@@ -302,9 +306,9 @@
 		a.sendToSite(now, int(e.From), eventqueue.Event{Kind: eventPingReply, Value: e.Value, Payload: g.gateway.AdvertisedRate(now)})
 	case eventPingReply:
 		link := int(e.Value)
-		if left := g.pingSentAt[link]; left > 0 {
+		if sentAt := g.pingSentAt[link]; sentAt > 0 {
 			g.pingSentAt[link] = 0
-			g.gateway.Pinged(now, link, now-left, false)
+			g.gateway.Pinged(now, link, now-sentAt, false)
 			g.gateway.ObserveAdvertised(now, link, e.Payload.(float64))
 		}
 	case eventForwardArrives:
@@ -329,32 +333,32 @@
 	}
 }
 
-// sendPings sends a ping over each link, one gateway after the other, and counts those that are lost.
+// sendPings pings one aggregator of each other site, round-robin, and reports pings without a reply as lost.
 func (a *aggregator) sendPings(now int64) {
 	g := a.siteGateway
 	for link, site := range g.remoteSites {
-		if left := g.pingSentAt[link]; left > 0 {
-			if now-left < pingTimeout {
+		if sentAt := g.pingSentAt[link]; sentAt > 0 {
+			if now-sentAt < pingTimeout {
 				continue
 			}
-			g.gateway.Pinged(now, link, now-left, true)
+			g.gateway.Pinged(now, link, now-sentAt, true)
 		}
-		there := (a.Aggregators - site + a.siteCount() - 1) / a.siteCount()
+		aggregators := (a.Aggregators - site + a.siteCount() - 1) / a.siteCount()
 		g.pingSentAt[link] = now
-		a.sendToSite(now, site+g.pingTurn%there*a.siteCount(), eventqueue.Event{Kind: eventPingArrives, Value: int64(link)})
+		a.sendToSite(now, site+g.pingTurn%aggregators*a.siteCount(), eventqueue.Event{Kind: eventPingArrives, Value: int64(link)})
 	}
 	g.pingTurn++
 	a.emit(now, eventqueue.Event{At: now + pingInterval, To: a.entityID, Kind: eventPingsDue})
 }
 
-// receiveForwarded takes a query in that another site carries.
+// receiveForwarded serves a query that another site has forwarded.
 func (a *aggregator) receiveForwarded(now int64, from, number int32, c forwardedQuery) {
 	q := &pendingQuery{workload: c.workload, askedAt: now + c.timeLeft - a.Workloads[c.workload].Timeout, retries: 1, shards: c.shards, visited: c.visited, originAggregator: from, originQuery: number,
 		originAttempt: c.attempt, forwardedIn: true}
 	a.serveQuery(now, q, c.timeLeft)
 }
 
-// forgetForwarded drops a query of which nothing more can come.
+// forgetForwarded drops the gateway's state of a query.
 func (a *aggregator) forgetForwarded(number int32) {
 	if g := a.siteGateway; g != nil {
 		delete(g.queryNumbers, g.forwarded[number])
--- a/lab/emulator/zones.go
+++ b/lab/emulator/zones.go
@@ -9,13 +9,13 @@
 	"willowsill/decide/zonehealth"
 )
 
-// zoneOfReplica is the zone that a replica stands in.
+// zoneOfReplica returns the zone of a replica. Zones hold consecutive blocks of replicas.
 func (p *Plan) zoneOfReplica(r int) int { return r * max(p.Zones, 1) / p.Replicas }
 
-// zoneOfAggregator is the zone that an aggregator stands in.
+// zoneOfAggregator returns the zone of an aggregator. Aggregators are assigned round-robin.
 func (p *Plan) zoneOfAggregator(aggregator int) int { return aggregator % max(p.Zones, 1) }
 
-// partitioned tells whether a rift lies between an aggregator and a replica now.
+// partitioned reports whether a fault "rift" now separates an aggregator and a replica.
 func (p *Plan) partitioned(now int64, aggregator, replica int) bool {
 	if p.Zones < 2 {
 		return false
@@ -27,26 +27,28 @@
 	})
 }
 
-// zoneAwareDecider is the module with a decider of zones out of reach beside it, called as the node calls it.
+// zoneAwareDecider adds the detection of unreachable zones (package zonehealth) to the production module. It calls both in the
+// same way as package node does.
 type zoneAwareDecider struct {
 	*moduleDecider
 	plan           *Plan
 	zoneHealth     *zonehealth.Tracker
 	reports        []balance.SharedReport
-	replicaOf      map[executionID]int // the replica of each execution that is out
-	sentExecutions map[int32][]int     // by query: executions so far of each part
+	replicaOf      map[executionID]int // the replica of each execution in flight
+	sentExecutions map[int32][]int     // by query: number of executions of each part so far
 }
 
+// executionID identifies an execution of a query; execution is its index among those of the part.
 type executionID struct {
 	query           int32
 	part, execution int
 }
 
-func newZoneAwareDecider(m *moduleDecider, p *Plan, number int, whole []balance.Listing) *zoneAwareDecider {
+func newZoneAwareDecider(m *moduleDecider, p *Plan, number int, listings []balance.Listing) *zoneAwareDecider {
 	d := p.deployment(number)
 	w := &zoneAwareDecider{moduleDecider: m, plan: p, replicaOf: map[executionID]int{}, sentExecutions: map[int32][]int{},
 		zoneHealth: zonehealth.New(zonehealth.Config{BaseEjection: d.BaseEjection(), MinFailedReplicas: 3, Seed: d.Seed})}
-	for _, l := range whole {
+	for _, l := range listings {
 		w.updateZoneHealth(l, false)
 	}
 	return w
@@ -67,17 +69,17 @@
 
 func (w *zoneAwareDecider) recordOutcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
 	k := executionID{number, part, execution}
-	if to, out := w.replicaOf[k]; out {
+	if replica, inFlight := w.replicaOf[k]; inFlight {
 		delete(w.replicaOf, k)
-		w.zoneHealth.ExecutionEnded(now, to, result, took)
+		w.zoneHealth.ExecutionEnded(now, replica, result, took)
 	}
 	w.moduleDecider.recordOutcome(now, number, part, execution, result, took)
 }
 
 func (w *zoneAwareDecider) decide(now int64) decision {
 	w.reports = w.zoneHealth.Decide(now, w.reports[:0])
-	for _, word := range w.reports {
-		w.aggregator.ApplyReport(now, word)
+	for _, report := range w.reports {
+		w.aggregator.ApplyReport(now, report)
 	}
 	r := w.moduleDecider.decide(now)
 	for _, s := range r.sends {
--- a/lab/experiment/play.go
+++ b/lab/experiment/play.go
@@ -11,12 +11,12 @@
 	"willowsill/lab/emulator"
 )
 
-// Table is what came of an experiment, as it is kept.
+// Table holds the results of an experiment in the form in which they are stored.
 type Table struct {
 	Format       int         `json:"form"`
 	Name         string      `json:"name"`
 	Question     string      `json:"question"`
-	Hash         string      `json:"script"`
+	Hash         string      `json:"script"` // of the script's text
 	Seeds        int         `json:"seeds"`
 	Duration     int64       `json:"span_ns"`
 	MeasureFrom  int64       `json:"count_from_ns"`
@@ -25,58 +25,59 @@
 	Rows         []Row       `json:"variants"`
 }
 
-// FaultSpan is a stretch that a fault takes.
+// FaultSpan is the time of a fault, in ns from the start of a run.
 type FaultSpan struct {
 	Kind        string
 	From, Until int64
 }
 
-// Row is one variant over all seeds. Shares are of the revenue within the goal.
+// Row holds the results of one variant over all seeds. Shares are earned shares of the possible revenue.
 type Row struct {
 	Name             string          `json:"name"`
-	Shares           []float64       `json:"shares"` // by seed
-	Mean             float64         `json:"mean"`
-	Against          float64         `json:"against_first"` // the mean of what each seed has more than the first variant's same seed
-	Low              float64         `json:"low"`           // of that, with 95% confidence,
-	High             float64         `json:"high"`
+	Shares           []float64       `json:"shares"`        // by seed
+	Mean             float64         `json:"mean"`          // of Shares
+	Against          float64         `json:"against_first"` // mean difference from the first variant with the same seed
+	Low              float64         `json:"low"`           // lower end of the 95% confidence interval of Against
+	High             float64         `json:"high"`          // upper end of that interval
 	Verdict          string          `json:"verdict"`
-	Late             float64         `json:"late"` // of 1 asked, as are the next three
+	Late             float64         `json:"late"` // share of the queries asked, like the next three
 	Partial          float64         `json:"partial"`
 	Declined         float64         `json:"declined"`
 	Forfeited        float64         `json:"forfeited"`
 	Executions       float64         `json:"executions_a_query"`
-	Further          float64         `json:"further_a_query"`
-	FaultyExecutions float64         `json:"at_faulty"`
-	P50              int64           `json:"p50_ns"` // medians over the seeds
+	Further          float64         `json:"further_a_query"` // retries per query
+	FaultyExecutions float64         `json:"at_faulty"`       // executions at replicas with a fault, the mean over seeds
+	P50              int64           `json:"p50_ns"`          // median over the seeds, like the next two
 	P99              int64           `json:"p99_ns"`
 	P999             int64           `json:"p999_ns"`
-	Latencies        []int64         `json:"times_ns"` // at emulator.Percents, the mean over seeds
+	Latencies        []int64         `json:"times_ns"` // in ns at each of emulator.Percentiles, the mean over seeds
 	Workloads        []WorkloadShare `json:"loads"`
-	ShareBySecond    []float64       `json:"lines"`  // share by second, the mean over seeds
-	Broken           []string        `json:"broken"` // rules, with their seeds
+	ShareBySecond    []float64       `json:"lines"`  // share of the revenue by second, the mean over seeds
+	Broken           []string        `json:"broken"` // the first violation of each run that had one
 	Events           int64           `json:"events"`
 }
 
-// WorkloadShare is the share of one load's queries within the goal, the mean over seeds.
+// WorkloadShare is the share of one workload's queries that were answered within the goal, the mean over seeds.
 type WorkloadShare struct {
 	Name   string  `json:"name"`
 	InGoal float64 `json:"in_goal"`
 }
 
-const tableFormat = 1
+const tableFormat = 1 // of stored tables
 
-// Runner is how runs are made: in the emulator, or on sockets.
+// Runner runs plans, either in the emulator or with real processes on sockets.
 type Runner struct {
 	Run      func(p emulator.Plan, cores int) (*emulator.Result, error)
-	Parallel int // runs
+	Parallel int // number of runs at a time
 }
 
-// EmulatorRunner is the way of the emulator: as many runs at a time as there are cores.
+// EmulatorRunner returns a runner that uses the emulator, with as many runs at a time as there are cores.
 func EmulatorRunner() Runner { return Runner{emulator.Run, runtime.GOMAXPROCS(0)} }
 
-// Run plays all variants with all seeds; step is called as each run ends.
-// Danger: the order in which runs end is the machine's; what is made of them goes by variant and seed alone.
-func (e *Experiment) Run(way Runner, step func()) (*Table, error) {
+// Run runs all variants with all seeds. It calls progress, if that is not nil, after each run.
+//
+// Danger: the order in which runs end depends on the machine, so results are collected by variant and seed and never by that order.
+func (e *Experiment) Run(runner Runner, progress func()) (*Table, error) {
 	t := &Table{Format: tableFormat, Name: e.Name, Question: e.Question, Hash: e.Hash, Seeds: e.Seeds, Duration: e.Plan.Duration, MeasureFrom: e.Plan.MeasureFrom,
 		MeasureUntil: e.Plan.MeasureUntil}
 	for _, f := range e.Plan.Faults {
@@ -84,23 +85,23 @@
 	}
 	runs := make([][]*emulator.Result, len(e.Variants))
 	errs := make([][]error, len(e.Variants))
-	free := make(chan struct{}, way.Parallel)
+	slots := make(chan struct{}, runner.Parallel)
 	cores := max(1, runtime.GOMAXPROCS(0)/(len(e.Variants)*e.Seeds))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for v := range e.Variants {
 		runs[v], errs[v] = make([]*emulator.Result, e.Seeds), make([]error, e.Seeds)
 		for seed := range e.Seeds {
-			all.Go(func() {
-				free <- struct{}{}
-				defer func() { <-free }()
-				runs[v][seed], errs[v][seed] = way.Run(e.PlanFor(e.Variants[v], seed+1), cores)
-				if step != nil {
-					step()
+			wg.Go(func() {
+				slots <- struct{}{}
+				defer func() { <-slots }()
+				runs[v][seed], errs[v][seed] = runner.Run(e.PlanFor(e.Variants[v], seed+1), cores)
+				if progress != nil {
+					progress()
 				}
 			})
 		}
 	}
-	all.Wait()
+	wg.Wait()
 	for v, variant := range e.Variants {
 		for _, err := range errs[v] {
 			if err != nil {
@@ -113,7 +114,7 @@
 	return t, nil
 }
 
-// compareToFirst holds all rows against the first, seed by seed.
+// compareToFirst compares all rows with the first, seed by seed.
 func (t *Table) compareToFirst() {
 	for i := range t.Rows {
 		t.Rows[i].compareTo(&t.Rows[0])
@@ -123,70 +124,70 @@
 	}
 }
 
-// compareTo holds a row against another of the same seeds.
+// compareTo compares a row with another of the same seeds and sets the fields that depend on it.
 func (r *Row) compareTo(first *Row) {
-	var more []float64
+	var differences []float64
 	for i := range r.Shares {
-		more = append(more, r.Shares[i]-first.Shares[i])
+		differences = append(differences, r.Shares[i]-first.Shares[i])
 	}
-	r.Against = stat.Mean(more, nil)
-	r.Low, r.High = ConfidenceInterval(more)
+	r.Against = stat.Mean(differences, nil)
+	r.Low, r.High = ConfidenceInterval(differences)
 	if r.Verdict = verdict(r.Low, r.High); len(r.Broken) > 0 {
 		r.Verdict = "a rule is broken"
 	}
 }
 
-// newRow makes a row of a variant's runs.
+// newRow summarizes the runs of a variant.
 func newRow(name string, runs []*emulator.Result) Row {
 	r := Row{Name: name, Broken: []string{}}
 	n := float64(len(runs))
 	var p50, p99, p999 []int64
-	for seed, one := range runs {
-		r.Shares = append(r.Shares, one.RevenueShare())
-		asked := max(float64(one.Asked), 1) * n
-		r.Late += float64(one.Late) / asked
-		r.Partial += float64(one.Partial) / asked
-		r.Declined += float64(one.Declined) / asked
-		r.Forfeited += float64(one.Forfeited) / asked
-		r.Executions += float64(one.Executions) / asked
-		r.Further += float64(one.Retries) / asked
-		r.FaultyExecutions += float64(one.FaultyExecutions) / n
-		p50, p99, p999 = append(p50, one.P50), append(p99, one.P99), append(p999, one.P999)
-		r.Events += one.Events
+	for seed, run := range runs {
+		r.Shares = append(r.Shares, run.RevenueShare())
+		asked := max(float64(run.Asked), 1) * n
+		r.Late += float64(run.Late) / asked
+		r.Partial += float64(run.Partial) / asked
+		r.Declined += float64(run.Declined) / asked
+		r.Forfeited += float64(run.Forfeited) / asked
+		r.Executions += float64(run.Executions) / asked
+		r.Further += float64(run.Retries) / asked
+		r.FaultyExecutions += float64(run.FaultyExecutions) / n
+		p50, p99, p999 = append(p50, run.P50), append(p99, run.P99), append(p999, run.P999)
+		r.Events += run.Events
 		if r.Latencies == nil {
-			r.Latencies = make([]int64, len(one.Latencies))
+			r.Latencies = make([]int64, len(run.Latencies))
 		}
-		for i, ns := range one.Latencies {
+		for i, ns := range run.Latencies {
 			r.Latencies[i] += ns / int64(len(runs))
 		}
-		for i, l := range one.Workloads {
+		for i, l := range run.Workloads {
 			if seed == 0 {
 				r.Workloads = append(r.Workloads, WorkloadShare{Name: l.Name})
 			}
 			r.Workloads[i].InGoal += float64(l.InGoal) / max(float64(l.Asked), 1) / n
 		}
 		if r.ShareBySecond == nil {
-			r.ShareBySecond = make([]float64, len(one.ShareBySecond))
+			r.ShareBySecond = make([]float64, len(run.ShareBySecond))
 		}
-		for i, x := range one.ShareBySecond {
+		for i, x := range run.ShareBySecond {
 			r.ShareBySecond[i] += x / n
 		}
-		if one.Violation != "" {
-			r.Broken = append(r.Broken, one.Violation)
+		if run.Violation != "" {
+			r.Broken = append(r.Broken, run.Violation)
 		}
 	}
 	r.Mean = stat.Mean(r.Shares, nil)
 	for _, p := range []struct {
-		of []int64
-		to *int64
+		values []int64
+		to     *int64
 	}{{p50, &r.P50}, {p99, &r.P99}, {p999, &r.P999}} {
-		slices.Sort(p.of)
-		*p.to = p.of[len(p.of)/2]
+		slices.Sort(p.values)
+		*p.to = p.values[len(p.values)/2]
 	}
 	return r
 }
 
-// verdict is what may be said of a difference that lies between these.
+// verdict describes a difference by its confidence interval.
 func verdict(low, high float64) string {
 	switch {
 	case low > 0:
@@ -197,16 +198,16 @@
 	return "not told apart"
 }
 
-const resamples = 4000
+const resamples = 4000 // of the bootstrap
 
-// ConfidenceInterval is where the mean of what these were drawn from lies, with 95% confidence, by drawing from them again and again
-// (the bootstrap). It is the same for the same numbers.
+// ConfidenceInterval returns the 95% confidence interval of the mean of the distribution that x was drawn from, by bootstrap resampling.
+// Its seed is fixed, so the same numbers give the same interval.
 func ConfidenceInterval(x []float64) (low, high float64) {
-	chance := rand.New(rand.NewPCG(1, uint64(len(x))))
+	rng := rand.New(rand.NewPCG(1, uint64(len(x))))
 	means := make([]float64, resamples)
 	for i := range means {
 		for range x {
-			means[i] += x[chance.IntN(len(x))] / float64(len(x))
+			means[i] += x[rng.IntN(len(x))] / float64(len(x))
 		}
 	}
 	slices.Sort(means)
--- a/lab/propagation/propagation.go
+++ b/lab/propagation/propagation.go
@@ -1,5 +1,6 @@
-// Package propagation counts the messages that bring one update to all edges: by the tree of decide/relaytree, by a star
-// (each edge follows a controller) and by a flood (each edge passes what it hears first to a few others). It does no I/O.
+// Package propagation counts the messages that bring one update to all edges with three strategies: the tree of package relaytree, a
+// star (each edge gets updates directly from a controller), and a flood (each edge forwards a new update to a few random edges). It does
+// no I/O.
 package propagation
 
 import (
@@ -10,33 +11,35 @@
 	"willowsill/decide/relaytree"
 )
 
-// Fleet is a system's size: edges and controllers spread evenly over zones, and zones over regions.
+// Fleet is the size of a system. Edges and controllers are spread evenly over zones, and zones over regions.
 type Fleet struct{ Edges, Controllers, Zones, Regions int }
 
-// Cost is what one update costs. A copy is one message over one link.
+// Cost is the cost of sending one update to all edges. A copy is one message over one link.
 type Cost struct {
 	Strategy     string
-	Copies       int     // in all, those between controllers not counted
-	CrossZone    int     // of them between zones of a region
-	CrossRegion  int     // and between regions
-	AtController int     // the most that one controller sends
-	AtEdge       int     // the most that one edge sends
-	MaxHops      int     // from a controller to the last edge
-	ReachedShare float64 // share of the edges
+	Copies       int     // all copies but those between controllers
+	CrossZone    int     // copies between zones of a region
+	CrossRegion  int     // copies between regions
+	AtController int     // most copies that one controller sends
+	AtEdge       int     // most copies that one edge sends
+	MaxHops      int     // most links between a controller and an edge
+	ReachedShare float64 // share of the edges that get the update
 }
 
 const (
-	floodFanout = 3 // others that an edge tells in a flood: fewer leave many out
-	floodSeeds  = 2 // edges that controllers begin a flood with
+	floodFanout = 3 // edges that each edge forwards to; with fewer, the flood misses many edges
+	floodSeeds  = 2 // edges that each controller sends to
 )
 
+// location is where a daemon runs.
 type location struct{ zone, region int }
 
+// locationOf returns the location of the edge or controller with index i.
 func (f Fleet) locationOf(i int) location {
 	return location{i % f.Zones, i % f.Zones * f.Regions / f.Zones}
 }
 
-// countCopy books one copy.
+// countCopy counts one copy from a to b.
 func (c *Cost) countCopy(a, b location) {
 	switch c.Copies++; {
 	case a.region != b.region:
@@ -46,38 +49,38 @@
 	}
 }
 
-// Compare compares the three ways.
-func Compare(f Fleet) (all []Cost) {
+// Compare returns the costs of the tree, the star and the flood for a fleet.
+func Compare(f Fleet) (costs []Cost) {
 	edges, controllers := map[string]location{}, map[string]location{}
 	var fleet clusterstate.Fleet
-	var names []string
+	var ips []string
 	for i := range f.Edges {
 		ip := fmt.Sprintf("10.%d.%d.%d", i%f.Zones, i/250, i%250)
 		edges[ip] = f.locationOf(i)
 		fleet.Edges = append(fleet.Edges, clusterstate.Edge{IP: ip, Zone: fmt.Sprint("z", i%f.Zones)})
-		names = append(names, ip)
+		ips = append(ips, ip)
 	}
 	for i := range f.Controllers {
 		ip := fmt.Sprintf("10.200.0.%d", i)
 		controllers[ip] = f.locationOf(i)
 		fleet.Controllers = append(fleet.Controllers, ip)
 	}
-	first := func(ip string) relaytree.Feeder { // whom it follows
+	firstUpstream := func(ip string) relaytree.Feeder { // the first upstream of an edge
 		return relaytree.Feeders(ip, fmt.Sprint("z", edges[ip].zone), fleet, nil, nil)[0]
 	}
 	tree, star := Cost{Strategy: "tree", ReachedShare: 1}, Cost{Strategy: "star", ReachedShare: 1, MaxHops: 1}
-	sends := map[string]int{}
+	treeSends := map[string]int{}
 	starSends := map[string]int{}
-	for _, ip := range names {
-		up := first(ip)
-		from := controllers[up.IP]
-		if !up.Controller {
-			from = edges[up.IP]
+	for _, ip := range ips {
+		upstream := firstUpstream(ip)
+		from := controllers[upstream.IP]
+		if !upstream.Controller {
+			from = edges[upstream.IP]
 		}
 		tree.countCopy(from, edges[ip])
-		sends[up.IP]++
+		treeSends[upstream.IP]++
 		hops := 1
-		for at := up; !at.Controller; at = first(at.IP) {
+		for node := upstream; !node.Controller; node = firstUpstream(node.IP) {
 			hops++
 		}
 		tree.MaxHops = max(tree.MaxHops, hops)
@@ -85,7 +88,7 @@
 		star.countCopy(controllers[order[0].IP], edges[ip])
 		starSends[order[0].IP]++
 	}
-	for ip, n := range sends {
+	for ip, n := range treeSends {
 		if _, controller := controllers[ip]; controller {
 			tree.AtController = max(tree.AtController, n)
 		} else {
@@ -95,39 +98,39 @@
 	for _, n := range starSends {
 		star.AtController = max(star.AtController, n)
 	}
-	return []Cost{tree, star, flood(f, names, edges, controllers)}
+	return []Cost{tree, star, flood(f, ips, edges, controllers)}
 }
 
-// flood is one drawing of it.
-func flood(f Fleet, names []string, edges, controllers map[string]location) Cost {
+// flood simulates a flood once, with a fixed seed.
+func flood(f Fleet, ips []string, edges, controllers map[string]location) Cost {
 	c := Cost{Strategy: "flood", AtController: floodSeeds, AtEdge: floodFanout}
 	rng := rand.New(rand.NewPCG(uint64(f.Edges), 1))
-	heard := map[string]bool{}
-	var wave []string
-	for _, at := range controllers {
+	reached := map[string]bool{}
+	var frontier []string
+	for _, from := range controllers {
 		for range floodSeeds {
-			to := names[rng.IntN(len(names))]
-			c.countCopy(at, edges[to])
-			if !heard[to] {
-				heard[to] = true
-				wave = append(wave, to)
+			to := ips[rng.IntN(len(ips))]
+			c.countCopy(from, edges[to])
+			if !reached[to] {
+				reached[to] = true
+				frontier = append(frontier, to)
 			}
 		}
 	}
-	for ; len(wave) > 0; c.MaxHops++ {
+	for ; len(frontier) > 0; c.MaxHops++ {
 		var next []string
-		for _, from := range wave {
+		for _, from := range frontier {
 			for range floodFanout {
-				to := names[rng.IntN(len(names))]
+				to := ips[rng.IntN(len(ips))]
 				c.countCopy(edges[from], edges[to])
-				if !heard[to] {
-					heard[to] = true
+				if !reached[to] {
+					reached[to] = true
 					next = append(next, to)
 				}
 			}
 		}
-		wave = next
+		frontier = next
 	}
-	c.ReachedShare = float64(len(heard)) / float64(len(names))
+	c.ReachedShare = float64(len(reached)) / float64(len(ips))
 	return c
 }
--- a/lab/rehearsal/rehearsal.go
+++ b/lab/rehearsal/rehearsal.go
@@ -1,6 +1,6 @@
-// Package rehearsal plays the whole system on loopback addresses with real processes: controllers, proxies and
-// their agents, stand-in replicas, an operator and clients. One of each is killed on the way, and what
-// clients saw is counted.
+// Package rehearsal runs the whole system on loopback addresses: controllers, proxies and their agents as real processes, and stand-in
+// replicas, an operator and clients in this process. It kills one controller, agent, replica and proxy in turn, and counts the answers
+// that clients get.
 package rehearsal
 
 import (
@@ -29,46 +29,46 @@
 	"willowsill/transport/daemon"
 )
 
-// RoleVariable names the part that a child process plays.
+// RoleVariable is the environment variable that holds the role of a child process.
 const RoleVariable = "WILLOWSILL_REHEARSAL_PART"
 
 const (
 	controllers        = 3
 	proxies            = 2
 	shards             = 3
-	replicasPerService = 2 // of each shard, and of the ledger
+	replicasPerService = 2 // of each shard and of the ledger
 	serviceTime        = 8 * time.Millisecond
 	heartbeat          = 300 * time.Millisecond
 	clients            = 8
 	deadlineMs         = 1500
 	ports              = localsettings.Ports(17080)
 	startWait          = 20 * time.Second
-	settleWait         = 1200 * time.Millisecond // after a loss, before what follows is counted apart
+	settleWait         = 1200 * time.Millisecond // after a controller is killed, before the next phase starts
 )
 
-// Phase is a stretch of the rehearsal and what came of it.
+// Phase holds the results of one phase of the rehearsal.
 type Phase struct {
 	Name         string         `json:"name"`
-	Answers      map[string]int `json:"answers"`
+	Answers      map[string]int `json:"answers"` // by HTTP status, or by error
 	MissingParts int            `json:"parts_missing"`
 	MedianMS     float64        `json:"median_ms"`
 	WorstMS      float64        `json:"worst_ms"`
 }
 
-// RunChild runs one process of the rehearsal, where this process is one; it tells whether it was.
+// RunChild runs the daemon that the environment asks for and exits, if this process is a child of a rehearsal. Otherwise it returns false.
 func RunChild() bool {
 	switch os.Getenv(RoleVariable) {
 	case "controller":
-		os.Exit(daemon.Run("controller", "plays a part", nil, controlserver.Run))
+		os.Exit(daemon.Run("controller", "runs in a rehearsal", nil, controlserver.Run))
 	case "agent":
-		os.Exit(daemon.Run("agent", "plays a part", nil, agentserver.Run))
+		os.Exit(daemon.Run("agent", "runs in a rehearsal", nil, agentserver.Run))
 	case "proxy":
-		os.Exit(daemon.Run("proxy", "plays a part", nil, proxyserver.Run))
+		os.Exit(daemon.Run("proxy", "runs in a rehearsal", nil, proxyserver.Run))
 	}
 	return false
 }
 
-// deployment holds what runs.
+// deployment is the running system.
 type deployment struct {
 	dir            string
 	exe            string
@@ -79,7 +79,7 @@
 	readinessAddrs []string
 }
 
-// Run plays it with copies of this program, queries each a phase, and returns what came of each phase.
+// Run runs the rehearsal with this program as the daemons, with a number of queries in each phase, and returns the results.
 func Run(ctx context.Context, queries int) ([]Phase, error) {
 	dir, err := os.MkdirTemp("", "rehearsal")
 	if err != nil {
@@ -144,90 +144,92 @@
 }
 
 // writeSettings writes a process's settings file and returns its name.
-func (s *deployment) writeSettings(role, ip string) (string, error) {
-	data := filepath.Join(s.dir, role+ip)
+func (d *deployment) writeSettings(role, ip string) (string, error) {
+	data := filepath.Join(d.dir, role+ip)
 	if err := os.MkdirAll(data, 0o700); err != nil {
 		return "", err
 	}
 	file := filepath.Join(data, "local.toml")
-	return file, ports.Write(file, localsettings.Daemon{Role: role, IP: ip, Zone: "hall", SeedNodes: s.controlAddrs, Heartbeat: heartbeat,
+	return file, ports.Write(file, localsettings.Daemon{Role: role, IP: ip, Zone: "hall", SeedNodes: d.controlAddrs, Heartbeat: heartbeat,
 		DataDir: data, MemoryMB: 256, GraceS: 2})
 }
 
-func (s *deployment) start(role, ip string) error {
-	file, err := s.writeSettings(role, ip)
+// start starts the daemon of a role at an IP.
+func (d *deployment) start(role, ip string) error {
+	file, err := d.writeSettings(role, ip)
 	if err != nil {
 		return err
 	}
-	log, err := os.Create(filepath.Join(s.dir, role+ip+".log"))
+	log, err := os.Create(filepath.Join(d.dir, role+ip+".log"))
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	c := exec.Command(s.exe)
+	c := exec.Command(d.exe)
 	c.Env = append(os.Environ(), RoleVariable+"="+role, settings.FileVariable+"="+file)
 	c.Stdout, c.Stderr = log, log
 	if err := c.Start(); err != nil {
 		return err
 	}
-	s.processes[role+ip] = c
+	d.processes[role+ip] = c
 	return nil
 }
 
-func (s *deployment) kill(role, ip string) {
-	c := s.processes[role+ip]
-	delete(s.processes, role+ip)
+// kill kills a daemon with SIGKILL and waits for its end.
+func (d *deployment) kill(role, ip string) {
+	c := d.processes[role+ip]
+	delete(d.processes, role+ip)
 	c.Process.Kill()
 	c.Wait()
 }
 
-// stopAll ends all.
-func (s *deployment) stopAll() {
-	for _, r := range s.replicas {
+// stopAll kills all replicas and processes.
+func (d *deployment) stopAll() {
+	for _, r := range d.replicas {
 		r.Kill()
 	}
-	for _, c := range s.processes {
+	for _, c := range d.processes {
 		c.Process.Kill()
 	}
-	for _, c := range s.processes {
+	for _, c := range d.processes {
 		c.Wait()
 	}
 }
 
 // configure sends a configuration to one controller after the other until it is acknowledged.
-func (s *deployment) configure(revision int, added string) error {
-	var fan, services []string
+func (d *deployment) configure(revision int, added string) error {
+	var shardNames, services []string
 	for i := range shards {
-		fan = append(fan, fmt.Sprint("shard-", i))
+		shardNames = append(shardNames, fmt.Sprint("shard-", i))
 	}
-	for _, n := range append(slices.Clone(fan), "ledger") {
+	for _, n := range append(slices.Clone(shardNames), "ledger") {
 		services = append(services, fmt.Sprintf(`{"name":%q,"health-path":"/health","max-conns":64}`, n))
 	}
-	names, _ := json.Marshal(fan)
-	scan := func(name string) string {
+	names, _ := json.Marshal(shardNames)
+	scanRoute := func(name string) string {
 		return fmt.Sprintf(`{"name":%q,"host":"hall.example","path-prefix":"/%s/","route-kind":"safe","deadline-ms":%d,"target-ms":200,"rank":1,"fanout":%s,"max-tries":2,"result-count":5,"min-coverage":0.6}`,
 			name, name, deadlineMs, names)
 	}
-	routes := []string{scan("scan"), fmt.Sprintf(`{"name":"debit","host":"hall.example","path-prefix":"/debit/","route-kind":"unsafe","deadline-ms":%d,"target-ms":400,"rank":0,"service":"ledger","max-tries":1}`, deadlineMs)}
+	routes := []string{scanRoute("scan"), fmt.Sprintf(`{"name":"debit","host":"hall.example","path-prefix":"/debit/","route-kind":"unsafe","deadline-ms":%d,"target-ms":400,"rank":0,"service":"ledger","max-tries":1}`, deadlineMs)}
 	if added != "" {
-		routes = append(routes, scan(added))
+		routes = append(routes, scanRoute(added))
 	}
 	body := fmt.Sprintf(`{"revision":%d,"routes":[%s],"services":[%s],"limits":{"max-body-bytes":65536}}`, revision,
 		strings.Join(routes, ","), strings.Join(services, ","))
 	ctx, stop := context.WithTimeout(context.Background(), startWait)
 	defer stop()
-	control := controlclient.Client{Addresses: s.controlAddrs}
+	control := controlclient.Client{Addresses: d.controlAddrs}
 	if err := control.SendConfiguration(ctx, []byte(body)); err != nil {
-		return fmt.Errorf("configuration %d was not taken: %w", revision, err)
+		return fmt.Errorf("configuration %d was not acknowledged: %w", revision, err)
 	}
 	return nil
 }
 
-// waitReady waits until all proxies are ready and know the replicas.
-func (s *deployment) waitReady() error {
+// waitReady waits until all proxies are ready, and for two more heartbeats, in which they learn of the replicas.
+func (d *deployment) waitReady() error {
 	for until := time.Now().Add(startWait); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
 		n := 0
-		for _, r := range s.readinessAddrs {
+		for _, r := range d.readinessAddrs {
 			if res, err := http.Get("http://" + r + "/v1/readiness"); err == nil {
 				res.Body.Close()
 				if res.StatusCode == http.StatusOK {
@@ -235,29 +237,28 @@
 				}
 			}
 		}
-		if n == len(s.readinessAddrs) {
+		if n == len(d.readinessAddrs) {
 			time.Sleep(2 * heartbeat)
 			return nil
 		}
 	}
-	return fmt.Errorf("the proxies did not get ready")
+	return fmt.Errorf("the proxies did not become ready in time")
 }
 
-// runPhase asks queries of the proxies and counts the answers. A client whose proxy does not answer goes to the
-// next.
-func (s *deployment) runPhase(ctx context.Context, name, path string, queries int) Phase {
+// runPhase sends queries to the proxies from several clients and counts the answers. A client whose proxy doesn't answer tries the next.
+func (d *deployment) runPhase(ctx context.Context, name, path string, queries int) Phase {
 	p := Phase{Name: name, Answers: map[string]int{}}
 	var mu sync.Mutex
 	var times []time.Duration
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	ids := make(chan int)
 	client := &http.Client{Timeout: 2 * deadlineMs * time.Millisecond, Transport: &http.Transport{MaxIdleConnsPerHost: clients,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	for range clients {
-		all.Go(func() {
+		wg.Go(func() {
 			for id := range ids {
 				began := time.Now()
-				answer, missing := s.query(ctx, client, path, fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(name, " ", "-"), began.UnixNano(), id), id)
+				answer, missing := d.query(ctx, client, path, fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(name, " ", "-"), began.UnixNano(), id), id)
 				mu.Lock()
 				p.Answers[answer]++
 				p.MissingParts += missing
@@ -273,7 +274,7 @@
 		}
 	}
 	close(ids)
-	all.Wait()
+	wg.Wait()
 	slices.Sort(times)
 	if len(times) > 0 {
 		p.MedianMS = float64(times[len(times)/2].Microseconds()) / 1000
@@ -282,15 +283,16 @@
 	return p
 }
 
-func (s *deployment) query(ctx context.Context, client *http.Client, path, id string, first int) (answer string, missing int) {
+// query sends a query to the proxies in turn, from index first on, until one answers. It returns the HTTP status and the missing parts.
+func (d *deployment) query(ctx context.Context, client *http.Client, path, id string, first int) (answer string, missing int) {
 	answer = "no connection"
-	for try := range s.frontAddrs {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.frontAddrs[(first+try)%len(s.frontAddrs)]+path, nil)
+	for attempt := range d.frontAddrs {
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.frontAddrs[(first+attempt)%len(d.frontAddrs)]+path, nil)
 		if err != nil {
 			return err.Error(), 0
 		}
 		req.Host = "hall.example"
-		req.Header.Set("Willowsill-Attempt-Id", fmt.Sprint(id, "-", try))
+		req.Header.Set("Willowsill-Attempt-Id", fmt.Sprint(id, "-", attempt))
 		req.Header.Set("Willowsill-Deadline-Ms", fmt.Sprint(deadlineMs))
 		res, err := client.Do(req)
 		if err != nil {
