--- a/transport/agentserver/agentserver.go
+++ b/transport/agentserver/agentserver.go
@@ -1,6 +1,7 @@
-// Package agentserver runs an agent, the relay beside a proxy: it follows a feeder (a controller or another agent),
-// holds the newest cluster state, and feeds the proxy beside it over loopback and the agents that follow it. It also
-// sends and hears the heartbeats of the edges. It decides nothing.
+// Package agentserver runs an agent, the relay on a proxy's machine. The agent receives updates from an
+// upstream (a controller or another agent), holds the newest cluster state, and sends updates to the local
+// proxy over loopback and to its downstream agents. It also sends and receives the heartbeats of the edges. It
+// decides nothing.
 package agentserver
 
 import (
@@ -25,15 +26,15 @@
 	"willowsill/transport/watch"
 )
 
-// ErrAgent is the class of this package's errors.
+// ErrAgent carries the error code of this package.
 var ErrAgent = oops.Code("agent")
 
 const (
-	graceMargin = 300 * time.Millisecond // the agent ends so long before its grace does
-	leavePoll   = 100 * time.Millisecond // between two looks whether the proxy has gone
+	graceMargin = 300 * time.Millisecond // at shutdown, time left between the agent's end and the end of the grace period
+	leavePoll   = 100 * time.Millisecond // between two checks whether the local proxy has disconnected
 
-	downstreamTimeout = 4 * time.Second        // a follower unheard for so long is no longer reported
-	heartbeatPoll     = 250 * time.Millisecond // between two looks which heartbeats are due and which are missing
+	downstreamTimeout = 4 * time.Second        // without a report, a downstream edge is left out of the agent's own report
+	heartbeatPoll     = 250 * time.Millisecond // between two checks for heartbeats that are due or missing
 )
 
 // Server is a running agent.
@@ -41,26 +42,26 @@
 	settings   settings.Settings
 	base       time.Time
 	upstream   watch.Upstream
-	proxyFeed  watch.Feed // the proxy beside it
-	relayFeed  watch.Feed // the agents that follow it
+	proxyFeed  watch.Feed // to the local proxy
+	relayFeed  watch.Feed // to the downstream agents
 	heartbeats net.PacketConn
-	loans      *watch.Loans // of retries that edges do not use
+	loans      *watch.Loans // relays loans of unused retry budget
 
-	mu         sync.Mutex // guards the rest, and the order of what followers are told
+	mu         sync.Mutex // guards the fields below and the order of messages to downstream edges
 	state      *clusterstate.State
 	detector   *failuredetector.Detector
 	downstream map[string]downstreamReport
 	suspects   []string
-	evidence   []rollout.Evidence // of the proxy beside it
+	evidence   []rollout.Evidence // reported by the local proxy
 }
 
-// downstreamReport is what a follower said last, and when.
+// downstreamReport is the last report of a downstream edge.
 type downstreamReport struct {
 	controller.EdgeReport
 	receivedAt time.Time
 }
 
-// Run runs an agent until ctx ends and the proxy beside it has gone.
+// Run runs an agent until ctx ends and the local proxy has disconnected, or the grace period is almost over.
 func Run(ctx context.Context, local settings.Settings) error {
 	s := &Server{settings: local, base: time.Now().Add(-time.Hour), state: clusterstate.NewState(), detector: failuredetector.New(local.IP),
 		downstream: map[string]downstreamReport{}, loans: watch.NewLoans(local.Bounds.RetryWindow())}
@@ -88,7 +89,7 @@
 	go s.upstream.Run(inner)
 	metrics.Serve(inner, local.IP, local.Metrics, s.writeMetrics)
 	<-ctx.Done()
-	// Danger: a proxy that ends in order serves on for a while, and must hear what changes meanwhile.
+	// Danger: a proxy that drains still serves queries for a while and needs updates until it disconnects.
 	until := time.Now().Add(time.Duration(local.Bounds.GraceS*float64(time.Second)) - graceMargin)
 	for time.Now().Before(until) && s.proxyFeed.Count() > 0 {
 		time.Sleep(leavePoll)
@@ -98,7 +99,7 @@
 
 func (s *Server) now() int64 { return int64(time.Since(s.base)) }
 
-// upstreamAddresses returns the addresses to follow, in order of preference.
+// upstreamAddresses returns the addresses of possible upstreams in order of preference.
 func (s *Server) upstreamAddresses() (addresses []string) {
 	s.mu.Lock()
 	fleet := s.state.Fleet
@@ -109,7 +110,8 @@
 	return addresses
 }
 
-// report returns what this agent says to its feeder: itself, the edges that follow it, and which it suspects.
+// report returns the report to the upstream: this agent, its downstream edges, and the edges that it suspects
+// to have failed.
 func (s *Server) report() watch.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,8 +130,8 @@
 	return report
 }
 
-// applyUpdate merges an update into the state and publishes what is new in it. It returns false where the update is a patch
-// of another state than the one held, so that a snapshot is needed.
+// applyUpdate merges an update into the state and publishes what is new in it. It returns false if the update
+// is a patch for another state than the one held, so that a snapshot is needed.
 func (s *Server) applyUpdate(update clusterstate.Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +140,7 @@
 		return !s.state.NeedsSnapshot
 	}
 	if fresh.Revision > 0 {
-		klog.InfoS("a configuration has come", "revision", fresh.Revision, "bytes", len(fresh.Raw), "sent", len(fresh.Body)+len(fresh.Patch))
+		klog.InfoS("a configuration was received", "revision", fresh.Revision, "bytes", len(fresh.Raw), "sent", len(fresh.Body)+len(fresh.Patch))
 	}
 	if f := fresh.Fleet; !f.Empty() {
 		s.detector.SetEdges(s.now(), f.EdgeIPsInZone(s.settings.Zone))
@@ -150,7 +152,7 @@
 	return !s.state.NeedsSnapshot
 }
 
-// serveDownstream feeds one follower until its link ends, and keeps its reports.
+// serveDownstream sends updates to one downstream edge until its link ends, and records its reports.
 func (s *Server) serveDownstream(link *peer.Link, feed *watch.Feed) {
 	watch.ReceiveReports(link, func(report watch.Report) {
 		s.mu.Lock()
@@ -171,7 +173,8 @@
 	feed.Leave(link)
 }
 
-// sendHeartbeats sends heartbeats to the edges that watch this one and notes which edges are suspected, until ctx ends.
+// sendHeartbeats sends heartbeats to the edges that monitor this one and records which edges are suspected to
+// have failed, until ctx ends.
 func (s *Server) sendHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatPoll)
 	defer ticker.Stop()
--- a/transport/agentserver/agentserver_test.go
+++ b/transport/agentserver/agentserver_test.go
@@ -17,7 +17,7 @@
 	"willowsill/transport/watch"
 )
 
-// downstream is one end of a link whose other end the agent attends.
+// downstream is a downstream edge, at the far end of a link that the agent serves.
 type downstream struct {
 	*testing.T
 	*peer.Link
@@ -36,7 +36,7 @@
 	return f
 }
 
-// report sends a report and returns what the agent says to this follower of loans, nil for nothing.
+// report sends a report and returns the last lending message that the agent sends back, nil if none comes.
 func (f downstream) report(note *lending.Message) (said *lending.Message) {
 	f.Helper()
 	f.SendMessage(watch.Report{Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: f.ip}}, Lending: note})
@@ -46,14 +46,14 @@
 			return said
 		}
 		if m.Lending != nil {
-			must.True(f, m.Freshness != nil, must.Sprint("the follower would take the agent for one of the former version"))
+			must.True(f, m.Freshness != nil, must.Sprint("without freshness the edge takes the agent for one of the former version"))
 			said = m.Lending
 		}
 	}
 }
 
-// TestLoansPassThroughAgents: what one follower wants is told to the others and to the feeder, and what one of them lends
-// goes to it, once.
+// TestLoansPassThroughAgents: an agent relays a downstream edge's request for retry budget to its other
+// downstream edges and to its upstream, and relays a loan back to the edge that requested it, exactly once.
 func TestLoansPassThroughAgents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const window = int64(10 * time.Second)
--- a/transport/agentserver/metrics.go
+++ b/transport/agentserver/metrics.go
@@ -6,7 +6,7 @@
 	"willowsill/transport/metrics"
 )
 
-// writeMetrics tells this process's own figures.
+// writeMetrics writes the agent's metrics.
 func (s *Server) writeMetrics(w metrics.Writer) {
 	fresh := s.upstream.Freshness()
 	w.Flag("willowsill_agent_knowledge_current", fresh.Known)
--- a/transport/controlclient/controlclient.go
+++ b/transport/controlclient/controlclient.go
@@ -1,5 +1,5 @@
-// Package controlclient is the operators' client: it calls the controllers' HTTP resources, and follows updates as an
-// edge does without being counted as one. It decides nothing.
+// Package controlclient is the operators' client. It calls the controllers' HTTP resources, and receives
+// updates like an edge but isn't counted as one. It decides nothing.
 package controlclient
 
 import (
@@ -16,7 +16,7 @@
 	"willowsill/transport/watch"
 )
 
-// ErrClient is the class of this package's errors.
+// ErrClient carries the error code of this package.
 var ErrClient = oops.Code("willowctl")
 
 const (
@@ -24,20 +24,22 @@
 	retryDelay     = 200 * time.Millisecond
 	receiveTimeout = 3 * time.Second
 
-	maxRedirects = 2 // that one call follows
+	maxRedirects = 2 // followed by one call
 )
 
-// httpClient sends each request once. Of net/http's own client it keeps neither the idle connections nor the ten redirects.
+// httpClient sends each request once. It differs from net/http's default client in that it keeps no idle
+// connections and follows at most maxRedirects redirects.
 //
-// Danger: net/http sends a request again by itself where a connection that it reuses dies under it. What is sent again is
-// for Control alone to say, and what is never reused is never replayed on.
+// Danger: net/http resends a request by itself if a reused connection fails under it. Only Client may decide
+// whether a request is resent, and a connection that is never reused is never replayed on.
 var httpClient = &http.Client{
 	Timeout:       callTimeout,
 	Transport:     &http.Transport{Proxy: http.ProxyFromEnvironment, DisableKeepAlives: true},
 	CheckRedirect: limitRedirects,
 }
 
-// limitRedirects follows a 307 as often as all callers of control do.
+// limitRedirects bounds the redirects that a call follows to the number that all clients of the control
+// resources follow.
 func limitRedirects(_ *http.Request, via []*http.Request) error {
 	if len(via) > maxRedirects {
 		return ErrClient.Errorf("more than %d redirects", maxRedirects)
@@ -45,10 +47,10 @@
 	return nil
 }
 
-// Client calls one controller after the other until one gives a clear answer, or ctx ends. A call without a clear answer
-// (no connection, no whole answer within callWithin, a 5xx, 408 or 429) goes out again, the same bytes, to the next address
-// after tryAgain: no more than one in each tryAgain, for as long as ctx lasts. Whoever gives a ctx without an end gets tries
-// without an end.
+// Client calls one controller after another until one gives a definite answer or ctx ends. A call without a
+// definite answer (no connection, no complete answer within callTimeout, a 5xx, 408 or 429) is repeated with
+// the same bytes at the next address, at most once per retryDelay for as long as ctx lasts. Without an end of
+// ctx the retries don't end either.
 type Client struct{ Addresses []string }
 
 func (c *Client) call(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
@@ -80,12 +82,12 @@
 	return 0, nil, ErrClient.Wrapf(err, "no clear answer")
 }
 
-// readConfiguration asks for the newest configuration; status is 404 where there is none.
+// readConfiguration requests the newest configuration; status is 404 if there is none.
 func (c *Client) readConfiguration(ctx context.Context) (status int, body []byte, err error) {
 	return c.call(ctx, http.MethodGet, "/v1/configuration/read", nil)
 }
 
-// ReadConfiguration is the newest configuration.
+// ReadConfiguration returns the newest configuration.
 func (c *Client) ReadConfiguration(ctx context.Context) ([]byte, error) {
 	status, body, err := c.readConfiguration(ctx)
 	if err == nil && status != http.StatusOK {
@@ -94,7 +96,7 @@
 	return body, err
 }
 
-// HasConfiguration tells whether the system has a configuration at all.
+// HasConfiguration reports whether the system has a configuration at all.
 func (c *Client) HasConfiguration(ctx context.Context) (bool, error) {
 	status, body, err := c.readConfiguration(ctx)
 	if err == nil && status != http.StatusOK && status != http.StatusNotFound {
@@ -103,7 +105,7 @@
 	return status == http.StatusOK, err
 }
 
-// SendConfiguration sends a configuration until it is acknowledged or refused.
+// SendConfiguration sends a configuration until it is acknowledged or rejected.
 func (c *Client) SendConfiguration(ctx context.Context, body []byte) error {
 	status, answer, err := c.call(ctx, http.MethodPost, "/v1/configuration/replace", body)
 	if err == nil && status != http.StatusOK {
@@ -112,8 +114,8 @@
 	return err
 }
 
-// Watch gives take a snapshot of a feeder and then what changes, until ctx ends or the feeder is silent;
-// take returns false to stop.
+// Watch passes a snapshot of the cluster's state to apply, and then each change, until apply returns false or
+// ctx ends. It returns an error if the controller is silent for receiveTimeout.
 func Watch(ctx context.Context, address string, apply func(clusterstate.Update) bool) error {
 	l, err := peer.Dial(ctx, address)
 	if err != nil {
--- a/transport/controlclient/replay_test.go
+++ b/transport/controlclient/replay_test.go
@@ -14,14 +14,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// dyingServer answers the first request of each connection, and ends the connection when it has read a second.
+// dyingServer answers the first request on each connection, and closes the connection once it has read a second
+// one.
 type dyingServer struct {
-	answers []string // to the first requests of connections, in turn; the last one repeats
+	answers []string // for the first requests of successive connections; the last one repeats
 
 	mu       sync.Mutex
-	requests []string // method and body, as they were read
+	requests []string // method and body of each request
 	conns    int
-	longest  int // requests read on one connection
+	longest  int // most requests read on one connection
 }
 
 func (s *dyingServer) listen(t *testing.T) string {
@@ -69,12 +70,12 @@
 	done = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 )
 
-// TestStockClientReplays shows what net/http's own client does with a reused connection that dies under a request: a GET
-// is sent again without a word to the caller, and a POST is not once it was written.
+// TestStockClientReplays shows what net/http's default client does if a reused connection is closed under a
+// request: it resends a GET without notice to the caller, but not a POST that was written.
 func TestStockClientReplays(t *testing.T) {
 	for _, c := range []struct {
 		method, body string
-		read         int // requests that the server reads for the second call
+		read         int // requests that the server reads during the second call
 		fails        bool
 	}{
 		{http.MethodGet, "", 2, false},
@@ -101,8 +102,8 @@
 	}
 }
 
-// TestEachTryHasItsOwnConnection: what is sent again is sent by Control's own tries alone, the same bytes each time, and
-// each on a connection of its own, for net/http replays only on one that it reuses.
+// TestEachTryHasItsOwnConnection: only Client's own retries resend a request. Each retry has the same bytes and
+// a new connection, because net/http replays requests on reused connections alone.
 func TestEachTryHasItsOwnConnection(t *testing.T) {
 	s := &dyingServer{answers: []string{busy, busy, done}}
 	control := Client{Addresses: []string{s.listen(t)}}
@@ -116,7 +117,8 @@
 	must.Eq(t, 4, s.conns)
 }
 
-// TestRedirectsAreBounded: a 307 is followed twice, as by all callers of control, and then the next address is tried.
+// TestRedirectsAreBounded: a 307 is followed twice, the limit of all clients of the control resources, and then
+// the next address is tried.
 func TestRedirectsAreBounded(t *testing.T) {
 	loop := &dyingServer{}
 	address := loop.listen(t)
@@ -131,7 +133,7 @@
 	must.SliceLen(t, 3, loop.requests)
 }
 
-// TestTriesEndWithTheContext: without a clear answer it goes on until ctx ends, and no longer.
+// TestTriesEndWithTheContext: without a definite answer the retries go on until ctx ends, and no longer.
 func TestTriesEndWithTheContext(t *testing.T) {
 	s := &dyingServer{answers: []string{busy}}
 	control := Client{Addresses: []string{s.listen(t)}}
--- a/transport/controlclient/rollouts.go
+++ b/transport/controlclient/rollouts.go
@@ -8,7 +8,7 @@
 	"net/url"
 )
 
-// Rollout is a rollout as controllers tell it.
+// Rollout is the state of a rollout as controllers report it.
 type Rollout struct {
 	Number      uint64 `json:"number"`
 	Service     string `json:"service"`
@@ -16,24 +16,24 @@
 	Phase       string `json:"phase"` // active, complete or reverted
 	Stage       string `json:"stage"`
 	Step        uint64 `json:"step"`
-	TargetShare int    `json:"target-share"` // thousandths of the pairs of an edge and a replica that are open
-	OthersShare int    `json:"others-share"` // the same with replicas of other versions
+	TargetShare int    `json:"target-share"` // thousandths of the (edge, replica) pairs that may route traffic to the target version
+	OthersShare int    `json:"others-share"` // the same for replicas of other versions
 	OverMs      int64  `json:"over-ms"`
 	ElapsedMs   int64  `json:"elapsed-ms"` // from the order to the newest step
-	Reason      string `json:"reason"`     // for the newest step
+	Reason      string `json:"reason"`     // of the newest step
 }
 
-// Active tells whether the rollout has not ended.
+// Active reports whether the rollout has not ended.
 func (r Rollout) Active() bool { return r.Phase == "active" }
 
-// rolloutOrder is an order as it goes on the wire.
+// rolloutOrder is the JSON form of an order.
 type rolloutOrder struct {
 	Service string  `json:"service"`
 	Target  string  `json:"target-revision"`
 	OverS   float64 `json:"over-s"`
 }
 
-// BeginRollout orders that a service's traffic be moved to a version within so many seconds. The same order sent again is
+// BeginRollout orders a service's traffic to be moved to a version within overS seconds. A repeated order is
 // acknowledged again.
 func (c *Client) BeginRollout(ctx context.Context, service, target string, overS float64) (r Rollout, err error) {
 	body, err := json.Marshal(rolloutOrder{service, target, overS})
@@ -43,17 +43,17 @@
 	return r, c.callJSON(ctx, http.MethodPost, "/v1/rollouts/begin", body, &r)
 }
 
-// ReadRollout is the newest rollout of a service.
+// ReadRollout returns the newest rollout of a service.
 func (c *Client) ReadRollout(ctx context.Context, service string) (r Rollout, err error) {
 	return r, c.callJSON(ctx, http.MethodGet, "/v1/rollouts/"+url.PathEscape(service)+"/read", nil, &r)
 }
 
-// AbortRollout takes the active rollout of a service back, and returns what stands then.
+// AbortRollout reverts the active rollout of a service and returns its state afterwards.
 func (c *Client) AbortRollout(ctx context.Context, service string) (r Rollout, err error) {
 	return r, c.callJSON(ctx, http.MethodPost, "/v1/rollouts/"+url.PathEscape(service)+"/abort", nil, &r)
 }
 
-// Rollouts are those that are kept, the oldest first.
+// Rollouts returns the rollouts that the controllers keep, the oldest first.
 func (c *Client) Rollouts(ctx context.Context) ([]Rollout, error) {
 	var all struct {
 		Rollouts []Rollout `json:"rollouts"`
@@ -62,7 +62,7 @@
 	return all.Rollouts, err
 }
 
-// callJSON makes a call and decodes its answer.
+// callJSON makes a call and decodes the JSON answer into the given value.
 func (c *Client) callJSON(ctx context.Context, method, path string, body []byte, into any) error {
 	status, answer, err := c.call(ctx, method, path, body)
 	switch {
--- a/transport/daemon/daemon.go
+++ b/transport/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is what the system's daemons have in common at their start and end: arguments, settings, logs
-// and signals. It decides nothing.
+// Package daemon holds what the system's daemons have in common: arguments, settings, logs, and signals at
+// start and end. It decides nothing.
 package daemon
 
 import (
@@ -17,14 +17,14 @@
 	"willowsill/transport/metrics"
 )
 
-// Main runs a daemon: run is to return once ctx is over, which SIGTERM ends. The exit code is 2 where the
-// settings are wrong.
+// Main runs a daemon and exits. run must return once ctx ends, which SIGTERM brings about. The exit code is 2
+// if the settings are invalid.
 func Main(program, purpose string, run func(ctx context.Context, s settings.Settings) error) {
 	os.Exit(Run(program, purpose, os.Args[1:], run))
 }
 
-// Run is Main for a process with arguments of its own; it returns the exit code, and the process is to end with
-// it: the handlers of signals stay in place.
+// Run does the same as Main with the given arguments, and returns the exit code. The signal handlers stay
+// installed, so the process should exit afterwards.
 func Run(program, purpose string, args []string, run func(ctx context.Context, s settings.Settings) error) int {
 	received := catchSignals()
 	flags := flag.NewFlagSet(program, flag.ContinueOnError)
@@ -70,38 +70,39 @@
 	return 0
 }
 
-// signals are what the daemon is sent from outside.
+// signals are the channels on which the daemon receives signals.
 type signals struct {
-	stop   <-chan os.Signal // SIGTERM and SIGINT: drain and end
+	stop   <-chan os.Signal // SIGTERM and SIGINT: drain and exit
 	reload <-chan os.Signal // SIGHUP: read the settings file again
 }
 
-// catchSignals takes over the signals that would end the process, from its start to its exit.
+// catchSignals handles the signals that would end the process, from its start to its exit.
 //
-// Danger: a signal without a handler ends the process at once, and with it the queries under way. A rolling restart or
-// a change of the settings file may send SIGHUP to a daemon that still starts or already drains, and SIGTERM twice, so
-// the handlers do not go with the context; they are never taken away.
+// Danger: a signal without a handler ends the process at once, and with it the queries in progress. A rolling
+// restart or a change of the settings file may send SIGHUP to a daemon that is still starting or already
+// draining, and SIGTERM twice. So the handlers are never removed, not even when the context ends.
 func catchSignals() signals {
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(reload, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // else a reader of the logs that goes away ends the process
+	signal.Ignore(syscall.SIGPIPE) // otherwise the process ends when the reader of its logs does
 	return signals{stop: stop, reload: reload}
 }
 
-// cancelOnStop cancels at the first signal to stop. Later ones are dropped: the daemon leaves already.
+// cancelOnStop cancels at the first stop signal. Later ones are ignored, because the daemon is already
+// draining.
 func cancelOnStop(stop <-chan os.Signal, cancel context.CancelFunc) {
 	<-stop
 	cancel()
 }
 
-// rereadSettings checks the settings file at each SIGHUP and logs the result, until the process exits. Of what the
-// file may change, a running process needs nothing: the list of seeds serves its start alone, and members that came
-// later reach it as updates.
+// rereadSettings checks the settings file at each SIGHUP and logs the result, until the process exits. It
+// applies nothing, because a running process needs none of the settings that may change: the list of seeds is
+// used only at the start, and members that join later are in the updates.
 func rereadSettings(reload <-chan os.Signal, file string) {
 	for range reload {
 		if _, err := settings.Read(file); err != nil {
-			klog.ErrorS(err, "the settings file cannot be read; what was read before holds")
+			klog.ErrorS(err, "the settings file cannot be read; the settings from the start stay in use")
 			continue
 		}
 		klog.InfoS("the settings file was read again")
--- a/transport/daemon/daemon_test.go
+++ b/transport/daemon/daemon_test.go
@@ -19,7 +19,7 @@
 	"willowsill/deployment/settings"
 )
 
-// childVariable in the environment of the test binary makes it a daemon that leaves slowly.
+// childVariable in the environment makes the test binary run as a daemon that drains slowly.
 const childVariable = "WILLOWSILL_TEST_DAEMON"
 
 const validSettings = `
@@ -37,8 +37,8 @@
 	os.Exit(m.Run())
 }
 
-// leaveSlowly says when it is ready and when it has been told to stop. From then on it answers each line of its
-// input, as a process that drains answers its queries, and ends when its input does.
+// leaveSlowly prints a line when it is ready and one when ctx has ended. Then it answers each line of its
+// input, like a draining process that still answers queries, and returns at the end of the input.
 func leaveSlowly(ctx context.Context, _ settings.Settings) error {
 	fmt.Println("ready")
 	<-ctx.Done()
@@ -50,13 +50,13 @@
 	return nil
 }
 
-// reloaded is what the daemon logs once it has read its settings again.
+// reloaded is the log line of the daemon after it has read its settings again.
 const reloaded = "the settings file was read again"
 
-// childTimeout is how long a child may take for all of its test. One that is waited for in vain is killed then.
+// childTimeout bounds the time of a child process for its whole test; afterwards it is killed.
 const childTimeout = 30 * time.Second
 
-// child is a daemon in a process of its own.
+// child is a daemon in a separate process.
 type child struct {
 	t       *testing.T
 	process *exec.Cmd
@@ -68,7 +68,7 @@
 func startChild(t *testing.T, settingsFile string) *child {
 	c := &child{t: t, process: exec.Command(os.Args[0])}
 	c.process.Env = append(os.Environ(), childVariable+"=1", settings.FileVariable+"="+settingsFile,
-		"GORACE=atexit_sleep_ms=0") // the race detector would wait a second at each exit
+		"GORACE=atexit_sleep_ms=0") // otherwise the race detector waits a second at each exit
 	var err error
 	c.input, err = c.process.StdinPipe()
 	must.NoError(t, err)
@@ -78,8 +78,9 @@
 	logs, err := c.process.StderrPipe()
 	must.NoError(t, err)
 	c.logs = bufio.NewScanner(logs)
-	// Go leaves a signal ignored that its parent ignored, as nohup does with SIGHUP: the daemon would live through it
-	// with no handler of its own. What this process handles, its children have by default.
+	// A signal that the parent ignores, as with nohup and SIGHUP, stays ignored in the child, which would then
+	// survive it without a handler of its own. Signals that this process handles have their default action in the
+	// child.
 	handled := make(chan os.Signal, 1)
 	signal.Notify(handled, syscall.SIGHUP, syscall.SIGINT, syscall.SIGTERM)
 	defer signal.Stop(handled)
@@ -102,12 +103,12 @@
 func (c *child) expect(line string) {
 	c.t.Helper()
 	if !c.output.Scan() {
-		c.t.Fatalf("the daemon ended (%v) where %q was expected", c.process.Wait(), line)
+		c.t.Fatalf("the daemon ended (%v) before it printed %q", c.process.Wait(), line)
 	}
 	must.Eq(c.t, line, c.output.Text())
 }
 
-// expectLog reads the daemon's log up to a line with this text.
+// expectLog reads the daemon's log up to a line that contains the text.
 func (c *child) expectLog(text string) {
 	c.t.Helper()
 	for c.logs.Scan() {
@@ -115,10 +116,10 @@
 			return
 		}
 	}
-	c.t.Fatalf("the daemon ended (%v) where %q was to be logged", c.process.Wait(), text)
+	c.t.Fatalf("the daemon ended (%v) before it logged %q", c.process.Wait(), text)
 }
 
-// expectOrderlyEnd closes the daemon's input and wants it to end by itself with exit code 0.
+// expectOrderlyEnd closes the daemon's input and expects it to exit with code 0.
 func (c *child) expectOrderlyEnd() {
 	c.t.Helper()
 	must.NoError(c.t, c.input.Close())
@@ -132,8 +133,8 @@
 	return file
 }
 
-// A daemon that leaves has queries to answer. None of the signals that a roll or a change of its settings may send
-// once more ends it before that.
+// TestSignalsWhileLeaving: a draining daemon still has queries to answer. No signal that a rolling restart or a
+// change of the settings may send again ends it before they are answered.
 func TestSignalsWhileLeaving(t *testing.T) {
 	for _, again := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGPIPE} {
 		t.Run(again.String(), func(t *testing.T) {
@@ -141,11 +142,11 @@
 			c.expect("ready")
 			c.signal(syscall.SIGTERM)
 			c.expect("leaving")
-			// An answer shows that what was sent before it was borne. Several rounds, as the daemon's own reaction to
-			// the first SIGTERM runs beside.
+			// An answer shows that the daemon survived the signals sent before it. Several rounds are needed because the
+			// daemon handles the first SIGTERM concurrently.
 			for round := range 20 {
 				c.signal(again)
-				if again == syscall.SIGHUP { // a busy machine may be slow to hand it over: it counts once it is heard
+				if again == syscall.SIGHUP { // a busy machine may deliver SIGHUP late, so wait until it was handled
 					c.expectLog(reloaded)
 				}
 				_, err := fmt.Fprintln(c.input, round)
@@ -157,7 +158,7 @@
 	}
 }
 
-// A reload that is ordered while the daemon reads its settings for the first time does not end it.
+// TestReloadDuringStart: SIGHUP during the first read of the settings does not end the daemon.
 func TestReloadDuringStart(t *testing.T) {
 	fifo := filepath.Join(t.TempDir(), "local.toml")
 	must.NoError(t, syscall.Mkfifo(fifo, 0o600))
@@ -177,8 +178,8 @@
 	c.expectOrderlyEnd()
 }
 
-// TestMetricsEndpoint: where the process tells its figures comes from its arguments, or else from its settings; what is no
-// PORT/PATH ends the start with 2.
+// TestMetricsEndpoint: the endpoint for metrics comes from the arguments, or else from the settings. Anything
+// but PORT/PATH ends the start with exit code 2.
 func TestMetricsEndpoint(t *testing.T) {
 	told := ""
 	note := func(_ context.Context, s settings.Settings) error {
--- a/transport/discovery/discovery.go
+++ b/transport/discovery/discovery.go
@@ -1,4 +1,5 @@
-// Package discovery keeps a watch on the list of replicas. It tells what discovery said and decides nothing.
+// Package discovery keeps a watch on the list of replicas by long polling. It passes on what discovery answers
+// and decides nothing.
 package discovery
 
 import (
@@ -16,35 +17,35 @@
 )
 
 const (
-	longPollTime   = 5 * time.Second        // that discovery may hold a call back: short, so that a dead way is seen soon
-	callMargin     = time.Second            // a call is over so long after its wait: before its news counts as told
-	retryDelay     = 100 * time.Millisecond // between a failed call and the next: discovery answers at no cost
-	maxAnswerBytes = 8 << 20                // most bytes of an answer: a list of tens of thousands
+	longPollTime   = 5 * time.Second        // for which discovery may delay its answer; short, so that a failed connection is noticed soon
+	callMargin     = time.Second            // a call times out this long after its poll time, before its answer counts as received
+	retryDelay     = 100 * time.Millisecond // between a failed call and the next; calls cost discovery little
+	maxAnswerBytes = 8 << 20                // of an answer: a list of tens of thousands of entries
 	listPath       = "/v1/servers"
 )
 
-// Entry is one replica as discovery names it.
+// Entry is one replica as discovery lists it.
 type Entry struct {
 	Host      string
 	Dial      string
 	Cell      int
-	Zone      string // empty where it has none
+	Zone      string // empty if it has none
 	Status    balance.Status
-	StartedMs int64 // ms of Unix time, 0 for long ago
+	StartedMs int64 // Unix time, ms; 0 for long ago
 	Distance  int   // below balance.Distances, 0 for near
-	MaxCalls  int   // parts that this co-ordinator may have in flight there, 0 for no word
+	MaxCalls  int   // parts that this aggregator may have in flight there; 0 if not stated
 }
 
-// Update is one answer of discovery, or word of its failure.
+// Update is one answer of discovery, or a failed call.
 type Update struct {
 	Sequence int64
-	Full     bool // the entries replace the list; else they are changes
+	Full     bool // the entries replace the list; otherwise they are changes
 	Entries  []Entry
-	Skipped  []error // what was left out, and why
-	Err      error   // the call failed, and the rest is empty
+	Skipped  []error // why entries were left out
+	Err      error   // the call failed, and the other fields are empty
 }
 
-// message is the form on the wire.
+// message is the JSON form of an answer.
 type message struct {
 	Sequence *int64            `json:"seq"`
 	Full     bool              `json:"whole"`
@@ -60,7 +61,7 @@
 	StartedMs int64  `json:"born_ms"`
 }
 
-// Decode reads a list. Entries that are malformed are left out and named.
+// Decode reads a list. Malformed entries are left out, and each adds an error to Skipped.
 func Decode(text []byte, cells int) (Update, error) {
 	var m message
 	if err := json.Unmarshal(text, &m); err != nil {
@@ -100,7 +101,7 @@
 	if e.Host == "" {
 		return Entry{}, fmt.Errorf("key %q is missing", "host")
 	}
-	if out.Status == balance.Gone { // what has left may have no cell and no address any more
+	if out.Status == balance.Gone { // a replica that has left may no longer have a cell and an address
 		return out, nil
 	}
 	if e.Cell == nil || *e.Cell < 0 || *e.Cell >= cells {
@@ -113,7 +114,7 @@
 	return out, nil
 }
 
-// Watch asks discovery for news until it is stopped.
+// Watch keeps polling discovery for changes of the list.
 type Watch struct {
 	cells     int
 	sequence  int64
@@ -124,13 +125,13 @@
 	mu             sync.Mutex
 	address        string
 	addressChanged bool               // since the last call began
-	cancelCall     context.CancelFunc // the call that is under way
+	cancelCall     context.CancelFunc // ends the call in progress
 }
 
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewWatch makes a watch that goes on from a list with that sequence number; tell hears each answer, in
-// order, and each failure.
+// NewWatch returns a watch that continues from the list with the given sequence number. It passes each answer
+// and each failure to report, in order.
 func NewWatch(address string, cells int, sequence int64, dial dialFunc, report func(context.Context, Update)) *Watch {
 	return &Watch{address: address, cells: cells, sequence: sequence, report: report, requested: make(chan struct{}, 1),
 		cancelCall: func() {},
@@ -138,7 +139,7 @@
 			DialContext: dial}}
 }
 
-// Request starts a watch that waits to be asked.
+// Request starts a watch whose Run waits for requests.
 func (w *Watch) Request() {
 	select {
 	case w.requested <- struct{}{}:
@@ -146,9 +147,9 @@
 	}
 }
 
-// SetAddress turns the watch to another address. It ends what is under way at the old one and goes on with the
-// whole list from the new one, however far the versions of the two are apart; until that is there the old list
-// stays in force.
+// SetAddress moves the watch to another address. It cancels the call in progress at the old address and
+// requests the full list from the new one, regardless of the sequence numbers of the two. Until that list
+// arrives, the old list stays in force.
 func (w *Watch) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -158,7 +159,8 @@
 	}
 }
 
-// beginCall begins a call: where it goes, whether that is a new address, and its context, which Follow ends.
+// beginCall begins a call. It returns the call's address, whether the address changed since the last call, and
+// a context that SetAddress cancels.
 func (w *Watch) beginCall(ctx context.Context) (here context.Context, address string, moved bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -170,11 +172,11 @@
 	return here, w.address, moved
 }
 
-// Run watches until ctx is over. With onAsk it begins when it is asked, and again after each failure;
-// otherwise it begins and goes on by itself.
+// Run watches until ctx ends. With onRequest it waits for a Request at the start and again after each failure;
+// otherwise it starts and continues by itself.
 //
-// Danger: a watch whose next call comes late is broken and misses what comes in between, so tell must only
-// hand the news on.
+// Danger: if the next call starts late, discovery has ended the watch and changes in between are missed, so
+// report must only pass the update on and not block.
 func (w *Watch) Run(ctx context.Context, onRequest bool) {
 	defer w.transport.CloseIdleConnections()
 	for first, waits := true, onRequest; ctx.Err() == nil; {
@@ -189,7 +191,7 @@
 		first = first || moved
 		n, err := w.call(here, address, first)
 		switch {
-		case here.Err() != nil: // at an end, or turned to another address
+		case here.Err() != nil: // ended, or moved to another address
 			waits = false
 		case err != nil:
 			first, waits = true, onRequest
@@ -207,7 +209,7 @@
 	}
 }
 
-// call makes one call; the first of a watch asks for the whole list.
+// call makes one call; the first call of a watch requests the full list.
 func (w *Watch) call(ctx context.Context, address string, first bool) (Update, error) {
 	limit := callMargin
 	url := "http://" + address + listPath
--- a/transport/discovery/discovery_test.go
+++ b/transport/discovery/discovery_test.go
@@ -39,13 +39,13 @@
 				got = err.Error()
 			}
 			if !strings.Contains(got, c.want) || len(n.Skipped) != c.odd {
-				t.Errorf("got %s and %d oddities", got, len(n.Skipped))
+				t.Errorf("got %s and %d skipped entries", got, len(n.Skipped))
 			}
 		})
 	}
 }
 
-// runWatch plays a watch against a discovery; what it tells comes by the channel.
+// runWatch runs a watch against a simulated discovery; its updates arrive on the channel.
 func runWatch(t *testing.T, onAsk bool, play func(w *Watch, d *standin.Discovery, told chan Update, on *pipenet.Network)) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipenet.Network{}
@@ -71,24 +71,24 @@
 func TestWatch(t *testing.T) {
 	runWatch(t, false, func(_ *Watch, d *standin.Discovery, told chan Update, _ *pipenet.Network) {
 		if n := <-told; !n.Full || len(n.Entries) != 1 {
-			t.Fatalf("at first told %v", n)
+			t.Fatalf("the first update is %v", n)
 		}
 		began := time.Now()
 		if n := <-told; n.Err != nil || n.Full || len(n.Entries) != 0 || time.Since(began) != longPollTime {
-			t.Errorf("after a wait of %v without news told %v", time.Since(began), n)
+			t.Errorf("after %v without changes the update is %v", time.Since(began), n)
 		}
 		d.Change(standin.Host{Host: "s-1", Dial: "a:1", Health: "leaving"})
 		if n := <-told; len(n.Entries) != 1 || n.Entries[0].Status != balance.Draining || n.Sequence != 2 {
-			t.Errorf("of the change told %v", n)
+			t.Errorf("for the change the update is %v", n)
 		}
 		d.Change(standin.Host{Host: "s-1", Health: "left"})
 		if n := <-told; n.Entries[0].Status != balance.Gone {
-			t.Errorf("of the end told %v", n)
+			t.Errorf("for the departure the update is %v", n)
 		}
 	})
 }
 
-// Danger: a discovery that says nothing must not hold the watch up for ever.
+// Danger: a discovery that never answers must not block the watch forever.
 func TestWatchSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipenet.Network{}
@@ -103,7 +103,7 @@
 		defer stop()
 		w.Run(ctx, false)
 		if failures != 3 {
-			t.Errorf("told of %d failures", failures)
+			t.Errorf("%d failures were reported", failures)
 		}
 	})
 }
@@ -112,23 +112,23 @@
 	runWatch(t, true, func(w *Watch, d *standin.Discovery, told chan Update, _ *pipenet.Network) {
 		time.Sleep(time.Minute)
 		if len(told) != 0 {
-			t.Fatalf("unasked it told %v", <-told)
+			t.Fatalf("without a request it reported %v", <-told)
 		}
 		w.Request()
 		if n := <-told; !n.Full {
-			t.Errorf("asked, it told %v", n)
+			t.Errorf("after a request it reported %v", n)
 		}
 	})
 }
 
-// Danger: a watch that stays with a discovery that has moved goes on with an old list for ever.
+// Danger: a watch that keeps the address of a discovery that has moved uses an old list forever.
 func TestWatchFollows(t *testing.T) {
 	for _, onAsk := range []bool{false, true} {
 		runWatch(t, onAsk, func(w *Watch, d *standin.Discovery, told chan Update, on *pipenet.Network) {
 			if w.Request(); (<-told).Err != nil {
 				t.Fatal("the first call failed")
 			}
-			time.Sleep(10 * time.Millisecond) // a call is under way
+			time.Sleep(10 * time.Millisecond) // a call is in progress
 			next := standin.NewDiscovery(standin.Host{Host: "s-2", Dial: "b:1", Health: "active"})
 			server := &http.Server{Handler: next}
 			defer server.Close()
@@ -137,12 +137,12 @@
 			w.SetAddress("d:2")
 			w.SetAddress("d:2")
 			if n := <-told; !n.Full || n.Err != nil || n.Entries[0].Host != "s-2" || time.Since(began) > 0 {
-				t.Errorf("after %v told %v", time.Since(began), n)
+				t.Errorf("after %v the update is %v", time.Since(began), n)
 			}
 			d.Change(standin.Host{Host: "s-1", Dial: "a:1", Health: "leaving"})
 			next.Change(standin.Host{Host: "s-2", Dial: "b:1", Health: "leaving"})
 			if n := <-told; n.Err != nil || len(n.Entries) != 1 || n.Entries[0].Host != "s-2" {
-				t.Errorf("of a change told %v", n)
+				t.Errorf("for a change the update is %v", n)
 			}
 		})
 	}
--- a/transport/logs/logs.go
+++ b/transport/logs/logs.go
@@ -12,9 +12,9 @@
 	"willowsill/deployment/settings"
 )
 
-const softMemoryLimitShare = 0.6 // of the memory limit, past which the collector works harder
+const softMemoryLimitShare = 0.6 // of the memory limit; beyond it the garbage collector works harder
 
-// Setup sets the logs up for a program.
+// Setup configures the logs of a program, and the garbage collector's soft memory limit.
 func Setup(program string, s settings.Settings) {
 	h := slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if len(groups) == 0 && a.Key == slog.SourceKey {
@@ -28,5 +28,5 @@
 	}
 }
 
-// Flush writes what waits.
+// Flush writes buffered log lines.
 func Flush() { klog.Flush() }
--- a/transport/machine/machine.go
+++ b/transport/machine/machine.go
@@ -1,5 +1,5 @@
-// Package machine reads the machine and the process ten times a second for strain, and lets fronts ask it from many goroutines.
-// It decides nothing.
+// Package machine measures the process's load ten times a second for overload detection, and lets many
+// goroutines ask whether queries are admitted. It decides nothing; decide/overload does.
 package machine
 
 import (
@@ -22,33 +22,35 @@
 
 const readInterval = 100 * time.Millisecond // between two readings
 
-// cpuStatFile is where the control group tells for how long the processor was withheld.
+// cpuStatFile holds how long the control group has throttled the process's CPU use.
 const cpuStatFile = "/sys/fs/cgroup/cpu.stat"
 
-// Sources are what else is read. Each may be called at any time.
+// Sources are the inputs of a Monitor besides the runtime's and the operating system's. Each function may be
+// called at any time.
 type Sources struct {
-	Now               func() int64
-	Events            func() (n, waited int64) // facts that the loop has taken so far, and how long they waited all in all, ns
-	QueueFill         func() float64           // share of the loop's queue that is full
-	ClientDescriptors func() float64           // share of the clients' descriptors in use
-	MemoryLimit       int64                    // bytes of heap allowed
+	Now func() int64
+	// Events returns how many events the loop has handled so far, and the total time that they waited, ns.
+	Events            func() (n, waited int64)
+	QueueFill         func() float64 // used share of the loop's queue
+	ClientDescriptors func() float64 // used share of the descriptors for clients
+	MemoryLimit       int64          // of the heap, bytes
 }
 
-// Monitor keeps the strain of this process.
+// Monitor measures the process and holds its overload detector.
 type Monitor struct {
 	Sources
 	log *zap.Logger
 
-	mu       sync.Mutex // guards strain, which is asked for no longer than some µs
+	mu       sync.Mutex // guards detector, and is held for microseconds only
 	detector *overload.Detector
 
 	Admitted       counters.Count
-	Rejected       counters.Count // turned away with their heads read,
-	RejectedUnread counters.Count // and without
-	Stalled        counters.Count // ns that the loop saw the process stand
+	Rejected       counters.Count // rejected after the request's headers were read
+	RejectedUnread counters.Count // rejected on the request's first line alone
+	Stalled        counters.Count // total of the stalls that the loop has measured, ns
 
 	samples      []metrics.Sample
-	schedBuckets []uint64 // of the scheduler's latencies at the last reading
+	schedBuckets []uint64 // scheduler latencies at the last reading
 	pauseBuckets []uint64
 	gcSeconds    float64
 	cpuTime      int64
@@ -65,7 +67,7 @@
 	heapBytes
 )
 
-// New makes a watch; Run has it read.
+// New returns a monitor. Run has to be called for it to take readings.
 func New(t overload.Config, s Sources, log *zap.Logger) *Monitor {
 	w := &Monitor{Sources: s, log: log, detector: overload.New(s.Now(), t), samples: []metrics.Sample{
 		schedLatencies: {Name: "/sched/latencies:seconds"}, gcCPUSeconds: {Name: "/cpu/classes/gc/total:cpu-seconds"},
@@ -74,7 +76,7 @@
 	return w
 }
 
-// Run reads until ctx is over.
+// Run takes readings until ctx ends.
 func (w *Monitor) Run(ctx context.Context) {
 	due := time.Now().Add(readInterval)
 	timer := time.NewTimer(readInterval)
@@ -104,7 +106,7 @@
 	}
 }
 
-// read reads all, and what has changed since it last did.
+// read takes a reading. Counters are read as their change since the last reading.
 func (w *Monitor) read(lateness int64) (r overload.Reading) {
 	now := w.Now()
 	metrics.Read(w.samples)
@@ -135,7 +137,8 @@
 	return r
 }
 
-// quantileSince is the value that so large a share of those since the last call were under, ns; was is kept for the next.
+// quantileSince returns the quantile of the values that a histogram of the runtime has recorded since the last
+// call, ns. was holds the histogram's counts at that call.
 func quantileSince(s *metrics.Sample, was *[]uint64, share float64) int64 {
 	if s.Value.Kind() != metrics.KindFloat64Histogram {
 		return 0
@@ -162,7 +165,8 @@
 	return int64(at * 1e9)
 }
 
-// throttledTime is for how long the control group has withheld the processor so far, ns; 0 where it does not tell.
+// throttledTime returns for how long the control group has throttled the process so far, ns; 0 if that cannot
+// be read.
 func throttledTime() int64 {
 	text, err := os.ReadFile(cpuStatFile)
 	if err != nil {
@@ -180,7 +184,7 @@
 	return n * 1000
 }
 
-// Admit asks whether a query is taken on; else its client may come back after so long, ns.
+// Admit reports whether a query is admitted. Otherwise its client may retry after the returned time, ns.
 func (w *Monitor) Admit(a overload.Arrival) (taken bool, comeBack int64) {
 	now := w.Now()
 	w.mu.Lock()
@@ -193,7 +197,8 @@
 	return taken, comeBack
 }
 
-// RejectUnread asks whether a request is turned away of which its workload alone is known.
+// RejectUnread reports whether a request is rejected when only its workload is known, and after which time its
+// client may retry, ns.
 func (w *Monitor) RejectUnread(workload int) (away bool, comeBack int64) {
 	now := w.Now()
 	w.mu.Lock()
@@ -204,21 +209,21 @@
 	return away, comeBack
 }
 
-// RecordEnd tells what became of a query that was taken on.
+// RecordEnd records the end of an admitted query.
 func (w *Monitor) RecordEnd(workload int, took int64, answered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.detector.RecordEnd(workload, took, answered)
 }
 
-// RecordWait tells how long a query waited for the loop, ns.
+// RecordWait records how long a query waited for the loop, ns.
 func (w *Monitor) RecordWait(ns int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.detector.RecordWait(ns)
 }
 
-// MarshalJSON tells how it stands, for the counters.
+// MarshalJSON encodes the current state for the counters.
 func (w *Monitor) MarshalJSON() ([]byte, error) {
 	w.mu.Lock()
 	f := w.detector.Stats()
--- a/transport/machine/machine_test.go
+++ b/transport/machine/machine_test.go
@@ -35,13 +35,14 @@
 	return all.Utime.Nano() + all.Stime.Nano()
 }
 
-// What is read is what was done: the processor's time, facts and how long they waited, the heap, a collection.
+// TestRead: a reading reports the CPU time spent, the events and their mean wait, the heap and a garbage
+// collection as they were caused.
 func TestRead(t *testing.T) {
 	var facts, waited atomic.Int64
 	w := newMonitor(t, &facts, &waited)
 	facts.Add(10)
 	waited.Add(10 * 3e6)
-	// Until the processor's time is spent: beside other work, 60 ms of the clock may hold a third of that.
+	// Loop until the CPU time is spent: with other processes running, 60 ms of wall time may hold a third of that.
 	for began, all := time.Now(), (syscall.Rusage{}); time.Since(began) < 60*time.Millisecond || cpuTime(&all) < w.cpuTime+40e6; {
 	}
 	held := make([]byte, 8<<20)
@@ -55,11 +56,11 @@
 		t.Errorf("%+v", r)
 	}
 	if r = w.read(0); r.MeanWait != 0 || r.Span > 1e9 {
-		t.Errorf("with nothing new: %+v", r)
+		t.Errorf("without activity: %+v", r)
 	}
 }
 
-// Reading ten times a second costs less than half a hundredth of a core.
+// TestCheap: ten readings a second cost less than half a hundredth of a core.
 func TestCheap(t *testing.T) {
 	var facts, waited atomic.Int64
 	w := newMonitor(t, &facts, &waited)
@@ -74,7 +75,7 @@
 	t.Logf("a reading costs %v", time.Duration(cost.NsPerOp()))
 }
 
-// Many ask while it reads, and its figures can be told.
+// TestWatch: many goroutines use the monitor while it takes readings, and its state can be encoded.
 func TestWatch(t *testing.T) {
 	var facts, waited atomic.Int64
 	w := newMonitor(t, &facts, &waited)
@@ -86,7 +87,7 @@
 			for i := range 200 {
 				taken, _ := w.Admit(overload.Arrival{ID: uint64(id<<32 + i), TimeLeft: 1e9, Attempt: 1})
 				if away, _ := w.RejectUnread(0); away || !taken {
-					t.Error("turned away on a machine that is not strained")
+					t.Error("rejected without overload")
 				}
 				w.RecordWait(1000)
 				w.RecordEnd(0, 1e6, true)
--- a/transport/metrics/metrics.go
+++ b/transport/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves a process's own figures over HTTP, as text in the exposition format of Prometheus. Figures are
-// gathered when they are asked for and at no other time. It decides nothing.
+// Package metrics serves a process's metrics over HTTP in the text exposition format of Prometheus. Metrics are
+// collected only when they are requested. It decides nothing.
 package metrics
 
 import (
@@ -15,7 +15,7 @@
 	"k8s.io/klog/v2"
 )
 
-// ErrMetrics is the class of this package's errors.
+// ErrMetrics carries the error code of this package.
 var ErrMetrics = oops.Code("metrics")
 
 const (
@@ -24,13 +24,13 @@
 	maxPort     = 65535
 )
 
-// Endpoint is where figures are served.
+// Endpoint is the port and the path at which metrics are served.
 type Endpoint struct {
 	Port int
 	Path string // begins with a slash
 }
 
-// ParseEndpoint reads an endpoint written as PORT/PATH.
+// ParseEndpoint parses an endpoint written as PORT/PATH.
 func ParseEndpoint(text string) (Endpoint, error) {
 	port, path, found := strings.Cut(text, "/")
 	number, err := strconv.Atoi(port)
@@ -40,13 +40,13 @@
 	return Endpoint{Port: number, Path: "/" + path}, nil
 }
 
-// Writer are what a process tells at one moment.
+// Writer collects the metrics of one request.
 type Writer struct{ set *metrics.Set }
 
-// Gauge tells a value that may fall. The name may hold labels, as in queue_length{route="scan"}.
+// Gauge writes a value that may fall. The name may hold labels, as in queue_length{route="scan"}.
 func (f Writer) Gauge(name string, value float64) { f.set.GetOrCreateGauge(name, nil).Set(value) }
 
-// Flag tells a gauge of 1 or 0.
+// Flag writes a gauge of 1 or 0.
 func (f Writer) Flag(name string, value bool) {
 	number := 0.0
 	if value {
@@ -55,19 +55,19 @@
 	f.Gauge(name, number)
 }
 
-// Counter tells a count since the start of the process.
+// Counter writes a count since the start of the process.
 func (f Writer) Counter(name string, value int64) {
 	f.set.GetOrCreateCounter(name).Set(uint64(max(value, 0)))
 }
 
-// Collector gathers the figures of a process. It is called from any goroutine.
+// Collector writes the metrics of a process. It is called from any goroutine.
 type Collector func(Writer)
 
-// Handler answers GET at the endpoint's path with what the source gathers.
+// Handler answers GET at the endpoint's path with the metrics that the collector writes.
 func Handler(path string, source Collector) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
-		// A set of its own each time: labels that are gone, such as routes, are told no longer.
+		// A new set for each request, so that labels that no longer exist, such as removed routes, disappear.
 		set := metrics.NewSet()
 		source(Writer{set})
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
@@ -76,8 +76,9 @@
 	return mux
 }
 
-// Serve serves figures at an address of this machine and an endpoint written as PORT/PATH until ctx ends; an empty one
-// serves none. A port that cannot be had is logged and changes nothing else: a process without its figures still serves.
+// Serve serves metrics at an IP of this machine and an endpoint written as PORT/PATH until ctx ends; without an
+// endpoint it serves none. A failure to listen is only logged, because the process still serves without its
+// metrics.
 func Serve(ctx context.Context, ip, endpoint string, source Collector) {
 	if endpoint == "" {
 		return
--- a/transport/metrics/metrics_test.go
+++ b/transport/metrics/metrics_test.go
@@ -33,7 +33,8 @@
 	return response.StatusCode, string(body)
 }
 
-// TestFiguresAreOfTheMoment: each request is told what stands then; a label that has gone is told no longer.
+// TestFiguresAreOfTheMoment: each request gets the current values, and a label that no longer exists is left
+// out.
 func TestFiguresAreOfTheMoment(t *testing.T) {
 	route, taken, gathered := "scan", int64(3), 0
 	server := httptest.NewServer(Handler("/metrics", func(f Writer) {
@@ -55,8 +56,8 @@
 	must.Eq(t, 2, gathered)
 }
 
-// TestPortThatIsTaken: a process whose port for figures is taken goes on without them, and one that is told of no
-// endpoint listens nowhere.
+// TestPortThatIsTaken: if the metrics port is in use, the process continues without metrics. Without a valid
+// endpoint it doesn't listen at all.
 func TestPortThatIsTaken(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -64,7 +65,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	endpoint := fmt.Sprintf("%d/metrics", taken.Addr().(*net.TCPAddr).Port)
-	Serve(ctx, "127.0.0.1", endpoint, func(Writer) { t.Error("asked for figures") })
-	Serve(ctx, "127.0.0.1", "", func(Writer) { t.Error("asked for figures") })
-	Serve(ctx, "127.0.0.1", "nonsense", func(Writer) { t.Error("asked for figures") })
+	Serve(ctx, "127.0.0.1", endpoint, func(Writer) { t.Error("metrics were collected") })
+	Serve(ctx, "127.0.0.1", "", func(Writer) { t.Error("metrics were collected") })
+	Serve(ctx, "127.0.0.1", "nonsense", func(Writer) { t.Error("metrics were collected") })
 }
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	maxQueuedFrames = 64                     // frames that wait for a link that is being opened
-	redialDelay     = 150 * time.Millisecond // after a dial that failed
-	idleTimeout     = 20 * time.Second       // a link that nothing is sent on for so long is closed
+	maxQueuedFrames = 64                     // queued for a link that is being opened
+	redialDelay     = 150 * time.Millisecond // after a failed dial
+	idleTimeout     = 20 * time.Second       // without a frame, a link is closed
 )
 
-// Mesh keeps a link to each address that something is sent to. What is sent while a link is down is lost once
-// too much waits: its users send again.
+// Mesh keeps a link to each address that it sends to. While a link is down, frames queue up to maxQueuedFrames;
+// then the oldest are dropped. So its users have to resend.
 type Mesh struct {
 	mu           sync.Mutex
 	destinations map[string]*destination
@@ -24,12 +24,12 @@
 	queue chan Frame
 }
 
-// NewMesh makes one that ends with ctx.
+// NewMesh returns a mesh whose links end with ctx.
 func NewMesh(ctx context.Context) *Mesh {
 	return &Mesh{destinations: map[string]*destination{}, ctx: ctx}
 }
 
-// Send sends a frame to an address, as soon as it can.
+// Send queues a frame for an address.
 func (m *Mesh) Send(address string, f Frame) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -45,14 +45,15 @@
 			return
 		default:
 		}
-		select { // the oldest makes room
+		select { // drop the oldest frame
 		case <-l.queue:
 		default:
 		}
 	}
 }
 
-// run opens the link again and again while something is to be sent.
+// run sends the queued frames of a destination, and opens its link again after a failure, until nothing is sent
+// for idleTimeout.
 func (m *Mesh) run(address string, l *destination) {
 	defer func() {
 		m.mu.Lock()
@@ -92,7 +93,7 @@
 					}
 					continue
 				}
-				// Danger: the peer says nothing on this link; that it went away shows only to one who reads.
+				// Danger: the peer sends nothing on this link, and only a read notices that the peer has closed it.
 				go func(k *Link) {
 					var none any
 					for k.Receive(&none, 0) == nil {
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries messages between the system's own processes: CBOR in frames over TCP. It decides
-// nothing: it opens links, keeps what waits on them bounded, and says when one is down.
+// Package peer carries messages between the system's own processes: CBOR in frames over TCP. It opens links,
+// bounds what is queued on them, and detects failed ones. It decides nothing.
 package peer
 
 import (
@@ -17,22 +17,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrLink is the class of this package's errors.
+// ErrLink carries the error code of this package.
 var ErrLink = oops.Code("link")
 
 const (
-	maxFrameBytes   = 8 << 20                // bytes of a frame: a configuration of tens of thousands of routes
-	maxQueuedBytes  = 8 << 20                // bytes that wait on a link before it counts as down
-	headerBytes     = 4                      // bytes: the length
-	dialTimeout     = 300 * time.Millisecond // a machine that is just rising misses the first call; the next comes soon
-	userTimeout     = 2 * time.Second        // unacknowledged for so long, a link is down
+	maxFrameBytes   = 8 << 20                // a configuration of tens of thousands of routes
+	maxQueuedBytes  = 8 << 20                // with more bytes queued, a link counts as failed
+	headerBytes     = 4                      // the length of the body
+	dialTimeout     = 300 * time.Millisecond // short, because a machine that is starting up drops the first attempt and the next one follows soon
+	userTimeout     = 2 * time.Second        // a link fails if sent data stays unacknowledged for this time
 	readBufferBytes = 4 << 10
 )
 
-// Frame is a message made ready, so that one for many is encoded once.
+// Frame is an encoded message, so that a message to many links is encoded once.
 type Frame []byte
 
-// Encode makes a frame.
+// Encode encodes a message into a frame.
 func Encode(v any) (Frame, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
@@ -41,9 +41,10 @@
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, headerBytes+len(body)), uint32(len(body))), body...), nil
 }
 
-// SetUserTimeout sets on a socket what makes a silent peer show.
+// SetUserTimeout sets a socket's TCP user timeout, so that a peer that no longer responds is detected.
 //
-// Danger: a machine without power says nothing; what is written to it would wait for many minutes.
+// Danger: a machine that has lost power sends no reset, and without the timeout data written to it stays
+// pending for many minutes.
 func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if e := raw.Control(func(fd uintptr) {
@@ -54,7 +55,7 @@
 	return err
 }
 
-// Link is one connection. Send may be called from any goroutine, Receive from one.
+// Link is a connection. Send may be called from any goroutine, Receive from only one.
 type Link struct {
 	conn        net.Conn
 	r           *bufio.Reader
@@ -66,7 +67,7 @@
 	ended       chan struct{}
 }
 
-// NewLink makes a link of a connection.
+// NewLink returns a link over a connection.
 func NewLink(conn net.Conn) *Link {
 	l := &Link{conn: conn, r: bufio.NewReaderSize(conn, readBufferBytes), wake: make(chan struct{}, 1), ended: make(chan struct{})}
 	go l.write()
@@ -83,15 +84,15 @@
 	return NewLink(conn), nil
 }
 
-// RemoteIP is the IP at the other end.
+// RemoteIP returns the IP of the peer.
 func (l *Link) RemoteIP() string {
 	host, _, _ := net.SplitHostPort(l.conn.RemoteAddr().String())
 	return host
 }
 
-// Send queues a frame; one too many for the peer closes the link.
+// Send queues a frame. It closes the link if more than maxQueuedBytes would be queued.
 //
-// Danger: a peer that does not read would hold ever more memory here.
+// Danger: the queue for a peer that does not read would grow without bound.
 func (l *Link) Send(f Frame) {
 	l.mu.Lock()
 	if l.queuedBytes+len(f) > maxQueuedBytes && l.queuedBytes > 0 {
@@ -109,7 +110,7 @@
 	}
 }
 
-// SendMessage encodes and sends.
+// SendMessage encodes a message and queues it.
 func (l *Link) SendMessage(v any) error {
 	f, err := Encode(v)
 	if err == nil {
@@ -143,7 +144,7 @@
 	}
 }
 
-// Receive reads the next message into v; within bounds the wait, 0 for no bound.
+// Receive reads the next message into v and waits at most for the timeout, or without a limit if it is 0.
 func (l *Link) Receive(v any, timeout time.Duration) error {
 	var until time.Time
 	if timeout > 0 {
@@ -168,7 +169,7 @@
 	return nil
 }
 
-// Close ends the link.
+// Close closes the link and drops what is queued.
 func (l *Link) Close() {
 	l.mu.Lock()
 	was := l.closed
@@ -180,10 +181,10 @@
 	}
 }
 
-// Ended is closed once the link is down.
+// Ended returns a channel that is closed when the link is.
 func (l *Link) Ended() <-chan struct{} { return l.ended }
 
-// Serve accepts links until the listener is closed, each in a goroutine of its own.
+// Serve accepts links until the listener is closed, and serves each in its own goroutine.
 func Serve(ln net.Listener, serve func(*Link)) {
 	for {
 		conn, err := ln.Accept()
--- a/transport/sockets/sockets.go
+++ b/transport/sockets/sockets.go
@@ -1,12 +1,13 @@
-// Package sockets owns the count of descriptors that the process may hold, and shares it out.
+// Package sockets accounts for the file descriptors that the process may hold, and limits how many each purpose
+// may use.
 package sockets
 
 import "sync"
 
-// Purpose is what a descriptor is for.
+// Purpose is what a descriptor is used for.
 type Purpose int
 
-// The uses: connections that clients opened, and connections to replicas.
+// The purposes: connections opened by clients, and connections to replicas.
 const (
 	Clients Purpose = iota
 	Replicas
@@ -14,11 +15,11 @@
 )
 
 const (
-	reservedDescriptors = 32 // descriptors for standard streams, the poller, the listener, discovery and the runtime
+	reservedDescriptors = 32 // for standard streams, the poller, the listener, discovery and the runtime
 	minBudget           = 8  // for clients and replicas together, however low the limit is
 )
 
-// Budget counts the descriptors in use against what is allowed for each use and for all.
+// Budget counts the descriptors in use, and limits them per purpose and in total.
 type Budget struct {
 	mu     sync.Mutex
 	total  int
@@ -26,14 +27,14 @@
 	inUse  [purposeCount]int
 }
 
-// NewBudget shares out a limit: neither use can take all that is there.
+// NewBudget splits a limit on descriptors so that neither purpose can use all of them.
 func NewBudget(limit int) *Budget {
 	b := &Budget{total: max(limit-reservedDescriptors, minBudget)}
 	b.limits = [purposeCount]int{Clients: b.total * 3 / 4, Replicas: b.total / 2}
 	return b
 }
 
-// Acquire takes one descriptor, if there is one left.
+// Acquire takes a descriptor and returns false if none is left for the purpose.
 func (b *Budget) Acquire(u Purpose) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,17 +45,17 @@
 	return true
 }
 
-// Release gives one back.
+// Release returns a descriptor.
 func (b *Budget) Release(u Purpose) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.inUse[u]--
 }
 
-// Limit is how many a use may take.
+// Limit returns the number of descriptors that a purpose may use.
 func (b *Budget) Limit(u Purpose) int { return b.limits[u] }
 
-// InUse is how many are in use.
+// InUse returns the number of descriptors in use for a purpose.
 func (b *Budget) InUse(u Purpose) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/transport/sockets/sockets_test.go
+++ b/transport/sockets/sockets_test.go
@@ -13,11 +13,11 @@
 			b.Acquire(Replicas)
 		}
 		if got := [2]int{b.InUse(Clients), b.InUse(Replicas)}; got != want {
-			t.Errorf("of %d, clients and replicas got %v, want %v", limit, got, want)
+			t.Errorf("limit %d: clients and replicas got %v, want %v", limit, got, want)
 		}
 		b.Release(Replicas)
 		if b.Acquire(Clients) || !b.Acquire(Replicas) || b.Acquire(Replicas) {
-			t.Errorf("of %d, what was given back went elsewhere", limit)
+			t.Errorf("limit %d: a released descriptor did not become available to its purpose alone", limit)
 		}
 	}
 }
--- a/transport/store/connection_test.go
+++ b/transport/store/connection_test.go
@@ -16,7 +16,7 @@
 	"willowsill/decide/sharedhealth"
 )
 
-// brokenConn ends its caller's context and then fails, at each write.
+// brokenConn cancels its caller's context at each write, and then fails.
 type brokenConn struct {
 	net.Conn
 	end context.CancelFunc
@@ -24,11 +24,12 @@
 
 func (c *brokenConn) Write([]byte) (int, error) {
 	c.end()
-	time.Sleep(time.Millisecond) // the end of the context has a goroutine of its own
+	time.Sleep(time.Millisecond) // gives the goroutine that handles the end of the context time to run
 	return 0, errors.New("broken")
 }
 
-// stalledConn ends its caller's context at each write, and waits until its deadline has been told.
+// stalledConn cancels its caller's context at each write, and returns only after the deadline has been set in
+// consequence.
 type stalledConn struct {
 	net.Conn
 	end         context.CancelFunc
@@ -50,14 +51,14 @@
 	return err
 }
 
-// silentStore takes in all that a client writes and answers nothing.
+// silentStore reads all that a client writes and answers nothing.
 func silentStore() net.Conn {
 	near, far := net.Pipe()
 	go io.Copy(io.Discard, far)
 	return near
 }
 
-// mustFail wants a client's round to fail by itself.
+// mustFail expects a client's round to end with an error.
 func mustFail(t *testing.T, k *Client, ctx context.Context) {
 	t.Helper()
 	failed := make(chan error, 1)
@@ -69,12 +70,12 @@
 	case err := <-failed:
 		must.Error(t, err)
 	case <-time.After(10 * time.Second):
-		t.Fatal("the round does not end")
+		t.Fatal("the round did not end within 10 s")
 	}
 }
 
-// TestContextEndsBeforeTheReply: a round whose context ends after its commands are out and before it waits for their
-// replies ends, though the store says nothing.
+// TestContextEndsBeforeTheReply: a round ends if its context ends after the commands are written and before it
+// waits for the replies, even if the store stays silent.
 func TestContextEndsBeforeTheReply(t *testing.T) {
 	ctx, end := context.WithCancel(t.Context())
 	conn := &stalledConn{silentStore(), end, make(chan struct{})}
@@ -82,7 +83,7 @@
 	mustFail(t, k, ctx)
 }
 
-// TestSilentAtTheDoor: a store that is silent when it is told the password holds a round no longer than its time.
+// TestSilentAtTheDoor: a store that does not answer to the password delays a round no longer than its timeout.
 func TestSilentAtTheDoor(t *testing.T) {
 	password := filepath.Join(t.TempDir(), "password")
 	must.NoError(t, os.WriteFile(password, []byte("word"), 0o600))
@@ -93,7 +94,7 @@
 	mustFail(t, k, ctx)
 }
 
-// newClient is a client of that store, alone.
+// newClient returns a client of that store without other aggregators.
 func newClient(t *testing.T, place Endpoint) *Client {
 	terms := sharedhealth.Config{Name: "n", Incarnation: 7, RoundInterval: int64(round), RoundTimeout: int64(deadline), SampleSize: 24, Aggregators: 1, BaseEjection: 1e9,
 		HealthEnabled: true}
@@ -102,8 +103,8 @@
 	return k
 }
 
-// TestContextEndsWhileHangingUp: a round whose context ends just as its connection fails leaves no trace: the end of the
-// context meets no connection that is gone. It wants the race detector.
+// TestContextEndsWhileHangingUp: a context that ends at the moment when its round's connection is closed does
+// not use the closed connection. Only the race detector shows a fault.
 func TestContextEndsWhileHangingUp(t *testing.T) {
 	for range 20 {
 		ctx, end := context.WithCancel(t.Context())
--- a/transport/store/counters.go
+++ b/transport/store/counters.go
@@ -8,9 +8,9 @@
 	"willowsill/internal/counters"
 )
 
-// Counters is what is told of the shared store among the process's counters.
+// Counters are the counters of the shared store among the process's counters.
 type Counters struct {
-	SurveysSkipped counters.Count // rounds for which the aggregator had no time to say what it knows
+	SurveysSkipped counters.Count // rounds in which the aggregator had no time for a survey
 	UnusableParts  counters.Count // parts of answers that could not be used
 	BytesRead      counters.Count // of records
 
@@ -18,21 +18,21 @@
 	stats sharedhealth.Stats
 }
 
-// setStats keeps the decider's figures.
+// setStats keeps the statistics of the decider.
 func (c *Counters) setStats(f sharedhealth.Stats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats = f
 }
 
-// Stats are those of the last round.
+// Stats returns the statistics of the last round.
 func (c *Counters) Stats() sharedhealth.Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stats
 }
 
-// MarshalJSON encodes the present values.
+// MarshalJSON encodes the current values.
 func (c *Counters) MarshalJSON() ([]byte, error) {
 	f := c.Stats()
 	return json.Marshal(map[string]any{
--- a/transport/store/replylimits.go
+++ b/transport/store/replylimits.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	maxLineBytes   = 4 << 10   // bytes of a line: errors and numbers are short
-	maxStringBytes = 16 << 10  // bytes of one string: records are a quarter of that
+	maxLineBytes   = 4 << 10   // errors and numbers are short
+	maxStringBytes = 16 << 10  // of one string; records are a quarter of that
 	maxItems       = 4 << 10   // of one array, map or set
-	maxRoundBytes  = 512 << 10 // bytes of all that one round brings
+	maxRoundBytes  = 512 << 10 // of all replies of one round
 )
 
 var (
@@ -19,34 +19,34 @@
 	errStringTooLong = errors.New("the store announced a string that is too long")
 	errTooManyItems  = errors.New("the store announced too many items")
 	errRoundTooLarge = errors.New("the store sent too much for one round")
-	errNotReply      = errors.New("the store sent what is no reply")
+	errNotReply      = errors.New("the store sent something that is not a reply")
 )
 
-// limitedConn reads along on a connection to the store and ends it where a reply would be too large.
+// limitedConn parses the replies of the store while they are read, and fails if one is too large.
 //
-// Danger: client libraries make room for what a reply announces before it is there: one line of twelve bytes could
-// take a gigabyte. So announcements are read here, before the library sees them.
+// Danger: client libraries allocate what the header of a reply announces before the data arrives, so a line of
+// twelve bytes could allocate a gigabyte. So the headers are checked here before the library reads them.
 type limitedConn struct {
 	net.Conn
-	header     []byte // of the announcement that is being read
-	skipBytes  int    // bytes of a string still to come, with its end
-	roundBytes int    // in this round
+	header     []byte // of the reply that is being read
+	skipBytes  int    // rest of the string that is being read, with its line end
+	roundBytes int    // read in this round
 	err        error
 }
 
-// Write begins a round. It is called by the goroutine that reads.
+// Write starts a new round. It is called by the goroutine that reads.
 func (g *limitedConn) Write(b []byte) (int, error) {
 	g.roundBytes = 0
 	return g.Conn.Write(b)
 }
 
-// SetReadDeadline leaves the connection the deadline that the client has given it for the whole round.
+// SetReadDeadline does nothing, so that the deadline that the client has set for the whole round stays.
 //
-// Danger: the library takes the read deadline away before each reply. Where a round's time has run out just before, the
-// read would never end, and neither would the client.
+// Danger: the library clears the read deadline before each reply. If the round's time has run out just before,
+// the read would never end, and the client would hang.
 func (g *limitedConn) SetReadDeadline(time.Time) error { return nil }
 
-// Read reads what has been looked through.
+// Read returns only bytes that have been checked.
 func (g *limitedConn) Read(b []byte) (int, error) {
 	if g.err != nil {
 		return 0, g.err
@@ -63,7 +63,7 @@
 	return n, err
 }
 
-// scan goes over bytes that came.
+// scan checks bytes that were read.
 func (g *limitedConn) scan(b []byte) error {
 	for len(b) > 0 {
 		if g.skipBytes > 0 {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// parseHeader reads a whole line.
+// parseHeader checks a complete header line.
 func (g *limitedConn) parseHeader() error {
 	text := g.header[:len(g.header)-1]
 	if len(text) > 0 && text[len(text)-1] == '\r' {
--- a/transport/store/store.go
+++ b/transport/store/store.go
@@ -1,5 +1,6 @@
-// Package store carries an aggregator's rounds to a Redis server and back. One goroutine owns the connections and the
-// decider that is asked what to say; no query ever waits for it. It decides nothing.
+// Package store exchanges an aggregator's shared health data with a Redis server in rounds. One goroutine owns
+// the connection and the decider (decide/sharedhealth) that determines what a round sends; no query ever waits
+// for it. It decides nothing.
 package store
 
 import (
@@ -22,31 +23,31 @@
 )
 
 const (
-	maxFileBytes = 64 << 10                // bytes of a password or a certificate
+	maxFileBytes = 64 << 10                // of a password or certificate file
 	millisecond  = int64(time.Millisecond) // the store's unit of time, ns
 )
 
-// Endpoint is where the store is and how it is entered. Times in ns.
+// Endpoint is the address of the store and how to authenticate there.
 type Endpoint struct {
 	Address      string
 	Database     int
 	Prefix       string
 	User         string
-	PasswordFile string // read at each connection; empty for none
+	PasswordFile string // read at each connection; empty for no password
 	CAFile       string // PEM; empty for no TLS
 	ServerName   string
 	Dial         func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Aggregator is the aggregator as a Client sees it. Neither call waits for a socket.
+// Aggregator is what a Client needs of an aggregator. No method waits for a socket.
 type Aggregator interface {
-	// Survey asks what the aggregator knows now; false where it has no time for that.
+	// Survey returns what the aggregator currently knows, and false if it has no time for that.
 	Survey(ctx context.Context) (sharedhealth.Survey, bool)
-	// ApplyShared hands over what was decided; it may be dropped where the aggregator is crowded.
+	// ApplyShared passes on the result of a round, which a busy aggregator may drop.
 	ApplyShared(sharedhealth.RoundResult)
 }
 
-// Client keeps an aggregator in touch with the store.
+// Client runs the rounds between an aggregator and the store.
 type Client struct {
 	endpoint   Endpoint
 	exchange   *sharedhealth.Exchange
@@ -54,18 +55,19 @@
 	now        func() int64
 	counters   *Counters
 	log        *zap.Logger
-	tlsConfig  *tls.Config // nil for none
-	conn       *storeConn  // the one connection, nil while there is none
-	roundErr   error       // what in the answer under way makes the round none
+	tlsConfig  *tls.Config // nil for no TLS
+	conn       *storeConn  // nil while there is no connection
+	roundErr   error       // why the round in progress fails although its connection works
 }
 
-// storeConn is a connection to the store: what the library speaks on, and the socket under it.
+// storeConn is a connection to the store: the library's and the socket under it.
 type storeConn struct {
 	redis.Conn
 	socket net.Conn
 }
 
-// New makes a client; the error names what in the place cannot be used. now is the aggregator's clock, ns.
+// New returns a client; the error names the key of the endpoint that is invalid. now is the aggregator's clock,
+// ns.
 func New(p Endpoint, c *sharedhealth.Exchange, core Aggregator, now func() int64, count *Counters, log *zap.Logger) (*Client, error) {
 	k := &Client{endpoint: p, exchange: c, aggregator: core, now: now, counters: count, log: log}
 	var err error
@@ -78,7 +80,7 @@
 	return k, nil
 }
 
-// connect opens the connection and is let in. The connection's time is up when ctx ends.
+// connect opens the connection and authenticates. The connection's deadline is that of ctx.
 func (k *Client) connect(ctx context.Context) error {
 	p := k.endpoint
 	password, err := p.password()
@@ -128,7 +130,7 @@
 	}
 }
 
-// tlsConfig is how connections are encrypted, nil where they are not.
+// tlsConfig returns how connections are encrypted, nil for no TLS.
 func (p Endpoint) tlsConfig() (*tls.Config, error) {
 	if p.CAFile == "" {
 		return nil, nil
@@ -148,7 +150,7 @@
 	return &tls.Config{RootCAs: pool, ServerName: name, MinVersion: tls.VersionTLS12}, nil
 }
 
-// password reads the password; it never reaches a log.
+// password reads the password, which must never be logged.
 func (p Endpoint) password() (string, error) {
 	if p.PasswordFile == "" {
 		return "", nil
@@ -171,7 +173,7 @@
 	return os.ReadFile(path)
 }
 
-// Run keeps in touch until ctx ends, and closes the connections.
+// Run runs the rounds until ctx ends, and closes the connection.
 func (k *Client) Run(ctx context.Context) {
 	defer k.closeConn()
 	timer := time.NewTimer(0)
@@ -194,13 +196,13 @@
 	}
 }
 
-// runRound carries one request out and tells what became of it.
+// runRound sends one request and hands the result to the decider and the aggregator.
 func (k *Client) runRound(ctx context.Context, r *sharedhealth.Request) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.Deadline-k.now()))
 	defer cancel()
 	reply, err := k.roundTrip(ctx, r)
 	now := k.now()
-	if err == nil && now > r.Deadline { // it came, and too late to reckon with
+	if err == nil && now > r.Deadline { // the reply came after the round's deadline
 		err = context.DeadlineExceeded
 	}
 	var a sharedhealth.RoundResult
@@ -217,7 +219,7 @@
 	k.counters.setStats(k.exchange.Stats(now))
 }
 
-// The keys, behind the prefix.
+// The keys in the store, after the prefix.
 func (p Endpoint) presenceKey(name string) string { return p.Prefix + ":a:" + name }
 func (p Endpoint) membersKey() string             { return p.Prefix + ":m" }
 func (p Endpoint) findingsKey() string            { return p.Prefix + ":f" }
@@ -225,10 +227,10 @@
 	return p.Prefix + ":q:" + customer + ":" + strconv.FormatInt(window, 10)
 }
 
-// errWrongType is an answer of another type than was asked for.
+// errWrongType is returned for an answer whose type does not fit the command.
 var errWrongType = errors.New("an answer of the wrong type")
 
-// pipeline is one round: commands that travel together, each with what takes in its answer.
+// pipeline holds the commands of one round, each with the handler of its answer.
 type pipeline struct {
 	conn     *storeConn
 	handlers []func(answer any, err error)
@@ -239,8 +241,8 @@
 	return p.conn.Send(name, words...)
 }
 
-// roundTrip sends a request as one pipeline and reads the reply. After an error of the connection it is closed: what might
-// still come on it would be taken for the next round's.
+// roundTrip sends a request as one pipeline and reads the reply. After an error the connection is closed,
+// because answers that are still to come on it would be taken for those of the next round.
 func (k *Client) roundTrip(ctx context.Context, r *sharedhealth.Request) (reply sharedhealth.Reply, err error) {
 	if k.conn == nil {
 		if err := k.connect(ctx); err != nil {
@@ -250,7 +252,7 @@
 	if by, limited := ctx.Deadline(); limited {
 		k.conn.socket.SetDeadline(by)
 	}
-	// Danger: the end of ctx may come while the connection is hung up, and the client has none any more.
+	// Danger: ctx may end while the connection is being closed, when k.conn is nil already.
 	conn := k.conn
 	stop := context.AfterFunc(ctx, func() { conn.socket.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -273,10 +275,10 @@
 	return reply, k.roundErr
 }
 
-// queueCommands puts a request's commands into a pipe; their answers go into the reply.
+// queueCommands queues a request's commands in a pipeline; the handlers write the answers into the reply.
 func (k *Client) queueCommands(p *pipeline, r *sharedhealth.Request, reply *sharedhealth.Reply) error {
 	place, c, name := k.endpoint, k.exchange, k.exchange.Name
-	// Without these the round is none: nothing could be dated or fenced.
+	// The round fails without these answers: nothing could be dated or fenced.
 	k.roundErr = nil
 	need := func(err error) bool {
 		if err != nil && k.roundErr == nil {
@@ -284,7 +286,7 @@
 		}
 		return err == nil
 	}
-	// Without the others it goes on.
+	// The round goes on without the other answers.
 	odd := func(err error) bool {
 		if err != nil {
 			reply.UnusableParts++
@@ -354,7 +356,7 @@
 			keys[j] = place.tokensKey(c.Quotas[q.Quota].Customer, q.Window-1-int64(j))
 		}
 		steps = append(steps, p.send(func(answer any, err error) {
-			if n, err := redis.Int64s(answer, err); odd(err) { // a window that nobody opened counts 0
+			if n, err := redis.Int64s(answer, err); odd(err) { // a window without a counter counts 0
 				reply.Counts[i] = n
 			}
 		}, "MGET", keys...))
--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -35,7 +35,7 @@
 	deadline = 150 * time.Millisecond
 )
 
-// testAggregator is an aggregator that knows what the test says.
+// testAggregator is an aggregator whose survey the test sets.
 type testAggregator struct {
 	mu      sync.Mutex
 	survey  sharedhealth.Survey
@@ -56,7 +56,7 @@
 	c.applied = append(c.applied, a)
 }
 
-// setFinding has it find something else of a replica from now on.
+// setFinding sets the finding about a replica.
 func (c *testAggregator) setFinding(f balance.Finding) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,7 @@
 	c.crowded = true
 }
 
-// passedOver are the replicas that it was last told to pass over.
+// passedOver returns the replicas that the last result gave reports against.
 func (c *testAggregator) passedOver() (all []int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,7 +84,7 @@
 	return all
 }
 
-// testClient is a client with its core.
+// testClient is a client with its aggregator and its logs.
 type testClient struct {
 	*Client
 	core *testAggregator
@@ -101,7 +101,7 @@
 
 func (w *fixture) now() int64 { return int64(time.Since(w.startedAt)) + 1e9 }
 
-// runFixture plays a test in a bubble of its own time with some aggregators at one server.
+// runFixture runs a test with some aggregators at one server, in a synctest bubble.
 func runFixture(t *testing.T, aggregators int, change func(*Endpoint, *sharedhealth.Config), do func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &fixture{T: t, server: &redis.Server{}, network: &pipenet.Network{}, startedAt: time.Now()}
@@ -164,7 +164,8 @@
 	return strings.TrimSpace(all)
 }
 
-// What two set aside a third passes over, and not for longer than they say so.
+// TestHeard: a replica that two aggregators have ejected is passed over by a third one, and no longer than they
+// report it.
 func TestHeard(t *testing.T) {
 	runFixture(t, 3, nil, func(w *fixture) {
 		time.Sleep(4 * round)
@@ -182,7 +183,7 @@
 		for _, k := range w.aggregators[:2] {
 			k.core.setFinding(balance.Finding{Replica: 3})
 		}
-		time.Sleep(20 * round) // it fades, not at once for all
+		time.Sleep(20 * round) // reports fade at different times
 		synctest.Wait()
 		if got := w.aggregators[2].core.passedOver(); len(got) != 0 {
 			w.Errorf("still passes over %v", got)
@@ -193,7 +194,7 @@
 	})
 }
 
-// Tokens are leased by demand, and all together stay within the quota.
+// TestLeased: tokens are leased according to demand, and their sum stays within the quota.
 func TestLeased(t *testing.T) {
 	runFixture(t, 2, nil, func(w *fixture) {
 		time.Sleep(30 * time.Second)
@@ -209,16 +210,17 @@
 			k.core.mu.Unlock()
 		}
 		if tokens < 300 || tokens > 40*(30+20) {
-			w.Errorf("%.0f tokens in 30 s at 40 a second, 20 are asked for", tokens)
+			w.Errorf("%.0f tokens leased in 30 s, at a quota of 40 per second and a demand of 5 per round and aggregator", tokens)
 		}
 	})
 }
 
-// Whatever the store does, rounds end in time, the aggregator is told so, and all is well soon after.
+// TestFaults: whatever fault the store has, rounds end in time, the aggregator gets the store's state, and the
+// state is fresh again soon after the fault.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault redis.Fault
-		want  string // the state then; empty where rounds go on
+		want  string // the state during the fault; empty if rounds go on
 	}{
 		"2 s for 2 ms":       {redis.Fault{Delay: 2 * time.Second}, "lost"},
 		"silent":             {redis.Fault{DropCommands: true}, "lost"},
@@ -249,24 +251,24 @@
 				time.Sleep(20 * round)
 				synctest.Wait()
 				if c.want != "" && w.states() != c.want+" "+c.want {
-					w.Errorf("in trouble %s", w.states())
+					w.Errorf("during the fault the states are %s", w.states())
 				}
 				for _, k := range w.aggregators {
 					if len(k.core.passedOver()) > 0 {
-						w.Error("words of a store in trouble")
+						w.Error("reports of a failed store are still in use")
 					}
 				}
 				w.server.SetFault(redis.Fault{})
 				time.Sleep(80 * time.Second)
 				if synctest.Wait(); w.states() != "fresh fresh" {
-					w.Errorf("long after %s", w.states())
+					w.Errorf("after the fault the states are %s", w.states())
 				}
 			})
 		})
 	}
 }
 
-// A store that was emptied, or went back to an older state, is not believed for a while.
+// TestOlderState: a store that was emptied, or restored to an older state, is distrusted for a while.
 func TestOlderState(t *testing.T) {
 	for name, fall := range map[string]func(*redis.Server){"emptied": (*redis.Server).Clear, "older": (*redis.Server).RestoreSnapshot} {
 		t.Run(name, func(t *testing.T) {
@@ -288,7 +290,8 @@
 	}
 }
 
-// What stands at the keys may be of another type, another program, or very much: each is refused by itself.
+// TestOddKeys: a key may hold another type, data of another program, or too much data. Each is rejected without
+// an effect on the others.
 func TestOddKeys(t *testing.T) {
 	runFixture(t, 1, nil, func(w *fixture) {
 		time.Sleep(4 * round)
@@ -313,19 +316,19 @@
 		time.Sleep(4 * round)
 		synctest.Wait()
 		if k := w.aggregators[0]; k.counters.Stats().FailedRounds == 0 {
-			w.Errorf("ten megabytes at its own key: %s", k.state())
+			w.Errorf("ten megabytes at its own presence key fail no round: %s", k.state())
 		}
 	})
 }
 
-// An aggregator that has no time to say what it knows goes on hearing.
+// TestCrowded: an aggregator without time for surveys still receives shared reports.
 func TestCrowded(t *testing.T) {
 	runFixture(t, 1, nil, func(w *fixture) {
 		w.aggregators[0].core.setCrowded()
 		time.Sleep(10 * round)
 		synctest.Wait()
 		if k := w.aggregators[0]; k.counters.SurveysSkipped.Load() == 0 || k.state() != "fresh" {
-			w.Errorf("%d unsurveyed, %s", k.counters.SurveysSkipped.Load(), k.state())
+			w.Errorf("%d surveys skipped, %s", k.counters.SurveysSkipped.Load(), k.state())
 		}
 	})
 }
@@ -339,7 +342,7 @@
 	return file
 }
 
-// The password comes from a file, is right or wrong, and never stands in the log.
+// TestPassword: the password comes from a file, may be right or wrong, and is never logged.
 func TestPassword(t *testing.T) {
 	for _, c := range []struct{ password, state string }{{"open sesame", "fresh"}, {"wrong", "lost"}} {
 		file := write(t, []byte(c.password+"\n"))
@@ -354,14 +357,14 @@
 			}
 			for _, e := range w.aggregators[0].logs.All() {
 				if strings.Contains(fmt.Sprint(e), c.password) && c.password != "wrong" {
-					w.Errorf("the log says %v", e)
+					w.Errorf("the log holds the password: %v", e)
 				}
 			}
 		})
 	}
 }
 
-// certificate makes one that signs itself, for a name.
+// certificate returns a self-signed certificate for a name.
 func certificate(t *testing.T, name string) (tls.Certificate, []byte) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -378,7 +381,7 @@
 		pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
 }
 
-// Over TLS the store must show a certificate of the given authority, for its name.
+// TestTLS: over TLS the store has to present a certificate of the configured authority for the configured name.
 func TestTLS(t *testing.T) {
 	good, authority := certificate(t, "store.test")
 	_, other := certificate(t, "store.test")
@@ -403,7 +406,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		_, err = k.roundTrip(ctx, &sharedhealth.Request{Presence: []byte("x"), PresenceTTL: 1e9})
 		if (err == nil) != c.want {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("server name %s: %v", c.name, err)
 		}
 		cancel()
 		k.closeConn()
@@ -419,7 +422,7 @@
 	}
 }
 
-// Danger: one short line may announce a gigabyte, and libraries make room before it comes.
+// Danger: one short line may announce a gigabyte, which libraries allocate before the data arrives.
 func TestGuard(t *testing.T) {
 	for _, c := range []struct {
 		text string
@@ -431,7 +434,7 @@
 		{"-" + strings.Repeat("e", maxLineBytes+1), errLineTooLong}, {"$12\r\n$999999999\r\n\r\n", nil},
 		{"$9999999999999999999999\r\n", errNotReply},
 	} {
-		for _, step := range []int{1, 3, 1 << 20} { // however it is cut up
+		for _, step := range []int{1, 3, 1 << 20} { // however the bytes are split
 			g, err := &limitedConn{}, error(nil)
 			for rest := c.text; rest != "" && err == nil; {
 				n := min(step, len(rest))
--- a/transport/watch/loans.go
+++ b/transport/watch/loans.go
@@ -9,24 +9,26 @@
 	"willowsill/transport/peer"
 )
 
-// upstreamNeighbor is the neighbor that a process follows itself; its followers are known by their IPs.
+// upstreamNeighbor is the key of this process's upstream in the relay. Downstream edges have their IPs as keys.
 const upstreamNeighbor lending.Neighbor = "feeder"
 
-// Loans passes on what edges lend each other, between those that follow this process and its own feeder.
+// Loans relays requests for retry budget and the loans that answer them, between the downstream edges and the
+// upstream.
 type Loans struct {
 	startedAt time.Time
 	mu        sync.Mutex
 	relay     *lending.Relay
 }
 
-// NewLoans makes Loans of a bound that is judged over a window of so many ns.
+// NewLoans returns a relay for a retry budget that is accounted over a window of the given length, ns.
 func NewLoans(window int64) *Loans {
 	return &Loans{startedAt: time.Now(), relay: lending.NewRelay(lending.DefaultTiming(window))}
 }
 
 func (l *Loans) now() int64 { return int64(time.Since(l.startedAt)) }
 
-// HandleReport takes in a follower's report and answers it, where there is anything to say; fresh is what is said beside it.
+// HandleReport handles the lending part of a downstream edge's report. Where messages for that edge are
+// waiting, it sends them on the link, together with this process's freshness.
 func (l *Loans) HandleReport(link *peer.Link, report Report, fresh clusterstate.Freshness) {
 	from := lending.Neighbor(report.Self.Edge.IP)
 	l.mu.Lock()
@@ -43,14 +45,14 @@
 	link.SendMessage(m)
 }
 
-// HandleUpstream takes in what the feeder says.
+// HandleUpstream handles a lending message from the upstream.
 func (l *Loans) HandleUpstream(note lending.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.relay.Handle(l.now(), upstreamNeighbor, note)
 }
 
-// UpstreamMessage is what the feeder is told, nil for nothing.
+// UpstreamMessage returns the next lending message for the upstream, nil if there is none.
 func (l *Loans) UpstreamMessage() *lending.Message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -1,6 +1,6 @@
-// Package watch brings updates of the cluster's state from one process to those that follow it: from controllers to
-// agents, from agents to the agents below them and to the proxy on the same machine. It owns the links; when a feeder is
-// left is decided by decide/follower.
+// Package watch distributes updates of the cluster's state: from controllers to agents, and from an agent to
+// its downstream agents and to the proxy on the same machine. It owns the links. decide/follower decides when a
+// process leaves its upstream for another one.
 package watch
 
 import (
@@ -19,35 +19,39 @@
 )
 
 const (
-	heartbeatInterval     = 300 * time.Millisecond  // between two messages of a feeder
-	upstreamTimeout       = 1000 * time.Millisecond // three messages left out, and the feeder is lost
-	reportInterval        = time.Second             // between two reports of a follower,
-	rolloutReportInterval = 200 * time.Millisecond  // or where they hold evidence of an active rollout
-	downstreamTimeout     = 5 * time.Second         // without a report, and the follower is
-	retryDelay            = 100 * time.Millisecond  // before the next feeder is tried
-	minStay               = 5 * time.Second         // before a follower goes back to the feeder that it should have,
-	firstMinStay          = reportInterval          // or from the first one in its life, which it chose before it knew any other
+	heartbeatInterval     = 300 * time.Millisecond  // between two messages to the downstream edges
+	upstreamTimeout       = 1000 * time.Millisecond // without a message, the upstream counts as lost: three heartbeats are missing
+	reportInterval        = time.Second             // between two reports to the upstream
+	rolloutReportInterval = 200 * time.Millisecond  // the same while a report holds evidence of an active rollout
+	downstreamTimeout     = 5 * time.Second         // without a report, a downstream link is closed
+	retryDelay            = 100 * time.Millisecond  // before the next upstream is tried
+	minStay               = 5 * time.Second         // before a process returns to its preferred upstream
+	// minStay for the first upstream after the start, which was chosen before any other was known.
+	firstMinStay = reportInterval
 )
 
-// Message is what a feeder says. Without an update it only says that it is there, and how fresh its state is.
+// Message is what a process sends downstream. Without an update it is a heartbeat that states how fresh the
+// sender's state is.
 //
-// Danger: relays that called themselves fresh could follow each other in a circle, each content with the other, and hear
-// nothing ever again. So freshness begins at a controller, and relays pass it on grown by the time that it lay with them.
+// Danger: relays that declared themselves fresh could form a cycle of upstreams in which none receives updates
+// and none notices. So freshness originates at a controller, and each relay passes it on with the time added
+// that it was held there.
 type Message struct {
 	Update    *clusterstate.Update    `cbor:"1,keyasint,omitempty"`
-	InContact bool                    `cbor:"2,keyasint,omitempty"` // in contact with a majority; for followers of the former version
-	Freshness *clusterstate.Freshness `cbor:"3,keyasint,omitempty"` // nil from a feeder of the former version
-	Lending   *lending.Message        `cbor:"4,keyasint,omitempty"` // for this follower alone
+	InContact bool                    `cbor:"2,keyasint,omitempty"` // the sender is in contact with a majority; read only by edges of the former version
+	Freshness *clusterstate.Freshness `cbor:"3,keyasint,omitempty"` // nil if the sender is of the former version
+	Lending   *lending.Message        `cbor:"4,keyasint,omitempty"` // for the receiving edge alone
 }
 
-// maxContactAge is the age up to which followers of the former version are told that the feeder is in contact.
+// maxContactAge is the age of the state up to which InContact is set, for edges of the former version.
 const maxContactAge = 2 * time.Second
 
 func newMessage(u *clusterstate.Update, fresh clusterstate.Freshness) Message {
 	return Message{Update: u, InContact: fresh.Known && fresh.Age < int64(maxContactAge), Freshness: &fresh}
 }
 
-// freshness is what the message says; a feeder of the former version says only whether it is in contact.
+// freshness returns the freshness that the message states. A sender of the former version states only whether
+// it is in contact.
 func (m Message) freshness() clusterstate.Freshness {
 	if m.Freshness == nil {
 		return clusterstate.Freshness{Known: m.InContact}
@@ -55,22 +59,23 @@
 	return *m.Freshness
 }
 
-// Report is what a follower says, again and again: of itself, of those that follow it, and which configuration it holds.
+// Report is what an edge periodically sends to its upstream: its own state, that of its downstream edges, and
+// the revision of its configuration.
 type Report struct {
 	Self           controller.EdgeReport   `cbor:"1,keyasint"`
 	Downstream     []controller.EdgeReport `cbor:"2,keyasint,omitempty"`
-	Revision       uint64                  `cbor:"3,keyasint,omitempty"` // of the configuration held; its body need not come again
-	AcceptsChanges bool                    `cbor:"4,keyasint,omitempty"` // takes differences between fleets
+	Revision       uint64                  `cbor:"3,keyasint,omitempty"` // of the configuration held, whose body is not sent again
+	AcceptsChanges bool                    `cbor:"4,keyasint,omitempty"` // the edge can apply changes of the fleet; otherwise it needs the whole fleet
 	Lending        *lending.Message        `cbor:"5,keyasint,omitempty"`
 }
 
-// IsOperator tells whether this is an operator who looks on, and no edge.
+// IsOperator reports whether the sender is an operator's watch and not an edge.
 func (h Report) IsOperator() bool { return h.Self.Edge.IP == "" }
 
-// All are the follower and those below it.
+// All returns the sender's own report and those of its downstream edges.
 func (h Report) All() []controller.EdgeReport { return append(h.Downstream, h.Self) }
 
-// interval is the time until the next report.
+// interval returns the time until the next report.
 func (h Report) interval() time.Duration {
 	evidence := func(e controller.EdgeReport) bool { return len(e.Rollouts) > 0 }
 	if evidence(h.Self) || slices.ContainsFunc(h.Downstream, evidence) {
@@ -79,14 +84,14 @@
 	return reportInterval
 }
 
-// Feed is the set of those who follow.
+// Feed is the set of downstream links that updates are published to.
 type Feed struct {
 	mu    sync.Mutex
-	links map[*peer.Link]bool // whether the follower takes differences between fleets
+	links map[*peer.Link]bool // by link: whether the edge accepts changes of the fleet
 }
 
-// Join adds a follower and gives it the snapshot, without the body of a configuration that it holds already. Join and
-// Publish are called in the order of what they tell.
+// Join adds a link and sends it the snapshot, without the body of the configuration if the edge already holds
+// it. The caller must order calls of Join and Publish like the states that they send.
 func (f *Feed) Join(l *peer.Link, report Report, snapshot clusterstate.Update, fresh clusterstate.Freshness) {
 	f.mu.Lock()
 	if f.links == nil {
@@ -100,25 +105,25 @@
 	l.SendMessage(newMessage(&snapshot, fresh))
 }
 
-// Leave removes a follower.
+// Leave removes a link.
 func (f *Feed) Leave(l *peer.Link) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.links, l)
 }
 
-// Count is how many follow.
+// Count returns the number of links.
 func (f *Feed) Count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.links)
 }
 
-// Publish tells all who follow; a nil update is a sign of life.
+// Publish sends an update to all links. A nil update sends a heartbeat.
 func (f *Feed) Publish(update *clusterstate.Update, fresh clusterstate.Freshness) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	frames := map[bool]peer.Frame{} // by whether the follower takes differences
+	frames := map[bool]peer.Frame{} // by whether the edge accepts changes of the fleet
 	for l, changes := range f.links {
 		frame, made := frames[changes]
 		if !made {
@@ -131,8 +136,8 @@
 	}
 }
 
-// encode makes the frame for followers that take differences between fleets, or for those that do not; nil, and a line
-// in the log, where that fails.
+// encode returns the frame for edges that accept changes of the fleet, or for those that don't. It logs an
+// error and returns nil if the update cannot be encoded.
 func encode(update *clusterstate.Update, fresh clusterstate.Freshness, changes bool) peer.Frame {
 	if update != nil {
 		told := update.ForWire(changes)
@@ -146,7 +151,7 @@
 	return frame
 }
 
-// SendHeartbeats publishes signs of life until ctx ends.
+// SendHeartbeats publishes a heartbeat every heartbeatInterval until ctx ends.
 func (f *Feed) SendHeartbeats(ctx context.Context, fresh func() clusterstate.Freshness) {
 	t := time.NewTicker(heartbeatInterval)
 	defer t.Stop()
@@ -160,7 +165,8 @@
 	}
 }
 
-// ReceiveReports takes a follower's words until it is gone; join is called with the first, here with every one.
+// ReceiveReports receives the reports of a downstream edge until its link fails or stays silent for
+// downstreamTimeout. onFirst is called with the first report, onReport with every one.
 func ReceiveReports(l *peer.Link, onFirst func(Report), onReport func(Report)) {
 	for first := true; ; first = false {
 		var h Report
@@ -174,20 +180,24 @@
 	}
 }
 
-// Upstream keeps one link to a feeder. Its functions are called by the goroutine of Run.
+// Upstream keeps one link to an upstream process. Run calls the functions from its goroutine.
 type Upstream struct {
-	Report      func() Report
-	Addresses   func() []string                    // feeders to try, the best first
-	Apply       func(clusterstate.Update) bool     // false where it cannot be used and a snapshot is needed
-	OnFreshness func(fresh clusterstate.Freshness) // a message came, and said this of the feeder; nil where nobody wants it
-	OnLending   func(lending.Message)              // the feeder said what it lends and wants; nil where nobody wants it
+	Report    func() Report
+	Addresses func() []string // addresses of possible upstreams in order of preference
+	// Apply applies an update, which may hold changes of the fleet. It returns false if it cannot be applied and a
+	// snapshot is needed.
+	Apply func(clusterstate.Update) bool
+	// OnFreshness is called after a message with the freshness of the state held here; nil if unused.
+	OnFreshness func(fresh clusterstate.Freshness)
+	// OnLending is called with each lending message of the upstream; nil if unused.
+	OnLending func(lending.Message)
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards base and decider
 	base    time.Time
 	decider follower.Follower
 }
 
-// now is the follower's steady clock, ns. The caller holds mu.
+// now is a monotonic clock, ns. The caller holds mu.
 func (f *Upstream) now() int64 {
 	if f.base.IsZero() {
 		f.base = time.Now().Add(-time.Hour)
@@ -195,7 +205,7 @@
 	return int64(time.Since(f.base))
 }
 
-// Freshness is how fresh the state held here is, for those that follow in turn.
+// Freshness returns how fresh the state held here is, for the messages to downstream edges.
 func (f *Upstream) Freshness() clusterstate.Freshness {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -226,8 +236,7 @@
 	return f.decider.ShouldLeave(f.now())
 }
 
-// sendReport sends a report and returns the time until the next. What a Follower's Take is given may hold differences between
-// fleets.
+// sendReport sends a report and returns the time until the next one.
 func (f *Upstream) sendReport(l *peer.Link) time.Duration {
 	r := f.Report()
 	r.AcceptsChanges = true
@@ -235,7 +244,7 @@
 	return r.interval()
 }
 
-// Run follows one feeder after the other until ctx ends.
+// Run keeps a link to one upstream after another until ctx ends.
 func (f *Upstream) Run(ctx context.Context) {
 	stay := firstMinStay
 	for n := 0; ctx.Err() == nil; {
@@ -255,8 +264,9 @@
 	}
 }
 
-// receive tells whether the feeder was lost; else it was left, after stay at the earliest, for one that should be followed
-// instead.
+// receive connects to an upstream and applies its messages. It returns true if the upstream was lost or left as
+// stale, and false if another one should be connected to: the preferred upstream after at least the time stay,
+// or the same list from its start for a snapshot.
 func (f *Upstream) receive(ctx context.Context, address string, alternatives int, stay time.Duration) (lost bool) {
 	l, err := peer.Dial(ctx, address)
 	if err != nil {
@@ -284,7 +294,7 @@
 			continue
 		}
 		if m.Update != nil && !f.Apply(*m.Update) {
-			klog.InfoS("a snapshot is asked for again", "address", address)
+			klog.InfoS("an update cannot be applied; a snapshot is requested", "address", address)
 			return false
 		}
 		if f.OnFreshness != nil && (m.Update == nil || m.Update.Snapshot) {
--- a/transport/watch/watch_test.go
+++ b/transport/watch/watch_test.go
@@ -14,8 +14,8 @@
 	"willowsill/transport/peer"
 )
 
-// TestSnapshotThenChanges: a follower gets the snapshot first and each change after it, in order, and none that
-// came before.
+// TestSnapshotThenChanges: an edge receives the snapshot first, then each later change in order, and no change
+// from before it joined.
 func TestSnapshotThenChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -26,7 +26,7 @@
 		book := clusterstate.NewState()
 		book.Apply(clusterstate.Update{Replicas: []registry.Record{{ID: "i-1", Seq: 1}}})
 		fresh, old := clusterstate.Freshness{Known: true, Age: 5}, clusterstate.Freshness{Known: true, Age: int64(time.Minute)}
-		f.Publish(&clusterstate.Update{Revision: 9}, fresh) // nobody follows yet
+		f.Publish(&clusterstate.Update{Revision: 9}, fresh) // no link has joined yet
 		f.Join(feeder, Report{}, book.Snapshot(), fresh)
 		n := book.Apply(clusterstate.Update{Replicas: []registry.Record{{ID: "i-2", Seq: 1}}})
 		f.Publish(&n, fresh)
@@ -43,13 +43,14 @@
 		must.Nil(t, p.Update)
 		must.False(t, p.InContact)
 		must.Eq(t, old, p.freshness())
-		must.Error(t, follower.Receive(&p, time.Second)) // silence shows
+		must.Error(t, follower.Receive(&p, time.Second)) // an upstream that sends nothing runs into the timeout
 		f.Leave(feeder)
 		must.Zero(t, f.Count())
 	})
 }
 
-// TestLeavesWhoIsSilent: a follower whose feeder says nothing, or is itself cut off, goes to the next.
+// TestLeavesWhoIsSilent: an edge whose upstream is silent, or has no contact with the controllers, changes to
+// the next one.
 func TestLeavesWhoIsSilent(t *testing.T) {
 	serve := func(inContact bool, beats bool) (address string, joined chan struct{}) {
 		fresh := clusterstate.Freshness{Known: inContact}
@@ -83,12 +84,13 @@
 		select {
 		case <-joined:
 		case <-time.After(20 * time.Second):
-			t.Fatal("the follower stayed where it was")
+			t.Fatal("the edge did not change its upstream")
 		}
 	}
 }
 
-// TestHeldBodyStaysAway: a follower that holds the revision of the snapshot is not sent its body again.
+// TestHeldBodyStaysAway: an edge that already holds the snapshot's revision is not sent the configuration's
+// body again.
 func TestHeldBodyStaysAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, held := range []uint64{0, 6, 7, 8} {
@@ -106,8 +108,8 @@
 	})
 }
 
-// TestFormerVersion: a feeder of the former version says only whether it is in contact, and a follower of the former
-// version reads just that.
+// TestFormerVersion: a sender of the former version states only whether it is in contact, and a receiver of the
+// former version reads only that field.
 func TestFormerVersion(t *testing.T) {
 	must.True(t, Message{InContact: true}.freshness().Known)
 	must.False(t, Message{}.freshness().Known)
@@ -116,8 +118,8 @@
 	must.False(t, newMessage(nil, clusterstate.Freshness{}).InContact)
 }
 
-// TestFleetToFormerFollowers: a follower that does not say that it takes differences between fleets is told whole ones;
-// one that does ends with the same.
+// TestFleetToFormerFollowers: an edge whose report does not set AcceptsChanges receives the whole fleet in each
+// update. One that sets it receives changes and ends with the same fleet.
 func TestFleetToFormerFollowers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var f Feed
--- a/transport/wire/settings_test.go
+++ b/transport/wire/settings_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// playBatch plays one batch on a fresh adapter, without a fault, and returns what it wrote.
+// playBatch plays one batch on a new adapter, fails the test on an error, and returns the output.
 func playBatch(t *testing.T, events string) string {
 	t.Helper()
 	out, err := serveBatch(events)
@@ -15,8 +15,8 @@
 	return out
 }
 
-// TestDrainsAtOnce: what is listed as draining or gone gets nothing from the batch on that tells of it, however short the
-// time that the rules leave for that (250 ms at the least stated so far).
+// TestDrainsAtOnce: a replica that is listed as draining or gone gets no part from that batch on. The simulator
+// allows some time for that (250 ms is the shortest stated), but the adapter uses none of it.
 func TestDrainsAtOnce(t *testing.T) {
 	for _, state := range []string{"L", "D"} {
 		news := `{"event_type":"POOL","sheet":1,"items":[{"place":0,"lifecycle":"` + state + `","launched":null,"replica":"r:1"}]}
@@ -27,7 +27,7 @@
 	}
 }
 
-// TestUnknownKeysAreIgnored: settings, events and entries may hold keys that the adapter does not know.
+// TestUnknownKeysAreIgnored: settings, events and list entries may hold keys that the adapter does not know.
 func TestUnknownKeysAreIgnored(t *testing.T) {
 	more := strings.Replace(boot, `"tick":5,`, `"tick":5,"weights":"rough","over_share_worth":0.2,"of_late":{"x":[1]},`, 1)
 	more = strings.Replace(more, `"launched":null,`, `"launched":null,"weight":1.5,"zone":"z","of_late":true,`, 1)
--- a/transport/wire/wire.go
+++ b/transport/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire hosts aggregators on the simulator's wire: it decodes events into calls on the decision
-// module and encodes the module's results. It decides nothing.
+// Package wire connects aggregators to the simulator: it decodes the simulator's events into calls of the
+// balance package, and encodes that package's results as messages. It decides nothing.
 package wire
 
 import (
@@ -16,10 +16,11 @@
 	"willowsill/deployment/fields"
 )
 
-// wakeToken comes back with every timer; timers only wake the module.
+// wakeToken identifies timers. All timers are alike: they only cause the next round.
 const wakeToken = "wake"
 
-// instance is one aggregator with the names that its life has brought up.
+// instance is one aggregator, with the tables that map the simulator's names and ids to the aggregator's
+// indices.
 type instance struct {
 	aggregator *balance.Aggregator
 	replicas   map[string]int
@@ -29,10 +30,10 @@
 	requests   map[uint64]request
 	groups     map[int64]*queryState
 	queries    map[*balance.Query]*queryState
-	timerAt    int64 // the earliest timer still to fire, 0 for none
+	timerAt    int64 // when the earliest pending timer fires, 0 if there is none
 }
 
-// queryState is what the adapter keeps of a query: the ids to give back.
+// queryState holds a query and the simulator's ids of it and its parts.
 type queryState struct {
 	query   *balance.Query
 	id      uint64
@@ -42,13 +43,14 @@
 	ended   bool
 }
 
-// request tells what an id stands for; part is -1 for the query itself.
+// request is what a request id of the simulator refers to: a part of a query, or the query itself if part is
+// -1.
 type request struct {
 	*queryState
 	part int
 }
 
-// adapter is one adapter process.
+// adapter holds the aggregators of one adapter process and the batch in progress.
 type adapter struct {
 	now       int64
 	batch     int64
@@ -58,7 +60,7 @@
 	out       *bufio.Writer
 }
 
-// Serve plays batches from r until it ends.
+// Serve plays the batches from r until its end.
 func Serve(r io.Reader, w io.Writer) error {
 	h := &adapter{instances: map[int]*instance{}, lists: map[int][]json.RawMessage{}, out: bufio.NewWriter(w)}
 	lines := bufio.NewReaderSize(r, 1<<20)
@@ -83,7 +85,7 @@
 	}
 }
 
-// readLine returns the next line without its end, however long it is.
+// readLine returns the next line of any length without its line end.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadBytes('\n')
 	for len(line) > 0 && (line[len(line)-1] == '\n' || line[len(line)-1] == '\r') {
@@ -92,7 +94,7 @@
 	return line, err
 }
 
-// line takes one message in; open tells whether a batch is under way, before and after it.
+// line handles one message; open states whether a batch is in progress, before and after it.
 func (h *adapter) line(line []byte, open bool) (bool, error) {
 	f := &fields.Object{}
 	if err := json.Unmarshal(line, &f.Raw); err != nil {
@@ -118,7 +120,7 @@
 	return true, nil
 }
 
-// event turns one event into calls.
+// event turns an event into calls of the aggregator.
 func (h *adapter) event(event string, f *fields.Object) error {
 	if event == "POOL" {
 		sheet, items := f.Int("sheet"), []json.RawMessage{}
@@ -161,14 +163,14 @@
 		if f.String("token") == wakeToken && in.timerAt <= h.now {
 			in.timerAt = 0
 		}
-	case "BEGUN", "HEARD", "SAMPLED": // streams, peers and probes have no part in this service
+	case "BEGUN", "HEARD", "SAMPLED": // stream, peer and probe events are unused by this service
 	default:
 		return errors.New("unknown event")
 	}
 	return f.Err
 }
 
-// touch marks an instance as one that may act in this reply.
+// touch marks an instance as one that decides at the end of this batch.
 func (h *adapter) touch(who int) {
 	for _, w := range h.touched {
 		if w == who {
@@ -200,7 +202,7 @@
 	return nil
 }
 
-// handleMembers turns news of the list into one call.
+// handleMembers turns an event about the list of replicas into one call.
 func (h *adapter) handleMembers(in *instance, f *fields.Object) error {
 	scope := f.String("scope")
 	if scope == "Error" {
@@ -251,7 +253,7 @@
 	return nil
 }
 
-// replicaIndex maps an address to its small index, and tells whether it is a new one.
+// replicaIndex returns the index of an address, and whether it is new.
 func (in *instance) replicaIndex(f *fields.Object) (i int, fresh bool) {
 	name := f.String("replica")
 	if f.Err != nil {
@@ -266,7 +268,7 @@
 	return i, !known
 }
 
-// addQueryOrPart takes in a query or one of its parts.
+// addQueryOrPart adds a query, or a part of one.
 func (in *instance) addQueryOrPart(now int64, f *fields.Object) error {
 	var id uint64
 	var group int64
@@ -279,7 +281,7 @@
 	if shard >= 0 {
 		q := in.groups[group]
 		if shard >= in.shards {
-			return fmt.Errorf("shard %d, of %d", shard, in.shards)
+			return fmt.Errorf("there is no shard %d, only %d shards", shard, in.shards)
 		}
 		if q == nil {
 			return fmt.Errorf("a part of query %d, which is not held", group)
@@ -307,7 +309,7 @@
 	return nil
 }
 
-// recordResponse books the outcome of an execution.
+// recordResponse records the outcome of an execution.
 func (in *instance) recordResponse(now int64, f *fields.Object) error {
 	var id uint64
 	f.Decode("rid", &id)
@@ -328,7 +330,7 @@
 	return nil
 }
 
-// endQuery marks a query as over; its ids stay until the last outcome is in.
+// endQuery marks a query as ended. Its ids stay until the outcomes of all its executions are known.
 func (in *instance) endQuery(q *queryState) {
 	q.ended = true
 	delete(in.groups, q.group)
@@ -346,7 +348,7 @@
 	}
 }
 
-// parseResult decodes an outcome code.
+// parseResult decodes an outcome.
 func parseResult(f *fields.Object) balance.Result {
 	codes := [...]string{
 		balance.Fulfilled: "ok", balance.Errored: "error", balance.Full: "full", balance.TimedOut: "timeout",
@@ -363,7 +365,7 @@
 	return balance.Errored
 }
 
-// decideAll lets every touched instance decide and writes what they ask for.
+// decideAll has every touched instance decide, and writes the results.
 func (h *adapter) decideAll() error {
 	for _, who := range h.touched {
 		if in := h.instances[who]; in != nil {
@@ -410,7 +412,7 @@
 		fmt.Fprintf(h.out, `{"event_type":"WATCH","who":%d,"whole":true}`+"\n", who)
 	}
 	if round.WakeAt > 0 && (in.timerAt == 0 || round.WakeAt < in.timerAt) {
-		in.timerAt = h.now + (max(round.WakeAt-h.now, 0)+999)/1e3*1e3 // the wire counts in microseconds
+		in.timerAt = h.now + (max(round.WakeAt-h.now, 0)+999)/1e3*1e3 // the simulator counts in microseconds
 		fmt.Fprintf(h.out, `{"event_type":"DEFER","who":%d,"in":%s,"token":"%s"}`+"\n",
 			who, ms(in.timerAt-h.now), wakeToken)
 	}
--- a/transport/wire/wire_test.go
+++ b/transport/wire/wire_test.go
@@ -23,7 +23,7 @@
 {"event_type":"KNOCK","who":1,"rid":6,"measure":1,"grace":900,"group_no":3,"slab":1,"grade":"w","write":null}
 `
 
-// serveBatch plays one batch on a fresh adapter and returns what it wrote.
+// serveBatch plays one batch on a new adapter and returns the output.
 func serveBatch(events string) (string, error) {
 	in := `{"event_type":"TICK","at_time":100,"n":4}` + "\n" + events + "\n" + `{"event_type":"FLUSH"}` + "\n"
 	var out strings.Builder
@@ -31,7 +31,8 @@
 	return out.String(), err
 }
 
-// A client's mark of a retry reaches the module, which declines one sooner where room is short.
+// TestRetryMark: the mark of a client's retry reaches the aggregator, which declines a retry sooner than a
+// first attempt when capacity is short.
 func TestRetryMark(t *testing.T) {
 	tick := func(n, at int, events string) string {
 		return fmt.Sprintf(`{"event_type":"TICK","at_time":%d,"n":%d}`+"\n%s"+`{"event_type":"FLUSH"}`+"\n", at, n, events)
@@ -40,7 +41,7 @@
 		return strings.NewReplacer(`"rid":5`, fmt.Sprint(`"rid":`, n), `"rid":6`, fmt.Sprint(`"rid":`, n+1), `"group_no":3`,
 			fmt.Sprint(`"group_no":`, n), `"grade"`, mark+`"grade"`).Replace(query)
 	}
-	learnt := tick(1, 100, boot+query) + // one execution takes 150 ms of a goal of 1,000
+	learnt := tick(1, 100, boot+query) + // one execution takes 150 ms of the goal of 1,000 ms
 		tick(2, 250, `{"event_type":"RESPONSE","who":1,"rid":6,"attempt":0,"how":"ok","cost_time":150}`+"\n") + tick(3, 255, numbered(10, ""))
 	for mark, want := range map[string]string{"": `"SEND"`, `"resent":false,`: `"SEND"`, `"resent":null,`: `"SEND"`, `"resent":true,`: `"REFUSE"`} {
 		var out strings.Builder
