--- a/transport/controlserver/callcounts.go
+++ b/transport/controlserver/callcounts.go
@@ -13,13 +13,13 @@
 	"willowsill/transport/metrics"
 )
 
-// callKey is a kind of call and the status that it was answered.
+// callKey is a kind of call and the status of its answer.
 type callKey struct {
 	call   string
 	status int
 }
 
-// callCounts counts the calls that were answered since the start. The zero value is empty.
+// callCounts counts the calls answered since the start. The zero value is empty.
 type callCounts struct {
 	mu     sync.Mutex
 	counts map[callKey]int64
@@ -34,7 +34,7 @@
 	c.counts[key]++
 }
 
-// writeMetrics tells each count.
+// writeMetrics writes each count as a metric.
 func (c *callCounts) writeMetrics(w metrics.Writer) {
 	c.mu.Lock()
 	counts := maps.Clone(c.counts)
@@ -44,8 +44,8 @@
 	}
 }
 
-// The resources and calls that are counted under their own names. All else counts as callUnknown, so that callers cannot
-// make labels without end.
+// The resources and calls that are counted by name. All others count as callUnknown, so that callers cannot
+// create an unlimited number of labels.
 var (
 	knownResources = []string{"replicas", "configuration", "rollouts"}
 	knownCalls     = []string{"heartbeat", "departure", "replace", "read", "begin", "abort"}
@@ -56,7 +56,8 @@
 	callHeartbeat = "replicas/heartbeat"
 )
 
-// callKind is what a call of this path is counted as: the resource and the last part, as in configuration/read.
+// callKind returns the kind of a call by its path: the resource and the path's last part, as in
+// configuration/read.
 func callKind(path string) string {
 	resource, rest, _ := strings.Cut(strings.TrimPrefix(path, "/v1/"), "/")
 	call := rest[strings.LastIndexByte(rest, '/')+1:]
@@ -66,7 +67,7 @@
 	return resource + "/" + call
 }
 
-// statusRecorder keeps the status of an answer.
+// statusRecorder records the status of an answer.
 type statusRecorder struct {
 	http.ResponseWriter
 	status int
@@ -77,8 +78,8 @@
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// serve serves a call, counts it by its answer and logs it where it was turned down. Heartbeats are counted alone: each
-// replica sends one a second.
+// serve serves a call, counts it, and logs it if it was rejected. Heartbeats are counted but not logged,
+// because each replica sends one a second.
 func (c *callCounts) serve(w http.ResponseWriter, r *http.Request, handler func(http.ResponseWriter)) {
 	recorder := &statusRecorder{ResponseWriter: w, status: http.StatusOK}
 	handler(recorder)
--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -1,5 +1,6 @@
-// Package controlserver runs a controller: it owns the controller's sockets, disk and clock, turns messages and HTTP
-// requests into calls of decide/controller and carries out what those return. It decides nothing.
+// Package controlserver runs a controller: it owns the controller's sockets, disk and clock, turns messages and
+// HTTP requests into calls of decide/controller, and carries out the effects that those return. It decides
+// nothing.
 package controlserver
 
 import (
@@ -29,19 +30,19 @@
 	"willowsill/transport/watch"
 )
 
-// ErrControlServer is the class of this package's errors.
+// ErrControlServer carries the error code of this package.
 var ErrControlServer = oops.Code("control_server")
 
 const (
 	inputQueue        = 1024                   // inputs that may wait for the loop
-	inputBatch        = 64                     // inputs taken between two looks at the timer
-	maxTickDelay      = 50 * time.Millisecond  // between two looks at the timer
-	drainTimeout      = 400 * time.Millisecond // for calls under way at a planned end
+	inputBatch        = 64                     // inputs handled before the next check of the timer
+	maxTickDelay      = 50 * time.Millisecond  // longest time between two checks of the timer
+	drainTimeout      = 400 * time.Millisecond // for calls in progress at a planned shutdown
 	readHeaderTimeout = 2 * time.Second
 	readTimeout       = 5 * time.Second // of a whole request
 	idleTimeout       = 15 * time.Second
 	maxHeaderBytes    = 16 << 10
-	reopenDelay       = 300 * time.Millisecond // before a disk that refused to open is tried again
+	reopenDelay       = 300 * time.Millisecond // before another attempt to open a disk that failed to open
 )
 
 // Server is a running controller.
@@ -53,14 +54,14 @@
 	saves       chan controller.Save
 	mesh        *peer.Mesh
 	feed        watch.Feed
-	operators   watch.Feed   // those who look on: they are told of all replicas
-	loans       *watch.Loans // of retries that edges do not use
+	operators   watch.Feed   // watches of operators, which get updates about all replicas
+	loans       *watch.Loans // relays loans of unused retry budget
 	lastCurrent atomic.Pointer[currentInfo]
 	callCounts  callCounts
 
-	mu       sync.Mutex                        // guards the rest
-	calls    map[uint64]chan controller.Answer // that wait, by number
-	lastCall uint64                            // the highest number given
+	mu       sync.Mutex                        // guards calls and lastCall
+	calls    map[uint64]chan controller.Answer // waiting calls, by number
+	lastCall uint64                            // the highest number used
 }
 
 // Run runs a controller until ctx ends.
@@ -76,8 +77,9 @@
 		return ErrControlServer.Wrap(err) // the file stays for the version that wrote it
 	}
 	if err != nil {
-		// Danger: a disk that refuses to be read must not be taken for an empty one of a first start; as one that
-		// was emptied it counts for nothing until the others have told what stands.
+		// Danger: a disk that cannot be read must not be taken for the empty disk of a first start. The controller
+		// joins as one whose disk was emptied, which doesn't count in the quorum until the others have sent it the
+		// committed state.
 		klog.ErrorS(err, "the disk cannot be read; this controller joins as one whose disk is empty")
 		start.Bootstrap = false
 		os.Remove(statestore.Path(local.DataDir))
@@ -130,21 +132,22 @@
 
 func (s *Server) now() int64 { return int64(time.Since(s.base)) }
 
-// currentInfo is what was last known of how current the controller is.
+// currentInfo is the last information on how current the controller's state is.
 type currentInfo struct {
-	since           int64 // on the server's clock; the controller then held all that had been acknowledged
+	since           int64 // when the controller last held all that had been acknowledged, on the server's clock
 	epoch, revision uint64
 }
 
-// recordCurrent is called by the loop.
+// recordCurrent updates lastCurrent. Only the loop calls it.
 func (s *Server) recordCurrent() {
 	s.lastCurrent.Store(&currentInfo{s.controller.CurrentSince(), s.controller.Epoch(), s.controller.Revision()})
 }
 
-// freshness is what followers are told, as of now. It may be called from any goroutine.
+// freshness returns the current freshness for the messages to downstream edges. It may be called from any
+// goroutine.
 //
-// Danger: a process that stood still for seconds would go on telling what held before; so the age is taken when it is
-// told, and not when it was noted.
+// Danger: a process that was stopped for seconds would report an outdated age. So the age is computed when it
+// is reported, not when the state was recorded.
 func (s *Server) freshness() clusterstate.Freshness {
 	noted := s.lastCurrent.Load()
 	if noted == nil {
@@ -157,7 +160,7 @@
 	return f
 }
 
-// loop is the one goroutine that calls the controller.
+// loop is the only goroutine that calls the controller.
 func (s *Server) loop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -181,7 +184,8 @@
 	}
 }
 
-// applyEffects carries out what the controller asks for: log lines, saves, messages, answers and updates.
+// applyEffects carries out the effects that the controller returns: log lines, saves, messages, answers and
+// updates.
 func (s *Server) applyEffects(o controller.Effects) {
 	for _, l := range o.Log {
 		klog.InfoS(l.Text, l.Values...)
@@ -217,9 +221,9 @@
 	}
 }
 
-// saveLoop writes states to the disk one after the other, in a goroutine of its own.
+// saveLoop writes states to the disk one after another, in its own goroutine.
 //
-// Danger: a disk that hangs must not hold heartbeats and reads up.
+// Danger: a disk that hangs must not delay heartbeats and reads.
 func (s *Server) saveLoop(store *statestore.Store) {
 	for save := range s.saves {
 		var err error
@@ -235,7 +239,7 @@
 	}
 }
 
-// peer hands the messages of another controller to this one until the link ends.
+// peer passes the messages of another controller to this one until the link ends.
 func (s *Server) peer(link *peer.Link) {
 	for {
 		var message controller.Message
@@ -246,7 +250,7 @@
 	}
 }
 
-// serveDownstream serves one follower, an agent or an operator's watch, until its link ends.
+// serveDownstream serves an agent or an operator's watch until its link ends.
 func (s *Server) serveDownstream(link *peer.Link) {
 	watch.ReceiveReports(link, func(report watch.Report) {
 		s.inputs <- func(int64) controller.Effects {
@@ -267,7 +271,7 @@
 	s.operators.Leave(link)
 }
 
-// call puts a call to the controller and waits for its answer; false where ctx ended first.
+// call makes a call to the controller and waits for its answer; false if ctx ended first.
 func (s *Server) call(ctx context.Context, in func(now int64, call uint64) controller.Effects) (controller.Answer, bool) {
 	c := make(chan controller.Answer, 1)
 	s.mu.Lock()
@@ -291,7 +295,7 @@
 	}
 }
 
-// replicaCall hands a heartbeat or a departure of a replica to the controller and waits for its answer.
+// replicaCall passes a replica's heartbeat or departure to the controller and waits for its answer.
 func (s *Server) replicaCall(ctx context.Context, r registry.Record) (controller.Answer, bool) {
 	return s.call(ctx, func(now int64, id uint64) controller.Effects { return s.controller.HandleReplicaCall(now, id, r) })
 }
--- a/transport/controlserver/format_test.go
+++ b/transport/controlserver/format_test.go
@@ -17,7 +17,8 @@
 	"willowsill/transport/statestore"
 )
 
-// TestNewerStateEndsTheProgram: a state file of a newer format ends the program with an error, and stays as it is.
+// TestNewerStateEndsTheProgram: a state file of a newer format ends the program with an error, and stays
+// unchanged.
 func TestNewerStateEndsTheProgram(t *testing.T) {
 	dir := t.TempDir()
 	store, _, err := statestore.Open(dir)
@@ -36,7 +37,7 @@
 	must.Eq(t, before, after)
 }
 
-// writeVersion has a state file name a version, as the program of that version would: sealed by a check sum.
+// writeVersion sets the format version in a state file like the program of that version would, with a checksum.
 func writeVersion(t *testing.T, path string, version uint64) {
 	body, err := cbor.Marshal(version)
 	must.NoError(t, err)
--- a/transport/controlserver/metrics.go
+++ b/transport/controlserver/metrics.go
@@ -9,10 +9,11 @@
 	"willowsill/transport/metrics"
 )
 
-// metricsTimeout bounds how long a question for figures waits for the loop.
+// metricsTimeout bounds how long a request for metrics waits for the loop.
 const metricsTimeout = time.Second
 
-// writeMetrics tells this process's own figures: the loop is asked for what it knows, since it alone may look.
+// writeMetrics writes the controller's metrics. It requests the controller's statistics from the loop, which
+// alone may call the controller.
 func (s *Server) writeMetrics(told metrics.Writer) {
 	answer := make(chan controller.Stats, 1)
 	ask := func(int64) controller.Effects {
--- a/transport/controlserver/resources.go
+++ b/transport/controlserver/resources.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	maxHeartbeatBytes     = 4 << 10 // bytes of a heartbeat
-	maxConfigurationBytes = 4 << 20 // bytes of a configuration
+	maxHeartbeatBytes     = 4 << 10 // of a heartbeat
+	maxConfigurationBytes = 4 << 20 // of a configuration
 )
 
-// handler puts the resources together.
+// handler returns the handler of all resources.
 func (s *Server) handler() http.Handler {
 	replicas, configuration, rollouts := &replicasHandler{s}, &configurationHandler{s}, &rolloutsHandler{s}
 	serve := func(w http.ResponseWriter, r *http.Request) {
@@ -46,7 +46,7 @@
 	})
 }
 
-// respondError answers with a reason.
+// respondError answers with a JSON object that holds the reason as its message.
 func respondError(w http.ResponseWriter, status int, reason string) {
 	e := jx.Encoder{}
 	e.ObjStart()
@@ -66,7 +66,7 @@
 	w.Write(body)
 }
 
-// replicasHandler is the resource of heartbeats and departures.
+// replicasHandler serves the resource of heartbeats and departures.
 type replicasHandler struct{ server *Server }
 
 func (h *replicasHandler) serve(w http.ResponseWriter, r *http.Request, id, call string) {
@@ -98,7 +98,8 @@
 	respondAnswer(w, a, ok)
 }
 
-// heartbeatAnswer names the controller that later heartbeats are to go to; its port is the same on all machines.
+// heartbeatAnswer encodes the controller that the replica's next heartbeats should go to. The port is the same
+// on all machines.
 func (s *Server) heartbeatAnswer(target string) []byte {
 	_, port, err := net.SplitHostPort(s.settings.Bind.Control)
 	if err != nil || target == "" {
@@ -123,7 +124,7 @@
 	}
 }
 
-// parseHeartbeat reads a heartbeat field by field.
+// parseHeartbeat decodes a heartbeat.
 func parseHeartbeat(id string, body []byte) (registry.Record, error) {
 	r := registry.Record{ID: id}
 	err := jx.DecodeBytes(body).Obj(func(d *jx.Decoder, key string) (err error) {
@@ -169,7 +170,7 @@
 	return r, err
 }
 
-// configurationHandler is the resource of the whole configuration.
+// configurationHandler serves the resource of the whole configuration.
 type configurationHandler struct{ server *Server }
 
 func (h *configurationHandler) serve(w http.ResponseWriter, r *http.Request, call string) {
@@ -190,17 +191,19 @@
 	}
 }
 
-// configModeHighest is the one way to order configurations that is known here: the highest revision holds.
+// configModeHighest is the only supported mode of ordering configurations: the one with the highest revision is
+// in force.
 const configModeHighest = "highest"
 
-// supportedMode tells whether orders are taken. A settings file that names no mode is one from before there were any.
+// supportedMode reports whether configurations are accepted in a mode. Settings without a mode are from before
+// modes existed.
 func supportedMode(mode string) bool { return mode == "" || mode == configModeHighest }
 
-// replace takes an operator's order.
+// replace handles an operator's order to replace the configuration.
 //
-// Where the deployment orders configurations in a way that is not known here, none is confirmed: one that the
-// operators' way refuses could be taken, and they would be told that it holds. 501 has them try again elsewhere,
-// so the order comes through once a version that knows the mode runs.
+// If the deployment's mode of ordering configurations is unknown here, none is acknowledged: one that the mode
+// refuses could be accepted, and the operators would be told that it is in force. The status 501 makes clients
+// retry at another controller, so the order succeeds once a version that supports the mode runs.
 func (h *configurationHandler) replace(w http.ResponseWriter, r *http.Request) {
 	if mode := h.server.settings.ConfigMode; !supportedMode(mode) {
 		klog.ErrorS(nil, "the config_mode of the settings is unknown; a configuration is left unanswered", "mode", mode)
--- a/transport/controlserver/resources_test.go
+++ b/transport/controlserver/resources_test.go
@@ -13,7 +13,8 @@
 	"willowsill/transport/metrics"
 )
 
-// newTestServer is a server whose controller is its only member; it has no sockets and its disk saves at once.
+// newTestServer returns a server whose controller is the only member. It has no sockets, and its disk saves at
+// once.
 func newTestServer(t *testing.T, mode string) *Server {
 	s := &Server{settings: settings.Settings{ConfigMode: mode}, calls: map[uint64]chan controller.Answer{},
 		inputs: make(chan func(int64) controller.Effects, inputQueue), saves: make(chan controller.Save, 1)}
@@ -54,8 +55,8 @@
 	return w.Code
 }
 
-// TestOrdersByHTTP: an order is confirmed, confirmed again when it is sent again, and another content under its
-// number is refused.
+// TestOrdersByHTTP: an order is acknowledged, acknowledged again when it is repeated, and another content with
+// the same revision is rejected.
 func TestOrdersByHTTP(t *testing.T) {
 	for _, mode := range []string{"", configModeHighest} {
 		handler := newTestServer(t, mode).handler()
@@ -68,8 +69,8 @@
 	}
 }
 
-// TestUnknownModeConfirmsNothing: where configurations are ordered in a way that is not known here, no order is
-// confirmed, and none is refused for good.
+// TestUnknownModeConfirmsNothing: in an unknown mode of ordering configurations, no order is acknowledged, and
+// none is rejected for good.
 func TestUnknownModeConfirmsNothing(t *testing.T) {
 	handler := newTestServer(t, "match").handler()
 	must.Eq(t, 501, replace(handler, "7", "one"))
@@ -78,7 +79,8 @@
 	must.Eq(t, 404, w.Code)
 }
 
-// TestFigures: what the loop knows is told as it stands, and a loop that is stuck is told as such and holds nobody.
+// TestFigures: the metrics hold the current state of the controller. If the loop is stuck, the metrics report
+// that the controller is down, without blocking.
 func TestFigures(t *testing.T) {
 	s := newTestServer(t, "")
 	must.Eq(t, http.StatusOK, replace(s.handler(), "7", "s"))
@@ -95,7 +97,8 @@
 	must.Eq(t, "willowsill_controller_up 0\n", text(&Server{inputs: make(chan func(int64) controller.Effects)}))
 }
 
-// TestInvalidOrders: what is invalid gets 400 and is in force nowhere; the configuration before stays.
+// TestInvalidOrders: an invalid order gets 400 and never takes effect; the previous configuration stays in
+// force.
 func TestInvalidOrders(t *testing.T) {
 	handler := newTestServer(t, "").handler()
 	must.Eq(t, http.StatusOK, replace(handler, "7", "s"))
@@ -117,8 +120,8 @@
 	}
 }
 
-// TestTurnedDownCallsAreCounted: a call for what is not there is told apart from one that no majority answered, by kind and
-// status, and calls of unknown kinds share one count.
+// TestTurnedDownCallsAreCounted: calls are counted by kind and status, and calls of unknown kinds share one
+// count.
 func TestTurnedDownCallsAreCounted(t *testing.T) {
 	s := newTestServer(t, "")
 	for _, path := range []string{"/v1/configuration/read", "/v1/nothing/a", "/v1/nothing/b"} {
@@ -130,7 +133,7 @@
 	must.StrContains(t, w.Body.String(), "willowsill_control_calls_total{call=\"unknown\",status=\"404\"} 2\n")
 }
 
-// TestRolloutIsAcknowledged guards against a roll-out that is begun and never acknowledged (SHORT).
+// TestRolloutIsAcknowledged guards against a rollout that begins but is never acknowledged.
 func TestRolloutIsAcknowledged(t *testing.T) {
 	handler := newTestServer(t, "").handler()
 	call := func(method, path, body string) *httptest.ResponseRecorder {
@@ -148,7 +151,7 @@
 	must.StrContains(t, read.Body.String(), `"target-revision":"v2"`)
 }
 
-// TestInvalidRollouts: what is no order gets a clear refusal and begins nothing.
+// TestInvalidRollouts: an invalid order gets a definite rejection and begins no rollout.
 func TestInvalidRollouts(t *testing.T) {
 	handler := newTestServer(t, "").handler()
 	must.Eq(t, http.StatusOK, replace(handler, "7", "s"))
--- a/transport/controlserver/rollouts.go
+++ b/transport/controlserver/rollouts.go
@@ -15,15 +15,15 @@
 	"willowsill/decide/rollout"
 )
 
-// Bounds of an order.
+// Limits of an order.
 const (
-	maxOrderBytes = 4 << 10 // bytes
-	maxNameBytes  = 256     // bytes of the name of a service or a version
+	maxOrderBytes = 4 << 10 // of the body
+	maxNameBytes  = 256     // of the name of a service or a version
 	maxOverS      = 7 * 24 * 3600
 	msPerSecond   = 1000
 )
 
-// rolloutsHandler is the resource of rollouts: begin, history, and of each service read and abort.
+// rolloutsHandler serves the resource of rollouts: begin, history, and read and abort for each service.
 type rolloutsHandler struct{ server *Server }
 
 func (h *rolloutsHandler) serve(w http.ResponseWriter, r *http.Request, call string) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// begin takes an operator's order.
+// begin handles an operator's order of a rollout.
 func (h *rolloutsHandler) begin(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxOrderBytes+1))
 	if err != nil {
@@ -63,7 +63,7 @@
 	h.call(r.Context(), w, func(now int64, id uint64) controller.Effects { return h.server.controller.BeginRollout(now, id, order) }, encodeNewest)
 }
 
-// call puts a call to the controller and answers it.
+// call makes a call to the controller and writes its answer.
 func (h *rolloutsHandler) call(ctx context.Context, w http.ResponseWriter, in func(now int64, id uint64) controller.Effects, encode func([]rollout.Rollout) []byte) {
 	a, ok := h.server.call(ctx, in)
 	if ok && a.Status == http.StatusOK {
@@ -72,7 +72,7 @@
 	respondAnswer(w, a, ok)
 }
 
-// parseOrder reads an order field by field.
+// parseOrder decodes an order.
 func parseOrder(body []byte) (o rollout.Order, err error) {
 	seconds := 0.0
 	err = jx.DecodeBytes(body).Obj(func(d *jx.Decoder, key string) (err error) {
@@ -106,7 +106,7 @@
 	return o, nil
 }
 
-// encodeNewest encodes the one rollout of an answer.
+// encodeNewest encodes the only rollout of an answer.
 func encodeNewest(all []rollout.Rollout) []byte {
 	e := jx.Encoder{}
 	for _, r := range all {
--- a/transport/replica/connection.go
+++ b/transport/replica/connection.go
@@ -15,44 +15,44 @@
 )
 
 const (
-	readBufferBytes     = 4 << 10         // bytes: replies are short
-	writeTimeout        = 2 * time.Second // a peer that takes in nothing for so long is gone
-	maxAbandonedIDs     = 1024            // ids given up on a connection without a late reply, kept apart
-	maxEndedIDs         = 64              // ids that ended on it last: a second copy comes soon, if it comes
-	frameTimeoutDivisor = 2               // the rest of a frame comes within this part of the time for a whole connection
-	idleMarginDivisor   = 8               // retired before this part of the idle time is left
+	readBufferBytes     = 4 << 10         // replies are short
+	writeTimeout        = 2 * time.Second // a replica that reads nothing for this time counts as failed
+	maxAbandonedIDs     = 1024            // abandoned ids on a connection that are remembered until their late replies come
+	maxEndedIDs         = 64              // ids answered last on a connection, whose replies may come a second time; such copies come soon
+	frameTimeoutDivisor = 2               // the rest of a frame must arrive within the connect timeout divided by this
+	idleMarginDivisor   = 8               // an idle connection is retired when 1/idleMarginDivisor of its idle timeout is left
 )
 
-// Event is what a connection has to tell its pool: a reply, or that it is down.
+// Event is what a connection reports to its pool: a reply, or that it has closed.
 type Event struct {
 	conn        *connection
 	reply       Reply
-	corruptTail bool  // no frame can come behind the reply
+	corruptTail bool  // the bytes after the reply cannot begin a frame
 	at          int64 // ns
 	closed      bool
 	wasOpen     bool
-	Err         error // why it is down, nil where this side closed it
+	Err         error // why it closed, nil if this side closed it
 }
 
-// frame is one message on its way out: a call, or word that a part is given up.
+// frame is an outgoing message: a call, or the notice that a part is abandoned.
 type frame struct {
-	parts       []Part // under the queue's lock until the writer has it
+	parts       []Part // guarded by the queue's lock until the writer takes the frame
 	abandonID   string
-	openTickets int  // tickets without an end; of the pool's goroutine
-	order       int  // in order of the pushes
-	endOffset   int  // where it ends in its write
-	written     bool // its last byte has been; settled once the connection is down
+	openTickets int  // tickets that have not ended; owned by the pool's goroutine
+	order       int  // consecutive number in the queue
+	endOffset   int  // offset of the frame's end in the written buffer
+	written     bool // the last byte was written; final once the connection has closed
 }
 
-// connection is one connection to a replica. The pool's goroutine owns all fields up to queue; run is its
-// own goroutine, and gives back all that it holds before its last notice.
+// connection is a connection to a replica. The fields up to queue belong to the pool's goroutine. run has its
+// own goroutine, which has released everything before it sends its last event.
 type connection struct {
 	line      *destination
 	tickets   map[string]*Ticket  // by id
-	abandoned map[string]struct{} // ids given up whose reply may still come
-	endedIDs  []string            // ids that had their reply, the last ones
+	abandoned map[string]struct{} // abandoned ids whose reply may still come
+	endedIDs  []string            // the ids answered last
 	openCalls int
-	retired   bool // takes no more calls, and ends with its last one
+	retired   bool // takes no more calls, and closes after its last one
 	heardAt   int64
 	idleSince int64
 
@@ -69,26 +69,27 @@
 	return c
 }
 
-// usedID tells whether an id is in use on the connection, or was: its reply may still come, or come again.
+// usedID reports whether an id is or was in use on the connection, so that its reply may still come, or come
+// again.
 func (c *connection) usedID(id string) bool {
 	_, given := c.abandoned[id]
 	return given || c.tickets[id] != nil || slices.Contains(c.endedIDs, id)
 }
 
-// recordReply notes that an id has had its reply.
+// recordReply records that an id was answered.
 func (c *connection) recordReply(id string) {
 	if c.endedIDs = append(c.endedIDs, id); len(c.endedIDs) > maxEndedIDs {
 		c.endedIDs = slices.Delete(c.endedIDs, 0, 1)
 	}
 }
 
-// close takes the connection out of use and closes it; its last notice has the error.
+// close retires the connection and closes it; its last event holds the error.
 func (c *connection) close(err error) {
 	c.retired = true
 	c.cancel(err)
 }
 
-// run opens the connection, writes what is queued and reads replies until it breaks or is shut.
+// run opens the connection, writes queued frames and reads replies until the connection fails or is closed.
 func (c *connection) run(dial string) {
 	conn, err := c.open(dial)
 	up := err == nil
@@ -116,14 +117,14 @@
 	c.pool.notify(Event{conn: c, at: c.pool.Now(), closed: true, wasOpen: up, Err: err})
 }
 
-// open dials within the time that the deployment states.
+// open dials within the configured timeout.
 func (c *connection) open(address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, time.Duration(c.pool.ConnectTimeout))
 	defer cancel()
 	return c.pool.Dial(ctx, "tcp", address)
 }
 
-// write writes the frames of each round at once.
+// write writes all queued frames in one write.
 func (c *connection) write(conn net.Conn) error {
 	var buf []byte
 	for {
@@ -133,7 +134,7 @@
 		case <-c.queue.wake:
 		}
 		frames := c.queue.takeAll()
-		if len(frames) == 0 { // all given up meanwhile
+		if len(frames) == 0 { // all were withdrawn meanwhile
 			continue
 		}
 		buf = buf[:0]
@@ -156,9 +157,10 @@
 	}
 }
 
-// read passes on replies.
+// read reports replies to the pool.
 //
-// Danger: a frame that announces more than ever comes would keep all that waits on the connection.
+// Danger: a frame whose header announces more bytes than ever come would block all that waits on the
+// connection.
 func (c *connection) read(conn net.Conn) error {
 	r, rest := bufio.NewReaderSize(conn, readBufferBytes), time.Duration(c.pool.ConnectTimeout/frameTimeoutDivisor)
 	for {
@@ -206,7 +208,7 @@
 	return frames
 }
 
-// remove takes a part out of a frame that still waits, and the frame with its last part.
+// remove takes a part out of a frame that is still queued, and the frame out of the queue with its last part.
 func (q *queue) remove(f *frame, id string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/transport/replica/frame.go
+++ b/transport/replica/frame.go
@@ -1,4 +1,5 @@
-// Package replica speaks with replicas: the frame codec, and the pool that owns every connection to them.
+// Package replica implements the frame protocol with replicas: the codec, and the pool that owns every
+// connection to them. It decides nothing.
 package replica
 
 import (
@@ -13,7 +14,7 @@
 	"unicode/utf8"
 )
 
-// The letters that open frames.
+// The letters that begin frames.
 const (
 	LetterCall     = 'R'
 	LetterAbandon  = 'A'
@@ -24,29 +25,29 @@
 )
 
 const (
-	lengthBytes   = 4        // of a frame, most significant first
-	maxFrameBytes = 72 << 10 // bytes of an incoming frame: an answer to a client holds 64 KiB, and so may a value
+	lengthBytes   = 4        // the length of a frame, most significant byte first
+	maxFrameBytes = 72 << 10 // of an incoming frame: an answer to a client holds 64 KiB, and so may a value
 	minFrameBytes = 1        // the letter
 )
 
-// Outcome is how a replica says that it is done with a part.
+// Outcome is what a replica states about a part.
 type Outcome uint8
 
 const (
 	Succeeded Outcome = iota // with a value
-	Failed                   // it may have run
-	Rejected                 // it never ran
+	Failed                   // it may have been executed
+	Rejected                 // it was never executed
 )
 
-// Part is what a call asks for: one part of a query.
+// Part is one part of a query, as a call requests it.
 type Part struct {
 	ID     string
 	Shard  int
-	WaitMs int64 // ms that the answer will be waited for
+	WaitMs int64 // how long the answer is waited for, ms
 	Text   []byte
 }
 
-// Reply is one part's answer.
+// Reply is the answer to one part.
 type Reply struct {
 	ID      string
 	Outcome Outcome
@@ -61,16 +62,16 @@
 	errBadReply      = errors.New("an answer that cannot be read")
 )
 
-// replyLetters are those that a replica's frames may open with.
+// replyLetters are the letters that a replica's frames may begin with.
 const replyLetters = string(rune(LetterReply)) + string(rune(LetterUnusable)) + string(rune(LetterProbe)) + string(rune(LetterLoad))
 
-// AppendFrame adds a frame to buf.
+// AppendFrame appends a frame to buf.
 func AppendFrame(buf []byte, letter byte, rest string) []byte {
 	buf = binary.BigEndian.AppendUint32(buf, uint32(1+len(rest)))
 	return append(append(buf, letter), rest...)
 }
 
-// appendCall adds the frame of one call to buf.
+// appendCall appends the frame of a call to buf.
 func appendCall(buf []byte, parts []Part) []byte {
 	start := len(buf)
 	buf = AppendFrame(buf, LetterCall, "")
@@ -88,9 +89,9 @@
 // ReadFrame returns the letter and the rest of the next frame.
 func ReadFrame(r *bufio.Reader) (byte, []byte, error) { return readFrame(r, func() {}) }
 
-// readFrame calls begun once the first byte of the frame is there.
+// readFrame calls started once the first byte of the frame has arrived.
 //
-// Danger: a frame that announces gigabytes must not be given room for them.
+// Danger: no memory may be allocated for a frame whose header announces gigabytes.
 func readFrame(r *bufio.Reader, started func()) (byte, []byte, error) {
 	var head [lengthBytes + 1]byte
 	if _, err := r.Peek(1); err != nil {
@@ -111,7 +112,7 @@
 	return head[lengthBytes], rest, nil
 }
 
-// readReply returns the next reply of a connection, passing over frames that tell nothing here.
+// readReply returns the next reply on a connection and skips frames without meaning here.
 func readReply(r *bufio.Reader, started func()) (Reply, error) {
 	for {
 		letter, rest, err := readFrame(r, started)
@@ -128,10 +129,10 @@
 	}
 }
 
-// parseReply decodes the rest of a reply's frame. Its report is not read: one that can't be spoils nothing.
+// parseReply decodes the rest of a reply's frame. It ignores the load report, so a malformed one does no harm.
 //
-// Danger: a value that is no text would reach the client changed, and one that has swallowed the next frame, whose
-// length opens with a zero, is longer than the replica gave it.
+// Danger: a value that is not valid text would reach the client changed. A value that holds the next frame by a
+// wrong length contains that frame's length, whose first byte is zero; so zero bytes are refused.
 func parseReply(rest []byte) (Reply, error) {
 	line, value, ok := strings.Cut(string(rest), "\n")
 	words := strings.SplitN(line, " ", 4)
@@ -151,7 +152,7 @@
 	return Reply{ID: words[0], Outcome: Outcome(end), Value: value}, nil
 }
 
-// plausibleFrame tells whether bytes that follow a reply can be the next one's first.
+// plausibleFrame reports whether the bytes after a reply can begin another frame.
 func plausibleFrame(next []byte) bool {
 	var head [lengthBytes]byte
 	copy(head[:], next)
@@ -160,7 +161,7 @@
 		(len(next) <= lengthBytes || strings.IndexByte(replyLetters, next[lengthBytes]) >= 0)
 }
 
-// ParseCall, for stand-ins, decodes the rest of a call's frame.
+// ParseCall decodes the rest of a call's frame, for simulated replicas.
 func ParseCall(rest []byte) (parts []Part, err error) {
 	for text := string(rest); text != ""; {
 		line, after, ok := strings.Cut(text, "\n")
@@ -192,7 +193,7 @@
 	return parts, nil
 }
 
-// AppendReply, for stand-ins, adds the frame of a reply to buf.
+// AppendReply appends the frame of a reply to buf, for simulated replicas.
 func AppendReply(buf []byte, r Reply, report string) []byte {
 	return AppendFrame(buf, LetterReply, r.ID+" "+outcomeWords[r.Outcome]+" 0 "+report+"\n"+r.Value)
 }
--- a/transport/replica/frame_test.go
+++ b/transport/replica/frame_test.go
@@ -14,7 +14,7 @@
 		t.Errorf("a call is %q", call)
 	}
 	if got := string(AppendFrame(nil, LetterAbandon, "9b1f.3")); got != "\x00\x00\x00\x07A9b1f.3" {
-		t.Errorf("a part is given up by %q", got)
+		t.Errorf("a part is abandoned by %q", got)
 	}
 }
 
@@ -53,7 +53,8 @@
 	}
 }
 
-// FuzzFrames feeds any bytes to both sides: what can be read must be the same when written and read again.
+// FuzzFrames feeds arbitrary bytes to both decoders. What can be decoded must be the same after encoding and
+// decoding it again.
 func FuzzFrames(f *testing.F) {
 	f.Add(appendCall(nil, []Part{{"a.3", 3, 240, []byte("text")}, {"a.4", 4, 1, nil}}))
 	f.Add(AppendReply(nil, Reply{"a.3", Succeeded, "v"}, "qps=3"))
@@ -64,7 +65,7 @@
 		if reply, err := readReply(bufio.NewReader(bytes.NewReader(in)), func() {}); err == nil {
 			again, err := readReply(bufio.NewReader(bytes.NewReader(AppendReply(nil, reply, "-"))), func() {})
 			if err != nil || again != reply {
-				t.Errorf("%v became %v, %v", reply, again, err)
+				t.Errorf("%v was decoded as %v, %v", reply, again, err)
 			}
 		}
 		_, rest, err := ReadFrame(bufio.NewReader(bytes.NewReader(in)))
@@ -74,7 +75,7 @@
 		if parts, err := ParseCall(rest); err == nil {
 			again, err := ParseCall(appendCall(nil, parts)[5:])
 			if err != nil || !reflect.DeepEqual(again, parts) {
-				t.Errorf("%v became %v, %v", parts, again, err)
+				t.Errorf("%v was decoded as %v, %v", parts, again, err)
 			}
 		}
 	})
--- a/transport/replica/pool.go
+++ b/transport/replica/pool.go
@@ -14,13 +14,13 @@
 	"willowsill/transport/sockets"
 )
 
-// Ticket is one execution on its way; the pool fills in the rest. Its owner sees its end just once: either
-// the pool reports it, or the owner gives it up.
+// Ticket is one execution in progress; the pool fills in the unexported fields. A ticket ends exactly once:
+// either the pool reports it, or its owner abandons or withdraws it.
 type Ticket struct {
 	Part
-	Payload any // what its query has for a carrier of another kind, nil for none
-	// NewConnection tells that a connection was opened for it, Connected when its connection was up, ns, 0 before. Carriers of another
-	// kind set them.
+	Payload any // request data for a transport of another kind, nil for none
+	// NewConnection reports whether a connection was opened for the ticket, and ConnectedAt when its connection
+	// was open, ns, 0 before that. Transports of another kind set them.
 	NewConnection bool
 	ConnectedAt   atomic.Int64
 	conn          *connection
@@ -28,7 +28,7 @@
 	sentAt        int64
 }
 
-// Report tells how a ticket ended.
+// Report is the end of a ticket.
 type Report struct {
 	Ticket *Ticket
 	Result balance.Result
@@ -36,8 +36,8 @@
 	At     int64 // ns
 }
 
-// Pool owns the connections to all replicas: it opens, shares out and closes them. All its methods are for
-// the one goroutine that owns it; what connections have to tell comes to it through Notice.
+// Pool opens, shares and closes the connections to all replicas. Its methods may only be called by the
+// goroutine that owns it, which also passes the connections' events to Handle.
 type Pool struct {
 	Config
 	replicas []*destination
@@ -46,7 +46,7 @@
 	counters *counters.Counters
 }
 
-// Config are what the deployment states of connections, in ns.
+// Config holds the deployment's settings for connections. Times are in ns.
 type Config struct {
 	MaxCalls       int
 	ConnectTimeout int64
@@ -55,21 +55,21 @@
 	Dial           Dial
 }
 
-// Dial opens a connection, and keeps to the time it may take.
+// Dial opens a connection within the deadline of ctx.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// destination is all that is kept of one replica.
+// destination holds the address of one replica and the connections to it.
 type destination struct {
 	address string
 	conns   []*connection
 }
 
-// NewPool makes a pool that hands what its connections have to tell to tell, from their goroutines.
+// NewPool returns a pool whose connections pass their events to notify, from their own goroutines.
 func NewPool(t Config, notify func(Event), budget *sockets.Budget, count *counters.Counters) *Pool {
 	return &Pool{Config: t, notify: notify, budget: budget, counters: count}
 }
 
-// SetAddress tells where a replica listens from now on.
+// SetAddress sets the address of a replica for new connections.
 func (p *Pool) SetAddress(replica int, dial string) {
 	for len(p.replicas) <= replica {
 		p.replicas = append(p.replicas, &destination{})
@@ -80,15 +80,15 @@
 	}
 }
 
-// Retire takes all connections to a replica out of use; what is out there may still come.
+// Retire retires all connections to a replica. Calls in progress still get their replies.
 func (p *Pool) Retire(replica int) {
 	p.replicas[replica].retire(func(*connection) bool { return true })
 }
 
-// Drained tells whether nothing is out at a replica, and no connection to it is left.
+// Drained reports whether no call to a replica is in progress and no connection to it is left.
 func (p *Pool) Drained(replica int) bool { return len(p.replicas[replica].conns) == 0 }
 
-// Send sends tickets to a replica as one call. It returns false if there is no room for a connection.
+// Send sends tickets to a replica as one call. It returns false if no connection may be opened for them.
 func (p *Pool) Send(replica int, tickets []*Ticket) bool {
 	l, now := p.replicas[replica], p.Now()
 	c := p.chooseConnection(l, tickets, now)
@@ -106,12 +106,12 @@
 	return true
 }
 
-// chooseConnection returns a connection with room, or a new one.
+// chooseConnection returns a connection that takes another call, or opens one.
 //
-// Danger: a vanished machine says nothing, and its open connections swallow all that is written to them. One
-// on which a part was given up with nothing heard since its send takes no more parts. One that has stood idle
-// for almost as long as the replica keeps it would reset the next part. And an id that was given up on a
-// connection must not meet its own late reply there.
+// Danger: a machine that has vanished sends nothing, and its open connections accept data without an effect. So
+// a connection takes no more parts after one was abandoned on it with nothing received since it was sent. A
+// connection that has been idle for almost as long as the replica keeps it could be reset with the next part.
+// And an id that was abandoned on a connection must not be used there again, where its late reply may come.
 func (p *Pool) chooseConnection(l *destination, tickets []*Ticket, now int64) *connection {
 	p.retireIdle(l, now)
 	for _, c := range l.conns {
@@ -123,7 +123,7 @@
 		}
 	}
 	if !p.budget.Acquire(sockets.Replicas) {
-		for replica := range p.replicas { // for the calls to come: a connection ends in its own time
+		for replica := range p.replicas { // for later calls: connections need some time to close
 			p.CloseIdle(replica)
 		}
 		return nil
@@ -135,26 +135,26 @@
 	return c
 }
 
-// retireIdle takes connections out of use before the replica closes them as idle.
+// retireIdle retires connections before the replica closes them as idle.
 func (p *Pool) retireIdle(l *destination, now int64) {
 	l.retire(func(c *connection) bool {
 		return c.openCalls == 0 && now-c.idleSince >= p.IdleTimeout-p.IdleTimeout/idleMarginDivisor
 	})
 }
 
-// Sweep retires idle connections everywhere.
+// Sweep retires idle connections to all replicas.
 func (p *Pool) Sweep() {
 	for _, l := range p.replicas {
 		p.retireIdle(l, p.Now())
 	}
 }
 
-// CloseIdle gives back the connections to a replica that carry nothing now.
+// CloseIdle closes the connections to a replica that carry no call.
 func (p *Pool) CloseIdle(replica int) {
 	p.replicas[replica].retire(func(c *connection) bool { return c.openCalls == 0 })
 }
 
-// retire takes some connections out of use; they end with their last call.
+// retire retires the connections for which the function returns true. They close after their last call.
 func (l *destination) retire(which func(*connection) bool) {
 	for _, c := range l.conns {
 		c.retired = c.retired || which(c)
@@ -162,7 +162,7 @@
 	l.closeDrained()
 }
 
-// closeDrained closes what is retired and carries nothing; the connection's end comes as a notice.
+// closeDrained closes the retired connections without a call. Their end is reported by an event.
 func (l *destination) closeDrained() {
 	l.conns = slices.DeleteFunc(l.conns, func(c *connection) bool {
 		ends := c.retired && c.openCalls == 0
@@ -173,8 +173,8 @@
 	})
 }
 
-// Withdraw takes a ticket back whose part has not left yet; the pool will not report it from then on. What
-// shares its call still goes.
+// Withdraw takes back a ticket whose part was not sent yet; the pool won't report it. The other parts of its
+// call are still sent.
 func (p *Pool) Withdraw(t *Ticket) bool {
 	unsent := t.conn.queue.remove(t.frame, t.ID)
 	if unsent {
@@ -183,8 +183,8 @@
 	return unsent
 }
 
-// Abandon ends the wait for a ticket, which the pool will not report from then on. With tell the replica
-// hears of it. It returns true if the part never left and was withdrawn.
+// Abandon ends the wait for a ticket, which the pool then won't report. With notifyReplica the replica is told
+// that the part is abandoned. It returns true if the part was withdrawn before it was sent.
 func (p *Pool) Abandon(t *Ticket, notifyReplica bool) (unsent bool) {
 	if p.Withdraw(t) {
 		return true
@@ -204,7 +204,7 @@
 	return false
 }
 
-// endTicket takes a ticket off its connection.
+// endTicket removes a ticket from its connection.
 func (p *Pool) endTicket(t *Ticket) {
 	c := t.conn
 	delete(c.tickets, t.ID)
@@ -215,7 +215,7 @@
 	c.line.closeDrained()
 }
 
-// Handle takes in what a connection had to tell and returns the tickets that it ended.
+// Handle handles an event of a connection and returns the tickets that it ended.
 func (p *Pool) Handle(n Event) (reports []Report) {
 	c := n.conn
 	if n.closed {
@@ -232,13 +232,14 @@
 		for _, t := range c.tickets {
 			reports = append(reports, Report{Ticket: t, Result: t.resultOnClose(n.Err), At: n.at})
 		}
+		// The order of a map is random; the reports need the order of the sends.
 		// The order of a map is chance; the module is to see that of the sends.
 		slices.SortFunc(reports, func(x, y Report) int {
 			return cmp.Or(cmp.Compare(x.Ticket.frame.order, y.Ticket.frame.order), cmp.Compare(x.Ticket.ID, y.Ticket.ID))
 		})
 	} else {
 		c.heardAt = n.at
-		if n.corruptTail { // the good reply counts, and its connection takes no more
+		if n.corruptTail { // the reply is valid, but the connection is not used again
 			c.retired = true
 		}
 		t := c.tickets[n.reply.ID]
@@ -249,8 +250,8 @@
 			p.counters.LateReplies.Add(1)
 			return nil
 		case t == nil:
-			// Danger: a reply under an id that was never sent here was made for a part that waits, and passing it
-			// over would let that part wait until its time is up.
+			// Danger: a reply with an id that was never sent here belongs to a part that is waited for. Ignoring it
+			// would delay that part until its timeout.
 			c.close(fmt.Errorf("%w: the id %.40q", errBadReply, n.reply.ID))
 			return nil
 		}
@@ -264,9 +265,9 @@
 	return reports
 }
 
-// resultOnClose is how a ticket ends whose connection went down. What broke before its frame's last byte was written never
-// ran. An answer that can't be read comes from a process that is well: it may have run all that was out there, and
-// nothing of that was reset.
+// resultOnClose returns the result of a ticket whose connection has closed. A part was never executed if its
+// frame was not written to the last byte. After an answer that cannot be decoded the process still runs: it may
+// have executed all parts on that connection, and the connection was not reset.
 func (t *Ticket) resultOnClose(err error) balance.Result {
 	switch {
 	case !t.frame.written:
@@ -277,7 +278,7 @@
 	return balance.Reset
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Pool) Close() {
 	for _, l := range p.replicas {
 		for _, c := range l.conns {
@@ -286,5 +287,5 @@
 	}
 }
 
-// OpenConnections counts the connections that have not ended.
+// OpenConnections returns the number of connections that have not ended.
 func (p *Pool) OpenConnections() int { return p.budget.InUse(sockets.Replicas) }
--- a/transport/replica/pool_test.go
+++ b/transport/replica/pool_test.go
@@ -16,7 +16,7 @@
 	"willowsill/transport/sockets"
 )
 
-// fixture is a pool with one replica, played by the test by hand.
+// fixture is a pool with one replica, which the test plays.
 type fixture struct {
 	*testing.T
 	*Pool
@@ -26,7 +26,7 @@
 
 const address = "r:1"
 
-// runFixture plays a test in a bubble of its own time; in the end nothing may be left open or running.
+// runFixture runs a test in a synctest bubble. At the end no connection may be open.
 func runFixture(t *testing.T, play func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &fixture{T: t, network: &pipenet.Network{}, events: make(chan Event, 64)}
@@ -51,12 +51,12 @@
 		tickets = append(tickets, &Ticket{Part: Part{ID: id, Shard: 1, WaitMs: 100, Text: []byte("t")}})
 	}
 	if !b.Send(0, tickets) {
-		b.Fatal("no room")
+		b.Fatal("no connection may be opened")
 	}
 	return tickets
 }
 
-// reports lets things settle and writes down what the pool then reports.
+// reports waits until all goroutines are blocked, and returns what the pool then reports.
 func (b *fixture) reports() (all []string) {
 	for {
 		synctest.Wait()
@@ -78,13 +78,13 @@
 	}
 }
 
-// accept takes the next connection in.
+// accept accepts the next connection.
 func accept(l *pipenet.Listener) net.Conn {
 	c, _ := l.Accept()
 	return c
 }
 
-// next reads a frame's rest.
+// next reads a frame and returns it without its length.
 func (b *fixture) next(c net.Conn) string {
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(c, head); err != nil {
@@ -183,14 +183,14 @@
 			b.next(c)
 			b.next(c)
 			if b.Abandon(tickets[0], true) {
-				b.Error("what was sent counts as unsent")
+				b.Error("a part that was sent was reported as withdrawn")
 			}
 			if got := b.next(c); got != "Aa.1" {
-				b.Errorf("told %q", got)
+				b.Errorf("the replica received %q", got)
 			}
 			b.reply(c, "a.1", Succeeded)
 			b.expect()
-			b.reply(c, "a.1", Succeeded) // and twice
+			b.reply(c, "a.1", Succeeded) // a second time
 			b.expect()
 			b.reply(c, "a.2", Succeeded)
 			b.expect("a.2 " + fulfilled + " v")
@@ -200,12 +200,12 @@
 			tickets := append(b.call("a.1"), b.call("a.2", "a.3")...)
 			time.Sleep(time.Millisecond)
 			if !b.Withdraw(tickets[1]) || !b.Abandon(tickets[0], true) {
-				b.Error("what waits for its connection counts as sent")
+				b.Error("a part that waits for its connection was reported as sent")
 			}
 			time.Sleep(time.Second)
 			b.expect("a.3 " + connectFailed + " ")
 		},
-		// Danger: in a shared call a part whose query is over would be sent after the answer.
+		// Danger: in a shared call, a part whose query has ended would be sent after the answer.
 		"given up out of a shared call": func(b *fixture) {
 			l := b.network.Listen(address)
 			for range pipenet.Backlog {
@@ -214,7 +214,7 @@
 			tickets := b.call("a.1", "b.1")
 			synctest.Wait()
 			if !b.Abandon(tickets[0], true) {
-				b.Error("what waits for its connection counts as sent")
+				b.Error("a part that waits for its connection was reported as sent")
 			}
 			for range pipenet.Backlog {
 				accept(l).Close()
@@ -226,7 +226,7 @@
 			b.reply(c, "b.1", Succeeded)
 			b.expect("b.1 " + fulfilled + " v")
 		},
-		// Danger: a vanished machine's connection swallows whatever is written to it.
+		// Danger: the connection of a machine that has vanished accepts all that is written to it.
 		"silence": func(b *fixture) {
 			l := b.network.Listen(address)
 			tickets := b.call("a.1")
@@ -270,13 +270,13 @@
 			time.Sleep(13 * time.Second)
 			b.Sweep()
 			b.call("a.2")
-			b.next(c) // still the same
+			b.next(c) // on the same connection
 			b.reply(c, "a.2", Succeeded)
 			b.expect("a.2 " + fulfilled + " v")
 			time.Sleep(14 * time.Second)
 			b.Sweep()
 			if got := b.next(c); got != io.EOF.Error() {
-				b.Errorf("an old connection brings %q", got)
+				b.Errorf("an idle connection that should be closed returns %q", got)
 			}
 			b.call("a.3")
 			b.next(accept(l))
@@ -286,12 +286,12 @@
 			b.call("a.1")
 			c := accept(l)
 			b.next(c)
-			b.CloseIdle(0) // it still carries something
+			b.CloseIdle(0) // a call is still in progress on it
 			b.reply(c, "a.1", Succeeded)
 			b.expect("a.1 " + fulfilled + " v")
 			b.CloseIdle(0)
 			if got := b.next(c); got != io.EOF.Error() {
-				b.Errorf("a connection given back brings %q", got)
+				b.Errorf("a connection that should be closed returns %q", got)
 			}
 		},
 		"moved": func(b *fixture) {
@@ -311,8 +311,9 @@
 	}
 }
 
-// Danger: what can't be read was made for a part that waits, and would let it wait until its time is up; so would what
-// else is out on its connection. All of it may have run, and the process is well.
+// TestSpoiltReplies: a reply that cannot be decoded belongs to a part that waits, which would otherwise wait
+// for its timeout, and so would the other parts on its connection. All of them may have been executed, and the
+// replica's process still runs.
 func TestSpoiltReplies(t *testing.T) {
 	reply := string(AppendReply(nil, Reply{"a.1", Succeeded, "v"}, "-"))
 	for name, c := range map[string]struct {
@@ -339,20 +340,21 @@
 				go io.WriteString(conn, c.bytes)
 				time.Sleep(c.after)
 				b.expect("a.1 "+errored+" ", "a.2 "+errored+" ")
-				b.call("a.1") // again, and its connection is of no more use
+				b.call("a.1") // once more; the first connection is not used again
 				next := accept(l)
 				b.next(next)
 				b.reply(next, "a.1", Succeeded)
 				b.expect("a.1 " + fulfilled + " v")
 				if n := b.counters.InvalidReplies.Load(); n != 1 {
-					b.Errorf("%d spoilt replies", n)
+					b.Errorf("%d undecodable replies were counted", n)
 				}
 			})
 		})
 	}
 }
 
-// Danger: what comes behind a good answer must cost neither that answer nor the next part. A second copy is harmless.
+// TestBehindAGoodReply: bytes after a valid reply must spoil neither that reply nor the next part. A second
+// copy of the reply is harmless.
 func TestBehindAGoodReply(t *testing.T) {
 	reply := string(AppendReply(nil, Reply{"a.1", Succeeded, "v"}, "-"))
 	for name, behind := range map[string]string{"noise": "\xfd\xbe\x99\an\r\n", "a second copy": reply} {
@@ -366,7 +368,7 @@
 				if got := b.Handle(<-b.events); len(got) != 1 || got[0].Result != balance.Fulfilled {
 					b.Fatalf("reported %v", got)
 				}
-				b.call("a.2") // before anything behind the answer was booked
+				b.call("a.2") // before what follows the reply was handled
 				if name == "noise" {
 					conn = accept(l)
 				}
@@ -378,7 +380,7 @@
 	}
 }
 
-// Danger: connections beyond the limit on descriptors would end the process, or its service.
+// TestNoRoom: connections beyond the limit on descriptors would end the process or make it unable to serve.
 func TestNoRoom(t *testing.T) {
 	runFixture(t, func(b *fixture) {
 		b.network.Blackhole(address)
@@ -393,7 +395,7 @@
 			room++
 		}
 		if most := b.OpenConnections() * b.MaxCalls; room != most || room == 0 {
-			t.Errorf("room for %d, at %d connections", room, b.OpenConnections())
+			t.Errorf("%d parts were sent on %d connections", room, b.OpenConnections())
 		}
 		for _, ticket := range first {
 			b.Abandon(ticket, false)
--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -19,17 +19,18 @@
 	"willowsill/balance"
 )
 
-// ErrReplica is the class of what goes wrong with a replica's answer.
+// ErrReplica carries the error code of faulty answers of replicas.
 var ErrReplica = oops.Code("replica")
 
-var errUnsolicited = ErrReplica.Errorf("bytes came that belong to no request")
+var errUnsolicited = ErrReplica.Errorf("the replica sent bytes without a request")
 
 const (
 	readBufferBytes = 2 << 10
-	firstLine       = "HTTP/1." // how the first line of each answer begins
+	firstLine       = "HTTP/1." // the start of each answer's status line
 )
 
-// connection is one to a replica. free and until are the loop's; the rest belongs to its goroutines.
+// connection is a connection to a replica. free and usableUntil belong to the pool's loop; the rest belongs to
+// the connection's goroutines.
 type connection struct {
 	line        *line
 	pool        *Pool
@@ -41,12 +42,12 @@
 	mu      sync.Mutex
 	conn    net.Conn
 	closed  bool
-	current *exchange // that is out
+	current *exchange // the exchange in progress
 
-	writeLock chan struct{} // full while a request is written
+	writeLock chan struct{} // holds an element while a request is written
 }
 
-// assign books an exchange; the loop calls it while the connection is free.
+// assign starts an exchange. The loop calls it while the connection is free.
 func (c *connection) assign(e *exchange) {
 	e.conn, c.free = c, false
 	c.mu.Lock()
@@ -54,7 +55,7 @@
 	c.mu.Unlock()
 }
 
-// isClosed tells whether the connection was closed, by either side.
+// isClosed reports whether the connection was closed by either side.
 func (c *connection) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +95,7 @@
 	err = c.read(conn)
 	conn.Close()
 	c.cancel()
-	// A write that is under way fails now, and knows better than this side whether any byte of it was taken.
+	// A write in progress fails now. It knows whether any byte was accepted, so wait for it to report.
 	c.writeLock <- struct{}{}
 	defer func() { <-c.writeLock }()
 	n := notice{conn: c, closed: true, at: c.pool.now()}
@@ -117,9 +118,10 @@
 
 // write writes the request of an exchange, unless it was withdrawn meanwhile.
 //
-// Danger: a replica may answer before it has read a request whole, and the next one begins while the rest of the former is
-// still being written. Where that rest then fails, nothing may follow: the replica would read it as the rest. So writes
-// come one after another, and a failed one closes the connection before the next begins.
+// Danger: a replica may answer before it has read the whole request, so the next exchange may start while the
+// rest of the previous request is still being written. If that write fails, nothing may follow, because the
+// replica would read it as the rest of the previous request. So writes are serialized, and a failed write
+// closes the connection before the next one starts.
 func (c *connection) write(e *exchange) {
 	c.writeLock <- struct{}{}
 	defer func() { <-c.writeLock }()
@@ -143,8 +145,8 @@
 	}
 }
 
-// failedWrite is what a failed write of a request says of its execution: what this machine's own kernel took no byte of
-// cannot have run. All else may have.
+// failedWrite returns the result of an execution whose request could not be written. It cannot have run if this
+// machine's kernel accepted no byte; otherwise it may have run.
 func failedWrite(taken int) balance.Result {
 	if taken == 0 {
 		return balance.ConnectFailed
@@ -152,7 +154,7 @@
 	return balance.Reset
 }
 
-// end tells of an exchange's end, if nobody has yet.
+// end reports the end of an exchange, unless that was already reported.
 func (c *connection) end(e *exchange, n notice) bool {
 	c.mu.Lock()
 	mine := c.current == e
@@ -167,7 +169,7 @@
 	return mine
 }
 
-// currentExchange is the exchange whose answer is awaited.
+// currentExchange returns the exchange whose answer is awaited.
 func (c *connection) currentExchange() *exchange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,7 +185,7 @@
 			return err
 		}
 		e := c.currentExchange()
-		// Danger: bytes that come while nothing is asked would be taken for the next request's answer.
+		// Danger: bytes that arrive while no request is open would be taken for the answer to the next request.
 		if e == nil || e.state.Load() != written {
 			return errUnsolicited
 		}
@@ -192,8 +194,8 @@
 		if err != nil {
 			return err
 		}
-		// Danger: a second answer to an earlier request may come in this one's place. The id tells; the true one
-		// follows.
+		// Danger: a second answer to an earlier request may come instead of the expected one. The attempt id tells
+		// them apart; the expected one follows.
 		if a.attempt != req.Attempt {
 			surplus = true
 			continue
@@ -212,7 +214,7 @@
 	encoded     bool
 }
 
-// result is what an answer says of its execution.
+// result returns what an answer proves about its execution.
 func (a *response) result() balance.Result {
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
@@ -225,18 +227,20 @@
 	return balance.Errored
 }
 
-// rejectionStatus tells whether a replica answers with this status what it has not run. Willowsill-Not-Executed beside any
-// other contradicts itself, and a status without that header proves nothing.
+// rejectionStatus reports whether a replica uses this status for requests that it has not executed.
+// Willowsill-Not-Executed with another status is contradictory, and the status without that header proves
+// nothing.
 //
-// Danger: an unsafe request that has run would be promised to its client as one that never will.
+// Danger: an unsafe request that was executed would be reported to its client as one that never will be.
 func rejectionStatus(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusBadRequest
 }
 
-// readAnswer reads the next answer whole, and tells for how long the connection may be used again. An answer without a
-// length is whole where the replica has closed the connection behind it in order.
+// readAnswer reads the next answer completely, and returns for how long the connection may be reused. An answer
+// without a length is complete if the replica closed the connection after it in an orderly way.
 //
-// Danger: one that is reset on the way, or is given up by this side, would look whole; reading it fails then.
+// Danger: an answer that was cut off by a reset, or by closing the connection here, would look complete; but
+// then reading it fails.
 func readAnswer(r *bufio.Reader, method string) (*response, time.Duration, error) {
 	var res *http.Response
 	for {
@@ -253,14 +257,14 @@
 	}
 	h := res.Header
 	if mergedHeads(res) {
-		return nil, 0, ErrReplica.Errorf("an answer whose head is of two")
+		return nil, 0, ErrReplica.Errorf("an answer whose header is merged from two answers")
 	}
 	body, err := readBody(res, method)
 	if err != nil {
 		return nil, 0, ErrReplica.Wrapf(err, "an answer that was broken off")
 	}
 	if endsWithConnection(res) && bytes.Contains(body, []byte(firstLine)) {
-		return nil, 0, ErrReplica.Errorf("an answer without a length, with another one behind it")
+		return nil, 0, ErrReplica.Errorf("an answer without a length that holds the start of another answer")
 	}
 	a := &response{Answer: Answer{Status: res.StatusCode, Header: h, Body: body, Seal: h.Get(HeaderSeal), Complete: true,
 		Replica: h.Get(HeaderReplica)}, attempt: h.Get(HeaderAttempt), notExecuted: h.Get(HeaderNotExecuted) != "",
@@ -280,18 +284,18 @@
 	return a, keep, nil
 }
 
-// endsWithConnection tells whether nothing but the end of its connection ends an answer's body.
+// endsWithConnection reports whether only the end of the connection ends an answer's body.
 //
-// Danger: what a replica in trouble sends behind such an answer would pass for the rest of its body.
+// Danger: what a faulty replica sends after such an answer would be taken for the rest of its body.
 func endsWithConnection(res *http.Response) bool {
 	return res.ContentLength < 0 && len(res.TransferEncoding) == 0
 }
 
-// mergedHeads tells whether the head of an answer was put together from those of two: it bears two first lines, or twice what an
-// answer bears once.
+// mergedHeads reports whether the header of an answer was merged from two answers: it holds a second status
+// line, or a header twice that an answer has only once.
 //
-// Danger: an answer that was broken off in its head, with the next one behind it, reads as one. The status and the seal of
-// the former would go out under the id of the latter.
+// Danger: an answer that breaks off within its header and is followed by the next answer looks like one answer.
+// The status and the seal of the first would be passed on with the id of the second.
 func mergedHeads(res *http.Response) bool {
 	for _, once := range [...]string{HeaderAttempt, HeaderSeal, HeaderNotExecuted} {
 		if len(res.Header[once]) > 1 {
@@ -309,7 +313,7 @@
 	return false
 }
 
-// readBody reads the body of an answer whole; the answer to HEAD has none, whatever length it states.
+// readBody reads the complete body of an answer. The answer to HEAD has none, whatever length it states.
 func readBody(res *http.Response, method string) ([]byte, error) {
 	if method == http.MethodHead {
 		return nil, nil
--- a/transport/replicahttp/fuzz_test.go
+++ b/transport/replicahttp/fuzz_test.go
@@ -20,15 +20,15 @@
 
 const (
 	fuzzExchanges  = 4    // on one connection, one after the other
-	fuzzSegments   = 32   // at the most, of the replica's stream
-	fuzzLengthBits = 0x3f // of a byte of the plan: how long the segment is; all of it for up to the next first line
+	fuzzSegments   = 32   // most segments of the replica's stream
+	fuzzLengthBits = 0x3f // bits of a plan's byte that give the length of the segment; all set for up to the next status line
 	fuzzWaits      = 0x40 // the segment waits for the next request
 	fuzzPause      = 0x80 // time passes before the segment
 	fuzzStep       = 10 * time.Millisecond
-	fuzzTimeout    = time.Second // after which an exchange is given up
+	fuzzTimeout    = time.Second // after which an exchange is abandoned
 )
 
-// fuzzLength is how long the next segment is.
+// fuzzLength returns the length of the next segment.
 func fuzzLength(data []byte, plan byte) int {
 	if plan&fuzzLengthBits < fuzzLengthBits {
 		return min(int(plan&fuzzLengthBits)*4+1, len(data))
@@ -41,8 +41,8 @@
 	return len(data)
 }
 
-// fuzzStream plays a replica's stream on the one connection that there is: the segments of data that plan cuts, whatever is
-// asked. Each byte of the plan is one segment.
+// fuzzStream plays a replica's stream on the only connection, whatever is requested. Each byte of the plan is
+// one segment of data.
 func fuzzStream(c net.Conn, requests <-chan struct{}, data, plan []byte) {
 	defer c.Close()
 	for _, p := range plan[:min(len(plan), fuzzSegments)] {
@@ -63,7 +63,7 @@
 	c.Write(data)
 }
 
-// fuzzRequests reads what is asked, and tells of each request's end.
+// fuzzRequests reads the requests and reports the end of each.
 func fuzzRequests(c net.Conn, requests chan<- struct{}) {
 	defer close(requests)
 	seen, buf := []byte(nil), make([]byte, 512)
@@ -78,7 +78,7 @@
 			seen = seen[at+4:]
 			select {
 			case requests <- struct{}{}:
-			default: // nobody waits for so many
+			default: // the stream doesn't wait for that many
 			}
 		}
 		if err != nil {
@@ -87,44 +87,44 @@
 	}
 }
 
-// checkAnswer fails unless the answer given to an exchange is one that the stream holds for it, judged by the stream's bytes
-// alone.
+// checkAnswer fails the test unless the answer given to an exchange is one that the stream holds for it, judged
+// by the bytes of the stream alone.
 func checkAnswer(t *testing.T, data []byte, id string, a *Answer, result balance.Result) {
 	ids := a.Header[HeaderAttempt]
 	if len(ids) != 1 || ids[0] != id {
-		t.Fatalf("an answer that bears %q was given to %q", ids, id)
+		t.Fatalf("an answer with the attempt ids %q was given to %q", ids, id)
 	}
 	if at := bytes.Index(data, []byte(id)); at < 0 {
-		t.Fatalf("the stream never names %q", id)
+		t.Fatalf("the stream does not hold the attempt id %q", id)
 	}
 	if !bytes.Contains(data, fmt.Appendf(nil, " %d", a.Status)) {
-		t.Fatalf("the stream has no status %d", a.Status)
+		t.Fatalf("the stream holds no status %d", a.Status)
 	}
 	if stated := a.Header["Content-Length"]; len(stated) == 1 {
 		if stated[0] != fmt.Sprint(len(a.Body)) {
-			t.Fatalf("a body of %d bytes for a length of %s", len(a.Body), stated[0])
+			t.Fatalf("a body of %d bytes, with Content-Length %s", len(a.Body), stated[0])
 		}
 		if !bytes.Contains(data, a.Body) {
-			t.Fatalf("a body that the stream does not hold in one piece: %q", a.Body)
+			t.Fatalf("the stream does not hold the body in one piece: %q", a.Body)
 		}
 	}
 	for key, values := range a.Header {
 		if strings.Contains(strings.Join(values, ""), "HTTP/1.") {
-			t.Fatalf("a head of two answers: %s: %q", key, values)
+			t.Fatalf("a header merged from two answers: %s: %q", key, values)
 		}
 	}
 	proof := a.Status == http.StatusMisdirectedRequest || http.Header(a.Header).Get(HeaderNotExecuted) != "" &&
 		(a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests || a.Status == http.StatusBadRequest)
 	if result.NeverRan() != proof {
-		t.Fatalf("result %d of an answer with proof %t", result, proof)
+		t.Fatalf("result %d of an answer; proof that nothing was executed: %t", result, proof)
 	}
 	if result == balance.Fulfilled && (a.Status/100 != 2 || len(a.Header[HeaderSeal]) != 1) {
 		t.Fatalf("status %d with seals %q is a success", a.Status, a.Header[HeaderSeal])
 	}
 }
 
-// fuzzReplica plays one stream to fuzzExchanges requests, checks what each of them is given, and tells how many were
-// given an answer.
+// fuzzReplica plays one stream to fuzzExchanges requests, checks the answer given to each, and returns how many
+// were given an answer.
 func fuzzReplica(t *testing.T, data, plan []byte) (given int) {
 	near, far := net.Pipe()
 	requests := make(chan struct{}, fuzzExchanges)
@@ -136,7 +136,7 @@
 	pool := NewPool(func(v any) { notes <- v }, func() int64 { return int64(time.Since(began)) })
 	pool.Dial = func(context.Context, string, string) (net.Conn, error) {
 		if dialled {
-			return nil, io.ErrClosedPipe // there is one stream only
+			return nil, io.ErrClosedPipe // there is only one stream
 		}
 		dialled = true
 		return near, nil
@@ -180,7 +180,7 @@
 	return given
 }
 
-// TestFuzzedStreamsAreAnswered: the streams that the fuzzing begins with do reach the exchanges.
+// TestFuzzedStreamsAreAnswered: the seeds of the fuzz test do lead to answered exchanges.
 func TestFuzzedStreamsAreAnswered(t *testing.T) {
 	var given []int
 	for _, s := range fuzzSeeds() {
@@ -189,17 +189,17 @@
 	must.Eq(t, []int{4, 1, 1, 0, 0, 1, 1, 2, 2, 2, 0}, given)
 }
 
-// fuzzSeed is a stream and how it is cut.
+// fuzzSeed is a stream and the plan that splits it.
 type fuzzSeed struct{ data, plan []byte }
 
-// fuzzSeeds are the streams that the fuzzing begins with.
+// fuzzSeeds returns the seeds of the fuzz test.
 func fuzzSeeds() []fuzzSeed {
 	answer := func(i int, more string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: id%d\r\n%s: s%d\r\n%sContent-Length: 5\r\n\r\nbody%d", HeaderAttempt, i, HeaderSeal, i, more, i)
 	}
 	all := answer(0, "") + answer(1, "") + answer(2, "") + answer(3, "")
-	each := bytes.Repeat([]byte{fuzzWaits | fuzzLengthBits}, 8) // one answer a request
-	tail := []byte{fuzzWaits | fuzzLengthBits, fuzzWaits}       // one answer, and to the next request all the rest
+	each := bytes.Repeat([]byte{fuzzWaits | fuzzLengthBits}, 8) // one answer for each request
+	tail := []byte{fuzzWaits | fuzzLengthBits, fuzzWaits}       // one answer, and the whole rest for the next request
 	return []fuzzSeed{
 		{[]byte(all), each},
 		{[]byte(all), append([]byte{fuzzWaits}, bytes.Repeat([]byte{1}, fuzzSegments)...)},
@@ -215,9 +215,9 @@
 	}
 }
 
-// FuzzReplicaStream: whatever bytes a replica sends, however they are cut and whenever they come, over several exchanges on
-// one connection: an answer is given only to the exchange whose attempt id it bears, whole, and says that nothing ran
-// only with a proof.
+// FuzzReplicaStream sends arbitrary bytes, split and timed at random, to several exchanges on one connection.
+// An answer may be given only to the exchange whose attempt id it has and only if it is complete, and may
+// report that nothing was executed only with a proof.
 func FuzzReplicaStream(f *testing.F) {
 	for _, s := range fuzzSeeds() {
 		f.Add(s.data, s.plan)
--- a/transport/replicahttp/head_test.go
+++ b/transport/replicahttp/head_test.go
@@ -8,7 +8,7 @@
 	"willowsill/balance"
 )
 
-// TestHeadAnswer: the answer to HEAD has a length and no body.
+// TestHeadAnswer: the answer to HEAD states a length but has no body.
 func TestHeadAnswer(t *testing.T) {
 	s := &server{answers: []string{"HTTP/1.1 200 OK\r\n" + HeaderAttempt + ": ID\r\n" + HeaderSeal + ": s\r\nContent-Length: 30\r\n\r\n",
 		answerText("200 OK", "ID", "s", "abc")}}
--- a/transport/replicahttp/notexecuted_test.go
+++ b/transport/replicahttp/notexecuted_test.go
@@ -13,11 +13,11 @@
 
 const notExecutedLine = HeaderNotExecuted + ": 1\r\n"
 
-// withLines is an answer with further header lines, each with its line end.
+// withLines returns an answer with additional header lines, each with its line end.
 func withLines(answer, lines string) string { return strings.Replace(answer, "\r\n", "\r\n"+lines, 1) }
 
-// TestOnlyAProofSaysNotRun: an answer proves that nothing ran by Willowsill-Not-Executed with one of the statuses that
-// turn a request away, or by 421; no other answer does, whatever else it bears.
+// TestOnlyAProofSaysNotRun: an answer proves that nothing was executed by 421, or by Willowsill-Not-Executed
+// with one of the statuses for rejections; no other answer does, whatever else it holds.
 func TestOnlyAProofSaysNotRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		status, lines string
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestNoConnection: a connection that never came up proves that nothing ran.
+// TestNoConnection: a connection that was never opened proves that nothing was executed.
 func TestNoConnection(t *testing.T) {
 	runFixture(t, &server{}, func(d *fixture) {
 		d.Dial = func(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
--- a/transport/replicahttp/replicahttp.go
+++ b/transport/replicahttp/replicahttp.go
@@ -1,6 +1,6 @@
-// Package replicahttp carries parts to replicas over HTTP/1.1, one at a time on each connection, and brings back
-// what became of them. It decides nothing: it owns the connections, and turns what comes on them into the
-// module's results.
+// Package replicahttp sends parts to replicas over HTTP/1.1, one at a time on each connection, and reports
+// their results. It owns the connections, and converts answers and failures into results of the balance
+// package. It decides nothing.
 package replicahttp
 
 import (
@@ -15,7 +15,7 @@
 	"willowsill/transport/replica"
 )
 
-// Names are the headers between the system and replicas.
+// The names of the headers between the system and replicas.
 const (
 	HeaderAttempt     = "Willowsill-Attempt-Id"
 	HeaderDeadline    = "Willowsill-Deadline-Ms"
@@ -29,29 +29,29 @@
 const (
 	dialTimeout       = time.Second
 	writeTimeout      = 5 * time.Second
-	defaultIdleLimit  = 5 * time.Second // an idle connection is used again within it, where the replica names no time
-	idleMarginDivisor = 4               // of the time that it names, this part is left
-	bodyMost          = 16 << 20        // bytes of an answer
+	defaultIdleLimit  = 5 * time.Second // for which an idle connection may be reused, if the replica states no time
+	idleMarginDivisor = 4               // a stated idle time is reduced by 1/idleMarginDivisor
+	bodyMost          = 16 << 20        // of an answer
 )
 
-// Request is what a query's parts are sent with; it is a query's Load. Answers are written by the loop that
-// owns the pool.
+// Request holds what the parts of a query have in common; it is the Payload of their tickets. The loop that
+// owns the pool writes Answers.
 type Request struct {
 	Attempt string
-	Head    []byte // the first line and the headers, up to those of one part
+	Head    []byte // the request line and the headers that are the same for each part
 	Body    []byte
 	Method  string
-	Answers map[int]*Answer // by shard, the last
+	Answers map[int]*Answer // by shard; the last answer
 	Sent    bool            // something was written to a replica
 }
 
-// Answer is what a replica answered.
+// Answer is the answer of a replica.
 type Answer struct {
 	Status   int
 	Header   map[string][]string
 	Body     []byte
 	Seal     string
-	Complete bool // came whole, and belongs to the request
+	Complete bool // received completely, and belongs to the request
 	Replica  string
 }
 
@@ -61,7 +61,7 @@
 	withdrawn
 )
 
-// exchange is one part on its way.
+// exchange is one part in progress.
 type exchange struct {
 	ticket *replica.Ticket
 	conn   *connection
@@ -70,7 +70,7 @@
 
 func (e *exchange) request() *Request { return e.ticket.Payload.(*Request) }
 
-// line is a replica.
+// line is a replica and the connections to it.
 type line struct {
 	id, address string
 	conns       []*connection
@@ -78,8 +78,8 @@
 	retired     bool
 }
 
-// Pool owns the connections to all replicas. Its methods are for the one loop that owns it; what its
-// goroutines have to tell goes through tell to Note.
+// Pool owns the connections to all replicas. Its methods may only be called by the loop that owns it, which
+// also passes to Handle what the connections pass to notify.
 type Pool struct {
 	notify       func(any)
 	now          func() int64
@@ -88,22 +88,22 @@
 	openCount    int
 	closing      bool
 
-	Opened, FailedDials atomic.Int64 // connections
+	Opened, FailedDials atomic.Int64 // connections opened, and failed attempts to open one
 
-	// Dial opens a connection; tests have networks of their own.
+	// Dial opens a connection; tests replace it by their own network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// NewPool makes a pool.
+// NewPool returns a pool whose connections pass their notices to notify, from their own goroutines.
 func NewPool(notify func(any), now func() int64) *Pool {
 	d := net.Dialer{Control: peer.SetUserTimeout, KeepAlive: -1}
 	return &Pool{notify: notify, now: now, exchanges: map[*replica.Ticket]*exchange{}, Dial: d.DialContext}
 }
 
-// DestinationAddress is how a replica is named to Address: its id and where it listens.
+// DestinationAddress returns the form in which SetAddress takes a replica: its id and its address.
 func DestinationAddress(id, address string) string { return id + " " + address }
 
-// SetAddress tells where a replica is reached from now on.
+// SetAddress sets the id and the address of a replica for new connections.
 func (p *Pool) SetAddress(i int, dial string) {
 	for len(p.destinations) <= i {
 		p.destinations = append(p.destinations, &line{})
@@ -116,7 +116,7 @@
 	p.destinations[i].retired = false
 }
 
-// Retire takes the idle connections to a replica away; what is out there may still come.
+// Retire closes the idle connections to a replica. Parts in progress still get their answers.
 func (p *Pool) Retire(i int) {
 	if i < len(p.destinations) {
 		p.destinations[i].retired = true
@@ -124,12 +124,12 @@
 	}
 }
 
-// Drained tells whether nothing is out at a replica.
+// Drained reports whether no part is in progress at a replica.
 func (p *Pool) Drained(i int) bool {
 	return i >= len(p.destinations) || p.destinations[i].inFlight == 0
 }
 
-// Send sends a part. Each ticket is a call of its own here.
+// Send sends parts, each as a request of its own.
 func (p *Pool) Send(i int, tickets []*replica.Ticket) bool {
 	for _, t := range tickets {
 		l := p.destinations[i]
@@ -155,10 +155,10 @@
 	return true
 }
 
-// idleConnection is the connection used last that is free, nil where there is none.
+// idleConnection returns the most recently opened connection that is idle, nil if there is none.
 //
 // Danger: a replica closes a connection that has been idle for long, and what is written to it at that moment
-// may or may not have been read. One that has been idle for most of that time is not used again.
+// may or may not have been read. So a connection is not reused after most of that time.
 func (p *Pool) idleConnection(l *line) *connection {
 	now := p.now()
 	for n := len(l.conns) - 1; n >= 0; n-- {
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// Withdraw takes a part back that was not written yet.
+// Withdraw takes back a part that was not written yet.
 func (p *Pool) Withdraw(t *replica.Ticket) bool {
 	e := p.exchanges[t]
 	if e == nil || !e.state.CompareAndSwap(pending, withdrawn) {
@@ -179,7 +179,7 @@
 	return true
 }
 
-// Abandon ends the wait for a part: its connection is closed, by which most replicas drop it.
+// Abandon ends the wait for a part and closes its connection, which makes most replicas stop its execution.
 func (p *Pool) Abandon(t *replica.Ticket, _ bool) bool {
 	if p.Withdraw(t) {
 		return true
@@ -191,7 +191,7 @@
 	return false
 }
 
-// release forgets an exchange.
+// release removes an exchange from the pool.
 func (p *Pool) release(e *exchange) {
 	if p.exchanges[e.ticket] == e {
 		delete(p.exchanges, e.ticket)
@@ -199,7 +199,7 @@
 	}
 }
 
-// CloseIdle closes the connections to a replica that carry nothing.
+// CloseIdle closes the idle connections to a replica.
 func (p *Pool) CloseIdle(i int) {
 	if i >= len(p.destinations) {
 		return
@@ -211,7 +211,7 @@
 	}
 }
 
-// Sweep closes what has been idle for long.
+// Sweep closes connections that have been idle for too long.
 func (p *Pool) Sweep() {
 	now := p.now()
 	for _, l := range p.destinations {
@@ -223,7 +223,7 @@
 	}
 }
 
-// Close closes all that is idle now, and the rest as it ends.
+// Close closes all idle connections, and the others when their exchange ends.
 func (p *Pool) Close() {
 	p.closing = true
 	for i := range p.destinations {
@@ -231,22 +231,22 @@
 	}
 }
 
-// OpenConnections is how many connections have not ended.
+// OpenConnections returns the number of connections that have not ended.
 func (p *Pool) OpenConnections() int { return p.openCount }
 
-// notice is what a connection's goroutines tell: an exchange is over, or the connection is.
+// notice is what a connection reports to the pool: an exchange has ended, the connection has closed, or both.
 type notice struct {
 	conn     *connection
-	ended    *exchange // nil where the connection alone has ended
+	ended    *exchange // nil if only the connection has closed
 	result   balance.Result
 	answer   *Answer
-	reuseFor time.Duration // the connection may be used again for so long, 0 for not
+	reuseFor time.Duration // for how long the connection may be reused, 0 for not at all
 	closed   bool
 	err      error
 	at       int64
 }
 
-// Handle takes what a connection had to tell.
+// Handle handles a notice of a connection and returns the tickets that it ended.
 func (p *Pool) Handle(v any) (ended []replica.Report, trouble error) {
 	n := v.(notice)
 	c := n.conn
@@ -259,8 +259,8 @@
 			ended = append(ended, replica.Report{Ticket: e.ticket, Result: n.result, At: n.at})
 		}
 		if !n.closed {
-			// Danger: a connection may have been closed since, by giving its exchange up or by the replica; what is
-			// begun on it would fail for no reason of its own.
+			// Danger: the connection may have been closed meanwhile, because its exchange was abandoned or by the
+			// replica. The next exchange on it would fail.
 			c.free, c.usableUntil = n.reuseFor > 0 && !c.isClosed(), p.now()+int64(n.reuseFor)
 			if !c.free || p.closing || c.line.retired {
 				c.close()
--- a/transport/replicahttp/replicahttp_test.go
+++ b/transport/replicahttp/replicahttp_test.go
@@ -19,14 +19,14 @@
 	"willowsill/transport/replica"
 )
 
-// server is a scripted replica: it answers the requests of a connection with the given texts, one each; ""
-// ends the connection.
+// server is a simulated replica. It answers each request with the next of the given texts; an empty text closes
+// the connection.
 type server struct {
 	answers []string
 	heads   []string
 
 	idle       string // sent half a second after the first answer
-	closesIdle bool   // it closes half a second after the first answer
+	closesIdle bool   // closes half a second after the first answer
 }
 
 func (s *server) serve(l *pipenet.Listener) {
@@ -95,7 +95,7 @@
 		}
 		d.SetAddress(0, DestinationAddress("i-1", "r:1"))
 		defer l.Close()
-		defer func() { // also where play has failed
+		defer func() { // also if play has failed
 			d.Pool.Close()
 			synctest.Wait()
 			for len(d.events) > 0 {
@@ -110,13 +110,13 @@
 	})
 }
 
-// call sends one part and tells how it ended.
+// call sends one part by POST and returns its result.
 func (d *fixture) call(id string) (balance.Result, *Answer) {
 	d.t.Helper()
 	return d.callMethod("POST", id)
 }
 
-// callMethod does so by another method.
+// callMethod sends one part by the given method and returns its result.
 func (d *fixture) callMethod(method, id string) (balance.Result, *Answer) {
 	d.t.Helper()
 	r := &Request{Attempt: id, Method: method, Body: []byte("body"), Answers: map[int]*Answer{},
@@ -127,7 +127,7 @@
 	for {
 		synctest.Wait()
 		if len(d.events) == 0 {
-			d.t.Fatal("nothing came of a part")
+			d.t.Fatal("a part has no result")
 		}
 		reports, _ := d.Handle(<-d.events)
 		if len(reports) > 0 {
@@ -137,7 +137,7 @@
 	}
 }
 
-// settle takes in what is left to be told.
+// settle handles the remaining notices.
 func (d *fixture) settle() {
 	synctest.Wait()
 	for len(d.events) > 0 {
@@ -160,13 +160,13 @@
 	})
 }
 
-// TestWaysToEnd: each way in which a replica or its connection fails gives the result that is true of it, and
-// whatever may have run is never called not run.
+// TestWaysToEnd: each failure of a replica or its connection gives the right result, and no part that may have
+// been executed is reported as not executed.
 func TestWaysToEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
 		want   balance.Result
-		opened int // connections after one more part
+		opened int // connections opened, after one more part
 	}{
 		"closed unread or run":   {"", balance.Reset, 2},
 		"no answer at all":       {"garbage\r\n\r\n", balance.Reset, 2},
@@ -205,8 +205,7 @@
 	}
 }
 
-// TestGivenUp: a part that was written is given up with its connection; one that still waits for its
-// connection is withdrawn, and never leaves.
+// TestGivenUp: a part that still waits for its connection is withdrawn when it is abandoned, and is never sent.
 func TestGivenUp(t *testing.T) {
 	s := &server{answers: []string{answerText("200 OK", "ID", "s", "abc")}}
 	runFixture(t, s, func(d *fixture) {
@@ -227,7 +226,7 @@
 	})
 }
 
-// TestIdleTooLong: a connection is not used again when the replica may just be closing it.
+// TestIdleTooLong: a connection is not reused when the replica may be about to close it.
 func TestIdleTooLong(t *testing.T) {
 	answer := strings.Replace(answerText("200 OK", "ID", "s", "abc"), "\r\n", "\r\nKeep-Alive: timeout=4\r\n", 1)
 	s := &server{answers: []string{answer, answer, answer}}
--- a/transport/replicahttp/reuse_test.go
+++ b/transport/replicahttp/reuse_test.go
@@ -13,8 +13,8 @@
 	"willowsill/transport/replica"
 )
 
-// TestGivenUpAndAnswered: an exchange that was given up while its answer was on its way leaves no connection behind that
-// would be used again.
+// TestGivenUpAndAnswered: if an exchange is abandoned after its answer arrived but before the loop handled it,
+// its connection is not reused.
 func TestGivenUpAndAnswered(t *testing.T) {
 	good := answerText("200 OK", "ID", "s", "abc")
 	s := &server{answers: []string{good, good}}
@@ -23,7 +23,7 @@
 		ticket := &replica.Ticket{Payload: r}
 		must.True(t, d.Send(0, []*replica.Ticket{ticket}))
 		synctest.Wait()
-		must.Eq(t, 1, len(d.events)) // the answer is there, and the loop has not heard of it
+		must.Eq(t, 1, len(d.events)) // the answer has arrived, but the loop has not handled it
 		must.False(t, d.Abandon(ticket, true))
 		reports, _ := d.Handle(<-d.events)
 		must.SliceEmpty(t, reports)
@@ -33,14 +33,14 @@
 	})
 }
 
-// TestIdleRace: the replica closes an idle connection at the moment at which the next request is begun on it. What was
-// never written is said not to have run.
+// TestIdleRace: the replica closes an idle connection just before the next request is written to it. A request
+// that was never written is reported as not executed.
 func TestIdleRace(t *testing.T) {
 	good := answerText("200 OK", "ID", "s", "abc")
 	s := &server{answers: []string{good, good}, closesIdle: true}
 	runFixture(t, s, func(d *fixture) {
 		d.call("x1")
-		time.Sleep(time.Second) // it has closed; the loop has not heard of it
+		time.Sleep(time.Second) // the replica has closed the connection, but the loop has not handled that
 		result, a := d.call("x2")
 		must.True(t, result == balance.ConnectFailed, must.Sprint(result))
 		must.Nil(t, a)
@@ -48,7 +48,8 @@
 	})
 }
 
-// TestOpeningIsNotTheReplicasTime: a part's ticket says when its connection was up, whether it was opened for it or was at hand.
+// TestOpeningIsNotTheReplicasTime: the ticket of a part states when its connection was open, whether the
+// connection was opened for it or reused.
 func TestOpeningIsNotTheReplicasTime(t *testing.T) {
 	good := answerText("200 OK", "ID", "s", "abc")
 	runFixture(t, &server{answers: []string{good, good}}, func(d *fixture) {
--- a/transport/replicahttp/unmatched_test.go
+++ b/transport/replicahttp/unmatched_test.go
@@ -11,8 +11,8 @@
 	"willowsill/balance"
 )
 
-// TestAnswerOfNobody: what cannot be told to be one whole answer to this request is given to nobody, and its connection
-// carries no other request.
+// TestAnswerOfNobody: bytes that are not clearly one complete answer to the current request are given to no
+// request, and their connection is not reused.
 func TestAnswerOfNobody(t *testing.T) {
 	good := answerText("200 OK", "ID", "s", "abc")
 	failed := answerText("500 No", "ID", "s", "abc")
@@ -64,13 +64,14 @@
 	}
 }
 
-// TestSurplusAnswers: an answer of an earlier request that comes late is never the next one's, whenever it comes.
+// TestSurplusAnswers: a late second answer to an earlier request is never given to the next one, whenever it
+// arrives.
 func TestSurplusAnswers(t *testing.T) {
 	answer := func(id, body string) string { return answerText("200 OK", id, "s-"+id, body) }
 	for name, c := range map[string]struct {
-		behind string // with the first answer, in one segment
-		idle   string // while nothing is asked
-		second string // in place of the second answer
+		behind string // sent with the first answer, in one segment
+		idle   string // sent while no request is open
+		second string // sent instead of the second answer
 		want   balance.Result
 		opened int
 	}{
--- a/transport/replicahttp/write_test.go
+++ b/transport/replicahttp/write_test.go
@@ -18,21 +18,21 @@
 	"willowsill/transport/replica"
 )
 
-// raceRounds is how often a race is run in one test.
+// raceRounds is the number of rounds in which a test repeats a race.
 const raceRounds = 50
 
-// writeEnd is how the next write on a connection ends.
+// writeEnd is how a write on a connection ends.
 type writeEnd struct {
-	accepted int // bytes that the kernel took
+	accepted int // bytes that the kernel accepts
 	err      error
 }
 
-// faultyConn is a connection whose writes end as they are told to, in turn; without a word they go through.
+// faultyConn is a connection whose next writes end as listed; further writes succeed.
 type faultyConn struct {
 	net.Conn
 	ends    []writeEnd
 	written *strings.Builder
-	wait    chan struct{} // if there, the first write waits for it after its bytes
+	wait    chan struct{} // if set, the first write waits for it after its bytes
 }
 
 func (f *faultyConn) Write(b []byte) (int, error) {
@@ -55,7 +55,7 @@
 	return n, end.err
 }
 
-// TestFailedWrites: a write that failed proves that nothing ran only where the kernel took none of it.
+// TestFailedWrites: a failed write proves that nothing was executed only if the kernel accepted no byte of it.
 func TestFailedWrites(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  writeEnd
@@ -93,7 +93,7 @@
 						}
 					}
 					result, _ := d.call("x1")
-					if c.end.accepted < 1<<20 { // the whole request may be answered as well
+					if c.end.accepted < 1<<20 { // after the whole request was accepted, it may also be answered
 						must.Eq(t, c.want, result)
 					} else {
 						must.False(t, result.NeverRan())
@@ -105,9 +105,9 @@
 	}
 }
 
-// stalledWrite gives play a pool with one connection, on which the write of the first request has stalled midway while
-// the replica has answered that it did not run, and the second request waits to be written. release lets the stalled
-// write fail, and tells how the second request ended.
+// stalledWrite calls play with a connection on which the write of the first request has stalled midway. The
+// replica has already answered that it did not execute that request, and the second request waits to be
+// written. release makes the stalled write fail, and returns the reports of what ended then.
 func stalledWrite(t *testing.T, play func(far net.Conn, conn *faultyConn, release func() []replica.Report)) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -147,10 +147,10 @@
 	})
 }
 
-// TestAnsweredBeforeItIsWritten: a replica that answers before it has read the whole request, whose rest then is never
-// taken: no byte of the next request may follow where the replica still waits for that rest.
+// TestAnsweredBeforeItIsWritten: a replica answers before it has read the whole request and then never reads
+// the rest. No byte of the next request may follow, because the replica still waits for that rest.
 func TestAnsweredBeforeItIsWritten(t *testing.T) {
-	for range raceRounds { // whose word comes first, the reader's or the write's, must make no difference
+	for range raceRounds { // the result must not depend on whether the reader or the writer reports first
 		stalledWrite(t, func(far net.Conn, conn *faultyConn, release func() []replica.Report) {
 			go io.Copy(io.Discard, far)
 			ended := release()
@@ -161,7 +161,7 @@
 	}
 }
 
-// deadConn is a connection that ended as it came up.
+// deadConn is a connection that is closed as soon as it is open.
 type deadConn struct{ net.Conn }
 
 func (deadConn) Read([]byte) (int, error)         { return 0, io.EOF }
@@ -169,8 +169,8 @@
 func (deadConn) Close() error                     { return nil }
 func (deadConn) SetWriteDeadline(time.Time) error { return nil }
 
-// TestDeadOnArrival: a connection that has ended before its first request was written proves that it did not run, also where
-// the reader is the one to tell.
+// TestDeadOnArrival: a connection that ends before its first request was written proves that the request was
+// not executed, even if the reader reports the end.
 func TestDeadOnArrival(t *testing.T) {
 	runFixture(t, &server{}, func(d *fixture) {
 		d.Dial = func(context.Context, string, string) (net.Conn, error) { return deadConn{}, nil }
@@ -182,8 +182,8 @@
 	})
 }
 
-// TestEndedBeforeItIsWritten: a connection that ends, or brings bytes that nobody asked for, before a request is written: that
-// request has not run, and is not written any more.
+// TestEndedBeforeItIsWritten: if the connection ends, or receives bytes without a request, before the next
+// request is written, that request is not written any more and is reported as not executed.
 func TestEndedBeforeItIsWritten(t *testing.T) {
 	for name, end := range map[string]func(far net.Conn){
 		"closed":  func(far net.Conn) { far.Close() },
@@ -193,7 +193,7 @@
 		t.Run(name, func(t *testing.T) {
 			stalledWrite(t, func(far net.Conn, conn *faultyConn, release func() []replica.Report) {
 				end(far)
-				synctest.Wait() // its end is known before the write may begin
+				synctest.Wait() // the end is known before the write may start
 				ended := release()
 				must.StrNotContains(t, conn.written.String(), "/other")
 				must.SliceLen(t, 1, ended)
--- a/transport/statestore/format_test.go
+++ b/transport/statestore/format_test.go
@@ -15,7 +15,8 @@
 	"willowsill/decide/registry"
 )
 
-// formerFile was written by the program before the file had a version: three saves, the list with the second.
+// formerFile was written by the program when the file had no version yet. It holds three saves; the second one
+// includes the list of replicas.
 const formerFile = "testdata/without-version.db"
 
 func copyOf(t *testing.T, path string) (dir string, text []byte) {
@@ -26,7 +27,8 @@
 	return dir, text
 }
 
-// TestFormerFormat: a file without a version is read, the next save gives it one, and it is read again.
+// TestFormerFormat: a file without a version is read, the next save adds the version, and the file is read
+// again.
 func TestFormerFormat(t *testing.T) {
 	dir, _ := copyOf(t, formerFile)
 	b, found, err := Open(dir)
@@ -51,7 +53,8 @@
 	must.NoError(t, b.Close())
 }
 
-// newerFile puts a file of a newer format into a folder, with an end that this program would cut off.
+// newerFile writes a file of a newer format to a folder, with an incomplete end that this program would cut
+// off.
 func newerFile(t *testing.T, dir string) []byte {
 	b, _, err := Open(dir)
 	must.NoError(t, err)
@@ -70,7 +73,7 @@
 	return text
 }
 
-// TestNewerFormatRefused: a file of a newer format is refused by a typed error, and not a byte of it changes.
+// TestNewerFormatRefused: a file of a newer format is rejected with ErrNewerFormat, and stays unchanged.
 func TestNewerFormatRefused(t *testing.T) {
 	dir := t.TempDir()
 	text := newerFile(t, dir)
@@ -83,7 +86,7 @@
 	must.Eq(t, text, after)
 }
 
-// TestSizeIsBounded: 10,000 saves of 20 KB leave the file, and what lies beside it while it shrinks, well below
+// TestSizeIsBounded: after 10,000 saves of 20 KB the file, and its copy during compaction, take much less than
 // a disk of 128 MB.
 func TestSizeIsBounded(t *testing.T) {
 	const saves, body, most = 10_000, 20_000, 32 << 20
@@ -99,7 +102,7 @@
 		must.NoError(t, err)
 		largest = max(largest, info.Size())
 	}
-	t.Logf("%d bytes at the most", largest)
+	t.Logf("the largest size was %d bytes", largest)
 	must.Less(t, most, largest)
 	must.NoError(t, b.Close())
 	_, found, err := Open(dir)
@@ -107,8 +110,8 @@
 	must.Eq(t, saves, found.State.Value.Revision)
 }
 
-// TestShrinkCutShort: wherever a shrink is cut short, by a kill or a loss of power, the last save is found: the
-// new file is there in part beside the old one, or whole beside it, or in its place.
+// TestShrinkCutShort: if a kill or a power failure interrupts a compaction at any point, the last save is
+// found: the new file may be incomplete beside the old one, complete beside it, or in its place.
 func TestShrinkCutShort(t *testing.T) {
 	dir := t.TempDir()
 	b, _, err := Open(dir)
@@ -148,7 +151,8 @@
 	check(shrunk, nil, "renamed")
 }
 
-// TestNewFileIsSyncedBeforeItsName: a shrink gives the new file its name only once what it holds is on disk.
+// TestNewFileIsSyncedBeforeItsName: a compaction renames the new file only after its content was synced to
+// disk.
 func TestNewFileIsSyncedBeforeItsName(t *testing.T) {
 	dir := t.TempDir()
 	b, _, err := Open(dir)
@@ -174,8 +178,8 @@
 	must.Eq(t, 2, found.State.Value.Revision)
 }
 
-// TestDiskThatRefuses: a shrink for which there is no room costs nothing, and a save that is refused leaves what
-// was saved before.
+// TestDiskThatRefuses: a compaction that fails for lack of space does no harm, and a failed save leaves the
+// previous one intact.
 func TestDiskThatRefuses(t *testing.T) {
 	dir := t.TempDir()
 	b, _, err := Open(dir)
--- a/transport/statestore/statestore.go
+++ b/transport/statestore/statestore.go
@@ -1,5 +1,5 @@
-// Package statestore keeps one controller's part of the register on disk, in buntdb. It decides nothing: it
-// saves what it is given, and finds at the start what was saved last.
+// Package statestore keeps one controller's part of the register on disk, in buntdb. It writes each save and
+// reads the last one at the start. It decides nothing.
 package statestore
 
 import (
@@ -22,63 +22,64 @@
 	"willowsill/decide/rollout"
 )
 
-// ErrStore is the class of this package's errors.
+// ErrStore carries the error code of this package.
 var ErrStore = oops.Code("statestore")
 
-// ErrNewerFormat tells that the file was written by a newer version of the program. Nothing of it was changed;
-// whoever meets it must not remove it.
+// ErrNewerFormat is returned if a newer version of the program wrote the file. The file was not changed, and
+// the caller must not remove it.
 var ErrNewerFormat = errors.New("the state file has a newer format than this program reads")
 
 const (
 	fileName      = "register.db"
-	compactedName = fileName + ".new" // the file that is to take its place
+	compactedName = fileName + ".new" // the copy that replaces the file at a compaction
 	listKey       = "list"
 	versionKey    = "version"
 
-	// formatVersion is that of the file. One without a version is of the first format, which is read as this one.
+	// formatVersion is the version of the file's format. A file without a version has the first format, which is
+	// read in the same way.
 	formatVersion = 2
 
 	maxDigits = 10 // of a length in the file
 
-	slots           = 2        // saves go to them by turns, so that a torn one leaves the one before
-	compactMinBytes = 24 << 20 // bytes of the file before it is written anew
+	slots           = 2        // saves alternate between them, so that a torn save leaves the previous one intact
+	compactMinBytes = 24 << 20 // size of the file from which it is compacted
 )
 
 // Store is the open file.
 type Store struct {
 	db             *buntdb.DB
-	file           *os.File // the same file, to sync it
+	file           *os.File // the same file as db's, for syncing it
 	dir            string
-	lastSave       uint64                      // of the last save
-	versionWritten bool                        // the file names the format's version
-	sync           func(*os.File) error        // of files and of the folder; tests put their own in its place
-	rename         func(from, to string) error // likewise
+	lastSave       uint64                      // number of the last save
+	versionWritten bool                        // the file holds the current format version
+	sync           func(*os.File) error        // syncs a file or the folder; replaced in tests
+	rename         func(from, to string) error // renames a file; replaced in tests
 }
 
-// savedState is what a save holds.
+// savedState is the content of a save.
 type savedState struct {
 	State             register.State `cbor:"1,keyasint"`
 	CommittedRevision uint64         `cbor:"2,keyasint,omitempty"`
-	CommittedSum      uint64         `cbor:"3,keyasint,omitempty"` // of its content; 0 in a file of the former version
+	CommittedSum      uint64         `cbor:"3,keyasint,omitempty"` // checksum of the committed content; 0 in a file of the former version
 	CommittedRollouts rollout.Set    `cbor:"4,keyasint,omitzero"`
 }
 
-// Found is what the file held when it was opened.
+// Found is the content of the file when it was opened.
 type Found struct {
-	State     *register.State   // nil where none was ever saved
-	Committed register.Order    // the configuration last known to be committed
-	Rollouts  rollout.Set       // last known to be committed
-	Replicas  []registry.Record // as it was last saved
+	State     *register.State   // nil if none was ever saved
+	Committed register.Order    // the last configuration known to be committed
+	Rollouts  rollout.Set       // the last rollouts known to be committed
+	Replicas  []registry.Record // as last saved
 }
 
-// Open opens the file in a folder. Its error is ErrNewerFormat, in a chain, where a newer version of the program
-// wrote the file; the file is left as it is then.
+// Open opens the file in a folder. The error wraps ErrNewerFormat if a newer version of the program wrote the
+// file, which then stays unchanged.
 func Open(dir string) (b *Store, found Found, err error) {
 	path := filepath.Join(dir, fileName)
 	if err := truncateTornEnd(path); err != nil {
 		return nil, found, ErrStore.Wrapf(err, "opening %s", path)
 	}
-	// What a shrink left behind that was cut short: the file itself is still the one before.
+	// Remove the copy of an interrupted compaction: the file itself is still the previous one.
 	os.Remove(filepath.Join(dir, compactedName))
 	b = &Store{dir: dir, sync: (*os.File).Sync, rename: os.Rename}
 	if err := b.openFile(); err != nil {
@@ -91,7 +92,7 @@
 	return b, found, nil
 }
 
-// openFile opens the file as it is on disk.
+// openFile opens the file on disk.
 func (b *Store) openFile() error {
 	path := filepath.Join(b.dir, fileName)
 	db, err := openDB(path)
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// openDB opens a database that syncs nothing by itself: it ignores errors of its syncs, so Store does them.
+// openDB opens the database without its automatic syncs, whose errors it ignores. Store syncs the file itself.
 func openDB(path string) (*buntdb.DB, error) {
 	db, err := buntdb.Open(path)
 	if err != nil {
@@ -120,7 +121,7 @@
 	return db, nil
 }
 
-// load finds what was saved last.
+// load reads the last complete save.
 func (b *Store) load() (found Found, err error) {
 	err = b.db.View(func(tx *buntdb.Tx) error {
 		for slot := range slots {
@@ -148,9 +149,9 @@
 	return found, err
 }
 
-// Save returns once what is given is on disk for good, or with an error.
+// Save returns nil once the state is synced to disk.
 //
-// Danger: a new file lasts only once the folder that holds its name is synced as well.
+// Danger: a new file is only durable once its folder is synced as well.
 func (b *Store) Save(s controller.Save) error {
 	n := b.lastSave + 1
 	text, err := seal(n, savedState{s.RegisterState, s.CommittedConfiguration.Revision, s.CommittedConfiguration.Sum, s.Rollouts})
@@ -196,7 +197,7 @@
 	return b.compactIfLarge()
 }
 
-// compactIfLarge writes the file anew once it has grown.
+// compactIfLarge compacts the file once it has grown to compactMinBytes.
 func (b *Store) compactIfLarge() error {
 	info, err := b.file.Stat()
 	if err != nil || info.Size() < compactMinBytes {
@@ -205,8 +206,8 @@
 	return b.compact()
 }
 
-// compact writes the file anew. What was saved is on disk already, so a disk that refuses the new file, as a
-// full one does, costs nothing but room: the next save tries again.
+// compact writes the file anew. The state is on disk already, so if the new file cannot be written, for example
+// on a full disk, only space is lost and the next save tries again.
 func (b *Store) compact() error {
 	next := filepath.Join(b.dir, compactedName)
 	if err := b.writeAnew(next); err != nil {
@@ -216,10 +217,10 @@
 	return b.replaceWith(next)
 }
 
-// writeAnew puts what the file holds into a new one and syncs that.
+// writeAnew writes the current content of the file to a new one and syncs it.
 //
-// It is synced before it takes the place of the other: all members grow alike and shrink at about the same
-// save, and a loss of power right then could leave all of them the new name with nothing behind it.
+// It must be synced before it replaces the file: the files of all members grow alike and are compacted at about
+// the same save, so a power failure at that time could leave all members with a renamed file without content.
 func (b *Store) writeAnew(path string) error {
 	os.Remove(path)
 	next, err := openDB(path)
@@ -245,7 +246,7 @@
 	return errors.Join(b.sync(file), file.Close())
 }
 
-// replaceWith gives a new file the name of the one that is open, and opens it.
+// replaceWith renames a new file to the name of the open one, and opens it.
 func (b *Store) replaceWith(path string) error {
 	if err := b.rename(path, filepath.Join(b.dir, fileName)); err != nil {
 		os.Remove(path)
@@ -274,7 +275,7 @@
 	return b.sync(d)
 }
 
-// seal puts the number of the save before what is saved, and a check sum behind it.
+// seal encodes a value, with the number of the save before it and a checksum after it.
 func seal(n uint64, v any) ([]byte, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
@@ -285,9 +286,9 @@
 	return binary.BigEndian.AppendUint32(text, crc32.ChecksumIEEE(text)), nil
 }
 
-// unseal is the way back; it tells whether the text is whole.
+// unseal decodes what seal has encoded, and reports whether it is complete.
 //
-// Danger: what was being written as the power went may be there in part.
+// Danger: what was being written during a power failure may be there in part.
 func unseal(text []byte, v any) (n uint64, ok bool) {
 	if len(text) < 12 {
 		return 0, false
@@ -299,8 +300,8 @@
 	return binary.BigEndian.Uint64(body), true
 }
 
-// parseVersion is the version that a sealed text names, 0 where the text is damaged: then the slots, each with a
-// check sum of its own, tell what can be read.
+// parseVersion returns the version in a sealed text, 0 if the text is damaged. In that case the slots, each
+// with its own checksum, determine what can be read.
 func parseVersion(text []byte) (version uint64) {
 	if _, ok := unseal(text, &version); !ok {
 		return 0
@@ -308,9 +309,10 @@
 	return version
 }
 
-// truncateTornEnd cuts the file off behind its last whole command. It changes nothing in a file of a newer format.
+// truncateTornEnd cuts the file off after its last complete command. It changes nothing in a file of a newer
+// format.
 //
-// The database refuses a file whose end is torn, though all that was ever synced stands before it.
+// The database refuses to open a file with a torn end, although all that was ever synced precedes that end.
 func truncateTornEnd(path string) error {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -336,7 +338,8 @@
 	return f.Sync()
 }
 
-// scanCommands tells how many bytes of a file are whole commands, and the highest version that one of them sets.
+// scanCommands returns how many bytes of a file are complete commands, and the highest version that one of them
+// sets.
 func scanCommands(text []byte) (whole int, version uint64) {
 	for {
 		words, rest, ok := readCommand(text[whole:])
@@ -350,7 +353,7 @@
 	}
 }
 
-// readCommand takes one command off a text: an array's count, then each string with its length.
+// readCommand splits one command off a text: the count of its strings, then each string with its length.
 func readCommand(text []byte) (words [][]byte, rest []byte, ok bool) {
 	count, rest, ok := readLength(text, '*')
 	if !ok || count == 0 {
@@ -366,7 +369,7 @@
 	return words, rest, true
 }
 
-// readLength takes a line off a text that holds a mark and a number.
+// readLength splits a line off a text that consists of the mark and a number.
 func readLength(text []byte, mark byte) (n int, rest []byte, ok bool) {
 	if len(text) == 0 || text[0] != mark {
 		return 0, nil, false
@@ -384,5 +387,5 @@
 	return n, text[end+2:], true
 }
 
-// Path is the file in a folder.
+// Path returns the path of the file in a folder.
 func Path(dir string) string { return filepath.Join(dir, fileName) }
--- a/transport/statestore/statestore_test.go
+++ b/transport/statestore/statestore_test.go
@@ -19,7 +19,7 @@
 		Value: register.Value{Members: []string{"a"}, Revision: n, Body: make([]byte, 300)}}}
 }
 
-// TestTornAnywhere: whatever of the last save is missing, or is there as zeros, the one before is found.
+// TestTornAnywhere: whatever part of the last save is missing or filled with zeros, the previous save is found.
 func TestTornAnywhere(t *testing.T) {
 	dir := t.TempDir()
 	b, found, err := Open(dir)
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestGrownFile: a file that has grown is written anew, and holds what was saved last.
+// TestGrownFile: a file that has grown is compacted, and still holds the last save.
 func TestGrownFile(t *testing.T) {
 	dir := t.TempDir()
 	b, _, err := Open(dir)
@@ -75,8 +75,8 @@
 	must.Eq(t, 29, found.State.Value.Revision)
 }
 
-// TestEachBitFlipped: whatever bit of the file is not as it was written, and wherever the file ends, what is
-// found is a state as it was saved, or nothing at all; and where the last save is whole it is that one.
+// TestEachBitFlipped: whichever bit of the file is flipped, and wherever the file is cut off, the state found
+// is one that was saved, or none. If the last save is complete, it is the one found.
 func TestEachBitFlipped(t *testing.T) {
 	dir := t.TempDir()
 	b, _, err := Open(dir)
@@ -95,7 +95,7 @@
 		must.NoError(t, os.WriteFile(Path(at), text, 0o600))
 		b, found, err := Open(at)
 		if err != nil {
-			return // joins as one whose disk is empty
+			return // then the controller joins as one whose disk is empty
 		}
 		b.Close()
 		if found.State == nil {
@@ -123,7 +123,8 @@
 	check(text, 3, "whole, ", 0)
 }
 
-// BenchmarkVersions saves a hundred thousand configurations of 200 routes, packed, and opens what they leave.
+// BenchmarkVersions saves a hundred thousand configurations of the packed size of 200 routes, and opens the
+// resulting file.
 func BenchmarkVersions(b *testing.B) {
 	for range b.N {
 		dir := b.TempDir()
@@ -150,7 +151,7 @@
 	}
 }
 
-// TestRolloutsAreKept: rollouts come back as they were saved, accepted and committed ones each by itself.
+// TestRolloutsAreKept: accepted and committed rollouts are each loaded as they were saved.
 func TestRolloutsAreKept(t *testing.T) {
 	dir := t.TempDir()
 	b, _, err := Open(dir)
--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -210,7 +210,7 @@
 			k.core.mu.Unlock()
 		}
 		if tokens < 300 || tokens > 40*(30+20) {
-			w.Errorf("%.0f tokens leased in 30 s, at a quota of 40 per second and a demand of 5 per round and aggregator", tokens)
+			w.Errorf("%.0f tokens leased in 30 s, at a quota of 40 and a demand of 20 per second", tokens)
 		}
 	})
 }
