--- a/transport/agentserver/agentserver.go
+++ b/transport/agentserver/agentserver.go
@@ -76,22 +76,22 @@
 	if s.heartbeats, err = net.ListenPacket("udp", local.InternalAddress(local.IP, settings.PortHeartbeats)); err != nil {
 		return ErrAgent.Wrapf(err, "listening for heartbeats")
 	}
-	inner, end := context.WithCancel(context.Background())
-	defer end()
+	running, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	s.upstream = watch.Upstream{Report: s.report, Addresses: s.upstreamAddresses, Apply: s.applyUpdate,
 		OnFreshness: func(fresh clusterstate.Freshness) { s.relayFeed.Publish(nil, fresh) },
 		OnLending:   s.loans.HandleUpstream}
 	go peer.Serve(proxy, func(l *peer.Link) { s.serveDownstream(l, &s.proxyFeed) })
 	go peer.Serve(relay, func(l *peer.Link) { s.serveDownstream(l, &s.relayFeed) })
-	go s.proxyFeed.SendHeartbeats(inner, s.upstream.Freshness)
+	go s.proxyFeed.SendHeartbeats(running, s.upstream.Freshness)
 	go s.receiveHeartbeats()
-	go s.sendHeartbeats(inner)
-	go s.upstream.Run(inner)
-	metrics.Serve(inner, local.IP, local.Metrics, s.writeMetrics)
+	go s.sendHeartbeats(running)
+	go s.upstream.Run(running)
+	metrics.Serve(running, local.IP, local.Metrics, s.writeMetrics)
 	<-ctx.Done()
 	// Danger: a proxy that drains still serves queries for a while and needs updates until it disconnects.
-	until := time.Now().Add(time.Duration(local.Bounds.GraceS*float64(time.Second)) - graceMargin)
-	for time.Now().Before(until) && s.proxyFeed.Count() > 0 {
+	deadline := time.Now().Add(time.Duration(local.Bounds.GraceS*float64(time.Second)) - graceMargin)
+	for time.Now().Before(deadline) && s.proxyFeed.Count() > 0 {
 		time.Sleep(leavePoll)
 	}
 	return nil
@@ -104,8 +104,8 @@
 	s.mu.Lock()
 	fleet := s.state.Fleet
 	s.mu.Unlock()
-	for _, feeder := range relaytree.Feeders(s.settings.IP, s.settings.Zone, fleet, s.settings.SeedIPs(), s.settings.Zones) {
-		addresses = append(addresses, s.settings.InternalAddress(feeder.IP, settings.PortWatch))
+	for _, upstream := range relaytree.Feeders(s.settings.IP, s.settings.Zone, fleet, s.settings.SeedIPs(), s.settings.Zones) {
+		addresses = append(addresses, s.settings.InternalAddress(upstream.IP, settings.PortWatch))
 	}
 	return addresses
 }
@@ -116,13 +116,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	report := watch.Report{Revision: s.state.Revision, Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: s.settings.IP, Zone: s.settings.Zone}, Suspects: s.suspects, Rollouts: s.evidence}}
-	for ip, follower := range s.downstream {
-		age := time.Since(follower.receivedAt)
+	for ip, edge := range s.downstream {
+		age := time.Since(edge.receivedAt)
 		if age > downstreamTimeout {
 			delete(s.downstream, ip)
 			continue
 		}
-		edge := follower.EdgeReport
+		edge := edge.EdgeReport
 		edge.Age += int64(age)
 		report.Downstream = append(report.Downstream, edge)
 	}
@@ -135,19 +135,19 @@
 func (s *Server) applyUpdate(update clusterstate.Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fresh := s.state.Apply(update)
-	if fresh.Empty() {
+	change := s.state.Apply(update)
+	if change.Empty() {
 		return !s.state.NeedsSnapshot
 	}
-	if fresh.Revision > 0 {
-		klog.InfoS("a configuration was received", "revision", fresh.Revision, "bytes", len(fresh.Raw), "sent", len(fresh.Body)+len(fresh.Patch))
+	if change.Revision > 0 {
+		klog.InfoS("a configuration was received", "revision", change.Revision, "bytes", len(change.Raw), "sent", len(change.Body)+len(change.Patch))
 	}
-	if f := fresh.Fleet; !f.Empty() {
+	if f := change.Fleet; !f.Empty() {
 		s.detector.SetEdges(s.now(), f.EdgeIPsInZone(s.settings.Zone))
 	}
-	known := s.upstream.Freshness()
-	s.proxyFeed.Publish(&fresh, known)
-	s.relayFeed.Publish(&fresh, known)
+	fresh := s.upstream.Freshness()
+	s.proxyFeed.Publish(&change, fresh)
+	s.relayFeed.Publish(&change, fresh)
 	s.state.DropGone()
 	return !s.state.NeedsSnapshot
 }
@@ -186,15 +186,15 @@
 		case <-ticker.C:
 		}
 		s.mu.Lock()
-		to, suspects := s.detector.Tick(s.now())
+		targets, suspects := s.detector.Tick(s.now())
 		if !slices.Equal(suspects, s.suspects) {
 			klog.InfoS("edges that are not heard", "suspects", suspects)
 		}
 		s.suspects = suspects
 		s.mu.Unlock()
-		for _, ip := range to {
-			if a, err := net.ResolveUDPAddr("udp", s.settings.InternalAddress(ip, settings.PortHeartbeats)); err == nil {
-				s.heartbeats.WriteTo([]byte{1}, a)
+		for _, ip := range targets {
+			if address, err := net.ResolveUDPAddr("udp", s.settings.InternalAddress(ip, settings.PortHeartbeats)); err == nil {
+				s.heartbeats.WriteTo([]byte{1}, address)
 			}
 		}
 	}
--- a/transport/agentserver/agentserver_test.go
+++ b/transport/agentserver/agentserver_test.go
@@ -25,29 +25,29 @@
 }
 
 func newDownstream(t *testing.T, s *Server, ip string) downstream {
-	near, far := net.Pipe()
-	attended := peer.NewLink(near)
-	go s.serveDownstream(attended, &s.relayFeed)
-	f := downstream{t, peer.NewLink(far), ip}
+	agentEnd, edgeEnd := net.Pipe()
+	served := peer.NewLink(agentEnd)
+	go s.serveDownstream(served, &s.relayFeed)
+	f := downstream{t, peer.NewLink(edgeEnd), ip}
 	t.Cleanup(func() {
 		f.Close()
-		attended.Close()
+		served.Close()
 	})
 	return f
 }
 
 // report sends a report and returns the last lending message that the agent sends back, nil if none comes.
-func (f downstream) report(note *lending.Message) (said *lending.Message) {
+func (f downstream) report(message *lending.Message) (answer *lending.Message) {
 	f.Helper()
-	f.SendMessage(watch.Report{Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: f.ip}}, Lending: note})
+	f.SendMessage(watch.Report{Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: f.ip}}, Lending: message})
 	for {
 		var m watch.Message
 		if f.Receive(&m, time.Second) != nil {
-			return said
+			return answer
 		}
 		if m.Lending != nil {
 			must.True(f, m.Freshness != nil, must.Sprint("without freshness the edge takes the agent for one of the former version"))
-			said = m.Lending
+			answer = m.Lending
 		}
 	}
 }
@@ -59,19 +59,19 @@
 		const window = int64(10 * time.Second)
 		s := &Server{settings: settings.Settings{IP: "10.0.0.1"}, base: time.Now(), state: clusterstate.NewState(),
 			detector: failuredetector.New("10.0.0.1"), downstream: map[string]downstreamReport{}, loans: watch.NewLoans(window)}
-		short, idle := newDownstream(t, s, "10.0.0.2"), newDownstream(t, s, "10.0.0.3")
-		must.Nil(t, short.report(nil))
+		borrower, idle := newDownstream(t, s, "10.0.0.2"), newDownstream(t, s, "10.0.0.3")
+		must.Nil(t, borrower.report(nil))
 		must.Nil(t, idle.report(nil))
 		must.Nil(t, s.report().Lending)
-		must.Nil(t, short.report(&lending.Message{Requests: []lending.LoanRequest{{Number: 7, Amount: 3}}}))
+		must.Nil(t, borrower.report(&lending.Message{Requests: []lending.LoanRequest{{Number: 7, Amount: 3}}}))
 		must.Eq(t, 3, s.report().Lending.Requests[0].Amount)
-		asked := idle.report(nil)
-		must.Eq(t, 3, asked.Requests[0].Amount)
-		must.Nil(t, idle.report(&lending.Message{Loans: []lending.Loan{{Answers: asked.Requests[0].Number, Amount: 2, Duration: window}}}).Loans)
-		lent := short.report(&lending.Message{Requests: []lending.LoanRequest{{Number: 8, Amount: 3}}})
-		must.Eq(t, 8, lent.Loans[0].Answers)
-		must.Eq(t, 2, lent.Loans[0].Amount)
-		must.Less(t, window, lent.Loans[0].Duration)
-		must.Nil(t, short.report(&lending.Message{Requests: []lending.LoanRequest{{Number: 9, Amount: 3}}}))
+		request := idle.report(nil)
+		must.Eq(t, 3, request.Requests[0].Amount)
+		must.Nil(t, idle.report(&lending.Message{Loans: []lending.Loan{{Answers: request.Requests[0].Number, Amount: 2, Duration: window}}}).Loans)
+		answer := borrower.report(&lending.Message{Requests: []lending.LoanRequest{{Number: 8, Amount: 3}}})
+		must.Eq(t, 8, answer.Loans[0].Answers)
+		must.Eq(t, 2, answer.Loans[0].Amount)
+		must.Less(t, window, answer.Loans[0].Duration)
+		must.Nil(t, borrower.report(&lending.Message{Requests: []lending.LoanRequest{{Number: 9, Amount: 3}}}))
 	})
 }
--- a/transport/controlclient/controlclient.go
+++ b/transport/controlclient/controlclient.go
@@ -117,26 +117,26 @@
 // Watch passes a snapshot of the cluster's state to apply, and then each change, until apply returns false or
 // ctx ends. It returns an error if the controller is silent for receiveTimeout.
 func Watch(ctx context.Context, address string, apply func(clusterstate.Update) bool) error {
-	l, err := peer.Dial(ctx, address)
+	link, err := peer.Dial(ctx, address)
 	if err != nil {
 		return ErrClient.Wrap(err)
 	}
-	defer l.Close()
-	defer context.AfterFunc(ctx, l.Close)()
-	said := time.Time{}
+	defer link.Close()
+	defer context.AfterFunc(ctx, link.Close)()
+	lastReport := time.Time{}
 	for ctx.Err() == nil {
-		if time.Since(said) > time.Second {
-			said = time.Now()
-			l.SendMessage(watch.Report{})
+		if time.Since(lastReport) > time.Second {
+			lastReport = time.Now()
+			link.SendMessage(watch.Report{})
 		}
-		var p watch.Message
-		if err := l.Receive(&p, receiveTimeout); err != nil {
+		var m watch.Message
+		if err := link.Receive(&m, receiveTimeout); err != nil {
 			if ctx.Err() != nil {
 				return nil
 			}
 			return ErrClient.Wrap(err)
 		}
-		if p.Update != nil && !apply(*p.Update) {
+		if m.Update != nil && !apply(*m.Update) {
 			return nil
 		}
 	}
--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -69,8 +69,8 @@
 	s := &Server{settings: local, base: time.Now().Add(-time.Hour), loans: watch.NewLoans(local.Bounds.RetryWindow()),
 		inputs: make(chan func(int64) controller.Effects, inputQueue),
 		saves:  make(chan controller.Save, 1), calls: map[uint64]chan controller.Answer{}}
-	life := strconv.FormatUint(rand.Uint64(), 36)
-	start := controller.Options{IP: local.IP, Incarnation: life, Zone: local.Zone, Regions: local.Zones, Seeds: local.SeedIPs(), Bootstrap: local.Bootstrap,
+	incarnation := strconv.FormatUint(rand.Uint64(), 36)
+	options := controller.Options{IP: local.IP, Incarnation: incarnation, Zone: local.Zone, Regions: local.Zones, Seeds: local.SeedIPs(), Bootstrap: local.Bootstrap,
 		ReplicaHeartbeatInterval: local.HeartbeatIntervalMs * int64(time.Millisecond), RolloutTerms: rollout.Bounds{ExposureShare: local.Bounds.ExposureShare}, Random: rand.Float64}
 	store, found, err := statestore.Open(local.DataDir)
 	if errors.Is(err, statestore.ErrNewerFormat) {
@@ -81,13 +81,13 @@
 		// joins as one whose disk was emptied, which doesn't count in the quorum until the others have sent it the
 		// committed state.
 		klog.ErrorS(err, "the disk cannot be read; this controller joins as one whose disk is empty")
-		start.Bootstrap = false
+		options.Bootstrap = false
 		os.Remove(statestore.Path(local.DataDir))
 	}
-	start.RegisterState, start.CommittedConfiguration, start.Rollouts, start.Replicas = found.State, found.Committed, found.Rollouts, found.Replicas
+	options.RegisterState, options.CommittedConfiguration, options.Rollouts, options.Replicas = found.State, found.Committed, found.Rollouts, found.Replicas
 	klog.InfoS("controller", "ip", local.IP, "bootstrap", local.Bootstrap, "found", found.State != nil, "committed", found.Committed.Revision, "sum", found.Committed.Sum,
 		"replicas", len(found.Replicas))
-	s.controller = controller.New(s.now(), start)
+	s.controller = controller.New(s.now(), options)
 
 	peers, err := peer.Listen(local.InternalAddress(local.IP, settings.PortControllers))
 	if err != nil {
@@ -101,15 +101,15 @@
 	if err != nil {
 		return ErrControlServer.Wrapf(err, "bind-addrs.control")
 	}
-	inner, end := context.WithCancel(context.Background())
-	defer end()
-	s.mesh = peer.NewMesh(inner)
-	go peer.Serve(peers, s.peer)
+	running, cancelRunning := context.WithCancel(context.Background())
+	defer cancelRunning()
+	s.mesh = peer.NewMesh(running)
+	go peer.Serve(peers, s.receivePeer)
 	go peer.Serve(followers, s.serveDownstream)
 	go s.saveLoop(store)
-	go s.feed.SendHeartbeats(inner, s.freshness)
-	go s.operators.SendHeartbeats(inner, s.freshness)
-	metrics.Serve(inner, local.IP, local.Metrics, s.writeMetrics)
+	go s.feed.SendHeartbeats(running, s.freshness)
+	go s.operators.SendHeartbeats(running, s.freshness)
+	metrics.Serve(running, local.IP, local.Metrics, s.writeMetrics)
 	httpServer := &http.Server{Handler: s.handler(), ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes}
 	go func() {
@@ -149,13 +149,13 @@
 // Danger: a process that was stopped for seconds would report an outdated age. So the age is computed when it
 // is reported, not when the state was recorded.
 func (s *Server) freshness() clusterstate.Freshness {
-	noted := s.lastCurrent.Load()
-	if noted == nil {
+	recorded := s.lastCurrent.Load()
+	if recorded == nil {
 		return clusterstate.Freshness{}
 	}
-	f := clusterstate.Freshness{Epoch: noted.epoch, Revision: noted.revision}
-	if noted.since != lease.Never {
-		f.Known, f.Age = true, max(s.now()-noted.since, 0)
+	f := clusterstate.Freshness{Epoch: recorded.epoch, Revision: recorded.revision}
+	if recorded.since != lease.Never {
+		f.Known, f.Age = true, max(s.now()-recorded.since, 0)
 	}
 	return f
 }
@@ -169,8 +169,8 @@
 		case <-ctx.Done():
 			s.applyEffects(s.controller.AnnounceShutdown(s.now()))
 			return
-		case in := <-s.inputs:
-			s.applyEffects(in(s.now()))
+		case input := <-s.inputs:
+			s.applyEffects(input(s.now()))
 			for range min(len(s.inputs), inputBatch) {
 				s.applyEffects((<-s.inputs)(s.now()))
 			}
@@ -186,14 +186,14 @@
 
 // applyEffects carries out the effects that the controller returns: log lines, saves, messages, answers and
 // updates.
-func (s *Server) applyEffects(o controller.Effects) {
-	for _, l := range o.Log {
-		klog.InfoS(l.Text, l.Values...)
+func (s *Server) applyEffects(effects controller.Effects) {
+	for _, line := range effects.Log {
+		klog.InfoS(line.Text, line.Values...)
 	}
-	if o.Save != nil {
-		s.saves <- *o.Save
+	if effects.Save != nil {
+		s.saves <- *effects.Save
 	}
-	for _, send := range o.Sends {
+	for _, send := range effects.Sends {
 		frame, err := peer.Encode(send.Message)
 		if err != nil {
 			klog.ErrorS(err, "a message cannot be encoded")
@@ -203,21 +203,21 @@
 			s.mesh.Send(s.settings.InternalAddress(ip, settings.PortControllers), frame)
 		}
 	}
-	for _, a := range o.Answers {
+	for _, a := range effects.Answers {
 		s.mu.Lock()
-		c := s.calls[a.Call]
+		waiting := s.calls[a.Call]
 		delete(s.calls, a.Call)
 		s.mu.Unlock()
-		if c != nil {
-			c <- a
+		if waiting != nil {
+			waiting <- a
 		}
 	}
-	if !o.Update.Empty() {
+	if !effects.Update.Empty() {
 		s.recordCurrent()
-		s.feed.Publish(&o.Update, s.freshness())
+		s.feed.Publish(&effects.Update, s.freshness())
 	}
-	if !o.FullUpdate.Empty() {
-		s.operators.Publish(&o.FullUpdate, s.freshness())
+	if !effects.FullUpdate.Empty() {
+		s.operators.Publish(&effects.FullUpdate, s.freshness())
 	}
 }
 
@@ -239,8 +239,8 @@
 	}
 }
 
-// peer passes the messages of another controller to this one until the link ends.
-func (s *Server) peer(link *peer.Link) {
+// receivePeer passes the messages of another controller to this one until the link ends.
+func (s *Server) receivePeer(link *peer.Link) {
 	for {
 		var message controller.Message
 		if err := link.Receive(&message, 0); err != nil {
@@ -272,20 +272,20 @@
 }
 
 // call makes a call to the controller and waits for its answer; false if ctx ended first.
-func (s *Server) call(ctx context.Context, in func(now int64, call uint64) controller.Effects) (controller.Answer, bool) {
-	c := make(chan controller.Answer, 1)
+func (s *Server) call(ctx context.Context, call func(now int64, call uint64) controller.Effects) (controller.Answer, bool) {
+	answers := make(chan controller.Answer, 1)
 	s.mu.Lock()
 	s.lastCall++
 	id := s.lastCall
-	s.calls[id] = c
+	s.calls[id] = answers
 	s.mu.Unlock()
 	select {
-	case s.inputs <- func(now int64) controller.Effects { return in(now, id) }:
+	case s.inputs <- func(now int64) controller.Effects { return call(now, id) }:
 	case <-ctx.Done():
 		return controller.Answer{}, false
 	}
 	select {
-	case a := <-c:
+	case a := <-answers:
 		return a, true
 	case <-ctx.Done():
 		s.mu.Lock()
--- a/transport/controlserver/resources_test.go
+++ b/transport/controlserver/resources_test.go
@@ -24,14 +24,14 @@
 	t.Cleanup(func() { close(done) })
 	go func() {
 		now := int64(0)
-		save := func(out controller.Effects) {
+		save := func(effects controller.Effects) {
 			for {
-				s.applyEffects(out)
-				if out.Save == nil {
+				s.applyEffects(effects)
+				if effects.Save == nil {
 					return
 				}
 				number := (<-s.saves).Number
-				out = s.controller.SaveFinished(now, number, nil)
+				effects = s.controller.SaveFinished(now, number, nil)
 			}
 		}
 		save(s.controller.Tick(now))
@@ -89,11 +89,11 @@
 		metrics.Handler("/metrics", s.writeMetrics).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		return w.Body.String()
 	}
-	told := text(s)
-	must.StrContains(t, told, "willowsill_controller_up 1\n")
-	must.StrContains(t, told, "willowsill_configuration_revision 7\n")
-	must.StrContains(t, told, "willowsill_replicas{phase=\"ready\"} 0\n")
-	must.StrContains(t, told, "willowsill_control_calls_total{call=\"configuration/replace\",status=\"200\"} 1\n")
+	body := text(s)
+	must.StrContains(t, body, "willowsill_controller_up 1\n")
+	must.StrContains(t, body, "willowsill_configuration_revision 7\n")
+	must.StrContains(t, body, "willowsill_replicas{phase=\"ready\"} 0\n")
+	must.StrContains(t, body, "willowsill_control_calls_total{call=\"configuration/replace\",status=\"200\"} 1\n")
 	must.Eq(t, "willowsill_controller_up 0\n", text(&Server{inputs: make(chan func(int64) controller.Effects)}))
 }
 
--- a/transport/daemon/daemon_test.go
+++ b/transport/daemon/daemon_test.go
@@ -181,15 +181,15 @@
 // TestMetricsEndpoint: the endpoint for metrics comes from the arguments, or else from the settings. Anything
 // but PORT/PATH ends the start with exit code 2.
 func TestMetricsEndpoint(t *testing.T) {
-	told := ""
-	note := func(_ context.Context, s settings.Settings) error {
-		told = s.Metrics
+	endpoint := ""
+	record := func(_ context.Context, s settings.Settings) error {
+		endpoint = s.Metrics
 		return nil
 	}
 	t.Setenv(settings.FileVariable, settingsFile(t))
-	must.Zero(t, Run("test", "notes", []string{"--metrics", "9464/metrics"}, note))
-	must.Eq(t, "9464/metrics", told)
-	must.Zero(t, Run("test", "notes", nil, note))
-	must.Eq(t, "", told)
-	must.Eq(t, 2, Run("test", "notes", []string{"--metrics", "metrics"}, note))
+	must.Zero(t, Run("test", "notes", []string{"--metrics", "9464/metrics"}, record))
+	must.Eq(t, "9464/metrics", endpoint)
+	must.Zero(t, Run("test", "notes", nil, record))
+	must.Eq(t, "", endpoint)
+	must.Eq(t, 2, Run("test", "notes", []string{"--metrics", "metrics"}, record))
 }
--- a/transport/discovery/discovery.go
+++ b/transport/discovery/discovery.go
@@ -70,48 +70,48 @@
 	if m.Sequence == nil {
 		return Update{}, fmt.Errorf("the list: key %q is missing", "seq")
 	}
-	n := Update{Sequence: *m.Sequence, Full: m.Full}
+	update := Update{Sequence: *m.Sequence, Full: m.Full}
 	for i, raw := range m.Hosts {
 		e, err := decodeEntry(raw, cells)
 		if err != nil {
-			n.Skipped = append(n.Skipped, fmt.Errorf("entry %d: %w", i, err))
+			update.Skipped = append(update.Skipped, fmt.Errorf("entry %d: %w", i, err))
 			continue
 		}
-		n.Entries = append(n.Entries, e)
+		update.Entries = append(update.Entries, e)
 	}
-	return n, nil
+	return update, nil
 }
 
 func decodeEntry(raw json.RawMessage, cells int) (Entry, error) {
-	var e entry
-	if err := json.Unmarshal(raw, &e); err != nil {
+	var wire entry
+	if err := json.Unmarshal(raw, &wire); err != nil {
 		return Entry{}, err
 	}
-	out := Entry{Host: e.Host, Dial: e.Dial, Zone: e.Zone, StartedMs: e.StartedMs}
-	switch e.Health {
+	found := Entry{Host: wire.Host, Dial: wire.Dial, Zone: wire.Zone, StartedMs: wire.StartedMs}
+	switch wire.Health {
 	case "active":
-		out.Status = balance.Up
+		found.Status = balance.Up
 	case "leaving":
-		out.Status = balance.Draining
+		found.Status = balance.Draining
 	case "left":
-		out.Status = balance.Gone
+		found.Status = balance.Gone
 	default:
-		return Entry{}, fmt.Errorf("key %q has the value %.20q", "health", e.Health)
+		return Entry{}, fmt.Errorf("key %q has the value %.20q", "health", wire.Health)
 	}
-	if e.Host == "" {
+	if wire.Host == "" {
 		return Entry{}, fmt.Errorf("key %q is missing", "host")
 	}
-	if out.Status == balance.Gone { // a replica that has left may no longer have a cell and an address
-		return out, nil
+	if found.Status == balance.Gone { // a replica that has left may no longer have a cell and an address
+		return found, nil
 	}
-	if e.Cell == nil || *e.Cell < 0 || *e.Cell >= cells {
+	if wire.Cell == nil || *wire.Cell < 0 || *wire.Cell >= cells {
 		return Entry{}, fmt.Errorf("key %q is missing or no cell of this service", "block")
 	}
-	out.Cell = *e.Cell
-	if _, _, err := net.SplitHostPort(e.Dial); err != nil {
+	found.Cell = *wire.Cell
+	if _, _, err := net.SplitHostPort(wire.Dial); err != nil {
 		return Entry{}, fmt.Errorf("key %q: %w", "dial", err)
 	}
-	return out, nil
+	return found, nil
 }
 
 // Watch keeps polling discovery for changes of the list.
@@ -161,15 +161,15 @@
 
 // beginCall begins a call. It returns the call's address, whether the address changed since the last call, and
 // a context that SetAddress cancels.
-func (w *Watch) beginCall(ctx context.Context) (here context.Context, address string, moved bool) {
+func (w *Watch) beginCall(ctx context.Context) (callCtx context.Context, address string, changed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cancelCall()
-	here, w.cancelCall = context.WithCancel(ctx)
-	if moved, w.addressChanged = w.addressChanged, false; moved {
+	callCtx, w.cancelCall = context.WithCancel(ctx)
+	if changed, w.addressChanged = w.addressChanged, false; changed {
 		w.transport.CloseIdleConnections()
 	}
-	return here, w.address, moved
+	return callCtx, w.address, changed
 }
 
 // Run watches until ctx ends. With onRequest it waits for a Request at the start and again after each failure;
@@ -179,46 +179,46 @@
 // report must only pass the update on and not block.
 func (w *Watch) Run(ctx context.Context, onRequest bool) {
 	defer w.transport.CloseIdleConnections()
-	for first, waits := true, onRequest; ctx.Err() == nil; {
-		if waits {
+	for full, waitForRequest := true, onRequest; ctx.Err() == nil; {
+		if waitForRequest {
 			select {
 			case <-w.requested:
 			case <-ctx.Done():
 				return
 			}
 		}
-		here, address, moved := w.beginCall(ctx)
-		first = first || moved
-		n, err := w.call(here, address, first)
+		callCtx, address, changed := w.beginCall(ctx)
+		full = full || changed
+		update, err := w.call(callCtx, address, full)
 		switch {
-		case here.Err() != nil: // ended, or moved to another address
-			waits = false
+		case callCtx.Err() != nil: // ended, or moved to another address
+			waitForRequest = false
 		case err != nil:
-			first, waits = true, onRequest
+			full, waitForRequest = true, onRequest
 			w.report(ctx, Update{Err: err})
 			if !onRequest {
 				select {
 				case <-time.After(retryDelay):
-				case <-here.Done():
+				case <-callCtx.Done():
 				}
 			}
 		default:
-			first, waits, w.sequence = false, false, n.Sequence
-			w.report(ctx, n)
+			full, waitForRequest, w.sequence = false, false, update.Sequence
+			w.report(ctx, update)
 		}
 	}
 }
 
 // call makes one call; the first call of a watch requests the full list.
-func (w *Watch) call(ctx context.Context, address string, first bool) (Update, error) {
-	limit := callMargin
+func (w *Watch) call(ctx context.Context, address string, full bool) (Update, error) {
+	timeout := callMargin
 	url := "http://" + address + listPath
-	if !first {
-		limit += longPollTime
+	if !full {
+		timeout += longPollTime
 		url += "?since=" + strconv.FormatInt(w.sequence, 10) +
 			"&timeout_ms=" + strconv.FormatInt(longPollTime.Milliseconds(), 10)
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/transport/discovery/discovery_test.go
+++ b/transport/discovery/discovery_test.go
@@ -18,7 +18,7 @@
 	const good = `{"host":"s-1","dial":"10.1.0.18:8081","site":"north","block":3,"health":"active","born_ms":7}`
 	for name, c := range map[string]struct {
 		in, want string
-		odd      int
+		skipped  int
 	}{
 		"entry":       {`{"seq":4,"whole":true,"hosts":[` + good + `]}`, "4 true [{s-1 10.1.0.18:8081 3 north 0 7 0 0}]", 0},
 		"draining":    {`{"seq":4,"hosts":[{"host":"s","dial":"a:1","block":0,"health":"leaving"}]}`, "4 false [{s a:1 0  1 0 0 0}]", 0},
@@ -38,7 +38,7 @@
 			if err != nil {
 				got = err.Error()
 			}
-			if !strings.Contains(got, c.want) || len(n.Skipped) != c.odd {
+			if !strings.Contains(got, c.want) || len(n.Skipped) != c.skipped {
 				t.Errorf("got %s and %d skipped entries", got, len(n.Skipped))
 			}
 		})
@@ -46,43 +46,43 @@
 }
 
 // runWatch runs a watch against a simulated discovery; its updates arrive on the channel.
-func runWatch(t *testing.T, onAsk bool, play func(w *Watch, d *standin.Discovery, told chan Update, on *pipenet.Network)) {
+func runWatch(t *testing.T, onAsk bool, run func(w *Watch, d *standin.Discovery, updates chan Update, network *pipenet.Network)) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipenet.Network{}
 		d := standin.NewDiscovery(standin.Host{Host: "s-1", Dial: "a:1", Health: "active"})
 		server := &http.Server{Handler: d}
 		go server.Serve(network.Listen("d:1"))
-		told := make(chan Update, 16)
-		w := NewWatch("d:1", 1, 0, network.Dial, func(_ context.Context, n Update) { told <- n })
-		ctx, stop := context.WithCancel(t.Context())
-		ended := make(chan struct{})
+		updates := make(chan Update, 16)
+		w := NewWatch("d:1", 1, 0, network.Dial, func(_ context.Context, n Update) { updates <- n })
+		ctx, cancel := context.WithCancel(t.Context())
+		done := make(chan struct{})
 		go func() {
-			defer close(ended)
+			defer close(done)
 			w.Run(ctx, onAsk)
 		}()
 		synctest.Wait()
-		play(w, d, told, network)
-		stop()
-		<-ended
+		run(w, d, updates, network)
+		cancel()
+		<-done
 		server.Close()
 	})
 }
 
 func TestWatch(t *testing.T) {
-	runWatch(t, false, func(_ *Watch, d *standin.Discovery, told chan Update, _ *pipenet.Network) {
-		if n := <-told; !n.Full || len(n.Entries) != 1 {
+	runWatch(t, false, func(_ *Watch, d *standin.Discovery, updates chan Update, _ *pipenet.Network) {
+		if n := <-updates; !n.Full || len(n.Entries) != 1 {
 			t.Fatalf("the first update is %v", n)
 		}
 		began := time.Now()
-		if n := <-told; n.Err != nil || n.Full || len(n.Entries) != 0 || time.Since(began) != longPollTime {
+		if n := <-updates; n.Err != nil || n.Full || len(n.Entries) != 0 || time.Since(began) != longPollTime {
 			t.Errorf("after %v without changes the update is %v", time.Since(began), n)
 		}
 		d.Change(standin.Host{Host: "s-1", Dial: "a:1", Health: "leaving"})
-		if n := <-told; len(n.Entries) != 1 || n.Entries[0].Status != balance.Draining || n.Sequence != 2 {
+		if n := <-updates; len(n.Entries) != 1 || n.Entries[0].Status != balance.Draining || n.Sequence != 2 {
 			t.Errorf("for the change the update is %v", n)
 		}
 		d.Change(standin.Host{Host: "s-1", Health: "left"})
-		if n := <-told; n.Entries[0].Status != balance.Gone {
+		if n := <-updates; n.Entries[0].Status != balance.Gone {
 			t.Errorf("for the departure the update is %v", n)
 		}
 	})
@@ -109,13 +109,13 @@
 }
 
 func TestWatchOnAsk(t *testing.T) {
-	runWatch(t, true, func(w *Watch, d *standin.Discovery, told chan Update, _ *pipenet.Network) {
+	runWatch(t, true, func(w *Watch, d *standin.Discovery, updates chan Update, _ *pipenet.Network) {
 		time.Sleep(time.Minute)
-		if len(told) != 0 {
-			t.Fatalf("without a request it reported %v", <-told)
+		if len(updates) != 0 {
+			t.Fatalf("without a request it reported %v", <-updates)
 		}
 		w.Request()
-		if n := <-told; !n.Full {
+		if n := <-updates; !n.Full {
 			t.Errorf("after a request it reported %v", n)
 		}
 	})
@@ -124,8 +124,8 @@
 // Danger: a watch that keeps the address of a discovery that has moved uses an old list forever.
 func TestWatchFollows(t *testing.T) {
 	for _, onAsk := range []bool{false, true} {
-		runWatch(t, onAsk, func(w *Watch, d *standin.Discovery, told chan Update, on *pipenet.Network) {
-			if w.Request(); (<-told).Err != nil {
+		runWatch(t, onAsk, func(w *Watch, d *standin.Discovery, updates chan Update, on *pipenet.Network) {
+			if w.Request(); (<-updates).Err != nil {
 				t.Fatal("the first call failed")
 			}
 			time.Sleep(10 * time.Millisecond) // a call is in progress
@@ -136,12 +136,12 @@
 			began := time.Now()
 			w.SetAddress("d:2")
 			w.SetAddress("d:2")
-			if n := <-told; !n.Full || n.Err != nil || n.Entries[0].Host != "s-2" || time.Since(began) > 0 {
+			if n := <-updates; !n.Full || n.Err != nil || n.Entries[0].Host != "s-2" || time.Since(began) > 0 {
 				t.Errorf("after %v the update is %v", time.Since(began), n)
 			}
 			d.Change(standin.Host{Host: "s-1", Dial: "a:1", Health: "leaving"})
 			next.Change(standin.Host{Host: "s-2", Dial: "b:1", Health: "leaving"})
-			if n := <-told; n.Err != nil || len(n.Entries) != 1 || n.Entries[0].Host != "s-2" {
+			if n := <-updates; n.Err != nil || len(n.Entries) != 1 || n.Entries[0].Host != "s-2" {
 				t.Errorf("for a change the update is %v", n)
 			}
 		})
--- a/transport/machine/machine.go
+++ b/transport/machine/machine.go
@@ -68,16 +68,16 @@
 )
 
 // New returns a monitor. Run has to be called for it to take readings.
-func New(t overload.Config, s Sources, log *zap.Logger) *Monitor {
-	w := &Monitor{Sources: s, log: log, detector: overload.New(s.Now(), t), samples: []metrics.Sample{
+func New(config overload.Config, sources Sources, log *zap.Logger) *Monitor {
+	m := &Monitor{Sources: sources, log: log, detector: overload.New(sources.Now(), config), samples: []metrics.Sample{
 		schedLatencies: {Name: "/sched/latencies:seconds"}, gcCPUSeconds: {Name: "/cpu/classes/gc/total:cpu-seconds"},
 		gcPauses: {Name: "/sched/pauses/total/gc:seconds"}, heapBytes: {Name: "/memory/classes/heap/objects:bytes"}}}
-	w.read(0)
-	return w
+	m.read(0)
+	return m
 }
 
 // Run takes readings until ctx ends.
-func (w *Monitor) Run(ctx context.Context) {
+func (m *Monitor) Run(ctx context.Context) {
 	due := time.Now().Add(readInterval)
 	timer := time.NewTimer(readInterval)
 	defer timer.Stop()
@@ -87,19 +87,19 @@
 			return
 		case <-timer.C:
 		}
-		late := time.Since(due)
-		r := w.read(int64(late))
-		now := w.Now()
-		w.mu.Lock()
-		changed := w.detector.Observe(now, r)
-		var figures overload.Stats
+		lateness := time.Since(due)
+		r := m.read(int64(lateness))
+		now := m.Now()
+		m.mu.Lock()
+		changed := m.detector.Observe(now, r)
+		var stats overload.Stats
 		if changed {
-			figures = w.detector.Stats()
+			stats = m.detector.Stats()
 		}
-		w.mu.Unlock()
+		m.mu.Unlock()
 		if changed {
-			w.log.Info("the process's own strain", zap.String("level", figures.Level), zap.String("cause", figures.Cause),
-				zap.Float64("pressure", figures.Pressure), zap.Float64("cores_used", figures.CoresUsed))
+			m.log.Info("the process's own strain", zap.String("level", stats.Level), zap.String("cause", stats.Cause),
+				zap.Float64("pressure", stats.Pressure), zap.Float64("cores_used", stats.CoresUsed))
 		}
 		due = time.Now().Add(readInterval)
 		timer.Reset(readInterval)
@@ -107,62 +107,62 @@
 }
 
 // read takes a reading. Counters are read as their change since the last reading.
-func (w *Monitor) read(lateness int64) (r overload.Reading) {
-	now := w.Now()
-	metrics.Read(w.samples)
-	r.Span, r.TimerLateness = now-w.readAt, max(lateness, 0)
-	var all syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &all) == nil {
-		used := all.Utime.Nano() + all.Stime.Nano()
-		r.CPUTime, w.cpuTime = used-w.cpuTime, used
+func (m *Monitor) read(lateness int64) (r overload.Reading) {
+	now := m.Now()
+	metrics.Read(m.samples)
+	r.Span, r.TimerLateness = now-m.readAt, max(lateness, 0)
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) == nil {
+		used := usage.Utime.Nano() + usage.Stime.Nano()
+		r.CPUTime, m.cpuTime = used-m.cpuTime, used
 	}
-	r.SchedLatency = quantileSince(&w.samples[schedLatencies], &w.schedBuckets, 0.99)
-	r.MaxGCPause = quantileSince(&w.samples[gcPauses], &w.pauseBuckets, 1)
-	if s := w.samples[gcCPUSeconds].Value; s.Kind() == metrics.KindFloat64 {
+	r.SchedLatency = quantileSince(&m.samples[schedLatencies], &m.schedBuckets, 0.99)
+	r.MaxGCPause = quantileSince(&m.samples[gcPauses], &m.pauseBuckets, 1)
+	if s := m.samples[gcCPUSeconds].Value; s.Kind() == metrics.KindFloat64 {
 		gc := s.Float64()
-		r.GCShare, w.gcSeconds = (gc-w.gcSeconds)*1e9/float64(max(r.CPUTime, int64(readInterval)/100)), gc
+		r.GCShare, m.gcSeconds = (gc-m.gcSeconds)*1e9/float64(max(r.CPUTime, int64(readInterval)/100)), gc
 	}
-	if s := w.samples[heapBytes].Value; s.Kind() == metrics.KindUint64 {
-		r.HeapShare = float64(s.Uint64()) / float64(max(w.MemoryLimit, 1))
+	if s := m.samples[heapBytes].Value; s.Kind() == metrics.KindUint64 {
+		r.HeapShare = float64(s.Uint64()) / float64(max(m.MemoryLimit, 1))
 	}
-	n, waited := w.Events()
-	if n > w.events {
-		r.MeanWait = (waited - w.totalWait) / (n - w.events)
+	n, waited := m.Events()
+	if n > m.events {
+		r.MeanWait = (waited - m.totalWait) / (n - m.events)
 	}
-	w.events, w.totalWait = n, waited
-	withheld := throttledTime()
-	r.ThrottledTime, w.throttled = withheld-w.throttled, withheld
-	r.QueueShare, r.DescriptorShare = w.QueueFill(), w.ClientDescriptors()
-	w.readAt = now
+	m.events, m.totalWait = n, waited
+	throttled := throttledTime()
+	r.ThrottledTime, m.throttled = throttled-m.throttled, throttled
+	r.QueueShare, r.DescriptorShare = m.QueueFill(), m.ClientDescriptors()
+	m.readAt = now
 	return r
 }
 
 // quantileSince returns the quantile of the values that a histogram of the runtime has recorded since the last
 // call, ns. was holds the histogram's counts at that call.
-func quantileSince(s *metrics.Sample, was *[]uint64, share float64) int64 {
+func quantileSince(s *metrics.Sample, previous *[]uint64, share float64) int64 {
 	if s.Value.Kind() != metrics.KindFloat64Histogram {
 		return 0
 	}
 	h := s.Value.Float64Histogram()
-	if len(*was) != len(h.Counts) {
-		*was = make([]uint64, len(h.Counts))
+	if len(*previous) != len(h.Counts) {
+		*previous = make([]uint64, len(h.Counts))
 	}
-	all := uint64(0)
+	total := uint64(0)
 	for i, n := range h.Counts {
-		all += n - (*was)[i]
+		total += n - (*previous)[i]
 	}
-	left := int64(math.Ceil(share * float64(all)))
-	at := 0.0
+	remaining := int64(math.Ceil(share * float64(total)))
+	quantile := 0.0
 	for i, n := range h.Counts {
-		if left > 0 && n > (*was)[i] {
-			if at = h.Buckets[i+1]; math.IsInf(at, 1) {
-				at = h.Buckets[i]
+		if remaining > 0 && n > (*previous)[i] {
+			if quantile = h.Buckets[i+1]; math.IsInf(quantile, 1) {
+				quantile = h.Buckets[i]
 			}
 		}
-		left -= int64(n - (*was)[i])
+		remaining -= int64(n - (*previous)[i])
 	}
-	copy(*was, h.Counts)
-	return int64(at * 1e9)
+	copy(*previous, h.Counts)
+	return int64(quantile * 1e9)
 }
 
 // throttledTime returns for how long the control group has throttled the process so far, ns; 0 if that cannot
@@ -185,54 +185,54 @@
 }
 
 // Admit reports whether a query is admitted. Otherwise its client may retry after the returned time, ns.
-func (w *Monitor) Admit(a overload.Arrival) (taken bool, comeBack int64) {
-	now := w.Now()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if taken, comeBack = w.detector.Admit(now, a); taken {
-		w.Admitted.Add(1)
+func (m *Monitor) Admit(a overload.Arrival) (admitted bool, retryAfter int64) {
+	now := m.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if admitted, retryAfter = m.detector.Admit(now, a); admitted {
+		m.Admitted.Add(1)
 	} else {
-		w.Rejected.Add(1)
+		m.Rejected.Add(1)
 	}
-	return taken, comeBack
+	return admitted, retryAfter
 }
 
 // RejectUnread reports whether a request is rejected when only its workload is known, and after which time its
 // client may retry, ns.
-func (w *Monitor) RejectUnread(workload int) (away bool, comeBack int64) {
-	now := w.Now()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if away, comeBack = w.detector.RejectUnread(now, workload); away {
-		w.RejectedUnread.Add(1)
+func (m *Monitor) RejectUnread(workload int) (rejected bool, retryAfter int64) {
+	now := m.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if rejected, retryAfter = m.detector.RejectUnread(now, workload); rejected {
+		m.RejectedUnread.Add(1)
 	}
-	return away, comeBack
+	return rejected, retryAfter
 }
 
 // RecordEnd records the end of an admitted query.
-func (w *Monitor) RecordEnd(workload int, took int64, answered bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.detector.RecordEnd(workload, took, answered)
+func (m *Monitor) RecordEnd(workload int, took int64, answered bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.detector.RecordEnd(workload, took, answered)
 }
 
 // RecordWait records how long a query waited for the loop, ns.
-func (w *Monitor) RecordWait(ns int64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.detector.RecordWait(ns)
+func (m *Monitor) RecordWait(ns int64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.detector.RecordWait(ns)
 }
 
 // MarshalJSON encodes the current state for the counters.
-func (w *Monitor) MarshalJSON() ([]byte, error) {
-	w.mu.Lock()
-	f := w.detector.Stats()
-	w.mu.Unlock()
+func (m *Monitor) MarshalJSON() ([]byte, error) {
+	m.mu.Lock()
+	stats := m.detector.Stats()
+	m.mu.Unlock()
 	return json.Marshal(struct {
 		overload.Stats
 		Taken  *counters.Count `json:"taken"`
 		Shed   *counters.Count `json:"shed"`
 		Unseen *counters.Count `json:"unseen"`
 		Stood  *counters.Count `json:"stood_ns"`
-	}{f, &w.Admitted, &w.Rejected, &w.RejectedUnread, &w.Stalled})
+	}{stats, &m.Admitted, &m.Rejected, &m.RejectedUnread, &m.Stalled})
 }
--- a/transport/metrics/metrics.go
+++ b/transport/metrics/metrics.go
@@ -47,29 +47,29 @@
 func (f Writer) Gauge(name string, value float64) { f.set.GetOrCreateGauge(name, nil).Set(value) }
 
 // Flag writes a gauge of 1 or 0.
-func (f Writer) Flag(name string, value bool) {
+func (w Writer) Flag(name string, value bool) {
 	number := 0.0
 	if value {
 		number = 1
 	}
-	f.Gauge(name, number)
+	w.Gauge(name, number)
 }
 
 // Counter writes a count since the start of the process.
-func (f Writer) Counter(name string, value int64) {
-	f.set.GetOrCreateCounter(name).Set(uint64(max(value, 0)))
+func (w Writer) Counter(name string, value int64) {
+	w.set.GetOrCreateCounter(name).Set(uint64(max(value, 0)))
 }
 
 // Collector writes the metrics of a process. It is called from any goroutine.
 type Collector func(Writer)
 
 // Handler answers GET at the endpoint's path with the metrics that the collector writes.
-func Handler(path string, source Collector) http.Handler {
+func Handler(path string, collect Collector) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
 		// A new set for each request, so that labels that no longer exist, such as removed routes, disappear.
 		set := metrics.NewSet()
-		source(Writer{set})
+		collect(Writer{set})
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 		set.WritePrometheus(w)
 	})
@@ -79,21 +79,21 @@
 // Serve serves metrics at an IP of this machine and an endpoint written as PORT/PATH until ctx ends; without an
 // endpoint it serves none. A failure to listen is only logged, because the process still serves without its
 // metrics.
-func Serve(ctx context.Context, ip, endpoint string, source Collector) {
+func Serve(ctx context.Context, ip, endpoint string, collect Collector) {
 	if endpoint == "" {
 		return
 	}
-	at, err := ParseEndpoint(endpoint)
+	parsed, err := ParseEndpoint(endpoint)
 	if err != nil {
 		klog.ErrorS(err, "no figures are served")
 		return
 	}
-	listener, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(at.Port)))
+	listener, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(parsed.Port)))
 	if err != nil {
 		klog.ErrorS(ErrMetrics.Wrap(err), "no figures are served")
 		return
 	}
-	server := &http.Server{Handler: Handler(at.Path, source), ReadTimeout: readTimeout, IdleTimeout: idleTimeout}
+	server := &http.Server{Handler: Handler(parsed.Path, collect), ReadTimeout: readTimeout, IdleTimeout: idleTimeout}
 	go server.Serve(listener)
 	context.AfterFunc(ctx, func() { server.Close() })
 }
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -33,20 +33,20 @@
 func (m *Mesh) Send(address string, f Frame) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l := m.destinations[address]
-	if l == nil {
-		l = &destination{make(chan Frame, maxQueuedFrames)}
-		m.destinations[address] = l
-		go m.run(address, l)
+	d := m.destinations[address]
+	if d == nil {
+		d = &destination{make(chan Frame, maxQueuedFrames)}
+		m.destinations[address] = d
+		go m.run(address, d)
 	}
 	for {
 		select {
-		case l.queue <- f:
+		case d.queue <- f:
 			return
 		default:
 		}
 		select { // drop the oldest frame
-		case <-l.queue:
+		case <-d.queue:
 		default:
 		}
 	}
@@ -54,7 +54,7 @@
 
 // run sends the queued frames of a destination, and opens its link again after a failure, until nothing is sent
 // for idleTimeout.
-func (m *Mesh) run(address string, l *destination) {
+func (m *Mesh) run(address string, d *destination) {
 	defer func() {
 		m.mu.Lock()
 		delete(m.destinations, address)
@@ -81,7 +81,7 @@
 			return
 		case <-ended:
 			link = nil
-		case f := <-l.queue:
+		case f := <-d.queue:
 			if link == nil {
 				var err error
 				if link, err = Dial(m.ctx, address); err != nil {
@@ -94,11 +94,11 @@
 					continue
 				}
 				// Danger: the peer sends nothing on this link, and only a read notices that the peer has closed it.
-				go func(k *Link) {
-					var none any
-					for k.Receive(&none, 0) == nil {
+				go func(link *Link) {
+					var ignored any
+					for link.Receive(&ignored, 0) == nil {
 					}
-					k.Close()
+					link.Close()
 				}(link)
 			}
 			link.Send(f)
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -47,10 +47,10 @@
 // pending for many minutes.
 func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
-	if e := raw.Control(func(fd uintptr) {
+	if controlErr := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
-	}); e != nil {
-		return e
+	}); controlErr != nil {
+		return controlErr
 	}
 	return err
 }
@@ -76,8 +76,8 @@
 
 // Dial opens a link.
 func Dial(ctx context.Context, address string) (*Link, error) {
-	d := net.Dialer{Timeout: dialTimeout, Control: SetUserTimeout, KeepAlive: -1}
-	conn, err := d.DialContext(ctx, "tcp", address)
+	dialer := net.Dialer{Timeout: dialTimeout, Control: SetUserTimeout, KeepAlive: -1}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, ErrLink.Wrapf(err, "dialling %s", address)
 	}
@@ -146,16 +146,16 @@
 
 // Receive reads the next message into v and waits at most for the timeout, or without a limit if it is 0.
 func (l *Link) Receive(v any, timeout time.Duration) error {
-	var until time.Time
+	var deadline time.Time
 	if timeout > 0 {
-		until = time.Now().Add(timeout)
+		deadline = time.Now().Add(timeout)
 	}
-	l.conn.SetReadDeadline(until)
-	var head [headerBytes]byte
-	if _, err := io.ReadFull(l.r, head[:]); err != nil {
+	l.conn.SetReadDeadline(deadline)
+	var header [headerBytes]byte
+	if _, err := io.ReadFull(l.r, header[:]); err != nil {
 		return ErrLink.Wrapf(err, "reading from %s", l.RemoteIP())
 	}
-	n := binary.BigEndian.Uint32(head[:])
+	n := binary.BigEndian.Uint32(header[:])
 	if n > maxFrameBytes {
 		return ErrLink.Errorf("a frame of %d bytes from %s", n, l.RemoteIP())
 	}
@@ -172,10 +172,10 @@
 // Close closes the link and drops what is queued.
 func (l *Link) Close() {
 	l.mu.Lock()
-	was := l.closed
+	wasClosed := l.closed
 	l.closed, l.queued = true, nil
 	l.mu.Unlock()
-	if !was {
+	if !wasClosed {
 		close(l.ended)
 		l.conn.Close()
 	}
@@ -185,9 +185,9 @@
 func (l *Link) Ended() <-chan struct{} { return l.ended }
 
 // Serve accepts links until the listener is closed, and serves each in its own goroutine.
-func Serve(ln net.Listener, serve func(*Link)) {
+func Serve(listener net.Listener, serve func(*Link)) {
 	for {
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			if ne, ok := err.(net.Error); ok && ne.Timeout() {
 				continue
@@ -209,9 +209,9 @@
 
 // Listen listens on an address.
 func Listen(address string) (net.Listener, error) {
-	ln, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, ErrLink.Wrapf(err, "listening on %s", address)
 	}
-	return ln, nil
+	return listener, nil
 }
--- a/transport/replica/connection.go
+++ b/transport/replica/connection.go
@@ -47,14 +47,14 @@
 // connection is a connection to a replica. The fields up to queue belong to the pool's goroutine. run has its
 // own goroutine, which has released everything before it sends its last event.
 type connection struct {
-	line      *destination
-	tickets   map[string]*Ticket  // by id
-	abandoned map[string]struct{} // abandoned ids whose reply may still come
-	endedIDs  []string            // the ids answered last
-	openCalls int
-	retired   bool // takes no more calls, and closes after its last one
-	heardAt   int64
-	idleSince int64
+	destination *destination
+	tickets     map[string]*Ticket  // by id
+	abandoned   map[string]struct{} // abandoned ids whose reply may still come
+	endedIDs    []string            // the ids answered last
+	openCalls   int
+	retired     bool // takes no more calls, and closes after its last one
+	heardAt     int64
+	idleSince   int64
 
 	queue  queue
 	pool   *Pool
@@ -62,8 +62,8 @@
 	cancel context.CancelCauseFunc
 }
 
-func newConnection(p *Pool, l *destination, now int64) *connection {
-	c := &connection{line: l, pool: p, tickets: map[string]*Ticket{}, abandoned: map[string]struct{}{}, idleSince: now}
+func newConnection(p *Pool, d *destination, now int64) *connection {
+	c := &connection{destination: d, pool: p, tickets: map[string]*Ticket{}, abandoned: map[string]struct{}{}, idleSince: now}
 	c.queue.wake = make(chan struct{}, 1)
 	c.ctx, c.cancel = context.WithCancelCause(context.Background())
 	return c
@@ -92,8 +92,8 @@
 // run opens the connection, writes queued frames and reads replies until the connection fails or is closed.
 func (c *connection) run(dial string) {
 	conn, err := c.open(dial)
-	up := err == nil
-	if up {
+	opened := err == nil
+	if opened {
 		var reading sync.WaitGroup
 		var readErr error
 		reading.Go(func() {
@@ -114,7 +114,7 @@
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, context.Canceled) {
 		err = nil
 	}
-	c.pool.notify(Event{conn: c, at: c.pool.Now(), closed: true, wasOpen: up, Err: err})
+	c.pool.notify(Event{conn: c, at: c.pool.Now(), closed: true, wasOpen: opened, Err: err})
 }
 
 // open dials within the configured timeout.
@@ -162,9 +162,9 @@
 // Danger: a frame whose header announces more bytes than ever come would block all that waits on the
 // connection.
 func (c *connection) read(conn net.Conn) error {
-	r, rest := bufio.NewReaderSize(conn, readBufferBytes), time.Duration(c.pool.ConnectTimeout/frameTimeoutDivisor)
+	r, frameTimeout := bufio.NewReaderSize(conn, readBufferBytes), time.Duration(c.pool.ConnectTimeout/frameTimeoutDivisor)
 	for {
-		reply, err := readReply(r, func() { conn.SetReadDeadline(time.Now().Add(rest)) })
+		reply, err := readReply(r, func() { conn.SetReadDeadline(time.Now().Add(frameTimeout)) })
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			err = fmt.Errorf("%w: its rest did not come", errBadReply)
 		}
--- a/transport/replica/frame.go
+++ b/transport/replica/frame.go
@@ -139,17 +139,17 @@
 	if !ok || len(words) < 4 || words[0] == "" {
 		return Reply{}, fmt.Errorf("%w: a line that opens with %.80q", errBadReply, line)
 	}
-	end := slices.Index(outcomeWords[:], words[1])
-	if end < 0 {
+	outcome := slices.Index(outcomeWords[:], words[1])
+	if outcome < 0 {
 		return Reply{}, fmt.Errorf("%w: the end %.20q", errBadReply, words[1])
 	}
-	if _, err := strconv.ParseInt(words[2], 10, 64); err != nil && Outcome(end) == Succeeded {
+	if _, err := strconv.ParseInt(words[2], 10, 64); err != nil && Outcome(outcome) == Succeeded {
 		return Reply{}, fmt.Errorf("%w: the score %.20q", errBadReply, words[2])
 	}
-	if Outcome(end) == Succeeded && (!utf8.ValidString(value) || strings.Contains(value, "\x00")) {
+	if Outcome(outcome) == Succeeded && (!utf8.ValidString(value) || strings.Contains(value, "\x00")) {
 		return Reply{}, fmt.Errorf("%w: a value that is no text", errBadReply)
 	}
-	return Reply{ID: words[0], Outcome: Outcome(end), Value: value}, nil
+	return Reply{ID: words[0], Outcome: Outcome(outcome), Value: value}, nil
 }
 
 // plausibleFrame reports whether the bytes after a reply can begin another frame.
--- a/transport/replica/pool.go
+++ b/transport/replica/pool.go
@@ -65,17 +65,17 @@
 }
 
 // NewPool returns a pool whose connections pass their events to notify, from their own goroutines.
-func NewPool(t Config, notify func(Event), budget *sockets.Budget, count *counters.Counters) *Pool {
-	return &Pool{Config: t, notify: notify, budget: budget, counters: count}
+func NewPool(config Config, notify func(Event), budget *sockets.Budget, counters *counters.Counters) *Pool {
+	return &Pool{Config: config, notify: notify, budget: budget, counters: counters}
 }
 
 // SetAddress sets the address of a replica for new connections.
-func (p *Pool) SetAddress(replica int, dial string) {
+func (p *Pool) SetAddress(replica int, address string) {
 	for len(p.replicas) <= replica {
 		p.replicas = append(p.replicas, &destination{})
 	}
-	if l := p.replicas[replica]; l.address != dial {
-		l.address = dial
+	if l := p.replicas[replica]; l.address != address {
+		l.address = address
 		p.Retire(replica)
 	}
 }
@@ -90,8 +90,8 @@
 
 // Send sends tickets to a replica as one call. It returns false if no connection may be opened for them.
 func (p *Pool) Send(replica int, tickets []*Ticket) bool {
-	l, now := p.replicas[replica], p.Now()
-	c := p.chooseConnection(l, tickets, now)
+	d, now := p.replicas[replica], p.Now()
+	c := p.chooseConnection(d, tickets, now)
 	if c == nil {
 		return false
 	}
@@ -112,9 +112,9 @@
 // a connection takes no more parts after one was abandoned on it with nothing received since it was sent. A
 // connection that has been idle for almost as long as the replica keeps it could be reset with the next part.
 // And an id that was abandoned on a connection must not be used there again, where its late reply may come.
-func (p *Pool) chooseConnection(l *destination, tickets []*Ticket, now int64) *connection {
-	p.retireIdle(l, now)
-	for _, c := range l.conns {
+func (p *Pool) chooseConnection(d *destination, tickets []*Ticket, now int64) *connection {
+	p.retireIdle(d, now)
+	for _, c := range d.conns {
 		if c.retired || c.openCalls >= p.MaxCalls {
 			continue
 		}
@@ -128,24 +128,24 @@
 		}
 		return nil
 	}
-	c := newConnection(p, l, now)
-	l.conns = append(l.conns, c)
+	c := newConnection(p, d, now)
+	d.conns = append(d.conns, c)
 	p.counters.ConnectionsOpened.Add(1)
-	go c.run(l.address)
+	go c.run(d.address)
 	return c
 }
 
 // retireIdle retires connections before the replica closes them as idle.
-func (p *Pool) retireIdle(l *destination, now int64) {
-	l.retire(func(c *connection) bool {
+func (p *Pool) retireIdle(d *destination, now int64) {
+	d.retire(func(c *connection) bool {
 		return c.openCalls == 0 && now-c.idleSince >= p.IdleTimeout-p.IdleTimeout/idleMarginDivisor
 	})
 }
 
 // Sweep retires idle connections to all replicas.
 func (p *Pool) Sweep() {
-	for _, l := range p.replicas {
-		p.retireIdle(l, p.Now())
+	for _, d := range p.replicas {
+		p.retireIdle(d, p.Now())
 	}
 }
 
@@ -155,21 +155,21 @@
 }
 
 // retire retires the connections for which the function returns true. They close after their last call.
-func (l *destination) retire(which func(*connection) bool) {
-	for _, c := range l.conns {
-		c.retired = c.retired || which(c)
+func (d *destination) retire(selects func(*connection) bool) {
+	for _, c := range d.conns {
+		c.retired = c.retired || selects(c)
 	}
-	l.closeDrained()
+	d.closeDrained()
 }
 
 // closeDrained closes the retired connections without a call. Their end is reported by an event.
-func (l *destination) closeDrained() {
-	l.conns = slices.DeleteFunc(l.conns, func(c *connection) bool {
-		ends := c.retired && c.openCalls == 0
-		if ends {
+func (d *destination) closeDrained() {
+	d.conns = slices.DeleteFunc(d.conns, func(c *connection) bool {
+		closes := c.retired && c.openCalls == 0
+		if closes {
 			c.cancel(nil)
 		}
-		return ends
+		return closes
 	})
 }
 
@@ -212,25 +212,25 @@
 		c.openCalls--
 		c.idleSince = p.Now()
 	}
-	c.line.closeDrained()
+	c.destination.closeDrained()
 }
 
 // Handle handles an event of a connection and returns the tickets that it ended.
-func (p *Pool) Handle(n Event) (reports []Report) {
-	c := n.conn
-	if n.closed {
+func (p *Pool) Handle(event Event) (reports []Report) {
+	c := event.conn
+	if event.closed {
 		p.budget.Release(sockets.Replicas)
 		p.counters.ConnectionsClosed.Add(1)
-		if !n.wasOpen && n.Err != nil {
+		if !event.wasOpen && event.Err != nil {
 			p.counters.ConnectionsFailed.Add(1)
 		}
 		c.retired = true
-		c.line.closeDrained()
-		if errors.Is(n.Err, errBadReply) {
+		c.destination.closeDrained()
+		if errors.Is(event.Err, errBadReply) {
 			p.counters.InvalidReplies.Add(1)
 		}
 		for _, t := range c.tickets {
-			reports = append(reports, Report{Ticket: t, Result: t.resultOnClose(n.Err), At: n.at})
+			reports = append(reports, Report{Ticket: t, Result: t.resultOnClose(event.Err), At: event.at})
 		}
 		// The order of a map is random; the reports need the order of the sends.
 		// The order of a map is chance; the module is to see that of the sends.
@@ -238,26 +238,26 @@
 			return cmp.Or(cmp.Compare(x.Ticket.frame.order, y.Ticket.frame.order), cmp.Compare(x.Ticket.ID, y.Ticket.ID))
 		})
 	} else {
-		c.heardAt = n.at
-		if n.corruptTail { // the reply is valid, but the connection is not used again
+		c.heardAt = event.at
+		if event.corruptTail { // the reply is valid, but the connection is not used again
 			c.retired = true
 		}
-		t := c.tickets[n.reply.ID]
+		t := c.tickets[event.reply.ID]
 		switch {
-		case t == nil && c.usedID(n.reply.ID):
-			delete(c.abandoned, n.reply.ID)
-			c.recordReply(n.reply.ID)
+		case t == nil && c.usedID(event.reply.ID):
+			delete(c.abandoned, event.reply.ID)
+			c.recordReply(event.reply.ID)
 			p.counters.LateReplies.Add(1)
 			return nil
 		case t == nil:
 			// Danger: a reply with an id that was never sent here belongs to a part that is waited for. Ignoring it
 			// would delay that part until its timeout.
-			c.close(fmt.Errorf("%w: the id %.40q", errBadReply, n.reply.ID))
+			c.close(fmt.Errorf("%w: the id %.40q", errBadReply, event.reply.ID))
 			return nil
 		}
 		c.recordReply(t.ID)
 		result := [...]balance.Result{Succeeded: balance.Fulfilled, Failed: balance.Errored, Rejected: balance.Full}
-		reports = append(reports, Report{Ticket: t, Result: result[n.reply.Outcome], Value: n.reply.Value, At: n.at})
+		reports = append(reports, Report{Ticket: t, Result: result[event.reply.Outcome], Value: event.reply.Value, At: event.at})
 	}
 	for _, r := range reports {
 		p.endTicket(r.Ticket)
@@ -280,8 +280,8 @@
 
 // Close closes all connections.
 func (p *Pool) Close() {
-	for _, l := range p.replicas {
-		for _, c := range l.conns {
+	for _, d := range p.replicas {
+		for _, c := range d.conns {
 			c.close(nil)
 		}
 	}
--- a/transport/replica/pool_test.go
+++ b/transport/replica/pool_test.go
@@ -27,7 +27,7 @@
 const address = "r:1"
 
 // runFixture runs a test in a synctest bubble. At the end no connection may be open.
-func runFixture(t *testing.T, play func(*fixture)) {
+func runFixture(t *testing.T, test func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &fixture{T: t, network: &pipenet.Network{}, events: make(chan Event, 64)}
 		base := time.Now().Add(-time.Second)
@@ -35,7 +35,7 @@
 			Now: func() int64 { return int64(time.Since(base)) }},
 			func(n Event) { b.events <- n }, sockets.NewBudget(64), counters.New(nil))
 		b.SetAddress(0, address)
-		play(b)
+		test(b)
 		b.Close()
 		synctest.Wait()
 		b.reports()
@@ -118,7 +118,7 @@
 )
 
 func TestOutcomes(t *testing.T) {
-	for name, play := range map[string]func(*fixture){
+	for name, test := range map[string]func(*fixture){
 		"refused": func(b *fixture) {
 			b.call("a.1", "a.2")
 			b.expect("a.1 "+connectFailed+" ", "a.2 "+connectFailed+" ")
@@ -307,7 +307,7 @@
 			b.expect("a.1 " + fulfilled + " v")
 		},
 	} {
-		t.Run(name, func(t *testing.T) { runFixture(t, play) })
+		t.Run(name, func(t *testing.T) { runFixture(t, test) })
 	}
 }
 
@@ -357,14 +357,14 @@
 // copy of the reply is harmless.
 func TestBehindAGoodReply(t *testing.T) {
 	reply := string(AppendReply(nil, Reply{"a.1", Succeeded, "v"}, "-"))
-	for name, behind := range map[string]string{"noise": "\xfd\xbe\x99\an\r\n", "a second copy": reply} {
+	for name, extra := range map[string]string{"noise": "\xfd\xbe\x99\an\r\n", "a second copy": reply} {
 		t.Run(name, func(t *testing.T) {
 			runFixture(t, func(b *fixture) {
 				l := b.network.Listen(address)
 				b.call("a.1")
 				conn := accept(l)
 				b.next(conn)
-				go io.WriteString(conn, reply+behind)
+				go io.WriteString(conn, reply+extra)
 				if got := b.Handle(<-b.events); len(got) != 1 || got[0].Result != balance.Fulfilled {
 					b.Fatalf("reported %v", got)
 				}
@@ -385,17 +385,17 @@
 	runFixture(t, func(b *fixture) {
 		b.network.Blackhole(address)
 		var first []*Ticket
-		room := 0
+		sent := 0
 		for i := 0; ; i++ {
 			ticket := &Ticket{Part: Part{ID: fmt.Sprint("a.", i)}}
 			if !b.Send(0, []*Ticket{ticket}) {
 				break
 			}
 			first = append(first, ticket)
-			room++
+			sent++
 		}
-		if most := b.OpenConnections() * b.MaxCalls; room != most || room == 0 {
-			t.Errorf("%d parts were sent on %d connections", room, b.OpenConnections())
+		if most := b.OpenConnections() * b.MaxCalls; sent != most || sent == 0 {
+			t.Errorf("%d parts were sent on %d connections", sent, b.OpenConnections())
 		}
 		for _, ticket := range first {
 			b.Abandon(ticket, false)
--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -26,13 +26,13 @@
 
 const (
 	readBufferBytes = 2 << 10
-	firstLine       = "HTTP/1." // the start of each answer's status line
+	statusLineStart = "HTTP/1." // the start of each answer's status line
 )
 
 // connection is a connection to a replica. free and usableUntil belong to the pool's loop; the rest belongs to
 // the connection's goroutines.
 type connection struct {
-	line        *line
+	destination *destination
 	pool        *Pool
 	free        bool
 	usableUntil int64
@@ -75,8 +75,8 @@
 
 // run opens the connection, and then reads from it until it ends.
 func (c *connection) run(address string, e *exchange) {
-	within, stop := context.WithTimeout(c.ctx, dialTimeout)
-	conn, err := c.pool.Dial(within, "tcp", address)
+	dialCtx, stop := context.WithTimeout(c.ctx, dialTimeout)
+	conn, err := c.pool.Dial(dialCtx, "tcp", address)
 	stop()
 	if err != nil {
 		c.cancel()
@@ -135,7 +135,7 @@
 	buf = append(buf, HeaderDeadline+": "...)
 	buf = strconv.AppendInt(buf, e.ticket.WaitMs, 10)
 	buf = append(buf, "\r\n"+HeaderTarget+": "...)
-	buf = append(buf, c.line.id...)
+	buf = append(buf, c.destination.id...)
 	buf = append(buf, "\r\n\r\n"...)
 	buf = append(buf, r.Body...)
 	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -147,8 +147,8 @@
 
 // failedWrite returns the result of an execution whose request could not be written. It cannot have run if this
 // machine's kernel accepted no byte; otherwise it may have run.
-func failedWrite(taken int) balance.Result {
-	if taken == 0 {
+func failedWrite(accepted int) balance.Result {
+	if accepted == 0 {
 		return balance.ConnectFailed
 	}
 	return balance.Reset
@@ -157,16 +157,16 @@
 // end reports the end of an exchange, unless that was already reported.
 func (c *connection) end(e *exchange, n notice) bool {
 	c.mu.Lock()
-	mine := c.current == e
-	if mine {
+	isCurrent := c.current == e
+	if isCurrent {
 		c.current = nil
 	}
 	c.mu.Unlock()
-	if mine {
+	if isCurrent {
 		n.ended, n.at = e, c.pool.now()
 		c.pool.notify(n)
 	}
-	return mine
+	return isCurrent
 }
 
 // currentExchange returns the exchange whose answer is awaited.
@@ -179,7 +179,7 @@
 // read reads answers until the connection ends.
 func (c *connection) read(conn net.Conn) error {
 	r := bufio.NewReaderSize(conn, readBufferBytes)
-	surplus := false
+	stale := false
 	for {
 		if _, err := r.Peek(1); err != nil {
 			return err
@@ -190,20 +190,20 @@
 			return errUnsolicited
 		}
 		req := e.request()
-		a, keep, err := readAnswer(r, req.Method)
+		answer, reuseFor, err := readAnswer(r, req.Method)
 		if err != nil {
 			return err
 		}
 		// Danger: a second answer to an earlier request may come instead of the expected one. The attempt id tells
 		// them apart; the expected one follows.
-		if a.attempt != req.Attempt {
-			surplus = true
+		if answer.attempt != req.Attempt {
+			stale = true
 			continue
 		}
-		if surplus || r.Buffered() > 0 {
-			keep = 0
+		if stale || r.Buffered() > 0 {
+			reuseFor = 0
 		}
-		c.end(e, notice{conn: c, result: a.result(), answer: &a.Answer, reuseFor: keep})
+		c.end(e, notice{conn: c, result: answer.result(), answer: &answer.Answer, reuseFor: reuseFor})
 	}
 }
 
@@ -263,31 +263,31 @@
 	if err != nil {
 		return nil, 0, ErrReplica.Wrapf(err, "an answer that was broken off")
 	}
-	if endsWithConnection(res) && bytes.Contains(body, []byte(firstLine)) {
+	if endsAtClose(res) && bytes.Contains(body, []byte(statusLineStart)) {
 		return nil, 0, ErrReplica.Errorf("an answer without a length that holds the start of another answer")
 	}
 	a := &response{Answer: Answer{Status: res.StatusCode, Header: h, Body: body, Seal: h.Get(HeaderSeal), Complete: true,
 		Replica: h.Get(HeaderReplica)}, attempt: h.Get(HeaderAttempt), notExecuted: h.Get(HeaderNotExecuted) != "",
 		encoded: h.Get("Content-Encoding") != "" && !strings.EqualFold(h.Get("Content-Encoding"), "identity")}
-	keep := defaultIdleLimit
+	reuseFor := defaultIdleLimit
 	for _, item := range strings.Split(h.Get("Keep-Alive"), ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(item), "timeout="); ok {
 			if s, err := strconv.Atoi(v); err == nil {
-				keep = time.Duration(s) * time.Second
-				keep -= keep / idleMarginDivisor
+				reuseFor = time.Duration(s) * time.Second
+				reuseFor -= reuseFor / idleMarginDivisor
 			}
 		}
 	}
 	if res.Close {
-		keep = 0
+		reuseFor = 0
 	}
-	return a, keep, nil
+	return a, reuseFor, nil
 }
 
-// endsWithConnection reports whether only the end of the connection ends an answer's body.
+// endsAtClose reports whether only the end of the connection ends an answer's body.
 //
 // Danger: what a faulty replica sends after such an answer would be taken for the rest of its body.
-func endsWithConnection(res *http.Response) bool {
+func endsAtClose(res *http.Response) bool {
 	return res.ContentLength < 0 && len(res.TransferEncoding) == 0
 }
 
@@ -302,11 +302,11 @@
 			return true
 		}
 	}
-	if strings.Contains(res.Status, firstLine) {
+	if strings.Contains(res.Status, statusLineStart) {
 		return true
 	}
 	for key, values := range res.Header {
-		if strings.Contains(key, firstLine) || slices.ContainsFunc(values, func(v string) bool { return strings.Contains(v, firstLine) }) {
+		if strings.Contains(key, statusLineStart) || slices.ContainsFunc(values, func(v string) bool { return strings.Contains(v, statusLineStart) }) {
 			return true
 		}
 	}
@@ -318,7 +318,7 @@
 	if method == http.MethodHead {
 		return nil, nil
 	}
-	if res.ContentLength > bodyMost {
+	if res.ContentLength > maxBodyBytes {
 		return nil, ErrReplica.Errorf("an answer of %d bytes", res.ContentLength)
 	}
 	if n := res.ContentLength; n >= 0 {
@@ -326,9 +326,9 @@
 		_, err := io.ReadFull(res.Body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, bodyMost+1))
-	if err == nil && len(body) > bodyMost {
-		err = ErrReplica.Errorf("an answer over %d bytes", bodyMost)
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBodyBytes+1))
+	if err == nil && len(body) > maxBodyBytes {
+		err = ErrReplica.Errorf("an answer over %d bytes", maxBodyBytes)
 	}
 	return body, err
 }
--- a/transport/replicahttp/fuzz_test.go
+++ b/transport/replicahttp/fuzz_test.go
@@ -34,7 +34,7 @@
 		return min(int(plan&fuzzLengthBits)*4+1, len(data))
 	}
 	if len(data) > 1 {
-		if at := bytes.Index(data[1:], []byte(firstLine)); at >= 0 {
+		if at := bytes.Index(data[1:], []byte(statusLineStart)); at >= 0 {
 			return at + 1
 		}
 	}
@@ -45,16 +45,16 @@
 // one segment of data.
 func fuzzStream(c net.Conn, requests <-chan struct{}, data, plan []byte) {
 	defer c.Close()
-	for _, p := range plan[:min(len(plan), fuzzSegments)] {
-		if p&fuzzWaits != 0 {
+	for _, step := range plan[:min(len(plan), fuzzSegments)] {
+		if step&fuzzWaits != 0 {
 			if _, more := <-requests; !more {
 				return
 			}
 		}
-		if p&fuzzPause != 0 {
+		if step&fuzzPause != 0 {
 			time.Sleep(fuzzStep)
 		}
-		n := fuzzLength(data, p)
+		n := fuzzLength(data, step)
 		if _, err := c.Write(data[:n]); err != nil {
 			return
 		}
@@ -66,16 +66,16 @@
 // fuzzRequests reads the requests and reports the end of each.
 func fuzzRequests(c net.Conn, requests chan<- struct{}) {
 	defer close(requests)
-	seen, buf := []byte(nil), make([]byte, 512)
+	received, buf := []byte(nil), make([]byte, 512)
 	for {
 		n, err := c.Read(buf)
-		seen = append(seen, buf[:n]...)
+		received = append(received, buf[:n]...)
 		for {
-			at := bytes.Index(seen, []byte("\r\n\r\n"))
+			at := bytes.Index(received, []byte("\r\n\r\n"))
 			if at < 0 {
 				break
 			}
-			seen = seen[at+4:]
+			received = received[at+4:]
 			select {
 			case requests <- struct{}{}:
 			default: // the stream doesn't wait for that many
@@ -125,15 +125,15 @@
 
 // fuzzReplica plays one stream to fuzzExchanges requests, checks the answer given to each, and returns how many
 // were given an answer.
-func fuzzReplica(t *testing.T, data, plan []byte) (given int) {
+func fuzzReplica(t *testing.T, data, plan []byte) (answered int) {
 	near, far := net.Pipe()
 	requests := make(chan struct{}, fuzzExchanges)
 	go fuzzRequests(far, requests)
 	go fuzzStream(far, requests, data, plan)
 	dialled := false
-	notes := make(chan any, 64)
+	events := make(chan any, 64)
 	began := time.Now()
-	pool := NewPool(func(v any) { notes <- v }, func() int64 { return int64(time.Since(began)) })
+	pool := NewPool(func(v any) { events <- v }, func() int64 { return int64(time.Since(began)) })
 	pool.Dial = func(context.Context, string, string) (net.Conn, error) {
 		if dialled {
 			return nil, io.ErrClosedPipe // there is only one stream
@@ -150,13 +150,13 @@
 		ended := 0
 		for until := time.Now().Add(fuzzTimeout); ended == 0 && time.Now().Before(until); time.Sleep(fuzzStep) {
 			synctest.Wait()
-			for len(notes) > 0 {
-				reports, _ := pool.Handle(<-notes)
+			for len(events) > 0 {
+				reports, _ := pool.Handle(<-events)
 				ended += len(reports)
 				for _, report := range reports {
 					must.EqOp(t, ticket, report.Ticket)
 					if a := r.Answers[0]; a != nil {
-						given++
+						answered++
 						checkAnswer(t, data, id, a, report.Result)
 					}
 				}
@@ -172,12 +172,12 @@
 	near.Close()
 	far.Close()
 	synctest.Wait()
-	for len(notes) > 0 {
-		pool.Handle(<-notes)
+	for len(events) > 0 {
+		pool.Handle(<-events)
 		synctest.Wait()
 	}
 	must.Zero(t, pool.OpenConnections())
-	return given
+	return answered
 }
 
 // TestFuzzedStreamsAreAnswered: the seeds of the fuzz test do lead to answered exchanges.
--- a/transport/replicahttp/replicahttp.go
+++ b/transport/replicahttp/replicahttp.go
@@ -31,7 +31,7 @@
 	writeTimeout      = 5 * time.Second
 	defaultIdleLimit  = 5 * time.Second // for which an idle connection may be reused, if the replica states no time
 	idleMarginDivisor = 4               // a stated idle time is reduced by 1/idleMarginDivisor
-	bodyMost          = 16 << 20        // of an answer
+	maxBodyBytes      = 16 << 20        // of an answer
 )
 
 // Request holds what the parts of a query have in common; it is the Payload of their tickets. The loop that
@@ -70,8 +70,8 @@
 
 func (e *exchange) request() *Request { return e.ticket.Payload.(*Request) }
 
-// line is a replica and the connections to it.
-type line struct {
+// destination is a replica and the connections to it.
+type destination struct {
 	id, address string
 	conns       []*connection
 	inFlight    int
@@ -83,7 +83,7 @@
 type Pool struct {
 	notify       func(any)
 	now          func() int64
-	destinations []*line
+	destinations []*destination
 	exchanges    map[*replica.Ticket]*exchange
 	openCount    int
 	closing      bool
@@ -104,14 +104,14 @@
 func DestinationAddress(id, address string) string { return id + " " + address }
 
 // SetAddress sets the id and the address of a replica for new connections.
-func (p *Pool) SetAddress(i int, dial string) {
+func (p *Pool) SetAddress(i int, destinationAddress string) {
 	for len(p.destinations) <= i {
-		p.destinations = append(p.destinations, &line{})
+		p.destinations = append(p.destinations, &destination{})
 	}
-	id, address, _ := strings.Cut(dial, " ")
+	id, address, _ := strings.Cut(destinationAddress, " ")
 	if l := p.destinations[i]; l.id != id || l.address != address {
 		p.CloseIdle(i)
-		p.destinations[i] = &line{id: id, address: address}
+		p.destinations[i] = &destination{id: id, address: address}
 	}
 	p.destinations[i].retired = false
 }
@@ -132,25 +132,25 @@
 // Send sends parts, each as a request of its own.
 func (p *Pool) Send(i int, tickets []*replica.Ticket) bool {
 	for _, t := range tickets {
-		l := p.destinations[i]
+		d := p.destinations[i]
 		e := &exchange{ticket: t}
 		p.exchanges[t] = e
-		l.inFlight++
-		c := p.idleConnection(l)
+		d.inFlight++
+		c := p.idleConnection(d)
 		if c != nil {
 			t.ConnectedAt.Store(p.now())
 			c.assign(e)
 			go c.write(e)
 			continue
 		}
-		c = &connection{line: l, pool: p, writeLock: make(chan struct{}, 1)}
+		c = &connection{destination: d, pool: p, writeLock: make(chan struct{}, 1)}
 		c.ctx, c.cancel = context.WithCancel(context.Background())
-		l.conns = append(l.conns, c)
+		d.conns = append(d.conns, c)
 		p.openCount++
 		p.Opened.Add(1)
 		t.NewConnection = true
 		c.assign(e)
-		go c.run(l.address, e)
+		go c.run(d.address, e)
 	}
 	return true
 }
@@ -159,10 +159,10 @@
 //
 // Danger: a replica closes a connection that has been idle for long, and what is written to it at that moment
 // may or may not have been read. So a connection is not reused after most of that time.
-func (p *Pool) idleConnection(l *line) *connection {
+func (p *Pool) idleConnection(d *destination) *connection {
 	now := p.now()
-	for n := len(l.conns) - 1; n >= 0; n-- {
-		if c := l.conns[n]; c.free && now < c.usableUntil {
+	for n := len(d.conns) - 1; n >= 0; n-- {
+		if c := d.conns[n]; c.free && now < c.usableUntil {
 			return c
 		}
 	}
@@ -195,7 +195,7 @@
 func (p *Pool) release(e *exchange) {
 	if p.exchanges[e.ticket] == e {
 		delete(p.exchanges, e.ticket)
-		e.conn.line.inFlight--
+		e.conn.destination.inFlight--
 	}
 }
 
@@ -214,8 +214,8 @@
 // Sweep closes connections that have been idle for too long.
 func (p *Pool) Sweep() {
 	now := p.now()
-	for _, l := range p.destinations {
-		for _, c := range l.conns {
+	for _, d := range p.destinations {
+		for _, c := range d.conns {
 			if c.free && now >= c.usableUntil {
 				c.close()
 			}
@@ -247,7 +247,7 @@
 }
 
 // Handle handles a notice of a connection and returns the tickets that it ended.
-func (p *Pool) Handle(v any) (ended []replica.Report, trouble error) {
+func (p *Pool) Handle(v any) (ended []replica.Report, connErr error) {
 	n := v.(notice)
 	c := n.conn
 	if n.ended != nil {
@@ -262,7 +262,7 @@
 			// Danger: the connection may have been closed meanwhile, because its exchange was abandoned or by the
 			// replica. The next exchange on it would fail.
 			c.free, c.usableUntil = n.reuseFor > 0 && !c.isClosed(), p.now()+int64(n.reuseFor)
-			if !c.free || p.closing || c.line.retired {
+			if !c.free || p.closing || c.destination.retired {
 				c.close()
 			}
 		}
@@ -270,9 +270,9 @@
 	if n.closed {
 		p.openCount--
 		c.free = false
-		for i, o := range c.line.conns {
-			if o == c {
-				c.line.conns = append(c.line.conns[:i], c.line.conns[i+1:]...)
+		for i, other := range c.destination.conns {
+			if other == c {
+				c.destination.conns = append(c.destination.conns[:i], c.destination.conns[i+1:]...)
 				break
 			}
 		}
--- a/transport/replicahttp/replicahttp_test.go
+++ b/transport/replicahttp/replicahttp_test.go
@@ -49,13 +49,13 @@
 				if len(s.answers) == 0 {
 					return
 				}
-				a := s.answers[0]
+				answer := s.answers[0]
 				s.answers = s.answers[1:]
-				if a == "" {
+				if answer == "" {
 					return
 				}
-				a, closes := strings.CutSuffix(a, "CLOSE")
-				io.WriteString(c, strings.ReplaceAll(a, "ID", req.Header.Get(HeaderAttempt)))
+				answer, closes := strings.CutSuffix(answer, "CLOSE")
+				io.WriteString(c, strings.ReplaceAll(answer, "ID", req.Header.Get(HeaderAttempt)))
 				if closes {
 					return
 				}
@@ -82,81 +82,81 @@
 	events chan any
 }
 
-func runFixture(t *testing.T, s *server, play func(d *fixture)) {
+func runFixture(t *testing.T, s *server, test func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &pipenet.Network{}
 		l := n.Listen("r:1")
 		go s.serve(l)
-		d := &fixture{t: t, events: make(chan any, 64)}
+		f := &fixture{t: t, events: make(chan any, 64)}
 		began := time.Now()
-		d.Pool = NewPool(func(v any) { d.events <- v }, func() int64 { return int64(time.Since(began)) })
-		d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		f.Pool = NewPool(func(v any) { f.events <- v }, func() int64 { return int64(time.Since(began)) })
+		f.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			return n.Dial(ctx, network, address)
 		}
-		d.SetAddress(0, DestinationAddress("i-1", "r:1"))
+		f.SetAddress(0, DestinationAddress("i-1", "r:1"))
 		defer l.Close()
 		defer func() { // also if play has failed
-			d.Pool.Close()
+			f.Pool.Close()
 			synctest.Wait()
-			for len(d.events) > 0 {
-				d.Handle(<-d.events)
+			for len(f.events) > 0 {
+				f.Handle(<-f.events)
 				synctest.Wait()
 			}
 			if !t.Failed() {
-				must.Zero(t, d.OpenConnections())
+				must.Zero(t, f.OpenConnections())
 			}
 		}()
-		play(d)
+		test(f)
 	})
 }
 
 // call sends one part by POST and returns its result.
-func (d *fixture) call(id string) (balance.Result, *Answer) {
-	d.t.Helper()
-	return d.callMethod("POST", id)
+func (f *fixture) call(id string) (balance.Result, *Answer) {
+	f.t.Helper()
+	return f.callMethod("POST", id)
 }
 
 // callMethod sends one part by the given method and returns its result.
-func (d *fixture) callMethod(method, id string) (balance.Result, *Answer) {
-	d.t.Helper()
+func (f *fixture) callMethod(method, id string) (balance.Result, *Answer) {
+	f.t.Helper()
 	r := &Request{Attempt: id, Method: method, Body: []byte("body"), Answers: map[int]*Answer{},
 		Head: []byte(method + " /a/b?c HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": " + id + "\r\nContent-Length: 4\r\n")}
 	t := &replica.Ticket{Part: replica.Part{Shard: 3, WaitMs: 700}, Payload: r}
-	must.True(d.t, d.Send(0, []*replica.Ticket{t}))
+	must.True(f.t, f.Send(0, []*replica.Ticket{t}))
 	synctest.Wait()
 	for {
 		synctest.Wait()
-		if len(d.events) == 0 {
-			d.t.Fatal("a part has no result")
+		if len(f.events) == 0 {
+			f.t.Fatal("a part has no result")
 		}
-		reports, _ := d.Handle(<-d.events)
+		reports, _ := f.Handle(<-f.events)
 		if len(reports) > 0 {
-			must.Eq(d.t, t, reports[0].Ticket)
+			must.Eq(f.t, t, reports[0].Ticket)
 			return reports[0].Result, r.Answers[3]
 		}
 	}
 }
 
 // settle handles the remaining notices.
-func (d *fixture) settle() {
+func (f *fixture) settle() {
 	synctest.Wait()
-	for len(d.events) > 0 {
-		d.Handle(<-d.events)
+	for len(f.events) > 0 {
+		f.Handle(<-f.events)
 		synctest.Wait()
 	}
 }
 
 func TestPartAndAnswer(t *testing.T) {
 	s := &server{answers: []string{answerText("200 OK", "ID", "seal", "abc"), answerText("200 OK", "ID", "seal2", "de")}}
-	runFixture(t, s, func(d *fixture) {
-		result, a := d.call("x1")
+	runFixture(t, s, func(f *fixture) {
+		result, a := f.call("x1")
 		must.Eq(t, balance.Fulfilled, result)
 		must.Eq(t, "abc", string(a.Body))
 		must.Eq(t, "seal", a.Seal)
-		result, _ = d.call("x2")
+		result, _ = f.call("x2")
 		must.Eq(t, balance.Fulfilled, result)
 		must.Eq(t, []string{"POST /a/b?c i-1 700 body", "POST /a/b?c i-1 700 body"}, s.heads)
-		must.Eq(t, 1, int(d.Opened.Load()))
+		must.Eq(t, 1, int(f.Opened.Load()))
 	})
 }
 
@@ -189,17 +189,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &server{answers: []string{c.answer, answerText("200 OK", "ID", "s", "next")}}
-			runFixture(t, s, func(d *fixture) {
-				result, a := d.call("x1")
+			runFixture(t, s, func(f *fixture) {
+				result, a := f.call("x1")
 				must.Eq(t, c.want, result)
 				if result == balance.Fulfilled {
 					must.Eq(t, "abc", string(a.Body))
 				}
-				d.settle()
-				result, a = d.call("x2")
+				f.settle()
+				result, a = f.call("x2")
 				must.Eq(t, balance.Fulfilled, result)
 				must.Eq(t, "next", string(a.Body))
-				must.Eq(t, c.opened, int(d.Opened.Load()))
+				must.Eq(t, c.opened, int(f.Opened.Load()))
 			})
 		})
 	}
@@ -208,20 +208,20 @@
 // TestGivenUp: a part that still waits for its connection is withdrawn when it is abandoned, and is never sent.
 func TestGivenUp(t *testing.T) {
 	s := &server{answers: []string{answerText("200 OK", "ID", "s", "abc")}}
-	runFixture(t, s, func(d *fixture) {
+	runFixture(t, s, func(f *fixture) {
 		l := (&pipenet.Network{})
 		r := &Request{Attempt: "x", Method: "GET", Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\n")}
 		ticket := &replica.Ticket{Payload: r}
 		l.Blackhole("r:1")
-		dial := d.Dial
-		d.Dial = l.Dial
-		must.True(t, d.Send(0, []*replica.Ticket{ticket}))
+		dial := f.Dial
+		f.Dial = l.Dial
+		must.True(t, f.Send(0, []*replica.Ticket{ticket}))
 		synctest.Wait()
-		must.True(t, d.Abandon(ticket, true))
+		must.True(t, f.Abandon(ticket, true))
 		time.Sleep(2 * dialTimeout)
-		d.settle()
-		d.Dial = dial
-		must.True(t, d.Drained(0))
+		f.settle()
+		f.Dial = dial
+		must.True(t, f.Drained(0))
 		must.SliceEmpty(t, s.heads)
 	})
 }
@@ -230,13 +230,13 @@
 func TestIdleTooLong(t *testing.T) {
 	answer := strings.Replace(answerText("200 OK", "ID", "s", "abc"), "\r\n", "\r\nKeep-Alive: timeout=4\r\n", 1)
 	s := &server{answers: []string{answer, answer, answer}}
-	runFixture(t, s, func(d *fixture) {
-		d.call("x1")
+	runFixture(t, s, func(f *fixture) {
+		f.call("x1")
 		time.Sleep(2 * time.Second)
-		d.call("x2")
-		must.Eq(t, 1, int(d.Opened.Load()))
+		f.call("x2")
+		must.Eq(t, 1, int(f.Opened.Load()))
 		time.Sleep(3500 * time.Millisecond)
-		d.call("x3")
-		must.Eq(t, 2, int(d.Opened.Load()))
+		f.call("x3")
+		must.Eq(t, 2, int(f.Opened.Load()))
 	})
 }
--- a/transport/replicahttp/write_test.go
+++ b/transport/replicahttp/write_test.go
@@ -35,22 +35,22 @@
 	wait    chan struct{} // if set, the first write waits for it after its bytes
 }
 
-func (f *faultyConn) Write(b []byte) (int, error) {
-	if len(f.ends) == 0 {
-		n, err := f.Conn.Write(b)
-		f.written.Write(b[:n])
+func (c *faultyConn) Write(b []byte) (int, error) {
+	if len(c.ends) == 0 {
+		n, err := c.Conn.Write(b)
+		c.written.Write(b[:n])
 		return n, err
 	}
-	end := f.ends[0]
-	f.ends = f.ends[1:]
+	end := c.ends[0]
+	c.ends = c.ends[1:]
 	n := min(end.accepted, len(b))
 	if n > 0 {
-		f.Conn.Write(b[:n])
-		f.written.Write(b[:n])
+		c.Conn.Write(b[:n])
+		c.written.Write(b[:n])
 	}
-	if f.wait != nil {
-		<-f.wait
-		f.wait = nil
+	if c.wait != nil {
+		<-c.wait
+		c.wait = nil
 	}
 	return n, end.err
 }
@@ -108,24 +108,24 @@
 // stalledWrite calls play with a connection on which the write of the first request has stalled midway. The
 // replica has already answered that it did not execute that request, and the second request waits to be
 // written. release makes the stalled write fail, and returns the reports of what ended then.
-func stalledWrite(t *testing.T, play func(far net.Conn, conn *faultyConn, release func() []replica.Report)) {
+func stalledWrite(t *testing.T, test func(far net.Conn, conn *faultyConn, release func() []replica.Report)) {
 	synctest.Test(t, func(t *testing.T) {
-		near, far := net.Pipe()
+		poolEnd, replicaEnd := net.Pipe()
 		wait := make(chan struct{})
-		conn := &faultyConn{Conn: near, ends: []writeEnd{{accepted: 20, err: os.ErrDeadlineExceeded}}, written: &strings.Builder{}, wait: wait}
+		conn := &faultyConn{Conn: poolEnd, ends: []writeEnd{{accepted: 20, err: os.ErrDeadlineExceeded}}, written: &strings.Builder{}, wait: wait}
 		d := &fixture{t: t, events: make(chan any, 64)}
 		began := time.Now()
 		d.Pool = NewPool(func(v any) { d.events <- v }, func() int64 { return int64(time.Since(began)) })
 		d.Dial = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
 		d.SetAddress(0, DestinationAddress("i-1", "r:1"))
 		defer func() {
-			far.Close()
-			near.Close()
+			replicaEnd.Close()
+			poolEnd.Close()
 			synctest.Wait()
 		}()
 		go func() {
-			io.ReadFull(far, make([]byte, 20))
-			io.WriteString(far, withLines(answerText("503 No", "x1", "", ""), notExecutedLine))
+			io.ReadFull(replicaEnd, make([]byte, 20))
+			io.WriteString(replicaEnd, withLines(answerText("503 No", "x1", "", ""), notExecutedLine))
 		}()
 		result, _ := d.call("x1")
 		must.Eq(t, balance.Full, result)
@@ -133,7 +133,7 @@
 			Answers: map[int]*Answer{}}}
 		d.Send(0, []*replica.Ticket{second})
 		synctest.Wait()
-		play(far, conn, func() (ended []replica.Report) {
+		test(replicaEnd, conn, func() (ended []replica.Report) {
 			close(wait)
 			synctest.Wait()
 			for len(d.events) > 0 {
--- a/transport/statestore/statestore.go
+++ b/transport/statestore/statestore.go
@@ -74,27 +74,27 @@
 
 // Open opens the file in a folder. The error wraps ErrNewerFormat if a newer version of the program wrote the
 // file, which then stays unchanged.
-func Open(dir string) (b *Store, found Found, err error) {
+func Open(dir string) (s *Store, found Found, err error) {
 	path := filepath.Join(dir, fileName)
 	if err := truncateTornEnd(path); err != nil {
 		return nil, found, ErrStore.Wrapf(err, "opening %s", path)
 	}
 	// Remove the copy of an interrupted compaction: the file itself is still the previous one.
 	os.Remove(filepath.Join(dir, compactedName))
-	b = &Store{dir: dir, sync: (*os.File).Sync, rename: os.Rename}
-	if err := b.openFile(); err != nil {
+	s = &Store{dir: dir, sync: (*os.File).Sync, rename: os.Rename}
+	if err := s.openFile(); err != nil {
 		return nil, found, ErrStore.Wrapf(err, "opening %s", path)
 	}
-	if found, err = b.load(); err != nil {
-		b.Close()
+	if found, err = s.load(); err != nil {
+		s.Close()
 		return nil, Found{}, ErrStore.Wrapf(err, "reading %s", path)
 	}
-	return b, found, nil
+	return s, found, nil
 }
 
 // openFile opens the file on disk.
-func (b *Store) openFile() error {
-	path := filepath.Join(b.dir, fileName)
+func (s *Store) openFile() error {
+	path := filepath.Join(s.dir, fileName)
 	db, err := openDB(path)
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 		db.Close()
 		return err
 	}
-	b.db, b.file = db, file
+	s.db, s.file = db, file
 	return nil
 }
 
@@ -122,8 +122,8 @@
 }
 
 // load reads the last complete save.
-func (b *Store) load() (found Found, err error) {
-	err = b.db.View(func(tx *buntdb.Tx) error {
+func (s *Store) load() (found Found, err error) {
+	err = s.db.View(func(tx *buntdb.Tx) error {
 		for slot := range slots {
 			text, err := tx.Get(strconv.Itoa(slot))
 			if errors.Is(err, buntdb.ErrNotFound) {
@@ -131,18 +131,18 @@
 			} else if err != nil {
 				return err
 			}
-			var k savedState
-			if n, ok := unseal([]byte(text), &k); ok && n > b.lastSave {
-				b.lastSave, found.State = n, &k.State
-				found.Committed = register.Order{Revision: k.CommittedRevision, Sum: k.CommittedSum}
-				found.Rollouts = k.CommittedRollouts
+			var state savedState
+			if n, ok := unseal([]byte(text), &state); ok && n > s.lastSave {
+				s.lastSave, found.State = n, &state.State
+				found.Committed = register.Order{Revision: state.CommittedRevision, Sum: state.CommittedSum}
+				found.Rollouts = state.CommittedRollouts
 			}
 		}
 		if text, err := tx.Get(listKey); err == nil {
 			unseal([]byte(text), &found.Replicas)
 		}
 		if text, err := tx.Get(versionKey); err == nil {
-			b.versionWritten = parseVersion([]byte(text)) == formatVersion
+			s.versionWritten = parseVersion([]byte(text)) == formatVersion
 		}
 		return nil
 	})
@@ -152,15 +152,15 @@
 // Save returns nil once the state is synced to disk.
 //
 // Danger: a new file is only durable once its folder is synced as well.
-func (b *Store) Save(s controller.Save) error {
-	n := b.lastSave + 1
-	text, err := seal(n, savedState{s.RegisterState, s.CommittedConfiguration.Revision, s.CommittedConfiguration.Sum, s.Rollouts})
+func (s *Store) Save(save controller.Save) error {
+	n := s.lastSave + 1
+	text, err := seal(n, savedState{save.RegisterState, save.CommittedConfiguration.Revision, save.CommittedConfiguration.Sum, save.Rollouts})
 	if err != nil {
 		return ErrStore.Wrapf(err, "encoding")
 	}
 	var list []byte
-	if s.Replicas != nil {
-		if list, err = seal(n, s.Replicas); err != nil {
+	if save.Replicas != nil {
+		if list, err = seal(n, save.Replicas); err != nil {
 			return ErrStore.Wrapf(err, "encoding")
 		}
 	}
@@ -168,8 +168,8 @@
 	if err != nil {
 		return ErrStore.Wrapf(err, "encoding")
 	}
-	err = b.db.Update(func(tx *buntdb.Tx) error {
-		if !b.versionWritten {
+	err = s.db.Update(func(tx *buntdb.Tx) error {
+		if !s.versionWritten {
 			if _, _, err := tx.Set(versionKey, string(version), nil); err != nil {
 				return err
 			}
@@ -185,50 +185,50 @@
 	if err != nil {
 		return ErrStore.Wrapf(err, "saving")
 	}
-	if err := b.sync(b.file); err != nil {
+	if err := s.sync(s.file); err != nil {
 		return ErrStore.Wrapf(err, "syncing")
 	}
-	if b.lastSave == 0 {
-		if err := b.syncDir(); err != nil {
+	if s.lastSave == 0 {
+		if err := s.syncDir(); err != nil {
 			return ErrStore.Wrapf(err, "syncing the folder")
 		}
 	}
-	b.lastSave, b.versionWritten = n, true
-	return b.compactIfLarge()
+	s.lastSave, s.versionWritten = n, true
+	return s.compactIfLarge()
 }
 
 // compactIfLarge compacts the file once it has grown to compactMinBytes.
-func (b *Store) compactIfLarge() error {
-	info, err := b.file.Stat()
+func (s *Store) compactIfLarge() error {
+	info, err := s.file.Stat()
 	if err != nil || info.Size() < compactMinBytes {
 		return nil
 	}
-	return b.compact()
+	return s.compact()
 }
 
 // compact writes the file anew. The state is on disk already, so if the new file cannot be written, for example
 // on a full disk, only space is lost and the next save tries again.
-func (b *Store) compact() error {
-	next := filepath.Join(b.dir, compactedName)
-	if err := b.writeAnew(next); err != nil {
-		os.Remove(next)
+func (s *Store) compact() error {
+	copyPath := filepath.Join(s.dir, compactedName)
+	if err := s.writeCopy(copyPath); err != nil {
+		os.Remove(copyPath)
 		return nil
 	}
-	return b.replaceWith(next)
+	return s.replaceWith(copyPath)
 }
 
-// writeAnew writes the current content of the file to a new one and syncs it.
+// writeCopy writes the current content of the file to a new one and syncs it.
 //
 // It must be synced before it replaces the file: the files of all members grow alike and are compacted at about
 // the same save, so a power failure at that time could leave all members with a renamed file without content.
-func (b *Store) writeAnew(path string) error {
+func (s *Store) writeCopy(path string) error {
 	os.Remove(path)
-	next, err := openDB(path)
+	copyDB, err := openDB(path)
 	if err != nil {
 		return err
 	}
-	err = b.db.View(func(from *buntdb.Tx) error {
-		return next.Update(func(to *buntdb.Tx) (err error) {
+	err = s.db.View(func(from *buntdb.Tx) error {
+		return copyDB.Update(func(to *buntdb.Tx) (err error) {
 			ascend := from.Ascend("", func(key, value string) bool {
 				_, _, err = to.Set(key, value, nil)
 				return err == nil
@@ -236,28 +236,28 @@
 			return errors.Join(ascend, err)
 		})
 	})
-	if err := errors.Join(err, next.Close()); err != nil {
+	if err := errors.Join(err, copyDB.Close()); err != nil {
 		return err
 	}
 	file, err := os.OpenFile(path, os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	return errors.Join(b.sync(file), file.Close())
+	return errors.Join(s.sync(file), file.Close())
 }
 
 // replaceWith renames a new file to the name of the open one, and opens it.
-func (b *Store) replaceWith(path string) error {
-	if err := b.rename(path, filepath.Join(b.dir, fileName)); err != nil {
+func (s *Store) replaceWith(path string) error {
+	if err := s.rename(path, filepath.Join(s.dir, fileName)); err != nil {
 		os.Remove(path)
 		return nil
 	}
-	before := *b
-	if err := b.openFile(); err != nil {
+	previous := *s
+	if err := s.openFile(); err != nil {
 		return ErrStore.Wrapf(err, "opening the shrunk file")
 	}
-	before.Close()
-	if err := b.syncDir(); err != nil {
+	previous.Close()
+	if err := s.syncDir(); err != nil {
 		return ErrStore.Wrapf(err, "syncing the folder")
 	}
 	return nil
@@ -266,13 +266,13 @@
 // Close closes the file.
 func (b *Store) Close() error { return errors.Join(b.db.Close(), b.file.Close()) }
 
-func (b *Store) syncDir() error {
-	d, err := os.Open(b.dir)
+func (s *Store) syncDir() error {
+	folder, err := os.Open(s.dir)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	return b.sync(d)
+	defer folder.Close()
+	return s.sync(folder)
 }
 
 // seal encodes a value, with the number of the save before it and a checksum after it.
@@ -320,11 +320,11 @@
 	} else if err != nil {
 		return err
 	}
-	whole, version := scanCommands(text)
+	complete, version := scanCommands(text)
 	if version > formatVersion {
 		return fmt.Errorf("%w: it has version %d, this program reads up to %d", ErrNewerFormat, version, formatVersion)
 	}
-	if whole == len(text) {
+	if complete == len(text) {
 		return nil
 	}
 	f, err := os.OpenFile(path, os.O_WRONLY, 0o600)
@@ -332,7 +332,7 @@
 		return err
 	}
 	defer f.Close()
-	if err := f.Truncate(int64(whole)); err != nil {
+	if err := f.Truncate(int64(complete)); err != nil {
 		return err
 	}
 	return f.Sync()
@@ -340,16 +340,16 @@
 
 // scanCommands returns how many bytes of a file are complete commands, and the highest version that one of them
 // sets.
-func scanCommands(text []byte) (whole int, version uint64) {
+func scanCommands(text []byte) (complete int, version uint64) {
 	for {
-		words, rest, ok := readCommand(text[whole:])
+		words, rest, ok := readCommand(text[complete:])
 		if !ok {
-			return whole, version
+			return complete, version
 		}
 		if len(words) >= 3 && string(words[0]) == "set" && string(words[1]) == versionKey {
 			version = max(version, parseVersion(words[2]))
 		}
-		whole = len(text) - len(rest)
+		complete = len(text) - len(rest)
 	}
 }
 
--- a/transport/statestore/statestore_test.go
+++ b/transport/statestore/statestore_test.go
@@ -22,15 +22,15 @@
 // TestTornAnywhere: whatever part of the last save is missing or filled with zeros, the previous save is found.
 func TestTornAnywhere(t *testing.T) {
 	dir := t.TempDir()
-	b, found, err := Open(dir)
+	store, found, err := Open(dir)
 	must.NoError(t, err)
 	must.Nil(t, found.State)
-	must.NoError(t, b.Save(controller.Save{RegisterState: save(1).RegisterState, Replicas: []registry.Record{{ID: "i-1"}}}))
-	must.NoError(t, b.Save(save(2)))
+	must.NoError(t, store.Save(controller.Save{RegisterState: save(1).RegisterState, Replicas: []registry.Record{{ID: "i-1"}}}))
+	must.NoError(t, store.Save(save(2)))
 	before, err := os.ReadFile(Path(dir))
 	must.NoError(t, err)
-	must.NoError(t, b.Save(save(3)))
-	must.NoError(t, b.Close())
+	must.NoError(t, store.Save(save(3)))
+	must.NoError(t, store.Close())
 	after, err := os.ReadFile(Path(dir))
 	must.NoError(t, err)
 	for at := len(before); at <= len(after); at += 7 {
@@ -41,13 +41,13 @@
 			}
 			torn := t.TempDir()
 			must.NoError(t, os.WriteFile(Path(torn), text, 0o600))
-			b, found, err := Open(torn)
+			store, found, err := Open(torn)
 			must.NoError(t, err)
 			must.NotNil(t, found.State)
 			must.GreaterEq(t, 2, found.State.Value.Revision)
 			must.Eq(t, "i-1", found.Replicas[0].ID)
-			must.NoError(t, b.Save(save(4)))
-			must.NoError(t, b.Close())
+			must.NoError(t, store.Save(save(4)))
+			must.NoError(t, store.Close())
 			_, found, err = Open(torn)
 			must.NoError(t, err)
 			must.Eq(t, 4, found.State.Value.Revision)
@@ -59,14 +59,14 @@
 // TestGrownFile: a file that has grown is compacted, and still holds the last save.
 func TestGrownFile(t *testing.T) {
 	dir := t.TempDir()
-	b, _, err := Open(dir)
+	store, _, err := Open(dir)
 	must.NoError(t, err)
 	for n := uint64(1); n < 30; n++ {
 		s := save(n)
 		s.RegisterState.Value.Body = make([]byte, 1<<20)
-		must.NoError(t, b.Save(s))
+		must.NoError(t, store.Save(s))
 	}
-	must.NoError(t, b.Close())
+	must.NoError(t, store.Close())
 	info, err := os.Stat(Path(dir))
 	must.NoError(t, err)
 	must.Less(t, compactMinBytes, int(info.Size()))
@@ -79,31 +79,31 @@
 // is one that was saved, or none. If the last save is complete, it is the one found.
 func TestEachBitFlipped(t *testing.T) {
 	dir := t.TempDir()
-	b, _, err := Open(dir)
+	store, _, err := Open(dir)
 	must.NoError(t, err)
 	for n := uint64(1); n <= 3; n++ {
 		s := save(n)
 		s.RegisterState.Value.Body = bytes.Repeat([]byte{byte(n)}, 40)
-		must.NoError(t, b.Save(s))
+		must.NoError(t, store.Save(s))
 	}
-	must.NoError(t, b.Close())
+	must.NoError(t, store.Close())
 	text, err := os.ReadFile(Path(dir))
 	must.NoError(t, err)
 	last := bytes.LastIndex(text, []byte("*3\r\n"))
-	at := t.TempDir()
-	check := func(text []byte, least uint64, what string, where int) {
-		must.NoError(t, os.WriteFile(Path(at), text, 0o600))
-		b, found, err := Open(at)
+	folder := t.TempDir()
+	check := func(text []byte, minRevision uint64, what string, where int) {
+		must.NoError(t, os.WriteFile(Path(folder), text, 0o600))
+		store, found, err := Open(folder)
 		if err != nil {
 			return // then the controller joins as one whose disk is empty
 		}
-		b.Close()
+		store.Close()
 		if found.State == nil {
-			must.Eq(t, 0, least, must.Sprint(what, where))
+			must.Eq(t, 0, minRevision, must.Sprint(what, where))
 			return
 		}
 		n := found.State.Value.Revision
-		must.GreaterEq(t, least, n, must.Sprint(what, where))
+		must.GreaterEq(t, minRevision, n, must.Sprint(what, where))
 		must.Eq(t, bytes.Repeat([]byte{byte(n)}, 40), found.State.Value.Body, must.Sprint(what, where))
 		must.Eq(t, n, found.State.Accepted.Number)
 	}
@@ -128,40 +128,40 @@
 func BenchmarkVersions(b *testing.B) {
 	for range b.N {
 		dir := b.TempDir()
-		box, _, err := Open(dir)
+		store, _, err := Open(dir)
 		must.NoError(b, err)
-		most := int64(0)
+		largest := int64(0)
 		for n := uint64(1); n <= 100_000; n++ {
 			s := save(n)
 			s.RegisterState.Value.Body = make([]byte, 4000)
-			must.NoError(b, box.Save(s))
+			must.NoError(b, store.Save(s))
 			if n%1000 == 0 {
 				info, err := os.Stat(Path(dir))
 				must.NoError(b, err)
-				most = max(most, info.Size())
+				largest = max(largest, info.Size())
 			}
 		}
-		must.NoError(b, box.Close())
-		at := time.Now()
+		must.NoError(b, store.Close())
+		start := time.Now()
 		_, found, err := Open(dir)
 		must.NoError(b, err)
 		must.Eq(b, 100_000, found.State.Value.Revision)
-		b.ReportMetric(float64(time.Since(at).Microseconds())/1000, "ms/open")
-		b.ReportMetric(float64(most)/1e6, "MB/file")
+		b.ReportMetric(float64(time.Since(start).Microseconds())/1000, "ms/open")
+		b.ReportMetric(float64(largest)/1e6, "MB/file")
 	}
 }
 
 // TestRolloutsAreKept: accepted and committed rollouts are each loaded as they were saved.
 func TestRolloutsAreKept(t *testing.T) {
 	dir := t.TempDir()
-	b, _, err := Open(dir)
+	store, _, err := Open(dir)
 	must.NoError(t, err)
 	committed, _, _ := rollout.Set{}.Begin(rollout.Order{Service: "s", Target: "v2", OverMs: 9000})
 	accepted, _ := committed.Abort("s", "an operator's word")
 	next := save(3)
 	next.RegisterState.Value.Rollouts, next.Rollouts = accepted, committed
-	must.NoError(t, b.Save(next))
-	must.NoError(t, b.Close())
+	must.NoError(t, store.Save(next))
+	must.NoError(t, store.Close())
 	_, found, err := Open(dir)
 	must.NoError(t, err)
 	must.Eq(t, accepted, found.State.Value.Rollouts)
--- a/transport/store/connection_test.go
+++ b/transport/store/connection_test.go
@@ -32,13 +32,13 @@
 // consequence.
 type stalledConn struct {
 	net.Conn
-	end         context.CancelFunc
+	cancel      context.CancelFunc
 	deadlineSet chan struct{}
 }
 
 func (c *stalledConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.end()
+	c.cancel()
 	<-c.deadlineSet
 	return n, err
 }
@@ -53,9 +53,9 @@
 
 // silentStore reads all that a client writes and answers nothing.
 func silentStore() net.Conn {
-	near, far := net.Pipe()
-	go io.Copy(io.Discard, far)
-	return near
+	clientEnd, storeEnd := net.Pipe()
+	go io.Copy(io.Discard, storeEnd)
+	return clientEnd
 }
 
 // mustFail expects a client's round to end with an error.
@@ -77,8 +77,8 @@
 // TestContextEndsBeforeTheReply: a round ends if its context ends after the commands are written and before it
 // waits for the replies, even if the store stays silent.
 func TestContextEndsBeforeTheReply(t *testing.T) {
-	ctx, end := context.WithCancel(t.Context())
-	conn := &stalledConn{silentStore(), end, make(chan struct{})}
+	ctx, cancel := context.WithCancel(t.Context())
+	conn := &stalledConn{silentStore(), cancel, make(chan struct{})}
 	k := newClient(t, Endpoint{Address: "r:1", Prefix: "t", Dial: func(context.Context, string, string) (net.Conn, error) { return conn, nil }})
 	mustFail(t, k, ctx)
 }
@@ -87,8 +87,8 @@
 func TestSilentAtTheDoor(t *testing.T) {
 	password := filepath.Join(t.TempDir(), "password")
 	must.NoError(t, os.WriteFile(password, []byte("word"), 0o600))
-	ctx, end := context.WithTimeout(t.Context(), 10*time.Millisecond)
-	defer end()
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
+	defer cancel()
 	k := newClient(t, Endpoint{Address: "r:1", Prefix: "t", PasswordFile: password,
 		Dial: func(context.Context, string, string) (net.Conn, error) { return silentStore(), nil }})
 	mustFail(t, k, ctx)
@@ -96,9 +96,9 @@
 
 // newClient returns a client of that store without other aggregators.
 func newClient(t *testing.T, place Endpoint) *Client {
-	terms := sharedhealth.Config{Name: "n", Incarnation: 7, RoundInterval: int64(round), RoundTimeout: int64(deadline), SampleSize: 24, Aggregators: 1, BaseEjection: 1e9,
+	config := sharedhealth.Config{Name: "n", Incarnation: 7, RoundInterval: int64(round), RoundTimeout: int64(deadline), SampleSize: 24, Aggregators: 1, BaseEjection: 1e9,
 		HealthEnabled: true}
-	k, err := New(place, sharedhealth.New(0, terms), &testAggregator{}, func() int64 { return 1e9 }, &Counters{}, zap.NewNop())
+	k, err := New(place, sharedhealth.New(0, config), &testAggregator{}, func() int64 { return 1e9 }, &Counters{}, zap.NewNop())
 	must.NoError(t, err)
 	return k
 }
@@ -107,16 +107,16 @@
 // not use the closed connection. Only the race detector shows a fault.
 func TestContextEndsWhileHangingUp(t *testing.T) {
 	for range 20 {
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		place := Endpoint{Address: "r:1", Prefix: "t", Dial: func(context.Context, string, string) (net.Conn, error) {
-			near, far := net.Pipe()
-			far.Close()
-			return &brokenConn{near, end}, nil
+			clientEnd, storeEnd := net.Pipe()
+			storeEnd.Close()
+			return &brokenConn{clientEnd, cancel}, nil
 		}}
 		k := newClient(t, place)
 		if _, err := k.roundTrip(ctx, &sharedhealth.Request{}); err == nil {
 			t.Fatal("a round over a broken connection had no error")
 		}
-		end()
+		cancel()
 	}
 }
--- a/transport/store/counters.go
+++ b/transport/store/counters.go
@@ -19,10 +19,10 @@
 }
 
 // setStats keeps the statistics of the decider.
-func (c *Counters) setStats(f sharedhealth.Stats) {
+func (c *Counters) setStats(stats sharedhealth.Stats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stats = f
+	c.stats = stats
 }
 
 // Stats returns the statistics of the last round.
@@ -34,12 +34,12 @@
 
 // MarshalJSON encodes the current values.
 func (c *Counters) MarshalJSON() ([]byte, error) {
-	f := c.Stats()
+	stats := c.Stats()
 	return json.Marshal(map[string]any{
-		"state": f.State.String(), "age_ns": f.LastGoodRoundAge, "aggregators": f.LiveMembers, "rounds": f.Rounds, "failed": f.FailedRounds,
-		"contradictions": f.Contradictions, "refused": f.RecordsRefused, "records_heard": f.RecordsMerged, "findings_told": f.FindingsPublished,
-		"suspected": f.Suspected, "tries_moved": f.TrialsMoved, "passed_over": f.PassedOver,
-		"tokens_leased": f.TokensLeased, "leases_short": f.LeasesShort, "unsurveyed": c.SurveysSkipped.Load(), "odd": c.UnusableParts.Load(),
+		"state": stats.State.String(), "age_ns": stats.LastGoodRoundAge, "aggregators": stats.LiveMembers, "rounds": stats.Rounds, "failed": stats.FailedRounds,
+		"contradictions": stats.Contradictions, "refused": stats.RecordsRefused, "records_heard": stats.RecordsMerged, "findings_told": stats.FindingsPublished,
+		"suspected": stats.Suspected, "tries_moved": stats.TrialsMoved, "passed_over": stats.PassedOver,
+		"tokens_leased": stats.TokensLeased, "leases_short": stats.LeasesShort, "unsurveyed": c.SurveysSkipped.Load(), "odd": c.UnusableParts.Load(),
 		"bytes_read": c.BytesRead.Load(),
 	})
 }
--- a/transport/store/replylimits.go
+++ b/transport/store/replylimits.go
@@ -35,60 +35,60 @@
 }
 
 // Write starts a new round. It is called by the goroutine that reads.
-func (g *limitedConn) Write(b []byte) (int, error) {
-	g.roundBytes = 0
-	return g.Conn.Write(b)
+func (c *limitedConn) Write(b []byte) (int, error) {
+	c.roundBytes = 0
+	return c.Conn.Write(b)
 }
 
 // SetReadDeadline does nothing, so that the deadline that the client has set for the whole round stays.
 //
 // Danger: the library clears the read deadline before each reply. If the round's time has run out just before,
 // the read would never end, and the client would hang.
-func (g *limitedConn) SetReadDeadline(time.Time) error { return nil }
+func (c *limitedConn) SetReadDeadline(time.Time) error { return nil }
 
 // Read returns only bytes that have been checked.
-func (g *limitedConn) Read(b []byte) (int, error) {
-	if g.err != nil {
-		return 0, g.err
+func (c *limitedConn) Read(b []byte) (int, error) {
+	if c.err != nil {
+		return 0, c.err
 	}
-	n, err := g.Conn.Read(b)
-	if g.roundBytes += n; g.roundBytes > maxRoundBytes {
-		g.err = errRoundTooLarge
-	} else if e := g.scan(b[:n]); e != nil {
-		g.err = e
+	n, err := c.Conn.Read(b)
+	if c.roundBytes += n; c.roundBytes > maxRoundBytes {
+		c.err = errRoundTooLarge
+	} else if e := c.scan(b[:n]); e != nil {
+		c.err = e
 	}
-	if g.err != nil {
-		return 0, g.err
+	if c.err != nil {
+		return 0, c.err
 	}
 	return n, err
 }
 
 // scan checks bytes that were read.
-func (g *limitedConn) scan(b []byte) error {
+func (c *limitedConn) scan(b []byte) error {
 	for len(b) > 0 {
-		if g.skipBytes > 0 {
-			n := min(g.skipBytes, len(b))
-			g.skipBytes -= n
+		if c.skipBytes > 0 {
+			n := min(c.skipBytes, len(b))
+			c.skipBytes -= n
 			b = b[n:]
 			continue
 		}
-		if g.header = append(g.header, b[0]); len(g.header) > maxLineBytes {
+		if c.header = append(c.header, b[0]); len(c.header) > maxLineBytes {
 			return errLineTooLong
 		}
 		b = b[1:]
-		if g.header[len(g.header)-1] == '\n' {
-			if err := g.parseHeader(); err != nil {
+		if c.header[len(c.header)-1] == '\n' {
+			if err := c.parseHeader(); err != nil {
 				return err
 			}
-			g.header = g.header[:0]
+			c.header = c.header[:0]
 		}
 	}
 	return nil
 }
 
 // parseHeader checks a complete header line.
-func (g *limitedConn) parseHeader() error {
-	text := g.header[:len(g.header)-1]
+func (c *limitedConn) parseHeader() error {
+	text := c.header[:len(c.header)-1]
 	if len(text) > 0 && text[len(text)-1] == '\r' {
 		text = text[:len(text)-1]
 	}
@@ -107,7 +107,7 @@
 			return errStringTooLong
 		}
 		if n >= 0 {
-			g.skipBytes = int(n) + 2
+			c.skipBytes = int(n) + 2
 		}
 		return nil
 	case '*', '%', '~', '>', '|':
--- a/transport/store/store.go
+++ b/transport/store/store.go
@@ -68,54 +68,54 @@
 
 // New returns a client; the error names the key of the endpoint that is invalid. now is the aggregator's clock,
 // ns.
-func New(p Endpoint, c *sharedhealth.Exchange, core Aggregator, now func() int64, count *Counters, log *zap.Logger) (*Client, error) {
-	k := &Client{endpoint: p, exchange: c, aggregator: core, now: now, counters: count, log: log}
+func New(endpoint Endpoint, exchange *sharedhealth.Exchange, core Aggregator, now func() int64, counters *Counters, log *zap.Logger) (*Client, error) {
+	client := &Client{endpoint: endpoint, exchange: exchange, aggregator: core, now: now, counters: counters, log: log}
 	var err error
-	if k.tlsConfig, err = p.tlsConfig(); err != nil {
+	if client.tlsConfig, err = endpoint.tlsConfig(); err != nil {
 		return nil, err
 	}
-	if _, err := p.password(); err != nil {
+	if _, err := endpoint.password(); err != nil {
 		return nil, err
 	}
-	return k, nil
+	return client, nil
 }
 
 // connect opens the connection and authenticates. The connection's deadline is that of ctx.
-func (k *Client) connect(ctx context.Context) error {
-	p := k.endpoint
-	password, err := p.password()
+func (c *Client) connect(ctx context.Context) error {
+	endpoint := c.endpoint
+	password, err := endpoint.password()
 	if err != nil {
 		return err
 	}
-	socket, err := p.Dial(ctx, "tcp", p.Address)
+	socket, err := endpoint.Dial(ctx, "tcp", endpoint.Address)
 	if err != nil {
 		return err
 	}
-	if by, limited := ctx.Deadline(); limited {
-		socket.SetDeadline(by)
+	if deadline, limited := ctx.Deadline(); limited {
+		socket.SetDeadline(deadline)
 	}
-	if k.tlsConfig != nil {
-		private := tls.Client(socket, k.tlsConfig)
-		if err := private.HandshakeContext(ctx); err != nil {
+	if c.tlsConfig != nil {
+		secured := tls.Client(socket, c.tlsConfig)
+		if err := secured.HandshakeContext(ctx); err != nil {
 			socket.Close()
 			return err
 		}
-		socket = private
+		socket = secured
 	}
-	k.conn = &storeConn{redis.NewConn(&limitedConn{Conn: socket}, 0, 0), socket}
+	c.conn = &storeConn{redis.NewConn(&limitedConn{Conn: socket}, 0, 0), socket}
 	if password != "" {
-		words := []any{password}
-		if p.User != "" {
-			words = []any{p.User, password}
+		args := []any{password}
+		if endpoint.User != "" {
+			args = []any{endpoint.User, password}
 		}
-		if _, err := k.conn.Do("AUTH", words...); err != nil {
-			k.closeConn()
+		if _, err := c.conn.Do("AUTH", args...); err != nil {
+			c.closeConn()
 			return err
 		}
 	}
-	if p.Database != 0 {
-		if _, err := k.conn.Do("SELECT", p.Database); err != nil {
-			k.closeConn()
+	if endpoint.Database != 0 {
+		if _, err := c.conn.Do("SELECT", endpoint.Database); err != nil {
+			c.closeConn()
 			return err
 		}
 	}
@@ -123,39 +123,39 @@
 }
 
 // closeConn closes the connection, if there is one.
-func (k *Client) closeConn() {
-	if k.conn != nil {
-		k.conn.Close()
-		k.conn = nil
+func (c *Client) closeConn() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
 }
 
 // tlsConfig returns how connections are encrypted, nil for no TLS.
-func (p Endpoint) tlsConfig() (*tls.Config, error) {
-	if p.CAFile == "" {
+func (e Endpoint) tlsConfig() (*tls.Config, error) {
+	if e.CAFile == "" {
 		return nil, nil
 	}
-	text, err := readFile(p.CAFile)
+	text, err := readFile(e.CAFile)
 	if err != nil {
 		return nil, fmt.Errorf(`key "ca_file": %w`, err)
 	}
-	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf(`key "ca_file": %s holds no certificate`, p.CAFile)
+	roots := x509.NewCertPool()
+	if !roots.AppendCertsFromPEM(text) {
+		return nil, fmt.Errorf(`key "ca_file": %s holds no certificate`, e.CAFile)
 	}
-	name := p.ServerName
+	name := e.ServerName
 	if name == "" {
-		name, _, _ = net.SplitHostPort(p.Address)
+		name, _, _ = net.SplitHostPort(e.Address)
 	}
-	return &tls.Config{RootCAs: pool, ServerName: name, MinVersion: tls.VersionTLS12}, nil
+	return &tls.Config{RootCAs: roots, ServerName: name, MinVersion: tls.VersionTLS12}, nil
 }
 
 // password reads the password, which must never be logged.
-func (p Endpoint) password() (string, error) {
-	if p.PasswordFile == "" {
+func (e Endpoint) password() (string, error) {
+	if e.PasswordFile == "" {
 		return "", nil
 	}
-	text, err := readFile(p.PasswordFile)
+	text, err := readFile(e.PasswordFile)
 	if err != nil {
 		return "", fmt.Errorf(`key "password_file": %w`, err)
 	}
@@ -174,57 +174,57 @@
 }
 
 // Run runs the rounds until ctx ends, and closes the connection.
-func (k *Client) Run(ctx context.Context) {
-	defer k.closeConn()
+func (c *Client) Run(ctx context.Context) {
+	defer c.closeConn()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(time.Duration(max(k.exchange.Next()-k.now(), 0)))
+		timer.Reset(time.Duration(max(c.exchange.Next()-c.now(), 0)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
 		}
-		if survey, ok := k.aggregator.Survey(ctx); ok {
-			k.exchange.RecordSurvey(k.now(), survey)
+		if survey, ok := c.aggregator.Survey(ctx); ok {
+			c.exchange.RecordSurvey(c.now(), survey)
 		} else {
-			k.counters.SurveysSkipped.Add(1)
+			c.counters.SurveysSkipped.Add(1)
 		}
-		if r := k.exchange.Decide(k.now()); r != nil {
-			k.runRound(ctx, r)
+		if r := c.exchange.Decide(c.now()); r != nil {
+			c.runRound(ctx, r)
 		}
 	}
 }
 
 // runRound sends one request and hands the result to the decider and the aggregator.
-func (k *Client) runRound(ctx context.Context, r *sharedhealth.Request) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.Deadline-k.now()))
+func (c *Client) runRound(ctx context.Context, r *sharedhealth.Request) {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.Deadline-c.now()))
 	defer cancel()
-	reply, err := k.roundTrip(ctx, r)
-	now := k.now()
+	reply, err := c.roundTrip(ctx, r)
+	now := c.now()
 	if err == nil && now > r.Deadline { // the reply came after the round's deadline
 		err = context.DeadlineExceeded
 	}
-	var a sharedhealth.RoundResult
+	var result sharedhealth.RoundResult
 	if err != nil {
-		a = k.exchange.HandleFailure(now, err)
-		k.log.Info("a round with the shared store failed", zap.Error(err))
+		result = c.exchange.HandleFailure(now, err)
+		c.log.Info("a round with the shared store failed", zap.Error(err))
 	} else {
-		a = k.exchange.HandleReply(now, reply)
+		result = c.exchange.HandleReply(now, reply)
 	}
-	k.aggregator.ApplyShared(a)
-	for _, e := range k.exchange.Events() {
-		k.log.Warn(e.Message, zap.Stringer("state", e.State), zap.String("of", e.Aggregator))
+	c.aggregator.ApplyShared(result)
+	for _, event := range c.exchange.Events() {
+		c.log.Warn(event.Message, zap.Stringer("state", event.State), zap.String("of", event.Aggregator))
 	}
-	k.counters.setStats(k.exchange.Stats(now))
+	c.counters.setStats(c.exchange.Stats(now))
 }
 
 // The keys in the store, after the prefix.
 func (p Endpoint) presenceKey(name string) string { return p.Prefix + ":a:" + name }
 func (p Endpoint) membersKey() string             { return p.Prefix + ":m" }
 func (p Endpoint) findingsKey() string            { return p.Prefix + ":f" }
-func (p Endpoint) tokensKey(customer string, window int64) string {
-	return p.Prefix + ":q:" + customer + ":" + strconv.FormatInt(window, 10)
+func (e Endpoint) tokensKey(customer string, window int64) string {
+	return e.Prefix + ":q:" + customer + ":" + strconv.FormatInt(window, 10)
 }
 
 // errWrongType is returned for an answer whose type does not fit the command.
@@ -236,73 +236,73 @@
 	handlers []func(answer any, err error)
 }
 
-func (p *pipeline) send(handle func(any, error), name string, words ...any) error {
+func (p *pipeline) send(handle func(any, error), command string, args ...any) error {
 	p.handlers = append(p.handlers, handle)
-	return p.conn.Send(name, words...)
+	return p.conn.Send(command, args...)
 }
 
 // roundTrip sends a request as one pipeline and reads the reply. After an error the connection is closed,
 // because answers that are still to come on it would be taken for those of the next round.
-func (k *Client) roundTrip(ctx context.Context, r *sharedhealth.Request) (reply sharedhealth.Reply, err error) {
-	if k.conn == nil {
-		if err := k.connect(ctx); err != nil {
+func (c *Client) roundTrip(ctx context.Context, r *sharedhealth.Request) (reply sharedhealth.Reply, err error) {
+	if c.conn == nil {
+		if err := c.connect(ctx); err != nil {
 			return reply, err
 		}
 	}
-	if by, limited := ctx.Deadline(); limited {
-		k.conn.socket.SetDeadline(by)
+	if deadline, limited := ctx.Deadline(); limited {
+		c.conn.socket.SetDeadline(deadline)
 	}
 	// Danger: ctx may end while the connection is being closed, when k.conn is nil already.
-	conn := k.conn
+	conn := c.conn
 	stop := context.AfterFunc(ctx, func() { conn.socket.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	p := &pipeline{conn: conn}
-	if err = k.queueCommands(p, r, &reply); err == nil {
-		err = p.conn.Flush()
-	}
-	for i := 0; err == nil && i < len(p.handlers); i++ {
-		answer, e := p.conn.Receive()
-		if p.conn.Err() != nil {
-			err = p.conn.Err()
+	pipeline := &pipeline{conn: conn}
+	if err = c.queueCommands(pipeline, r, &reply); err == nil {
+		err = pipeline.conn.Flush()
+	}
+	for i := 0; err == nil && i < len(pipeline.handlers); i++ {
+		answer, replyErr := pipeline.conn.Receive()
+		if pipeline.conn.Err() != nil {
+			err = pipeline.conn.Err()
 			break
 		}
-		p.handlers[i](answer, e)
+		pipeline.handlers[i](answer, replyErr)
 	}
 	if err != nil {
-		k.closeConn()
+		c.closeConn()
 		return reply, err
 	}
-	return reply, k.roundErr
+	return reply, c.roundErr
 }
 
 // queueCommands queues a request's commands in a pipeline; the handlers write the answers into the reply.
-func (k *Client) queueCommands(p *pipeline, r *sharedhealth.Request, reply *sharedhealth.Reply) error {
-	place, c, name := k.endpoint, k.exchange, k.exchange.Name
+func (c *Client) queueCommands(p *pipeline, r *sharedhealth.Request, reply *sharedhealth.Reply) error {
+	endpoint, exchange, name := c.endpoint, c.exchange, c.exchange.Name
 	// The round fails without these answers: nothing could be dated or fenced.
-	k.roundErr = nil
-	need := func(err error) bool {
-		if err != nil && k.roundErr == nil {
-			k.roundErr = err
+	c.roundErr = nil
+	required := func(err error) bool {
+		if err != nil && c.roundErr == nil {
+			c.roundErr = err
 		}
 		return err == nil
 	}
 	// The round goes on without the other answers.
-	odd := func(err error) bool {
+	optional := func(err error) bool {
 		if err != nil {
 			reply.UnusableParts++
-			k.counters.UnusableParts.Add(1)
-			k.log.Warn("a part of the shared store's answer cannot be used", zap.Error(err))
+			c.counters.UnusableParts.Add(1)
+			c.log.Warn("a part of the shared store's answer cannot be used", zap.Error(err))
 		}
 		return err == nil
 	}
-	none := func(_ any, err error) { odd(err) }
-	steps := []error{
+	ignored := func(_ any, err error) { optional(err) }
+	errs := []error{
 		p.send(func(answer any, err error) {
 			pair, err := redis.Int64s(answer, err)
 			if err == nil && len(pair) != 2 {
 				err = errWrongType
 			}
-			if need(err) {
+			if required(err) {
 				reply.StoreTime = pair[0]*int64(time.Second) + pair[1]*int64(time.Microsecond)
 			}
 		}, "TIME"),
@@ -311,64 +311,64 @@
 			if errors.Is(err, redis.ErrNil) {
 				return
 			}
-			if need(err) {
+			if required(err) {
 				reply.OwnPresence = bytes.Clone(text)
 			}
-		}, "GET", place.presenceKey(name)),
-		p.send(func(_ any, err error) { need(err) }, "SET", place.presenceKey(name), r.Presence, "PX", r.PresenceTTL/millisecond),
+		}, "GET", endpoint.presenceKey(name)),
+		p.send(func(_ any, err error) { required(err) }, "SET", endpoint.presenceKey(name), r.Presence, "PX", r.PresenceTTL/millisecond),
 	}
 	if r.HeartbeatScore > 0 {
-		steps = append(steps, p.send(none, "ZADD", place.membersKey(), r.HeartbeatScore, name),
+		errs = append(errs, p.send(ignored, "ZADD", endpoint.membersKey(), r.HeartbeatScore, name),
 			p.send(func(answer any, err error) {
-				if n, err := redis.Int64(answer, err); odd(err) {
+				if n, err := redis.Int64(answer, err); optional(err) {
 					reply.LiveMembers = int(min(max(n, 0), 1<<20))
 				}
-			}, "ZCOUNT", place.membersKey(), r.MinLiveScore, "+inf"))
+			}, "ZCOUNT", endpoint.membersKey(), r.MinLiveScore, "+inf"))
 	}
 	if r.SweepMaxScore > 0 {
-		steps = append(steps, p.send(none, "ZREMRANGEBYSCORE", place.membersKey(), "-inf", r.SweepMaxScore))
+		errs = append(errs, p.send(ignored, "ZREMRANGEBYSCORE", endpoint.membersKey(), "-inf", r.SweepMaxScore))
 	}
 	switch {
 	case r.Findings != nil:
-		steps = append(steps, p.send(none, "HSET", place.findingsKey(), name, r.Findings))
+		errs = append(errs, p.send(ignored, "HSET", endpoint.findingsKey(), name, r.Findings))
 	case r.SampleSize > 0:
-		steps = append(steps, p.send(none, "HDEL", place.findingsKey(), name))
+		errs = append(errs, p.send(ignored, "HDEL", endpoint.findingsKey(), name))
 	}
 	if len(r.DropFindings) > 0 {
-		steps = append(steps, p.send(none, "HDEL", redis.Args{place.findingsKey()}.AddFlat(r.DropFindings)...))
+		errs = append(errs, p.send(ignored, "HDEL", redis.Args{endpoint.findingsKey()}.AddFlat(r.DropFindings)...))
 	}
 	if r.SampleSize > 0 {
-		steps = append(steps, p.send(func(answer any, err error) {
-			flat, err := redis.ByteSlices(answer, err)
-			if !odd(err) {
+		errs = append(errs, p.send(func(answer any, err error) {
+			pairs, err := redis.ByteSlices(answer, err)
+			if !optional(err) {
 				return
 			}
-			for i := 0; i+1 < len(flat); i += 2 {
-				reply.Entries = append(reply.Entries, sharedhealth.Entry{Name: string(flat[i]), Data: flat[i+1]})
-				k.counters.BytesRead.Add(int64(len(flat[i]) + len(flat[i+1])))
+			for i := 0; i+1 < len(pairs); i += 2 {
+				reply.Entries = append(reply.Entries, sharedhealth.Entry{Name: string(pairs[i]), Data: pairs[i+1]})
+				c.counters.BytesRead.Add(int64(len(pairs[i]) + len(pairs[i+1])))
 			}
-		}, "HRANDFIELD", place.findingsKey(), r.SampleSize, "WITHVALUES"))
+		}, "HRANDFIELD", endpoint.findingsKey(), r.SampleSize, "WITHVALUES"))
 	}
 	reply.Counts = make([][]int64, len(r.CountReads))
 	for i, q := range r.CountReads {
 		keys := make([]any, q.Windows())
 		for j := range keys {
-			keys[j] = place.tokensKey(c.Quotas[q.Quota].Customer, q.Window-1-int64(j))
+			keys[j] = endpoint.tokensKey(exchange.Quotas[q.Quota].Customer, q.Window-1-int64(j))
 		}
-		steps = append(steps, p.send(func(answer any, err error) {
-			if n, err := redis.Int64s(answer, err); odd(err) { // a window without a counter counts 0
+		errs = append(errs, p.send(func(answer any, err error) {
+			if n, err := redis.Int64s(answer, err); optional(err) { // a window without a counter counts 0
 				reply.Counts[i] = n
 			}
 		}, "MGET", keys...))
 	}
 	reply.Totals = make([]int64, len(r.TokenRequests))
 	for i, t := range r.TokenRequests {
-		key := place.tokensKey(c.Quotas[t.Quota].Customer, t.Window)
-		steps = append(steps, p.send(func(answer any, err error) {
-			if n, err := redis.Int64(answer, err); odd(err) {
+		key := endpoint.tokensKey(exchange.Quotas[t.Quota].Customer, t.Window)
+		errs = append(errs, p.send(func(answer any, err error) {
+			if n, err := redis.Int64(answer, err); optional(err) {
 				reply.Totals[i] = n
 			}
-		}, "INCRBY", key, t.Units), p.send(none, "PEXPIRE", key, t.TTL/millisecond))
+		}, "INCRBY", key, t.Units), p.send(ignored, "PEXPIRE", key, t.TTL/millisecond))
 	}
-	return errors.Join(steps...)
+	return errors.Join(errs...)
 }
--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -43,41 +43,41 @@
 	crowded bool
 }
 
-func (c *testAggregator) Survey(context.Context) (sharedhealth.Survey, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.survey, !c.crowded
+func (a *testAggregator) Survey(context.Context) (sharedhealth.Survey, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.survey, !a.crowded
 }
 
-func (c *testAggregator) ApplyShared(a sharedhealth.RoundResult) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	a.Reports = slices.Clone(a.Reports)
-	c.applied = append(c.applied, a)
+func (a *testAggregator) ApplyShared(result sharedhealth.RoundResult) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	result.Reports = slices.Clone(result.Reports)
+	a.applied = append(a.applied, result)
 }
 
 // setFinding sets the finding about a replica.
-func (c *testAggregator) setFinding(f balance.Finding) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.survey.Findings = slices.Clone(c.survey.Findings)
-	c.survey.Findings[f.Replica] = f
+func (a *testAggregator) setFinding(finding balance.Finding) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.survey.Findings = slices.Clone(a.survey.Findings)
+	a.survey.Findings[finding.Replica] = finding
 }
 
-func (c *testAggregator) setCrowded() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.crowded = true
+func (a *testAggregator) setCrowded() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.crowded = true
 }
 
 // passedOver returns the replicas that the last result gave reports against.
-func (c *testAggregator) passedOver() (all []int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if n := len(c.applied); n > 0 {
-		for _, w := range c.applied[n-1].Reports {
-			if w.Weight > 0 {
-				all = append(all, w.Replica)
+func (a *testAggregator) passedOver() (all []int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if n := len(a.applied); n > 0 {
+		for _, report := range a.applied[n-1].Reports {
+			if report.Weight > 0 {
+				all = append(all, report.Replica)
 			}
 		}
 	}
@@ -102,7 +102,7 @@
 func (w *fixture) now() int64 { return int64(time.Since(w.startedAt)) + 1e9 }
 
 // runFixture runs a test with some aggregators at one server, in a synctest bubble.
-func runFixture(t *testing.T, aggregators int, change func(*Endpoint, *sharedhealth.Config), do func(*fixture)) {
+func runFixture(t *testing.T, aggregators int, change func(*Endpoint, *sharedhealth.Config), test func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &fixture{T: t, server: &redis.Server{}, network: &pipenet.Network{}, startedAt: time.Now()}
 		l := w.network.Listen("r:1")
@@ -115,15 +115,15 @@
 		ended := make(chan struct{})
 		for i := range aggregators {
 			p := Endpoint{Address: "r:1", Prefix: "t", Dial: w.network.Dial}
-			terms := sharedhealth.Config{Name: fmt.Sprint("n", i), Incarnation: 7, Seed: uint64(i), RoundInterval: int64(round),
+			config := sharedhealth.Config{Name: fmt.Sprint("n", i), Incarnation: 7, Seed: uint64(i), RoundInterval: int64(round),
 				RoundTimeout: int64(deadline), SampleSize: 24, Aggregators: aggregators, BaseEjection: 1e9, HealthEnabled: true,
 				Quotas: []sharedhealth.Quota{{Customer: "acme", Rate: 40}}}
 			if change != nil {
-				change(&p, &terms)
+				change(&p, &config)
 			}
-			seen, logs := observer.New(zap.InfoLevel)
+			logCore, logs := observer.New(zap.InfoLevel)
 			k := &testClient{core: &testAggregator{survey: survey(20)}, logs: logs}
-			client, err := New(p, sharedhealth.New(w.now(), terms), k.core, w.now, &Counters{}, zap.New(seen))
+			client, err := New(p, sharedhealth.New(w.now(), config), k.core, w.now, &Counters{}, zap.New(logCore))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -134,7 +134,7 @@
 				ended <- struct{}{}
 			}()
 		}
-		do(w)
+		test(w)
 		w.server.SetFault(redis.Fault{})
 		stop()
 		for range aggregators {
@@ -145,13 +145,13 @@
 	})
 }
 
-func survey(replicas int) (s sharedhealth.Survey) {
+func survey(replicas int) (result sharedhealth.Survey) {
 	for i := range replicas {
-		s.Findings = append(s.Findings, balance.Finding{Replica: i, Cell: i / 5})
-		s.Keys = append(s.Keys, sharedhealth.ReplicaKey("s", int64(i)))
+		result.Findings = append(result.Findings, balance.Finding{Replica: i, Cell: i / 5})
+		result.Keys = append(result.Keys, sharedhealth.ReplicaKey("s", int64(i)))
 	}
-	s.Demand, s.TokensLeft = []float64{5}, []float64{0}
-	return s
+	result.Demand, result.TokensLeft = []float64{5}, []float64{0}
+	return result
 }
 
 func (k *testClient) state() string { return k.counters.Stats().State.String() }
@@ -270,13 +270,13 @@
 
 // TestOlderState: a store that was emptied, or restored to an older state, is distrusted for a while.
 func TestOlderState(t *testing.T) {
-	for name, fall := range map[string]func(*redis.Server){"emptied": (*redis.Server).Clear, "older": (*redis.Server).RestoreSnapshot} {
+	for name, reset := range map[string]func(*redis.Server){"emptied": (*redis.Server).Clear, "older": (*redis.Server).RestoreSnapshot} {
 		t.Run(name, func(t *testing.T) {
 			runFixture(t, 2, nil, func(w *fixture) {
 				time.Sleep(4 * round)
 				w.server.SaveSnapshot()
 				time.Sleep(4 * round)
-				fall(w.server)
+				reset(w.server)
 				time.Sleep(2 * round)
 				if synctest.Wait(); w.states() != "distrusted distrusted" {
 					w.Error(w.states())
@@ -306,10 +306,10 @@
 		}
 		w.server.Inject("t:f", "", "a string")
 		w.server.Inject("t:m", "", "a string")
-		odd := w.aggregators[0].counters.UnusableParts.Load()
+		unusable := w.aggregators[0].counters.UnusableParts.Load()
 		time.Sleep(4 * round)
 		synctest.Wait()
-		if k := w.aggregators[0]; k.counters.UnusableParts.Load() == odd || k.state() != "fresh" {
+		if k := w.aggregators[0]; k.counters.UnusableParts.Load() == unusable || k.state() != "fresh" {
 			w.Errorf("of the wrong type: %d odd parts, %s", k.counters.UnusableParts.Load(), k.state())
 		}
 		w.server.Inject("t:a:n0", "", strings.Repeat("x", 10<<20))
@@ -371,9 +371,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	form := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true}
-	der, err := x509.CreateCertificate(rand.Reader, form, form, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -435,10 +435,10 @@
 		{"$9999999999999999999999\r\n", errNotReply},
 	} {
 		for _, step := range []int{1, 3, 1 << 20} { // however the bytes are split
-			g, err := &limitedConn{}, error(nil)
+			conn, err := &limitedConn{}, error(nil)
 			for rest := c.text; rest != "" && err == nil; {
 				n := min(step, len(rest))
-				err, rest = g.scan([]byte(rest[:n])), rest[n:]
+				err, rest = conn.scan([]byte(rest[:n])), rest[n:]
 			}
 			if err != c.want {
 				t.Errorf("%.20q by %d: %v, want %v", c.text, step, err, c.want)
@@ -450,16 +450,16 @@
 func FuzzGuard(f *testing.F) {
 	f.Add([]byte("$3\r\nabc\r\n*1\r\n:1\r\n"), 2)
 	f.Fuzz(func(t *testing.T, text []byte, step int) {
-		whole, parts := &limitedConn{}, &limitedConn{}
-		a := whole.scan(text)
+		complete, parts := &limitedConn{}, &limitedConn{}
+		a := complete.scan(text)
 		step = max(step, 1)
 		var b error
 		for rest := text; len(rest) > 0 && b == nil; {
 			n := min(step, len(rest))
 			b, rest = parts.scan(rest[:n]), rest[n:]
 		}
-		if a != b || whole.skipBytes > maxStringBytes+2 || len(whole.header) > maxLineBytes+1 {
-			t.Errorf("%v and %v, %d to skip", a, b, whole.skipBytes)
+		if a != b || complete.skipBytes > maxStringBytes+2 || len(complete.header) > maxLineBytes+1 {
+			t.Errorf("%v and %v, %d to skip", a, b, complete.skipBytes)
 		}
 	})
 }
@@ -489,7 +489,7 @@
 			for i := range n {
 				server.Inject("t:f", fmt.Sprint("n", i), string(text))
 			}
-			commandsWere, bytesWere := server.Traffic()
+			commandsBefore, bytesBefore := server.Traffic()
 			rounds := 0
 			for b.Loop() {
 				rounds++
@@ -499,8 +499,8 @@
 				}
 			}
 			commands, bytes := server.Traffic()
-			b.ReportMetric(float64(commands-commandsWere)/float64(rounds), "commands/round")
-			b.ReportMetric(float64(bytes-bytesWere)/float64(rounds), "bytes/round")
+			b.ReportMetric(float64(commands-commandsBefore)/float64(rounds), "commands/round")
+			b.ReportMetric(float64(bytes-bytesBefore)/float64(rounds), "bytes/round")
 		})
 	}
 }
--- a/transport/watch/loans.go
+++ b/transport/watch/loans.go
@@ -35,30 +35,30 @@
 	if report.Lending != nil {
 		l.relay.Handle(l.now(), from, *report.Lending)
 	}
-	note := l.relay.NextMessage(l.now(), from)
+	message := l.relay.NextMessage(l.now(), from)
 	l.mu.Unlock()
-	if note.Empty() {
+	if message.Empty() {
 		return
 	}
 	m := newMessage(nil, fresh)
-	m.Lending = &note
+	m.Lending = &message
 	link.SendMessage(m)
 }
 
 // HandleUpstream handles a lending message from the upstream.
-func (l *Loans) HandleUpstream(note lending.Message) {
+func (l *Loans) HandleUpstream(message lending.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.relay.Handle(l.now(), upstreamNeighbor, note)
+	l.relay.Handle(l.now(), upstreamNeighbor, message)
 }
 
 // UpstreamMessage returns the next lending message for the upstream, nil if there is none.
 func (l *Loans) UpstreamMessage() *lending.Message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	note := l.relay.NextMessage(l.now(), upstreamNeighbor)
-	if note.Empty() {
+	message := l.relay.NextMessage(l.now(), upstreamNeighbor)
+	if message.Empty() {
 		return nil
 	}
-	return &note
+	return &message
 }
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -76,9 +76,9 @@
 func (h Report) All() []controller.EdgeReport { return append(h.Downstream, h.Self) }
 
 // interval returns the time until the next report.
-func (h Report) interval() time.Duration {
+func (r Report) interval() time.Duration {
 	evidence := func(e controller.EdgeReport) bool { return len(e.Rollouts) > 0 }
-	if evidence(h.Self) || slices.ContainsFunc(h.Downstream, evidence) {
+	if evidence(r.Self) || slices.ContainsFunc(r.Downstream, evidence) {
 		return rolloutReportInterval
 	}
 	return reportInterval
@@ -124,13 +124,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	frames := map[bool]peer.Frame{} // by whether the edge accepts changes of the fleet
-	for l, changes := range f.links {
-		frame, made := frames[changes]
-		if !made {
-			if frame = encode(update, fresh, changes); frame == nil {
+	for l, acceptsChanges := range f.links {
+		frame, encoded := frames[acceptsChanges]
+		if !encoded {
+			if frame = encode(update, fresh, acceptsChanges); frame == nil {
 				return
 			}
-			frames[changes] = frame
+			frames[acceptsChanges] = frame
 		}
 		l.Send(frame)
 	}
@@ -138,10 +138,10 @@
 
 // encode returns the frame for edges that accept changes of the fleet, or for those that don't. It logs an
 // error and returns nil if the update cannot be encoded.
-func encode(update *clusterstate.Update, fresh clusterstate.Freshness, changes bool) peer.Frame {
+func encode(update *clusterstate.Update, fresh clusterstate.Freshness, acceptsChanges bool) peer.Frame {
 	if update != nil {
-		told := update.ForWire(changes)
-		update = &told
+		wireUpdate := update.ForWire(acceptsChanges)
+		update = &wireUpdate
 	}
 	frame, err := peer.Encode(newMessage(update, fresh))
 	if err != nil {
@@ -169,14 +169,14 @@
 // downstreamTimeout. onFirst is called with the first report, onReport with every one.
 func ReceiveReports(l *peer.Link, onFirst func(Report), onReport func(Report)) {
 	for first := true; ; first = false {
-		var h Report
-		if l.Receive(&h, downstreamTimeout) != nil {
+		var report Report
+		if l.Receive(&report, downstreamTimeout) != nil {
 			return
 		}
 		if first {
-			onFirst(h)
+			onFirst(report)
 		}
-		onReport(h)
+		onReport(report)
 	}
 }
 
@@ -247,14 +247,14 @@
 // Run keeps a link to one upstream after another until ctx ends.
 func (f *Upstream) Run(ctx context.Context) {
 	stay := firstMinStay
-	for n := 0; ctx.Err() == nil; {
+	for next := 0; ctx.Err() == nil; {
 		if addresses := f.Addresses(); len(addresses) > 0 {
-			n %= len(addresses)
-			lost := f.receive(ctx, addresses[n], len(addresses)-1, stay)
+			next %= len(addresses)
+			lost := f.receive(ctx, addresses[next], len(addresses)-1, stay)
 			stay = minStay
 			f.disconnected()
-			if n++; !lost {
-				n = 0
+			if next++; !lost {
+				next = 0
 			}
 		}
 		select {
@@ -276,10 +276,10 @@
 	defer l.Close()
 	stop := context.AfterFunc(ctx, l.Close)
 	defer stop()
-	next := f.sendReport(l)
+	reportIn := f.sendReport(l)
 	f.connected(alternatives)
-	began := time.Now()
-	said := began
+	connectedAt := time.Now()
+	lastReport := connectedAt
 	for {
 		var m Message
 		if err := l.Receive(&m, upstreamTimeout); err != nil {
@@ -305,10 +305,10 @@
 			return true
 		}
 		now := time.Now()
-		if now.Sub(said) > next {
-			said = now
-			next = f.sendReport(l)
-			if a := f.Addresses(); now.Sub(began) >= stay && len(a) > 0 && a[0] != address {
+		if now.Sub(lastReport) > reportIn {
+			lastReport = now
+			reportIn = f.sendReport(l)
+			if a := f.Addresses(); now.Sub(connectedAt) >= stay && len(a) > 0 && a[0] != address {
 				klog.InfoS("another feeder is to be followed", "address", address, "next", a[0])
 				return false
 			}
--- a/transport/watch/watch_test.go
+++ b/transport/watch/watch_test.go
@@ -19,32 +19,32 @@
 func TestSnapshotThenChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		feeder, follower := peer.NewLink(near), peer.NewLink(far)
-		defer feeder.Close()
-		defer follower.Close()
+		upstream, downstream := peer.NewLink(near), peer.NewLink(far)
+		defer upstream.Close()
+		defer downstream.Close()
 		var f Feed
-		book := clusterstate.NewState()
-		book.Apply(clusterstate.Update{Replicas: []registry.Record{{ID: "i-1", Seq: 1}}})
-		fresh, old := clusterstate.Freshness{Known: true, Age: 5}, clusterstate.Freshness{Known: true, Age: int64(time.Minute)}
+		state := clusterstate.NewState()
+		state.Apply(clusterstate.Update{Replicas: []registry.Record{{ID: "i-1", Seq: 1}}})
+		fresh, stale := clusterstate.Freshness{Known: true, Age: 5}, clusterstate.Freshness{Known: true, Age: int64(time.Minute)}
 		f.Publish(&clusterstate.Update{Revision: 9}, fresh) // no link has joined yet
-		f.Join(feeder, Report{}, book.Snapshot(), fresh)
-		n := book.Apply(clusterstate.Update{Replicas: []registry.Record{{ID: "i-2", Seq: 1}}})
+		f.Join(upstream, Report{}, state.Snapshot(), fresh)
+		n := state.Apply(clusterstate.Update{Replicas: []registry.Record{{ID: "i-2", Seq: 1}}})
 		f.Publish(&n, fresh)
-		f.Publish(nil, old)
+		f.Publish(nil, stale)
 		var p Message
-		must.NoError(t, follower.Receive(&p, time.Second))
+		must.NoError(t, downstream.Receive(&p, time.Second))
 		must.True(t, p.Update.Snapshot)
 		must.Eq(t, "i-1", p.Update.Replicas[0].ID)
 		p = Message{}
-		must.NoError(t, follower.Receive(&p, time.Second))
+		must.NoError(t, downstream.Receive(&p, time.Second))
 		must.Eq(t, "i-2", p.Update.Replicas[0].ID)
 		p = Message{}
-		must.NoError(t, follower.Receive(&p, time.Second))
+		must.NoError(t, downstream.Receive(&p, time.Second))
 		must.Nil(t, p.Update)
 		must.False(t, p.InContact)
-		must.Eq(t, old, p.freshness())
-		must.Error(t, follower.Receive(&p, time.Second)) // an upstream that sends nothing runs into the timeout
-		f.Leave(feeder)
+		must.Eq(t, stale, p.freshness())
+		must.Error(t, downstream.Receive(&p, time.Second)) // an upstream that sends nothing runs into the timeout
+		f.Leave(upstream)
 		must.Zero(t, f.Count())
 	})
 }
@@ -52,8 +52,8 @@
 // TestLeavesWhoIsSilent: an edge whose upstream is silent, or has no contact with the controllers, changes to
 // the next one.
 func TestLeavesWhoIsSilent(t *testing.T) {
-	serve := func(inContact bool, beats bool) (address string, joined chan struct{}) {
-		fresh := clusterstate.Freshness{Known: inContact}
+	serve := func(known bool, heartbeats bool) (address string, joined chan struct{}) {
+		fresh := clusterstate.Freshness{Known: known}
 		ln, err := peer.Listen("127.0.0.1:0")
 		must.NoError(t, err)
 		t.Cleanup(func() { ln.Close() })
@@ -65,19 +65,19 @@
 			ReceiveReports(l, func(Report) {
 				joined <- struct{}{}
 				f.Join(l, Report{}, clusterstate.Update{Snapshot: true}, fresh)
-				if beats {
+				if heartbeats {
 					go f.SendHeartbeats(ctx, func() clusterstate.Freshness { return fresh })
 				}
 			}, func(Report) {})
 		})
 		return ln.Addr().String(), joined
 	}
-	mute, first := serve(true, false)
-	cut, second := serve(false, true)
+	silent, first := serve(true, false)
+	noContact, second := serve(false, true)
 	good, third := serve(true, true)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	f := Upstream{Report: func() Report { return Report{} }, Addresses: func() []string { return []string{mute, cut, good} },
+	f := Upstream{Report: func() Report { return Report{} }, Addresses: func() []string { return []string{silent, noContact, good} },
 		Apply: func(clusterstate.Update) bool { return true }}
 	go f.Run(ctx)
 	for _, joined := range []chan struct{}{first, second, third} {
@@ -95,15 +95,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, held := range []uint64{0, 6, 7, 8} {
 			near, far := net.Pipe()
-			feeder, follower := peer.NewLink(near), peer.NewLink(far)
+			upstream, downstream := peer.NewLink(near), peer.NewLink(far)
 			var f Feed
-			f.Join(feeder, Report{Revision: held}, clusterstate.Update{Snapshot: true, Revision: 7, Body: []byte("seven")}, clusterstate.Freshness{})
+			f.Join(upstream, Report{Revision: held}, clusterstate.Update{Snapshot: true, Revision: 7, Body: []byte("seven")}, clusterstate.Freshness{})
 			var m Message
-			must.NoError(t, follower.Receive(&m, time.Second))
+			must.NoError(t, downstream.Receive(&m, time.Second))
 			must.Eq(t, 7, int(m.Update.Revision))
 			must.Eq(t, held >= 7, len(m.Update.Body) == 0)
-			feeder.Close()
-			follower.Close()
+			upstream.Close()
+			downstream.Close()
 		}
 	})
 }
@@ -123,30 +123,30 @@
 func TestFleetToFormerFollowers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var f Feed
-		feeder := clusterstate.NewState()
-		feeder.Apply(clusterstate.Update{Fleet: clusterstate.Fleet{Most: 2, Edges: []clusterstate.Edge{{IP: "10.0.0.1"}, {IP: "10.0.0.2"}}}})
+		upstream := clusterstate.NewState()
+		upstream.Apply(clusterstate.Update{Fleet: clusterstate.Fleet{Most: 2, Edges: []clusterstate.Edge{{IP: "10.0.0.1"}, {IP: "10.0.0.2"}}}})
 		join := func(changes bool) *peer.Link {
 			near, far := net.Pipe()
-			link, follower := peer.NewLink(near), peer.NewLink(far)
-			f.Join(link, Report{AcceptsChanges: changes}, feeder.Snapshot(), clusterstate.Freshness{})
-			t.Cleanup(func() { link.Close(); follower.Close() })
-			return follower
+			link, downstream := peer.NewLink(near), peer.NewLink(far)
+			f.Join(link, Report{AcceptsChanges: changes}, upstream.Snapshot(), clusterstate.Freshness{})
+			t.Cleanup(func() { link.Close(); downstream.Close() })
+			return downstream
 		}
 		former, newer := join(false), join(true)
-		update := feeder.Apply(clusterstate.Update{Fleet: clusterstate.Fleet{Most: 3,
+		update := upstream.Apply(clusterstate.Update{Fleet: clusterstate.Fleet{Most: 3,
 			Edges: []clusterstate.Edge{{IP: "10.0.0.1"}, {IP: "10.0.0.2"}, {IP: "10.0.0.3"}}}})
 		f.Publish(&update, clusterstate.Freshness{})
-		for link, whole := range map[*peer.Link]bool{former: true, newer: false} {
-			held := clusterstate.NewState()
+		for link, wantFull := range map[*peer.Link]bool{former: true, newer: false} {
+			state := clusterstate.NewState()
 			var last Message
 			for range 2 {
 				last = Message{}
 				must.NoError(t, link.Receive(&last, time.Second))
-				must.False(t, held.Apply(*last.Update).Empty())
+				must.False(t, state.Apply(*last.Update).Empty())
 			}
-			must.Eq(t, whole, last.Update.Change == nil)
-			must.Eq(t, !whole, last.Update.Fleet.Empty())
-			must.Eq(t, feeder.Fleet, held.Fleet)
+			must.Eq(t, wantFull, last.Update.Change == nil)
+			must.Eq(t, !wantFull, last.Update.Fleet.Empty())
+			must.Eq(t, upstream.Fleet, state.Fleet)
 		}
 	})
 }
--- a/transport/wire/wire.go
+++ b/transport/wire/wire.go
@@ -62,14 +62,14 @@
 
 // Serve plays the batches from r until its end.
 func Serve(r io.Reader, w io.Writer) error {
-	h := &adapter{instances: map[int]*instance{}, lists: map[int][]json.RawMessage{}, out: bufio.NewWriter(w)}
+	a := &adapter{instances: map[int]*instance{}, lists: map[int][]json.RawMessage{}, out: bufio.NewWriter(w)}
 	lines := bufio.NewReaderSize(r, 1<<20)
 	open := false
 	for {
 		line, err := readLine(lines)
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			if open {
-				return fmt.Errorf("batch %d: the input ends inside it", h.batch)
+				return fmt.Errorf("batch %d: the input ends inside it", a.batch)
 			}
 			return nil
 		}
@@ -79,8 +79,8 @@
 		if len(line) == 0 {
 			continue
 		}
-		if open, err = h.line(line, open); err != nil {
-			return fmt.Errorf("batch %d: %w", h.batch, err)
+		if open, err = a.handleLine(line, open); err != nil {
+			return fmt.Errorf("batch %d: %w", a.batch, err)
 		}
 	}
 }
@@ -94,73 +94,73 @@
 	return line, err
 }
 
-// line handles one message; open states whether a batch is in progress, before and after it.
-func (h *adapter) line(line []byte, open bool) (bool, error) {
+// handleLine handles one message; open states whether a batch is in progress, before and after it.
+func (a *adapter) handleLine(text []byte, open bool) (bool, error) {
 	f := &fields.Object{}
-	if err := json.Unmarshal(line, &f.Raw); err != nil {
+	if err := json.Unmarshal(text, &f.Raw); err != nil {
 		return open, fmt.Errorf("not a JSON object: %v", err)
 	}
-	event := f.String("event_type")
+	eventType := f.String("event_type")
 	if f.Err != nil {
 		return open, f.Err
 	}
 	switch {
-	case event == "TICK" && !open:
-		h.now = f.Duration("at_time")
-		f.Decode("n", &h.batch)
+	case eventType == "TICK" && !open:
+		a.now = f.Duration("at_time")
+		f.Decode("n", &a.batch)
 		return true, f.Err
-	case event == "TICK" || !open:
-		return open, fmt.Errorf("%s out of place", event)
-	case event == "FLUSH":
-		return false, h.decideAll()
+	case eventType == "TICK" || !open:
+		return open, fmt.Errorf("%s out of place", eventType)
+	case eventType == "FLUSH":
+		return false, a.decideAll()
 	}
-	if err := h.event(event, f); err != nil {
-		return open, fmt.Errorf("%s: %w", event, err)
+	if err := a.handleEvent(eventType, f); err != nil {
+		return open, fmt.Errorf("%s: %w", eventType, err)
 	}
 	return true, nil
 }
 
-// event turns an event into calls of the aggregator.
-func (h *adapter) event(event string, f *fields.Object) error {
-	if event == "POOL" {
+// handleEvent turns an event into calls of the aggregator.
+func (a *adapter) handleEvent(eventType string, f *fields.Object) error {
+	if eventType == "POOL" {
 		sheet, items := f.Int("sheet"), []json.RawMessage{}
 		f.Decode("items", &items)
-		h.lists[sheet] = items
+		a.lists[sheet] = items
 		return f.Err
 	}
-	who := f.Int("who")
+	id := f.Int("who")
 	if f.Err != nil {
 		return f.Err
 	}
-	in := h.instances[who]
-	if event == "OPEN_INSTANCE" {
+	in := a.instances[id]
+	if eventType == "OPEN_INSTANCE" {
 		if in != nil {
-			return fmt.Errorf("instance %d is open", who)
+			return fmt.Errorf("instance %d is open", id)
 		}
-		return h.openInstance(who, f)
+		return a.openInstance(id, f)
 	}
 	if in == nil {
-		return fmt.Errorf("instance %d is not open", who)
+		return fmt.Errorf("instance %d is not open", id)
 	}
-	h.touch(who)
-	switch event {
+	a.touch(id)
+	switch eventType {
 	case "TEARDOWN":
-		delete(h.instances, who)
+		delete(a.instances, id)
 	case "MEMBERS":
-		return h.handleMembers(in, f)
+		return a.handleMembers(in, f)
 	case "KNOCK":
-		return in.addQueryOrPart(h.now, f)
+		return in.addQueryOrPart(a.now, f)
 	case "RESPONSE":
-		return in.recordResponse(h.now, f)
+		return in.recordResponse(a.now, f)
 	case "VANISHED":
 		var id uint64
 		f.Decode("rid", &id)
 		if r, ok := in.requests[id]; ok && f.Err == nil && !r.ended && r.part < 0 {
-			r.query.ClientLeft(h.now)
+			r.query.ClientLeft(a.now)
 			in.endQuery(r.queryState)
 		}
 	case "FIRED":
-		if f.String("token") == wakeToken && in.timerAt <= h.now {
+		if f.String("token") == wakeToken && in.timerAt <= a.now {
 			in.timerAt = 0
 		}
 	case "BEGUN", "HEARD", "SAMPLED": // stream, peer and probe events are unused by this service
@@ -171,82 +171,82 @@
 }
 
 // touch marks an instance as one that decides at the end of this batch.
-func (h *adapter) touch(who int) {
-	for _, w := range h.touched {
-		if w == who {
+func (a *adapter) touch(id int) {
+	for _, touched := range a.touched {
+		if touched == id {
 			return
 		}
 	}
-	h.touched = append(h.touched, who)
+	a.touched = append(a.touched, id)
 }
 
-func (h *adapter) openInstance(who int, f *fields.Object) error {
+func (a *adapter) openInstance(id int, f *fields.Object) error {
 	in := &instance{
 		replicas: map[string]int{},
 		requests: map[uint64]request{}, groups: map[int64]*queryState{},
 		queries: map[*balance.Query]*queryState{},
 	}
-	seed, boot := f.Float("prng"), f.Object("boot_info")
+	seed, info := f.Float("prng"), f.Object("boot_info")
 	if f.Err != nil {
 		return f.Err
 	}
-	d, err := deployment.Read(boot)
+	settings, err := deployment.Read(info)
 	if err != nil {
 		return err
 	}
-	d.Seed = math.Float64bits(seed)
-	in.workloads, in.shards = d.WorkloadRow, d.Shards
-	in.aggregator = balance.New(h.now, d.Deployment)
-	h.instances[who] = in
-	h.touch(who)
+	settings.Seed = math.Float64bits(seed)
+	in.workloads, in.shards = settings.WorkloadRow, settings.Shards
+	in.aggregator = balance.New(a.now, settings.Deployment)
+	a.instances[id] = in
+	a.touch(id)
 	return nil
 }
 
 // handleMembers turns an event about the list of replicas into one call.
-func (h *adapter) handleMembers(in *instance, f *fields.Object) error {
+func (a *adapter) handleMembers(in *instance, f *fields.Object) error {
 	scope := f.String("scope")
 	if scope == "Error" {
-		in.aggregator.ListFailed(h.now)
+		in.aggregator.ListFailed(a.now)
 		return f.Err
 	}
-	items, ok := h.lists[f.Int("sheet")]
+	items, ok := a.lists[f.Int("sheet")]
 	if !ok {
 		f.Fail("sheet", "names a list that never came")
 	}
 	listings := make([]balance.Listing, 0, len(items))
 	for _, item := range items {
-		e := &fields.Object{}
-		if err := json.Unmarshal(item, &e.Raw); err != nil {
+		entry := &fields.Object{}
+		if err := json.Unmarshal(item, &entry.Raw); err != nil {
 			f.Fail("items", "has an entry that is no object")
 			break
 		}
-		l := balance.Listing{Cell: e.Int("place"), StartedAt: e.OptionalDuration("launched")}
-		switch e.String("lifecycle") {
+		listing := balance.Listing{Cell: entry.Int("place"), StartedAt: entry.OptionalDuration("launched")}
+		switch entry.String("lifecycle") {
 		case "U":
-			l.Status = balance.Up
+			listing.Status = balance.Up
 		case "L":
-			l.Status = balance.Draining
+			listing.Status = balance.Draining
 		case "D":
-			l.Status = balance.Gone
+			listing.Status = balance.Gone
 		default:
-			e.Fail("lifecycle", "is unknown")
+			entry.Fail("lifecycle", "is unknown")
 		}
-		l.Replica, l.New = in.replicaIndex(e)
-		if e.Err != nil {
-			return e.Err
+		listing.Replica, listing.New = in.replicaIndex(entry)
+		if entry.Err != nil {
+			return entry.Err
 		}
-		listings = append(listings, l)
+		listings = append(listings, listing)
 	}
 	if f.Err != nil {
 		return f.Err
 	}
 	switch scope {
 	case "Partial":
-		in.aggregator.UpdateList(h.now, listings)
+		in.aggregator.UpdateList(a.now, listings)
 	case "Complete":
-		in.aggregator.ReplaceList(h.now, listings, true)
+		in.aggregator.ReplaceList(a.now, listings, true)
 	case "Persisted":
-		in.aggregator.ReplaceList(h.now, listings, false)
+		in.aggregator.ReplaceList(a.now, listings, false)
 	default:
 		return fmt.Errorf("field %q is unknown", "scope")
 	}
@@ -254,7 +254,7 @@
 }
 
 // replicaIndex returns the index of an address, and whether it is new.
-func (in *instance) replicaIndex(f *fields.Object) (i int, fresh bool) {
+func (in *instance) replicaIndex(f *fields.Object) (i int, isNew bool) {
 	name := f.String("replica")
 	if f.Err != nil {
 		return 0, false
@@ -291,18 +291,18 @@
 		q.query.AddPart(shard, measure)
 		return nil
 	}
-	w, ok := in.workloads[f.String("grade")]
+	workload, ok := in.workloads[f.String("grade")]
 	if !ok {
 		f.Fail("grade", "is not among the classes")
 	}
-	a := balance.Arrival{Workload: w, Timeout: f.Duration("grace"), Parts: int(measure)}
+	arrival := balance.Arrival{Workload: workload, Timeout: f.Duration("grace"), Parts: int(measure)}
 	if f.Has("resent") && f.Bool("resent") {
-		a.Priority = balance.Retry
+		arrival.Priority = balance.Retry
 	}
 	if f.Err != nil {
 		return f.Err
 	}
-	q := &queryState{id: id, group: group, query: in.aggregator.AddQuery(now, a)}
+	q := &queryState{id: id, group: group, query: in.aggregator.AddQuery(now, arrival)}
 	in.requests[id] = request{q, -1}
 	in.groups[group] = q
 	in.queries[q.query] = q
@@ -313,7 +313,7 @@
 func (in *instance) recordResponse(now int64, f *fields.Object) error {
 	var id uint64
 	f.Decode("rid", &id)
-	execution, took, result := f.Int("attempt"), f.Duration("cost_time"), parseResult(f)
+	attempt, took, result := f.Int("attempt"), f.Duration("cost_time"), parseResult(f)
 	var load []float64
 	f.DecodeOptional("gauge", &load)
 	if f.Err != nil {
@@ -323,7 +323,7 @@
 	if !ok || r.part < 0 {
 		return fmt.Errorf("request %d is not held", id)
 	}
-	if r.query.RecordResult(now, r.part, execution, result, took) {
+	if r.query.RecordResult(now, r.part, attempt, result, took) {
 		r.running--
 	}
 	in.releaseIfDone(r.queryState)
@@ -355,9 +355,9 @@
 		balance.ConnectFailed: "connect_failed", balance.Reset: "reset", balance.Cancelled: "cancelled",
 		balance.Unsent: "moot",
 	}
-	how := f.String("how")
-	for r, code := range codes {
-		if code == how {
+	code := f.String("how")
+	for r, name := range codes {
+		if name == code {
 			return balance.Result(r)
 		}
 	}
@@ -366,54 +366,54 @@
 }
 
 // decideAll has every touched instance decide, and writes the results.
-func (h *adapter) decideAll() error {
-	for _, who := range h.touched {
-		if in := h.instances[who]; in != nil {
-			h.writeRound(who, in, in.aggregator.Decide(h.now))
+func (a *adapter) decideAll() error {
+	for _, id := range a.touched {
+		if in := a.instances[id]; in != nil {
+			a.writeRound(id, in, in.aggregator.Decide(a.now))
 		}
 	}
-	h.touched = h.touched[:0]
-	fmt.Fprintf(h.out, `{"event_type":"READY","n":%d}`+"\n", h.batch)
-	return h.out.Flush()
+	a.touched = a.touched[:0]
+	fmt.Fprintf(a.out, `{"event_type":"READY","n":%d}`+"\n", a.batch)
+	return a.out.Flush()
 }
 
-func (h *adapter) writeRound(who int, in *instance, round *balance.Round) {
+func (a *adapter) writeRound(id int, in *instance, round *balance.Round) {
 	ms := func(ns int64) string { return strconv.FormatFloat(fields.MsFromNs(ns), 'f', -1, 64) }
-	for _, s := range round.Sends {
-		q := in.queries[s.Query]
+	for _, send := range round.Sends {
+		q := in.queries[send.Query]
 		q.running++
-		fmt.Fprintf(h.out, `{"event_type":"SEND","who":%d,"rid":%d,"cut_at":%s,"replica":%s}`+"\n",
-			who, q.parts[s.Part], ms(s.Deadline), in.addresses[s.Replica])
+		fmt.Fprintf(a.out, `{"event_type":"SEND","who":%d,"rid":%d,"cut_at":%s,"replica":%s}`+"\n",
+			id, q.parts[send.Part], ms(send.Deadline), in.addresses[send.Replica])
 	}
-	for _, c := range round.Cancels {
-		fmt.Fprintf(h.out, `{"event_type":"WITHDRAW","who":%d,"rid":%d,"attempt":%d}`+"\n",
-			who, in.queries[c.Query].parts[c.Part], c.Execution)
+	for _, cancel := range round.Cancels {
+		fmt.Fprintf(a.out, `{"event_type":"WITHDRAW","who":%d,"rid":%d,"attempt":%d}`+"\n",
+			id, in.queries[cancel.Query].parts[cancel.Part], cancel.Execution)
 	}
-	for _, e := range round.Endings {
-		q := in.queries[e.Query]
-		switch e.Outcome {
+	for _, ending := range round.Endings {
+		q := in.queries[ending.Query]
+		switch ending.Outcome {
 		case balance.Whole, balance.Partial:
-			fmt.Fprintf(h.out, `{"event_type":"MERGE","who":%d,"rid":%d,"whole":%t}`+"\n",
-				who, q.id, e.Outcome == balance.Whole)
+			fmt.Fprintf(a.out, `{"event_type":"MERGE","who":%d,"rid":%d,"whole":%t}`+"\n",
+				id, q.id, ending.Outcome == balance.Whole)
 		case balance.Declined:
-			fmt.Fprintf(h.out, `{"event_type":"REFUSE","who":%d,"rid":%d,"not_before_for":%s}`+"\n",
-				who, q.id, ms(e.RetryAfter))
+			fmt.Fprintf(a.out, `{"event_type":"REFUSE","who":%d,"rid":%d,"not_before_for":%s}`+"\n",
+				id, q.id, ms(ending.RetryAfter))
 		case balance.Forfeited:
-			fmt.Fprintf(h.out, `{"event_type":"FINISH_ERROR","who":%d,"rid":%d}`+"\n", who, q.id)
+			fmt.Fprintf(a.out, `{"event_type":"FINISH_ERROR","who":%d,"rid":%d}`+"\n", id, q.id)
 		}
-		if !e.Query.Open() {
+		if !ending.Query.Open() {
 			in.endQuery(q)
 		}
 	}
 	for _, replica := range round.CloseIdle {
-		fmt.Fprintf(h.out, `{"event_type":"RELEASE","who":%d,"replica":%s}`+"\n", who, in.addresses[replica])
+		fmt.Fprintf(a.out, `{"event_type":"RELEASE","who":%d,"replica":%s}`+"\n", id, in.addresses[replica])
 	}
 	if round.List == balance.Subscribe {
-		fmt.Fprintf(h.out, `{"event_type":"WATCH","who":%d,"whole":true}`+"\n", who)
+		fmt.Fprintf(a.out, `{"event_type":"WATCH","who":%d,"whole":true}`+"\n", id)
 	}
 	if round.WakeAt > 0 && (in.timerAt == 0 || round.WakeAt < in.timerAt) {
-		in.timerAt = h.now + (max(round.WakeAt-h.now, 0)+999)/1e3*1e3 // the simulator counts in microseconds
-		fmt.Fprintf(h.out, `{"event_type":"DEFER","who":%d,"in":%s,"token":"%s"}`+"\n",
-			who, ms(in.timerAt-h.now), wakeToken)
+		in.timerAt = a.now + (max(round.WakeAt-a.now, 0)+999)/1e3*1e3 // the simulator counts in microseconds
+		fmt.Fprintf(a.out, `{"event_type":"DEFER","who":%d,"in":%s,"token":"%s"}`+"\n",
+			id, ms(in.timerAt-a.now), wakeToken)
 	}
 }
