--- a/transport/agentserver/agentserver.go
+++ b/transport/agentserver/agentserver.go
@@ -1,7 +1,7 @@
 // Package agentserver runs an agent, the relay on a proxy's machine. The agent receives updates from an
 // upstream (a controller or another agent), holds the newest cluster state, and sends updates to the local
 // proxy over loopback and to its downstream agents. It also sends and receives the heartbeats of the edges. It
-// decides nothing.
+// makes no decisions of its own.
 package agentserver
 
 import (
@@ -26,7 +26,7 @@
 	"willowsill/transport/watch"
 )
 
-// ErrAgent carries the error code of this package.
+// ErrAgent builds this package's errors, which have the code agent.
 var ErrAgent = oops.Code("agent")
 
 const (
@@ -116,13 +116,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	report := watch.Report{Revision: s.state.Revision, Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: s.settings.IP, Zone: s.settings.Zone}, Suspects: s.suspects, Rollouts: s.evidence}}
-	for ip, edge := range s.downstream {
-		age := time.Since(edge.receivedAt)
+	for ip, received := range s.downstream {
+		age := time.Since(received.receivedAt)
 		if age > downstreamTimeout {
 			delete(s.downstream, ip)
 			continue
 		}
-		edge := edge.EdgeReport
+		edge := received.EdgeReport
 		edge.Age += int64(age)
 		report.Downstream = append(report.Downstream, edge)
 	}
--- a/transport/agentserver/agentserver_test.go
+++ b/transport/agentserver/agentserver_test.go
@@ -28,25 +28,25 @@
 	agentEnd, edgeEnd := net.Pipe()
 	served := peer.NewLink(agentEnd)
 	go s.serveDownstream(served, &s.relayFeed)
-	f := downstream{t, peer.NewLink(edgeEnd), ip}
+	d := downstream{t, peer.NewLink(edgeEnd), ip}
 	t.Cleanup(func() {
-		f.Close()
+		d.Close()
 		served.Close()
 	})
-	return f
+	return d
 }
 
 // report sends a report and returns the last lending message that the agent sends back, nil if none comes.
-func (f downstream) report(message *lending.Message) (answer *lending.Message) {
-	f.Helper()
-	f.SendMessage(watch.Report{Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: f.ip}}, Lending: message})
+func (d downstream) report(message *lending.Message) (answer *lending.Message) {
+	d.Helper()
+	d.SendMessage(watch.Report{Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: d.ip}}, Lending: message})
 	for {
 		var m watch.Message
-		if f.Receive(&m, time.Second) != nil {
+		if d.Receive(&m, time.Second) != nil {
 			return answer
 		}
 		if m.Lending != nil {
-			must.True(f, m.Freshness != nil, must.Sprint("without freshness the edge takes the agent for one of the former version"))
+			must.True(d, m.Freshness != nil, must.Sprint("without freshness the edge takes the agent for one of the former version"))
 			answer = m.Lending
 		}
 	}
--- a/transport/controlclient/controlclient.go
+++ b/transport/controlclient/controlclient.go
@@ -1,5 +1,5 @@
 // Package controlclient is the operators' client. It calls the controllers' HTTP resources, and receives
-// updates like an edge but isn't counted as one. It decides nothing.
+// updates like an edge but isn't counted as one. It makes no decisions of its own.
 package controlclient
 
 import (
@@ -16,7 +16,7 @@
 	"willowsill/transport/watch"
 )
 
-// ErrClient carries the error code of this package.
+// ErrClient builds this package's errors, which have the code willowctl.
 var ErrClient = oops.Code("willowctl")
 
 const (
--- a/transport/controlclient/replay_test.go
+++ b/transport/controlclient/replay_test.go
@@ -73,7 +73,7 @@
 // TestStockClientReplays shows what net/http's default client does if a reused connection is closed under a
 // request: it resends a GET without notice to the caller, but not a POST that was written.
 func TestStockClientReplays(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		method, body string
 		read         int // requests that the server reads during the second call
 		fails        bool
@@ -81,15 +81,15 @@
 		{http.MethodGet, "", 2, false},
 		{http.MethodPost, "configuration", 1, true},
 	} {
-		t.Run(c.method, func(t *testing.T) {
+		t.Run(tc.method, func(t *testing.T) {
 			s := &dyingServer{answers: []string{done}}
 			address := s.listen(t)
 			stock := http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}
 			for call := range 2 {
-				req, err := http.NewRequest(c.method, "http://"+address, strings.NewReader(c.body))
+				req, err := http.NewRequest(tc.method, "http://"+address, strings.NewReader(tc.body))
 				must.NoError(t, err)
 				res, err := stock.Do(req)
-				must.Eq(t, call == 1 && c.fails, err != nil)
+				must.Eq(t, call == 1 && tc.fails, err != nil)
 				if err == nil {
 					io.Copy(io.Discard, res.Body)
 					res.Body.Close()
@@ -97,7 +97,7 @@
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			must.SliceLen(t, 1+c.read, s.requests)
+			must.SliceLen(t, 1+tc.read, s.requests)
 		})
 	}
 }
@@ -106,9 +106,9 @@
 // a new connection, because net/http replays requests on reused connections alone.
 func TestEachTryHasItsOwnConnection(t *testing.T) {
 	s := &dyingServer{answers: []string{busy, busy, done}}
-	control := Client{Addresses: []string{s.listen(t)}}
-	must.NoError(t, control.SendConfiguration(context.Background(), []byte("configuration")))
-	_, err := control.ReadConfiguration(context.Background())
+	client := Client{Addresses: []string{s.listen(t)}}
+	must.NoError(t, client.SendConfiguration(context.Background(), []byte("configuration")))
+	_, err := client.ReadConfiguration(context.Background())
 	must.NoError(t, err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,8 +126,8 @@
 	loop.answers = []string{"HTTP/1.1 307 There\r\nLocation: http://" + address + "/v1\r\nContent-Length: 0\r\n\r\n"}
 	loop.mu.Unlock()
 	good := &dyingServer{answers: []string{done}}
-	control := Client{Addresses: []string{address, good.listen(t)}}
-	must.NoError(t, control.SendConfiguration(context.Background(), []byte("configuration")))
+	client := Client{Addresses: []string{address, good.listen(t)}}
+	must.NoError(t, client.SendConfiguration(context.Background(), []byte("configuration")))
 	loop.mu.Lock()
 	defer loop.mu.Unlock()
 	must.SliceLen(t, 3, loop.requests)
@@ -136,10 +136,10 @@
 // TestTriesEndWithTheContext: without a definite answer the retries go on until ctx ends, and no longer.
 func TestTriesEndWithTheContext(t *testing.T) {
 	s := &dyingServer{answers: []string{busy}}
-	control := Client{Addresses: []string{s.listen(t)}}
+	client := Client{Addresses: []string{s.listen(t)}}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*retryDelay)
 	defer cancel()
-	must.Error(t, control.SendConfiguration(ctx, []byte("configuration")))
+	must.Error(t, client.SendConfiguration(ctx, []byte("configuration")))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	must.LessEq(t, 4, len(s.requests))
--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -1,6 +1,6 @@
 // Package controlserver runs a controller: it owns the controller's sockets, disk and clock, turns messages and
-// HTTP requests into calls of decide/controller, and carries out the effects that those return. It decides
-// nothing.
+// HTTP requests into calls of decide/controller, and carries out the effects that those return. It makes no
+// decisions of its own.
 package controlserver
 
 import (
@@ -30,7 +30,7 @@
 	"willowsill/transport/watch"
 )
 
-// ErrControlServer carries the error code of this package.
+// ErrControlServer builds this package's errors, which have the code control_server.
 var ErrControlServer = oops.Code("control_server")
 
 const (
@@ -89,23 +89,23 @@
 		"replicas", len(found.Replicas))
 	s.controller = controller.New(s.now(), options)
 
-	peers, err := peer.Listen(local.InternalAddress(local.IP, settings.PortControllers))
+	peerListener, err := peer.Listen(local.InternalAddress(local.IP, settings.PortControllers))
 	if err != nil {
 		return ErrControlServer.Wrap(err)
 	}
-	followers, err := peer.Listen(local.InternalAddress(local.IP, settings.PortWatch))
+	edgeListener, err := peer.Listen(local.InternalAddress(local.IP, settings.PortWatch))
 	if err != nil {
 		return ErrControlServer.Wrap(err)
 	}
-	control, err := net.Listen("tcp", local.Bind.Control)
+	httpListener, err := net.Listen("tcp", local.Bind.Control)
 	if err != nil {
 		return ErrControlServer.Wrapf(err, "bind-addrs.control")
 	}
 	running, cancelRunning := context.WithCancel(context.Background())
 	defer cancelRunning()
 	s.mesh = peer.NewMesh(running)
-	go peer.Serve(peers, s.receivePeer)
-	go peer.Serve(followers, s.serveDownstream)
+	go peer.Serve(peerListener, s.receivePeer)
+	go peer.Serve(edgeListener, s.serveDownstream)
 	go s.saveLoop(store)
 	go s.feed.SendHeartbeats(running, s.freshness)
 	go s.operators.SendHeartbeats(running, s.freshness)
@@ -113,7 +113,7 @@
 	httpServer := &http.Server{Handler: s.handler(), ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes}
 	go func() {
-		if err := httpServer.Serve(control); !errors.Is(err, http.ErrServerClosed) {
+		if err := httpServer.Serve(httpListener); !errors.Is(err, http.ErrServerClosed) {
 			klog.ErrorS(err, "the control server ended")
 		}
 	}()
@@ -125,8 +125,8 @@
 		cancel()
 	}()
 	s.loop(wait)
-	peers.Close()
-	followers.Close()
+	peerListener.Close()
+	edgeListener.Close()
 	return nil
 }
 
--- a/transport/daemon/daemon.go
+++ b/transport/daemon/daemon.go
@@ -1,5 +1,5 @@
 // Package daemon holds what the system's daemons have in common: arguments, settings, logs, and signals at
-// start and end. It decides nothing.
+// start and end. It makes no decisions of its own.
 package daemon
 
 import (
--- a/transport/discovery/discovery.go
+++ b/transport/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery keeps a watch on the list of replicas by long polling. It passes on what discovery answers
-// and decides nothing.
+// Package discovery keeps a watch on the list of replicas by long polling. It passes on the answers of
+// discovery, and makes no decisions of its own.
 package discovery
 
 import (
--- a/transport/discovery/discovery_test.go
+++ b/transport/discovery/discovery_test.go
@@ -33,20 +33,20 @@
 		"no list":     {`[]`, "the list: json", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n, err := Decode([]byte(c.in), 4)
-			got := fmt.Sprint(n.Sequence, n.Full, n.Entries)
+			update, err := Decode([]byte(c.in), 4)
+			got := fmt.Sprint(update.Sequence, update.Full, update.Entries)
 			if err != nil {
 				got = err.Error()
 			}
-			if !strings.Contains(got, c.want) || len(n.Skipped) != c.skipped {
-				t.Errorf("got %s and %d skipped entries", got, len(n.Skipped))
+			if !strings.Contains(got, c.want) || len(update.Skipped) != c.skipped {
+				t.Errorf("got %s and %d skipped entries", got, len(update.Skipped))
 			}
 		})
 	}
 }
 
 // runWatch runs a watch against a simulated discovery; its updates arrive on the channel.
-func runWatch(t *testing.T, onAsk bool, run func(w *Watch, d *standin.Discovery, updates chan Update, network *pipenet.Network)) {
+func runWatch(t *testing.T, onRequest bool, run func(w *Watch, d *standin.Discovery, updates chan Update, network *pipenet.Network)) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &pipenet.Network{}
 		d := standin.NewDiscovery(standin.Host{Host: "s-1", Dial: "a:1", Health: "active"})
@@ -58,7 +58,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			w.Run(ctx, onAsk)
+			w.Run(ctx, onRequest)
 		}()
 		synctest.Wait()
 		run(w, d, updates, network)
@@ -123,8 +123,8 @@
 
 // Danger: a watch that keeps the address of a discovery that has moved uses an old list forever.
 func TestWatchFollows(t *testing.T) {
-	for _, onAsk := range []bool{false, true} {
-		runWatch(t, onAsk, func(w *Watch, d *standin.Discovery, updates chan Update, on *pipenet.Network) {
+	for _, onRequest := range []bool{false, true} {
+		runWatch(t, onRequest, func(w *Watch, d *standin.Discovery, updates chan Update, network *pipenet.Network) {
 			if w.Request(); (<-updates).Err != nil {
 				t.Fatal("the first call failed")
 			}
@@ -132,7 +132,7 @@
 			next := standin.NewDiscovery(standin.Host{Host: "s-2", Dial: "b:1", Health: "active"})
 			server := &http.Server{Handler: next}
 			defer server.Close()
-			go server.Serve(on.Listen("d:2"))
+			go server.Serve(network.Listen("d:2"))
 			began := time.Now()
 			w.SetAddress("d:2")
 			w.SetAddress("d:2")
--- a/transport/logs/logs.go
+++ b/transport/logs/logs.go
@@ -1,5 +1,5 @@
 // Package logs sets up the logs of the system's programs: klog, written as JSON lines to standard error. It
-// decides nothing.
+// makes no decisions of its own.
 package logs
 
 import (
--- a/transport/machine/machine.go
+++ b/transport/machine/machine.go
@@ -1,5 +1,6 @@
 // Package machine measures the process's load ten times a second for overload detection, and lets many
-// goroutines ask whether queries are admitted. It decides nothing; decide/overload does.
+// goroutines ask whether queries are admitted. It makes no decisions of its own; decide/overload
+// makes them.
 package machine
 
 import (
--- a/transport/metrics/metrics.go
+++ b/transport/metrics/metrics.go
@@ -1,5 +1,5 @@
 // Package metrics serves a process's metrics over HTTP in the text exposition format of Prometheus. Metrics are
-// collected only when they are requested. It decides nothing.
+// collected only when they are requested. It makes no decisions of its own.
 package metrics
 
 import (
@@ -15,7 +15,7 @@
 	"k8s.io/klog/v2"
 )
 
-// ErrMetrics carries the error code of this package.
+// ErrMetrics builds this package's errors, which have the code metrics.
 var ErrMetrics = oops.Code("metrics")
 
 const (
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -1,5 +1,5 @@
 // Package peer carries messages between the system's own processes: CBOR in frames over TCP. It opens links,
-// bounds what is queued on them, and detects failed ones. It decides nothing.
+// bounds what is queued on them, and detects failed ones. It makes no decisions of its own.
 package peer
 
 import (
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrLink carries the error code of this package.
+// ErrLink builds this package's errors, which have the code link.
 var ErrLink = oops.Code("link")
 
 const (
--- a/transport/replica/connection.go
+++ b/transport/replica/connection.go
@@ -72,8 +72,8 @@
 // usedID reports whether an id is or was in use on the connection, so that its reply may still come, or come
 // again.
 func (c *connection) usedID(id string) bool {
-	_, given := c.abandoned[id]
-	return given || c.tickets[id] != nil || slices.Contains(c.endedIDs, id)
+	_, abandoned := c.abandoned[id]
+	return abandoned || c.tickets[id] != nil || slices.Contains(c.endedIDs, id)
 }
 
 // recordReply records that an id was answered.
@@ -90,8 +90,8 @@
 }
 
 // run opens the connection, writes queued frames and reads replies until the connection fails or is closed.
-func (c *connection) run(dial string) {
-	conn, err := c.open(dial)
+func (c *connection) run(address string) {
+	conn, err := c.open(address)
 	opened := err == nil
 	if opened {
 		var reading sync.WaitGroup
--- a/transport/replica/frame.go
+++ b/transport/replica/frame.go
@@ -1,5 +1,5 @@
 // Package replica implements the frame protocol with replicas: the codec, and the pool that owns every
-// connection to them. It decides nothing.
+// connection to them. It makes no decisions of its own.
 package replica
 
 import (
@@ -112,7 +112,7 @@
 	return head[lengthBytes], rest, nil
 }
 
-// readReply returns the next reply on a connection and skips frames without meaning here.
+// readReply returns the next reply on a connection and skips probe and load frames.
 func readReply(r *bufio.Reader, started func()) (Reply, error) {
 	for {
 		letter, rest, err := readFrame(r, started)
--- a/transport/replica/pool.go
+++ b/transport/replica/pool.go
@@ -233,7 +233,6 @@
 			reports = append(reports, Report{Ticket: t, Result: t.resultOnClose(event.Err), At: event.at})
 		}
 		// The order of a map is random; the reports need the order of the sends.
-		// The order of a map is chance; the module is to see that of the sends.
 		slices.SortFunc(reports, func(x, y Report) int {
 			return cmp.Or(cmp.Compare(x.Ticket.frame.order, y.Ticket.frame.order), cmp.Compare(x.Ticket.ID, y.Ticket.ID))
 		})
--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -19,7 +19,7 @@
 	"willowsill/balance"
 )
 
-// ErrReplica carries the error code of faulty answers of replicas.
+// ErrReplica builds this package's errors, which have the code replica.
 var ErrReplica = oops.Code("replica")
 
 var errUnsolicited = ErrReplica.Errorf("the replica sent bytes without a request")
--- a/transport/replicahttp/replicahttp.go
+++ b/transport/replicahttp/replicahttp.go
@@ -1,6 +1,6 @@
 // Package replicahttp sends parts to replicas over HTTP/1.1, one at a time on each connection, and reports
 // their results. It owns the connections, and converts answers and failures into results of the balance
-// package. It decides nothing.
+// package. It makes no decisions of its own.
 package replicahttp
 
 import (
--- a/transport/sockets/sockets.go
+++ b/transport/sockets/sockets.go
@@ -35,29 +35,29 @@
 }
 
 // Acquire takes a descriptor and returns false if none is left for the purpose.
-func (b *Budget) Acquire(u Purpose) bool {
+func (b *Budget) Acquire(purpose Purpose) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.inUse[u] >= b.limits[u] || b.inUse[Clients]+b.inUse[Replicas] >= b.total {
+	if b.inUse[purpose] >= b.limits[purpose] || b.inUse[Clients]+b.inUse[Replicas] >= b.total {
 		return false
 	}
-	b.inUse[u]++
+	b.inUse[purpose]++
 	return true
 }
 
 // Release returns a descriptor.
-func (b *Budget) Release(u Purpose) {
+func (b *Budget) Release(purpose Purpose) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.inUse[u]--
+	b.inUse[purpose]--
 }
 
 // Limit returns the number of descriptors that a purpose may use.
-func (b *Budget) Limit(u Purpose) int { return b.limits[u] }
+func (b *Budget) Limit(purpose Purpose) int { return b.limits[purpose] }
 
 // InUse returns the number of descriptors in use for a purpose.
-func (b *Budget) InUse(u Purpose) int {
+func (b *Budget) InUse(purpose Purpose) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.inUse[u]
+	return b.inUse[purpose]
 }
--- a/transport/statestore/statestore.go
+++ b/transport/statestore/statestore.go
@@ -1,5 +1,5 @@
 // Package statestore keeps one controller's part of the register on disk, in buntdb. It writes each save and
-// reads the last one at the start. It decides nothing.
+// reads the last one at the start. It makes no decisions of its own.
 package statestore
 
 import (
@@ -22,7 +22,7 @@
 	"willowsill/decide/rollout"
 )
 
-// ErrStore carries the error code of this package.
+// ErrStore builds this package's errors, which have the code statestore.
 var ErrStore = oops.Code("statestore")
 
 // ErrNewerFormat is returned if a newer version of the program wrote the file. The file was not changed, and
@@ -254,7 +254,7 @@
 	}
 	previous := *s
 	if err := s.openFile(); err != nil {
-		return ErrStore.Wrapf(err, "opening the shrunk file")
+		return ErrStore.Wrapf(err, "opening the compacted file")
 	}
 	previous.Close()
 	if err := s.syncDir(); err != nil {
@@ -264,7 +264,7 @@
 }
 
 // Close closes the file.
-func (b *Store) Close() error { return errors.Join(b.db.Close(), b.file.Close()) }
+func (s *Store) Close() error { return errors.Join(s.db.Close(), s.file.Close()) }
 
 func (s *Store) syncDir() error {
 	folder, err := os.Open(s.dir)
--- a/transport/store/store.go
+++ b/transport/store/store.go
@@ -1,6 +1,6 @@
 // Package store exchanges an aggregator's shared health data with a Redis server in rounds. One goroutine owns
 // the connection and the decider (decide/sharedhealth) that determines what a round sends; no query ever waits
-// for it. It decides nothing.
+// for it. It makes no decisions of its own.
 package store
 
 import (
@@ -68,8 +68,8 @@
 
 // New returns a client; the error names the key of the endpoint that is invalid. now is the aggregator's clock,
 // ns.
-func New(endpoint Endpoint, exchange *sharedhealth.Exchange, core Aggregator, now func() int64, counters *Counters, log *zap.Logger) (*Client, error) {
-	client := &Client{endpoint: endpoint, exchange: exchange, aggregator: core, now: now, counters: counters, log: log}
+func New(endpoint Endpoint, exchange *sharedhealth.Exchange, aggregator Aggregator, now func() int64, counters *Counters, log *zap.Logger) (*Client, error) {
+	client := &Client{endpoint: endpoint, exchange: exchange, aggregator: aggregator, now: now, counters: counters, log: log}
 	var err error
 	if client.tlsConfig, err = endpoint.tlsConfig(); err != nil {
 		return nil, err
@@ -220,9 +220,9 @@
 }
 
 // The keys in the store, after the prefix.
-func (p Endpoint) presenceKey(name string) string { return p.Prefix + ":a:" + name }
-func (p Endpoint) membersKey() string             { return p.Prefix + ":m" }
-func (p Endpoint) findingsKey() string            { return p.Prefix + ":f" }
+func (e Endpoint) presenceKey(name string) string { return e.Prefix + ":a:" + name }
+func (e Endpoint) membersKey() string             { return e.Prefix + ":m" }
+func (e Endpoint) findingsKey() string            { return e.Prefix + ":f" }
 func (e Endpoint) tokensKey(customer string, window int64) string {
 	return e.Prefix + ":q:" + customer + ":" + strconv.FormatInt(window, 10)
 }
@@ -252,7 +252,7 @@
 	if deadline, limited := ctx.Deadline(); limited {
 		c.conn.socket.SetDeadline(deadline)
 	}
-	// Danger: ctx may end while the connection is being closed, when k.conn is nil already.
+	// Danger: ctx may end while the connection is being closed, when c.conn is nil already.
 	conn := c.conn
 	stop := context.AfterFunc(ctx, func() { conn.socket.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -278,7 +278,7 @@
 // queueCommands queues a request's commands in a pipeline; the handlers write the answers into the reply.
 func (c *Client) queueCommands(p *pipeline, r *sharedhealth.Request, reply *sharedhealth.Reply) error {
 	endpoint, exchange, name := c.endpoint, c.exchange, c.exchange.Name
-	// The round fails without these answers: nothing could be dated or fenced.
+	// The round fails without these answers, because records are dated by the time of the store and fenced by the presence record.
 	c.roundErr = nil
 	required := func(err error) bool {
 		if err != nil && c.roundErr == nil {
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -70,10 +70,10 @@
 }
 
 // IsOperator reports whether the sender is an operator's watch and not an edge.
-func (h Report) IsOperator() bool { return h.Self.Edge.IP == "" }
+func (r Report) IsOperator() bool { return r.Self.Edge.IP == "" }
 
 // All returns the sender's own report and those of its downstream edges.
-func (h Report) All() []controller.EdgeReport { return append(h.Downstream, h.Self) }
+func (r Report) All() []controller.EdgeReport { return append(r.Downstream, r.Self) }
 
 // interval returns the time until the next report.
 func (r Report) interval() time.Duration {
@@ -198,61 +198,61 @@
 }
 
 // now is a monotonic clock, ns. The caller holds mu.
-func (f *Upstream) now() int64 {
-	if f.base.IsZero() {
-		f.base = time.Now().Add(-time.Hour)
+func (u *Upstream) now() int64 {
+	if u.base.IsZero() {
+		u.base = time.Now().Add(-time.Hour)
 	}
-	return int64(time.Since(f.base))
+	return int64(time.Since(u.base))
 }
 
 // Freshness returns how fresh the state held here is, for the messages to downstream edges.
-func (f *Upstream) Freshness() clusterstate.Freshness {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.decider.Freshness(f.now())
+func (u *Upstream) Freshness() clusterstate.Freshness {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.decider.Freshness(u.now())
 }
 
-func (f *Upstream) connected(alternatives int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.decider.Connected(f.now(), alternatives)
+func (u *Upstream) connected(alternatives int) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.decider.Connected(u.now(), alternatives)
 }
 
-func (f *Upstream) disconnected() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.decider.Disconnected()
+func (u *Upstream) disconnected() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.decider.Disconnected()
 }
 
-func (f *Upstream) recordFreshness(fresh clusterstate.Freshness) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.decider.HandleFreshness(f.now(), fresh)
+func (u *Upstream) recordFreshness(fresh clusterstate.Freshness) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.decider.HandleFreshness(u.now(), fresh)
 }
 
-func (f *Upstream) shouldLeave() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.decider.ShouldLeave(f.now())
+func (u *Upstream) shouldLeave() bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.decider.ShouldLeave(u.now())
 }
 
 // sendReport sends a report and returns the time until the next one.
-func (f *Upstream) sendReport(l *peer.Link) time.Duration {
-	r := f.Report()
+func (u *Upstream) sendReport(l *peer.Link) time.Duration {
+	r := u.Report()
 	r.AcceptsChanges = true
 	l.SendMessage(r)
 	return r.interval()
 }
 
 // Run keeps a link to one upstream after another until ctx ends.
-func (f *Upstream) Run(ctx context.Context) {
+func (u *Upstream) Run(ctx context.Context) {
 	stay := firstMinStay
 	for next := 0; ctx.Err() == nil; {
-		if addresses := f.Addresses(); len(addresses) > 0 {
+		if addresses := u.Addresses(); len(addresses) > 0 {
 			next %= len(addresses)
-			lost := f.receive(ctx, addresses[next], len(addresses)-1, stay)
+			lost := u.receive(ctx, addresses[next], len(addresses)-1, stay)
 			stay = minStay
-			f.disconnected()
+			u.disconnected()
 			if next++; !lost {
 				next = 0
 			}
@@ -267,7 +267,7 @@
 // receive connects to an upstream and applies its messages. It returns true if the upstream was lost or left as
 // stale, and false if another one should be connected to: the preferred upstream after at least the time stay,
 // or the same list from its start for a snapshot.
-func (f *Upstream) receive(ctx context.Context, address string, alternatives int, stay time.Duration) (lost bool) {
+func (u *Upstream) receive(ctx context.Context, address string, alternatives int, stay time.Duration) (lost bool) {
 	l, err := peer.Dial(ctx, address)
 	if err != nil {
 		klog.V(1).InfoS("a feeder cannot be reached", "address", address, "err", err.Error())
@@ -276,8 +276,8 @@
 	defer l.Close()
 	stop := context.AfterFunc(ctx, l.Close)
 	defer stop()
-	reportIn := f.sendReport(l)
-	f.connected(alternatives)
+	reportIn := u.sendReport(l)
+	u.connected(alternatives)
 	connectedAt := time.Now()
 	lastReport := connectedAt
 	for {
@@ -286,29 +286,29 @@
 			klog.InfoS("a feeder is lost", "address", address, "err", err.Error())
 			return true
 		}
-		f.recordFreshness(m.freshness())
+		u.recordFreshness(m.freshness())
 		if m.Lending != nil {
-			if f.OnLending != nil {
-				f.OnLending(*m.Lending)
+			if u.OnLending != nil {
+				u.OnLending(*m.Lending)
 			}
 			continue
 		}
-		if m.Update != nil && !f.Apply(*m.Update) {
+		if m.Update != nil && !u.Apply(*m.Update) {
 			klog.InfoS("an update cannot be applied; a snapshot is requested", "address", address)
 			return false
 		}
-		if f.OnFreshness != nil && (m.Update == nil || m.Update.Snapshot) {
-			f.OnFreshness(f.Freshness())
+		if u.OnFreshness != nil && (m.Update == nil || m.Update.Snapshot) {
+			u.OnFreshness(u.Freshness())
 		}
-		if f.shouldLeave() {
+		if u.shouldLeave() {
 			klog.InfoS("a feeder is cut off from the others", "address", address)
 			return true
 		}
 		now := time.Now()
 		if now.Sub(lastReport) > reportIn {
 			lastReport = now
-			reportIn = f.sendReport(l)
-			if a := f.Addresses(); now.Sub(connectedAt) >= stay && len(a) > 0 && a[0] != address {
+			reportIn = u.sendReport(l)
+			if a := u.Addresses(); now.Sub(connectedAt) >= stay && len(a) > 0 && a[0] != address {
 				klog.InfoS("another feeder is to be followed", "address", address, "next", a[0])
 				return false
 			}
--- a/transport/watch/watch_test.go
+++ b/transport/watch/watch_test.go
@@ -28,22 +28,22 @@
 		fresh, stale := clusterstate.Freshness{Known: true, Age: 5}, clusterstate.Freshness{Known: true, Age: int64(time.Minute)}
 		f.Publish(&clusterstate.Update{Revision: 9}, fresh) // no link has joined yet
 		f.Join(upstream, Report{}, state.Snapshot(), fresh)
-		n := state.Apply(clusterstate.Update{Replicas: []registry.Record{{ID: "i-2", Seq: 1}}})
-		f.Publish(&n, fresh)
+		change := state.Apply(clusterstate.Update{Replicas: []registry.Record{{ID: "i-2", Seq: 1}}})
+		f.Publish(&change, fresh)
 		f.Publish(nil, stale)
-		var p Message
-		must.NoError(t, downstream.Receive(&p, time.Second))
-		must.True(t, p.Update.Snapshot)
-		must.Eq(t, "i-1", p.Update.Replicas[0].ID)
-		p = Message{}
-		must.NoError(t, downstream.Receive(&p, time.Second))
-		must.Eq(t, "i-2", p.Update.Replicas[0].ID)
-		p = Message{}
-		must.NoError(t, downstream.Receive(&p, time.Second))
-		must.Nil(t, p.Update)
-		must.False(t, p.InContact)
-		must.Eq(t, stale, p.freshness())
-		must.Error(t, downstream.Receive(&p, time.Second)) // an upstream that sends nothing runs into the timeout
+		var m Message
+		must.NoError(t, downstream.Receive(&m, time.Second))
+		must.True(t, m.Update.Snapshot)
+		must.Eq(t, "i-1", m.Update.Replicas[0].ID)
+		m = Message{}
+		must.NoError(t, downstream.Receive(&m, time.Second))
+		must.Eq(t, "i-2", m.Update.Replicas[0].ID)
+		m = Message{}
+		must.NoError(t, downstream.Receive(&m, time.Second))
+		must.Nil(t, m.Update)
+		must.False(t, m.InContact)
+		must.Eq(t, stale, m.freshness())
+		must.Error(t, downstream.Receive(&m, time.Second)) // an upstream that sends nothing runs into the timeout
 		f.Leave(upstream)
 		must.Zero(t, f.Count())
 	})
--- a/transport/wire/wire.go
+++ b/transport/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire connects aggregators to the simulator: it decodes the simulator's events into calls of the
-// balance package, and encodes that package's results as messages. It decides nothing.
+// balance package, and encodes that package's results as messages. It makes no decisions of its own.
 package wire
 
 import (
