--- a/transport/replica/connection.go
+++ b/transport/replica/connection.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// close retires the connection and closes it; its last event holds the error.
-func (c *connection) close(err error) {
+// closeWith retires the connection and closes it; its last event holds the error.
+func (c *connection) closeWith(err error) {
 	c.retired = true
 	c.cancel(err)
 }
--- a/transport/replica/pool.go
+++ b/transport/replica/pool.go
@@ -251,7 +251,7 @@
 		case t == nil:
 			// Danger: a reply with an id that was never sent here belongs to a part that is waited for. Ignoring it
 			// would delay that part until its timeout.
-			c.close(fmt.Errorf("%w: the id %.40q", errBadReply, event.reply.ID))
+			c.closeWith(fmt.Errorf("%w: the id %.40q", errBadReply, event.reply.ID))
 			return nil
 		}
 		c.recordReply(t.ID)
@@ -281,7 +281,7 @@
 func (p *Pool) Close() {
 	for _, d := range p.replicas {
 		for _, c := range d.conns {
-			c.close(nil)
+			c.closeWith(nil)
 		}
 	}
 }
