--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -39,7 +39,7 @@
 	maxTickDelay      = 50 * time.Millisecond  // longest time between two checks of the timer
 	drainTimeout      = 400 * time.Millisecond // for calls in progress at a planned shutdown
 	readHeaderTimeout = 2 * time.Second
-	readTimeout       = 5 * time.Second // of a whole request
+	readTimeout       = 5 * time.Second // for reading a whole request
 	idleTimeout       = 15 * time.Second
 	maxHeaderBytes    = 16 << 10
 	reopenDelay       = 300 * time.Millisecond // before another attempt to open a disk that failed to open
--- a/transport/controlserver/resources.go
+++ b/transport/controlserver/resources.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	maxHeartbeatBytes     = 4 << 10 // of a heartbeat
-	maxConfigurationBytes = 4 << 20 // of a configuration
+	maxHeartbeatBytes     = 4 << 10 // largest body of a heartbeat
+	maxConfigurationBytes = 4 << 20 // largest body of a configuration
 )
 
 // handler returns the handler of all resources.
--- a/transport/controlserver/rollouts.go
+++ b/transport/controlserver/rollouts.go
@@ -17,8 +17,8 @@
 
 // Limits of an order.
 const (
-	maxOrderBytes = 4 << 10 // of the body
-	maxNameBytes  = 256     // of the name of a service or a version
+	maxOrderBytes = 4 << 10 // largest body of an order
+	maxNameBytes  = 256     // longest name of a service or a version
 	maxOverS      = 7 * 24 * 3600
 	msPerSecond   = 1000
 )
--- a/transport/daemon/daemon_test.go
+++ b/transport/daemon/daemon_test.go
@@ -167,7 +167,7 @@
 	must.NoError(t, err)
 	c.signal(syscall.SIGHUP)
 	must.NoError(t, os.Remove(fifo))
-	must.NoError(t, os.WriteFile(fifo, []byte(validSettings), 0o600)) // for the second reading
+	must.NoError(t, os.WriteFile(fifo, []byte(validSettings), 0o600)) // the file that the reload reads
 	_, err = io.Copy(text, strings.NewReader(validSettings))
 	must.NoError(t, err)
 	must.NoError(t, text.Close())
--- a/transport/discovery/discovery.go
+++ b/transport/discovery/discovery.go
@@ -20,7 +20,7 @@
 	longPollTime   = 5 * time.Second        // for which discovery may delay its answer; short, so that a failed connection is noticed soon
 	callMargin     = time.Second            // a call times out this long after its poll time, before its answer counts as received
 	retryDelay     = 100 * time.Millisecond // between a failed call and the next; calls cost discovery little
-	maxAnswerBytes = 8 << 20                // of an answer: a list of tens of thousands of entries
+	maxAnswerBytes = 8 << 20                // enough for a list of tens of thousands of entries
 	listPath       = "/v1/servers"
 )
 
@@ -32,7 +32,7 @@
 	Zone      string // empty if it has none
 	Status    balance.Status
 	StartedMs int64 // Unix time, ms; 0 for long ago
-	Distance  int   // below balance.Distances, 0 for near
+	Distance  int   // distance class below balance.Distances, 0 for the nearest
 	MaxCalls  int   // parts that this aggregator may have in flight there; 0 if not stated
 }
 
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -74,7 +74,7 @@
 	return l
 }
 
-// Dial opens a link.
+// Dial opens a link to an address and fails after dialTimeout.
 func Dial(ctx context.Context, address string) (*Link, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, Control: SetUserTimeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -207,7 +207,7 @@
 	}
 }
 
-// Listen listens on an address.
+// Listen opens a TCP listener for links; Serve accepts them.
 func Listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/transport/replica/connection.go
+++ b/transport/replica/connection.go
@@ -28,7 +28,7 @@
 	conn        *connection
 	reply       Reply
 	corruptTail bool  // the bytes after the reply cannot begin a frame
-	at          int64 // ns
+	at          int64 // time of the event, ns
 	closed      bool
 	wasOpen     bool
 	Err         error // why it closed, nil if this side closed it
@@ -48,7 +48,7 @@
 // own goroutine, which has released everything before it sends its last event.
 type connection struct {
 	destination *destination
-	tickets     map[string]*Ticket  // by id
+	tickets     map[string]*Ticket  // open tickets by id
 	abandoned   map[string]struct{} // abandoned ids whose reply may still come
 	endedIDs    []string            // the ids answered last
 	openCalls   int
--- a/transport/replica/frame.go
+++ b/transport/replica/frame.go
@@ -27,14 +27,14 @@
 const (
 	lengthBytes   = 4        // the length of a frame, most significant byte first
 	maxFrameBytes = 72 << 10 // of an incoming frame: an answer to a client holds 64 KiB, and so may a value
-	minFrameBytes = 1        // the letter
+	minFrameBytes = 1        // a frame holds at least its letter
 )
 
 // Outcome is what a replica states about a part.
 type Outcome uint8
 
 const (
-	Succeeded Outcome = iota // with a value
+	Succeeded Outcome = iota // executed; the reply holds a value
 	Failed                   // it may have been executed
 	Rejected                 // it was never executed
 )
--- a/transport/replica/pool.go
+++ b/transport/replica/pool.go
@@ -33,7 +33,7 @@
 	Ticket *Ticket
 	Result balance.Result
 	Value  string
-	At     int64 // ns
+	At     int64 // time of the end, ns
 }
 
 // Pool opens, shares and closes the connections to all replicas. Its methods may only be called by the
--- a/transport/replicahttp/fuzz_test.go
+++ b/transport/replicahttp/fuzz_test.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	fuzzExchanges  = 4    // on one connection, one after the other
+	fuzzExchanges  = 4    // requests on one connection, one after the other
 	fuzzSegments   = 32   // most segments of the replica's stream
 	fuzzLengthBits = 0x3f // bits of a plan's byte that give the length of the segment; all set for up to the next status line
-	fuzzWaits      = 0x40 // the segment waits for the next request
-	fuzzPause      = 0x80 // time passes before the segment
+	fuzzWaits      = 0x40 // bit of a plan's byte: the segment waits for the next request
+	fuzzPause      = 0x80 // bit of a plan's byte: time passes before the segment
 	fuzzStep       = 10 * time.Millisecond
 	fuzzTimeout    = time.Second // after which an exchange is abandoned
 )
--- a/transport/replicahttp/replicahttp.go
+++ b/transport/replicahttp/replicahttp.go
@@ -31,7 +31,7 @@
 	writeTimeout      = 5 * time.Second
 	defaultIdleLimit  = 5 * time.Second // for which an idle connection may be reused, if the replica states no time
 	idleMarginDivisor = 4               // a stated idle time is reduced by 1/idleMarginDivisor
-	maxBodyBytes      = 16 << 20        // of an answer
+	maxBodyBytes      = 16 << 20        // largest body of an answer
 )
 
 // Request holds what the parts of a query have in common; it is the Payload of their tickets. The loop that
--- a/transport/statestore/statestore.go
+++ b/transport/statestore/statestore.go
@@ -39,7 +39,7 @@
 	// read in the same way.
 	formatVersion = 2
 
-	maxDigits = 10 // of a length in the file
+	maxDigits = 10 // most digits of a length in the file
 
 	slots           = 2        // saves alternate between them, so that a torn save leaves the previous one intact
 	compactMinBytes = 24 << 20 // size of the file from which it is compacted
@@ -263,7 +263,7 @@
 	return nil
 }
 
-// Close closes the file.
+// Close closes the database and its file.
 func (s *Store) Close() error { return errors.Join(s.db.Close(), s.file.Close()) }
 
 func (s *Store) syncDir() error {
--- a/transport/store/counters.go
+++ b/transport/store/counters.go
@@ -12,7 +12,7 @@
 type Counters struct {
 	SurveysSkipped counters.Count // rounds in which the aggregator had no time for a survey
 	UnusableParts  counters.Count // parts of answers that could not be used
-	BytesRead      counters.Count // of records
+	BytesRead      counters.Count // bytes of the records read
 
 	mu    sync.Mutex
 	stats sharedhealth.Stats
--- a/transport/store/replylimits.go
+++ b/transport/store/replylimits.go
@@ -9,9 +9,9 @@
 
 const (
 	maxLineBytes   = 4 << 10   // errors and numbers are short
-	maxStringBytes = 16 << 10  // of one string; records are a quarter of that
-	maxItems       = 4 << 10   // of one array, map or set
-	maxRoundBytes  = 512 << 10 // of all replies of one round
+	maxStringBytes = 16 << 10  // bytes of one string; records are a quarter of that
+	maxItems       = 4 << 10   // elements of one array, map or set
+	maxRoundBytes  = 512 << 10 // bytes of all replies in one round
 )
 
 var (
--- a/transport/store/store.go
+++ b/transport/store/store.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	maxFileBytes = 64 << 10                // of a password or certificate file
+	maxFileBytes = 64 << 10                // largest password or certificate file
 	millisecond  = int64(time.Millisecond) // the store's unit of time, ns
 )
 
