--- a/transport/replica/connection.go
+++ b/transport/replica/connection.go
@@ -17,7 +17,7 @@
 const (
 	readBufferBytes     = 4 << 10         // replies are short
 	writeTimeout        = 2 * time.Second // a replica that reads nothing for this time counts as failed
-	maxAbandonedIDs     = 1024            // abandoned ids on a connection that are remembered until their late replies come
+	maxAbandonedIDs     = 1024            // abandoned ids that await their late replies; with more of them a connection is retired
 	maxEndedIDs         = 64              // ids answered last on a connection, whose replies may come a second time; such copies come soon
 	frameTimeoutDivisor = 2               // the rest of a frame must arrive within the connect timeout divided by this
 	idleMarginDivisor   = 8               // an idle connection is retired when 1/idleMarginDivisor of its idle timeout is left
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -187,7 +187,8 @@
 	// Apply applies an update, which may hold changes of the fleet. It returns false if it cannot be applied and a
 	// snapshot is needed.
 	Apply func(clusterstate.Update) bool
-	// OnFreshness is called after a message with the freshness of the state held here; nil if unused.
+	// OnFreshness is called after each heartbeat and snapshot with the freshness of the state held here; nil if
+	// unused.
 	OnFreshness func(fresh clusterstate.Freshness)
 	// OnLending is called with each lending message of the upstream; nil if unused.
 	OnLending func(lending.Message)
@@ -264,9 +265,10 @@
 	}
 }
 
-// receive connects to an upstream and applies its messages. It returns true if the upstream was lost or left as
-// stale, and false if another one should be connected to: the preferred upstream after at least the time stay,
-// or the same list from its start for a snapshot.
+// receive connects to an upstream and applies its messages. It returns true if the upstream was lost or has no
+// contact with the controllers, so that the next one is tried. It returns false if the preferred upstream is to
+// be connected to: because it is another one and the time stay has passed, or because an update could not be
+// applied and a new connection starts with a snapshot.
 func (u *Upstream) receive(ctx context.Context, address string, alternatives int, stay time.Duration) (lost bool) {
 	l, err := peer.Dial(ctx, address)
 	if err != nil {
