--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -19,19 +19,20 @@
 	"willowsill/balance"
 )
 
-// ErrReplica is the class of what goes wrong with a replica's answer.
+// ErrReplica builds this package's errors, which have the code replica.
 var ErrReplica = oops.Code("replica")
 
-var errUnsolicited = ErrReplica.Errorf("bytes came that belong to no request")
+var errUnsolicited = ErrReplica.Errorf("the replica sent bytes without a request")
 
 const (
 	readBufferBytes = 2 << 10
-	firstLine       = "HTTP/1." // how the first line of each answer begins
+	statusLineStart = "HTTP/1." // the start of each answer's status line
 )
 
-// connection is one to a replica. free and until are the loop's; the rest belongs to its goroutines.
+// connection is a connection to a replica. free and usableUntil belong to the pool's loop; the rest belongs to
+// the connection's goroutines.
 type connection struct {
-	line        *line
+	destination *destination
 	pool        *Pool
 	free        bool
 	usableUntil int64
@@ -41,12 +42,12 @@
 	mu      sync.Mutex
 	conn    net.Conn
 	closed  bool
-	current *exchange // that is out
+	current *exchange // the exchange in progress
 
-	writeLock chan struct{} // full while a request is written
+	writeLock chan struct{} // holds an element while a request is written
 }
 
-// assign books an exchange; the loop calls it while the connection is free.
+// assign starts an exchange. The loop calls it while the connection is free.
 func (c *connection) assign(e *exchange) {
 	e.conn, c.free = c, false
 	c.mu.Lock()
@@ -54,7 +55,7 @@
 	c.mu.Unlock()
 }
 
-// isClosed tells whether the connection was closed, by either side.
+// isClosed reports whether the connection was closed by either side.
 func (c *connection) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,8 +75,8 @@
 
 // run opens the connection, and then reads from it until it ends.
 func (c *connection) run(address string, e *exchange) {
-	within, stop := context.WithTimeout(c.ctx, dialTimeout)
-	conn, err := c.pool.Dial(within, "tcp", address)
+	dialCtx, stop := context.WithTimeout(c.ctx, dialTimeout)
+	conn, err := c.pool.Dial(dialCtx, "tcp", address)
 	stop()
 	if err != nil {
 		c.cancel()
@@ -94,7 +95,7 @@
 	err = c.read(conn)
 	conn.Close()
 	c.cancel()
-	// A write that is under way fails now, and knows better than this side whether any byte of it was taken.
+	// A write in progress fails now. It knows whether any byte was accepted, so wait for it to report.
 	c.writeLock <- struct{}{}
 	defer func() { <-c.writeLock }()
 	n := notice{conn: c, closed: true, at: c.pool.now()}
@@ -117,9 +118,10 @@
 
 // write writes the request of an exchange, unless it was withdrawn meanwhile.
 //
-// Danger: a replica may answer before it has read a request whole, and the next one begins while the rest of the former is
-// still being written. Where that rest then fails, nothing may follow: the replica would read it as the rest. So writes
-// come one after another, and a failed one closes the connection before the next begins.
+// Danger: a replica may answer before it has read the whole request, so the next exchange may start while the
+// rest of the previous request is still being written. If that write fails, nothing may follow, because the
+// replica would read it as the rest of the previous request. So writes are serialized, and a failed write
+// closes the connection before the next one starts.
 func (c *connection) write(e *exchange) {
 	c.writeLock <- struct{}{}
 	defer func() { <-c.writeLock }()
@@ -133,7 +135,7 @@
 	buf = append(buf, HeaderDeadline+": "...)
 	buf = strconv.AppendInt(buf, e.ticket.WaitMs, 10)
 	buf = append(buf, "\r\n"+HeaderTarget+": "...)
-	buf = append(buf, c.line.id...)
+	buf = append(buf, c.destination.id...)
 	buf = append(buf, "\r\n\r\n"...)
 	buf = append(buf, r.Body...)
 	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -143,31 +145,31 @@
 	}
 }
 
-// failedWrite is what a failed write of a request says of its execution: what this machine's own kernel took no byte of
-// cannot have run. All else may have.
-func failedWrite(taken int) balance.Result {
-	if taken == 0 {
+// failedWrite returns the result of an execution whose request could not be written. It cannot have run if this
+// machine's kernel accepted no byte; otherwise it may have run.
+func failedWrite(accepted int) balance.Result {
+	if accepted == 0 {
 		return balance.ConnectFailed
 	}
 	return balance.Reset
 }
 
-// end tells of an exchange's end, if nobody has yet.
+// end reports the end of an exchange, unless that was already reported.
 func (c *connection) end(e *exchange, n notice) bool {
 	c.mu.Lock()
-	mine := c.current == e
-	if mine {
+	isCurrent := c.current == e
+	if isCurrent {
 		c.current = nil
 	}
 	c.mu.Unlock()
-	if mine {
+	if isCurrent {
 		n.ended, n.at = e, c.pool.now()
 		c.pool.notify(n)
 	}
-	return mine
+	return isCurrent
 }
 
-// currentExchange is the exchange whose answer is awaited.
+// currentExchange returns the exchange whose answer is awaited.
 func (c *connection) currentExchange() *exchange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,31 +179,31 @@
 // read reads answers until the connection ends.
 func (c *connection) read(conn net.Conn) error {
 	r := bufio.NewReaderSize(conn, readBufferBytes)
-	surplus := false
+	stale := false
 	for {
 		if _, err := r.Peek(1); err != nil {
 			return err
 		}
 		e := c.currentExchange()
-		// Danger: bytes that come while nothing is asked would be taken for the next request's answer.
+		// Danger: bytes that arrive while no request is open would be taken for the answer to the next request.
 		if e == nil || e.state.Load() != written {
 			return errUnsolicited
 		}
 		req := e.request()
-		a, keep, err := readAnswer(r, req.Method)
+		answer, reuseFor, err := readAnswer(r, req.Method)
 		if err != nil {
 			return err
 		}
-		// Danger: a second answer to an earlier request may come in this one's place. The id tells; the true one
-		// follows.
-		if a.attempt != req.Attempt {
-			surplus = true
+		// Danger: a second answer to an earlier request may come instead of the expected one. The attempt id tells
+		// them apart; the expected one follows.
+		if answer.attempt != req.Attempt {
+			stale = true
 			continue
 		}
-		if surplus || r.Buffered() > 0 {
-			keep = 0
+		if stale || r.Buffered() > 0 {
+			reuseFor = 0
 		}
-		c.end(e, notice{conn: c, result: a.result(), answer: &a.Answer, reuseFor: keep})
+		c.end(e, notice{conn: c, result: answer.result(), answer: &answer.Answer, reuseFor: reuseFor})
 	}
 }
 
@@ -212,7 +214,7 @@
 	encoded     bool
 }
 
-// result is what an answer says of its execution.
+// result returns what an answer proves about its execution.
 func (a *response) result() balance.Result {
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
@@ -225,18 +227,20 @@
 	return balance.Errored
 }
 
-// rejectionStatus tells whether a replica answers with this status what it has not run. Willowsill-Not-Executed beside any
-// other contradicts itself, and a status without that header proves nothing.
+// rejectionStatus reports whether a replica uses this status for requests that it has not executed.
+// Willowsill-Not-Executed with another status is contradictory, and the status without that header proves
+// nothing.
 //
-// Danger: an unsafe request that has run would be promised to its client as one that never will.
+// Danger: an unsafe request that was executed would be reported to its client as one that never will be.
 func rejectionStatus(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusBadRequest
 }
 
-// readAnswer reads the next answer whole, and tells for how long the connection may be used again. An answer without a
-// length is whole where the replica has closed the connection behind it in order.
+// readAnswer reads the next answer completely, and returns for how long the connection may be reused. An answer
+// without a length is complete if the replica closed the connection after it in an orderly way.
 //
-// Danger: one that is reset on the way, or is given up by this side, would look whole; reading it fails then.
+// Danger: an answer that was cut off by a reset, or by closing the connection here, would look complete; but
+// then reading it fails.
 func readAnswer(r *bufio.Reader, method string) (*response, time.Duration, error) {
 	var res *http.Response
 	for {
@@ -253,68 +257,68 @@
 	}
 	h := res.Header
 	if mergedHeads(res) {
-		return nil, 0, ErrReplica.Errorf("an answer whose head is of two")
+		return nil, 0, ErrReplica.Errorf("an answer whose header is merged from two answers")
 	}
 	body, err := readBody(res, method)
 	if err != nil {
 		return nil, 0, ErrReplica.Wrapf(err, "an answer that was broken off")
 	}
-	if endsWithConnection(res) && bytes.Contains(body, []byte(firstLine)) {
-		return nil, 0, ErrReplica.Errorf("an answer without a length, with another one behind it")
+	if endsAtClose(res) && bytes.Contains(body, []byte(statusLineStart)) {
+		return nil, 0, ErrReplica.Errorf("an answer without a length that holds the start of another answer")
 	}
 	a := &response{Answer: Answer{Status: res.StatusCode, Header: h, Body: body, Seal: h.Get(HeaderSeal), Complete: true,
 		Replica: h.Get(HeaderReplica)}, attempt: h.Get(HeaderAttempt), notExecuted: h.Get(HeaderNotExecuted) != "",
 		encoded: h.Get("Content-Encoding") != "" && !strings.EqualFold(h.Get("Content-Encoding"), "identity")}
-	keep := defaultIdleLimit
+	reuseFor := defaultIdleLimit
 	for _, item := range strings.Split(h.Get("Keep-Alive"), ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(item), "timeout="); ok {
 			if s, err := strconv.Atoi(v); err == nil {
-				keep = time.Duration(s) * time.Second
-				keep -= keep / idleMarginDivisor
+				reuseFor = time.Duration(s) * time.Second
+				reuseFor -= reuseFor / idleMarginDivisor
 			}
 		}
 	}
 	if res.Close {
-		keep = 0
+		reuseFor = 0
 	}
-	return a, keep, nil
+	return a, reuseFor, nil
 }
 
-// endsWithConnection tells whether nothing but the end of its connection ends an answer's body.
+// endsAtClose reports whether only the end of the connection ends an answer's body.
 //
-// Danger: what a replica in trouble sends behind such an answer would pass for the rest of its body.
-func endsWithConnection(res *http.Response) bool {
+// Danger: what a faulty replica sends after such an answer would be taken for the rest of its body.
+func endsAtClose(res *http.Response) bool {
 	return res.ContentLength < 0 && len(res.TransferEncoding) == 0
 }
 
-// mergedHeads tells whether the head of an answer was put together from those of two: it bears two first lines, or twice what an
-// answer bears once.
+// mergedHeads reports whether the header of an answer was merged from two answers: it holds a second status
+// line, or a header twice that an answer has only once.
 //
-// Danger: an answer that was broken off in its head, with the next one behind it, reads as one. The status and the seal of
-// the former would go out under the id of the latter.
+// Danger: an answer that breaks off within its header and is followed by the next answer looks like one answer.
+// The status and the seal of the first would be passed on with the id of the second.
 func mergedHeads(res *http.Response) bool {
 	for _, once := range [...]string{HeaderAttempt, HeaderSeal, HeaderNotExecuted} {
 		if len(res.Header[once]) > 1 {
 			return true
 		}
 	}
-	if strings.Contains(res.Status, firstLine) {
+	if strings.Contains(res.Status, statusLineStart) {
 		return true
 	}
 	for key, values := range res.Header {
-		if strings.Contains(key, firstLine) || slices.ContainsFunc(values, func(v string) bool { return strings.Contains(v, firstLine) }) {
+		if strings.Contains(key, statusLineStart) || slices.ContainsFunc(values, func(v string) bool { return strings.Contains(v, statusLineStart) }) {
 			return true
 		}
 	}
 	return false
 }
 
-// readBody reads the body of an answer whole; the answer to HEAD has none, whatever length it states.
+// readBody reads the complete body of an answer. The answer to HEAD has none, whatever length it states.
 func readBody(res *http.Response, method string) ([]byte, error) {
 	if method == http.MethodHead {
 		return nil, nil
 	}
-	if res.ContentLength > bodyMost {
+	if res.ContentLength > maxBodyBytes {
 		return nil, ErrReplica.Errorf("an answer of %d bytes", res.ContentLength)
 	}
 	if n := res.ContentLength; n >= 0 {
@@ -322,9 +326,9 @@
 		_, err := io.ReadFull(res.Body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, bodyMost+1))
-	if err == nil && len(body) > bodyMost {
-		err = ErrReplica.Errorf("an answer over %d bytes", bodyMost)
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBodyBytes+1))
+	if err == nil && len(body) > maxBodyBytes {
+		err = ErrReplica.Errorf("an answer over %d bytes", maxBodyBytes)
 	}
 	return body, err
 }
--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -35,7 +35,7 @@
 	deadline = 150 * time.Millisecond
 )
 
-// testAggregator is an aggregator that knows what the test says.
+// testAggregator is an aggregator whose survey the test sets.
 type testAggregator struct {
 	mu      sync.Mutex
 	survey  sharedhealth.Survey
@@ -43,48 +43,48 @@
 	crowded bool
 }
 
-func (c *testAggregator) Survey(context.Context) (sharedhealth.Survey, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.survey, !c.crowded
+func (a *testAggregator) Survey(context.Context) (sharedhealth.Survey, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.survey, !a.crowded
 }
 
-func (c *testAggregator) ApplyShared(a sharedhealth.RoundResult) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	a.Reports = slices.Clone(a.Reports)
-	c.applied = append(c.applied, a)
+func (a *testAggregator) ApplyShared(result sharedhealth.RoundResult) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	result.Reports = slices.Clone(result.Reports)
+	a.applied = append(a.applied, result)
 }
 
-// setFinding has it find something else of a replica from now on.
-func (c *testAggregator) setFinding(f balance.Finding) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.survey.Findings = slices.Clone(c.survey.Findings)
-	c.survey.Findings[f.Replica] = f
+// setFinding sets the finding about a replica.
+func (a *testAggregator) setFinding(finding balance.Finding) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.survey.Findings = slices.Clone(a.survey.Findings)
+	a.survey.Findings[finding.Replica] = finding
 }
 
-func (c *testAggregator) setCrowded() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.crowded = true
+func (a *testAggregator) setCrowded() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.crowded = true
 }
 
-// passedOver are the replicas that it was last told to pass over.
-func (c *testAggregator) passedOver() (all []int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if n := len(c.applied); n > 0 {
-		for _, w := range c.applied[n-1].Reports {
-			if w.Weight > 0 {
-				all = append(all, w.Replica)
+// passedOver returns the replicas that the last result gave reports against.
+func (a *testAggregator) passedOver() (all []int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if n := len(a.applied); n > 0 {
+		for _, report := range a.applied[n-1].Reports {
+			if report.Weight > 0 {
+				all = append(all, report.Replica)
 			}
 		}
 	}
 	return all
 }
 
-// testClient is a client with its core.
+// testClient is a client with its aggregator and its logs.
 type testClient struct {
 	*Client
 	core *testAggregator
@@ -101,8 +101,8 @@
 
 func (w *fixture) now() int64 { return int64(time.Since(w.startedAt)) + 1e9 }
 
-// runFixture plays a test in a bubble of its own time with some aggregators at one server.
-func runFixture(t *testing.T, aggregators int, change func(*Endpoint, *sharedhealth.Config), do func(*fixture)) {
+// runFixture runs a test with some aggregators at one server, in a synctest bubble.
+func runFixture(t *testing.T, aggregators int, change func(*Endpoint, *sharedhealth.Config), test func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &fixture{T: t, server: &redis.Server{}, network: &pipenet.Network{}, startedAt: time.Now()}
 		l := w.network.Listen("r:1")
@@ -115,15 +115,15 @@
 		ended := make(chan struct{})
 		for i := range aggregators {
 			p := Endpoint{Address: "r:1", Prefix: "t", Dial: w.network.Dial}
-			terms := sharedhealth.Config{Name: fmt.Sprint("n", i), Incarnation: 7, Seed: uint64(i), RoundInterval: int64(round),
+			config := sharedhealth.Config{Name: fmt.Sprint("n", i), Incarnation: 7, Seed: uint64(i), RoundInterval: int64(round),
 				RoundTimeout: int64(deadline), SampleSize: 24, Aggregators: aggregators, BaseEjection: 1e9, HealthEnabled: true,
 				Quotas: []sharedhealth.Quota{{Customer: "acme", Rate: 40}}}
 			if change != nil {
-				change(&p, &terms)
+				change(&p, &config)
 			}
-			seen, logs := observer.New(zap.InfoLevel)
+			logCore, logs := observer.New(zap.InfoLevel)
 			k := &testClient{core: &testAggregator{survey: survey(20)}, logs: logs}
-			client, err := New(p, sharedhealth.New(w.now(), terms), k.core, w.now, &Counters{}, zap.New(seen))
+			client, err := New(p, sharedhealth.New(w.now(), config), k.core, w.now, &Counters{}, zap.New(logCore))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -134,7 +134,7 @@
 				ended <- struct{}{}
 			}()
 		}
-		do(w)
+		test(w)
 		w.server.SetFault(redis.Fault{})
 		stop()
 		for range aggregators {
@@ -145,13 +145,13 @@
 	})
 }
 
-func survey(replicas int) (s sharedhealth.Survey) {
+func survey(replicas int) (result sharedhealth.Survey) {
 	for i := range replicas {
-		s.Findings = append(s.Findings, balance.Finding{Replica: i, Cell: i / 5})
-		s.Keys = append(s.Keys, sharedhealth.ReplicaKey("s", int64(i)))
+		result.Findings = append(result.Findings, balance.Finding{Replica: i, Cell: i / 5})
+		result.Keys = append(result.Keys, sharedhealth.ReplicaKey("s", int64(i)))
 	}
-	s.Demand, s.TokensLeft = []float64{5}, []float64{0}
-	return s
+	result.Demand, result.TokensLeft = []float64{5}, []float64{0}
+	return result
 }
 
 func (k *testClient) state() string { return k.counters.Stats().State.String() }
@@ -164,7 +164,8 @@
 	return strings.TrimSpace(all)
 }
 
-// What two set aside a third passes over, and not for longer than they say so.
+// TestHeard: a replica that two aggregators have ejected is passed over by a third one, and no longer than they
+// report it.
 func TestHeard(t *testing.T) {
 	runFixture(t, 3, nil, func(w *fixture) {
 		time.Sleep(4 * round)
@@ -182,7 +183,7 @@
 		for _, k := range w.aggregators[:2] {
 			k.core.setFinding(balance.Finding{Replica: 3})
 		}
-		time.Sleep(20 * round) // it fades, not at once for all
+		time.Sleep(20 * round) // reports fade at different times
 		synctest.Wait()
 		if got := w.aggregators[2].core.passedOver(); len(got) != 0 {
 			w.Errorf("still passes over %v", got)
@@ -193,7 +194,7 @@
 	})
 }
 
-// Tokens are leased by demand, and all together stay within the quota.
+// TestLeased: tokens are leased according to demand, and their sum stays within the quota.
 func TestLeased(t *testing.T) {
 	runFixture(t, 2, nil, func(w *fixture) {
 		time.Sleep(30 * time.Second)
@@ -209,16 +210,17 @@
 			k.core.mu.Unlock()
 		}
 		if tokens < 300 || tokens > 40*(30+20) {
-			w.Errorf("%.0f tokens in 30 s at 40 a second, 20 are asked for", tokens)
+			w.Errorf("%.0f tokens leased in 30 s, at a quota of 40 and a demand of 20 per second", tokens)
 		}
 	})
 }
 
-// Whatever the store does, rounds end in time, the aggregator is told so, and all is well soon after.
+// TestFaults: whatever fault the store has, rounds end in time, the aggregator gets the store's state, and the
+// state is fresh again soon after the fault.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault redis.Fault
-		want  string // the state then; empty where rounds go on
+		want  string // the state during the fault; empty if rounds go on
 	}{
 		"2 s for 2 ms":       {redis.Fault{Delay: 2 * time.Second}, "lost"},
 		"silent":             {redis.Fault{DropCommands: true}, "lost"},
@@ -249,32 +251,32 @@
 				time.Sleep(20 * round)
 				synctest.Wait()
 				if c.want != "" && w.states() != c.want+" "+c.want {
-					w.Errorf("in trouble %s", w.states())
+					w.Errorf("during the fault the states are %s", w.states())
 				}
 				for _, k := range w.aggregators {
 					if len(k.core.passedOver()) > 0 {
-						w.Error("words of a store in trouble")
+						w.Error("reports of a failed store are still in use")
 					}
 				}
 				w.server.SetFault(redis.Fault{})
 				time.Sleep(80 * time.Second)
 				if synctest.Wait(); w.states() != "fresh fresh" {
-					w.Errorf("long after %s", w.states())
+					w.Errorf("after the fault the states are %s", w.states())
 				}
 			})
 		})
 	}
 }
 
-// A store that was emptied, or went back to an older state, is not believed for a while.
+// TestOlderState: a store that was emptied, or restored to an older state, is distrusted for a while.
 func TestOlderState(t *testing.T) {
-	for name, fall := range map[string]func(*redis.Server){"emptied": (*redis.Server).Clear, "older": (*redis.Server).RestoreSnapshot} {
+	for name, reset := range map[string]func(*redis.Server){"emptied": (*redis.Server).Clear, "older": (*redis.Server).RestoreSnapshot} {
 		t.Run(name, func(t *testing.T) {
 			runFixture(t, 2, nil, func(w *fixture) {
 				time.Sleep(4 * round)
 				w.server.SaveSnapshot()
 				time.Sleep(4 * round)
-				fall(w.server)
+				reset(w.server)
 				time.Sleep(2 * round)
 				if synctest.Wait(); w.states() != "distrusted distrusted" {
 					w.Error(w.states())
@@ -288,7 +290,8 @@
 	}
 }
 
-// What stands at the keys may be of another type, another program, or very much: each is refused by itself.
+// TestOddKeys: a key may hold another type, data of another program, or too much data. Each is rejected without
+// an effect on the others.
 func TestOddKeys(t *testing.T) {
 	runFixture(t, 1, nil, func(w *fixture) {
 		time.Sleep(4 * round)
@@ -303,29 +306,29 @@
 		}
 		w.server.Inject("t:f", "", "a string")
 		w.server.Inject("t:m", "", "a string")
-		odd := w.aggregators[0].counters.UnusableParts.Load()
+		unusable := w.aggregators[0].counters.UnusableParts.Load()
 		time.Sleep(4 * round)
 		synctest.Wait()
-		if k := w.aggregators[0]; k.counters.UnusableParts.Load() == odd || k.state() != "fresh" {
+		if k := w.aggregators[0]; k.counters.UnusableParts.Load() == unusable || k.state() != "fresh" {
 			w.Errorf("of the wrong type: %d odd parts, %s", k.counters.UnusableParts.Load(), k.state())
 		}
 		w.server.Inject("t:a:n0", "", strings.Repeat("x", 10<<20))
 		time.Sleep(4 * round)
 		synctest.Wait()
 		if k := w.aggregators[0]; k.counters.Stats().FailedRounds == 0 {
-			w.Errorf("ten megabytes at its own key: %s", k.state())
+			w.Errorf("ten megabytes at its own presence key fail no round: %s", k.state())
 		}
 	})
 }
 
-// An aggregator that has no time to say what it knows goes on hearing.
+// TestCrowded: an aggregator without time for surveys still receives shared reports.
 func TestCrowded(t *testing.T) {
 	runFixture(t, 1, nil, func(w *fixture) {
 		w.aggregators[0].core.setCrowded()
 		time.Sleep(10 * round)
 		synctest.Wait()
 		if k := w.aggregators[0]; k.counters.SurveysSkipped.Load() == 0 || k.state() != "fresh" {
-			w.Errorf("%d unsurveyed, %s", k.counters.SurveysSkipped.Load(), k.state())
+			w.Errorf("%d surveys skipped, %s", k.counters.SurveysSkipped.Load(), k.state())
 		}
 	})
 }
@@ -339,7 +342,7 @@
 	return file
 }
 
-// The password comes from a file, is right or wrong, and never stands in the log.
+// TestPassword: the password comes from a file, may be right or wrong, and is never logged.
 func TestPassword(t *testing.T) {
 	for _, c := range []struct{ password, state string }{{"open sesame", "fresh"}, {"wrong", "lost"}} {
 		file := write(t, []byte(c.password+"\n"))
@@ -354,23 +357,23 @@
 			}
 			for _, e := range w.aggregators[0].logs.All() {
 				if strings.Contains(fmt.Sprint(e), c.password) && c.password != "wrong" {
-					w.Errorf("the log says %v", e)
+					w.Errorf("the log holds the password: %v", e)
 				}
 			}
 		})
 	}
 }
 
-// certificate makes one that signs itself, for a name.
+// certificate returns a self-signed certificate for a name.
 func certificate(t *testing.T, name string) (tls.Certificate, []byte) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	form := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true}
-	der, err := x509.CreateCertificate(rand.Reader, form, form, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -378,7 +381,7 @@
 		pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
 }
 
-// Over TLS the store must show a certificate of the given authority, for its name.
+// TestTLS: over TLS the store has to present a certificate of the configured authority for the configured name.
 func TestTLS(t *testing.T) {
 	good, authority := certificate(t, "store.test")
 	_, other := certificate(t, "store.test")
@@ -403,7 +406,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		_, err = k.roundTrip(ctx, &sharedhealth.Request{Presence: []byte("x"), PresenceTTL: 1e9})
 		if (err == nil) != c.want {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("server name %s: %v", c.name, err)
 		}
 		cancel()
 		k.closeConn()
@@ -419,7 +422,7 @@
 	}
 }
 
-// Danger: one short line may announce a gigabyte, and libraries make room before it comes.
+// Danger: one short line may announce a gigabyte, which libraries allocate before the data arrives.
 func TestGuard(t *testing.T) {
 	for _, c := range []struct {
 		text string
@@ -431,11 +434,11 @@
 		{"-" + strings.Repeat("e", maxLineBytes+1), errLineTooLong}, {"$12\r\n$999999999\r\n\r\n", nil},
 		{"$9999999999999999999999\r\n", errNotReply},
 	} {
-		for _, step := range []int{1, 3, 1 << 20} { // however it is cut up
-			g, err := &limitedConn{}, error(nil)
+		for _, step := range []int{1, 3, 1 << 20} { // however the bytes are split
+			conn, err := &limitedConn{}, error(nil)
 			for rest := c.text; rest != "" && err == nil; {
 				n := min(step, len(rest))
-				err, rest = g.scan([]byte(rest[:n])), rest[n:]
+				err, rest = conn.scan([]byte(rest[:n])), rest[n:]
 			}
 			if err != c.want {
 				t.Errorf("%.20q by %d: %v, want %v", c.text, step, err, c.want)
@@ -447,16 +450,16 @@
 func FuzzGuard(f *testing.F) {
 	f.Add([]byte("$3\r\nabc\r\n*1\r\n:1\r\n"), 2)
 	f.Fuzz(func(t *testing.T, text []byte, step int) {
-		whole, parts := &limitedConn{}, &limitedConn{}
-		a := whole.scan(text)
+		complete, parts := &limitedConn{}, &limitedConn{}
+		a := complete.scan(text)
 		step = max(step, 1)
 		var b error
 		for rest := text; len(rest) > 0 && b == nil; {
 			n := min(step, len(rest))
 			b, rest = parts.scan(rest[:n]), rest[n:]
 		}
-		if a != b || whole.skipBytes > maxStringBytes+2 || len(whole.header) > maxLineBytes+1 {
-			t.Errorf("%v and %v, %d to skip", a, b, whole.skipBytes)
+		if a != b || complete.skipBytes > maxStringBytes+2 || len(complete.header) > maxLineBytes+1 {
+			t.Errorf("%v and %v, %d to skip", a, b, complete.skipBytes)
 		}
 	})
 }
@@ -486,7 +489,7 @@
 			for i := range n {
 				server.Inject("t:f", fmt.Sprint("n", i), string(text))
 			}
-			commandsWere, bytesWere := server.Traffic()
+			commandsBefore, bytesBefore := server.Traffic()
 			rounds := 0
 			for b.Loop() {
 				rounds++
@@ -496,8 +499,8 @@
 				}
 			}
 			commands, bytes := server.Traffic()
-			b.ReportMetric(float64(commands-commandsWere)/float64(rounds), "commands/round")
-			b.ReportMetric(float64(bytes-bytesWere)/float64(rounds), "bytes/round")
+			b.ReportMetric(float64(commands-commandsBefore)/float64(rounds), "commands/round")
+			b.ReportMetric(float64(bytes-bytesBefore)/float64(rounds), "bytes/round")
 		})
 	}
 }
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -1,6 +1,6 @@
-// Package watch brings updates of the cluster's state from one process to those that follow it: from controllers to
-// agents, from agents to the agents below them and to the proxy on the same machine. It owns the links; when a feeder is
-// left is decided by decide/follower.
+// Package watch distributes updates of the cluster's state: from controllers to agents, and from an agent to
+// its downstream agents and to the proxy on the same machine. It owns the links. decide/follower decides when a
+// process leaves its upstream for another one.
 package watch
 
 import (
@@ -19,35 +19,39 @@
 )
 
 const (
-	heartbeatInterval     = 300 * time.Millisecond  // between two messages of a feeder
-	upstreamTimeout       = 1000 * time.Millisecond // three messages left out, and the feeder is lost
-	reportInterval        = time.Second             // between two reports of a follower,
-	rolloutReportInterval = 200 * time.Millisecond  // or where they hold evidence of an active rollout
-	downstreamTimeout     = 5 * time.Second         // without a report, and the follower is
-	retryDelay            = 100 * time.Millisecond  // before the next feeder is tried
-	minStay               = 5 * time.Second         // before a follower goes back to the feeder that it should have,
-	firstMinStay          = reportInterval          // or from the first one in its life, which it chose before it knew any other
+	heartbeatInterval     = 300 * time.Millisecond  // between two messages to the downstream edges
+	upstreamTimeout       = 1000 * time.Millisecond // without a message, the upstream counts as lost: three heartbeats are missing
+	reportInterval        = time.Second             // between two reports to the upstream
+	rolloutReportInterval = 200 * time.Millisecond  // the same while a report holds evidence of an active rollout
+	downstreamTimeout     = 5 * time.Second         // without a report, a downstream link is closed
+	retryDelay            = 100 * time.Millisecond  // before the next upstream is tried
+	minStay               = 5 * time.Second         // before a process returns to its preferred upstream
+	// minStay for the first upstream after the start, which was chosen before any other was known.
+	firstMinStay = reportInterval
 )
 
-// Message is what a feeder says. Without an update it only says that it is there, and how fresh its state is.
+// Message is what a process sends downstream. Without an update it is a heartbeat that states how fresh the
+// sender's state is.
 //
-// Danger: relays that called themselves fresh could follow each other in a circle, each content with the other, and hear
-// nothing ever again. So freshness begins at a controller, and relays pass it on grown by the time that it lay with them.
+// Danger: relays that declared themselves fresh could form a cycle of upstreams in which none receives updates
+// and none notices. So freshness originates at a controller, and each relay passes it on with the time added
+// that it was held there.
 type Message struct {
 	Update    *clusterstate.Update    `cbor:"1,keyasint,omitempty"`
-	InContact bool                    `cbor:"2,keyasint,omitempty"` // in contact with a majority; for followers of the former version
-	Freshness *clusterstate.Freshness `cbor:"3,keyasint,omitempty"` // nil from a feeder of the former version
-	Lending   *lending.Message        `cbor:"4,keyasint,omitempty"` // for this follower alone
+	InContact bool                    `cbor:"2,keyasint,omitempty"` // the sender is in contact with a majority; read only by edges of the former version
+	Freshness *clusterstate.Freshness `cbor:"3,keyasint,omitempty"` // nil if the sender is of the former version
+	Lending   *lending.Message        `cbor:"4,keyasint,omitempty"` // for the receiving edge alone
 }
 
-// maxContactAge is the age up to which followers of the former version are told that the feeder is in contact.
+// maxContactAge is the age of the state up to which InContact is set, for edges of the former version.
 const maxContactAge = 2 * time.Second
 
 func newMessage(u *clusterstate.Update, fresh clusterstate.Freshness) Message {
 	return Message{Update: u, InContact: fresh.Known && fresh.Age < int64(maxContactAge), Freshness: &fresh}
 }
 
-// freshness is what the message says; a feeder of the former version says only whether it is in contact.
+// freshness returns the freshness that the message states. A sender of the former version states only whether
+// it is in contact.
 func (m Message) freshness() clusterstate.Freshness {
 	if m.Freshness == nil {
 		return clusterstate.Freshness{Known: m.InContact}
@@ -55,38 +59,39 @@
 	return *m.Freshness
 }
 
-// Report is what a follower says, again and again: of itself, of those that follow it, and which configuration it holds.
+// Report is what an edge periodically sends to its upstream: its own state, that of its downstream edges, and
+// the revision of its configuration.
 type Report struct {
 	Self           controller.EdgeReport   `cbor:"1,keyasint"`
 	Downstream     []controller.EdgeReport `cbor:"2,keyasint,omitempty"`
-	Revision       uint64                  `cbor:"3,keyasint,omitempty"` // of the configuration held; its body need not come again
-	AcceptsChanges bool                    `cbor:"4,keyasint,omitempty"` // takes differences between fleets
+	Revision       uint64                  `cbor:"3,keyasint,omitempty"` // of the configuration held, whose body is not sent again
+	AcceptsChanges bool                    `cbor:"4,keyasint,omitempty"` // the edge can apply changes of the fleet; otherwise it needs the whole fleet
 	Lending        *lending.Message        `cbor:"5,keyasint,omitempty"`
 }
 
-// IsOperator tells whether this is an operator who looks on, and no edge.
-func (h Report) IsOperator() bool { return h.Self.Edge.IP == "" }
+// IsOperator reports whether the sender is an operator's watch and not an edge.
+func (r Report) IsOperator() bool { return r.Self.Edge.IP == "" }
 
-// All are the follower and those below it.
-func (h Report) All() []controller.EdgeReport { return append(h.Downstream, h.Self) }
+// All returns the sender's own report and those of its downstream edges.
+func (r Report) All() []controller.EdgeReport { return append(r.Downstream, r.Self) }
 
-// interval is the time until the next report.
-func (h Report) interval() time.Duration {
+// interval returns the time until the next report.
+func (r Report) interval() time.Duration {
 	evidence := func(e controller.EdgeReport) bool { return len(e.Rollouts) > 0 }
-	if evidence(h.Self) || slices.ContainsFunc(h.Downstream, evidence) {
+	if evidence(r.Self) || slices.ContainsFunc(r.Downstream, evidence) {
 		return rolloutReportInterval
 	}
 	return reportInterval
 }
 
-// Feed is the set of those who follow.
+// Feed is the set of downstream links that updates are published to.
 type Feed struct {
 	mu    sync.Mutex
-	links map[*peer.Link]bool // whether the follower takes differences between fleets
+	links map[*peer.Link]bool // by link: whether the edge accepts changes of the fleet
 }
 
-// Join adds a follower and gives it the snapshot, without the body of a configuration that it holds already. Join and
-// Publish are called in the order of what they tell.
+// Join adds a link and sends it the snapshot, without the body of the configuration if the edge already holds
+// it. The caller must order calls of Join and Publish like the states that they send.
 func (f *Feed) Join(l *peer.Link, report Report, snapshot clusterstate.Update, fresh clusterstate.Freshness) {
 	f.mu.Lock()
 	if f.links == nil {
@@ -100,43 +105,43 @@
 	l.SendMessage(newMessage(&snapshot, fresh))
 }
 
-// Leave removes a follower.
+// Leave removes a link.
 func (f *Feed) Leave(l *peer.Link) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.links, l)
 }
 
-// Count is how many follow.
+// Count returns the number of links.
 func (f *Feed) Count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.links)
 }
 
-// Publish tells all who follow; a nil update is a sign of life.
+// Publish sends an update to all links. A nil update sends a heartbeat.
 func (f *Feed) Publish(update *clusterstate.Update, fresh clusterstate.Freshness) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	frames := map[bool]peer.Frame{} // by whether the follower takes differences
-	for l, changes := range f.links {
-		frame, made := frames[changes]
-		if !made {
-			if frame = encode(update, fresh, changes); frame == nil {
+	frames := map[bool]peer.Frame{} // by whether the edge accepts changes of the fleet
+	for l, acceptsChanges := range f.links {
+		frame, encoded := frames[acceptsChanges]
+		if !encoded {
+			if frame = encode(update, fresh, acceptsChanges); frame == nil {
 				return
 			}
-			frames[changes] = frame
+			frames[acceptsChanges] = frame
 		}
 		l.Send(frame)
 	}
 }
 
-// encode makes the frame for followers that take differences between fleets, or for those that do not; nil, and a line
-// in the log, where that fails.
-func encode(update *clusterstate.Update, fresh clusterstate.Freshness, changes bool) peer.Frame {
+// encode returns the frame for edges that accept changes of the fleet, or for those that don't. It logs an
+// error and returns nil if the update cannot be encoded.
+func encode(update *clusterstate.Update, fresh clusterstate.Freshness, acceptsChanges bool) peer.Frame {
 	if update != nil {
-		told := update.ForWire(changes)
-		update = &told
+		wireUpdate := update.ForWire(acceptsChanges)
+		update = &wireUpdate
 	}
 	frame, err := peer.Encode(newMessage(update, fresh))
 	if err != nil {
@@ -146,7 +151,7 @@
 	return frame
 }
 
-// SendHeartbeats publishes signs of life until ctx ends.
+// SendHeartbeats publishes a heartbeat every heartbeatInterval until ctx ends.
 func (f *Feed) SendHeartbeats(ctx context.Context, fresh func() clusterstate.Freshness) {
 	t := time.NewTicker(heartbeatInterval)
 	defer t.Stop()
@@ -160,92 +165,97 @@
 	}
 }
 
-// ReceiveReports takes a follower's words until it is gone; join is called with the first, here with every one.
+// ReceiveReports receives the reports of a downstream edge until its link fails or stays silent for
+// downstreamTimeout. onFirst is called with the first report, onReport with every one.
 func ReceiveReports(l *peer.Link, onFirst func(Report), onReport func(Report)) {
 	for first := true; ; first = false {
-		var h Report
-		if l.Receive(&h, downstreamTimeout) != nil {
+		var report Report
+		if l.Receive(&report, downstreamTimeout) != nil {
 			return
 		}
 		if first {
-			onFirst(h)
+			onFirst(report)
 		}
-		onReport(h)
+		onReport(report)
 	}
 }
 
-// Upstream keeps one link to a feeder. Its functions are called by the goroutine of Run.
+// Upstream keeps one link to an upstream process. Run calls the functions from its goroutine.
 type Upstream struct {
-	Report      func() Report
-	Addresses   func() []string                    // feeders to try, the best first
-	Apply       func(clusterstate.Update) bool     // false where it cannot be used and a snapshot is needed
-	OnFreshness func(fresh clusterstate.Freshness) // a message came, and said this of the feeder; nil where nobody wants it
-	OnLending   func(lending.Message)              // the feeder said what it lends and wants; nil where nobody wants it
+	Report    func() Report
+	Addresses func() []string // addresses of possible upstreams in order of preference
+	// Apply applies an update, which may hold changes of the fleet. It returns false if it cannot be applied and a
+	// snapshot is needed.
+	Apply func(clusterstate.Update) bool
+	// OnFreshness is called after each heartbeat and snapshot with the freshness of the state held here; nil if
+	// unused.
+	OnFreshness func(fresh clusterstate.Freshness)
+	// OnLending is called with each lending message of the upstream; nil if unused.
+	OnLending func(lending.Message)
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards base and decider
 	base    time.Time
 	decider follower.Follower
 }
 
-// now is the follower's steady clock, ns. The caller holds mu.
-func (f *Upstream) now() int64 {
-	if f.base.IsZero() {
-		f.base = time.Now().Add(-time.Hour)
+// now is a monotonic clock, ns. The caller holds mu.
+func (u *Upstream) now() int64 {
+	if u.base.IsZero() {
+		u.base = time.Now().Add(-time.Hour)
 	}
-	return int64(time.Since(f.base))
+	return int64(time.Since(u.base))
 }
 
-// Freshness is how fresh the state held here is, for those that follow in turn.
-func (f *Upstream) Freshness() clusterstate.Freshness {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.decider.Freshness(f.now())
+// Freshness returns how fresh the state held here is, for the messages to downstream edges.
+func (u *Upstream) Freshness() clusterstate.Freshness {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.decider.Freshness(u.now())
 }
 
-func (f *Upstream) connected(alternatives int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.decider.Connected(f.now(), alternatives)
+func (u *Upstream) connected(alternatives int) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.decider.Connected(u.now(), alternatives)
 }
 
-func (f *Upstream) disconnected() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.decider.Disconnected()
+func (u *Upstream) disconnected() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.decider.Disconnected()
 }
 
-func (f *Upstream) recordFreshness(fresh clusterstate.Freshness) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.decider.HandleFreshness(f.now(), fresh)
+func (u *Upstream) recordFreshness(fresh clusterstate.Freshness) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.decider.HandleFreshness(u.now(), fresh)
 }
 
-func (f *Upstream) shouldLeave() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.decider.ShouldLeave(f.now())
+func (u *Upstream) shouldLeave() bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.decider.ShouldLeave(u.now())
 }
 
-// sendReport sends a report and returns the time until the next. What a Follower's Take is given may hold differences between
-// fleets.
-func (f *Upstream) sendReport(l *peer.Link) time.Duration {
-	r := f.Report()
+// sendReport sends a report and returns the time until the next one.
+func (u *Upstream) sendReport(l *peer.Link) time.Duration {
+	r := u.Report()
 	r.AcceptsChanges = true
 	l.SendMessage(r)
 	return r.interval()
 }
 
-// Run follows one feeder after the other until ctx ends.
-func (f *Upstream) Run(ctx context.Context) {
+// Run keeps a link to one upstream after another until ctx ends.
+func (u *Upstream) Run(ctx context.Context) {
 	stay := firstMinStay
-	for n := 0; ctx.Err() == nil; {
-		if addresses := f.Addresses(); len(addresses) > 0 {
-			n %= len(addresses)
-			lost := f.receive(ctx, addresses[n], len(addresses)-1, stay)
+	for next := 0; ctx.Err() == nil; {
+		if addresses := u.Addresses(); len(addresses) > 0 {
+			next %= len(addresses)
+			lost := u.receive(ctx, addresses[next], len(addresses)-1, stay)
 			stay = minStay
-			f.disconnected()
-			if n++; !lost {
-				n = 0
+			u.disconnected()
+			if next++; !lost {
+				next = 0
 			}
 		}
 		select {
@@ -255,9 +265,11 @@
 	}
 }
 
-// receive tells whether the feeder was lost; else it was left, after stay at the earliest, for one that should be followed
-// instead.
-func (f *Upstream) receive(ctx context.Context, address string, alternatives int, stay time.Duration) (lost bool) {
+// receive connects to an upstream and applies its messages. It returns true if the upstream was lost or has no
+// contact with the controllers, so that the next one is tried. It returns false if the preferred upstream is to
+// be connected to: because it is another one and the time stay has passed, or because an update could not be
+// applied and a new connection starts with a snapshot.
+func (u *Upstream) receive(ctx context.Context, address string, alternatives int, stay time.Duration) (lost bool) {
 	l, err := peer.Dial(ctx, address)
 	if err != nil {
 		klog.V(1).InfoS("a feeder cannot be reached", "address", address, "err", err.Error())
@@ -266,39 +278,39 @@
 	defer l.Close()
 	stop := context.AfterFunc(ctx, l.Close)
 	defer stop()
-	next := f.sendReport(l)
-	f.connected(alternatives)
-	began := time.Now()
-	said := began
+	reportIn := u.sendReport(l)
+	u.connected(alternatives)
+	connectedAt := time.Now()
+	lastReport := connectedAt
 	for {
 		var m Message
 		if err := l.Receive(&m, upstreamTimeout); err != nil {
 			klog.InfoS("a feeder is lost", "address", address, "err", err.Error())
 			return true
 		}
-		f.recordFreshness(m.freshness())
+		u.recordFreshness(m.freshness())
 		if m.Lending != nil {
-			if f.OnLending != nil {
-				f.OnLending(*m.Lending)
+			if u.OnLending != nil {
+				u.OnLending(*m.Lending)
 			}
 			continue
 		}
-		if m.Update != nil && !f.Apply(*m.Update) {
-			klog.InfoS("a snapshot is asked for again", "address", address)
+		if m.Update != nil && !u.Apply(*m.Update) {
+			klog.InfoS("an update cannot be applied; a snapshot is requested", "address", address)
 			return false
 		}
-		if f.OnFreshness != nil && (m.Update == nil || m.Update.Snapshot) {
-			f.OnFreshness(f.Freshness())
+		if u.OnFreshness != nil && (m.Update == nil || m.Update.Snapshot) {
+			u.OnFreshness(u.Freshness())
 		}
-		if f.shouldLeave() {
+		if u.shouldLeave() {
 			klog.InfoS("a feeder is cut off from the others", "address", address)
 			return true
 		}
 		now := time.Now()
-		if now.Sub(said) > next {
-			said = now
-			next = f.sendReport(l)
-			if a := f.Addresses(); now.Sub(began) >= stay && len(a) > 0 && a[0] != address {
+		if now.Sub(lastReport) > reportIn {
+			lastReport = now
+			reportIn = u.sendReport(l)
+			if a := u.Addresses(); now.Sub(connectedAt) >= stay && len(a) > 0 && a[0] != address {
 				klog.InfoS("another feeder is to be followed", "address", address, "next", a[0])
 				return false
 			}
