--- a/balance/admission.go
+++ b/balance/admission.go
@@ -6,13 +6,13 @@
 
 type stage uint8
 
-const unrequested, queued, running, answered, abandoned stage = 0, 1, 2, 3, 4 // of a part
+const unrequested, queued, running, answered, abandoned stage = 0, 1, 2, 3, 4 // stages of a part
 
 type part struct {
 	shard, step int
 	weight      float64
 	stage       stage
-	queuedAt    int64   // since when it waits for a replica
+	queuedAt    int64   // when it began to wait for a replica, ns
 	draw        float64 // random number: a cold replica takes the part if its share is above this
 	estimate    int64   // expected time when the parts were last ranked by request, ns
 	mayHaveRun  int64   // send time of the first execution that may have run
@@ -20,11 +20,11 @@
 	replaced    bool // another part was requested in case this one does not come
 }
 
-// Query is the handle of one query that was handed over.
+// Query is the state of a query that was handed over, and its handle for the caller.
 type Query struct {
 	agg                       *Aggregator
 	workload                  *workload
-	resetBy                   int  // 1 + the replica that last reset it at once; 0 for none
+	resetBy                   int  // 1 + index of the last replica that reset it at once; 0 for none
 	deadly, fulfilled         bool // two replicas, or one for a retry, reset it at once; a part was fulfilled
 	parts                     []part
 	size                      int
@@ -34,10 +34,10 @@
 	priority                  Priority
 }
 
-// Open tells whether the query still wants a final answer.
+// Open tells whether the final answer is still pending.
 func (q *Query) Open() bool { return q.open }
 
-// AddQuery hands over a query; its parts are added to the handle.
+// AddQuery hands over a query; AddPart then adds its parts.
 func (a *Aggregator) AddQuery(now int64, arrival Arrival) *Query {
 	w := a.workloads[arrival.Workload]
 	q := &Query{agg: a, workload: w, size: arrival.Parts, arrivedAt: now, open: true, priority: arrival.Priority}
@@ -117,7 +117,7 @@
 	if w.MinCoverage < w.FullCoverage {
 		need, least = total, w.MinCoverage
 	}
-	// Danger: a query of many parts meets the slowest of many replicas: overload would shut out its workload.
+	// Danger: a query of many parts waits for its slowest replica: overload would shut out its workload.
 	fair := 1 + a.admitted.at(now, 0) - w.admitted.at(now, 0)
 	// Danger: queries with little value per part would use up the capacity for those with more.
 	parts := float64(len(q.parts))
@@ -141,7 +141,7 @@
 	a.admitted.add(now, 1, 1)
 }
 
-// RetryAfter is the wait advised to declined clients, ns, also to those that the caller declines; 0 for none.
+// RetryAfter is the wait advised to declined clients, ns, also if the caller itself declines; 0 for none.
 func (a *Aggregator) RetryAfter() int64 { return min(retryAfter, a.MaxRetryAfter) }
 
 // ready tells whether the query is open and has the parts of its current step.
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -7,11 +7,11 @@
 import "slices"
 
 const (
-	ms, never = 1_000_000, -1 // a millisecond in ns; "no time" where a time is kept
+	ms, never = 1_000_000, -1 // a millisecond in ns; the value of a time that is not set
 
 	baseCost    = 2    // Base Reference Cost of each replica: default of the Running Execution Cost algorithm
 	maxCalls    = 32   // own calls in flight at one replica: the algorithm's default
-	maxCost     = 127  // maxCalls * baseCost must stay within it: a requirement of the algorithm
+	maxCost     = 127  // the algorithm's limit of a replica's cost; maxCalls * baseCost must stay within it
 	waitDivisor = 10   // longest wait of a part for a free replica: its query's time / this, as in the design
 	epsilon     = 1e-6 // tolerance for sums of weights, which make 1 but for rounding
 	marginTicks = 3    // ticks kept free before a goal or a deadline, for the way back and a late round
@@ -23,7 +23,7 @@
 	minAdmitted   = 0.02       // lower bound of the admitted share in priorTime, to bound the prior's weight
 	halfLifeGoals = 2          // half-life of times for admission, in shortest goals: congestion passes
 	maxTimeGoals  = 2          // cap of a time for admission, in shortest goals; Full counts as the cap
-	priorFactor   = 2          // the prior weighs this many times more in admission, by shard and by holder
+	priorFactor   = 2          // admission multiplies the prior's weight by it, for a shard and for each holder
 	slowFactor    = 1.5        // a replica slower than the best by this factor is passed over
 	priorShare    = 6          // part time of a workload without samples: its latency goal / this
 	overdueStart  = 7          // initial overdueFactor: executions are overdue after this many typical times
@@ -34,8 +34,8 @@
 	admitShare    = 0.5        // a query is admitted if it should need no more than this share of its goal
 	crowdShare    = 0.4        // healthy replicas that need more than this share of minGoal are full
 	maxWeight     = 4          // cap of the weight of a shared report on slowdown, in own calls
-	excessShare   = 0.5        // times admitShare for a customer over quota, whose queries are worth less
-	retryShare    = 0.35       // times admitShare for marked retries: queries that always fail return as such
+	excessShare   = 0.5        // factor on admitShare for customers over quota, whose queries are worth less
+	retryShare    = 0.35       // factor on admitShare for marked retries: queries that always fail are retried
 	maxFails      = 2          // consecutive failures that eject a replica: a single one may be chance
 	fastResetPart = 4          // a reset within a typical part time / this is blamed on the query
 
@@ -45,10 +45,10 @@
 	idleWindow, idleLimitFor                           = 4000 * ms, 32000 * ms
 
 	firstEjection  = 1000 * ms // longest first ejection; the shortest latency goal if that is less
-	ejectionGrowth = 8         // longest ejection over the first one; each is twice the one before
+	ejectionGrowth = 8         // longest ejection / the first; each ejection is twice as long as the one before
 	readmitQuota   = 16        // trial quota at which an ejected replica is readmitted
-	warmUpSafety   = 0.9       // share of a cold replica's limit in use: the list is late and work is a guess
-	leaveShare     = 0.1       // if more clients than this leave early the goal moves forward: a few always do
+	warmUpSafety   = 0.9       // used share of a cold replica's limit: the list is late, and work is estimated
+	leaveShare     = 0.1       // if a larger share of clients leaves early the goal moves ahead: a few always do
 	retryAfter     = 1000 * ms // wait advised to a declined client: a few part times
 	listRetry      = 1000 * ms // first wait after a failed list call; it doubles up to 8 times this, with jitter
 )
@@ -137,7 +137,7 @@
 			a.replicas = append(a.replicas, replica{})
 		}
 		r := &a.replicas[l.Replica]
-		if l.New || r.sent.width == 0 { // nothing is known of it: the index may have been another's
+		if l.New || r.sent.width == 0 { // another replica may have had the index before
 			*r = replica{callTime: newMean(longWindow), recent: newMean(longWindow / 2), sent: newRing(a.OverloadSpan)}
 		}
 		if l.StartedAt != r.startedAt { // the failures were those of its previous process
@@ -193,7 +193,7 @@
 				wake = min(wake, a.dispatch(now, q, i))
 			}
 		}
-		// Danger: a query has one answer a round: one whose first step ends at its deadline fails in the next.
+		// Danger: a query has one answer a round. If its first step ends at the deadline, it fails a round later.
 		if q.ready() { // a part abandoned just now may end it: its client must not wait in vain
 			wake = min(wake, q.settle(now))
 		} else if q.open {
--- a/balance/replicastate.go
+++ b/balance/replicastate.go
@@ -73,7 +73,7 @@
 	row, typical       int64 // number of the row; typical part time, close to the median, ns
 }
 
-// updateTypical recomputes the typical part time. Danger: one kept from congestion would decline all queries.
+// updateTypical renews the typical part time. Danger: a time kept from congestion would decline all queries.
 func (w *workload) updateTypical(now int64) {
 	w.typical = int64(math.Exp(w.logTimes.at(now, math.Log(float64(w.LatencyGoal)/priorShare))))
 }
@@ -83,11 +83,11 @@
 	listed, ejected     bool // listed as up; ejected after failures
 	cell, distance      int
 	startedAt, servedAt int64 // start of its process; last fulfilled execution
-	calls, maxCalls     int   // own calls in flight, which pick compares; its own cap of them, 0 for none
+	calls, maxCalls     int   // this aggregator's calls in flight there; the listed limit of them, 0 for none
 	openCall            *call
 	sent                ring                         // executions sent to it within OverloadSpan
 	fails               int                          // consecutive failures since the last fulfilled execution
-	failedAt, skipUntil int64                        // when the last failure came; gets no parts until then
+	failedAt, skipUntil int64                        // time of last failure; time until which it gets no parts
 	failedFast          bool                         // the last failure was no timeout and cost no time
 	callTime, recent    mean                         // ns per own call; recent: half the window, for Findings
 	decayed             struct{ sum, n, at float64 } // like callTime, but older times count less: for admission
@@ -100,7 +100,7 @@
 }
 
 // priorTime is the time per call assumed of a replica without recent samples, and its weight in own calls.
-// Danger: one old time would bar its shard while it is kept. The more is declined, the more the prior counts.
+// Danger: one old time would bar its shard while it is kept, so the prior weighs more as more is declined.
 func (a *Aggregator) priorTime(now int64, w *workload) (prior, weight float64) {
 	prior = max(float64(w.typical), a.callTime[int(w.row)%len(a.callTime)].at(now, 0))
 	return prior, cmp.Or(a.PriorWeight, priorWeight) / max(a.admitted.at(now, 1), minAdmitted)
@@ -114,7 +114,7 @@
 }
 
 // holdersMean is the time per call of all holders of a shard together, for admission. Danger: if a replica is
-// called once in seconds, congestion ends before it is known of each holder, and would bar the shard later.
+// called once in seconds, congestion is over before it shows at each holder, and would bar the shard later.
 func (a *Aggregator) holdersMean(now int64, p *part, prior, weight float64) float64 {
 	sum, n := priorFactor*weight*prior, priorFactor*weight
 	for _, h := range a.holders[p.shard] {
@@ -125,13 +125,13 @@
 	return sum / n
 }
 
-// estimate is how long a part sent now should take: the time per call, times the calls. The pick remembers
-// slow replicas longer, and by shared reports too; admission goes by the recent times of this aggregator.
+// estimate is how long a part sent now should take: the time per call, times the calls. For pick, older
+// times and shared reports count too; admission uses only the recent times of this aggregator.
 func (r *replica) estimate(now int64, prior, weight float64, pick bool) int64 {
 	sum, n := r.callTime.total.sum(now)+weight*prior, r.callTime.count.sum(now)+weight
 	if !pick {
 		sum, n = r.decayed.sum+priorFactor*weight*prior, r.decayed.n+priorFactor*weight
-	} else if now < r.report.Expires { // other aggregators called it
+	} else if now < r.report.Expires { // times that other aggregators reported
 		sum, n = sum+r.report.Weight*r.report.Slowdown*prior, n+r.report.Weight
 	}
 	return int64(sum / n * float64(r.calls+1))
@@ -178,7 +178,7 @@
 	}
 }
 
-// eject bars a replica, longer each time; trial parts follow. Danger: a probe proves nothing about parts.
+// eject ejects a replica, longer each time; trials follow. Danger: a probe would prove nothing about parts.
 func (a *Aggregator) eject(now int64, r *replica) {
 	r.ejection = min(max(2*r.ejection, a.ejection), ejectionGrowth*a.ejection)
 	r.ejected, r.quota, r.used, r.passed, r.trialAt = true, 1, 0, 0, now+r.ejection
--- a/balance/types.go
+++ b/balance/types.go
@@ -29,7 +29,7 @@
 // Deployment is the configuration of an aggregator, which is fixed for the life of the process.
 type Deployment struct {
 	Index, Aggregators int    // this aggregator's number, from 0, and the number of all
-	Seed               uint64 // of this aggregator's random numbers
+	Seed               uint64 // seed of this aggregator's random numbers
 	Tick               int64  // least time between two rounds, ns
 
 	Workloads []Workload
@@ -49,11 +49,11 @@
 	PriorWeight float64 // weight of the typical time beside a replica's own times, in own calls; 0 for the default
 
 	AsksForList bool  // the list is only sent on request
-	AskWithin   int64 // without a request for so long, the aggregator counts as informed of the list, ns
+	AskWithin   int64 // an aggregator that sends no request for this long counts as informed of the list, ns
 
 	Budgeted     bool    // retries (further executions of a part) have budgets
 	RetrySlack   float64 // retries that a budget allows within RetryWindow, whatever the traffic
-	RetryRatio   float64 // further retries that it allows for each query or part handed over
+	RetryRatio   float64 // retries that a budget allows in addition, for each query or part handed over
 	RetryWindow  int64   // length of any window in which the budget holds, ns
 	ShardBudgets int     // number of shards with a budget of their own, which counts parts only; 0 for one common budget
 }
@@ -102,7 +102,7 @@
 // Finding is what this aggregator found of a replica by its own executions.
 type Finding struct {
 	Replica, Cell int
-	Ejected       bool    // it is ejected after failures
+	Ejected       bool    // this aggregator has ejected it
 	TrialAt       int64   // start of the trial quota of an ejected replica, ns
 	LastFailure   int64   // time of its last failure, if it has fulfilled nothing since; 0 for none
 	LastSuccess   int64   // time of its last fulfilled execution; 0 for none
--- a/decide/controller/contact.go
+++ b/decide/controller/contact.go
@@ -14,7 +14,7 @@
 const (
 	contactTimeout    = 1600 * ms // contact lasts this long after the last answered heartbeat was sent; three may be lost
 	settleDelay       = 400 * ms  // a value that is accepted but not committed for this long gets a round of its own
-	settleBackupDelay = 800 * ms  // wait of the other members beyond settleDelay, before they run that round instead
+	settleBackupDelay = 800 * ms  // the other members wait this long beyond settleDelay, and up to as long again at random
 )
 
 // neverCurrent is the CurrentSince of a controller that has not been current since its process started.
@@ -108,7 +108,8 @@
 }
 
 // edgeReports returns the edges to report to the other controllers now and marks them as reported: those that have
-// changed, and those whose last report is older than edgeReportRepeat.
+// changed, and those whose last report is older than edgeReportRepeat. Edges that are unheard for longer than that are
+// left out.
 func (c *Controller) edgeReports() (reports []EdgeReport) {
 	for _, e := range c.edges {
 		if c.now-e.reportedAt > edgeReportRepeat && c.now-e.lastHeard < edgeReportRepeat {
--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -19,11 +19,11 @@
 // Intervals and timeouts, in ns unless the comment says otherwise.
 const (
 	ms                     = 1_000_000
-	heartbeatInterval      = 300 * ms   // between two heartbeats to every other controller
-	recordBatchInterval    = 100 * ms   // between two batches of changed replica records to the other controllers
-	heartbeatBatchInterval = 600 * ms   // between two batches that hold no changed record, only heartbeats of replicas
+	heartbeatInterval      = 300 * ms   // time between two heartbeats to every other controller
+	recordBatchInterval    = 100 * ms   // time between two batches of changed replica records to the other controllers
+	heartbeatBatchInterval = 600 * ms   // time between two batches that hold no changed record, only heartbeats of replicas
 	answerTimeout          = 900 * ms   // callers try another controller after a second without an answer
-	joinInterval           = 250 * ms   // between two requests of a controller with an empty disk to catch up
+	joinInterval           = 250 * ms   // time between two requests of a controller with an empty disk to catch up
 	silentMemberTimeout    = 2500 * ms  // a member that has answered no heartbeat for this long may be replaced
 	forgetPeerAfter        = 30000 * ms // a controller that is not a member is dropped once unheard for this long
 	edgeTimeout            = 20000 * ms // an edge that is unheard for this long is dropped
@@ -31,16 +31,16 @@
 	suspicionValidity      = 4000 * ms  // one edge's suspicion of another expires after this long
 	suspicionThreshold     = 2          // edges that must suspect another one; fewer if its zone has fewer others
 	maxEdgesRetention      = 60000 * ms // the edge count that budgets are divided by falls only after this long
-	fleetUpdateInterval    = 400 * ms   // between two lists of edges and controllers sent to the edges
-	edgeReportInterval     = 900 * ms   // between two heartbeats that carry the known controllers and edge reports
+	fleetUpdateInterval    = 400 * ms   // time between two lists of edges and controllers sent to the edges
+	edgeReportInterval     = 900 * ms   // time between two heartbeats that carry the known controllers and edge reports
 	edgeReportRepeat       = 5000 * ms  // an unchanged edge is reported to the other controllers again after this long
-	requestInterval        = 500 * ms   // between two requests of the same kind to other controllers
+	requestInterval        = 500 * ms   // time between two requests of the same kind to other controllers
 	heartbeatsPerRelay     = 2          // one in this many unchanged heartbeats of a replica is relayed
 	silentAfterHeartbeats  = 5          // a replica that misses this many heartbeats is silent
 	goneRetention          = 60000 * ms // a replica that is gone is remembered for this long
-	saveRetryDelay         = 200 * ms   // between a failed save and the next
-	replicasSaveInterval   = 500 * ms   // between two saves made only because a replica's record changed
-	committedSaveInterval  = 500 * ms   // between two saves made only to record what is known to be committed
+	saveRetryDelay         = 200 * ms   // time between a failed save and the next
+	replicasSaveInterval   = 500 * ms   // time between two saves made only because a replica's record changed
+	committedSaveInterval  = 500 * ms   // time between two saves made only to record what is known to be committed
 )
 
 // peer is another controller as known from its messages. Times are those of this controller's clock, in ns.
@@ -247,7 +247,7 @@
 	return effects
 }
 
-// Tick does all work whose time has come. The caller calls it at NextTick at the latest.
+// Tick does all work that is due. The caller calls it at NextTick at the latest.
 func (c *Controller) Tick(now int64) Effects {
 	c.now = now
 	c.checkContact()
--- a/decide/controller/departures.go
+++ b/decide/controller/departures.go
@@ -56,7 +56,7 @@
 	l.nextSaveAt = now + departureSaveInterval
 }
 
-// saveFinished records the end of that save. After a failure its departures are unsaved again.
+// saveFinished records the end of the save in progress. After a failure its departures are unsaved again.
 func (l *departures) saveFinished(succeeded bool) {
 	if !succeeded {
 		maps.Copy(l.unsaved, l.saving)
--- a/decide/controller/edges.go
+++ b/decide/controller/edges.go
@@ -20,8 +20,8 @@
 	return c.takeEffects()
 }
 
-// recordEdge records an edge's report. own is true for a report that came to this controller and has to be passed on,
-// and false for one that came from another controller.
+// recordEdge records an edge's report. own is true for a report of an edge that gets its updates from this controller,
+// which passes the report on, and false for one that came from another controller.
 func (c *Controller) recordEdge(report EdgeReport, own bool) {
 	if report.Edge.IP == "" { // an operator who watches, not an edge
 		return
--- a/decide/controller/messages.go
+++ b/decide/controller/messages.go
@@ -21,17 +21,17 @@
 	WantAll    bool              `cbor:"7,keyasint,omitempty"` // requests all records and the committed value
 
 	CommittedValue       *register.Value      `cbor:"8,keyasint,omitempty"`  // a value known to be committed
-	CommittedBallot      register.Ballot      `cbor:"9,keyasint,omitempty"`  // the value accepted under it is committed
-	ReplicaHeartbeats    []ReplicaHeartbeat   `cbor:"10,keyasint,omitempty"` // for a receiver that knows no groups
+	CommittedBallot      register.Ballot      `cbor:"9,keyasint,omitempty"`  // ballot of a committed value, which the receiver may have accepted
+	ReplicaHeartbeats    []ReplicaHeartbeat   `cbor:"10,keyasint,omitempty"` // unchanged heartbeats, for a receiver without groups
 	CommittedValueBallot register.Ballot      `cbor:"11,keyasint,omitempty"` // the ballot of CommittedValue
 	WantGroup            bool                 `cbor:"12,keyasint,omitempty"` // requests FullGroup
 	FullGroup            registry.GroupUpdate `cbor:"13,keyasint,omitzero"`  // the sender's whole group of replicas
 	WantReplicas         []string             `cbor:"14,keyasint,omitempty"` // requests the records of these replica IDs
 
 	WantLeaving    *registry.LeavingSums `cbor:"15,keyasint,omitempty"` // requests LeavingRecords where these sums differ
-	LeavingRecords []registry.AgedRecord `cbor:"16,keyasint,omitempty"` // of replicas that are draining or gone
+	LeavingRecords []registry.AgedRecord `cbor:"16,keyasint,omitempty"` // records of replicas that are draining or gone
 
-	Evidence []EdgeEvidence `cbor:"17,keyasint,omitempty"` // for the member that runs the rollouts
+	Evidence []EdgeEvidence `cbor:"17,keyasint,omitempty"` // evidence of rollouts, for the member that runs them
 }
 
 // ReplicaHeartbeat reports a heartbeat of a replica whose record has not changed.
@@ -43,17 +43,17 @@
 // Heartbeat is sent by each controller to all others every heartbeatInterval.
 type Heartbeat struct {
 	CaughtUp     bool         `cbor:"1,keyasint,omitempty"` // the sender's disk counts in majorities
-	Epoch        uint64       `cbor:"2,keyasint,omitempty"` // of the members known to be committed
-	Revision     uint64       `cbor:"3,keyasint,omitempty"` // of the configuration known to be committed
+	Epoch        uint64       `cbor:"2,keyasint,omitempty"` // epoch of the members known to be committed
+	Revision     uint64       `cbor:"3,keyasint,omitempty"` // revision of the configuration known to be committed
 	Controllers  []string     `cbor:"4,keyasint,omitempty"` // IPs of live controllers that the sender knows
 	Edges        []EdgeReport `cbor:"5,keyasint,omitempty"` // edges that are new or changed, or were reported long ago
 	ShuttingDown bool         `cbor:"6,keyasint,omitempty"` // the sender's process will end soon
 
-	Number   uint64          `cbor:"7,keyasint,omitempty"` // of this heartbeat; a receiver returns it in a Receipt
-	Received []Receipt       `cbor:"8,keyasint,omitempty"` // one for each controller that the sender has heard
+	Number   uint64          `cbor:"7,keyasint,omitempty"` // number of this heartbeat; a receiver returns it in a Receipt
+	Received []Receipt       `cbor:"8,keyasint,omitempty"` // the last heartbeats received, one for each other controller
 	Accepted register.Ballot `cbor:"9,keyasint,omitempty"` // the newest ballot that the sender's disk has accepted
 
-	Zone  string                `cbor:"10,keyasint,omitempty"` // of the sender; sent only along with Controllers
+	Zone  string                `cbor:"10,keyasint,omitempty"` // zone of the sender; sent only along with Controllers
 	Group *registry.GroupUpdate `cbor:"11,keyasint,omitempty"` // change of the sender's group; nil in the previous version
 
 	LeavingSum *uint64 `cbor:"12,keyasint,omitempty"` // sum of the leaving replicas; nil in the previous version
@@ -92,8 +92,8 @@
 type Save struct {
 	Number                 uint64
 	RegisterState          register.State
-	CommittedConfiguration register.Order    // of the newest committed configuration; RegisterState may hold another one
-	Rollouts               rollout.Set       // known to be committed
+	CommittedConfiguration register.Order    // the newest committed one; RegisterState may hold another configuration
+	Rollouts               rollout.Set       // rollouts known to be committed
 	Replicas               []registry.Record // nil if the saved list is to stay as it is
 }
 
@@ -112,8 +112,8 @@
 	Save       *Save
 	Sends      []Send
 	Answers    []Answer
-	Update     clusterstate.Update // for the edges: only replicas of services that the configuration uses
-	FullUpdate clusterstate.Update // for operators who watch: all replicas
+	Update     clusterstate.Update // sent to the edges: only replicas of services that the configuration uses
+	FullUpdate clusterstate.Update // sent to operators who watch: all replicas
 	Log        []LogLine
 }
 
@@ -131,11 +131,11 @@
 	Regions                  locality.Regions
 	Seeds                    []string          // IPs of controllers to contact first; at the first start, the members
 	Bootstrap                bool              // this is the first start of the whole system
-	RegisterState            *register.State   // as saved; nil for an empty disk
-	CommittedConfiguration   register.Order    // of the newest configuration known to be committed, as saved
-	Rollouts                 rollout.Set       // known to be committed, as saved
-	Replicas                 []registry.Record // as saved
-	ReplicaHeartbeatInterval int64             // between two heartbeats of a replica, ns
+	RegisterState            *register.State   // the saved state of the register; nil for an empty disk
+	CommittedConfiguration   register.Order    // the saved revision and sum of the newest committed configuration
+	Rollouts                 rollout.Set       // the saved rollouts, known to be committed
+	Replicas                 []registry.Record // the saved list of replicas
+	ReplicaHeartbeatInterval int64             // time between two heartbeats of a replica, ns
 	RolloutTerms             rollout.Bounds
 	Random                   func() float64 // returns numbers from 0 up to 1
 }
--- a/decide/controller/rollouts.go
+++ b/decide/controller/rollouts.go
@@ -15,7 +15,7 @@
 // decides their next steps and commits each one.
 
 const (
-	evidenceInterval = 150 * ms // between two batches of evidence to the first live member
+	evidenceInterval = 150 * ms // time between two batches of evidence to the first live member, ns
 
 	statusUnprocessable = 422 // ends the operator's call
 )
--- a/decide/controller/stats.go
+++ b/decide/controller/stats.go
@@ -6,8 +6,8 @@
 type Stats struct {
 	InContact   bool   // a majority of the members answers its heartbeats
 	CaughtUp    bool   // its disk counts in majorities
-	Epoch       uint64 // of the members
-	Revision    uint64 // of the newest configuration known to be committed
+	Epoch       uint64 // epoch of the members
+	Revision    uint64 // revision of the newest configuration known to be committed
 	Members     int
 	Controllers int // other controllers that it knows
 	Edges       int
--- a/node/node.go
+++ b/node/node.go
@@ -116,7 +116,7 @@
 type Execution struct {
 	Workload      int
 	Result        balance.Result
-	Took          int64 // time from when its connection was established, ns; 0 if it never was
+	Took          int64 // time since its connection was established, ns; 0 if it had none
 	NewConnection bool  // a connection was opened for it
 }
 
@@ -125,7 +125,7 @@
 	Clock       Clock
 	Deployment  deployment.Deployment
 	Limits      deployment.Limits
-	KnownList   discovery.Update // the last list that an earlier process knew
+	KnownList   discovery.Update // the list that an earlier process saved
 	Budget      *sockets.Budget
 	Count       *counters.Counters
 	Log         *zap.Logger
--- a/node/results.go
+++ b/node/results.go
@@ -10,7 +10,7 @@
 	"willowsill/transport/discovery"
 )
 
-// pendingResult is a result that arose during a round; the module is told after the round.
+// pendingResult is a result that arose while the loop carried out actions; recordPending reports it afterwards.
 type pendingResult struct {
 	execution *execution
 	result    balance.Result
@@ -22,7 +22,7 @@
 	n.pendingResults = append(n.pendingResults, pendingResult{e, result})
 }
 
-// recordPending records the results that are queued in pendingResults.
+// recordPending reports the results that endLater has queued to the module.
 func (n *Node) recordPending() {
 	now := n.Now()
 	for _, o := range n.pendingResults {
@@ -130,7 +130,7 @@
 	listings := make([]balance.Listing, 0, len(news.Entries))
 	for _, e := range news.Entries {
 		i, known := n.indices[e.Host]
-		if !known && e.Status == balance.Gone { // it was never known here
+		if !known && e.Status == balance.Gone { // nothing to remove
 			continue
 		}
 		if !known {
@@ -141,7 +141,7 @@
 		if e.Status != balance.Gone {
 			h.startedMs, h.zone = e.StartedMs, e.Zone
 		}
-		if !known || e.Dial != "" { // the entry of one that has left may lack the address
+		if !known || e.Dial != "" { // the entry of a replica that has left may lack the address
 			n.transport.SetAddress(i, e.Dial)
 		}
 		if n.zoneHealth != nil && h.up {
--- a/node/retries.go
+++ b/node/retries.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// RetryUse is what a node has used, within the retry window, of the retry budget of which it has used most.
+// RetryUse is the use, within the retry window, of the retry budget that the node has used most.
 type RetryUse struct {
 	Slack float64 // retries beyond the ratio of what was handed over; below 0 if that is not used up
 	Any   bool    // there was a retry in the window
--- a/node/schedule.go
+++ b/node/schedule.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// recordRound tells the pacer what a round cost that began at the given time.
+// recordRound reports to the pacer how long the round took that began at the given time.
 func (n *Node) recordRound(began int64) {
 	if n.schedule != nil && n.schedule.Pace != nil {
 		n.schedule.Pace.RecordRound(n.Now() - began)
--- a/node/send.go
+++ b/node/send.go
@@ -21,8 +21,8 @@
 	observed     string // host of the replica, if the observer wants to be notified of the end
 }
 
-// responseTime is the time from when its connection was established, ns, for the time to connect says nothing about
-// the replica; 0 if it never was.
+// responseTime is the time from the establishment of the connection to at, ns, because the time to connect says nothing
+// about the replica; 0 if the execution had no connection.
 func (e *execution) responseTime(at int64) int64 {
 	connected := e.ticket.ConnectedAt.Load()
 	if connected == 0 {
@@ -45,7 +45,7 @@
 	for _, s := range sends {
 		q := n.queries[s.Query]
 		e := &execution{query: q, part: s.Part, number: len(q.executions[s.Part]), replica: s.Replica, sentAt: now, deadline: s.Deadline}
-		// Rounding down makes the replica give the part up no later than this side does.
+		// Rounding down makes the replica drop the part no later than this node does.
 		wait := (s.Deadline - now) / waitUnit
 		shard := q.Parts[s.Part].Shard
 		e.ticket = &replica.Ticket{Part: replica.Part{ID: q.ID + "." + strconv.Itoa(shard), Shard: shard,
--- a/node/share.go
+++ b/node/share.go
@@ -120,7 +120,8 @@
 	}
 }
 
-// overQuota takes a token of the customer and tells whether none was left, as far as is known here.
+// overQuota spends a token of the customer's quota at this node and tells whether none was left. A customer without a
+// quota is never over it.
 func (n *Node) overQuota(now int64, customer string) bool {
 	if n.shared == nil {
 		return false
