--- a/balance/balance.go
+++ b/balance/balance.go
@@ -53,14 +53,14 @@
 	listRetry      = 1000 * ms // first wait after a failed list call; it doubles up to 8 times this, with jitter
 )
 
-// Aggregator is the state of one aggregator, without its connections and queues.
+// Aggregator is the decision state of one aggregator. Its connections and queues belong to the caller.
 type Aggregator struct {
 	Deployment
 	rng                 rng
 	workloads           []*workload
 	replicas            []replica
-	holders             [][]int // by shard: the replicas that hold it
-	nextTied            []int   // by shard: where pick starts among tied replicas
+	holders             [][]int // replicas that hold a shard, by shard
+	nextTied            []int   // position among tied replicas at which pick starts, by shard
 	callTime            []mean  // time per own call, ns: of all workloads, or of each if there are ShardBudgets
 	minGoal, ejection   int64   // shortest latency goal of all workloads; length of a first ejection, ns
 	leftAfter           mean    // share of their time after which clients left
@@ -68,17 +68,17 @@
 	overdueFactor       float64 // typical part times after which an execution is overdue
 	sent                ring    // executions sent, from which a replica's usual load is derived
 	idleLimit           int64   // connections that are idle for longer are closed, ns
-	idleLimitUntil      int64   // when idleLimit ceases to apply
+	idleLimitUntil      int64   // end of the time in which idleLimit applies
 	idleLosses          []mean  // share of parts lost, by the time that their connection had been idle
 	queries             []*Query
-	arrivals, retries   []ring // by retry budget: queries and parts handed over; further executions
+	arrivals, retries   []ring // queries and parts handed over, and retries; each by retry budget
 	value, admitted     mean   // value per part handed over; share of queries admitted
 	rounds              int
 	round               Round
-	cancels             []Cancel // for the next round
+	cancels             []Cancel // executions to cancel in the next round
 	stalled             int64    // total time in which the process itself stood still, ns
 	subscribed          bool
-	listAt, listWait    int64 // when to call for the list; wait after the next failure, ns
+	listAt, listWait    int64 // time of the next call for the list; wait after its failure, ns
 }
 
 // New returns an aggregator that knows no replicas yet.
@@ -94,7 +94,7 @@
 	return a
 }
 
-// SetWorkloads replaces the terms of the workloads and may add rows; what was learnt of a row is kept.
+// SetWorkloads replaces the terms of the workloads and may add rows; samples and averages of a row are kept.
 // Danger: a row may pass to another route, whose terms could let a once-only query under way run again.
 func (a *Aggregator) SetWorkloads(now int64, workloads []Workload) {
 	a.Workloads, a.minGoal = workloads, math.MaxInt64
@@ -164,7 +164,7 @@
 func (a *Aggregator) ListFailed(now int64) {
 	// Danger: aggregators that retry in step after a common restart would keep the list service down.
 	a.subscribed, a.listAt = false, now+int64(float64(a.listWait)*(0.5+a.rng.next()))
-	a.listWait = min(2*a.listWait, 8*listRetry, max(a.AskWithin/2, listRetry)) // to call within AskWithin
+	a.listWait = min(2*a.listWait, 8*listRetry, max(a.AskWithin/2, listRetry)) // a call comes within AskWithin
 }
 
 // RecordStall adds time, ns, in which the process itself stood still: it could not send, read or decide.
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -78,7 +78,7 @@
 					r.stale || now < r.skipUntil) {
 				continue
 			}
-			cost := baseCost*r.calls*Distances + r.distance // of the cheapest the nearest, then round robin
+			cost := baseCost*r.calls*Distances + r.distance // among equal costs the nearest wins, then round robin
 			if tied = cost == best || tied && cost > best; cost < best {
 				best, choice = cost, i
 			}
--- a/balance/replicastate.go
+++ b/balance/replicastate.go
@@ -66,7 +66,7 @@
 	return float64(g.x) / (1 << 32)
 }
 
-// workload is a row of the table of workloads: its terms and what was learnt from its recent parts.
+// workload is a row of the table of workloads: its terms and statistics of its recent parts.
 type workload struct {
 	Workload
 	logTimes, admitted *mean // logarithms of fulfilled part times; share admitted. All terms of a row share them
@@ -91,12 +91,12 @@
 	failedFast          bool                         // the last failure was no timeout and cost no time
 	callTime, recent    mean                         // ns per own call; recent: half the window, for Findings
 	decayed             struct{ sum, n, at float64 } // like callTime, but older times count less: for admission
-	lastUsed            int64                        // when it was last sent a part or gave a result
+	lastUsed            int64                        // time of its last execution or result, ns
 	connected           bool                         // sent to since its idle connections were last closed
 	stale               bool                         // its connection is suspect: no parts until it is closed
 	ejection, trialAt   int64                        // length of the last ejection, ns; start of the trial quota
 	quota, used, passed int                          // trial parts allowed, doubled on success; sent; fulfilled
-	report              SharedReport                 // from other aggregators, until it expires
+	report              SharedReport                 // reported by other aggregators
 }
 
 // priorTime is the time per call assumed of a replica without recent samples, and its weight in own calls.
--- a/balance/types.go
+++ b/balance/types.go
@@ -4,9 +4,9 @@
 type RetrySafety uint8
 
 const (
-	Repeatable   RetrySafety = iota // it may run any number of times
+	Repeatable   RetrySafety = iota // a part may run any number of times
 	Deduplicated                    // replicas recognise and drop repeats, for DedupWindow
-	OnceOnly                        // it must never run twice
+	OnceOnly                        // a part must never run twice
 )
 
 // Workload holds the terms of one kind of query. Weights are shares of the answer; revenue is relative.
@@ -21,7 +21,7 @@
 	RetrySafety   RetrySafety
 	DedupWindow   int64 // how long replicas recognise repeats of a Deduplicated part, ns
 
-	MaxExecutions int // limit of executions of one part, 0 for that of the deployment
+	MaxExecutions int // limit of executions of one part, 0 for the limit of the deployment
 
 	OptionalGoal int64 // time that an optional part must fit, ns; 0 for the shortest latency goal of all workloads
 }
@@ -39,7 +39,7 @@
 
 	MaxExecutions int   // limit of executions of one part
 	CanCancel     bool  // replicas can cancel executions
-	MaxRetryAfter int64 // longest wait that declined clients honour, ns; 0 if they cannot be told a wait
+	MaxRetryAfter int64 // longest wait that declined clients honour, ns; 0 if an answer cannot carry a wait
 
 	ColdCapacity   float64 // least share of its capacity that a replica has right after its start
 	WarmUpTime     int64   // longest time until a started replica has its full capacity, ns
@@ -74,9 +74,9 @@
 	New       bool
 	Cell      int
 	Status    Status
-	StartedAt int64 // when its process last started, ns; 0 for long ago
+	StartedAt int64 // start time of its process, ns; 0 for long ago
 	MaxCalls  int   // limit of own calls in flight there, in addition to the limit of this package; 0 for none
-	Distance  int   // from 0, the nearest, to Distances - 1; 0 if distance is irrelevant
+	Distance  int   // class of distance from 0, the nearest, to Distances - 1; 0 if distance is irrelevant
 }
 
 // Distances is the number of classes of distance between an aggregator and a replica.
@@ -119,7 +119,7 @@
 	Slowdown  float64 // time that it is said to need, over the typical time
 	Weight    float64 // weight of Slowdown, in own calls; 0 if it is not reported
 	TrialAt   int64   // start of the trials, if the replica is ejected, ns; 0 if it is not reported
-	DownUntil int64   // it is unreachable until then, or was until now, ns; 0 if it is not reported
+	DownUntil int64   // end of the time without contact to it, ns; the present if it is reachable again; 0 if not reported
 }
 
 // Result is how an execution ended.
@@ -133,7 +133,7 @@
 	ConnectFailed        // no connection in time
 	Reset                // the connection broke
 	Cancelled            // this aggregator cancelled it
-	Unsent               // it was never sent
+	Unsent               // the execution was never sent
 )
 
 // NeverRan tells whether the result proves that the execution did not run.
@@ -164,7 +164,7 @@
 	Query    *Query
 	Part     int
 	Replica  int
-	Deadline int64 // when the replica drops the execution, ns
+	Deadline int64 // time at which the replica drops the execution, ns
 }
 
 // Cancel asks to cancel one execution.
--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -28,7 +28,7 @@
 	forgetPeerAfter        = 30000 * ms // a controller that is not a member is dropped once unheard for this long
 	edgeTimeout            = 20000 * ms // an edge that is unheard for this long is dropped
 	suspectedEdgeTimeout   = 7000 * ms  // an edge that others suspect is left out once unheard for this long
-	suspicionValidity      = 4000 * ms  // one edge's suspicion of another expires after this long
+	suspicionValidity      = 4000 * ms  // the suspicion of one edge by another expires after this long
 	suspicionThreshold     = 2          // edges that must suspect another one; fewer if its zone has fewer others
 	maxEdgesRetention      = 60000 * ms // the edge count that budgets are divided by falls only after this long
 	fleetUpdateInterval    = 400 * ms   // time between two lists of edges and controllers sent to the edges
@@ -60,7 +60,7 @@
 	clusterstate.Edge
 	lastHeard   int64
 	suspectedBy map[string]int64 // time of the latest suspicion, by the IP of the suspecting edge
-	reportedAt  int64            // when the other controllers last got a report of it
+	reportedAt  int64            // time of its last report to the other controllers
 	suspects    []string         // IPs of the edges that it suspects
 }
 
@@ -100,15 +100,15 @@
 	committed              register.Value          // the newest value known to be committed
 	committedConfiguration register.Order          // revision and content sum of the configuration in committed
 	lease                  *lease.Lease
-	unsettledSince         int64 // since when a disk has held a value not known to be committed; 0 if none does
+	unsettledSince         int64 // time since which a disk holds a value not known to be committed; 0 if none does
 	peers                  map[string]*peer
-	edges                  map[string]*edge // by IP
+	edges                  map[string]*edge // known edges, by IP
 	maxEdges               int              // number of edges that budgets are divided by
-	maxEdgesAt             int64            // when maxEdges was last set
+	maxEdgesAt             int64            // time at which maxEdges was last set
 	calls                  []*pendingCall
 	lastAckRequest         uint64
 	recordBatch            map[string]registry.Record // records for the next batch to the other controllers, by replica
-	relayedAt              map[string]int64           // when a replica's record was last put into a batch
+	relayedAt              map[string]int64           // time at which a replica's record was last put into a batch
 	allRequestAt           int64                      // earliest time of the next request for all that a peer holds
 	startedAt              int64
 	now                    int64
--- a/decide/controller/departures.go
+++ b/decide/controller/departures.go
@@ -25,8 +25,8 @@
 
 // departures tracks the departing replicas, by ID, whose departure is not on this controller's disk yet.
 type departures struct {
-	unsaved      map[string]struct{} // in no save yet
-	saving       map[string]struct{} // in the save in progress
+	unsaved      map[string]struct{} // departures that are in no save yet
+	saving       map[string]struct{} // departures in the save in progress
 	waitingPeers []peerAck
 	nextSaveAt   int64 // earliest next save made because a departure waits for it
 }
--- a/decide/controller/departures_test.go
+++ b/decide/controller/departures_test.go
@@ -52,7 +52,7 @@
 			if trouble == "two stuck disks" {
 				b.servers[b.names[(at+1)%5]].stuck, b.servers[b.names[(at+2)%5]].stuck = true, true
 			}
-			b.replicaCall(b.names[at], readyReplica("i-2")) // so that the list was saved just before
+			b.replicaCall(b.names[at], readyReplica("i-2")) // makes the list be saved just before the departure
 			b.run(recordBatchInterval + 80*ms)
 			must.Eq(t, 200, b.untilAnswered(b.replicaCall(b.names[at], drainingReplica("i-1"))))
 			for _, name := range b.names {
@@ -88,7 +88,7 @@
 	for _, id := range calls {
 		must.Eq(t, 200, b.answers[id].Status)
 	}
-	must.LessEq(t, 5, b.servers[b.names[0]].lastSave-before) // one every departureSaveInterval
+	must.LessEq(t, 5, b.servers[b.names[0]].lastSave-before) // a save every departureSaveInterval
 }
 
 // TestDrainBesideStuckDisks checks that stuck disks, including that of the called controller, delay no departure as long
--- a/decide/controller/members.go
+++ b/decide/controller/members.go
@@ -11,8 +11,8 @@
 
 // How long a newcomer waits to replace a member before it becomes an additional one, in ns.
 const (
-	newcomerWait            = 1500 * ms // if all members are live
-	newcomerWaitWhileSilent = 3000 * ms // if a member is not live
+	newcomerWait            = 1500 * ms // wait while all members are live
+	newcomerWaitWhileSilent = 3000 * ms // wait while a member is not live
 )
 
 // updateMembers changes the members if this controller is the first live one: a newcomer replaces a member that shuts
--- a/decide/controller/members_test.go
+++ b/decide/controller/members_test.go
@@ -17,7 +17,7 @@
 	farLatency        = 20 * ms     // one way between two regions
 	catchUpSmall      = 4000 * ms   // catch-up-s for 5 members
 	catchUpGrown      = 6000 * ms   // catch-up-s for 9 members
-	catchUpMargin     = 700 * ms    // for the process start and a busy processor, which virtual time leaves out
+	catchUpMargin     = 700 * ms    // allowance for the process start and a busy processor, which virtual time leaves out
 	slowDisk          = 30          // factor by which a slow disk is slower
 	manyRoutes        = 300 << 10   // bytes of a configuration with 350 more routes
 	initialSettleTime = 4000 * ms   // until all controllers are members
@@ -209,7 +209,7 @@
 	catchUp  int64  // time that a successor may take, ns
 	revision uint64 // the newest acknowledged
 	spare    int    // index of the next machine that has not started
-	started  int64  // when the last successor starts
+	started  int64  // start of the last successor
 }
 
 // checkCopies fails the test if the running members without the acknowledged revision on disk could form a majority.
--- a/decide/controller/messages.go
+++ b/decide/controller/messages.go
@@ -14,7 +14,7 @@
 type Message struct {
 	From       string            `cbor:"1,keyasint"` // IP of the sender
 	Heartbeat  *Heartbeat        `cbor:"2,keyasint,omitempty"`
-	Register   *register.Message `cbor:"3,keyasint,omitempty"` // request to an acceptor, or the answer of one
+	Register   *register.Message `cbor:"3,keyasint,omitempty"` // request to an acceptor, or an acceptor's answer
 	Records    []registry.Record `cbor:"4,keyasint,omitempty"` // records of replicas that have changed or were requested
 	AckRequest uint64            `cbor:"5,keyasint,omitempty"` // if not 0: send it back as Ack once Records are on disk
 	Ack        uint64            `cbor:"6,keyasint,omitempty"` // AckRequest of the message that is acknowledged
@@ -67,7 +67,7 @@
 	Number uint64 `cbor:"2,keyasint"`
 }
 
-// EdgeReport is the report of one edge, as it sends it itself or as a controller passes it on.
+// EdgeReport is the report of one edge, sent by the edge or passed on by a controller.
 type EdgeReport struct {
 	Edge     clusterstate.Edge `cbor:"1,keyasint"`
 	Suspects []string          `cbor:"2,keyasint,omitempty"` // IPs of edges that it watches and gets no messages from
--- a/decide/controller/orders_test.go
+++ b/decide/controller/orders_test.go
@@ -24,7 +24,7 @@
 type operators struct {
 	fail      func(format string, values ...any)
 	cluster   *cluster
-	calls     map[uint64]sentOrder // by call ID
+	calls     map[uint64]sentOrder // orders sent, by call ID
 	confirmed map[uint64]string    // content by revision
 	refused   map[sentOrder]bool
 	collected map[uint64]bool // IDs of calls whose answer has been recorded
--- a/decide/controller/outcome_test.go
+++ b/decide/controller/outcome_test.go
@@ -41,7 +41,7 @@
 		must.Eq(t, c.changes, changed, must.Sprint(c.name))
 		must.Eq(t, c.verdict, c.order.outcome(next), must.Sprint(c.name))
 		must.Eq(t, c.revision, next.Revision, must.Sprint(c.name))
-		again, changed := c.order.apply(next) // as when the round is repeated
+		again, changed := c.order.apply(next) // a repeated round applies the order again
 		must.False(t, changed, must.Sprint(c.name))
 		must.Eq(t, next, again, must.Sprint(c.name))
 	}
--- a/node/admit.go
+++ b/node/admit.go
@@ -12,7 +12,7 @@
 	Workload int
 	Customer string // empty if unknown
 	Retry    bool   // its client marks it as a retry
-	Deadline int64  // when its client gives up, ns of the node's clock
+	Deadline int64  // time at which its client stops waiting, ns of the node's clock
 	Text     []byte
 	Parts    []Part
 	Payload  any // data for a transport that does not send Text in frames
@@ -31,7 +31,7 @@
 	handle     *balance.Query
 	answer     chan Answer // buffered for the one answer, so that the loop never blocks
 	executions [][]*execution
-	values     []string // by part, set once it is answered
+	values     []string // values of the answered parts, by part
 	answered   []bool
 	running    int // executions without a result
 	ended      bool
--- a/node/node.go
+++ b/node/node.go
@@ -61,7 +61,7 @@
 	Clock
 	deployment.Deployment
 	limits      deployment.Limits
-	rows        []*counters.Workload // by row of the workload
+	rows        []*counters.Workload // counters of each workload, by row
 	log         *zap.Logger
 	count       *counters.Counters
 	requestList func() // starts a subscription to the list of replicas
@@ -74,19 +74,19 @@
 	// Only the loop uses the fields from here on.
 	agg            *balance.Aggregator
 	transport      Transport
-	indices        map[string]int // of the replicas, by host
-	hosts          []host         // by index
+	indices        map[string]int // indices of the replicas, by host
+	hosts          []host         // hosts of the replicas, by index
 	queries        map[*balance.Query]*query
 	held           int                            // queries without an answer, and their parts
 	running        map[*replica.Ticket]*execution // executions without a result
-	deadlines      deadlineHeap                   // of running executions
+	deadlines      deadlineHeap                   // deadlines of running executions
 	pendingResults []pendingResult                // results that arose during a round
-	lastRound      int64                          // when the last round began, ns
+	lastRound      int64                          // start of the last round, ns
 	wakeAt         int64                          // latest time for the next round, as the module asked, ns; 0 for none
 	changed        bool                           // an event came since the last round
 	lateness       int64                          // recent delay of the loop, ns; see recordLateness
 	nextSweep      int64                          // time of the next Transport.Sweep, ns
-	lastRetryAt    map[int]int64                  // by retry budget: when a part was last sent again, ns
+	lastRetryAt    map[int]int64                  // time of the last retry, ns, by retry budget
 	stopped        bool
 	shared         *shared                // state of sharing with other aggregators; nil if it is off
 	schedule       *Schedule              // nil for at most one round a tick
--- a/node/relay.go
+++ b/node/relay.go
@@ -5,7 +5,7 @@
 // Answer is the one answer to a query.
 type Answer struct {
 	Outcome    balance.Outcome
-	Values     []Value // of a Whole or Partial answer
+	Values     []Value // values of a Whole or Partial answer
 	RetryAfter int64   // wait advised to the client of a Declined query, ns; 0 for none
 }
 
--- a/node/send.go
+++ b/node/send.go
@@ -31,7 +31,7 @@
 	return max(at-connected, 1)
 }
 
-// waitUnit is a millisecond in ns, the unit in which replicas are told how long a part may take.
+// waitUnit is a millisecond in ns, the unit of the time limit that is sent with a part.
 const waitUnit = 1e6
 
 // send starts executions. Parts for the same replica in one round share calls, each of up to PartsPerCall parts.
--- a/node/workloads.go
+++ b/node/workloads.go
@@ -7,8 +7,8 @@
 
 // WorkloadSet is the set of workloads that a node serves, and its share of the retry budgets.
 type WorkloadSet struct {
-	Workloads  []balance.Workload   // by row; rows may be added but never removed
-	Counters   []*counters.Workload // by row, one for each workload
+	Workloads  []balance.Workload   // terms of each workload, by row; rows may be added but never removed
+	Counters   []*counters.Workload // counters of each workload, by row
 	RetrySlack float64              // this proxy's share of the retry slack of each budget
 }
 
