--- a/decide/controller/controller.go
+++ b/decide/controller/controller.go
@@ -19,28 +19,28 @@
 // Intervals and timeouts, in ns unless the comment says otherwise.
 const (
 	ms                     = 1_000_000
-	heartbeatInterval      = 300 * ms   // between two heartbeats to every other controller
-	recordBatchInterval    = 100 * ms   // between two batches of changed replica records to the other controllers
-	heartbeatBatchInterval = 600 * ms   // between two batches that hold no changed record, only heartbeats of replicas
+	heartbeatInterval      = 300 * ms   // time between two heartbeats to every other controller
+	recordBatchInterval    = 100 * ms   // time between two batches of changed replica records to the other controllers
+	heartbeatBatchInterval = 600 * ms   // time between two batches that hold no changed record, only heartbeats of replicas
 	answerTimeout          = 900 * ms   // callers try another controller after a second without an answer
-	joinInterval           = 250 * ms   // between two requests of a controller with an empty disk to catch up
+	joinInterval           = 250 * ms   // time between two requests of a controller with an empty disk to catch up
 	silentMemberTimeout    = 2500 * ms  // a member that has answered no heartbeat for this long may be replaced
 	forgetPeerAfter        = 30000 * ms // a controller that is not a member is dropped once unheard for this long
 	edgeTimeout            = 20000 * ms // an edge that is unheard for this long is dropped
 	suspectedEdgeTimeout   = 7000 * ms  // an edge that others suspect is left out once unheard for this long
-	suspicionValidity      = 4000 * ms  // one edge's suspicion of another expires after this long
+	suspicionValidity      = 4000 * ms  // the suspicion of one edge by another expires after this long
 	suspicionThreshold     = 2          // edges that must suspect another one; fewer if its zone has fewer others
 	maxEdgesRetention      = 60000 * ms // the edge count that budgets are divided by falls only after this long
-	fleetUpdateInterval    = 400 * ms   // between two lists of edges and controllers sent to the edges
-	edgeReportInterval     = 900 * ms   // between two heartbeats that carry the known controllers and edge reports
+	fleetUpdateInterval    = 400 * ms   // time between two lists of edges and controllers sent to the edges
+	edgeReportInterval     = 900 * ms   // time between two heartbeats that carry the known controllers and edge reports
 	edgeReportRepeat       = 5000 * ms  // an unchanged edge is reported to the other controllers again after this long
-	requestInterval        = 500 * ms   // between two requests of the same kind to other controllers
+	requestInterval        = 500 * ms   // time between two requests of the same kind to other controllers
 	heartbeatsPerRelay     = 2          // one in this many unchanged heartbeats of a replica is relayed
 	silentAfterHeartbeats  = 5          // a replica that misses this many heartbeats is silent
 	goneRetention          = 60000 * ms // a replica that is gone is remembered for this long
-	saveRetryDelay         = 200 * ms   // between a failed save and the next
-	replicasSaveInterval   = 500 * ms   // between two saves made only because a replica's record changed
-	committedSaveInterval  = 500 * ms   // between two saves made only to record what is known to be committed
+	saveRetryDelay         = 200 * ms   // time between a failed save and the next
+	replicasSaveInterval   = 500 * ms   // time between two saves made only because a replica's record changed
+	committedSaveInterval  = 500 * ms   // time between two saves made only to record what is known to be committed
 )
 
 // peer is another controller as known from its messages. Times are those of this controller's clock, in ns.
@@ -60,7 +60,7 @@
 	clusterstate.Edge
 	lastHeard   int64
 	suspectedBy map[string]int64 // time of the latest suspicion, by the IP of the suspecting edge
-	reportedAt  int64            // when the other controllers last got a report of it
+	reportedAt  int64            // time of its last report to the other controllers
 	suspects    []string         // IPs of the edges that it suspects
 }
 
@@ -100,15 +100,15 @@
 	committed              register.Value          // the newest value known to be committed
 	committedConfiguration register.Order          // revision and content sum of the configuration in committed
 	lease                  *lease.Lease
-	unsettledSince         int64 // since when a disk has held a value not known to be committed; 0 if none does
+	unsettledSince         int64 // time since which a disk holds a value not known to be committed; 0 if none does
 	peers                  map[string]*peer
-	edges                  map[string]*edge // by IP
+	edges                  map[string]*edge // known edges, by IP
 	maxEdges               int              // number of edges that budgets are divided by
-	maxEdgesAt             int64            // when maxEdges was last set
+	maxEdgesAt             int64            // time at which maxEdges was last set
 	calls                  []*pendingCall
 	lastAckRequest         uint64
 	recordBatch            map[string]registry.Record // records for the next batch to the other controllers, by replica
-	relayedAt              map[string]int64           // when a replica's record was last put into a batch
+	relayedAt              map[string]int64           // time at which a replica's record was last put into a batch
 	allRequestAt           int64                      // earliest time of the next request for all that a peer holds
 	startedAt              int64
 	now                    int64
@@ -247,7 +247,7 @@
 	return effects
 }
 
-// Tick does all work whose time has come. The caller calls it at NextTick at the latest.
+// Tick does all work that is due. The caller calls it at NextTick at the latest.
 func (c *Controller) Tick(now int64) Effects {
 	c.now = now
 	c.checkContact()
--- a/node/send.go
+++ b/node/send.go
@@ -21,8 +21,8 @@
 	observed     string // host of the replica, if the observer wants to be notified of the end
 }
 
-// responseTime is the time from when its connection was established, ns, for the time to connect says nothing about
-// the replica; 0 if it never was.
+// responseTime is the time from the establishment of the connection to at, ns, because the time to connect says nothing
+// about the replica; 0 if the execution had no connection.
 func (e *execution) responseTime(at int64) int64 {
 	connected := e.ticket.ConnectedAt.Load()
 	if connected == 0 {
@@ -31,7 +31,7 @@
 	return max(at-connected, 1)
 }
 
-// waitUnit is a millisecond in ns, the unit in which replicas are told how long a part may take.
+// waitUnit is a millisecond in ns, the unit of the time limit that is sent with a part.
 const waitUnit = 1e6
 
 // send starts executions. Parts for the same replica in one round share calls, each of up to PartsPerCall parts.
@@ -45,7 +45,7 @@
 	for _, s := range sends {
 		q := n.queries[s.Query]
 		e := &execution{query: q, part: s.Part, number: len(q.executions[s.Part]), replica: s.Replica, sentAt: now, deadline: s.Deadline}
-		// Rounding down makes the replica give the part up no later than this side does.
+		// Rounding down makes the replica drop the part no later than this node does.
 		wait := (s.Deadline - now) / waitUnit
 		shard := q.Parts[s.Part].Shard
 		e.ticket = &replica.Ticket{Part: replica.Part{ID: q.ID + "." + strconv.Itoa(shard), Shard: shard,
