--- a/decide/clusterstate/clusterstate.go
+++ b/decide/clusterstate/clusterstate.go
@@ -43,7 +43,7 @@
 	Known    bool   `cbor:"1,keyasint,omitempty"` // since the upstream started, a controller in contact with a majority has confirmed its state
 	Age      int64  `cbor:"2,keyasint,omitempty"` // ns since the state was known to include everything acknowledged
 	Epoch    uint64 `cbor:"3,keyasint,omitempty"` // epoch of the register's members
-	Revision uint64 `cbor:"4,keyasint,omitempty"` // newest configuration known to be committed
+	Revision uint64 `cbor:"4,keyasint,omitempty"` // revision of the newest configuration known to be committed
 	Hops     int    `cbor:"5,keyasint,omitempty"` // number of relays between that controller and the reader
 }
 
@@ -60,7 +60,7 @@
 	Most        int      `cbor:"3,keyasint,omitempty"` // as in Fleet
 	Controllers []string `cbor:"4,keyasint,omitempty"` // all controllers, as in Fleet
 	Zones       []string `cbor:"6,keyasint,omitempty"` // as in Fleet
-	Count       int      `cbor:"5,keyasint,omitempty"` // number of edges afterwards; a receiver that gets another number needs a snapshot
+	Count       int      `cbor:"5,keyasint,omitempty"` // number of edges after the change; a receiver that ends up with another number needs a snapshot
 }
 
 // Empty reports whether the fleet is unknown.
@@ -89,10 +89,10 @@
 	Sum           uint64 // ContentSum of Raw; 0 where an upstream of the previous version sent the configuration as a patch
 	Fleet         Fleet
 	Rollouts      rollout.Set
-	NeedsSnapshot bool   // a patch or a difference did not fit what is held
+	NeedsSnapshot bool   // a patch or a difference did not fit the held configuration or fleet
 	packedBody    []byte // Raw compressed by Pack; nil until it is needed
-	// The two reasons for NeedsSnapshot: the held configuration is not the one that a patch was made from, or the held
-	// fleet is not the one that a difference was made from.
+	// The two reasons for NeedsSnapshot: the last newer configuration could not be made from its body or patch, or the
+	// held fleet is not the one that a difference was made from.
 	configurationMismatch, fleetMismatch bool
 	replicas                             map[string]registry.Record // by replica ID
 	departed                             departedReplicas
--- a/decide/clusterstate/clusterstate_test.go
+++ b/decide/clusterstate/clusterstate_test.go
@@ -12,7 +12,7 @@
 	"willowsill/decide/registry"
 )
 
-// TestNeverBack guards against an upstream that is behind, or that repeats what is known, taking a state back.
+// TestNeverBack: neither an upstream that is behind nor one that repeats the held state brings back older data.
 func TestNeverBack(t *testing.T) {
 	s := NewState()
 	up := registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 3}
@@ -25,7 +25,7 @@
 	// An upstream that is behind changes nothing.
 	must.True(t, s.Apply(Update{Snapshot: true, Revision: 4, Body: Pack([]byte("four")), Replicas: []registry.Record{up}}).Empty())
 	must.Eq(t, "five", string(s.Raw))
-	// Nor does one that repeats what is known.
+	// An upstream that repeats the held state changes nothing either.
 	must.True(t, s.Apply(s.Snapshot()).Empty())
 	// A replica that the previous upstream reported silent, under the same call number, is ready again once the snapshot
 	// of the next upstream lists it.
@@ -126,7 +126,7 @@
 	must.Eq(t, string(upstream.Raw), string(edge.Raw))
 }
 
-// TestForget: once the gone are dropped, a snapshot has only the ID and the last call number of each.
+// TestForget: after DropGone, a snapshot has only the ID and the last call number of each replica that is gone.
 func TestForget(t *testing.T) {
 	s := NewState()
 	for _, id := range []string{"i-1", "i-2"} {
--- a/decide/clusterstate/patch.go
+++ b/decide/clusterstate/patch.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	blockBytes     = 32         // size of the blocks that MakePatch looks up; shorter common stretches are sent as literals
-	maxBodyBytes   = 64 << 20   // limit for an unpacked or patched configuration
-	hashMultiplier = 0x9e3779b1 // of the rolling hash over a block
+	blockBytes     = 32         // bytes of a block that MakePatch looks up; shorter common stretches are sent as literals
+	maxBodyBytes   = 64 << 20   // limit for the bytes of an unpacked or patched configuration
+	hashMultiplier = 0x9e3779b1 // multiplier of the rolling hash of a block
 )
 
 // ContentSum identifies the content of a configuration by the first 64 bits of the SHA-256 of the bytes that the operator
@@ -21,8 +21,8 @@
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// Pack compresses a configuration with DEFLATE for the wire and the disk. Routes repeat much of each other's
-// text.
+// Pack compresses a configuration with DEFLATE for the wire and the disk. Routes repeat much of each
+// other's text.
 func Pack(body []byte) []byte {
 	var b bytes.Buffer
 	w, _ := flate.NewWriter(&b, flate.DefaultCompression)
--- a/decide/clusterstate/selection.go
+++ b/decide/clusterstate/selection.go
@@ -22,8 +22,8 @@
 // NewSelection returns the selection of a controller without a configuration: no service is used yet.
 func NewSelection() *Selection { return &Selection{used: map[string]struct{}{}} }
 
-// Update returns what edges are sent of an update that the state has just applied. A new configuration comes together
-// with all replicas of the services that it begins to use, so that it is never in force without them.
+// Update returns the part of an update, which the state has just applied, that is sent to edges. A new configuration comes
+// together with all replicas of the services that it begins to use, so that it is never in force without them.
 func (s *Selection) Update(state *State, update Update) Update {
 	before := s.used
 	if update.Raw != nil {
--- a/decide/clusterstate/selection_test.go
+++ b/decide/clusterstate/selection_test.go
@@ -131,7 +131,7 @@
 	services := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		controllers := []*controller{newController(), newController()}
-		queues := make([][]Update, len(controllers)) // updates that each has yet to receive
+		queues := make([][]Update, len(controllers)) // updates that each controller has yet to receive
 		truth := map[string]registry.Record{}
 		seq, revision := uint64(0), uint64(0)
 		relay, edge, current := NewState(), NewState(), 0 // current is the controller that the relay follows
--- a/decide/failuredetector/failuredetector.go
+++ b/decide/failuredetector/failuredetector.go
@@ -14,9 +14,9 @@
 
 const (
 	ms                = 1_000_000
-	watchersPerEdge   = 2 // watchers of each edge: a single watcher may itself be the faulty one
-	heartbeatInterval = 500 * ms
-	suspectAfter      = 2600 * ms // five missed heartbeats, since single datagrams are lost now and then
+	watchersPerEdge   = 2         // watchers of each edge: a single watcher may itself be the faulty one
+	heartbeatInterval = 500 * ms  // ns between two heartbeats to a watcher
+	suspectAfter      = 2600 * ms // silence in ns until an edge is suspected: five missed heartbeats, since single datagrams are lost now and then
 	stallFactor       = 2         // a gap between ticks of over this many heartbeat intervals means that this process was suspended
 )
 
--- a/decide/failuredetector/failuredetector_test.go
+++ b/decide/failuredetector/failuredetector_test.go
@@ -82,7 +82,7 @@
 		suspectedBy = step(now)
 	}
 	must.Eq(t, []string{Watchers(ring, lost)[1]}, suspectedBy[lost])
-	// The frozen edge resumes, and does not suspect the edges from which it could not receive heartbeats.
+	// The suspended edge resumes, and does not suspect the edges from which it could not receive heartbeats.
 	suspectedBy = step(8250 * ms)
 	for s, by := range suspectedBy {
 		if s != lost {
--- a/decide/fairqueue/fairqueue.go
+++ b/decide/fairqueue/fairqueue.go
@@ -18,7 +18,7 @@
 // Limits bound the queue.
 type Limits struct {
 	MaxWaiting       int     // maximum number of waiting queries
-	MaxCustomerShare float64 // maximum fraction of them that one customer may have
+	MaxCustomerShare float64 // maximum fraction of MaxWaiting that one customer may have waiting
 }
 
 // Item is a waiting query.
--- a/decide/follower/follower.go
+++ b/decide/follower/follower.go
@@ -12,21 +12,22 @@
 	"willowsill/decide/clusterstate"
 )
 
-// maxShortStays is how often in a row an upstream may be left after only shortStay. That is enough for a minority of the
-// controllers that is cut off. Where all upstreams are cut off because there is no majority for a moment, the edge then stays
-// longer, since each change of the upstream costs a snapshot.
+// maxShortStays is the highest number of upstreams left in a row at which shortStay still applies to the next one, so the
+// first five may be left that soon. That is enough for a minority of the controllers that is cut off. Where all upstreams are
+// cut off because there is no majority for a moment, the edge then stays longer, since each change of the upstream costs a
+// snapshot.
 const maxShortStays = 4
 
 // Times in ns.
 const (
 	ms                    = 1_000_000
 	maxAgeDirect          = 2000 * ms // a controller whose freshness is older than this counts as cut off
-	maxAgeRelayed         = 3000 * ms // the same for a relay, which then leaves its own upstream first, so that the edges below it need not move
+	maxAgeRelayed         = 3000 * ms // a relay whose freshness is older than this counts as cut off; the relay has left its own upstream by then, so that the edges below it need not move
 	normalStay            = 1000 * ms // minimum time with an upstream that is not fresh
-	shortStay             = 250 * ms  // the same where the upstream itself says that it is cut off
-	longStay              = 4000 * ms // the same once all upstreams have been tried: none is fresh, and each change costs a snapshot
+	shortStay             = 250 * ms  // minimum time with an upstream that itself says that it is cut off
+	longStay              = 4000 * ms // minimum time with an upstream once all have been tried: none is fresh, and each change costs a snapshot
 	readyUnconfirmedAfter = 3000 * ms // time from the first configuration after which a new edge is ready though it found no fresh upstream
-	maxBehind             = 1000 * ms // time within which a newer revision must arrive once it is known of
+	maxBehind             = 1000 * ms // time after which an edge that knows of a newer revision, and has not received it, counts as behind
 )
 
 // Follower decides for one edge when to leave its upstream. It is not safe for concurrent use.
--- a/decide/follower/follower_test.go
+++ b/decide/follower/follower_test.go
@@ -119,7 +119,7 @@
 	var r Readiness
 	r.Configured(0, 6)
 	r.HandleFreshness(100*ms, clusterstate.Freshness{Known: true, Revision: 7})
-	must.False(t, r.Ready(500*ms)) // it was never current
+	must.False(t, r.Ready(500*ms)) // the edge was never known to be current
 	r.Configured(600*ms, 7)
 	r.HandleFreshness(600*ms, freshness(0, 1))
 	must.True(t, r.Ready(600*ms))
@@ -138,7 +138,7 @@
 	const contact, dial, between, alternatives, smallerPart = 5000 * ms, 100 * ms, 300 * ms, 8, 3
 	f := Follower{}
 	f.Connected(-10_000*ms, alternatives)
-	f.HandleFreshness(0, freshness(300*ms, 1)) // its age was 300 ms as the cut began
+	f.HandleFreshness(0, freshness(300*ms, 1)) // the state is 300 ms old when the partition begins
 	now := int64(0)
 	untilLeft := func(hops int) {
 		for !f.ShouldLeave(now) {
--- a/decide/follower/readiness.go
+++ b/decide/follower/readiness.go
@@ -7,7 +7,7 @@
 	configuredAt   int64  // when this process had its first configuration; 0 for not yet
 	servedRevision uint64 // revision of the configuration in use
 	wasFresh       bool   // since this process started, its configuration was known to be current at least once
-	behindSince    int64  // since when a newer revision is known of than the one served; 0 for none
+	behindSince    int64  // since when a newer revision than servedRevision is known; 0 for none
 }
 
 // Configured records that the configuration with this revision is in use.
@@ -47,7 +47,7 @@
 	return r.wasFresh || now-r.configuredAt >= readyUnconfirmedAfter
 }
 
-// Behind reports whether for maxBehind a newer configuration has been known to be in force than the one in use here.
+// Behind reports whether a newer configuration than the one in use here has been known for maxBehind.
 func (r *Readiness) Behind(now int64) bool {
 	return r.behindSince != 0 && now-r.behindSince >= maxBehind
 }
--- a/decide/gateway/gateway.go
+++ b/decide/gateway/gateway.go
@@ -24,7 +24,7 @@
 	maxCustomerShare  = 0.5  // maximum fraction of the waiting queries that belong to one customer
 	waitTimeDivisor   = 10   // a query waits for at most its remaining time divided by this
 	delaySmoothing    = 0.2  // weight of the newest delay in the mean
-	pingDecay         = 0.95 // weight of the earlier pings in a link's loss, at each ping
+	pingDecay         = 0.95 // factor on the weight of earlier pings in a link's loss, at each further ping
 	restoredPingsSent = 16   // number of pings that a link starts with when it is up again
 	restoredPingsLost = 2    // number of lost pings that a link starts with when it is up again
 )
--- a/decide/gateway/gateway_test.go
+++ b/decide/gateway/gateway_test.go
@@ -54,7 +54,7 @@
 		number := 0
 		for range rapid.IntRange(1, 300).Draw(t, "turns") {
 			later := rapid.Int64Range(0, second/10).Draw(t, "later")
-			for end := now + later; g.Next() < end; { // calls of Decide that are due before
+			for end := now + later; g.Next() < end; { // the calls of Decide that are due by then
 				now = max(g.Next(), now)
 				decide()
 			}
--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -21,7 +21,7 @@
 // Never is the time of a contact that has not happened yet.
 const Never int64 = -1 << 62
 
-// heartbeat is one that this controller sent.
+// heartbeat is the number and the time of a heartbeat that this controller sent.
 type heartbeat struct {
 	number uint64
 	sent   int64 // ns
@@ -43,8 +43,8 @@
 // contact is what the answers of one controller have proved so far. Times are those at which the answered heartbeats were
 // sent, in ns.
 type contact struct {
-	reached int64         // it received a heartbeat sent at this time, and its answer arrived here
-	current int64         // at this time, its disk held nothing that is not known here to be committed
+	reached int64         // the controller received a heartbeat sent at this time, and its answer arrived here
+	current int64         // the controller's disk held nothing at this time that is not known here to be committed
 	pending []observation // answers with ballots that are not known to be committed yet, oldest first
 }
 
--- a/decide/lending/account.go
+++ b/decide/lending/account.go
@@ -5,9 +5,9 @@
 	timing    Timing
 	startedAt int64
 	own       float64
-	lent      []amount // lent to others, until the time at which it is taken back
+	lent      []amount // amounts lent to others, until the time at which each is taken back
 	reserved  float64  // amount of a loan that is prepared but not sent yet
-	borrowed  []amount // borrowed from others, until the end of each loan
+	borrowed  []amount // amounts borrowed from others, until the end of each loan
 	requests  sentRequests
 	pending   *receivedRequest // newest received request; nil if there is none or it is answered
 }
--- a/decide/lending/lending.go
+++ b/decide/lending/lending.go
@@ -20,9 +20,9 @@
 
 const (
 	keepShare     = 0.5  // fraction of its share that an edge never lends
-	lentShare     = 0.5  // fraction of its unused amount that an edge lends at once
+	lentShare     = 0.5  // fraction of its unused amount that an edge lends in one loan
 	minLoan       = 0.25 // smaller loans are not worth a message
-	requestFactor = 4    // an edge that needs more requests this multiple of its share
+	requestFactor = 4    // an edge that needs a loan requests this multiple of its share
 )
 
 // Timing holds the times that all processes use, in ns.
--- a/decide/lending/lending_test.go
+++ b/decide/lending/lending_test.go
@@ -8,15 +8,15 @@
 
 var testTiming = DefaultTiming(10e9)
 
-// account returns the account of an edge that started long ago and owns four.
+// account returns the account of an edge that started long ago and owns an amount of 4.
 func account() *Account {
 	a := NewAccount(0, testTiming)
 	a.SetShare(4)
 	return a
 }
 
-// TestWantsOnlyInNeed: an edge requests a loan when its limit leaves no place for one more, and not when it uses nothing at
-// all, however small its limit is.
+// TestWantsOnlyInNeed: an edge requests a loan when its usage plus 1 exceeds its limit, and not when it uses nothing at all,
+// however small its limit is.
 func TestWantsOnlyInNeed(t *testing.T) {
 	a := account()
 	must.True(t, a.NextMessage(60e9, Usage{}).Empty())
--- a/decide/lending/relay.go
+++ b/decide/lending/relay.go
@@ -14,7 +14,7 @@
 // concurrent use.
 type Relay struct {
 	timing    Timing
-	available []amount // borrowed and not passed on yet
+	available []amount // amounts borrowed and not passed on yet
 	requests  sentRequests
 	pending   map[Neighbor]receivedRequest // newest unanswered request of each neighbor
 }
--- a/decide/overload/cost.go
+++ b/decide/overload/cost.go
@@ -7,9 +7,9 @@
 	initialQueryCost  = 300e3 // ns for a query, until costs are known
 	initialRejectCost = 40e3  // ns for rejecting a query whose head was read, until costs are known
 	initialUnreadCost = 8e3   // ns for rejecting a query unread, until costs are known
-	maxRejectShare    = 0.6   // of the cheapest query: highest cost of a rejection; and of that: of an unread rejection
-	minCost           = 1e3   // ns
-	maxCost           = 50e6  // ns
+	maxRejectShare    = 0.6   // highest cost of a rejection, as a share of the cheapest query's, and of an unread rejection, as a share of a rejection's
+	minCost           = 1e3   // ns; lowest estimate of a cost
+	maxCost           = 50e6  // ns; highest estimate of a cost
 	learningRate      = 0.15  // share of the difference that one interval corrects
 	fullWeightQueries = 20.0  // an interval with at least this many queries counts in full
 	knownAfterQueries = 200   // estimates count as known after this many queries
--- a/decide/overload/limit.go
+++ b/decide/overload/limit.go
@@ -43,7 +43,7 @@
 
 const (
 	gradientMinFactor = 0.5 // lowest ratio of the limit to the admitted work
-	gradientMaxFactor = 1.1 // highest ratio, while nothing waits
+	gradientMaxFactor = 1.1 // highest ratio of the limit to the admitted work, while nothing waits
 )
 
 func (g *gradient) update(r *Reading, _, work float64, _ *costs) {
@@ -61,13 +61,13 @@
 }
 func (g *gradient) allowed() float64 { return g.limit }
 
-// aimd multiplies the limit by a factor below 1 while waits exceed the target and otherwise adds a little. Like CoDel
-// it goes by the wait alone.
+// aimd multiplies the limit by a factor below 1 while the pressure is that of an overloaded process, and otherwise adds a
+// little. It goes by the pressure and the admitted work alone.
 type aimd struct{ limit float64 }
 
 const (
-	aimdDecrease = 0.85 // factor on the limit while waits exceed the target
-	aimdIncrease = 0.02 // of the admitted work, added to the limit while they do not
+	aimdDecrease = 0.85 // factor on the limit while the process is overloaded
+	aimdIncrease = 0.02 // share of the admitted work that is added to the limit while the process is not overloaded
 )
 
 func (a *aimd) update(_ *Reading, pressure, work float64, _ *costs) {
@@ -83,7 +83,7 @@
 func (a *aimd) allowed() float64 { return a.limit }
 
 // model derives the limit from the available processor time and the costs of queries. It multiplies that by a
-// correction, trim, which follows the wait: other processes on the machine may use the processor, and the costs may be
+// correction, trim, which follows the pressure: other processes on the machine may use the processor, and the costs may be
 // wrong.
 type model struct{ cores, trim, limit float64 }
 
@@ -92,10 +92,10 @@
 	minTrim           = 0.05 // lowest trim
 	maxTrim           = 1.2  // highest trim; it exceeds 1 because queries that are served together cost less each
 	completedShare    = 0.95 // share of the admitted work that gets done if nothing holds it up
-	trimDecreaseAbove = 0.85 // trim falls below this only if other processes take up the processor
-	trimDecrease      = 0.98 // factor on trim after an interval with long waits in which all admitted work got done
-	trimBelowDone     = 0.9  // target for trim while waits are long, relative to the work that got done
-	trimIncrease      = 0.03 // added to trim after an interval in which nothing waited
+	trimDecreaseAbove = 0.85 // trim falls below this only if less work got done than was admitted
+	trimDecrease      = 0.98 // factor on trim after an overloaded interval in which all admitted work got done
+	trimBelowDone     = 0.9  // target for trim while less work gets done than was admitted, relative to the work that got done
+	trimIncrease      = 0.03 // added to trim after an interval without pressure, or with load close to the limit but no overload
 )
 
 func (m *model) update(r *Reading, pressure, work float64, c *costs) {
--- a/decide/overload/overload.go
+++ b/decide/overload/overload.go
@@ -45,13 +45,13 @@
 
 // Workload describes one kind of query.
 type Workload struct {
-	Revenue     float64 // of a query that is answered within its latency goal
+	Revenue     float64 // revenue of a query that is answered within its latency goal
 	LatencyGoal int64   // ns
 }
 
 // Config holds a Detector's settings.
 type Config struct {
-	Cores         float64 // that the process may use
+	Cores         float64 // processor cores that the process may use
 	Workloads     []Workload
 	LimitKind     string  // how the limit on admitted work is found, one of LimitKinds
 	FixedRate     float64 // for the limit "fixed": queries a second
@@ -101,20 +101,20 @@
 	timerLatenessTargets   = 4.0  // wait targets that a timer may be late
 	schedLatencyTargets    = 2.0  // wait targets for the 99th percentile of goroutines, which wait long on any busy machine
 	fullCPUPressure        = 0.6  // pressure of a processor in full use
-	maxThrottledShare      = 0.2  // of the interval
-	maxGCShare             = 0.4  // of the processor time; the Go runtime itself limits garbage collection to a half
-	gcPauseTargets         = 4.0  // wait targets for a pause
-	heapPressureFrom       = 0.7  // of the memory limit: below this the heap causes no pressure
-	maxHeapShare           = 0.92 // of the memory limit: here the pressure is 1
-	maxQueueShare          = 0.3  // of the queue's capacity
-	descriptorPressureFrom = 0.7  // of the limit: below this descriptors cause no pressure
+	maxThrottledShare      = 0.2  // share of the interval for which the processor is withheld, at a pressure of 1
+	maxGCShare             = 0.4  // share of the processor time spent on garbage collection, at a pressure of 1; the Go runtime itself limits it to a half
+	gcPauseTargets         = 4.0  // wait targets that the longest pause for garbage collection takes, at a pressure of 1
+	heapPressureFrom       = 0.7  // share of the memory limit below which the heap causes no pressure
+	maxHeapShare           = 0.92 // share of the memory limit at which the heap's pressure is 1
+	maxQueueShare          = 0.3  // share of the queue's capacity that is in use, at a pressure of 1
+	descriptorPressureFrom = 0.7  // share of the limit below which descriptors cause no pressure
 
 	busyPressure, overloadedPressure, criticalPressure = 0.5, 1.0, 4.0
 	maxPressure                                        = 8.0       // higher pressures are cut to this
 	leaveShare                                         = 0.6       // share of a level's threshold below which the level is left
-	leaveAfterNs                                       = 500 * 1e6 // ns for which the pressure must be that low first
+	leaveAfterNs                                       = 500 * 1e6 // ns for which the pressure must stay below leaveShare of the threshold before the level is left
 	riseSmoothing                                      = 0.6       // weight of a new pressure that is above the smoothed one
-	fallSmoothing                                      = 0.25      // weight of a new pressure that is below it
+	fallSmoothing                                      = 0.25      // weight of a new pressure that is below the smoothed one
 )
 
 var levelThresholds = [...]float64{Busy: busyPressure, Overloaded: overloadedPressure, Critical: criticalPressure}
@@ -256,8 +256,8 @@
 
 // shedding reports whether anything may be rejected now.
 //
-// Danger: on a calm day wrong cost estimates must not reject anything, so nothing is rejected without pressure. A crowd
-// may arrive between two readings, so a long mean wait is enough.
+// Danger: without overload, wrong cost estimates must not reject anything, so nothing is rejected without pressure. A
+// burst may arrive between two readings, so a long mean wait is enough.
 func (d *Detector) shedding() bool {
 	return d.level >= Busy || d.pricing.meanWait > sheddingWaitTargets*float64(d.WaitTarget)
 }
--- a/decide/overload/overload_test.go
+++ b/decide/overload/overload_test.go
@@ -87,7 +87,7 @@
 		t.Fatalf("%v", s.Level())
 	}
 	changes = 0
-	for i := range 100 { // on both sides of the threshold
+	for i := range 100 { // the pressure alternates around the threshold
 		read(int64(4e6 + i%2*2e6))
 	}
 	if changes > 0 {
@@ -151,7 +151,7 @@
 // Cheap queries are rejected before valuable ones, repeats before the original, and queries without time left before
 // all others.
 func TestOrder(t *testing.T) {
-	// Twice of what can be served is offered, half of it of the valuable workload.
+	// The offered load is twice the capacity, half of it of the valuable workload.
 	s := overloadedDetector(t, nil, func(s *Detector, now int64) {
 		for w := range 2 {
 			s.Admit(now, Arrival{Workload: w, ID: uint64(now) + uint64(w)<<60, TimeLeft: 1e9, Attempt: 1})
@@ -202,7 +202,7 @@
 	overloadedDetector(t, func(w *Config) { w.CustomerFloor = 0 }, func(s *Detector, now int64) {
 		for customer, n := range []int{1: 3, 2: 1} {
 			for i := range n {
-				if customer == 2 && now/(readingInterval/100)%5 > 0 { // two hundred a second, where a thousand can be served
+				if customer == 2 && now/(readingInterval/100)%5 > 0 { // the customer sends 200 queries a second, where 1,000 can be served
 					continue
 				}
 				ok, _ := s.Admit(now, Arrival{Workload: 0, Customer: uint64(customer), ID: uint64(now) + uint64(i)<<50, TimeLeft: 1e9, Attempt: 1})
--- a/decide/overload/pacer.go
+++ b/decide/overload/pacer.go
@@ -1,7 +1,7 @@
 package overload
 
-// Pacer decides when an event loop runs its next round. A fact that arrives alone should not wait for others; facts
-// that arrive together are best processed in one round. So a round runs at once, after other goroutines that are ready
+// Pacer decides when an event loop runs its next round. A fact (an input) that arrives alone should not wait for others;
+// facts that arrive together are best processed in one round. So a round runs at once, after other goroutines that are ready
 // have run and delivered their facts: under load that collects as many facts as a fixed tick would. Only when rounds
 // take up much of the loop's time are they delayed to collect more.
 type Pacer struct {
--- a/decide/overload/pricing.go
+++ b/decide/overload/pricing.go
@@ -9,7 +9,7 @@
 	priceClasses        = 48                     // number of price classes, two for each doubling of the price
 	middleClass         = priceClasses / 2       // class of a price of 1 for each ms of processor time
 	rateWindow          = int64(200 * 1e6)       // ns over which a rate is measured
-	rateSlot            = int64(20 * 1e6)        // ns: length of one slot of that time
+	rateSlot            = int64(20 * 1e6)        // ns: length of one slot of rateWindow
 	backlogRecoveryNs   = 300 * 1e6              // ns within which the backlog is to be worked off
 	maxBacklogShare     = 0.5                    // share of the allowed work by which the backlog lowers the target at most
 	waitSmoothing       = 0.05                   // weight of one wait in the mean
@@ -18,7 +18,7 @@
 	burstFactor         = 1.5                    // ratio to the whole window's rate from which the newest slots' rate counts alone
 	floorSmoothing      = 0.3                    // share of the floor's distance from its target that a step corrects
 	maxFloorRise        = 6.0                    // classes by which the floor rises in a step at most
-	maxFloorFall        = 0.5                    // classes by which it falls in a step at most: rejected queries must not all return at once
+	maxFloorFall        = 0.5                    // classes by which the floor falls in a step at most: rejected queries must not all return at once
 	repeatValueShare    = 0.5                    // share of its value that a repeated query keeps
 	neededDurations     = 1.2                    // mean durations that a query must have left to be surely answered
 	maxRejectedIDs      = 4096                   // rejected ids kept in each of two generations
@@ -37,14 +37,14 @@
 	floor           float64                   // as a class: a query is admitted if its class plus a random number in [0, 1) reaches it
 	updatedAt       int64                     // when the floor was last computed
 	backlog         float64                   // admitted work in excess of what was allowed, ns
-	meanWait        float64                   // mean wait of what arrives, ns
+	meanWait        float64                   // mean wait of facts and queries for the process, ns
 	waitSeen        bool                      // a wait was recorded since updatedAt
 	offered         [priceClasses]slidingRate // work a second that is offered, by price class
 	rejected        slidingRate               // queries a second that are rejected after their heads were read
 	rejectedUnread  slidingRate               // queries a second that are rejected unread
-	meanDuration    []float64                 // of answered queries, by workload, ns
-	answeredShare   []float64                 // of admitted queries, by workload
-	rejectedIDs     [2]map[uint64]struct{}    // of recently rejected queries: the current generation and the one before
+	meanDuration    []float64                 // mean duration of answered queries, by workload, ns
+	answeredShare   []float64                 // share of the admitted queries that are answered, by workload
+	rejectedIDs     [2]map[uint64]struct{}    // ids of recently rejected queries: the current generation and the one before
 	customers       map[uint64]*customer
 	sweptAt         int64   // when idle customers were last removed
 	activeCustomers float64 // number of customers with recent queries
@@ -279,7 +279,7 @@
 }
 
 // retryAfter returns the time after which the client of a rejected query should retry, ns. It is random, and longer the
-// more work is offered. Danger: clients that all get the same time come back as a crowd.
+// more work is offered. Danger: clients that all get the same time retry all at once.
 func (p *pricing) retryAfter(now int64, d *Detector) int64 {
 	longest := min(d.MaxRetryAfter, maxRetryAfter)
 	if longest <= 0 {
--- a/decide/overload/simulation_test.go
+++ b/decide/overload/simulation_test.go
@@ -109,7 +109,7 @@
 			return
 		}
 	}
-	if start-at > 4*goal { // its client has left
+	if start-at > 4*goal { // the query's client has left
 		m.late++
 		work(m.rejectCost)
 		return
@@ -212,7 +212,7 @@
 	}
 }
 
-// After a crowd everything is served again within seconds and from then on: what was learned during the crowd does not
+// After a burst everything is served again within seconds and from then on: the estimates learned during the burst do not
 // cause rejections.
 func TestAfter(t *testing.T) {
 	m := newSimulatedProcess("model", true)
--- a/decide/register/admission_test.go
+++ b/decide/register/admission_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestNewcomerMustAnswerItsRound: a machine becomes a member only in a round that it has promised itself. One that has lost
-// its disk since it was proposed does not become a member, and the round's other edits are committed.
+// TestNewcomerMustAnswerItsRound: a machine becomes a member only in a round for which it has given a promise. A machine
+// that has lost its disk since it was proposed does not become a member, and the round's other edits are committed.
 func TestNewcomerMustAnswerItsRound(t *testing.T) {
 	for _, caughtUp := range []bool{true, false} {
 		members := Value{Members: []string{"a", "b", "c"}}
--- a/decide/register/proposer.go
+++ b/decide/register/proposer.go
@@ -69,7 +69,7 @@
 	running           []pendingEdit    // edits that the round carries
 	waiting           []pendingEdit    // edits for the next round
 	refusals          int              // refusals since the last round that succeeded
-	due               int64            // when Tick sends again or starts again
+	due               int64            // time in ns at which Tick sends a request again or starts again after a backoff
 	lastEditID        uint64
 }
 
@@ -230,7 +230,7 @@
 // a quorum of its members and of the newest members known. more.To are further members to ask.
 //
 // Danger: the members that were asked may not be the members that the value names, and a majority of the former alone could
-// miss what the latter hold. So more members are asked until there is a quorum of both.
+// miss what the latter have accepted. So more members are asked until there is a quorum of both.
 func (p *Proposer) readNewest() (best State, enough bool, more Out) {
 	best = highestAccepted(p.answers)
 	answered := func(m string) bool { _, ok := p.answers[m]; return ok }
--- a/decide/register/register.go
+++ b/decide/register/register.go
@@ -1,8 +1,7 @@
 // Package register is the replicated control state: one versioned value, in the manner of Paxos, without a log or a leader.
 // Every change is a round of its own. In a round the members' disks first promise to accept nothing under a lower ballot
 // and report what they have accepted; the value accepted under the highest ballot is changed and then accepted by a
-// majority. Nothing here does I/O: messages, saves and times come in as arguments, and what to send, save and answer is
-// returned.
+// majority. Nothing here does I/O: messages and times come in as arguments, and what to send, save and answer is returned.
 //
 // The value carries its own members. A change of members is written to a majority of the old and of the new members, and
 // until it is known to be committed every round needs both majorities. So any two rounds have a disk in common.
@@ -84,8 +83,7 @@
 }
 
 // Step handles a request and returns the answer; ok is false where there is none. save says that the state has changed:
-// the answer must not be sent before a sync that covers the change. Answers to a Query must not overtake such a sync
-// either.
+// the answer must not be sent before the change is synced to the disk, and neither must later answers to a Query.
 func (a *Acceptor) Step(m Message) (answer Message, save, ok bool) {
 	if !a.CaughtUp {
 		return Message{}, false, false
--- a/decide/register/register_test.go
+++ b/decide/register/register_test.go
@@ -22,7 +22,7 @@
 // packet is a message on its way.
 type packet struct {
 	from, to string
-	starts   int // which process of the sender sent it; packets of a killed process may still arrive
+	starts   int // number of the sending process on its machine; packets of a killed process may still arrive
 	m        Message
 }
 
@@ -89,7 +89,7 @@
 	}
 	switch p.m.Kind {
 	case Prepare, Accept, Query:
-		if a, _, ok := x.disk.Step(p.m); ok { // as if synced before the answer
+		if a, _, ok := x.disk.Step(p.m); ok { // the change counts as synced before the answer is sent
 			s.send(p.to, []string{p.from}, a)
 		}
 	default:
@@ -167,7 +167,7 @@
 				s.edit(n, swap(s.names[s.rng.IntN(6)], s.names[s.rng.IntN(6)]))
 			case k < 28:
 				x.up, x.joiner = false, nil
-			case k < 30 && s.caughtUp() == len(s.names) && wiped < 4: // one at a time: the fault budget allows no more
+			case k < 30 && s.caughtUp() == len(s.names) && wiped < 4: // one disk at a time: the register does not tolerate more lost disks
 				wiped++
 				x.disk, x.up, x.joiner = Acceptor{}, false, nil
 			case k < 70 && !x.up:
--- a/decide/registry/group_test.go
+++ b/decide/registry/group_test.go
@@ -81,7 +81,7 @@
 	}
 	must.True(t, reg.JoinGroup(0, "c1", Heartbeat{ID: "i-1", Seq: 2}))
 	must.True(t, reg.JoinGroup(0, "c1", Heartbeat{ID: "i-2", Seq: 2}))
-	must.False(t, reg.JoinGroup(0, "c1", Heartbeat{ID: "i-9", Seq: 2})) // not known here
+	must.False(t, reg.JoinGroup(0, "c1", Heartbeat{ID: "i-9", Seq: 2})) // i-9 has no record here
 	silent := func(now int64) (ids []string) {
 		for _, r := range reg.Tick(now, true) {
 			ids = append(ids, r.ID)
@@ -91,7 +91,7 @@
 	for now := int64(0); now < 20*second; now += second / 2 {
 		reg.GroupHeard(now, "c1")
 		if now == 9*second/2 {
-			must.Eq(t, []string{"i-3"}, silent(now)) // in no group
+			must.Eq(t, []string{"i-3"}, silent(now)) // i-3 is in no group
 		} else if now < 5*second {
 			must.SliceEmpty(t, silent(now))
 		}
@@ -107,7 +107,7 @@
 	}
 	must.SliceEmpty(t, silent(23*second))
 	must.Eq(t, []string{"i-1"}, silent(24*second))
-	must.False(t, reg.JoinGroup(24*second, "c1", Heartbeat{ID: "i-1", Seq: 3})) // its record is needed
+	must.False(t, reg.JoinGroup(24*second, "c1", Heartbeat{ID: "i-1", Seq: 3})) // i-1 is silent here, so its record is needed
 }
 
 // TestNoBlameWhileDeaf: while a controller cannot receive heartbeats, no replica of a group falls silent.
--- a/decide/registry/leaving.go
+++ b/decide/registry/leaving.go
@@ -25,8 +25,8 @@
 	Age    int64  `cbor:"2,keyasint,omitempty"`
 }
 
-// leavingHash returns the hash of a record that is combined into its bucket's sum by exclusive or, and taken out in the same
-// way.
+// leavingHash returns the hash of a record's phase and ID. It is combined into its bucket's sum by exclusive or, and taken out
+// in the same way.
 func leavingHash(r Record) uint64 { return xxhash.Sum64String(r.Phase.String() + " " + r.ID) }
 
 // leavingBucket returns the bucket of a replica, which does not depend on its phase.
--- a/decide/registry/leaving_test.go
+++ b/decide/registry/leaving_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestGoneAreForgottenWhoeverTells: registries that send each other a departed replica again and again forget it as soon as a
-// single one would.
+// single registry would.
 func TestGoneAreForgottenWhoeverTells(t *testing.T) {
 	registries := []*Registry{New(4*second, 20*second), New(4*second, 20*second), New(4*second, 20*second)}
 	registries[0].Merge(0, Record{ID: "i-1", Phase: Gone, Seq: 1})
--- a/decide/registry/registry.go
+++ b/decide/registry/registry.go
@@ -76,7 +76,7 @@
 // entry is the record of a replica, and when the replica was heard.
 type entry struct {
 	Record
-	heardAt int64  // ns; last call received here, or reported by another controller
+	heardAt int64  // time in ns of the last call that was received here or reported by another controller
 	group   string // the controller in whose group the replica is; empty for none
 }
 
--- a/decide/rollout/copy.go
+++ b/decide/rollout/copy.go
@@ -26,7 +26,8 @@
 	return &c
 }
 
-// Key appends an encoding that differs between managers whose state differs at the same time.
+// Key appends to b an encoding of the manager's state, by which managers are compared at the same time. It leaves out the
+// request counts, the numbers of the reports and the time of the next evaluation.
 func (m *Manager) Key(b []byte) []byte {
 	b = binary.AppendUvarint(b, m.version)
 	if m.isHolder {
--- a/decide/rollout/detector.go
+++ b/decide/rollout/detector.go
@@ -138,7 +138,7 @@
 	return buckets
 }
 
-// baseline is what the answers of the other versions let one expect from the target version.
+// baseline is what the target version is expected to reach, by the answers of the other versions.
 type baseline struct {
 	slowBucket            int     // lowest latency bucket that counts as slow
 	failedShare, badShare float64 // expected shares of failed and of all bad answers
--- a/decide/rollout/evidence.go
+++ b/decide/rollout/evidence.go
@@ -37,7 +37,7 @@
 
 const (
 	buckets            = 26        // number of latency buckets; the last one has no upper limit
-	firstBucketNs      = 1_000_000 // resolution; shorter latencies are in the first bucket
+	firstBucketNs      = 1_000_000 // resolution of latencies in ns; shorter ones are in the first bucket
 	bucketsPerDoubling = 2
 )
 
--- a/decide/rollout/manager.go
+++ b/decide/rollout/manager.go
@@ -27,10 +27,10 @@
 	unseenFactor    = 3   // multiple of the allowed time after which a version that got too few requests leaves the trial stages all the same
 )
 
-// Replicas counts the ready replicas of a service.
+// Replicas counts the replicas of a service. All but Leaving are ready.
 type Replicas struct {
-	Target, Warm int // replicas of the target version, and how many of them have finished their warm-up
-	Others       int // replicas of the versions that are replaced
+	Target, Warm int // ready replicas of the target version, and how many of them have finished their warm-up
+	Others       int // ready replicas of the versions that are replaced
 	Leaving      int // replicas of any version that are draining or gone
 }
 
--- a/decide/rollout/plan.go
+++ b/decide/rollout/plan.go
@@ -38,8 +38,8 @@
 }
 
 const (
-	defaultExposure = 0.1
-	maxExposure     = 0.3 // a larger share would be a switch and not a trial
+	defaultExposure = 0.1 // exposure share where operators set none
+	maxExposure     = 0.3 // highest exposure share; more would be a switch and not a trial
 )
 
 // exposureShare returns the effective exposure share.
--- a/decide/rollout/set.go
+++ b/decide/rollout/set.go
@@ -147,8 +147,8 @@
 	return r
 }
 
-// Key appends an encoding that differs between any two Sets, for tools that explore every order of events. It holds for Sets
-// that follow from one another by changes, since there each version stands for one content.
+// Key appends to b an encoding of the Set, for tools that explore every order of events. Different Sets have different keys
+// if each version has one content, as in Sets that follow from one another by changes.
 func (s Set) Key(b []byte) []byte {
 	b = binary.AppendUvarint(b, s.Version)
 	for _, r := range s.Rollouts {
--- a/decide/routeconfig/routeconfig.go
+++ b/decide/routeconfig/routeconfig.go
@@ -35,8 +35,8 @@
 	MinCoverage        float64  // share of the parts that a gathered answer needs
 }
 
-// RouteID identifies a route, within a configuration and across revisions: no two routes share host and prefix. Names are for
-// people; several routes may have the same name, or none.
+// RouteID identifies a route, within a configuration and across revisions: no two routes share host and prefix. Names are
+// labels for operators; several routes may have the same name, or none.
 type RouteID struct {
 	Host   string // in lower case
 	Prefix string
--- a/decide/routingtable/rollouts.go
+++ b/decide/routingtable/rollouts.go
@@ -45,7 +45,7 @@
 }
 
 // Admits reports whether the rollout of the replica's service, if any, lets this edge send requests to the replica. If it
-// admits no ready replica at all, a version that may stand in for the admitted one is used.
+// admits no ready replica at all, replicas are used whose version Rollout.AllowsFallback allows.
 func (t *Table) Admits(r registry.Record) bool {
 	newest := t.rollouts.newest[r.Service]
 	if newest == nil || newest.Admits(t.settings.IP, r.ID, r.Version) {
--- a/decide/routingtable/routingtable.go
+++ b/decide/routingtable/routingtable.go
@@ -27,15 +27,15 @@
 	minRoundInterval   = 1 * ms     // minimum time between two rounds of the balancer, a small part of the shortest latency goal
 	maxShards          = 1024       // maximum number of services at a time
 	networkShare       = 12         // this fraction (1/12) of a gathered answer's latency goal is reserved for the network to the client and back
-	latencyPriorWeight = 1.5        // weight, in calls, of the typical latency beside that measured at a replica; with few calls to each, the fastest of many replicas seems fast by chance
+	latencyPriorWeight = 1.5        // number of calls that the typical latency counts for beside those measured at a replica; with few calls to each, the fastest of many replicas seems fast by chance
 	lateValueShare     = 0.4        // share of an answer's value that is left after its latency goal; the configuration has no setting for it
-	partialValueShare  = 1          // share of an answer's value per share of the parts, for a partial answer
+	partialValueShare  = 1          // value of a partial answer, relative to the full answer's value times the share of the parts that it has
 	maxRetryAfter      = 1000 * ms  // maximum time that a declined client is asked to wait
 	retryRatioShare    = 0.7        // share of the allowed retry ratio that is used, since other machines count requests slightly differently
 	retrySlackShare    = 0.6        // share of the allowed retry slack that is used, for the same reason
-	unboundedSpan      = 1000 * ms  // window of settings of the balancer that no rule bounds
+	unboundedSpan      = 1000 * ms  // window in ns for those of the balancer's settings that no rule bounds
 	edgeCountHold      = 60000 * ms // time for which a lower number of edges is ignored
-	coldUnlimited      = 1          // setting of the balancer that does not limit requests to cold replicas, since no rule applies to them
+	coldUnlimited      = 1          // value of the balancer's settings for cold replicas with which it does not limit requests to them, since no rule bounds these
 	reuseDelay         = 60000 * ms // time before a released row or shard is given to another route or service
 	unusedRowGoal      = 60000 * ms // latency goal of a released row: long, since the balancer uses the shortest goal of all workloads
 )
--- a/decide/sharedhealth/gossip.go
+++ b/decide/sharedhealth/gossip.go
@@ -18,9 +18,9 @@
 	minFailing          = 3      // replicas that a peer has to report as failing before maxFailingShare applies
 	maxPassedOverShare  = 1. / 3 // share of a cell's replicas that peers' findings may exclude at a time, but at least one
 	trialsPerEjection   = 2.0    // trials that all aggregators together make during one ejection of a replica
-	maxDelayEjections   = 8      // base ejections by which a trial is delayed at most
+	maxDelayEjections   = 8      // upper bound of the delay of a trial, in base ejections
 	minSlowdown         = 2.0    // slowdown from which a replica is slow if it was called many times
-	slowdownMargin      = 1.5    // added to minSlowdown after division by the number of calls: any single one may be expensive
+	slowdownMargin      = 1.5    // this divided by the number of calls is added to minSlowdown, since a single call may be expensive
 	healthyForNs        = 2e9    // ns since its last answer for which a replica counts as healthy
 	maxReportedSlowdown = 8.0    // the highest slowdown that is used
 	maxPeerRecords      = 1024   // peers whose newest record is kept
@@ -43,20 +43,20 @@
 // peerRecord is the newest record of a peer.
 type peerRecord struct {
 	Record
-	receivedAt int64 // when it was read
-	initialAge int64 // how old it was at that time by the store's clock, ns
+	receivedAt int64 // when the record was read, on this aggregator's clock
+	initialAge int64 // age of the record when it was read, by the store's clock, ns
 }
 
 // replicaHistory is what is remembered about one replica.
 type replicaHistory struct {
 	movedTrialAt    int64                // the time to which a trial was last delayed
-	accusedSince    int64                // since when peers accuse it; 0 if they do not
+	accusedSince    int64                // since when peers accuse the replica; 0 if they do not
 	lastReport      balance.SharedReport // latest shared report on its slowdown; Weight is 0 if it no longer holds
 	lastReportUntil int64                // end of lastReport if peers do not accuse the replica again
 	releaseDelay    int64                // ns for which lastReport holds after the last accusation
-	lastAccused     int64                // when peers last accused it
+	lastAccused     int64                // when peers last accused the replica
 	relapses        int                  // relapses in a row
-	lastListed      int64                // when it was last listed
+	lastListed      int64                // when the replica was last listed
 }
 
 // gossip evaluates the findings of peers. The zero value is not usable; see newGossip. accused holds the replicas that
@@ -157,7 +157,7 @@
 			g.accused[t.Key] = true
 		}
 	}
-	// Danger: in the first seconds of a fault more peers have met the replica before the fault than since. A finding in
+	// Danger: in the first seconds of a fault more peers have called the replica before the fault than since. A finding in
 	// its favor counts only if it is newer than the median of the findings against it.
 	for _, c := range g.verdicts {
 		slices.Sort(c.accusationAges)
--- a/decide/sharedhealth/gossip_test.go
+++ b/decide/sharedhealth/gossip_test.go
@@ -151,8 +151,8 @@
 }
 
 // Checks, for any findings of peers: shared reports exclude at most a third of a cell's replicas and never a cell's
-// only one; none excludes a replica on the findings of one peer, or where as many peers find it healthy, except for a
-// while after more peers accused it; a shared report holds for a few rounds, and no trial is delayed by more than
+// only one; none excludes a replica on the findings of one peer, or where as many peers find it healthy as accuse it,
+// except for a while after more peers accused it; a shared report holds for a few rounds, and no trial is delayed by more than
 // maxDelayEjections.
 func TestHearsayBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -183,7 +183,7 @@
 				}
 				h.mergeRecord(now, clock, fmt.Sprint("w", n), r)
 			}
-			for _, w := range h.peers { // including records of earlier turns that still count
+			for _, w := range h.peers { // records of earlier turns may still count
 				if h.recordAge(now, w) > recordMaxAgeRounds*testRound {
 					continue
 				}
@@ -270,7 +270,7 @@
 	}
 }
 
-// Danger: aggregators that lose the store together must not return to it together.
+// Danger: aggregators that lose the store at the same time would all try it again at the same time.
 func TestSpread(t *testing.T) {
 	var waits []int64
 	for i := range 200 {
--- a/decide/sharedhealth/quota.go
+++ b/decide/sharedhealth/quota.go
@@ -8,7 +8,7 @@
 
 const (
 	minWindow            = 10 * int64(time.Second) // ns: the shortest window in which a quota's tokens are counted
-	tokensPerAggregator  = 10                      // tokens for each aggregator that a window is long enough for, up to maxWindow
+	tokensPerAggregator  = 10                      // a window is long enough for this many tokens for each aggregator, but no longer than maxWindow
 	maxWindow            = 6 * minWindow           // ns: the longest window
 	requestShareDecrease = 0.7                     // factor on the requested share of the need after a rejection
 	requestShareIncrease = 0.1                     // added to the requested share of the need after a full grant
@@ -19,7 +19,7 @@
 	leaseAheadFrom       = 0.5                     // share of a window after which the next one's tokens are requested too
 	leaseHeadroom        = 1.25                    // factor on the expected queries for which tokens are requested
 	demandSmoothing      = 0.3                     // weight of the newest value in the averages of demand and leased tokens
-	maxRateStep          = 0.25                    // largest change of a local rate in a window, as a share of the larger rate
+	maxRateStep          = 0.25                    // largest change of a local rate in a window, as a share of the larger of this rate and the local share
 	membersWindowNs      = 60e9                    // ns for which the highest number of aggregators seen counts
 )
 
@@ -81,7 +81,7 @@
 	demand         float64           // queries a second that are expected
 	tokensLeft     float64           // unspent tokens at the last survey
 	carryWindow    int64             // the newest window for which carriedUnits is known; 0 for none
-	carriedUnits   int64             // units that this window has in addition to its base
+	carriedUnits   int64             // units that carryWindow has in addition to its base
 	leasedByWindow map[int64]float64 // tokens leased, by window
 	requestShare   float64           // share of the needed tokens that is requested
 	toReturn       []TokenRequest    // units counted by the store but not granted, to be returned in the next round
@@ -219,7 +219,7 @@
 		}
 	}
 	a.leasedByWindow[t.Window] += tokens
-	// The store's time is now at most clock + now - sent. Computed from that bound, no lease outlives its window.
+	// The store's time is now at most storeTime + now - sent. Computed from that bound, no lease outlives its window.
 	from, until := sent+t.Window*length-storeTime, sent+(t.Window+1)*length-storeTime
 	return Lease{t.Quota, tokens, from, until}, tokens > 0 && until > now
 }
@@ -232,7 +232,7 @@
 //
 // Danger: when the store fails, a switch to equal shares among a hundred aggregators would cut a customer whose queries
 // all reach one of them to a hundredth of its quota, and no limit would admit its quota a hundred times. So a rate
-// starts from what was leased recently and moves in small steps.
+// starts from the rate of tokens leased recently and moves in small steps.
 func (l *leaseManager) localRates(now int64, leasing bool, aggregators int) (changed []LocalRate) {
 	for i, q := range l.windows {
 		a := &l.states[i]
--- a/decide/sharedhealth/quota_test.go
+++ b/decide/sharedhealth/quota_test.go
@@ -79,7 +79,7 @@
 	return r
 }
 
-// step does one randomly chosen thing.
+// step plays one random event.
 func (m *fleetModel) step() {
 	m.steps++
 	n := m.nodes[m.rng.IntN(len(m.nodes))]
@@ -239,7 +239,7 @@
 	}
 }
 
-// Danger: if round results stop arriving, a local rate would apply forever that was meant for a moment. After a while
+// Danger: if round results stop arriving, a local rate that was meant for a short time would apply forever. After a while
 // the local share applies instead.
 func TestPurseAlone(t *testing.T) {
 	p := NewQuotaBudget(0, []Quota{{"a", 100, 0}}, 10)
--- a/decide/sharedhealth/record.go
+++ b/decide/sharedhealth/record.go
@@ -16,9 +16,9 @@
 const (
 	currentFormat  = 1
 	checksumBytes  = 4
-	maxRecordBytes = 4 << 10 // a longer value was not written by this program
-	maxFindings    = 64      // in one record; the most severe ones are kept
-	maxNameBytes   = 128     // of an aggregator's name
+	maxRecordBytes = 4 << 10 // maximum length of an encoded record; a longer value was not written by this program
+	maxFindings    = 64      // maximum number of findings in one record; the most severe ones are kept
+	maxNameBytes   = 128     // maximum length of an aggregator's name
 
 	fieldIncarnation, fieldSequence, fieldWrittenAt, fieldReplicas, fieldFailingReplicas, fieldFinding = 1, 2, 3, 4, 5, 6
 	fieldKey, fieldVerdict, fieldSlowdown, fieldAge                                                    = 1, 2, 3, 4
@@ -31,10 +31,10 @@
 type Verdict uint8
 
 const (
-	FoundSlow    Verdict = iota + 1 // it answers, but slowly
-	FoundFailing                    // it has failed since it last answered
-	FoundEjected                    // it is ejected for failures
-	FoundHealthy                    // it answered recently and has not failed since
+	FoundSlow    Verdict = iota + 1 // the replica answers, but slowly
+	FoundFailing                    // the replica has failed since it last answered
+	FoundEjected                    // the replica is ejected for failures
+	FoundHealthy                    // the replica answered recently and has not failed since
 	verdictEnd
 )
 
@@ -42,7 +42,7 @@
 type Finding struct {
 	Key      uint64 // identifies the replica's incarnation: see ReplicaKey
 	Verdict  Verdict
-	Slowdown float64 // its time for a call relative to the typical one; 0 if not known
+	Slowdown float64 // the replica's time for a call relative to the typical one; 0 if not known
 	Age      int64   // how long before the record was written this was observed, ns
 }
 
--- a/decide/sharedhealth/sharedhealth.go
+++ b/decide/sharedhealth/sharedhealth.go
@@ -25,19 +25,19 @@
 	maxHeartbeatAgeRounds = 6   // rounds without a heartbeat after which an aggregator no longer counts as live
 	sweepEveryRounds      = 16  // average number of rounds between two sweeps, which happen at random
 	goneAfterRounds       = 60  // rounds without an update after which an aggregator's data is removed from the store
-	maxFieldsPerSweep     = 16  // most findings of departed aggregators that one sweep removes
+	maxFieldsPerSweep     = 16  // maximum number of departed aggregators whose findings one sweep removes
 	maxClockBackNs        = 1e9 // ns that the store's clock may be behind the expected time; more is a contradiction
-	maxClockAheadNs       = 5e9 // ns that it may be ahead of the expected time
+	maxClockAheadNs       = 5e9 // ns that the store's clock may be ahead of the expected time
 )
 
 // Config holds an aggregator's settings. Times are in ns.
 type Config struct {
-	Name          string // of this aggregator, unique in the fleet
-	Incarnation   uint64 // of this process; higher than that of any earlier process under the same name
+	Name          string // name of this aggregator, unique in the fleet
+	Incarnation   uint64 // incarnation of this process; higher than that of any earlier process under the same name
 	Seed          uint64
-	RoundInterval int64 // between two rounds with the store
-	RoundTimeout  int64 // a round without an answer after this time has failed
-	SampleSize    int   // most records of peers that are read in one round
+	RoundInterval int64 // time between two rounds with the store
+	RoundTimeout  int64 // time after which a round without an answer has failed
+	SampleSize    int   // maximum number of peers' records that are read in one round
 	Aggregators   int   // number of aggregators that the deployment states
 	BaseEjection  int64 // how long a replica is ejected when it starts to fail
 	HealthEnabled bool  // whether findings on replicas are shared
--- a/decide/sharedhealth/sharedhealth_test.go
+++ b/decide/sharedhealth/sharedhealth_test.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// In doubt, more aggregators are planned with.
+// The number of aggregators to plan with is the highest one seen recently, and at least the one that the deployment states.
 func TestMembers(t *testing.T) {
 	x := newStoreSession(t)
 	x.reachFresh(Survey{})
--- a/decide/sharedhealth/storemonitor.go
+++ b/decide/sharedhealth/storemonitor.go
@@ -19,14 +19,14 @@
 func (s State) String() string { return stateNames[s] }
 
 const (
-	slowRoundShare         = 0.5  // of the timeout: a round that takes longer is slow
+	slowRoundShare         = 0.5  // share of the timeout; a round that takes longer is slow
 	slowIntervalFactor     = 2    // factor on the interval between rounds while the store is slow
 	staleAfterRounds       = 4    // intervals without a good round until the store's data is too old to use
 	unreachableAfterRounds = 12   // intervals without a good round until the store counts as unreachable
 	recoveryRounds         = 3    // good rounds until the data of a recovering store is used
 	distrustNs             = 10e9 // ns for which a contradiction makes the store distrusted
-	maxBackoffNs           = 30e9 // ns: the longest wait between attempts while rounds fail
-	intervalJitter         = 0.25 // of the interval, either way, so that the aggregators' rounds do not synchronize
+	maxBackoffNs           = 30e9 // ns; upper bound of the random part of the wait between attempts while rounds fail
+	intervalJitter         = 0.25 // largest random deviation of the interval between rounds, as a share of it, so that the aggregators' rounds do not synchronize
 )
 
 // storeMonitor derives the store's state from the outcome of rounds. It does not know their contents.
--- a/decide/siterouting/siterouting.go
+++ b/decide/siterouting/siterouting.go
@@ -35,7 +35,7 @@
 	backoffFactor        = 0.8  // factor on the carried rate after too many refusals
 	growthStep           = 0.04 // relative growth of an estimate per interval without too many refusals
 	advertisedGrowthStep = 0.2  // relative growth per interval if the site advertises its capacity
-	initialGrowthStep    = 1.0  // relative growth per interval before the first refusal, or after refusalMemory without one
+	initialGrowthStep    = 1.0  // relative growth per interval before the first refusal, after refusalMemory without one, and of a site's estimate below initialRate
 	refusalMemory        = 60   // intervals without a refusal after which earlier refusals no longer count
 	returnRampNs         = 20e9 // ns over which a site that is no longer evacuated takes its own queries back
 	advertisedTTLNs      = 5e9  // ns for which a site's advertised capacity is valid
@@ -250,7 +250,7 @@
 // updateEstimates learns from the results how many queries the site behind a link accepts.
 //
 // Danger: two overloaded sites would pass each other queries that neither serves. A site that refuses is sent less at once
-// and more only slowly, so that this exchange dies down.
+// and more only slowly, so that this exchange ends.
 //
 // An overloaded site refuses queries of high and low value alike. So its capacity is learned from all workloads together,
 // and the plan fills it with the queries of the highest value. Only a workload that is refused more than the others has an
--- a/decide/siterouting/siterouting_test.go
+++ b/decide/siterouting/siterouting_test.go
@@ -129,7 +129,7 @@
 		for n, s := range sites {
 			free, other := s.capacity*s.LocalShare(now), sites[1-n]
 			var excess [2]int
-			for w := range 2 { // own queries first
+			for w := range 2 { // the own queries come first
 				served := min(s.own, free)
 				free -= served
 				excess[w] = int(s.own - served)
@@ -145,7 +145,7 @@
 					}
 				}
 			}
-			for k := range steps { // then the queries from the other site
+			for k := range steps { // the queries from the other site come after the own ones
 				for w := range 2 {
 					if arrived := int(s.carried[w]); k*arrived/steps < (k+1)*arrived/steps {
 						other.ObserveResult(w, 0, free < 1)
--- a/decide/siterouting/spare_test.go
+++ b/decide/siterouting/spare_test.go
@@ -31,7 +31,7 @@
 	if back := window(200, 0); back <= 0 || back > 60 {
 		t.Errorf("after one window without declines the site offers %.1f", back)
 	}
-	// declined queries of others say nothing about the own ones
+	// Declined queries from other sites do not reduce the offer.
 	for range 20 {
 		s.Ended(now, false, true)
 	}
--- a/decide/zonehealth/zonehealth.go
+++ b/decide/zonehealth/zonehealth.go
@@ -48,9 +48,9 @@
 // replica is the state of one replica.
 type replica struct {
 	zone        int  // index of its zone plus 1; 0 if it is not listed or has no zone
-	failedEpoch int  // the zone's epoch in which it was last counted as failed
-	excluded    bool // the last report on it to the balance module excludes it
-	newlyListed bool // it was listed after its zone became unreachable, and has not failed since
+	failedEpoch int  // the zone's epoch in which the replica was last counted as failed
+	excluded    bool // the last report on the replica to the balance module excludes it
+	newlyListed bool // the replica was listed after its zone became unreachable, and has not failed since
 }
 
 // zone is the state of one zone.
@@ -61,7 +61,7 @@
 	failedReplicas int   // number of replicas that failed in this epoch
 	lastReached    int64 // when a replica last answered
 	unreachable    bool
-	trialDelay     int64 // from now to the next trial, ns
+	trialDelay     int64 // mean time from one trial to the next, ns; it doubles with each trial up to maxTrialDelay
 	trialAt        int64 // time of the next trial
 	inTrial        bool  // some replicas are admitted for a trial, and nothing has been sent to them yet
 	admissionsLeft int   // during a trial: replicas still to be admitted
--- a/decide/zonehealth/zonehealth_test.go
+++ b/decide/zonehealth/zonehealth_test.go
@@ -22,7 +22,7 @@
 	return f
 }
 
-// excludedReplicas plays the balance module: it holds the replicas that the Tracker's reports exclude.
+// excludedReplicas stands in for the balance module: it holds the replicas that the Tracker's reports exclude.
 type excludedReplicas map[int]bool
 
 func (h excludedReplicas) apply(t interface{ Fatalf(string, ...any) }, f *Tracker, now int64) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// count returns the number of excluded replicas whose index leaves this remainder.
+// count returns the number of excluded replicas whose index modulo modulus is the remainder.
 func (h excludedReplicas) count(remainder, modulus int) (n int) {
 	for i := range h {
 		if i%modulus == remainder {
@@ -135,7 +135,7 @@
 	}
 }
 
-// If nothing is sent to the replicas admitted for a trial, others are drawn.
+// If nothing is sent to the replicas admitted for a trial, the replicas are drawn again for the next one.
 func TestTryGoesOn(t *testing.T) {
 	f, h := newTestTracker(100, "a", "b"), excludedReplicas{}
 	failZone(f, 1000*ms)
@@ -233,8 +233,8 @@
 	}
 }
 
-// When a replica's index is used again, the new replica starts with nothing held against it, in the Tracker and in the
-// balance module.
+// When a replica's index is used again, the new replica starts without failures and is not excluded, in the Tracker and in
+// the balance module.
 func TestUsedAgain(t *testing.T) {
 	f, h := newTestTracker(12, "a", "b"), excludedReplicas{}
 	failZone(f, 1000*ms)
