--- a/internal/ci/cleanbuild/machine.go
+++ b/internal/ci/cleanbuild/machine.go
@@ -18,12 +18,12 @@
 	files(names []string) ([]string, error)
 }
 
-// machine stands for a machine that has only the listed packages, their dependencies and the essential packages.
+// machine models a machine that has only the listed packages, their dependencies and the essential packages.
 type machine struct {
 	owned map[string]bool // paths that the packages own
 }
 
-// newMachine returns the machine that has the listed packages.
+// newMachine returns the machine that has the listed packages, with all packages on which they depend.
 func newMachine(index packageIndex, listed []string) (*machine, error) {
 	pending, err := index.essential()
 	if err != nil {
--- a/internal/ci/knownred/report.go
+++ b/internal/ci/knownred/report.go
@@ -15,7 +15,7 @@
 	Test        string
 	Output      string
 	ImportPath  string // package of a build event
-	FailedBuild string // in the last event of a package's tests: the package that could not be built
+	FailedBuild string // the package that could not be built, in the last event of a package's tests
 }
 
 // closingFail is the last line that a test binary prints when tests have failed and all have run. A binary that panics, is killed or
@@ -31,7 +31,7 @@
 	outputs  map[string]*strings.Builder // output by top-level test; "" is for the package itself
 	failed   []string                    // top-level tests that failed
 	finished bool                        // the binary has run all tests
-	raced    bool
+	raced    bool                        // the race detector has reported a data race
 }
 
 // report prints a run of go test and collects its failures.
@@ -48,7 +48,7 @@
 	return &report{out: out, list: list, packages: map[string]*packageRun{}, passed: map[testName]bool{}, excused: map[testName]bool{}}
 }
 
-// handle handles one event.
+// handle records an event, and prints it if it is output of a build.
 func (r *report) handle(e event) {
 	switch {
 	case e.Action == "build-output":
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,4 +1,4 @@
-// Package counters has the counters of a process: queries, executions, connections and delays.
+// Package counters holds the counters of a process: queries, executions, connections and delays.
 package counters
 
 import (
@@ -127,7 +127,7 @@
 	ConnectionsClosed Count `json:"connections_closed"` // includes the failed ones
 
 	ClientsAccepted Count `json:"clients_accepted"`
-	ClientsClosed   Count `json:"clients_closed"` // idle connections of clients that were closed to make room for others
+	ClientsClosed   Count `json:"clients_closed"` // idle connections of clients that were closed to free descriptors for others
 	BadRequests     Count `json:"bad_requests"`
 	Rejected        Count `json:"crowded"`     // queries rejected for lack of capacity before a decision on admission
 	Undelivered     Count `json:"undelivered"` // answers that could not be written to their clients
@@ -146,10 +146,10 @@
 	Zones       Optional `json:"zones,omitzero"`
 
 	Rounds       Count     `json:"rounds"`         // rounds of decisions
-	DelayTotal   Count     `json:"delay_total_ns"` // sum of the delays of all events, each from its creation until the loop handles it
+	DelayTotal   Count     `json:"delay_total_ns"` // sum of the delays of all events, ns; a delay lasts from an event's creation until the loop handles it
 	Facts        Count     `json:"facts"`          // events that the loop has handled
 	DelayMaximum Maximum   `json:"delay_highest_ns"`
-	Delay        Histogram `json:"delay_ns"`     // distribution of the delays of events that can affect a query
+	Delay        Histogram `json:"delay_ns"`     // distribution of the delays of events that can affect a query, ns
 	HeldMaximum  Maximum   `json:"held_highest"` // highest number of queries and parts held at a time
 }
 
--- a/internal/healthcheck/healthcheck.go
+++ b/internal/healthcheck/healthcheck.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// path answers with status 200 once a program serves.
+// path is the path of the health check, which programs answer with status 200 once they serve.
 const path = "/healthz"
 
 // Wait configures how long to wait for a program and how often to check it.
 type Wait struct {
 	Client   *http.Client
-	Interval time.Duration // between two checks
+	Interval time.Duration // time between two checks
 	Timeout  time.Duration // maximum time to wait
 	Ended    <-chan error  // receives the reason when the program ends; may be nil
 }
--- a/transport/agentserver/agentserver.go
+++ b/transport/agentserver/agentserver.go
@@ -31,10 +31,10 @@
 
 const (
 	graceMargin = 300 * time.Millisecond // at shutdown, time left between the agent's end and the end of the grace period
-	leavePoll   = 100 * time.Millisecond // between two checks whether the local proxy has disconnected
+	leavePoll   = 100 * time.Millisecond // time between two checks whether the local proxy has disconnected
 
-	downstreamTimeout = 4 * time.Second        // without a report, a downstream edge is left out of the agent's own report
-	heartbeatPoll     = 250 * time.Millisecond // between two checks for heartbeats that are due or missing
+	downstreamTimeout = 4 * time.Second        // a downstream edge that has not reported for this time is left out of the agent's own report
+	heartbeatPoll     = 250 * time.Millisecond // time between two checks for heartbeats that are due or missing
 )
 
 // Server is a running agent.
--- a/transport/controlclient/controlclient.go
+++ b/transport/controlclient/controlclient.go
@@ -24,22 +24,22 @@
 	retryDelay     = 200 * time.Millisecond
 	receiveTimeout = 3 * time.Second
 
-	maxRedirects = 2 // followed by one call
+	maxRedirects = 2 // most redirects that one call follows
 )
 
 // httpClient sends each request once. It differs from net/http's default client in that it keeps no idle
 // connections and follows at most maxRedirects redirects.
 //
-// Danger: net/http resends a request by itself if a reused connection fails under it. Only Client may decide
-// whether a request is resent, and a connection that is never reused is never replayed on.
+// Danger: net/http resends a request by itself if a reused connection fails before the answer. Only Client may
+// decide whether a request is resent, so connections are never reused.
 var httpClient = &http.Client{
 	Timeout:       callTimeout,
 	Transport:     &http.Transport{Proxy: http.ProxyFromEnvironment, DisableKeepAlives: true},
 	CheckRedirect: limitRedirects,
 }
 
-// limitRedirects bounds the redirects that a call follows to the number that all clients of the control
-// resources follow.
+// limitRedirects lets a call follow at most maxRedirects redirects, the limit of all clients of the control
+// resources.
 func limitRedirects(_ *http.Request, via []*http.Request) error {
 	if len(via) > maxRedirects {
 		return ErrClient.Errorf("more than %d redirects", maxRedirects)
@@ -49,8 +49,8 @@
 
 // Client calls one controller after another until one gives a definite answer or ctx ends. A call without a
 // definite answer (no connection, no complete answer within callTimeout, a 5xx, 408 or 429) is repeated with
-// the same bytes at the next address, at most once per retryDelay for as long as ctx lasts. Without an end of
-// ctx the retries don't end either.
+// the same bytes at the next address, at most once per retryDelay until ctx ends. If ctx
+// never ends, the retries don't end either.
 type Client struct{ Addresses []string }
 
 func (c *Client) call(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
--- a/transport/controlclient/replay_test.go
+++ b/transport/controlclient/replay_test.go
@@ -17,7 +17,7 @@
 // dyingServer answers the first request on each connection, and closes the connection once it has read a second
 // one.
 type dyingServer struct {
-	answers []string // for the first requests of successive connections; the last one repeats
+	answers []string // answers to the first requests of successive connections; the last one repeats
 
 	mu       sync.Mutex
 	requests []string // method and body of each request
--- a/transport/controlclient/rollouts.go
+++ b/transport/controlclient/rollouts.go
@@ -17,10 +17,10 @@
 	Stage       string `json:"stage"`
 	Step        uint64 `json:"step"`
 	TargetShare int    `json:"target-share"` // thousandths of the (edge, replica) pairs that may route traffic to the target version
-	OthersShare int    `json:"others-share"` // the same for replicas of other versions
-	OverMs      int64  `json:"over-ms"`
-	ElapsedMs   int64  `json:"elapsed-ms"` // from the order to the newest step
-	Reason      string `json:"reason"`     // of the newest step
+	OthersShare int    `json:"others-share"` // thousandths of the (edge, replica) pairs that may route traffic to other versions
+	OverMs      int64  `json:"over-ms"`      // time in which the traffic is to be moved, ms
+	ElapsedMs   int64  `json:"elapsed-ms"`   // time from the order to the newest step, ms
+	Reason      string `json:"reason"`       // why the newest step was taken
 }
 
 // Active reports whether the rollout has not ended.
--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -37,12 +37,12 @@
 	inputQueue        = 1024                   // inputs that may wait for the loop
 	inputBatch        = 64                     // inputs handled before the next check of the timer
 	maxTickDelay      = 50 * time.Millisecond  // longest time between two checks of the timer
-	drainTimeout      = 400 * time.Millisecond // for calls in progress at a planned shutdown
+	drainTimeout      = 400 * time.Millisecond // how long a planned shutdown waits for calls in progress
 	readHeaderTimeout = 2 * time.Second
-	readTimeout       = 5 * time.Second // for reading a whole request
+	readTimeout       = 5 * time.Second // longest time to read a whole request
 	idleTimeout       = 15 * time.Second
 	maxHeaderBytes    = 16 << 10
-	reopenDelay       = 300 * time.Millisecond // before another attempt to open a disk that failed to open
+	reopenDelay       = 300 * time.Millisecond // delay after a failed attempt to open the state file
 )
 
 // Server is a running controller.
@@ -132,7 +132,7 @@
 
 func (s *Server) now() int64 { return int64(time.Since(s.base)) }
 
-// currentInfo is the last information on how current the controller's state is.
+// currentInfo states how current the controller's state was when the loop last recorded it.
 type currentInfo struct {
 	since           int64 // when the controller last held all that had been acknowledged, on the server's clock
 	epoch, revision uint64
@@ -271,7 +271,7 @@
 	s.operators.Leave(link)
 }
 
-// call makes a call to the controller and waits for its answer; false if ctx ended first.
+// call makes a call to the controller and waits for its answer. It returns false if ctx ended first.
 func (s *Server) call(ctx context.Context, call func(now int64, call uint64) controller.Effects) (controller.Answer, bool) {
 	answers := make(chan controller.Answer, 1)
 	s.mu.Lock()
--- a/transport/controlserver/resources.go
+++ b/transport/controlserver/resources.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// parseHeartbeat decodes a heartbeat.
+// parseHeartbeat decodes the body of a heartbeat. Unknown keys are ignored; service and address are required.
 func parseHeartbeat(id string, body []byte) (registry.Record, error) {
 	r := registry.Record{ID: id}
 	err := jx.DecodeBytes(body).Obj(func(d *jx.Decoder, key string) (err error) {
@@ -202,7 +202,7 @@
 // replace handles an operator's order to replace the configuration.
 //
 // If the deployment's mode of ordering configurations is unknown here, none is acknowledged: one that the mode
-// refuses could be accepted, and the operators would be told that it is in force. The status 501 makes clients
+// refuses could be accepted, and the operators would be notified that it is in force. The status 501 makes clients
 // retry at another controller, so the order succeeds once a version that supports the mode runs.
 func (h *configurationHandler) replace(w http.ResponseWriter, r *http.Request) {
 	if mode := h.server.settings.ConfigMode; !supportedMode(mode) {
--- a/transport/controlserver/rollouts.go
+++ b/transport/controlserver/rollouts.go
@@ -17,9 +17,9 @@
 
 // Limits of an order.
 const (
-	maxOrderBytes = 4 << 10 // largest body of an order
-	maxNameBytes  = 256     // longest name of a service or a version
-	maxOverS      = 7 * 24 * 3600
+	maxOrderBytes = 4 << 10       // largest body of an order
+	maxNameBytes  = 256           // longest name of a service or a version
+	maxOverS      = 7 * 24 * 3600 // longest duration of a rollout: a week, s
 	msPerSecond   = 1000
 )
 
@@ -72,7 +72,7 @@
 	respondAnswer(w, a, ok)
 }
 
-// parseOrder decodes an order.
+// parseOrder decodes an order of a rollout and checks its limits. Unknown keys are ignored.
 func parseOrder(body []byte) (o rollout.Order, err error) {
 	seconds := 0.0
 	err = jx.DecodeBytes(body).Obj(func(d *jx.Decoder, key string) (err error) {
--- a/transport/discovery/discovery.go
+++ b/transport/discovery/discovery.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	longPollTime   = 5 * time.Second        // for which discovery may delay its answer; short, so that a failed connection is noticed soon
-	callMargin     = time.Second            // a call times out this long after its poll time, before its answer counts as received
-	retryDelay     = 100 * time.Millisecond // between a failed call and the next; calls cost discovery little
-	maxAnswerBytes = 8 << 20                // enough for a list of tens of thousands of entries
+	longPollTime   = 5 * time.Second        // how long discovery may delay its answer; short, so that a failed connection is noticed soon
+	callMargin     = time.Second            // added to the poll time to give the timeout of a whole call
+	retryDelay     = 100 * time.Millisecond // wait between a failed call and the next; short, because calls cost discovery little
+	maxAnswerBytes = 8 << 20                // largest answer that is read: a list of tens of thousands of entries
 	listPath       = "/v1/servers"
 )
 
@@ -29,11 +29,11 @@
 	Host      string
 	Dial      string
 	Cell      int
-	Zone      string // empty if it has none
+	Zone      string // empty if the replica has none
 	Status    balance.Status
-	StartedMs int64 // Unix time, ms; 0 for long ago
+	StartedMs int64 // when the replica started, Unix time in ms; 0 for long ago
 	Distance  int   // distance class below balance.Distances, 0 for the nearest
-	MaxCalls  int   // parts that this aggregator may have in flight there; 0 if not stated
+	MaxCalls  int   // parts that this aggregator may have in flight at the replica; 0 if not stated
 }
 
 // Update is one answer of discovery, or a failed call.
@@ -124,14 +124,14 @@
 
 	mu             sync.Mutex
 	address        string
-	addressChanged bool               // since the last call began
+	addressChanged bool               // the address has changed since the last call began
 	cancelCall     context.CancelFunc // ends the call in progress
 }
 
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewWatch returns a watch that continues from the list with the given sequence number. It passes each answer
-// and each failure to report, in order.
+// NewWatch returns a watch that passes each answer and each failure to report, in order. Its first call requests
+// the full list, whose sequence number replaces the given one.
 func NewWatch(address string, cells int, sequence int64, dial dialFunc, report func(context.Context, Update)) *Watch {
 	return &Watch{address: address, cells: cells, sequence: sequence, report: report, requested: make(chan struct{}, 1),
 		cancelCall: func() {},
@@ -139,7 +139,7 @@
 			DialContext: dial}}
 }
 
-// Request starts a watch whose Run waits for requests.
+// Request lets a Run with onRequest, which waits at its start and after a failure, make its next call.
 func (w *Watch) Request() {
 	select {
 	case w.requested <- struct{}{}:
--- a/transport/logs/logs.go
+++ b/transport/logs/logs.go
@@ -12,7 +12,7 @@
 	"willowsill/deployment/settings"
 )
 
-const softMemoryLimitShare = 0.6 // of the memory limit; beyond it the garbage collector works harder
+const softMemoryLimitShare = 0.6 // share of the memory limit beyond which the garbage collector runs more often
 
 // Setup configures the logs of a program, and the garbage collector's soft memory limit.
 func Setup(program string, s settings.Settings) {
--- a/transport/machine/machine.go
+++ b/transport/machine/machine.go
@@ -21,7 +21,7 @@
 	"willowsill/internal/counters"
 )
 
-const readInterval = 100 * time.Millisecond // between two readings
+const readInterval = 100 * time.Millisecond // time between two readings
 
 // cpuStatFile holds how long the control group has throttled the process's CPU use.
 const cpuStatFile = "/sys/fs/cgroup/cpu.stat"
@@ -34,7 +34,7 @@
 	Events            func() (n, waited int64)
 	QueueFill         func() float64 // used share of the loop's queue
 	ClientDescriptors func() float64 // used share of the descriptors for clients
-	MemoryLimit       int64          // of the heap, bytes
+	MemoryLimit       int64          // limit of the heap, bytes
 }
 
 // Monitor measures the process and holds its overload detector.
@@ -51,7 +51,7 @@
 	Stalled        counters.Count // total of the stalls that the loop has measured, ns
 
 	samples      []metrics.Sample
-	schedBuckets []uint64 // scheduler latencies at the last reading
+	schedBuckets []uint64 // counts of the runtime's histogram of scheduler latencies at the last reading
 	pauseBuckets []uint64
 	gcSeconds    float64
 	cpuTime      int64
@@ -139,7 +139,7 @@
 }
 
 // quantileSince returns the quantile of the values that a histogram of the runtime has recorded since the last
-// call, ns. was holds the histogram's counts at that call.
+// call, ns. previous holds the histogram's counts at that call.
 func quantileSince(s *metrics.Sample, previous *[]uint64, share float64) int64 {
 	if s.Value.Kind() != metrics.KindFloat64Histogram {
 		return 0
--- a/transport/metrics/metrics.go
+++ b/transport/metrics/metrics.go
@@ -19,7 +19,7 @@
 var ErrMetrics = oops.Code("metrics")
 
 const (
-	readTimeout = 2 * time.Second // for reading a request
+	readTimeout = 2 * time.Second // longest time to read a request
 	idleTimeout = 15 * time.Second
 	maxPort     = 65535
 )
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	maxQueuedFrames = 64                     // queued for a link that is being opened
-	redialDelay     = 150 * time.Millisecond // after a failed dial
-	idleTimeout     = 20 * time.Second       // without a frame, a link is closed
+	maxQueuedFrames = 64                     // most frames that wait for a link to be opened
+	redialDelay     = 150 * time.Millisecond // wait after a failed dial
+	idleTimeout     = 20 * time.Second       // a link on which no frame is sent for this time is closed
 )
 
 // Mesh keeps a link to each address that it sends to. While a link is down, frames queue up to maxQueuedFrames;
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -21,9 +21,9 @@
 var ErrLink = oops.Code("link")
 
 const (
-	maxFrameBytes   = 8 << 20                // a configuration of tens of thousands of routes
-	maxQueuedBytes  = 8 << 20                // with more bytes queued, a link counts as failed
-	headerBytes     = 4                      // the length of the body
+	maxFrameBytes   = 8 << 20                // largest body of a frame: a configuration of tens of thousands of routes
+	maxQueuedBytes  = 8 << 20                // a link with more bytes queued counts as failed
+	headerBytes     = 4                      // size of a frame's header, which holds the length of the body
 	dialTimeout     = 300 * time.Millisecond // short, because a machine that is starting up drops the first attempt and the next one follows soon
 	userTimeout     = 2 * time.Second        // a link fails if sent data stays unacknowledged for this time
 	readBufferBytes = 4 << 10
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// Close closes the link and drops what is queued.
+// Close closes the link and drops the queued frames.
 func (l *Link) Close() {
 	l.mu.Lock()
 	wasClosed := l.closed
--- a/transport/replica/connection.go
+++ b/transport/replica/connection.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	readBufferBytes     = 4 << 10         // replies are short
+	readBufferBytes     = 4 << 10         // size of the read buffer of a connection; replies are short
 	writeTimeout        = 2 * time.Second // a replica that reads nothing for this time counts as failed
 	maxAbandonedIDs     = 1024            // abandoned ids that await their late replies; with more of them a connection is retired
 	maxEndedIDs         = 64              // ids answered last on a connection, whose replies may come a second time; such copies come soon
@@ -52,9 +52,9 @@
 	abandoned   map[string]struct{} // abandoned ids whose reply may still come
 	endedIDs    []string            // the ids answered last
 	openCalls   int
-	retired     bool // takes no more calls, and closes after its last one
-	heardAt     int64
-	idleSince   int64
+	retired     bool  // takes no more calls, and closes after its last one
+	heardAt     int64 // when the last reply arrived, ns
+	idleSince   int64 // when the last call ended, or the connection was created, ns
 
 	queue  queue
 	pool   *Pool
@@ -159,7 +159,7 @@
 
 // read reports replies to the pool.
 //
-// Danger: a frame whose header announces more bytes than ever come would block all that waits on the
+// Danger: a frame whose header announces more bytes than ever arrive would block every part that waits on the
 // connection.
 func (c *connection) read(conn net.Conn) error {
 	r, frameTimeout := bufio.NewReaderSize(conn, readBufferBytes), time.Duration(c.pool.ConnectTimeout/frameTimeoutDivisor)
--- a/transport/replica/frame.go
+++ b/transport/replica/frame.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	lengthBytes   = 4        // the length of a frame, most significant byte first
-	maxFrameBytes = 72 << 10 // of an incoming frame: an answer to a client holds 64 KiB, and so may a value
+	lengthBytes   = 4        // size of the length that begins a frame, most significant byte first
+	maxFrameBytes = 72 << 10 // largest incoming frame: its value may hold 64 KiB, like an answer to a client
 	minFrameBytes = 1        // a frame holds at least its letter
 )
 
@@ -34,9 +34,9 @@
 type Outcome uint8
 
 const (
-	Succeeded Outcome = iota // executed; the reply holds a value
-	Failed                   // it may have been executed
-	Rejected                 // it was never executed
+	Succeeded Outcome = iota // the part was executed; the reply holds its value
+	Failed                   // the part may have been executed
+	Rejected                 // the part was never executed
 )
 
 // Part is one part of a query, as a call requests it.
--- a/transport/replica/pool.go
+++ b/transport/replica/pool.go
@@ -123,7 +123,7 @@
 		}
 	}
 	if !p.budget.Acquire(sockets.Replicas) {
-		for replica := range p.replicas { // for later calls: connections need some time to close
+		for replica := range p.replicas { // closing them takes some time, so only later calls can use their descriptors
 			p.CloseIdle(replica)
 		}
 		return nil
@@ -183,8 +183,8 @@
 	return unsent
 }
 
-// Abandon ends the wait for a ticket, which the pool then won't report. With notifyReplica the replica is told
-// that the part is abandoned. It returns true if the part was withdrawn before it was sent.
+// Abandon ends the wait for a ticket, which the pool then won't report. With notifyReplica the replica is
+// notified that the part is abandoned. It returns true if the part was withdrawn before it was sent.
 func (p *Pool) Abandon(t *Ticket, notifyReplica bool) (unsent bool) {
 	if p.Withdraw(t) {
 		return true
--- a/transport/replica/pool_test.go
+++ b/transport/replica/pool_test.go
@@ -16,7 +16,7 @@
 	"willowsill/transport/sockets"
 )
 
-// fixture is a pool with one replica, which the test plays.
+// fixture is a pool with one replica, which the test simulates.
 type fixture struct {
 	*testing.T
 	*Pool
@@ -56,7 +56,8 @@
 	return tickets
 }
 
-// reports waits until all goroutines are blocked, and returns what the pool then reports.
+// reports handles the connections' events until all goroutines are blocked without one, and returns the pool's
+// reports.
 func (f *fixture) reports() (all []string) {
 	for {
 		synctest.Wait()
@@ -311,9 +312,9 @@
 	}
 }
 
-// TestSpoiltReplies: a reply that cannot be decoded belongs to a part that waits, which would otherwise wait
-// for its timeout, and so would the other parts on its connection. All of them may have been executed, and the
-// replica's process still runs.
+// TestSpoiltReplies: after a reply that cannot be decoded, all parts on its connection end at once as errored
+// instead of waiting for their timeouts. They are not reported as reset, because the replica's process still
+// runs, and not as failed to connect, because all of them may have been executed.
 func TestSpoiltReplies(t *testing.T) {
 	reply := string(AppendReply(nil, Reply{"a.1", Succeeded, "v"}, "-"))
 	for name, c := range map[string]struct {
@@ -340,7 +341,7 @@
 				go io.WriteString(conn, c.bytes)
 				time.Sleep(c.after)
 				f.expect("a.1 "+errored+" ", "a.2 "+errored+" ")
-				f.call("a.1") // once more; the first connection is not used again
+				f.call("a.1") // the same id again; the pool must not reuse the first connection
 				next := accept(l)
 				f.next(next)
 				f.reply(next, "a.1", Succeeded)
@@ -353,8 +354,8 @@
 	}
 }
 
-// TestBehindAGoodReply: bytes after a valid reply must spoil neither that reply nor the next part. A second
-// copy of the reply is harmless.
+// TestBehindAGoodReply: bytes after a valid reply must make neither that reply nor the next part fail. After
+// undecodable bytes the next part uses a new connection; a second copy of the reply is ignored.
 func TestBehindAGoodReply(t *testing.T) {
 	reply := string(AppendReply(nil, Reply{"a.1", Succeeded, "v"}, "-"))
 	for name, extra := range map[string]string{"noise": "\xfd\xbe\x99\an\r\n", "a second copy": reply} {
@@ -368,7 +369,7 @@
 				if got := f.Handle(<-f.events); len(got) != 1 || got[0].Result != balance.Fulfilled {
 					f.Fatalf("reported %v", got)
 				}
-				f.call("a.2") // before what follows the reply was handled
+				f.call("a.2") // before the bytes after the reply are handled
 				if name == "noise" {
 					conn = accept(l)
 				}
--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -194,8 +194,8 @@
 		if err != nil {
 			return err
 		}
-		// Danger: a second answer to an earlier request may come instead of the expected one. The attempt id tells
-		// them apart; the expected one follows.
+		// Danger: a second answer to an earlier request may come instead of the expected one. The attempt id
+		// distinguishes them, and the expected one follows.
 		if answer.attempt != req.Attempt {
 			stale = true
 			continue
@@ -231,7 +231,7 @@
 // Willowsill-Not-Executed with another status is contradictory, and the status without that header proves
 // nothing.
 //
-// Danger: an unsafe request that was executed would be reported to its client as one that never will be.
+// Danger: otherwise an unsafe request that was executed would be reported to its client as not executed.
 func rejectionStatus(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusBadRequest
 }
@@ -239,8 +239,8 @@
 // readAnswer reads the next answer completely, and returns for how long the connection may be reused. An answer
 // without a length is complete if the replica closed the connection after it in an orderly way.
 //
-// Danger: an answer that was cut off by a reset, or by closing the connection here, would look complete; but
-// then reading it fails.
+// Danger: an answer without a length that was cut off, by a reset or because this side closed the connection,
+// must not count as complete. In both cases reading its body returns an error.
 func readAnswer(r *bufio.Reader, method string) (*response, time.Duration, error) {
 	var res *http.Response
 	for {
--- a/transport/replicahttp/fuzz_test.go
+++ b/transport/replicahttp/fuzz_test.go
@@ -21,11 +21,11 @@
 const (
 	fuzzExchanges  = 4    // requests on one connection, one after the other
 	fuzzSegments   = 32   // most segments of the replica's stream
-	fuzzLengthBits = 0x3f // bits of a plan's byte that give the length of the segment; all set for up to the next status line
+	fuzzLengthBits = 0x3f // bits of a plan's byte that give the length of the segment; if all are set, the segment ends before the next status line
 	fuzzWaits      = 0x40 // bit of a plan's byte: the segment waits for the next request
 	fuzzPause      = 0x80 // bit of a plan's byte: time passes before the segment
 	fuzzStep       = 10 * time.Millisecond
-	fuzzTimeout    = time.Second // after which an exchange is abandoned
+	fuzzTimeout    = time.Second // time after which an exchange is abandoned
 )
 
 // fuzzLength returns the length of the next segment.
@@ -41,8 +41,8 @@
 	return len(data)
 }
 
-// fuzzStream plays a replica's stream on the only connection, whatever is requested. Each byte of the plan is
-// one segment of data.
+// fuzzStream sends a replica's stream on the only connection, whatever is requested. Each byte of the plan
+// describes one segment of data.
 func fuzzStream(c net.Conn, requests <-chan struct{}, data, plan []byte) {
 	defer c.Close()
 	for _, step := range plan[:min(len(plan), fuzzSegments)] {
@@ -123,7 +123,7 @@
 	}
 }
 
-// fuzzReplica plays one stream to fuzzExchanges requests, checks the answer given to each, and returns how many
+// fuzzReplica sends one stream to fuzzExchanges requests, checks the answer given to each, and returns how many
 // were given an answer.
 func fuzzReplica(t *testing.T, data, plan []byte) (answered int) {
 	near, far := net.Pipe()
@@ -198,8 +198,8 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: id%d\r\n%s: s%d\r\n%sContent-Length: 5\r\n\r\nbody%d", HeaderAttempt, i, HeaderSeal, i, more, i)
 	}
 	all := answer(0, "") + answer(1, "") + answer(2, "") + answer(3, "")
-	each := bytes.Repeat([]byte{fuzzWaits | fuzzLengthBits}, 8) // one answer for each request
-	tail := []byte{fuzzWaits | fuzzLengthBits, fuzzWaits}       // one answer, and the whole rest for the next request
+	each := bytes.Repeat([]byte{fuzzWaits | fuzzLengthBits}, 8) // a plan that sends one answer for each request
+	tail := []byte{fuzzWaits | fuzzLengthBits, fuzzWaits}       // a plan that sends one answer, and the whole rest for the next request
 	return []fuzzSeed{
 		{[]byte(all), each},
 		{[]byte(all), append([]byte{fuzzWaits}, bytes.Repeat([]byte{1}, fuzzSegments)...)},
--- a/transport/replicahttp/replicahttp.go
+++ b/transport/replicahttp/replicahttp.go
@@ -29,7 +29,7 @@
 const (
 	dialTimeout       = time.Second
 	writeTimeout      = 5 * time.Second
-	defaultIdleLimit  = 5 * time.Second // for which an idle connection may be reused, if the replica states no time
+	defaultIdleLimit  = 5 * time.Second // how long an idle connection may be reused if the replica states no time
 	idleMarginDivisor = 4               // a stated idle time is reduced by 1/idleMarginDivisor
 	maxBodyBytes      = 16 << 20        // largest body of an answer
 )
@@ -41,7 +41,7 @@
 	Head    []byte // the request line and the headers that are the same for each part
 	Body    []byte
 	Method  string
-	Answers map[int]*Answer // by shard; the last answer
+	Answers map[int]*Answer // the last answer for each shard
 	Sent    bool            // something was written to a replica
 }
 
@@ -55,6 +55,7 @@
 	Replica  string
 }
 
+// The states of an exchange: whether its request was written, or was withdrawn before that.
 const (
 	pending int32 = iota
 	written
@@ -240,7 +241,7 @@
 	ended    *exchange // nil if only the connection has closed
 	result   balance.Result
 	answer   *Answer
-	reuseFor time.Duration // for how long the connection may be reused, 0 for not at all
+	reuseFor time.Duration // how long the connection may be reused, 0 for not at all
 	closed   bool
 	err      error
 	at       int64
--- a/transport/replicahttp/replicahttp_test.go
+++ b/transport/replicahttp/replicahttp_test.go
@@ -25,8 +25,8 @@
 	answers []string
 	heads   []string
 
-	idle       string // sent half a second after the first answer
-	closesIdle bool   // closes half a second after the first answer
+	idle       string // bytes sent half a second after the first answer; empty for none
+	closesIdle bool   // the replica closes the connection half a second after the first answer
 }
 
 func (s *server) serve(l *pipenet.Listener) {
@@ -95,7 +95,7 @@
 		}
 		f.SetAddress(0, DestinationAddress("i-1", "r:1"))
 		defer l.Close()
-		defer func() { // also if play has failed
+		defer func() { // also if the test has failed
 			f.Pool.Close()
 			synctest.Wait()
 			for len(f.events) > 0 {
--- a/transport/replicahttp/write_test.go
+++ b/transport/replicahttp/write_test.go
@@ -32,7 +32,7 @@
 	net.Conn
 	ends    []writeEnd
 	written *strings.Builder
-	wait    chan struct{} // if set, the first write waits for it after its bytes
+	wait    chan struct{} // if set, the first write blocks after its bytes until the channel is closed
 }
 
 func (c *faultyConn) Write(b []byte) (int, error) {
@@ -105,7 +105,7 @@
 	}
 }
 
-// stalledWrite calls play with a connection on which the write of the first request has stalled midway. The
+// stalledWrite calls test with a connection on which the write of the first request has stalled midway. The
 // replica has already answered that it did not execute that request, and the second request waits to be
 // written. release makes the stalled write fail, and returns the reports of what ended then.
 func stalledWrite(t *testing.T, test func(far net.Conn, conn *faultyConn, release func() []replica.Report)) {
@@ -193,7 +193,7 @@
 		t.Run(name, func(t *testing.T) {
 			stalledWrite(t, func(far net.Conn, conn *faultyConn, release func() []replica.Report) {
 				end(far)
-				synctest.Wait() // the end is known before the write may start
+				synctest.Wait() // the pool's connection has noticed the end before the second request may be written
 				ended := release()
 				must.StrNotContains(t, conn.written.String(), "/other")
 				must.SliceLen(t, 1, ended)
--- a/transport/sockets/sockets.go
+++ b/transport/sockets/sockets.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	reservedDescriptors = 32 // for standard streams, the poller, the listener, discovery and the runtime
-	minBudget           = 8  // for clients and replicas together, however low the limit is
+	reservedDescriptors = 32 // descriptors kept for standard streams, the poller, the listener, discovery and the runtime
+	minBudget           = 8  // least descriptors for clients and replicas together, however low the limit is
 )
 
 // Budget counts the descriptors in use, and limits them per purpose and in total.
--- a/transport/statestore/statestore.go
+++ b/transport/statestore/statestore.go
@@ -32,8 +32,8 @@
 const (
 	fileName      = "register.db"
 	compactedName = fileName + ".new" // the copy that replaces the file at a compaction
-	listKey       = "list"
-	versionKey    = "version"
+	listKey       = "list"            // key of the list of replicas
+	versionKey    = "version"         // key of the format version
 
 	// formatVersion is the version of the file's format. A file without a version has the first format, which is
 	// read in the same way.
@@ -48,7 +48,7 @@
 // Store is the open file.
 type Store struct {
 	db             *buntdb.DB
-	file           *os.File // the same file as db's, for syncing it
+	file           *os.File // a second handle of db's file, for syncing it
 	dir            string
 	lastSave       uint64                      // number of the last save
 	versionWritten bool                        // the file holds the current format version
@@ -66,10 +66,10 @@
 
 // Found is the content of the file when it was opened.
 type Found struct {
-	State     *register.State   // nil if none was ever saved
+	State     *register.State   // state of the register, nil if none was ever saved
 	Committed register.Order    // the last configuration known to be committed
 	Rollouts  rollout.Set       // the last rollouts known to be committed
-	Replicas  []registry.Record // as last saved
+	Replicas  []registry.Record // the list of replicas that was saved last
 }
 
 // Open opens the file in a folder. The error wraps ErrNewerFormat if a newer version of the program wrote the
@@ -92,7 +92,7 @@
 	return s, found, nil
 }
 
-// openFile opens the file on disk.
+// openFile opens the database, and its file a second time for syncing.
 func (s *Store) openFile() error {
 	path := filepath.Join(s.dir, fileName)
 	db, err := openDB(path)
@@ -206,7 +206,7 @@
 	return s.compact()
 }
 
-// compact writes the file anew. The state is on disk already, so if the new file cannot be written, for example
+// compact replaces the file by a copy of its current content. The state is on disk already, so if the new file cannot be written, for example
 // on a full disk, only space is lost and the next save tries again.
 func (s *Store) compact() error {
 	copyPath := filepath.Join(s.dir, compactedName)
@@ -288,7 +288,7 @@
 
 // unseal decodes what seal has encoded, and reports whether it is complete.
 //
-// Danger: what was being written during a power failure may be there in part.
+// Danger: a value that was being written during a power failure may be incomplete.
 func unseal(text []byte, v any) (n uint64, ok bool) {
 	if len(text) < 12 {
 		return 0, false
@@ -312,7 +312,7 @@
 // truncateTornEnd cuts the file off after its last complete command. It changes nothing in a file of a newer
 // format.
 //
-// The database refuses to open a file with a torn end, although all that was ever synced precedes that end.
+// The database refuses to open a file with a torn end, although all synced data precedes that end.
 func truncateTornEnd(path string) error {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/transport/store/connection_test.go
+++ b/transport/store/connection_test.go
@@ -94,7 +94,7 @@
 	mustFail(t, k, ctx)
 }
 
-// newClient returns a client of that store without other aggregators.
+// newClient returns a client of the store at an endpoint, for the only aggregator.
 func newClient(t *testing.T, place Endpoint) *Client {
 	config := sharedhealth.Config{Name: "n", Incarnation: 7, RoundInterval: int64(round), RoundTimeout: int64(deadline), SampleSize: 24, Aggregators: 1, BaseEjection: 1e9,
 		HealthEnabled: true}
--- a/transport/store/counters.go
+++ b/transport/store/counters.go
@@ -8,7 +8,7 @@
 	"willowsill/internal/counters"
 )
 
-// Counters are the counters of the shared store among the process's counters.
+// Counters counts a client's rounds with the shared store; the process's counters include it.
 type Counters struct {
 	SurveysSkipped counters.Count // rounds in which the aggregator had no time for a survey
 	UnusableParts  counters.Count // parts of answers that could not be used
@@ -18,7 +18,7 @@
 	stats sharedhealth.Stats
 }
 
-// setStats keeps the statistics of the decider.
+// setStats stores the decider's statistics after a round.
 func (c *Counters) setStats(stats sharedhealth.Stats) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/transport/store/replylimits.go
+++ b/transport/store/replylimits.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	maxLineBytes   = 4 << 10   // errors and numbers are short
-	maxStringBytes = 16 << 10  // bytes of one string; records are a quarter of that
-	maxItems       = 4 << 10   // elements of one array, map or set
-	maxRoundBytes  = 512 << 10 // bytes of all replies in one round
+	maxLineBytes   = 4 << 10   // longest line; errors and numbers are short
+	maxStringBytes = 16 << 10  // longest string; records take a quarter of that
+	maxItems       = 4 << 10   // most elements of one array, map or set
+	maxRoundBytes  = 512 << 10 // most bytes of all replies in one round
 )
 
 var (
@@ -28,9 +28,9 @@
 // twelve bytes could allocate a gigabyte. So the headers are checked here before the library reads them.
 type limitedConn struct {
 	net.Conn
-	header     []byte // of the reply that is being read
-	skipBytes  int    // rest of the string that is being read, with its line end
-	roundBytes int    // read in this round
+	header     []byte // the part read so far of a reply's header line
+	skipBytes  int    // bytes to come of the string that is being read, with its line end
+	roundBytes int    // bytes read in this round
 	err        error
 }
 
--- a/transport/store/store.go
+++ b/transport/store/store.go
@@ -39,9 +39,10 @@
 	Dial         func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Aggregator is what a Client needs of an aggregator. No method waits for a socket.
+// Aggregator is the aggregator that a Client serves. No method waits for a socket.
 type Aggregator interface {
-	// Survey returns what the aggregator currently knows, and false if it has no time for that.
+	// Survey returns the aggregator's current findings about replicas, its demand and its remaining tokens, and
+	// false if the aggregator is too busy to collect them.
 	Survey(ctx context.Context) (sharedhealth.Survey, bool)
 	// ApplyShared passes on the result of a round, which a busy aggregator may drop.
 	ApplyShared(sharedhealth.RoundResult)
--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -56,7 +56,6 @@
 	a.applied = append(a.applied, result)
 }
 
-// setFinding sets the finding about a replica.
 func (a *testAggregator) setFinding(finding balance.Finding) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -342,7 +341,7 @@
 	return file
 }
 
-// TestPassword: the password comes from a file, may be right or wrong, and is never logged.
+// TestPassword: the password comes from a file and is never logged. With a wrong one the store counts as lost.
 func TestPassword(t *testing.T) {
 	for _, c := range []struct{ password, state string }{{"open sesame", "fresh"}, {"wrong", "lost"}} {
 		file := write(t, []byte(c.password+"\n"))
--- a/transport/watch/loans.go
+++ b/transport/watch/loans.go
@@ -27,7 +27,7 @@
 
 func (l *Loans) now() int64 { return int64(time.Since(l.startedAt)) }
 
-// HandleReport handles the lending part of a downstream edge's report. Where messages for that edge are
+// HandleReport handles the lending part of a downstream edge's report. If messages for that edge are
 // waiting, it sends them on the link, together with this process's freshness.
 func (l *Loans) HandleReport(link *peer.Link, report Report, fresh clusterstate.Freshness) {
 	from := lending.Neighbor(report.Self.Edge.IP)
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -19,14 +19,15 @@
 )
 
 const (
-	heartbeatInterval     = 300 * time.Millisecond  // between two messages to the downstream edges
-	upstreamTimeout       = 1000 * time.Millisecond // without a message, the upstream counts as lost: three heartbeats are missing
-	reportInterval        = time.Second             // between two reports to the upstream
-	rolloutReportInterval = 200 * time.Millisecond  // the same while a report holds evidence of an active rollout
-	downstreamTimeout     = 5 * time.Second         // without a report, a downstream link is closed
-	retryDelay            = 100 * time.Millisecond  // before the next upstream is tried
-	minStay               = 5 * time.Second         // before a process returns to its preferred upstream
-	// minStay for the first upstream after the start, which was chosen before any other was known.
+	heartbeatInterval     = 300 * time.Millisecond  // time between two heartbeats to the downstream edges
+	upstreamTimeout       = 1000 * time.Millisecond // an upstream that is silent for this time counts as lost: three heartbeats are missing
+	reportInterval        = time.Second             // time between two reports to the upstream
+	rolloutReportInterval = 200 * time.Millisecond  // time between two reports while they hold evidence of an active rollout
+	downstreamTimeout     = 5 * time.Second         // a downstream link without a report for this time is closed
+	retryDelay            = 100 * time.Millisecond  // wait before the next upstream is tried
+	minStay               = 5 * time.Second         // how long a process stays with an upstream before it returns to its preferred one
+	// firstMinStay replaces minStay for the first upstream after the start, which was chosen before any other was
+	// known.
 	firstMinStay = reportInterval
 )
 
@@ -34,13 +35,13 @@
 // sender's state is.
 //
 // Danger: relays that declared themselves fresh could form a cycle of upstreams in which none receives updates
-// and none notices. So freshness originates at a controller, and each relay passes it on with the time added
-// that it was held there.
+// and none notices. So freshness originates at a controller, and each relay adds the time that it has held the
+// state before it passes the freshness on.
 type Message struct {
 	Update    *clusterstate.Update    `cbor:"1,keyasint,omitempty"`
 	InContact bool                    `cbor:"2,keyasint,omitempty"` // the sender is in contact with a majority; read only by edges of the former version
 	Freshness *clusterstate.Freshness `cbor:"3,keyasint,omitempty"` // nil if the sender is of the former version
-	Lending   *lending.Message        `cbor:"4,keyasint,omitempty"` // for the receiving edge alone
+	Lending   *lending.Message        `cbor:"4,keyasint,omitempty"` // requests and loans for the receiving edge alone
 }
 
 // maxContactAge is the age of the state up to which InContact is set, for edges of the former version.
@@ -64,7 +65,7 @@
 type Report struct {
 	Self           controller.EdgeReport   `cbor:"1,keyasint"`
 	Downstream     []controller.EdgeReport `cbor:"2,keyasint,omitempty"`
-	Revision       uint64                  `cbor:"3,keyasint,omitempty"` // of the configuration held, whose body is not sent again
+	Revision       uint64                  `cbor:"3,keyasint,omitempty"` // revision of the configuration that the edge holds, whose body is not sent to it again
 	AcceptsChanges bool                    `cbor:"4,keyasint,omitempty"` // the edge can apply changes of the fleet; otherwise it needs the whole fleet
 	Lending        *lending.Message        `cbor:"5,keyasint,omitempty"`
 }
@@ -87,11 +88,11 @@
 // Feed is the set of downstream links that updates are published to.
 type Feed struct {
 	mu    sync.Mutex
-	links map[*peer.Link]bool // by link: whether the edge accepts changes of the fleet
+	links map[*peer.Link]bool // for each link, whether its edge accepts changes of the fleet
 }
 
 // Join adds a link and sends it the snapshot, without the body of the configuration if the edge already holds
-// it. The caller must order calls of Join and Publish like the states that they send.
+// it. The caller must make calls of Join and Publish in the order of the states that they send.
 func (f *Feed) Join(l *peer.Link, report Report, snapshot clusterstate.Update, fresh clusterstate.Freshness) {
 	f.mu.Lock()
 	if f.links == nil {
@@ -123,7 +124,7 @@
 func (f *Feed) Publish(update *clusterstate.Update, fresh clusterstate.Freshness) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	frames := map[bool]peer.Frame{} // by whether the edge accepts changes of the fleet
+	frames := map[bool]peer.Frame{} // a frame for edges that accept changes of the fleet, and one for those that don't
 	for l, acceptsChanges := range f.links {
 		frame, encoded := frames[acceptsChanges]
 		if !encoded {
@@ -266,9 +267,9 @@
 }
 
 // receive connects to an upstream and applies its messages. It returns true if the upstream was lost or has no
-// contact with the controllers, so that the next one is tried. It returns false if the preferred upstream is to
-// be connected to: because it is another one and the time stay has passed, or because an update could not be
-// applied and a new connection starts with a snapshot.
+// contact with the controllers, so that the next one is tried. It returns false if the caller should
+// connect to the preferred upstream: because that is another one and this one was kept for stay, or because an
+// update could not be applied and a new connection starts with a snapshot.
 func (u *Upstream) receive(ctx context.Context, address string, alternatives int, stay time.Duration) (lost bool) {
 	l, err := peer.Dial(ctx, address)
 	if err != nil {
--- a/transport/wire/settings_test.go
+++ b/transport/wire/settings_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// playBatch plays one batch on a new adapter, fails the test on an error, and returns the output.
+// playBatch handles one batch with a new adapter, fails the test on an error, and returns the output.
 func playBatch(t *testing.T, events string) string {
 	t.Helper()
 	out, err := serveBatch(events)
--- a/transport/wire/wire.go
+++ b/transport/wire/wire.go
@@ -60,7 +60,7 @@
 	out       *bufio.Writer
 }
 
-// Serve plays the batches from r until its end.
+// Serve handles the batches of events from r until its end, and writes the aggregators' decisions to w.
 func Serve(r io.Reader, w io.Writer) error {
 	a := &adapter{instances: map[int]*instance{}, lists: map[int][]json.RawMessage{}, out: bufio.NewWriter(w)}
 	lines := bufio.NewReaderSize(r, 1<<20)
@@ -268,7 +268,7 @@
 	return i, !known
 }
 
-// addQueryOrPart adds a query, or a part of one.
+// addQueryOrPart adds a query, or a part to a query that was added before.
 func (in *instance) addQueryOrPart(now int64, f *fields.Object) error {
 	var id uint64
 	var group int64
@@ -348,7 +348,7 @@
 	}
 }
 
-// parseResult decodes an outcome.
+// parseResult decodes the outcome of an execution.
 func parseResult(f *fields.Object) balance.Result {
 	codes := [...]string{
 		balance.Fulfilled: "ok", balance.Errored: "error", balance.Full: "full", balance.TimedOut: "timeout",
@@ -412,7 +412,7 @@
 		fmt.Fprintf(a.out, `{"event_type":"WATCH","who":%d,"whole":true}`+"\n", id)
 	}
 	if round.WakeAt > 0 && (in.timerAt == 0 || round.WakeAt < in.timerAt) {
-		in.timerAt = a.now + (max(round.WakeAt-a.now, 0)+999)/1e3*1e3 // the simulator counts in microseconds
+		in.timerAt = a.now + (max(round.WakeAt-a.now, 0)+999)/1e3*1e3 // rounded up to microseconds, the simulator's unit of time
 		fmt.Fprintf(a.out, `{"event_type":"DEFER","who":%d,"in":%s,"token":"%s"}`+"\n",
 			id, ms(in.timerAt-a.now), wakeToken)
 	}
--- a/transport/wire/wire_test.go
+++ b/transport/wire/wire_test.go
@@ -23,7 +23,7 @@
 {"event_type":"KNOCK","who":1,"rid":6,"measure":1,"grace":900,"group_no":3,"slab":1,"grade":"w","write":null}
 `
 
-// serveBatch plays one batch on a new adapter and returns the output.
+// serveBatch handles one batch with a new adapter and returns the output.
 func serveBatch(events string) (string, error) {
 	in := `{"event_type":"TICK","at_time":100,"n":4}` + "\n" + events + "\n" + `{"event_type":"FLUSH"}` + "\n"
 	var out strings.Builder
