--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -83,7 +83,7 @@
 // IsZero reports whether there are no statistics, for the JSON option omitzero.
 func (s *Optional) IsZero() bool { return s.Load() == nil }
 
-// MarshalJSON encodes the current statistics.
+// MarshalJSON encodes the current statistics, or null if there are none.
 func (s *Optional) MarshalJSON() ([]byte, error) {
 	if f := s.Load(); f != nil {
 		return (*f).MarshalJSON()
--- a/internal/house/comments_test.go
+++ b/internal/house/comments_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// wellKnown lists methods of well-known interfaces.
+// wellKnown lists methods of well-known interfaces, which need no comment.
 var wellKnown = []string{"Error", "String", "MarshalJSON", "UnmarshalJSON", "Unwrap", "Len", "Less", "Swap", "Push", "Pop",
 	"ServeHTTP", "Read", "Write", "Close"}
 
--- a/internal/pipenet/pipenet.go
+++ b/internal/pipenet/pipenet.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// Accept returns the next connection.
+// Accept waits for the next connection and returns it.
 func (l *Listener) Accept() (net.Conn, error) {
 	select {
 	case <-l.closed:
--- a/transport/agentserver/agentserver.go
+++ b/transport/agentserver/agentserver.go
@@ -37,7 +37,7 @@
 	heartbeatPoll     = 250 * time.Millisecond // time between two checks for heartbeats that are due or missing
 )
 
-// Server is a running agent.
+// Server is a running agent: the cluster state that it holds, its upstream and its downstream links.
 type Server struct {
 	settings   settings.Settings
 	base       time.Time
--- a/transport/agentserver/metrics.go
+++ b/transport/agentserver/metrics.go
@@ -6,7 +6,6 @@
 	"willowsill/transport/metrics"
 )
 
-// writeMetrics writes the agent's metrics.
 func (s *Server) writeMetrics(w metrics.Writer) {
 	fresh := s.upstream.Freshness()
 	w.Flag("willowsill_agent_knowledge_current", fresh.Known)
--- a/transport/controlserver/callcounts.go
+++ b/transport/controlserver/callcounts.go
@@ -67,7 +67,7 @@
 	return resource + "/" + call
 }
 
-// statusRecorder records the status of an answer.
+// statusRecorder passes an answer on and records its status.
 type statusRecorder struct {
 	http.ResponseWriter
 	status int
--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -45,7 +45,7 @@
 	reopenDelay       = 300 * time.Millisecond // delay after a failed attempt to open the state file
 )
 
-// Server is a running controller.
+// Server is a running controller: the decider with its sockets and its disk.
 type Server struct {
 	settings    settings.Settings
 	base        time.Time
@@ -64,7 +64,8 @@
 	lastCall uint64                            // the highest number used
 }
 
-// Run runs a controller until ctx ends.
+// Run opens a controller's disk and sockets, and runs it until ctx ends. Then the controller announces its
+// shutdown, and calls in progress may finish within drainTimeout.
 func Run(ctx context.Context, local settings.Settings) error {
 	s := &Server{settings: local, base: time.Now().Add(-time.Hour), loans: watch.NewLoans(local.Bounds.RetryWindow()),
 		inputs: make(chan func(int64) controller.Effects, inputQueue),
--- a/transport/controlserver/resources.go
+++ b/transport/controlserver/resources.go
@@ -22,7 +22,7 @@
 	maxConfigurationBytes = 4 << 20 // largest body of a configuration
 )
 
-// handler returns the handler of all resources.
+// handler returns the HTTP handler of the resources replicas, configuration and rollouts. It counts all calls.
 func (s *Server) handler() http.Handler {
 	replicas, configuration, rollouts := &replicasHandler{s}, &configurationHandler{s}, &rolloutsHandler{s}
 	serve := func(w http.ResponseWriter, r *http.Request) {
--- a/transport/controlserver/rollouts.go
+++ b/transport/controlserver/rollouts.go
@@ -15,7 +15,7 @@
 	"willowsill/decide/rollout"
 )
 
-// Limits of an order.
+// Limits of the order of a rollout.
 const (
 	maxOrderBytes = 4 << 10       // largest body of an order
 	maxNameBytes  = 256           // longest name of a service or a version
--- a/transport/logs/logs.go
+++ b/transport/logs/logs.go
@@ -28,5 +28,5 @@
 	}
 }
 
-// Flush writes buffered log lines.
+// Flush writes buffered log lines; a program calls it before it exits.
 func Flush() { klog.Flush() }
--- a/transport/machine/machine.go
+++ b/transport/machine/machine.go
@@ -210,7 +210,7 @@
 	return rejected, retryAfter
 }
 
-// RecordEnd records the end of an admitted query.
+// RecordEnd records the end of an admitted query: how long it took, ns, and whether it was answered.
 func (m *Monitor) RecordEnd(workload int, took int64, answered bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/transport/replica/connection.go
+++ b/transport/replica/connection.go
@@ -76,7 +76,7 @@
 	return abandoned || c.tickets[id] != nil || slices.Contains(c.endedIDs, id)
 }
 
-// recordReply records that an id was answered.
+// recordReply records that an id was answered, and forgets the oldest such id beyond maxEndedIDs.
 func (c *connection) recordReply(id string) {
 	if c.endedIDs = append(c.endedIDs, id); len(c.endedIDs) > maxEndedIDs {
 		c.endedIDs = slices.Delete(c.endedIDs, 0, 1)
--- a/transport/replica/frame.go
+++ b/transport/replica/frame.go
@@ -47,7 +47,7 @@
 	Text   []byte
 }
 
-// Reply is the answer to one part.
+// Reply is what a replica's reply states about one part, without the load report.
 type Reply struct {
 	ID      string
 	Outcome Outcome
--- a/transport/replica/pool.go
+++ b/transport/replica/pool.go
@@ -28,7 +28,7 @@
 	sentAt        int64
 }
 
-// Report is the end of a ticket.
+// Report states how and when a ticket ended.
 type Report struct {
 	Ticket *Ticket
 	Result balance.Result
@@ -142,7 +142,7 @@
 	})
 }
 
-// Sweep retires idle connections to all replicas.
+// Sweep retires the connections to all replicas that have been idle for almost as long as replicas keep them.
 func (p *Pool) Sweep() {
 	for _, d := range p.replicas {
 		p.retireIdle(d, p.Now())
@@ -277,7 +277,7 @@
 	return balance.Reset
 }
 
-// Close closes all connections.
+// Close closes all connections, also those with calls in progress.
 func (p *Pool) Close() {
 	for _, d := range p.replicas {
 		for _, c := range d.conns {
--- a/transport/replica/pool_test.go
+++ b/transport/replica/pool_test.go
@@ -79,7 +79,6 @@
 	}
 }
 
-// accept accepts the next connection.
 func accept(l *pipenet.Listener) net.Conn {
 	c, _ := l.Accept()
 	return c
--- a/transport/replicahttp/fuzz_test.go
+++ b/transport/replicahttp/fuzz_test.go
@@ -192,7 +192,6 @@
 // fuzzSeed is a stream and the plan that splits it.
 type fuzzSeed struct{ data, plan []byte }
 
-// fuzzSeeds returns the seeds of the fuzz test.
 func fuzzSeeds() []fuzzSeed {
 	answer := func(i int, more string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: id%d\r\n%s: s%d\r\n%sContent-Length: 5\r\n\r\nbody%d", HeaderAttempt, i, HeaderSeal, i, more, i)
--- a/transport/replicahttp/replicahttp.go
+++ b/transport/replicahttp/replicahttp.go
@@ -45,7 +45,7 @@
 	Sent    bool            // something was written to a replica
 }
 
-// Answer is the answer of a replica.
+// Answer is a replica's answer to one part, with what its headers state.
 type Answer struct {
 	Status   int
 	Header   map[string][]string
@@ -130,7 +130,8 @@
 	return i >= len(p.destinations) || p.destinations[i].inFlight == 0
 }
 
-// Send sends parts, each as a request of its own.
+// Send sends parts, each as a request on a connection of its own. It always returns true, because the pool
+// doesn't limit its connections.
 func (p *Pool) Send(i int, tickets []*replica.Ticket) bool {
 	for _, t := range tickets {
 		d := p.destinations[i]
@@ -192,7 +193,7 @@
 	return false
 }
 
-// release removes an exchange from the pool.
+// release removes an exchange from the pool. Handle ignores what is reported about it afterwards.
 func (p *Pool) release(e *exchange) {
 	if p.exchanges[e.ticket] == e {
 		delete(p.exchanges, e.ticket)
--- a/transport/sockets/sockets.go
+++ b/transport/sockets/sockets.go
@@ -45,7 +45,7 @@
 	return true
 }
 
-// Release returns a descriptor.
+// Release returns a descriptor to the budget.
 func (b *Budget) Release(purpose Purpose) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/transport/statestore/statestore.go
+++ b/transport/statestore/statestore.go
@@ -45,7 +45,7 @@
 	compactMinBytes = 24 << 20 // size of the file from which it is compacted
 )
 
-// Store is the open file.
+// Store is the open state file of a controller.
 type Store struct {
 	db             *buntdb.DB
 	file           *os.File // a second handle of db's file, for syncing it
@@ -56,7 +56,7 @@
 	rename         func(from, to string) error // renames a file; replaced in tests
 }
 
-// savedState is the content of a save.
+// savedState is what one save holds: the register, and the last configuration and rollouts known to be committed.
 type savedState struct {
 	State             register.State `cbor:"1,keyasint"`
 	CommittedRevision uint64         `cbor:"2,keyasint,omitempty"`
@@ -387,5 +387,5 @@
 	return n, text[end+2:], true
 }
 
-// Path returns the path of the file in a folder.
+// Path returns the path of the state file in a folder.
 func Path(dir string) string { return filepath.Join(dir, fileName) }
--- a/transport/store/replylimits.go
+++ b/transport/store/replylimits.go
@@ -63,7 +63,8 @@
 	return n, err
 }
 
-// scan checks bytes that were read.
+// scan checks bytes that were read: it skips the contents of strings, and parses each header line once it is
+// complete.
 func (c *limitedConn) scan(b []byte) error {
 	for len(b) > 0 {
 		if c.skipBytes > 0 {
@@ -86,7 +87,8 @@
 	return nil
 }
 
-// parseHeader checks a complete header line.
+// parseHeader returns an error if a complete header line does not begin a reply, or announces more than the
+// limits allow.
 func (c *limitedConn) parseHeader() error {
 	text := c.header[:len(c.header)-1]
 	if len(text) > 0 && text[len(text)-1] == '\r' {
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -106,7 +106,7 @@
 	l.SendMessage(newMessage(&snapshot, fresh))
 }
 
-// Leave removes a link.
+// Leave removes a link, which then gets no more updates.
 func (f *Feed) Leave(l *peer.Link) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
