--- a/transport/replica/pool.go
+++ b/transport/replica/pool.go
@@ -28,7 +28,7 @@
 	sentAt        int64
 }
 
-// Report is the end of a ticket.
+// Report states how and when a ticket ended.
 type Report struct {
 	Ticket *Ticket
 	Result balance.Result
@@ -123,7 +123,7 @@
 		}
 	}
 	if !p.budget.Acquire(sockets.Replicas) {
-		for replica := range p.replicas { // for later calls: connections need some time to close
+		for replica := range p.replicas { // closing them takes some time, so only later calls can use their descriptors
 			p.CloseIdle(replica)
 		}
 		return nil
@@ -142,7 +142,7 @@
 	})
 }
 
-// Sweep retires idle connections to all replicas.
+// Sweep retires the connections to all replicas that have been idle for almost as long as replicas keep them.
 func (p *Pool) Sweep() {
 	for _, d := range p.replicas {
 		p.retireIdle(d, p.Now())
@@ -183,8 +183,8 @@
 	return unsent
 }
 
-// Abandon ends the wait for a ticket, which the pool then won't report. With notifyReplica the replica is told
-// that the part is abandoned. It returns true if the part was withdrawn before it was sent.
+// Abandon ends the wait for a ticket, which the pool then won't report. With notifyReplica the replica is
+// notified that the part is abandoned. It returns true if the part was withdrawn before it was sent.
 func (p *Pool) Abandon(t *Ticket, notifyReplica bool) (unsent bool) {
 	if p.Withdraw(t) {
 		return true
@@ -277,7 +277,7 @@
 	return balance.Reset
 }
 
-// Close closes all connections.
+// Close closes all connections, also those with calls in progress.
 func (p *Pool) Close() {
 	for _, d := range p.replicas {
 		for _, c := range d.conns {
--- a/transport/replicahttp/replicahttp.go
+++ b/transport/replicahttp/replicahttp.go
@@ -29,7 +29,7 @@
 const (
 	dialTimeout       = time.Second
 	writeTimeout      = 5 * time.Second
-	defaultIdleLimit  = 5 * time.Second // for which an idle connection may be reused, if the replica states no time
+	defaultIdleLimit  = 5 * time.Second // how long an idle connection may be reused if the replica states no time
 	idleMarginDivisor = 4               // a stated idle time is reduced by 1/idleMarginDivisor
 	maxBodyBytes      = 16 << 20        // largest body of an answer
 )
@@ -41,11 +41,11 @@
 	Head    []byte // the request line and the headers that are the same for each part
 	Body    []byte
 	Method  string
-	Answers map[int]*Answer // by shard; the last answer
+	Answers map[int]*Answer // the last answer for each shard
 	Sent    bool            // something was written to a replica
 }
 
-// Answer is the answer of a replica.
+// Answer is a replica's answer to one part, with what its headers state.
 type Answer struct {
 	Status   int
 	Header   map[string][]string
@@ -55,6 +55,7 @@
 	Replica  string
 }
 
+// The states of an exchange: whether its request was written, or was withdrawn before that.
 const (
 	pending int32 = iota
 	written
@@ -129,7 +130,8 @@
 	return i >= len(p.destinations) || p.destinations[i].inFlight == 0
 }
 
-// Send sends parts, each as a request of its own.
+// Send sends parts, each as a request on a connection of its own. It always returns true, because the pool
+// doesn't limit its connections.
 func (p *Pool) Send(i int, tickets []*replica.Ticket) bool {
 	for _, t := range tickets {
 		d := p.destinations[i]
@@ -191,7 +193,7 @@
 	return false
 }
 
-// release removes an exchange from the pool.
+// release removes an exchange from the pool. Handle ignores what is reported about it afterwards.
 func (p *Pool) release(e *exchange) {
 	if p.exchanges[e.ticket] == e {
 		delete(p.exchanges, e.ticket)
@@ -240,7 +242,7 @@
 	ended    *exchange // nil if only the connection has closed
 	result   balance.Result
 	answer   *Answer
-	reuseFor time.Duration // for how long the connection may be reused, 0 for not at all
+	reuseFor time.Duration // how long the connection may be reused, 0 for not at all
 	closed   bool
 	err      error
 	at       int64
--- a/transport/sockets/sockets.go
+++ b/transport/sockets/sockets.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	reservedDescriptors = 32 // for standard streams, the poller, the listener, discovery and the runtime
-	minBudget           = 8  // for clients and replicas together, however low the limit is
+	reservedDescriptors = 32 // descriptors kept for standard streams, the poller, the listener, discovery and the runtime
+	minBudget           = 8  // least descriptors for clients and replicas together, however low the limit is
 )
 
 // Budget counts the descriptors in use, and limits them per purpose and in total.
@@ -45,7 +45,7 @@
 	return true
 }
 
-// Release returns a descriptor.
+// Release returns a descriptor to the budget.
 func (b *Budget) Release(purpose Purpose) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
