--- a/cmd/overloadtest/burst.go
+++ b/cmd/overloadtest/burst.go
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// result returns the measurements of a load in the printed form.
+// result converts the measurements of a load to the form in which they are printed.
 func (c *LoadResult) result(variant string, factor, capacity float64) *BurstResult {
 	return &BurstResult{Variant: variant, LoadFactor: factor, Duration: c.Duration, Capacity: capacity, Revenue: c.Revenue(), BestRevenue: c.BestRevenue(capacity),
 		HighValue: c.HighValue, LowValue: c.LowValue, RejectedRead: c.RejectedRead, RejectedUnread: c.RejectedUnread, Cores: c.CPU.Seconds() / c.Duration.Seconds()}
--- a/cmd/overloadtest/stops.go
+++ b/cmd/overloadtest/stops.go
@@ -23,7 +23,7 @@
 type StopResult struct {
 	Outcome             *load.Outcome
 	TimedOut, Cancelled float64 // executions that the process counted as timed out or cancelled
-	Stood               float64 // seconds for which the process detected that it had not run
+	Stood               float64 // seconds in which the process did not run, as it detected itself
 	Further             float64 // executions beyond one per part
 }
 
@@ -55,7 +55,7 @@
 	return s, err
 }
 
-// RunNeighbours pins the process and n busy processes to the same core during the middle half of the measurement.
+// RunNeighbours pins the process to one core. During the middle half of the measurement n busy processes compete with it for that core.
 func RunNeighbours(ctx context.Context, binary, script string, rate float64, n int, span time.Duration) (*StopResult, error) {
 	return measure(ctx, binary, script, rate, span, func(one *sites.Site) error {
 		var core unix.CPUSet
@@ -98,8 +98,8 @@
 	})
 }
 
-// RunStops measures the process while it is stopped by SIGSTOP the given number of times, each time for the duration stopped after
-// running for the duration each.
+// RunStops measures the process while SIGSTOP suspends it several times: each time it runs for the duration each and is then
+// suspended for the duration stopped.
 func RunStops(ctx context.Context, binary, script string, rate float64, each, stopped time.Duration, times int) (*StopResult, error) {
 	return measure(ctx, binary, script, rate, time.Duration(times+1)*(each+stopped), func(one *sites.Site) (err error) {
 		for range times {
--- a/cmd/sites/dark.go
+++ b/cmd/sites/dark.go
@@ -24,12 +24,12 @@
 	outageStart       = 0.3
 	outageEnd         = 0.6
 	rowDuration       = 10 * time.Second // interval that one row of the timeline covers
-	recoveryTolerance = 0.02             // revenue share below the level before the outage that still counts as recovered
+	recoveryTolerance = 0.02             // how far the revenue share may be below its level before the outage to count as recovered
 )
 
 // variant is one pair of sites in a run, with its policy and its results.
 type variant struct {
-	size, policy string // size is the other site's capacity: "room" for all queries of both sites, or "short" of it
+	size, policy string // size is "room" if the other site can serve the queries of both sites, and "short" if it cannot
 	isolated     bool
 	workers      int
 	partDuration time.Duration
@@ -37,13 +37,13 @@
 	peaks        peaks
 }
 
-// peaks holds the highest values that were sampled of quantities with a limit, and two totals.
+// peaks holds the highest samples of quantities that have a limit, and totals.
 type peaks struct {
 	queryRate float64 // queries a second forwarded by one process
 	overLimit int     // samples in which a process had more queries in flight on a link than its limit
 	byteRate  float64 // bytes a second over a link, both directions together
-	carried   float64 // queries forwarded by all processes until the last sample
-	strangers float64 // counters of requests rejected for their certificate, summed over all samples
+	carried   float64 // total of queries that all processes had forwarded at the last sample
+	strangers float64 // the processes' counters of rejected peers, added up over all samples
 }
 
 func darkCommand() *cobra.Command {
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// watch takes a sample every second until stop is closed.
+// watch samples the counters of all processes and links every second until stop is closed.
 func (p *peaks) watch(w *sites.Testbed, stop <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
--- a/cmd/sites/hop.go
+++ b/cmd/sites/hop.go
@@ -17,7 +17,7 @@
 
 const (
 	warmUpTime = 12 * time.Second       // until the gateways know each other and have ended their slow start
-	retryPause = 100 * time.Millisecond // wait of a client after a query without an answer in goal
+	retryPause = 100 * time.Millisecond // time that a client waits after a query that was not answered within the goal
 )
 
 // hopCase is one setup that is measured: queries are served by the own site, or the own site is evacuated and they are
@@ -27,9 +27,9 @@
 	http2      bool
 	remote     bool
 	conditions link.Conditions
-	p50        time.Duration
+	p50        time.Duration // latency of queries answered within the goal
 	p99        time.Duration
-	cpu        time.Duration // per answered query, of all processes together
+	cpu        time.Duration // CPU time of all processes per query answered within the goal
 	outcomes   [6]int
 }
 
@@ -52,7 +52,7 @@
 				{name: "HTTP/1.1, 80 ms, 1% lost", remote: true, conditions: lossy},
 				{name: "HTTP/2, 80 ms, 1% lost", remote: true, conditions: lossy, http2: true}}
 			results := map[*hopCase][]hopCase{}
-			for range rounds { // in turns, so that a change in the machine's load affects all cases alike
+			for range rounds { // the cases take turns, so that a change in the machine's load affects all cases alike
 				for _, h := range all {
 					result := *h
 					if err := result.run(binary, clients, each); err != nil {
--- a/cmd/willowctl/main.go
+++ b/cmd/willowctl/main.go
@@ -116,7 +116,6 @@
 // usageError marks errors in the command line or in a given file, which end the program with exit code 2; all others end it with 1.
 type usageError struct{ error }
 
-// asUsageError marks an error as a usageError.
 func asUsageError(err error) error { return usageError{err} }
 
 // loadConfiguration returns the configuration in a file and its bytes, or the newest one of the controllers if file is "-".
--- a/cmd/willowctl/snapshot.go
+++ b/cmd/willowctl/snapshot.go
@@ -27,7 +27,7 @@
 	Format        int             `json:"format"`
 	At            time.Time       `json:"at"`
 	Revision      uint64          `json:"revision"`
-	SHA256        string          `json:"sha256"` // of the configuration's bytes, hex
+	SHA256        string          `json:"sha256"` // checksum of the configuration's bytes, in hex
 	Configuration json.RawMessage `json:"configuration,omitempty"`
 }
 
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	var compact bytes.Buffer // the form in which the encoder writes it, so that the checksum matches what is read back
+	var compact bytes.Buffer // the encoder writes RawMessage compacted, so the checksum has to cover that form
 	if err := json.Compact(&compact, body); err != nil {
 		return err
 	}
--- a/cmd/willowlab/control.go
+++ b/cmd/willowlab/control.go
@@ -83,7 +83,7 @@
 	return o.runSeeds(out, scenarios)
 }
 
-// parsePoints parses the flag --points.
+// parsePoints returns the scenarios that the flag --points names.
 func parsePoints(text string) (scenarios []controlsim.Scenario, err error) {
 	if text == "all" {
 		return controlsim.Scenarios, nil
@@ -98,7 +98,7 @@
 	return scenarios, nil
 }
 
-// plan returns the plan of a seed, changed as the flags say.
+// plan returns the plan of a seed, with the share of races that the flag --races sets.
 func (o controlOptions) plan(seed uint64, scenarios []controlsim.Scenario) controlsim.Plan {
 	p := controlsim.PlanFor(seed, scenarios)
 	if o.raceShare >= 0 {
--- a/cmd/willowlab/experiments.go
+++ b/cmd/willowlab/experiments.go
@@ -206,7 +206,7 @@
 	return e.Encode(v)
 }
 
-// readTable reads a table that saveTable has written.
+// readTable reads the JSON file of a table that saveTable has written.
 func readTable(file string) (*experiment.Table, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/cmd/willowlab/rebuild.go
+++ b/cmd/willowlab/rebuild.go
@@ -17,7 +17,6 @@
 
 const asBuiltFlag = "as-built" // hidden flag: this program was built with the constants of the variant that it runs
 
-// addSourceFlag adds the flag --source.
 func addSourceFlag(c *cobra.Command, source *string) {
 	c.Flags().StringVar(source, "source", ".", "folder of the module's source, from which variants with changed constants are built")
 }
--- a/cmd/willowlab/sockets.go
+++ b/cmd/willowlab/sockets.go
@@ -13,7 +13,7 @@
 	"willowsill/standin/lab"
 )
 
-// socketVariants removes the variants that the real program cannot run from the experiment, and returns the runner that runs the
+// socketVariants removes from the experiment the variants that the real program cannot run, and returns a runner that runs the
 // others on sockets.
 func socketVariants(e *experiment.Experiment, binary string, atOnce int) (experiment.Runner, error) {
 	e.Variants = slices.DeleteFunc(e.Variants, func(v experiment.Variant) bool { return !v.RunsOnSockets })
--- a/cmd/willowsill/demo.go
+++ b/cmd/willowsill/demo.go
@@ -38,11 +38,11 @@
 	demoReplicasPerShard = 3
 	demoWork             = 20 * time.Millisecond // a replica's processing time for one part
 	demoClientTimeout    = 1500 * time.Millisecond
-	demoClientSlack      = 50 * time.Millisecond // added to client timeouts for the delay of real sockets
+	demoClientSlack      = 50 * time.Millisecond // tolerance beyond client timeouts, for the delay of real sockets
 
-	demoStartupTimeout     = 30 * time.Second      // for an aggregator to pass its first health check
-	demoHealthPollInterval = 20 * time.Millisecond // between two health checks during startup
-	demoHealthTimeout      = time.Second           // of one health check
+	demoStartupTimeout     = 30 * time.Second      // limit for an aggregator to pass its first health check
+	demoHealthPollInterval = 20 * time.Millisecond // time between two health checks during startup
+	demoHealthTimeout      = time.Second           // timeout of one health check
 
 	demoLatencyGoal   = 800 * time.Millisecond
 	systemDemoQueries = 200 // queries per phase in the demonstration of the whole system
@@ -54,7 +54,7 @@
 	Answers          map[string]int `json:"answers"`
 	MedianMS         float64        `json:"median_ms"`
 	WorstMS          float64        `json:"worst_ms"`
-	FaultyExecutions int64          `json:"executions_at_sick_replica"`
+	FaultyExecutions int64          `json:"executions_at_sick_replica"` // parts sent to replica 0, the one that fails
 	Store            map[string]any `json:"store,omitempty"`
 	latencies        []time.Duration
 }
--- a/cmd/willowsill/main.go
+++ b/cmd/willowsill/main.go
@@ -31,9 +31,9 @@
 
 const (
 	heapShare           = 0.7                    // share of the memory limit for the heap; the rest is for stacks, sockets and the runtime
-	logSampleInterval   = time.Second            // log lines with the same message are sampled per interval
-	logSampleFirst      = 5                      // lines of one message that are kept in each interval
-	logSampleThereafter = 100                    // after these, every n-th line is kept
+	logSampleInterval   = time.Second            // interval in which log lines with the same message are counted for sampling
+	logSampleFirst      = 5                      // lines with the same message that are kept in each interval
+	logSampleThereafter = 100                    // beyond the first, only every 100th line of a message in an interval is kept
 	minDrainTimeNs      = 3 * int64(time.Second) // shortest time that queries in flight get on shutdown
 )
 
--- a/cmd/willowsill/sitegateway.go
+++ b/cmd/willowsill/sitegateway.go
@@ -29,7 +29,7 @@
 const (
 	maxRememberedIDs   = 1 << 16
 	maxRememberedBytes = 64 << 20
-	rememberedFor      = time.Minute // far longer than any client timeout
+	rememberedFor      = time.Minute // how long an ID is kept; far longer than any client timeout
 )
 
 // siteGateway forwards queries to other sites and serves the queries that their gateways forward here.
@@ -53,7 +53,8 @@
 	return json.Marshal(map[string]any{"queries": c.Counters, "ways": c.core.LinkStats()})
 }
 
-// openSiteGateway starts the gateway that the settings ask for. Without one the own node serves every query by itself.
+// openSiteGateway starts the gateway if the settings define a site, and returns the Core that serves the clients. Without a
+// gateway that is the process's own node.
 func openSiteGateway(start deployment.Config, o *operator.Settings, own *node.Node, clock node.Clock, count *counters.Counters,
 	dial replica.Dial, guard *front.SwitchableGuard, log *zap.Logger) (front.Core, *siteGateway, error) {
 	if o.Site == nil {
--- a/deployment/deployment.go
+++ b/deployment/deployment.go
@@ -9,7 +9,7 @@
 	"willowsill/deployment/fields"
 )
 
-// Deployment is the description of the whole service that all aggregators share.
+// Deployment describes the whole service. It is the same for all aggregators except for Index and Seed.
 type Deployment struct {
 	balance.Deployment
 	WorkloadRow map[string]int // row of each workload in Workloads, by name
--- a/deployment/fields/fields.go
+++ b/deployment/fields/fields.go
@@ -14,7 +14,7 @@
 	Err error
 }
 
-// Fail sets Err for a key, unless it is set.
+// Fail sets Err to an error that names the key, unless Err is set already.
 func (f *Object) Fail(key, what string) {
 	if f.Err == nil {
 		f.Err = fmt.Errorf("field %q %s", key, what)
@@ -60,17 +60,17 @@
 }
 func (f *Object) Bool(key string) (b bool) { f.Decode(key, &b); return }
 
-// Duration returns a required time, given in ms, in ns.
+// Duration returns a required time in ns; the value in the object is in ms.
 func (f *Object) Duration(key string) int64 { return NsFromMs(f.Float(key)) }
 
-// OptionalDuration returns a time, given in ms, in ns, or 0 if it is absent.
+// OptionalDuration returns a time in ns, or 0 if it is absent; the value in the object is in ms.
 func (f *Object) OptionalDuration(key string) int64 {
 	var ms float64
 	f.DecodeOptional(key, &ms)
 	return NsFromMs(ms)
 }
 
-// Object returns a required value that is an object.
+// Object returns a required value that is a JSON object. It returns an empty object, and sets Err, if there is none.
 func (f *Object) Object(key string) *Object {
 	in := &Object{}
 	f.Decode(key, &in.Raw)
--- a/deployment/operator/functions.go
+++ b/deployment/operator/functions.go
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// checkCombinations checks what depends on several functions.
+// checkCombinations reports errors that depend on the calls of several functions.
 func (o *Settings) checkCombinations(calls script.Calls, report script.ReportFault) {
 	site, isSite := calls.First("site")
 	link, isLink := calls.First("link")
--- a/deployment/operator/operator.go
+++ b/deployment/operator/operator.go
@@ -21,13 +21,13 @@
 type SharedStore struct {
 	Address       string
 	Database      int
-	Prefix        string // of every key in the store
+	Prefix        string // prefix of every key in the store
 	User          string
 	PasswordFile  string // file with the password for AUTH; empty for none
-	CAFile        string // of the authority of the store's certificate; empty for no TLS
+	CAFile        string // file of the authority that issued the store's certificate; empty for no TLS
 	ServerName    string // name on the store's certificate; empty for the host in Address
-	RoundInterval int64  // interval of rounds, in each of which the store is written and read
-	RoundTimeout  int64  // of one round
+	RoundInterval int64  // ns between rounds, in each of which the store is written and read
+	RoundTimeout  int64  // timeout of one round, ns
 	SampleSize    int    // limit of aggregators whose reports are read in one round
 	Health        bool   // findings about replicas' health are shared
 	Quotas        bool   // quotas hold for all aggregators together
@@ -37,10 +37,10 @@
 type Site struct {
 	Name            string
 	Listen          string // HOST:PORT on which other sites' gateways connect
-	CertFile        string // certificate of this site's gateway
+	CertFile        string // file with the certificate of this site's gateway
 	KeyFile         string
 	KeyPasswordFile string // file with the password of the key; empty if the key is not encrypted
-	CAFile          string // of the authority of all sites' certificates
+	CAFile          string // file of the authority that issues all sites' certificates
 	IDFile          string // file that keeps ids of queries over a planned restart; empty for none
 	Evacuated       bool   // no new queries are sent to this site's replicas
 	// Revenue of a query served within its goal, by workload; 1 for a workload that is not listed.
@@ -70,9 +70,9 @@
 type Link struct {
 	To        string
 	Gateways  []string
-	QueryRate float64 // queries per second, limit
-	ByteRate  int64   // bytes per second, limit
-	Cost      float64 // of one forwarded query, in the unit of Revenue
+	QueryRate float64 // limit in queries per second
+	ByteRate  int64   // limit in bytes per second
+	Cost      float64 // cost of one forwarded query, in the unit of Revenue
 }
 
 // Quota limits a customer's queries over all aggregators.
@@ -85,7 +85,7 @@
 // Faults are the errors of a script, each with its position.
 type Faults = script.Faults
 
-// EffectiveValue is the value of one parameter of a call.
+// EffectiveValue is the value of one parameter of a call, as stated in the script or by default.
 type EffectiveValue = script.EffectiveValue
 
 // Read reads and checks a script. The error is of type Faults if the script is wrong.
--- a/deployment/operator/operator_test.go
+++ b/deployment/operator/operator_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// The scripts in examples are valid and enable features unless they are about customers; the platform's script
-// enables only what the platform allows.
+// The scripts in examples are valid. Each enables features except customers.star, which only defines values for
+// another script. The platform's script enables only what the platform allows.
 func TestOwnScripts(t *testing.T) {
 	all, _ := filepath.Glob("../../examples/*.star")
 	if o, err := Read("../../deploy/operator.star"); err != nil || len(o.calls) != 1 || o.Zones == nil {
--- a/deployment/script/script.go
+++ b/deployment/script/script.go
@@ -25,7 +25,7 @@
 	maxSteps        = 5_000_000       // interpreter steps of the whole script
 	maxDuration     = 2 * time.Second // for running the whole script
 	MaxFileBytes    = 1 << 20
-	maxFaults       = 50 // reported at once
+	maxFaults       = 50 // errors that are reported at once
 	maxEditDistance = 3  // edits from an unknown name to one that is suggested instead
 )
 
@@ -81,19 +81,19 @@
 	err     error
 }
 
-// reader reads one script with the files that it loads.
+// reader runs one script with the files that it loads, and collects their calls and errors.
 type reader[T any] struct {
 	functions    FunctionTable[T]
 	target       *T
 	calls        Calls
 	dir          string
-	modules      map[string]*module                    // by file name; nil while the file is being read
+	modules      map[string]*module                    // by file name; nil while the file is being run
 	keyPositions map[string]map[string]syntax.Position // by the position of a call's parenthesis, the positions of its keys
 	lastCalls    map[string]syntax.Position            // by function, the position of its latest call
 	faults       Faults
 	current      atomic.Pointer[starlark.Thread] // the thread that runs now
 	timedOut     atomic.Bool                     // the time limit was reached
-	steps        uint64                          // taken by the files that have ended
+	steps        uint64                          // interpreter steps taken by the files that have been run
 }
 
 func (r *reader[T]) cancel() {
@@ -149,7 +149,7 @@
 	return globals, nil
 }
 
-// load runs a file that a script loads, once.
+// load runs a file that a script loads. If it has been run before, load returns the earlier result.
 func (r *reader[T]) load(name string) (starlark.StringDict, error) {
 	if name != filepath.Base(name) || !strings.HasSuffix(name, ".star") {
 		return nil, fmt.Errorf("%q is no .star file beside the script", name)
--- a/deployment/script/values.go
+++ b/deployment/script/values.go
@@ -232,7 +232,7 @@
 	return err == nil && e == nil && n >= 1 && n <= 65535 && host != ""
 }
 
-// checkRange checks a value against Min and Max; as is the value as written in the script.
+// checkRange checks a value against Min and Max. The error shows the value as written in the script.
 func (p *Parameter) checkRange(x float64, written string) error {
 	if x < p.Min || p.Max > 0 && x > p.Max {
 		return fmt.Errorf("is %s, outside %s to %s", written, p.format(p.Min), p.format(p.Max))
--- a/deployment/settings/settings.go
+++ b/deployment/settings/settings.go
@@ -195,8 +195,8 @@
 
 // Internal ports of the system's processes, counted from the first.
 const (
-	PortControllers = 0 // between controllers
-	PortWatch       = 1 // edges receive updates from a controller or an agent
-	PortAgent       = 2 // on loopback: the proxy receives updates from its agent
+	PortControllers = 0 // connections between controllers
+	PortWatch       = 1 // TCP: a controller or an agent sends updates to edges
+	PortAgent       = 2 // TCP on loopback: an agent sends updates to its proxy
 	PortHeartbeats  = 3 // UDP: heartbeats of edges
 )
--- a/deployment/start.go
+++ b/deployment/start.go
@@ -17,10 +17,10 @@
 
 // Limits are an aggregator's limits on its queries and its connections to replicas. Times are in ns.
 type Limits struct {
-	MaxHeld              int   // queries and parts held at a time
-	CallsPerConnection   int   // calls at a time on one connection to a replica
-	ConnectTimeout       int64 // for opening a connection to a replica
-	IdleTimeout          int64 // after which a replica closes an unused connection
+	MaxHeld              int   // limit of queries and parts held at a time
+	CallsPerConnection   int   // limit of calls at a time on one connection to a replica
+	ConnectTimeout       int64 // limit for opening a connection to a replica
+	IdleTimeout          int64 // time after which a replica closes an unused connection
 	LongestClientTimeout int64 // longest time that clients of any workload wait
 }
 
@@ -34,7 +34,7 @@
 	Cores         float64
 	MemoryBytes   int64
 	Descriptors   int              // limit of open file descriptors
-	KnownReplicas discovery.Update // the list of replicas that this aggregator held last
+	KnownReplicas discovery.Update // list of replicas in the file, used until the discovery service answers
 	file          string
 	keys          map[string]json.RawMessage // top-level values of the file, undecoded
 }
@@ -47,12 +47,12 @@
 	envDiscovery = "NODE_DISCOVERY"
 )
 
-// Defaults for limits that are not stated.
+// Defaults and bounds for limits in the configuration file.
 const (
 	defaultCores       = 1.0  // cores available to the process, whether shared or its own
-	defaultMemoryMB    = 192  // 30 times what an aggregator at the first size was seen to use
+	defaultMemoryMB    = 192  // MB; 30 times the memory that an aggregator used at the size that was first designed for
 	defaultDescriptors = 1024 // the usual limit of open descriptors of a process
-	minDescriptors     = 48   // enough for the process itself and some clients
+	minDescriptors     = 48   // smallest limit that is accepted: enough for the process itself and some clients
 	megabyte           = 1 << 20
 )
 
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// decode decodes and checks the configuration.
+// decode sets the fields from the text of the configuration file, and checks them.
 func (s *Config) decode(text []byte) error {
 	top := &fields.Object{}
 	if err := json.Unmarshal(text, &top.Raw); err != nil {
--- a/deployment/start_test.go
+++ b/deployment/start_test.go
@@ -29,7 +29,7 @@
 		"NODE_DISCOVERY": "127.0.0.1:8500"}
 }
 
-// readConfig returns the Config read from a valid configuration.
+// readConfig reads a configuration that must be valid.
 func readConfig(t *testing.T, text string) Config {
 	t.Helper()
 	env := environment(t, text)
--- a/front/clienthttp/callers_test.go
+++ b/front/clienthttp/callers_test.go
@@ -19,15 +19,15 @@
 	"willowsill/transport/replicahttp"
 )
 
-// echoCore answers each query with its attempt id once hold allows it. A query whose client leaves first gets no
-// answer.
+// echoCore answers each query with its attempt id, once hold is closed. A query whose client disconnects before gets
+// no answer.
 type echoCore struct {
 	hold chan struct{} // nil to answer at once
 
 	mu      sync.Mutex
 	asked   []*replicahttp.Request
-	left    int
-	reached chan struct{}
+	left    int           // queries whose client disconnected first
+	reached chan struct{} // gets a value for each query that reaches the core
 }
 
 func (c *echoCore) Serve(ctx context.Context, q node.Query) (node.Answer, bool) {
@@ -101,7 +101,7 @@
 // answer, in order.
 func TestClientConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		sent  string   // after which the client closes its sending side
+		sent  string   // bytes that the client sends before it closes its sending side or waits
 		want  []string // expected answers
 		asked []string // attempt and body of the requests that reach the core
 	}{
@@ -138,7 +138,7 @@
 				}
 				io.WriteString(conn, sent)
 				for range asked {
-					<-core.reached // all are served before the client's side closes, which would abandon them
+					<-core.reached // a client's close would abandon requests that the core has not got yet
 				}
 				if len(want) > len(asked) || len(asked) == 0 {
 					conn.(*net.TCPConn).CloseWrite()
--- a/front/clienthttp/clienthttp.go
+++ b/front/clienthttp/clienthttp.go
@@ -1,6 +1,6 @@
 // Package clienthttp serves clients of a proxy over HTTP: it decodes requests, passes them to the core and writes
-// the answers. It makes no policy decisions; by itself it refuses only requests that are malformed, have no route,
-// or arrive before a configuration has been applied.
+// the answers. It makes no policy decisions; by itself it refuses only requests that are malformed, that have no
+// route, whose route has no shard, or that arrive before a configuration has been applied.
 package clienthttp
 
 import (
@@ -29,7 +29,7 @@
 	headerMissing       = "Willowsill-Missing-Parts"
 	millisecond         = int64(time.Millisecond)
 	defaultMaxBodyBytes = 1 << 20 // limit of a request's body if the configuration sets none
-	drawRange           = 1 << 32
+	drawRange           = 1 << 32 // number of values of a 32-bit hash, which is mapped to 0 to 1
 )
 
 // Core serves queries. Serve returns the query's only answer, or false if the client disconnected first.
@@ -189,7 +189,7 @@
 	return b.Bytes()
 }
 
-// refuse answers a request on the proxy's own behalf. Retry-After is in seconds, with decimals.
+// refuse answers a request on the proxy's own behalf. If wait, in ns, is above 0, it is sent as Retry-After in decimal seconds.
 func refuse(w http.ResponseWriter, status int, wait int64) {
 	if wait > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(wait)/1e9, 'f', 3, 64))
@@ -208,8 +208,8 @@
 	refuse(w, http.StatusBadGateway, 0)
 }
 
-// passesThrough reports whether a replica's answer is passed on to the client, as successes and the replica's own
-// errors are.
+// passesThrough reports whether a replica's answer is passed on to the client. Successes are, and so are errors of
+// status 500 and above whose seal shows that the replica itself answered.
 //
 // Danger: 503 tells a client that its request has not run and never will. A replica's own 503 without a proof does
 // not say that, and a client would repeat an unsafe request that has run.
--- a/front/clienthttp/server.go
+++ b/front/clienthttp/server.go
@@ -24,11 +24,11 @@
 	mu      sync.Mutex
 	limits  routeconfig.Limits
 	current *connServer   // takes new connections; nil until limits are set
-	all     []*connServer // that take connections or have open ones
+	all     []*connServer // servers that take new connections or have open ones
 }
 
-// connServer is an http.Server with its limits. As the listener of that server it passes on the connections of the
-// real one.
+// connServer is an http.Server with its limits. It also acts as that server's listener, whose Accept returns the
+// connections that Servers.Accept has accepted.
 type connServer struct {
 	server  *http.Server
 	address net.Addr
@@ -36,7 +36,7 @@
 	closed  chan struct{}
 	once    sync.Once
 	open    int  // connections taken that have not ended; guarded by Servers.mu
-	retired bool // another server takes new connections; guarded by Servers.mu
+	retired bool // the server takes no more connections, as limits have changed; guarded by Servers.mu
 }
 
 func (d *connServer) Accept() (net.Conn, error) {
--- a/front/front.go
+++ b/front/front.go
@@ -63,14 +63,14 @@
 
 const (
 	maxBodyBytes    = 64 << 10
-	maxIDBytes      = 128       // of a query's id
-	maxTimeLeftMs   = 3_600_000 // longest time left that a client may state
+	maxIDBytes      = 128       // limit of a query's id
+	maxTimeLeftMs   = 3_600_000 // longest remaining time that a client may state for its query, ms
 	nsPerMs         = 1e6
 	weightTolerance = 0.01 // allowed distance of the sum of a query's weights from 1, as clients round them
 
-	writeTimeout        = 2 * time.Second        // for the client to read an answer
-	rejectedBodyTimeout = 5 * time.Millisecond   // for the body of a rejected query to arrive
-	drainTimeout        = 200 * time.Millisecond // for reading the rest of a request that was answered with an error
+	writeTimeout        = 2 * time.Second        // limit for the client to read an answer
+	rejectedBodyTimeout = 5 * time.Millisecond   // limit for the body of a rejected query to arrive
+	drainTimeout        = 200 * time.Millisecond // limit for reading the rest of a request that was answered with an error
 )
 
 // SwitchableGuard holds a Guard that can be set and removed while the server runs.
@@ -155,7 +155,7 @@
 	}
 }
 
-// setReadTimeout makes reads of the request fail after a time.
+// setReadTimeout makes reads of the request fail once d has passed.
 func (f *Front) setReadTimeout(w http.ResponseWriter, d time.Duration) {
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(d))
 }
@@ -262,7 +262,7 @@
 	if guard != nil {
 		guard.RecordEnd(q.Workload, f.Clock.Now()-began, ok && a.Outcome <= balance.Partial)
 	}
-	if !ok { // the client left; an empty answer could be read as a replica's
+	if !ok { // the client disconnected; an empty answer could be taken for a replica's
 		panic(http.ErrAbortHandler)
 	}
 	f.closeIfStopping(w) // the server may have begun to stop meanwhile
@@ -351,8 +351,8 @@
 	return a
 }
 
-// decodeBody decodes a query's body. Replicas must get the text unchanged, so the decoder rejects duplicate and
-// misspelt keys and invalid Unicode, which other decoders would silently correct.
+// decodeBody decodes a query's body. Replicas must get the text unchanged, so the decoder rejects duplicate keys and
+// invalid Unicode, and takes no key whose case differs. Other decoders would silently accept all of these.
 func (f *Front) decodeBody(text []byte, q *node.Query) error {
 	var b requestBody
 	if err := json.Unmarshal(text, &b); err != nil {
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -535,7 +535,7 @@
 	defer server.Close()
 	s := &Server{front: &Front{Clock: node.NewClock()}}
 	c := &conn{Conn: server, server: s, since: s.front.Clock.Now()}
-	expire := func() { server.SetReadDeadline(time.Now().Add(-time.Nanosecond)) } // only just past, as it may be after a pause
+	expire := func() { server.SetReadDeadline(time.Now().Add(-time.Nanosecond)) } // the deadline passed only just now, as may be the case after a pause
 	receive := func(text string) {
 		io.WriteString(client, text)
 		socket, err := server.(syscall.Conn).SyscallConn()
--- a/front/gateway/core.go
+++ b/front/gateway/core.go
@@ -50,8 +50,8 @@
 	planInterval        = time.Second
 	pingInterval        = 500 * time.Millisecond
 	pingTimeout         = time.Second
-	maxAttempts         = 512      // queries being forwarded at a time
-	maxGatewaysPerQuery = 2        // gateways of a site that one query may be sent to
+	maxAttempts         = 512      // limit of queries being forwarded at a time
+	maxGatewaysPerQuery = 2        // limit of gateways of a site that one query is sent to
 	retryRatio          = 0.1      // retries allowed per forwarded query
 	retrySlack          = 3        // retries allowed in addition within retryWindowNs
 	retryWindowNs       = 10 * 1e9 // period over which retries are limited
@@ -61,15 +61,15 @@
 
 // Counters are a gateway's counters, part of the process's counters.
 type Counters struct {
-	Carried        counters.Count `json:"carried"`  // sent to another site
-	Returned       counters.Count `json:"returned"` // answered by another site
-	Refused        counters.Count `json:"refused"`  // declined by the other site, or not sent
-	Failed         counters.Count `json:"failed"`
-	NotForwarded   counters.Count `json:"stayed"` // declined here when no link was open
-	Received       counters.Count `json:"taken"`  // received from other sites
-	Joined         counters.Count `json:"joined"` // repeats that waited for the first query's answer
-	Replayed       counters.Count `json:"repeated"`
-	OutcomeUnknown counters.Count `json:"cut_off"`
+	Carried        counters.Count `json:"carried"`   // sent to another site
+	Returned       counters.Count `json:"returned"`  // answered by another site
+	Refused        counters.Count `json:"refused"`   // declined by the other site, or not sent
+	Failed         counters.Count `json:"failed"`    // forwarded queries that may have run but got no valid answer
+	NotForwarded   counters.Count `json:"stayed"`    // declined here when no link was open
+	Received       counters.Count `json:"taken"`     // received from other sites
+	Joined         counters.Count `json:"joined"`    // repeats that waited for the first query's answer
+	Replayed       counters.Count `json:"repeated"`  // repeats that got the first query's stored answer
+	OutcomeUnknown counters.Count `json:"cut_off"`   // repeats of a query whose outcome was lost
 	Strangers      counters.Count `json:"strangers"` // connections and requests that were not admitted
 }
 
@@ -201,8 +201,7 @@
 	c.gateway.Evacuate(c.options.Clock.Now(), evacuated)
 }
 
-// decide makes the decisions that are due, carries them out and schedules its next call. The caller holds the
-// lock.
+// decide makes the decisions that are due, carries them out and schedules its next call. The caller holds mu.
 func (c *Core) decide() {
 	now := c.options.Clock.Now()
 	r := c.gateway.Decide(now)
@@ -261,7 +260,8 @@
 	return c.gateway.ServesLocally(c.options.Clock.Now(), draw, len(visited(ctx)) > 0)
 }
 
-// reserveLink returns the link over which a query is forwarded, or -1 if it is not. It may wait for a free place.
+// reserveLink returns the link over which a query is forwarded, or -1 if it is not. It may wait until a link has
+// capacity.
 func (c *Core) reserveLink(ctx context.Context, q node.Query, local bool) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -281,7 +281,7 @@
 		c.mu.Lock()
 	case <-ctx.Done():
 		c.mu.Lock()
-		if !c.gateway.Withdraw(query, link) { // the place was granted while ctx ended
+		if !c.gateway.Withdraw(query, link) { // the gateway decided on the query while ctx ended
 			ok = <-granted
 		}
 	}
--- a/front/gateway/gateway_test.go
+++ b/front/gateway/gateway_test.go
@@ -352,7 +352,7 @@
 	})
 }
 
-// A repeat of a query with an effect waits for the first one or gets its answer; it does not run again.
+// A repeat of a query that must run once waits for the first one or gets its answer; it does not run again.
 func TestRepeats(t *testing.T) {
 	play(t, []string{"a", "b"}, func(w *world) {
 		b := w.sites["b"]
@@ -441,8 +441,8 @@
 	})
 }
 
-// On a full link, five customers get places in turn, although one of them sends sixteen times as much as each
-// other. A query that waits is told within a tenth of its time whether it gets a place.
+// On a full link, five customers take turns, although one of them sends sixteen times as many queries as each of the
+// others. Each query must be answered within its 3 s, and at the end no query may be waiting or in flight.
 func TestTakeTurns(t *testing.T) {
 	play(t, []string{"a", "b"}, func(w *world) {
 		far := link.Conditions{Delay: 150 * time.Millisecond}
--- a/front/gateway/peerserver.go
+++ b/front/gateway/peerserver.go
@@ -29,10 +29,10 @@
 )
 
 const (
-	headTimeout     = 2 * time.Second  // for the headers of a request
-	idleTimeout     = 60 * time.Second // for a peer's idle connection; longer than peers keep one
+	headTimeout     = 2 * time.Second  // limit for the headers of a request
+	idleTimeout     = 60 * time.Second // limit for a peer's idle connection; longer than peers keep an idle connection open
 	maxHeaderBytes  = 32 << 10
-	maxVisitedSites = 8 // on a query's X-Visited-Sites
+	maxVisitedSites = 8 // limit of sites in a query's X-Visited-Sites
 	// certificateSuffix follows the site's name in the DNS name of a gateway's certificate.
 	certificateSuffix = ".gateway"
 )
@@ -119,7 +119,7 @@
 
 // visitedSites returns the sites that a query has passed through.
 //
-// Danger: a query without the list, or one that returned to a site on it, could be forwarded in a circle for ever.
+// Danger: a query without the list, or one that returned to a site on it, could be forwarded in a loop for ever.
 func (s *PeerServer) visitedSites(r *http.Request, peer string) ([]string, error) {
 	all := strings.Split(r.Header.Get(headerVisited), ",")
 	switch {
@@ -255,7 +255,7 @@
 // at each handshake, so replaced files take effect without a restart and without closing connections.
 type Certificates struct {
 	CertFile, KeyFile, CAFile string
-	PasswordFile              string // of the key; empty if the key is not encrypted
+	PasswordFile              string // file with the key's password; empty if the key is not encrypted
 }
 
 // TLSConfigs returns the TLS settings for serving peers and for connecting to them: TLS 1.3, with certificates of
@@ -392,7 +392,7 @@
 	err            error
 }
 
-// ping pings a gateway.
+// ping sends one ping to a gateway and returns its round-trip time and what the answer's headers announce.
 func (p *pool) ping(ctx context.Context, address string) (s pingResult) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
--- a/front/gateway/peerserver_test.go
+++ b/front/gateway/peerserver_test.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// New certificate files are used for the next connection; open connections stay.
+// New certificate files are used for the next connection; open connections stay. If the key file cannot be read, the
+// error does not contain its text.
 func TestNewPapers(t *testing.T) {
 	root := newAuthority(t)
 	_, address := startPeerServer(t, issue(t, root, "b", "b.gateway", time.Now().Add(time.Hour)))
@@ -125,8 +126,7 @@
 	}
 }
 
-// A private key may be encrypted. Without its password, or with a certificate of another key, it is refused, and
-// no error text contains it.
+// A private key may be encrypted. Without its password, or with a certificate of another key, it is refused.
 func TestLockedKey(t *testing.T) {
 	a := newAuthority(t)
 	a.KeyPassword = []byte("a password of some length")
--- a/front/gateway/pool.go
+++ b/front/gateway/pool.go
@@ -1,4 +1,4 @@
-// Package gateway forwards queries to co-ordinators at other sites over HTTP with mutual TLS, and serves the
+// Package gateway forwards queries to aggregators at other sites over HTTP with mutual TLS, and serves the
 // queries that they forward. It makes no policy decisions. Which gateway of a site gets a query, and whether it is
 // retried, is decided by package balance through a node of its own, for which each site is a shard and its
 // gateways are the replicas. Whether a query is forwarded at all is decided by decide/gateway and
@@ -118,12 +118,12 @@
 type attempt struct {
 	ticket  *replica.Ticket
 	gateway int
-	started atomic.Bool // the request may have been sent, or never will be; set once, by run or by Withdraw
+	started atomic.Bool // set by run before it sends the request, or by Withdraw to prevent that
 	cancel  context.CancelFunc
-	since   int64
+	since   int64 // time of Send, ns
 }
 
-// attemptEnd reports how an attempt ended.
+// attemptEnd is passed to notify when an attempt has ended.
 type attemptEnd struct {
 	attempt *attempt
 	result  balance.Result
@@ -234,7 +234,7 @@
 	var written atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteHeaderField: func(string, []string) { written.Store(true) }})
-	// Leaves time for the answer to travel back.
+	// Leaves time for the query to reach the other site and for the answer to travel back.
 	timeLeft := time.Duration(t.ticket.WaitMs*nsPerMs - p.minDelay(query.link))
 	if timeLeft <= 0 {
 		return balance.ConnectFailed, "", context.DeadlineExceeded
--- a/front/guard_test.go
+++ b/front/guard_test.go
@@ -163,7 +163,7 @@
 		}
 		c = dial()
 		defer c.Close()
-		for i := range 3 { // longer than the deadline of a first request
+		for i := range 3 { // takes longer than the deadline of a connection's first request
 			fmt.Fprintf(c, guardedHead+goodBody, fmt.Sprint("y", i), len(goodBody))
 			if got := c.readAnswer(); !strings.HasPrefix(got, "503 0.300 open") {
 				t.Errorf("got %q", got)
--- a/front/head.go
+++ b/front/head.go
@@ -5,7 +5,7 @@
 // requestHead scans a request's bytes for two things that net/http's server does not report: a Content-Length next
 // to a chunked encoding, which it drops, and bytes that follow the request before its answer.
 type requestHead struct {
-	line        []byte // beginning of the current line, as long as a header's name needs
+	line        []byte // first bytes of the current line, at most maxNameBytes
 	started     bool   // a line that is not empty has been scanned
 	complete    bool   // the empty line after the headers has been scanned
 	hasLength   bool   // Content-Length is present
@@ -13,7 +13,7 @@
 	bodyBytes   int64  // bytes that followed the headers
 }
 
-const maxNameBytes = 32 // bytes of a line that are kept; both names are shorter
+const maxNameBytes = 32 // bytes of a line that are kept; the two header names looked for are shorter
 
 func (h *requestHead) scan(b []byte) {
 	for i, c := range b {
--- a/front/proxyserver/callers_test.go
+++ b/front/proxyserver/callers_test.go
@@ -41,7 +41,7 @@
 	maxOwnDeclines = 20             // requests that the proxy may decline on a busy machine before the test fails
 	warmPath       = "/unsafe/warm" // always answered correctly by the replica
 
-	replicaPrefix = "i-" // of replica ids
+	replicaPrefix = "i-" // prefix of replica ids
 )
 
 // call is one request as a replica received it.
@@ -61,7 +61,7 @@
 	id        string
 
 	mu    sync.Mutex
-	calls []call // without the warm-up requests
+	calls []call // requests received, except warm-up requests
 	conns int
 }
 
@@ -119,7 +119,8 @@
 	return err == nil && number > 0 && number <= lastReplica.Load() && target != s.id
 }
 
-// sendsAndReads sends text and then reads until the proxy closes the connection.
+// sendsAndReads returns a misbehaviour that sends text, in which ID stands for the attempt's id, and then reads until
+// the proxy closes the connection.
 func sendsAndReads(format string) func(*net.TCPConn, *bufio.Reader, string) {
 	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
 		io.WriteString(c, strings.ReplaceAll(format, "ID", attempt))
@@ -128,14 +129,14 @@
 	}
 }
 
-// closing sends text and closes the connection.
+// closing is like sendsAndReads, but the replica closes the connection after the text.
 func closing(format string) func(*net.TCPConn, *bufio.Reader, string) {
 	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
 		io.WriteString(c, strings.ReplaceAll(format, "ID", attempt))
 	}
 }
 
-// reset sends text and resets the connection.
+// reset is like sendsAndReads, but the replica resets the connection after the text.
 func reset(format string) func(*net.TCPConn, *bufio.Reader, string) {
 	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
 		io.WriteString(c, strings.ReplaceAll(format, "ID", attempt))
@@ -143,7 +144,7 @@
 	}
 }
 
-// halfClose sends text and closes only the sending side.
+// halfClose is like sendsAndReads, but the replica also closes its sending side after the text.
 func halfClose(format string) func(*net.TCPConn, *bufio.Reader, string) {
 	return func(c *net.TCPConn, _ *bufio.Reader, attempt string) {
 		io.WriteString(c, strings.ReplaceAll(format, "ID", attempt))
@@ -291,7 +292,7 @@
 		for _, unsafe := range []bool{false, true} {
 			for _, reused := range []bool{false, true} {
 				if reused && c.s.unread || !reused && c.s.idle != nil {
-					continue // the combination tests nothing
+					continue // idle needs a reused connection, and unread a new one
 				}
 				t.Run(fmt.Sprintf("%s, unsafe %t, reused %t", name, unsafe, reused), func(t *testing.T) {
 					t.Parallel()
--- a/front/proxyserver/proxyserver.go
+++ b/front/proxyserver/proxyserver.go
@@ -1,5 +1,5 @@
 // Package proxyserver runs a proxy. It owns the connections to clients, to replicas and to the agent on the same
-// machine. Requests are handled by a node, the same that the co-ordinator uses; this package makes no policy
+// machine. Requests are handled by a node of the same package that aggregators use; this package makes no policy
 // decisions.
 package proxyserver
 
@@ -45,7 +45,7 @@
 	// New connections are accepted for this long after SIGTERM, as the platform still sends some.
 	stayOpen   = 2500 * time.Millisecond
 	stopMargin = 400 * time.Millisecond // time kept free at the end of the platform's grace period
-	startPoll  = 5 * time.Millisecond   // interval of checks for the first configuration
+	startPoll  = 5 * time.Millisecond   // interval of checks whether the first configuration has been applied
 )
 
 // Server is a running proxy.
@@ -58,12 +58,12 @@
 	address  net.Addr
 	counters *counters.Counters
 
-	mu          sync.Mutex // guards table, and orders the calls that pass its changes to the node
+	mu          sync.Mutex // guards the fields of this group, and orders the calls that pass changes to the node
 	state       *clusterstate.State
 	table       *routingtable.Table
 	readiness   follower.Readiness
 	freshness   clusterstate.Freshness // as the agent reported it at freshnessAt
-	freshnessAt int64
+	freshnessAt int64                  // time of the agent's last report, ns
 	counterRows []*counters.Workload
 	routes      []routeconfig.Route         // routes of the configuration in force
 	rowByRoute  map[routeconfig.RouteID]int // index in counterRows for each route
--- a/front/proxyserver/readiness.go
+++ b/front/proxyserver/readiness.go
@@ -8,9 +8,9 @@
 	Ready          bool
 	Behind         bool   // the configuration served is older than the newest one known
 	Known          bool   // a controller in contact with a majority has confirmed the configuration served
-	Revision       uint64 // of the configuration served
-	NewestRevision uint64 // of the newest configuration known
-	AgeMs          int64  // since the configuration served was known to be the current one; valid only if Known
+	Revision       uint64 // revision of the configuration served
+	NewestRevision uint64 // revision of the newest configuration known
+	AgeMs          int64  // ms since the configuration served was known to be the current one; valid only if Known
 }
 
 // encode returns the state as a JSON object.
--- a/front/server.go
+++ b/front/server.go
@@ -21,14 +21,14 @@
 	maxHeaderBytes = 32 << 10
 	// Time from connecting, or from the first byte of a later request, until the request has been read.
 	requestTimeout = 2 * time.Second
-	idleTimeout    = 2 * time.Second // for a connection between two requests
+	idleTimeout    = 2 * time.Second // limit for a connection between two requests
 	// At most one in four of the descriptors for clients may belong to idle connections.
 	idleDivisor       = 4
-	usualRequestDelay = 250 * time.Millisecond // within which a well-behaved client sends its request after connecting
+	usualRequestDelay = 250 * time.Millisecond // time in which a well-behaved client sends its request after connecting
 
-	stopAcceptTime    = 600 * time.Millisecond // for which new connections are accepted once Stop is called
-	stopQuietTime     = 100 * time.Millisecond // without a new connection, after which a stopping server stops accepting
-	maxStopAcceptTime = time.Second            // limit of both together
+	stopAcceptTime    = 600 * time.Millisecond // time for which new connections are accepted once Stop is called
+	stopQuietTime     = 100 * time.Millisecond // time without a new connection after which a stopping server stops accepting
+	maxStopAcceptTime = time.Second            // limit of the time for which a stopping server accepts connections
 	descriptorPoll    = 5 * time.Millisecond   // interval between attempts to get a free descriptor
 )
 
@@ -62,7 +62,7 @@
 	// Time of connecting, of becoming idle or of the current request's first byte, by phase; ns.
 	since           int64
 	requestDeadline int64       // by when the current request must have been read, ns
-	head            requestHead // of the current request
+	head            requestHead // scan of the current request's bytes
 }
 
 // connection returns the connection of a request, or nil in tests without one.
@@ -263,8 +263,8 @@
 // connStateChanged marks a connection as idle once its answer has been written. If too many connections are idle,
 // it closes the one that has been idle longest.
 //
-// Danger: the clients' connections are limited in all. Clients that ask once and keep their connections would
-// leave none for others long before this process is short of descriptors.
+// Danger: the number of clients' connections is limited. Clients that send one request and keep their connection
+// would leave none for others long before this process is short of descriptors.
 func (s *Server) connStateChanged(n net.Conn, state http.ConnState) {
 	if state != http.StateIdle {
 		return
--- a/front/unread.go
+++ b/front/unread.go
@@ -86,8 +86,8 @@
 }
 
 // remainingBody returns how many bytes of a request's body are still to come, given its first bytes. simple is
-// false if the headers are not complete, if they ask for more than an answer, or if bytes beyond the body have
-// arrived.
+// false if the headers are not complete, if they have no valid Content-Length, if they contain Transfer-Encoding,
+// Connection or Expect, or if bytes beyond the body have arrived.
 func remainingBody(b []byte) (rest int64, simple bool) {
 	head, body, whole := bytes.Cut(b, []byte("\r\n\r\n"))
 	if !whole {
