--- a/cmd/overloadtest/burst.go
+++ b/cmd/overloadtest/burst.go
@@ -30,7 +30,7 @@
 	return []variant{{"former", ""}, {"strain", fmt.Sprintf("strain(revenue = {%q: %g}, limit = %q)\n", highValue, highValueRevenue, limit)}}
 }
 
-// LoadResult holds the measurements of one load.
+// LoadResult holds what both workloads and the program's counters showed under one load.
 type LoadResult struct {
 	Rate                float64 // queries a second, both workloads together
 	LowValue, HighValue *load.Outcome
--- a/cmd/sites/hop.go
+++ b/cmd/sites/hop.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	warmUpTime = 12 * time.Second       // until the gateways know each other and have ended their slow start
+	warmUpTime = 12 * time.Second       // time in which the gateways learn of each other and end their slow start
 	retryPause = 100 * time.Millisecond // time that a client waits after a query that was not answered within the goal
 )
 
--- a/cmd/willowctl/snapshot.go
+++ b/cmd/willowctl/snapshot.go
@@ -66,7 +66,7 @@
 
 // saveSnapshot saves the newest configuration to a temporary file and then renames it.
 //
-// Danger: if it wrote to the file itself and the machine stopped midway, the previous snapshot would be lost as well.
+// Danger: if the snapshot were written to the file directly and the machine stopped midway, the previous snapshot would be lost too.
 func saveSnapshot(ctx context.Context, f *flags, file string) error {
 	c, body, err := loadConfiguration(ctx, f, "-")
 	if err != nil {
@@ -129,8 +129,8 @@
 
 // restoreSnapshot sends the configuration of a snapshot, with its own revision, to a system that has no configuration.
 //
-// Danger: a system that has one would ignore the old revision or silently return to it. Operators must use `send` with a new
-// revision for that.
+// Danger: a system that has a configuration would ignore the old revision or silently return to it. To change its configuration
+// operators must use `send` with a new revision.
 func restoreSnapshot(ctx context.Context, f *flags, file string) error {
 	k, err := readSnapshot(file)
 	if err != nil {
--- a/cmd/willowlab/control.go
+++ b/cmd/willowlab/control.go
@@ -132,7 +132,7 @@
 	mu                                          sync.Mutex
 	runs, broken, orders, acknowledged, drained int
 	virtualTime                                 time.Duration
-	failingSeeds                                map[string][]uint64 // by the check that they violate
+	failingSeeds                                map[string][]uint64 // failing seeds, by the check that they violate
 	firstViolation                              map[string]string   // text of the lowest seed's violation, by check
 }
 
--- a/deployment/script/script.go
+++ b/deployment/script/script.go
@@ -23,7 +23,7 @@
 // Limits of a script. MaxFileBytes is the limit for each file.
 const (
 	maxSteps        = 5_000_000       // interpreter steps of the whole script
-	maxDuration     = 2 * time.Second // for running the whole script
+	maxDuration     = 2 * time.Second // limit for running the whole script
 	MaxFileBytes    = 1 << 20
 	maxFaults       = 50 // errors that are reported at once
 	maxEditDistance = 3  // edits from an unknown name to one that is suggested instead
@@ -37,7 +37,7 @@
 
 func (f Fault) Error() string { return f.Position + ": " + f.Message }
 
-// Faults are the errors of a script.
+// Faults are the errors found in a script, sorted by position, at most maxFaults.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -87,9 +87,9 @@
 	target       *T
 	calls        Calls
 	dir          string
-	modules      map[string]*module                    // by file name; nil while the file is being run
-	keyPositions map[string]map[string]syntax.Position // by the position of a call's parenthesis, the positions of its keys
-	lastCalls    map[string]syntax.Position            // by function, the position of its latest call
+	modules      map[string]*module                    // files loaded, by name; nil while the file is being run
+	keyPositions map[string]map[string]syntax.Position // positions of a call's keys, by the position of its parenthesis
+	lastCalls    map[string]syntax.Position            // position of the latest call of each function
 	faults       Faults
 	current      atomic.Pointer[starlark.Thread] // the thread that runs now
 	timedOut     atomic.Bool                     // the time limit was reached
--- a/deployment/settings/settings.go
+++ b/deployment/settings/settings.go
@@ -17,7 +17,7 @@
 
 const defaultFile = "/etc/willowsill/local.toml"
 
-// ErrSettings is the class of this package's errors.
+// ErrSettings builds this package's errors, which carry the code "settings".
 var ErrSettings = oops.Code("settings")
 
 // Settings are the contents of the settings file. Units are in the names of the fields.
--- a/deployment/start.go
+++ b/deployment/start.go
@@ -24,7 +24,7 @@
 	LongestClientTimeout int64 // longest time that clients of any workload wait
 }
 
-// Config is the configuration of one aggregator.
+// Config is the configuration with which one aggregator starts, from its environment and its configuration file.
 type Config struct {
 	Deployment
 	Limits
--- a/front/gateway/core.go
+++ b/front/gateway/core.go
@@ -42,7 +42,7 @@
 	Sites      []Site
 	Local      front.Core // serves queries at this site
 	Dial       replica.Dial
-	TLS        *tls.Config // for connections to other sites; nil for no TLS
+	TLS        *tls.Config // settings of connections to other sites; nil for no TLS
 	Log        *zap.Logger
 }
 
--- a/front/gateway/gateway_test.go
+++ b/front/gateway/gateway_test.go
@@ -52,7 +52,7 @@
 	policy  siterouting.Policy
 	network *pipenet.Network
 	sites   map[string]*site
-	links   map[string]*link.Link // by "FROM>TO"
+	links   map[string]*link.Link // links between sites, by "FROM>TO"
 }
 
 var workloads = map[string]int{"look": 0, "book": 1, "pay": 2}
--- a/front/gateway/long_test.go
+++ b/front/gateway/long_test.go
@@ -29,7 +29,7 @@
 	return [...]string{"gateway", "all that is declined", "half and half"}[p]
 }
 
-// outcomes counts the outcomes of the queries of one phase.
+// outcomes counts the queries of one phase by how they ended; lost ones got no answer within their timeout.
 type outcomes struct{ asked, inGoal, late, declined, failed, lost int }
 
 func (t outcomes) share() float64 { return float64(t.inGoal) / float64(max(t.asked, 1)) }
--- a/front/gateway/peerserver.go
+++ b/front/gateway/peerserver.go
@@ -384,7 +384,7 @@
 	return pool, nil
 }
 
-// pingResult is the outcome of one ping.
+// pingResult is what one ping measured and what the gateway announced, or the error.
 type pingResult struct {
 	took           int64  // round-trip time, ns
 	advertisedRate string // the header's value: queries per second that the site would accept
--- a/front/proxyserver/evidence.go
+++ b/front/proxyserver/evidence.go
@@ -16,7 +16,7 @@
 type rolloutEvidence struct {
 	mu       sync.Mutex
 	recorder *rollout.Recorder
-	routes   map[int]uint32 // by row, the hash by which all edges identify the route
+	routes   map[int]uint32 // hash by which all edges identify a route, by the route's row
 }
 
 func newEvidence(incarnation uint64) *rolloutEvidence {
--- a/front/proxyserver/path_test.go
+++ b/front/proxyserver/path_test.go
@@ -216,7 +216,7 @@
 }
 
 // TestAnsweredByTheRoutesTime: a request whose replicas never answer is answered at the route's deadline, even if
-// the client would wait longer. The status of one that may have run does not say that it has not.
+// the client would wait longer. The status of a request that may have run does not say that it has not run.
 func TestAnsweredByTheRoutesTime(t *testing.T) {
 	for path, want := range map[string]int{"/safe/x": http.StatusServiceUnavailable, "/unsafe/x": http.StatusBadGateway, "/all/x": http.StatusServiceUnavailable} {
 		withProxy(t, safeRoute+","+unsafeRoute+","+gatheredRoute, map[string]replicaBehaviour{"s1": silent, "s1-2": silent, "s2": silent}, func(b *proxyBubble) {
--- a/front/proxyserver/proxyserver.go
+++ b/front/proxyserver/proxyserver.go
@@ -37,7 +37,7 @@
 	"willowsill/transport/watch"
 )
 
-// ErrProxy is the class of this package's errors.
+// ErrProxy builds this package's errors, which carry the code "proxy".
 var ErrProxy = oops.Code("proxy")
 
 const (
@@ -62,7 +62,7 @@
 	state       *clusterstate.State
 	table       *routingtable.Table
 	readiness   follower.Readiness
-	freshness   clusterstate.Freshness // as the agent reported it at freshnessAt
+	freshness   clusterstate.Freshness // how current the agent's knowledge was at freshnessAt
 	freshnessAt int64                  // time of the agent's last report, ns
 	counterRows []*counters.Workload
 	routes      []routeconfig.Route         // routes of the configuration in force
--- a/front/server.go
+++ b/front/server.go
@@ -61,7 +61,7 @@
 	readPastDeadline bool // the current request was read after its deadline
 	// Time of connecting, of becoming idle or of the current request's first byte, by phase; ns.
 	since           int64
-	requestDeadline int64       // by when the current request must have been read, ns
+	requestDeadline int64       // time by which the current request must have been read, ns
 	head            requestHead // scan of the current request's bytes
 }
 
@@ -150,7 +150,7 @@
 	return n
 }
 
-// deadline returns by when the current request must have been read.
+// deadline returns the time by which the current request must have been read, ns.
 func (c *conn) deadline() int64 {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// requestStart returns when the first byte of the current request arrived.
+// requestStart returns the time at which the first byte of the current request arrived, ns.
 func (c *conn) requestStart() int64 {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -215,7 +215,7 @@
 	lastAccepted time.Time // when the last connection was accepted
 }
 
-// NewServer returns a server for a listener.
+// NewServer returns a server that serves f on l and takes the descriptors of connections from b.
 func NewServer(f *Front, l net.Listener, b *sockets.Budget) *Server {
 	f.closing = make(chan struct{})
 	s := &Server{front: f, budget: b, listener: l, conns: map[*conn]struct{}{}}
