--- a/cmd/willowctl/snapshot.go
+++ b/cmd/willowctl/snapshot.go
@@ -27,7 +27,7 @@
 	Format        int             `json:"format"`
 	At            time.Time       `json:"at"`
 	Revision      uint64          `json:"revision"`
-	SHA256        string          `json:"sha256"` // of the configuration's bytes, hex
+	SHA256        string          `json:"sha256"` // checksum of the configuration's bytes, in hex
 	Configuration json.RawMessage `json:"configuration,omitempty"`
 }
 
@@ -66,13 +66,13 @@
 
 // saveSnapshot saves the newest configuration to a temporary file and then renames it.
 //
-// Danger: if it wrote to the file itself and the machine stopped midway, the previous snapshot would be lost as well.
+// Danger: if the snapshot were written to the file directly and the machine stopped midway, the previous snapshot would be lost too.
 func saveSnapshot(ctx context.Context, f *flags, file string) error {
 	c, body, err := loadConfiguration(ctx, f, "-")
 	if err != nil {
 		return err
 	}
-	var compact bytes.Buffer // the form in which the encoder writes it, so that the checksum matches what is read back
+	var compact bytes.Buffer // the encoder writes RawMessage compacted, so the checksum has to cover that form
 	if err := json.Compact(&compact, body); err != nil {
 		return err
 	}
@@ -129,8 +129,8 @@
 
 // restoreSnapshot sends the configuration of a snapshot, with its own revision, to a system that has no configuration.
 //
-// Danger: a system that has one would ignore the old revision or silently return to it. Operators must use `send` with a new
-// revision for that.
+// Danger: a system that has a configuration would ignore the old revision or silently return to it. To change its configuration
+// operators must use `send` with a new revision.
 func restoreSnapshot(ctx context.Context, f *flags, file string) error {
 	k, err := readSnapshot(file)
 	if err != nil {
--- a/front/gateway/gateway_test.go
+++ b/front/gateway/gateway_test.go
@@ -52,7 +52,7 @@
 	policy  siterouting.Policy
 	network *pipenet.Network
 	sites   map[string]*site
-	links   map[string]*link.Link // by "FROM>TO"
+	links   map[string]*link.Link // links between sites, by "FROM>TO"
 }
 
 var workloads = map[string]int{"look": 0, "book": 1, "pay": 2}
@@ -352,7 +352,7 @@
 	})
 }
 
-// A repeat of a query with an effect waits for the first one or gets its answer; it does not run again.
+// A repeat of a query that must run once waits for the first one or gets its answer; it does not run again.
 func TestRepeats(t *testing.T) {
 	play(t, []string{"a", "b"}, func(w *world) {
 		b := w.sites["b"]
@@ -441,8 +441,8 @@
 	})
 }
 
-// On a full link, five customers get places in turn, although one of them sends sixteen times as much as each
-// other. A query that waits is told within a tenth of its time whether it gets a place.
+// On a full link, five customers take turns, although one of them sends sixteen times as many queries as each of the
+// others. Each query must be answered within its 3 s, and at the end no query may be waiting or in flight.
 func TestTakeTurns(t *testing.T) {
 	play(t, []string{"a", "b"}, func(w *world) {
 		far := link.Conditions{Delay: 150 * time.Millisecond}
