--- a/lab/controllercheck/controllercheck.go
+++ b/lab/controllercheck/controllercheck.go
@@ -18,7 +18,7 @@
 
 // Deviation is a fault of one event of a schedule.
 type Deviation struct {
-	Event int // number of the event among those that may have a deviation
+	Event int // position of the event among those that may have a deviation
 	Kind  Kind
 }
 
@@ -34,7 +34,7 @@
 	Twice                // a message is delivered again 300 ms later
 	Killed
 	Unpowered
-	Emptied // loses its power and its disk
+	Emptied // the machine loses its power and its disk
 	kindCount
 )
 
@@ -76,7 +76,8 @@
 	return fmt.Sprintf("%s: %d schedules, broken: %s (%s)", r.Scope, r.Runs, r.First.Text, r.First.Schedule)
 }
 
-// Explore runs all schedules of a scope with one deviation, and up to pairs of those with two, evenly chosen among them.
+// Explore runs a scope without deviations, all its schedules with one deviation, and an evenly spread choice of those with two: about
+// pairs of them, and always fewer than twice as many.
 func Explore(s Scope, pairs, cores int) Result {
 	x := &exploration{scope: s, result: Result{Scope: s.Name}}
 	events := x.run(nil)
--- a/lab/controllercheck/invariants.go
+++ b/lab/controllercheck/invariants.go
@@ -10,7 +10,7 @@
 	"willowsill/decide/registry"
 )
 
-// This file has the invariants, which are checked at each answer, at each update to edges, and at the end.
+// This file has the invariants, which are checked at each answer, update to edges and committed value, and at the end of a run.
 
 const (
 	statusOK       = 200
@@ -37,7 +37,8 @@
 	}
 }
 
-// checkOrder checks that at most one content is acknowledged under a revision, and that a majority's disks hold it.
+// checkOrder checks that at most one content is acknowledged under a revision, that a majority's disks hold it, and that it is not
+// refused later.
 func (w *world) checkOrder(a Action, status int) {
 	content, known := w.acknowledged[a.Revision]
 	switch status {
@@ -55,13 +56,13 @@
 	}
 }
 
-// checkRead checks that a read does not return a configuration older than one that was acknowledged before the read.
+// checkRead checks that a read does not return the first configuration if a later one was acknowledged before the read.
 func (w *world) checkRead(c call, a controller.Answer) {
 	if a.Status != statusOK {
 		return
 	}
 	raw, _ := clusterstate.Unpack(a.Body)
-	// A read may return a configuration that is newer than the acknowledged one.
+	// Other configurations are not checked, since a read may return one that is newer than the acknowledged one.
 	if string(raw) == w.acknowledged[1] && w.newestAcknowledged > 1 && w.acknowledgedBefore(c.sent) {
 		w.violate("a read returns the first configuration, after revision %d was acknowledged", w.newestAcknowledged)
 	}
@@ -95,7 +96,7 @@
 	w.checkCommitted(u.Revision, "is sent to edges of "+m.name)
 }
 
-// checkEpoch checks that each epoch has one list of members, and that no controller goes back to an earlier epoch.
+// checkEpoch checks that all committed values of an epoch have the same members, and that no controller goes back to an earlier epoch.
 func (w *world) checkEpoch(m *machine) {
 	value := m.controller.Committed()
 	if value.Epoch == 0 {
--- a/lab/controllercheck/scopes.go
+++ b/lab/controllercheck/scopes.go
@@ -6,19 +6,19 @@
 	second           = 1000 * millisecond
 	latency          = 10 * millisecond
 	syncTime         = 5 * millisecond
-	settleTime       = 2 * second  // before the scope's actions begin
-	recoveryTime     = 12 * second // after the scope's window; then all controllers must have recovered
+	settleTime       = 2 * second  // time before the scope's actions begin
+	recoveryTime     = 12 * second // time after the scope's window at which all controllers must have recovered
 	restartDelay     = 600 * millisecond
 	lateDelay        = 900 * millisecond
 	veryLateDelay    = 3 * second
 	duplicateDelay   = 300 * millisecond
 	receiveBlockTime = 4500 * millisecond
-	shutdownWait     = 900 * millisecond // between the announcement of a shutdown and the end of the process
+	shutdownWait     = 900 * millisecond // time between the announcement of a shutdown and the end of the process
 )
 
 // Action is a scripted fault of a machine, or a request to it.
 type Action struct {
-	At       int64 // since the actions began, ns
+	At       int64 // time since the scope's actions began, ns
 	Machine  string
 	Do       ActionKind
 	Revision uint64
@@ -45,8 +45,8 @@
 	Name         string
 	Members      []string // controllers whose disks hold revision 1 at the start
 	Actions      []Action
-	From         int64  // time since the actions began from which events may have deviations
-	Window       int64  // time since the actions began until which events may have deviations
+	From         int64  // time from which events may have deviations, ns since the actions began
+	Window       int64  // time until which events may have deviations, ns since the actions began
 	MaxEmptied   int    // maximum number of disks that deviations may empty
 	Size         int    // minimum number of members at the end
 	BlockReceive string // machine that receives nothing for receiveBlockTime after it begins to change the members
--- a/lab/controllercheck/world.go
+++ b/lab/controllercheck/world.go
@@ -17,7 +17,7 @@
 	at          int64
 	sequence    int
 	to          string
-	incarnation int    // of the machine's process that the event is for; 0 for any
+	incarnation int    // incarnation of the machine's process that the event is for; 0 for any
 	mayDeviate  bool   // the event may have a deviation
 	onLoss      func() // called if the event is lost; nil for messages
 	deliver     func() // called when the event happens
@@ -47,7 +47,7 @@
 type machine struct {
 	name           string
 	controller     *controller.Controller
-	up, removed    bool // a process is running; the machine is gone for good
+	up, removed    bool // up: a process is running; removed: the machine never returns
 	receiveBlocked bool // messages to it are lost, messages from it arrive
 	incarnation    int
 	disk           *controller.Save // last save; nil for an empty disk
@@ -57,7 +57,7 @@
 	epoch          uint64              // highest epoch of a value that this process considered committed
 }
 
-// call is a client's request without an answer so far.
+// call is a client's request that has not been answered yet.
 type call struct {
 	action Action
 	sent   int64
@@ -73,7 +73,7 @@
 	eligibleEvents     int // number of events so far that could have had a deviation
 	machines           map[string]*machine
 	names              []string
-	calls              map[uint64]call // calls without an answer so far, by number
+	calls              map[uint64]call // calls that have not been answered yet, by number
 	lastCall           uint64
 	acknowledged       map[uint64]string   // acknowledged contents by revision
 	epochs             map[uint64][]string // members of committed values, by epoch
--- a/lab/controlsim/checker/checker.go
+++ b/lab/controlsim/checker/checker.go
@@ -70,7 +70,7 @@
 	return j.violations
 }
 
-// broken records a violation.
+// broken records a violation, unless maxViolationsPerCheck of the check are recorded already.
 func (j *runChecker) broken(check string, at int64, format string, values ...any) {
 	if j.count[check]++; j.count[check] <= maxViolationsPerCheck {
 		j.violations = append(j.violations, Violation{check, at, fmt.Sprintf(format, values...)})
--- a/lab/controlsim/checker/history.go
+++ b/lab/controlsim/checker/history.go
@@ -4,7 +4,7 @@
 
 import "math"
 
-// Never stands for a time after every run.
+// Never is a time later than the end of any run.
 const Never = math.MaxInt64
 
 // Bounds are the time limits of a deployment, ns; see controlsim.Bounds.
--- a/lab/controlsim/checker/stability.go
+++ b/lab/controlsim/checker/stability.go
@@ -121,7 +121,8 @@
 	return c.events.overlapsNone(at-contact, at) && c.slow.overlapsNone(at-contact, at) && c.majorFaults.overlapsNone(at-2*contact, at) && c.healthyMajority(at, at)
 }
 
-// healthyMajority reports whether more than half of the controllers that are deployed at the end of a window had no fault in it.
+// healthyMajority reports whether more than half of the controllers that are deployed at the end of a window were deployed and without
+// a fault during the whole window.
 func (c *stability) healthyMajority(from, until int64) bool {
 	healthy := 0
 	for _, m := range c.controllers {
--- a/lab/controlsim/disk.go
+++ b/lab/controlsim/disk.go
@@ -12,9 +12,9 @@
 // Behaviour of disks; times in ns.
 const (
 	minSyncTime       = millisecond
-	maxSyncTime       = 30 * millisecond // of the slowest disk without a fault; each disk has its own usual time up to this
-	writeErrorDelay   = 3 * millisecond  // until a write to a full disk fails
-	unsyncedKeptOneIn = 4                // one in this many saves whose sync was not finished survives a loss of power
+	maxSyncTime       = 30 * millisecond // maximum time of a sync on the slowest disk without a fault; other disks have a lower maximum
+	writeErrorDelay   = 3 * millisecond  // time until a write to a full disk fails
+	unsyncedKeptOneIn = 4                // of the saves whose sync was not finished, one in this number survives a loss of power
 	writeBackDelay    = 5 * second       // after this time the operating system writes data to the disk without a sync
 )
 
@@ -63,7 +63,7 @@
 }
 
 func (d *disk) finishSync(m *machine, incarnation int, next *diskImage, done func(error)) {
-	if d.written != next { // lost with the power or the disk
+	if d.written != next { // this save was lost with the machine's power or disk, or a newer one replaced it
 		return
 	}
 	if d.stallCount > 0 {
--- a/lab/controlsim/edge.go
+++ b/lab/controlsim/edge.go
@@ -14,7 +14,7 @@
 // Times of an edge, ns, as in transport/agentserver.
 const (
 	reportTTL         = 4 * second        // the report of a downstream edge is passed on for this time
-	detectorInterval  = 250 * millisecond // between two ticks of the failure detector
+	detectorInterval  = 250 * millisecond // time between two ticks of the failure detector
 	readinessInterval = 100 * millisecond // the platform asks once a second at an unknown moment, so this asks more often
 )
 
--- a/lab/controlsim/followloop.go
+++ b/lab/controlsim/followloop.go
@@ -8,8 +8,8 @@
 // Times of an edge that receives updates, ns, as in transport/watch.
 const (
 	upstreamTimeout = second            // an upstream that sends nothing for this time is left
-	reportInterval  = second            // between two reports to the upstream
-	reconnectDelay  = 100 * millisecond // before the next upstream is dialled
+	reportInterval  = second            // time between two reports to the upstream
+	reconnectDelay  = 100 * millisecond // time before the next upstream is dialled
 	minStay         = 5 * second        // after this time an edge changes to a better upstream
 )
 
@@ -26,8 +26,8 @@
 // when to leave it. Times are on the edge's clock.
 type followLoop struct {
 	follower                            follower.Follower
-	readiness                           follower.Readiness // of the proxy on the same machine
-	upstreamIndex                       int                // in the list of possible upstreams
+	readiness                           follower.Readiness // readiness of the proxy on the same machine
+	upstreamIndex                       int                // index of the next upstream to dial, in the list of possible ones
 	connectedAt, reportedAt, receivedAt int64
 }
 
--- a/lab/controlsim/network.go
+++ b/lab/controlsim/network.go
@@ -25,8 +25,8 @@
 	world          *world
 	rng            *rand.Rand
 	baseLatency    map[direction]int64
-	cuts           map[direction]int // number of cuts that block a direction
-	refusals       map[direction]int // number of cuts that also refuse connections
+	cuts           map[direction]int // number of cuts that block a direction without refusing connections
+	refusals       map[direction]int // number of cuts that block a direction and refuse connections
 	extraDelay     map[string]int64  // extra latency of all links of a machine, ns
 	duplicateDelay map[string]int64  // delay of the second copy of each message from a machine, ns
 	connections    []*connection
--- a/lab/controlsim/overbudget.go
+++ b/lab/controlsim/overbudget.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// This file has the scenarios that lose more controllers at once than the fault budget allows, though no more disks.
+// This file has the scenarios that lose more controllers at once than the fault budget allows, but not more disks than it allows.
 
 // splitInHalves divides the controllers into two halves for some seconds; all other machines reach both. Orders, reads and drains go on
 // at both sides, some orders with different contents under one revision. With an even number of controllers neither half is a
@@ -73,9 +73,9 @@
 	}
 }
 
-// overlappingLosses loses most controllers at the same time, twice. First the worst case: two controllers miss an order, and when they
+// overlappingLosses loses most controllers at the same time, twice. First two controllers miss an order, and when they
 // return the other three, which hold it, are lost, one of them with its disk. Later four controllers are lost at random times, each
-// before the ones before it have returned.
+// while an earlier one is still lost.
 func (d *scenarioBuilder) overlappingLosses() {
 	p := d.plan
 	p.Workload.OrderEvery, p.Workload.ReadEvery = 0, 200*time.Millisecond
--- a/lab/controlsim/plan.go
+++ b/lab/controlsim/plan.go
@@ -82,7 +82,7 @@
 
 // Workload describes the random requests of operators and replicas. An interval of 0 turns a type of request off.
 type Workload struct {
-	OrderEvery time.Duration `json:"order_every,omitempty"` // mean interval
+	OrderEvery time.Duration `json:"order_every,omitempty"` // mean time between two orders
 	ReadEvery  time.Duration `json:"read_every,omitempty"`
 	DrainEvery time.Duration `json:"drain_every,omitempty"`
 	Races      float64       `json:"races,omitempty"`   // share of orders that are followed at once by other content under the same revision
--- a/lab/controlsim/planted/planted.go
+++ b/lab/controlsim/planted/planted.go
@@ -8,7 +8,7 @@
 	"willowsill/lab/modelcheck/planted"
 )
 
-// Mutant is the module with one safeguard removed, the scenario that must find it, and the checks of which one must fail.
+// Mutant is the module with one safeguard removed, the scenario that must find it, and the checks, of which at least one must fail.
 type Mutant struct {
 	planted.Mutant
 	Scenario controlsim.Scenario
--- a/lab/controlsim/random.go
+++ b/lab/controlsim/random.go
@@ -12,7 +12,7 @@
 	randomPlanLength = 75 * second
 	faultsBegin      = 6 * second                   // earliest start of a fault
 	faultsEnd        = randomPlanLength - 30*second // no fault starts after this time
-	maxFaultTime     = 22 * second                  // of a cut; other faults are shorter
+	maxFaultTime     = 22 * second                  // maximum length of a cut; other faults are shorter
 	maxSpareTime     = 2 * second                   // maximum pause between the recovery from a fault and the next fault
 )
 
--- a/lab/controlsim/scenarios.go
+++ b/lab/controlsim/scenarios.go
@@ -10,7 +10,7 @@
 	"willowsill/decide/relaytree"
 )
 
-// Scenario identifies the type of a plan: a scripted scenario or random faults. The numbers of the scripted ones are the operators'.
+// Scenario identifies the type of a plan: random faults or a scripted scenario. A scripted scenario of the operators has their number.
 type Scenario string
 
 // The scenarios. The operators' scenario 5, clients and their connections, is not simulated here.
@@ -217,7 +217,7 @@
 }
 
 // powerLossesAfterAcks takes the power from all controllers right after an order was acknowledged, and one of them also loses its disk.
-// After they have recovered this happens again with another disk, nine times in all.
+// It does this nine times, each time after all have recovered; a random controller loses its disk.
 func (d *scenarioBuilder) powerLossesAfterAcks() {
 	const rounds, down = 9, 500 * time.Millisecond
 	d.plan.Workload.OrderEvery, d.plan.Workload.DrainEvery = 0, 0
@@ -234,7 +234,7 @@
 
 // threeControllers has the first of three controllers miss an order. Once that one counts for a majority again, the second loses its
 // disk or is replaced, and once that has caught up too, the third is lost: the only one that has held the order all the time. No other
-// order is sent meanwhile, since it would update the other two.
+// order is sent before that loss, since it would update the other two. Then the same happens again with the controllers' roles changed.
 func (d *scenarioBuilder) threeControllers() {
 	p := d.plan
 	p.Controllers, p.Workload, p.Length = 3, Workload{}, 90*time.Second
--- a/lab/controlsim/server.go
+++ b/lab/controlsim/server.go
@@ -15,16 +15,16 @@
 // Times of a control server, ns, as in transport/controlserver, transport/peer and transport/watch.
 const (
 	minTickInterval   = millisecond
-	shutdownWait      = 400 * millisecond // between the announcement of a shutdown and the end of the process
-	redialDelay       = 150 * millisecond // after a failed attempt to connect to another controller
-	peerQueueLength   = 64                // messages that wait for the connection to another controller
-	freshnessInterval = 300 * millisecond // between two messages with the freshness to downstream edges
+	shutdownWait      = 400 * millisecond // time between the announcement of a shutdown and the end of the process
+	redialDelay       = 150 * millisecond // time until the next attempt to connect to another controller after one has failed
+	peerQueueLength   = 64                // maximum number of messages that wait for the connection to another controller
+	freshnessInterval = 300 * millisecond // time between two messages with the freshness to downstream edges
 	followerTimeout   = 5 * second        // a downstream edge without a report for this time is disconnected
-	heartbeatInterval = second            // between two heartbeats of a replica
+	heartbeatInterval = second            // time between two heartbeats of a replica
 	startSpread       = 300 * millisecond // machines that start together start within this time
 )
 
-// server is a controller with the surroundings that transport/controlserver gives it. Its disk outlives its processes.
+// server is a controller with the disk, timers and connections that transport/controlserver gives it. Its disk outlives its processes.
 type server struct {
 	world     *world
 	machine   *machine
--- a/lab/controlsim/world.go
+++ b/lab/controlsim/world.go
@@ -18,7 +18,7 @@
 const (
 	millisecond   = int64(time.Millisecond)
 	second        = int64(time.Second)
-	seedCount     = 3     // controllers that a machine's settings name as seeds
+	seedCount     = 3     // number of controllers that a machine's settings name as seeds
 	maxClockDrift = 0.001 // maximum relative error of a machine's monotonic clock, in either direction
 )
 
--- a/lab/emulator/aggregator.go
+++ b/lab/emulator/aggregator.go
@@ -23,7 +23,7 @@
 	workload int
 	askedAt  int64
 	ended    bool
-	retries  int // how often the client has asked before; 1 for queries forwarded by another site
+	retries  int // number of times that the client has asked before; 1 for queries forwarded by another site
 	shards   []int
 
 	visited          []int         // sites that have forwarded it
@@ -41,25 +41,25 @@
 type aggregator struct {
 	emitter
 	*Plan
-	arrivals    []*Arrivals // by workload
-	clientRNG   *rand.Rand  // for client retries
-	networkRNG  *rand.Rand  // for network delays and losses
+	arrivals    []*Arrivals // arrival generator of each workload
+	clientRNG   *rand.Rand  // random source of client retries
+	networkRNG  *rand.Rand  // random source of network delays and losses
 	decider     decider
 	ruleChecker *checker.Aggregator
 	queries     map[int32]*pendingQuery
 	retryShards map[int32][]int // by query number: the shards of queries that clients will retry
 	lastRound   int64           // time of the last decision round
 	nextRound   int64           // time of the next decision round, 0 if none is scheduled
-	lastQuery   int32           // the last query number given
+	lastQuery   int32           // number of the newest query
 	listingSeq  []uint64        // by replica: sequence number of the newest listing
 	recorder    *Recorder
 	simulation  *simulation
-	member      *storeMember      // nil without a shared store
-	quotaUses   map[int][]int64   // by workload: when a query was admitted as within its quota
+	member      *storeMember      // client of the shared store; nil without one
+	quotaUses   map[int][]int64   // by workload: times at which queries were admitted as within the quota
 	siteGateway *siteGateway      // nil where queries are not forwarded between sites
-	listings    []balance.Listing // the newest known state of each replica of its site
+	listings    []balance.Listing // newest known state of each replica of the aggregator's site
 	down        bool
-	frozenUntil int64 // end of a freeze, 0 if none has been
+	frozenUntil int64 // end of the last freeze; 0 before the first
 
 	processor *processor // nil if the aggregator's own work costs no time
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// listingOf returns the newest known listing of a replica of its site.
+// listingOf returns the newest known listing of a replica of the aggregator's site.
 func (a *aggregator) listingOf(replica int) *balance.Listing {
 	return &a.listings[replica-a.siteOfAggregator(int(a.entityID))*a.replicasPerSite()]
 }
@@ -360,8 +360,8 @@
 	outcomeNames = [...]string{"whole", "partial", "declined", "forfeited"}
 )
 
-// describeInFlight lists the number of own parts in flight at each replica of a replica's shard. The module's pick is based on
-// it, so the trace shows it with each send.
+// describeInFlight lists how many of this aggregator's parts are in flight at each replica of a replica's shard. The module's pick is
+// based on it, so the trace shows it with each send.
 func (a *aggregator) describeInFlight(replica int) string {
 	count := map[int]int{}
 	for _, q := range a.queries {
--- a/lab/emulator/baselines/baselines.go
+++ b/lab/emulator/baselines/baselines.go
@@ -22,9 +22,9 @@
 	Policy        string // one of Policies
 	Seed          uint64
 	Shards        int
-	MaxExecutions int                                          // of one part, the first included
-	MinCoverage   float64                                      // least share of the weight for a partial answer
-	RetrySafety   []balance.RetrySafety                        // by workload
+	MaxExecutions int                                          // maximum number of executions of one part, the first included
+	MinCoverage   float64                                      // minimum share of the weight for a partial answer
+	RetrySafety   []balance.RetrySafety                        // retry safety of each workload
 	Oracle        func(replica int) (wait int64, healthy bool) // for the policy "oracle": true wait for a new part at a replica, and whether it answers
 }
 
@@ -53,7 +53,7 @@
 	up          bool
 	inFlight    int
 	meanLatency float64 // moving average, ns
-	meanAt      int64   // time of its last update
+	meanAt      int64   // time of the last update of meanLatency, ns
 }
 
 type part struct {
@@ -62,7 +62,7 @@
 	tried        []int // replica of each execution, in order
 	inFlight     bool  // the last execution has not ended
 	done         bool
-	unrepeatable bool // it is once-only and may have run
+	unrepeatable bool // the part must not run twice and may have run already
 }
 
 type query struct {
--- a/lab/emulator/checker/checker.go
+++ b/lab/emulator/checker/checker.go
@@ -28,13 +28,13 @@
 
 // Bounds are the limits of a deployment that the rules refer to. Times are in ns.
 type Bounds struct {
-	DedupWindow   int64   // how long repeats of a tagged part are recognised
-	MinCoverage   float64 // least share of the weight for an answer with values
-	FullCoverage  float64 // least share of the weight for a whole answer
-	MaxExecutions int     // executions of one part, the first included
+	DedupWindow   int64   // time during which repeats of a tagged part are recognised
+	MinCoverage   float64 // minimum share of the weight for an answer with values
+	FullCoverage  float64 // minimum share of the weight for a whole answer
+	MaxExecutions int     // maximum number of executions of one part, the first included
 	Budgeted      bool    // the retry budget below applies
-	RetrySlack    float64 // retries allowed in any RetryWindow
-	RetryRatio    float64 // additional retries allowed per query and part received in it
+	RetrySlack    float64 // number of retries allowed in any RetryWindow
+	RetryRatio    float64 // additional retries allowed for each query and each part received in a RetryWindow
 	RetryWindow   int64
 }
 
@@ -66,7 +66,7 @@
 	CheckStarvation bool // whether rule 0 applies: only to policies that choose by parts in flight
 	queries         map[int32]*query
 	listed          map[int]bool         // replicas that the list shows as up
-	loads           map[int]*replicaLoad // by replica
+	loads           map[int]*replicaLoad // load of each replica that has been listed since the last crash
 	holders         map[int][]int        // the replicas of each shard
 	arrivals        []int64              // times at which queries and parts arrived, within the retry window
 	retries         []int64              // times of retries, within the retry window
@@ -74,12 +74,12 @@
 	Violations      []Violation
 }
 
-// replicaLoad is how the parts of a shard are distributed, from one replica's view.
+// replicaLoad counts the parts that one replica has in flight and those that other replicas of its shard got instead of it.
 type replicaLoad struct {
 	shard         int
-	upSince       int64 // since when it is listed as up, -1 if it isn't
-	lastFailure   int64 // when an execution there last ended unfulfilled
-	partsToOthers int   // parts that other replicas of its shard got since it last got one
+	upSince       int64 // time from which it is listed as up; -1 if it is not
+	lastFailure   int64 // time at which an execution at this replica last ended unfulfilled
+	partsToOthers int   // parts sent to other replicas of the shard since this replica last got one
 	inFlight      int   // parts in flight, as counted by the checker
 }
 
@@ -340,14 +340,14 @@
 type Replica struct {
 	Name           string
 	Violations     []Violation
-	ColdCapacity   float64 // share of its capacity right after the start
-	WarmUpTime     int64   // until full capacity, ns; the capacity grows linearly
+	ColdCapacity   float64 // share of its full capacity that the replica has right after the start
+	WarmUpTime     int64   // time until full capacity, ns; the capacity grows linearly
 	OverloadFactor float64 // multiple of its present capacity that crashes a cold replica
 	OverloadSpan   int64   // interval in which the load is counted, ns
 	WarmRate       float64 // executions per second when warm
 
-	startedAt int64   // 0 if warm since before the run
-	arrivals  []int64 // within OverloadSpan
+	startedAt int64   // time of the last start; 0 if the replica was warm before the run
+	arrivals  []int64 // times at which executions arrived within the last OverloadSpan
 }
 
 // RecordStart records that the replica has started and is cold.
--- a/lab/emulator/decider.go
+++ b/lab/emulator/decider.go
@@ -7,7 +7,7 @@
 	"willowsill/lab/emulator/baselines"
 )
 
-// send is a decision to start an execution. Queries are identified by the emulator's own numbers, here and below.
+// send is a decision to start an execution. The types of this file identify queries by the emulator's own numbers.
 type send struct {
 	query    int32
 	part     int
--- a/lab/emulator/eventqueue/eventqueue.go
+++ b/lab/emulator/eventqueue/eventqueue.go
@@ -14,7 +14,7 @@
 
 // Event is an event at one entity. No two events have the same At, From and Seq. The fields from Result on are the sender's.
 type Event struct {
-	At   int64  // ns
+	At   int64  // time of the event, ns
 	From int32  // entity that scheduled it
 	To   int32  // entity at which it happens
 	Seq  uint64 // increases with each event that From schedules
@@ -25,7 +25,7 @@
 	Attempt int16
 	Query   int32
 	Value   int64
-	Payload any // owned by the receiver
+	Payload any // further data, which belongs to the receiver
 }
 
 // Compare orders events by time, and those of the same time by the entity that scheduled them and the order in which it did.
--- a/lab/emulator/hunt/hunt.go
+++ b/lab/emulator/hunt/hunt.go
@@ -16,7 +16,7 @@
 	Seed                uint64
 	MaxSchedules        int      // schedules to try, without those of the minimization
 	MaxFaults           int      // faults per schedule
-	Replicas            int      // of the fleet
+	Replicas            int      // number of replicas of the fleet
 	MaxReplicasPerFault int      // replicas that one fault may affect
 	From                int64    // earliest start of a fault
 	Until               int64    // latest end of a fault
@@ -26,7 +26,7 @@
 // Score says how bad a schedule is. A violated rule is worse than any share of the revenue.
 type Score struct {
 	Rule  int     // the violated rule, 0 for none
-	Share float64 // of the revenue
+	Share float64 // earned share of the possible revenue
 }
 
 func (v Score) worseThan(than Score) bool {
@@ -51,7 +51,7 @@
 	minFaultNs       = 200e6 // shortest fault that is drawn or kept by shortening
 )
 
-// Search finds the worst schedule by random search and mutation, and minimizes it. With the same configuration and a deterministic
+// Search looks for the worst schedule by random search and mutation, and minimizes it. With the same configuration and a deterministic
 // evaluate the result is always the same. The search ends at the first violated rule.
 func Search(c Config, evaluate func([]emulator.Fault) Score) Result {
 	if len(c.Kinds) == 0 {
--- a/lab/emulator/plan.go
+++ b/lab/emulator/plan.go
@@ -30,20 +30,20 @@
 	CrowdingSlowdown      float64 // relative increase of service times for each part per worker, queued or running, above CrowdingThreshold
 	CrowdingThreshold     float64 // parts per worker up to which service times don't increase
 	PauseInterval         int64   // mean time between spontaneous pauses of a replica; 0 for none
-	PauseTime             int64   // mean length of such a pause; each is between 0.5 and 1.5 times this
+	PauseTime             int64   // mean length of a spontaneous pause; each lasts between 0.5 and 1.5 times the mean
 	DropExpired           bool    // a replica drops queued parts whose deadline has passed
-	NetworkDelay          int64   // least delay in each direction; exponential jitter adds a quarter on average
-	ListDelay             int64   // least time until a change is listed; at most twice this
-	Tick                  int64   // least time between two decision rounds of an aggregator
+	NetworkDelay          int64   // minimum delay of a message in one direction; exponential jitter adds a quarter on average
+	ListDelay             int64   // minimum time until a change is listed; the maximum is twice as long
+	Tick                  int64   // minimum time between two decision rounds of an aggregator
 
-	MaxExecutions          int     // of one part, the first included
+	MaxExecutions          int     // maximum number of executions of one part, the first included
 	CanCancel              bool    // executions can be cancelled
 	FinishCancelled        bool    // a replica finishes cancelled executions that are already running
 	KeepCancelledQueued    bool    // a replica also executes parts that were cancelled while queued
 	ColdCapacity           float64 // share of its capacity that a replica has right after its start
-	WarmUpTime             int64   // from a start to full capacity; the capacity grows linearly
+	WarmUpTime             int64   // time from a start to full capacity; the capacity grows linearly
 	OverloadFactor         float64 // multiple of its present capacity at which a cold replica crashes
-	OverloadSpan           int64   // interval in which that load is counted
+	OverloadSpan           int64   // interval in which the load for OverloadFactor is counted
 	Budgeted               bool    // retries are limited to RetrySlack + RetryRatio per query and part
 	RetrySlack, RetryRatio float64
 	RetryWindow            int64   // interval that the retry budget covers
@@ -68,10 +68,10 @@
 	Rate                float64 // mean queries per second at each aggregator
 	Parts               int     // parts per query, each of a different shard
 	LatencyGoal         int64   // a complete answer within it earns Revenue
-	Timeout             int64   // after which the client stops waiting
+	Timeout             int64   // time after which the client stops waiting
 	RetrySafety         balance.RetrySafety
-	DedupWindow         int64   // for tagged parts: how long replicas recognise a repeated execution
-	MinCoverage         float64 // least share of the weight for a partial answer
+	DedupWindow         int64   // for tagged parts: time during which replicas recognise a repeated execution
+	MinCoverage         float64 // minimum share of the weight for a partial answer
 	Revenue             float64
 	Skew                float64 // exponent of the Zipf distribution of shards; 0 for a uniform one
 	BurstFactor         float64 // factor on the rate during a burst
@@ -79,7 +79,7 @@
 	BurstInterval       int64   // time from the start of a burst to the next; 0 for no bursts
 	BurstTime           int64   // length of a burst
 	WaveAmplitude       float64 // relative amplitude of a sine wave on the rate (day and night); 0 for none
-	WavePeriod          int64   // period of that wave
+	WavePeriod          int64   // period of the sine wave
 	Quota               float64 // queries per second of the customer over all aggregators, enforced through the shared store; 0 for none
 	ImmediateRetryShare float64 // share of queries that got no answer, or were declined without a retry time, which clients soon repeat
 	AdvisedRetryShare   float64 // share of declined queries with a retry time, which clients repeat at that time
@@ -89,7 +89,7 @@
 type Fault struct {
 	Kind        string // one of FaultKinds or AggregatorFaultKinds
 	Replicas    []int
-	Aggregators []int // for AggregatorFaultKinds
+	Aggregators []int // affected aggregators, for AggregatorFaultKinds
 	Sites       []int // for cut: the sites that are cut off
 	Zones       []int // for rift: the zones that are cut off
 	Workload    int   // for unanswered: index of the workload
--- a/lab/emulator/processor.go
+++ b/lab/emulator/processor.go
@@ -8,16 +8,16 @@
 
 // CPUModel gives the processor time of an aggregator's own work, in ns. With QueryCost 0 all of it takes no time.
 type CPUModel struct {
-	QueryCost     int64  // to receive a query and answer it
-	ReplyCost     int64  // to handle a replica's reply
-	RejectCost    int64  // to reject a query because of overload
-	OverloadLimit string // how it detects overload: one of OverloadLimits
+	QueryCost     int64  // time to receive a query and answer it
+	ReplyCost     int64  // time to handle a replica's reply
+	RejectCost    int64  // time to reject a query because of overload
+	OverloadLimit string // how the aggregator detects overload: one of OverloadLimits
 }
 
 // OverloadLimits are the ways in which an aggregator may detect its overload; "none" is no detection.
 var OverloadLimits = append([]string{"none"}, overload.LimitKinds...)
 
-const readingInterval = int64(100e6) // between two readings for the overload detector
+const readingInterval = int64(100e6) // time between two readings for the overload detector, ns
 
 // processor models an aggregator's processor as one core that handles queued events in order of arrival.
 type processor struct {
@@ -27,9 +27,9 @@
 	detector  *overload.Detector // nil for no overload detection
 
 	lastReading int64 // time of the last reading
-	cpuTime     int64 // used since the last reading
-	waitTime    int64 // total wait of the events dequeued since then
-	dequeued    int64 // number of those events
+	cpuTime     int64 // processor time used since the last reading, ns
+	waitTime    int64 // total wait of the events dequeued since the last reading, ns
+	dequeued    int64 // number of events dequeued since the last reading
 }
 
 // startProcessor creates the processor and its overload detector, if the plan asks for them.
--- a/lab/emulator/replica.go
+++ b/lab/emulator/replica.go
@@ -15,7 +15,7 @@
 	eventPartArrives      uint8 = iota // at a replica: a part arrives; Result is the workload, Value the deadline
 	eventPartCancelled                 // at a replica: the aggregator has cancelled an execution
 	eventWorkDone                      // at a replica: a worker finishes; Value is job.service
-	eventFaultBegins                   // a fault begins; Value is its index, here and at its end
+	eventFaultBegins                   // a fault or the next period of a fault "pause" begins; Value is the fault's index, here and at its end
 	eventFaultEnds                     // a fault ends; Value -1 restarts a replica after a crash by overload
 	eventFaultRepeats                  // the next period of a fault begins; at the store: the mode "stale" swaps its data
 	eventPauseEnds                     // at a replica: a pause is over
@@ -56,8 +56,8 @@
 type job struct {
 	executionKey
 	service  uint64 // number of the scheduled end, so that an outdated eventWorkDone is ignored
-	doneAt   int64  // when a worker finishes it
-	deadline int64  // when its aggregator stops waiting
+	doneAt   int64  // time at which a worker finishes the job
+	deadline int64  // time at which the aggregator stops waiting for the job
 }
 
 // oracleView is the true state of a replica, which only the baseline "oracle" sees.
@@ -72,19 +72,19 @@
 	*Plan
 	number            int
 	rng               *rand.Rand
-	serviceTimeFactor float64 // on the service time of all parts; below 1 for a fast replica
-	startedAt         int64   // 0 for a replica that is warm from the start of the run
+	serviceTimeFactor float64 // factor on the service time of all parts; below 1 for a fast replica
+	startedAt         int64   // time of the last start; 0 for a replica that is warm from the start of the run
 	down              bool
 	queue             []job
 	running           []job
 	lastService       uint64
-	activeFaults      map[int]bool // by index in Plan.Faults
+	activeFaults      map[int]bool // active faults, by index in Plan.Faults
 	paused            bool
 	pausedAt          int64
 	pausedUntil       int64
 	ruleChecker       *checker.Replica
 	faultyExecutions  int  // executions that arrived while a fault was active
-	overloadCrash     bool // it is down because of load in its warm-up
+	overloadCrash     bool // the replica is down because of overload during its warm-up
 }
 
 // activeFault returns the first active fault of a kind.
@@ -144,7 +144,7 @@
 		Result: uint8(result)})
 }
 
-// drawDelay draws the network delay of a message: the least delay plus exponential jitter.
+// drawDelay draws the network delay of a message: the minimum delay plus exponential jitter.
 func (r *replica) drawDelay() int64 {
 	return r.NetworkDelay + int64(r.rng.ExpFloat64()*float64(r.NetworkDelay)/4)
 }
--- a/lab/emulator/run.go
+++ b/lab/emulator/run.go
@@ -21,7 +21,7 @@
 	Partial          int              `json:"partial"`
 	Declined         int              `json:"declined"`
 	Forfeited        int              `json:"forfeited"`
-	Revenue          float64          `json:"revenue"` // of complete answers within the latency goal
+	Revenue          float64          `json:"revenue"` // revenue of complete answers within the latency goal
 	MaxRevenue       float64          `json:"most"`    // what Revenue would be if all queries were answered in time
 	Executions       int              `json:"executions"`
 	Retries          int              `json:"further"`
@@ -31,7 +31,7 @@
 	Latencies        []int64          `json:"times_ns"`  // latency of answers in ns at each of Percentiles
 	FaultyExecutions int              `json:"at_faulty"` // executions that reached a replica with an active fault
 	ShareBySecond    []float64        `json:"lines"`     // earned share of the revenue by second of asking; 1 for seconds without queries
-	Workloads        []WorkloadResult `json:"loads"`     // in the order of Plan.Workloads
+	Workloads        []WorkloadResult `json:"loads"`     // counts of each workload, in the order of Plan.Workloads
 	Events           int64            `json:"events"`
 	Violation        string           `json:"broken,omitempty"` // description of the first broken rule, empty for none
 	Rule             int              `json:"rule,omitempty"`
@@ -70,7 +70,7 @@
 	return r
 }
 
-// measured reports whether a query asked at this time is in the counted interval.
+// measured reports whether a query asked at this time belongs to the interval that is measured.
 func (r *Recorder) measured(asked int64) bool {
 	return asked >= r.plan.MeasureFrom && asked < r.plan.MeasureUntil
 }
--- a/lab/emulator/sharedstore.go
+++ b/lab/emulator/sharedstore.go
@@ -19,12 +19,12 @@
 var StoreModes = []string{"none", "good", "late", "flapping", "stale", "liar", "vanished"}
 
 const (
-	storeDelay         = int64(1e6)             // network delay to the store and back, each
+	storeDelay         = int64(1e6)             // network delay to the store, and the same delay back
 	storeClock         = int64(1_700_000_000e9) // store's time at the start of a run
-	storeRoundInterval = int64(500e6)           // between an aggregator's exchanges with the store
-	storeRoundTimeout  = int64(150e6)           // of an exchange
-	staleStart         = int64(10e9)            // from the start of a run until a stale store first falls back
-	staleInterval      = int64(5e9)             // between the later swaps of a stale store's data with an older copy
+	storeRoundInterval = int64(500e6)           // time between an aggregator's exchanges with the store
+	storeRoundTimeout  = int64(150e6)           // maximum time of an exchange
+	staleStart         = int64(10e9)            // time from the start of a run until a stale store first returns to old data
+	staleInterval      = int64(5e9)             // time between the later swaps of a stale store's data with an older copy
 )
 
 var errStoreSilent = errors.New("no reply from the shared store")
@@ -35,7 +35,7 @@
 	body   *sharedhealth.Request
 }
 
-// sharedStore models the shared store, an entity of its own.
+// sharedStore models the shared store as an entity of the simulation.
 type sharedStore struct {
 	emitter
 	*Plan
@@ -43,15 +43,15 @@
 	rng            *rand.Rand
 	rounds         int64 // requests received
 	commands       int64 // commands that a real store would have executed
-	bytes          int64 // payload written and read
+	bytes          int64 // number of payload bytes written and read
 }
 
 // storeData is the content of the store.
 type storeData struct {
-	presence map[string][]byte // by member
-	findings map[string][]byte // by member
-	members  map[string]int64  // by member: time of its last heartbeat
-	tokens   map[string]int64  // by quota and window: units taken
+	presence map[string][]byte // presence record of each member
+	findings map[string][]byte // findings that each member has published
+	members  map[string]int64  // time of each member's last heartbeat
+	tokens   map[string]int64  // queries taken from the quota, by quota and window
 }
 
 func newStoreData() storeData {
@@ -169,7 +169,7 @@
 	exchange    *sharedhealth.Exchange
 	quotaBudget *sharedhealth.QuotaBudget
 	quotas      map[int]int // by workload: index of its quota
-	round       int64       // number of the exchange that is open, or of the last
+	round       int64       // number of the open exchange or, if none is open, of the last one
 	roundOpen   bool
 }
 
--- a/lab/emulator/simulation.go
+++ b/lab/emulator/simulation.go
@@ -35,8 +35,8 @@
 type eventLoop struct {
 	*simulation
 	queue     *eventqueue.Queue
-	outbox    [eventLoopCount][]eventqueue.Event // by receiving loop
-	processed int64                              // number of events
+	outbox    [eventLoopCount][]eventqueue.Event // events for other loops, by receiving loop
+	processed int64                              // number of events processed so far
 }
 
 // emitter lets an entity schedule events. seq orders the events that one entity schedules for the same time.
--- a/lab/emulator/sites.go
+++ b/lab/emulator/sites.go
@@ -11,7 +11,7 @@
 
 // Link is the network between any two sites. Times are in ns.
 type Link struct {
-	Delay       int64   // least delay in each direction
+	Delay       int64   // minimum delay of a message in one direction
 	Loss        float64 // share of messages that are lost once and resent after ResendDelay
 	ResendDelay int64
 	QueryRate   float64 // queries per second that one aggregator may forward to one site
@@ -21,12 +21,12 @@
 const (
 	pingInterval        = int64(500e6)
 	pingTimeout         = int64(1e9)
-	maxForwards         = 2           // forward attempts per query
-	queryBytes          = 3000.0      // of a forwarded query
+	maxForwards         = 2           // maximum number of forward attempts of a query
+	queryBytes          = 3000.0      // size of a forwarded query
 	assumedServiceShare = 0.25        // service time that is assumed until measured, as a share of the latency goal
 	forwardRetryRatio   = 0.1         // second forward attempts allowed per forwarded query and part
 	forwardRetrySlack   = 3           // second forward attempts allowed in addition
-	forwardRetryWindow  = int64(10e9) // interval that this budget covers
+	forwardRetryWindow  = int64(10e9) // interval of the budget for second forward attempts, ns
 )
 
 // siteCount returns the number of sites.
@@ -61,13 +61,13 @@
 	siteBalancer *balance.Aggregator
 	remoteSites  []int                    // the other sites; the index is the number of the link
 	queryNumbers map[*balance.Query]int32 // the emulator's number of each query of siteBalancer
-	forwarded    map[int32]*balance.Query // by that number
+	forwarded    map[int32]*balance.Query // forwarded queries, by the emulator's number
 	attempts     map[int32][]forwardAttempt
-	roundDue     int64         // of the next round of siteBalancer, 0 if none is scheduled
-	lastRound    int64         // of siteBalancer
-	wakeAt       int64         // when gateway is to decide next
+	roundDue     int64         // time of the next round of siteBalancer; 0 if none is scheduled
+	lastRound    int64         // time of the last round of siteBalancer
+	wakeAt       int64         // time of the next decision of gateway
 	pingTurn     int           // selects the aggregator of a site that is pinged, round-robin
-	pingSentAt   map[int]int64 // by link: when the outstanding ping was sent, 0 for none
+	pingSentAt   map[int]int64 // by link: time at which the outstanding ping was sent; 0 for none
 }
 
 // forwardAttempt is one attempt to have a query served by an aggregator of another site.
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -22,10 +22,10 @@
 type Experiment struct {
 	Name     string
 	Question string
-	Seeds    int           // runs of each variant, with the seeds 1 to Seeds
-	Plan     emulator.Plan // common to all variants, which may change parts of it
+	Seeds    int           // number of runs of each variant, with the seeds 1 to Seeds
+	Plan     emulator.Plan // plan of all variants, each of which may change parts of it
 	Variants []Variant
-	Hash     string // of the script's text, in hexadecimal
+	Hash     string // hash of the script's text, in hexadecimal
 }
 
 // Variant is one of the configurations that an experiment compares.
--- a/lab/experiment/play.go
+++ b/lab/experiment/play.go
@@ -16,7 +16,7 @@
 	Format       int         `json:"form"`
 	Name         string      `json:"name"`
 	Question     string      `json:"question"`
-	Hash         string      `json:"script"` // of the script's text
+	Hash         string      `json:"script"` // hash of the script's text
 	Seeds        int         `json:"seeds"`
 	Duration     int64       `json:"span_ns"`
 	MeasureFrom  int64       `json:"count_from_ns"`
@@ -34,23 +34,23 @@
 // Row holds the results of one variant over all seeds. Shares are earned shares of the possible revenue.
 type Row struct {
 	Name             string          `json:"name"`
-	Shares           []float64       `json:"shares"`        // by seed
-	Mean             float64         `json:"mean"`          // of Shares
+	Shares           []float64       `json:"shares"`        // earned share of each seed
+	Mean             float64         `json:"mean"`          // mean of Shares
 	Against          float64         `json:"against_first"` // mean difference from the first variant with the same seed
 	Low              float64         `json:"low"`           // lower end of the 95% confidence interval of Against
 	High             float64         `json:"high"`          // upper end of that interval
 	Verdict          string          `json:"verdict"`
-	Late             float64         `json:"late"` // share of the queries asked, like the next three
+	Late             float64         `json:"late"` // share of the queries asked; Partial, Declined and Forfeited too
 	Partial          float64         `json:"partial"`
 	Declined         float64         `json:"declined"`
 	Forfeited        float64         `json:"forfeited"`
 	Executions       float64         `json:"executions_a_query"`
 	Further          float64         `json:"further_a_query"` // retries per query
 	FaultyExecutions float64         `json:"at_faulty"`       // executions at replicas with a fault, the mean over seeds
-	P50              int64           `json:"p50_ns"`          // median over the seeds, like the next two
+	P50              int64           `json:"p50_ns"`          // median over the seeds; P99 and P999 too
 	P99              int64           `json:"p99_ns"`
 	P999             int64           `json:"p999_ns"`
-	Latencies        []int64         `json:"times_ns"` // in ns at each of emulator.Percentiles, the mean over seeds
+	Latencies        []int64         `json:"times_ns"` // latency in ns at each of emulator.Percentiles, the mean over seeds
 	Workloads        []WorkloadShare `json:"loads"`
 	ShareBySecond    []float64       `json:"lines"`  // share of the revenue by second, the mean over seeds
 	Broken           []string        `json:"broken"` // the first violation of each run that had one
@@ -63,7 +63,7 @@
 	InGoal float64 `json:"in_goal"`
 }
 
-const tableFormat = 1 // of stored tables
+const tableFormat = 1 // version of the format of stored tables
 
 // Runner runs plans, either in the emulator or with real processes on sockets.
 type Runner struct {
@@ -198,7 +198,7 @@
 	return "not told apart"
 }
 
-const resamples = 4000 // of the bootstrap
+const resamples = 4000 // number of resamples of the bootstrap
 
 // ConfidenceInterval returns the 95% confidence interval of the mean of the distribution that x was drawn from, by bootstrap resampling.
 // Its seed is fixed, so the same numbers give the same interval.
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -20,13 +20,13 @@
 
 // Target is an aggregator and the query to send to it.
 type Target struct {
-	URL         string // of the aggregator
+	URL         string // base URL of the aggregator
 	Workload    string // name of the workload, the last part of the path
 	Shards      []int  // each query asks all of them, with equal weights
 	Text        string
-	Timeout     time.Duration // after which the client stops waiting
+	Timeout     time.Duration // time after which the client stops waiting
 	LatencyGoal time.Duration
-	MaxConns    int // 0 for no limit
+	MaxConns    int // maximum number of connections; 0 for no limit
 }
 
 // Outcome holds the results of one measurement.
--- a/lab/modelcheck/explore.go
+++ b/lab/modelcheck/explore.go
@@ -83,7 +83,7 @@
 }
 
 // BreadthFirst explores a scope breadth-first, so that the first broken invariant has the shortest possible trace. It
-// stops after maxStates states. 0 workers stand for one for each core.
+// stops after maxStates states. With workers 0 it uses one worker for each core.
 func BreadthFirst(s Scope, maxStates int64, workers int) Result {
 	x := newExploration(s)
 	r := Result{Scope: s.Name, All: true}
@@ -159,7 +159,7 @@
 const maxLocalStates = 64
 
 // DepthFirst explores a scope depth first, with little memory for each state, for large scopes. It stops once it has
-// visited maxStates states. progress, if not nil, is called now and then with the number of states so far.
+// visited maxStates states or found a broken invariant. progress, if not nil, is called with the number of states every 2^22 states.
 func DepthFirst(s Scope, maxStates int64, workers int, progress func(states int64)) Result {
 	if workers <= 0 {
 		workers = runtime.NumCPU()
--- a/lab/modelcheck/planted/planted.go
+++ b/lab/modelcheck/planted/planted.go
@@ -17,7 +17,7 @@
 	Scope            string
 	Edits            []Edit
 	Slow             bool // only some runs of 300,000 states find it, since it needs many events; CI leaves it out
-	AnswerBeforeSync bool // instead of edits: Scope.AnswerBeforeSync is set
+	AnswerBeforeSync bool // sets Scope.AnswerBeforeSync instead of editing the source
 }
 
 // Edit is one replacement in a source file.
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -32,9 +32,9 @@
 type Op struct {
 	At       string
 	Kind     Kind
-	Revision uint64 // of a Put
-	Body     string // of a Put
-	Out, In  string // of a ReplaceMember: the former and the new member; an empty Out only adds In
+	Revision uint64 // revision that a Put writes
+	Body     string // configuration that a Put writes
+	Out, In  string // former and new member of a ReplaceMember; an empty Out only adds In
 }
 
 // Scope is a system to explore: its machines, operations and possible faults.
@@ -43,9 +43,9 @@
 	Members          []string // members at the first start, whose disks hold this list
 	Spare            []string // machines that start with empty disks and join
 	Ops              []Op
-	Crashes          int  // losses of power; the machine restarts at once, since late messages have the same effect as a longer downtime
-	Wipes            int  // losses of power and disk; never a second one before the first machine has caught up
-	Rounds           int  // queries and ballots that one incarnation of a proposer may start
+	Crashes          int  // maximum number of power losses; machines restart at once, since late messages have the effect of a longer downtime
+	Wipes            int  // maximum number of losses of power and disk; never a second one before the first machine has caught up
+	Rounds           int  // maximum number of queries and ballots of one incarnation of a proposer
 	SlowDisks        bool // a disk's sync is an event of its own; otherwise each write is synced at once
 	LateAnswers      bool // answers to a former incarnation of a machine reach its next one
 	AnswerBeforeSync bool // a deliberate fault for lab/modelcheck/planted: answers are sent before the sync that covers them
@@ -98,7 +98,7 @@
 	joiner         *register.Joiner
 	incarnation    int
 	rounds         int             // queries and ballots that its proposer has started in this incarnation
-	last           register.Ballot // ballot of the last one
+	last           register.Ballot // ballot of the last of these rounds
 	op             int             // 1 + index of the operation that is running, 0 for none
 	floor          uint64          // the highest revision that was acknowledged when that operation began
 	hash           uint64
@@ -116,7 +116,7 @@
 	committed map[uint64]int // index of the body that was acknowledged or read, by revision
 }
 
-// exploration is what all workers of an exploration share.
+// exploration is the state that all workers of one exploration share.
 type exploration struct {
 	Scope
 	names    []string
--- a/lab/propagation/propagation.go
+++ b/lab/propagation/propagation.go
@@ -27,8 +27,8 @@
 }
 
 const (
-	floodFanout = 3 // edges that each edge forwards to; with fewer, the flood misses many edges
-	floodSeeds  = 2 // edges that each controller sends to
+	floodFanout = 3 // number of edges that each edge forwards to; with fewer, the flood misses many edges
+	floodSeeds  = 2 // number of edges that each controller sends to
 )
 
 // location is where a daemon runs.
--- a/lab/rehearsal/rehearsal.go
+++ b/lab/rehearsal/rehearsal.go
@@ -36,20 +36,20 @@
 	controllers        = 3
 	proxies            = 2
 	shards             = 3
-	replicasPerService = 2 // of each shard and of the ledger
+	replicasPerService = 2 // number of replicas of each shard and of the ledger
 	serviceTime        = 8 * time.Millisecond
 	heartbeat          = 300 * time.Millisecond
 	clients            = 8
 	deadlineMs         = 1500
 	ports              = localsettings.Ports(17080)
 	startWait          = 20 * time.Second
-	settleWait         = 1200 * time.Millisecond // after a controller is killed, before the next phase starts
+	settleWait         = 1200 * time.Millisecond // time between the kill of a controller and the start of the next phase
 )
 
 // Phase holds the results of one phase of the rehearsal.
 type Phase struct {
 	Name         string         `json:"name"`
-	Answers      map[string]int `json:"answers"` // by HTTP status, or by error
+	Answers      map[string]int `json:"answers"` // number of answers by HTTP status, or by error
 	MissingParts int            `json:"parts_missing"`
 	MedianMS     float64        `json:"median_ms"`
 	WorstMS      float64        `json:"worst_ms"`
@@ -68,7 +68,7 @@
 	return false
 }
 
-// deployment is the running system.
+// deployment holds the processes, replicas and addresses of the running system.
 type deployment struct {
 	dir            string
 	exe            string
--- a/lab/rolloutcheck/rolloutcheck.go
+++ b/lab/rolloutcheck/rolloutcheck.go
@@ -20,7 +20,7 @@
 	number         = 1 // number of the rollout
 	deadline       = 9 // time by which the rollout must have ended, s
 	maxRequestTime = 2 // maximum time of a request, s
-	replicas       = 4 // replicas of each version
+	replicas       = 4 // number of replicas of each version
 )
 
 var edgeNames = [edges]string{"a", "b"}
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -23,8 +23,8 @@
 // Mutation removes the mechanism of a rule.
 type Mutation struct {
 	Edits   []planted.Edit
-	Package string // package of the test that fails then
-	Test    string // the name of the test, with a subtest after a slash
+	Package string // package of the test that fails without the mechanism
+	Test    string // name of that test, with a subtest after a slash
 }
 
 // Pattern returns the -run pattern of go test that selects exactly the test.
--- a/standin/lab/lab.go
+++ b/standin/lab/lab.go
@@ -30,8 +30,8 @@
 )
 
 const (
-	startupTimeout     = 15 * time.Second      // for a process to pass its first health check
-	healthPollInterval = 20 * time.Millisecond // between two health checks during startup
+	startupTimeout     = 15 * time.Second      // maximum time until a process passes its first health check
+	healthPollInterval = 20 * time.Millisecond // time between two health checks during startup
 	clientSlack        = 50 * time.Millisecond // added to the clients' timeout for the delay of real sockets
 )
 
@@ -51,7 +51,7 @@
 	mu             sync.Mutex
 	tally          *emulator.Recorder
 	dueTimes       map[string]int64 // plan time at which a query was due, by its ID, which the IDs of its parts begin with
-	attemptsByPart map[string]int   // how often a part arrived at a replica, by its ID
+	attemptsByPart map[string]int   // number of times that a part arrived at a replica, by its ID
 	faultyHits     int              // parts that arrived at a replica with an active fault
 }
 
--- a/standin/lab/simreplica.go
+++ b/standin/lab/simreplica.go
@@ -25,7 +25,7 @@
 	rng           *rand.Rand
 	address       string
 	closeListener func()
-	startTime     time.Time // of the last restart during the run; zero if there was none
+	startTime     time.Time // time of the last restart during the run; zero if there was none
 	activeFaults  map[int]bool
 	queued        int
 	paused        chan struct{} // closed at the end of the current pause; nil outside pauses
@@ -149,7 +149,7 @@
 	return time.Duration(min(t, 600e9))
 }
 
-// doWork waits until the given service time has passed, not counting pauses; false if the context ended before.
+// doWork waits until the given service time has passed, not counting pauses. It returns false if the context ends before.
 func (b *simReplica) doWork(ctx context.Context, left time.Duration) bool {
 	for {
 		b.mu.Lock()
@@ -163,7 +163,7 @@
 				return false
 			}
 		}
-		slice := min(left, 5*time.Millisecond) // a pause is noticed at most this much too late
+		slice := min(left, 5*time.Millisecond) // a pause is noticed at most 5 ms too late
 		began := time.Now()
 		select {
 		case <-time.After(slice):
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -17,9 +17,9 @@
 type Conditions struct {
 	Delay     time.Duration // shortest delay of a packet
 	Jitter    time.Duration // upper bound of a random addition to Delay
-	LossDelay time.Duration // added to the delay of a lost packet, as for its retransmission
+	LossDelay time.Duration // additional delay of a lost packet, as for its retransmission
 	Loss      float64       // probability that a packet is lost
-	ByteRate  float64       // bytes a second; 0 for no limit
+	ByteRate  float64       // bytes per second of each connection; 0 for no limit
 	Cut       bool          // data is held back without an error
 }
 
@@ -152,7 +152,7 @@
 			}
 		}
 	}()
-	free := time.Now() // when the link has sent all earlier packets at its byte rate
+	free := time.Now() // time at which all earlier packets of this connection are sent at the byte rate
 	for {
 		b := make([]byte, 4<<10)
 		n, err := from.Read(b)
@@ -209,7 +209,7 @@
 	return d
 }
 
-// waitUntilOpen waits while a direction is cut; false if the context ends before.
+// waitUntilOpen waits while a direction is cut. It returns false if the context ends before.
 func (l *Link) waitUntilOpen(ctx context.Context, reversed bool) bool {
 	for {
 		l.mu.Lock()
--- a/standin/redis/commands.go
+++ b/standin/redis/commands.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// execute executes a command, unless the fault replaces its reply, and returns the encoded reply.
+// execute returns the encoded reply to a command. It executes the command unless the reply is that of a fault or an error.
 func (s *Server) execute(client *session, f Fault, args []string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/redis/redis.go
+++ b/standin/redis/redis.go
@@ -22,7 +22,8 @@
 	maxArgumentBytes = 1 << 20
 )
 
-// Fault describes how the server misbehaves; the zero value is no fault. All faults but Refuse affect existing connections too.
+// Fault describes how the server misbehaves; the zero value is no fault. All faults but Refuse affect existing connections too. Error,
+// BulkLength, ArrayLength and CorruptBulk do not affect the replies to HELLO, AUTH and QUIT.
 type Fault struct {
 	Refuse       bool          // new connections are closed as soon as they are accepted
 	Delay        time.Duration // wait before each command is executed
@@ -31,7 +32,7 @@
 	CutAfter     int           // the connection closes after this many bytes of a reply; 0 for never
 	StallAfter   int           // the reply stops after this many bytes and the connection stays open; 0 for never
 	ByteInterval time.Duration // wait after each byte of a reply
-	Error        string        // reply to every command but HELLO, AUTH and QUIT, such as "LOADING ..."
+	Error        string        // reply to every command, such as "LOADING ..."; empty for no fault
 	BulkLength   int64         // every bulk string is announced with this length and its data is not sent; 0 for no fault
 	ArrayLength  int64         // every reply is the header of an array of this length without elements; 0 for no fault
 	CorruptBulk  bool          // the middle byte of every bulk string is changed
@@ -41,15 +42,15 @@
 // Server is a stand-in Redis server. Its zero value is empty and needs no password.
 type Server struct {
 	mu           sync.Mutex
-	username     string // for AUTH; empty for the default user
-	password     string // empty if clients need no authentication
+	username     string // user name that AUTH expects; empty for the default user
+	password     string // password that AUTH expects; empty if clients need no authentication
 	fault        Fault
 	faultChanged chan struct{} // closed when the fault changes
 	data         map[string]value
 	snapshot     map[string]value // saved by SaveSnapshot
 	conns        map[net.Conn]struct{}
 	commandCount int64            // replies made, whether they were written or not
-	bytesWritten int64            // length of these replies
+	bytesWritten int64            // length of the replies counted by commandCount, bytes
 	countByName  map[string]int64 // commands handled, by name in capitals
 }
 
@@ -121,7 +122,7 @@
 	return len(s.conns)
 }
 
-// Traffic returns how many commands were executed and how long their replies were in all, in bytes.
+// Traffic returns the number of replies made, whether they were written or not, and their total length in bytes.
 func (s *Server) Traffic() (commands, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -216,7 +217,7 @@
 	}
 }
 
-// wait waits for a time or until the fault changes; false if the context ends before.
+// wait waits for a time or until the fault changes. It returns false if the context ends before.
 func (s *Server) wait(ctx context.Context, d time.Duration) bool {
 	s.mu.Lock()
 	if s.faultChanged == nil {
@@ -233,7 +234,7 @@
 	return true
 }
 
-// write writes a reply as the fault demands; false if the connection must be closed.
+// write writes a reply as the fault demands. It returns false if the connection must be closed.
 func (s *Server) write(ctx context.Context, conn net.Conn, f Fault, reply []byte) bool {
 	s.mu.Lock()
 	s.commandCount++
--- a/standin/sites/load.go
+++ b/standin/sites/load.go
@@ -105,8 +105,8 @@
 type Tally struct {
 	Asked      int
 	Outcomes   [6]int
-	Revenue    float64 // of the queries answered within the goal
-	MaxRevenue float64 // of all queries, as if all had been answered within the goal
+	Revenue    float64 // revenue of the queries answered within the goal
+	MaxRevenue float64 // revenue if all queries had been answered within the goal
 	Latencies  []time.Duration
 }
 
--- a/standin/sites/sites.go
+++ b/standin/sites/sites.go
@@ -35,24 +35,24 @@
 // Config describes the sites to start.
 type Config struct {
 	Binary            string // path of the program
-	Dir               string // for the files of the testbed; not to be shared with another one
+	Dir               string // folder for the files of the testbed; not to be shared with another testbed
 	SiteNames         []string
-	ProcessesPerSite  int    // processes of a site, each of which serves clients and is a gateway
+	ProcessesPerSite  int    // number of processes of a site, each of which serves clients and is a gateway
 	Isolated          bool   // the sites have no gateways to each other
-	Policy            string // of the gateways: plan, all or half
+	Policy            string // routing policy of the gateways: plan, all or half
 	HTTP2             bool
 	PartDuration      time.Duration // processing time of one part
 	WorkersPerReplica int           // parts that a replica processes at the same time
 	ReplicasPerShard  int
 	LinkQueryRate     float64            // queries a second that each process may forward over a link
 	LinkByteRate      int64              // bytes a second that each process may send over a link
-	LinkConditions    link.Conditions    // of each direction of each link
-	Revenue           map[string]float64 // of a query answered within its goal, by workload; 1 for others
+	LinkConditions    link.Conditions    // conditions of each direction of each link
+	Revenue           map[string]float64 // revenue of a query answered within its goal, by workload; 1 for workloads without an entry
 	Evacuated         []string           // sites whose operator evacuates them from the start
 	Script            string             // additional statements of every process's operator script
 	MaxHeld           int                // queries and parts that a process may hold at a time; 0 for 200
 	MaxSockets        int                // socket descriptors that a process may use; 0 for 512
-	ShardCount        int                // shards of each site; 0 for DefaultShards
+	ShardCount        int                // number of shards of each site; 0 for DefaultShards
 }
 
 func (s *Config) shards() int { return cmp.Or(s.ShardCount, DefaultShards) }
@@ -63,8 +63,8 @@
 	ClientTimeout      = 3 * time.Second
 	LatencyGoal        = 1500 * time.Millisecond
 	clientSlack        = 50 * time.Millisecond // added to the clients' timeout for the delay of real sockets
-	startupTimeout     = 10 * time.Second      // for a process to pass its first health check
-	healthPollInterval = 20 * time.Millisecond // between two health checks during startup
+	startupTimeout     = 10 * time.Second      // maximum time until a process passes its first health check
+	healthPollInterval = 20 * time.Millisecond // time between two health checks during startup
 )
 
 // Workloads are the workloads of every site. Repeated executions are harmless for look, are recognised and ignored by replicas for
@@ -75,12 +75,12 @@
 type Testbed struct {
 	Config
 	Sites   map[string]*Site
-	Links   map[string]*link.Link // by "FROM>TO"
+	Links   map[string]*link.Link // links by "FROM>TO", the names of the two sites
 	closers []func()
 	client  *http.Client
 
 	mu         sync.Mutex
-	executions map[string]int // by part ID, at all sites together
+	executions map[string]int // number of executions of each part at all sites together, by part ID
 }
 
 // Site is one running site.
--- a/standin/systemreplica/systemreplica.go
+++ b/standin/systemreplica/systemreplica.go
@@ -20,15 +20,15 @@
 
 const (
 	recordsPerPart = 6
-	callTimeout    = time.Second // of a call to a controller
+	callTimeout    = time.Second // maximum time of a call to a controller
 )
 
 // Replica is a stand-in replica of one service. Its settings must not change after Start.
 type Replica struct {
 	ID, Service, Zone string
 	WorkTime          time.Duration // processing time of one request
-	HeartbeatInterval time.Duration // between two heartbeats
-	ControlAddresses  []string      // of the controllers; calls begin with the one that answered last
+	HeartbeatInterval time.Duration // time between two heartbeats
+	ControlAddresses  []string      // addresses of the controllers; calls begin with the one that answered last
 
 	Executions   atomic.Int64 // requests that the replica has begun to process
 	callSeq      int64
