--- a/lab/controllercheck/controllercheck.go
+++ b/lab/controllercheck/controllercheck.go
@@ -56,13 +56,13 @@
 	return strings.Join(words, ", ")
 }
 
-// Violation is an invariant that a schedule broke.
+// Violation describes a broken invariant and the schedule that broke it.
 type Violation struct {
 	Schedule Schedule
 	Text     string
 }
 
-// Result is the result of an exploration.
+// Result says how many schedules an exploration ran, and the first violation that it found.
 type Result struct {
 	Scope string
 	Runs  int64
--- a/lab/controllercheck/scopes.go
+++ b/lab/controllercheck/scopes.go
@@ -26,7 +26,7 @@
 	Replica  string
 }
 
-// ActionKind is the type of an action.
+// ActionKind says what happens in an action.
 type ActionKind uint8
 
 // The kinds of actions.
--- a/lab/controlsim/overbudget_test.go
+++ b/lab/controlsim/overbudget_test.go
@@ -12,7 +12,7 @@
 
 const (
 	recoveryTime = 12 * time.Second // within this time after all machines are back, a quarter of the requests must be served again
-	settleTime   = 3 * time.Second  // contact with a peer counts for 1.6 s, and a controller that is silent for 2.5 s may be replaced as a member
+	settleTime   = 3 * time.Second  // time after the partition before orders are sent: contact with a peer counts for 1.6 s, and a controller that is silent for 2.5 s may be replaced as a member
 	maxAckTime   = 2 * time.Second
 )
 
--- a/lab/controlsim/plan.go
+++ b/lab/controlsim/plan.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// FaultKind is the type of a fault.
+// FaultKind names what a fault does, as it is written in a plan.
 type FaultKind string
 
 // The kinds of faults. The field Machine of Fault names the affected machine; "all" stands for all controllers.
@@ -61,7 +61,7 @@
 	Once       bool          `json:"once,omitempty"` // a single attempt, without a retry at another controller
 }
 
-// ActionKind is the type of an Action.
+// ActionKind names what an operator or a replica does in an Action, as it is written in a plan.
 type ActionKind string
 
 // The kinds of actions.
--- a/lab/emulator/eventqueue/eventqueue.go
+++ b/lab/emulator/eventqueue/eventqueue.go
@@ -12,7 +12,7 @@
 	"slices"
 )
 
-// Event is an event at one entity. No two events have the same At, From and Seq. The fields from Result on are the sender's.
+// Event is an event at one entity. No two events have the same At, From and Seq; the queue reads no other fields.
 type Event struct {
 	At   int64  // time of the event, ns
 	From int32  // entity that scheduled it
--- a/lab/emulator/processor.go
+++ b/lab/emulator/processor.go
@@ -23,7 +23,7 @@
 type processor struct {
 	freeAt    int64
 	queue     []eventqueue.Event
-	scheduled bool               // an eventProcessorFree is scheduled for the first in the queue
+	scheduled bool               // an eventProcessorFree is scheduled for the first queued event
 	detector  *overload.Detector // nil for no overload detection
 
 	lastReading int64 // time of the last reading
--- a/lab/emulator/simulation.go
+++ b/lab/emulator/simulation.go
@@ -11,7 +11,8 @@
 )
 
 // eventLoopCount is the number of event loops that the entities are divided over. It does not depend on the machine. The result
-// does not depend on it either: each entity handles its events in their order, and entities share nothing but events.
+// does not depend on it either: each entity handles its events in their order, and entities share nothing but events and oracleViews,
+// which change only between intervals.
 const eventLoopCount = 16
 
 // entity is an aggregator, a replica or the shared store.
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load sends queries to a running aggregator over HTTP, at a constant rate or from a fixed number of clients, and finds the
-// highest rate at which enough queries are answered within the goal. Latency counts from the time when a query was due, so that a slow
-// aggregator doesn't look fast because its clients wait for it.
+// Package load sends queries to a running aggregator over HTTP, at a given mean rate or from a fixed number of clients, and finds the
+// highest rate at which the wanted share of the queries is answered within the goal. Latency counts from the time when a query was due,
+// so that a slow aggregator doesn't look fast because its clients wait for it.
 package load
 
 import (
@@ -190,8 +190,8 @@
 	return a.StatusCode
 }
 
-// FindMaxRate finds the highest rate at which the share of queries within the goal is at least wanted. It multiplies the rate by factor
-// until the share is lower, then bisects. measure measures one rate, and is called at most maxSteps times.
+// FindMaxRate finds the highest rate at which the share of queries within the goal is at least wantedShare. It multiplies the rate by
+// factor until the share is lower, then bisects to within 5%. measure measures one rate, and is called at most maxSteps times.
 func FindMaxRate(first, factor float64, maxSteps int, wantedShare float64, measure func(rate float64) *Outcome) (outcomes []*Outcome, best float64) {
 	low, high := 0.0, 0.0
 	for rate, n := first, 0; n < maxSteps; n++ {
--- a/lab/modelcheck/explore.go
+++ b/lab/modelcheck/explore.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 )
 
-// Result is the result of an exploration.
+// Result says how much of a scope an exploration visited, and which invariant it found broken.
 type Result struct {
 	Scope  string
 	States int64    // number of different states visited
--- a/lab/modelcheck/modelcheck_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -25,7 +25,7 @@
 			r := BreadthFirst(s, maxStates, 0)
 			t.Log(r)
 			must.Eq(t, "", r.Broken)
-			if *only != "" { // a depth-first search is faster at finding faults that need many events
+			if *only != "" { // faults that need many events are found sooner by a depth-first search
 				r = DepthFirst(s, 5*mutantStates, 0, nil)
 				t.Log(r)
 				must.Eq(t, "", r.Broken)
--- a/lab/rolloutcheck/rolloutcheck.go
+++ b/lab/rolloutcheck/rolloutcheck.go
@@ -61,7 +61,7 @@
 	return all
 }
 
-// Result is the result of an exploration.
+// Result says how many states an exploration visited, and which invariant it found broken.
 type Result struct {
 	States int
 	Broken string   // the broken invariant, empty for none
--- a/standin/lab/lab.go
+++ b/standin/lab/lab.go
@@ -46,7 +46,7 @@
 	processes        []*exec.Cmd
 	closers          []func()
 	client           *http.Client
-	runStart         time.Time // when the clients start; plan times count from here
+	runStart         time.Time // time at which the clients start and from which plan times count
 
 	mu             sync.Mutex
 	tally          *emulator.Recorder
