--- a/lab/controllercheck/controllercheck.go
+++ b/lab/controllercheck/controllercheck.go
@@ -22,7 +22,7 @@
 	Kind  Kind
 }
 
-// Kind is the type of a deviation.
+// Kind says what a deviation does to an event or to the machine that receives it.
 type Kind uint8
 
 // The kinds of deviations. The last three affect the machine that receives the event. A save that is not finished is lost with a kill
--- a/lab/controllercheck/scopes.go
+++ b/lab/controllercheck/scopes.go
@@ -29,7 +29,7 @@
 // ActionKind says what happens in an action.
 type ActionKind uint8
 
-// The kinds of actions.
+// The kinds of actions. Order, Read and Drain are requests to a machine; the others start, stop or restart machines.
 const (
 	Start    ActionKind = iota // a machine with an empty disk starts
 	Leave                      // the machine announces its shutdown and ends after shutdownWait, for good
@@ -63,7 +63,7 @@
 	return n < s.MaxEmptied
 }
 
-// Scopes lists all scopes.
+// Scopes lists the small systems that the tests explore, one for each kind of change or fault.
 var Scopes = []Scope{
 	{Name: "replacement", Members: []string{"a", "b", "c"}, Window: 3500 * millisecond, Size: 3, Actions: []Action{
 		{At: 0, Machine: "c", Do: Remove},
--- a/lab/controllercheck/world.go
+++ b/lab/controllercheck/world.go
@@ -77,7 +77,7 @@
 	lastCall           uint64
 	acknowledged       map[uint64]string   // acknowledged contents by revision
 	epochs             map[uint64][]string // members of committed values, by epoch
-	newestAcknowledged uint64              // newest acknowledged revision
+	newestAcknowledged uint64              // highest revision that was acknowledged
 	receiveBlockUsed   bool                // the scope's machine has been blocked once already
 	violation          string              // the first violation, empty for none
 }
@@ -258,7 +258,7 @@
 	w.scheduleAt(w.now+receiveBlockTime, &event{deliver: func() { m.receiveBlocked = false }})
 }
 
-// runAction runs a scripted action.
+// runAction starts, stops or restarts the machine of a scripted action, or sends it the action's request.
 func (w *world) runAction(a Action) {
 	switch a.Do {
 	case Start:
--- a/lab/controlsim/checker/checker.go
+++ b/lab/controlsim/checker/checker.go
@@ -41,10 +41,10 @@
 	cutDelay               = int64(time.Millisecond)        // an attempt counts as sent during a cut from this time after the start of the cut
 	noLimit                = int64(Never)
 	minIdleAttempts        = 3 // minimum number of calls in a row that a connected controller fails
-	maxViolationsPerCheck  = 3 // violations reported for one check
+	maxViolationsPerCheck  = 3 // maximum number of violations reported for one check
 )
 
-// runChecker checks one history.
+// runChecker holds one history, what was derived from it, and the violations found so far.
 type runChecker struct {
 	History
 	stability        *stability
@@ -340,7 +340,7 @@
 	return 0, false
 }
 
-// checkAnswers checks that orders and reads get a definite answer while the controllers are settled.
+// checkAnswers checks that orders and reads get a definite answer within OrderAck while the controllers are settled.
 func (j *runChecker) checkAnswers() {
 	for _, o := range j.Orders {
 		ended := o.Ended
@@ -362,7 +362,8 @@
 	}
 }
 
-// waitedTooLong reports whether a call had no answer for OrderAck while no controller and no link had a fault, and when that time was up.
+// waitedTooLong reports whether a call had no answer for OrderAck while the controllers were settled, no fault began or ended, and no
+// link had a fault. It also returns the end of that time.
 func (j *runChecker) waitedTooLong(sent, ended int64) (int64, bool) {
 	for from := sent; from+j.Bounds.OrderAck < ended; from += sampleInterval {
 		until := from + j.Bounds.OrderAck
--- a/lab/controlsim/checker/history.go
+++ b/lab/controlsim/checker/history.go
@@ -15,7 +15,7 @@
 // Outcome is the result of an order as its operator knows it.
 type Outcome uint8
 
-// The outcomes of an order.
+// The outcomes of an order. An operator stops retrying after Acknowledged or Refused.
 const (
 	Unclear Outcome = iota // no definite answer: the order may be in force now or later
 	Acknowledged
--- a/lab/controlsim/checker/stability.go
+++ b/lab/controlsim/checker/stability.go
@@ -115,7 +115,8 @@
 }
 
 // settled reports whether at a time more than half of the controllers are free of faults and no controller's fault has begun or ended
-// within the contact time, twice that after a fault of most controllers. Faults that last may go on, except impaired controllers.
+// within the contact time, or twice that time for a fault of most controllers. Faults that began earlier may still last, except those
+// that impair a controller, its disk or its links.
 func (c *stability) settled(at int64) bool {
 	contact := c.history.Bounds.Contact
 	return c.events.overlapsNone(at-contact, at) && c.slow.overlapsNone(at-contact, at) && c.majorFaults.overlapsNone(at-2*contact, at) && c.healthyMajority(at, at)
--- a/lab/controlsim/clients.go
+++ b/lab/controlsim/clients.go
@@ -135,7 +135,7 @@
 type order struct {
 	world      *world
 	body       []byte
-	record     checker.Order // for the history
+	record     checker.Order // what the checker is told about the order
 	attempts   int
 	backoff    int64
 	once       bool
--- a/lab/controlsim/machine.go
+++ b/lab/controlsim/machine.go
@@ -4,7 +4,7 @@
 type machine struct {
 	world        *world
 	name         string
-	isController bool // the machine of a controller
+	isController bool // a controller runs on this machine, not an edge
 	powered      bool
 	up           bool     // a process is running
 	frozen       bool     // the process is suspended
@@ -62,7 +62,7 @@
 	m.world.network.processEnded(m, silently)
 }
 
-// freeze suspends the process.
+// freeze suspends the process, if one is running.
 func (m *machine) freeze() { m.frozen = m.up }
 
 // thaw resumes a suspended process and runs, in order, what has been waiting for it.
--- a/lab/controlsim/plan.go
+++ b/lab/controlsim/plan.go
@@ -64,7 +64,7 @@
 // ActionKind names what an operator or a replica does in an Action, as it is written in a plan.
 type ActionKind string
 
-// The kinds of actions.
+// The kinds of actions. Orders and reads come from an operator, drains and departures from a replica.
 const (
 	ActionOrder ActionKind = "order"
 	ActionRead  ActionKind = "read"
@@ -111,7 +111,7 @@
 	Apply    time.Duration `json:"apply"`     // from an acknowledgement until each connected edge uses the revision
 	Stretch  time.Duration `json:"stretch"`   // added to Apply while only a majority of the controllers is free of faults
 	Drain    time.Duration `json:"drain"`     // from the acknowledgement of a drain until each connected edge has stopped sending to the replica
-	OrderAck time.Duration `json:"order_ack"` // maximum time of an order or a read while no controller has a fault
+	OrderAck time.Duration `json:"order_ack"` // maximum time of an order or a read while the controllers are settled and no link has a fault
 	CatchUp  time.Duration `json:"catch_up"`  // time that a controller needs after a fault before it counts for a majority again
 }
 
--- a/lab/controlsim/scenarios.go
+++ b/lab/controlsim/scenarios.go
@@ -33,7 +33,7 @@
 // maxStartSpread is the maximum delay between the starts of machines that start together.
 const maxStartSpread = time.Duration(startSpread)
 
-// Scenarios lists all scenarios.
+// Scenarios lists the random and all scripted scenarios.
 var Scenarios = []Scenario{RandomFaults, IsolatedController, ConflictingOrders, ConsecutiveLosses, ThreeControllers, MissedChanges,
 	SplitInHalves, TotalPowerLoss, OverlappingLosses, DepartureWithoutDrain, MissedDeparture}
 
--- a/lab/emulator/aggregator.go
+++ b/lab/emulator/aggregator.go
@@ -30,8 +30,8 @@
 	originAggregator int32         // if forwardedIn: the aggregator that forwarded it here
 	originQuery      int32         // if forwardedIn: the query's number there
 	originAttempt    int16         // if forwardedIn: the forward attempt there
-	forwardedIn      bool          // it came from another site
-	forwardedOut     bool          // it is served by another site
+	forwardedIn      bool          // the query came from another site
+	forwardedOut     bool          // the query is served by another site
 	link             int           // if forwardedOut: the link to that site
 	parts            [][]execution // the executions of each part
 	weights          []float64
--- a/lab/emulator/baselines/baselines.go
+++ b/lab/emulator/baselines/baselines.go
@@ -52,7 +52,7 @@
 	shard       int // -1 before it is first listed
 	up          bool
 	inFlight    int
-	meanLatency float64 // moving average, ns
+	meanLatency float64 // moving average of the latencies of executions, ns
 	meanAt      int64   // time of the last update of meanLatency, ns
 }
 
@@ -72,7 +72,7 @@
 	arrivedAt int64
 	parts     []part
 	ended     bool
-	inFlight  int // executions in flight
+	inFlight  int // number of executions in flight
 }
 
 // Baseline makes the decisions of one aggregator.
--- a/lab/emulator/checker/checker.go
+++ b/lab/emulator/checker/checker.go
@@ -32,7 +32,7 @@
 	MinCoverage   float64 // minimum share of the weight for an answer with values
 	FullCoverage  float64 // minimum share of the weight for a whole answer
 	MaxExecutions int     // maximum number of executions of one part, the first included
-	Budgeted      bool    // the retry budget below applies
+	Budgeted      bool    // RetrySlack and RetryRatio limit the retries
 	RetrySlack    float64 // number of retries allowed in any RetryWindow
 	RetryRatio    float64 // additional retries allowed for each query and each part received in a RetryWindow
 	RetryWindow   int64
@@ -59,7 +59,7 @@
 	return fmt.Sprintf("%s at %.6f s, %s: %s", what, float64(v.At)/1e9, v.Subject, v.Text)
 }
 
-// Aggregator checks one aggregator.
+// Aggregator checks what one aggregator sends, forwards and answers against the rules.
 type Aggregator struct {
 	Bounds
 	Name            string
--- a/lab/emulator/hunt/hunt.go
+++ b/lab/emulator/hunt/hunt.go
@@ -14,10 +14,10 @@
 // Config bounds the search. Times are in ns from the start of a run.
 type Config struct {
 	Seed                uint64
-	MaxSchedules        int      // schedules to try, without those of the minimization
-	MaxFaults           int      // faults per schedule
+	MaxSchedules        int      // maximum number of schedules to try, without those of the minimization
+	MaxFaults           int      // maximum number of faults in a schedule
 	Replicas            int      // number of replicas of the fleet
-	MaxReplicasPerFault int      // replicas that one fault may affect
+	MaxReplicasPerFault int      // maximum number of replicas that one fault may affect
 	From                int64    // earliest start of a fault
 	Until               int64    // latest end of a fault
 	Kinds               []string // kinds of faults to use; empty for all of emulator.FaultKinds
@@ -90,7 +90,7 @@
 	return result
 }
 
-// randomFault draws a fault.
+// randomFault draws a fault's kind, replicas, times and strength.
 func (c *Config) randomFault(rng *rand.Rand) emulator.Fault {
 	span := c.Until - c.From
 	length := int64(minFaultNs) + rng.Int64N(max(span/2, 1))
--- a/lab/emulator/plan.go
+++ b/lab/emulator/plan.go
@@ -16,7 +16,7 @@
 type Plan struct {
 	Policy                    string // "module", or one of baselines.Policies
 	Seed                      uint64
-	Duration                  int64 // how long clients send queries
+	Duration                  int64 // time during which clients send queries
 	MeasureFrom, MeasureUntil int64 // only queries asked in this interval are counted
 
 	Aggregators, Replicas int
--- a/lab/emulator/processor.go
+++ b/lab/emulator/processor.go
@@ -24,9 +24,9 @@
 	freeAt    int64
 	queue     []eventqueue.Event
 	scheduled bool               // an eventProcessorFree is scheduled for the first queued event
-	detector  *overload.Detector // nil for no overload detection
+	detector  *overload.Detector // overload detector; nil for none
 
-	lastReading int64 // time of the last reading
+	lastReading int64 // time of the last reading that the detector got
 	cpuTime     int64 // processor time used since the last reading, ns
 	waitTime    int64 // total wait of the events dequeued since the last reading, ns
 	dequeued    int64 // number of events dequeued since the last reading
--- a/lab/emulator/run.go
+++ b/lab/emulator/run.go
@@ -55,7 +55,7 @@
 	Result
 	plan      *Plan
 	latencies *hdrhistogram.Histogram
-	earned    []float64 // revenue by second of asking
+	earned    []float64 // earned revenue by second of asking
 	possible  []float64 // revenue by second of asking, if all queries were answered in time
 }
 
--- a/lab/emulator/sharedstore.go
+++ b/lab/emulator/sharedstore.go
@@ -96,7 +96,7 @@
 }
 
 func (s *sharedStore) handle(now int64, e eventqueue.Event) {
-	if e.Kind == eventFaultRepeats { // the mode "stale"
+	if e.Kind == eventFaultRepeats { // only the mode "stale" schedules this event
 		previous := s.current.clone()
 		s.current, s.stale = s.stale, previous
 		s.emit(now, eventqueue.Event{At: now + staleInterval, To: s.entityID, Kind: eventFaultRepeats})
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -18,7 +18,7 @@
 	"willowsill/lab/experiment/constoverride"
 )
 
-// Experiment is the content of a script.
+// Experiment is the content of a script: a question, a plan, and the variants to compare.
 type Experiment struct {
 	Name     string
 	Question string
--- a/lab/experiment/play.go
+++ b/lab/experiment/play.go
@@ -38,7 +38,7 @@
 	Mean             float64         `json:"mean"`          // mean of Shares
 	Against          float64         `json:"against_first"` // mean difference from the first variant with the same seed
 	Low              float64         `json:"low"`           // lower end of the 95% confidence interval of Against
-	High             float64         `json:"high"`          // upper end of that interval
+	High             float64         `json:"high"`          // upper end of the 95% confidence interval of Against
 	Verdict          string          `json:"verdict"`
 	Late             float64         `json:"late"` // share of the queries asked; Partial, Declined and Forfeited too
 	Partial          float64         `json:"partial"`
--- a/lab/localsettings/localsettings.go
+++ b/lab/localsettings/localsettings.go
@@ -48,8 +48,8 @@
 	Role, IP, Zone string
 	SeedNodes      []string // control addresses of the controllers
 	Heartbeat      time.Duration
-	DataDir        string // only for controllers
-	MemoryMB       int    // memory limit, 0 for none
+	DataDir        string // folder for saved state; only for controllers
+	MemoryMB       int    // memory limit in MB; 0 for none
 	GraceS         int    // seconds between SIGTERM and the end of the process
 }
 
--- a/lab/modelcheck/step.go
+++ b/lab/modelcheck/step.go
@@ -10,7 +10,7 @@
 	"willowsill/decide/register"
 )
 
-// The kinds of events.
+// The kinds of events. The kind says whether event.subject is an operation, a message or a machine.
 const (
 	eventOp      uint8 = iota + 1 // an operation begins
 	eventDeliver                  // a message is delivered
--- a/lab/modelcheck/world.go
+++ b/lab/modelcheck/world.go
@@ -17,14 +17,14 @@
 	"willowsill/decide/register"
 )
 
-// Kind is the type of an operation.
+// Kind says whether an operation writes or reads the configuration, or changes the members.
 type Kind uint8
 
-// The kinds of operations.
+// The kinds of operations. An operator asks for a Put or a Read, a controller for a ReplaceMember.
 const (
 	Put           Kind = iota // an operator writes a configuration
 	Read                      // an operator reads the configuration
-	ReplaceMember             // the members change
+	ReplaceMember             // a member is added, or takes the place of another
 )
 
 // Op is one operation, which the machine At runs at most once, at any moment. Its caller gets no answer if that machine loses
@@ -144,7 +144,7 @@
 
 func (x *exploration) incarnationName(name string, n int) string { return fmt.Sprint(name, "/", n) }
 
-// first returns the initial state.
+// first returns the initial state: the members' disks hold the first list of members, and the spare machines join.
 func (x *exploration) first() *world {
 	w := &world{committed: map[uint64]int{}}
 	for i, n := range x.names {
--- a/lab/rolloutcheck/rolloutcheck.go
+++ b/lab/rolloutcheck/rolloutcheck.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	second         = 1_000_000_000 // ns
+	second         = 1_000_000_000 // a second in ns
 	edges          = 2
 	managers       = 2
 	number         = 1 // number of the rollout
--- a/lab/rules/rules.go
+++ b/lab/rules/rules.go
@@ -49,7 +49,7 @@
 // Heading is the heading of the table.
 const Heading = "| rule | broken where | kept by | fails without it | kinds of days |\n|---|---|---|---|---|"
 
-// Table returns the page's table.
+// Table returns all rules as the table of docs/rules.md.
 func Table() string {
 	rows := []string{Heading}
 	for _, r := range All {
--- a/standin/lab/simreplica.go
+++ b/standin/lab/simreplica.go
@@ -18,7 +18,7 @@
 type simReplica struct {
 	*testbed
 	index   int
-	speed   float64 // factor on the service time
+	speed   float64 // factor on the service time; below 1 for a fast replica
 	workers chan struct{}
 
 	mu            sync.Mutex // guards the fields below
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// packet is the data of one read and the time at which it leaves the link.
+// packet is the data of one read and the earliest time at which it leaves the link.
 type packet struct {
 	bytes   []byte
 	arrival time.Time
--- a/standin/redis/commands.go
+++ b/standin/redis/commands.go
@@ -14,7 +14,7 @@
 	text      string
 	hash      map[string]string
 	scores    map[string]float64
-	expiresAt time.Time // zero if the key does not expire
+	expiresAt time.Time // time at which the key expires; zero if it does not
 }
 
 func (v value) copy() value {
--- a/standin/redis/redis.go
+++ b/standin/redis/redis.go
@@ -36,7 +36,7 @@
 	BulkLength   int64         // every bulk string is announced with this length and its data is not sent; 0 for no fault
 	ArrayLength  int64         // every reply is the header of an array of this length without elements; 0 for no fault
 	CorruptBulk  bool          // the middle byte of every bulk string is changed
-	ClockSkew    time.Duration // added to the clock that TIME returns
+	ClockSkew    time.Duration // difference of the clock that TIME returns from the real one
 }
 
 // Server is a stand-in Redis server. Its zero value is empty and needs no password.
@@ -47,7 +47,7 @@
 	fault        Fault
 	faultChanged chan struct{} // closed when the fault changes
 	data         map[string]value
-	snapshot     map[string]value // saved by SaveSnapshot
+	snapshot     map[string]value // copy of data that SaveSnapshot made
 	conns        map[net.Conn]struct{}
 	commandCount int64            // replies made, whether they were written or not
 	bytesWritten int64            // length of the replies counted by commandCount, bytes
@@ -106,7 +106,7 @@
 	return s.fault
 }
 
-// CloseConnections closes all connections.
+// CloseConnections closes all open connections. Clients may connect again.
 func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +149,7 @@
 	}
 }
 
-// Clear deletes all data.
+// Clear deletes the data of all databases, but not the snapshot.
 func (s *Server) Clear() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,7 +189,7 @@
 type session struct {
 	resp3         bool // the client has chosen RESP3 over RESP2
 	authenticated bool
-	database      int // chosen by SELECT
+	database      int // number of the database chosen by SELECT
 }
 
 // serveConnection reads, executes and answers commands one after the other until the connection ends or a fault closes it.
--- a/standin/sites/load.go
+++ b/standin/sites/load.go
@@ -16,11 +16,11 @@
 // Outcome classifies how a query ended, as its client saw it.
 type Outcome uint8
 
-// The outcomes of a query.
+// The outcomes of a query. A query has exactly one of them.
 const (
 	InGoal   Outcome = iota // a correct answer within LatencyGoal
 	Late                    // a correct answer after LatencyGoal
-	Declined                // status 503
+	Declined                // an answer with status 503
 	Failed                  // any other status than 200 and 503
 	Lost                    // no answer within the client's timeout
 	Wrong                   // an answer that does not match the query
--- a/standin/sites/sites.go
+++ b/standin/sites/sites.go
@@ -83,7 +83,7 @@
 	executions map[string]int // number of executions of each part at all sites together, by part ID
 }
 
-// Site is one running site.
+// Site is one running site with its replicas, discovery service and processes.
 type Site struct {
 	testbed          *Testbed
 	name             string
