--- a/lab/controllercheck/controllercheck.go
+++ b/lab/controllercheck/controllercheck.go
@@ -18,11 +18,11 @@
 
 // Deviation is a fault of one event of a schedule.
 type Deviation struct {
-	Event int // number of the event among those that may have a deviation
+	Event int // position of the event among those that may have a deviation
 	Kind  Kind
 }
 
-// Kind is the type of a deviation.
+// Kind says what a deviation does to an event or to the machine that receives it.
 type Kind uint8
 
 // The kinds of deviations. The last three affect the machine that receives the event. A save that is not finished is lost with a kill
@@ -34,7 +34,7 @@
 	Twice                // a message is delivered again 300 ms later
 	Killed
 	Unpowered
-	Emptied // loses its power and its disk
+	Emptied // the machine loses its power and its disk
 	kindCount
 )
 
@@ -56,13 +56,13 @@
 	return strings.Join(words, ", ")
 }
 
-// Violation is an invariant that a schedule broke.
+// Violation describes a broken invariant and the schedule that broke it.
 type Violation struct {
 	Schedule Schedule
 	Text     string
 }
 
-// Result is the result of an exploration.
+// Result says how many schedules an exploration ran, and the first violation that it found.
 type Result struct {
 	Scope string
 	Runs  int64
@@ -76,7 +76,8 @@
 	return fmt.Sprintf("%s: %d schedules, broken: %s (%s)", r.Scope, r.Runs, r.First.Text, r.First.Schedule)
 }
 
-// Explore runs all schedules of a scope with one deviation, and up to pairs of those with two, evenly chosen among them.
+// Explore runs a scope without deviations, all its schedules with one deviation, and an evenly spread choice of those with two: about
+// pairs of them, and always fewer than twice as many.
 func Explore(s Scope, pairs, cores int) Result {
 	x := &exploration{scope: s, result: Result{Scope: s.Name}}
 	events := x.run(nil)
--- a/lab/controlsim/checker/history.go
+++ b/lab/controlsim/checker/history.go
@@ -4,7 +4,7 @@
 
 import "math"
 
-// Never stands for a time after every run.
+// Never is a time later than the end of any run.
 const Never = math.MaxInt64
 
 // Bounds are the time limits of a deployment, ns; see controlsim.Bounds.
@@ -15,7 +15,7 @@
 // Outcome is the result of an order as its operator knows it.
 type Outcome uint8
 
-// The outcomes of an order.
+// The outcomes of an order. An operator stops retrying after Acknowledged or Refused.
 const (
 	Unclear Outcome = iota // no definite answer: the order may be in force now or later
 	Acknowledged
--- a/lab/controlsim/plan.go
+++ b/lab/controlsim/plan.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// FaultKind is the type of a fault.
+// FaultKind names what a fault does, as it is written in a plan.
 type FaultKind string
 
 // The kinds of faults. The field Machine of Fault names the affected machine; "all" stands for all controllers.
@@ -61,10 +61,10 @@
 	Once       bool          `json:"once,omitempty"` // a single attempt, without a retry at another controller
 }
 
-// ActionKind is the type of an Action.
+// ActionKind names what an operator or a replica does in an Action, as it is written in a plan.
 type ActionKind string
 
-// The kinds of actions.
+// The kinds of actions. Orders and reads come from an operator, drains and departures from a replica.
 const (
 	ActionOrder ActionKind = "order"
 	ActionRead  ActionKind = "read"
@@ -82,7 +82,7 @@
 
 // Workload describes the random requests of operators and replicas. An interval of 0 turns a type of request off.
 type Workload struct {
-	OrderEvery time.Duration `json:"order_every,omitempty"` // mean interval
+	OrderEvery time.Duration `json:"order_every,omitempty"` // mean time between two orders
 	ReadEvery  time.Duration `json:"read_every,omitempty"`
 	DrainEvery time.Duration `json:"drain_every,omitempty"`
 	Races      float64       `json:"races,omitempty"`   // share of orders that are followed at once by other content under the same revision
@@ -111,7 +111,7 @@
 	Apply    time.Duration `json:"apply"`     // from an acknowledgement until each connected edge uses the revision
 	Stretch  time.Duration `json:"stretch"`   // added to Apply while only a majority of the controllers is free of faults
 	Drain    time.Duration `json:"drain"`     // from the acknowledgement of a drain until each connected edge has stopped sending to the replica
-	OrderAck time.Duration `json:"order_ack"` // maximum time of an order or a read while no controller has a fault
+	OrderAck time.Duration `json:"order_ack"` // maximum time of an order or a read while the controllers are settled and no link has a fault
 	CatchUp  time.Duration `json:"catch_up"`  // time that a controller needs after a fault before it counts for a majority again
 }
 
--- a/lab/emulator/simulation.go
+++ b/lab/emulator/simulation.go
@@ -11,7 +11,8 @@
 )
 
 // eventLoopCount is the number of event loops that the entities are divided over. It does not depend on the machine. The result
-// does not depend on it either: each entity handles its events in their order, and entities share nothing but events.
+// does not depend on it either: each entity handles its events in their order, and entities share nothing but events and oracleViews,
+// which change only between intervals.
 const eventLoopCount = 16
 
 // entity is an aggregator, a replica or the shared store.
@@ -35,8 +36,8 @@
 type eventLoop struct {
 	*simulation
 	queue     *eventqueue.Queue
-	outbox    [eventLoopCount][]eventqueue.Event // by receiving loop
-	processed int64                              // number of events
+	outbox    [eventLoopCount][]eventqueue.Event // events for other loops, by receiving loop
+	processed int64                              // number of events processed so far
 }
 
 // emitter lets an entity schedule events. seq orders the events that one entity schedules for the same time.
--- a/lab/rolloutcheck/rolloutcheck.go
+++ b/lab/rolloutcheck/rolloutcheck.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	second         = 1_000_000_000 // ns
+	second         = 1_000_000_000 // a second in ns
 	edges          = 2
 	managers       = 2
 	number         = 1 // number of the rollout
 	deadline       = 9 // time by which the rollout must have ended, s
 	maxRequestTime = 2 // maximum time of a request, s
-	replicas       = 4 // replicas of each version
+	replicas       = 4 // number of replicas of each version
 )
 
 var edgeNames = [edges]string{"a", "b"}
@@ -61,7 +61,7 @@
 	return all
 }
 
-// Result is the result of an exploration.
+// Result says how many states an exploration visited, and which invariant it found broken.
 type Result struct {
 	States int
 	Broken string   // the broken invariant, empty for none
--- a/standin/redis/commands.go
+++ b/standin/redis/commands.go
@@ -14,7 +14,7 @@
 	text      string
 	hash      map[string]string
 	scores    map[string]float64
-	expiresAt time.Time // zero if the key does not expire
+	expiresAt time.Time // time at which the key expires; zero if it does not
 }
 
 func (v value) copy() value {
@@ -37,7 +37,7 @@
 	}
 }
 
-// execute executes a command, unless the fault replaces its reply, and returns the encoded reply.
+// execute returns the encoded reply to a command. It executes the command unless the reply is that of a fault or an error.
 func (s *Server) execute(client *session, f Fault, args []string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
