--- a/internal/house/names_test.go
+++ b/internal/house/names_test.go
@@ -14,12 +14,17 @@
 
 // withdrawn lists names that the operators have withdrawn; docs/former-names.md has their replacements.
 var withdrawn = []string{"lighthouse", "pilot", "pilotage", "cutter", "keeper", "lantern", "tower", "helm", "skiff", "dinghy",
-	"muster", "beam", "beacons", "lookout", "gangway", "hail", "crew", "strongbox", "quay", "berth", "shoals", "moored", "sailor"}
+	"muster", "beam", "beacons", "lookout", "gangway", "hail", "crew", "strongbox", "quay", "berth", "shoals", "moored", "sailor",
+	"keepsake", "rumour"}
 
 // withdrawnPaths lists withdrawn names of folders and files that are matched as paths, since parts of them are words in use elsewhere.
 var withdrawnPaths = []string{"carrier/", "cmd/pressed", "bin/pressed", "decide/chart", "decide/notices", "lab/spread",
 	"decide/rift", "decide/strain", "decide/window", "decide/fair/", "decide/commons", "decide/crossing", "decide/routes", "transport/roster",
-	"cmd/drill", "bin/drill", "balance/again.go", "balance/known.go", "balance/admit.go"}
+	"cmd/drill", "bin/drill", "balance/again.go", "balance/known.go", "balance/admit.go",
+	"standin/papers", "internal/pipes", "emulator/agenda", "emulator/rivals", "experiment/recast", "node/book.go", "node/carrier.go",
+	"node/further.go", "node/rhythm.go", "node/serving.go", "controller/leavers", "controller/places", "lending/holder.go",
+	"overload/worth.go", "rollout/judge.go", "sharedhealth/hearsay", "sharedhealth/trust.go", "siterouting/purse.go", "gateway/door",
+	"gateway/keepsake.go", "front/unseen.go", "proxyserver/tally.go", "emulator/brain.go", "emulator/kernel.go", "emulator/own.go"}
 
 // historical lists the folders and files that may use names of their time.
 var historical = []string{"journal", ".git", "results", "docs/incidents", "CHANGELOG.md", "docs/former-names.md", "internal/house/names_test.go"}
