--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -173,10 +173,10 @@
 	return list
 }
 
-func (p *scenario) take(name string, claim Priority, words []string) {
+func (p *scenario) take(name string, priority Priority, words []string) {
 	shards := words[2:]
 	q := p.start().AddQuery(p.now, Arrival{Workload: p.rows[words[0]], Timeout: p.time(words[1]),
-		Parts: len(shards), Priority: claim})
+		Parts: len(shards), Priority: priority})
 	p.queries[name] = q
 	p.step(q, shards)
 }
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -41,9 +41,9 @@
 	if e.recalled && result == Cancelled {
 		result = TimedOut
 	}
-	verdict, stall := result, e.stallSince(q.agg)
+	healthResult, stall := result, e.stallSince(q.agg)
 	if stall > 0 && (result == TimedOut || result == Reset || result == ConnectFailed) {
-		verdict = Cancelled
+		healthResult = Cancelled
 	}
 	switch result {
 	case Fulfilled:
@@ -89,7 +89,7 @@
 		}
 		q.agg.overdueFactor = min(max(q.agg.overdueFactor*step, overdueMin), overdueMax)
 	}
-	q.agg.updateHealth(now, r, e.sentAt, verdict)
+	q.agg.updateHealth(now, r, e.sentAt, healthResult)
 	switch {
 	case result == Fulfilled && q.open && p.stage != abandoned:
 		p.stage = answered
--- a/decide/controller/contact_test.go
+++ b/decide/controller/contact_test.go
@@ -23,12 +23,12 @@
 		must.True(t, b.servers[other].InContact())
 		for revision := uint64(1); revision <= 20; revision++ {
 			refused := b.put(lone, 1000+revision, "to the one that is cut off")
-			taken := b.put(other, revision, "to one of the majority")
-			beat := b.replicaCall(lone, registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: revision})
+			accepted := b.put(other, revision, "to one of the majority")
+			heartbeat := b.replicaCall(lone, registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: revision})
 			b.run(1000 * ms)
 			must.Eq(t, 503, b.answers[refused].Status)
-			must.Eq(t, 503, b.answers[beat].Status)
-			must.Eq(t, 200, b.answers[taken].Status)
+			must.Eq(t, 503, b.answers[heartbeat].Status)
+			must.Eq(t, 200, b.answers[accepted].Status)
 		}
 		must.Greater(t, 20_000*ms, b.now-b.servers[lone].CurrentSince())
 		b.cut = nil
--- a/decide/controller/controller_test.go
+++ b/decide/controller/controller_test.go
@@ -256,7 +256,7 @@
 // duplicated, delayed or stripped of some parts. All puts must be answered, exactly one of the two under one revision
 // must be confirmed, no edge may be sent an older state, and the read must return what was acknowledged last.
 func TestOneWordMutated(t *testing.T) {
-	play := func(tamper func(int, *Message) (int, int64)) int {
+	runScenario := func(tamper func(int, *Message) (int, int64)) int {
 		b := newCluster(t, 5)
 		b.tamper = tamper
 		b.run(3000 * ms)
@@ -272,7 +272,7 @@
 		must.Eq(t, "nine", string(a.Body))
 		return b.messages
 	}
-	all := play(nil)
+	all := runScenario(nil)
 	must.Greater(t, 100, all)
 	mutations := []func(message *Message) (int, int64){
 		func(*Message) (int, int64) { return 0, 0 },
@@ -289,7 +289,7 @@
 	}
 	for n := 1; n <= all; n += step + n%7 {
 		m := mutations[n%len(mutations)]
-		play(func(number int, message *Message) (int, int64) {
+		runScenario(func(number int, message *Message) (int, int64) {
 			if number == n {
 				return m(message)
 			}
@@ -361,10 +361,10 @@
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
 	b.servers[b.names[0]].stuck = true
-	beat := b.replicaCall(b.names[0], registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1})
+	heartbeat := b.replicaCall(b.names[0], registry.Record{ID: "i-1", Service: "s", Address: "a:1", Seq: 1})
 	put := b.put(b.names[0], 4, "four")
 	b.run(600 * ms)
-	must.Eq(t, 200, b.answers[beat].Status)
+	must.Eq(t, 200, b.answers[heartbeat].Status)
 	must.Eq(t, 200, b.answers[put].Status)
 }
 
--- a/decide/controller/fields_test.go
+++ b/decide/controller/fields_test.go
@@ -13,7 +13,7 @@
 
 // visitFields calls add for every field of a message that is not zero, with the field indexes that lead to it; the index
 // -1 stands for following a pointer.
-func visitFields(v reflect.Value, path []int, add func(way []int, v reflect.Value)) {
+func visitFields(v reflect.Value, path []int, add func(path []int, v reflect.Value)) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
--- a/decide/controller/groups_test.go
+++ b/decide/controller/groups_test.go
@@ -148,17 +148,17 @@
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
 	far := b.names[4]
-	beat := func(address string, times int) {
+	sendHeartbeats := func(address string, times int) {
 		for range times {
 			b.replicaCall(b.names[0], registry.Record{ID: "i-0", Service: "s", Address: address, Capacity: len(address), Seq: uint64(b.now / ms)})
 			b.run(1000 * ms)
 		}
 	}
-	beat("a:1", 4)
+	sendHeartbeats("a:1", 4)
 	b.cutOff(far)
-	beat("b:12", 3)
+	sendHeartbeats("b:12", 3)
 	b.cut = nil
-	beat("b:12", 2)
+	sendHeartbeats("b:12", 2)
 	for _, name := range b.names {
 		r, _ := b.servers[name].Controller.replicas.Get("i-0")
 		must.Eq(t, "b:12", r.Address, must.Sprint(name))
--- a/decide/controller/orders_test.go
+++ b/decide/controller/orders_test.go
@@ -252,17 +252,17 @@
 	b.run(400 * ms)
 	o := newOperators(b, t.Fatalf)
 	random := rand.New(rand.NewPCG(600, 49))
-	var taken []sentOrder
+	var confirmed []sentOrder
 	revision := uint64(0)
 	for change := range 600 {
 		revision += 1 + uint64(random.IntN(5))
 		s := sentOrder{revision, fmt.Sprint("content ", change)}
 		must.Eq(t, 200, o.answered(s, change))
-		taken = append(taken, s)
+		confirmed = append(confirmed, s)
 		if change%10 > 0 {
 			continue
 		}
-		back := taken[len(taken)-1-random.IntN(min(250, len(taken)))]
+		back := confirmed[len(confirmed)-1-random.IntN(min(250, len(confirmed)))]
 		must.Eq(t, 200, o.answered(back, random.IntN(3)))
 		must.Eq(t, 409, o.answered(sentOrder{back.revision, "other"}, random.IntN(3)))
 		if change == 300 {
@@ -271,8 +271,8 @@
 			b.start(b.names[2], false)
 		}
 	}
-	must.Eq(t, 200, o.answered(taken[3], 1))
-	last := taken[len(taken)-1]
+	must.Eq(t, 200, o.answered(confirmed[3], 1))
+	last := confirmed[len(confirmed)-1]
 	must.Eq(t, last.content, string(b.read(b.names[2]).Body))
 }
 
--- a/decide/controller/outcome_test.go
+++ b/decide/controller/outcome_test.go
@@ -26,7 +26,7 @@
 		name     string
 		order    *order
 		changes  bool
-		verdict  OrderOutcome
+		outcome  OrderOutcome
 		revision uint64
 	}{
 		{"a higher revision", packedOrder(12, "twelve"), true, OutcomeInForce, 12},
@@ -39,7 +39,7 @@
 	} {
 		next, changed := c.order.apply(held)
 		must.Eq(t, c.changes, changed, must.Sprint(c.name))
-		must.Eq(t, c.verdict, c.order.outcome(next), must.Sprint(c.name))
+		must.Eq(t, c.outcome, c.order.outcome(next), must.Sprint(c.name))
 		must.Eq(t, c.revision, next.Revision, must.Sprint(c.name))
 		again, changed := c.order.apply(next) // a repeated round applies the order again
 		must.False(t, changed, must.Sprint(c.name))
--- a/decide/controller/rollouts.go
+++ b/decide/controller/rollouts.go
@@ -121,8 +121,8 @@
 	if !ok {
 		return false
 	}
-	named, err := routeconfig.DefinesService(content, service)
-	return err == nil && named
+	defined, err := routeconfig.DefinesService(content, service)
+	return err == nil && defined
 }
 
 // answerRollout answers an operator's call about rollouts according to the committed value.
--- a/node/node.go
+++ b/node/node.go
@@ -135,7 +135,7 @@
 	Observer Observer // may be nil
 
 	// NewTransport creates the transport to replicas; nil for framed messages on connections made with Dial.
-	NewTransport func(tell func(any), now func() int64) Transport
+	NewTransport func(enqueue func(any), now func() int64) Transport
 }
 
 // New starts a node.
@@ -151,12 +151,12 @@
 	}
 	n.agg = balance.New(n.Now(), p.Deployment.Deployment)
 	n.retryAfter = n.agg.RetryAfter()
-	tell := func(v any) { n.events <- event{n.Now(), transportEvent{v}} }
+	enqueue := func(v any) { n.events <- event{n.Now(), transportEvent{v}} }
 	if p.NewTransport != nil {
-		n.transport = p.NewTransport(tell, n.Now)
+		n.transport = p.NewTransport(enqueue, n.Now)
 	} else {
 		n.transport = frameTransport{replica.NewPool(replica.Config{MaxCalls: p.Limits.CallsPerConnection, ConnectTimeout: p.Limits.ConnectTimeout,
-			IdleTimeout: p.Limits.IdleTimeout, Now: n.Now, Dial: p.Dial}, func(v replica.Event) { tell(v) }, p.Budget, p.Count)}
+			IdleTimeout: p.Limits.IdleTimeout, Now: n.Now, Dial: p.Dial}, func(v replica.Event) { enqueue(v) }, p.Budget, p.Count)}
 	}
 	n.applyList(n.Now(), p.KnownList, false)
 	n.changed = true // the first round may have to request the list
@@ -168,9 +168,9 @@
 func (n *Node) Ready() <-chan struct{} { return n.ready }
 
 // ApplyList queues an update of the list of replicas.
-func (n *Node) ApplyList(ctx context.Context, news discovery.Update) {
+func (n *Node) ApplyList(ctx context.Context, update discovery.Update) {
 	select {
-	case n.events <- event{n.Now(), news}:
+	case n.events <- event{n.Now(), update}:
 	case <-ctx.Done():
 	}
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -87,9 +87,9 @@
 }
 
 // serve sends a query for both shards and describes the answer and the time that it took.
-func (w *fixture) serve(ctx context.Context, id string, patience time.Duration) string {
+func (w *fixture) serve(ctx context.Context, id string, timeout time.Duration) string {
 	began := time.Now()
-	a, ok := w.Serve(ctx, Query{ID: id, Deadline: w.Now() + int64(patience), Text: []byte("text"),
+	a, ok := w.Serve(ctx, Query{ID: id, Deadline: w.Now() + int64(timeout), Text: []byte("text"),
 		Parts: []Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
 	if !ok {
 		return "left"
@@ -251,8 +251,8 @@
 				}
 			}
 		}
-		if crowded := w.count.Rejected.Load(); crowded == 0 || served == 0 {
-			w.Errorf("%d declined because the node holds too much, %d served", crowded, served)
+		if rejected := w.count.Rejected.Load(); rejected == 0 || served == 0 {
+			w.Errorf("%d declined because the node holds too much, %d served", rejected, served)
 		}
 	})
 }
--- a/node/relay.go
+++ b/node/relay.go
@@ -23,8 +23,8 @@
 	switch e.Outcome {
 	case balance.Whole, balance.Partial:
 		a.Values = make([]Value, 0, len(q.Parts))
-		for i, in := range q.answered {
-			if in {
+		for i, isAnswered := range q.answered {
+			if isAnswered {
 				a.Values = append(a.Values, Value{q.Parts[i].Shard, q.values[i]})
 			}
 		}
--- a/node/results.go
+++ b/node/results.go
@@ -106,14 +106,14 @@
 
 // applyList applies an update of the list; live is false for a list that an earlier process saved. A replica is
 // identified by its host, for the address at which it is dialled may differ and change.
-func (n *Node) applyList(now int64, news discovery.Update, live bool) {
-	for _, err := range news.Skipped {
+func (n *Node) applyList(now int64, update discovery.Update, live bool) {
+	for _, err := range update.Skipped {
 		n.count.ListSkipped.Add(1)
 		n.log.Warn("an entry of the list was left out", zap.Error(err))
 	}
-	if news.Err != nil {
+	if update.Err != nil {
 		n.count.ListFailures.Add(1)
-		n.log.Warn("a call for the list failed", zap.Error(news.Err))
+		n.log.Warn("a call for the list failed", zap.Error(update.Err))
 		if n.AsksForList {
 			n.agg.ListFailed(now)
 		}
@@ -121,14 +121,14 @@
 	}
 	n.count.ListUpdates.Add(1)
 	n.shared.listChanged()
-	whole := news.Full || !live
+	whole := update.Full || !live
 	if whole {
 		for i := range n.hosts {
 			n.hosts[i].gone, n.hosts[i].up = true, false // until its entry below says otherwise
 		}
 	}
-	listings := make([]balance.Listing, 0, len(news.Entries))
-	for _, e := range news.Entries {
+	listings := make([]balance.Listing, 0, len(update.Entries))
+	for _, e := range update.Entries {
 		i, known := n.indices[e.Host]
 		if !known && e.Status == balance.Gone { // nothing to remove
 			continue
--- a/node/send.go
+++ b/node/send.go
@@ -104,9 +104,9 @@
 }
 
 // abandon ends the wait for an execution. If it was never sent, its result is Unsent, which proves that it did
-// not run. With tell the replica is notified.
-func (n *Node) abandon(e *execution, result balance.Result, tell bool) {
-	if unsent := n.transport.Abandon(e.ticket, tell); unsent {
+// not run. If notify is true, the replica is notified.
+func (n *Node) abandon(e *execution, result balance.Result, notify bool) {
+	if unsent := n.transport.Abandon(e.ticket, notify); unsent {
 		result = balance.Unsent
 	}
 	n.endLater(e, result)
--- a/node/transport.go
+++ b/node/transport.go
@@ -11,7 +11,7 @@
 	Drained(replica int) bool                             // no execution is under way there and no connection is left
 	Send(replica int, tickets []*replica.Ticket) bool     // false if there is no capacity for a connection
 	Withdraw(t *replica.Ticket) bool                      // true if the part was not sent, and never will be
-	Abandon(t *replica.Ticket, tell bool) bool            // like Withdraw, but also ends the wait for a part that was sent
+	Abandon(t *replica.Ticket, notify bool) bool          // like Withdraw, but also ends the wait for a part that was sent
 	CloseIdle(replica int)                                // closes idle connections to a replica
 	Handle(v any) (ended []replica.Report, trouble error) // handles an event of its own goroutines
 	Sweep()                                               // closes connections that were idle for too long
