--- a/cmd/overloadtest/burst.go
+++ b/cmd/overloadtest/burst.go
@@ -132,37 +132,37 @@
 // run applies every load to each variant and passes each result to emit. The capacity is measured once, with the program
 // without overload detection.
 func (o *burstOptions) run(ctx context.Context, emit func(*BurstResult) error) error {
-	highest := 0.0
-	for _, one := range shedVariants(o.limit) {
-		if err := o.runVariant(ctx, one, &highest, emit); err != nil {
+	capacity := 0.0
+	for _, v := range shedVariants(o.limit) {
+		if err := o.runVariant(ctx, v, &capacity, emit); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// runVariant applies every load to one variant. It measures the capacity if *highest is 0.
-func (o *burstOptions) runVariant(ctx context.Context, one variant, highest *float64, emit func(*BurstResult) error) error {
-	w, end, err := startSingle(o.binary, one.script, o.parts, 0)
+// runVariant applies every load to one variant. It measures the capacity first if *capacity is 0.
+func (o *burstOptions) runVariant(ctx context.Context, v variant, capacity *float64, emit func(*BurstResult) error) error {
+	w, end, err := startSingle(o.binary, v.script, o.parts, 0)
 	defer end()
 	if err != nil {
 		return err
 	}
-	if *highest == 0 {
-		if *highest, err = measureCapacity(ctx, w, o.parts); err != nil {
+	if *capacity == 0 {
+		if *capacity, err = measureCapacity(ctx, w, o.parts); err != nil {
 			return err
 		}
 	}
 	const warmUp = 99 // seed of the load that warms the process up before the measured ones
-	if _, err := runLoad(ctx, w, o.parts, 0.5**highest, 4*time.Second, warmUp); err != nil {
+	if _, err := runLoad(ctx, w, o.parts, 0.5**capacity, 4*time.Second, warmUp); err != nil {
 		return err
 	}
 	for i, factor := range o.loadFactors {
-		c, err := runLoad(ctx, w, o.parts, factor**highest, o.duration, uint64(i))
+		c, err := runLoad(ctx, w, o.parts, factor**capacity, o.duration, uint64(i))
 		if err != nil {
 			return err
 		}
-		if err := emit(c.result(one.name, factor, *highest)); err != nil {
+		if err := emit(c.result(v.name, factor, *capacity)); err != nil {
 			return err
 		}
 		time.Sleep(2 * time.Second)
--- a/cmd/overloadtest/stops.go
+++ b/cmd/overloadtest/stops.go
@@ -40,14 +40,14 @@
 	}
 	defer clients.Close()
 	clients.RunOpenLoop(ctx, rate, 4*time.Second, 1)
-	one := w.Sites["one"]
-	before := one.Counters(0)
+	site := w.Sites["one"]
+	before := site.Counters(0)
 	s := &StopResult{}
 	var both sync.WaitGroup
 	both.Go(func() { s.Outcome = clients.RunOpenLoop(ctx, rate, span, 2) })
-	err = disturb(one)
+	err = disturb(site)
 	both.Wait()
-	after := one.Counters(0)
+	after := site.Counters(0)
 	difference := func(path ...string) float64 { return sites.Counter(after, path...) - sites.Counter(before, path...) }
 	s.TimedOut, s.Cancelled = difference("executions", "timed_out"), difference("executions", "cancelled")
 	s.Stood = sites.Counter(after, "strain", "stood_ns") / 1e9
@@ -57,7 +57,7 @@
 
 // RunNeighbours pins the process to one core. During the middle half of the measurement n busy processes compete with it for that core.
 func RunNeighbours(ctx context.Context, binary, script string, rate float64, n int, span time.Duration) (*StopResult, error) {
-	return measure(ctx, binary, script, rate, span, func(one *sites.Site) error {
+	return measure(ctx, binary, script, rate, span, func(site *sites.Site) error {
 		var core unix.CPUSet
 		core.Set(runtime.NumCPU() - 1)
 		pin := func(pid int) error {
@@ -76,7 +76,7 @@
 			}
 			return nil
 		}
-		if err := pin(one.PID(0)); err != nil {
+		if err := pin(site.PID(0)); err != nil {
 			return err
 		}
 		time.Sleep(span / 4)
@@ -101,14 +101,14 @@
 // RunStops measures the process while SIGSTOP suspends it several times: each time it runs for the duration each and is then
 // suspended for the duration stopped.
 func RunStops(ctx context.Context, binary, script string, rate float64, each, stopped time.Duration, times int) (*StopResult, error) {
-	return measure(ctx, binary, script, rate, time.Duration(times+1)*(each+stopped), func(one *sites.Site) (err error) {
+	return measure(ctx, binary, script, rate, time.Duration(times+1)*(each+stopped), func(site *sites.Site) (err error) {
 		for range times {
 			time.Sleep(each)
-			if err = one.Signal(0, syscall.SIGSTOP); err != nil {
+			if err = site.Signal(0, syscall.SIGSTOP); err != nil {
 				return err
 			}
 			time.Sleep(stopped)
-			if err = one.Signal(0, syscall.SIGCONT); err != nil {
+			if err = site.Signal(0, syscall.SIGCONT); err != nil {
 				return err
 			}
 		}
@@ -128,24 +128,24 @@
 			fmt.Fprintf(t, "%g queries a second of two parts of 40 ms each, stopped %d times, one second between\n", rate, times)
 			fmt.Fprintln(t, "| way\t| stopped for\t| asked\t| in goal\t| late\t| declined\t| failed\t| taken back or timed out\t| further executions\t| seen to stand s\t|")
 			for _, stopped := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second} {
-				for _, one := range []variant{{"former", ""}, {"strain", "strain()\n"}} {
-					s, err := RunStops(context.Background(), binary, one.script, rate, time.Second, stopped, times)
+				for _, v := range []variant{{"former", ""}, {"strain", "strain()\n"}} {
+					s, err := RunStops(context.Background(), binary, v.script, rate, time.Second, stopped, times)
 					if err != nil {
 						return err
 					}
 					o := s.Outcome
-					fmt.Fprintf(t, "| %s\t| %v\t| %d\t| %d\t| %d\t| %d\t| %d\t| %.0f\t| %.0f\t| %.2f\t|\n", one.name, stopped, o.Asked, o.InGoal, o.Late,
+					fmt.Fprintf(t, "| %s\t| %v\t| %d\t| %d\t| %d\t| %d\t| %d\t| %.0f\t| %.0f\t| %.2f\t|\n", v.name, stopped, o.Asked, o.InGoal, o.Late,
 						o.Declined, o.Failed, s.TimedOut+s.Cancelled, s.Further, s.Stood)
 				}
 			}
 			for _, n := range []int{2, 4} {
-				for _, one := range []variant{{"former", ""}, {"strain", "strain()\n"}} {
-					s, err := RunNeighbours(context.Background(), binary, one.script, rate, n, 12*time.Second)
+				for _, v := range []variant{{"former", ""}, {"strain", "strain()\n"}} {
+					s, err := RunNeighbours(context.Background(), binary, v.script, rate, n, 12*time.Second)
 					if err != nil {
 						return err
 					}
 					o := s.Outcome
-					fmt.Fprintf(t, "| %s\t| %d neighbours\t| %d\t| %d\t| %d\t| %d\t| %d\t| %.0f\t| %.0f\t| %.2f\t|\n", one.name, n, o.Asked, o.InGoal, o.Late,
+					fmt.Fprintf(t, "| %s\t| %d neighbours\t| %d\t| %d\t| %d\t| %d\t| %d\t| %.0f\t| %.0f\t| %.2f\t|\n", v.name, n, o.Asked, o.InGoal, o.Late,
 						o.Declined, o.Failed, s.TimedOut+s.Cancelled, s.Further, s.Stood)
 				}
 			}
--- a/cmd/sites/dark.go
+++ b/cmd/sites/dark.go
@@ -39,11 +39,11 @@
 
 // peaks holds the highest samples of quantities that have a limit, and totals.
 type peaks struct {
-	queryRate float64 // queries a second forwarded by one process
-	overLimit int     // samples in which a process had more queries in flight on a link than its limit
-	byteRate  float64 // bytes a second over a link, both directions together
-	carried   float64 // total of queries that all processes had forwarded at the last sample
-	strangers float64 // the processes' counters of rejected peers, added up over all samples
+	queryRate     float64 // queries a second forwarded by one process
+	overLimit     int     // samples in which a process had more queries in flight on a link than its limit
+	byteRate      float64 // bytes a second over a link, both directions together
+	forwarded     float64 // total of queries that all processes had forwarded at the last sample
+	rejectedPeers float64 // the processes' counters of rejected peers, added up over all samples
 }
 
 func darkCommand() *cobra.Command {
@@ -136,7 +136,7 @@
 func (p *peaks) watch(w *sites.Testbed, stop <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	carried, bytes, at := map[string]float64{}, map[string]float64{}, time.Now()
+	forwarded, bytes, at := map[string]float64{}, map[string]float64{}, time.Now()
 	for {
 		select {
 		case <-stop:
@@ -151,10 +151,10 @@
 				all := s.Counters(i)
 				key := name + strconv.Itoa(i)
 				now := sites.Counter(all, "gateway", "queries", "carried")
-				p.queryRate = max(p.queryRate, (now-carried[key])/span)
-				carried[key] = now
+				p.queryRate = max(p.queryRate, (now-forwarded[key])/span)
+				forwarded[key] = now
 				total += now
-				p.strangers += sites.Counter(all, "gateway", "queries", "strangers")
+				p.rejectedPeers += sites.Counter(all, "gateway", "queries", "strangers")
 				for _, other := range w.SiteNames {
 					if sites.Counter(all, "gateway", "ways", other, "in_flight") >
 						max(sites.Counter(all, "gateway", "ways", other, "limit"), 0) {
@@ -163,7 +163,7 @@
 				}
 			}
 		}
-		p.carried = total
+		p.forwarded = total
 		for key, l := range w.Links {
 			now := float64(l.Bytes())
 			p.byteRate = max(p.byteRate, (now-bytes[key])/span)
@@ -246,7 +246,7 @@
 		"samples over its limit in flight\t| most bytes in a second over a link\t| back after\t|")
 	fmt.Fprintln(t, "|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|")
 	for _, v := range variants {
-		fmt.Fprintf(t, "| %s\t| %s\t| %d\t| %.0f\t| %.0f\t| %d\t| %.0f\t| %v\t|\n", v.size, v.policy, v.timeline.DuplicateExecutions, v.peaks.carried,
+		fmt.Fprintf(t, "| %s\t| %s\t| %d\t| %.0f\t| %.0f\t| %d\t| %.0f\t| %v\t|\n", v.size, v.policy, v.timeline.DuplicateExecutions, v.peaks.forwarded,
 			v.peaks.queryRate, v.peaks.overLimit, v.peaks.byteRate, v.recoveryTime())
 	}
 	return t.Flush()
--- a/cmd/sites/sites_test.go
+++ b/cmd/sites/sites_test.go
@@ -16,17 +16,17 @@
 	for name, killed := range map[string]bool{"planned": false, "killed": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			line, err := RunRestarts(binary, 16*time.Second, killed)
+			timeline, err := RunRestarts(binary, 16*time.Second, killed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			var sum sites.Tally
-			for i := range line.Rows {
-				sum.Add(&line.Rows[i])
+			for i := range timeline.Rows {
+				sum.Add(&timeline.Rows[i])
 			}
 			t.Logf("%v of %d: %v", sites.OutcomeNames, sum.Asked, sum.Outcomes)
-			if sum.Outcomes[sites.Lost]+sum.Outcomes[sites.Wrong]+line.DuplicateExecutions > 0 || sum.Outcomes[sites.InGoal] < sum.Asked/2 {
-				t.Errorf("%v of %d: %v, %d once-only parts ran twice", sites.OutcomeNames, sum.Asked, sum.Outcomes, line.DuplicateExecutions)
+			if sum.Outcomes[sites.Lost]+sum.Outcomes[sites.Wrong]+timeline.DuplicateExecutions > 0 || sum.Outcomes[sites.InGoal] < sum.Asked/2 {
+				t.Errorf("%v of %d: %v, %d once-only parts ran twice", sites.OutcomeNames, sum.Asked, sum.Outcomes, timeline.DuplicateExecutions)
 			}
 			if !killed && sum.Outcomes[sites.Failed] > 0 {
 				t.Errorf("%d queries failed during graceful restarts", sum.Outcomes[sites.Failed])
--- a/cmd/willowctl/snapshot.go
+++ b/cmd/willowctl/snapshot.go
@@ -136,11 +136,11 @@
 	if err != nil {
 		return asUsageError(err)
 	}
-	held, err := f.controlClient().HasConfiguration(ctx)
+	configured, err := f.controlClient().HasConfiguration(ctx)
 	if err != nil {
 		return err
 	}
-	if held {
+	if configured {
 		return asUsageError(errors.New("the system has a configuration already; `willowctl -revision auto send` gives it another"))
 	}
 	if err := f.controlClient().SendConfiguration(ctx, k.Configuration); err != nil {
--- a/cmd/willowlab/explore.go
+++ b/cmd/willowlab/explore.go
@@ -33,7 +33,7 @@
 
 // exploreCommand checks the controllers' register in every order of events of small scopes.
 func exploreCommand() *cobra.Command {
-	var most int64
+	var maxStates int64
 	var workers int
 	var list, deep bool
 	c := &cobra.Command{Use: "explore [SCOPE ...]", Short: "Model-check the controllers' register in every order of events",
@@ -54,9 +54,9 @@
 				began := time.Now()
 				var r modelcheck.Result
 				if deep {
-					r = modelcheck.DepthFirst(s, most, workers, func(n int64) { fmt.Fprintf(os.Stderr, "%s: %d states\n", s.Name, n) })
+					r = modelcheck.DepthFirst(s, maxStates, workers, func(n int64) { fmt.Fprintf(os.Stderr, "%s: %d states\n", s.Name, n) })
 				} else {
-					r = modelcheck.BreadthFirst(s, most, workers)
+					r = modelcheck.BreadthFirst(s, maxStates, workers)
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s, %.1f s\n", r, time.Since(began).Seconds())
 				if r.Broken != "" {
@@ -65,7 +65,7 @@
 			}
 			return nil
 		}}
-	c.Flags().Int64Var(&most, "states", 1_000_000, "maximum number of states to visit")
+	c.Flags().Int64Var(&maxStates, "states", 1_000_000, "maximum number of states to visit")
 	c.Flags().IntVar(&workers, "cores", 0, "cores to use, 0 for all")
 	c.Flags().BoolVar(&list, "list", false, "list the scopes")
 	c.Flags().BoolVar(&deep, "deep", false, "depth first, with less memory per state; a trace that is found is not the shortest")
--- a/cmd/willowlab/losses.go
+++ b/cmd/willowlab/losses.go
@@ -52,7 +52,7 @@
 
 // lossesCommand prints the largest losses of each day from the reports of the operators' benchmark.
 func lossesCommand() *cobra.Command {
-	var most int
+	var maxCauses int
 	c := &cobra.Command{Use: "losses REPORT ...", Short: "Print the largest losses of days, from the reports of the operators' benchmark",
 		Long:    "Reads the files that `run ... --report FILE` of the operators' benchmark has written, and prints broken rules, the losses of each\nday by cause and by class of requests, and the time that acknowledgements of configurations took.",
 		Example: "  willowlab losses reports/*.json", Args: cobra.MinimumNArgs(1),
@@ -79,7 +79,7 @@
 					line = fmt.Sprintf("BROKEN %v %v; ", r.Breaks, r.Fault)
 				}
 				for i, l := range r.losses() {
-					if i < most && l.value >= 0.0005 {
+					if i < maxCauses && l.value >= 0.0005 {
 						line += fmt.Sprintf("%s %.3f; ", l.cause, l.value)
 					}
 				}
@@ -102,6 +102,6 @@
 			}
 			return nil
 		}}
-	c.Flags().IntVar(&most, "most", 4, "causes printed per day")
+	c.Flags().IntVar(&maxCauses, "most", 4, "causes printed per day")
 	return c
 }
--- a/cmd/willowsill/platform_test.go
+++ b/cmd/willowsill/platform_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	for line := range strings.Lines(string(text)) {
-		if quoted, is := strings.CutPrefix(line, key+" = "); is {
+		if quoted, found := strings.CutPrefix(line, key+" = "); found {
 			value, err := strconv.Unquote(strings.TrimSpace(quoted))
 			if err != nil {
 				t.Fatal(err)
@@ -37,8 +37,8 @@
 // Danger: the platform replaces clock and sockets through the C library. A statically linked program bypasses them, and none of
 // its aggregators would start.
 func TestPlatform(t *testing.T) {
-	run, is := strings.CutPrefix(deployLine(t, "run"), "exec ")
-	if !is || strings.ContainsAny(run, "&|;$`") {
+	run, found := strings.CutPrefix(deployLine(t, "run"), "exec ")
+	if !found || strings.ContainsAny(run, "&|;$`") {
 		t.Fatalf("run is %q: it must be exec of a single process", run)
 	}
 	words := strings.Fields(run)
--- a/deployment/start.go
+++ b/deployment/start.go
@@ -119,7 +119,7 @@
 	if err := json.Unmarshal(text, &top.Raw); err != nil {
 		return fmt.Errorf("not a JSON object: %w", err)
 	}
-	statement, seed := top.Object("settings"), top.String("seed")
+	settingsObject, seed := top.Object("settings"), top.String("seed")
 	limits := &fields.Object{}
 	top.DecodeOptional("limits", &limits.Raw)
 	if top.Err != nil {
@@ -149,7 +149,7 @@
 	if err != nil {
 		return fmt.Errorf("field %q: %w", "discovery", err)
 	}
-	if s.Deployment, err = Read(statement); err != nil {
+	if s.Deployment, err = Read(settingsObject); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if top.Has("known") {
@@ -160,7 +160,7 @@
 	if s.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
 		return fmt.Errorf("field %q is no number of 16 hex digits", "seed")
 	}
-	caps := statement.Object("caps")
+	caps := settingsObject.Object("caps")
 	s.Limits = Limits{MaxHeld: caps.Int("most_held"), CallsPerConnection: caps.Int("streams_per_conn"),
 		ConnectTimeout: caps.Duration("connect_timeout"), IdleTimeout: caps.Duration("conn_idle")}
 	if caps.Err != nil {
@@ -178,10 +178,10 @@
 			return fmt.Errorf("settings: field %q is not above 0", c.key)
 		}
 	}
-	if mode := statement.String("membership_mode"); mode != "push" && mode != "ask" {
+	if mode := settingsObject.String("membership_mode"); mode != "push" && mode != "ask" {
 		return fmt.Errorf("settings: field %q is unknown", "membership_mode")
 	}
-	for i, raw := range statement.List("classes") {
+	for i, raw := range settingsObject.List("classes") {
 		c := &fields.Object{Raw: raw}
 		s.LongestClientTimeout = max(s.LongestClientTimeout, c.Duration("give_up"))
 		if c.Err != nil {
--- a/front/clienthttp/callers_test.go
+++ b/front/clienthttp/callers_test.go
@@ -149,11 +149,11 @@
 				must.Eq(t, want, got)
 				core.mu.Lock()
 				defer core.mu.Unlock()
-				var came []string
+				var received []string
 				for _, r := range core.asked {
-					came = append(came, r.Attempt+" "+string(r.Body))
+					received = append(received, r.Attempt+" "+string(r.Body))
 				}
-				must.Eq(t, asked, came)
+				must.Eq(t, asked, received)
 			})
 		}
 	}
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -455,18 +455,18 @@
 func TestIdleClients(t *testing.T) {
 	withServer(t, serveWhole, func(s *Server, dial func() *client) {
 		most := s.budget.Limit(sockets.Clients) / idleDivisor
-		var stay []*client
+		var open []*client
 		for range most + 3 {
 			c := dial()
 			c.send()
 			c.status()
-			stay = append(stay, c)
+			open = append(open, c)
 			time.Sleep(time.Millisecond)
 		}
 		if synctest.Wait(); s.budget.InUse(sockets.Clients) != most {
 			t.Errorf("%d connections stay open, want %d", s.budget.InUse(sockets.Clients), most)
 		}
-		last := stay[len(stay)-1]
+		last := open[len(open)-1]
 		last.send()
 		if code, _ := last.status(); code != 200 {
 			t.Errorf("the last client got %d", code)
--- a/front/gateway/gateway_test.go
+++ b/front/gateway/gateway_test.go
@@ -38,16 +38,16 @@
 	peerServer *PeerServer
 	server     *http.Server
 	address    string
-	effects    map[string]int // number of times that a part ran at the replicas, by its id
+	runs       map[string]int // number of times that a part ran at the replicas, by its id
 	mu         sync.Mutex
 	work       time.Duration
 	workers    chan struct{} // limits the parts being worked on at a time; nil for no limit
 	silent     bool          // replicas accept parts and never answer
-	ends       []func()
-	dead       bool
+	closers    []func()
+	stopped    bool
 }
 
-type world struct {
+type siteGroup struct {
 	*testing.T
 	policy  siterouting.Policy
 	network *pipenet.Network
@@ -68,17 +68,17 @@
 
 var testLimits = deployment.Limits{MaxHeld: 100, CallsPerConnection: 32, ConnectTimeout: 500e6, IdleTimeout: 15e9, LongestClientTimeout: 3e9}
 
-// play runs a test with sites on synctest's clock, each with a link to all others.
-func play(t *testing.T, names []string, test func(*world)) {
-	playWithPolicy(t, siterouting.Planned, names, test)
+// withSites runs a test with sites on synctest's clock, each with a link to all others.
+func withSites(t *testing.T, names []string, test func(*siteGroup)) {
+	withSitesAndPolicy(t, siterouting.Planned, names, test)
 }
 
-func playWithPolicy(t *testing.T, p siterouting.Policy, names []string, test func(*world)) {
+func withSitesAndPolicy(t *testing.T, p siterouting.Policy, names []string, test func(*siteGroup)) {
 	synctest.Test(t, func(t *testing.T) {
 		if p == noGateway {
 			p = siterouting.Planned
 		}
-		w := &world{T: t, policy: p, network: &pipenet.Network{}, sites: map[string]*site{}, links: map[string]*link.Link{}}
+		w := &siteGroup{T: t, policy: p, network: &pipenet.Network{}, sites: map[string]*site{}, links: map[string]*link.Link{}}
 		for _, from := range names {
 			for _, to := range names {
 				w.links[from+">"+to] = &link.Link{}
@@ -97,25 +97,25 @@
 }
 
 func (s *site) stop() {
-	if s.dead {
+	if s.stopped {
 		return
 	}
-	s.dead = true
+	s.stopped = true
 	s.core.Close()
 	s.node.Close()
-	for _, end := range s.ends {
+	for _, end := range s.closers {
 		end()
 	}
 }
 
-func (w *world) start(name string, names []string) {
-	s := &site{name: name, count: &Counters{}, address: "g-" + name + ":1", effects: map[string]int{}, work: 50 * time.Millisecond}
+func (w *siteGroup) start(name string, names []string) {
+	s := &site{name: name, count: &Counters{}, address: "g-" + name + ":1", runs: map[string]int{}, work: 50 * time.Millisecond}
 	list := standin.NewDiscovery()
 	for i := range 2 {
 		l := w.network.Listen(fmt.Sprint("r-", name, ":", i))
 		replicaServer := &standin.Replica{Answer: func(ctx context.Context, p replica.Part) (replica.Reply, bool) {
 			s.mu.Lock()
-			s.effects[p.ID]++
+			s.runs[p.ID]++
 			work, workers, silent := s.work, s.workers, s.silent
 			s.mu.Unlock()
 			if silent {
@@ -138,7 +138,7 @@
 			return replica.Reply{ID: p.ID, Value: name + p.ID}, true
 		}}
 		go replicaServer.Serve(l)
-		s.ends = append(s.ends, func() { l.Close() })
+		s.closers = append(s.closers, func() { l.Close() })
 		list.Change(standin.Host{Host: fmt.Sprint("s-", i), Dial: l.String(), Health: "active"})
 	}
 	lists := &http.Server{Handler: list}
@@ -157,7 +157,7 @@
 		defer close(watched)
 		watch.Run(ctx, false)
 	}()
-	s.ends = append(s.ends, func() {
+	s.closers = append(s.closers, func() {
 		stop()
 		<-watched
 		lists.Close()
@@ -187,7 +187,7 @@
 	}
 	l := w.network.Listen(s.address)
 	go s.server.Serve(l)
-	s.ends = append(s.ends, func() { s.server.Close(); l.Close() })
+	s.closers = append(s.closers, func() { s.server.Close(); l.Close() })
 	w.sites[name] = s
 }
 
@@ -213,7 +213,7 @@
 }
 
 // askUntilForwarded sends queries until one is not declined, and returns its outcome.
-func (w *world) askUntilForwarded(from, id, workload string) (got string) {
+func (w *siteGroup) askUntilForwarded(from, id, workload string) (got string) {
 	w.Helper()
 	for i := range 60 {
 		got = w.sites[from].ask(w.Context(), fmt.Sprint(id, i), workload, 2*time.Second)
@@ -229,7 +229,7 @@
 // Queries that the site can serve stay there. Those of an evacuated site are forwarded, here over 80 ms each way,
 // until it serves again.
 func TestCarried(t *testing.T) {
-	play(t, []string{"a", "b"}, func(w *world) {
+	withSites(t, []string{"a", "b"}, func(w *siteGroup) {
 		far := link.Conditions{Delay: 80 * time.Millisecond}
 		w.links["a>b"].Set(far, far)
 		a := w.sites["a"]
@@ -268,7 +268,7 @@
 func TestKilledMidQuery(t *testing.T) {
 	for _, workload := range []string{"look", "book", "pay"} {
 		t.Run(workload, func(t *testing.T) {
-			play(t, []string{"a", "b"}, func(w *world) {
+			withSites(t, []string{"a", "b"}, func(w *siteGroup) {
 				a, b := w.sites["a"], w.sites["b"]
 				a.core.Evacuate(true)
 				w.askUntilForwarded("a", "warm", workload)
@@ -297,7 +297,7 @@
 				ran := 0
 				b.mu.Lock()
 				defer b.mu.Unlock()
-				for id, times := range b.effects {
+				for id, times := range b.runs {
 					if strings.HasPrefix(id, "k") {
 						ran++
 						if workload == "pay" && times > 1 {
@@ -316,7 +316,7 @@
 // The planned shutdown of a gateway loses no query, not even one that must run once and was sent while its
 // connection was being closed.
 func TestLeaves(t *testing.T) {
-	play(t, []string{"a", "b"}, func(w *world) {
+	withSites(t, []string{"a", "b"}, func(w *siteGroup) {
 		far := link.Conditions{Delay: 80 * time.Millisecond}
 		w.links["a>b"].Set(far, far)
 		a, b := w.sites["a"], w.sites["b"]
@@ -354,7 +354,7 @@
 
 // A repeat of a query that must run once waits for the first one or gets its answer; it does not run again.
 func TestRepeats(t *testing.T) {
-	play(t, []string{"a", "b"}, func(w *world) {
+	withSites(t, []string{"a", "b"}, func(w *siteGroup) {
 		b := w.sites["b"]
 		post := func(id string) (int, string) {
 			c := http.Client{Transport: &http.Transport{DialContext: w.network.Dial}}
@@ -389,8 +389,8 @@
 		}
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if b.effects["p1.0"] != 1 || b.count.Joined.Load() != 2 || b.count.Replayed.Load() < 1 {
-			w.Errorf("ran %v, %d joined, %d repeated", b.effects, b.count.Joined.Load(), b.count.Replayed.Load())
+		if b.runs["p1.0"] != 1 || b.count.Joined.Load() != 2 || b.count.Replayed.Load() < 1 {
+			w.Errorf("ran %v, %d joined, %d repeated", b.runs, b.count.Joined.Load(), b.count.Replayed.Load())
 		}
 		time.Sleep(time.Second)
 	})
@@ -399,7 +399,7 @@
 // When a link silently loses everything in one direction, queries still end in time; the link is closed within
 // seconds, and opened again once it works.
 func TestCutOneWay(t *testing.T) {
-	play(t, []string{"a", "b"}, func(w *world) {
+	withSites(t, []string{"a", "b"}, func(w *siteGroup) {
 		a := w.sites["a"]
 		a.core.Evacuate(true)
 		w.askUntilForwarded("a", "warm", "look")
@@ -424,7 +424,7 @@
 
 // Of three sites that all forward what they get, a query crosses at most two links per try and is declined once.
 func TestLoop(t *testing.T) {
-	play(t, []string{"a", "b", "c"}, func(w *world) {
+	withSites(t, []string{"a", "b", "c"}, func(w *siteGroup) {
 		for _, s := range w.sites {
 			s.core.Evacuate(true)
 		}
@@ -444,7 +444,7 @@
 // On a full link, five customers take turns, although one of them sends sixteen times as many queries as each of the
 // others. Each query must be answered within its 3 s, and at the end no query may be waiting or in flight.
 func TestTakeTurns(t *testing.T) {
-	play(t, []string{"a", "b"}, func(w *world) {
+	withSites(t, []string{"a", "b"}, func(w *siteGroup) {
 		far := link.Conditions{Delay: 150 * time.Millisecond}
 		w.links["a>b"].Set(far, far)
 		a := w.sites["a"]
--- a/front/gateway/long_test.go
+++ b/front/gateway/long_test.go
@@ -34,10 +34,10 @@
 
 func (t outcomes) share() float64 { return float64(t.inGoal) / float64(max(t.asked, 1)) }
 
-// halfHour runs two sites, of which site a's replicas stop answering in the middle phase, and returns the outcomes
+// runOutage runs two sites, of which site a's replicas stop answering in the middle phase, and returns the outcomes
 // of each phase: before, dark, after.
-func halfHour(t *testing.T, p siterouting.Policy, whole time.Duration) (phases [3]outcomes, maxInFlight int, carried int64) {
-	playWithPolicy(t, p, []string{"a", "b"}, func(w *world) {
+func runOutage(t *testing.T, p siterouting.Policy, whole time.Duration) (phases [3]outcomes, maxInFlight int, carried int64) {
+	withSitesAndPolicy(t, p, []string{"a", "b"}, func(w *siteGroup) {
 		far := link.Conditions{Delay: 80 * time.Millisecond, Jitter: 10 * time.Millisecond, Loss: 0.01, LossDelay: 200 * time.Millisecond}
 		w.links["a>b"].Set(far, far)
 		w.links["b>a"].Set(far, far)
@@ -114,10 +114,10 @@
 		for _, id := range pay {
 			for _, part := range []string{".0", ".1"} {
 				a.mu.Lock()
-				times := a.effects[id+part]
+				times := a.runs[id+part]
 				a.mu.Unlock()
 				b.mu.Lock()
-				times += b.effects[id+part]
+				times += b.runs[id+part]
 				b.mu.Unlock()
 				if times > 1 {
 					w.Errorf("part %s%s, which must run once, ran %d times", id, part, times)
@@ -140,7 +140,7 @@
 	fmt.Fprintln(table, "| policy\t| phase\t| asked\t| within goal\t| late\t| declined\t| failed\t| lost\t|")
 	shares := map[siterouting.Policy][3]outcomes{}
 	for _, p := range policies {
-		phases, maxInFlight, carried := halfHour(t, p, whole)
+		phases, maxInFlight, carried := runOutage(t, p, whole)
 		shares[p] = phases
 		for i, row := range phases {
 			fmt.Fprintf(table, "| %s\t| %s\t| %d\t| %.4f\t| %d\t| %d\t| %d\t| %d\t|\n", policyName(p), []string{"before", "dark", "after"}[i],
--- a/front/gateway/peerserver_test.go
+++ b/front/gateway/peerserver_test.go
@@ -82,11 +82,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, address := startPeerServer(t, c.server)
-			_, secure, err := c.client.TLSConfigs()
+			_, clientTLS, err := c.client.TLSConfigs()
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := newPool((&net.Dialer{}).DialContext, secure, map[string]string{address: "b"}, false, 1, nil, nil)
+			p := newPool((&net.Dialer{}).DialContext, clientTLS, map[string]string{address: "b"}, false, 1, nil, nil)
 			defer p.client.CloseIdleConnections()
 			err = p.ping(t.Context(), address).err
 			if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
@@ -102,11 +102,11 @@
 	root := newAuthority(t)
 	_, address := startPeerServer(t, issue(t, root, "b", "b.gateway", time.Now().Add(time.Hour)))
 	client := issue(t, root, "caller", "z.gateway", time.Now().Add(time.Hour))
-	_, secure, err := client.TLSConfigs()
+	_, clientTLS, err := client.TLSConfigs()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPool((&net.Dialer{}).DialContext, secure, map[string]string{address: "b"}, false, 1, nil, nil)
+	p := newPool((&net.Dialer{}).DialContext, clientTLS, map[string]string{address: "b"}, false, 1, nil, nil)
 	defer p.client.CloseIdleConnections()
 	if err := p.ping(t.Context(), address).err; err == nil {
 		t.Error("an unknown site was admitted")
--- a/front/proxyserver/metrics_test.go
+++ b/front/proxyserver/metrics_test.go
@@ -69,10 +69,10 @@
 // row begin at 0.
 func TestFiguresByRoute(t *testing.T) {
 	s := idleServer(t)
-	figures := httptest.NewServer(metrics.Handler("/metrics", s.writeMetrics))
-	defer figures.Close()
+	metricsServer := httptest.NewServer(metrics.Handler("/metrics", s.writeMetrics))
+	defer metricsServer.Close()
 	read := func() string {
-		response, err := http.Get(figures.URL + "/metrics")
+		response, err := http.Get(metricsServer.URL + "/metrics")
 		must.NoError(t, err)
 		defer response.Body.Close()
 		body, err := io.ReadAll(response.Body)
--- a/front/proxyserver/proxyserver_bench_test.go
+++ b/front/proxyserver/proxyserver_bench_test.go
@@ -76,11 +76,11 @@
 			return pool
 		}})
 	h := &Server{settings: s, node: n, counters: count, table: p}
-	notice := clusterstate.Update{Revision: 1, Raw: []byte(`{"revision":1,"routes":[{"name":"a","host":"h","path-prefix":"/x/","deadline-ms":2500,"target-ms":250,"fanout":["s0","s1","s2","s3"],"min-coverage":0.5,"max-tries":2,"result-count":10}],"services":[{"name":"s0"},{"name":"s1"},{"name":"s2"},{"name":"s3"}]}`)}
+	update := clusterstate.Update{Revision: 1, Raw: []byte(`{"revision":1,"routes":[{"name":"a","host":"h","path-prefix":"/x/","deadline-ms":2500,"target-ms":250,"fanout":["s0","s1","s2","s3"],"min-coverage":0.5,"max-tries":2,"result-count":10}],"services":[{"name":"s0"},{"name":"s1"},{"name":"s2"},{"name":"s3"}]}`)}
 	for i := range 16 {
-		notice.Replicas = append(notice.Replicas, registry.Record{ID: fmt.Sprint("i-", i), Service: fmt.Sprint("s", i%4), Address: "10.0.0.1:80", Seq: 1})
+		update.Replicas = append(update.Replicas, registry.Record{ID: fmt.Sprint("i-", i), Service: fmt.Sprint("s", i%4), Address: "10.0.0.1:80", Seq: 1})
 	}
-	c := p.Apply(clock.Now(), notice)
+	c := p.Apply(clock.Now(), update)
 	must.NoError(b, c.Err)
 	h.workloads = c.Workloads
 	for range c.Workloads {
--- a/front/proxyserver/retries_test.go
+++ b/front/proxyserver/retries_test.go
@@ -24,8 +24,8 @@
 		Limits: deployment.Limits{MaxHeld: maxHeld}, Count: counters.New(nil), Log: zap.NewNop(), RequestList: func() {},
 		NewTransport: func(notify func(any), now func() int64) node.Transport { return replicahttp.NewPool(notify, now) }})
 	t.Cleanup(n.Close)
-	terms := lending.DefaultTiming(set.Bounds.RetryWindow())
-	s := &Server{settings: set, node: n, account: lending.NewAccount(clock.Now()-int64(time.Hour), terms)}
+	timing := lending.DefaultTiming(set.Bounds.RetryWindow())
+	s := &Server{settings: set, node: n, account: lending.NewAccount(clock.Now()-int64(time.Hour), timing)}
 	s.account.SetShare(4)
 	must.Nil(t, s.nextLendingMessage())
 	must.Eq(t, 4, s.retrySlack)
@@ -33,12 +33,12 @@
 	must.Nil(t, s.nextLendingMessage()) // the limit is lowered, the loan not sent yet
 	must.Eq(t, 2, s.retrySlack)
 	message := s.nextLendingMessage()
-	must.Eq(t, []lending.Loan{{Answers: 5, Amount: 2, Duration: terms.Loan}}, message.Loans)
+	must.Eq(t, []lending.Loan{{Answers: 5, Amount: 2, Duration: timing.Loan}}, message.Loans)
 	must.Eq(t, 2, s.retrySlack)
 	must.Nil(t, s.nextLendingMessage())
 
 	want := s.account.NextMessage(clock.Now(), lending.Usage{Amount: 2, Any: true}).Requests[0]
-	s.handleLendingMessage(lending.Message{Loans: []lending.Loan{{Answers: want.Number, Amount: 3, Duration: terms.Loan}}})
+	s.handleLendingMessage(lending.Message{Loans: []lending.Loan{{Answers: want.Number, Amount: 3, Duration: timing.Loan}}})
 	must.Eq(t, 5, s.retrySlack)
 	must.Nil(t, s.nextLendingMessage())
 }
