--- a/lab/controllercheck/controllercheck.go
+++ b/lab/controllercheck/controllercheck.go
@@ -128,17 +128,17 @@
 }
 
 // runAll runs schedules in as many goroutines as cores, until one breaks an invariant.
-func (x *exploration) runAll(cores int, plays []Schedule) {
+func (x *exploration) runAll(cores int, schedules []Schedule) {
 	var at atomic.Int64
 	var all sync.WaitGroup
 	for range cores {
 		all.Go(func() {
 			for {
 				i := at.Add(1) - 1
-				if i >= int64(len(plays)) || x.broken() {
+				if i >= int64(len(schedules)) || x.broken() {
 					return
 				}
-				x.run(plays[i])
+				x.run(schedules[i])
 			}
 		})
 	}
--- a/lab/controlsim/machine.go
+++ b/lab/controlsim/machine.go
@@ -16,8 +16,8 @@
 	onExit       []func(silently bool)
 }
 
-func (w *world) addMachine(name string, core bool) *machine {
-	m := &machine{world: w, name: name, isController: core, powered: true, clockOffset: randomBetween(w.rng, second, 3600*second),
+func (w *world) addMachine(name string, isController bool) *machine {
+	m := &machine{world: w, name: name, isController: isController, powered: true, clockOffset: randomBetween(w.rng, second, 3600*second),
 		clockDrift: maxClockDrift * (2*w.rng.Float64() - 1)}
 	w.machines[name] = m
 	w.machineNames = append(w.machineNames, name)
--- a/lab/controlsim/world.go
+++ b/lab/controlsim/world.go
@@ -73,9 +73,9 @@
 }
 
 // setControllers records a changed list of deployed controllers.
-func (w *world) setControllers(core []string) {
-	w.controllers = core
-	w.controllerLists = append(w.controllerLists, controllerList{w.now, core})
+func (w *world) setControllers(controllers []string) {
+	w.controllers = controllers
+	w.controllerLists = append(w.controllerLists, controllerList{w.now, controllers})
 }
 
 // randomSeeds returns the seeds of a settings file that is written now: random controllers of the operators' list.
--- a/lab/emulator/hunt/hunt.go
+++ b/lab/emulator/hunt/hunt.go
@@ -58,7 +58,7 @@
 		c.Kinds = emulator.FaultKinds
 	}
 	rng := rand.New(rand.NewPCG(c.Seed, 9))
-	var best []Result
+	var worst []Result
 	result := Result{}
 	for n := range c.MaxSchedules {
 		var faults []emulator.Fault
@@ -67,11 +67,11 @@
 				faults = append(faults, c.randomFault(rng))
 			}
 		} else {
-			faults = c.mutate(rng, best[rng.IntN(len(best))].Faults)
+			faults = c.mutate(rng, worst[rng.IntN(len(worst))].Faults)
 		}
 		result.Tried++
-		best = append(best, Result{Faults: faults, Score: evaluate(faults)})
-		slices.SortStableFunc(best, func(a, b Result) int {
+		worst = append(worst, Result{Faults: faults, Score: evaluate(faults)})
+		slices.SortStableFunc(worst, func(a, b Result) int {
 			switch {
 			case a.Score.worseThan(b.Score):
 				return -1
@@ -80,12 +80,12 @@
 			}
 			return 0
 		})
-		best = best[:min(len(best), poolSize)]
-		if best[0].Score.Rule > 0 {
+		worst = worst[:min(len(worst), poolSize)]
+		if worst[0].Score.Rule > 0 {
 			break
 		}
 	}
-	result.Faults, result.Score = best[0].Faults, best[0].Score
+	result.Faults, result.Score = worst[0].Faults, worst[0].Score
 	c.minimize(&result, evaluate)
 	return result
 }
--- a/lab/modelcheck/step.go
+++ b/lab/modelcheck/step.go
@@ -329,9 +329,9 @@
 func (t *transition) sync(i int) {
 	m := t.machine(i)
 	m.saved, m.savedCaughtUp = m.disk.State, m.disk.CaughtUp
-	held := m.pendingAnswers
+	answers := m.pendingAnswers
 	m.pendingAnswers = nil
-	for _, id := range held {
+	for _, id := range answers {
 		t.emit(id)
 	}
 }
--- a/standin/lab/lab.go
+++ b/standin/lab/lab.go
@@ -49,7 +49,7 @@
 	runStart         time.Time // time at which the clients start and from which plan times count
 
 	mu             sync.Mutex
-	tally          *emulator.Recorder
+	recorder       *emulator.Recorder
 	dueTimes       map[string]int64 // plan time at which a query was due, by its ID, which the IDs of its parts begin with
 	attemptsByPart map[string]int   // number of times that a part arrived at a replica, by its ID
 	faultyHits     int              // parts that arrived at a replica with an active fault
@@ -68,14 +68,14 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	w := &testbed{Plan: p, dir: dir, discovery: standin.NewDiscovery(), tally: emulator.NewRecorder(&p), dueTimes: map[string]int64{},
+	w := &testbed{Plan: p, dir: dir, discovery: standin.NewDiscovery(), recorder: emulator.NewRecorder(&p), dueTimes: map[string]int64{},
 		attemptsByPart: map[string]int{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Second}}}
 	defer w.stop()
 	if err := w.start(binary); err != nil {
 		return nil, err
 	}
 	w.runLoad()
-	r := w.tally.Summary()
+	r := w.recorder.Summary()
 	r.FaultyExecutions = w.faultyHits
 	return r, nil
 }
@@ -207,17 +207,17 @@
 }
 
 // ask sends one query and records its outcome. Latencies count from the time at which the query was due.
-func (w *testbed) ask(frontURL, id string, load int, due int64, shards []int) {
-	l := &w.Workloads[load]
+func (w *testbed) ask(frontURL, id string, workload int, due int64, shards []int) {
+	l := &w.Workloads[workload]
 	w.mu.Lock()
-	w.tally.RecordQuery(due, load)
+	w.recorder.RecordQuery(due, workload)
 	w.dueTimes[id] = due
 	w.mu.Unlock()
 	final := w.post(frontURL, id, l, shards)
 	ended := w.runTime()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.tally.RecordAnswer(due, ended, load, 0, final)
+	w.recorder.RecordAnswer(due, ended, workload, 0, final)
 }
 
 // post sends one query over HTTP and classifies the answer.
@@ -275,7 +275,7 @@
 		w.faultyHits++
 	}
 	if asked, known := w.dueTimes[string(id)]; known {
-		w.tally.RecordExecution(asked, w.attemptsByPart[p.ID] > 0)
+		w.recorder.RecordExecution(asked, w.attemptsByPart[p.ID] > 0)
 		w.attemptsByPart[p.ID]++
 	}
 }
--- a/standin/sites/sites.go
+++ b/standin/sites/sites.go
@@ -229,14 +229,14 @@
 		rows = append(rows, map[string]any{"name": name, "slo": LatencyGoal.Milliseconds(), "give_up": ClientTimeout.Milliseconds(),
 			"late_worth": 0.3, "repeat": [...]string{"free", "guarded", "single_shot"}[i], "window": 10000})
 	}
-	three := func(x float64) []float64 { return []float64{x, x, x} }
+	forEachWorkload := func(x float64) []float64 { return []float64{x, x, x} }
 	config := map[string]any{"seed": "00000000000000a7",
 		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": cmp.Or(s.testbed.MaxSockets, 512)},
 		"settings": map[string]any{"index": 0, "balancers": s.testbed.ProcessesPerSite, "tick": 5, "membership_mode": "push",
 			"caps": map[string]any{"max_attempts": 3, "most_held": cmp.Or(s.testbed.MaxHeld, 200), "cancel": true, "retry_after": true,
 				"max_retry_after": 2000, "streams_per_conn": 32, "connect_timeout": 200, "conn_idle": 20000},
-			"domain": map[string]any{"slices": s.testbed.shards(), "cells": s.testbed.shards(), "in_a_row": 1, "parts_a_call": 1, "class_need": three(1),
-				"class_floor": three(1), "incomplete_worth": three(0.9), "follow_up": []int{0, 0, 0}},
+			"domain": map[string]any{"slices": s.testbed.shards(), "cells": s.testbed.shards(), "in_a_row": 1, "parts_a_call": 1, "class_need": forEachWorkload(1),
+				"class_floor": forEachWorkload(1), "incomplete_worth": forEachWorkload(0.9), "follow_up": []int{0, 0, 0}},
 			"classes":    rows,
 			"guarantees": map[string]any{"cold_from": 0.2, "ramp_time": 9000, "fall_multiple": 4, "fall": 1000}}}
 	text, err := json.MarshalIndent(config, "", "  ")
