--- a/decide/deduplication/deduplication_test.go
+++ b/decide/deduplication/deduplication_test.go
@@ -10,13 +10,13 @@
 
 const second = int64(1e9)
 
-var terms = Limits{MaxIDs: 20, MaxAnswerBytes: 200, Retention: 10 * second}
+var testLimits = Limits{MaxIDs: 20, MaxAnswerBytes: 200, Retention: 10 * second}
 
 // TestRunsOnce: whatever the order of events and planned restarts, an id runs only once within its retention time, a
 // repeated query gets the same answer or the verdict that the result is unknown, and the limits hold.
 func TestRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, now := New(terms), int64(0)
+		w, now := New(testLimits), int64(0)
 		type record struct {
 			state  string
 			at     int64
@@ -27,7 +27,7 @@
 			now += rapid.Int64Range(0, second).Draw(t, "time")
 			id := fmt.Sprint("q", rapid.IntRange(0, 30).Draw(t, "id"))
 			want, known := records[id]
-			expired := known && want.state != "running" && now-want.at > terms.Retention
+			expired := known && want.state != "running" && now-want.at > testLimits.Retention
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2, 3, 4:
 				verdict, answer := w.Begin(now, id)
@@ -69,7 +69,7 @@
 			case 9: // a planned restart
 				snapshot, age := w.Snapshot(now), rapid.Int64Range(0, 3*second).Draw(t, "away")
 				now += age
-				w = New(terms)
+				w = New(testLimits)
 				if err := w.Restore(now, age, snapshot); err != nil {
 					t.Fatal(err)
 				}
@@ -79,7 +79,7 @@
 					}
 				}
 			}
-			if w.Len() > terms.MaxIDs || w.answerBytes > terms.MaxAnswerBytes {
+			if w.Len() > testLimits.MaxIDs || w.answerBytes > testLimits.MaxAnswerBytes {
 				t.Fatalf("%d ids and %d bytes exceed the limits", w.Len(), w.answerBytes)
 			}
 		}
@@ -88,7 +88,7 @@
 
 // TestDamaged: a damaged snapshot is rejected, and nothing of it is restored.
 func TestDamaged(t *testing.T) {
-	w := New(terms)
+	w := New(testLimits)
 	for i := range 5 {
 		id := fmt.Sprint("q", i)
 		w.Begin(0, id)
@@ -97,30 +97,30 @@
 	snapshot := w.Snapshot(second)
 	for i := range snapshot {
 		for _, damaged := range [][]byte{snapshot[:i], append(append(bytes.Clone(snapshot[:i]), snapshot[i]^0x40), snapshot[i+1:]...)} {
-			restored := New(terms)
+			restored := New(testLimits)
 			if err := restored.Restore(second, 0, damaged); err == nil || restored.Len() != 0 {
 				t.Fatalf("snapshot damaged at byte %d: error %v, %d ids restored", i, err, restored.Len())
 			}
 		}
 	}
-	restored := New(terms)
+	restored := New(testLimits)
 	if err := restored.Restore(20*second, 0, snapshot); err != nil || restored.Len() != 5 {
 		t.Errorf("error %v, %d ids restored", err, restored.Len())
 	}
-	if err := New(terms).Restore(20*second, 19*second, snapshot); err != nil {
+	if err := New(testLimits).Restore(20*second, 19*second, snapshot); err != nil {
 		t.Error(err)
 	}
 }
 
 // FuzzRestore: Restore keeps the limits for any input.
 func FuzzRestore(f *testing.F) {
-	w := New(terms)
+	w := New(testLimits)
 	w.Begin(0, "q")
 	f.Add(w.Snapshot(0))
 	f.Fuzz(func(t *testing.T, input []byte) {
-		restored := New(terms)
+		restored := New(testLimits)
 		restored.Restore(0, 0, input)
-		if restored.Len() > terms.MaxIDs || restored.answerBytes > terms.MaxAnswerBytes {
+		if restored.Len() > testLimits.MaxIDs || restored.answerBytes > testLimits.MaxAnswerBytes {
 			t.Errorf("%d ids and %d bytes exceed the limits", restored.Len(), restored.answerBytes)
 		}
 	})
--- a/decide/failuredetector/failuredetector_test.go
+++ b/decide/failuredetector/failuredetector_test.go
@@ -60,11 +60,11 @@
 		detectors[ip] = New(ip)
 		detectors[ip].SetEdges(0, ips)
 	}
-	frozen := Watchers(ring, lost)[0]
+	suspended := Watchers(ring, lost)[0]
 	step := func(now int64) (suspectedBy map[string][]string) {
 		suspectedBy = map[string][]string{}
 		for _, ip := range ips {
-			if ip == lost || ip == frozen && now > 1000*ms && now < 8000*ms {
+			if ip == lost || ip == suspended && now > 1000*ms && now < 8000*ms {
 				continue
 			}
 			recipients, suspects := detectors[ip].Tick(now)
@@ -86,7 +86,7 @@
 	suspectedBy = step(8250 * ms)
 	for s, by := range suspectedBy {
 		if s != lost {
-			must.SliceNotContains(t, by, frozen)
+			must.SliceNotContains(t, by, suspended)
 		}
 	}
 	for now := int64(8500 * ms); now <= 12000*ms; now += 250 * ms {
--- a/decide/fairqueue/fairqueue_test.go
+++ b/decide/fairqueue/fairqueue_test.go
@@ -58,8 +58,8 @@
 // loses one.
 func TestOnceEach(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Limits{MaxWaiting: rapid.IntRange(1, 12).Draw(t, "most"), MaxCustomerShare: rapid.Float64Range(0.2, 1).Draw(t, "one")}
-		q, now, next := New(terms), int64(0), 0
+		limits := Limits{MaxWaiting: rapid.IntRange(1, 12).Draw(t, "most"), MaxCustomerShare: rapid.Float64Range(0.2, 1).Draw(t, "one")}
+		q, now, next := New(limits), int64(0), 0
 		waiting := map[int]Item{}
 		leave := func(item Item) {
 			if _, waits := waiting[item.Handle.(int)]; !waits {
@@ -114,8 +114,8 @@
 				}
 				delete(waiting, withdrawn)
 			}
-			if q.Len() != len(waiting) || q.Len() > terms.MaxWaiting {
-				t.Fatalf("%d queries wait, want %d, limit %d", q.Len(), len(waiting), terms.MaxWaiting)
+			if q.Len() != len(waiting) || q.Len() > limits.MaxWaiting {
+				t.Fatalf("%d queries wait, want %d, limit %d", q.Len(), len(waiting), limits.MaxWaiting)
 			}
 			if at := q.NextDeadline(); (at == 0) != (len(waiting) == 0) {
 				t.Fatalf("next deadline %d with %d queries waiting", at, len(waiting))
--- a/decide/overload/overload_test.go
+++ b/decide/overload/overload_test.go
@@ -276,18 +276,18 @@
 // The costs of two workloads are told apart, and the estimates follow when they change.
 func TestCosts(t *testing.T) {
 	c := newCosts(2)
-	true0, true1, refusal := 80e3, 700e3, 20e3
+	true0, true1, rejectCost := 80e3, 700e3, 20e3
 	learn := func() {
 		for i := range 1000 {
 			n := []float64{float64(50 + i%7*20), float64(20 + i%3*15)}
-			refused := float64(i % 5 * 30)
-			used := n[0]*true0 + n[1]*true1 + refused*refusal
-			c.learn(&Reading{Span: readingInterval, CPUTime: int64(used)}, n, refused, 0)
+			rejected := float64(i % 5 * 30)
+			used := n[0]*true0 + n[1]*true1 + rejected*rejectCost
+			c.learn(&Reading{Span: readingInterval, CPUTime: int64(used)}, n, rejected, 0)
 		}
 	}
 	near := func(got, want float64) bool { return got > 0.8*want && got < 1.25*want }
 	learn()
-	if !near(c.ofQuery(0), true0) || !near(c.ofQuery(1), true1) || c.reject > 2*refusal || c.reject < refusal/2 {
+	if !near(c.ofQuery(0), true0) || !near(c.ofQuery(1), true1) || c.reject > 2*rejectCost || c.reject < rejectCost/2 {
 		t.Errorf("%+v", c)
 	}
 	true0, true1 = 200e3, 300e3
--- a/decide/register/orders_test.go
+++ b/decide/register/orders_test.go
@@ -84,10 +84,10 @@
 // TestKnownValueComesWithoutOrders: an acceptor omits the orders where the asker holds the same value, and the proposer fills
 // in its own.
 func TestKnownValueComesWithoutOrders(t *testing.T) {
-	seeds := Value{Members: []string{"a"}, Revision: 7, Body: []byte("seven"), Orders: Orders{}.Add(Order{7, 1})}
-	held := State{Promised: Ballot{3, "x"}, Accepted: Ballot{3, "x"}, Value: seeds}
+	value := Value{Members: []string{"a"}, Revision: 7, Body: []byte("seven"), Orders: Orders{}.Add(Order{7, 1})}
+	held := State{Promised: Ballot{3, "x"}, Accepted: Ballot{3, "x"}, Value: value}
 	disk := Acceptor{held, true}
-	p := NewProposer("b/1", seeds, func() float64 { return 0 })
+	p := NewProposer("b/1", value, func() float64 { return 0 })
 	p.CacheState(held)
 	var seen Value
 	_, out := p.Edit(0, func(v Value) (Value, bool) { seen = v; return v, false })
@@ -96,6 +96,6 @@
 	must.SliceEmpty(t, answer.State.Value.Orders)
 	done := p.Step(0, "a", answer)
 	must.SliceLen(t, 1, done.Done)
-	must.Eq(t, seeds, seen)
-	must.Eq(t, seeds, done.Done[0].Value)
+	must.Eq(t, value, seen)
+	must.Eq(t, value, done.Done[0].Value)
 }
--- a/decide/register/register_test.go
+++ b/decide/register/register_test.go
@@ -143,13 +143,13 @@
 		s := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 1)), machines: map[string]*machine{}, acked: map[uint64]bool{},
 			body: map[uint64]string{}, puts: map[string]map[uint64]uint64{}}
 		s.names = []string{"a", "b", "c", "d", "e", "f"}
-		seeds := Value{Members: []string{"a", "b", "c"}}
+		initial := Value{Members: []string{"a", "b", "c"}}
 		for i, n := range s.names {
 			s.machines[n] = &machine{}
 			if i < 3 {
-				s.machines[n].disk = Acceptor{State{Value: seeds}, true}
+				s.machines[n].disk = Acceptor{State{Value: initial}, true}
 			}
-			s.start(n, seeds)
+			s.start(n, initial)
 		}
 		wiped := 0
 		for step := range 3000 {
@@ -171,7 +171,7 @@
 				wiped++
 				x.disk, x.up, x.joiner = Acceptor{}, false, nil
 			case k < 70 && !x.up:
-				s.start(n, seeds)
+				s.start(n, initial)
 			case k < 150 && x.up:
 				s.carry(n, x.proposer.Tick(s.now))
 				if x.joiner != nil {
@@ -194,7 +194,7 @@
 		// Without further faults a write must succeed.
 		for _, n := range s.names {
 			if !s.machines[n].up {
-				s.start(n, seeds)
+				s.start(n, initial)
 			}
 		}
 		s.network = nil
@@ -268,10 +268,10 @@
 // TestBallotsOfTwoLives: a proposer that is not a member has no disk, so its second incarnation starts with the same ballot
 // numbers as the first. A value that the first wrote to a minority must not be mistaken for what the second wrote.
 func TestBallotsOfTwoLives(t *testing.T) {
-	seeds := Value{Members: []string{"a", "b", "c"}}
+	initial := Value{Members: []string{"a", "b", "c"}}
 	disks := map[string]*Acceptor{}
-	for _, n := range seeds.Members {
-		disks[n] = &Acceptor{State{Value: seeds}, true}
+	for _, n := range initial.Members {
+		disks[n] = &Acceptor{State{Value: initial}, true}
 	}
 	half := func() float64 { return 0.5 }
 	// drive carries messages between a proposer and the acceptors that reach says are reachable, until there are none.
@@ -292,16 +292,16 @@
 		}
 		return done
 	}
-	first := NewProposer("d/1", seeds, half)
+	first := NewProposer("d/1", initial, half)
 	_, out := first.Edit(0, put(5, "x"))
 	drive(first, out, func(to string, m Message) bool { return to == "a" || to == "b" && m.Kind != Accept })
 	must.Eq(t, "x", string(disks["a"].Value.Body))
-	second := NewProposer("d/2", seeds, half)
+	second := NewProposer("d/2", initial, half)
 	_, out = second.Edit(0, put(5, "y"))
 	done := drive(second, out, func(to string, _ Message) bool { return to != "a" })
 	must.SliceLen(t, 1, done)
 	must.Eq(t, "y", string(done[0].Value.Body))
-	reader := NewProposer("e/1", seeds, half)
+	reader := NewProposer("e/1", initial, half)
 	_, out = reader.Edit(0, func(v Value) (Value, bool) { return v, false })
 	notC := func(to string, _ Message) bool { return to != "c" }
 	must.SliceEmpty(t, drive(reader, out, notC)) // whether y is committed is unknown without the answer of c
--- a/decide/rollout/fleet_test.go
+++ b/decide/rollout/fleet_test.go
@@ -48,8 +48,8 @@
 	trialRequests                        int // requests of the target version before it leaves the trial stages
 }
 
-func newFleet(seed uint64, d defect, terms Bounds) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), now: 1000 * ms, manager: NewManager(terms), defect: d}
+func newFleet(seed uint64, d defect, bounds Bounds) *fleet {
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 1)), now: 1000 * ms, manager: NewManager(bounds), defect: d}
 	f.set, _, _ = Set{}.Begin(order)
 	for i := range fleetReplicas {
 		f.replicas = append(f.replicas, Replica{ID: fmt.Sprint("old", i), Service: "s", Version: "v1"}, Replica{ID: fmt.Sprint("new", i), Service: "s", Version: "v2"})
--- a/decide/rollout/manager_test.go
+++ b/decide/rollout/manager_test.go
@@ -9,8 +9,8 @@
 
 // answers returns an edge's evidence with the given numbers of answers of the old version and of the target version, and of
 // failures of the target version.
-func answers(life, seq, version uint64, old, target, failed uint32) Evidence {
-	e := Evidence{Number: 1, Incarnation: life, Seq: seq, Version: version}
+func answers(incarnation, seq, version uint64, old, target, failed uint32) Evidence {
+	e := Evidence{Number: 1, Incarnation: incarnation, Seq: seq, Version: version}
 	e.Counts = append(e.Counts, OutcomeCounts{Route: 1, FirstBucket: 8, Buckets: []uint32{old}})
 	for i := range 4 {
 		e.Counts = append(e.Counts, OutcomeCounts{Route: 1, Replica: fmt.Sprint("new", i), FirstBucket: 8, Buckets: []uint32{target / 4}, Failed: failed / 4})
--- a/decide/routingtable/routingtable.go
+++ b/decide/routingtable/routingtable.go
@@ -26,7 +26,7 @@
 
 	minRoundInterval   = 1 * ms     // minimum time between two rounds of the balancer, a small part of the shortest latency goal
 	maxShards          = 1024       // maximum number of services at a time
-	networkShare       = 12         // this fraction (1/12) of a gathered answer's latency goal is reserved for the network to the client and back
+	networkDivisor     = 12         // a gathered answer's latency goal divided by this is reserved for the network to the client and back
 	latencyPriorWeight = 1.5        // number of calls that the typical latency counts for beside those measured at a replica; with few calls to each, the fastest of many replicas seems fast by chance
 	lateValueShare     = 0.4        // share of an answer's value that is left after its latency goal; the configuration has no setting for it
 	partialValueShare  = 1          // value of a partial answer, relative to the full answer's value times the share of the parts that it has
@@ -65,7 +65,7 @@
 		// Danger: the latency goal counts from when the client starts to connect, and on slow links a request waits behind
 		// answers to others. A partial answer that is sent exactly at the goal, as measured here, would be late at the
 		// client, and so neither complete nor in time.
-		w.LatencyGoal -= w.LatencyGoal / networkShare
+		w.LatencyGoal -= w.LatencyGoal / networkDivisor
 		w.OptionalGoal = w.LatencyGoal
 	}
 	return w
--- a/decide/sharedhealth/fuzz_test.go
+++ b/decide/sharedhealth/fuzz_test.go
@@ -14,7 +14,7 @@
 	f.Add([]byte{1, 2, 0, 1, 2, 0, 1, 2, 0, 1, 2, 5, 5, 1, 2}, Record{Incarnation: 4, Sequence: 1, WrittenAt: testStoreTime}.Append(nil))
 	f.Fuzz(func(t *testing.T, steps, text []byte) {
 		c := New(testNow, Config{Name: "a", Incarnation: 50, Seed: 3, RoundInterval: testRound, RoundTimeout: 150 * ms, SampleSize: 24, Aggregators: 4,
-			BaseEjection: testRest, HealthEnabled: true, Quotas: []Quota{{"q", 10, 20}}})
+			BaseEjection: testEjection, HealthEnabled: true, Quotas: []Quota{{"q", 10, 20}}})
 		p := NewQuotaBudget(testNow, c.Quotas, 4)
 		now, own, s := testNow, []byte(nil), healthySurvey(10, 5)
 		var asked *Request
@@ -36,7 +36,7 @@
 			switch step % 8 {
 			case 0:
 				s.Findings[i%10] = balance.Finding{Replica: i % 10, Cell: i % 10 / 5, Ejected: step&16 > 0, LastFailure: now * int64(step&1),
-					LastSuccess: now, Slowdown: float64(step), Samples: 2, TrialAt: now + testRest}
+					LastSuccess: now, Slowdown: float64(step), Samples: 2, TrialAt: now + testEjection}
 				s.Demand, s.TokensLeft = []float64{float64(step)}, []float64{0}
 				c.RecordSurvey(now, s)
 			case 1, 2:
--- a/decide/sharedhealth/gossip.go
+++ b/decide/sharedhealth/gossip.go
@@ -16,7 +16,7 @@
 	immediateReporters  = 4      // peers that are believed at once if no peer contradicts them
 	maxFailingShare     = 0.4    // share of its replicas: a peer that reports more as failing is in trouble itself
 	minFailing          = 3      // replicas that a peer has to report as failing before maxFailingShare applies
-	maxPassedOverShare  = 1. / 3 // share of a cell's replicas that peers' findings may exclude at a time, but at least one
+	maxExcludedShare    = 1. / 3 // share of a cell's replicas that peers' findings may exclude at a time, but at least one
 	trialsPerEjection   = 2.0    // trials that all aggregators together make during one ejection of a replica
 	maxDelayEjections   = 8      // upper bound of the delay of a trial, in base ejections
 	minSlowdown         = 2.0    // slowdown from which a replica is slow if it was called many times
@@ -200,8 +200,8 @@
 			// Danger: when the last accusation expires, a hundred aggregators would try the replica at once and lose a
 			// query each. So their shared reports end one after the other, and the first ones publish what they find.
 			recovered := counts.healthy > accusers && now >= history.lastAccused+int64(history.relapses)*relapseExtensionNs
-			if history.lastReport.Weight > 0 && !recovered && now < history.lastReportUntil && cell.passedOver < cell.maxPassedOver() {
-				cell.passedOver++
+			if history.lastReport.Weight > 0 && !recovered && now < history.lastReportUntil && cell.excluded < cell.maxExcluded() {
+				cell.excluded++
 				report.Slowdown, report.Weight = history.lastReport.Slowdown, history.lastReport.Weight
 			} else {
 				history.lastReport.Weight = 0
@@ -223,8 +223,8 @@
 			// count after half a round.
 			if (counts.ejected >= minReporters || accusers >= immediateReporters && counts.healthy == 0 ||
 				now-history.accusedSince >= g.roundInterval/2) &&
-				cell.passedOver < cell.maxPassedOver() {
-				cell.passedOver++
+				cell.excluded < cell.maxExcluded() {
+				cell.excluded++
 				slices.Sort(counts.slowdowns)
 				report.Slowdown, report.Weight = min(counts.slowdowns[len(counts.slowdowns)/2], maxReportedSlowdown), float64(accusers)
 				if history.lastReport.Weight == 0 {
@@ -261,15 +261,15 @@
 }
 
 // cellCounts counts a cell's replicas: all that are listed, and those that shared reports exclude.
-type cellCounts struct{ listed, passedOver int }
+type cellCounts struct{ listed, excluded int }
 
-// maxPassedOver returns how many replicas of the cell shared reports may exclude. A cell's only replica is never
+// maxExcluded returns how many replicas of the cell shared reports may exclude. A cell's only replica is never
 // excluded.
-func (c *cellCounts) maxPassedOver() int {
+func (c *cellCounts) maxExcluded() int {
 	if c.listed < 2 {
 		return 0
 	}
-	return max(int(maxPassedOverShare*float64(c.listed)), 1)
+	return max(int(maxExcludedShare*float64(c.listed)), 1)
 }
 
 // mostAccusedFirst returns the indexes of the findings on replicas that peers report on or that a shared report
--- a/decide/sharedhealth/gossip_test.go
+++ b/decide/sharedhealth/gossip_test.go
@@ -13,12 +13,12 @@
 
 const (
 	testRound     = 500 * ms
-	testRest      = 1000 * ms
+	testEjection  = 1000 * ms
 	testNow       = int64(100e9)
 	testStoreTime = int64(1.7e18)
 )
 
-func newTestGossip() *gossip { return newGossip(testRound, testRest, rand.New(rand.NewPCG(1, 2))) }
+func newTestGossip() *gossip { return newGossip(testRound, testEjection, rand.New(rand.NewPCG(1, 2))) }
 
 // healthySurvey returns a survey of healthy replicas in cells of the given size.
 func healthySurvey(replicas, cell int) (s Survey) {
@@ -42,8 +42,8 @@
 	return r
 }
 
-func passedOver(words []balance.SharedReport) (all []int) {
-	for _, w := range words {
+func excludedBy(reports []balance.SharedReport) (all []int) {
+	for _, w := range reports {
 		if w.Weight > 0 {
 			all = append(all, w.Replica)
 		}
@@ -59,7 +59,7 @@
 	}
 	h.receive("c", accusingRecord(s.Keys[3]))
 	w := h.evaluate(testNow, s, 10)
-	if got := passedOver(w); !slices.Equal(got, []int{3}) || !w[0].Suspect || w[0].Expires <= testNow {
+	if got := excludedBy(w); !slices.Equal(got, []int{3}) || !w[0].Suspect || w[0].Expires <= testNow {
 		t.Errorf("with findings of two peers: %+v", w)
 	}
 }
@@ -113,7 +113,7 @@
 		h.receive(name, accusingRecord(s.Keys[3]))
 	}
 	w := h.evaluate(testNow, s, 100)
-	if len(w) != 1 || w[0].TrialAt <= testNow+4e9 || w[0].TrialAt > testNow+4e9+maxDelayEjections*testRest {
+	if len(w) != 1 || w[0].TrialAt <= testNow+4e9 || w[0].TrialAt > testNow+4e9+maxDelayEjections*testEjection {
 		t.Fatalf("with a hundred aggregators: %+v", w)
 	}
 	s.Findings[3].TrialAt = w[0].TrialAt
@@ -123,7 +123,7 @@
 	for _, name := range []string{"d", "e", "f"} {
 		h.receive(name, Record{Replicas: 20, Findings: []Finding{{Key: s.Keys[3], Verdict: FoundHealthy}}})
 	}
-	if w := h.evaluate(testNow, s, 100); len(w) != 1 || w[0].TrialAt < testNow || w[0].TrialAt > testNow+testRest/2 {
+	if w := h.evaluate(testNow, s, 100); len(w) != 1 || w[0].TrialAt < testNow || w[0].TrialAt > testNow+testEjection/2 {
 		t.Errorf("found healthy by more peers: %+v", w)
 	}
 }
@@ -136,10 +136,10 @@
 		r.Findings[0].Verdict = FoundFailing
 		h.receive(name, r)
 	}
-	if w := h.evaluate(testNow, s, 10); len(passedOver(w)) != 0 || !w[0].Suspect {
+	if w := h.evaluate(testNow, s, 10); len(excludedBy(w)) != 0 || !w[0].Suspect {
 		t.Errorf("at once: %+v", w)
 	}
-	if w := h.evaluate(testNow+testRound, s, 10); len(passedOver(w)) != 1 {
+	if w := h.evaluate(testNow+testRound, s, 10); len(excludedBy(w)) != 1 {
 		t.Errorf("a round later, and no peer finds it healthy: %+v", w)
 	}
 	for _, name := range []string{"d", "e", "f"} {
@@ -166,7 +166,7 @@
 				f := &s.Findings[i]
 				f.Ejected = rapid.IntRange(0, 5).Draw(t, "own") == 0
 				if f.Ejected {
-					f.LastFailure, f.TrialAt = now, now+rapid.Int64Range(0, 8).Draw(t, "rest")*testRest
+					f.LastFailure, f.TrialAt = now, now+rapid.Int64Range(0, 8).Draw(t, "rest")*testEjection
 				}
 			}
 			accusers, healthy := map[int]int{}, map[int]int{}
@@ -211,7 +211,7 @@
 				if w.Replica < 0 || w.Replica >= len(s.Findings) || w.Slowdown > maxReportedSlowdown || w.Expires > now+reportValidRounds*testRound {
 					t.Fatalf("shared report out of bounds: %+v", w)
 				}
-				if f := s.Findings[w.Replica]; w.TrialAt > 0 && (!f.Ejected || w.TrialAt > f.TrialAt+maxDelayEjections*testRest) {
+				if f := s.Findings[w.Replica]; w.TrialAt > 0 && (!f.Ejected || w.TrialAt > f.TrialAt+maxDelayEjections*testEjection) {
 					t.Fatalf("a trial of %+v is delayed to %d ms from now", f, (w.TrialAt-now)/ms)
 				}
 				if w.Weight > 0 {
@@ -236,15 +236,15 @@
 
 func TestTrust(t *testing.T) {
 	c := rand.New(rand.NewPCG(4, 4))
-	tr := storeMonitor{interval: testRound, timeout: 150 * ms, rng: c, lastGood: testNow - 2*unreachableAfterRounds*testRound}
+	monitor := storeMonitor{interval: testRound, timeout: 150 * ms, rng: c, lastGood: testNow - 2*unreachableAfterRounds*testRound}
 	now, states := testNow, ""
-	addState := func() { states += tr.state.String() + " " }
+	addState := func() { states += monitor.state.String() + " " }
 	good := func(duration int64, contradicted bool) {
 		now += testRound
-		tr.roundSucceeded(now, duration, contradicted)
+		monitor.roundSucceeded(now, duration, contradicted)
 		addState()
 	}
-	bad := func() { now += testRound; tr.roundFailed(now); addState() }
+	bad := func() { now += testRound; monitor.roundFailed(now); addState() }
 	for range 3 {
 		good(2*ms, false)
 	}
@@ -274,11 +274,11 @@
 func TestSpread(t *testing.T) {
 	var waits []int64
 	for i := range 200 {
-		tr := storeMonitor{interval: testRound, timeout: 150 * ms, rng: rand.New(rand.NewPCG(uint64(i), 4)), lastGood: testNow}
+		monitor := storeMonitor{interval: testRound, timeout: 150 * ms, rng: rand.New(rand.NewPCG(uint64(i), 4)), lastGood: testNow}
 		for range 6 {
-			tr.roundFailed(testNow)
+			monitor.roundFailed(testNow)
 		}
-		waits = append(waits, tr.nextRound-testNow)
+		waits = append(waits, monitor.nextRound-testNow)
 	}
 	slices.Sort(waits)
 	if spread := waits[190] - waits[10]; spread < 20*testRound || waits[199] > maxBackoffNs+testRound {
--- a/decide/sharedhealth/quota_test.go
+++ b/decide/sharedhealth/quota_test.go
@@ -164,15 +164,15 @@
 					events++
 				}
 			}
-			lives := 0.0
+			restarts := 0.0
 			for _, node := range m.nodes {
 				for _, at := range node.restarts {
 					if at >= from-w {
-						lives++
+						restarts++
 					}
 				}
 			}
-			limit = 3*m.quota.Rate*float64(span+2*w)/1e9 + m.quota.Burst + float64(len(m.nodes)) + lives +
+			limit = 3*m.quota.Rate*float64(span+2*w)/1e9 + m.quota.Burst + float64(len(m.nodes)) + restarts +
 				float64(events)*(m.quota.Rate*float64(2*w)/1e9+m.quota.Burst)
 		}
 		if float64(n) > limit {
--- a/decide/sharedhealth/sharedhealth_test.go
+++ b/decide/sharedhealth/sharedhealth_test.go
@@ -19,7 +19,7 @@
 
 func newStoreSession(t *testing.T) *storeSession {
 	return &storeSession{T: t, now: testNow, exchange: New(testNow, Config{Name: "a", Incarnation: 50, Seed: 3, RoundInterval: testRound,
-		RoundTimeout: 150 * ms, SampleSize: 24, Aggregators: 4, BaseEjection: testRest, HealthEnabled: true})}
+		RoundTimeout: 150 * ms, SampleSize: 24, Aggregators: 4, BaseEjection: testEjection, HealthEnabled: true})}
 }
 
 // round plays one round. If change is not nil, it may alter the store's answer.
@@ -122,7 +122,7 @@
 		r.Entries = append(r.Entries, Entry{"d", nil}, Entry{"e", make([]byte, 1<<20)}, Entry{"f", []byte("garbled")},
 			Entry{strings.Repeat("n", maxNameBytes+1), accusingRecord(s.Keys[4]).Append(nil)}, Entry{"a", []byte("own")})
 	})
-	if got := passedOver(a.Reports); len(got) != 1 || got[0] != 3 || x.exchange.Stats(x.now).RecordsRefused != 4 {
+	if got := excludedBy(a.Reports); len(got) != 1 || got[0] != 3 || x.exchange.Stats(x.now).RecordsRefused != 4 {
 		t.Errorf("excluded %v, %d records rejected", got, x.exchange.Stats(x.now).RecordsRefused)
 	}
 }
@@ -130,7 +130,7 @@
 // An aggregator publishes its own findings, the most severe first.
 func TestTestimony(t *testing.T) {
 	x, s := newStoreSession(t), healthySurvey(20, 5)
-	s.Findings[1] = balance.Finding{Replica: 1, Ejected: true, LastFailure: testNow, TrialAt: testNow + testRest}
+	s.Findings[1] = balance.Finding{Replica: 1, Ejected: true, LastFailure: testNow, TrialAt: testNow + testEjection}
 	s.Findings[6].Slowdown, s.Findings[6].Samples = 4, 2
 	s.Findings[7].Slowdown, s.Findings[7].Samples = 3, 1 // a single expensive call does not make a replica slow
 	x.reachFresh(s)
--- a/decide/siterouting/siterouting_test.go
+++ b/decide/siterouting/siterouting_test.go
@@ -249,9 +249,9 @@
 // of half a second, in queries and in the bytes that the queries turn out to have.
 func TestPurse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := two("a", "b", rapid.Float64Range(1, 100).Draw(t, "queries"))
-		terms.Links[0].ByteRate = rapid.Float64Range(1e4, 1e6).Draw(t, "bytes")
-		r, now := New(0, terms), int64(0)
+		config := two("a", "b", rapid.Float64Range(1, 100).Draw(t, "queries"))
+		config.Links[0].ByteRate = rapid.Float64Range(1e4, 1e6).Draw(t, "bytes")
+		r, now := New(0, config), int64(0)
 		for w := range r.plan.Rates { // a plan far beyond the limits of the link
 			r.plan.Rates[w][0] = 1e4
 		}
@@ -269,10 +269,10 @@
 			queries++
 			bytes += actual
 			span := float64(now) / 1e9
-			if limit := terms.Links[0].QueryRate*(span+budgetBurstSeconds) + 1; queries > limit {
+			if limit := config.Links[0].QueryRate*(span+budgetBurstSeconds) + 1; queries > limit {
 				t.Fatalf("%v queries in %v s, want at most %v", queries, span, limit)
 			}
-			if limit := terms.Links[0].ByteRate*(span+budgetBurstSeconds) + longest; bytes > limit {
+			if limit := config.Links[0].ByteRate*(span+budgetBurstSeconds) + longest; bytes > limit {
 				t.Fatalf("%v bytes in %v s, want at most %v", bytes, span, limit)
 			}
 		}
@@ -304,11 +304,11 @@
 func TestRouteBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		links := rapid.IntRange(1, 4).Draw(t, "links")
-		terms := Config{Site: "s9", Interval: second, Workloads: []Workload{{"lookup", 1, 1000, 50e6}}}
+		config := Config{Site: "s9", Interval: second, Workloads: []Workload{{"lookup", 1, 1000, 50e6}}}
 		for i := range links {
-			terms.Links = append(terms.Links, Link{fmt.Sprint("s", rapid.SampledFrom([]int{i, 9}).Draw(t, "site")), 50, 1e6, 0.1})
+			config.Links = append(config.Links, Link{fmt.Sprint("s", rapid.SampledFrom([]int{i, 9}).Draw(t, "site")), 50, 1e6, 0.1})
 		}
-		r, now := New(0, terms), int64(0)
+		r, now := New(0, config), int64(0)
 		usable, delay := make([]bool, links), make([]int64, links)
 		spent, allowed := make([]float64, links), make([]float64, links)
 		for range rapid.IntRange(1, 20).Draw(t, "turns") {
@@ -330,11 +330,11 @@
 					continue
 				}
 				spent[l]++
-				if terms.Links[l].Site == "s9" || !usable[l] || len(q.Visited) >= maxHops || q.TimeLeft < 2*delay[l] {
+				if config.Links[l].Site == "s9" || !usable[l] || len(q.Visited) >= maxHops || q.TimeLeft < 2*delay[l] {
 					t.Fatalf("query %+v goes over link %d with delay %d, usable: %v", q, l, delay[l], usable[l])
 				}
 				for _, v := range q.Visited {
-					if v == terms.Links[l].Site {
+					if v == config.Links[l].Site {
 						t.Fatalf("query goes back to site %s", v)
 					}
 				}
--- a/decide/zonehealth/zonehealth_test.go
+++ b/decide/zonehealth/zonehealth_test.go
@@ -269,9 +269,9 @@
 }
 
 func TestTerms(t *testing.T) {
-	for _, terms := range []Config{{BaseEjection: 0, MinFailedReplicas: 3}, {BaseEjection: ms, MinFailedReplicas: 1}} {
-		if terms.Validate() == nil {
-			t.Errorf("%+v was accepted", terms)
+	for _, config := range []Config{{BaseEjection: 0, MinFailedReplicas: 3}, {BaseEjection: ms, MinFailedReplicas: 1}} {
+		if config.Validate() == nil {
+			t.Errorf("%+v was accepted", config)
 		}
 	}
 	if err := (Config{BaseEjection: ms, MinFailedReplicas: 2}).Validate(); err != nil {
@@ -371,14 +371,14 @@
 // The calls made for every execution allocate nothing.
 func TestCost(t *testing.T) {
 	f := newTestTracker(1000, "a", "b", "c")
-	words := make([]balance.SharedReport, 0, 1000)
+	reports := make([]balance.SharedReport, 0, 1000)
 	now := 1000 * ms
 	if n := testing.AllocsPerRun(1000, func() {
 		now += ms
 		f.ExecutionSent(now, 7)
 		f.ExecutionEnded(now, 7, balance.Fulfilled, 5*ms)
 		f.ExecutionEnded(now, 8, balance.TimedOut, 110*ms)
-		words = f.Decide(now, words[:0])
+		reports = f.Decide(now, reports[:0])
 	}); n > 0 {
 		t.Errorf("%v allocations an execution", n)
 	}
@@ -399,16 +399,16 @@
 	for _, n := range []int{200, 1000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			f := newTestTracker(n, "a", "b", "c")
-			words := make([]balance.SharedReport, 0, n)
+			reports := make([]balance.SharedReport, 0, n)
 			now := 1000 * ms
 			for b.Loop() {
 				now += 1000 * ms
 				for _, i := range []int{0, 3, 6} {
 					f.ExecutionEnded(now, i, balance.ConnectFailed, ms)
 				}
-				words = f.Decide(now, words[:0])
+				reports = f.Decide(now, reports[:0])
 				f.ExecutionEnded(now+ms, 9, balance.Fulfilled, ms)
-				words = f.Decide(now+ms, words[:0])
+				reports = f.Decide(now+ms, reports[:0])
 			}
 		})
 	}
