--- a/decide/zonehealth/zonehealth.go
+++ b/decide/zonehealth/zonehealth.go
@@ -89,13 +89,13 @@
 	zones     []zone
 	changed   bool  // which replicas are excluded has to be decided again
 	nextTrial int64 // time of the earliest trial; math.MaxInt64 for none
-	Figures   *Stats
+	Stats     *Stats
 }
 
 // New returns a Tracker without replicas.
 func New(config Config) *Tracker {
 	return &Tracker{config: config, rng: rand.New(rand.NewPCG(config.Seed, config.Seed^0x9e3779b97f4a7c15)), nextTrial: math.MaxInt64,
-		Figures: &Stats{}}
+		Stats: &Stats{}}
 }
 
 // ReplicaListed records that a replica is listed as up, in which zone, and whether the balance module already knew it.
@@ -183,7 +183,7 @@
 		return
 	}
 	t.zones[z].inTrial = false
-	t.Figures.Trials.Add(1)
+	t.Stats.Trials.Add(1)
 	t.scheduleTrial(now, z)
 }
 
@@ -209,7 +209,7 @@
 		v.failedReplicas, v.lastReached = 0, now
 		if v.unreachable {
 			v.unreachable, v.inTrial, t.changed = false, false, true
-			t.Figures.Recovered.Add(1)
+			t.Stats.Recovered.Add(1)
 		}
 		return
 	case balance.ConnectFailed, balance.Reset:
@@ -233,7 +233,7 @@
 				t.replicas[i].newlyListed = false
 			}
 		}
-		t.Figures.FoundUnreachable.Add(1)
+		t.Stats.FoundUnreachable.Add(1)
 		t.scheduleTrial(now, z)
 	}
 }
--- a/decide/zonehealth/zonehealth_test.go
+++ b/decide/zonehealth/zonehealth_test.go
@@ -198,11 +198,11 @@
 			t.Errorf("waits of %v ms: number %d is not between %d and %d", waits, i, least, 3*least)
 		}
 	}
-	if f.Figures.Trials.Load() != 6 || f.Figures.FoundUnreachable.Load() != 1 {
-		t.Errorf("%d trials, found unreachable %d times", f.Figures.Trials.Load(), f.Figures.FoundUnreachable.Load())
+	if f.Stats.Trials.Load() != 6 || f.Stats.FoundUnreachable.Load() != 1 {
+		t.Errorf("%d trials, found unreachable %d times", f.Stats.Trials.Load(), f.Stats.FoundUnreachable.Load())
 	}
 	f.ExecutionEnded(now+ms, 0, balance.Fulfilled, ms)
-	if h.apply(t, f, now+ms); len(h) > 0 || len(f.UnreachableZones(nil)) > 0 || f.Figures.Recovered.Load() != 1 {
+	if h.apply(t, f, now+ms); len(h) > 0 || len(f.UnreachableZones(nil)) > 0 || f.Stats.Recovered.Load() != 1 {
 		t.Errorf("after an answer %v is unreachable and %v excluded", f.UnreachableZones(nil), h)
 	}
 	if f.Next() != math.MaxInt64 {
--- a/node/zones.go
+++ b/node/zones.go
@@ -29,7 +29,7 @@
 		n.count.Zones.Set(nil)
 		return
 	}
-	n.count.Zones.Set(tracker.Figures)
+	n.count.Zones.Set(tracker.Stats)
 	for i, h := range n.hosts {
 		if h.name != "" && h.up {
 			tracker.ReplicaListed(i, h.zone, true)
--- a/node/zones_test.go
+++ b/node/zones_test.go
@@ -47,8 +47,8 @@
 				if !watched {
 					return
 				}
-				if w.zoneHealth.Figures.FoundUnreachable.Load() != 1 || len(w.unreachable) != 1 {
-					w.Errorf("found unreachable %d times, unreachable now: %v", w.zoneHealth.Figures.FoundUnreachable.Load(), w.unreachable)
+				if w.zoneHealth.Stats.FoundUnreachable.Load() != 1 || len(w.unreachable) != 1 {
+					w.Errorf("found unreachable %d times, unreachable now: %v", w.zoneHealth.Stats.FoundUnreachable.Load(), w.unreachable)
 				}
 				for i := range 8 {
 					l := w.network.Listen(fmt.Sprint("r:", 2+i))
@@ -58,8 +58,8 @@
 				time.Sleep(6 * time.Second) // the longest wait for a trial
 				ask("back", 10)
 				synctest.Wait()
-				if w.zoneHealth.Figures.Recovered.Load() != 1 || len(w.unreachable) != 0 {
-					w.Errorf("found reachable again %d times, unreachable now: %v", w.zoneHealth.Figures.Recovered.Load(), w.unreachable)
+				if w.zoneHealth.Stats.Recovered.Load() != 1 || len(w.unreachable) != 0 {
+					w.Errorf("found reachable again %d times, unreachable now: %v", w.zoneHealth.Stats.Recovered.Load(), w.unreachable)
 				}
 				w.WatchZones(nil)
 				ask("off", 2)
