--- a/internal/healthcheck/healthcheck_test.go
+++ b/internal/healthcheck/healthcheck_test.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	every = time.Millisecond
-	soon  = 50 * time.Millisecond
+	pollInterval = time.Millisecond
+	shortTimeout = 50 * time.Millisecond
 )
 
-// answering starts a server that answers the first unready checks with 503 and then with 200. It returns the number of checks so far, too.
-func answering(t *testing.T, unready int32) (*httptest.Server, *atomic.Int32) {
-	asked := &atomic.Int32{}
+// startServer starts a server that answers the first unready checks with 503 and later ones with 200, and counts all checks.
+func startServer(t *testing.T, unready int32) (*httptest.Server, *atomic.Int32) {
+	checks := &atomic.Int32{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if asked.Add(1) <= unready {
+		if checks.Add(1) <= unready {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}))
 	t.Cleanup(s.Close)
-	return s, asked
+	return s, checks
 }
 
 func TestUntilItServes(t *testing.T) {
-	s, asked := answering(t, 3)
-	must.NoError(t, Wait{Client: s.Client(), Interval: every, Timeout: 10 * time.Second}.Until(s.URL))
-	must.Eq(t, 4, asked.Load())
+	s, checks := startServer(t, 3)
+	must.NoError(t, Wait{Client: s.Client(), Interval: pollInterval, Timeout: 10 * time.Second}.Until(s.URL))
+	must.Eq(t, 4, checks.Load())
 }
 
 func TestLate(t *testing.T) {
-	s, _ := answering(t, 1<<30)
-	err := Wait{Client: s.Client(), Interval: every, Timeout: soon}.Until(s.URL)
+	s, _ := startServer(t, 1<<30)
+	err := Wait{Client: s.Client(), Interval: pollInterval, Timeout: shortTimeout}.Until(s.URL)
 	var timeout *TimeoutError
 	must.True(t, errors.As(err, &timeout))
-	must.Eq(t, soon, timeout.Within)
+	must.Eq(t, shortTimeout, timeout.Within)
 }
 
 func TestEnded(t *testing.T) {
-	s, _ := answering(t, 1<<30)
+	s, _ := startServer(t, 1<<30)
 	ended := make(chan error, 1)
 	reason := errors.New("the port is taken")
 	ended <- reason
-	err := Wait{Client: s.Client(), Interval: every, Timeout: 10 * time.Second, Ended: ended}.Until(s.URL)
+	err := Wait{Client: s.Client(), Interval: pollInterval, Timeout: 10 * time.Second, Ended: ended}.Until(s.URL)
 	must.ErrorIs(t, err, reason)
 	var endedError *EndedError
 	must.True(t, errors.As(err, &endedError))
--- a/transport/controlclient/replay_test.go
+++ b/transport/controlclient/replay_test.go
@@ -14,9 +14,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// dyingServer answers the first request on each connection, and closes the connection once it has read a second
+// closingServer answers the first request on each connection, and closes the connection once it has read a second
 // one.
-type dyingServer struct {
+type closingServer struct {
 	answers []string // answers to the first requests of successive connections; the last one repeats
 
 	mu       sync.Mutex
@@ -25,7 +25,7 @@
 	longest  int // most requests read on one connection
 }
 
-func (s *dyingServer) listen(t *testing.T) string {
+func (s *closingServer) listen(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -41,7 +41,7 @@
 	return ln.Addr().String()
 }
 
-func (s *dyingServer) serve(c net.Conn) {
+func (s *closingServer) serve(c net.Conn) {
 	defer c.Close()
 	s.mu.Lock()
 	answer := s.answers[min(s.conns, len(s.answers)-1)]
@@ -82,13 +82,13 @@
 		{http.MethodPost, "configuration", 1, true},
 	} {
 		t.Run(tc.method, func(t *testing.T) {
-			s := &dyingServer{answers: []string{done}}
+			s := &closingServer{answers: []string{done}}
 			address := s.listen(t)
-			stock := http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}
+			defaultClient := http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}
 			for call := range 2 {
 				req, err := http.NewRequest(tc.method, "http://"+address, strings.NewReader(tc.body))
 				must.NoError(t, err)
-				res, err := stock.Do(req)
+				res, err := defaultClient.Do(req)
 				must.Eq(t, call == 1 && tc.fails, err != nil)
 				if err == nil {
 					io.Copy(io.Discard, res.Body)
@@ -105,7 +105,7 @@
 // TestEachTryHasItsOwnConnection: only Client's own retries resend a request. Each retry has the same bytes and
 // a new connection, because net/http replays requests on reused connections alone.
 func TestEachTryHasItsOwnConnection(t *testing.T) {
-	s := &dyingServer{answers: []string{busy, busy, done}}
+	s := &closingServer{answers: []string{busy, busy, done}}
 	client := Client{Addresses: []string{s.listen(t)}}
 	must.NoError(t, client.SendConfiguration(context.Background(), []byte("configuration")))
 	_, err := client.ReadConfiguration(context.Background())
@@ -120,12 +120,12 @@
 // TestRedirectsAreBounded: a 307 is followed twice, the limit of all clients of the control resources, and then
 // the next address is tried.
 func TestRedirectsAreBounded(t *testing.T) {
-	loop := &dyingServer{}
+	loop := &closingServer{}
 	address := loop.listen(t)
 	loop.mu.Lock()
 	loop.answers = []string{"HTTP/1.1 307 There\r\nLocation: http://" + address + "/v1\r\nContent-Length: 0\r\n\r\n"}
 	loop.mu.Unlock()
-	good := &dyingServer{answers: []string{done}}
+	good := &closingServer{answers: []string{done}}
 	client := Client{Addresses: []string{address, good.listen(t)}}
 	must.NoError(t, client.SendConfiguration(context.Background(), []byte("configuration")))
 	loop.mu.Lock()
@@ -135,7 +135,7 @@
 
 // TestTriesEndWithTheContext: without a definite answer the retries go on until ctx ends, and no longer.
 func TestTriesEndWithTheContext(t *testing.T) {
-	s := &dyingServer{answers: []string{busy}}
+	s := &closingServer{answers: []string{busy}}
 	client := Client{Addresses: []string{s.listen(t)}}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*retryDelay)
 	defer cancel()
--- a/transport/daemon/daemon_test.go
+++ b/transport/daemon/daemon_test.go
@@ -32,14 +32,14 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(childVariable) != "" {
-		os.Exit(Run("test", "leaves slowly", nil, leaveSlowly))
+		os.Exit(Run("test", "leaves slowly", nil, drainSlowly))
 	}
 	os.Exit(m.Run())
 }
 
-// leaveSlowly prints a line when it is ready and one when ctx has ended. Then it answers each line of its
+// drainSlowly prints a line when it is ready and one when ctx has ended. Then it answers each line of its
 // input, like a draining process that still answers queries, and returns at the end of the input.
-func leaveSlowly(ctx context.Context, _ settings.Settings) error {
+func drainSlowly(ctx context.Context, _ settings.Settings) error {
 	fmt.Println("ready")
 	<-ctx.Done()
 	fmt.Println("leaving")
@@ -85,9 +85,9 @@
 	signal.Notify(handled, syscall.SIGHUP, syscall.SIGINT, syscall.SIGTERM)
 	defer signal.Stop(handled)
 	must.NoError(t, c.process.Start())
-	tooLong := time.AfterFunc(childTimeout, func() { _ = c.process.Process.Kill() })
+	killTimer := time.AfterFunc(childTimeout, func() { _ = c.process.Process.Kill() })
 	t.Cleanup(func() {
-		tooLong.Stop()
+		killTimer.Stop()
 		_ = c.process.Process.Kill()
 	})
 	return c
--- a/transport/metrics/metrics.go
+++ b/transport/metrics/metrics.go
@@ -44,7 +44,7 @@
 type Writer struct{ set *metrics.Set }
 
 // Gauge writes a value that may fall. The name may hold labels, as in queue_length{route="scan"}.
-func (f Writer) Gauge(name string, value float64) { f.set.GetOrCreateGauge(name, nil).Set(value) }
+func (w Writer) Gauge(name string, value float64) { w.set.GetOrCreateGauge(name, nil).Set(value) }
 
 // Flag writes a gauge of 1 or 0.
 func (w Writer) Flag(name string, value bool) {
--- a/transport/replica/pool.go
+++ b/transport/replica/pool.go
@@ -74,8 +74,8 @@
 	for len(p.replicas) <= replica {
 		p.replicas = append(p.replicas, &destination{})
 	}
-	if l := p.replicas[replica]; l.address != address {
-		l.address = address
+	if d := p.replicas[replica]; d.address != address {
+		d.address = address
 		p.Retire(replica)
 	}
 }
--- a/transport/replicahttp/notexecuted_test.go
+++ b/transport/replicahttp/notexecuted_test.go
@@ -40,8 +40,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			answer := "HTTP/1.1 " + c.status + "\r\n" + HeaderAttempt + ": ID\r\n" + c.lines + "Content-Length: 2\r\n\r\nab"
-			runFixture(t, &server{answers: []string{answer}}, func(d *fixture) {
-				result, _ := d.call("x1")
+			runFixture(t, &server{answers: []string{answer}}, func(f *fixture) {
+				result, _ := f.call("x1")
 				must.Eq(t, c.want, result)
 			})
 		})
@@ -50,9 +50,9 @@
 
 // TestNoConnection: a connection that was never opened proves that nothing was executed.
 func TestNoConnection(t *testing.T) {
-	runFixture(t, &server{}, func(d *fixture) {
-		d.Dial = func(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
-		result, _ := d.call("x1")
+	runFixture(t, &server{}, func(f *fixture) {
+		f.Dial = func(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
+		result, _ := f.call("x1")
 		must.Eq(t, balance.ConnectFailed, result)
 	})
 }
--- a/transport/replicahttp/replicahttp.go
+++ b/transport/replicahttp/replicahttp.go
@@ -110,7 +110,7 @@
 		p.destinations = append(p.destinations, &destination{})
 	}
 	id, address, _ := strings.Cut(destinationAddress, " ")
-	if l := p.destinations[i]; l.id != id || l.address != address {
+	if d := p.destinations[i]; d.id != id || d.address != address {
 		p.CloseIdle(i)
 		p.destinations[i] = &destination{id: id, address: address}
 	}
--- a/transport/replicahttp/unmatched_test.go
+++ b/transport/replicahttp/unmatched_test.go
@@ -45,19 +45,19 @@
 				if reused {
 					s.answers = append([]string{good}, s.answers...)
 				}
-				runFixture(t, s, func(d *fixture) {
+				runFixture(t, s, func(f *fixture) {
 					if reused {
-						result, _ := d.call("x0a")
+						result, _ := f.call("x0a")
 						must.Eq(t, balance.Fulfilled, result)
 					}
-					result, a := d.call("x1")
+					result, a := f.call("x1")
 					must.Eq(t, balance.Reset, result)
 					must.Nil(t, a)
-					d.settle()
-					result, a = d.call("x2")
+					f.settle()
+					result, a = f.call("x2")
 					must.Eq(t, balance.Fulfilled, result)
 					must.Eq(t, "abc", string(a.Body))
-					must.Eq(t, 2, int(d.Opened.Load()))
+					must.Eq(t, 2, int(f.Opened.Load()))
 				})
 			})
 		}
@@ -85,22 +85,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &server{answers: []string{answer("x1", "abc") + c.behind, c.second}, idle: c.idle}
-			runFixture(t, s, func(d *fixture) {
-				result, a := d.call("x1")
+			runFixture(t, s, func(f *fixture) {
+				result, a := f.call("x1")
 				must.Eq(t, balance.Fulfilled, result)
 				must.Eq(t, "abc", string(a.Body))
 				if c.idle != "" {
 					time.Sleep(time.Second)
 				}
-				d.settle()
-				result, a = d.call("x2")
+				f.settle()
+				result, a = f.call("x2")
 				must.Eq(t, c.want, result)
 				if c.want == balance.Fulfilled {
 					must.Eq(t, "new", string(a.Body))
 				} else {
 					must.Nil(t, a)
 				}
-				must.Eq(t, c.opened, int(d.Opened.Load()))
+				must.Eq(t, c.opened, int(f.Opened.Load()))
 			})
 		})
 	}
--- a/transport/replicahttp/write_test.go
+++ b/transport/replicahttp/write_test.go
@@ -73,32 +73,32 @@
 		for _, reused := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", reused ", reused), func(t *testing.T) {
 				good := answerText("200 OK", "ID", "s", "abc")
-				runFixture(t, &server{answers: []string{good, good, good}}, func(d *fixture) {
+				runFixture(t, &server{answers: []string{good, good, good}}, func(f *fixture) {
 					var conn *faultyConn
-					dial := d.Dial
-					d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+					dial := f.Dial
+					f.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 						c, err := dial(ctx, network, address)
 						conn = &faultyConn{Conn: c, written: &strings.Builder{}}
 						return conn, err
 					}
 					if reused {
-						d.call("x0")
+						f.call("x0")
 						conn.ends = []writeEnd{c.end}
 					} else {
-						first := d.Dial
-						d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+						first := f.Dial
+						f.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 							_, err := first(ctx, network, address)
 							conn.ends = []writeEnd{c.end}
 							return conn, err
 						}
 					}
-					result, _ := d.call("x1")
+					result, _ := f.call("x1")
 					if c.end.accepted < 1<<20 { // after the whole request was accepted, it may also be answered
 						must.Eq(t, c.want, result)
 					} else {
 						must.False(t, result.NeverRan())
 					}
-					d.settle()
+					f.settle()
 				})
 			})
 		}
@@ -113,11 +113,11 @@
 		poolEnd, replicaEnd := net.Pipe()
 		wait := make(chan struct{})
 		conn := &faultyConn{Conn: poolEnd, ends: []writeEnd{{accepted: 20, err: os.ErrDeadlineExceeded}}, written: &strings.Builder{}, wait: wait}
-		d := &fixture{t: t, events: make(chan any, 64)}
+		f := &fixture{t: t, events: make(chan any, 64)}
 		began := time.Now()
-		d.Pool = NewPool(func(v any) { d.events <- v }, func() int64 { return int64(time.Since(began)) })
-		d.Dial = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
-		d.SetAddress(0, DestinationAddress("i-1", "r:1"))
+		f.Pool = NewPool(func(v any) { f.events <- v }, func() int64 { return int64(time.Since(began)) })
+		f.Dial = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
+		f.SetAddress(0, DestinationAddress("i-1", "r:1"))
 		defer func() {
 			replicaEnd.Close()
 			poolEnd.Close()
@@ -127,21 +127,21 @@
 			io.ReadFull(replicaEnd, make([]byte, 20))
 			io.WriteString(replicaEnd, withLines(answerText("503 No", "x1", "", ""), notExecutedLine))
 		}()
-		result, _ := d.call("x1")
+		result, _ := f.call("x1")
 		must.Eq(t, balance.Full, result)
 		second := &replica.Ticket{Payload: &Request{Attempt: "x2", Method: "GET", Head: []byte("GET /other HTTP/1.1\r\n"),
 			Answers: map[int]*Answer{}}}
-		d.Send(0, []*replica.Ticket{second})
+		f.Send(0, []*replica.Ticket{second})
 		synctest.Wait()
 		test(replicaEnd, conn, func() (ended []replica.Report) {
 			close(wait)
 			synctest.Wait()
-			for len(d.events) > 0 {
-				reports, _ := d.Handle(<-d.events)
+			for len(f.events) > 0 {
+				reports, _ := f.Handle(<-f.events)
 				ended = append(ended, reports...)
 				synctest.Wait()
 			}
-			must.Zero(t, d.OpenConnections())
+			must.Zero(t, f.OpenConnections())
 			return ended
 		})
 	})
@@ -172,12 +172,12 @@
 // TestDeadOnArrival: a connection that ends before its first request was written proves that the request was
 // not executed, even if the reader reports the end.
 func TestDeadOnArrival(t *testing.T) {
-	runFixture(t, &server{}, func(d *fixture) {
-		d.Dial = func(context.Context, string, string) (net.Conn, error) { return deadConn{}, nil }
+	runFixture(t, &server{}, func(f *fixture) {
+		f.Dial = func(context.Context, string, string) (net.Conn, error) { return deadConn{}, nil }
 		for range raceRounds {
-			result, _ := d.call("x1")
+			result, _ := f.call("x1")
 			must.Eq(t, balance.ConnectFailed, result)
-			d.settle()
+			f.settle()
 		}
 	})
 }
--- a/transport/store/connection_test.go
+++ b/transport/store/connection_test.go
@@ -19,11 +19,11 @@
 // brokenConn cancels its caller's context at each write, and then fails.
 type brokenConn struct {
 	net.Conn
-	end context.CancelFunc
+	cancel context.CancelFunc
 }
 
 func (c *brokenConn) Write([]byte) (int, error) {
-	c.end()
+	c.cancel()
 	time.Sleep(time.Millisecond) // gives the goroutine that handles the end of the context time to run
 	return 0, errors.New("broken")
 }
@@ -59,11 +59,11 @@
 }
 
 // mustFail expects a client's round to end with an error.
-func mustFail(t *testing.T, k *Client, ctx context.Context) {
+func mustFail(t *testing.T, client *Client, ctx context.Context) {
 	t.Helper()
 	failed := make(chan error, 1)
 	go func() {
-		_, err := k.roundTrip(ctx, &sharedhealth.Request{})
+		_, err := client.roundTrip(ctx, &sharedhealth.Request{})
 		failed <- err
 	}()
 	select {
@@ -79,8 +79,8 @@
 func TestContextEndsBeforeTheReply(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	conn := &stalledConn{silentStore(), cancel, make(chan struct{})}
-	k := newClient(t, Endpoint{Address: "r:1", Prefix: "t", Dial: func(context.Context, string, string) (net.Conn, error) { return conn, nil }})
-	mustFail(t, k, ctx)
+	client := newClient(t, Endpoint{Address: "r:1", Prefix: "t", Dial: func(context.Context, string, string) (net.Conn, error) { return conn, nil }})
+	mustFail(t, client, ctx)
 }
 
 // TestSilentAtTheDoor: a store that does not answer to the password delays a round no longer than its timeout.
@@ -89,18 +89,18 @@
 	must.NoError(t, os.WriteFile(password, []byte("word"), 0o600))
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
-	k := newClient(t, Endpoint{Address: "r:1", Prefix: "t", PasswordFile: password,
+	client := newClient(t, Endpoint{Address: "r:1", Prefix: "t", PasswordFile: password,
 		Dial: func(context.Context, string, string) (net.Conn, error) { return silentStore(), nil }})
-	mustFail(t, k, ctx)
+	mustFail(t, client, ctx)
 }
 
 // newClient returns a client of the store at an endpoint, for the only aggregator.
-func newClient(t *testing.T, place Endpoint) *Client {
+func newClient(t *testing.T, endpoint Endpoint) *Client {
 	config := sharedhealth.Config{Name: "n", Incarnation: 7, RoundInterval: int64(round), RoundTimeout: int64(deadline), SampleSize: 24, Aggregators: 1, BaseEjection: 1e9,
 		HealthEnabled: true}
-	k, err := New(place, sharedhealth.New(0, config), &testAggregator{}, func() int64 { return 1e9 }, &Counters{}, zap.NewNop())
+	client, err := New(endpoint, sharedhealth.New(0, config), &testAggregator{}, func() int64 { return 1e9 }, &Counters{}, zap.NewNop())
 	must.NoError(t, err)
-	return k
+	return client
 }
 
 // TestContextEndsWhileHangingUp: a context that ends at the moment when its round's connection is closed does
@@ -108,13 +108,13 @@
 func TestContextEndsWhileHangingUp(t *testing.T) {
 	for range 20 {
 		ctx, cancel := context.WithCancel(t.Context())
-		place := Endpoint{Address: "r:1", Prefix: "t", Dial: func(context.Context, string, string) (net.Conn, error) {
+		endpoint := Endpoint{Address: "r:1", Prefix: "t", Dial: func(context.Context, string, string) (net.Conn, error) {
 			clientEnd, storeEnd := net.Pipe()
 			storeEnd.Close()
 			return &brokenConn{clientEnd, cancel}, nil
 		}}
-		k := newClient(t, place)
-		if _, err := k.roundTrip(ctx, &sharedhealth.Request{}); err == nil {
+		client := newClient(t, endpoint)
+		if _, err := client.roundTrip(ctx, &sharedhealth.Request{}); err == nil {
 			t.Fatal("a round over a broken connection had no error")
 		}
 		cancel()
--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -40,13 +40,13 @@
 	mu      sync.Mutex
 	survey  sharedhealth.Survey
 	applied []sharedhealth.RoundResult
-	crowded bool
+	busy    bool
 }
 
 func (a *testAggregator) Survey(context.Context) (sharedhealth.Survey, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.survey, !a.crowded
+	return a.survey, !a.busy
 }
 
 func (a *testAggregator) ApplyShared(result sharedhealth.RoundResult) {
@@ -63,10 +63,10 @@
 	a.survey.Findings[finding.Replica] = finding
 }
 
-func (a *testAggregator) setCrowded() {
+func (a *testAggregator) setBusy() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.crowded = true
+	a.busy = true
 }
 
 // passedOver returns the replicas that the last result gave reports against.
@@ -323,7 +323,7 @@
 // TestCrowded: an aggregator without time for surveys still receives shared reports.
 func TestCrowded(t *testing.T) {
 	runFixture(t, 1, nil, func(w *fixture) {
-		w.aggregators[0].core.setCrowded()
+		w.aggregators[0].core.setBusy()
 		time.Sleep(10 * round)
 		synctest.Wait()
 		if k := w.aggregators[0]; k.counters.SurveysSkipped.Load() == 0 || k.state() != "fresh" {
@@ -395,20 +395,20 @@
 			t.Fatal(err)
 		}
 		go server.Serve(tls.NewListener(l, &tls.Config{Certificates: []tls.Certificate{good}}))
-		place := Endpoint{Address: l.Addr().String(), Prefix: "t", CAFile: write(t, c.authority), ServerName: c.name,
+		endpoint := Endpoint{Address: l.Addr().String(), Prefix: "t", CAFile: write(t, c.authority), ServerName: c.name,
 			Dial: (&net.Dialer{}).DialContext}
-		k, err := New(place, sharedhealth.New(1, sharedhealth.Config{Name: "a", Incarnation: 1, RoundInterval: int64(round),
+		client, err := New(endpoint, sharedhealth.New(1, sharedhealth.Config{Name: "a", Incarnation: 1, RoundInterval: int64(round),
 			RoundTimeout: int64(deadline)}), &testAggregator{}, func() int64 { return 1 }, &Counters{}, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
-		_, err = k.roundTrip(ctx, &sharedhealth.Request{Presence: []byte("x"), PresenceTTL: 1e9})
+		_, err = client.roundTrip(ctx, &sharedhealth.Request{Presence: []byte("x"), PresenceTTL: 1e9})
 		if (err == nil) != c.want {
 			t.Errorf("server name %s: %v", c.name, err)
 		}
 		cancel()
-		k.closeConn()
+		client.closeConn()
 		l.Close()
 	}
 	if _, err := New(Endpoint{Address: "h:1", CAFile: write(t, []byte("none"))}, nil, nil, nil, nil, nil); err == nil ||
@@ -473,13 +473,13 @@
 			}
 			defer l.Close()
 			go server.Serve(l)
-			k, err := New(Endpoint{Address: l.Addr().String(), Prefix: "t", Dial: (&net.Dialer{}).DialContext},
+			client, err := New(Endpoint{Address: l.Addr().String(), Prefix: "t", Dial: (&net.Dialer{}).DialContext},
 				sharedhealth.New(1, sharedhealth.Config{Name: "a", Incarnation: 1, RoundInterval: int64(round), RoundTimeout: int64(deadline)}),
 				&testAggregator{}, func() int64 { return 1 }, &Counters{}, zap.NewNop())
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer k.closeConn()
+			defer client.closeConn()
 			record := sharedhealth.Record{Incarnation: 1, Sequence: 1, WrittenAt: 1}
 			for i := range 4 {
 				record.Findings = append(record.Findings, sharedhealth.Finding{Key: uint64(i), Verdict: sharedhealth.FoundEjected})
@@ -493,7 +493,7 @@
 			for b.Loop() {
 				rounds++
 				r := &sharedhealth.Request{Presence: text, PresenceTTL: 1e9, Findings: text, SampleSize: 24, HeartbeatScore: 5, MinLiveScore: 1}
-				if _, err := k.roundTrip(b.Context(), r); err != nil {
+				if _, err := client.roundTrip(b.Context(), r); err != nil {
 					b.Fatal(err)
 				}
 			}
