--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -10,39 +10,41 @@
 	"testing"
 )
 
-// A scenario is a text file, a command a line or several with ; between; # starts a comment, times are in ms.
+// A scenario is a text file with a command a line, or several separated by ;. # starts a comment. Times are in ms.
 //
-//	deploy KEY=VALUE ...        the deployment; left out keys have the defaults of newPlay
-//	workload NAME KEY=VALUE ... one more workload
-//	serve NAME KEY=VALUE ...    its row has these terms from now on
-//	list|change|remembered REPLICA[=OLD]:CELL[@][*CHANNELS][:STANDING[:STARTED]] ...   a whole list, changes, or an old list;
-//	                            @ stands behind the cell of one that is far, with a > more for further ones;
-//	                            with =OLD it has the index of one that is gone
-//	lost                        a list call failed
-//	at T                        sets the clock, and decides; what is asked for must follow in lines with >
-//	take QUERY WORKLOAD PATIENCE SHARD[*WEIGHT] ...   hands over a query; weights are even unless stated
-//	step QUERY SHARD ...        the parts of a second step
-//	ok|errored|full|timeout|noconn|reset|cancelled|moot QUERY.PART ... TOOK   the parts' last executions ended
-//	leave QUERY                 the client went
-//	stood T                     the process itself has just stood for so long
-//	flood N QUERY ...           take, N times, with a number behind the name
-//	hear REPLICA UNTIL [suspect] [pace=X*CALLS] [try=T] [away=T]   what others found of it
-//	over QUERY WORKLOAD ...     as take, of a customer over what was agreed
-//	again QUERY WORKLOAD ...    as take, marked as a retry
+//	deploy KEY=VALUE ...        sets the deployment; keys that are left out have the defaults of newScenario
+//	workload NAME KEY=VALUE ... adds a workload
+//	serve NAME KEY=VALUE ...    gives the row of a workload these terms from now on
+//	list|change|remembered REPLICA[=OLD]:CELL[@][*CALLS][:STATUS[:STARTED]] ...
+//	                            reports a whole list, changed entries, or a list saved by an earlier process;
+//	                            @ behind the cell marks a distant replica, and each > after it a more distant one;
+//	                            =OLD gives the replica the index of one that is gone; CALLS is its call limit
+//	lost                        reports a failed list call
+//	at T                        sets the clock and calls Decide; the actions must follow in lines that start with >
+//	clock T                     sets the clock
+//	take QUERY WORKLOAD TIMEOUT SHARD[*WEIGHT] ...   hands over a query; weights are equal unless stated
+//	over QUERY WORKLOAD ...     like take, for a customer over quota
+//	again QUERY WORKLOAD ...    like take, for a query that is marked as a retry
+//	flood N QUERY ...           does take N times, with a number appended to the name
+//	step QUERY SHARD ...        adds the parts of a second step
+//	ok|errored|full|timeout|noconn|reset|cancelled|moot QUERY.PART ... TOOK   reports results of the last executions
+//	leave QUERY                 reports that the client has left
+//	stood T                     reports that the process itself has just stood still for T
+//	hear REPLICA EXPIRES [suspect] [pace=SLOWDOWN*WEIGHT] [try=TRIALAT] [away=DOWNUNTIL]   applies a shared report
 //	> send QUERY.PART REPLICA [until T]
 //	> cancel QUERY.PART EXECUTION
 //	> end QUERY whole|partial|declined|forfeited
-//	> release REPLICA
+//	> release REPLICA           the idle connections to the replica are to be closed
 //	> subscribe
-//	wake T|none                 when the last decision wants the next one at the latest
-//	> ...                       anything more
-type play struct {
+//	> ...                       accepts all remaining actions
+//	wake T|none                 checks when the last Decide wants the next one at the latest
+type scenario struct {
 	t       *testing.T
 	d       Deployment
 	agg     *Aggregator
 	now     int64
-	kinds   map[string]int
-	numbers map[string]int
+	rows    map[string]int
+	indices map[string]int
 	names   []string
 	queries map[string]*Query
 	got     []string
@@ -51,22 +53,22 @@
 }
 
 var results = map[string]Result{"ok": Fulfilled, "errored": Errored, "full": Full, "timeout": TimedOut,
-	"noconn": ConnectFailed, "reset": Reset, "cancelled": Cancelled, "moot": Moot}
+	"noconn": ConnectFailed, "reset": Reset, "cancelled": Cancelled, "moot": Unsent}
 
-func newPlay(t *testing.T) *play {
-	return &play{t: t, kinds: map[string]int{}, numbers: map[string]int{}, queries: map[string]*Query{},
-		d: Deployment{Aggregators: 2, Seed: 7, Tick: 5 * ms, Shards: 4, Cells: 2, Reach: 1, PartsPerCall: 1,
-			MaxExecutions: 3, Cancels: true, MaxComeBack: 2000 * ms,
-			ColdShare: 0.2, ColdRamp: 10000 * ms,
-			FallMultiple: 3, FallSpan: 1000 * ms}}
+func newScenario(t *testing.T) *scenario {
+	return &scenario{t: t, rows: map[string]int{}, indices: map[string]int{}, queries: map[string]*Query{},
+		d: Deployment{Aggregators: 2, Seed: 7, Tick: 5 * ms, Shards: 4, Cells: 2, CellsPerShard: 1, PartsPerCall: 1,
+			MaxExecutions: 3, CanCancel: true, MaxRetryAfter: 2000 * ms,
+			ColdCapacity: 0.2, WarmUpTime: 10000 * ms,
+			OverloadFactor: 3, OverloadSpan: 1000 * ms}}
 }
 
-func (p *play) fatal(format string, args ...any) {
+func (p *scenario) fatal(format string, args ...any) {
 	p.t.Helper()
 	p.t.Fatalf("%q: %s", p.line, fmt.Sprintf(format, args...))
 }
 
-func (p *play) number(s string) float64 {
+func (p *scenario) number(s string) float64 {
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil {
 		p.fatal("%v", err)
@@ -74,28 +76,28 @@
 	return x
 }
 
-func (p *play) time(s string) int64 { return int64(p.number(s) * ms) }
+func (p *scenario) time(s string) int64 { return int64(p.number(s) * ms) }
 
-// start makes the aggregator once the deployment is known.
-func (p *play) start() *Aggregator {
+// start returns the aggregator, which it creates on first use, when the deployment is known.
+func (p *scenario) start() *Aggregator {
 	if p.agg == nil {
 		p.agg = New(p.now, p.d)
 	}
 	return p.agg
 }
 
-func (p *play) deploy(key, value string) {
+func (p *scenario) deploy(key, value string) {
 	d, n := &p.d, p.number(value)
 	set := map[string]func(){
-		"aggregators": func() { d.Aggregators = int(n) }, "number": func() { d.Number = int(n) },
+		"aggregators": func() { d.Aggregators = int(n) }, "number": func() { d.Index = int(n) },
 		"shards": func() { d.Shards = int(n) }, "cells": func() { d.Cells = int(n) },
-		"reach": func() { d.Reach = int(n) }, "parts_per_call": func() { d.PartsPerCall = int(n) },
-		"executions": func() { d.MaxExecutions = int(n) }, "cancels": func() { d.Cancels = n > 0 },
+		"reach": func() { d.CellsPerShard = int(n) }, "parts_per_call": func() { d.PartsPerCall = int(n) },
+		"executions": func() { d.MaxExecutions = int(n) }, "cancels": func() { d.CanCancel = n > 0 },
 		"asks":       func() { d.AsksForList = n > 0 },
 		"ask_within": func() { d.AskWithin = int64(n * ms) },
-		"free":       func() { d.Budgeted, d.FurtherFree = true, n },
-		"share":      func() { d.Budgeted, d.FurtherShare = true, n },
-		"span":       func() { d.Budgeted, d.FurtherSpan = true, int64(n*ms) },
+		"free":       func() { d.Budgeted, d.RetrySlack = true, n },
+		"share":      func() { d.Budgeted, d.RetryRatio = true, n },
+		"span":       func() { d.Budgeted, d.RetryWindow = true, int64(n*ms) },
 	}[key]
 	if set == nil {
 		p.fatal("unknown key %s", key)
@@ -103,40 +105,40 @@
 	set()
 }
 
-func (p *play) workload(name string, pairs []string) {
-	p.kinds[name] = len(p.d.Workloads)
+func (p *scenario) workload(name string, pairs []string) {
+	p.rows[name] = len(p.d.Workloads)
 	p.d.Workloads = append(p.d.Workloads, p.terms(pairs))
 }
 
-// serve gives a workload's row to other terms.
-func (p *play) serve(name string, pairs []string) {
+// serve gives the row of a workload new terms.
+func (p *scenario) serve(name string, pairs []string) {
 	p.d.Workloads = slices.Clone(p.d.Workloads)
-	p.d.Workloads[p.kinds[name]] = p.terms(pairs)
-	p.start().Serve(p.now, p.d.Workloads)
+	p.d.Workloads[p.rows[name]] = p.terms(pairs)
+	p.start().SetWorkloads(p.now, p.d.Workloads)
 }
 
-func (p *play) terms(pairs []string) Workload {
-	w := Workload{LatencyGoal: 1000 * ms, LateShare: 0.3, Floor: 1, Need: 1,
-		PartialShare: 0.9, RepeatWindow: 1000 * ms}
+func (p *scenario) terms(pairs []string) Workload {
+	w := Workload{LatencyGoal: 1000 * ms, LateShare: 0.3, MinCoverage: 1, FullCoverage: 1,
+		PartialShare: 0.9, DedupWindow: 1000 * ms}
 	for _, pair := range pairs {
 		key, value, _ := strings.Cut(pair, "=")
 		switch key {
 		case "worth":
-			w.Worth = p.number(value)
+			w.Value = p.number(value)
 		case "goal":
 			w.LatencyGoal = p.time(value)
 		case "late":
 			w.LateShare = p.number(value)
 		case "floor":
-			w.Floor = p.number(value)
+			w.MinCoverage = p.number(value)
 		case "need":
-			w.Need = p.number(value)
+			w.FullCoverage = p.number(value)
 		case "spare":
-			w.SpareGoal = p.time(value)
+			w.OptionalGoal = p.time(value)
 		case "follow":
-			w.FollowUp = int(p.number(value))
+			w.FollowUpParts = int(p.number(value))
 		case "effect":
-			w.Effect = Effect(slices.Index([]string{"repeatable", "tagged", "once-only"}, value))
+			w.RetrySafety = RetrySafety(slices.Index([]string{"repeatable", "tagged", "once-only"}, value))
 		default:
 			p.fatal("unknown key %s", key)
 		}
@@ -144,42 +146,42 @@
 	return w
 }
 
-func (p *play) listings(words []string) (list []Listing) {
-	for _, word := range words {
-		f := append(strings.Split(word, ":"), "up", "0")
-		name, other, again := strings.Cut(f[0], "=")
-		_, known := p.numbers[name]
-		if again { // it has the index of another, which is gone
-			p.numbers[name] = p.numbers[other]
-			p.names[p.numbers[name]] = name
+func (p *scenario) listings(entries []string) (list []Listing) {
+	for _, entry := range entries {
+		f := append(strings.Split(entry, ":"), "up", "0")
+		name, other, reused := strings.Cut(f[0], "=")
+		_, known := p.indices[name]
+		if reused { // it takes over the index of a replica that is gone
+			p.indices[name] = p.indices[other]
+			p.names[p.indices[name]] = name
 		} else if !known {
-			p.numbers[name] = len(p.names)
+			p.indices[name] = len(p.names)
 			p.names = append(p.names, name)
 		}
-		place, cap, _ := strings.Cut(f[1], "*")
-		cell, far, _ := strings.Cut(place, "@")
-		l := Listing{Replica: p.numbers[name], New: again || !known, Cell: int(p.number(cell)), Distance: strings.Count(place, "@") + len(far),
-			Standing: Standing(slices.Index([]string{"up", "draining", "gone"}, f[2]))}
-		if cap != "" {
-			l.Channels = int(p.number(cap))
+		location, callLimit, _ := strings.Cut(f[1], "*")
+		cell, extra, _ := strings.Cut(location, "@")
+		l := Listing{Replica: p.indices[name], New: reused || !known, Cell: int(p.number(cell)), Distance: strings.Count(location, "@") + len(extra),
+			Status: Status(slices.Index([]string{"up", "draining", "gone"}, f[2]))}
+		if callLimit != "" {
+			l.MaxCalls = int(p.number(callLimit))
 		}
 		if f[2] == "up" && len(f) > 5 {
-			l.Started = p.time(f[3])
+			l.StartedAt = p.time(f[3])
 		}
 		list = append(list, l)
 	}
 	return list
 }
 
-func (p *play) take(name string, claim Claim, words []string) {
+func (p *scenario) take(name string, priority Priority, words []string) {
 	shards := words[2:]
-	q := p.start().Take(p.now, Arrival{Workload: p.kinds[words[0]], Patience: p.time(words[1]),
-		Parts: len(shards), Claim: claim})
+	q := p.start().AddQuery(p.now, Arrival{Workload: p.rows[words[0]], Timeout: p.time(words[1]),
+		Parts: len(shards), Priority: priority})
 	p.queries[name] = q
 	p.step(q, shards)
 }
 
-func (p *play) step(q *Query, shards []string) {
+func (p *scenario) step(q *Query, shards []string) {
 	for _, s := range shards {
 		shard, weight, stated := strings.Cut(s, "*")
 		if !stated {
@@ -189,8 +191,8 @@
 	}
 }
 
-func (p *play) hear(words []string) {
-	w := Word{Replica: p.numbers[words[0]], Until: p.time(words[1])}
+func (p *scenario) hear(words []string) {
+	w := SharedReport{Replica: p.indices[words[0]], Expires: p.time(words[1])}
 	for _, word := range words[2:] {
 		key, value, _ := strings.Cut(word, "=")
 		switch key {
@@ -198,19 +200,19 @@
 			w.Suspect = true
 		case "pace":
 			pace, calls, _ := strings.Cut(value, "*")
-			w.Pace, w.Weight = p.number(pace), p.number(calls)
+			w.Slowdown, w.Weight = p.number(pace), p.number(calls)
 		case "try":
-			w.Try = p.time(value)
+			w.TrialAt = p.time(value)
 		case "away":
-			w.Away = p.time(value)
+			w.DownUntil = p.time(value)
 		default:
 			p.fatal("unknown key %s", key)
 		}
 	}
-	p.start().Hear(p.now, w)
+	p.start().ApplyReport(p.now, w)
 }
 
-func (p *play) decide() {
+func (p *scenario) decide() {
 	name := func(q *Query) string {
 		for n, other := range p.queries {
 			if other == q {
@@ -220,19 +222,19 @@
 		return "?"
 	}
 	r := p.start().Decide(p.now)
-	p.wake = r.Wake
+	p.wake = r.WakeAt
 	for _, s := range r.Sends {
 		p.got = append(p.got, fmt.Sprintf("send %s.%d %s until %d", name(s.Query), s.Part, p.names[s.Replica],
-			s.CutAt/ms))
+			s.Deadline/ms))
 	}
 	for _, c := range r.Cancels {
 		p.got = append(p.got, fmt.Sprintf("cancel %s.%d %d", name(c.Query), c.Part, c.Execution))
 	}
 	for _, e := range r.Endings {
-		final := []string{"whole", "partial", "declined", "forfeited"}[e.Final]
+		final := []string{"whole", "partial", "declined", "forfeited"}[e.Outcome]
 		p.got = append(p.got, fmt.Sprintf("end %s %s", name(e.Query), final))
 	}
-	for _, replica := range r.Releases {
+	for _, replica := range r.CloseIdle {
 		p.got = append(p.got, "release "+p.names[replica])
 	}
 	if r.List == Subscribe {
@@ -240,8 +242,8 @@
 	}
 }
 
-// expect takes one asked-for thing off what the last decision returned, in any order.
-func (p *play) expect(want string) {
+// expect removes one action from those of the last Decide, in any order.
+func (p *scenario) expect(want string) {
 	if want == "..." {
 		p.got = nil
 		return
@@ -252,13 +254,13 @@
 			return
 		}
 	}
-	p.fatal("not asked for; there was %q", p.got)
+	p.fatal("not among the remaining actions %q", p.got)
 }
 
-func (p *play) command(line string) {
+func (p *scenario) command(line string) {
 	words := strings.Fields(line)
 	if words[0] != ">" && len(p.got) > 0 {
-		p.fatal("before it, nothing of this was expected: %q", p.got)
+		p.fatal("unexpected actions before this command: %q", p.got)
 	}
 	p.line = line
 	switch words[0] {
@@ -274,11 +276,11 @@
 	case "serve":
 		p.serve(words[1], words[2:])
 	case "list":
-		p.start().ListWhole(p.now, p.listings(words[1:]), true)
+		p.start().ReplaceList(p.now, p.listings(words[1:]), true)
 	case "remembered":
-		p.start().ListWhole(p.now, p.listings(words[1:]), false)
+		p.start().ReplaceList(p.now, p.listings(words[1:]), false)
 	case "change":
-		p.start().ListChanged(p.now, p.listings(words[1:]))
+		p.start().UpdateList(p.now, p.listings(words[1:]))
 	case "lost":
 		p.start().ListFailed(p.now)
 	case "at":
@@ -286,7 +288,7 @@
 		p.decide()
 	case "wake":
 		if want := words[1]; want == "none" && p.wake != 0 || want != "none" && p.wake != p.time(want) {
-			p.fatal("the next round is wanted at %d ms", p.wake/ms)
+			p.fatal("the next Decide is wanted at %d ms", p.wake/ms)
 		}
 	case "clock":
 		p.now = p.time(words[1])
@@ -305,9 +307,9 @@
 	case "step":
 		p.step(p.queries[words[1]], words[2:])
 	case "stood":
-		p.start().Stood(p.time(words[1]))
+		p.start().RecordStall(p.time(words[1]))
 	case "leave":
-		p.queries[words[1]].Leave(p.now)
+		p.queries[words[1]].ClientLeft(p.now)
 	default:
 		result, ok := results[words[0]]
 		if !ok {
@@ -316,14 +318,14 @@
 		for _, word := range words[1 : len(words)-1] {
 			name, number, _ := strings.Cut(word, ".")
 			q, part := p.queries[name], int(p.number(number))
-			if !q.Outcome(p.now, part, len(q.parts[part].executions)-1, result, p.time(words[len(words)-1])) {
-				p.fatal("the outcome was not taken")
+			if !q.RecordResult(p.now, part, len(q.parts[part].executions)-1, result, p.time(words[len(words)-1])) {
+				p.fatal("RecordResult refused the result")
 			}
 		}
 	}
 	for i := 0; p.agg != nil && i < len(p.agg.replicas); i++ {
 		if p.agg.replicas[i].calls < 0 {
-			p.fatal("the count of %s fell below zero", p.names[i])
+			p.fatal("the calls in flight at %s fell below zero", p.names[i])
 		}
 	}
 }
@@ -339,7 +341,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := newPlay(t)
+			p := newScenario(t)
 			for _, line := range strings.Split(string(text), "\n") {
 				line, _, _ = strings.Cut(line, "#")
 				for _, command := range strings.Split(line, ";") {
@@ -349,7 +351,7 @@
 				}
 			}
 			if len(p.got) > 0 {
-				t.Fatalf("at the end nothing of this was expected: %q", p.got)
+				t.Fatalf("unexpected actions at the end: %q", p.got)
 			}
 		})
 	}
--- a/cmd/overloadtest/stops.go
+++ b/cmd/overloadtest/stops.go
@@ -19,45 +19,45 @@
 	"willowsill/standin/sites"
 )
 
-// Stop is what came of a process that was stopped again and again while it served.
-type Stop struct {
+// StopResult holds the measurements of a process that served while it was stopped by signals or competed for its core.
+type StopResult struct {
 	Outcome             *load.Outcome
-	TimedOut, Cancelled float64 // executions, as the process counts them
-	Stood               float64 // seconds
-	Further             float64 // executions beyond one a part
+	TimedOut, Cancelled float64 // executions that the process counted as timed out or cancelled
+	Stood               float64 // seconds in which the process did not run, as it detected itself
+	Further             float64 // executions beyond one per part
 }
 
-// watch has clients ask at a steady rate for a while, and sees what the process did meanwhile.
-func watch(ctx context.Context, binary, script string, rate float64, span time.Duration, trouble func(*sites.Site) error) (*Stop, error) {
-	w, end, err := lone(binary, script, 2, 40*time.Millisecond)
+// measure sends queries at a steady rate for the given time while disturb acts on the process, and returns the measurements.
+func measure(ctx context.Context, binary, script string, rate float64, span time.Duration, disturb func(*sites.Site) error) (*StopResult, error) {
+	w, end, err := startSingle(binary, script, 2, 40*time.Millisecond)
 	defer end()
 	if err != nil {
 		return nil, err
 	}
-	clients, err := asking(w, cheap, 2, 0)
+	clients, err := newClients(w, lowValue, 2, 0)
 	if err != nil {
 		return nil, err
 	}
 	defer clients.Close()
-	clients.Open(ctx, rate, 4*time.Second, 1)
-	one := w.Sites["one"]
-	was := one.Counters(0)
-	s := &Stop{}
+	clients.RunOpenLoop(ctx, rate, 4*time.Second, 1)
+	site := w.Sites["one"]
+	before := site.Counters(0)
+	s := &StopResult{}
 	var both sync.WaitGroup
-	both.Go(func() { s.Outcome = clients.Open(ctx, rate, span, 2) })
-	err = trouble(one)
+	both.Go(func() { s.Outcome = clients.RunOpenLoop(ctx, rate, span, 2) })
+	err = disturb(site)
 	both.Wait()
-	is := one.Counters(0)
-	of := func(path ...string) float64 { return sites.Figure(is, path...) - sites.Figure(was, path...) }
-	s.TimedOut, s.Cancelled = of("executions", "timed_out"), of("executions", "cancelled")
-	s.Stood = sites.Figure(is, "strain", "stood_ns") / 1e9
-	s.Further = of("executions", "sent") - 2*(of("workloads", cheap, "taken")-of("workloads", cheap, "declined"))
+	after := site.Counters(0)
+	difference := func(path ...string) float64 { return sites.Counter(after, path...) - sites.Counter(before, path...) }
+	s.TimedOut, s.Cancelled = difference("executions", "timed_out"), difference("executions", "cancelled")
+	s.Stood = sites.Counter(after, "strain", "stood_ns") / 1e9
+	s.Further = difference("executions", "sent") - 2*(difference("workloads", lowValue, "taken")-difference("workloads", lowValue, "declined"))
 	return s, err
 }
 
-// Neighbours has busy processes on the one core that the process may use, for the middle of a while.
-func Neighbours(ctx context.Context, binary, script string, rate float64, n int, span time.Duration) (*Stop, error) {
-	return watch(ctx, binary, script, rate, span, func(one *sites.Site) error {
+// RunNeighbours pins the process to one core. During the middle half of the measurement n busy processes compete with it for that core.
+func RunNeighbours(ctx context.Context, binary, script string, rate float64, n int, span time.Duration) (*StopResult, error) {
+	return measure(ctx, binary, script, rate, span, func(site *sites.Site) error {
 		var core unix.CPUSet
 		core.Set(runtime.NumCPU() - 1)
 		pin := func(pid int) error {
@@ -76,7 +76,7 @@
 			}
 			return nil
 		}
-		if err := pin(one.PID(0)); err != nil {
+		if err := pin(site.PID(0)); err != nil {
 			return err
 		}
 		time.Sleep(span / 4)
@@ -98,16 +98,17 @@
 	})
 }
 
-// Stops stops the process for so long each time, with signals, and has clients ask at a steady rate.
-func Stops(ctx context.Context, binary, script string, rate float64, each, stopped time.Duration, times int) (*Stop, error) {
-	return watch(ctx, binary, script, rate, time.Duration(times+1)*(each+stopped), func(one *sites.Site) (err error) {
+// RunStops measures the process while SIGSTOP suspends it several times: each time it runs for the duration each and is then
+// suspended for the duration stopped.
+func RunStops(ctx context.Context, binary, script string, rate float64, each, stopped time.Duration, times int) (*StopResult, error) {
+	return measure(ctx, binary, script, rate, time.Duration(times+1)*(each+stopped), func(site *sites.Site) (err error) {
 		for range times {
 			time.Sleep(each)
-			if err = one.Signal(0, syscall.SIGSTOP); err != nil {
+			if err = site.Signal(0, syscall.SIGSTOP); err != nil {
 				return err
 			}
 			time.Sleep(stopped)
-			if err = one.Signal(0, syscall.SIGCONT); err != nil {
+			if err = site.Signal(0, syscall.SIGCONT); err != nil {
 				return err
 			}
 		}
@@ -115,36 +116,36 @@
 	})
 }
 
-func stops() *cobra.Command {
+func stopsCommand() *cobra.Command {
 	var binary string
 	var rate float64
 	var times int
 	c := &cobra.Command{
-		Use: "stops", Short: "The process is stopped by signals while it serves: what it blames on its replicas",
+		Use: "stops", Short: "Stop the process by signals while it serves, and count what it attributes to its replicas",
 		Example: "  bin/overloadtest stops --times 5", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 1, ' ', 0)
 			fmt.Fprintf(t, "%g queries a second of two parts of 40 ms each, stopped %d times, one second between\n", rate, times)
 			fmt.Fprintln(t, "| way\t| stopped for\t| asked\t| in goal\t| late\t| declined\t| failed\t| taken back or timed out\t| further executions\t| seen to stand s\t|")
 			for _, stopped := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second} {
-				for _, one := range []way{{"former", ""}, {"strain", "strain()\n"}} {
-					s, err := Stops(context.Background(), binary, one.script, rate, time.Second, stopped, times)
+				for _, v := range []variant{{"former", ""}, {"strain", "strain()\n"}} {
+					s, err := RunStops(context.Background(), binary, v.script, rate, time.Second, stopped, times)
 					if err != nil {
 						return err
 					}
 					o := s.Outcome
-					fmt.Fprintf(t, "| %s\t| %v\t| %d\t| %d\t| %d\t| %d\t| %d\t| %.0f\t| %.0f\t| %.2f\t|\n", one.name, stopped, o.Asked, o.InGoal, o.Late,
+					fmt.Fprintf(t, "| %s\t| %v\t| %d\t| %d\t| %d\t| %d\t| %d\t| %.0f\t| %.0f\t| %.2f\t|\n", v.name, stopped, o.Asked, o.InGoal, o.Late,
 						o.Declined, o.Failed, s.TimedOut+s.Cancelled, s.Further, s.Stood)
 				}
 			}
 			for _, n := range []int{2, 4} {
-				for _, one := range []way{{"former", ""}, {"strain", "strain()\n"}} {
-					s, err := Neighbours(context.Background(), binary, one.script, rate, n, 12*time.Second)
+				for _, v := range []variant{{"former", ""}, {"strain", "strain()\n"}} {
+					s, err := RunNeighbours(context.Background(), binary, v.script, rate, n, 12*time.Second)
 					if err != nil {
 						return err
 					}
 					o := s.Outcome
-					fmt.Fprintf(t, "| %s\t| %d neighbours\t| %d\t| %d\t| %d\t| %d\t| %d\t| %.0f\t| %.0f\t| %.2f\t|\n", one.name, n, o.Asked, o.InGoal, o.Late,
+					fmt.Fprintf(t, "| %s\t| %d neighbours\t| %d\t| %d\t| %d\t| %d\t| %d\t| %.0f\t| %.0f\t| %.2f\t|\n", v.name, n, o.Asked, o.InGoal, o.Late,
 						o.Declined, o.Failed, s.TimedOut+s.Cancelled, s.Further, s.Stood)
 				}
 			}
@@ -152,7 +153,7 @@
 		},
 	}
 	c.Flags().Float64Var(&rate, "rate", 200, "queries a second")
-	c.Flags().IntVar(&times, "times", 5, "that it is stopped")
+	c.Flags().IntVar(&times, "times", 5, "number of times that the process is stopped")
 	c.Flags().StringVar(&binary, "program", "bin/willowsill", "the program")
 	return c
 }
--- a/cmd/sites/dark.go
+++ b/cmd/sites/dark.go
@@ -18,43 +18,44 @@
 	"willowsill/standin/sites"
 )
 
-// A run has three phases: all well, the first site dark, all well again.
+// A run has three phases: before, during and after an outage of all replicas of the first site. Start and end of the outage are
+// fractions of the run.
 const (
-	darkFrom  = 0.3
-	darkUntil = 0.6
-	row       = 10 * time.Second // of the timeline
-	nearly    = 0.02             // of the level before: so close counts as back
+	outageStart       = 0.3
+	outageEnd         = 0.6
+	rowDuration       = 10 * time.Second // interval that one row of the timeline covers
+	recoveryTolerance = 0.02             // how far the revenue share may be below its level before the outage to count as recovered
 )
 
-// variant is one world of a run.
+// variant is one pair of sites in a run, with its policy and its results.
 type variant struct {
-	size, policy string
-	alone        bool
+	size, policy string // size is "room" if the other site can serve the queries of both sites, and "short" if it cannot
+	isolated     bool
 	workers      int
-	work         time.Duration
-	line         *sites.Line
+	partDuration time.Duration
+	timeline     *sites.Timeline
 	peaks        peaks
 }
 
-// peaks are the most that was seen of what has a limit.
+// peaks holds the highest samples of quantities that have a limit, and totals.
 type peaks struct {
-	queries  float64 // carried in a second by one process
-	over     int     // samples with more in flight than the process's own limit said
-	bytes    float64 // that crossed a link in a second, both ways
-	carried  float64
-	stranger float64
+	queryRate     float64 // queries a second forwarded by one process
+	overLimit     int     // samples in which a process had more queries in flight on a link than its limit
+	byteRate      float64 // bytes a second over a link, both directions together
+	forwarded     float64 // total of queries that all processes had forwarded at the last sample
+	rejectedPeers float64 // the processes' counters of rejected peers, added up over all samples
 }
 
-func darkness() *cobra.Command {
-	var whole time.Duration
+func darkCommand() *cobra.Command {
+	var duration time.Duration
 	var binary, results string
 	var rate float64
 	var seed uint64
 	c := &cobra.Command{
 		Use:   "dark",
-		Short: "Two sites, one dark in the middle: the gateway against three baselines, all at the same time",
-		Long: "dark starts two sites of two processes each, 80 ms of way each way between them with up to 10 ms more and 1% of\n" +
-			"packets lost, for each policy, once where the other site has room for all and once where it has not.",
+		Short: "Two sites, one of which fails in the middle of the run: the gateway against three baselines, all at the same time",
+		Long: "dark starts two sites of two processes each for every policy, once with enough capacity at the other site for all\n" +
+			"queries and once with too little. The link delays each direction by 80 to 90 ms and loses 1% of the packets.",
 		Example: "  go build -o bin/ ./cmd/... && bin/sites dark --for 30m --results results/gateway",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -65,74 +66,77 @@
 				work    time.Duration
 			}{{"room", 2, 50 * time.Millisecond}, {"short", 1, 70 * time.Millisecond}} {
 				for _, p := range []string{"plan", "none", "all", "half"} {
-					v := &variant{size: size.name, policy: p, workers: size.workers, work: size.work}
+					v := &variant{size: size.name, policy: p, workers: size.workers, partDuration: size.work}
 					if p == "none" {
-						v.alone = true
+						v.isolated = true
 					}
 					variants = append(variants, v)
 				}
 			}
 			errs := make([]error, len(variants))
-			var under sync.WaitGroup
+			var running sync.WaitGroup
 			for i, v := range variants {
-				under.Go(func() { errs[i] = v.play(binary, sites.Load{Rate: rate, Seed: seed, For: whole, Each: row}) })
+				running.Go(func() {
+					errs[i] = v.run(binary, sites.Load{Rate: rate, Seed: seed, Duration: duration, RowDuration: rowDuration})
+				})
 			}
-			under.Wait()
+			running.Wait()
 			if err := errors.Join(errs...); err != nil {
 				return err
 			}
-			return report(variants, results, whole, rate, seed)
+			return writeReport(variants, results, duration, rate, seed)
 		},
 	}
-	c.Flags().DurationVar(&whole, "for", 3*time.Minute, "how long")
+	c.Flags().DurationVar(&duration, "for", 3*time.Minute, "duration of the run")
 	c.Flags().Float64Var(&rate, "rate", 20, "queries a second at each site")
-	c.Flags().Uint64Var(&seed, "seed", 7, "of the clients' chance")
+	c.Flags().Uint64Var(&seed, "seed", 7, "seed of the clients' random arrivals")
 	c.Flags().StringVar(&binary, "program", "bin/willowsill", "the program")
-	c.Flags().StringVar(&results, "results", "", "a folder for the tables; else they are only printed")
+	c.Flags().StringVar(&results, "results", "", "folder for the tables; without it they are only printed")
 	return c
 }
 
-// shape is a variant's world.
-func (v *variant) shape(binary, dir string) sites.Shape {
-	return sites.Shape{Binary: binary, Dir: dir, Names: []string{"east", "west"}, Gateways: 2, Alone: v.alone, Policy: v.policy,
-		Work: v.work, Workers: v.workers, Holders: 2, Queries: 40, Bytes: 1 << 20,
+// config returns the configuration of a variant's two sites.
+func (v *variant) config(binary, dir string) sites.Config {
+	return sites.Config{Binary: binary, Dir: dir, SiteNames: []string{"east", "west"}, ProcessesPerSite: 2, Isolated: v.isolated, Policy: v.policy,
+		PartDuration: v.partDuration, WorkersPerReplica: v.workers, ReplicasPerShard: 2, LinkQueryRate: 40, LinkByteRate: 1 << 20,
 		Revenue: map[string]float64{"look": 1, "book": 2, "pay": 5},
-		Way: link.Way{Delay: 80 * time.Millisecond, Jitter: 10 * time.Millisecond, Loss: 0.01,
-			Stall: 200 * time.Millisecond}}
+		LinkConditions: link.Conditions{Delay: 80 * time.Millisecond, Jitter: 10 * time.Millisecond, Loss: 0.01,
+			LossDelay: 200 * time.Millisecond}}
 }
 
-func (v *variant) play(binary string, l sites.Load) error {
+// run starts the variant's sites, sends the load, makes the first site's replicas fail and recover, and stores the results.
+func (v *variant) run(binary string, l sites.Load) error {
 	dir, err := os.MkdirTemp("", "sites")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	w, err := sites.Start(v.shape(binary, dir))
+	w, err := sites.Start(v.config(binary, dir))
 	defer w.Stop()
 	if err != nil {
 		return err
 	}
-	time.Sleep(3 * time.Second) // the ways are known
+	time.Sleep(3 * time.Second) // until the gateways have connected
 	stop, watched := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(watched)
 		v.peaks.watch(w, stop)
 	}()
-	rows := float64(l.For / l.Each)
-	v.line = w.Play(l, func(span int) {
-		at := float64(span) / rows
-		w.Sites["east"].Dark(at >= darkFrom && at < darkUntil)
+	rows := float64(l.Duration / l.RowDuration)
+	v.timeline = w.RunLoad(l, func(rowIndex int) {
+		at := float64(rowIndex) / rows
+		w.Sites["east"].SetUnresponsive(at >= outageStart && at < outageEnd)
 	})
 	close(stop)
 	<-watched
 	return nil
 }
 
-// watch samples what has a limit each second.
-func (p *peaks) watch(w *sites.World, stop <-chan struct{}) {
+// watch samples the counters of all processes and links every second until stop is closed.
+func (p *peaks) watch(w *sites.Testbed, stop <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	carried, bytes, at := map[string]float64{}, map[string]float64{}, time.Now()
+	forwarded, bytes, at := map[string]float64{}, map[string]float64{}, time.Now()
 	for {
 		select {
 		case <-stop:
@@ -143,67 +147,69 @@
 		at = time.Now()
 		total := 0.0
 		for name, s := range w.Sites {
-			for i := range w.Gateways {
+			for i := range w.ProcessesPerSite {
 				all := s.Counters(i)
 				key := name + strconv.Itoa(i)
-				now := sites.Figure(all, "gateway", "queries", "carried")
-				p.queries = max(p.queries, (now-carried[key])/span)
-				carried[key] = now
+				now := sites.Counter(all, "gateway", "queries", "carried")
+				p.queryRate = max(p.queryRate, (now-forwarded[key])/span)
+				forwarded[key] = now
 				total += now
-				p.stranger += sites.Figure(all, "gateway", "queries", "strangers")
-				for _, other := range w.Names {
-					if sites.Figure(all, "gateway", "ways", other, "in_flight") >
-						max(sites.Figure(all, "gateway", "ways", other, "limit"), 0) {
-						p.over++
+				p.rejectedPeers += sites.Counter(all, "gateway", "queries", "strangers")
+				for _, other := range w.SiteNames {
+					if sites.Counter(all, "gateway", "ways", other, "in_flight") >
+						max(sites.Counter(all, "gateway", "ways", other, "limit"), 0) {
+						p.overLimit++
 					}
 				}
 			}
 		}
-		p.carried = total
+		p.forwarded = total
 		for key, l := range w.Links {
 			now := float64(l.Bytes())
-			p.bytes = max(p.bytes, (now-bytes[key])/span)
+			p.byteRate = max(p.byteRate, (now-bytes[key])/span)
 			bytes[key] = now
 		}
 	}
 }
 
-// phases sums a timeline up: before, dark, after.
-func (v *variant) phases() (all [3]sites.Tally) {
-	n := float64(len(v.line.Rows))
-	for i := range v.line.Rows {
+// phaseTallies sums up the rows of the timeline before, during and after the outage.
+func (v *variant) phaseTallies() (all [3]sites.Tally) {
+	n := float64(len(v.timeline.Rows))
+	for i := range v.timeline.Rows {
 		at, phase := float64(i)/n, 0
-		if at >= darkFrom {
+		if at >= outageStart {
 			phase++
 		}
-		if at >= darkUntil {
+		if at >= outageEnd {
 			phase++
 		}
-		all[phase].Add(&v.line.Rows[i])
+		all[phase].Add(&v.timeline.Rows[i])
 	}
 	return all
 }
 
-// back is how long after the return the share of revenue is as before, for good but for single rows; below 0 for never.
-func (v *variant) back() time.Duration {
-	before := v.phases()[0]
-	level := before.Share() - nearly
-	from := int(float64(len(v.line.Rows))*darkUntil + 0.5)
-	for i := from; i+2 < len(v.line.Rows); i++ {
+// recoveryTime returns how long after the end of the outage the revenue share is back at its level before the outage for three
+// consecutive rows, or -1 if that never happens.
+func (v *variant) recoveryTime() time.Duration {
+	before := v.phaseTallies()[0]
+	level := before.RevenueShare() - recoveryTolerance
+	from := int(float64(len(v.timeline.Rows))*outageEnd + 0.5)
+	for i := from; i+2 < len(v.timeline.Rows); i++ {
 		good := 0
 		for j := i; j < i+3; j++ {
-			if v.line.Rows[j].Share() >= level {
+			if v.timeline.Rows[j].RevenueShare() >= level {
 				good++
 			}
 		}
 		if good == 3 {
-			return time.Duration(i-from) * row
+			return time.Duration(i-from) * rowDuration
 		}
 	}
 	return -1
 }
 
-func report(variants []*variant, dir string, whole time.Duration, rate float64, seed uint64) error {
+// writeReport prints the tables of all variants, or writes them to files if dir is not empty.
+func writeReport(variants []*variant, dir string, duration time.Duration, rate float64, seed uint64) error {
 	out := os.Stdout
 	if dir != "" {
 		if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -215,20 +221,20 @@
 		}
 		defer file.Close()
 		out = file
-		if err := timeline(variants, filepath.Join(dir, "dark.csv")); err != nil {
+		if err := writeTimeline(variants, filepath.Join(dir, "dark.csv")); err != nil {
 			return err
 		}
 	}
 	fmt.Fprintf(out, "%v on loopback sockets, %g queries a second at each of two sites, seed %d, %d cores, all variants at once.\n\n",
-		whole, rate, seed, runtime.NumCPU())
+		duration, rate, seed, runtime.NumCPU())
 	t := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(t, "| other site\t| policy\t| phase\t| asked\t| revenue within goal\t| in goal\t| late\t| declined\t| failed\t| lost\t| wrong\t|")
 	fmt.Fprintln(t, "|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|")
 	for _, v := range variants {
-		for i, p := range v.phases() {
+		for i, p := range v.phaseTallies() {
 			fmt.Fprintf(t, "| %s\t| %s\t| %s\t| %d\t| %.4f\t", v.size, v.policy, [...]string{"before", "dark", "after"}[i], p.Asked,
-				p.Share())
-			for _, n := range p.Ends {
+				p.RevenueShare())
+			for _, n := range p.Outcomes {
 				fmt.Fprintf(t, "| %d\t", n)
 			}
 			fmt.Fprintln(t, "|")
@@ -240,14 +246,14 @@
 		"samples over its limit in flight\t| most bytes in a second over a link\t| back after\t|")
 	fmt.Fprintln(t, "|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|")
 	for _, v := range variants {
-		fmt.Fprintf(t, "| %s\t| %s\t| %d\t| %.0f\t| %.0f\t| %d\t| %.0f\t| %v\t|\n", v.size, v.policy, v.line.Doubled, v.peaks.carried,
-			v.peaks.queries, v.peaks.over, v.peaks.bytes, v.back())
+		fmt.Fprintf(t, "| %s\t| %s\t| %d\t| %.0f\t| %.0f\t| %d\t| %.0f\t| %v\t|\n", v.size, v.policy, v.timeline.DuplicateExecutions, v.peaks.forwarded,
+			v.peaks.queryRate, v.peaks.overLimit, v.peaks.byteRate, v.recoveryTime())
 	}
 	return t.Flush()
 }
 
-// timeline writes each variant's share of revenue, row by row.
-func timeline(variants []*variant, name string) error {
+// writeTimeline writes the revenue share of each variant and row to a CSV file.
+func writeTimeline(variants []*variant, name string) error {
 	file, err := os.Create(name)
 	if err != nil {
 		return err
@@ -256,10 +262,10 @@
 	w := csv.NewWriter(file)
 	w.Write([]string{"other_site", "policy", "second", "asked", "revenue_share", "lost", "wrong"})
 	for _, v := range variants {
-		for i := range v.line.Rows {
-			r := &v.line.Rows[i]
-			w.Write([]string{v.size, v.policy, strconv.Itoa(i * int(row.Seconds())), strconv.Itoa(r.Asked),
-				strconv.FormatFloat(r.Share(), 'f', 4, 64), strconv.Itoa(r.Ends[sites.Lost]), strconv.Itoa(r.Ends[sites.Wrong])})
+		for i := range v.timeline.Rows {
+			r := &v.timeline.Rows[i]
+			w.Write([]string{v.size, v.policy, strconv.Itoa(i * int(rowDuration.Seconds())), strconv.Itoa(r.Asked),
+				strconv.FormatFloat(r.RevenueShare(), 'f', 4, 64), strconv.Itoa(r.Outcomes[sites.Lost]), strconv.Itoa(r.Outcomes[sites.Wrong])})
 		}
 	}
 	w.Flush()
--- a/cmd/willowctl/snapshot.go
+++ b/cmd/willowctl/snapshot.go
@@ -20,41 +20,42 @@
 	snapshotFormat = 1
 )
 
-// kept is a snapshot's file: the newest configuration as it was sent, with what tells whether it is still that.
-// Which replicas and edges there are is no part of it: they tell themselves.
-type kept struct {
+// snapshotFile is the content of a snapshot file: the newest configuration, with a checksum that detects changes. Replicas and
+// edges are not part of it, because they register themselves.
+type snapshotFile struct {
 	Kind          string          `json:"kind"`
 	Format        int             `json:"format"`
 	At            time.Time       `json:"at"`
 	Revision      uint64          `json:"revision"`
-	SHA256        string          `json:"sha256"` // of the configuration's bytes, hex
+	SHA256        string          `json:"sha256"` // checksum of the configuration's bytes, in hex
 	Configuration json.RawMessage `json:"configuration,omitempty"`
 }
 
-// snapshot saves the newest configuration in a file, looks whether a file is whole, or gives it to a system that
-// has none.
+// snapshot runs an action of the snapshot command: it saves the newest configuration to a file, verifies a file, or restores one in
+// a system that has no configuration.
 func snapshot(ctx context.Context, f *flags, args []string) error {
 	switch action, file := args[0], args[1]; action {
 	case "save":
-		return snapshotSave(ctx, f, file)
+		return saveSnapshot(ctx, f, file)
 	case "verify":
-		k, err := snapshotRead(file)
+		k, err := readSnapshot(file)
 		if err != nil {
-			return wrong(err)
+			return asUsageError(err)
 		}
-		return f.say(k.told(file, "is whole"), k)
+		return f.printSnapshot(k.summary(file, "is whole"), k)
 	case "restore":
-		return snapshotRestore(ctx, f, file)
+		return restoreSnapshot(ctx, f, file)
 	}
-	return wrong(fmt.Errorf("snapshot: %q is none of save, verify and restore", args[0]))
+	return asUsageError(fmt.Errorf("snapshot: %q is none of save, verify and restore", args[0]))
 }
 
-func (k kept) told(file, what string) string {
-	return fmt.Sprintf("%s %s: revision %d of %s, %d bytes", file, what, k.Revision, k.At.UTC().Format(time.RFC3339), len(k.Configuration))
+// summary describes the snapshot in one line; state is a phrase such as "is saved".
+func (k snapshotFile) summary(file, state string) string {
+	return fmt.Sprintf("%s %s: revision %d of %s, %d bytes", file, state, k.Revision, k.At.UTC().Format(time.RFC3339), len(k.Configuration))
 }
 
-// say prints a line, or data where that is asked for; the configuration itself is left out.
-func (f *flags) say(line string, k kept) error {
+// printSnapshot prints the line, or with -json the snapshot without the configuration itself.
+func (f *flags) printSnapshot(line string, k snapshotFile) error {
 	if f.json {
 		k.Configuration = nil
 		return json.NewEncoder(f.out).Encode(k)
@@ -63,43 +64,43 @@
 	return err
 }
 
-// snapshotSave writes beside the file first.
+// saveSnapshot saves the newest configuration to a temporary file and then renames it.
 //
-// Danger: a file that is half written when the machine stops would be what is left of the snapshot before.
-func snapshotSave(ctx context.Context, f *flags, file string) error {
-	c, body, err := load(ctx, f, "-")
+// Danger: if the snapshot were written to the file directly and the machine stopped midway, the previous snapshot would be lost too.
+func saveSnapshot(ctx context.Context, f *flags, file string) error {
+	c, body, err := loadConfiguration(ctx, f, "-")
 	if err != nil {
 		return err
 	}
-	var compact bytes.Buffer // as an encoder writes it, so that the sum holds for what is read back
+	var compact bytes.Buffer // the encoder writes RawMessage compacted, so the checksum has to cover that form
 	if err := json.Compact(&compact, body); err != nil {
 		return err
 	}
 	sum := sha256.Sum256(compact.Bytes())
-	k := kept{snapshotKind, snapshotFormat, time.Now().UTC().Truncate(time.Second), c.Revision, hex.EncodeToString(sum[:]), compact.Bytes()}
+	k := snapshotFile{snapshotKind, snapshotFormat, time.Now().UTC().Truncate(time.Second), c.Revision, hex.EncodeToString(sum[:]), compact.Bytes()}
 	var text bytes.Buffer
 	e := json.NewEncoder(&text)
 	e.SetEscapeHTML(false)
 	if err := e.Encode(k); err != nil {
 		return err
 	}
-	other, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
+	temporary, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(other.Name())
-	_, err = other.Write(text.Bytes())
-	if err = errors.Join(err, other.Sync(), other.Close()); err != nil {
+	defer os.Remove(temporary.Name())
+	_, err = temporary.Write(text.Bytes())
+	if err = errors.Join(err, temporary.Sync(), temporary.Close()); err != nil {
 		return err
 	}
-	if err := os.Rename(other.Name(), file); err != nil {
+	if err := os.Rename(temporary.Name(), file); err != nil {
 		return err
 	}
-	return f.say(k.told(file, "is saved"), k)
+	return f.printSnapshot(k.summary(file, "is saved"), k)
 }
 
-// snapshotRead reads a file and tells whether it is what was saved.
-func snapshotRead(file string) (k kept, err error) {
+// readSnapshot reads a snapshot file and verifies that it is what was saved.
+func readSnapshot(file string) (k snapshotFile, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return k, err
@@ -126,24 +127,24 @@
 	return k, nil
 }
 
-// snapshotRestore sends what a file holds, under its own number, to a system that has no configuration.
+// restoreSnapshot sends the configuration of a snapshot, with its own revision, to a system that has no configuration.
 //
-// Danger: to one that lives it would say nothing new, or take it back by surprise. That is done by `send` with a
-// number of its own.
-func snapshotRestore(ctx context.Context, f *flags, file string) error {
-	k, err := snapshotRead(file)
+// Danger: a system that has a configuration would ignore the old revision or silently return to it. To change its configuration
+// operators must use `send` with a new revision.
+func restoreSnapshot(ctx context.Context, f *flags, file string) error {
+	k, err := readSnapshot(file)
 	if err != nil {
-		return wrong(err)
+		return asUsageError(err)
 	}
-	held, err := f.addresses().Holds(ctx)
+	configured, err := f.controlClient().HasConfiguration(ctx)
 	if err != nil {
 		return err
 	}
-	if held {
-		return wrong(errors.New("the system has a configuration already; `willowctl -revision auto send` gives it another"))
+	if configured {
+		return asUsageError(errors.New("the system has a configuration already; `willowctl -revision auto send` gives it another"))
 	}
-	if err := f.addresses().Send(ctx, k.Configuration); err != nil {
+	if err := f.controlClient().SendConfiguration(ctx, k.Configuration); err != nil {
 		return err
 	}
-	return f.say(k.told(file, "is restored"), k)
+	return f.printSnapshot(k.summary(file, "is restored"), k)
 }
--- a/cmd/willowlab/experiments.go
+++ b/cmd/willowlab/experiments.go
@@ -19,28 +19,28 @@
 	"willowsill/lab/experiment"
 )
 
-// errRule ends a run in which a rule was broken.
-var errRule = errors.New("a rule was broken")
+// errRuleBroken is returned by commands whose run broke a rule.
+var errRuleBroken = errors.New("a rule was broken")
 
-// code is the exit code of an error: 2 for a script that is wrong, 3 for a broken rule.
-func code(err error) int {
+// exitCode returns the exit code for an error: 2 for an invalid script, 3 for a broken rule, 1 for others.
+func exitCode(err error) int {
 	var faults script.Faults
 	switch {
 	case errors.As(err, &faults):
 		return 2
-	case errors.Is(err, errRule):
+	case errors.Is(err, errRuleBroken):
 		return 3
 	}
 	return 1
 }
 
-func running() *cobra.Command {
+func runCommand() *cobra.Command {
 	var seeds int
 	var asJSON, quiet, sockets bool
 	var results, binary, source, only string
 	c := &cobra.Command{
 		Use:     "run FILE...",
-		Short:   "Play experiments and print what came of them",
+		Short:   "Run experiments and print the results",
 		Example: "  willowlab run experiments/hang.star\n  willowlab run experiments/*.star --seeds 20 --results results/lab",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
@@ -54,18 +54,18 @@
 				if seeds > 0 {
 					e.Seeds = seeds
 				}
-				way := experiment.Emulated()
+				runner := experiment.EmulatorRunner()
 				if sockets {
-					if way, err = onSockets(e, binary, 1); err != nil {
+					if runner, err = socketVariants(e, binary, 1); err != nil {
 						return fmt.Errorf("%s: %w", file, err)
 					}
 				}
 				var t *experiment.Table
-				if only != "" { // this program is the one that was built for it
+				if only != "" { // this program was built with the constants of that variant
 					e.Variants = slices.DeleteFunc(e.Variants, func(v experiment.Variant) bool { return v.Name != only })
-					t, err = play(e, way, true)
+					t, err = runExperiment(e, runner, true)
 				} else {
-					t, err = playAll(e, way, file, source, quiet || asJSON)
+					t, err = runVariants(e, runner, file, source, quiet || asJSON)
 				}
 				if err != nil {
 					return fmt.Errorf("%s: %w", file, err)
@@ -75,10 +75,10 @@
 					broken = broken || len(r.Broken) > 0
 				}
 				if !asJSON {
-					write(c.OutOrStdout(), t)
+					printTable(c.OutOrStdout(), t)
 				}
 				if results != "" {
-					if err := keep(t, results); err != nil {
+					if err := saveTable(t, results); err != nil {
 						return err
 					}
 				}
@@ -89,59 +89,60 @@
 				}
 			}
 			if broken {
-				return errRule
+				return errRuleBroken
 			}
 			return nil
 		},
 	}
-	c.Flags().IntVar(&seeds, "seeds", 0, "runs of each variant, in place of the script's")
+	c.Flags().IntVar(&seeds, "seeds", 0, "runs of each variant, overriding the script")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	c.Flags().BoolVar(&sockets, "sockets", false, "in real time, with the true program; what the module decides alone")
+	c.Flags().BoolVar(&sockets, "sockets", false, "run in real time with the real program; only variants of the decision module")
 	c.Flags().StringVar(&binary, "program", "bin/willowsill", "the program, for --sockets")
 	c.Flags().BoolVar(&quiet, "quiet", false, "no progress")
-	sourceFlag(c, &source)
-	c.Flags().StringVar(&only, "only", "", "one variant, as this program was built")
+	addSourceFlag(c, &source)
+	c.Flags().StringVar(&only, "only", "", "run only this variant, with the constants that this program was built with")
 	c.Flags().MarkHidden("only")
-	c.Flags().StringVar(&results, "results", "", "a folder for a table and a chart of each experiment")
+	c.Flags().StringVar(&results, "results", "", "folder for a table and a chart of each experiment")
 	return c
 }
 
-// playAll plays all variants: those with other constants by a program built with them.
-func playAll(e *experiment.Experiment, way experiment.Way, file, source string, quiet bool) (*experiment.Table, error) {
-	mine := *e
-	mine.Variants = nil
+// runVariants runs all variants of an experiment. Variants with changed constants run in a copy of this program that is built with
+// them.
+func runVariants(e *experiment.Experiment, runner experiment.Runner, file, source string, quiet bool) (*experiment.Table, error) {
+	unchanged := *e
+	unchanged.Variants = nil
 	var tables []*experiment.Table
 	for _, v := range e.Variants {
 		if v.Constants == nil {
-			mine.Variants = append(mine.Variants, v)
+			unchanged.Variants = append(unchanged.Variants, v)
 			continue
 		}
-		t, err := apart(e, v, file, source)
+		t, err := runRebuiltVariant(e, v, file, source)
 		if err != nil {
 			return nil, fmt.Errorf("variant %q: %w", v.Name, err)
 		}
 		tables = append(tables, t)
 	}
-	if len(mine.Variants) > 0 {
-		t, err := play(&mine, way, quiet)
+	if len(unchanged.Variants) > 0 {
+		t, err := runExperiment(&unchanged, runner, quiet)
 		if err != nil {
 			return nil, err
 		}
 		tables = append(tables, t)
 	}
-	return e.Join(tables...)
+	return e.JoinTables(tables...)
 }
 
-// play plays an experiment with its progress on standard error.
-func play(e *experiment.Experiment, way experiment.Way, quiet bool) (*experiment.Table, error) {
+// runExperiment runs an experiment and, unless quiet, shows its progress on standard error.
+func runExperiment(e *experiment.Experiment, runner experiment.Runner, quiet bool) (*experiment.Table, error) {
 	if quiet {
-		return e.Play(way, nil)
+		return e.Run(runner, nil)
 	}
 	bars := mpb.New(mpb.WithOutput(os.Stderr), mpb.WithWidth(50))
 	bar := bars.AddBar(int64(e.Seeds*len(e.Variants)), mpb.BarRemoveOnComplete(),
 		mpb.PrependDecorators(decor.Name(e.Name+" "), decor.CountersNoUnit("%d of %d")),
 		mpb.AppendDecorators(decor.Elapsed(decor.ET_STYLE_GO)))
-	t, err := e.Play(way, func() { bar.Increment() })
+	t, err := e.Run(runner, func() { bar.Increment() })
 	if err != nil {
 		bar.Abort(true)
 	}
@@ -149,7 +150,8 @@
 	return t, err
 }
 
-func write(out io.Writer, t *experiment.Table) {
+// printTable prints a table of results, and the broken rules below it.
+func printTable(out io.Writer, t *experiment.Table) {
 	fmt.Fprintf(out, "%s: %s (%d seeds, script %s)\n", t.Name, t.Question, t.Seeds, t.Hash)
 	w := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(w, "| variant\t| within goal\t| against the first\t| 95%\t| verdict\t| late\t| declined\t| failed\t| executions a query\t| p50 ms\t| p99 ms\t|")
@@ -160,11 +162,11 @@
 			float64(r.P99)/1e6)
 	}
 	w.Flush()
-	if len(t.Rows[0].Loads) > 1 {
+	if len(t.Rows[0].Workloads) > 1 {
 		fmt.Fprintln(out, "\nwithin goal, by kind of query:")
 		for _, r := range t.Rows {
 			fmt.Fprintf(w, "%s\t", r.Name)
-			for _, l := range r.Loads {
+			for _, l := range r.Workloads {
 				fmt.Fprintf(w, "%s %.4f\t", l.Name, l.InGoal)
 			}
 			fmt.Fprintln(w)
@@ -179,8 +181,8 @@
 	fmt.Fprintln(out)
 }
 
-// keep writes an experiment's table and chart into a folder.
-func keep(t *experiment.Table, dir string) error {
+// saveTable writes a table as JSON and its chart as SVG into a folder.
+func saveTable(t *experiment.Table, dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -191,7 +193,7 @@
 	if err := errors.Join(writeJSON(file, t), file.Close()); err != nil {
 		return err
 	}
-	chart, err := t.Chart()
+	chart, err := t.RevenueChart()
 	if err != nil {
 		return err
 	}
@@ -204,8 +206,8 @@
 	return e.Encode(v)
 }
 
-// kept reads a table that was kept.
-func kept(file string) (*experiment.Table, error) {
+// readTable reads the JSON file of a table that saveTable has written.
+func readTable(file string) (*experiment.Table, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -213,10 +215,10 @@
 	return experiment.Decode(text, file)
 }
 
-func checking() *cobra.Command {
+func checkCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "check FILE...", Short: "Say all that is wrong with experiments", Example: "  willowlab check experiments/*.star",
-		Long: "check reads experiments as run would.\n\nWhat an experiment may call:\n\n" + strings.TrimSpace(experiment.Vocabulary()),
+		Use: "check FILE...", Short: "Report every error in experiments", Example: "  willowlab check experiments/*.star",
+		Long: "check reads experiments as run does.\n\nWhat an experiment may call:\n\n" + strings.TrimSpace(experiment.DescribeFunctions()),
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			for _, file := range files {
@@ -230,16 +232,16 @@
 	}
 }
 
-func comparing() *cobra.Command {
+func compareCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "compare A B", Short: "Hold two kept tables of one experiment against each other, seed by seed",
+		Use: "compare A B", Short: "Compare two saved tables of one experiment, seed by seed",
 		Example: "  willowlab compare before/hang.json after/hang.json", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, files []string) error {
-			a, err := kept(files[0])
+			a, err := readTable(files[0])
 			if err != nil {
 				return err
 			}
-			b, err := kept(files[1])
+			b, err := readTable(files[1])
 			if err != nil {
 				return err
 			}
@@ -258,23 +260,23 @@
 	}
 }
 
-func reporting() *cobra.Command {
+func reportCommand() *cobra.Command {
 	var out string
 	c := &cobra.Command{
-		Use: "report DIR", Short: "Make one page of all tables in a folder", Example: "  willowlab report results/lab --out report.html",
+		Use: "report DIR", Short: "Write a page with all tables of a folder", Example: "  willowlab report results/lab --out report.html",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			files, _ := filepath.Glob(filepath.Join(args[0], "*.json"))
 			var tables []*experiment.Table
 			for _, file := range files {
-				t, err := kept(file)
+				t, err := readTable(file)
 				if err != nil {
 					return err
 				}
 				tables = append(tables, t)
 			}
 			if len(tables) == 0 {
-				return fmt.Errorf("%s holds no tables", args[0])
+				return fmt.Errorf("%s contains no tables", args[0])
 			}
 			file, err := os.Create(out)
 			if err != nil {
@@ -283,6 +285,6 @@
 			return errors.Join(experiment.Report(file, tables), file.Close())
 		},
 	}
-	c.Flags().StringVar(&out, "out", "report.html", "the page")
+	c.Flags().StringVar(&out, "out", "report.html", "file of the page")
 	return c
 }
--- a/cmd/willowlab/losses.go
+++ b/cmd/willowlab/losses.go
@@ -12,13 +12,13 @@
 	"github.com/spf13/cobra"
 )
 
-// dayReport is what is read of the operators' bench's report of one day.
+// dayReport holds the fields that are read from the report of the operators' benchmark on one simulated day.
 type dayReport struct {
 	G       float64
 	Fault   any
 	Breaks  map[string]any
-	Parts   [][]any // name, weight, share of the worth
-	Prices  [][]any // name, quantity, share of the worth
+	Parts   [][]any // name, weight, earned share of the weight's value
+	Prices  [][]any // name, quantity, share of the day's value that is deducted
 	Classes []struct {
 		Name                     string
 		N, Late, Refused, Failed int
@@ -27,13 +27,13 @@
 	AckMs *float64 `json:"config_ack_ms"`
 }
 
-// loss is one cause and what it took of the day's worth.
+// loss is one cause of lost value and the share of the day's value that it cost.
 type loss struct {
 	cause string
-	worth float64
+	value float64
 }
 
-// losses are a day's, the dearest first.
+// losses returns all losses of the day, the largest first.
 func (r dayReport) losses() (all []loss) {
 	num := func(v any) float64 { f, _ := v.(float64); return f }
 	for _, p := range r.Parts {
@@ -46,15 +46,15 @@
 			all = append(all, loss{fmt.Sprint("price, ", p[0]), num(p[2])})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b loss) int { return cmp.Compare(b.worth, a.worth) })
+	slices.SortStableFunc(all, func(a, b loss) int { return cmp.Compare(b.value, a.value) })
 	return all
 }
 
-// losing says where the worth of days went, from the reports of the operators' bench.
-func losing() *cobra.Command {
-	var most int
-	c := &cobra.Command{Use: "losses REPORT ...", Short: "Say where the worth of days went, from the operators' bench's reports",
-		Long:    "Reads what `run ... --report FILE` of the operators' bench wrote: rules broken, what each day lost to what, by kind of request,\nand how long acknowledgements of configurations took.",
+// lossesCommand prints the largest losses of each day from the reports of the operators' benchmark.
+func lossesCommand() *cobra.Command {
+	var maxCauses int
+	c := &cobra.Command{Use: "losses REPORT ...", Short: "Print the largest losses of days, from the reports of the operators' benchmark",
+		Long:    "Reads the files that `run ... --report FILE` of the operators' benchmark has written, and prints broken rules, the losses of each\nday by cause and by class of requests, and the time that acknowledgements of configurations took.",
 		Example: "  willowlab losses reports/*.json", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
@@ -79,8 +79,8 @@
 					line = fmt.Sprintf("BROKEN %v %v; ", r.Breaks, r.Fault)
 				}
 				for i, l := range r.losses() {
-					if i < most && l.worth >= 0.0005 {
-						line += fmt.Sprintf("%s %.3f; ", l.cause, l.worth)
+					if i < maxCauses && l.value >= 0.0005 {
+						line += fmt.Sprintf("%s %.3f; ", l.cause, l.value)
 					}
 				}
 				fmt.Fprintf(w, "%s\t%.3f\t%s\n", filepath.Base(file), r.G, line)
@@ -98,10 +98,10 @@
 			}
 			fmt.Fprintln(c.OutOrStdout())
 			if broken > 0 {
-				return errRule
+				return errRuleBroken
 			}
 			return nil
 		}}
-	c.Flags().IntVar(&most, "most", 4, "causes named for a day")
+	c.Flags().IntVar(&maxCauses, "most", 4, "causes printed per day")
 	return c
 }
--- a/cmd/willowlab/main.go
+++ b/cmd/willowlab/main.go
@@ -1,5 +1,5 @@
-// Command willowlab plays experiments on fleets in virtual time, looks for schedules of faults that harm most, and loads a
-// running aggregator. Its results are kept as tables and charts.
+// Command willowlab runs experiments on emulated fleets in virtual time, simulates and model-checks the controllers, searches for the
+// most harmful faults, and sends load to a running aggregator. It can save results as tables and charts.
 package main
 
 import (
@@ -12,11 +12,11 @@
 func main() {
 	root := &cobra.Command{Use: "willowlab", Short: "Experiments on fleets, and load for a running aggregator",
 		SilenceUsage: true, SilenceErrors: true}
-	root.PersistentFlags().Bool(asBuilt, false, "")
-	root.PersistentFlags().MarkHidden(asBuilt)
-	root.AddCommand(running(), beside(), checking(), comparing(), reporting(), hunting(), replaying(), loading(), growing(), exploring(), exploringControllers(), spreading(), losing(), controlling())
+	root.PersistentFlags().Bool(asBuiltFlag, false, "")
+	root.PersistentFlags().MarkHidden(asBuiltFlag)
+	root.AddCommand(runCommand(), socketsCommand(), checkCommand(), compareCommand(), reportCommand(), huntCommand(), replayCommand(), loadCommand(), growthCommand(), exploreCommand(), exploreControllersCommand(), propagationCommand(), lossesCommand(), controlCommand())
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "willowlab:", err)
-		os.Exit(code(err))
+		os.Exit(exitCode(err))
 	}
 }
--- a/cmd/willowsill/overloadwatch.go
+++ b/cmd/willowsill/overloadwatch.go
@@ -17,95 +17,95 @@
 	"willowsill/transport/sockets"
 )
 
-// overloadWatch has the process watch its own load as the operator's script says.
+// overloadWatch runs the overload detection and load shedding of this process as the operator's script configures them.
 type overloadWatch struct {
-	start  deployment.Start
-	core   *node.Node
-	budget *sockets.Budget
-	count  *counters.Counters
-	guard  *front.Guarded
-	log    *zap.Logger
-	orders *operator.Orders
-	runs   *background // nil while it is off
+	start      deployment.Config
+	core       *node.Node
+	budget     *sockets.Budget
+	count      *counters.Counters
+	guard      *front.SwitchableGuard
+	log        *zap.Logger
+	settings   *operator.Settings
+	background *background // nil while overload detection is off
 }
 
-// check tells what the orders cannot be here.
-func (s *overloadWatch) check(o *operator.Orders) error {
-	if o.Strain == nil {
+// validate reports settings that don't fit the deployment.
+func (s *overloadWatch) validate(o *operator.Settings) error {
+	if o.Overload == nil {
 		return nil
 	}
-	if _, err := s.terms(o.Strain); err != nil {
+	if _, err := s.config(o.Overload); err != nil {
 		return fmt.Errorf("%s: strain: %w", o.File, err)
 	}
 	return nil
 }
 
-// follow makes what runs what the orders say. With an error nothing has changed.
-func (s *overloadWatch) follow(o *operator.Orders) error {
-	if s.orders != nil && reflect.DeepEqual(s.orders.Strain, o.Strain) {
-		s.orders = o
+// apply starts, restarts or stops overload detection to match the settings. On an error nothing has changed.
+func (s *overloadWatch) apply(o *operator.Settings) error {
+	if s.settings != nil && reflect.DeepEqual(s.settings.Overload, o.Overload) {
+		s.settings = o
 		return nil
 	}
-	if err := s.check(o); err != nil {
+	if err := s.validate(o); err != nil {
 		return err
 	}
-	var watch *machine.Watch
-	if o.Strain != nil {
-		terms, _ := s.terms(o.Strain)
-		watch = machine.New(terms, machine.Sources{Now: s.core.Now, Queue: s.core.Waiting,
-			Facts: func() (n, waited int64) { return s.count.Facts.Load(), s.count.DelayTotal.Load() },
-			Client: func() float64 {
-				return float64(s.budget.Taken(sockets.Clients)) / float64(s.budget.Most(sockets.Clients))
-			}, Memory: int64(memoryShare * float64(s.start.Memory))}, s.log)
+	var monitor *machine.Monitor
+	if o.Overload != nil {
+		config, _ := s.config(o.Overload)
+		monitor = machine.New(config, machine.Sources{Now: s.core.Now, QueueFill: s.core.QueueFill,
+			Events: func() (n, waited int64) { return s.count.Facts.Load(), s.count.DelayTotal.Load() },
+			ClientDescriptors: func() float64 {
+				return float64(s.budget.InUse(sockets.Clients)) / float64(s.budget.Limit(sockets.Clients))
+			}, MemoryLimit: int64(heapShare * float64(s.start.MemoryBytes))}, s.log)
 	}
-	s.end()
-	s.orders = o
-	if watch == nil {
+	s.stop()
+	s.settings = o
+	if monitor == nil {
 		return nil
 	}
-	rhythm := &node.Rhythm{Waited: watch.Waited, Stood: func(ns int64) { watch.Stood.Add(ns) }}
-	if o.Strain.AtOnce {
-		rhythm.Pace = &overload.Pace{Tick: s.start.Tick}
+	schedule := &node.Schedule{OnWait: monitor.RecordWait, OnStall: func(ns int64) { monitor.Stalled.Add(ns) }}
+	if o.Overload.Immediate {
+		schedule.Pace = &overload.Pacer{MaxGap: s.start.Tick}
 	}
-	s.core.Follow(rhythm)
-	if o.Strain.Shed {
-		guard := front.Guard(watch)
+	s.core.SetSchedule(schedule)
+	if o.Overload.Shed {
+		guard := front.Guard(monitor)
 		s.guard.Store(&guard)
 	}
-	s.count.Strain.Put(json.Marshaler(watch))
-	s.runs = begin(watch.Run)
-	s.log.Info("the process watches its own strain", zap.Bool("shed", o.Strain.Shed), zap.Bool("at_once", o.Strain.AtOnce))
+	s.count.Overload.Set(json.Marshaler(monitor))
+	s.background = startBackground(monitor.Run)
+	s.log.Info("overload detection is on", zap.Bool("shed", o.Overload.Shed), zap.Bool("at_once", o.Overload.Immediate))
 	return nil
 }
 
-// terms are what the orders and the deployment ask for.
-func (s *overloadWatch) terms(o *operator.Strain) (overload.Terms, error) {
-	t := overload.Terms{Cores: s.start.Cores, Limit: o.Limit, Fixed: o.Rate, Target: o.Lateness, Most: s.start.MaxComeBack,
-		Floor: o.Floor, Seed: s.start.Seed, Workloads: make([]overload.Workload, len(s.start.Workloads))}
+// config combines the settings with the deployment's values. A workload without a stated revenue has revenue 1.
+func (s *overloadWatch) config(o *operator.Overload) (overload.Config, error) {
+	config := overload.Config{Cores: s.start.Cores, LimitKind: o.LimitKind, FixedRate: o.FixedRate, WaitTarget: o.MaxLateness, MaxRetryAfter: s.start.MaxRetryAfter,
+		CustomerFloor: o.CustomerFloor, Seed: s.start.Seed, Workloads: make([]overload.Workload, len(s.start.Workloads))}
 	for name := range o.Revenue {
-		if _, known := s.start.Workload[name]; !known {
-			return t, fmt.Errorf(`key "revenue": %q is no workload of the deployment`, name)
+		if _, known := s.start.WorkloadRow[name]; !known {
+			return config, fmt.Errorf(`key "revenue": %q is no workload of the deployment`, name)
 		}
 	}
-	for name, row := range s.start.Workload {
+	for name, row := range s.start.WorkloadRow {
 		revenue, stated := o.Revenue[name]
 		if !stated {
 			revenue = 1
 		}
-		t.Workloads[row] = overload.Workload{Revenue: revenue, Goal: s.start.Workloads[row].LatencyGoal}
+		config.Workloads[row] = overload.Workload{Revenue: revenue, LatencyGoal: s.start.Workloads[row].LatencyGoal}
 	}
-	return t, t.Check()
+	return config, config.Validate()
 }
 
-// end ends it; queries are taken on as they come again, and rounds wait for the tick.
-func (s *overloadWatch) end() {
-	if s.runs == nil {
+// stop stops overload detection. Afterwards no query is shed, and decision rounds wait for the next tick again.
+func (s *overloadWatch) stop() {
+	if s.background == nil {
 		return
 	}
 	s.guard.Store(nil)
-	s.runs.end()
-	s.runs = nil
-	s.core.Follow(nil)
-	s.count.Strain.Put(nil)
-	s.log.Info("the process no longer watches its own strain")
+	s.background.stop()
+	s.background = nil
+	s.core.SetSchedule(nil)
+	s.count.Overload.Set(nil)
+	s.log.Info("overload detection is off")
 }
--- a/decide/clusterstate/departed.go
+++ b/decide/clusterstate/departed.go
@@ -6,38 +6,38 @@
 	"willowsill/decide/registry"
 )
 
-// departedKept is how many departed replicas are remembered, the last ones.
-const departedKept = 1024
+// maxDeparted is the number of departed replicas that a state remembers; the oldest are forgotten first.
+const maxDeparted = 1024
 
-// departed remembers replicas that are gone, with the number of the last call that is known of each. One that has said
-// that it is gone never calls again; one that was struck off after a long silence may come back with a later call.
+// departedReplicas remembers replicas that are gone, with the highest call number known of each. A replica that announced
+// its departure never calls again; one that was dropped after a long silence may come back with a higher number.
 //
-// Danger: a feeder that was cut off lists replicas that have departed since. An edge that has forgotten them would take
-// them back from it, and send to an address that may be another's by now.
-type departed struct {
-	last  map[string]uint64 // number of the last call, by id
-	order []string          // the same ids, oldest first
+// Danger: an upstream that was cut off still lists replicas that have departed since. An edge that had forgotten them
+// would accept them again, and send requests to an address that may by now belong to another replica.
+type departedReplicas struct {
+	lastSeq map[string]uint64 // highest call number, by replica ID
+	order   []string          // the same IDs, oldest departure first
 }
 
-// covers tells whether a record says nothing that is newer than the replica's end.
-func (d *departed) covers(r registry.Record) bool {
-	last, ok := d.last[r.ID]
+// covers reports whether the replica is known to be gone and the record is no newer than its departure.
+func (d *departedReplicas) covers(r registry.Record) bool {
+	last, ok := d.lastSeq[r.ID]
 	return ok && r.Seq <= last
 }
 
-// add takes in that a replica is gone.
-func (d *departed) add(r registry.Record) {
-	if d.last == nil {
-		d.last = map[string]uint64{}
+// add remembers a replica that is gone.
+func (d *departedReplicas) add(r registry.Record) {
+	if d.lastSeq == nil {
+		d.lastSeq = map[string]uint64{}
 	}
-	if _, again := d.last[r.ID]; again {
-		d.last[r.ID] = max(d.last[r.ID], r.Seq)
+	if _, known := d.lastSeq[r.ID]; known {
+		d.lastSeq[r.ID] = max(d.lastSeq[r.ID], r.Seq)
 		return
 	}
-	if len(d.order) == departedKept {
-		delete(d.last, d.order[0])
+	if len(d.order) == maxDeparted {
+		delete(d.lastSeq, d.order[0])
 		d.order = slices.Delete(d.order, 0, 1)
 	}
-	d.last[r.ID] = r.Seq
+	d.lastSeq[r.ID] = r.Seq
 	d.order = append(d.order, r.ID)
 }
--- a/decide/clusterstate/departed_test.go
+++ b/decide/clusterstate/departed_test.go
@@ -9,54 +9,55 @@
 	"willowsill/decide/registry"
 )
 
+// record returns an update with one replica.
 func record(id string, seq uint64, phase registry.Phase) Update {
 	return Update{Replicas: []registry.Record{{ID: id, Service: "s", Address: "a:1", Seq: seq, Phase: phase}}}
 }
 
-// TestDepartedStaysAway: a replica that has departed is not taken back from a feeder that has not heard of it, also after
-// it was dropped from the state; and the memory of such replicas is bounded.
+// TestDepartedStaysAway: an upstream that does not know of a departure does not bring the replica back, even after its
+// record was dropped from the state. The number of departures that a state remembers is bounded.
 func TestDepartedStaysAway(t *testing.T) {
 	s := NewState()
-	s.Take(record("i-1", 4, registry.Ready))
-	s.Take(record("i-1", 4, registry.Gone))
-	s.Forget()
+	s.Apply(record("i-1", 4, registry.Ready))
+	s.Apply(record("i-1", 4, registry.Gone))
+	s.DropGone()
 	stale := record("i-1", 4, registry.Ready)
 	stale.Snapshot = true
-	must.SliceEmpty(t, s.Take(stale).Replicas)
+	must.SliceEmpty(t, s.Apply(stale).Replicas)
 	must.Eq(t, []registry.Record{{ID: "i-1", Phase: registry.Gone, Seq: 4}}, s.Snapshot().Replicas)
-	for i := range 3 * departedKept {
-		s.Take(record(fmt.Sprint("other-", i), 1, registry.Gone))
-		s.Forget()
+	for i := range 3 * maxDeparted {
+		s.Apply(record(fmt.Sprint("other-", i), 1, registry.Gone))
+		s.DropGone()
 	}
-	must.MapLen(t, departedKept, s.departed.last)
-	must.SliceLen(t, departedKept, s.departed.order)
+	must.MapLen(t, maxDeparted, s.departed.lastSeq)
+	must.SliceLen(t, maxDeparted, s.departed.order)
 }
 
-// TestSilentComesBack: a replica that was struck off because it had been silent for long may come back.
+// TestSilentComesBack: a replica that was dropped after a long silence is accepted again under a higher call number.
 func TestSilentComesBack(t *testing.T) {
 	s := NewState()
-	s.Take(record("i-1", 4, registry.Ready))
-	s.Take(record("i-1", 4, registry.Silent))
-	s.Take(record("i-1", 4, registry.Gone))
-	s.Forget()
-	must.SliceEmpty(t, s.Take(record("i-1", 4, registry.Ready)).Replicas)
-	must.SliceLen(t, 1, s.Take(record("i-1", 60, registry.Ready)).Replicas)
+	s.Apply(record("i-1", 4, registry.Ready))
+	s.Apply(record("i-1", 4, registry.Silent))
+	s.Apply(record("i-1", 4, registry.Gone))
+	s.DropGone()
+	must.SliceEmpty(t, s.Apply(record("i-1", 4, registry.Ready)).Replicas)
+	must.SliceLen(t, 1, s.Apply(record("i-1", 60, registry.Ready)).Replicas)
 	must.SliceLen(t, 1, s.Snapshot().Replicas)
 }
 
-// TestSnapshotTellsOfDeparted: a follower that began with a feeder that was cut off lists a replica that has departed;
-// the snapshot of the next feeder takes it away, with all that is known of it, also by way of a relay.
+// TestSnapshotTellsOfDeparted: an edge whose first upstream was cut off holds a departed replica as ready. The snapshot of
+// its next upstream, here a relay, removes the replica, and the edge passes the departure on with the whole record.
 func TestSnapshotTellsOfDeparted(t *testing.T) {
-	feeder, relay, follower := NewState(), NewState(), NewState()
+	upstream, relay, edge := NewState(), NewState(), NewState()
 	ready, gone := record("i-1", 4, registry.Ready), record("i-1", 4, registry.Gone)
-	feeder.Take(ready)
-	feeder.Take(gone)
-	feeder.Forget()
-	relay.Take(feeder.Snapshot())
-	relay.Forget()
-	follower.Take(ready)
-	fresh := follower.Take(relay.Snapshot())
+	upstream.Apply(ready)
+	upstream.Apply(gone)
+	upstream.DropGone()
+	relay.Apply(upstream.Snapshot())
+	relay.DropGone()
+	edge.Apply(ready)
+	fresh := edge.Apply(relay.Snapshot())
 	must.Eq(t, gone.Replicas, fresh.Replicas)
-	follower.Forget()
-	must.SliceEmpty(t, follower.Take(relay.Snapshot()).Replicas)
+	edge.DropGone()
+	must.SliceEmpty(t, edge.Apply(relay.Snapshot()).Replicas)
 }
--- a/decide/clusterstate/fleet.go
+++ b/decide/clusterstate/fleet.go
@@ -7,44 +7,43 @@
 	"willowsill/decide/locality"
 )
 
-// Differences between fleets. Edges are listed by IP.
-
-func byIP(a, b Edge) int { return cmp.Compare(a.IP, b.IP) }
+// compareByIP orders edges as Fleet.Edges and FleetChange.Joined are sorted.
+func compareByIP(a, b Edge) int { return cmp.Compare(a.IP, b.IP) }
 
 func (f Fleet) equal(o Fleet) bool {
 	return f.Most == o.Most && slices.Equal(f.Edges, o.Edges) && slices.Equal(f.Controllers, o.Controllers) &&
 		slices.Equal(f.Zones, o.Zones)
 }
 
-// apply makes a new fleet of f and a difference.
-func (f Fleet) apply(c FleetChange) Fleet {
+// withChange returns the fleet that results from applying a difference to f.
+func (f Fleet) withChange(c FleetChange) Fleet {
 	edges := slices.DeleteFunc(slices.Clone(f.Edges), func(e Edge) bool {
-		_, joined := slices.BinarySearchFunc(c.Joined, e, byIP)
+		_, joined := slices.BinarySearchFunc(c.Joined, e, compareByIP)
 		_, left := slices.BinarySearch(c.Left, e.IP)
 		return joined || left
 	})
 	edges = append(edges, c.Joined...)
-	slices.SortFunc(edges, byIP)
+	slices.SortFunc(edges, compareByIP)
 	return Fleet{Edges: edges, Most: c.Most, Controllers: c.Controllers, Zones: c.Zones}
 }
 
-// difference makes after of before. An edge whose zone has changed has joined anew.
-func difference(before, after Fleet) FleetChange {
+// fleetDifference returns the change that turns before into after. An edge whose zone has changed is among Joined.
+func fleetDifference(before, after Fleet) FleetChange {
 	c := FleetChange{Most: after.Most, Controllers: after.Controllers, Zones: after.Zones, Count: len(after.Edges)}
 	for _, e := range after.Edges {
-		if at, found := slices.BinarySearchFunc(before.Edges, e, byIP); !found || before.Edges[at] != e {
+		if at, found := slices.BinarySearchFunc(before.Edges, e, compareByIP); !found || before.Edges[at] != e {
 			c.Joined = append(c.Joined, e)
 		}
 	}
 	for _, e := range before.Edges {
-		if _, found := slices.BinarySearchFunc(after.Edges, e, byIP); !found {
+		if _, found := slices.BinarySearchFunc(after.Edges, e, compareByIP); !found {
 			c.Left = append(c.Left, e.IP)
 		}
 	}
 	return c
 }
 
-// ControlServers are the controllers with their zones, as far as these are known.
+// ControlServers returns the controllers with their zones, which are empty where the upstream did not send them.
 func (f Fleet) ControlServers() []locality.Process {
 	processes := make([]locality.Process, len(f.Controllers))
 	for i, ip := range f.Controllers {
@@ -56,8 +55,8 @@
 	return processes
 }
 
-// InZone are the IPs of a zone's edges.
-func (f Fleet) InZone(zone string) (ips []string) {
+// EdgeIPsInZone returns the IPs of the zone's edges, sorted.
+func (f Fleet) EdgeIPsInZone(zone string) (ips []string) {
 	for _, e := range f.Edges {
 		if e.Zone == zone {
 			ips = append(ips, e.IP)
--- a/decide/controller/callers.go
+++ b/decide/controller/callers.go
@@ -8,147 +8,152 @@
 	"willowsill/decide/registry"
 )
 
-// What replicas and operators are answered, and when.
+// This file handles the calls of replicas and operators.
 
-// Beat takes a replica's heartbeat or departure. It is acknowledged at once; but that one leaves is on the disks
-// of a majority first.
+// HandleReplicaCall handles a replica's heartbeat or departure. A heartbeat is acknowledged at once, a departure only
+// once it is on the disks of a majority of the members.
 //
-// This guards against a controller that is cut off, which would acknowledge what no edge ever hears of; against one
-// that dies right after and would take the word with it, while edges go on sending to the replica; and against
-// the death of all of them.
-func (c *Controller) Beat(now int64, id uint64, r registry.Record) Out {
+// A controller out of contact with the majority rejects both, because no edge would learn of them. The majority on disk
+// guards against a departure that is acknowledged and then lost, with the controller that acknowledged it or in a loss
+// of power everywhere: edges would go on sending requests to a replica that has ended.
+func (c *Controller) HandleReplicaCall(now int64, id uint64, r registry.Record) Effects {
 	c.now = now
-	if !c.InContact() || c.leaving {
-		c.out.Answers = append(c.out.Answers, Answer{Call: id, Status: statusUnavailable, Reason: "not in touch with most controllers"})
-		return c.done()
+	if !c.InContact() || c.shuttingDown {
+		c.effects.Answers = append(c.effects.Answers, Answer{Call: id, Status: statusUnavailable, Reason: "not in touch with most controllers"})
+		return c.takeEffects()
 	}
-	c.take(r, true)
+	c.applyRecord(r, true)
 	if r.Phase == registry.Ready {
-		c.out.Answers = append(c.out.Answers, Answer{Call: id, Status: statusOK, HeartbeatTarget: c.heartbeatTarget(r)})
-		return c.done()
+		c.effects.Answers = append(c.effects.Answers, Answer{Call: id, Status: statusOK, HeartbeatTarget: c.heartbeatTarget(r)})
+		return c.takeEffects()
 	}
-	c.asks++
-	t := &pendingCall{id: id, until: now + answerWithin, acks: map[string]struct{}{}, asked: c.asks, replica: r.ID}
-	c.calls = append(c.calls, t)
-	delete(c.pass, r.ID)
-	if known, ok := c.list.Get(r.ID); ok {
+	c.lastAckRequest++
+	call := &pendingCall{id: id, deadline: now + answerTimeout, acks: map[string]struct{}{}, ackRequest: c.lastAckRequest, replicaID: r.ID}
+	c.calls = append(c.calls, call)
+	delete(c.recordBatch, r.ID)
+	if known, ok := c.replicas.Get(r.ID); ok {
 		r = known
 	}
-	c.send(Message{Records: []registry.Record{r}, Ask: c.asks}, c.all()...)
-	c.answerLeavers()
-	return c.done()
+	c.send(Message{Records: []registry.Record{r}, AckRequest: c.lastAckRequest}, c.peerIPs()...)
+	c.answerDepartures()
+	return c.takeEffects()
 }
 
-// take takes records in; those that are news go on to the other controllers in the next batch.
-func (c *Controller) take(r registry.Record, pass bool) {
-	if news, changed := c.list.Take(c.now, r); news {
-		c.taken(r, pass, changed)
+// applyRecord merges a record into the list of replicas. local is true for a record that came from the replica itself;
+// one that is newer than the known record then goes to the other controllers with the next batch.
+func (c *Controller) applyRecord(r registry.Record, local bool) {
+	if newer, changed := c.replicas.Merge(c.now, r); newer {
+		c.recordChanged(r, local, changed)
 	}
 }
 
-// taken does what follows from a record that is news. changed tells whether edges need to hear of it.
-func (c *Controller) taken(r registry.Record, pass, changed bool) {
-	r, _ = c.list.Get(r.ID)
-	if pass {
-		c.heardHere(r)
+// recordChanged handles a record that was newer than the known one. local is true if it came from the replica itself;
+// changed is true if it differs in a field that edges need, not just in its sequence number.
+func (c *Controller) recordChanged(r registry.Record, local, changed bool) {
+	r, _ = c.replicas.Get(r.ID)
+	if local {
+		c.recordLocalHeartbeat(r)
 	}
-	if pass && (changed || c.now-c.passed[r.ID] > (2*beatsPassed-1)*c.BeatEvery/2) {
-		c.passed[r.ID] = c.now
-		p := r
-		if _, waits := c.pass[r.ID]; !changed && !waits && r.Phase == registry.Ready {
-			p = registry.Record{ID: r.ID, Seq: r.Seq} // says what it said before
+	if local && (changed || c.now-c.relayedAt[r.ID] > (2*heartbeatsPerRelay-1)*c.ReplicaHeartbeatInterval/2) {
+		c.relayedAt[r.ID] = c.now
+		batched := r
+		if _, isBatched := c.recordBatch[r.ID]; !changed && !isBatched && r.Phase == registry.Ready {
+			batched = registry.Record{ID: r.ID, Seq: r.Seq} // a heartbeat without changes needs no other fields
 		}
-		c.pass[r.ID], c.urgent = p, c.urgent || changed
+		c.recordBatch[r.ID], c.batchUrgent = batched, c.batchUrgent || changed
 	}
 	if r.Phase == registry.Gone {
-		delete(c.passed, r.ID)
+		delete(c.relayedAt, r.ID)
 	}
 	if changed {
-		c.listDirty = true
-		c.leavers.note(r)
+		c.replicasDirty = true
+		c.departures.recordChanged(r)
 		if r.Leaving() {
-			c.log("a replica leaves", "replica", r.ID, "service", r.Service, "phase", r.Phase.String(), "told here", pass)
+			c.log("replica is leaving", "replica", r.ID, "service", r.Service, "phase", r.Phase.String(), "told here", local)
 		}
-		c.tell(c.state.Take(clusterstate.Update{Replicas: []registry.Record{r}}))
+		c.addUpdate(c.state.Apply(clusterstate.Update{Replicas: []registry.Record{r}}))
 	}
 }
 
-// takeAck takes in that another controller has on disk what was asked under this number.
-func (c *Controller) takeAck(from string, asked uint64) {
-	if asked == 0 {
+// handleAck records that another controller has on disk the departure that was sent to it with this AckRequest.
+func (c *Controller) handleAck(from string, ackRequest uint64) {
+	if ackRequest == 0 {
 		return
 	}
-	for _, t := range slices.Clone(c.calls) {
-		if t.asked == asked {
-			t.acks[from] = struct{}{}
-			c.acked(t)
+	for _, call := range slices.Clone(c.calls) {
+		if call.ackRequest == ackRequest {
+			call.acks[from] = struct{}{}
+			c.answerIfAcked(call)
 		}
 	}
 }
 
-// acked answers a call once a majority has it on disk.
-func (c *Controller) acked(t *pendingCall) {
+// answerIfAcked answers a departure once a majority of the members has it on disk.
+func (c *Controller) answerIfAcked(call *pendingCall) {
 	n := 0
 	for _, m := range c.members() {
-		if _, ok := t.acks[m]; ok {
+		if _, ok := call.acks[m]; ok {
 			n++
 		}
 	}
 	if 2*n > len(c.members()) {
-		c.answer(t, statusOK, nil, "")
+		c.answer(call, statusOK, nil, "")
 	}
 }
 
-func (c *Controller) answer(t *pendingCall, status int, body []byte, reason string) {
-	c.out.Answers = append(c.out.Answers, Answer{Call: t.id, Status: status, Body: body, Reason: reason})
-	c.forgetCall(t)
+// answer queues the answer to a pending call and removes the call.
+func (c *Controller) answer(call *pendingCall, status int, body []byte, reason string) {
+	c.effects.Answers = append(c.effects.Answers, Answer{Call: call.id, Status: status, Body: body, Reason: reason})
+	c.removeCall(call)
 }
 
-func (c *Controller) forgetCall(t *pendingCall) {
-	c.calls = slices.DeleteFunc(c.calls, func(o *pendingCall) bool { return o == t })
+func (c *Controller) removeCall(call *pendingCall) {
+	c.calls = slices.DeleteFunc(c.calls, func(o *pendingCall) bool { return o == call })
 }
 
-// Put takes an order of an operator: a configuration that was read and found valid, its content packed by
-// clusterstate.Pack. The answer follows the order's Verdict: 200 where the configuration is in force or was
-// overtaken, 409 where another content was confirmed under its revision, 503 where no majority answered in time.
-func (c *Controller) Put(now int64, id, revision uint64, packed []byte) Out {
+// PutConfiguration stores an operator's configuration, which the caller has parsed, validated and packed with
+// clusterstate.Pack. The answer is 200 if the configuration is in force or a higher revision superseded it, 409 if
+// other content was confirmed under its revision, and 503 if no majority answered in time.
+func (c *Controller) PutConfiguration(now int64, id, revision uint64, packed []byte) Effects {
 	c.now = now
-	t := &pendingCall{id: id, until: now + answerWithin, order: newOrder(revision, packed)}
-	c.calls = append(c.calls, t)
-	n, out := c.proposer.Edit(now, t.order.apply)
-	t.edit = n
-	c.carry(out)
-	return c.done()
+	call := &pendingCall{id: id, deadline: now + answerTimeout, order: newOrder(revision, packed)}
+	c.calls = append(c.calls, call)
+	n, out := c.proposer.Edit(now, call.order.apply)
+	call.editID = n
+	c.handleProposer(out)
+	return c.takeEffects()
 }
 
-// Read asks for the newest configuration.
-func (c *Controller) Read(now int64, id uint64) Out {
+// ReadConfiguration answers with the newest configuration on a majority of disks: 200, 404 if there is none yet, 503 if
+// no majority answered in time.
+func (c *Controller) ReadConfiguration(now int64, id uint64) Effects {
 	c.now = now
-	t := &pendingCall{id: id, until: now + answerWithin, read: true}
-	c.calls = append(c.calls, t)
-	n, out := c.proposer.Edit(now, same)
-	t.edit = n
-	c.carry(out)
-	return c.done()
+	call := &pendingCall{id: id, deadline: now + answerTimeout, read: true}
+	c.calls = append(c.calls, call)
+	n, out := c.proposer.Edit(now, readOnlyEdit)
+	call.editID = n
+	c.handleProposer(out)
+	return c.takeEffects()
 }
 
-func same(v register.Value) (register.Value, bool) { return v, false }
+// readOnlyEdit changes nothing. A round with it reads the committed value, or commits a value that is only accepted.
+func readOnlyEdit(v register.Value) (register.Value, bool) { return v, false }
 
-// finish answers the caller whose edit is done.
-func (c *Controller) finish(d register.Done) {
-	for _, t := range slices.Clone(c.calls) {
-		if t.edit != d.ID || t.edit == 0 {
+// answerEdit answers the calls that wait for this edit of the register.
+func (c *Controller) answerEdit(d register.EditResult) {
+	for _, call := range slices.Clone(c.calls) {
+		if call.editID != d.ID || call.editID == 0 {
 			continue
 		}
 		switch {
-		case t.order != nil:
-			c.answerOrder(t, d.Value)
-		case t.rollout != nil:
-			c.answerRollout(t, d.Value)
+		case call.order != nil:
+			c.answerOrder(call, d.Value)
+		case call.rollout != nil:
+			c.answerRollout(call, d.Value)
 		case d.Value.Revision == 0:
-			c.answer(t, statusNotFound, nil, "there is no configuration yet")
+			c.answer(call, statusNotFound, nil, "there is no configuration yet")
 		default:
-			c.answer(t, statusOK, d.Value.Body, "")
+			c.answer(call, statusOK, d.Value.Body, "")
 		}
 	}
 }
--- a/decide/controller/edges.go
+++ b/decide/controller/edges.go
@@ -8,97 +8,100 @@
 	"willowsill/decide/clusterstate"
 )
 
-// Which edges there are, by who heard them.
+// This file tracks the edges and builds the list of edges and controllers that all edges are sent.
 
-// Edge tells of an edge that follows this controller, or one below it, again and again while it does.
-func (c *Controller) Edge(now int64, s EdgeReport) Out {
+// HandleEdgeReport handles the report of an edge that gets its updates from this controller, directly or through other
+// edges. Each edge repeats its report while it is connected.
+func (c *Controller) HandleEdgeReport(now int64, report EdgeReport) Effects {
 	c.now = now
-	c.sight(s, true)
-	c.fleet()
-	c.heardEvidence(s)
-	return c.done()
+	c.recordEdge(report, true)
+	c.updateFleet()
+	c.recordEvidence(report)
+	return c.takeEffects()
 }
 
-// sight takes in that an edge was heard of. own tells that no other controller has it from elsewhere.
-func (c *Controller) sight(s EdgeReport, own bool) {
-	if s.Edge.IP == "" { // an operator who looks on
+// recordEdge records an edge's report. own is true for a report of an edge that gets its updates from this controller,
+// which passes the report on, and false for one that came from another controller.
+func (c *Controller) recordEdge(report EdgeReport, own bool) {
+	if report.Edge.IP == "" { // an operator who watches, not an edge
 		return
 	}
-	e := c.edges[s.Edge.IP]
+	e := c.edges[report.Edge.IP]
 	if e == nil {
-		e = &edge{by: map[string]int64{}}
-		c.edges[s.Edge.IP] = e
-		c.edgesAt = 0
+		e = &edge{suspectedBy: map[string]int64{}}
+		c.edges[report.Edge.IP] = e
+		c.edgeReportAt = 0
 	}
-	at := c.now - s.Age
-	if at < e.heard {
+	at := c.now - report.Age
+	if at < e.lastHeard {
 		return
 	}
-	if own && !slices.Equal(e.said, s.Suspects) {
-		e.told = 0
+	if own && !slices.Equal(e.suspects, report.Suspects) {
+		e.reportedAt = 0
 	} else if !own {
-		e.told = c.now
+		e.reportedAt = c.now
 	}
-	e.Edge, e.heard, e.said = s.Edge, at, s.Suspects
-	for _, ip := range s.Suspects {
+	e.Edge, e.lastHeard, e.suspects = report.Edge, at, report.Suspects
+	for _, ip := range report.Suspects {
 		if o := c.edges[ip]; o != nil {
-			o.by[s.Edge.IP] = at
+			o.suspectedBy[report.Edge.IP] = at
 		}
 	}
 }
 
-// fleet tells the edges who they are and where controllers are, where that has changed: at once, or a little later
-// where that was done just before.
+// updateFleet sends the edges the list of edges and controllers if it has changed. Within fleetUpdateInterval of the
+// last list it only marks the next one as due.
 //
-// Danger: when a zone starts, its edges come within seconds, and a list for each that comes, told to each that is there,
-// would make the bytes grow with the square of the edges, and the time to make the lists too.
+// Danger: when a zone starts, its edges connect within seconds. A list for each new edge, sent to all that are there,
+// would make both the bytes and the time to build the lists grow with the square of the number of edges.
 //
-// Danger: one watcher may be the one that is cut off. An edge is left out of the tree only by the suspicion of
-// two, or of all that watch it, and never while it is heard itself. The edges of a zone watch each other, for it is
-// these alone that would follow a lost one.
-func (c *Controller) fleet() {
-	if c.fleetDue = c.now < c.fleetAt; c.fleetDue {
+// Danger: an edge that suspects another one may itself be cut off. An edge is left out of the list only if two others
+// suspect it, or all others of its zone if they are fewer, and only while its own reports are missing too. The edges of
+// a zone watch each other because only they get updates through one another.
+func (c *Controller) updateFleet() {
+	if c.fleetUpdateDue = c.now < c.fleetUpdateAt; c.fleetUpdateDue {
 		return
 	}
-	c.fleetAt = c.now + fleetEvery
-	var f clusterstate.Fleet
+	c.fleetUpdateAt = c.now + fleetUpdateInterval
+	var fleet clusterstate.Fleet
 	inZone := map[string]int{}
 	for _, e := range c.edges {
 		inZone[e.Zone]++
 	}
 	for ip, e := range c.edges {
-		if c.now-e.heard > edgeWithin {
+		if c.now-e.lastHeard > edgeTimeout {
 			delete(c.edges, ip)
 			continue
 		}
 		n := 0
-		for by, at := range e.by {
-			if c.now-at > suspicion {
-				delete(e.by, by)
+		for by, at := range e.suspectedBy {
+			if c.now-at > suspicionValidity {
+				delete(e.suspectedBy, by)
 			} else {
 				n++
 			}
 		}
-		if n >= min(suspectedBy, inZone[e.Zone]-1) && n > 0 && c.now-e.heard > edgeQuiet {
+		if n >= min(suspicionThreshold, inZone[e.Zone]-1) && n > 0 && c.now-e.lastHeard > suspectedEdgeTimeout {
 			continue
 		}
-		f.Edges = append(f.Edges, e.Edge)
+		fleet.Edges = append(fleet.Edges, e.Edge)
 	}
-	slices.SortFunc(f.Edges, func(a, b clusterstate.Edge) int { return cmp.Compare(a.IP, b.IP) })
-	// Danger: an edge that was left out may still be spending its share of a budget.
-	if len(f.Edges) >= c.most || c.now-c.mostAt > mostKept {
-		c.most, c.mostAt = len(f.Edges), c.now
+	slices.SortFunc(fleet.Edges, func(a, b clusterstate.Edge) int { return cmp.Compare(a.IP, b.IP) })
+	// Danger: an edge that was left out may still be spending its share of a budget, so the number of edges that budgets
+	// are divided by falls only after maxEdgesRetention.
+	if len(fleet.Edges) >= c.maxEdges || c.now-c.maxEdgesAt > maxEdgesRetention {
+		c.maxEdges, c.maxEdgesAt = len(fleet.Edges), c.now
 	}
-	f.Most = max(c.most, 1)
-	servers := map[string]bool{c.IP: true}
+	fleet.Most = max(c.maxEdges, 1)
+	controllers := map[string]bool{c.IP: true}
 	for ip := range c.peers {
-		if slices.Contains(c.members(), ip) || c.live(ip) {
-			servers[ip] = true
+		if slices.Contains(c.members(), ip) || c.isLive(ip) {
+			controllers[ip] = true
 		}
 	}
-	f.Controllers = slices.Sorted(maps.Keys(servers))
-	for _, ip := range f.Controllers {
-		f.Zones = append(f.Zones, c.zoneOf(ip))
+	fleet.Controllers = slices.Sorted(maps.Keys(controllers))
+	for _, ip := range fleet.Controllers {
+		fleet.Zones = append(fleet.Zones, c.controllerZone(ip))
 	}
-	c.tell(c.state.Take(clusterstate.Update{Fleet: f}))
+	c.addUpdate(c.state.Apply(clusterstate.Update{Fleet: fleet}))
 }
--- a/decide/controller/groups.go
+++ b/decide/controller/groups.go
@@ -6,105 +6,107 @@
 	"willowsill/decide/registry"
 )
 
-// Replicas that are heard by other controllers. Each controller tells the others of the group of replicas whose
-// heartbeats come to it, in its own heartbeats; what is new of a replica goes on as a record.
+// This file shares between controllers which replicas are alive. The replicas whose heartbeats come to one controller
+// are its group. Its own heartbeats tell the others who joined and left the group, and sums to compare the whole group
+// by. A replica's record is sent only when it has changed.
 
-// groupBeats is how many of its heartbeats a replica may leave out before it leaves the group of the controller that
-// heard it.
-const groupBeats = 2
+// groupMissedHeartbeats is how many heartbeats a replica may miss before it leaves its controller's group.
+const groupMissedHeartbeats = 2
 
-// takesGroups tells whether a controller tells of groups and understands them; one of the former version does not, and
-// is told of each replica.
-func (p *peer) takesGroups() bool { return p.heartbeat.Group != nil }
+// supportsGroups reports whether a controller sends and understands groups. A controller of the previous version does
+// not and gets each replica's heartbeats instead.
+func (p *peer) supportsGroups() bool { return p.heartbeat.Group != nil }
 
-// withoutGroups are the controllers of the former version.
-func (c *Controller) withoutGroups() (ips []string) {
-	for _, ip := range c.all() {
-		if !c.peers[ip].takesGroups() {
+// peersWithoutGroups returns the IPs of the controllers of the previous version, which know no groups.
+func (c *Controller) peersWithoutGroups() (ips []string) {
+	for _, ip := range c.peerIPs() {
+		if !c.peers[ip].supportsGroups() {
 			ips = append(ips, ip)
 		}
 	}
 	return ips
 }
 
-// heardHere notes that a replica's heartbeat came to this controller.
-func (c *Controller) heardHere(r registry.Record) {
+// recordLocalHeartbeat updates this controller's own group after a call of a replica.
+func (c *Controller) recordLocalHeartbeat(r registry.Record) {
 	if r.Phase == registry.Ready {
-		c.group.Heard(c.now, registry.CallOf(r))
+		c.localGroup.RecordHeartbeat(c.now, registry.HeartbeatOf(r))
 	} else {
-		c.group.Leave(c.now, r.ID)
+		c.localGroup.Remove(c.now, r.ID)
 	}
 }
 
-// takeGroup takes in what another controller tells of its group.
+// handleGroup applies a change of another controller's group, or the whole group.
 //
-// Danger: a message that was lost, or a replica that has fallen silent here alone, would leave the two with different
-// groups, and replicas would count as heard that are not, or fall silent one after the other. So the sums are compared
-// with each heartbeat, and while they differ nobody counts as heard, and the whole group is asked for.
-func (c *Controller) takeGroup(from string, p *peer, news registry.GroupNews) {
-	agrees := p.group.Take(news)
+// Danger: after a lost message, or when a replica has become silent only here, this controller's view of the group
+// differs from the group. Lost replicas would stay ready, or live ones would become silent one after another. So the
+// sums are compared with each heartbeat. While they differ, the heartbeat refreshes no replica, and the whole group is
+// requested.
+func (c *Controller) handleGroup(from string, p *peer, update registry.GroupUpdate) {
+	agrees := p.group.Apply(update)
 	var unknown []string
-	for _, call := range news.Joined {
-		if !c.list.Join(c.now, from, call) {
-			p.group.Drop(call.ID) // until its record is here
-			unknown = append(unknown, call.ID)
+	for _, heartbeat := range update.Joined {
+		if !c.replicas.JoinGroup(c.now, from, heartbeat) {
+			p.group.Drop(heartbeat.ID) // the view must not contain it before its record has arrived
+			unknown = append(unknown, heartbeat.ID)
 		}
 	}
-	if news.Whole {
-		c.list.WholeGroup(from, news.Joined)
+	if update.Whole {
+		c.replicas.RetainGroup(from, update.Joined)
 	}
-	for _, unheard := range news.Left {
-		c.list.Leave(c.now, from, unheard)
+	for _, left := range update.Left {
+		c.replicas.LeaveGroup(c.now, from, left)
 	}
 	switch {
 	case len(unknown) > 0:
 		c.send(Message{WantReplicas: unknown}, from)
 	case agrees:
-		c.list.GroupHeard(c.now, from)
-	case c.now >= p.groupWantAt:
-		p.groupWantAt = c.now + wantEvery
+		c.replicas.GroupHeard(c.now, from)
+	case c.now >= p.groupRequestAt:
+		p.groupRequestAt = c.now + requestInterval
 		c.send(Message{WantGroup: true}, from)
 	}
 }
 
-// silentHere takes a replica that has fallen silent here out of the groups that it was in: what is told of it next is
-// to be heard of whole.
-func (c *Controller) silentHere(replica string) {
-	c.group.Leave(c.now, replica)
+// removeFromGroups removes a replica that has become silent here from all groups, so that a group in which it is still
+// alive no longer agrees with the view here and is requested as a whole.
+func (c *Controller) removeFromGroups(replica string) {
+	c.localGroup.Remove(c.now, replica)
 	for _, p := range c.peers {
 		p.group.Drop(replica)
 	}
 }
 
-// records are what is known of these replicas.
-func (c *Controller) records(ids []string) (records []registry.Record) {
+// recordsOf returns the known records of these replicas, sorted by ID and without duplicates.
+func (c *Controller) recordsOf(ids []string) (records []registry.Record) {
 	for _, id := range slices.Compact(slices.Sorted(slices.Values(ids))) {
-		if r, known := c.list.Get(id); known {
+		if r, known := c.replicas.Get(id); known {
 			records = append(records, r)
 		}
 	}
 	return records
 }
 
-// passOn tells the other controllers what is new of replicas, and those of the former version who was heard.
-func (c *Controller) passOn() {
-	if len(c.pass) == 0 || !c.urgent && c.now < c.beatsAt {
+// sendRecordBatch sends changed records to all other controllers, and unchanged heartbeats of replicas to those of the
+// previous version. A batch that holds no change waits for heartbeatBatchInterval.
+func (c *Controller) sendRecordBatch() {
+	if len(c.recordBatch) == 0 || !c.batchUrgent && c.now < c.heartbeatBatchAt {
 		return
 	}
-	c.urgent, c.beatsAt = false, c.now+beatsEvery
-	var news, heard Message
-	for _, r := range c.pass {
+	c.batchUrgent, c.heartbeatBatchAt = false, c.now+heartbeatBatchInterval
+	var changed, unchanged Message
+	for _, r := range c.recordBatch {
 		if r.Service == "" && r.Phase == registry.Ready {
-			heard.Beats = append(heard.Beats, ReplicaHeartbeat{r.ID, r.Seq})
+			unchanged.ReplicaHeartbeats = append(unchanged.ReplicaHeartbeats, ReplicaHeartbeat{r.ID, r.Seq})
 		} else {
-			news.Records = append(news.Records, r)
+			changed.Records = append(changed.Records, r)
 		}
 	}
-	clear(c.pass)
-	if len(news.Records) > 0 {
-		c.send(news, c.all()...)
+	clear(c.recordBatch)
+	if len(changed.Records) > 0 {
+		c.send(changed, c.peerIPs()...)
 	}
-	if len(heard.Beats) > 0 {
-		c.send(heard, c.withoutGroups()...)
+	if len(unchanged.ReplicaHeartbeats) > 0 {
+		c.send(unchanged, c.peersWithoutGroups()...)
 	}
 }
--- a/decide/controller/receive.go
+++ b/decide/controller/receive.go
@@ -5,123 +5,125 @@
 	"willowsill/decide/registry"
 )
 
-// What becomes of a message of another controller, part by part.
+// This file handles the messages of other controllers, part by part.
 
-// Take takes a message of another controller.
-func (c *Controller) Take(now int64, w Message) Out {
+// HandleMessage handles a message of another controller. A message without a sender is ignored.
+func (c *Controller) HandleMessage(now int64, message Message) Effects {
 	c.now = now
-	p := c.meet(w.From)
+	p := c.addPeer(message.From)
 	if p == nil {
-		return c.done()
+		return c.takeEffects()
 	}
-	c.noteHeard(p, w.From)
-	if w.Heartbeat != nil {
-		c.heartbeat(p, w)
+	c.recordPeerHeard(p, message.From)
+	if message.Heartbeat != nil {
+		c.handleHeartbeat(p, message)
 	}
-	if w.Register != nil {
-		c.takeRegister(w.From, *w.Register)
+	if message.Register != nil {
+		c.handleRegister(message.From, *message.Register)
 	}
-	c.takeReplicas(w)
-	c.takeCommitted(w)
-	c.takeAck(w.From, w.Ack)
-	if w.Group.Whole {
-		c.takeGroup(w.From, p, w.Group)
+	c.handleRecords(message)
+	c.handleCommitted(message)
+	c.handleAck(message.From, message.Ack)
+	if message.FullGroup.Whole {
+		c.handleGroup(message.From, p, message.FullGroup)
 	}
-	c.takeEvidence(w.Evidence)
-	c.answerQuestions(w)
-	return c.done()
+	c.handleEvidence(message.Evidence)
+	c.answerRequests(message)
+	return c.takeEffects()
 }
 
-// noteHeard notes that another controller was heard now.
-func (c *Controller) noteHeard(p *peer, from string) {
-	if p.heard == 0 {
-		// A drain that was acknowledged may have missed this controller's disk. Each of the others is asked once in a
-		// life, not just the first: a majority of them has it.
-		c.send(Message{Want: true}, from)
-	}
-	if p.heard == 0 || c.now-p.heard > silentMember {
-		p.first = c.now
-		c.heartbeatAt = c.now // so that it can answer one soon: a newcomer counts once it has
-	}
-	p.heard = c.now
+// recordPeerHeard records that a message of another controller has arrived. The first message of each controller is
+// answered with a request for all that it holds.
+func (c *Controller) recordPeerHeard(p *peer, from string) {
+	if p.lastHeard == 0 {
+		// This controller's disk may lack a departure that was acknowledged. Every other controller is asked once, not
+		// only the first to be heard, because only a majority of them is sure to include one that has it.
+		c.send(Message{WantAll: true}, from)
+	}
+	if p.lastHeard == 0 || c.now-p.lastHeard > silentMemberTimeout {
+		p.heardSince = c.now
+		c.heartbeatAt = c.now // the peer becomes live once it has answered a heartbeat, so send one soon
+	}
+	p.lastHeard = c.now
 }
 
-// takeRegister takes what another controller's register asks or answers.
-func (c *Controller) takeRegister(from string, m register.Message) {
+// handleRegister passes requests to this controller's acceptor, and answers to its joiner and its proposer.
+func (c *Controller) handleRegister(from string, m register.Message) {
 	switch m.Kind {
 	case register.Prepare, register.Accept, register.Query:
-		c.ask(from, m)
+		c.stepDisk(from, m)
 	default:
 		if c.joiner != nil && !c.disk.CaughtUp {
-			c.joined(from, m)
+			c.handleJoinAnswer(from, m)
 		}
-		c.carry(c.proposer.Step(c.now, from, m))
+		c.handleProposer(c.proposer.Step(c.now, from, m))
 	}
 }
 
-// takeReplicas takes what another controller knows of replicas.
-func (c *Controller) takeReplicas(w Message) {
-	for _, r := range w.Records {
-		c.take(r, false)
+// handleRecords merges the records and heartbeats of replicas in a message, and acknowledges them if asked to.
+func (c *Controller) handleRecords(message Message) {
+	for _, r := range message.Records {
+		c.applyRecord(r, false)
 	}
-	for _, r := range w.Leaving {
-		c.takeLeaving(r)
+	for _, r := range message.LeavingRecords {
+		c.applyLeaving(r)
 	}
-	for _, b := range w.Beats {
-		r, known := c.list.Get(b.ID)
+	for _, b := range message.ReplicaHeartbeats {
+		r, known := c.replicas.Get(b.ID)
 		if !known || r.Phase > registry.Ready {
-			c.want(w.From)
+			c.requestAll(message.From)
 			continue
 		}
 		r.Seq = max(r.Seq, b.Seq)
-		c.take(r, false)
+		c.applyRecord(r, false)
 	}
-	if w.Ask > 0 {
-		c.acknowledge(w.From, w.Ask, w.Records)
+	if message.AckRequest > 0 {
+		c.acknowledgeWhenSaved(message.From, message.AckRequest, message.Records)
 	}
 }
 
-// takeCommitted takes what another controller knows to be committed.
-func (c *Controller) takeCommitted(w Message) {
-	if w.CommittedBallot.N > 0 && w.CommittedBallot == c.disk.Accepted {
-		c.commit(c.disk.Value, w.CommittedBallot)
-	} else if w.CommittedBallot.N > 0 && w.CommittedBallot.Compare(c.disk.Accepted) > 0 {
-		c.want(w.From)
+// handleCommitted applies what another controller knows to be committed: a whole value, or the ballot of one, whose
+// value this controller has if its own disk accepted it. For a newer ballot the value is requested.
+func (c *Controller) handleCommitted(message Message) {
+	if message.CommittedBallot.Number > 0 && message.CommittedBallot == c.disk.Accepted {
+		c.applyCommitted(c.disk.Value, message.CommittedBallot)
+	} else if message.CommittedBallot.Number > 0 && message.CommittedBallot.Compare(c.disk.Accepted) > 0 {
+		c.requestAll(message.From)
 	}
-	if w.Committed != nil {
-		c.commit(*w.Committed, w.CommittedAt)
+	if message.CommittedValue != nil {
+		c.applyCommitted(*message.CommittedValue, message.CommittedValueBallot)
 	}
 }
 
-// answerQuestions sends another controller what it wants to know.
-func (c *Controller) answerQuestions(w Message) {
-	if w.WantGroup {
-		c.send(Message{Group: c.group.All()}, w.From)
+// answerRequests sends another controller what its message requests.
+func (c *Controller) answerRequests(message Message) {
+	if message.WantGroup {
+		c.send(Message{FullGroup: c.localGroup.Whole()}, message.From)
 	}
-	if len(w.WantReplicas) > 0 {
-		c.send(Message{Records: c.records(w.WantReplicas)}, w.From)
+	if len(message.WantReplicas) > 0 {
+		c.send(Message{Records: c.recordsOf(message.WantReplicas)}, message.From)
 	}
-	if w.WantLeaving != nil {
-		c.tellLeaving(w.From, *w.WantLeaving)
+	if message.WantLeaving != nil {
+		c.sendLeaving(message.From, *message.WantLeaving)
 	}
-	if !w.Want {
+	if !message.WantAll {
 		return
 	}
-	answer := Message{Records: c.list.All()}
+	answer := Message{Records: c.replicas.All()}
 	if len(c.committed.Members) > 0 {
 		v := c.committed
-		answer.Committed, answer.CommittedAt = &v, c.lease.Committed()
+		answer.CommittedValue, answer.CommittedValueBallot = &v, c.lease.Committed()
 	}
-	c.send(answer, w.From)
+	c.send(answer, message.From)
 }
 
-// want asks one controller for all that it knows, now and then.
+// requestAll requests all records and the committed value from one controller, at most once every requestInterval.
 //
-// Danger: one that is behind hears of it from all the others at once, and each would send it the whole
-// configuration.
-func (c *Controller) want(from string) {
-	if c.now >= c.wantAt {
-		c.wantAt = c.now + wantEvery
-		c.send(Message{Want: true}, from)
+// Danger: a controller that is behind learns so from all the others at once. Without the limit each of them would send
+// it the whole configuration.
+func (c *Controller) requestAll(from string) {
+	if c.now >= c.allRequestAt {
+		c.allRequestAt = c.now + requestInterval
+		c.send(Message{WantAll: true}, from)
 	}
 }
--- a/decide/controller/rollouts_test.go
+++ b/decide/controller/rollouts_test.go
@@ -13,8 +13,8 @@
 
 const rolloutConfiguration = `{"revision":7,"routes":[{"name":"r","host":"h","path-prefix":"/","deadline-ms":900,"service":"s"}],"services":[{"name":"s"}]}`
 
-// withRollouts is a cluster with a configuration that names the service s.
-func withRollouts(t *testing.T) *cluster {
+// newRolloutCluster returns a cluster of five members with a configuration that defines the service s.
+func newRolloutCluster(t *testing.T) *cluster {
 	b := newCluster(t, 5)
 	b.run(4000 * ms)
 	id := b.put(b.names[0], 7, rolloutConfiguration)
@@ -23,8 +23,8 @@
 	return b
 }
 
-// ask puts a call about rollouts to a controller and waits for its answer.
-func (b *cluster) ask(name string, call func(c *Controller, id uint64) Out) Answer {
+// ask makes a call about rollouts at a controller and returns the answer.
+func (b *cluster) ask(name string, call func(c *Controller, id uint64) Effects) Answer {
 	b.calls++
 	id := b.calls
 	b.carry(name, call(b.servers[name].Controller, id))
@@ -33,19 +33,19 @@
 }
 
 func (b *cluster) begin(name, service, target string) Answer {
-	return b.ask(name, func(c *Controller, id uint64) Out {
+	return b.ask(name, func(c *Controller, id uint64) Effects {
 		return c.BeginRollout(b.now, id, rollout.Order{Service: service, Target: target, OverMs: 12000})
 	})
 }
 
 func (b *cluster) readRollout(name, service string) Answer {
-	return b.ask(name, func(c *Controller, id uint64) Out { return c.ReadRollout(b.now, id, service) })
+	return b.ask(name, func(c *Controller, id uint64) Effects { return c.ReadRollout(b.now, id, service) })
 }
 
-// TestRolloutOrders: an order is acknowledged by any controller, again when it is sent again, in conflict with another one
-// that is active; one for a service that nobody knows is refused.
+// TestRolloutOrders checks the answers to orders of rollouts: any controller acknowledges an order, also when it is sent
+// again; a second rollout of the service is a conflict; an order for an unknown service is refused.
 func TestRolloutOrders(t *testing.T) {
-	b := withRollouts(t)
+	b := newRolloutCluster(t)
 	must.Eq(t, statusNotFound, b.readRollout(b.names[0], "s").Status)
 	must.Eq(t, statusOK, b.begin(b.names[1], "s", "v2").Status)
 	must.Eq(t, statusOK, b.begin(b.names[3], "s", "v2").Status)
@@ -54,30 +54,30 @@
 	read := b.readRollout(b.names[4], "s")
 	must.Eq(t, statusOK, read.Status)
 	must.Eq(t, rollout.Active, read.Rollouts[0].Phase)
-	aborted := b.ask(b.names[2], func(c *Controller, id uint64) Out { return c.AbortRollout(b.now, id, "s") })
+	aborted := b.ask(b.names[2], func(c *Controller, id uint64) Effects { return c.AbortRollout(b.now, id, "s") })
 	must.Eq(t, rollout.Reverted, aborted.Rollouts[0].Phase)
 	must.Eq(t, statusOK, b.begin(b.names[2], "s", "v3").Status)
-	all := b.ask(b.names[0], func(c *Controller, id uint64) Out { return c.ListRollouts(b.now, id) })
+	all := b.ask(b.names[0], func(c *Controller, id uint64) Effects { return c.ListRollouts(b.now, id) })
 	must.SliceLen(t, 2, all.Rollouts)
 }
 
-// TestRolloutSurvives: an acknowledged rollout is there after all controllers lost power at once and one its disk, and what
-// followers are told never goes back.
+// TestRolloutSurvives guards against an acknowledged rollout that is lost when all controllers lose power at once and one
+// loses its disk.
 func TestRolloutSurvives(t *testing.T) {
 	for wiped := range 5 {
-		b := withRollouts(t)
+		b := newRolloutCluster(t)
 		must.Eq(t, statusOK, b.begin(b.names[2], "s", "v2").Status)
-		b.loseAllPower(wiped)
+		b.restartAllWipingOne(wiped)
 		read := b.readRollout(b.names[(wiped+1)%5], "s")
 		must.Eq(t, statusOK, read.Status)
 		must.Eq(t, "v2", read.Rollouts[0].Order.Target)
 	}
 }
 
-// TestRolloutIsToldAfterARestart: a controller that starts again tells its followers of a rollout that it knew to be
-// committed before it has reached the others, as it does of the configuration.
+// TestRolloutIsToldAfterARestart checks that a controller that restarts sends its edges the rollouts that it knew to be
+// committed, before it has reached any other controller.
 func TestRolloutIsToldAfterARestart(t *testing.T) {
-	b := withRollouts(t)
+	b := newRolloutCluster(t)
 	must.Eq(t, statusOK, b.begin(b.names[0], "s", "v2").Status)
 	b.run(1000 * ms)
 	for _, n := range b.names {
@@ -88,19 +88,19 @@
 	must.SliceLen(t, 1, b.servers[b.names[1]].Snapshot().Rollouts.Rollouts)
 }
 
-// TestRolloutWithoutAMajority: where no majority answers nothing is acknowledged.
+// TestRolloutWithoutAMajority checks that a rollout is not acknowledged while no majority answers.
 func TestRolloutWithoutAMajority(t *testing.T) {
-	b := withRollouts(t)
+	b := newRolloutCluster(t)
 	b.cutOff(b.names[2])
 	must.Eq(t, statusUnavailable, b.begin(b.names[2], "s", "v2").Status)
 }
 
-// edgesOf reports for edges that follow a controller, each with the evidence that it would have.
-func (b *cluster) edgesReport(feeder string, recorders []*rollout.Recorder) {
-	x := b.servers[feeder]
+// sendEdgeReports sends a controller the reports of its edges, one for each recorder, with the recorder's evidence.
+func (b *cluster) sendEdgeReports(upstream string, recorders []*rollout.Recorder) {
+	x := b.servers[upstream]
 	for i, r := range recorders {
-		r.Watch(x.follower.Rollouts, rolloutReplicas())
-		b.carry(feeder, x.Edge(b.now, EdgeReport{Edge: clusterstate.Edge{IP: fmt.Sprint("10.1.0.", i), Zone: "z"}, Rollouts: r.Evidence()}))
+		r.Watch(x.edgeState.Rollouts, rolloutReplicas())
+		b.carry(upstream, x.HandleEdgeReport(b.now, EdgeReport{Edge: clusterstate.Edge{IP: fmt.Sprint("10.1.0.", i), Zone: "z"}, Rollouts: r.Evidence()}))
 	}
 }
 
@@ -111,24 +111,25 @@
 	return all
 }
 
-// playRollout plays a rollout to its end: the edges follow feeder, a share of the new version's answers fails, and the
-// controller that holds the duty is killed as often as the rollout takes a step, where kill says so.
-func playRollout(t *testing.T, b *cluster, feeder string, failing int, kill bool) rollout.Rollout {
+// runRollout runs a rollout to its end and returns it. All edges are connected to the controller upstream. Of every ten
+// answers of the new version, failing ones are errors. If kill is true, the first live member is killed after each step
+// of the rollout.
+func runRollout(t *testing.T, b *cluster, upstream string, failing int, kill bool) rollout.Rollout {
 	var recorders []*rollout.Recorder
-	for life := range uint64(6) {
-		recorders = append(recorders, rollout.NewRecorder(life))
+	for incarnation := range uint64(6) {
+		recorders = append(recorders, rollout.NewRecorder(incarnation))
 	}
 	seq, step, killed := uint64(0), uint64(0), ""
 	for round := range 400 {
 		if round%3 == 0 {
 			seq++
 			for i, r := range rolloutReplicas() {
-				b.beat(b.names[1+i%3], registry.Record{ID: r.ID, Service: "s", Version: r.Version, Address: "a:" + r.ID, Zone: "z", Capacity: 2, Seq: seq})
+				b.replicaCall(b.names[1+i%3], registry.Record{ID: r.ID, Service: "s", Version: r.Version, Address: "a:" + r.ID, Zone: "z", Capacity: 2, Seq: seq})
 			}
 		}
 		for e, r := range recorders {
 			for i, replica := range rolloutReplicas() {
-				newest, known := b.servers[feeder].follower.Rollouts.Of("s")
+				newest, known := b.servers[upstream].edgeState.Rollouts.NewestOf("s")
 				if !known || !newest.Admits(fmt.Sprint("10.1.0.", e), replica.ID, replica.Version) || !r.Sent(replica.ID) {
 					continue
 				}
@@ -139,33 +140,33 @@
 				r.Ended(replica.ID, 1, outcome, 20*ms)
 			}
 		}
-		b.edgesReport(feeder, recorders)
+		b.sendEdgeReports(upstream, recorders)
 		b.run(300 * ms)
-		stands := b.servers[feeder].Rollouts()
-		r, _ := stands.Of("s")
+		committed := b.servers[upstream].Rollouts()
+		r, _ := committed.NewestOf("s")
 		if r.Phase != rollout.Active {
 			return r
 		}
-		if holder := b.servers[feeder].firstLiveMember(); kill && r.Step > step && holder != feeder {
+		if firstLive := b.servers[upstream].firstLiveMember(); kill && r.Step > step && firstLive != upstream {
 			if step = r.Step; killed != "" {
 				b.start(killed, false)
 			}
-			killed = holder
-			b.servers[holder].up = false
+			killed = firstLive
+			b.servers[firstLive].up = false
 		}
 	}
-	r, _ := b.servers[feeder].Rollouts().Of("s")
+	r, _ := b.servers[upstream].Rollouts().NewestOf("s")
 	return r
 }
 
-// TestRolloutIsCarriedOn: a good version comes to be complete and a bad one to be reverted, also where the controller that
-// holds the duty dies after each step.
+// TestRolloutIsCarriedOn checks that the rollout of a good version completes and that of a bad one is reverted, even if
+// the first live member, which runs the rollout, dies after each step.
 func TestRolloutIsCarriedOn(t *testing.T) {
 	for _, failing := range []int{0, 5} {
 		for _, kill := range []bool{false, true} {
-			b := withRollouts(t)
+			b := newRolloutCluster(t)
 			must.Eq(t, statusOK, b.begin(b.names[2], "s", "v2").Status)
-			r := playRollout(t, b, b.names[4], failing, kill)
+			r := runRollout(t, b, b.names[4], failing, kill)
 			want := rollout.Complete
 			if failing > 0 {
 				want = rollout.Reverted
--- a/decide/lending/relay.go
+++ b/decide/lending/relay.go
@@ -6,59 +6,64 @@
 	"slices"
 )
 
-// Neighbor is one that an agent has a link with: its feeder, a follower, or the proxy beside it.
+// Neighbor identifies a process that an agent exchanges messages with: its upstream, a downstream edge, or the proxy beside
+// it.
 type Neighbor string
 
-// Relay passes wants and loans on between the neighbors of an agent. It owns nothing. It is not safe for concurrent use.
+// Relay passes requests and loans on between the neighbors of an agent. It owns nothing itself. It is not safe for
+// concurrent use.
 type Relay struct {
-	terms Terms
-	stock []amount // borrowed, and not passed on yet
-	wants wants
-	asked map[Neighbor]asked
+	timing    Timing
+	available []amount // amounts borrowed and not passed on yet
+	requests  sentRequests
+	pending   map[Neighbor]receivedRequest // newest unanswered request of each neighbor
 }
 
-// NewRelay makes an agent's relay.
-func NewRelay(t Terms) *Relay { return &Relay{terms: t, asked: map[Neighbor]asked{}} }
+// NewRelay returns a relay without loans and requests.
+func NewRelay(timing Timing) *Relay {
+	return &Relay{timing: timing, pending: map[Neighbor]receivedRequest{}}
+}
 
-// Heard takes in what a neighbor says.
-func (r *Relay) Heard(now int64, from Neighbor, n Note) {
-	for _, l := range n.Loans {
-		if until, ok := r.wants.until(l); ok && until > now {
-			r.stock = append(r.stock, amount{l.Amount, until})
+// Handle adds the loans of a message to the available amounts, and keeps the sender's newest request.
+func (r *Relay) Handle(now int64, from Neighbor, m Message) {
+	for _, loan := range m.Loans {
+		if expiresAt, ok := r.requests.match(loan); ok && expiresAt > now {
+			r.available = append(r.available, amount{loan.Amount, expiresAt})
 		}
 	}
-	for _, w := range n.Wants {
-		r.asked[from] = asked{w, now}
+	for _, request := range m.Requests {
+		r.pending[from] = receivedRequest{request, now}
 	}
 }
 
-// Note returns what is said to a neighbor.
-func (r *Relay) Note(now int64, to Neighbor) (n Note) {
-	r.stock = current(now+r.terms.Margin, r.stock)
-	maps.DeleteFunc(r.asked, func(_ Neighbor, a asked) bool { return now-a.at > r.terms.Fresh })
-	if a, waits := r.asked[to]; waits && len(r.stock) > 0 {
-		delete(r.asked, to)
-		n.Loans = []Loan{r.lend(now, a)}
+// NextMessage returns the next message to a neighbor: a loan if it has requested one, and a request for what the other
+// neighbors still need.
+func (r *Relay) NextMessage(now int64, to Neighbor) (m Message) {
+	r.available = unexpired(now+r.timing.Margin, r.available)
+	maps.DeleteFunc(r.pending, func(_ Neighbor, request receivedRequest) bool { return now-request.at > r.timing.MaxRequestAge })
+	if request, waits := r.pending[to]; waits && len(r.available) > 0 {
+		delete(r.pending, to)
+		m.Loans = []Loan{r.lend(now, request)}
 	}
-	missing := -sum(r.stock)
-	for other, a := range r.asked {
+	missing := -sum(r.available)
+	for other, request := range r.pending {
 		if other != to {
-			missing += a.Amount
+			missing += request.Amount
 		}
 	}
-	if missing >= leastLoan {
-		n.Wants = []Want{{r.wants.next(now, r.terms), missing}}
+	if missing >= minLoan {
+		m.Requests = []LoanRequest{{r.requests.next(now, r.timing), missing}}
 	}
-	return n
+	return m
 }
 
-// lend passes on the part of the stock that may be used longest, as far as it is wanted.
-func (r *Relay) lend(now int64, a asked) Loan {
-	slices.SortStableFunc(r.stock, func(x, y amount) int { return cmp.Compare(x.until, y.until) })
-	last := &r.stock[len(r.stock)-1]
-	l := Loan{a.Number, min(a.Amount, last.size), last.until - now}
-	if last.size -= l.Amount; last.size <= 0 {
-		r.stock = r.stock[:len(r.stock)-1]
+// lend passes on the available amount that may be used longest, up to the requested amount.
+func (r *Relay) lend(now int64, request receivedRequest) Loan {
+	slices.SortStableFunc(r.available, func(x, y amount) int { return cmp.Compare(x.expiresAt, y.expiresAt) })
+	last := &r.available[len(r.available)-1]
+	loan := Loan{request.Number, min(request.Amount, last.value), last.expiresAt - now}
+	if last.value -= loan.Amount; last.value <= 0 {
+		r.available = r.available[:len(r.available)-1]
 	}
-	return l
+	return loan
 }
--- a/decide/rollout/copy.go
+++ b/decide/rollout/copy.go
@@ -6,13 +6,14 @@
 	"slices"
 )
 
-// Copies and keys, for those who play every order of events.
+// This file holds the copies and state keys that tools need to explore every order of events.
 
-// Copy is a manager that goes its own way from here. Verdicts are none of what is explored: copies share what was seen of
-// answers, so whoever copies reports none.
+// Copy returns a manager with the same state that can continue independently. The request counts in the detectors are shared
+// between copies, so a caller that copies managers must not report request outcomes; such an exploration leaves verdicts
+// out.
 func (m *Manager) Copy() *Manager {
 	c := *m
-	c.active = make(map[uint64]*tracked, len(m.active))
+	c.active = make(map[uint64]*trackedRollout, len(m.active))
 	for number, t := range m.active {
 		own := *t
 		own.edges = make(map[string]*edgeView, len(t.edges))
@@ -25,21 +26,22 @@
 	return &c
 }
 
-// Key appends what tells this manager's state from another's at the same time.
+// Key appends to b an encoding of the manager's state, by which managers are compared at the same time. It leaves out the
+// request counts, the numbers of the reports and the time of the next evaluation.
 func (m *Manager) Key(b []byte) []byte {
 	b = binary.AppendUvarint(b, m.version)
-	if m.holds {
-		b = binary.AppendVarint(b, m.since)
+	if m.isHolder {
+		b = binary.AppendVarint(b, m.holderSince)
 	}
 	for _, number := range slices.Sorted(maps.Keys(m.active)) {
 		t := m.active[number]
-		for _, at := range []int64{t.began, t.since, t.stageSince, t.proposed} {
+		for _, at := range []int64{t.startedAt, t.stepSince, t.stageSince, t.proposedAt} {
 			b = binary.AppendVarint(b, at)
 		}
-		b = append(b, byte(t.others))
+		b = append(b, byte(t.maxOthers))
 		for _, ip := range slices.Sorted(maps.Keys(t.edges)) {
 			v := t.edges[ip]
-			b = append(binary.AppendVarint(append(b, ip...), v.at), byte(v.evidence.Version), byte(v.evidence.OldOut))
+			b = append(binary.AppendVarint(append(b, ip...), v.receivedAt), byte(v.evidence.Version), byte(v.evidence.OldInFlight))
 		}
 	}
 	return b
--- a/decide/siterouting/planner.go
+++ b/decide/siterouting/planner.go
@@ -10,114 +10,117 @@
 )
 
 const (
-	tolerance = 1e-9
-	sizeMost  = 4096 // coefficients: what is larger is planned simply
+	tolerance       = 1e-9 // smallest difference that counts in the solver, and smallest divisor
+	maxCoefficients = 4096 // size limit of the linear program, in coefficients; larger problems are left to Greedy
 )
 
-// way is a workload over a link.
-type way struct{ workload, link int }
+// route is a workload over a link.
+type route struct{ workload, link int }
 
-func (p Problem) ways() (all []way) {
-	for w := range p.Worth {
-		for l := range p.Worth[w] {
-			if p.Worth[w][l] > 0 && p.Takes[w][l] > 0 && p.Excess[w] > 0 && p.Queries[l] > 0 &&
-				(p.Weight[w] == 0 || p.Bytes[l] > 0) {
-				all = append(all, way{w, l})
+// routes returns the combinations of a workload and a link that may carry queries.
+func (p Problem) routes() (routes []route) {
+	for w := range p.Value {
+		for l := range p.Value[w] {
+			if p.Value[w][l] > 0 && p.Capacity[w][l] > 0 && p.Excess[w] > 0 && p.QueryRate[l] > 0 &&
+				(p.QueryBytes[w] == 0 || p.ByteRate[l] > 0) {
+				routes = append(routes, route{w, l})
 			}
 		}
 	}
-	return all
+	return routes
 }
 
-func (p Problem) empty() Plan {
-	rates := make([][]float64, len(p.Worth))
+// emptyPlan returns a plan that carries nothing.
+func (p Problem) emptyPlan() Plan {
+	rates := make([][]float64, len(p.Value))
 	for w := range rates {
-		rates[w] = make([]float64, len(p.Queries))
+		rates[w] = make([]float64, len(p.QueryRate))
 	}
 	return Plan{Rates: rates}
 }
 
-// value is what a plan's rates earn.
-func (p Problem) value(rates [][]float64) (sum float64) {
+// planValue returns the expected revenue per second of a plan's rates.
+func (p Problem) planValue(rates [][]float64) (sum float64) {
 	for w := range rates {
 		for l, rate := range rates[w] {
-			sum += rate * p.Worth[w][l]
+			sum += rate * p.Value[w][l]
 		}
 	}
 	return sum
 }
 
-// Greedy fills the ways one by one, those first that earn most for the larger share of a link that a query takes.
+// Greedy plans one route after the other. Routes with the highest value per share of a link's rates come first.
 func Greedy(p Problem) Plan {
-	plan := p.empty()
-	excess, queries, bytes := slices.Clone(p.Excess), slices.Clone(p.Queries), slices.Clone(p.Bytes)
-	all := p.ways()
-	price := func(v way) float64 {
-		share := max(1/p.Queries[v.link], p.Weight[v.workload]/max(p.Bytes[v.link], tolerance))
-		return p.Worth[v.workload][v.link] / share
+	plan := p.emptyPlan()
+	excess, queries, bytes := slices.Clone(p.Excess), slices.Clone(p.QueryRate), slices.Clone(p.ByteRate)
+	routes := p.routes()
+	valuePerShare := func(r route) float64 {
+		share := max(1/p.QueryRate[r.link], p.QueryBytes[r.workload]/max(p.ByteRate[r.link], tolerance))
+		return p.Value[r.workload][r.link] / share
 	}
-	slices.SortStableFunc(all, func(a, b way) int { return cmp.Compare(price(b), price(a)) })
-	for _, v := range all {
-		rate := min(excess[v.workload], p.Takes[v.workload][v.link], queries[v.link])
-		if weight := p.Weight[v.workload]; weight > 0 {
-			rate = min(rate, bytes[v.link]/weight)
+	slices.SortStableFunc(routes, func(a, b route) int { return cmp.Compare(valuePerShare(b), valuePerShare(a)) })
+	for _, r := range routes {
+		rate := min(excess[r.workload], p.Capacity[r.workload][r.link], queries[r.link])
+		if queryBytes := p.QueryBytes[r.workload]; queryBytes > 0 {
+			rate = min(rate, bytes[r.link]/queryBytes)
 		}
 		rate = max(rate, 0)
-		plan.Rates[v.workload][v.link] = rate
-		excess[v.workload] -= rate
-		queries[v.link] -= rate
-		bytes[v.link] -= rate * p.Weight[v.workload]
+		plan.Rates[r.workload][r.link] = rate
+		excess[r.workload] -= rate
+		queries[r.link] -= rate
+		bytes[r.link] -= rate * p.QueryBytes[r.workload]
 	}
-	plan.Value = p.value(plan.Rates)
+	plan.Value = p.planValue(plan.Rates)
 	return plan
 }
 
-// Simplex solves the problem as a linear program: the most revenue, each limit a row with its slack.
+// Simplex solves the problem as a linear program that maximizes revenue. It returns false if the problem is too large or the
+// solver fails.
 func Simplex(p Problem) (plan Plan, solved bool) {
-	all := p.ways()
-	if plan = p.empty(); len(all) == 0 {
+	routes := p.routes()
+	if plan = p.emptyPlan(); len(routes) == 0 {
 		return plan, true
 	}
-	rows := len(p.Excess) + 2*len(p.Queries) + len(all)
-	columns := len(all) + rows
-	if rows*columns > sizeMost {
+	rows := len(p.Excess) + 2*len(p.QueryRate) + len(routes)
+	columns := len(routes) + rows
+	if rows*columns > maxCoefficients {
 		return plan, false
 	}
 	a, b, c := mat.NewDense(rows, columns, nil), make([]float64, rows), make([]float64, columns)
-	for i, v := range all {
-		c[i] = -p.Worth[v.workload][v.link]
-		a.Set(v.workload, i, 1)
-		a.Set(len(p.Excess)+v.link, i, 1)
-		// Bytes count in shares of the link's limit, so that all rows are of one size.
-		if limit := p.Bytes[v.link]; limit > 0 {
-			a.Set(len(p.Excess)+len(p.Queries)+v.link, i, p.Weight[v.workload]/limit)
+	for i, r := range routes {
+		c[i] = -p.Value[r.workload][r.link]
+		a.Set(r.workload, i, 1)
+		a.Set(len(p.Excess)+r.link, i, 1)
+		// Bytes are scaled by the link's limit, so that all rows have the same order of magnitude.
+		if limit := p.ByteRate[r.link]; limit > 0 {
+			a.Set(len(p.Excess)+len(p.QueryRate)+r.link, i, p.QueryBytes[r.workload]/limit)
 		}
-		row := len(p.Excess) + 2*len(p.Queries) + i
+		row := len(p.Excess) + 2*len(p.QueryRate) + i
 		a.Set(row, i, 1)
-		b[row] = p.Takes[v.workload][v.link]
+		b[row] = p.Capacity[r.workload][r.link]
 	}
 	copy(b, p.Excess)
-	copy(b[len(p.Excess):], p.Queries)
-	for l, limit := range p.Bytes {
-		if b[len(p.Excess)+len(p.Queries)+l] = 0; limit > 0 {
-			b[len(p.Excess)+len(p.Queries)+l] = 1
+	copy(b[len(p.Excess):], p.QueryRate)
+	for l, limit := range p.ByteRate {
+		if b[len(p.Excess)+len(p.QueryRate)+l] = 0; limit > 0 {
+			b[len(p.Excess)+len(p.QueryRate)+l] = 1
 		}
 	}
-	basis := make([]int, rows) // all slack: nothing is carried
+	basis := make([]int, rows) // start from the slack variables: the plan that carries nothing
 	for i := range rows {
-		a.Set(i, len(all)+i, 1)
-		basis[i] = len(all) + i
+		a.Set(i, len(routes)+i, 1)
+		basis[i] = len(routes) + i
 	}
 	_, x, err := lp.Simplex(c, a, b, tolerance, basis)
 	if err != nil {
 		return plan, false
 	}
-	for i, v := range all {
+	for i, r := range routes {
 		if math.IsNaN(x[i]) || x[i] < -1e-6 {
-			return p.empty(), false
+			return p.emptyPlan(), false
 		}
-		plan.Rates[v.workload][v.link] = max(x[i], 0)
+		plan.Rates[r.workload][r.link] = max(x[i], 0)
 	}
-	plan.Value = p.value(plan.Rates)
+	plan.Value = p.planValue(plan.Rates)
 	return plan, true
 }
--- a/decide/siterouting/spare_test.go
+++ b/decide/siterouting/spare_test.go
@@ -2,78 +2,81 @@
 
 import "testing"
 
-// A site that declines its own takes nothing from others within a few spans, and more again only when it is quiet.
+// TestSpare: a site that declines its own queries soon accepts none from others, and accepts more only after windows without
+// declines.
 func TestSpare(t *testing.T) {
-	s, now := NewSpare(0), int64(0)
-	span := func(served, declined int) float64 {
+	s, now := NewSpareCapacity(0), int64(0)
+	window := func(served, declined int) float64 {
 		for range served {
 			s.Ended(now, true, false)
 		}
 		for range declined {
 			s.Ended(now, true, true)
 		}
-		now += spareSpan
+		now += spareWindowNs
 		return s.Rate(now)
 	}
 	for range 10 {
-		span(200, 0)
+		window(200, 0)
 	}
 	if quiet := s.Rate(now); quiet < 50 || quiet > 250 {
-		t.Errorf("with 100 a second served and none declined it would take %.1f", quiet)
+		t.Errorf("a site that serves 100 queries per second and declines none offers %.1f", quiet)
 	}
 	for range 8 {
-		span(200, 20)
+		window(200, 20)
 	}
 	if short := s.Rate(now); short != 0 {
-		t.Errorf("declining its own it would take %.1f", short)
+		t.Errorf("a site that declines its own queries offers %.1f", short)
 	}
-	if back := span(200, 0); back <= 0 || back > 60 {
-		t.Errorf("after one quiet span it would take %.1f", back)
+	if back := window(200, 0); back <= 0 || back > 60 {
+		t.Errorf("after one window without declines the site offers %.1f", back)
 	}
-	// What others send and is declined says nothing of its own.
+	// Declined queries from other sites do not reduce the offer.
 	for range 20 {
 		s.Ended(now, false, true)
 	}
-	was := s.Rate(now)
-	if now += spareSpan; s.Rate(now) < was {
-		t.Errorf("declining others' it would take %.1f for %.1f", s.Rate(now), was)
+	before := s.Rate(now)
+	if now += spareWindowNs; s.Rate(now) < before {
+		t.Errorf("after declining queries of others the site offers %.1f instead of %.1f", s.Rate(now), before)
 	}
 }
 
+// TestLimit: the limit of a link rises at a short delay, falls when the delay grows or pings are lost, and adapts to a path
+// that is longer for good.
 func TestLimit(t *testing.T) {
-	l, now := NewLimit(0), int64(0)
-	turn := func(delay int64, lost bool) {
-		for l.Take() {
+	l, now := NewLinkLimit(0), int64(0)
+	probe := func(delay int64, lost bool) {
+		for l.TryAcquire() {
 		}
 		now += 50e6
-		l.Delay(now, delay, lost)
+		l.ObserveDelay(now, delay, lost)
 		for l.InFlight() > 0 {
-			l.Give()
+			l.Release()
 		}
 	}
 	for range 400 {
-		turn(80e6, false)
+		probe(80e6, false)
 	}
-	wide := l.Most()
-	if wide < 20 || l.Least() != 80e6 {
-		t.Errorf("at its least delay %d may be in flight, least %d", wide, l.Least())
+	limit := l.Max()
+	if limit < 20 || l.MinDelay() != 80e6 {
+		t.Errorf("limit %d and minimum delay %d after pings at the minimum delay", limit, l.MinDelay())
 	}
 	for range 150 {
-		turn(400e6, false)
+		probe(400e6, false)
 	}
-	if narrow := l.Most(); narrow > limitFirst {
-		t.Errorf("with a delay five times as long %d", narrow)
+	if limit := l.Max(); limit > initialLimit {
+		t.Errorf("limit %d at five times the minimum delay", limit)
 	}
-	for range 1000 { // the way has changed for good: after a while that is its least delay
-		turn(400e6, false)
+	for range 1000 { // the path has become longer for good: later this is the minimum delay
+		probe(400e6, false)
 	}
-	if l.Least() != 400e6 || l.Most() <= limitFirst {
-		t.Errorf("on a longer way the least is %d, the limit %d", l.Least(), l.Most())
+	if l.MinDelay() != 400e6 || l.Max() <= initialLimit {
+		t.Errorf("minimum delay %d and limit %d after the path has become longer", l.MinDelay(), l.Max())
 	}
 	for range 2000 {
-		turn(0, true)
+		probe(0, true)
 	}
-	if l.Most() != limitLeast {
-		t.Errorf("with all lost %d", l.Most())
+	if l.Max() != minLimit {
+		t.Errorf("limit %d after all pings were lost", l.Max())
 	}
 }
--- a/decide/zonehealth/zonehealth.go
+++ b/decide/zonehealth/zonehealth.go
@@ -1,11 +1,12 @@
-// Package zonehealth knows when a whole zone of replicas is out of this aggregator's reach: cut off, or lost. An aggregator that meets each
-// replica once in some seconds would find them out one by one, at the cost of a query each; what fails in one zone and nowhere
-// else it finds out by the first query. It does no I/O, has no clock and is owned by one caller at a time.
+// Package zonehealth detects that a whole zone of replicas is unreachable for this aggregator, because of a network
+// partition or an outage. An aggregator sends to each replica only once in some seconds, and would find the failed
+// replicas one by one, at the cost of a query each. Failures in one zone and in no other are detected here with the
+// first query. The package does no I/O, has no clock and is used by one caller at a time.
 //
-// Decides: which zones are out of reach; by how many of their replicas, and when, one is tried again.
+// Decides: which zones are unreachable; when one is tried again, and with how many of its replicas.
 //
-// Nothing here chooses a replica. Those of a zone out of reach are passed over by a word to the module, as slow ones are, and
-// serve where no other can.
+// Nothing here chooses a replica. The replicas of an unreachable zone are excluded by a shared report to the balance
+// module, as slow ones are, and serve only where no other replica can.
 package zonehealth
 
 import (
@@ -19,304 +20,316 @@
 )
 
 const (
-	tooLong  = 4    // an execution that the shortest latency goal / this brought nothing of counts as failed
-	tryAfter = 1    // rests until a zone is tried,
-	tryMost  = 2    // doubled up to so many rests
-	trySome  = 0.25 // of its replicas are let in for a try,
-	tryLeast = 2    // and at least so many
+	failureDivisor   = 4    // an execution without an answer counts as failed from BaseEjection divided by this on
+	firstTrialDelay  = 1    // multiples of BaseEjection until an unreachable zone is tried for the first time
+	maxTrialDelay    = 2    // multiples of BaseEjection that the interval between trials doubles up to
+	trialShare       = 0.25 // share of the zone's replicas that are admitted for a trial
+	minTrialReplicas = 2    // least number of replicas that are admitted for a trial
 )
 
-// Terms are what a Tracker is made from.
-type Terms struct {
-	Rest int64 // the first rest of a replica that is set aside, ns: the scale of all times here
-	Few  int   // replicas of one zone that have to fail, with none of it heard between
-	Seed uint64
+// Config holds a Tracker's settings.
+type Config struct {
+	BaseEjection      int64 // how long a replica is ejected when it starts to fail, ns; all times here scale with it
+	MinFailedReplicas int   // failed replicas, without an answer in between, from which a zone counts as unreachable
+	Seed              uint64
 }
 
-// Check tells what is wrong with the terms.
-func (t Terms) Check() error {
-	if t.Rest <= 0 {
-		return fmt.Errorf("the rest is %d ns, not above 0", t.Rest)
+// Validate reports settings that cannot be used.
+func (c Config) Validate() error {
+	if c.BaseEjection <= 0 {
+		return fmt.Errorf("the base ejection is %d ns, not above 0", c.BaseEjection)
 	}
-	if t.Few < 2 {
-		return fmt.Errorf("%d failed replicas tell nothing of a zone, two do at least", t.Few)
+	if c.MinFailedReplicas < 2 {
+		return fmt.Errorf("%d failed replicas do not show that a zone is unreachable; at least two are needed", c.MinFailedReplicas)
 	}
 	return nil
 }
 
+// replica is the state of one replica.
 type replica struct {
-	zone   int  // index of its zone + 1, 0 for one that is not listed or has none
-	failed int  // the zone's turn in which it was last counted as failed
-	barred bool // the module has been told that it is out of reach
-	anew   bool // listed since its zone went out of reach, and nothing has failed there since
+	zone        int  // index of its zone plus 1; 0 if it is not listed or has no zone
+	failedEpoch int  // the zone's epoch in which the replica was last counted as failed
+	excluded    bool // the last report on the replica to the balance module excludes it
+	newlyListed bool // the replica was listed after its zone became unreachable, and has not failed since
 }
 
+// zone is the state of one zone.
 type zone struct {
-	name     string
-	replicas int // listed
-	turn     int // rises with each answer: failures of earlier turns do not count
-	failures int // replicas that failed in this turn
-	heard    int64
-	out      bool
-	wait     int64 // until the next try, ns
-	tryAt    int64 // the next try
-	trying   bool  // some are let in, and nothing has been sent to them yet
-	open     int   // trying: replicas still to be let in, of
-	rest     int   // so many still to be drawn from
+	name           string
+	replicas       int   // number of listed replicas
+	epoch          int   // incremented by each answer; failures of earlier epochs do not count
+	failedReplicas int   // number of replicas that failed in this epoch
+	lastReached    int64 // when a replica last answered
+	unreachable    bool
+	trialDelay     int64 // mean time from one trial to the next, ns; it doubles with each trial up to maxTrialDelay
+	trialAt        int64 // time of the next trial
+	inTrial        bool  // some replicas are admitted for a trial, and nothing has been sent to them yet
+	admissionsLeft int   // during a trial: replicas still to be admitted
+	drawsLeft      int   // during a trial: replicas that may still be drawn
 }
 
-// Figures may be read at any time.
-type Figures struct {
-	Found counters.Count `json:"found"` // how often a zone was found out of reach,
-	Back  counters.Count `json:"back"`  // and one of those answered again
-	Tries counters.Count `json:"tries"`
+// Stats are counters. They may be read at any time.
+type Stats struct {
+	FoundUnreachable counters.Count `json:"found"` // times that a zone became unreachable
+	Recovered        counters.Count `json:"back"`  // times that an unreachable zone answered again
+	Trials           counters.Count `json:"tries"` // executions sent as a trial to an unreachable zone
 }
 
-// MarshalJSON encodes the present values.
-func (f *Figures) MarshalJSON() ([]byte, error) {
-	type plain Figures
+// MarshalJSON encodes the current values.
+func (f *Stats) MarshalJSON() ([]byte, error) {
+	type plain Stats
 	return json.Marshal((*plain)(f))
 }
 
-// Tracker keeps the zones of one aggregator.
+// Tracker tracks which zones one aggregator can reach.
 type Tracker struct {
-	terms    Terms
-	chance   *rand.Rand
-	replicas []replica
-	zones    []zone
-	stale    bool  // the module's words are to be looked over
-	next     int64 // the soonest try, math.MaxInt64 for none
-	Figures  *Figures
+	config    Config
+	rng       *rand.Rand
+	replicas  []replica
+	zones     []zone
+	changed   bool  // which replicas are excluded has to be decided again
+	nextTrial int64 // time of the earliest trial; math.MaxInt64 for none
+	Stats     *Stats
 }
 
-// New makes a Tracker with no replicas.
-func New(t Terms) *Tracker {
-	return &Tracker{terms: t, chance: rand.New(rand.NewPCG(t.Seed, t.Seed^0x9e3779b97f4a7c15)), next: math.MaxInt64, Figures: &Figures{}}
+// New returns a Tracker without replicas.
+func New(config Config) *Tracker {
+	return &Tracker{config: config, rng: rand.New(rand.NewPCG(config.Seed, config.Seed^0x9e3779b97f4a7c15)), nextTrial: math.MaxInt64,
+		Stats: &Stats{}}
 }
 
-// Listed tells that a replica is listed as up, in which zone, and whether anything was known of it before; an empty zone is none.
-func (f *Tracker) Listed(i int, name string, known bool) {
-	for len(f.replicas) <= i {
-		f.replicas = append(f.replicas, replica{})
+// ReplicaListed records that a replica is listed as up, in which zone, and whether the balance module already knew it.
+// An empty zone name stands for no zone.
+func (t *Tracker) ReplicaListed(i int, zoneName string, known bool) {
+	for len(t.replicas) <= i {
+		t.replicas = append(t.replicas, replica{})
 	}
-	r, z := &f.replicas[i], 0
-	if name != "" {
-		z = f.place(name)
+	r, z := &t.replicas[i], 0
+	if zoneName != "" {
+		z = t.zoneNumber(zoneName)
 	}
 	if r.zone == z && known {
 		return
 	}
-	f.drop(i)
+	t.removeFromZone(i)
 	if !known {
-		r.barred = false // the module has forgotten it
+		r.excluded = false // the balance module has no state of it
 	}
 	if r.zone = z; z > 0 {
-		f.zones[z-1].replicas++
-		// Danger: a zone that was lost comes back with new processes; found out by tries alone it would bear nothing for seconds.
-		r.anew, f.stale = true, true
-	} else if r.barred {
-		f.stale = true
+		t.zones[z-1].replicas++
+		// Danger: a zone that was lost comes back with new processes. If only trials revealed that, the zone would
+		// serve nothing for seconds.
+		r.newlyListed, t.changed = true, true
+	} else if r.excluded {
+		t.changed = true
 	}
 }
 
-// Gone tells that a replica is no longer listed as up.
-func (f *Tracker) Gone(i int) {
-	if i < len(f.replicas) {
-		f.drop(i)
+// ReplicaGone records that a replica is no longer listed as up.
+func (t *Tracker) ReplicaGone(i int) {
+	if i < len(t.replicas) {
+		t.removeFromZone(i)
 	}
 }
 
-func (f *Tracker) drop(i int) {
-	if r := &f.replicas[i]; r.zone > 0 {
-		z := &f.zones[r.zone-1]
+func (t *Tracker) removeFromZone(i int) {
+	if r := &t.replicas[i]; r.zone > 0 {
+		z := &t.zones[r.zone-1]
 		z.replicas--
-		if r.failed == z.turn {
-			z.failures--
+		if r.failedEpoch == z.epoch {
+			z.failedReplicas--
 		}
-		r.zone, r.failed = 0, -1
-		// Danger: with its last replica a zone is no longer one that can take over. If it was the last such zone, the
-		// zones out of reach are to be let in again; that their own replicas are unchanged must not hide it.
-		f.stale = f.stale || r.barred || z.replicas == 0
+		r.zone, r.failedEpoch = 0, -1
+		// Danger: a zone that loses its last replica cannot take over from others. If it was the last reachable zone,
+		// the replicas of the unreachable zones must be admitted again, although nothing has changed for them.
+		t.changed = t.changed || r.excluded || z.replicas == 0
 	}
 }
 
-func (f *Tracker) place(name string) int {
+// zoneNumber returns the index of a zone plus 1. It adds the zone if it is new.
+func (t *Tracker) zoneNumber(name string) int {
 	empty := -1
-	for i := range f.zones {
+	for i := range t.zones {
 		switch {
-		case f.zones[i].name == name:
+		case t.zones[i].name == name:
 			return i + 1
-		case f.zones[i].replicas == 0:
+		case t.zones[i].replicas == 0:
 			empty = i
 		}
 	}
-	// Danger: a list that names new zones all day would grow this for as long as the process runs.
+	// Danger: a replica list that names new zones all the time would make zones grow without limit, so the entry of a
+	// zone without replicas is reused.
 	if empty >= 0 {
-		f.zones[empty] = zone{name: name, turn: 1}
+		t.zones[empty] = zone{name: name, epoch: 1}
 		return empty + 1
 	}
-	f.zones = append(f.zones, zone{name: name, turn: 1})
-	return len(f.zones)
+	t.zones = append(t.zones, zone{name: name, epoch: 1})
+	return len(t.zones)
 }
 
-func (f *Tracker) zone(i int) int {
-	if i >= len(f.replicas) {
+// zoneIndex returns the index of a replica's zone, or -1 for none.
+func (t *Tracker) zoneIndex(i int) int {
+	if i >= len(t.replicas) {
 		return -1
 	}
-	return f.replicas[i].zone - 1
+	return t.replicas[i].zone - 1
 }
 
-// Sent tells that an execution was sent to a replica. One is enough of a try: the others of its zone wait for what becomes of it.
-func (f *Tracker) Sent(now int64, i int) {
-	z := f.zone(i)
-	if z < 0 || !f.zones[z].trying || f.replicas[i].barred {
+// ExecutionSent records that an execution was sent to a replica. One is enough for a trial: the zone's other replicas
+// are not used until its outcome is known.
+func (t *Tracker) ExecutionSent(now int64, i int) {
+	z := t.zoneIndex(i)
+	if z < 0 || !t.zones[z].inTrial || t.replicas[i].excluded {
 		return
 	}
-	f.zones[z].trying = false
-	f.Figures.Tries.Add(1)
-	f.again(now, z)
+	t.zones[z].inTrial = false
+	t.Stats.Trials.Add(1)
+	t.scheduleTrial(now, z)
 }
 
-// again puts off the next try.
-func (f *Tracker) again(now int64, z int) {
-	v := &f.zones[z]
-	v.tryAt = now + int64(float64(v.wait)*(0.5+f.chance.Float64()))
-	v.wait = min(2*v.wait, tryMost*f.terms.Rest)
-	f.next = min(f.next, v.tryAt)
-	f.stale = true
+// scheduleTrial sets the time of the next trial.
+func (t *Tracker) scheduleTrial(now int64, z int) {
+	v := &t.zones[z]
+	v.trialAt = now + int64(float64(v.trialDelay)*(0.5+t.rng.Float64()))
+	v.trialDelay = min(2*v.trialDelay, maxTrialDelay*t.config.BaseEjection)
+	t.nextTrial = min(t.nextTrial, v.trialAt)
+	t.changed = true
 }
 
-// Ended tells how an execution at a replica ended, and how long after its send, ns.
-func (f *Tracker) Ended(now int64, i int, result balance.Result, took int64) {
-	z := f.zone(i)
+// ExecutionEnded records how an execution at a replica ended, and how long after it was sent, ns.
+func (t *Tracker) ExecutionEnded(now int64, i int, result balance.Result, took int64) {
+	z := t.zoneIndex(i)
 	if z < 0 {
 		return
 	}
-	v, r := &f.zones[z], &f.replicas[i]
+	v, r := &t.zones[z], &t.replicas[i]
 	switch result {
-	case balance.Fulfilled, balance.Errored, balance.Full: // it can be reached
-		v.turn++
-		v.failures, v.heard = 0, now
-		if v.out {
-			v.out, v.trying, f.stale = false, false, true
-			f.Figures.Back.Add(1)
+	case balance.Fulfilled, balance.Errored, balance.Full: // the zone can be reached
+		v.epoch++
+		v.failedReplicas, v.lastReached = 0, now
+		if v.unreachable {
+			v.unreachable, v.inTrial, t.changed = false, false, true
+			t.Stats.Recovered.Add(1)
 		}
 		return
 	case balance.ConnectFailed, balance.Reset:
 	default:
-		if took < f.terms.Rest/tooLong {
+		if took < t.config.BaseEjection/failureDivisor {
 			return
 		}
 	}
-	// Danger: what was sent before the zone was last heard and fails now is one replica's trouble, or that of the way there.
-	if now-took < v.heard || r.failed == v.turn {
+	// Danger: an execution that was sent before the zone last answered and fails now shows a fault of one replica or of
+	// the path to it.
+	if now-took < v.lastReached || r.failedEpoch == v.epoch {
 		return
 	}
-	if r.failed = v.turn; r.anew {
-		r.anew, f.stale = false, true
+	if r.failedEpoch = v.epoch; r.newlyListed {
+		r.newlyListed, t.changed = false, true
 	}
-	if v.failures++; v.failures >= f.terms.Few && !v.out {
-		v.out, v.wait, v.trying = true, tryAfter*f.terms.Rest, false
-		for i := range f.replicas {
-			if f.replicas[i].zone == z+1 {
-				f.replicas[i].anew = false
+	if v.failedReplicas++; v.failedReplicas >= t.config.MinFailedReplicas && !v.unreachable {
+		v.unreachable, v.trialDelay, v.inTrial = true, firstTrialDelay*t.config.BaseEjection, false
+		for i := range t.replicas {
+			if t.replicas[i].zone == z+1 {
+				t.replicas[i].newlyListed = false
 			}
 		}
-		f.Figures.Found.Add(1)
-		f.again(now, z)
+		t.Stats.FoundUnreachable.Add(1)
+		t.scheduleTrial(now, z)
 	}
 }
 
-// Next is when Decide has something to do at the latest; math.MaxInt64 for no such time.
-func (f *Tracker) Next() int64 {
-	if f.stale {
+// Next returns the time by which Decide must be called; math.MaxInt64 for no such time.
+func (t *Tracker) Next() int64 {
+	if t.changed {
 		return math.MinInt64
 	}
-	return f.next
+	return t.nextTrial
 }
 
-// Decide appends what the module is to be told now.
-func (f *Tracker) Decide(now int64, words []balance.Word) []balance.Word {
-	if now < f.Next() {
-		return words
+// Decide appends the shared reports that the balance module needs now.
+func (t *Tracker) Decide(now int64, reports []balance.SharedReport) []balance.SharedReport {
+	if now < t.Next() {
+		return reports
 	}
-	f.next = math.MaxInt64
-	sound := 0
-	for z := range f.zones {
-		v := &f.zones[z]
-		// Danger: those let in may all be full or set aside; with no others drawn the zone would be out for ever.
-		if v.out && now >= v.tryAt {
-			v.trying, v.tryAt, f.stale = true, now+v.wait, true
+	t.nextTrial = math.MaxInt64
+	reachable := 0
+	for z := range t.zones {
+		v := &t.zones[z]
+		// Danger: the admitted replicas may all be full or ejected. If others were not drawn then, the zone would stay
+		// unreachable forever.
+		if v.unreachable && now >= v.trialAt {
+			v.inTrial, v.trialAt, t.changed = true, now+v.trialDelay, true
 		}
-		if v.out {
-			f.next = min(f.next, v.tryAt)
+		if v.unreachable {
+			t.nextTrial = min(t.nextTrial, v.trialAt)
 		}
-		v.open, v.rest = 0, v.replicas
-		if v.trying {
-			v.open = min(max(tryLeast, int(trySome*float64(v.replicas))), v.replicas)
+		v.admissionsLeft, v.drawsLeft = 0, v.replicas
+		if v.inTrial {
+			v.admissionsLeft = min(max(minTrialReplicas, int(trialShare*float64(v.replicas))), v.replicas)
 		}
-		if v.replicas > 0 && !v.out {
-			sound++
+		if v.replicas > 0 && !v.unreachable {
+			reachable++
 		}
 	}
-	if !f.stale {
-		return words
+	if !t.changed {
+		return reports
 	}
-	f.stale = false
-	for i := range f.replicas {
-		r := &f.replicas[i]
-		bar := false
-		// Danger: where no zone is sound the trouble is this aggregator's own, and none is worse than another.
-		if r.zone > 0 && sound > 0 {
-			v := &f.zones[r.zone-1]
-			lets := f.lets(v)
-			bar = v.out && !r.anew && !lets
+	t.changed = false
+	for i := range t.replicas {
+		r := &t.replicas[i]
+		exclude := false
+		// Danger: if no zone is reachable, the fault is this aggregator's own and no zone is worse than another.
+		if r.zone > 0 && reachable > 0 {
+			v := &t.zones[r.zone-1]
+			admitted := t.drawForTrial(v)
+			exclude = v.unreachable && !r.newlyListed && !admitted
 		}
-		if bar != r.barred {
-			r.barred = bar
-			w := balance.Word{Replica: i, Away: now}
-			if bar {
-				w.Away = math.MaxInt64
+		if exclude != r.excluded {
+			r.excluded = exclude
+			report := balance.SharedReport{Replica: i, DownUntil: now}
+			if exclude {
+				report.DownUntil = math.MaxInt64
 			}
-			words = append(words, w)
+			reports = append(reports, report)
 		}
 	}
-	return words
+	return reports
 }
 
-// lets draws whether the next replica of a zone is let in for a try: just so many are, any as likely as any other.
-func (f *Tracker) lets(v *zone) bool {
-	lets := v.open > 0 && f.chance.Float64()*float64(v.rest) < float64(v.open)
-	if v.rest--; lets {
-		v.open--
+// drawForTrial draws whether the next replica of a zone is admitted for a trial. It admits exactly the wanted number,
+// each replica with the same probability.
+func (t *Tracker) drawForTrial(v *zone) bool {
+	admitted := v.admissionsLeft > 0 && t.rng.Float64()*float64(v.drawsLeft) < float64(v.admissionsLeft)
+	if v.drawsLeft--; admitted {
+		v.admissionsLeft--
 	}
-	return lets
+	return admitted
 }
 
-// Heed merges what others say of a replica with what is known here.
-func (f *Tracker) Heed(w balance.Word) balance.Word {
-	if w.Replica < len(f.replicas) && f.replicas[w.Replica].barred {
-		w.Away = math.MaxInt64
+// MergeZoneState adds to a shared report on a replica that its zone is unreachable.
+func (t *Tracker) MergeZoneState(report balance.SharedReport) balance.SharedReport {
+	if report.Replica < len(t.replicas) && t.replicas[report.Replica].excluded {
+		report.DownUntil = math.MaxInt64
 	}
-	return w
+	return report
 }
 
-// Out appends the names of the zones that are out of reach.
-func (f *Tracker) Out(names []string) []string {
-	for _, z := range f.zones {
-		if z.out {
+// UnreachableZones appends the names of the zones that are unreachable.
+func (t *Tracker) UnreachableZones(names []string) []string {
+	for _, z := range t.zones {
+		if z.unreachable {
 			names = append(names, z.name)
 		}
 	}
 	return names
 }
 
-// End appends what the module is to be told as nobody knows of zones any longer.
-func (f *Tracker) End(now int64, words []balance.Word) []balance.Word {
-	for i := range f.replicas {
-		if f.replicas[i].barred {
-			words = append(words, balance.Word{Replica: i, Away: now})
+// ReleaseAll appends shared reports that admit all replicas again, for when zones are no longer watched.
+func (t *Tracker) ReleaseAll(now int64, reports []balance.SharedReport) []balance.SharedReport {
+	for i := range t.replicas {
+		if t.replicas[i].excluded {
+			reports = append(reports, balance.SharedReport{Replica: i, DownUntil: now})
 		}
 	}
-	return words
+	return reports
 }
--- a/deployment/deployment.go
+++ b/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment reads what an aggregator is told at its start, checks it and gives defaults. Its errors
-// name the key or the variable at fault.
+// Package deployment reads and checks the configuration with which an aggregator starts, and fills in defaults.
+// Its errors name the key or the environment variable at fault.
 package deployment
 
 import (
@@ -9,44 +9,44 @@
 	"willowsill/deployment/fields"
 )
 
-// Deployment is what the operators state of the whole service.
+// Deployment describes the whole service. It is the same for all aggregators except for Index and Seed.
 type Deployment struct {
 	balance.Deployment
-	Workload map[string]int // row of each workload, by name
+	WorkloadRow map[string]int // row of each workload in Workloads, by name
 }
 
-// leastWorth is what a workload that is stated to be worth nothing counts for: 0 would say that nothing is stated.
-const leastWorth = 1e-9
+// minValue replaces a stated value of 0 for a workload, as 0 in balance.Workload means that no value was stated.
+const minValue = 1e-9
 
-// Read reads the operators' statement.
+// Read reads the deployment's description from its JSON object.
 func Read(boot *fields.Object) (d Deployment, err error) {
 	caps, domain, rules := boot.Object("caps"), boot.Object("domain"), boot.Object("guarantees")
-	d.Workload = map[string]int{}
+	d.WorkloadRow = map[string]int{}
 	d.Deployment = balance.Deployment{
-		Number: boot.Int("index"), Aggregators: boot.Int("balancers"), Tick: boot.Time("tick"),
-		Shards: domain.Int("slices"), Cells: domain.Int("cells"), Reach: domain.Int("in_a_row"),
+		Index: boot.Int("index"), Aggregators: boot.Int("balancers"), Tick: boot.Duration("tick"),
+		Shards: domain.Int("slices"), Cells: domain.Int("cells"), CellsPerShard: domain.Int("in_a_row"),
 		PartsPerCall:  domain.Int("parts_a_call"),
 		MaxExecutions: caps.Int("max_attempts"),
-		Cancels:       caps.Bool("cancel"),
-		MaxComeBack:   caps.MayTime("max_retry_after"),
-		ColdShare:     rules.Number("cold_from"),
-		ColdRamp:      rules.Time("ramp_time"), FallMultiple: rules.Number("fall_multiple"),
-		FallSpan:    rules.Time("fall"),
-		AsksForList: boot.String("membership_mode") == "ask", AskWithin: rules.MayTime("must_ask_in"),
-		Budgeted: rules.Has("ratio_span"), FurtherSpan: rules.MayTime("ratio_span"),
+		CanCancel:     caps.Bool("cancel"),
+		MaxRetryAfter: caps.OptionalDuration("max_retry_after"),
+		ColdCapacity:  rules.Float("cold_from"),
+		WarmUpTime:    rules.Duration("ramp_time"), OverloadFactor: rules.Float("fall_multiple"),
+		OverloadSpan: rules.Duration("fall"),
+		AsksForList:  boot.String("membership_mode") == "ask", AskWithin: rules.OptionalDuration("must_ask_in"),
+		Budgeted: rules.Has("ratio_span"), RetryWindow: rules.OptionalDuration("ratio_span"),
 	}
 	if !caps.Bool("retry_after") {
-		d.MaxComeBack = 0
+		d.MaxRetryAfter = 0
 	}
-	rules.May("budget_free", &d.FurtherFree)
-	rules.May("extra_per_request", &d.FurtherShare)
+	rules.DecodeOptional("budget_free", &d.RetrySlack)
+	rules.DecodeOptional("extra_per_request", &d.RetryRatio)
 
 	var need, floor, partial []float64
 	var followUp []int
-	domain.Into("class_need", &need)
-	domain.Into("class_floor", &floor)
-	domain.Into("incomplete_worth", &partial)
-	domain.Into("follow_up", &followUp)
+	domain.Decode("class_need", &need)
+	domain.Decode("class_floor", &floor)
+	domain.Decode("incomplete_worth", &partial)
+	domain.Decode("follow_up", &followUp)
 	for _, f := range []*fields.Object{boot, caps, domain, rules} {
 		if f.Err != nil {
 			return d, f.Err
@@ -61,28 +61,28 @@
 		}
 		c := &fields.Object{Raw: raw}
 		w := balance.Workload{
-			LatencyGoal: c.Time("slo"),
-			LateShare:   c.Number("late_worth"), RepeatWindow: c.MayTime("window"),
-			Floor: floor[i], Need: need[i], PartialShare: partial[i], FollowUp: followUp[i],
+			LatencyGoal: c.Duration("slo"),
+			LateShare:   c.Float("late_worth"), DedupWindow: c.OptionalDuration("window"),
+			MinCoverage: floor[i], FullCoverage: need[i], PartialShare: partial[i], FollowUpParts: followUp[i],
 		}
-		c.May("worth", &w.Worth)
-		if w.Worth < 0 {
+		c.DecodeOptional("worth", &w.Value)
+		if w.Value < 0 {
 			c.Fail("worth", "is below 0")
 		}
 		if c.Has("worth") {
-			w.Worth = max(w.Worth, leastWorth)
+			w.Value = max(w.Value, minValue)
 		}
 		switch repeat := c.String("repeat"); repeat {
 		case "free":
-			w.Effect = balance.Repeatable
+			w.RetrySafety = balance.Repeatable
 		case "guarded":
-			w.Effect = balance.Tagged
+			w.RetrySafety = balance.Deduplicated
 		case "single_shot":
-			w.Effect = balance.OnceOnly
+			w.RetrySafety = balance.OnceOnly
 		default:
 			c.Fail("repeat", "is unknown")
 		}
-		d.Workload[c.String("name")] = i
+		d.WorkloadRow[c.String("name")] = i
 		if c.Err != nil {
 			return d, c.Err
 		}
--- a/deployment/fields/fields.go
+++ b/deployment/fields/fields.go
@@ -1,4 +1,4 @@
-// Package fields reads JSON objects key by key and names the key that is at fault.
+// Package fields reads JSON objects key by key. Its errors name the key at fault.
 package fields
 
 import (
@@ -7,27 +7,28 @@
 	"math"
 )
 
-// Object is one JSON object, decoded no further than its keys. The getters keep the first
-// trouble they meet in Err, so that a caller reads all it wants and checks once.
+// Object is a JSON object of which only the keys are decoded. Its methods keep their first error in Err, so that a
+// caller can read all values and check once.
 type Object struct {
 	Raw map[string]json.RawMessage
 	Err error
 }
 
+// Fail sets Err to an error that names the key, unless Err is set already.
 func (f *Object) Fail(key, what string) {
 	if f.Err == nil {
 		f.Err = fmt.Errorf("field %q %s", key, what)
 	}
 }
 
-// Has tells whether the key is there and not null.
+// Has reports whether the key is present and not null.
 func (f *Object) Has(key string) bool {
 	raw, ok := f.Raw[key]
 	return ok && string(raw) != "null"
 }
 
-// Text returns a required value as it stands on the wire.
-func (f *Object) Text(key string) json.RawMessage {
+// RawValue returns a required value undecoded.
+func (f *Object) RawValue(key string) json.RawMessage {
 	if !f.Has(key) {
 		f.Fail(key, "is missing")
 		return nil
@@ -35,55 +36,55 @@
 	return f.Raw[key]
 }
 
-// Into decodes a required value.
-func (f *Object) Into(key string, v any) {
-	if raw := f.Text(key); raw != nil {
+// Decode decodes a required value into v.
+func (f *Object) Decode(key string, v any) {
+	if raw := f.RawValue(key); raw != nil {
 		if err := json.Unmarshal(raw, v); err != nil {
 			f.Fail(key, "has the wrong form")
 		}
 	}
 }
 
-// May decodes a value that can be left out.
-func (f *Object) May(key string, v any) {
+// DecodeOptional decodes a value into v if it is present.
+func (f *Object) DecodeOptional(key string, v any) {
 	if f.Has(key) {
-		f.Into(key, v)
+		f.Decode(key, v)
 	}
 }
 
-func (f *Object) String(key string) (s string) { f.Into(key, &s); return }
-func (f *Object) Int(key string) (n int)       { f.Into(key, &n); return }
-func (f *Object) Number(key string) (x float64) {
-	f.Into(key, &x)
+func (f *Object) String(key string) (s string) { f.Decode(key, &s); return }
+func (f *Object) Int(key string) (n int)       { f.Decode(key, &n); return }
+func (f *Object) Float(key string) (x float64) {
+	f.Decode(key, &x)
 	return
 }
-func (f *Object) Bool(key string) (b bool) { f.Into(key, &b); return }
+func (f *Object) Bool(key string) (b bool) { f.Decode(key, &b); return }
 
-// Time returns a required time in whole nanoseconds.
-func (f *Object) Time(key string) int64 { return Nanos(f.Number(key)) }
+// Duration returns a required time in ns; the value in the object is in ms.
+func (f *Object) Duration(key string) int64 { return NsFromMs(f.Float(key)) }
 
-// MayTime returns a time that can be left out, 0 then.
-func (f *Object) MayTime(key string) int64 {
+// OptionalDuration returns a time in ns, or 0 if it is absent; the value in the object is in ms.
+func (f *Object) OptionalDuration(key string) int64 {
 	var ms float64
-	f.May(key, &ms)
-	return Nanos(ms)
+	f.DecodeOptional(key, &ms)
+	return NsFromMs(ms)
 }
 
-// Object returns a required object's fields.
+// Object returns a required value that is a JSON object. It returns an empty object, and sets Err, if there is none.
 func (f *Object) Object(key string) *Object {
 	in := &Object{}
-	f.Into(key, &in.Raw)
+	f.Decode(key, &in.Raw)
 	return in
 }
 
-// Nanos turns the wire's milliseconds, which count in whole microseconds, into whole nanoseconds.
-func Nanos(ms float64) int64 { return int64(math.Round(ms*1e3)) * 1e3 }
+// NsFromMs converts milliseconds to nanoseconds, rounded to whole microseconds as on the wire.
+func NsFromMs(ms float64) int64 { return int64(math.Round(ms*1e3)) * 1e3 }
 
-// Millis is the other way round.
-func Millis(ns int64) float64 { return float64(ns/1e3) / 1e3 }
+// MsFromNs converts nanoseconds to milliseconds, rounded down to whole microseconds.
+func MsFromNs(ns int64) float64 { return float64(ns/1e3) / 1e3 }
 
 // List returns a required list of objects.
 func (f *Object) List(key string) (items []map[string]json.RawMessage) {
-	f.Into(key, &items)
+	f.Decode(key, &items)
 	return
 }
--- a/deployment/operator/operator_test.go
+++ b/deployment/operator/operator_test.go
@@ -11,8 +11,8 @@
 	"willowsill/deployment/script"
 )
 
-// beside writes files into one folder and returns the path of the first.
-func beside(t *testing.T, files ...string) string {
+// writeFiles writes files, given as names and contents in turn, into a new folder and returns the path of the first.
+func writeFiles(t *testing.T, files ...string) string {
 	t.Helper()
 	dir := t.TempDir()
 	for i := 0; i < len(files); i += 2 {
@@ -24,7 +24,7 @@
 }
 
 func TestOrders(t *testing.T) {
-	o, err := Read(beside(t, "a.star", `load("b.star", "rates")
+	o, err := Read(writeFiles(t, "a.star", `load("b.star", "rates")
 shared_store(address = "127.0.0.1:6379", round = "1s", health = False)
 for name, rate in rates.items():
     quota(customer = name, rate = rate)
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Store{Address: "127.0.0.1:6379", Prefix: "willowsill", Round: 1e9, Deadline: 150e6, Sample: 24, Quotas: true}
+	want := SharedStore{Address: "127.0.0.1:6379", Prefix: "willowsill", RoundInterval: 1e9, RoundTimeout: 150e6, SampleSize: 24, Quotas: true}
 	if *o.Store != want || len(o.Quotas) != 2 || o.Quotas[1] != (Quota{"souq", 2.5, 0}) {
 		t.Errorf("read %+v %+v", *o.Store, o.Quotas)
 	}
@@ -47,9 +47,9 @@
 	}
 }
 
-// All that is wrong is told at once, each with its line and its key.
+// All errors of a script are reported at once, each with its line and its key.
 func TestFaults(t *testing.T) {
-	_, err := Read(beside(t, "a.star", `quota(customer = "", rate = 3)
+	_, err := Read(writeFiles(t, "a.star", `quota(customer = "", rate = 3)
 shared_store(
     adress = "127.0.0.1:6379",
     round = "fast",
@@ -71,7 +71,7 @@
 		`:8:26: quota: key "rate" is 0, outside 0.001`, `:9:13: shared_store is called a second time`,
 		`:9:14: shared_store: key "address" is "nowhere"`} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("nothing says %s", want)
+			t.Errorf("the error does not contain %s", want)
 		}
 	}
 	if t.Failed() {
@@ -79,10 +79,10 @@
 	}
 }
 
-// mostTime is the reader's bound on the time of a whole script.
-const mostTime = 2 * time.Second
+// maxDuration is the time limit for a script, as in package script.
+const maxDuration = 2 * time.Second
 
-// Danger: a script must end, and reach nothing but what lies beside it.
+// Danger: a script must end, and must not read files outside its folder.
 func TestBounds(t *testing.T) {
 	for name, c := range map[string][]string{
 		"endless":   {"for i in range(1 << 30):\n    pass", "too many steps"},
@@ -94,7 +94,7 @@
 		"word":      {"shared_stone()\nopen('x')", `a.star:1:1: "shared_stone" is no function of this file; is shared_store meant?`},
 		"no store":  {`quota(customer = "a", rate = 1)`, "nothing keeps it"},
 		"positions": {`shared_store("127.0.0.1:1")`, "given by key"},
-		"long":      {strings.Repeat("#", script.MostSize+1), "over"},
+		"long":      {strings.Repeat("#", script.MaxFileBytes+1), "over"},
 		"user":      {`shared_store(address = "h:1", user = "u")`, `"password_file"`},
 		"prefix":    {`shared_store(address = "h:1", prefix = "a*")`, `"prefix"`},
 		"deadline":  {`shared_store(address = "h:1", deadline = "1s")`, `"deadline" is longer`},
@@ -109,10 +109,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			want, began := c[1], time.Now()
-			_, err := Read(beside(t, "a.star", c[0], "a2.star", `load("a2.star", "x")`))
-			// On a busy machine the bound on time comes before the one on steps, and then it has to be what is named.
-			if name == "endless" && time.Since(began) >= mostTime {
-				want = "takes longer than " + mostTime.String()
+			_, err := Read(writeFiles(t, "a.star", c[0], "a2.star", `load("a2.star", "x")`))
+			// On a busy machine the time limit may be reached before the limit of steps; the error must then name
+			// that.
+			if name == "endless" && time.Since(began) >= maxDuration {
+				want = "takes longer than " + maxDuration.String()
 			}
 			if err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("got %v, want %s", err, want)
@@ -120,34 +121,36 @@
 		})
 	}
 	if _, err := Read("no-such.star"); err == nil {
-		t.Error("a file that is not there was read")
+		t.Error("no error for a missing file")
 	}
 }
 
-// The scripts that come with the program are right, and the platform's switches on what it allows and no more.
+// The scripts in examples are valid. Each enables features except customers.star, which only defines values for
+// another script. The platform's script enables only what the platform allows.
 func TestOwnScripts(t *testing.T) {
 	all, _ := filepath.Glob("../../examples/*.star")
-	if o, err := Read("../../deploy/operator.star"); err != nil || len(o.said) != 1 || o.Zones == nil {
+	if o, err := Read("../../deploy/operator.star"); err != nil || len(o.calls) != 1 || o.Zones == nil {
 		t.Errorf("the platform's: %v", err)
 	}
 	for _, file := range all {
 		o, err := Read(file)
 		if err != nil {
 			t.Error(err)
-		} else if on := len(o.said) > 0; on == strings.Contains(file, "customers") {
+		} else if on := len(o.calls) > 0; on == strings.Contains(file, "customers") {
 			t.Errorf("%s: switched on: %v", file, on)
 		}
 	}
 }
 
+// FuzzRead: a script that is accepted keeps the rule that a round's deadline is within its interval.
 func FuzzRead(f *testing.F) {
 	f.Add(`shared_store(address = "h:1", round = "1s")`)
 	f.Add(`quota(customer = "a" * 3, rate = 1e300)`)
 	f.Fuzz(func(t *testing.T, text string) {
 		file := filepath.Join(t.TempDir(), "a.star")
 		os.WriteFile(file, []byte(text), 0o600)
-		if o, err := Read(file); err == nil && o.Store != nil && o.Store.Deadline > o.Store.Round {
-			t.Errorf("took %+v", o.Store)
+		if o, err := Read(file); err == nil && o.Store != nil && o.Store.RoundTimeout > o.Store.RoundInterval {
+			t.Errorf("accepted %+v", o.Store)
 		}
 	})
 }
--- a/deployment/settings/settings.go
+++ b/deployment/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings is where a process of the system lies: it reads and checks the settings file that the
-// platform hands it. It decides nothing; its errors name the file and the key.
+// Package settings reads and checks the settings file that the platform provides for each process. Its errors name
+// the file and the key.
 package settings
 
 import (
@@ -12,65 +12,66 @@
 	"github.com/samber/oops"
 )
 
-// Variable names the settings file in the environment.
-const Variable = "WILLOWSILL_NODE_FILE"
+// FileVariable is the environment variable with the path of the settings file.
+const FileVariable = "WILLOWSILL_NODE_FILE"
 
 const defaultFile = "/etc/willowsill/local.toml"
 
-// ErrSettings is the class of this package's errors.
+// ErrSettings builds this package's errors, which carry the code "settings".
 var ErrSettings = oops.Code("settings")
 
-// Settings are what a process is told. Times as their names say.
+// Settings are the contents of the settings file. Units are in the names of the fields.
 type Settings struct {
-	File         string            `toml:"-"`
-	Name         string            `toml:"node-name"`
-	Role         string            `toml:"role"`
-	Class        string            `toml:"machine-class"`
-	Serves       []string          `toml:"serves"`
-	IP           string            `toml:"ip"`
-	Zone         string            `toml:"zone"`
-	Region       string            `toml:"region"`
-	DataDir      string            `toml:"data-dir"`
-	Ports        []int             `toml:"internal-ports"`
-	Seeds        []string          `toml:"seed-nodes"`
-	Bootstrap    bool              `toml:"bootstrap"`
-	QuorumMember bool              `toml:"quorum-member"`
-	BeatMs       int64             `toml:"beat-interval-ms"`
-	Rules        []string          `toml:"active-rules"`
-	ConfigMode   string            `toml:"config_mode"`
-	Metrics      string            `toml:"metrics"` // PORT/PATH where the process tells its own figures; empty for nowhere
-	Zones        map[string]string `toml:"zones"`
-	Bind         Bind              `toml:"bind-addrs"`
-	Limits       Limits            `toml:"limits"`
-	FaultBudget  FaultBudget       `toml:"fault-budget"`
-	Bounds       Bounds            `toml:"bounds"`
+	File                string   `toml:"-"`
+	Name                string   `toml:"node-name"`
+	Role                string   `toml:"role"`
+	MachineClass        string   `toml:"machine-class"`
+	Serves              []string `toml:"serves"`
+	IP                  string   `toml:"ip"`
+	Zone                string   `toml:"zone"`
+	Region              string   `toml:"region"`
+	DataDir             string   `toml:"data-dir"`
+	InternalPorts       []int    `toml:"internal-ports"`
+	SeedNodes           []string `toml:"seed-nodes"`
+	Bootstrap           bool     `toml:"bootstrap"`
+	QuorumMember        bool     `toml:"quorum-member"`
+	HeartbeatIntervalMs int64    `toml:"beat-interval-ms"`
+	ActiveRules         []string `toml:"active-rules"`
+	ConfigMode          string   `toml:"config_mode"`
+	// PORT/PATH at which the process serves its metrics; empty for none.
+	Metrics     string            `toml:"metrics"`
+	Zones       map[string]string `toml:"zones"`
+	Bind        Bind              `toml:"bind-addrs"`
+	Limits      Limits            `toml:"limits"`
+	FaultBudget FaultBudget       `toml:"fault-budget"`
+	Bounds      Bounds            `toml:"bounds"`
 }
 
-// Bind are the addresses to listen on, empty where the role does not serve there.
+// Bind holds the addresses to listen on, empty for those that the role does not serve.
 type Bind struct {
 	Front     string `toml:"front"`
 	Readiness string `toml:"readiness"`
 	Control   string `toml:"control"`
 }
 
-// Limits of the machine and the process.
+// Limits describe the resources of the machine and the process.
 type Limits struct {
-	CPU      float64 `toml:"cpu-fraction"`
-	Cores    float64 `toml:"core-count"`
-	MemoryMB int64   `toml:"memory-mb"`
-	Files    int     `toml:"max-fds"`
-	LinkMbps float64 `toml:"link-mbps"`
-	DiskMB   int64   `toml:"disk-mb"`
+	CPUFraction    float64 `toml:"cpu-fraction"`
+	Cores          float64 `toml:"core-count"`
+	MemoryMB       int64   `toml:"memory-mb"`
+	MaxDescriptors int     `toml:"max-fds"`
+	LinkMbps       float64 `toml:"link-mbps"`
+	DiskMB         int64   `toml:"disk-mb"`
 }
 
-// FaultBudget is what may be lost at the same time.
+// FaultBudget is how many failures at the same time the system must survive.
 type FaultBudget struct {
 	Machines int `toml:"machines"`
 	Zones    int `toml:"zones"`
 	Regions  int `toml:"regions"`
 }
 
-// Bounds are the figures of the rules.
+// Bounds are the limits that the platform's rules set.
 type Bounds struct {
 	ContactMs    int64   `toml:"contact-ms"`
 	DrainMs      int64   `toml:"drain-ms"`
@@ -80,30 +81,31 @@
 	RetryWindowS float64 `toml:"retry-window-s"`
 	RetrySlack   float64 `toml:"retry-slack"`
 
-	ExposureShare float64 `toml:"exposure-share"` // of a service's requests, most for a version that may be bad; 0 where no rule bounds it
+	// ExposureShare limits the share of a service's requests that goes to a version that may be bad; 0 if no rule
+	// limits it.
+	ExposureShare float64 `toml:"exposure-share"`
 }
 
-// RetryWindow is RetryWindowS in ns, 0 where no rule bounds retries.
+// RetryWindow returns RetryWindowS in ns, 0 if no rule limits retries.
 func (b Bounds) RetryWindow() int64 { return int64(b.RetryWindowS * float64(time.Second)) }
 
-// Default bounds, where the file gives none.
+// Defaults for settings that are missing, and the least number of internal ports.
 const (
-	defaultBeatMs = 1000
-	defaultGraceS = 5
-	leastPorts    = 4
+	defaultHeartbeatIntervalMs = 1000
+	defaultGraceS              = 5
+	minPorts                   = 4
 )
 
-// FromEnvironment reads the file that the environment names.
+// FromEnvironment reads the file that the environment names, or the default one.
 func FromEnvironment(get func(string) string) (Settings, error) {
-	file := get(Variable)
+	file := get(FileVariable)
 	if file == "" {
 		file = defaultFile
 	}
 	return Read(file)
 }
 
-// Read reads and checks a settings file. Keys that it does not know it passes over, as the platform may add
-// some.
+// Read reads and checks a settings file. Unknown keys are ignored, as the platform may add keys.
 func Read(file string) (s Settings, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -112,7 +114,7 @@
 	if err := toml.Unmarshal(text, &s); err != nil {
 		if d, ok := err.(*toml.DecodeError); ok {
 			line, column := d.Position()
-			return s, ErrSettings.Errorf("%s:%d:%d: %s: %s", file, line, column, joined(d.Key()), d.Error())
+			return s, ErrSettings.Errorf("%s:%d:%d: %s: %s", file, line, column, joinKey(d.Key()), d.Error())
 		}
 		return s, ErrSettings.Wrapf(err, "%s", file)
 	}
@@ -120,7 +122,7 @@
 	return s, s.check()
 }
 
-func joined(key []string) string {
+func joinKey(key []string) string {
 	out := ""
 	for i, k := range key {
 		if i > 0 {
@@ -138,10 +140,10 @@
 	if net.ParseIP(s.IP) == nil {
 		return at("ip", "is %q, and no IP address", s.IP)
 	}
-	if len(s.Ports) != 2 || s.Ports[1]-s.Ports[0]+1 < leastPorts {
-		return at("internal-ports", "is %v: a first and a last port are wanted, %d ports at least", s.Ports, leastPorts)
+	if len(s.InternalPorts) != 2 || s.InternalPorts[1]-s.InternalPorts[0]+1 < minPorts {
+		return at("internal-ports", "is %v: a first and a last port are wanted, %d ports at least", s.InternalPorts, minPorts)
 	}
-	for i, seed := range s.Seeds {
+	for i, seed := range s.SeedNodes {
 		if _, _, err := net.SplitHostPort(seed); err != nil {
 			return at("seed-nodes", "[%d]: %v", i, err)
 		}
@@ -152,14 +154,14 @@
 			return at(key, "is %q: %v", a, err)
 		}
 	}
-	if s.Limits.MemoryMB < 0 || s.Limits.Files < 0 {
+	if s.Limits.MemoryMB < 0 || s.Limits.MaxDescriptors < 0 {
 		return at("limits", "has a figure below 0")
 	}
 	if share := s.Bounds.ExposureShare; share < 0 || share > 1 {
 		return at("bounds.exposure-share", "is %v: a share from 0 to 1 is wanted", share)
 	}
-	if s.BeatMs <= 0 {
-		s.BeatMs = defaultBeatMs
+	if s.HeartbeatIntervalMs <= 0 {
+		s.HeartbeatIntervalMs = defaultHeartbeatIntervalMs
 	}
 	if s.Bounds.GraceS <= 0 {
 		s.Bounds.GraceS = defaultGraceS
@@ -167,13 +169,14 @@
 	return nil
 }
 
-// Inner is the address of one of a machine's ports for traffic between the system's own processes.
-func (s *Settings) Inner(ip string, port int) string {
-	return net.JoinHostPort(ip, strconv.Itoa(s.Ports[0]+port))
+// InternalAddress returns the address on a machine for the port with this number, counted from the first internal
+// one.
+func (s *Settings) InternalAddress(ip string, port int) string {
+	return net.JoinHostPort(ip, strconv.Itoa(s.InternalPorts[0]+port))
 }
 
-// Loopback is where the processes of this machine meet: a machine that is itself played on a loopback address
-// has that one.
+// Loopback returns the address on which processes of this machine reach each other. A machine that is simulated on
+// a loopback address uses its own.
 func (s *Settings) Loopback() string {
 	if ip := net.ParseIP(s.IP); ip.IsLoopback() {
 		return s.IP
@@ -181,19 +184,19 @@
 	return "127.0.0.1"
 }
 
-// SeedIPs are the machines of the seeds.
+// SeedIPs returns the IP addresses of the seed nodes.
 func (s *Settings) SeedIPs() (ips []string) {
-	for _, seed := range s.Seeds {
+	for _, seed := range s.SeedNodes {
 		host, _, _ := net.SplitHostPort(seed)
 		ips = append(ips, host)
 	}
 	return ips
 }
 
-// The ports between the system's own processes, counted from the first.
+// Internal ports of the system's processes, counted from the first.
 const (
-	PortControllers = 0 // controllers among themselves
-	PortWatch       = 1 // where edges follow a controller, or an agent
-	PortAgent       = 2 // on loopback: where the proxy follows its agent
-	PortHeartbeats  = 3 // datagrams: heartbeats of edges
+	PortControllers = 0 // connections between controllers
+	PortWatch       = 1 // TCP: a controller or an agent sends updates to edges
+	PortAgent       = 2 // TCP on loopback: an agent sends updates to its proxy
+	PortHeartbeats  = 3 // UDP: heartbeats of edges
 )
--- a/front/clienthttp/clienthttp.go
+++ b/front/clienthttp/clienthttp.go
@@ -1,6 +1,6 @@
-// Package clienthttp takes clients' requests over HTTP, hands them to the core and writes the answers. It knows no
-// policy: what it refuses itself is what cannot be read, has no route, or comes before there is a
-// configuration.
+// Package clienthttp serves clients of a proxy over HTTP: it decodes requests, passes them to the core and writes
+// the answers. It makes no policy decisions; by itself it refuses only requests that are malformed, that have no
+// route, whose route has no shard, or that arrive before a configuration has been applied.
 package clienthttp
 
 import (
@@ -25,41 +25,42 @@
 )
 
 const (
-	headerParts   = "Willowsill-Part-Seals"
-	headerMissing = "Willowsill-Missing-Parts"
-	millisecond   = int64(time.Millisecond)
-	bodyUnstated  = 1 << 20 // bytes of a request's body, where no limit is stated
-	drawBits      = 1 << 32
+	headerPartSeals     = "Willowsill-Part-Seals"
+	headerMissing       = "Willowsill-Missing-Parts"
+	millisecond         = int64(time.Millisecond)
+	defaultMaxBodyBytes = 1 << 20 // limit of a request's body if the configuration sets none
+	drawRange           = 1 << 32 // number of values of a 32-bit hash, which is mapped to 0 to 1
 )
 
-// Core serves one query and gives its one answer, or false where the client left first.
+// Core serves queries. Serve returns the query's only answer, or false if the client disconnected first.
 type Core interface {
 	Serve(ctx context.Context, q node.Query) (node.Answer, bool)
 }
 
-// Handler is the handler of clients' requests.
+// Handler is the HTTP handler for clients' requests.
 type Handler struct {
-	Core    Core
-	Now     func() int64
-	Leaving atomic.Bool // each answer closes its connection
-	state   atomic.Pointer[routingtable.State]
+	Core     Core
+	Now      func() int64
+	Draining atomic.Bool // each answer closes its connection
+	state    atomic.Pointer[routingtable.State]
 }
 
-// Serve takes requests by this from now on. One under way goes on with what it began with.
-func (q *Handler) Serve(s *routingtable.State) { q.state.Store(s) }
+// SetState sets the state by which new requests are served. A request in progress keeps the state that it began
+// with.
+func (h *Handler) SetState(s *routingtable.State) { h.state.Store(s) }
 
-// hopHeaders concern one connection only, or are this side's to write.
+// hopHeaders are the headers that are not passed on, as they concern one connection or are set by the proxy.
 var hopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true,
 	"Content-Length": true, "Host": true, replicahttp.HeaderDeadline: true, replicahttp.HeaderTarget: true}
 
-// ServeHTTP serves one request.
-func (q *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	came := q.Now()
-	if q.Leaving.Load() {
+// ServeHTTP serves one request: it finds its route, passes it to the core and writes the answer.
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	arrived := h.Now()
+	if h.Draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	state := q.state.Load()
+	state := h.state.Load()
 	if state == nil {
 		refuse(w, http.StatusServiceUnavailable, int64(time.Second))
 		return
@@ -75,94 +76,97 @@
 		return
 	}
 	attempt := r.Header.Get(replicahttp.HeaderAttempt)
-	// Danger: of two ids a replica may answer by the other, and its answer would be nobody's.
+	// Danger: a replica may answer with either of two ids, and an answer with the wrong one would match no
+	// request.
 	if attempt == "" || len(r.Header[replicahttp.HeaderAttempt]) > 1 {
 		refuse(w, http.StatusBadRequest, 0)
 		return
 	}
-	until := came + route.DeadlineMs*millisecond
+	deadline := arrived + route.DeadlineMs*millisecond
 	if v := r.Header.Get(replicahttp.HeaderDeadline); v != "" {
 		n, err := strconv.ParseInt(v, 10, 64)
 		if err != nil {
 			refuse(w, http.StatusBadRequest, 0)
 			return
 		}
-		until = min(until, came+n*millisecond)
+		deadline = min(deadline, arrived+n*millisecond)
 	}
 	body, err := readBody(w, r, state.Config.Limits.BodyBytes)
 	if err != nil {
-		var long *http.MaxBytesError
-		if errors.As(err, &long) {
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
 			refuse(w, http.StatusRequestEntityTooLarge, 0)
 		} else {
 			refuse(w, http.StatusBadRequest, 0)
 		}
 		return
 	}
-	req := &replicahttp.Request{Attempt: attempt, Method: r.Method, Body: body, Head: head(r, target, len(body)),
+	req := &replicahttp.Request{Attempt: attempt, Method: r.Method, Body: body, Head: requestHead(r, target, len(body)),
 		Answers: map[int]*replicahttp.Answer{}}
 	row, known := state.Rows[route.ID()]
-	query := node.Query{ID: attempt, Workload: row, Until: until, Load: req}
+	query := node.Query{ID: attempt, Workload: row, Deadline: deadline, Payload: req}
 	var served bool
-	// Danger: a route without a row of its own would be served on another's terms.
-	if query.Parts, served = parts(state, route); !served || !known {
+	// Danger: a route without a row of its own would be served with another route's settings.
+	if query.Parts, served = routeParts(state, route); !served || !known {
 		refuse(w, http.StatusServiceUnavailable, int64(time.Second))
 		return
 	}
-	answer, here := q.Core.Serve(r.Context(), query)
-	if !here {
-		// Danger: a handler that returns without a word answers 200, and a client that has ended only its own side
-		// reads that as a success.
+	answer, answered := h.Core.Serve(r.Context(), query)
+	if !answered {
+		// Danger: if a handler returns without writing, net/http answers 200, and a client that has closed only
+		// its sending side would read that as a success.
 		w.Header().Set("Connection", "close")
 		refuse(w, http.StatusBadGateway, 0)
 		return
 	}
-	draw := float64(uint32(xxhash.Sum64String(attempt))) / drawBits
-	answer.ComeBack = routingtable.ComeBack(answer.ComeBack, draw)
+	draw := float64(uint32(xxhash.Sum64String(attempt))) / drawRange
+	answer.RetryAfter = routingtable.RetryAfter(answer.RetryAfter, draw)
 	if len(route.Fanout) > 0 {
-		gathered(w, route, req, query.Parts, answer)
+		writeGathered(w, route, req, query.Parts, answer)
 	} else {
-		plain(w, req, query.Parts[0].Shard, answer)
+		writeSingle(w, req, query.Parts[0].Shard, answer)
 	}
 }
 
-// parts are those of a route's next request, false where one of its services has no shard.
+// routeParts returns the parts of a request on a route: one for each service of a fan-out, else one. It returns
+// false if a service has no shard.
 //
-// Danger: what names no shard of its own would go to another service's replicas.
-func parts(state *routingtable.State, route *routeconfig.Route) (parts []node.Part, served bool) {
+// Danger: a part with the wrong shard would go to another service's replicas.
+func routeParts(state *routingtable.State, route *routeconfig.Route) (parts []node.Part, served bool) {
 	services := route.Fanout
 	if len(services) == 0 {
 		services = []string{state.Service(route)}
 	}
 	for _, service := range services {
-		slot, found := state.Slots[service]
+		shard, found := state.Shards[service]
 		if !found {
 			return nil, false
 		}
-		parts = append(parts, node.Part{Shard: slot, Weight: 1 / float64(len(services))})
+		parts = append(parts, node.Part{Shard: shard, Weight: 1 / float64(len(services))})
 	}
 	return parts, true
 }
 
-func readBody(w http.ResponseWriter, r *http.Request, most int) ([]byte, error) {
+func readBody(w http.ResponseWriter, r *http.Request, limit int) ([]byte, error) {
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil, nil
 	}
-	if most <= 0 {
-		most = bodyUnstated
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
 	}
-	if n := r.ContentLength; n > int64(most) {
-		return nil, &http.MaxBytesError{Limit: int64(most)}
+	if n := r.ContentLength; n > int64(limit) {
+		return nil, &http.MaxBytesError{Limit: int64(limit)}
 	} else if n > 0 {
 		body := make([]byte, n)
 		_, err := io.ReadFull(r.Body, body)
 		return body, err
 	}
-	return io.ReadAll(http.MaxBytesReader(w, r.Body, int64(most)))
+	return io.ReadAll(http.MaxBytesReader(w, r.Body, int64(limit)))
 }
 
-// head is the first line and the headers as they go to replicas, without those of one part.
-func head(r *http.Request, target string, length int) []byte {
+// requestHead returns the request line and the headers that go to the replicas, without those that differ from
+// part to part.
+func requestHead(r *http.Request, target string, length int) []byte {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	named := map[string]bool{}
@@ -185,7 +189,7 @@
 	return b.Bytes()
 }
 
-// refuse answers for the system itself; a wait is told in seconds with fractions.
+// refuse answers a request on the proxy's own behalf. If wait, in ns, is above 0, it is sent as Retry-After in decimal seconds.
 func refuse(w http.ResponseWriter, status int, wait int64) {
 	if wait > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(wait)/1e9, 'f', 3, 64))
@@ -194,22 +198,23 @@
 	w.WriteHeader(status)
 }
 
-// unserved answers a query that brought nothing: a promise where it has not run and never will, none
-// otherwise.
-func unserved(w http.ResponseWriter, a node.Answer) {
-	if a.Final == balance.Declined {
-		refuse(w, http.StatusServiceUnavailable, a.ComeBack)
+// writeUnserved answers a query that no replica has answered: 503 if it has not run and never will, 502 if it may
+// have run.
+func writeUnserved(w http.ResponseWriter, a node.Answer) {
+	if a.Outcome == balance.Declined {
+		refuse(w, http.StatusServiceUnavailable, a.RetryAfter)
 		return
 	}
 	refuse(w, http.StatusBadGateway, 0)
 }
 
-// passes tells whether a replica's answer goes to the client: a success, and a failure of the replica's own.
+// passesThrough reports whether a replica's answer is passed on to the client. Successes are, and so are errors of
+// status 500 and above whose seal shows that the replica itself answered.
 //
-// Danger: 503 promises a client that its request has not run and never will. A replica's own 503 without a proof promises
-// nothing, and a client would repeat an unsafe request that has run.
-func passes(got *replicahttp.Answer, final balance.Final) bool {
-	if got == nil || !got.Whole {
+// Danger: 503 tells a client that its request has not run and never will. A replica's own 503 without a proof does
+// not say that, and a client would repeat an unsafe request that has run.
+func passesThrough(got *replicahttp.Answer, final balance.Outcome) bool {
+	if got == nil || !got.Complete {
 		return false
 	}
 	if final <= balance.Partial {
@@ -221,11 +226,11 @@
 	return got.Seal != "" && got.Status >= http.StatusInternalServerError
 }
 
-// plain passes one replica's answer on unchanged, also its failure where there is nothing better.
-func plain(w http.ResponseWriter, req *replicahttp.Request, shard int, a node.Answer) {
+// writeSingle writes a replica's answer unchanged, which may be an error if there is nothing better.
+func writeSingle(w http.ResponseWriter, req *replicahttp.Request, shard int, a node.Answer) {
 	got := req.Answers[shard]
-	if !passes(got, a.Final) {
-		unserved(w, a)
+	if !passesThrough(got, a.Outcome) {
+		writeUnserved(w, a)
 		return
 	}
 	h := w.Header()
@@ -242,10 +247,10 @@
 	w.Write(got.Body)
 }
 
-// gathered merges the parts that are in.
-func gathered(w http.ResponseWriter, route *routeconfig.Route, req *replicahttp.Request, parts []node.Part, a node.Answer) {
-	if a.Final > balance.Partial {
-		unserved(w, a)
+// writeGathered writes the merged answers of the parts that succeeded.
+func writeGathered(w http.ResponseWriter, route *routeconfig.Route, req *replicahttp.Request, parts []node.Part, a node.Answer) {
+	if a.Outcome > balance.Partial {
+		writeUnserved(w, a)
 		return
 	}
 	seals := make([]string, 0, len(parts))
@@ -258,7 +263,7 @@
 	body := gather.Greatest(make([]byte, 0, gather.RecordBytes*route.ResultCount), bodies, route.ResultCount)
 	h := w.Header()
 	h.Set(replicahttp.HeaderAttempt, req.Attempt)
-	h.Set(headerParts, strings.Join(seals, ", "))
+	h.Set(headerPartSeals, strings.Join(seals, ", "))
 	if missing := len(parts) - len(seals); missing > 0 {
 		h.Set(headerMissing, strconv.Itoa(missing))
 	}
