--- a/lab/controlsim/machine.go
+++ b/lab/controlsim/machine.go
@@ -1,48 +1,50 @@
 package controlsim
 
-// machine runs one process at a time. Its steady clock has its own beginning and rate.
+// machine runs one process at a time. Its monotonic clock has its own start value and rate.
 type machine struct {
-	world   *world
-	name    string
-	core    bool // a controller's
-	powered bool
-	up      bool // a process runs
-	frozen  bool
-	life    int // of the process, counted from 1
-	waiting []func()
-	offset  int64   // what its clock showed at the start of the run, ns
-	rate    float64 // how much faster than true time the clock runs
-	boot    func()  // begins a process; the machine is up already
-	ended   []func(silently bool)
+	world        *world
+	name         string
+	isController bool // a controller runs on this machine, not an edge
+	powered      bool
+	up           bool     // a process is running
+	frozen       bool     // the process is suspended
+	incarnation  int      // number of the current or last process, from 1
+	pending      []func() // work for a suspended process, run by thaw
+	clockOffset  int64    // the clock's value at the start of the run, ns
+	clockDrift   float64  // relative rate by which the clock is faster than true time
+	startProcess func()   // sets up a new process; the machine is up already
+	onExit       []func(silently bool)
 }
 
-func (w *world) addMachine(name string, core bool) *machine {
-	m := &machine{world: w, name: name, core: core, powered: true, offset: between(w.draw, second, 3600*second),
-		rate: rateMost * (2*w.draw.Float64() - 1)}
+func (w *world) addMachine(name string, isController bool) *machine {
+	m := &machine{world: w, name: name, isController: isController, powered: true, clockOffset: randomBetween(w.rng, second, 3600*second),
+		clockDrift: maxClockDrift * (2*w.rng.Float64() - 1)}
 	w.machines[name] = m
-	w.names = append(w.names, name)
+	w.machineNames = append(w.machineNames, name)
 	return m
 }
 
-// clock is what the machine's steady clock shows.
-func (m *machine) clock() int64 { return m.offset + m.world.now + int64(float64(m.world.now)*m.rate) }
+// clock returns the value of the machine's monotonic clock.
+func (m *machine) clock() int64 {
+	return m.clockOffset + m.world.now + int64(float64(m.world.now)*m.clockDrift)
+}
 
-// trueSpan is how long it takes until so much has gone by on the machine's clock.
-func (m *machine) trueSpan(local int64) int64 { return int64(float64(local)/(1+m.rate)) + 1 }
+// trueDuration converts a duration on the machine's clock to true time.
+func (m *machine) trueDuration(local int64) int64 { return int64(float64(local)/(1+m.clockDrift)) + 1 }
 
-// start begins a process.
+// start starts a process if none is running.
 func (m *machine) start() {
 	m.powered = true
 	if m.up {
 		return
 	}
-	m.up, m.frozen, m.waiting = true, false, nil
-	m.life++
-	m.world.tell(m.name, "process %d starts", m.life)
-	m.boot()
+	m.up, m.frozen, m.pending = true, false, nil
+	m.incarnation++
+	m.world.tracef(m.name, "process %d starts", m.incarnation)
+	m.startProcess()
 }
 
-// stop ends the process. silently tells that nobody's connections are reset: the machine has lost its power.
+// stop ends the process. If silently, the machine has lost its power, so the other ends of its connections see no reset.
 func (m *machine) stop(silently bool) {
 	if silently {
 		m.powered = false
@@ -50,53 +52,53 @@
 	if !m.up {
 		return
 	}
-	m.up, m.frozen, m.waiting = false, false, nil
-	m.world.tell(m.name, "process %d ends", m.life)
-	ended := m.ended
-	m.ended = nil
+	m.up, m.frozen, m.pending = false, false, nil
+	m.world.tracef(m.name, "process %d ends", m.incarnation)
+	ended := m.onExit
+	m.onExit = nil
 	for _, f := range ended {
 		f(silently)
 	}
-	m.world.network.ended(m, silently)
+	m.world.network.processEnded(m, silently)
 }
 
-// freeze has the process stand still.
+// freeze suspends the process, if one is running.
 func (m *machine) freeze() { m.frozen = m.up }
 
-// thaw lets it go on. What came meanwhile is done now, in its order.
+// thaw resumes a suspended process and runs, in order, what has been waiting for it.
 func (m *machine) thaw() {
 	if !m.frozen {
 		return
 	}
 	m.frozen = false
-	waiting := m.waiting
-	m.waiting = nil
-	life := m.life
+	waiting := m.pending
+	m.pending = nil
+	incarnation := m.incarnation
 	for _, f := range waiting {
-		if m.up && m.life == life {
+		if m.up && m.incarnation == incarnation {
 			f()
 		}
 	}
 }
 
-// dispatch has something done by the process of a life: now, after a freeze, or never.
-func (m *machine) dispatch(life int, do func()) {
+// dispatch runs do in the process with a given incarnation: at once, after it is resumed, or never if that process has ended.
+func (m *machine) dispatch(incarnation int, do func()) {
 	switch {
-	case !m.up || m.life != life:
+	case !m.up || m.incarnation != incarnation:
 	case m.frozen:
-		m.waiting = append(m.waiting, do)
+		m.pending = append(m.pending, do)
 	default:
 		do()
 	}
 }
 
-// timer has something done by this process once its clock has gone on by so much.
+// timer runs do in the current process after a duration on its machine's clock.
 func (m *machine) timer(local int64, do func()) {
-	life := m.life
-	m.world.after(m.trueSpan(local), func() { m.dispatch(life, do) })
+	incarnation := m.incarnation
+	m.world.scheduleAfter(m.trueDuration(local), func() { m.dispatch(incarnation, do) })
 }
 
-// every has something done again and again, until the process ends.
+// every runs do repeatedly, after each interval on the machine's clock, until the process ends.
 func (m *machine) every(local int64, do func()) {
 	m.timer(local, func() {
 		do()
--- a/lab/controlsim/world.go
+++ b/lab/controlsim/world.go
@@ -1,6 +1,7 @@
-// Package controlsim plays a control cluster in virtual time from one seed: controllers with their disks, edges, operators and
-// replicas. The state machines are the true ones of decide/, unchanged; sockets, disks, clocks and processes are simulated here as
-// transport/ has them. What operators, replicas and edges saw goes to lab/controlsim/checker, which shares no code with decide/.
+// Package controlsim simulates a control cluster deterministically from one seed, in virtual time: controllers with their disks,
+// edges, operators and replicas. It runs the state machines of decide/ unchanged, and simulates sockets, disks, clocks and processes
+// with the behaviour of transport/. A run records what operators, replicas and edges observe, and lab/controlsim/checker, which
+// shares no code with decide/, checks this history.
 package controlsim
 
 import (
@@ -11,88 +12,88 @@
 
 	"willowsill/decide/locality"
 	"willowsill/lab/controlsim/checker"
-	"willowsill/lab/emulator/agenda"
+	"willowsill/lab/emulator/eventqueue"
 )
 
 const (
-	millisecond = int64(time.Millisecond)
-	second      = int64(time.Second)
-	seedsNamed  = 3
-	rateMost    = 0.001 // by how much a machine's steady clock runs fast or slow at the most
+	millisecond   = int64(time.Millisecond)
+	second        = int64(time.Second)
+	seedCount     = 3     // number of controllers that a machine's settings name as seeds
+	maxClockDrift = 0.001 // maximum relative error of a machine's monotonic clock, in either direction
 )
 
-// world is one run.
+// world is the state of one run.
 type world struct {
-	plan     Plan
-	now      int64 // true time, ns
-	agenda   *agenda.Agenda
-	sequence uint64
-	network  *network
-	machines map[string]*machine
-	names    []string // of machines, in the order of their making
-	servers  map[string]*server
-	edges    map[string]*edge
-	core     []string // controllers that are deployed now
-	lists    []listing
-	replicas []*replica
-	history  checker.History
-	draw     *rand.Rand // of disks, processes and clients
-	regions  locality.Regions
-	orders   []*order
-	highest  uint64 // revision that an operator has given out
-	lose     int    // faults under way that lose answers
-	lives    int
-	onAck    map[uint64][]Fault // that begin after a revision is acknowledged
-	trace    func(at int64, who, what string)
+	plan            Plan
+	now             int64 // true time, ns
+	events          *eventqueue.Queue
+	sequence        uint64
+	network         *network
+	machines        map[string]*machine
+	machineNames    []string // in the order in which the machines were added
+	servers         map[string]*server
+	edges           map[string]*edge
+	controllers     []string // controllers that are deployed now
+	controllerLists []controllerList
+	replicas        []*replica
+	history         checker.History
+	rng             *rand.Rand // random source of disks, processes and clients; the network has its own
+	regions         locality.Regions
+	orders          []*order
+	highestRevision uint64 // highest revision that an operator has sent
+	answerLosses    int    // number of active faults that lose answers
+	processes       int
+	faultsAfterAck  map[uint64][]Fault // faults that start after a revision's first acknowledgement
+	trace           func(at int64, who, what string)
 }
 
-// acknowledged has the faults begin that wait for a revision.
-func (w *world) acknowledged(revision uint64) {
-	for _, f := range w.onAck[revision] {
-		w.after(int64(f.At), func() { w.befall(f) })
+// startFaultsAfterAck schedules the faults that start after a revision's first acknowledgement.
+func (w *world) startFaultsAfterAck(revision uint64) {
+	for _, f := range w.faultsAfterAck[revision] {
+		w.scheduleAfter(int64(f.At), func() { w.startFault(f) })
 	}
-	delete(w.onAck, revision)
+	delete(w.faultsAfterAck, revision)
 }
 
-// listing is which controllers were deployed from a time on.
-type listing struct {
-	at   int64
-	core []string
+// controllerList is the list of deployed controllers from a time on.
+type controllerList struct {
+	at          int64
+	controllers []string
 }
 
-// listed is the operators' list of controllers, which lags.
-func (w *world) listed() []string {
-	list := w.lists[0].core
-	for _, l := range w.lists {
-		if l.at+listLag <= w.now {
-			list = l.core
+// operatorList returns the operators' list of controllers, which is controllerListLag old.
+func (w *world) operatorList() []string {
+	list := w.controllerLists[0].controllers
+	for _, l := range w.controllerLists {
+		if l.at+controllerListLag <= w.now {
+			list = l.controllers
 		}
 	}
 	return list
 }
 
-// deployed notes that the controllers are others than before.
-func (w *world) deployed(core []string) {
-	w.core = core
-	w.lists = append(w.lists, listing{w.now, core})
+// setControllers records a changed list of deployed controllers.
+func (w *world) setControllers(controllers []string) {
+	w.controllers = controllers
+	w.controllerLists = append(w.controllerLists, controllerList{w.now, controllers})
 }
 
-// seeds are what a settings file names when it is written now: three of the operators' list.
-func (w *world) seeds() []string {
-	list := slices.Clone(w.listed())
-	w.draw.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
-	return list[:min(seedsNamed, len(list))]
+// randomSeeds returns the seeds of a settings file that is written now: random controllers of the operators' list.
+func (w *world) randomSeeds() []string {
+	list := slices.Clone(w.operatorList())
+	w.rng.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
+	return list[:min(seedCount, len(list))]
 }
 
-// firstSeeds are the same for all machines at the first start.
-func firstSeeds() (names []string) {
-	for i := range seedsNamed {
+// initialSeeds returns the seeds of the first start, which are the same for all machines.
+func initialSeeds() (names []string) {
+	for i := range seedCount {
 		names = append(names, controllerName(i+1))
 	}
 	return names
 }
 
-// Result is what became of a run.
+// Result is the outcome of a run: counts of requests, violations and the recorded history.
 type Result struct {
 	Plan         Plan
 	Violations   []checker.Violation
@@ -100,39 +101,39 @@
 	Acknowledged int
 	Reads        int
 	Drains       int
-	Virtual      time.Duration
+	VirtualTime  time.Duration
 	History      checker.History
 }
 
-// Broken is the first check that failed, empty where none did.
-func (r Result) Broken() string {
+// FirstBroken returns the name of the first check that failed, or an empty string.
+func (r Result) FirstBroken() string {
 	if len(r.Violations) == 0 {
 		return ""
 	}
 	return r.Violations[0].Check
 }
 
-// Run plays a plan and checks what was seen. trace, where given, is told what happens.
+// Run simulates a plan and checks its history. trace, if not nil, is called with each event of interest; at is in ns of virtual time.
 func Run(p Plan, trace func(at int64, who, what string)) (Result, error) {
-	if err := p.Valid(); err != nil {
+	if err := p.Validate(); err != nil {
 		return Result{}, err
 	}
 	w := newWorld(p, trace)
 	end := int64(p.Length)
 	for {
-		e, ok := w.agenda.Pop(end)
+		e, ok := w.events.Pop(end)
 		if !ok {
 			break
 		}
 		w.now = max(w.now, e.At)
-		e.Load.(func())()
+		e.Payload.(func())()
 	}
 	w.now = end
 	w.history.End = end
 	for _, o := range w.orders {
-		w.history.Orders = append(w.history.Orders, o.seen)
+		w.history.Orders = append(w.history.Orders, o.record)
 	}
-	r := Result{Plan: p, Virtual: p.Length, Orders: len(w.history.Orders), Reads: len(w.history.Reads), Drains: len(w.history.Drains),
+	r := Result{Plan: p, VirtualTime: p.Length, Orders: len(w.history.Orders), Reads: len(w.history.Reads), Drains: len(w.history.Drains),
 		History: w.history}
 	for _, o := range w.history.Orders {
 		if o.Outcome == checker.Acknowledged {
@@ -144,9 +145,9 @@
 }
 
 func newWorld(p Plan, trace func(int64, string, string)) *world {
-	w := &world{plan: p, agenda: agenda.New(0), machines: map[string]*machine{}, servers: map[string]*server{},
-		edges: map[string]*edge{}, onAck: map[uint64][]Fault{},
-		regions: locality.Regions{zoneName(0): "west", zoneName(1): "west", zoneName(2): "east"}, draw: rand.New(rand.NewPCG(p.Seed, 1)), trace: trace}
+	w := &world{plan: p, events: eventqueue.New(0), machines: map[string]*machine{}, servers: map[string]*server{},
+		edges: map[string]*edge{}, faultsAfterAck: map[uint64][]Fault{},
+		regions: locality.Regions{zoneName(0): "west", zoneName(1): "west", zoneName(2): "east"}, rng: rand.New(rand.NewPCG(p.Seed, 1)), trace: trace}
 	w.network = newNetwork(w, rand.New(rand.NewPCG(p.Seed, 2)))
 	b := p.Bounds
 	w.history.Bounds = checker.Bounds{Contact: int64(b.Contact), Apply: int64(b.Apply), Stretch: int64(b.Stretch),
@@ -154,16 +155,16 @@
 	for i := range p.Controllers {
 		w.addController(controllerName(i+1), true)
 	}
-	w.lists[0] = listing{core: w.core}
+	w.controllerLists[0] = controllerList{controllers: w.controllers}
 	for i := range p.Edges {
 		w.addEdge(edgeName(i+1), zoneName(i%edgeZones))
 	}
-	w.addClients()
+	w.scheduleClients()
 	for _, f := range p.Faults {
 		if f.After == 0 {
-			w.at(int64(f.At), func() { w.befall(f) })
+			w.scheduleAt(int64(f.At), func() { w.startFault(f) })
 		} else {
-			w.onAck[f.After] = append(w.onAck[f.After], f)
+			w.faultsAfterAck[f.After] = append(w.faultsAfterAck[f.After], f)
 		}
 	}
 	return w
@@ -173,26 +174,28 @@
 func edgeName(n int) string       { return fmt.Sprint("e", n) }
 func zoneName(n int) string       { return fmt.Sprint("zone", n+1) }
 
-// Controllers stand in all zones by turns, edges in the first ones, which are of one region.
+// Controllers are assigned to all zones in turn, edges to the first zones only, which are in one region.
 const (
 	zones     = 3
 	edgeZones = 2
 )
 
-// at has something done at a time.
-func (w *world) at(when int64, do func()) {
+// scheduleAt runs do at a given time.
+func (w *world) scheduleAt(when int64, do func()) {
 	w.sequence++
-	w.agenda.Push(agenda.Event{At: max(when, w.now), Seq: w.sequence, Load: do})
+	w.events.Push(eventqueue.Event{At: max(when, w.now), Seq: w.sequence, Payload: do})
 }
 
-// after has something done once so much time has gone by.
-func (w *world) after(delay int64, do func()) { w.at(w.now+delay, do) }
+// scheduleAfter runs do after a delay.
+func (w *world) scheduleAfter(delay int64, do func()) { w.scheduleAt(w.now+delay, do) }
 
-func (w *world) tell(who, format string, values ...any) {
+func (w *world) tracef(who, format string, values ...any) {
 	if w.trace != nil {
 		w.trace(w.now, who, fmt.Sprintf(format, values...))
 	}
 }
 
-// between draws a time from a range.
-func between(draw *rand.Rand, low, high int64) int64 { return low + draw.Int64N(max(high-low, 1)) }
+// randomBetween returns a random duration from low up to high.
+func randomBetween(rng *rand.Rand, low, high int64) int64 {
+	return low + rng.Int64N(max(high-low, 1))
+}
--- a/lab/emulator/arrivals.go
+++ b/lab/emulator/arrivals.go
@@ -5,74 +5,75 @@
 	"math/rand/v2"
 )
 
-// Arrivals are the queries of one load at one aggregator: when they come, and which shards they need. They go by the seed
-// alone, so the same come whatever is decided, and whether the fleet is emulated or real.
+// Arrivals generates the queries of one workload at one aggregator: when they arrive and which shards they need. They depend on
+// the seed alone, so they are the same for every policy, and for an emulated fleet and a real one.
 type Arrivals struct {
-	load   *Load
-	rate   float64
-	span   int64
-	shards int
-	zipf   *zipf
-	chance *rand.Rand
+	workload *Workload
+	rate     float64
+	duration int64
+	shards   int
+	zipf     *zipf
+	rng      *rand.Rand
 }
 
-// Arrivals are those of a load at an aggregator, both by number.
-func (p *Plan) Arrivals(aggregator, load int) *Arrivals {
-	// One draw for all loads of an aggregator: where it gets much, it gets much of all.
-	share := math.Exp(p.Uneven*rand.New(rand.NewPCG(p.Seed, 4<<32+uint64(aggregator))).NormFloat64() - p.Uneven*p.Uneven/2)
-	a := &Arrivals{load: &p.Loads[load], span: p.Span, shards: p.Shards(),
-		chance: rand.New(rand.NewPCG(p.Seed, 2<<32+uint64(aggregator)<<8+uint64(load)))}
-	a.rate = a.load.Rate * share
-	if a.load.Skew > 0 {
-		a.zipf = newZipf(a.shards, a.load.Skew)
+// Arrivals returns the generator of a workload at an aggregator, both by index.
+func (p *Plan) Arrivals(aggregator, workload int) *Arrivals {
+	// One draw for all workloads of an aggregator, so that a busy aggregator gets more queries of each kind.
+	factor := math.Exp(p.LoadSigma*rand.New(rand.NewPCG(p.Seed, 4<<32+uint64(aggregator))).NormFloat64() - p.LoadSigma*p.LoadSigma/2)
+	a := &Arrivals{workload: &p.Workloads[workload], duration: p.Duration, shards: p.Shards(),
+		rng: rand.New(rand.NewPCG(p.Seed, 2<<32+uint64(aggregator)<<8+uint64(workload)))}
+	a.rate = a.workload.Rate * factor
+	if a.workload.Skew > 0 {
+		a.zipf = newZipf(a.shards, a.workload.Skew)
 	}
 	return a
 }
 
-// Next is when the next query after a time comes, ns from the run's start; false where none comes any more.
+// Next returns the arrival of the first query after a time, both in ns from the start of the run. It returns false if there is
+// none within the duration of the plan.
 func (a *Arrivals) Next(at int64) (int64, bool) {
 	for {
-		next, comes := a.steady(at)
-		// Of queries that come as at the height of the day so many are left out as it is lower now.
-		if l := a.load; !comes || l.Wave <= 0 || l.Day <= 0 ||
-			a.chance.Float64()*(1+l.Wave) < 1+l.Wave*math.Sin(2*math.Pi*float64(next)/float64(l.Day)) {
-			return next, comes
+		next, ok := a.nextWithoutWave(at)
+		// Arrivals are drawn at the highest rate of the wave, then thinned to the present rate.
+		if l := a.workload; !ok || l.WaveAmplitude <= 0 || l.WavePeriod <= 0 ||
+			a.rng.Float64()*(1+l.WaveAmplitude) < 1+l.WaveAmplitude*math.Sin(2*math.Pi*float64(next)/float64(l.WavePeriod)) {
+			return next, ok
 		}
 		at = next
 	}
 }
 
-// steady is the next by a rate that changes at the edges of bursts alone.
-func (a *Arrivals) steady(at int64) (int64, bool) {
-	l := a.load
-	for at < a.span {
-		rate, until := a.rate*(1+max(l.Wave, 0)), int64(math.MaxInt64)
-		if l.Every > 0 { // a rate that holds until the burst's next edge
-			since := at - l.At
+// nextWithoutWave returns the next arrival at the highest rate of the wave, which changes only at the edges of bursts.
+func (a *Arrivals) nextWithoutWave(at int64) (int64, bool) {
+	w := a.workload
+	for at < a.duration {
+		rate, end := a.rate*(1+max(w.WaveAmplitude, 0)), int64(math.MaxInt64)
+		if w.BurstInterval > 0 { // the rate is constant until the next edge of a burst
+			since := at - w.BurstStart
 			if since < 0 {
-				since = l.Every + since%l.Every // the end of a stretch without a burst
+				since = w.BurstInterval + since%w.BurstInterval // before the first burst: count back from it, in whole intervals
 			}
-			since %= l.Every
-			if until = at - since + l.Every; since < l.For && at >= l.At {
-				rate, until = rate*l.Burst, at-since+l.For
+			since %= w.BurstInterval
+			if end = at - since + w.BurstInterval; since < w.BurstTime && at >= w.BurstStart {
+				rate, end = rate*w.BurstFactor, at-since+w.BurstTime
 			}
 		}
-		if next := at + int64(a.chance.ExpFloat64()*1e9/max(rate, 1e-9)); next < until {
-			return next, next < a.span
+		if next := at + int64(a.rng.ExpFloat64()*1e9/max(rate, 1e-9)); next < end {
+			return next, next < a.duration
 		}
-		at = until // by the law's want of memory the wait begins anew there
+		at = end // exponential waits are memoryless, so the draw can be repeated from the edge
 	}
 	return at, false
 }
 
-// Shards draws which shards the next query needs: all alike, or by Zipf's law, the first ones hot.
-func (a *Arrivals) Shards() []int {
+// DrawShards draws the shards that the next query needs, uniformly or from a Zipf distribution in which the first shards are hot.
+func (a *Arrivals) DrawShards() []int {
 	if a.zipf == nil {
-		return a.chance.Perm(a.shards)[:a.load.Parts]
+		return a.rng.Perm(a.shards)[:a.workload.Parts]
 	}
 	var all []int
-	for seen := map[int]bool{}; len(all) < a.load.Parts; {
-		if s := a.zipf.draw(a.chance); !seen[s] {
+	for seen := map[int]bool{}; len(all) < a.workload.Parts; {
+		if s := a.zipf.draw(a.rng); !seen[s] {
 			seen[s] = true
 			all = append(all, s)
 		}
@@ -80,24 +81,24 @@
 	return all
 }
 
-// zipf draws numbers by Zipf's law.
-type zipf struct{ sums []float64 }
+// zipf draws numbers from a Zipf distribution, by its cumulative weights.
+type zipf struct{ cumulative []float64 }
 
 func newZipf(n int, skew float64) *zipf {
 	z := &zipf{}
 	sum := 0.0
 	for i := range n {
 		sum += math.Pow(float64(i+1), -skew)
-		z.sums = append(z.sums, sum)
+		z.cumulative = append(z.cumulative, sum)
 	}
 	return z
 }
 
-func (z *zipf) draw(chance *rand.Rand) int {
-	x := chance.Float64() * z.sums[len(z.sums)-1]
-	low, high := 0, len(z.sums)-1
+func (z *zipf) draw(rng *rand.Rand) int {
+	x := rng.Float64() * z.cumulative[len(z.cumulative)-1]
+	low, high := 0, len(z.cumulative)-1
 	for low < high {
-		if mid := (low + high) / 2; z.sums[mid] <= x {
+		if mid := (low + high) / 2; z.cumulative[mid] <= x {
 			low = mid + 1
 		} else {
 			high = mid
--- a/lab/emulator/checker/checker.go
+++ b/lab/emulator/checker/checker.go
@@ -1,5 +1,10 @@
-// Package checker watches what one aggregator and one replica do in a simulation and tells when a rule is broken. It keeps
-// books of its own and shares no code with what it watches.
+// Package checker observes aggregators and replicas in a simulation and reports violations of the rules that the decision module
+// must keep. It has its own state and shares no code with what it observes.
+//
+// The rules by number: 0, no healthy replica is starved; 1, each query gets exactly one answer, before the client's timeout, and no
+// part is sent after that; 2, a part runs again only where that is safe; 3, parts go only to replicas that are listed as up; 4, no cold
+// replica is overloaded; 5, an answer covers as much of the query as it claims; 6, executions keep their limit and the retry
+// budget; 7, a link keeps its rate; 8, a customer keeps its quota.
 package checker
 
 import (
@@ -7,213 +12,217 @@
 	"strings"
 )
 
-// What an execution did, as its outcome says; the numbers are the checker's own.
+// Results of an execution, as far as its outcome shows them. The numbers are independent of package balance.
 const (
-	Fulfilled = iota
-	NeverRan
-	MayHaveRan
+	Fulfilled  = iota // it ran and its reply arrived
+	NeverRan          // it certainly had no effect
+	MayHaveRun        // it may have had its effect
 )
 
-// Effects of a workload.
+// Kinds of retry safety of a workload.
 const (
-	Repeatable = iota
-	Tagged
-	OnceOnly
+	Repeatable = iota // may run any number of times
+	Tagged            // replicas recognise repeats within a window
+	OnceOnly          // must not run a second time
 )
 
-// Bounds are what the rules of a deployment state. Times in ns.
+// Bounds are the limits of a deployment that the rules refer to. Times are in ns.
 type Bounds struct {
-	Window     int64   // for which repeats of a tagged part are recognised
-	Floor      float64 // least share of the weight for an answer
-	Need       float64 // share of the weight for a whole one
-	Executions int     // of one part
-	Budgeted   bool
-	Free       float64 // further executions,
-	Share      float64 // and so many for each query or part taken,
-	Span       int64   // within any such span
+	DedupWindow   int64   // time during which repeats of a tagged part are recognised
+	MinCoverage   float64 // minimum share of the weight for an answer with values
+	FullCoverage  float64 // minimum share of the weight for a whole answer
+	MaxExecutions int     // maximum number of executions of one part, the first included
+	Budgeted      bool    // RetrySlack and RetryRatio limit the retries
+	RetrySlack    float64 // number of retries allowed in any RetryWindow
+	RetryRatio    float64 // additional retries allowed for each query and each part received in a RetryWindow
+	RetryWindow   int64
 }
 
-// Broken is a rule that was broken. Text ends with what was seen of the query or the replica, the first first.
-type Broken struct {
-	Rule int
-	At   int64
-	Who  string
-	Text string
+// Violation is a violated rule. Text ends with the history of the query, if there is one, the oldest event first.
+type Violation struct {
+	Rule    int
+	At      int64
+	Subject string
+	Text    string
 }
 
-func (b Broken) String() string {
-	what := fmt.Sprint("rule ", b.Rule)
-	switch b.Rule {
-	case Starved:
-		what = "the mechanism"
-	case Link:
+func (v Violation) String() string {
+	what := fmt.Sprint("rule ", v.Rule)
+	switch v.Rule {
+	case RuleStarvation:
+		what = "the starvation rule"
+	case RuleLinkRate:
 		what = "a link's limit"
-	case Lease:
+	case RuleQuota:
 		what = "a quota's bound"
 	}
-	return fmt.Sprintf("%s at %.6f s, %s: %s", what, float64(b.At)/1e9, b.Who, b.Text)
+	return fmt.Sprintf("%s at %.6f s, %s: %s", what, float64(v.At)/1e9, v.Subject, v.Text)
 }
 
-// Aggregator watches one aggregator.
+// Aggregator checks what one aggregator sends, forwards and answers against the rules.
 type Aggregator struct {
 	Bounds
-	Name      string
-	Mechanism bool // parts go by what is in flight, so nobody may be starved
-	queries   map[int32]*query
-	list      map[int]bool // replicas that may be sent to, as the list says
-	load      map[int]*share
-	peers     map[int][]int   // replicas, by shard
-	taken     []int64         // times of queries and parts within the budget's span
-	further   []int64         // and of further executions
-	crossed   map[int][]int64 // by link, when queries left over it
-	Broken    []Broken
+	Name            string
+	CheckStarvation bool // whether rule 0 applies: only to policies that choose by parts in flight
+	queries         map[int32]*query
+	listed          map[int]bool         // replicas that the list shows as up
+	loads           map[int]*replicaLoad // load of each replica that has been listed since the last crash
+	holders         map[int][]int        // the replicas of each shard
+	arrivals        []int64              // times at which queries and parts arrived, within the retry window
+	retries         []int64              // times of retries, within the retry window
+	forwards        map[int][]int64      // by link: times at which queries were forwarded in the last second
+	Violations      []Violation
 }
 
-// share is what a replica gets of its shard's parts.
-type share struct {
-	shard  int
-	up     int64 // the list has let it be sent to since then, -1 for not
-	failed int64 // an execution there last ended otherwise than fulfilled
-	others int   // parts that its shard's others got since
-	out    int   // parts in flight, by the checker's own count
+// replicaLoad counts the parts that one replica has in flight and those that other replicas of its shard got instead of it.
+type replicaLoad struct {
+	shard         int
+	upSince       int64 // time from which it is listed as up; -1 if it is not
+	lastFailure   int64 // time at which an execution at this replica last ended unfulfilled
+	partsToOthers int   // parts sent to other replicas of the shard since this replica last got one
+	inFlight      int   // parts in flight, as counted by the checker
 }
 
-// Starved is rule 0, of the mechanism itself: parts go by what is in flight, so a replica that has nothing in flight, is up and
-// has not failed lately must get some of its shard's parts.
+// Numbers of the rules that are named in code. RuleStarvation: where replicas are chosen by parts in flight, one that has none, is up
+// and has not failed recently must get some of its shard's parts. If it gets none, the decider's count of its parts in flight is wrong.
 const (
-	Starved = 0
-	Link    = 7 // a link's limit
-	Lease   = 8 // a quota's bound
+	RuleStarvation = 0
+	RuleLinkRate   = 7 // more queries forwarded over a link than its rate allows
+	RuleQuota      = 8 // more queries admitted for a customer than its quota allows
 )
 
 const (
-	starvedAfter = 400  // parts of its shard that went to others,
-	starvedCalm  = 20e9 // ns without a failure there
+	starvationParts  = 400  // parts to other replicas of the shard after which a replica counts as starved
+	starvationCalmNs = 20e9 // time without failures after which a replica must not be starved
 )
 
+// query is what the checker has seen of a query.
 type query struct {
-	until  int64
-	effect int
-	weight []float64
-	runs   [][]run
-	ended  bool
-	away   bool // its answer comes from elsewhere
-	seen   []string
+	deadline          int64
+	retrySafety       int
+	weights           []float64
+	executions        [][]execution
+	answered          bool
+	answeredElsewhere bool     // another site answers it, so this site's executions don't have to cover it
+	history           []string // what happened, for the text of violations
 }
 
-type run struct {
+// execution is what the checker has seen of an execution; result is one of Fulfilled, NeverRan and MayHaveRun.
+type execution struct {
 	replica int
-	sent    int64
-	over    bool
-	ended   int
+	sentAt  int64
+	ended   bool
+	result  int
 }
 
-// NewAggregator makes a watch over one.
+// NewAggregator returns a checker for the aggregator of this name.
 func NewAggregator(name string, b Bounds) *Aggregator {
-	return &Aggregator{Bounds: b, Name: name, queries: map[int32]*query{}, list: map[int]bool{}, load: map[int]*share{}, peers: map[int][]int{}}
+	return &Aggregator{Bounds: b, Name: name, queries: map[int32]*query{}, listed: map[int]bool{}, loads: map[int]*replicaLoad{}, holders: map[int][]int{}}
 }
 
-func (a *Aggregator) breaks(rule int, now int64, q *query, format string, args ...any) {
+// violate adds a violation, with the history of the query if q is not nil.
+func (a *Aggregator) violate(rule int, now int64, q *query, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if q != nil {
-		text += "; seen: " + strings.Join(q.seen, ", ")
+		text += "; history: " + strings.Join(q.history, ", ")
 	}
-	a.Broken = append(a.Broken, Broken{rule, now, a.Name, text})
+	a.Violations = append(a.Violations, Violation{rule, now, a.Name, text})
 }
 
-func (q *query) note(now int64, format string, args ...any) {
-	q.seen = append(q.seen, fmt.Sprintf("%.6f ", float64(now)/1e9)+fmt.Sprintf(format, args...))
+func (q *query) record(now int64, format string, args ...any) {
+	q.history = append(q.history, fmt.Sprintf("%.6f ", float64(now)/1e9)+fmt.Sprintf(format, args...))
 }
 
-// Listed tells whether the list now lets a replica of a shard be sent to.
-func (a *Aggregator) Listed(now int64, replica, shard int, up bool) {
-	a.list[replica] = up
-	r := a.load[replica]
+// RecordListing records whether the list shows a replica of a shard as up.
+func (a *Aggregator) RecordListing(now int64, replica, shard int, up bool) {
+	a.listed[replica] = up
+	r := a.loads[replica]
 	if r == nil {
-		r = &share{shard: shard, failed: now - starvedCalm}
-		a.load[replica] = r
-		a.peers[shard] = append(a.peers[shard], replica)
+		r = &replicaLoad{shard: shard, lastFailure: now - starvationCalmNs}
+		a.loads[replica] = r
+		a.holders[shard] = append(a.holders[shard], replica)
 	}
-	r.others = 0
-	if r.up = now; !up {
-		r.up = -1
+	r.partsToOthers = 0
+	if r.upSince = now; !up {
+		r.upSince = -1
 	}
 }
 
-// starved looks for a replica that gets nothing while its shard's others do.
-func (a *Aggregator) starved(now int64, replica int) {
-	to := a.load[replica]
-	if to == nil || !a.Mechanism {
+// checkStarvation counts a part that was sent to a replica, and checks that no other replica of the shard is starved.
+func (a *Aggregator) checkStarvation(now int64, replica int) {
+	target := a.loads[replica]
+	if target == nil || !a.CheckStarvation {
 		return
 	}
-	to.others = 0
-	for _, number := range a.peers[to.shard] {
-		r := a.load[number]
-		if number == replica || r.up < 0 || r.out > 0 || now-r.failed < starvedCalm {
-			r.others = 0
+	target.partsToOthers = 0
+	for _, number := range a.holders[target.shard] {
+		r := a.loads[number]
+		if number == replica || r.upSince < 0 || r.inFlight > 0 || now-r.lastFailure < starvationCalmNs {
+			r.partsToOthers = 0
 			continue
 		}
-		if r.others++; r.others == starvedAfter {
-			a.breaks(Starved, now, nil, "replica %d is up, has nothing in flight and has not failed for %d s, and the last %d parts of "+
-				"its shard went to others", number, int64(starvedCalm)/1e9, starvedAfter)
+		if r.partsToOthers++; r.partsToOthers == starvationParts {
+			a.violate(RuleStarvation, now, nil, "replica %d is up, has nothing in flight and has not failed for %d s, and the last %d parts of "+
+				"its shard went to others", number, int64(starvationCalmNs)/1e9, starvationParts)
 		}
 	}
 }
 
-// Taken tells of a query.
-func (a *Aggregator) Taken(now int64, number int32, patience int64, effect int, weights []float64) {
-	q := &query{until: now + patience, effect: effect, weight: weights, runs: make([][]run, len(weights))}
-	q.note(now, "taken")
+// RecordQuery records a query that arrives.
+func (a *Aggregator) RecordQuery(now int64, number int32, timeout int64, retrySafety int, weights []float64) {
+	q := &query{deadline: now + timeout, retrySafety: retrySafety, weights: weights, executions: make([][]execution, len(weights))}
+	q.record(now, "taken")
 	a.queries[number] = q
-	for range 1 + len(weights) { // the budget goes by queries and parts
-		a.taken = append(a.taken, now)
+	for range 1 + len(weights) { // the retry budget grows with queries and with parts
+		a.arrivals = append(a.arrivals, now)
 	}
 }
 
-// Sent tells of an execution that leaves.
-func (a *Aggregator) Sent(now int64, number int32, part, replica int) {
+// RecordSend checks an execution that is sent.
+func (a *Aggregator) RecordSend(now int64, number int32, part, replica int) {
 	q := a.queries[number]
 	if q == nil {
-		a.breaks(1, now, nil, "a part of query %d is sent after its end", number)
+		a.violate(1, now, nil, "a part of query %d is sent after its end", number)
 		return
 	}
-	q.note(now, "part %d to replica %d", part, replica)
-	if q.ended || now > q.until {
-		a.breaks(1, now, q, "a send after the final answer or the client's time")
+	q.record(now, "part %d to replica %d", part, replica)
+	if q.answered || now > q.deadline {
+		a.violate(1, now, q, "an execution sent after the final answer or the client's timeout")
 	}
-	if !a.list[replica] {
-		a.breaks(3, now, q, "a send to replica %d, which drains or has gone", replica)
+	if !a.listed[replica] {
+		a.violate(3, now, q, "an execution sent to replica %d, which is draining or not listed", replica)
 	}
-	a.starved(now, replica)
-	if r := a.load[replica]; r != nil {
-		r.out++
+	a.checkStarvation(now, replica)
+	if r := a.loads[replica]; r != nil {
+		r.inFlight++
 	}
-	runs := q.runs[part]
-	for i, r := range runs {
+	executions := q.executions[part]
+	for i, r := range executions {
 		switch {
-		case !r.over:
-			a.breaks(2, now, q, "part %d runs again before the outcome of execution %d", part, i)
-		case r.ended == MayHaveRan && q.effect == OnceOnly:
-			a.breaks(2, now, q, "once-only part %d runs again, and execution %d may have run", part, i)
-		case r.ended == MayHaveRan && q.effect == Tagged && now-r.sent > a.Window:
-			a.breaks(2, now, q, "tagged part %d runs again %d ms after execution %d", part, (now-r.sent)/1e6, i)
-		case r.ended == Fulfilled:
-			a.breaks(2, now, q, "part %d runs again after it was fulfilled", part)
+		case !r.ended:
+			a.violate(2, now, q, "part %d runs again before the outcome of execution %d", part, i)
+		case r.result == MayHaveRun && q.retrySafety == OnceOnly:
+			a.violate(2, now, q, "once-only part %d runs again, and execution %d may have run", part, i)
+		case r.result == MayHaveRun && q.retrySafety == Tagged && now-r.sentAt > a.DedupWindow:
+			a.violate(2, now, q, "tagged part %d runs again %d ms after execution %d", part, (now-r.sentAt)/1e6, i)
+		case r.result == Fulfilled:
+			a.violate(2, now, q, "part %d runs again after it was fulfilled", part)
 		}
 	}
-	if len(runs) >= a.Executions {
-		a.breaks(6, now, q, "execution %d of part %d", len(runs)+1, part)
+	if len(executions) >= a.MaxExecutions {
+		a.violate(6, now, q, "execution %d of part %d", len(executions)+1, part)
 	}
-	if len(runs) > 0 && a.Budgeted {
-		a.taken, a.further = within(a.taken, now-a.Span), within(a.further, now-a.Span)
-		if a.further = append(a.further, now); float64(len(a.further)) > a.Free+a.Share*float64(len(a.taken)) {
-			a.breaks(6, now, q, "%d further executions for %d queries and parts", len(a.further), len(a.taken))
+	if len(executions) > 0 && a.Budgeted {
+		a.arrivals, a.retries = dropBefore(a.arrivals, now-a.RetryWindow), dropBefore(a.retries, now-a.RetryWindow)
+		if a.retries = append(a.retries, now); float64(len(a.retries)) > a.RetrySlack+a.RetryRatio*float64(len(a.arrivals)) {
+			a.violate(6, now, q, "%d retries for %d queries and parts", len(a.retries), len(a.arrivals))
 		}
 	}
-	q.runs[part] = append(runs, run{sent: now, replica: replica})
+	q.executions[part] = append(executions, execution{sentAt: now, replica: replica})
 }
 
-func within(times []int64, since int64) []int64 {
+// dropBefore removes the times before since from a sorted list.
+func dropBefore(times []int64, since int64) []int64 {
 	n := 0
 	for n < len(times) && times[n] < since {
 		n++
@@ -221,142 +230,142 @@
 	return times[n:]
 }
 
-// Outcome tells how an execution ended in truth.
-func (a *Aggregator) Outcome(now int64, number int32, part, execution, ended int) {
+// RecordOutcome records the result of an execution, independently of how the decider interprets it.
+func (a *Aggregator) RecordOutcome(now int64, number int32, part, execution, outcome int) {
 	q := a.queries[number]
-	if q == nil || execution >= len(q.runs[part]) {
+	if q == nil || execution >= len(q.executions[part]) {
 		return
 	}
-	r := &q.runs[part][execution]
-	if at := a.load[r.replica]; at != nil && !r.over {
-		if at.out--; ended != Fulfilled {
-			at.failed = now
+	r := &q.executions[part][execution]
+	if load := a.loads[r.replica]; load != nil && !r.ended {
+		if load.inFlight--; outcome != Fulfilled {
+			load.lastFailure = now
 		}
 	}
-	r.over, r.ended = true, ended
-	q.note(now, "execution %d of part %d %s", execution, part, [...]string{"fulfilled", "never ran", "may have run"}[ended])
+	r.ended, r.result = true, outcome
+	q.record(now, "execution %d of part %d %s", execution, part, [...]string{"fulfilled", "never ran", "may have run"}[outcome])
 }
 
-// Answered tells of a final answer: with values, all that is needed or less, or none.
-func (a *Aggregator) Answered(now int64, number int32, values, whole bool) {
+// RecordAnswer checks a final answer: whether it comes with values, and whether it claims to be whole.
+func (a *Aggregator) RecordAnswer(now int64, number int32, hasValues, whole bool) {
 	q := a.queries[number]
 	if q == nil {
-		a.breaks(1, now, nil, "query %d has a second answer", number)
+		a.violate(1, now, nil, "query %d has a second answer", number)
 		return
 	}
-	q.note(now, "answered, values %v, whole %v", values, whole)
-	if q.ended {
-		a.breaks(1, now, q, "a second final answer")
+	q.record(now, "answered, values %v, whole %v", hasValues, whole)
+	if q.answered {
+		a.violate(1, now, q, "a second final answer")
 	}
-	if now > q.until {
-		a.breaks(1, now, q, "an answer after the client's time")
+	if now > q.deadline {
+		a.violate(1, now, q, "an answer after the client's timeout")
 	}
-	q.ended = true
+	q.answered = true
 	share, total := 0.0, 0.0
-	for part, runs := range q.runs {
-		total += q.weight[part]
-		for _, r := range runs {
-			if r.over && r.ended == Fulfilled {
-				share += q.weight[part]
+	for part, executions := range q.executions {
+		total += q.weights[part]
+		for _, r := range executions {
+			if r.ended && r.result == Fulfilled {
+				share += q.weights[part]
 				break
 			}
 		}
 	}
 	share /= total
-	const grain = 1e-9
-	if q.away {
+	const epsilon = 1e-9
+	if q.answeredElsewhere {
 		return
 	}
-	if values && share < a.Floor-grain || whole && share < a.Need-grain {
-		a.breaks(5, now, q, "an answer with values %v, whole %v from %.3f of the weight", values, whole, share)
+	if hasValues && share < a.MinCoverage-epsilon || whole && share < a.FullCoverage-epsilon {
+		a.violate(5, now, q, "an answer with values %v, whole %v from %.3f of the weight", hasValues, whole, share)
 	}
 }
 
-// Crossed tells of a query that leaves over a link which bears so many a second: in no second may more, and half a second's
-// worth beside.
-func (a *Aggregator) Crossed(now int64, link int, limit float64) {
-	if a.crossed == nil {
-		a.crossed = map[int][]int64{}
+// RecordForward checks a query that is forwarded over a link with a limit of queries per second. In any second, one and a half times
+// the limit is allowed, plus one query.
+func (a *Aggregator) RecordForward(now int64, link int, limit float64) {
+	if a.forwards == nil {
+		a.forwards = map[int][]int64{}
 	}
-	all := append(within(a.crossed[link], now-1e9), now)
-	if a.crossed[link] = all; float64(len(all)) > 1.5*limit+1 {
-		a.breaks(Link, now, nil, "%d queries in a second over link %d, which bears %.1f", len(all), link, limit)
+	all := append(dropBefore(a.forwards[link], now-1e9), now)
+	if a.forwards[link] = all; float64(len(all)) > 1.5*limit+1 {
+		a.violate(RuleLinkRate, now, nil, "%d queries in a second over link %d, whose limit is %.1f", len(all), link, limit)
 	}
 }
 
-// Spent checks when all aggregators together let queries of a customer in as within its quota: in any stretch of S seconds no more
-// than three times the rate for S and two windows, what may be saved up, and one for each aggregator. Times are sorted.
-func Spent(times []int64, customer string, rate, burst, window float64, aggregators int) []Broken {
+// CheckQuota checks the sorted times at which all aggregators together admitted queries of a customer as within its quota. In any
+// interval of S seconds, the bound is three times the rate over S plus two windows, plus the burst and one query per aggregator. S is
+// one, three and ten windows; window is in seconds.
+func CheckQuota(times []int64, customer string, rate, burst, window float64, aggregators int) []Violation {
 	for _, windows := range []float64{1, 3, 10} {
 		span := windows * window
-		most := 3*rate*(span+2*window) + burst + float64(aggregators)
+		bound := 3*rate*(span+2*window) + burst + float64(aggregators)
 		first := 0
 		for i, at := range times {
 			for float64(at-times[first])/1e9 > span {
 				first++
 			}
-			if n := i - first + 1; float64(n) > most {
-				return []Broken{{Lease, at, "customer " + customer, fmt.Sprintf("%d queries within its quota in %.0f s, at most %.0f", n, span, most)}}
+			if n := i - first + 1; float64(n) > bound {
+				return []Violation{{RuleQuota, at, "customer " + customer, fmt.Sprintf("%d queries admitted within its quota in %.0f s, at most %.0f are allowed", n, span, bound)}}
 			}
 		}
 	}
 	return nil
 }
 
-// Elsewhere tells that a query's answer comes from another site, which has a watch of its own.
-func (a *Aggregator) Elsewhere(number int32) {
+// RecordElsewhere records that a query is answered by another site, whose aggregator has its own checker.
+func (a *Aggregator) RecordElsewhere(number int32) {
 	if q := a.queries[number]; q != nil {
-		q.away = true
+		q.answeredElsewhere = true
 	}
 }
 
-// Gone tells that a client's time is over; a query without its answer by then is lost. What was kept of it is forgotten later,
-// by Forget.
-func (a *Aggregator) Gone(now int64, number int32) {
-	if q := a.queries[number]; q != nil && !q.ended {
-		a.breaks(1, now, q, "no answer in the client's time")
+// ClientTimeout reports a query as lost if it has no answer when its client stops waiting. Forget drops its state later.
+func (a *Aggregator) ClientTimeout(now int64, number int32) {
+	if q := a.queries[number]; q != nil && !q.answered {
+		a.violate(1, now, q, "no answer before the client's timeout")
 	}
 }
 
-// Forget drops a query of which nothing more can come.
+// Forget drops the state of a query, for which no more events can follow.
 func (a *Aggregator) Forget(number int32) { delete(a.queries, number) }
 
-// Crashed tells that the aggregator died with all it held: its queries are nobody's fault. What it was told of the list it is
-// told again.
-func (a *Aggregator) Crashed() {
-	a.queries, a.load, a.peers, a.list, a.further = map[int32]*query{}, map[int]*share{}, map[int][]int{}, map[int]bool{}, nil
+// RecordCrash forgets all queries, whose loss by a crash is no violation, and all listings, which the aggregator gets again when it
+// restarts.
+func (a *Aggregator) RecordCrash() {
+	a.queries, a.loads, a.holders, a.listed, a.retries = map[int32]*query{}, map[int]*replicaLoad{}, map[int][]int{}, map[int]bool{}, nil
 }
 
-// Replica watches what comes to one replica.
+// Replica checks the load on one replica while it is cold.
 type Replica struct {
-	Name   string
-	Broken []Broken
-	Cold   float64 // share of its capacity that a fresh one has
-	Ramp   int64
-	Times  float64 // its present capacity, that push a cold one over
-	Span   int64   // when kept up for so long
-	Full   float64 // executions a second that it can do when warm
-
-	began int64
-	came  []int64
+	Name           string
+	Violations     []Violation
+	ColdCapacity   float64 // share of its full capacity that the replica has right after the start
+	WarmUpTime     int64   // time until full capacity, ns; the capacity grows linearly
+	OverloadFactor float64 // multiple of its present capacity that crashes a cold replica
+	OverloadSpan   int64   // interval in which the load is counted, ns
+	WarmRate       float64 // executions per second when warm
+
+	startedAt int64   // time of the last start; 0 if the replica was warm before the run
+	arrivals  []int64 // times at which executions arrived within the last OverloadSpan
 }
 
-// Started tells that it is fresh.
-func (r *Replica) Started(now int64) { r.began, r.came = now, r.came[:0] }
+// RecordStart records that the replica has started and is cold.
+func (r *Replica) RecordStart(now int64) { r.startedAt, r.arrivals = now, r.arrivals[:0] }
 
-// Came tells of an execution that arrives, and whether the replica falls over by it: more than so many times its present
-// capacity, within the span, while it is cold.
-func (r *Replica) Came(now int64) (falls bool) {
-	age := now - r.began
-	if r.began == 0 || age >= r.Ramp {
+// RecordArrival records an execution that arrives. It returns true if the replica crashes by it, because it is cold and more than
+// OverloadFactor times its present capacity has arrived within OverloadSpan.
+func (r *Replica) RecordArrival(now int64) (crashes bool) {
+	age := now - r.startedAt
+	if r.startedAt == 0 || age >= r.WarmUpTime {
 		return false
 	}
-	r.came = append(within(r.came, now-r.Span), now)
-	capacity := r.Full * (r.Cold + (1-r.Cold)*float64(age)/float64(r.Ramp))
-	if float64(len(r.came)) <= max(r.Times*capacity*float64(r.Span)/1e9, 1) || age < r.Span {
+	r.arrivals = append(dropBefore(r.arrivals, now-r.OverloadSpan), now)
+	capacity := r.WarmRate * (r.ColdCapacity + (1-r.ColdCapacity)*float64(age)/float64(r.WarmUpTime))
+	if float64(len(r.arrivals)) <= max(r.OverloadFactor*capacity*float64(r.OverloadSpan)/1e9, 1) || age < r.OverloadSpan {
 		return false
 	}
-	r.Broken = append(r.Broken, Broken{4, now, r.Name,
-		fmt.Sprintf("%d executions in %d ms, with room for %.1f a second: pushed over", len(r.came), r.Span/1e6, capacity)})
+	r.Violations = append(r.Violations, Violation{4, now, r.Name,
+		fmt.Sprintf("overloaded during warm-up: %d executions in %d ms, with a capacity of %.1f per second", len(r.arrivals), r.OverloadSpan/1e6, capacity)})
 	return true
 }
--- a/lab/emulator/agenda/agenda_test.go
+++ b/lab/emulator/eventqueue/eventqueue_test.go
@@ -1,4 +1,4 @@
-package agenda
+package eventqueue
 
 import (
 	"container/heap"
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is put in whenever, near or far or in the past, events come out in their order.
+// Events pushed in any order, for the near or far future or the past, are popped in order.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, seq := New(0), uint64(0)
@@ -28,44 +28,44 @@
 			before := now + rapid.Int64Range(0, 2e9).Draw(t, "before")
 			got, ok := a.Pop(before)
 			if want := len(model) > 0 && model[0].At < before; ok != want || ok && got != model[0] {
-				t.Fatalf("got %v %v of %v", got, ok, model)
+				t.Fatalf("popped %v %v, queued are %v", got, ok, model)
 			}
 			if ok {
 				now = got.At
 				model = model[1:]
 			}
 			if a.Len() != len(model) {
-				t.Fatalf("%d wait, want %d", a.Len(), len(model))
+				t.Fatalf("length %d, want %d", a.Len(), len(model))
 			}
 		}
 	})
 }
 
-// Each turn takes the next event out and puts one in for later, as a simulation does.
+// Each iteration pops the next event and pushes a later one, as a simulation does.
 func BenchmarkTurn(b *testing.B) {
-	const waiting = 100_000
-	later := func(chance *rand.Rand) int64 { return int64(chance.ExpFloat64() * 40e6) }
+	const queued = 100_000
+	delay := func(rng *rand.Rand) int64 { return int64(rng.ExpFloat64() * 40e6) }
 	b.Run("calendar", func(b *testing.B) {
-		chance, a := rand.New(rand.NewPCG(1, 2)), New(0)
-		for i := range waiting {
-			a.Push(Event{At: later(chance), Seq: uint64(i)})
+		rng, a := rand.New(rand.NewPCG(1, 2)), New(0)
+		for i := range queued {
+			a.Push(Event{At: delay(rng), Seq: uint64(i)})
 		}
 		for i := 0; b.Loop(); i++ {
 			e, _ := a.Pop(never)
-			e.At += later(chance)
-			e.Seq = uint64(waiting + i)
+			e.At += delay(rng)
+			e.Seq = uint64(queued + i)
 			a.Push(e)
 		}
 	})
 	b.Run("heap", func(b *testing.B) {
-		chance, q := rand.New(rand.NewPCG(1, 2)), byTime{}
-		for i := range waiting {
-			heap.Push(&q, Event{At: later(chance), Seq: uint64(i)})
+		rng, q := rand.New(rand.NewPCG(1, 2)), byTime{}
+		for i := range queued {
+			heap.Push(&q, Event{At: delay(rng), Seq: uint64(i)})
 		}
 		for i := 0; b.Loop(); i++ {
 			e := heap.Pop(&q).(Event)
-			e.At += later(chance)
-			e.Seq = uint64(waiting + i)
+			e.At += delay(rng)
+			e.Seq = uint64(queued + i)
 			heap.Push(&q, e)
 		}
 	})
--- a/lab/emulator/plan.go
+++ b/lab/emulator/plan.go
@@ -1,6 +1,7 @@
-// Package emulator plays whole fleets in virtual time: many aggregators, each with the true decision module unchanged, against
-// models of clients, replicas, a network and a list. One seed gives one run, always the same, on any number of cores. It
-// measures; it is no part of what serves. What its models leave out stands in docs/emulator.md.
+// Package emulator simulates whole fleets in virtual time: many aggregators, each running the production decision module
+// (package balance), against models of clients, replicas, the network and the replica list of service discovery. A run is
+// deterministic: the same seed gives the same result on any number of cores. The package is for measurements and is not part
+// of the serving programs. docs/emulator.md lists what the models leave out.
 package emulator
 
 import (
@@ -11,141 +12,141 @@
 	"willowsill/balance"
 )
 
-// Plan is one run. Times in ns, from the run's start.
+// Plan describes one run. Times are in ns, counted from the start of the run.
 type Plan struct {
-	Policy      string // "module", or one of rivals.Names
-	Seed        uint64
-	Span        int64 // clients ask for so long
-	From, Until int64 // what is asked in this stretch counts
+	Policy                    string // "module", or one of baselines.Policies
+	Seed                      uint64
+	Duration                  int64 // time during which clients send queries
+	MeasureFrom, MeasureUntil int64 // only queries asked in this interval are counted
 
 	Aggregators, Replicas int
-	Holders               int     // replicas of each shard
-	Workers               int     // parts that a replica works on at a time
-	Work                  int64   // that a part takes, the median
-	Spread                float64 // of that, the standard deviation of its logarithm
-	Tail                  float64 // share of parts with a heavy tail: a Pareto law
-	Unlike                float64 // of replicas' speed, the standard deviation of its logarithm
-	Room                  int     // parts that may wait at a replica; more are turned away
-	Crowd                 float64 // of its speed that a replica loses for each part a worker that it holds
-	CrowdAt               float64 // beyond so many a worker
-	StopEvery             int64   // between two pauses that a replica makes by itself, in the mean; 0 for none
-	StopFor               int64   // and how long one is, from half to one and a half times this
-	Expires               bool    // what waits at a replica is dropped there once its time is up
-	Way                   int64   // to a replica, and back: at least, with a quarter more in the mean
-	ListDelay             int64   // until the list tells of a change, up to twice
-	Tick                  int64
-
-	Executions   int
-	Cancels      bool
-	GoesOn       bool // what is given up is worked on to its end all the same,
-	KeepsPlace   bool // and so is what was given up while it still waited
-	ColdShare    float64
-	ColdRamp     int64
-	FallMultiple float64
-	FallSpan     int64
-	Budgeted     bool
-	Free, Share  float64
-	BudgetSpan   int64
-	Uneven       float64 // of the aggregators' shares of the load, as a standard deviation of the logarithm
-
-	Own    Own    // of each aggregator's own processor
-	Zones  int    // that replicas are dealt over in blocks, and aggregators by turns; 0 or 1 for one
-	Watch  bool   // aggregators know zones out of reach by few failures
-	Sites  int    // that the fleet is dealt over, replicas in blocks, aggregators by turns; 0 or 1 for one
-	Link   Link   // between any two of them
-	Route  string // by what queries are carried: none, or one of routes.Policies
-	Store  string // how the shared store behaves, of Stores; empty for none
-	Loads  []Load
-	Faults []Fault
-	Trace  func(at int64, who, what string) // told of each decision and outcome, in its order on one core; nil for nobody
-	Break  string                           // a way that the module is broken on purpose; see Breaks
+	ReplicasPerShard      int     // replicas that hold each shard
+	Workers               int     // parts that a replica processes concurrently
+	ServiceTime           int64   // median time to process a part
+	ServiceTimeSigma      float64 // standard deviation of the logarithm of the service time
+	HeavyTailShare        float64 // share of parts whose service time is multiplied by a Pareto draw
+	SpeedSigma            float64 // standard deviation of the logarithm of the replicas' speed
+	QueueLimit            int     // parts that may queue at a replica, which rejects more; 0 for no limit
+	CrowdingSlowdown      float64 // relative increase of service times for each part per worker, queued or running, above CrowdingThreshold
+	CrowdingThreshold     float64 // parts per worker up to which service times don't increase
+	PauseInterval         int64   // mean time between spontaneous pauses of a replica; 0 for none
+	PauseTime             int64   // mean length of a spontaneous pause; each lasts between 0.5 and 1.5 times the mean
+	DropExpired           bool    // a replica drops queued parts whose deadline has passed
+	NetworkDelay          int64   // minimum delay of a message in one direction; exponential jitter adds a quarter on average
+	ListDelay             int64   // minimum time until a change is listed; the maximum is twice as long
+	Tick                  int64   // minimum time between two decision rounds of an aggregator
+
+	MaxExecutions          int     // maximum number of executions of one part, the first included
+	CanCancel              bool    // executions can be cancelled
+	FinishCancelled        bool    // a replica finishes cancelled executions that are already running
+	KeepCancelledQueued    bool    // a replica also executes parts that were cancelled while queued
+	ColdCapacity           float64 // share of its capacity that a replica has right after its start
+	WarmUpTime             int64   // time from a start to full capacity; the capacity grows linearly
+	OverloadFactor         float64 // multiple of its present capacity at which a cold replica crashes
+	OverloadSpan           int64   // interval in which the load for OverloadFactor is counted
+	Budgeted               bool    // retries are limited to RetrySlack + RetryRatio per query and part
+	RetrySlack, RetryRatio float64
+	RetryWindow            int64   // interval that the retry budget covers
+	LoadSigma              float64 // standard deviation of the logarithm of an aggregator's load
+
+	CPU               CPUModel // cost of the work that an aggregator does itself
+	Zones             int      // number of zones; replicas are assigned in blocks, aggregators round-robin; 0 counts as 1
+	ZoneHealthEnabled bool     // aggregators detect unreachable zones with package zonehealth
+	Sites             int      // number of sites, assigned like zones; 0 counts as 1
+	Link              Link     // network between any two sites
+	RoutingPolicy     string   // how queries are forwarded to other sites: "none", or one of siterouting.PolicyNames
+	StoreMode         string   // behaviour of the shared store, one of StoreModes; empty for no store
+	Workloads         []Workload
+	Faults            []Fault
+	Trace             func(at int64, who, what string) // called for each decision and outcome, in order if the run uses one core; nil for no trace
+	Defect            string                           // one of Defects to introduce deliberately; empty for none
 }
 
-// Load is one kind of query.
-type Load struct {
-	Name     string
-	Rate     float64 // queries a second at each aggregator, in the mean
-	Parts    int     // each of another shard
-	Goal     int64
-	Patience int64
-	Effect   balance.Effect
-	Window   int64 // tagged: how long repeats are recognised
-	Floor    float64
-	Revenue  float64
-	Skew     float64 // of shards: the exponent of Zipf's law; 0 for all alike
-	Burst    float64 // times the rate,
-	At       int64   // from then on,
-	Every    int64   // at the start of each such stretch, 0 for none,
-	For      int64   // for so long
-	Wave     float64 // of the rate, that it swings up and down by, as by day and night,
-	Day      int64   // once in so long
-	Quota    float64 // queries a second that its customer may ask over all aggregators, kept by the shared store; 0 for none
-	Insist   float64 // share of queries without an answer, or declined without advice, that their clients ask again soon
-	Retry    float64 // share of declined queries that their clients ask again, when they are told to come back
+// Workload is one kind of query and the rate at which clients send it.
+type Workload struct {
+	Name                string
+	Rate                float64 // mean queries per second at each aggregator
+	Parts               int     // parts per query, each of a different shard
+	LatencyGoal         int64   // a complete answer within it earns Revenue
+	Timeout             int64   // time after which the client stops waiting
+	RetrySafety         balance.RetrySafety
+	DedupWindow         int64   // for tagged parts: time during which replicas recognise a repeated execution
+	MinCoverage         float64 // minimum share of the weight for a partial answer
+	Revenue             float64
+	Skew                float64 // exponent of the Zipf distribution of shards; 0 for a uniform one
+	BurstFactor         float64 // factor on the rate during a burst
+	BurstStart          int64   // start of the first burst
+	BurstInterval       int64   // time from the start of a burst to the next; 0 for no bursts
+	BurstTime           int64   // length of a burst
+	WaveAmplitude       float64 // relative amplitude of a sine wave on the rate (day and night); 0 for none
+	WavePeriod          int64   // period of the sine wave
+	Quota               float64 // queries per second of the customer over all aggregators, enforced through the shared store; 0 for none
+	ImmediateRetryShare float64 // share of queries that got no answer, or were declined without a retry time, which clients soon repeat
+	AdvisedRetryShare   float64 // share of declined queries with a retry time, which clients repeat at that time
 }
 
-// Fault is what befalls some replicas for a while.
+// Fault is a failure of some replicas, aggregators, zones or sites for a limited time.
 type Fault struct {
-	Kind        string // see Kinds
+	Kind        string // one of FaultKinds or AggregatorFaultKinds
 	Replicas    []int
-	Aggregators []int // for faults of theirs
-	Sites       []int // cut: which
-	Zones       []int // rift: which
-	Load        int   // unanswered: the load, by number
+	Aggregators []int // affected aggregators, for AggregatorFaultKinds
+	Sites       []int // for cut: the sites that are cut off
+	Zones       []int // for rift: the zones that are cut off
+	Workload    int   // for unanswered: index of the workload
 	From, Until int64
-	Times       float64 // slow: how much
-	Every       int64   // flapping and pauses: the period
-	For         int64   // and how long of it it lasts
+	Slowdown    float64 // for slow: factor on the service time
+	Period      int64   // for flap, pause and freeze: length of a period
+	ActiveTime  int64   // for flap, pause and freeze: bad time at the start of each period
 }
 
-// Kinds are the faults there are.
-var Kinds = []string{
-	"hang",       // takes parts and says nothing
-	"slow",       // works so many times longer
-	"errors",     // answers with an error at once
-	"restart",    // dies at the start of the fault and is back, cold, at its end
-	"pause",      // works on nothing for a stretch of each period, then goes on
-	"flap",       // hangs for a stretch of each period
-	"unanswered", // parts of one load are taken and nothing is said, all others are well
-	"silence",    // what it answers is lost on the way
-	"rift",       // parts and answers between a zone and the others are lost, and nobody is told
-	"cut",        // the links of a site carry nothing, and nobody is told
-	"list",       // the list tells nobody of any change until the end; it befalls all
-	"drain",      // is told to drain at the start, and is up again at the end
+// FaultKinds are the faults of replicas, zones, sites and the replica list.
+var FaultKinds = []string{
+	"hang",       // accepts parts and never answers
+	"slow",       // multiplies the service time by Slowdown
+	"errors",     // answers every part with an error after 1 ms
+	"restart",    // crashes at the start of the fault and starts again, cold, at its end
+	"pause",      // stops all work for ActiveTime in each period, then continues
+	"flap",       // hangs for ActiveTime in each period
+	"unanswered", // never answers parts of one workload; serves all others
+	"silence",    // its replies are lost on the network
+	"rift",       // drops all messages between a zone and the others without an error
+	"cut",        // drops all messages between a site and the others without an error
+	"list",       // delays all updates of the replica list until the end of the fault
+	"drain",      // drains from the start of the fault and is up again at its end
 }
 
-// OwnKinds are the faults that befall aggregators.
-var OwnKinds = []string{
-	"crash",  // dies with all it holds at the start, and is back, knowing nothing but the list, at the end
-	"freeze", // does nothing for a stretch of each period; what comes meanwhile waits
+// AggregatorFaultKinds are the faults of aggregators.
+var AggregatorFaultKinds = []string{
+	"crash",  // crashes at the start and restarts at the end with no state but the replica list
+	"freeze", // stops for ActiveTime in each period; events meanwhile are delayed until it continues
 }
 
-// Breaks are ways to break the module on purpose, each of which the checker must tell.
-var Breaks = []string{"count not lowered on reset", "drain ignored", "cold guard off", "budget off", "second answer",
+// Defects are deliberate faults of the decision module. Tests use them to show that the checker detects each.
+var Defects = []string{"count not lowered on reset", "drain ignored", "cold guard off", "budget off", "second answer",
 	"runs before the outcome", "whole from a part"}
 
-// Check tells what a plan cannot be.
-func (p *Plan) Check() error {
+// Validate returns an error for a plan that cannot be run.
+func (p *Plan) Validate() error {
 	switch {
-	case p.Aggregators < 1 || p.Replicas < 1 || p.Holders < 1 || p.Replicas%p.Holders != 0:
-		return fmt.Errorf("%d aggregators, %d replicas in groups of %d: there must be some of each, and whole groups", p.Aggregators,
-			p.Replicas, p.Holders)
-	case p.Replicas%(p.Holders*p.sites()) != 0 || p.Aggregators < p.sites():
-		return fmt.Errorf("%d aggregators and %d replicas in groups of %d cannot be dealt over %d sites", p.Aggregators, p.Replicas, p.Holders, p.Sites)
-	case p.sites() > 1 && p.Route != "none" && p.Route != "" && (p.Link.Way < p.Way || p.Link.Queries <= 0 || p.Link.Bytes <= 0):
-		return errors.New("a link is no faster than a way within a site, and carries something")
-	case len(p.Loads) == 0:
-		return errors.New("nobody asks")
-	case p.Way < 1000:
-		return errors.New("a way of less than a microsecond")
-	case p.StopEvery > 0 && p.StopEvery < 3*p.StopFor:
-		return errors.New("replicas would stand still most of the time")
-	case p.Until > p.Span || p.From >= p.Until:
-		return errors.New("the stretch that counts is not within the span")
+	case p.Aggregators < 1 || p.Replicas < 1 || p.ReplicasPerShard < 1 || p.Replicas%p.ReplicasPerShard != 0:
+		return fmt.Errorf("%d aggregators, %d replicas, %d replicas per shard: all must be positive, and replicas must form whole groups", p.Aggregators,
+			p.Replicas, p.ReplicasPerShard)
+	case p.Replicas%(p.ReplicasPerShard*p.siteCount()) != 0 || p.Aggregators < p.siteCount():
+		return fmt.Errorf("%d aggregators and %d replicas, %d per shard, cannot be divided over %d sites", p.Aggregators, p.Replicas, p.ReplicasPerShard, p.Sites)
+	case p.siteCount() > 1 && p.RoutingPolicy != "none" && p.RoutingPolicy != "" && (p.Link.Delay < p.NetworkDelay || p.Link.QueryRate <= 0 || p.Link.ByteRate <= 0):
+		return errors.New("the link between sites needs a delay of at least the network delay within a site, and positive query and byte rates")
+	case len(p.Workloads) == 0:
+		return errors.New("no queries are defined")
+	case p.NetworkDelay < 1000:
+		return errors.New("the network delay is less than a microsecond")
+	case p.PauseInterval > 0 && p.PauseInterval < 3*p.PauseTime:
+		return errors.New("the interval between pauses is less than three times their length")
+	case p.MeasureUntil > p.Duration || p.MeasureFrom >= p.MeasureUntil:
+		return errors.New("the counted interval is not within the span")
 	}
-	for _, l := range p.Loads {
+	for _, l := range p.Workloads {
 		if l.Parts < 1 || l.Parts > p.Shards() {
-			return fmt.Errorf("load %q has %d parts, and there are %d shards", l.Name, l.Parts, p.Shards())
+			return fmt.Errorf("query kind %q has %d parts, and there are %d shards", l.Name, l.Parts, p.Shards())
 		}
 	}
 	for _, f := range p.Faults {
@@ -165,27 +166,27 @@
 			}
 		}
 		for _, site := range f.Sites {
-			if site < 0 || site >= p.sites() {
+			if site < 0 || site >= p.siteCount() {
 				return fmt.Errorf("fault %q: there is no site %d", f.Kind, site)
 			}
 		}
-		if own := slices.Contains(OwnKinds, f.Kind); own && len(f.Replicas) > 0 || !own && len(f.Aggregators) > 0 {
-			return fmt.Errorf("fault %q is none of those that it is to befall", f.Kind)
+		if own := slices.Contains(AggregatorFaultKinds, f.Kind); own && len(f.Replicas) > 0 || !own && len(f.Aggregators) > 0 {
+			return fmt.Errorf("fault %q does not apply to these targets: crash and freeze take aggregators, all others take replicas, zones or sites", f.Kind)
 		}
 	}
 	return nil
 }
 
-// Shards is how many there are.
-func (p *Plan) Shards() int { return p.perSite() / p.Holders }
+// Shards returns the number of shards. Every site holds all of them.
+func (p *Plan) Shards() int { return p.replicasPerSite() / p.ReplicasPerShard }
 
-func (p *Plan) shardOf(replica int) int { return replica % p.perSite() % p.Shards() }
+func (p *Plan) shardOf(replica int) int { return replica % p.replicasPerSite() % p.Shards() }
 
-const origin = int64(1000e9) // virtual time starts here, so that replicas can have started before
+const origin = int64(1000e9) // virtual time at the start of a run, above 0 so that replicas can have started before it
 
-func (p *Plan) longest() (patience int64) {
-	for _, l := range p.Loads {
-		patience = max(patience, l.Patience)
+func (p *Plan) maxTimeout() (timeout int64) {
+	for _, l := range p.Workloads {
+		timeout = max(timeout, l.Timeout)
 	}
-	return patience
+	return timeout
 }
--- a/lab/emulator/replica.go
+++ b/lab/emulator/replica.go
@@ -6,346 +6,354 @@
 	"slices"
 
 	"willowsill/balance"
-	"willowsill/lab/emulator/agenda"
 	"willowsill/lab/emulator/checker"
+	"willowsill/lab/emulator/eventqueue"
 )
 
-// What happens.
+// Kinds of events. The comments name the fields of eventqueue.Event with a special meaning.
 const (
-	arrives uint8 = iota // a part at a replica; Result is its load, Value until when it is waited for
-	dropped              // it is given up by its aggregator
-	worked               // a worker has done one
-	begins               // a fault; Value is its number
-	ends
-	beginsAgain // the next period of one
-	resumes     // a pause is over
-	replies     // an outcome at an aggregator
-	cuts        // an execution's time is up
-	decides     // a round is due
-	asks        // a client's query; Value is its load
-	again       // a client asks again; Value is its load
-	gone        // a client's time is up
-	isFree      // an aggregator's own processor comes to what waits next
-	isServed    // a query that waited for it
-	reads       // strain is told how it stands
-	forgets     // nothing more can come of a query
-	shares      // a round with the store is due; Value is the round before
-	storeHears  // a round comes to the store
-	storeTells  // and back
-	storeLate   // it did not come back in time
-	pings       // the gateway's: pings are due,
-	pinged      // one comes,
-	pingBack    // and is back; Value is the link
-	looks       // gateway wants to be asked
-	hops        // a round of the hop is due
-	comes       // a query comes from another site
-	goesBack    // and its answer goes back
-	tripLate    // a trip's time is up
-	listed      // the list tells of a replica; Query is its number, Result its standing, Value its start
-	stands      // a replica makes a pause by itself
+	eventPartArrives      uint8 = iota // at a replica: a part arrives; Result is the workload, Value the deadline
+	eventPartCancelled                 // at a replica: the aggregator has cancelled an execution
+	eventWorkDone                      // at a replica: a worker finishes; Value is job.service
+	eventFaultBegins                   // a fault or the next period of a fault "pause" begins; Value is the fault's index, here and at its end
+	eventFaultEnds                     // a fault ends; Value -1 restarts a replica after a crash by overload
+	eventFaultRepeats                  // the next period of a fault begins; at the store: the mode "stale" swaps its data
+	eventPauseEnds                     // at a replica: a pause is over
+	eventReplyArrives                  // at an aggregator: the reply of a replica
+	eventExecutionTimeout              // at an aggregator: the deadline of an execution has passed
+	eventRoundDue                      // at an aggregator: a decision round is due
+	eventQueryArrives                  // at an aggregator: a client's query; Part is the workload, Value the time of asking
+	eventClientRetries                 // at an aggregator: a client's retry, with the same fields; Query is its key in retryShards
+	eventClientTimeout                 // at an aggregator: a client stops waiting
+	eventProcessorFree                 // at an aggregator: its processor is free for the next queued event
+	eventQueryDequeued                 // kind of a queued query or client retry until the processor takes it
+	eventReadingDue                    // at an aggregator: the overload detector needs a reading
+	eventForgetQuery                   // at an aggregator: the state of a query can be dropped
+	eventStoreRoundDue                 // at an aggregator: an exchange with the store is due; Value is the number of the last one
+	eventStoreRequest                  // at the store: the request of an exchange
+	eventStoreReply                    // at an aggregator: the reply of the store
+	eventStoreTimeout                  // at an aggregator: the store has not replied in time
+	eventPingsDue                      // at an aggregator: pings to the other sites are due
+	eventPingArrives                   // at an aggregator: a ping from another site; Value is the sender's link
+	eventPingReply                     // at an aggregator: the reply to a ping; Value is the link
+	eventGatewayDue                    // at an aggregator: the gateway has a decision due
+	eventForwardRoundDue               // at an aggregator: a round of the site balancer is due
+	eventForwardArrives                // at an aggregator: a query forwarded by another site
+	eventForwardReply                  // at an aggregator: the answer to a query that it forwarded
+	eventForwardTimeout                // at an aggregator: the deadline of a forward attempt has passed
+	eventListingArrives                // at an aggregator: an update of the replica list; Query is the replica, Result its status, Value its start
+	eventPauseBegins                   // at a replica: a spontaneous pause begins
 )
 
-// key names an execution among those that a replica has.
-type key struct {
-	from         int32
-	query        int32
-	part, number int16
+// executionKey identifies an execution at a replica. query is the number that the aggregator gave it.
+type executionKey struct {
+	aggregator    int32
+	query         int32
+	part, attempt int16
 }
 
+// job is an execution that is queued or running at a replica.
 type job struct {
-	key
-	turn uint64 // of its service, so that an old end does nothing
-	at   int64  // its service ends
-	by   int64  // nobody waits for it from then on
+	executionKey
+	service  uint64 // number of the scheduled end, so that an outdated eventWorkDone is ignored
+	doneAt   int64  // time at which a worker finishes the job
+	deadline int64  // time at which the aggregator stops waiting for the job
 }
 
-// truth is what the oracle may see of a replica.
-type truth struct {
-	wait  int64
-	sound bool
+// oracleView is the true state of a replica, which only the baseline "oracle" sees.
+type oracleView struct {
+	wait    int64 // expected time until a new part would be done, ns
+	healthy bool
 }
 
-// replica is a model: workers that take parts from one queue.
+// replica models a replica as workers that take parts from one queue.
 type replica struct {
-	outlet
+	emitter
 	*Plan
-	number  int
-	chance  *rand.Rand
-	speed   float64
-	began   int64 // 0 for long ago
-	down    bool
-	queue   []job
-	busy    []job
-	turns   uint64
-	under   map[int]bool // faults by number that hold now
-	held    bool         // it is paused,
-	since   int64        // from then
-	until   int64        // until then
-	watch   *checker.Replica
-	met     int // executions while a fault holds
-	falling bool
+	number            int
+	rng               *rand.Rand
+	serviceTimeFactor float64 // factor on the service time of all parts; below 1 for a fast replica
+	startedAt         int64   // time of the last start; 0 for a replica that is warm from the start of the run
+	down              bool
+	queue             []job
+	running           []job
+	lastService       uint64
+	activeFaults      map[int]bool // active faults, by index in Plan.Faults
+	paused            bool
+	pausedAt          int64
+	pausedUntil       int64
+	ruleChecker       *checker.Replica
+	faultyExecutions  int  // executions that arrived while a fault was active
+	overloadCrash     bool // the replica is down because of overload during its warm-up
 }
 
-func (r *replica) is(kind string) (Fault, bool) {
-	for i := range r.Faults { // in their order
-		if r.under[i] && r.Faults[i].Kind == kind {
+// activeFault returns the first active fault of a kind.
+func (r *replica) activeFault(kind string) (Fault, bool) {
+	for i := range r.Faults { // in the order of the plan, because map order is random
+		if r.activeFaults[i] && r.Faults[i].Kind == kind {
 			return r.Faults[i], true
 		}
 	}
 	return Fault{}, false
 }
 
-// phase tells whether a fault with a period is in its bad stretch.
-func (f Fault) phase(now int64) bool { return f.Every <= 0 || (now-origin-f.From)%f.Every < f.For }
+// active reports whether a periodic fault is in the bad part of its period. Faults without a period are always active.
+func (f Fault) active(now int64) bool {
+	return f.Period <= 0 || (now-origin-f.From)%f.Period < f.ActiveTime
+}
 
-func (r *replica) hangs(now int64) bool {
-	if _, hung := r.is("hang"); hung {
+func (r *replica) isHung(now int64) bool {
+	if _, hung := r.activeFault("hang"); hung {
 		return true
 	}
-	f, flaps := r.is("flap")
-	return flaps && f.phase(now)
+	f, flaps := r.activeFault("flap")
+	return flaps && f.active(now)
 }
 
-func (r *replica) happen(now int64, e agenda.Event) {
+func (r *replica) handle(now int64, e eventqueue.Event) {
 	switch e.Kind {
-	case arrives:
-		r.arrive(now, key{e.From, e.Query, e.Part, e.Number}, int(e.Result), e.Value)
-	case dropped:
-		r.drop(now, key{e.From, e.Query, e.Part, e.Number})
-	case worked:
-		r.worked(now, uint64(e.Value))
-	case begins, ends:
-		r.turn(now, int(e.Value), e.Kind == begins)
-	case stands:
-		r.hold(now, r.StopFor/2+r.chance.Int64N(r.StopFor+1))
-		r.stop(now)
-	case resumes:
-		if !r.held || now < r.until { // a longer pause has begun meanwhile
+	case eventPartArrives:
+		r.receive(now, executionKey{e.From, e.Query, e.Part, e.Attempt}, int(e.Result), e.Value)
+	case eventPartCancelled:
+		r.cancel(now, executionKey{e.From, e.Query, e.Part, e.Attempt})
+	case eventWorkDone:
+		r.finish(now, uint64(e.Value))
+	case eventFaultBegins, eventFaultEnds:
+		r.applyFault(now, int(e.Value), e.Kind == eventFaultBegins)
+	case eventPauseBegins:
+		r.pauseFor(now, r.PauseTime/2+r.rng.Int64N(r.PauseTime+1))
+		r.schedulePause(now)
+	case eventPauseEnds:
+		if !r.paused || now < r.pausedUntil { // a longer pause has begun since this event was scheduled
 			return
 		}
-		r.held = false
-		for i := range r.busy { // what was under way goes on where it was
-			r.schedule(now, &r.busy[i], max(r.busy[i].at-r.since, 0))
+		r.paused = false
+		for i := range r.running { // running parts continue with the time that they had left
+			r.scheduleDone(now, &r.running[i], max(r.running[i].doneAt-r.pausedAt, 0))
 		}
-		r.serve(now)
+		r.startQueued(now)
 	}
 }
 
-// reply tells an aggregator how an execution ended.
-func (r *replica) reply(now int64, k key, result balance.Result, after int64) {
-	if _, lost := r.is("silence"); lost || r.apart(now, int(k.from), r.number) {
+// reply sends the result of an execution to its aggregator, unless a fault drops it.
+func (r *replica) reply(now int64, k executionKey, result balance.Result, after int64) {
+	if _, lost := r.activeFault("silence"); lost || r.partitioned(now, int(k.aggregator), r.number) {
 		return
 	}
-	r.cause(now, agenda.Event{At: now + after + r.way(), To: k.from, Kind: replies, Query: k.query, Part: k.part, Number: k.number,
+	r.emit(now, eventqueue.Event{At: now + after + r.drawDelay(), To: k.aggregator, Kind: eventReplyArrives, Query: k.query, Part: k.part, Attempt: k.attempt,
 		Result: uint8(result)})
 }
 
-func (r *replica) way() int64 { return r.Way + int64(r.chance.ExpFloat64()*float64(r.Way)/4) }
+// drawDelay draws the network delay of a message: the minimum delay plus exponential jitter.
+func (r *replica) drawDelay() int64 {
+	return r.NetworkDelay + int64(r.rng.ExpFloat64()*float64(r.NetworkDelay)/4)
+}
 
-const errorTime = int64(1e6)
+const errorReplyNs = int64(1e6) // time until a replica with the fault "errors" answers
 
-// arrive takes a part of a load in that is waited for until by.
-func (r *replica) arrive(now int64, k key, load int, by int64) {
-	if r.apart(now, int(k.from), r.number) {
+// receive handles the arrival of a part, for which the aggregator waits until deadline.
+func (r *replica) receive(now int64, k executionKey, workload int, deadline int64) {
+	if r.partitioned(now, int(k.aggregator), r.number) {
 		return
 	}
 	if r.down {
 		r.reply(now, k, balance.ConnectFailed, 0)
 		return
 	}
-	if len(r.under) > 0 {
-		r.met++
+	if len(r.activeFaults) > 0 {
+		r.faultyExecutions++
 	}
-	if r.watch.Came(now) {
-		r.fall(now)
+	if r.ruleChecker.RecordArrival(now) {
+		r.crashByOverload(now)
 		return
 	}
-	if _, errs := r.is("errors"); errs {
-		r.reply(now, k, balance.Errored, errorTime)
+	if _, failing := r.activeFault("errors"); failing {
+		r.reply(now, k, balance.Errored, errorReplyNs)
 		return
 	}
-	if f, some := r.is("unanswered"); r.hangs(now) || some && f.Load == load {
+	if f, unanswered := r.activeFault("unanswered"); r.isHung(now) || unanswered && f.Workload == workload {
 		return
 	}
-	if r.Room > 0 && len(r.queue) >= r.Room {
+	if r.QueueLimit > 0 && len(r.queue) >= r.QueueLimit {
 		r.reply(now, k, balance.Full, 0)
 		return
 	}
-	r.queue = append(r.queue, job{key: k, by: by})
-	r.serve(now)
+	r.queue = append(r.queue, job{executionKey: k, deadline: deadline})
+	r.startQueued(now)
 }
 
-// serve puts waiting parts to work.
-func (r *replica) serve(now int64) {
-	for !r.held && len(r.busy) < r.Workers && len(r.queue) > 0 {
+// startQueued starts queued parts while workers are free.
+func (r *replica) startQueued(now int64) {
+	for !r.paused && len(r.running) < r.Workers && len(r.queue) > 0 {
 		j := r.queue[0]
 		r.queue = r.queue[1:]
-		if r.Expires && now >= j.by {
+		if r.DropExpired && now >= j.deadline {
 			continue
 		}
-		r.busy = append(r.busy, j)
-		r.schedule(now, &r.busy[len(r.busy)-1], r.takes(now))
+		r.running = append(r.running, j)
+		r.scheduleDone(now, &r.running[len(r.running)-1], r.drawServiceTime(now))
 	}
 }
 
-func (r *replica) schedule(now int64, j *job, takes int64) {
-	r.turns++
-	j.turn, j.at = r.turns, now+takes
-	r.cause(now, agenda.Event{At: j.at, To: r.self, Kind: worked, Value: int64(j.turn)})
+func (r *replica) scheduleDone(now int64, j *job, duration int64) {
+	r.lastService++
+	j.service, j.doneAt = r.lastService, now+duration
+	r.emit(now, eventqueue.Event{At: j.doneAt, To: r.entityID, Kind: eventWorkDone, Value: int64(j.service)})
 }
 
-// takes draws how long a part takes here and now.
-func (r *replica) takes(now int64) int64 {
-	t := float64(r.Work) * math.Exp(r.Spread*r.chance.NormFloat64()) * r.speed
-	if r.Tail > 0 && r.chance.Float64() < r.Tail {
-		t *= math.Pow(1-r.chance.Float64(), -1/1.5) // Pareto's law with a tail of 1.5
+// drawServiceTime draws the time that a part takes if it starts now.
+func (r *replica) drawServiceTime(now int64) int64 {
+	t := float64(r.ServiceTime) * math.Exp(r.ServiceTimeSigma*r.rng.NormFloat64()) * r.serviceTimeFactor
+	if r.HeavyTailShare > 0 && r.rng.Float64() < r.HeavyTailShare {
+		t *= math.Pow(1-r.rng.Float64(), -1/1.5) // a Pareto distribution with shape 1.5
 	}
-	return int64(min(t*r.slower(now), 600e9))
+	return int64(min(t*r.slowdown(now), 600e9))
 }
 
-// slower is how many times as long a part takes here and now, by faults, cold and crowd.
-func (r *replica) slower(now int64) float64 {
+// slowdown returns the present factor on service times, from faults, warm-up and crowding.
+func (r *replica) slowdown(now int64) float64 {
 	t := 1.0
-	if f, slow := r.is("slow"); slow {
-		t *= f.Times
+	if f, slow := r.activeFault("slow"); slow {
+		t *= f.Slowdown
 	}
-	if age := now - r.began; r.began > 0 && age < r.ColdRamp {
-		t /= r.ColdShare + (1-r.ColdShare)*float64(age)/float64(r.ColdRamp)
+	if age := now - r.startedAt; r.startedAt > 0 && age < r.WarmUpTime {
+		t /= r.ColdCapacity + (1-r.ColdCapacity)*float64(age)/float64(r.WarmUpTime)
 	}
-	held := float64(len(r.queue)+len(r.busy)) / float64(r.Workers)
-	return t * (1 + r.Crowd*max(held-r.CrowdAt, 0))
+	partsPerWorker := float64(len(r.queue)+len(r.running)) / float64(r.Workers)
+	return t * (1 + r.CrowdingSlowdown*max(partsPerWorker-r.CrowdingThreshold, 0))
 }
 
-func (r *replica) worked(now int64, turn uint64) {
-	i := slices.IndexFunc(r.busy, func(j job) bool { return j.turn == turn })
-	if i < 0 || r.held {
+// finish ends the job whose end was scheduled with this service number, unless that was rescheduled.
+func (r *replica) finish(now int64, service uint64) {
+	i := slices.IndexFunc(r.running, func(j job) bool { return j.service == service })
+	if i < 0 || r.paused {
 		return
 	}
-	k := r.busy[i].key
-	r.busy = slices.Delete(r.busy, i, i+1)
-	if !r.hangs(now) {
+	k := r.running[i].executionKey
+	r.running = slices.Delete(r.running, i, i+1)
+	if !r.isHung(now) {
 		r.reply(now, k, balance.Fulfilled, 0)
 	}
-	r.serve(now)
+	r.startQueued(now)
 }
 
-// drop gives an execution up: it leaves the queue or its worker.
-func (r *replica) drop(now int64, k key) {
-	same := func(j job) bool { return j.key == k }
-	if !r.KeepsPlace {
+// cancel removes an execution from the queue and from its worker, as far as the plan says that replicas do so.
+func (r *replica) cancel(now int64, k executionKey) {
+	same := func(j job) bool { return j.executionKey == k }
+	if !r.KeepCancelledQueued {
 		r.queue = slices.DeleteFunc(r.queue, same)
 	}
-	if r.GoesOn {
+	if r.FinishCancelled {
 		return
 	}
-	if r.busy = slices.DeleteFunc(r.busy, same); !r.held {
-		r.serve(now)
+	if r.running = slices.DeleteFunc(r.running, same); !r.paused {
+		r.startQueued(now)
 	}
 }
 
-// die ends all that is there.
-func (r *replica) die(now int64) {
+// crash resets all connections, drops all parts and has the replica delisted.
+func (r *replica) crash(now int64) {
 	r.down = true
-	for _, j := range append(slices.Clone(r.busy), r.queue...) {
-		r.reply(now, j.key, balance.Reset, 0)
+	for _, j := range append(slices.Clone(r.running), r.queue...) {
+		r.reply(now, j.executionKey, balance.Reset, 0)
 	}
-	r.busy, r.queue = nil, nil
-	r.tell(now, balance.Gone)
+	r.running, r.queue = nil, nil
+	r.announce(now, balance.Gone)
 }
 
-func (r *replica) rise(now int64) {
-	r.down, r.began, r.falling = false, now, false
-	r.watch.Started(now)
-	r.tell(now, balance.Up)
+func (r *replica) restart(now int64) {
+	r.down, r.startedAt, r.overloadCrash = false, now, false
+	r.ruleChecker.RecordStart(now)
+	r.announce(now, balance.Up)
 }
 
-// fall has a cold replica that was pushed over die, and come back after a while.
-func (r *replica) fall(now int64) {
-	if !r.falling {
-		r.falling = true
-		r.die(now)
-		r.cause(now, agenda.Event{At: now + r.ColdRamp, To: r.self, Kind: ends, Value: -1})
+// crashByOverload crashes a replica that got too much load in its warm-up. It restarts after WarmUpTime.
+func (r *replica) crashByOverload(now int64) {
+	if !r.overloadCrash {
+		r.overloadCrash = true
+		r.crash(now)
+		r.emit(now, eventqueue.Event{At: now + r.WarmUpTime, To: r.entityID, Kind: eventFaultEnds, Value: -1})
 	}
 }
 
-// tell has the list tell all aggregators of a change, each in its own time.
-func (r *replica) tell(now int64, standing balance.Standing) {
+// announce sends a change of status to all aggregators of the site, each with its own list delay.
+func (r *replica) announce(now int64, status balance.Status) {
 	for a := range r.Aggregators {
-		if r.siteOf(a) != r.siteOfReplica(r.number) {
+		if r.siteOfAggregator(a) != r.siteOfReplica(r.number) {
 			continue
 		}
-		at := now + r.ListDelay + r.chance.Int64N(r.ListDelay+1)
+		at := now + r.ListDelay + r.rng.Int64N(r.ListDelay+1)
 		for _, f := range r.Faults {
 			if f.Kind == "list" && at >= origin+f.From && at < origin+f.Until {
 				at = origin + f.Until
 			}
 		}
-		r.cause(now, agenda.Event{At: at, To: int32(a), Kind: listed, Query: int32(r.number), Result: uint8(standing), Value: r.began})
+		r.emit(now, eventqueue.Event{At: at, To: int32(a), Kind: eventListingArrives, Query: int32(r.number), Result: uint8(status), Value: r.startedAt})
 	}
 }
 
-// turn has a fault begin or end here.
-func (r *replica) turn(now int64, number int, begins bool) {
-	if number < 0 { // it is back after it was pushed over
-		r.rise(now)
+// applyFault begins or ends a fault at this replica; a number below 0 restarts it after a crash by overload.
+func (r *replica) applyFault(now int64, number int, begins bool) {
+	if number < 0 {
+		r.restart(now)
 		return
 	}
 	f := r.Faults[number]
 	if begins {
-		r.under[number] = true
+		r.activeFaults[number] = true
 	} else {
-		delete(r.under, number)
+		delete(r.activeFaults, number)
 	}
 	switch {
 	case f.Kind == "restart" && begins && !r.down:
-		r.die(now)
-	case f.Kind == "restart" && !begins && !r.falling:
-		r.rise(now)
+		r.crash(now)
+	case f.Kind == "restart" && !begins && !r.overloadCrash:
+		r.restart(now)
 	case f.Kind == "drain" && !r.down:
-		standing := balance.Up
+		status := balance.Up
 		if begins {
-			standing = balance.Draining
+			status = balance.Draining
 		}
-		r.tell(now, standing)
+		r.announce(now, status)
 	case f.Kind == "pause" && begins:
-		r.pause(now, number)
+		r.applyPauseFault(now, number)
 	}
 }
 
-// hold has all work stand still for so long, or longer where it does already.
-func (r *replica) hold(now, d int64) {
-	if !r.held {
-		r.held, r.since, r.until = true, now, now
+// pauseFor stops all work for d, and does not shorten a pause that lasts longer.
+func (r *replica) pauseFor(now, d int64) {
+	if !r.paused {
+		r.paused, r.pausedAt, r.pausedUntil = true, now, now
 	}
-	r.until = max(r.until, now+d)
-	r.cause(now, agenda.Event{At: r.until, To: r.self, Kind: resumes})
+	r.pausedUntil = max(r.pausedUntil, now+d)
+	r.emit(now, eventqueue.Event{At: r.pausedUntil, To: r.entityID, Kind: eventPauseEnds})
 }
 
-// stop has the next pause come that a replica makes by itself.
-func (r *replica) stop(now int64) {
-	if r.StopEvery > 0 {
-		at := now + max(int64(r.chance.ExpFloat64()*float64(r.StopEvery)), 1)
-		r.cause(now, agenda.Event{At: at, To: r.self, Kind: stands})
+// schedulePause schedules the next spontaneous pause.
+func (r *replica) schedulePause(now int64) {
+	if r.PauseInterval > 0 {
+		at := now + max(int64(r.rng.ExpFloat64()*float64(r.PauseInterval)), 1)
+		r.emit(now, eventqueue.Event{At: at, To: r.entityID, Kind: eventPauseBegins})
 	}
 }
 
-// pause has all work stand still for a stretch, and again at each period while the fault holds.
-func (r *replica) pause(now int64, number int) {
+// applyPauseFault pauses the replica and schedules the next period of the fault.
+func (r *replica) applyPauseFault(now int64, number int) {
 	f := r.Faults[number]
 	if now >= origin+f.Until {
 		return
 	}
-	r.hold(now, f.For)
-	if f.Every > f.For {
-		r.cause(now, agenda.Event{At: now + f.Every, To: r.self, Kind: begins, Value: int64(number)})
+	r.pauseFor(now, f.ActiveTime)
+	if f.Period > f.ActiveTime {
+		r.emit(now, eventqueue.Event{At: now + f.Period, To: r.entityID, Kind: eventFaultBegins, Value: int64(number)})
 	}
 }
 
-// truth is what a part would wait here, for the oracle.
-func (r *replica) truth(now int64) truth {
-	_, errs := r.is("errors")
-	_, lost := r.is("silence")
-	work := float64(r.Work) * r.speed * r.slower(now)
-	waiting := max(float64(len(r.queue)+len(r.busy)-r.Workers+1), 0)
-	return truth{int64(work * (1 + waiting/float64(r.Workers))), !r.down && !errs && !lost && !r.hangs(now) && !r.held}
+// oracleView estimates the wait for a new part from the true state of the replica.
+func (r *replica) oracleView(now int64) oracleView {
+	_, failing := r.activeFault("errors")
+	_, lost := r.activeFault("silence")
+	work := float64(r.ServiceTime) * r.serviceTimeFactor * r.slowdown(now)
+	queued := max(float64(len(r.queue)+len(r.running)-r.Workers+1), 0)
+	return oracleView{int64(work * (1 + queued/float64(r.Workers))), !r.down && !failing && !lost && !r.isHung(now) && !r.paused}
 }
--- a/lab/emulator/run.go
+++ b/lab/emulator/run.go
@@ -8,287 +8,293 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"willowsill/balance"
-	"willowsill/lab/emulator/agenda"
 	"willowsill/lab/emulator/checker"
+	"willowsill/lab/emulator/eventqueue"
 )
 
-// Result is what came of a run. All but Lines counts queries asked in the stretch that counts.
+// Result holds the measurements of a run. All but ShareBySecond, FaultyExecutions and Events cover only the queries asked in the
+// counted interval of the plan.
 type Result struct {
-	Asked      int       `json:"asked"`
-	InGoal     int       `json:"in_goal"`
-	Late       int       `json:"late"`
-	Partial    int       `json:"partial"`
-	Declined   int       `json:"declined"`
-	Forfeited  int       `json:"forfeited"`
-	Revenue    float64   `json:"revenue"` // earned within the goal,
-	Most       float64   `json:"most"`    // and asked for
-	Executions int       `json:"executions"`
-	Further    int       `json:"further"`
-	P50        int64     `json:"p50_ns"` // of answers with values
-	P99        int64     `json:"p99_ns"`
-	P999       int64     `json:"p999_ns"`
-	Times      []int64   `json:"times_ns"`  // of answers, at Percents
-	AtFaulty   int       `json:"at_faulty"` // executions at replicas while a fault holds there
-	Lines      []float64 `json:"lines"`     // share of the revenue, by second asked; 1 where nobody asked
-	Loads      []Part    `json:"loads"`     // by load
-	Events     int64     `json:"events"`
-	Broken     string    `json:"broken,omitempty"` // the first broken rule
-	Rule       int       `json:"rule,omitempty"`
+	Asked            int              `json:"asked"`
+	InGoal           int              `json:"in_goal"`
+	Late             int              `json:"late"`
+	Partial          int              `json:"partial"`
+	Declined         int              `json:"declined"`
+	Forfeited        int              `json:"forfeited"`
+	Revenue          float64          `json:"revenue"` // revenue of complete answers within the latency goal
+	MaxRevenue       float64          `json:"most"`    // what Revenue would be if all queries were answered in time
+	Executions       int              `json:"executions"`
+	Retries          int              `json:"further"`
+	P50              int64            `json:"p50_ns"` // median latency of whole and partial answers
+	P99              int64            `json:"p99_ns"`
+	P999             int64            `json:"p999_ns"`
+	Latencies        []int64          `json:"times_ns"`  // latency of answers in ns at each of Percentiles
+	FaultyExecutions int              `json:"at_faulty"` // executions that reached a replica with an active fault
+	ShareBySecond    []float64        `json:"lines"`     // earned share of the revenue by second of asking; 1 for seconds without queries
+	Workloads        []WorkloadResult `json:"loads"`     // counts of each workload, in the order of Plan.Workloads
+	Events           int64            `json:"events"`
+	Violation        string           `json:"broken,omitempty"` // description of the first broken rule, empty for none
+	Rule             int              `json:"rule,omitempty"`
 }
 
-// Percents are those that the times of answers are kept at.
-var Percents = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.9, 100}
+// Percentiles are the percentages at which Result.Latencies gives the latency.
+var Percentiles = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.9, 100}
 
-// Part is what came of one load's queries.
-type Part struct {
+// WorkloadResult counts the queries of one workload.
+type WorkloadResult struct {
 	Name   string `json:"name"`
 	Asked  int    `json:"asked"`
 	InGoal int    `json:"in_goal"`
 }
 
-// Share is the share of the revenue earned within the goal.
-func (r *Result) Share() float64 { return r.Revenue / max(r.Most, 1e-9) }
+// RevenueShare returns the earned part of the possible revenue.
+func (r *Result) RevenueShare() float64 { return r.Revenue / max(r.MaxRevenue, 1e-9) }
 
-// Tally counts what came of queries. Times in ns from the run's start.
-type Tally struct {
+// Recorder collects a Result while a run goes on. Times are in ns from the start of the run.
+type Recorder struct {
 	Result
-	plan     *Plan
-	times    *hdrhistogram.Histogram
-	earned   []float64
-	possible []float64
+	plan      *Plan
+	latencies *hdrhistogram.Histogram
+	earned    []float64 // earned revenue by second of asking
+	possible  []float64 // revenue by second of asking, if all queries were answered in time
 }
 
-// NewTally makes an empty one.
-func NewTally(p *Plan) *Tally {
-	seconds := int(p.Span/1e9) + 1
-	t := &Tally{plan: p, times: hdrhistogram.New(1000, max(2*p.longest(), 2000), 3), earned: make([]float64, seconds),
+// NewRecorder returns an empty recorder for runs of a plan.
+func NewRecorder(p *Plan) *Recorder {
+	seconds := int(p.Duration/1e9) + 1
+	r := &Recorder{plan: p, latencies: hdrhistogram.New(1000, max(2*p.maxTimeout(), 2000), 3), earned: make([]float64, seconds),
 		possible: make([]float64, seconds)}
-	for _, l := range p.Loads {
-		t.Loads = append(t.Loads, Part{Name: l.Name})
+	for _, l := range p.Workloads {
+		r.Workloads = append(r.Workloads, WorkloadResult{Name: l.Name})
 	}
-	return t
+	return r
 }
 
-func (t *Tally) counts(asked int64) bool { return asked >= t.plan.From && asked < t.plan.Until }
+// measured reports whether a query asked at this time belongs to the interval that is measured.
+func (r *Recorder) measured(asked int64) bool {
+	return asked >= r.plan.MeasureFrom && asked < r.plan.MeasureUntil
+}
 
-func (t *Tally) second(asked int64) int { return min(int(asked/1e9), len(t.earned)-1) }
+func (r *Recorder) secondIndex(asked int64) int { return min(int(asked/1e9), len(r.earned)-1) }
 
-// Ask counts a query that was asked.
-func (t *Tally) Ask(asked int64, load int) {
-	revenue := t.plan.Loads[load].Revenue
-	t.possible[t.second(asked)] += revenue
-	if t.counts(asked) {
-		t.Asked++
-		t.Loads[load].Asked++
-		t.Most += revenue
+// RecordQuery counts a query that was asked.
+func (r *Recorder) RecordQuery(asked int64, workload int) {
+	revenue := r.plan.Workloads[workload].Revenue
+	r.possible[r.secondIndex(asked)] += revenue
+	if r.measured(asked) {
+		r.Asked++
+		r.Workloads[workload].Asked++
+		r.MaxRevenue += revenue
 	}
 }
 
-// Send counts an execution of a query's part.
-func (t *Tally) Send(asked int64, further bool) {
-	if t.counts(asked) {
-		if t.Executions++; further {
-			t.Further++
+// RecordExecution counts an execution of a query's part.
+func (r *Recorder) RecordExecution(asked int64, retry bool) {
+	if r.measured(asked) {
+		if r.Executions++; retry {
+			r.Retries++
 		}
 	}
 }
 
-// End books an answer. What a client got by asking again, try by try, earns nothing more: it was late for its first.
-func (t *Tally) End(asked, ended int64, load, tries int, final balance.Final) {
-	l := &t.plan.Loads[load]
+// RecordAnswer counts the end of a query. The answer to a client's retry (retries > 0) earns nothing and is not counted among
+// the outcomes, because the first attempt has already been counted; its latency is recorded.
+func (r *Recorder) RecordAnswer(asked, ended int64, workload, retries int, outcome balance.Outcome) {
+	l := &r.plan.Workloads[workload]
 	took := ended - asked
-	inGoal := final == balance.Whole && took <= l.Goal && tries == 0
+	inGoal := outcome == balance.Whole && took <= l.LatencyGoal && retries == 0
 	if inGoal {
-		t.earned[t.second(asked)] += l.Revenue
+		r.earned[r.secondIndex(asked)] += l.Revenue
 	}
-	if !t.counts(asked) {
+	if !r.measured(asked) {
 		return
 	}
-	if final == balance.Whole || final == balance.Partial {
-		t.times.RecordValue(took)
+	if outcome == balance.Whole || outcome == balance.Partial {
+		r.latencies.RecordValue(took)
 	}
-	if tries > 0 {
+	if retries > 0 {
 		return
 	}
 	switch {
 	case inGoal:
-		t.InGoal++
-		t.Loads[load].InGoal++
-		t.Revenue += l.Revenue
-	case final == balance.Whole:
-		t.Late++
-	case final == balance.Partial:
-		t.Partial++
-	case final == balance.Declined:
-		t.Declined++
+		r.InGoal++
+		r.Workloads[workload].InGoal++
+		r.Revenue += l.Revenue
+	case outcome == balance.Whole:
+		r.Late++
+	case outcome == balance.Partial:
+		r.Partial++
+	case outcome == balance.Declined:
+		r.Declined++
 	default:
-		t.Forfeited++
+		r.Forfeited++
 	}
 }
 
-// Add takes another's counts in.
-func (t *Tally) Add(o *Tally) {
-	t.Asked += o.Asked
-	t.InGoal += o.InGoal
-	t.Late += o.Late
-	t.Partial += o.Partial
-	t.Declined += o.Declined
-	t.Forfeited += o.Forfeited
-	t.Revenue += o.Revenue
-	t.Most += o.Most
-	t.Executions += o.Executions
-	t.Further += o.Further
-	t.times.Merge(o.times)
-	for i, l := range o.Loads {
-		t.Loads[i].Asked += l.Asked
-		t.Loads[i].InGoal += l.InGoal
+// Merge adds the counts of another recorder of the same plan.
+func (r *Recorder) Merge(o *Recorder) {
+	r.Asked += o.Asked
+	r.InGoal += o.InGoal
+	r.Late += o.Late
+	r.Partial += o.Partial
+	r.Declined += o.Declined
+	r.Forfeited += o.Forfeited
+	r.Revenue += o.Revenue
+	r.MaxRevenue += o.MaxRevenue
+	r.Executions += o.Executions
+	r.Retries += o.Retries
+	r.latencies.Merge(o.latencies)
+	for i, l := range o.Workloads {
+		r.Workloads[i].Asked += l.Asked
+		r.Workloads[i].InGoal += l.InGoal
 	}
 	for i := range o.earned {
-		t.earned[i] += o.earned[i]
-		t.possible[i] += o.possible[i]
+		r.earned[i] += o.earned[i]
+		r.possible[i] += o.possible[i]
 	}
 }
 
-// Sum is the result of what was counted.
-func (t *Tally) Sum() *Result {
-	r := &t.Result
-	r.P50, r.P99, r.P999 = t.times.ValueAtPercentile(50), t.times.ValueAtPercentile(99), t.times.ValueAtPercentile(99.9)
-	r.Lines, r.Times = nil, nil
-	for _, p := range Percents {
-		r.Times = append(r.Times, t.times.ValueAtPercentile(p))
+// Summary computes the percentiles and shares and returns the result.
+func (r *Recorder) Summary() *Result {
+	result := &r.Result
+	result.P50, result.P99, result.P999 = r.latencies.ValueAtPercentile(50), r.latencies.ValueAtPercentile(99), r.latencies.ValueAtPercentile(99.9)
+	result.ShareBySecond, result.Latencies = nil, nil
+	for _, p := range Percentiles {
+		result.Latencies = append(result.Latencies, r.latencies.ValueAtPercentile(p))
 	}
-	for i := range int(t.plan.Span / 1e9) {
+	for i := range int(r.plan.Duration / 1e9) {
 		share := 1.0
-		if t.possible[i] > 0 {
-			share = t.earned[i] / t.possible[i]
+		if r.possible[i] > 0 {
+			share = r.earned[i] / r.possible[i]
 		}
-		r.Lines = append(r.Lines, share)
+		result.ShareBySecond = append(result.ShareBySecond, share)
 	}
-	return r
+	return result
 }
 
-// Run plays a plan on so many cores; the result does not depend on them.
+// Run simulates a plan on the given number of cores, which does not influence the result.
 func Run(p Plan, cores int) (*Result, error) {
-	if err := p.Check(); err != nil {
+	if err := p.Validate(); err != nil {
 		return nil, err
 	}
-	w := &world{Plan: &p}
-	for i := range w.sectors {
-		w.sectors[i] = &sector{world: w, agenda: agenda.New(origin)}
+	sim := &simulation{Plan: &p}
+	for i := range sim.loops {
+		sim.loops[i] = &eventLoop{simulation: sim, queue: eventqueue.New(origin)}
 	}
-	place := func(n int) outlet { return outlet{sector: w.sectors[n%sectors], self: int32(n)} }
-	chance := func(n int, of uint64) *rand.Rand { return rand.New(rand.NewPCG(p.Seed, of<<32+uint64(n))) }
-	var whole []balance.Listing
+	newEmitter := func(n int) emitter { return emitter{loop: sim.loops[n%eventLoopCount], entityID: int32(n)} }
+	newRNG := func(n int, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(p.Seed, stream<<32+uint64(n))) }
+	var listings []balance.Listing
 	for i := range p.Replicas {
-		r := &replica{outlet: place(p.Aggregators + i), Plan: &p, number: i, chance: chance(i, 1), under: map[int]bool{},
-			watch: &checker.Replica{Name: fmt.Sprint("replica ", i), Cold: p.ColdShare, Ramp: p.ColdRamp, Times: p.FallMultiple,
-				Span: p.FallSpan}}
-		r.speed = math.Exp(p.Unlike * r.chance.NormFloat64())
-		r.watch.Full = float64(p.Workers) * 1e9 / (float64(p.Work) * r.speed * math.Exp(p.Spread*p.Spread/2))
-		w.backs = append(w.backs, r)
-		whole = append(whole, balance.Listing{Replica: i, New: true, Cell: p.shardOf(i), Standing: balance.Up})
+		r := &replica{emitter: newEmitter(p.Aggregators + i), Plan: &p, number: i, rng: newRNG(i, 1), activeFaults: map[int]bool{},
+			ruleChecker: &checker.Replica{Name: fmt.Sprint("replica ", i), ColdCapacity: p.ColdCapacity, WarmUpTime: p.WarmUpTime, OverloadFactor: p.OverloadFactor,
+				OverloadSpan: p.OverloadSpan}}
+		r.serviceTimeFactor = math.Exp(p.SpeedSigma * r.rng.NormFloat64())
+		r.ruleChecker.WarmRate = float64(p.Workers) * 1e9 / (float64(p.ServiceTime) * r.serviceTimeFactor * math.Exp(p.ServiceTimeSigma*p.ServiceTimeSigma/2))
+		sim.replicas = append(sim.replicas, r)
+		listings = append(listings, balance.Listing{Replica: i, New: true, Cell: p.shardOf(i), Status: balance.Up})
 	}
 	if p.Policy == "oracle" {
-		w.truths = make([]truth, p.Replicas)
-		for i, r := range w.backs {
-			w.truths[i] = r.truth(origin)
+		sim.oracleViews = make([]oracleView, p.Replicas)
+		for i, r := range sim.replicas {
+			sim.oracleViews[i] = r.oracleView(origin)
 		}
 	}
 	for i := range p.Aggregators {
-		a := &aggregator{outlet: place(i), Plan: &p, clients: chance(i, 2), network: chance(i, 3), queries: map[int32]*asked{}, repeats: map[int32][]int{}, spent: map[int][]int64{},
-			news: make([]uint64, p.Replicas), tally: NewTally(&p),
-			watch: checker.NewAggregator(fmt.Sprint("aggregator ", i), p.bounds())}
-		for n := range p.Loads {
+		a := &aggregator{emitter: newEmitter(i), Plan: &p, clientRNG: newRNG(i, 2), networkRNG: newRNG(i, 3), queries: map[int32]*pendingQuery{}, retryShards: map[int32][]int{}, quotaUses: map[int][]int64{},
+			listingSeq: make([]uint64, p.Replicas), recorder: NewRecorder(&p),
+			ruleChecker: checker.NewAggregator(fmt.Sprint("aggregator ", i), p.checkerBounds())}
+		for n := range p.Workloads {
 			a.arrivals = append(a.arrivals, p.Arrivals(i, n))
 		}
-		for _, l := range whole {
-			if p.siteOfReplica(l.Replica) == p.siteOf(i) {
-				a.list = append(a.list, l)
+		for _, l := range listings {
+			if p.siteOfReplica(l.Replica) == p.siteOfAggregator(i) {
+				a.listings = append(a.listings, l)
 			}
 		}
-		a.world, a.watch.Mechanism = w, p.Policy == "module"
-		a.wake(origin)
-		a.power(origin)
-		w.aggs = append(w.aggs, a)
+		a.simulation, a.ruleChecker.CheckStarvation = sim, p.Policy == "module"
+		a.start(origin)
+		a.startProcessor(origin)
+		sim.aggregators = append(sim.aggregators, a)
 	}
-	for _, a := range w.aggs {
-		w.entities = append(w.entities, a)
-		for n := range p.Loads {
-			a.come(origin, n)
+	for _, a := range sim.aggregators {
+		sim.entities = append(sim.entities, a)
+		for n := range p.Workloads {
+			a.scheduleArrival(origin, n)
 		}
-		a.moved(origin)
+		a.requestRound(origin)
 	}
-	for _, r := range w.backs {
-		w.entities = append(w.entities, r)
-		r.stop(origin)
+	for _, r := range sim.replicas {
+		sim.entities = append(sim.entities, r)
+		r.schedulePause(origin)
 	}
-	if p.Store != "" && p.Store != "none" {
-		s := &store{outlet: place(p.Aggregators + p.Replicas), Plan: &p, now: newShelves(), kept: newShelves(), chance: chance(0, 5)}
-		w.entities = append(w.entities, s)
-		if p.Store == "stale" {
-			s.cause(origin, agenda.Event{At: origin + staleAfter, To: s.self, Kind: beginsAgain})
+	if p.StoreMode != "" && p.StoreMode != "none" {
+		s := &sharedStore{emitter: newEmitter(p.Aggregators + p.Replicas), Plan: &p, current: newStoreData(), stale: newStoreData(), rng: newRNG(0, 5)}
+		sim.entities = append(sim.entities, s)
+		if p.StoreMode == "stale" {
+			s.emit(origin, eventqueue.Event{At: origin + staleStart, To: s.entityID, Kind: eventFaultRepeats})
 		}
 	}
 	for n, f := range p.Faults {
 		for _, number := range f.Replicas {
-			r := w.backs[number]
-			r.cause(origin, agenda.Event{At: origin + f.From, To: r.self, Kind: begins, Value: int64(n)})
-			r.cause(origin, agenda.Event{At: origin + f.Until, To: r.self, Kind: ends, Value: int64(n)})
+			r := sim.replicas[number]
+			r.emit(origin, eventqueue.Event{At: origin + f.From, To: r.entityID, Kind: eventFaultBegins, Value: int64(n)})
+			r.emit(origin, eventqueue.Event{At: origin + f.Until, To: r.entityID, Kind: eventFaultEnds, Value: int64(n)})
 		}
 	}
 	for n, f := range p.Faults {
 		for _, number := range f.Aggregators {
-			a := w.aggs[number]
-			a.cause(origin, agenda.Event{At: origin + f.From, To: a.self, Kind: begins, Value: int64(n)})
-			a.cause(origin, agenda.Event{At: origin + f.Until, To: a.self, Kind: ends, Value: int64(n)})
+			a := sim.aggregators[number]
+			a.emit(origin, eventqueue.Event{At: origin + f.From, To: a.entityID, Kind: eventFaultBegins, Value: int64(n)})
+			a.emit(origin, eventqueue.Event{At: origin + f.Until, To: a.entityID, Kind: eventFaultEnds, Value: int64(n)})
 		}
 	}
-	w.run(origin+p.Span+3*p.longest(), cores)
-	return w.result(), nil
+	sim.run(origin+p.Duration+3*p.maxTimeout(), cores)
+	return sim.result(), nil
 }
 
-// result sums up all aggregators.
-func (w *world) result() *Result {
-	all := NewTally(w.Plan)
-	for _, a := range w.aggs {
-		all.Add(a.tally)
+// result merges the results of all aggregators and the first rule violation.
+func (sim *simulation) result() *Result {
+	all := NewRecorder(sim.Plan)
+	for _, a := range sim.aggregators {
+		all.Merge(a.recorder)
 	}
-	r := all.Sum()
-	for _, b := range w.backs {
-		r.AtFaulty += b.met
+	r := all.Summary()
+	for _, replica := range sim.replicas {
+		r.FaultyExecutions += replica.faultyExecutions
 	}
-	r.Events = w.events
-	b := w.broken()
-	if over := w.overspent(); b == nil && len(over) > 0 {
-		b = &over[0]
+	r.Events = sim.events
+	violation := sim.firstViolation()
+	if over := sim.quotaViolations(); violation == nil && len(over) > 0 {
+		violation = &over[0]
 	}
-	if b != nil {
-		r.Broken, r.Rule = b.String(), b.Rule
+	if violation != nil {
+		r.Violation, r.Rule = violation.String(), violation.Rule
 	}
 	return r
 }
 
-func (p *Plan) bounds() checker.Bounds {
-	b := checker.Bounds{Need: 1, Executions: p.Executions, Budgeted: p.Budgeted, Free: p.Free, Share: p.Share, Span: p.BudgetSpan}
-	b.Floor, b.Window = p.Loads[0].Floor, p.Loads[0].Window
+// checkerBounds returns the limits for the checker. MinCoverage and DedupWindow are those of the first workload.
+func (p *Plan) checkerBounds() checker.Bounds {
+	b := checker.Bounds{FullCoverage: 1, MaxExecutions: p.MaxExecutions, Budgeted: p.Budgeted, RetrySlack: p.RetrySlack, RetryRatio: p.RetryRatio, RetryWindow: p.RetryWindow}
+	b.MinCoverage, b.DedupWindow = p.Workloads[0].MinCoverage, p.Workloads[0].DedupWindow
 	return b
 }
 
-// deployment is what the module is told.
+// deployment returns the configuration of an aggregator's decision module.
 func (p *Plan) deployment(number int) balance.Deployment {
-	d := balance.Deployment{Number: number, Aggregators: p.Aggregators, Seed: p.Seed*1_000_003 + uint64(number), Tick: p.Tick,
-		Shards: p.Shards(), Cells: p.Shards(), Reach: 1, PartsPerCall: 1, MaxExecutions: p.Executions, Cancels: p.Cancels,
-		MaxComeBack: 2e9, ColdShare: p.ColdShare, ColdRamp: p.ColdRamp, FallMultiple: p.FallMultiple, FallSpan: p.FallSpan,
-		Budgeted: p.Budgeted, FurtherFree: p.Free, FurtherShare: p.Share, FurtherSpan: p.BudgetSpan}
-	switch p.Break {
+	d := balance.Deployment{Index: number, Aggregators: p.Aggregators, Seed: p.Seed*1_000_003 + uint64(number), Tick: p.Tick,
+		Shards: p.Shards(), Cells: p.Shards(), CellsPerShard: 1, PartsPerCall: 1, MaxExecutions: p.MaxExecutions, CanCancel: p.CanCancel,
+		MaxRetryAfter: 2e9, ColdCapacity: p.ColdCapacity, WarmUpTime: p.WarmUpTime, OverloadFactor: p.OverloadFactor, OverloadSpan: p.OverloadSpan,
+		Budgeted: p.Budgeted, RetrySlack: p.RetrySlack, RetryRatio: p.RetryRatio, RetryWindow: p.RetryWindow}
+	switch p.Defect {
 	case "budget off":
 		d.Budgeted = false
 	case "cold guard off":
-		d.ColdShare, d.ColdRamp, d.FallMultiple = 1, 1, 1e9
+		d.ColdCapacity, d.WarmUpTime, d.OverloadFactor = 1, 1, 1e9
 	}
-	for _, l := range p.Loads {
-		d.Workloads = append(d.Workloads, balance.Workload{LatencyGoal: l.Goal, LateShare: 0.3, Floor: l.Floor, Need: 1,
-			PartialShare: 0.9, Effect: l.Effect, RepeatWindow: l.Window})
+	for _, l := range p.Workloads {
+		d.Workloads = append(d.Workloads, balance.Workload{LatencyGoal: l.LatencyGoal, LateShare: 0.3, MinCoverage: l.MinCoverage, FullCoverage: 1,
+			PartialShare: 0.9, RetrySafety: l.RetrySafety, DedupWindow: l.DedupWindow})
 	}
 	return d
 }
--- a/lab/emulator/zones.go
+++ b/lab/emulator/zones.go
@@ -9,97 +9,99 @@
 	"willowsill/decide/zonehealth"
 )
 
-// zoneOfReplica is the zone that a replica stands in.
+// zoneOfReplica returns the zone of a replica. Zones hold consecutive blocks of replicas.
 func (p *Plan) zoneOfReplica(r int) int { return r * max(p.Zones, 1) / p.Replicas }
 
-// zoneOf is the zone that an aggregator stands in.
-func (p *Plan) zoneOf(aggregator int) int { return aggregator % max(p.Zones, 1) }
+// zoneOfAggregator returns the zone of an aggregator. Aggregators are assigned round-robin.
+func (p *Plan) zoneOfAggregator(aggregator int) int { return aggregator % max(p.Zones, 1) }
 
-// apart tells whether a rift lies between an aggregator and a replica now.
-func (p *Plan) apart(now int64, aggregator, replica int) bool {
+// partitioned reports whether a fault "rift" now separates an aggregator and a replica.
+func (p *Plan) partitioned(now int64, aggregator, replica int) bool {
 	if p.Zones < 2 {
 		return false
 	}
-	a, b := p.zoneOf(aggregator), p.zoneOfReplica(replica)
+	a, b := p.zoneOfAggregator(aggregator), p.zoneOfReplica(replica)
 	return a != b && slices.ContainsFunc(p.Faults, func(f Fault) bool {
 		return f.Kind == "rift" && now >= origin+f.From && now < origin+f.Until &&
 			(slices.Contains(f.Zones, a) || slices.Contains(f.Zones, b))
 	})
 }
 
-// watched is the module with a decider of zones out of reach beside it, called as the node calls it.
-type watched struct {
-	*module
-	plan       *Plan
-	zoneHealth *zonehealth.Tracker
-	words      []balance.Word
-	to         map[run]int     // the replica of each execution that is out
-	next       map[int32][]int // by query: executions so far of each part
+// zoneAwareDecider adds the detection of unreachable zones (package zonehealth) to the production module. It calls both in the
+// same way as package node does.
+type zoneAwareDecider struct {
+	*moduleDecider
+	plan           *Plan
+	zoneHealth     *zonehealth.Tracker
+	reports        []balance.SharedReport
+	replicaOf      map[executionID]int // the replica of each execution in flight
+	sentExecutions map[int32][]int     // by query: number of executions of each part so far
 }
 
-type run struct {
+// executionID identifies an execution of a query; execution is its index among those of the part.
+type executionID struct {
 	query           int32
 	part, execution int
 }
 
-func newWatched(m *module, p *Plan, number int, whole []balance.Listing) *watched {
+func newZoneAwareDecider(m *moduleDecider, p *Plan, number int, listings []balance.Listing) *zoneAwareDecider {
 	d := p.deployment(number)
-	w := &watched{module: m, plan: p, to: map[run]int{}, next: map[int32][]int{},
-		zoneHealth: zonehealth.New(zonehealth.Terms{Rest: d.Rest(), Few: 3, Seed: d.Seed})}
-	for _, l := range whole {
-		w.tell(l, false)
+	w := &zoneAwareDecider{moduleDecider: m, plan: p, replicaOf: map[executionID]int{}, sentExecutions: map[int32][]int{},
+		zoneHealth: zonehealth.New(zonehealth.Config{BaseEjection: d.BaseEjection(), MinFailedReplicas: 3, Seed: d.Seed})}
+	for _, l := range listings {
+		w.updateZoneHealth(l, false)
 	}
 	return w
 }
 
-func (w *watched) tell(l balance.Listing, known bool) {
-	if l.Standing == balance.Up {
-		w.zoneHealth.Listed(l.Replica, strconv.Itoa(w.plan.zoneOfReplica(l.Replica)), known)
+func (w *zoneAwareDecider) updateZoneHealth(l balance.Listing, known bool) {
+	if l.Status == balance.Up {
+		w.zoneHealth.ReplicaListed(l.Replica, strconv.Itoa(w.plan.zoneOfReplica(l.Replica)), known)
 	} else {
-		w.zoneHealth.Gone(l.Replica)
+		w.zoneHealth.ReplicaGone(l.Replica)
 	}
 }
 
-func (w *watched) list(now int64, l balance.Listing) {
-	w.tell(l, true)
-	w.module.list(now, l)
+func (w *zoneAwareDecider) updateListing(now int64, l balance.Listing) {
+	w.updateZoneHealth(l, true)
+	w.moduleDecider.updateListing(now, l)
 }
 
-func (w *watched) outcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
-	k := run{number, part, execution}
-	if to, out := w.to[k]; out {
-		delete(w.to, k)
-		w.zoneHealth.Ended(now, to, result, took)
+func (w *zoneAwareDecider) recordOutcome(now int64, number int32, part, execution int, result balance.Result, took int64) {
+	k := executionID{number, part, execution}
+	if replica, inFlight := w.replicaOf[k]; inFlight {
+		delete(w.replicaOf, k)
+		w.zoneHealth.ExecutionEnded(now, replica, result, took)
 	}
-	w.module.outcome(now, number, part, execution, result, took)
+	w.moduleDecider.recordOutcome(now, number, part, execution, result, took)
 }
 
-func (w *watched) decide(now int64) round {
-	w.words = w.zoneHealth.Decide(now, w.words[:0])
-	for _, word := range w.words {
-		w.aggregator.Hear(now, word)
+func (w *zoneAwareDecider) decide(now int64) decision {
+	w.reports = w.zoneHealth.Decide(now, w.reports[:0])
+	for _, report := range w.reports {
+		w.aggregator.ApplyReport(now, report)
 	}
-	r := w.module.decide(now)
+	r := w.moduleDecider.decide(now)
 	for _, s := range r.sends {
-		for len(w.next[s.query]) <= s.part {
-			w.next[s.query] = append(w.next[s.query], 0)
+		for len(w.sentExecutions[s.query]) <= s.part {
+			w.sentExecutions[s.query] = append(w.sentExecutions[s.query], 0)
 		}
-		w.to[run{s.query, s.part, w.next[s.query][s.part]}] = s.replica
-		w.next[s.query][s.part]++
-		w.zoneHealth.Sent(now, s.replica)
+		w.replicaOf[executionID{s.query, s.part, w.sentExecutions[s.query][s.part]}] = s.replica
+		w.sentExecutions[s.query][s.part]++
+		w.zoneHealth.ExecutionSent(now, s.replica)
 	}
-	if next := max(w.zoneHealth.Next(), now+w.plan.Tick); next < math.MaxInt64 && (r.wake == 0 || next < r.wake) {
-		r.wake = next
+	if next := max(w.zoneHealth.Next(), now+w.plan.Tick); next < math.MaxInt64 && (r.wakeAt == 0 || next < r.wakeAt) {
+		r.wakeAt = next
 	}
 	return r
 }
 
-func (w *watched) forget(number int32) {
-	for part, n := range w.next[number] {
+func (w *zoneAwareDecider) forget(number int32) {
+	for part, n := range w.sentExecutions[number] {
 		for k := range n {
-			delete(w.to, run{number, part, k})
+			delete(w.replicaOf, executionID{number, part, k})
 		}
 	}
-	delete(w.next, number)
-	w.module.forget(number)
+	delete(w.sentExecutions, number)
+	w.moduleDecider.forget(number)
 }
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -15,70 +15,70 @@
 	"willowsill/lab/emulator"
 )
 
-var update = flag.Bool("update", false, "write what the twins come to now as what is expected")
+var update = flag.Bool("update", false, "write the present results of the short runs as the expected ones")
 
-// small is an experiment cut down: fewer of all, a shorter span, faults at the same share of it.
-func small(e *Experiment) {
+// shrinkExperiment reduces an experiment to one seed, a small fleet and 5 s, with its faults at the same relative times.
+func shrinkExperiment(e *Experiment) {
 	p := &e.Plan
 	e.Seeds = 1
-	shrink := float64(5*second) / float64(p.Span)
-	at := func(t int64) int64 { return int64(float64(t) * shrink) }
+	factor := float64(5*second) / float64(p.Duration)
+	scaled := func(t int64) int64 { return int64(float64(t) * factor) }
 	if big := p.Aggregators > 20; big {
-		p.Aggregators, p.Replicas = 10, 10*p.Holders
+		p.Aggregators, p.Replicas = 10, 10*p.ReplicasPerShard
 	}
-	p.Span, p.From, p.Until = at(p.Span), at(p.From), at(p.Until)
-	p.ColdRamp = min(p.ColdRamp, 3*second)
+	p.Duration, p.MeasureFrom, p.MeasureUntil = scaled(p.Duration), scaled(p.MeasureFrom), scaled(p.MeasureUntil)
+	p.WarmUpTime = min(p.WarmUpTime, 3*second)
 	for i := range p.Faults {
 		f := &p.Faults[i]
-		f.From, f.Until = at(f.From), at(f.Until)
-		few := func(all []int, most int) []int {
-			return slices.DeleteFunc(slices.Clone(all), func(n int) bool { return n >= most })
+		f.From, f.Until = scaled(f.From), scaled(f.Until)
+		below := func(all []int, limit int) []int {
+			return slices.DeleteFunc(slices.Clone(all), func(n int) bool { return n >= limit })
 		}
-		f.Replicas, f.Aggregators = few(f.Replicas, p.Replicas/3), few(f.Aggregators, p.Aggregators)
+		f.Replicas, f.Aggregators = below(f.Replicas, p.Replicas/3), below(f.Aggregators, p.Aggregators)
 	}
-	for i := range p.Loads {
-		p.Loads[i].Parts = min(p.Loads[i].Parts, p.Shards())
-		p.Loads[i].Every, p.Loads[i].For = at(p.Loads[i].Every), at(p.Loads[i].For)
+	for i := range p.Workloads {
+		p.Workloads[i].Parts = min(p.Workloads[i].Parts, p.Shards())
+		p.Workloads[i].BurstInterval, p.Workloads[i].BurstTime = scaled(p.Workloads[i].BurstInterval), scaled(p.Workloads[i].BurstTime)
 	}
 }
 
-// Short twins of all standing experiments come to what is expected, to the last query.
+// Short runs of all experiments of the repository give exactly the expected counts, so that unintended changes of behaviour show.
 func TestTwins(t *testing.T) {
 	files, _ := filepath.Glob("../../experiments/*.star")
 	if len(files) < 12 {
-		t.Fatalf("%d experiments", len(files))
+		t.Fatalf("found only %d experiments", len(files))
 	}
 	var lines []string
 	var mu sync.Mutex // guards lines
-	var under sync.WaitGroup
-	free := make(chan struct{}, emulator.Cores())
+	var wg sync.WaitGroup
+	slots := make(chan struct{}, emulator.MaxCores())
 	for _, file := range files {
 		e, err := Read(file)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if want := strings.TrimSuffix(filepath.Base(file), ".star"); e.Name != want {
-			t.Errorf("%s calls itself %q", file, e.Name)
+			t.Errorf("%s has the name %q", file, e.Name)
 		}
-		small(e)
+		shrinkExperiment(e)
 		for _, v := range e.Variants {
-			if v.Constants != nil { // it is for a program built so
+			if v.Constants != nil { // it needs a program built with these constants
 				continue
 			}
 			mu.Lock()
 			at := len(lines)
 			lines = append(lines, "")
 			mu.Unlock()
-			under.Go(func() {
-				free <- struct{}{}
-				defer func() { <-free }()
-				r, err := emulator.Run(e.Of(v, 1), 1)
+			wg.Go(func() {
+				slots <- struct{}{}
+				defer func() { <-slots }()
+				r, err := emulator.Run(e.PlanFor(v, 1), 1)
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				if r.Broken != "" && v.True {
-					t.Errorf("%s, %s: %s", e.Name, v.Name, r.Broken)
+				if r.Violation != "" && v.RunsOnSockets {
+					t.Errorf("%s, %s: %s", e.Name, v.Name, r.Violation)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -87,7 +87,7 @@
 			})
 		}
 	}
-	under.Wait()
+	wg.Wait()
 	got := strings.Join(lines, "\n") + "\n"
 	const file = "testdata/twins.txt"
 	if *update {
@@ -102,7 +102,7 @@
 	lines = strings.Split(got, "\n")
 	for i, line := range strings.Split(string(want), "\n") {
 		if i >= len(lines) || lines[i] != line {
-			t.Errorf("expected %q, came to %q", line, lines[min(i, len(lines)-1)])
+			t.Errorf("expected %q, got %q", line, lines[min(i, len(lines)-1)])
 		}
 	}
 }
@@ -116,27 +116,27 @@
 	return Read(file)
 }
 
-const good = `experiment(name = "a", question = "b?", span = "6s", count_from = "1s", count_until = "5s", seeds = 3)
+const validScript = `experiment(name = "a", question = "b?", span = "6s", count_from = "1s", count_until = "5s", seeds = 3)
 fleet(aggregators = 2, replicas = 8, holders = 4)
 queries(rate = 20, parts = 2)
 variant(name = "module")
 variant(name = "random", policy = "random")
 `
 
-// All that is wrong is told with its place.
+// Each mistake in a script is reported, with its position.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string][2]string{
-		"no variant":   {strings.Split(good, "variant")[0], "variant is missing"},
-		"policy":       {good + `variant(name = "x", policy = "best")`, `:6:21: variant: key "policy" is "best", not one of`},
-		"twice":        {good + `variant(name = "random")`, `a variant "random" already`},
-		"replicas":     {good + `fault(kind = "hang", replicas = ["x"], at = "1s", until = "2s")`, `key "replicas" has`},
-		"no replica":   {good + `fault(kind = "hang", replicas = [8], at = "1s", until = "2s")`, "there is no replica 8"},
-		"no end":       {good + `fault(kind = "hang", replicas = [1], at = "2s", until = "1s")`, `"until" is not after`},
-		"parts":        {strings.Replace(good, "parts = 2", "parts = 3", 1), "3 parts, and there are 2 shards"},
-		"goal":         {strings.Replace(good, "parts = 2", `parts = 2, goal = "2s"`, 1), `"goal" is longer`},
-		"burst":        {strings.Replace(good, "parts = 2", `parts = 2, every = "1s", burst_for = "2s"`, 1), `"burst_for" is longer`},
-		"whole groups": {strings.Replace(good, "replicas = 8", "replicas = 9", 1), "whole groups"},
-		"stretch":      {strings.Replace(good, `"5s"`, `"7s"`, 1), "not within the span"},
+		"no variant":   {strings.Split(validScript, "variant")[0], "variant is missing"},
+		"policy":       {validScript + `variant(name = "x", policy = "best")`, `:6:21: variant: key "policy" is "best", not one of`},
+		"twice":        {validScript + `variant(name = "random")`, `a variant "random" already`},
+		"replicas":     {validScript + `fault(kind = "hang", replicas = ["x"], at = "1s", until = "2s")`, `key "replicas" has`},
+		"no replica":   {validScript + `fault(kind = "hang", replicas = [8], at = "1s", until = "2s")`, "there is no replica 8"},
+		"no end":       {validScript + `fault(kind = "hang", replicas = [1], at = "2s", until = "1s")`, `"until" is not after`},
+		"parts":        {strings.Replace(validScript, "parts = 2", "parts = 3", 1), "3 parts, and there are 2 shards"},
+		"goal":         {strings.Replace(validScript, "parts = 2", `parts = 2, goal = "2s"`, 1), `"goal" is longer`},
+		"burst":        {strings.Replace(validScript, "parts = 2", `parts = 2, every = "1s", burst_for = "2s"`, 1), `"burst_for" is longer`},
+		"whole groups": {strings.Replace(validScript, "replicas = 8", "replicas = 9", 1), "whole groups"},
+		"stretch":      {strings.Replace(validScript, `"5s"`, `"7s"`, 1), "not within the span"},
 	} {
 		if _, err := read(t, c[0]); err == nil || !strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%s: %v", name, err)
@@ -144,110 +144,110 @@
 	}
 }
 
-// Tables are the same each time, say what may be said, and are kept and compared whole.
+// Two runs of an experiment give the same table. Its verdicts are right, and it survives storing, comparing and reporting.
 func TestTable(t *testing.T) {
 	var texts [2]string
 	var table *Table
 	for i := range texts {
-		e, err := read(t, good+`fault(kind = "hang", replicas = [0], at = "1s", until = "5s")`)
+		e, err := read(t, validScript+`fault(kind = "hang", replicas = [0], at = "1s", until = "5s")`)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if table, err = e.Play(Emulated(), nil); err != nil {
+		if table, err = e.Run(EmulatorRunner(), nil); err != nil {
 			t.Fatal(err)
 		}
 		text, _ := json.Marshal(table)
 		texts[i] = string(text)
 	}
 	if texts[0] != texts[1] {
-		t.Errorf("%s and %s", texts[0], texts[1])
+		t.Errorf("two runs gave different tables: %s and %s", texts[0], texts[1])
 	}
 	if v := table.Rows[1].Verdict; v != "less" || table.Rows[0].Mean <= table.Rows[1].Mean {
-		t.Errorf("random choice is told %q: %+v", v, table.Rows)
+		t.Errorf("the verdict on random choice is %q: %+v", v, table.Rows)
 	}
-	back, err := Decode([]byte(texts[0]), "x")
+	decoded, err := Decode([]byte(texts[0]), "x")
 	if err != nil {
 		t.Fatal(err)
 	}
-	rows, err := Compare(back, table)
+	rows, err := Compare(decoded, table)
 	if err != nil || len(rows) != 2 || rows[1].Against != 0 || rows[1].Verdict != "not told apart" {
 		t.Errorf("%+v %v", rows, err)
 	}
-	other := *table
-	other.Hash = "0"
-	if _, err := Compare(&other, table); err == nil {
-		t.Error("tables of other scripts were compared")
+	changed := *table
+	changed.Hash = "0"
+	if _, err := Compare(&changed, table); err == nil {
+		t.Error("tables of different scripts were compared")
 	}
-	other = *table
-	other.Seeds++
-	if _, err := Compare(&other, table); err == nil {
-		t.Error("tables of other seeds were compared")
+	changed = *table
+	changed.Seeds++
+	if _, err := Compare(&changed, table); err == nil {
+		t.Error("tables with different numbers of seeds were compared")
 	}
 	if _, err := Decode([]byte(`{"form":9}`), "x"); err == nil {
-		t.Error("a table of another form was read")
+		t.Error("a table of an unknown format was read")
 	}
 	var page bytes.Buffer
 	if err := Report(&page, []*Table{table}); err != nil || strings.Count(page.String(), "<svg") != 4 ||
 		!strings.Contains(page.String(), "random") {
 		t.Errorf("%v: %.300s", err, page.String())
 	}
-	old := *table // kept before the times of answers were
-	old.Rows = append([]Row(nil), table.Rows...)
-	for i := range old.Rows {
-		old.Rows[i].Times = nil
+	withoutLatencies := *table // stored before tables had latencies
+	withoutLatencies.Rows = append([]Row(nil), table.Rows...)
+	for i := range withoutLatencies.Rows {
+		withoutLatencies.Rows[i].Latencies = nil
 	}
-	if err := Report(&page, []*Table{&old}); err != nil {
+	if err := Report(&page, []*Table{&withoutLatencies}); err != nil {
 		t.Error(err)
 	}
 }
 
-// Variants played by two programs come to the table that one would make, in the script's order.
+// Variants run by two programs are joined to the same table that one program would make, in the script's order.
 func TestJoin(t *testing.T) {
-	e, err := read(t, good+`variant(name = "other", constants = {"balance.channels": 3})`)
+	e, err := read(t, validScript+`variant(name = "other", constants = {"balance.maxCalls": 3})`)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := e.Variants[2]; v.True || v.Constants["balance.channels"] != 3 {
+	if v := e.Variants[2]; v.RunsOnSockets || v.Constants["balance.maxCalls"] != 3 {
 		t.Errorf("%+v", v)
 	}
-	whole, err := e.Play(Emulated(), nil)
+	want, err := e.Run(EmulatorRunner(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var some []*Table
+	var tables []*Table
 	for _, of := range [][]Variant{e.Variants[1:2], {e.Variants[0], e.Variants[2]}} {
-		one := *e
-		one.Variants = of
-		table, err := one.Play(Emulated(), nil)
+		part := *e
+		part.Variants = of
+		table, err := part.Run(EmulatorRunner(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		some = append(some, table)
+		tables = append(tables, table)
 	}
-	joined, err := e.Join(some...)
+	joined, err := e.JoinTables(tables...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, _ := json.Marshal(whole)
+	a, _ := json.Marshal(want)
 	b, _ := json.Marshal(joined)
 	if !bytes.Equal(a, b) {
-		t.Errorf("%s and %s", a, b)
+		t.Errorf("the table of one program is %s, the joined one %s", a, b)
 	}
-	if _, err := e.Join(some[0]); err == nil {
-		t.Error("a table without all variants was made")
+	if _, err := e.JoinTables(tables[0]); err == nil {
+		t.Error("a table without all variants was joined")
 	}
-	some[1].Seeds++
-	if _, err := e.Join(some...); err == nil {
-		t.Error("tables of other seeds were joined")
+	tables[1].Seeds++
+	if _, err := e.JoinTables(tables...); err == nil {
+		t.Error("tables with different numbers of seeds were joined")
 	}
 }
 
-// The interval holds the mean nine times of ten at least, and is a point where there is no chance.
+// The confidence interval is a point if all values are equal, and contains the mean of symmetric values.
 func TestInterval(t *testing.T) {
-	if low, high := Interval([]float64{2, 2, 2}); low != 2 || high != 2 {
+	if low, high := ConfidenceInterval([]float64{2, 2, 2}); low != 2 || high != 2 {
 		t.Errorf("%v to %v", low, high)
 	}
-	if low, high := Interval([]float64{-1, 1, -1, 1, -1, 1}); low >= 0 || high <= 0 {
+	if low, high := ConfidenceInterval([]float64{-1, 1, -1, 1, -1, 1}); low >= 0 || high <= 0 {
 		t.Errorf("%v to %v", low, high)
 	}
 }
--- a/lab/experiment/report.go
+++ b/lab/experiment/report.go
@@ -15,8 +15,8 @@
 	"willowsill/lab/emulator"
 )
 
-// Chart draws each variant's share of revenue second by second, with the stretches of the faults behind, as SVG.
-func (t *Table) Chart() ([]byte, error) {
+// RevenueChart draws each variant's share of the revenue by second, with the times of the faults in the background, as SVG.
+func (t *Table) RevenueChart() ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = t.Question
 	p.X.Label.Text, p.Y.Label.Text = "second", "revenue within goal"
@@ -32,8 +32,8 @@
 		p.Add(area)
 	}
 	for i, r := range t.Rows {
-		points := make(plotter.XYs, len(r.Lines))
-		for second, share := range r.Lines {
+		points := make(plotter.XYs, len(r.ShareBySecond))
+		for second, share := range r.ShareBySecond {
 			points[second] = plotter.XY{X: float64(second), Y: share}
 		}
 		line, err := plotter.NewLine(points)
@@ -44,66 +44,66 @@
 		p.Add(line)
 		p.Legend.Add(r.Name, line)
 	}
-	return svg(p)
+	return renderSVG(p)
 }
 
-// Ends draws what became of the queries, variant by variant: late, partial, declined and forfeited, stacked.
-func (t *Table) Ends() ([]byte, error) {
+// OutcomeChart draws the late, partial, declined and forfeited queries of each variant as stacked bars.
+func (t *Table) OutcomeChart() ([]byte, error) {
 	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = "what was not within the goal, of 1 asked", "share"
-	var below *plotter.BarChart
-	for i, of := range []struct {
+	p.Title.Text, p.Y.Label.Text = "queries not answered within the goal", "share"
+	var previous *plotter.BarChart
+	for i, series := range []struct {
 		name string
 		y    func(Row) float64
 	}{{"late", func(r Row) float64 { return r.Late }}, {"partial", func(r Row) float64 { return r.Partial }},
 		{"declined", func(r Row) float64 { return r.Declined }}, {"forfeited", func(r Row) float64 { return r.Forfeited }}} {
-		bars, err := t.bars(of.y, i)
+		bars, err := t.barChart(series.y, i)
 		if err != nil {
 			return nil, err
 		}
-		if below != nil {
-			bars.StackOn(below)
+		if previous != nil {
+			bars.StackOn(previous)
 		}
-		below = bars
+		previous = bars
 		p.Add(bars)
-		p.Legend.Add(of.name, bars)
+		p.Legend.Add(series.name, bars)
 	}
 	p.Legend.Top = true
-	p.NominalX(t.names()...)
-	return svg(p)
+	p.NominalX(t.variantNames()...)
+	return renderSVG(p)
 }
 
-// Gap draws how much each variant earns less than the oracle, or than the best where there is none.
-func (t *Table) Gap() ([]byte, error) {
-	ceiling := 0.0
+// GapChart draws how much less each variant earns than the variant "oracle", or than the best one if there is no oracle.
+func (t *Table) GapChart() ([]byte, error) {
+	reference := 0.0
 	for _, r := range t.Rows {
-		if ceiling = max(ceiling, r.Mean); r.Name == "oracle" {
-			ceiling = r.Mean
+		if reference = max(reference, r.Mean); r.Name == "oracle" {
+			reference = r.Mean
 			break
 		}
 	}
 	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = "revenue less than the oracle's, or the best's", "share"
-	bars, err := t.bars(func(r Row) float64 { return ceiling - r.Mean }, 0)
+	p.Title.Text, p.Y.Label.Text = "revenue below that of the oracle, or of the best variant", "share"
+	bars, err := t.barChart(func(r Row) float64 { return reference - r.Mean }, 0)
 	if err != nil {
 		return nil, err
 	}
 	p.Add(bars)
-	p.NominalX(t.names()...)
-	return svg(p)
+	p.NominalX(t.variantNames()...)
+	return renderSVG(p)
 }
 
-// Times draws each variant's times of answers: the share of them that took no longer.
-func (t *Table) Times() ([]byte, error) {
+// LatencyChart draws the cumulative distribution of each variant's latencies.
+func (t *Table) LatencyChart() ([]byte, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "times of answers", "ms", "share that took no longer"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "latency of answers", "ms", "share of answers"
 	for i, r := range t.Rows {
-		if len(r.Times) == 0 || r.Times[0] <= 0 {
+		if len(r.Latencies) == 0 || r.Latencies[0] <= 0 {
 			continue
 		}
-		points := make(plotter.XYs, len(r.Times))
-		for n, ns := range r.Times {
-			points[n] = plotter.XY{X: float64(ns) / 1e6, Y: emulator.Percents[n] / 100}
+		points := make(plotter.XYs, len(r.Latencies))
+		for n, ns := range r.Latencies {
+			points[n] = plotter.XY{X: float64(ns) / 1e6, Y: emulator.Percentiles[n] / 100}
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
@@ -112,15 +112,15 @@
 		line.Color = plotutil.Color(i)
 		p.Add(line)
 		p.Legend.Add(r.Name, line)
-		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1} // which cannot be where nothing is drawn
+		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1} // only with data, as a logarithmic scale needs positive values
 	}
-	return svg(p)
+	return renderSVG(p)
 }
 
-func (t *Table) bars(of func(Row) float64, color int) (*plotter.BarChart, error) {
+func (t *Table) barChart(value func(Row) float64, color int) (*plotter.BarChart, error) {
 	var values plotter.Values
 	for _, r := range t.Rows {
-		values = append(values, of(r))
+		values = append(values, value(r))
 	}
 	bars, err := plotter.NewBarChart(values, vg.Points(24))
 	if err == nil {
@@ -129,33 +129,33 @@
 	return bars, err
 }
 
-func (t *Table) names() (all []string) {
+func (t *Table) variantNames() (all []string) {
 	for _, r := range t.Rows {
 		all = append(all, r.Name)
 	}
 	return all
 }
 
-// Size is how a fleet of a size was played.
-type Size struct {
-	Aggregators int
-	Events      float64 // a second of real time
-	Heap        float64 // bytes at the most
+// FleetSize holds the speed and memory of the emulator for a fleet of one size.
+type FleetSize struct {
+	Aggregators     int
+	EventsPerSecond float64 // events per second of real time
+	HeapBytes       float64 // peak heap in bytes
 }
 
-// Growth draws speed and memory against the size of the fleet, both on logarithmic scales, as SVG.
-func Growth(sizes []Size) ([]byte, error) {
+// GrowthChart draws speed and memory against the size of the fleet, both on logarithmic scales, as SVG.
+func GrowthChart(sizes []FleetSize) ([]byte, error) {
 	p := plot.New()
-	p.Title.Text = "events a second, and heap in KB, by aggregators"
+	p.Title.Text = "events per second, and heap in KB, by number of aggregators"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
-	for i, of := range []struct {
+	for i, series := range []struct {
 		name string
-		y    func(Size) float64
-	}{{"events a second", func(s Size) float64 { return s.Events }}, {"heap, KB", func(s Size) float64 { return s.Heap / 1e3 }}} {
+		y    func(FleetSize) float64
+	}{{"events per second", func(s FleetSize) float64 { return s.EventsPerSecond }}, {"heap, KB", func(s FleetSize) float64 { return s.HeapBytes / 1e3 }}} {
 		points := make(plotter.XYs, len(sizes))
 		for n, s := range sizes {
-			points[n] = plotter.XY{X: float64(s.Aggregators), Y: of.y(s)}
+			points[n] = plotter.XY{X: float64(s.Aggregators), Y: series.y(s)}
 		}
 		line, dots, err := plotter.NewLinePoints(points)
 		if err != nil {
@@ -163,12 +163,12 @@
 		}
 		line.Color, dots.Color = plotutil.Color(i), plotutil.Color(i)
 		p.Add(line, dots)
-		p.Legend.Add(of.name, line)
+		p.Legend.Add(series.name, line)
 	}
-	return svg(p)
+	return renderSVG(p)
 }
 
-func svg(p *plot.Plot) ([]byte, error) {
+func renderSVG(p *plot.Plot) ([]byte, error) {
 	w, err := p.WriterTo(18*vg.Centimeter, 9*vg.Centimeter, "svg")
 	if err != nil {
 		return nil, err
@@ -178,14 +178,14 @@
 	return b.Bytes(), err
 }
 
-var page = template.Must(template.New("page").Funcs(template.FuncMap{
+var reportPage = template.Must(template.New("page").Funcs(template.FuncMap{
 	"ms":  func(ns int64) string { return fmt.Sprintf("%.1f", float64(ns)/1e6) },
 	"svg": func(b []byte) template.HTML { return template.HTML(b) },
 }).Parse(`<!DOCTYPE html><html lang="en"><meta charset="utf-8"><title>Experiments</title>
 <style>body{font:15px sans-serif;margin:2em;max-width:75em}table{border-collapse:collapse;margin:1em 0}
 td,th{padding:.2em .6em;border-bottom:1px solid #ccc;text-align:right}td:first-child,th:first-child{text-align:left}
 .broken{color:#a00}</style>
-<h1>Experiments</h1><p>Model replicas and clients in virtual time; what the models leave out stands in the project's pages.</p>
+<h1>Experiments</h1><p>Simulated replicas and clients in virtual time. The project's pages say what the models leave out.</p>
 {{range .}}<h2>{{.Table.Name}}</h2><p>{{.Table.Question}}</p>{{range .Charts}}{{svg .}}{{end}}
 <table><tr><th>variant<th>within goal<th>against the first<th>95% from<th>to<th>verdict<th>late<th>partial<th>declined<th>forfeited
 <th>executions a query<th>further<th>p50 ms<th>p99 ms<th>p99.9 ms</tr>
@@ -196,7 +196,7 @@
 <p>{{.Table.Seeds}} seeds, script {{.Table.Hash}}.</p>{{end}}</html>
 `))
 
-// Report writes one page of tables with their charts, which opens from a disk.
+// Report writes one self-contained HTML page with tables and their charts.
 func Report(out io.Writer, tables []*Table) error {
 	type part struct {
 		Table  *Table
@@ -204,8 +204,8 @@
 	}
 	var parts []part
 	for _, t := range tables {
-		one := part{Table: t}
-		for _, draw := range []func() ([]byte, error){t.Chart, t.Times, t.Ends, t.Gap} {
+		p := part{Table: t}
+		for _, draw := range []func() ([]byte, error){t.RevenueChart, t.LatencyChart, t.OutcomeChart, t.GapChart} {
 			chart, err := draw()
 			if err != nil {
 				return err
@@ -213,9 +213,9 @@
 			if i := bytes.Index(chart, []byte("<svg")); i >= 0 {
 				chart = chart[i:]
 			}
-			one.Charts = append(one.Charts, chart)
+			p.Charts = append(p.Charts, chart)
 		}
-		parts = append(parts, one)
+		parts = append(parts, p)
 	}
-	return page.Execute(out, parts)
+	return reportPage.Execute(out, parts)
 }
--- a/lab/localsettings/localsettings_test.go
+++ b/lab/localsettings/localsettings_test.go
@@ -10,7 +10,7 @@
 	"willowsill/deployment/settings"
 )
 
-// What is written is what a daemon reads.
+// A daemon reads the same settings that were written.
 func TestReadBack(t *testing.T) {
 	const ports Ports = 7000
 	for _, role := range []string{"controller", "proxy", "agent"} {
@@ -21,9 +21,9 @@
 		must.NoError(t, err)
 		must.EqOp(t, role+"-127.0.1.1", read.Name)
 		must.EqOp(t, "hall", read.Zone)
-		must.Eq(t, []string{"127.0.1.1:7010", "127.0.1.2:7010"}, read.Seeds)
-		must.Eq(t, []int{7000, 7009}, read.Ports)
-		must.EqOp(t, 300, read.BeatMs)
+		must.Eq(t, []string{"127.0.1.1:7010", "127.0.1.2:7010"}, read.SeedNodes)
+		must.Eq(t, []int{7000, 7009}, read.InternalPorts)
+		must.EqOp(t, 300, read.HeartbeatIntervalMs)
 		must.EqOp(t, 256, read.Limits.MemoryMB)
 		must.EqOp(t, 2, read.Bounds.GraceS)
 		must.EqOp(t, role == "controller", read.DataDir == "/data")
--- a/lab/modelcheck/step.go
+++ b/lab/modelcheck/step.go
@@ -10,44 +10,43 @@
 	"willowsill/decide/register"
 )
 
-// The kinds of events: an operation begins, a message is delivered, a proposer's timer fires, a joiner asks again, a
-// disk has synced, a machine loses power, a machine loses power and its disk.
+// The kinds of events. The kind says whether event.subject is an operation, a message or a machine.
 const (
-	eventOp uint8 = iota + 1
-	eventDeliver
-	eventTick
-	eventAsk
-	eventSync
-	eventCrash
-	eventWipe
+	eventOp      uint8 = iota + 1 // an operation begins
+	eventDeliver                  // a message is delivered
+	eventTick                     // a proposer's timer fires
+	eventJoin                     // a joiner asks the other machines again
+	eventSync                     // a disk has synced
+	eventCrash                    // a machine loses power and restarts
+	eventWipe                     // a machine loses power and its disk, and restarts
 )
 
-// committedNotice is the kind of the message by which controllers tell each other, beside the register's own messages,
-// that a value is committed.
+// committedNotice is the kind of the messages with which controllers notify each other of committed values. They are not part of
+// the register's own messages.
 const committedNotice register.Kind = 99
 
-// event leads from a state to the next.
+// event is a transition from one state to the next.
 type event struct {
-	kind uint8
-	of   uint32 // the operation, the message's number, or the machine
+	kind    uint8
+	subject uint32 // the index of the operation, the number of the message, or the index of the machine
 }
 
-// worker computes the states that follow a state. Each goroutine of an exploration has its own.
+// worker computes the successors of a state. Each goroutine of an exploration has its own.
 type worker struct {
 	*exploration
 	key []byte
-	ids map[string]uint32 // numbers of the messages met, by their keys
+	ids map[string]uint32 // numbers of the messages that this worker has met, by their keys
 }
 
 func (x *exploration) newWorker() *worker { return &worker{exploration: x, ids: map[string]uint32{}} }
 
-// message returns a message's number.
-func (s *worker) message(from, to, life int, m register.Message) uint32 {
-	s.key = m.Key(append(s.key[:0], byte(from), byte(to), byte(life)))
+// message returns the number of a message; equal messages have the same number.
+func (s *worker) message(from, to, incarnation int, m register.Message) uint32 {
+	s.key = m.Key(append(s.key[:0], byte(from), byte(to), byte(incarnation)))
 	id, ok := s.ids[string(s.key)]
 	if !ok {
 		key := string(s.key)
-		id = s.messages.number(key, func() *message { return &message{from, to, life, m, xxhash.Sum64String(key)} })
+		id = s.messages.number(key, func() *message { return &message{from, to, incarnation, m, xxhash.Sum64String(key)} })
 		s.ids[key] = id
 	}
 	return id
@@ -76,10 +75,10 @@
 		if m.proposer.Busy() && m.rounds < s.Rounds && !s.do(w, event{eventTick, uint32(i)}, visit) {
 			return
 		}
-		if m.joiner != nil && !s.do(w, event{eventAsk, uint32(i)}, visit) {
+		if m.joiner != nil && !s.do(w, event{eventJoin, uint32(i)}, visit) {
 			return
 		}
-		if len(m.held) > 0 && !s.do(w, event{eventSync, uint32(i)}, visit) {
+		if len(m.pendingAnswers) > 0 && !s.do(w, event{eventSync, uint32(i)}, visit) {
 			return
 		}
 		if w.crashes < s.Crashes && !s.do(w, event{eventCrash, uint32(i)}, visit) {
@@ -91,7 +90,7 @@
 	}
 }
 
-// membersCaughtUp returns whether every member's disk counts: a further one may be lost only then.
+// membersCaughtUp reports whether every member's disk counts for a majority. Only then another disk may be lost.
 func (s *worker) membersCaughtUp(w *world) bool {
 	return !slices.ContainsFunc(w.machines[:len(s.Members)], func(m *machine) bool { return !m.savedCaughtUp })
 }
@@ -104,34 +103,35 @@
 	err     error
 }
 
+// do builds the state after an event, checks it, and calls visit unless the event changed nothing.
 func (s *worker) do(from *world, e event, visit func(event, *world, error) bool) bool {
 	w := *from
 	w.machines = slices.Clone(from.machines)
 	t := &transition{s, &w, make([]bool, len(w.machines)), nil}
 	switch e.kind {
 	case eventOp:
-		t.begin(int(e.of))
+		t.begin(int(e.subject))
 	case eventDeliver:
-		t.deliver(s.messages.get(e.of))
+		t.deliver(s.messages.get(e.subject))
 	case eventTick:
-		i := int(e.of)
+		i := int(e.subject)
 		m := t.machine(i)
 		t.carryOut(i, m.proposer.Tick(m.proposer.Due()))
-	case eventAsk:
-		i := int(e.of)
+	case eventJoin:
+		i := int(e.subject)
 		m := t.w.machines[i]
-		for _, to := range m.joiner.Others(s.names) {
-			t.send(i, s.number[to], m.joiner.Ask())
+		for _, to := range m.joiner.Targets(s.names) {
+			t.send(i, s.number[to], m.joiner.Request())
 		}
 	case eventSync:
-		t.sync(int(e.of))
+		t.sync(int(e.subject))
 	case eventCrash:
 		w.crashes++
-		i := int(e.of)
+		i := int(e.subject)
 		t.restart(t.machine(i), s.names[i])
 	case eventWipe:
 		w.wipes++
-		i := int(e.of)
+		i := int(e.subject)
 		m := t.machine(i)
 		m.saved, m.savedCaughtUp = register.State{}, false
 		t.restart(m, s.names[i])
@@ -161,7 +161,7 @@
 		if m.joiner != nil {
 			m.joiner = m.joiner.Copy()
 		}
-		m.held = slices.Clone(m.held)
+		m.pendingAnswers = slices.Clone(m.pendingAnswers)
 		t.w.machines[i], t.changed[i] = &m, true
 	}
 	return t.w.machines[i]
@@ -195,11 +195,11 @@
 }
 
 func (t *transition) send(from, to int, m register.Message) {
-	life := 0
+	incarnation := 0
 	if m.Kind > register.Query && !t.LateAnswers {
-		life = t.w.machines[to].life
+		incarnation = t.w.machines[to].incarnation
 	}
-	t.emit(t.message(from, to, life, m))
+	t.emit(t.message(from, to, incarnation, m))
 }
 
 // emit adds a message to those that were sent. A message of a machine to itself is delivered at once.
@@ -243,13 +243,13 @@
 func (t *transition) isRelevant(p *message) bool {
 	m, from := t.w.machines[p.to], t.names[p.from]
 	if p.m.Kind == committedNotice {
-		return m.proposer.Learns(p.m.Value)
+		return m.proposer.WouldLearn(p.m.Value)
 	}
 	if p.m.Kind > register.Query {
-		return p.life == 0 && t.LateAnswers || p.life == m.life && (m.proposer.Awaits(from, p.m) || m.joiner != nil && m.joiner.Awaits(from, p.m))
+		return p.incarnation == 0 && t.LateAnswers || p.incarnation == m.incarnation && (m.proposer.Awaits(from, p.m) || m.joiner != nil && m.joiner.Awaits(from, p.m))
 	}
 	asker := t.w.machines[p.from]
-	if asker.proposer.Asks(p.m) || asker.joiner != nil && asker.joiner.Ask().Ballot == p.m.Ballot {
+	if asker.proposer.IsOutstanding(p.m) || asker.joiner != nil && asker.joiner.Request().Ballot == p.m.Ballot {
 		return true
 	}
 	switch p.m.Kind {
@@ -261,25 +261,25 @@
 	return false
 }
 
-// deliver delivers a message. An answer to a former life of the receiver is dropped, unless the scope says otherwise.
+// deliver delivers a message. An answer to a former incarnation of the receiver is dropped, unless the scope says otherwise.
 func (t *transition) deliver(p *message) {
-	if p.life > 0 && p.life != t.w.machines[p.to].life {
+	if p.incarnation > 0 && p.incarnation != t.w.machines[p.to].incarnation {
 		return
 	}
 	if p.m.Kind == committedNotice {
-		t.machine(p.to).proposer.Know(p.m.Value)
+		t.machine(p.to).proposer.Learn(p.m.Value)
 		return
 	}
 	if p.m.Kind <= register.Query {
-		t.ask(p.from, p.to, p.m)
+		t.handleRequest(p.from, p.to, p.m)
 		return
 	}
 	m := t.machine(p.to)
 	if m.joiner != nil {
-		if state, done := m.joiner.Take(t.names[p.from], p.m); done {
-			m.disk, m.joiner = register.Disk{State: state, CaughtUp: true}, nil
-			m.proposer.Know(state.Value)
-			m.proposer.Seen(state.Promised)
+		if state, done := m.joiner.HandleAnswer(t.names[p.from], p.m); done {
+			m.disk, m.joiner = register.Acceptor{State: state, CaughtUp: true}, nil
+			m.proposer.Learn(state.Value)
+			m.proposer.ObserveBallot(state.Promised)
 			if !t.SlowDisks {
 				m.saved, m.savedCaughtUp = m.disk.State, true
 			}
@@ -288,27 +288,27 @@
 	t.carryOut(p.to, m.proposer.Step(0, t.names[p.from], p.m))
 }
 
-// ask hands a request to a disk. The answer waits for the sync that covers it.
-func (t *transition) ask(from, to int, q register.Message) {
+// handleRequest hands a request to a disk. The answer waits for the sync that covers it.
+func (t *transition) handleRequest(from, to int, q register.Message) {
 	m := t.machine(to)
 	if q.Kind != register.Query {
-		m.proposer.Seen(q.Ballot)
+		m.proposer.ObserveBallot(q.Ballot)
 	}
 	answer, _, ok := m.disk.Step(q)
 	if !ok {
 		return
 	}
-	m.proposer.Hold(m.disk.State)
-	clean := m.savedCaughtUp && same(m.saved, m.disk.State)
+	m.proposer.CacheState(m.disk.State)
+	clean := m.savedCaughtUp && sameBallots(m.saved, m.disk.State)
 	if t.SlowDisks && !clean && !t.AnswerBeforeSync {
-		life := 0
+		incarnation := 0
 		if !t.LateAnswers {
-			life = t.w.machines[from].life
+			incarnation = t.w.machines[from].incarnation
 		}
-		id := t.message(to, from, life, answer)
-		if !slices.Contains(m.held, id) {
-			m.held = append(m.held, id)
-			slices.Sort(m.held)
+		id := t.message(to, from, incarnation, answer)
+		if !slices.Contains(m.pendingAnswers, id) {
+			m.pendingAnswers = append(m.pendingAnswers, id)
+			slices.Sort(m.pendingAnswers)
 		}
 		return
 	}
@@ -317,24 +317,26 @@
 	}
 	t.send(to, from, answer)
 	if t.AnswerBeforeSync && !clean { // the sync is still to come
-		m.held = []uint32{t.message(to, from, 0, answer)}
+		m.pendingAnswers = []uint32{t.message(to, from, 0, answer)}
 	}
 }
 
-func same(a, b register.State) bool { return a.Promised == b.Promised && a.Accepted == b.Accepted }
+func sameBallots(a, b register.State) bool {
+	return a.Promised == b.Promised && a.Accepted == b.Accepted
+}
 
 // sync ends a save: the state is durable, and the answers that waited for it are sent.
 func (t *transition) sync(i int) {
 	m := t.machine(i)
 	m.saved, m.savedCaughtUp = m.disk.State, m.disk.CaughtUp
-	held := m.held
-	m.held = nil
-	for _, id := range held {
+	answers := m.pendingAnswers
+	m.pendingAnswers = nil
+	for _, id := range answers {
 		t.emit(id)
 	}
 }
 
-// carryOut sends what a proposer asks for, and checks the values that it reports as committed.
+// carryOut sends a proposer's messages, and checks the values that it reports as committed.
 func (t *transition) carryOut(i int, out register.Out) {
 	m := t.machine(i)
 	if b := out.Send.Ballot; len(out.To) > 0 && out.Send.Kind != register.Accept && b != m.last {
@@ -354,26 +356,26 @@
 	}
 }
 
-// noteCommitted records that a value was acknowledged or read, and checks it against those before: one content a
-// revision, and no operation returns less than was acknowledged before it began.
+// noteCommitted records that a value was acknowledged or read, and checks it against the values before: a revision has one
+// content, and no operation returns a lower revision than was acknowledged before it began.
 func (t *transition) noteCommitted(v register.Value, floor uint64) {
 	body := slices.Index(t.bodies, string(v.Body))
 	if was, ok := t.w.committed[v.Revision]; ok && was != body {
-		t.err = fmt.Errorf("revision %d stands with %q and with %q", v.Revision, t.bodies[was], v.Body)
+		t.err = fmt.Errorf("revision %d is committed with %q and with %q", v.Revision, t.bodies[was], v.Body)
 		return
 	} else if !ok {
 		t.w.committed = maps.Clone(t.w.committed)
 		t.w.committed[v.Revision] = body
 	}
 	if v.Revision < floor {
-		t.err = fmt.Errorf("revision %d was acknowledged before an operation began that found %d standing", floor, v.Revision)
+		t.err = fmt.Errorf("revision %d was acknowledged before an operation began that found revision %d", floor, v.Revision)
 	}
 	t.w.floor = max(t.w.floor, v.Revision)
 }
 
-// checkDurable checks that what was acknowledged outlives the loss of all power: no majority of disks that count may
-// be without it. Which other disks are lost with the power makes no difference: the rest either is a majority, or
-// answers nothing.
+// checkDurable checks that an acknowledged revision survives the loss of all power: no majority of disks that have caught up may
+// lack it. It doesn't matter which other disks are lost with the power: the remaining ones either are a majority or answer
+// nothing.
 func (t *transition) checkDurable() error {
 	if t.w.floor == 0 {
 		return nil
@@ -389,7 +391,7 @@
 			}
 		}
 		if all && best.Value.Revision < t.w.floor && best.Value.Quorum(func(name string) bool { return set&(1<<t.number[name]) != 0 }) {
-			return fmt.Errorf("revision %d was acknowledged, and a majority is left that holds no more than %d", t.w.floor, best.Value.Revision)
+			return fmt.Errorf("revision %d was acknowledged, but a majority holds only revision %d", t.w.floor, best.Value.Revision)
 		}
 	}
 	return nil
@@ -399,34 +401,34 @@
 func (x *exploration) describe(e event) string {
 	switch e.kind {
 	case eventOp:
-		o := x.Ops[e.of]
+		o := x.Ops[e.subject]
 		switch o.Kind {
 		case Put:
 			return fmt.Sprintf("%s is sent revision %d with %q", o.At, o.Revision, o.Body)
 		case Read:
-			return fmt.Sprintf("%s is asked for what stands", o.At)
+			return fmt.Sprintf("%s gets a read", o.At)
 		}
-		return fmt.Sprintf("%s takes %s in for %q", o.At, o.In, o.Out)
+		return fmt.Sprintf("%s replaces the member %[3]q by %[2]s", o.At, o.In, o.Out)
 	case eventDeliver:
-		p := x.messages.get(e.of)
-		return fmt.Sprintf("%s hears from %s: %s", x.names[p.to], x.names[p.from], Describe(p.m))
+		p := x.messages.get(e.subject)
+		return fmt.Sprintf("%s receives from %s: %s", x.names[p.to], x.names[p.from], Describe(p.m))
 	}
-	return x.names[e.of] + map[uint8]string{eventTick: ": its timer fires", eventAsk: " asks to be whole again",
+	return x.names[e.subject] + map[uint8]string{eventTick: ": its timer fires", eventJoin: " asks again to catch up",
 		eventSync: ": its disk has synced", eventCrash: " loses power and is back", eventWipe: " loses power and its disk, and is back"}[e.kind]
 }
 
 var kinds = map[register.Kind]string{register.Prepare: "prepare", register.Accept: "accept", register.Query: "query",
-	register.Promised: "promised", register.Accepted: "accepted", register.Refused: "refused", register.Holds: "holds", committedNotice: "what stands"}
+	register.Promised: "promised", register.Accepted: "accepted", register.Refused: "refused", register.Reported: "holds", committedNotice: "committed value"}
 
 // Describe returns a message in a few words, for a trace.
 func Describe(m register.Message) string {
-	text := fmt.Sprintf("%s %d %s", kinds[m.Kind], m.Ballot.N, m.Ballot.By)
+	text := fmt.Sprintf("%s %d %s", kinds[m.Kind], m.Ballot.Number, m.Ballot.Proposer)
 	v := m.Value
-	if m.Kind == register.Promised || m.Kind == register.Holds {
+	if m.Kind == register.Promised || m.Kind == register.Reported {
 		v = m.State.Value
-		text += fmt.Sprintf(", accepted under %d %s", m.State.Accepted.N, m.State.Accepted.By)
+		text += fmt.Sprintf(", accepted under %d %s", m.State.Accepted.Number, m.State.Accepted.Proposer)
 	}
-	if m.Kind == committedNotice || m.Kind == register.Accept || m.Kind == register.Promised || m.Kind == register.Holds {
+	if m.Kind == committedNotice || m.Kind == register.Accept || m.Kind == register.Promised || m.Kind == register.Reported {
 		text += fmt.Sprintf(", revision %d %q, members %v", v.Revision, v.Body, v.Members)
 		if len(v.Prior) > 0 {
 			text += fmt.Sprintf(" after %v", v.Prior)
--- a/lab/propagation/propagation.go
+++ b/lab/propagation/propagation.go
@@ -1,5 +1,6 @@
-// Package propagation counts the messages that bring one update to all edges: by the tree of decide/relaytree, by a star
-// (each edge follows a controller) and by a flood (each edge passes what it hears first to a few others). It does no I/O.
+// Package propagation counts the messages that bring one update to all edges with three strategies: the tree of package relaytree, a
+// star (each edge gets updates directly from a controller), and a flood (each edge forwards a new update to a few random edges). It does
+// no I/O.
 package propagation
 
 import (
@@ -10,80 +11,84 @@
 	"willowsill/decide/relaytree"
 )
 
-// Fleet is a system's size: edges and controllers spread evenly over zones, and zones over regions.
+// Fleet is the size of a system. Edges and controllers are spread evenly over zones, and zones over regions.
 type Fleet struct{ Edges, Controllers, Zones, Regions int }
 
-// Cost is what one update costs. A copy is one message over one link.
+// Cost is the cost of sending one update to all edges. A copy is one message over one link.
 type Cost struct {
-	Way          string
-	Copies       int     // in all, those between controllers not counted
-	Zones        int     // of them between zones of a region
-	Regions      int     // and between regions
-	AtController int     // the most that one controller sends
-	AtEdge       int     // the most that one edge sends
-	Hops         int     // from a controller to the last edge
-	Reached      float64 // share of the edges
+	Strategy     string
+	Copies       int     // all copies but those between controllers
+	CrossZone    int     // copies between zones of a region
+	CrossRegion  int     // copies between regions
+	AtController int     // most copies that one controller sends
+	AtEdge       int     // most copies that one edge sends
+	MaxHops      int     // most links between a controller and an edge
+	ReachedShare float64 // share of the edges that get the update
 }
 
 const (
-	floodTo = 3 // others that an edge tells in a flood: fewer leave many out
-	floodOf = 2 // edges that controllers begin a flood with
+	floodFanout = 3 // number of edges that each edge forwards to; with fewer, the flood misses many edges
+	floodSeeds  = 2 // number of edges that each controller sends to
 )
 
-type place struct{ zone, region int }
+// location is where a daemon runs.
+type location struct{ zone, region int }
 
-func (f Fleet) place(i int) place { return place{i % f.Zones, i % f.Zones * f.Regions / f.Zones} }
+// locationOf returns the location of the edge or controller with index i.
+func (f Fleet) locationOf(i int) location {
+	return location{i % f.Zones, i % f.Zones * f.Regions / f.Zones}
+}
 
-// pass books one copy.
-func (c *Cost) pass(a, b place) {
+// countCopy counts one copy from a to b.
+func (c *Cost) countCopy(a, b location) {
 	switch c.Copies++; {
 	case a.region != b.region:
-		c.Regions++
+		c.CrossRegion++
 	case a.zone != b.zone:
-		c.Zones++
+		c.CrossZone++
 	}
 }
 
-// Reckon compares the three ways.
-func Reckon(f Fleet) (all []Cost) {
-	edges, controllers := map[string]place{}, map[string]place{}
+// Compare returns the costs of the tree, the star and the flood for a fleet.
+func Compare(f Fleet) (costs []Cost) {
+	edges, controllers := map[string]location{}, map[string]location{}
 	var fleet clusterstate.Fleet
-	var names []string
+	var ips []string
 	for i := range f.Edges {
 		ip := fmt.Sprintf("10.%d.%d.%d", i%f.Zones, i/250, i%250)
-		edges[ip] = f.place(i)
+		edges[ip] = f.locationOf(i)
 		fleet.Edges = append(fleet.Edges, clusterstate.Edge{IP: ip, Zone: fmt.Sprint("z", i%f.Zones)})
-		names = append(names, ip)
+		ips = append(ips, ip)
 	}
 	for i := range f.Controllers {
 		ip := fmt.Sprintf("10.200.0.%d", i)
-		controllers[ip] = f.place(i)
+		controllers[ip] = f.locationOf(i)
 		fleet.Controllers = append(fleet.Controllers, ip)
 	}
-	first := func(ip string) relaytree.Feeder { // whom it follows
+	firstUpstream := func(ip string) relaytree.Feeder { // the first upstream of an edge
 		return relaytree.Feeders(ip, fmt.Sprint("z", edges[ip].zone), fleet, nil, nil)[0]
 	}
-	tree, star := Cost{Way: "tree", Reached: 1}, Cost{Way: "star", Reached: 1, Hops: 1}
-	sends := map[string]int{}
+	tree, star := Cost{Strategy: "tree", ReachedShare: 1}, Cost{Strategy: "star", ReachedShare: 1, MaxHops: 1}
+	treeSends := map[string]int{}
 	starSends := map[string]int{}
-	for _, ip := range names {
-		up := first(ip)
-		from := controllers[up.IP]
-		if !up.Controller {
-			from = edges[up.IP]
+	for _, ip := range ips {
+		upstream := firstUpstream(ip)
+		from := controllers[upstream.IP]
+		if !upstream.Controller {
+			from = edges[upstream.IP]
 		}
-		tree.pass(from, edges[ip])
-		sends[up.IP]++
+		tree.countCopy(from, edges[ip])
+		treeSends[upstream.IP]++
 		hops := 1
-		for at := up; !at.Controller; at = first(at.IP) {
+		for node := upstream; !node.Controller; node = firstUpstream(node.IP) {
 			hops++
 		}
-		tree.Hops = max(tree.Hops, hops)
+		tree.MaxHops = max(tree.MaxHops, hops)
 		order := relaytree.Feeders(ip, "none", clusterstate.Fleet{}, fleet.Controllers, nil)
-		star.pass(controllers[order[0].IP], edges[ip])
+		star.countCopy(controllers[order[0].IP], edges[ip])
 		starSends[order[0].IP]++
 	}
-	for ip, n := range sends {
+	for ip, n := range treeSends {
 		if _, controller := controllers[ip]; controller {
 			tree.AtController = max(tree.AtController, n)
 		} else {
@@ -93,39 +98,39 @@
 	for _, n := range starSends {
 		star.AtController = max(star.AtController, n)
 	}
-	return []Cost{tree, star, flood(f, names, edges, controllers)}
+	return []Cost{tree, star, flood(f, ips, edges, controllers)}
 }
 
-// flood is one drawing of it.
-func flood(f Fleet, names []string, edges, controllers map[string]place) Cost {
-	c := Cost{Way: "flood", AtController: floodOf, AtEdge: floodTo}
+// flood simulates a flood once, with a fixed seed.
+func flood(f Fleet, ips []string, edges, controllers map[string]location) Cost {
+	c := Cost{Strategy: "flood", AtController: floodSeeds, AtEdge: floodFanout}
 	rng := rand.New(rand.NewPCG(uint64(f.Edges), 1))
-	heard := map[string]bool{}
-	var wave []string
-	for _, at := range controllers {
-		for range floodOf {
-			to := names[rng.IntN(len(names))]
-			c.pass(at, edges[to])
-			if !heard[to] {
-				heard[to] = true
-				wave = append(wave, to)
+	reached := map[string]bool{}
+	var frontier []string
+	for _, from := range controllers {
+		for range floodSeeds {
+			to := ips[rng.IntN(len(ips))]
+			c.countCopy(from, edges[to])
+			if !reached[to] {
+				reached[to] = true
+				frontier = append(frontier, to)
 			}
 		}
 	}
-	for ; len(wave) > 0; c.Hops++ {
+	for ; len(frontier) > 0; c.MaxHops++ {
 		var next []string
-		for _, from := range wave {
-			for range floodTo {
-				to := names[rng.IntN(len(names))]
-				c.pass(edges[from], edges[to])
-				if !heard[to] {
-					heard[to] = true
+		for _, from := range frontier {
+			for range floodFanout {
+				to := ips[rng.IntN(len(ips))]
+				c.countCopy(edges[from], edges[to])
+				if !reached[to] {
+					reached[to] = true
 					next = append(next, to)
 				}
 			}
 		}
-		wave = next
+		frontier = next
 	}
-	c.Reached = float64(len(heard)) / float64(len(names))
+	c.ReachedShare = float64(len(reached)) / float64(len(ips))
 	return c
 }
--- a/lab/rehearsal/rehearsal_test.go
+++ b/lab/rehearsal/rehearsal_test.go
@@ -9,11 +9,11 @@
 )
 
 func TestMain(m *testing.M) {
-	Part()
+	RunChild()
 	os.Exit(m.Run())
 }
 
-// TestRehearsal: with one of each killed, clients get their answers.
+// TestRehearsal checks that clients get nearly all answers while a controller, an agent, a replica and a proxy are killed.
 func TestRehearsal(t *testing.T) {
 	phases, err := Run(t.Context(), 60)
 	must.NoError(t, err)
--- a/node/admit.go
+++ b/node/admit.go
@@ -10,12 +10,12 @@
 type Query struct {
 	ID       string
 	Workload int
-	Customer string // whose it is, empty where that is not told
-	Again    bool   // its client marks it as a retry
-	Until    int64  // when its client gives up
+	Customer string // empty if unknown
+	Retry    bool   // its client marks it as a retry
+	Deadline int64  // time at which its client stops waiting, ns of the node's clock
 	Text     []byte
 	Parts    []Part
-	Load     any // what a carrier of another kind than frames needs
+	Payload  any // data for a transport that does not send Text in frames
 }
 
 // Part is one part of a query.
@@ -24,17 +24,17 @@
 	Weight float64 // share of the whole answer
 }
 
-// query is one that the node holds.
+// query is the state of a query that the node holds.
 type query struct {
 	Query
-	came       int64
+	arrivedAt  int64
 	handle     *balance.Query
-	answer     chan Answer // has room for the one answer
+	answer     chan Answer // buffered for the one answer, so that the loop never blocks
 	executions [][]*execution
-	values     []string // of the parts that are in
-	in         []bool
-	out        int // executions without an outcome
-	over       bool
+	values     []string // values of the answered parts, by part
+	answered   []bool
+	running    int // executions without a result
+	ended      bool
 }
 
 type (
@@ -42,95 +42,96 @@
 	departure struct{ query *query }
 )
 
-// Serve takes a query through the node and returns its one answer. When ctx ends first the client has left;
-// the answer then has no reader.
+// Serve runs a query through the node and returns its answer; false means that ctx ended first, because the
+// client left, and that there is no answer.
 //
-// Danger: more queries than the loop can take would fill the queue and keep outcomes out.
+// Danger: more queries than the loop can handle would fill the queue and keep results of executions out.
 func (n *Node) Serve(ctx context.Context, asked Query) (Answer, bool) {
-	if len(n.facts) >= queueLength/frontShare {
-		return n.crowded(), true
+	if len(n.events) >= queueLength/arrivalDivisor {
+		return n.declineUnseen(), true
 	}
-	q := &query{Query: asked, came: n.Now(), answer: make(chan Answer, 1),
+	q := &query{Query: asked, arrivedAt: n.Now(), answer: make(chan Answer, 1),
 		executions: make([][]*execution, len(asked.Parts)),
-		values:     make([]string, len(asked.Parts)), in: make([]bool, len(asked.Parts))}
-	n.facts <- fact{q.came, arrival{q}}
+		values:     make([]string, len(asked.Parts)), answered: make([]bool, len(asked.Parts))}
+	n.events <- event{q.arrivedAt, arrival{q}}
 	select {
 	case a := <-q.answer:
 		return a, true
 	case <-ctx.Done():
-		n.facts <- fact{n.Now(), departure{q}}
+		n.events <- event{n.Now(), departure{q}}
 		return Answer{}, false
 	}
 }
 
-// crowded is the answer to a query that the module never sees.
-func (n *Node) crowded() Answer {
-	n.count.Crowded.Add(1)
-	return Answer{Final: balance.Declined, ComeBack: n.advice}
+// declineUnseen counts and returns the answer to a query that the module never sees.
+func (n *Node) declineUnseen() Answer {
+	n.count.Rejected.Add(1)
+	return Answer{Outcome: balance.Declined, RetryAfter: n.retryAfter}
 }
 
-// admit hands a query to the module, or declines it where the node holds as much as it may, or where its
-// client's time is up before a round can come.
+// admit hands a query to the module, or declines it if the node holds as much as it may or if the client's
+// deadline comes before the next round can.
 func (n *Node) admit(now int64, q *query) {
 	count := n.rows[q.Workload]
-	count.Taken.Add(1)
-	patience := q.Until - now - n.lateness
-	// Danger: a round a tick later would answer a client whose time is up by then.
-	if n.held >= n.terms.MostHeld || patience <= max(n.last+n.gap()-now, 0) {
+	count.Accepted.Add(1)
+	timeout := q.Deadline - now - n.lateness
+	// Danger: in a round after its deadline the client would be answered too late.
+	if n.held >= n.limits.MaxHeld || timeout <= max(n.lastRound+n.roundGap()-now, 0) {
 		count.Declined.Add(1)
-		q.over = true
-		q.answer <- n.crowded()
+		q.ended = true
+		q.answer <- n.declineUnseen()
 		return
 	}
-	claim := balance.FirstTry
+	priority := balance.FirstTry
 	if n.overQuota(now, q.Customer) {
-		count.Over.Add(1)
-		claim = balance.OverQuota
+		count.OverQuota.Add(1)
+		priority = balance.OverQuota
 	}
-	if q.Again {
-		claim = balance.Retry
+	if q.Retry {
+		priority = balance.Retry
 	}
-	if n.rhythm != nil {
-		n.rhythm.Waited(now - q.came)
+	if n.schedule != nil {
+		n.schedule.OnWait(now - q.arrivedAt)
 	}
-	q.handle = n.agg.Take(now, balance.Arrival{Workload: q.Workload, Patience: patience, Parts: len(q.Parts), Claim: claim})
+	q.handle = n.agg.AddQuery(now, balance.Arrival{Workload: q.Workload, Timeout: timeout, Parts: len(q.Parts), Priority: priority})
 	for _, p := range q.Parts {
 		q.handle.AddPart(p.Shard, p.Weight)
 	}
 	n.queries[q.handle] = q
 	n.held += 1 + len(q.Parts)
-	n.count.HeldHighest.Show(int64(n.held))
+	n.count.HeldMaximum.Record(int64(n.held))
 }
 
-// depart ends a query whose client has left.
-func (n *Node) depart(now int64, q *query) {
-	if q.over {
+// clientLeft ends a query whose client has left.
+func (n *Node) clientLeft(now int64, q *query) {
+	if q.ended {
 		return
 	}
-	n.rows[q.Workload].Left.Add(1)
-	q.handle.Leave(now)
-	n.end(q)
+	n.rows[q.Workload].ClientGone.Add(1)
+	q.handle.ClientLeft(now)
+	n.endQuery(q)
 }
 
-// end marks a query as over. What is still out is the module's to cancel; what has not left yet must not.
+// endQuery marks a query as ended and withdraws executions that are not sent yet. Those that are sent are
+// cancelled by the module.
 //
-// Danger: a call that waits for its connection would be sent after the answer.
-func (n *Node) end(q *query) {
-	q.over = true
+// Danger: a call that still waits for its connection would be sent after the answer.
+func (n *Node) endQuery(q *query) {
+	q.ended = true
 	n.held -= 1 + len(q.Parts)
 	for _, executions := range q.executions {
 		for _, e := range executions {
-			if !e.over && n.pool.Withdraw(e.ticket) {
-				n.later(e, balance.Moot)
+			if !e.ended && n.transport.Withdraw(e.ticket) {
+				n.endLater(e, balance.Unsent)
 			}
 		}
 	}
-	n.forget(q)
+	n.release(q)
 }
 
-// forget lets go of a query that is over once its last outcome is in.
-func (n *Node) forget(q *query) {
-	if q.over && q.out == 0 {
+// release forgets a query that has ended, once it has the results of all its executions.
+func (n *Node) release(q *query) {
+	if q.ended && q.running == 0 {
 		delete(n.queries, q.handle)
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,6 @@
-// Package node takes queries through the stages behind a front: admit, route, send, relay and book. One
-// goroutine owns the decision module and the state of every query; facts come to it through one bounded
-// queue, and nothing in it waits for a socket.
+// Package node runs one aggregator: it takes queries from a front, asks the decision module (package balance)
+// what to do, sends parts to replicas and returns the answers. One goroutine, the loop, owns the module and the
+// state of every query. Events reach it through one bounded queue, and nothing in it waits for a socket.
 package node
 
 import (
@@ -20,275 +20,276 @@
 )
 
 const (
-	queueLength = 1024            // facts that may wait for the loop
-	frontShare  = 2               // queries fill no more than this part of it, so that outcomes have room
-	sweepEvery  = time.Second     // between two looks for idle connections
-	clockStart  = 1 << 20 * 1e9   // ns: a replica that started before this process still did so after 0
-	fade        = 256             // facts over which lateness fades
-	longDelay   = 50 * int64(1e6) // ns that a fact may wait for the loop before that is logged
+	queueLength    = 1024            // events that may wait for the loop
+	arrivalDivisor = 2               // queries may fill 1/2 of the queue, so that results of executions still fit
+	sweepInterval  = time.Second     // time between two searches for idle connections
+	clockOffset    = 1 << 20 * 1e9   // ns; replicas that started before this process still have a start time above 0
+	latenessDecay  = 256             // each event lowers an old lateness by 1/256
+	longDelay      = 50 * int64(1e6) // ns; an event that waits longer is logged, and lateness is capped to this
 )
 
-// Clock tells monotonic time in whole ns from an arbitrary start.
+// Clock is a monotonic clock in whole ns with an arbitrary start.
 type Clock struct{ base time.Time }
 
-// NewClock starts a clock.
-func NewClock() Clock { return Clock{time.Now().Add(-clockStart)} }
+// NewClock returns a clock that already shows clockOffset.
+func NewClock() Clock { return Clock{time.Now().Add(-clockOffset)} }
 
-// Ahead is a clock that shows so much more: two processes have no start in common.
-func (c Clock) Ahead(d time.Duration) Clock { return Clock{c.base.Add(-d)} }
+// Shifted returns a clock that is ahead by d, like the clock of another process, which has another start.
+func (c Clock) Shifted(d time.Duration) Clock { return Clock{c.base.Add(-d)} }
 
-// Now is the present time.
+// Now returns the time that the clock shows.
 func (c Clock) Now() int64 { return int64(time.Since(c.base)) }
 
-// Wall turns ms of Unix time into this clock's time; 0 stays 0.
-func (c Clock) Wall(ms int64) int64 {
+// FromUnixMilli converts ms of Unix time to the time of this clock; 0 stays 0.
+func (c Clock) FromUnixMilli(ms int64) int64 {
 	if ms == 0 {
 		return 0
 	}
 	return max(int64(time.UnixMilli(ms).Sub(c.base.Round(0))), 1)
 }
 
-// fact is something that happened, on its way to the loop.
-type fact struct {
-	at   int64
-	what any // arrival, departure, notice, discovery.News, survey, allowance, sharing, rhythm, serving, zones or stop
+// event is what the queue of the loop carries: its time, ns, and one of the types that handle distinguishes.
+type event struct {
+	at      int64
+	payload any
 }
 
 type stop struct{}
 
-// Node is one aggregator on sockets.
+// Node is one aggregator with its connections.
 type Node struct {
 	Clock
 	deployment.Deployment
-	terms   deployment.Terms
-	rows    []*counters.Workload // as the deployment numbers them
-	log     *zap.Logger
-	count   *counters.Counters
-	ask     func() // starts a watch of the list
-	facts   chan fact
-	ended   chan struct{}
-	ready   chan struct{} // closed once a list with a replica is there
-	isReady bool
-	advice  int64 // the module's to a client whom there is no room for, ns
+	limits      deployment.Limits
+	rows        []*counters.Workload // counters of each workload, by row
+	log         *zap.Logger
+	count       *counters.Counters
+	requestList func() // starts a subscription to the list of replicas
+	events      chan event
+	done        chan struct{}
+	ready       chan struct{} // closed once a list with a replica that is up was applied
+	isReady     bool
+	retryAfter  int64 // wait advised to clients whom the node itself declines, ns
 
-	// Of the loop alone from here.
-	agg        *balance.Aggregator
-	pool       Carrier
-	index      map[string]int // of each replica, by host
-	hosts      []host         // by index
-	queries    map[*balance.Query]*query
-	held       int // queries and parts without an answer
-	out        map[*replica.Ticket]*execution
-	cuts       cuts
-	pending    []outcome // that came up while a round was carried out
-	last       int64     // the last round
-	wake       int64     // when the module wants the next one at the latest, 0 for no such time
-	moved      bool      // something has happened since the last round
-	lateness   int64     // how late the loop was lately, ns
-	sweep      int64
-	furtherAt  map[int]int64 // when a part was last sent that had been sent before, by budget
-	stopped    bool
-	shared     *shared             // what is shared with other aggregators, nil where nothing is
-	rhythm     *Rhythm             // nil for a round each tick
-	zoneHealth *zonehealth.Tracker // nil where zones are not watched
-	observer   Observer            // nil where nobody wants it
-	words      []balance.Word
-	away       []string // zones out of reach, as was logged last
+	// Only the loop uses the fields from here on.
+	agg            *balance.Aggregator
+	transport      Transport
+	indices        map[string]int // indices of the replicas, by host
+	hosts          []host         // hosts of the replicas, by index
+	queries        map[*balance.Query]*query
+	held           int                            // queries without an answer, and their parts
+	running        map[*replica.Ticket]*execution // executions without a result
+	deadlines      deadlineHeap                   // deadlines of running executions
+	pendingResults []pendingResult                // results that arose during a round
+	lastRound      int64                          // start of the last round, ns
+	wakeAt         int64                          // latest time for the next round, as the module asked, ns; 0 for none
+	changed        bool                           // an event came since the last round
+	lateness       int64                          // recent delay of the loop, ns; see recordLateness
+	nextSweep      int64                          // time of the next Transport.Sweep, ns
+	lastRetryAt    map[int]int64                  // time of the last retry, ns, by retry budget
+	stopped        bool
+	shared         *shared                // state of sharing with other aggregators; nil if it is off
+	schedule       *Schedule              // nil for at most one round a tick
+	zoneHealth     *zonehealth.Tracker    // nil if zones are not watched
+	observer       Observer               // nil for none
+	reports        []balance.SharedReport // buffer for reports of the zone tracker
+	unreachable    []string               // zones that were last logged as unreachable
 }
 
-// host is the replica that has an index.
+// host is the replica to which an index is assigned.
 type host struct {
-	name string // empty where the index can be used again
-	zone string // empty where it has none
-	up   bool   // listed as up
-	gone bool   // off the list
-	born int64  // ms of Unix time, 0 for long ago
+	name      string // empty if the index is free
+	zone      string // empty if the replica has none
+	up        bool   // listed as up
+	gone      bool   // not listed any more
+	startedMs int64  // start of its process, ms of Unix time; 0 for long ago
 }
 
-// Observer is told of executions at replicas, by the loop; it must not wait. Sent tells whether it wants to hear of the end.
+// Observer is notified of executions at replicas, on the loop, so it must not block. Ended is only called for
+// executions for which Sent returned true.
 type Observer interface {
 	Sent(host string) (wanted bool)
 	Ended(host string, end Execution)
 }
 
-// Execution is one that has ended, as an Observer is told of it.
+// Execution is an execution that has ended, as reported to an Observer.
 type Execution struct {
-	Workload int
-	Result   balance.Result
-	Took     int64 // ns from when its connection was up; 0 where it never was
-	Fresh    bool  // a connection was opened for it
+	Workload      int
+	Result        balance.Result
+	Took          int64 // time since its connection was established, ns; 0 if it had none
+	NewConnection bool  // a connection was opened for it
 }
 
-// Plan is what a node is made from.
-type Plan struct {
-	Clock      Clock
-	Deployment deployment.Deployment
-	Terms      deployment.Terms
-	Known      discovery.News // the list as it was last held
-	Budget     *sockets.Budget
-	Count      *counters.Counters
-	Log        *zap.Logger
-	Ask        func() // asks for a watch of the list; it must not wait
-	Dial       replica.Dial
+// Options configure a node.
+type Options struct {
+	Clock       Clock
+	Deployment  deployment.Deployment
+	Limits      deployment.Limits
+	KnownList   discovery.Update // the list that an earlier process saved
+	Budget      *sockets.Budget
+	Count       *counters.Counters
+	Log         *zap.Logger
+	RequestList func() // starts a subscription to the list; it must not block
+	Dial        replica.Dial
 
-	Observer Observer // is told of executions; nil where nobody wants it
+	Observer Observer // may be nil
 
-	// Carry makes what takes parts to replicas; nil for frames on connections made with Dial.
-	Carry func(tell func(any), now func() int64) Carrier
+	// NewTransport creates the transport to replicas; nil for framed messages on connections made with Dial.
+	NewTransport func(enqueue func(any), now func() int64) Transport
 }
 
 // New starts a node.
-func New(p Plan) *Node {
+func New(p Options) *Node {
 	n := &Node{
-		Clock: p.Clock, Deployment: p.Deployment, terms: p.Terms, log: p.Log, count: p.Count, ask: p.Ask, observer: p.Observer,
-		facts: make(chan fact, queueLength), ended: make(chan struct{}), ready: make(chan struct{}),
-		index: map[string]int{}, furtherAt: map[int]int64{}, queries: map[*balance.Query]*query{}, out: map[*replica.Ticket]*execution{},
+		Clock: p.Clock, Deployment: p.Deployment, limits: p.Limits, log: p.Log, count: p.Count, requestList: p.RequestList, observer: p.Observer,
+		events: make(chan event, queueLength), done: make(chan struct{}), ready: make(chan struct{}),
+		indices: map[string]int{}, lastRetryAt: map[int]int64{}, queries: map[*balance.Query]*query{}, running: map[*replica.Ticket]*execution{},
 		rows: make([]*counters.Workload, len(p.Deployment.Workloads)),
 	}
-	for name, row := range p.Deployment.Workload {
+	for name, row := range p.Deployment.WorkloadRow {
 		n.rows[row] = p.Count.Workloads[name]
 	}
 	n.agg = balance.New(n.Now(), p.Deployment.Deployment)
-	n.advice = n.agg.Advice()
-	tell := func(v any) { n.facts <- fact{n.Now(), notice{v}} }
-	if p.Carry != nil {
-		n.pool = p.Carry(tell, n.Now)
+	n.retryAfter = n.agg.RetryAfter()
+	enqueue := func(v any) { n.events <- event{n.Now(), transportEvent{v}} }
+	if p.NewTransport != nil {
+		n.transport = p.NewTransport(enqueue, n.Now)
 	} else {
-		n.pool = frames{replica.NewPool(replica.Terms{Streams: p.Terms.Streams, ConnectWithin: p.Terms.ConnectWithin,
-			IdleAfter: p.Terms.IdleAfter, Now: n.Now, Dial: p.Dial}, func(v replica.Notice) { tell(v) }, p.Budget, p.Count)}
+		n.transport = frameTransport{replica.NewPool(replica.Config{MaxCalls: p.Limits.CallsPerConnection, ConnectTimeout: p.Limits.ConnectTimeout,
+			IdleTimeout: p.Limits.IdleTimeout, Now: n.Now, Dial: p.Dial}, func(v replica.Event) { enqueue(v) }, p.Budget, p.Count)}
 	}
-	n.bookNews(n.Now(), p.Known, false)
-	n.moved = true // the first round is for the list, which may have to be asked for
+	n.applyList(n.Now(), p.KnownList, false)
+	n.changed = true // the first round may have to request the list
 	go n.run()
 	return n
 }
 
-// Ready is closed once the node can serve.
+// Ready is closed once the node can serve queries.
 func (n *Node) Ready() <-chan struct{} { return n.ready }
 
-// News hands on what discovery said.
-func (n *Node) News(ctx context.Context, news discovery.News) {
+// ApplyList queues an update of the list of replicas.
+func (n *Node) ApplyList(ctx context.Context, update discovery.Update) {
 	select {
-	case n.facts <- fact{n.Now(), news}:
+	case n.events <- event{n.Now(), update}:
 	case <-ctx.Done():
 	}
 }
 
-// Close ends the node; no query may be under way any more. It returns when all connections have ended.
+// Close stops the node and waits until all connections have ended. No query may be under way any more.
 func (n *Node) Close() {
-	n.facts <- fact{n.Now(), stop{}}
-	<-n.ended
+	n.events <- event{n.Now(), stop{}}
+	<-n.done
 }
 
-// run is the loop: facts, then a round when one is due.
+// run is the loop: it handles events and starts a round when one is due.
 func (n *Node) run() {
-	defer close(n.ended)
+	defer close(n.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for next := n.Now(); !n.stopped; {
 		select {
-		case f := <-n.facts:
-			n.take(f)
+		case e := <-n.events:
+			n.handle(e)
 		case <-timer.C:
-			n.late(n.Now() - next)
+			n.recordLateness(n.Now() - next)
 		}
-		woken := n.woken()
-		n.drain()
-		n.gather()
+		woken := n.recordWake()
+		n.drainQueue()
+		n.yieldAndDrain()
 		now := n.Now()
-		n.expire(now)
-		if now >= n.due() {
+		n.endOverdue(now)
+		if now >= n.nextRoundAt() {
 			n.round(now)
 		}
-		if now >= n.sweep {
-			n.sweep = now + int64(sweepEvery)
-			n.pool.Sweep()
-			n.bookGone()
+		if now >= n.nextSweep {
+			n.nextSweep = now + int64(sweepInterval)
+			n.transport.Sweep()
+			n.freeIndices()
 		}
-		next = n.sleeps(min(n.due(), n.cuts.next(), n.sweep), woken)
+		next = n.prepareSleep(min(n.nextRoundAt(), n.deadlines.next(), n.nextSweep), woken)
 		timer.Reset(time.Duration(max(next-n.Now(), 0)))
 	}
-	for n.pool.Close(); n.pool.Open() > 0; {
-		n.take(<-n.facts)
+	for n.transport.Close(); n.transport.OpenConnections() > 0; {
+		n.handle(<-n.events)
 	}
-	n.bookPending()
+	n.recordPending()
 }
 
-// drain takes the facts that wait, and tells whether there were any.
-func (n *Node) drain() bool {
-	some := len(n.facts)
-	for range some {
-		n.take(<-n.facts)
+// drainQueue handles the events that are waiting, and tells whether there were any.
+func (n *Node) drainQueue() bool {
+	waiting := len(n.events)
+	for range waiting {
+		n.handle(<-n.events)
 	}
-	return some > 0
+	return waiting > 0
 }
 
-// late notes how late the loop was, which the simulator has no word for: the module's times are kept that much
-// further from the clients'. Old lateness fades.
+// recordLateness records by how much the loop was late, ns. The module assumes that it is called on time, so
+// its deadlines are moved ahead of those of the clients by this much. Old values decay.
 //
-// Danger: after one long stall of the machine queries would seem to have no time left.
-func (n *Node) late(by int64) {
-	n.lateness = max(min(by, longDelay), n.lateness-n.lateness/fade)
-	n.count.DelayHighest.Show(by)
+// Danger: without the decay and the cap, queries would seem to have no time left after one long stall.
+func (n *Node) recordLateness(delay int64) {
+	n.lateness = max(min(delay, longDelay), n.lateness-n.lateness/latenessDecay)
+	n.count.DelayMaximum.Record(delay)
 }
 
-// due is when the next round has to come: rounds stand a tick apart at least, or as the rhythm has it.
-func (n *Node) due() int64 {
+// nextRoundAt is when the next round is due: rounds are at least a tick apart, or as the schedule allows.
+func (n *Node) nextRoundAt() int64 {
 	next := int64(math.MaxInt64)
-	if n.moved {
-		next = n.last + n.gap()
+	if n.changed {
+		next = n.lastRound + n.roundGap()
 	}
-	if n.wake > 0 {
-		next = min(next, max(n.wake, n.last+n.Tick))
+	if n.wakeAt > 0 {
+		next = min(next, max(n.wakeAt, n.lastRound+n.Tick))
 	}
 	if n.zoneHealth != nil {
-		next = min(next, max(n.zoneHealth.Next(), n.last+n.Tick))
+		next = min(next, max(n.zoneHealth.Next(), n.lastRound+n.Tick))
 	}
 	return next
 }
 
-// take takes one fact in. How long it waited is measured, for the simulator knows no such delay.
-func (n *Node) take(f fact) {
+// handle handles one event, and measures how long it waited: the simulator of the module has no such delay.
+func (n *Node) handle(e event) {
 	now := n.Now()
-	delay := now - f.at
+	delay := now - e.at
 	n.count.Facts.Add(1)
 	n.count.DelayTotal.Add(delay)
-	switch f.what.(type) {
-	case survey, allowance, furtherAsked: // no query waits for them
+	switch e.payload.(type) {
+	case surveyRequest, sharedUpdate, retryUseRequest: // their delay affects no query
 	default:
-		n.count.Delay.Show(delay)
+		n.count.Delay.Record(delay)
 	}
-	n.late(delay)
+	n.recordLateness(delay)
 	if delay > longDelay {
-		n.log.Warn("a fact waited long for the loop", zap.Duration("delay", time.Duration(delay)))
+		n.log.Warn("an event waited long for the loop", zap.Duration("delay", time.Duration(delay)))
 	}
-	switch v := f.what.(type) {
+	switch v := e.payload.(type) {
 	case arrival:
 		n.admit(now, v.query)
 	case departure:
-		n.depart(now, v.query)
-	case notice:
-		n.bookNotice(now, v)
-	case discovery.News:
-		n.bookNews(now, v, true)
-	case furtherAsked:
-		v.reply <- n.further(now)
-		return // nothing has happened
-	case survey:
-		n.survey(now, v)
-		return // nothing has happened
-	case allowance:
-		n.allow(now, v)
-	case sharing:
-		n.share(v)
-	case rhythm:
-		n.rhythm = v.rhythm
-	case serving:
-		n.serve(now, v)
-	case zones:
+		n.clientLeft(now, v.query)
+	case transportEvent:
+		n.handleTransport(now, v)
+	case discovery.Update:
+		n.applyList(now, v, true)
+	case retryUseRequest:
+		v.reply <- n.retryUse(now)
+		return // a request changes nothing
+	case surveyRequest:
+		n.answerSurvey(now, v)
+		return // a request changes nothing
+	case sharedUpdate:
+		n.applyShared(now, v)
+	case sharingChange:
+		n.setSharing(v)
+	case scheduleChange:
+		n.schedule = v.schedule
+	case workloadsChange:
+		n.applyWorkloads(now, v)
+	case zonesChange:
 		n.watchZones(now, v.zoneHealth)
 	case stop:
 		n.stopped = true
 	}
-	n.moved = true
+	n.changed = true
 }
--- a/node/relay.go
+++ b/node/relay.go
@@ -2,34 +2,34 @@
 
 import "willowsill/balance"
 
-// Answer is what a client gets, once.
+// Answer is the one answer to a query.
 type Answer struct {
-	Final    balance.Final
-	Values   []Value // Whole and Partial
-	ComeBack int64   // Declined: how long the client ought to wait, ns; 0 for no advice
+	Outcome    balance.Outcome
+	Values     []Value // values of a Whole or Partial answer
+	RetryAfter int64   // wait advised to the client of a Declined query, ns; 0 for none
 }
 
-// Value is a part's, as a replica gave it.
+// Value is the value of one part, as a replica returned it.
 type Value struct {
 	Shard int
 	Value string
 }
 
-// relay hands the module's ending of a query to its front.
+// relay sends the answer of the module to the caller of Serve, and ends the query.
 func (n *Node) relay(e balance.Ending) {
 	q := n.queries[e.Query]
 	count := n.rows[q.Workload]
-	a := Answer{Final: e.Final, ComeBack: e.ComeBack}
-	switch e.Final {
+	a := Answer{Outcome: e.Outcome, RetryAfter: e.RetryAfter}
+	switch e.Outcome {
 	case balance.Whole, balance.Partial:
 		a.Values = make([]Value, 0, len(q.Parts))
-		for i, in := range q.in {
-			if in {
+		for i, isAnswered := range q.answered {
+			if isAnswered {
 				a.Values = append(a.Values, Value{q.Parts[i].Shard, q.values[i]})
 			}
 		}
-		if e.Final == balance.Whole {
-			count.Whole.Add(1)
+		if e.Outcome == balance.Whole {
+			count.Complete.Add(1)
 		} else {
 			count.Partial.Add(1)
 		}
@@ -39,5 +39,5 @@
 		count.Forfeited.Add(1)
 	}
 	q.answer <- a
-	n.end(q)
+	n.endQuery(q)
 }
