--- a/node/send.go
+++ b/node/send.go
@@ -9,31 +9,32 @@
 	"willowsill/transport/replica"
 )
 
-// execution is one run of a part at a replica, numbered from 0.
+// execution is one run of a part at a replica.
 type execution struct {
 	query        *query
-	part, number int
+	part, number int // index of the part; number of the execution of this part, from 0
 	replica      int
 	sentAt       int64
-	cutAt        int64
+	deadline     int64
 	ticket       *replica.Ticket
-	over         bool
-	observed     string // the replica's host, where the observer wants to hear of the end
+	ended        bool
+	observed     string // host of the replica, if the observer wants to be notified of the end
 }
 
-// answeredIn is the time, ns, that the replica took: how long a connection takes to open says nothing of it. 0 where none was up.
-func (e *execution) answeredIn(at int64) int64 {
-	connected := e.ticket.Connected.Load()
+// responseTime is the time from the establishment of the connection to at, ns, because the time to connect says nothing
+// about the replica; 0 if the execution had no connection.
+func (e *execution) responseTime(at int64) int64 {
+	connected := e.ticket.ConnectedAt.Load()
 	if connected == 0 {
 		return 0
 	}
 	return max(at-connected, 1)
 }
 
-const waitUnit = 1e6 // ns: replicas are told in whole ms how long a part is waited for
+// waitUnit is a millisecond in ns, the unit of the time limit that is sent with a part.
+const waitUnit = 1e6
 
-// send starts executions. What goes to the same replica in one round travels in calls of as many parts as
-// the deployment allows.
+// send starts executions. Parts for the same replica in one round share calls, each of up to PartsPerCall parts.
 func (n *Node) send(now int64, sends []balance.Send) {
 	type call struct {
 		replica int
@@ -43,23 +44,22 @@
 	filling := map[int]*call{}
 	for _, s := range sends {
 		q := n.queries[s.Query]
-		e := &execution{query: q, part: s.Part, number: len(q.executions[s.Part]), replica: s.Replica, sentAt: now, cutAt: s.CutAt}
-		// The replica is told less than the true wait, so that it takes the part for given up no later than
-		// this side does.
-		wait := (s.CutAt - now) / waitUnit
+		e := &execution{query: q, part: s.Part, number: len(q.executions[s.Part]), replica: s.Replica, sentAt: now, deadline: s.Deadline}
+		// Rounding down makes the replica drop the part no later than this node does.
+		wait := (s.Deadline - now) / waitUnit
 		shard := q.Parts[s.Part].Shard
 		e.ticket = &replica.Ticket{Part: replica.Part{ID: q.ID + "." + strconv.Itoa(shard), Shard: shard,
-			Wait: wait, Text: q.Text}, Load: q.Load}
+			WaitMs: wait, Text: q.Text}, Payload: q.Payload}
 		q.executions[s.Part] = append(q.executions[s.Part], e)
 		if e.number > 0 {
-			n.furtherAt[shard%max(n.Accounts, 1)] = now
+			n.lastRetryAt[shard%max(n.ShardBudgets, 1)] = now
 		}
-		q.out++
+		q.running++
 		if n.zoneHealth != nil {
-			n.zoneHealth.Sent(now, s.Replica)
+			n.zoneHealth.ExecutionSent(now, s.Replica)
 		}
 		if wait < 1 {
-			n.later(e, balance.Moot)
+			n.endLater(e, balance.Unsent)
 			continue
 		}
 		c := filling[s.Replica]
@@ -69,56 +69,57 @@
 			calls = append(calls, c)
 		}
 		c.tickets = append(c.tickets, e.ticket)
-		n.out[e.ticket] = e
-		heap.Push(&n.cuts, e)
+		n.running[e.ticket] = e
+		heap.Push(&n.deadlines, e)
 	}
 	for _, c := range calls {
-		if n.pool.Call(c.replica, c.tickets) {
+		if n.transport.Send(c.replica, c.tickets) {
 			n.count.Executions.Sent.Add(int64(len(c.tickets)))
 			n.observeSent(c.replica, c.tickets)
 			continue
 		}
-		for _, t := range c.tickets { // no descriptor left for a connection
-			n.later(n.out[t], balance.ConnectFailed)
+		for _, t := range c.tickets { // no file descriptor was left for a connection
+			n.endLater(n.running[t], balance.ConnectFailed)
 		}
 	}
 }
 
-// observeSent tells the observer what went to a replica.
+// observeSent notifies the observer of parts that were sent to a replica.
 func (n *Node) observeSent(to int, tickets []*replica.Ticket) {
 	if n.observer == nil {
 		return
 	}
 	for _, t := range tickets {
 		if host := n.hosts[to].name; n.observer.Sent(host) {
-			n.out[t].observed = host
+			n.running[t].observed = host
 		}
 	}
 }
 
-// cancel carries out one cancel of the module.
+// cancel carries out a Cancel of the module.
 func (n *Node) cancel(c balance.Cancel) {
-	if e := n.queries[c.Query].executions[c.Part][c.Execution]; !e.over {
-		n.giveUp(e, balance.Cancelled, true)
+	if e := n.queries[c.Query].executions[c.Part][c.Execution]; !e.ended {
+		n.abandon(e, balance.Cancelled, true)
 	}
 }
 
-// giveUp ends the wait for an execution that is out. One that never left proves that it did not run.
-func (n *Node) giveUp(e *execution, result balance.Result, tell bool) {
-	if unsent := n.pool.GiveUp(e.ticket, tell); unsent {
-		result = balance.Moot
+// abandon ends the wait for an execution. If it was never sent, its result is Unsent, which proves that it did
+// not run. If notify is true, the replica is notified.
+func (n *Node) abandon(e *execution, result balance.Result, notify bool) {
+	if unsent := n.transport.Abandon(e.ticket, notify); unsent {
+		result = balance.Unsent
 	}
-	n.later(e, result)
+	n.endLater(e, result)
 }
 
-// cuts holds the executions that are out by when they are dropped, soonest first.
-type cuts []*execution
+// deadlineHeap is a heap of executions by deadline, earliest first.
+type deadlineHeap []*execution
 
-func (c cuts) Len() int           { return len(c) }
-func (c cuts) Less(i, j int) bool { return c[i].cutAt < c[j].cutAt }
-func (c cuts) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
-func (c *cuts) Push(x any)        { *c = append(*c, x.(*execution)) }
-func (c *cuts) Pop() any {
+func (c deadlineHeap) Len() int           { return len(c) }
+func (c deadlineHeap) Less(i, j int) bool { return c[i].deadline < c[j].deadline }
+func (c deadlineHeap) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
+func (c *deadlineHeap) Push(x any)        { *c = append(*c, x.(*execution)) }
+func (c *deadlineHeap) Pop() any {
 	old := *c
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -126,13 +127,13 @@
 	return e
 }
 
-// next is when the next execution is to be dropped; those that are over are let go on the way.
-func (c *cuts) next() int64 {
-	for len(*c) > 0 && (*c)[0].over {
+// next is the earliest deadline of an execution that has not ended. It removes those that have.
+func (c *deadlineHeap) next() int64 {
+	for len(*c) > 0 && (*c)[0].ended {
 		heap.Pop(c)
 	}
 	if len(*c) == 0 {
 		return math.MaxInt64
 	}
-	return (*c)[0].cutAt
+	return (*c)[0].deadline
 }
--- a/standin/lab/lab.go
+++ b/standin/lab/lab.go
@@ -1,6 +1,6 @@
-// Package lab plays an emulator's plan on loopback sockets: the true program as processes, stand-in replicas that do what the
-// plan's models do, in real time, a discovery, and clients that ask the very queries that the emulator would have come. It
-// shows whether the emulator flatters.
+// Package lab runs an emulator's plan in real time on loopback sockets: the real program as child processes, stand-in replicas that
+// behave as the plan's model of replicas, a discovery service, and clients that send exactly the queries of the emulator. It shows
+// whether the emulator's results are too optimistic.
 package lab
 
 import (
@@ -30,174 +30,175 @@
 )
 
 const (
-	upWithin   = 15 * time.Second
-	healthPoll = 20 * time.Millisecond
-	slack      = 50 * time.Millisecond // that clients wait longer on sockets
+	startupTimeout     = 15 * time.Second      // maximum time until a process passes its first health check
+	healthPollInterval = 20 * time.Millisecond // time between two health checks during startup
+	clientSlack        = 50 * time.Millisecond // added to the clients' timeout for the delay of real sockets
 )
 
-// world is one plan being played.
-type world struct {
+// testbed holds the processes, stand-ins and clients of one plan that is being run.
+type testbed struct {
 	emulator.Plan
-	dir    string
-	list   *standin.Discovery
-	lists  string
-	backs  []*back
-	fronts []string
-	procs  []*exec.Cmd
-	ends   []func()
-	client *http.Client
-	began  time.Time // the clients' start
+	dir              string
+	discovery        *standin.Discovery
+	discoveryAddress string
+	replicas         []*simReplica
+	frontURLs        []string
+	processes        []*exec.Cmd
+	closers          []func()
+	client           *http.Client
+	runStart         time.Time // time at which the clients start and from which plan times count
 
-	mu    sync.Mutex
-	tally *emulator.Tally
-	asked map[string]int64 // when a query was asked, by id; its parts name it
-	parts map[string]int   // how often a part came to a replica
-	met   int
+	mu             sync.Mutex
+	recorder       *emulator.Recorder
+	dueTimes       map[string]int64 // plan time at which a query was due, by its ID, which the IDs of its parts begin with
+	attemptsByPart map[string]int   // number of times that a part arrived at a replica, by its ID
+	faultyHits     int              // parts that arrived at a replica with an active fault
 }
 
-// Run plays a plan with the program.
+// Run runs a plan with the program and returns what its clients and replicas measured.
 func Run(binary string, p emulator.Plan) (*emulator.Result, error) {
-	if err := p.Check(); err != nil {
+	if err := p.Validate(); err != nil {
 		return nil, err
 	}
 	if p.Policy != "module" {
-		return nil, errors.New("on sockets there is only the true program")
+		return nil, errors.New(`only the policy "module" can run on sockets`)
 	}
 	dir, err := os.MkdirTemp("", "lab")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	w := &world{Plan: p, dir: dir, list: standin.NewDiscovery(), tally: emulator.NewTally(&p), asked: map[string]int64{},
-		parts: map[string]int{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Second}}}
+	w := &testbed{Plan: p, dir: dir, discovery: standin.NewDiscovery(), recorder: emulator.NewRecorder(&p), dueTimes: map[string]int64{},
+		attemptsByPart: map[string]int{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: time.Second}}}
 	defer w.stop()
 	if err := w.start(binary); err != nil {
 		return nil, err
 	}
-	w.play()
-	r := w.tally.Sum()
-	r.AtFaulty = w.met
+	w.runLoad()
+	r := w.recorder.Summary()
+	r.FaultyExecutions = w.faultyHits
 	return r, nil
 }
 
-func (w *world) start(binary string) error {
+// start starts the replicas, the discovery service and the program's processes, and waits until these are healthy.
+func (w *testbed) start(binary string) error {
 	for i := range w.Replicas {
-		b := &back{world: w, number: i, chance: rand.New(rand.NewPCG(w.Seed, 1<<32+uint64(i))), workers: make(chan struct{}, w.Workers)}
-		b.speed = math.Exp(w.Unlike * b.chance.NormFloat64())
-		if err := b.up(); err != nil {
+		b := &simReplica{testbed: w, index: i, rng: rand.New(rand.NewPCG(w.Seed, 1<<32+uint64(i))), workers: make(chan struct{}, w.Workers)}
+		b.speed = math.Exp(w.SpeedSigma * b.rng.NormFloat64())
+		if err := b.startListening(); err != nil {
 			return err
 		}
-		w.backs = append(w.backs, b)
-		w.list.Change(b.host("active"))
+		w.replicas = append(w.replicas, b)
+		w.discovery.Change(b.discoveryEntry("active"))
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	w.lists = l.Addr().String()
-	lists := &http.Server{Handler: w.list}
-	go lists.Serve(l)
-	w.ends = append(w.ends, func() { lists.Close() })
+	w.discoveryAddress = l.Addr().String()
+	discoveryServer := &http.Server{Handler: w.discovery}
+	go discoveryServer.Serve(l)
+	w.closers = append(w.closers, func() { discoveryServer.Close() })
 	for i := range w.Aggregators {
-		if err := w.aggregator(binary, i); err != nil {
+		if err := w.startAggregator(binary, i); err != nil {
 			return err
 		}
 	}
-	health := healthcheck.Wait{Client: w.client, Every: healthPoll, Within: upWithin}
-	for _, front := range w.fronts {
-		if err := health.Until(front); err != nil {
+	health := healthcheck.Wait{Client: w.client, Interval: healthPollInterval, Timeout: startupTimeout}
+	for _, frontURL := range w.frontURLs {
+		if err := health.Until(frontURL); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *world) stop() {
-	for _, p := range w.procs {
+func (w *testbed) stop() {
+	for _, p := range w.processes {
 		p.Process.Kill()
 		p.Wait()
 	}
-	for _, b := range w.backs {
-		b.down()
+	for _, b := range w.replicas {
+		b.stopListening()
 	}
-	for _, end := range w.ends {
+	for _, end := range w.closers {
 		end()
 	}
 	w.client.CloseIdleConnections()
 }
 
-// aggregator starts one process.
-func (w *world) aggregator(binary string, number int) error {
-	text, err := json.Marshal(w.config(number))
+// startAggregator writes the configuration of the aggregator with the given index and starts it as a child process.
+func (w *testbed) startAggregator(binary string, index int) error {
+	text, err := json.Marshal(w.config(index))
 	if err != nil {
 		return err
 	}
-	file := filepath.Join(w.dir, fmt.Sprint(number, ".json"))
+	file := filepath.Join(w.dir, fmt.Sprint(index, ".json"))
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return err
 	}
-	front, err := ports.Free()
+	frontURL, err := ports.Free()
 	if err != nil {
 		return err
 	}
 	p := exec.Command(binary)
-	p.Env = append(os.Environ(), "NODE_NAME=n"+strconv.Itoa(number), "NODE_LISTEN="+front, "NODE_DISCOVERY="+w.lists, "NODE_CONFIG="+file)
+	p.Env = append(os.Environ(), "NODE_NAME=n"+strconv.Itoa(index), "NODE_LISTEN="+frontURL, "NODE_DISCOVERY="+w.discoveryAddress, "NODE_CONFIG="+file)
 	if err := p.Start(); err != nil {
 		return err
 	}
-	w.procs, w.fronts = append(w.procs, p), append(w.fronts, "http://"+front)
+	w.processes, w.frontURLs = append(w.processes, p), append(w.frontURLs, "http://"+frontURL)
 	return nil
 }
 
-// config is what a process is told of the plan.
-func (w *world) config(number int) map[string]any {
+// config returns the configuration file of one process, with the values of the plan.
+func (w *testbed) config(index int) map[string]any {
 	var rows []map[string]any
 	var ones, floors, partial []float64
 	var none []int
-	for _, l := range w.Loads {
-		rows = append(rows, map[string]any{"name": l.Name, "slo": l.Goal / 1e6, "give_up": l.Patience / 1e6, "late_worth": 0.3,
-			"repeat": [...]string{"free", "guarded", "single_shot"}[l.Effect], "window": max(l.Window/1e6, 1)})
-		ones, floors, partial, none = append(ones, 1), append(floors, l.Floor), append(partial, 0.9), append(none, 0)
+	for _, l := range w.Workloads {
+		rows = append(rows, map[string]any{"name": l.Name, "slo": l.LatencyGoal / 1e6, "give_up": l.Timeout / 1e6, "late_worth": 0.3,
+			"repeat": [...]string{"free", "guarded", "single_shot"}[l.RetrySafety], "window": max(l.DedupWindow/1e6, 1)})
+		ones, floors, partial, none = append(ones, 1), append(floors, l.MinCoverage), append(partial, 0.9), append(none, 0)
 	}
-	rules := map[string]any{"cold_from": w.ColdShare, "ramp_time": w.ColdRamp / 1e6, "fall_multiple": w.FallMultiple, "fall": w.FallSpan / 1e6}
+	rules := map[string]any{"cold_from": w.ColdCapacity, "ramp_time": w.WarmUpTime / 1e6, "fall_multiple": w.OverloadFactor, "fall": w.OverloadSpan / 1e6}
 	if w.Budgeted {
-		rules["ratio_span"], rules["budget_free"], rules["extra_per_request"] = w.BudgetSpan/1e6, w.Free, w.Share
+		rules["ratio_span"], rules["budget_free"], rules["extra_per_request"] = w.RetryWindow/1e6, w.RetrySlack, w.RetryRatio
 	}
-	return map[string]any{"seed": fmt.Sprintf("%016x", w.Seed*1_000_003+uint64(number)),
+	return map[string]any{"seed": fmt.Sprintf("%016x", w.Seed*1_000_003+uint64(index)),
 		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 1024},
-		"settings": map[string]any{"index": number, "balancers": w.Aggregators, "tick": w.Tick / 1e6, "membership_mode": "push",
-			"caps": map[string]any{"max_attempts": w.Executions, "most_held": 2000, "cancel": w.Cancels, "retry_after": true,
+		"settings": map[string]any{"index": index, "balancers": w.Aggregators, "tick": w.Tick / 1e6, "membership_mode": "push",
+			"caps": map[string]any{"max_attempts": w.MaxExecutions, "most_held": 2000, "cancel": w.CanCancel, "retry_after": true,
 				"max_retry_after": 2000, "streams_per_conn": 32, "connect_timeout": 200, "conn_idle": 20000},
 			"domain": map[string]any{"slices": w.Shards(), "cells": w.Shards(), "in_a_row": 1, "parts_a_call": 1, "class_need": ones,
 				"class_floor": floors, "incomplete_worth": partial, "follow_up": none},
 			"classes": rows, "guarantees": rules}}
 }
 
-// now is the run's time, ns.
-func (w *world) now() int64 { return int64(time.Since(w.began)) }
+// runTime returns the time since the start of the run in ns, the time scale of the plan.
+func (w *testbed) runTime() int64 { return int64(time.Since(w.runStart)) }
 
-// play has the faults and the clients come.
-func (w *world) play() {
-	w.began = time.Now()
+// runLoad runs all faults and clients of the plan and waits for their end.
+func (w *testbed) runLoad() {
+	w.runStart = time.Now()
 	var all sync.WaitGroup
 	for n, f := range w.Faults {
 		for _, r := range f.Replicas {
-			all.Go(func() { w.backs[r].befall(n) })
+			all.Go(func() { w.replicas[r].runFault(n) })
 		}
 	}
-	for i, front := range w.fronts {
-		for n := range w.Loads {
+	for i, frontURL := range w.frontURLs {
+		for n := range w.Workloads {
 			arrivals := w.Arrivals(i, n)
 			all.Go(func() {
-				var under sync.WaitGroup
-				defer under.Wait()
-				number := 0
+				var inFlight sync.WaitGroup
+				defer inFlight.Wait()
+				index := 0
 				for at, comes := arrivals.Next(0); comes; at, comes = arrivals.Next(at) {
-					shards := arrivals.Shards()
-					time.Sleep(time.Until(w.began.Add(time.Duration(at))))
-					number++
-					id := fmt.Sprintf("%d-%d-%d", i, n, number)
-					under.Go(func() { w.ask(front, id, n, at, shards) })
+					shards := arrivals.DrawShards()
+					time.Sleep(time.Until(w.runStart.Add(time.Duration(at))))
+					index++
+					id := fmt.Sprintf("%d-%d-%d", i, n, index)
+					inFlight.Go(func() { w.ask(frontURL, id, n, at, shards) })
 				}
 			})
 		}
@@ -205,21 +206,22 @@
 	all.Wait()
 }
 
-// ask asks one query and books its end. Times count from when it was due.
-func (w *world) ask(front, id string, load int, due int64, shards []int) {
-	l := &w.Loads[load]
+// ask sends one query and records its outcome. Latencies count from the time at which the query was due.
+func (w *testbed) ask(frontURL, id string, workload int, due int64, shards []int) {
+	l := &w.Workloads[workload]
 	w.mu.Lock()
-	w.tally.Ask(due, load)
-	w.asked[id] = due
+	w.recorder.RecordQuery(due, workload)
+	w.dueTimes[id] = due
 	w.mu.Unlock()
-	final := w.post(front, id, l, shards)
-	ended := w.now()
+	final := w.post(frontURL, id, l, shards)
+	ended := w.runTime()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.tally.End(due, ended, load, 0, final)
+	w.recorder.RecordAnswer(due, ended, workload, 0, final)
 }
 
-func (w *world) post(front, id string, l *emulator.Load, shards []int) balance.Final {
+// post sends one query over HTTP and classifies the answer.
+func (w *testbed) post(frontURL, id string, l *emulator.Workload, shards []int) balance.Outcome {
 	type segment struct {
 		Segment int     `json:"segment"`
 		Boost   float64 `json:"boost"`
@@ -235,15 +237,15 @@
 	if err != nil {
 		return balance.Forfeited
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(l.Patience)+slack)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(l.Timeout)+clientSlack)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, front+"/"+l.Name, bytes.NewReader(text))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, frontURL+"/"+l.Name, bytes.NewReader(text))
 	if err != nil {
 		return balance.Forfeited
 	}
 	r.Header.Set("X-Qos", l.Name)
 	r.Header.Set("X-Trace-Id", id)
-	r.Header.Set("X-Expires-In-Ms", strconv.FormatInt(l.Patience/1e6, 10))
+	r.Header.Set("X-Expires-In-Ms", strconv.FormatInt(l.Timeout/1e6, 10))
 	a, err := w.client.Do(r)
 	if err != nil {
 		return balance.Forfeited
@@ -264,16 +266,16 @@
 	return balance.Partial
 }
 
-// came books a part at a replica.
-func (w *world) came(p replica.Part, faulty bool) {
+// recordPart counts a part that arrived at a replica.
+func (w *testbed) recordPart(p replica.Part, faulty bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	id, _, _ := bytes.Cut([]byte(p.ID), []byte("."))
 	if faulty {
-		w.met++
+		w.faultyHits++
 	}
-	if asked, known := w.asked[string(id)]; known {
-		w.tally.Send(asked, w.parts[p.ID] > 0)
-		w.parts[p.ID]++
+	if asked, known := w.dueTimes[string(id)]; known {
+		w.recorder.RecordExecution(asked, w.attemptsByPart[p.ID] > 0)
+		w.attemptsByPart[p.ID]++
 	}
 }
--- a/standin/redis/redis.go
+++ b/standin/redis/redis.go
@@ -1,5 +1,5 @@
-// Package redis plays a Redis server for trials and tests: the published protocol (RESP2 and RESP3) and the few
-// commands that the shared store uses, in memory, with faults on demand. It is no store to keep anything in.
+// Package redis is a stand-in for a Redis server in measurements and tests. It speaks the published protocol (RESP2 and RESP3),
+// knows the few commands that the shared store uses, keeps all data in memory and can simulate faults.
 package redis
 
 import (
@@ -18,93 +18,96 @@
 )
 
 const (
-	argumentsMost = 4096
-	bytesMost     = 1 << 20 // of one argument
+	maxArguments     = 4096
+	maxArgumentBytes = 1 << 20
 )
 
-// Fault is how the server misbehaves; the zero value is none. All but Refuse act on connections that are there, too.
+// Fault describes how the server misbehaves; the zero value is no fault. All faults but Refuse affect existing connections too. Error,
+// BulkLength, ArrayLength and CorruptBulk do not affect the replies to HELLO, AUTH and QUIT.
 type Fault struct {
-	Refuse   bool          // connections end as soon as they are accepted
-	Delay    time.Duration // before each command is carried out
-	Silent   bool          // commands are read and neither carried out nor answered
-	Mute     bool          // commands are carried out and not answered
-	CutAfter int           // bytes of a reply after which the connection closes; 0 for never
-	Stall    int           // bytes of a reply after which nothing more comes; 0 for never
-	Trickle  time.Duration // between two bytes of a reply
-	Error    string        // the reply to every command but HELLO and AUTH, such as "LOADING ..."
-	Huge     int64         // bulk strings are announced with this length and never come
-	Many     int64         // replies are announced as arrays of so many
-	Garble   bool          // a byte in the middle of every bulk string is another
-	Skew     time.Duration // of the clock that TIME tells
+	Refuse       bool          // new connections are closed as soon as they are accepted
+	Delay        time.Duration // wait before each command is executed
+	DropCommands bool          // commands are read, but neither executed nor answered
+	DropReplies  bool          // commands are executed, but not answered
+	CutAfter     int           // the connection closes after this many bytes of a reply; 0 for never
+	StallAfter   int           // the reply stops after this many bytes and the connection stays open; 0 for never
+	ByteInterval time.Duration // wait after each byte of a reply
+	Error        string        // reply to every command, such as "LOADING ..."; empty for no fault
+	BulkLength   int64         // every bulk string is announced with this length and its data is not sent; 0 for no fault
+	ArrayLength  int64         // every reply is the header of an array of this length without elements; 0 for no fault
+	CorruptBulk  bool          // the middle byte of every bulk string is changed
+	ClockSkew    time.Duration // difference of the clock that TIME returns from the real one
 }
 
-// Server serves on listeners. Its zero value has no password and is empty.
+// Server is a stand-in Redis server. Its zero value is empty and needs no password.
 type Server struct {
-	mu       sync.Mutex
-	name     string // for AUTH
-	password string // empty: nobody is asked
-	fault    Fault
-	changed  chan struct{} // closed when the fault changes
-	data     map[string]value
-	saved    map[string]value
-	conns    map[net.Conn]struct{}
-	commands int64
-	bytes    int64
-	outcome  map[string]int64
+	mu           sync.Mutex
+	username     string // user name that AUTH expects; empty for the default user
+	password     string // password that AUTH expects; empty if clients need no authentication
+	fault        Fault
+	faultChanged chan struct{} // closed when the fault changes
+	data         map[string]value
+	snapshot     map[string]value // copy of data that SaveSnapshot made
+	conns        map[net.Conn]struct{}
+	commandCount int64            // replies made, whether they were written or not
+	bytesWritten int64            // length of the replies counted by commandCount, bytes
+	countByName  map[string]int64 // commands handled, by name in capitals
 }
 
 // Serve serves until the listener is closed, and returns when all connections have ended.
 func (s *Server) Serve(l net.Listener) error {
 	return standin.Serve(l, func(ctx context.Context, conn net.Conn) {
 		defer conn.Close()
-		if s.present().Refuse {
+		if s.currentFault().Refuse {
 			return
 		}
-		s.hold(conn, true)
-		defer s.hold(conn, false)
-		s.connection(ctx, conn)
+		s.trackConnection(conn, true)
+		defer s.trackConnection(conn, false)
+		s.serveConnection(ctx, conn)
 	})
 }
 
-func (s *Server) hold(conn net.Conn, is bool) {
+// trackConnection adds a connection to the open ones or removes it.
+func (s *Server) trackConnection(conn net.Conn, open bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conns == nil {
 		s.conns = map[net.Conn]struct{}{}
 	}
-	if is {
+	if open {
 		s.conns[conn] = struct{}{}
 	} else {
 		delete(s.conns, conn)
 	}
 }
 
-// Protect asks for a name and a password from now on, of those who come and of those who are there.
-func (s *Server) Protect(name, password string) {
+// SetCredentials makes the server demand a user name and a password from now on, on new and on existing connections.
+func (s *Server) SetCredentials(name, password string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.name, s.password = name, password
+	s.username, s.password = name, password
 }
 
-// Misbehave sets the fault from now on; the zero Fault ends it.
-func (s *Server) Misbehave(f Fault) {
+// SetFault sets the fault from now on; the zero Fault ends it.
+func (s *Server) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	if s.changed != nil {
-		close(s.changed)
+	if s.faultChanged != nil {
+		close(s.faultChanged)
 	}
-	s.changed = make(chan struct{})
+	s.faultChanged = make(chan struct{})
 }
 
-func (s *Server) present() Fault {
+// currentFault returns the fault that was set last.
+func (s *Server) currentFault() Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fault
 }
 
-// Drop closes all connections.
-func (s *Server) Drop() {
+// CloseConnections closes all open connections. Clients may connect again.
+func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -112,52 +115,52 @@
 	}
 }
 
-// Connections is how many are open.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Traffic is how many commands were carried out, and how many bytes were written.
+// Traffic returns the number of replies made, whether they were written or not, and their total length in bytes.
 func (s *Server) Traffic() (commands, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.commands, s.bytes
+	return s.commandCount, s.bytesWritten
 }
 
-// Keep saves all that is held, for Return.
-func (s *Server) Keep() {
+// SaveSnapshot copies all data, for RestoreSnapshot.
+func (s *Server) SaveSnapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.saved = map[string]value{}
+	s.snapshot = map[string]value{}
 	for k, v := range s.data {
-		s.saved[k] = v.copy()
+		s.snapshot[k] = v.copy()
 	}
 }
 
-// Return brings back what Keep saved, as a replica that was behind and took over would.
-func (s *Server) Return() {
+// RestoreSnapshot replaces the data by the last snapshot, as happens when a lagging replica takes over.
+func (s *Server) RestoreSnapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.data = map[string]value{}
-	for k, v := range s.saved {
+	for k, v := range s.snapshot {
 		s.data[k] = v.copy()
 	}
 }
 
-// Empty forgets all that is held.
-func (s *Server) Empty() {
+// Clear deletes the data of all databases, but not the snapshot.
+func (s *Server) Clear() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.data = nil
 }
 
-// Plant sets a key to a string, or a field of a hash where field is not empty, past all checks.
-func (s *Server) Plant(key, field, text string) {
+// Inject sets a key to a string, or a field of the key's hash if field is not empty, without any checks.
+func (s *Server) Inject(key, field, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.room()
+	s.ensureData()
 	if field == "" {
 		s.data[key] = value{text: text}
 		return
@@ -170,7 +173,7 @@
 	s.data[key] = v
 }
 
-// Keys are the names of all that is held and has not expired.
+// Keys returns all keys that have not expired.
 func (s *Server) Keys() (keys []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,17 +185,17 @@
 	return keys
 }
 
-// session is what a connection has said of itself.
+// session is the state of one connection.
 type session struct {
-	three bool // RESP3
-	known bool // it has given the password
-	base  int
+	resp3         bool // the client has chosen RESP3 over RESP2
+	authenticated bool
+	database      int // number of the database chosen by SELECT
 }
 
-// connection serves one connection until it ends.
-func (s *Server) connection(ctx context.Context, conn net.Conn) {
-	in := bufio.NewReaderSize(conn, 64<<10) // a whole round: on a pipe the client does not read while it writes
-	me := &session{}
+// serveConnection reads, executes and answers commands one after the other until the connection ends or a fault closes it.
+func (s *Server) serveConnection(ctx context.Context, conn net.Conn) {
+	in := bufio.NewReaderSize(conn, 64<<10) // holds all commands of a round: on an in-memory pipe the client does not read replies while it writes
+	client := &session{}
 	for {
 		args, err := readCommand(in)
 		if err != nil {
@@ -201,26 +204,26 @@
 			}
 			return
 		}
-		f := s.present()
+		f := s.currentFault()
 		if f.Delay > 0 && !s.wait(ctx, f.Delay) {
 			return
 		}
-		if f.Silent {
+		if f.DropCommands {
 			continue
 		}
-		if !s.write(ctx, conn, f, s.reply(me, f, args)) {
+		if !s.write(ctx, conn, f, s.execute(client, f, args)) {
 			return
 		}
 	}
 }
 
-// wait waits out a time, or until the fault changes; false where the server ends.
+// wait waits for a time or until the fault changes. It returns false if the context ends before.
 func (s *Server) wait(ctx context.Context, d time.Duration) bool {
 	s.mu.Lock()
-	if s.changed == nil {
-		s.changed = make(chan struct{})
+	if s.faultChanged == nil {
+		s.faultChanged = make(chan struct{})
 	}
-	changed := s.changed
+	changed := s.faultChanged
 	s.mu.Unlock()
 	select {
 	case <-time.After(d):
@@ -231,25 +234,25 @@
 	return true
 }
 
-// write writes a reply as the fault has it; false where the connection is at its end.
+// write writes a reply as the fault demands. It returns false if the connection must be closed.
 func (s *Server) write(ctx context.Context, conn net.Conn, f Fault, reply []byte) bool {
 	s.mu.Lock()
-	s.commands++
-	s.bytes += int64(len(reply))
+	s.commandCount++
+	s.bytesWritten += int64(len(reply))
 	s.mu.Unlock()
 	switch {
-	case f.Mute:
+	case f.DropReplies:
 		return true
 	case f.CutAfter > 0 && len(reply) > f.CutAfter:
 		conn.Write(reply[:f.CutAfter])
 		return false
-	case f.Stall > 0 && len(reply) > f.Stall:
-		conn.Write(reply[:f.Stall])
+	case f.StallAfter > 0 && len(reply) > f.StallAfter:
+		conn.Write(reply[:f.StallAfter])
 		s.wait(ctx, time.Hour)
 		return false
-	case f.Trickle > 0:
+	case f.ByteInterval > 0:
 		for i := range reply {
-			if _, err := conn.Write(reply[i : i+1]); err != nil || !s.wait(ctx, f.Trickle) {
+			if _, err := conn.Write(reply[i : i+1]); err != nil || !s.wait(ctx, f.ByteInterval) {
 				return false
 			}
 		}
@@ -261,13 +264,13 @@
 
 // readCommand reads one command, an array of bulk strings.
 func readCommand(in *bufio.Reader) ([]string, error) {
-	n, err := readLength(in, '*', argumentsMost)
+	n, err := readLength(in, '*', maxArguments)
 	if err != nil {
 		return nil, err
 	}
 	args := make([]string, 0, n)
 	for range n {
-		size, err := readLength(in, '$', bytesMost)
+		size, err := readLength(in, '$', maxArgumentBytes)
 		if err != nil {
 			return nil, err
 		}
@@ -283,7 +286,8 @@
 	return args, nil
 }
 
-func readLength(in *bufio.Reader, sign byte, most int) (int, error) {
+// readLength reads a line that consists of the type character sign and a length of at most limit.
+func readLength(in *bufio.Reader, sign byte, limit int) (int, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return 0, err
@@ -293,7 +297,7 @@
 		return 0, fmt.Errorf("expected '%c'", sign)
 	}
 	n, err := strconv.Atoi(line[1:])
-	if err != nil || n < 0 || n > most {
+	if err != nil || n < 0 || n > limit {
 		return 0, errors.New("invalid length")
 	}
 	return n, nil
--- a/standin/sites/load.go
+++ b/standin/sites/load.go
@@ -13,23 +13,23 @@
 	"time"
 )
 
-// End is what became of a query, as its client saw it.
-type End uint8
+// Outcome classifies how a query ended, as its client saw it.
+type Outcome uint8
 
-// In is an answer within the goal.
+// The outcomes of a query. A query has exactly one of them.
 const (
-	In End = iota
-	Late
-	Declined
-	Failed
-	Lost  // no answer in the client's time
-	Wrong // an answer that is none to this query
+	InGoal   Outcome = iota // a correct answer within LatencyGoal
+	Late                    // a correct answer after LatencyGoal
+	Declined                // an answer with status 503
+	Failed                  // any other status than 200 and 503
+	Lost                    // no answer within the client's timeout
+	Wrong                   // an answer that does not match the query
 )
 
-// Ends are their names.
-var Ends = []string{"in goal", "late", "declined", "failed", "lost", "wrong"}
+// OutcomeNames are the printed names of the outcomes, indexed by Outcome.
+var OutcomeNames = []string{"in goal", "late", "declined", "failed", "lost", "wrong"}
 
-// Query is one that a client asks.
+// Query is one query of a client; Process and Workload are indexes.
 type Query struct {
 	Site     string
 	Process  int
@@ -38,21 +38,21 @@
 	Customer string
 }
 
-// Ask asks one query and tells its end.
+// Ask sends one query and returns its outcome and latency.
 //
-// Danger: an answer is only right if each part stands in it once, with the value of that very part.
-func (w *World) Ask(q Query) (End, time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), Patience+slack)
+// Danger: an answer is correct only if it contains every part once, each with its own value.
+func (w *Testbed) Ask(q Query) (Outcome, time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), ClientTimeout+clientSlack)
 	defer cancel()
 	const body = `{"segments":[{"segment":0,"boost":0.5},{"segment":1,"boost":0.5}],"text":"t"}`
 	name := Workloads[q.Workload]
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.Sites[q.Site].fixed[q.Process]+"/"+name,
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.Sites[q.Site].clientAddresses[q.Process]+"/"+name,
 		bytes.NewReader([]byte(body)))
 	if err != nil {
 		return Lost, 0
 	}
 	for key, v := range map[string]string{"X-Qos": name, "X-Trace-Id": q.ID, "X-Customer": q.Customer,
-		"X-Expires-In-Ms": strconv.FormatInt(Patience.Milliseconds(), 10)} {
+		"X-Expires-In-Ms": strconv.FormatInt(ClientTimeout.Milliseconds(), 10)} {
 		if v != "" {
 			r.Header.Set(key, v)
 		}
@@ -72,22 +72,23 @@
 		return Declined, took
 	case a.StatusCode != http.StatusOK:
 		return Failed, took
-	case !right(q.ID, text):
+	case !correct(q.ID, text):
 		return Wrong, took
-	case took > Goal:
+	case took > LatencyGoal:
 		return Late, took
 	}
-	return In, took
+	return InGoal, took
 }
 
-func right(id string, text []byte) bool {
+// correct reports whether an answer's body contains every part of the query once, each with its own value.
+func correct(id string, text []byte) bool {
 	var a struct {
 		Matches []struct {
 			Segment int    `json:"segment"`
 			Payload string `json:"payload"`
 		} `json:"matches"`
 	}
-	if json.Unmarshal(text, &a) != nil || len(a.Matches) != Shards {
+	if json.Unmarshal(text, &a) != nil || len(a.Matches) != DefaultShards {
 		return false
 	}
 	seen := map[int]bool{}
@@ -100,108 +101,108 @@
 	return true
 }
 
-// Tally is what came of the queries of a span.
+// Tally sums up the outcomes of the queries of an interval.
 type Tally struct {
-	Asked   int
-	Ends    [6]int
-	Revenue float64 // within goal,
-	Most    float64 // and if all had been
-	Took    []time.Duration
+	Asked      int
+	Outcomes   [6]int
+	Revenue    float64 // revenue of the queries answered within the goal
+	MaxRevenue float64 // revenue if all queries had been answered within the goal
+	Latencies  []time.Duration
 }
 
-// Share is the share of revenue within the goal; 1 where nothing was asked.
-func (t *Tally) Share() float64 {
-	if t.Most == 0 {
+// RevenueShare returns Revenue as a fraction of MaxRevenue, or 1 without queries.
+func (t *Tally) RevenueShare() float64 {
+	if t.MaxRevenue == 0 {
 		return 1
 	}
-	return t.Revenue / t.Most
+	return t.Revenue / t.MaxRevenue
 }
 
-// Add takes another's in.
+// Add adds another tally to this one.
 func (t *Tally) Add(o *Tally) {
 	t.Asked += o.Asked
-	for i, n := range o.Ends {
-		t.Ends[i] += n
+	for i, n := range o.Outcomes {
+		t.Outcomes[i] += n
 	}
 	t.Revenue += o.Revenue
-	t.Most += o.Most
-	t.Took = append(t.Took, o.Took...)
+	t.MaxRevenue += o.MaxRevenue
+	t.Latencies = append(t.Latencies, o.Latencies...)
 }
 
-// Load is a stream of queries to all sites.
+// Load describes a stream of queries to the sites.
 type Load struct {
-	Rate float64 // a second at each site, by chance
-	Seed uint64
-	For  time.Duration
-	Each time.Duration // of a row of the timeline
-	Only string        // the one site that is asked; empty for all
+	Rate        float64 // mean queries a second at each site; arrivals are a Poisson process
+	Seed        uint64
+	Duration    time.Duration
+	RowDuration time.Duration // interval that one row of the timeline covers
+	OnlySite    string        // the only site that gets queries; empty for all
 }
 
-// Line is what came of a load: a tally for each span by when queries were asked, and what broke the rules.
-type Line struct {
-	Rows    []Tally
-	Doubled int // once-only parts that ran more than once
+// Timeline holds the results of a load, in one row per interval. A query counts in the row in which it was due.
+type Timeline struct {
+	Rows                []Tally
+	DuplicateExecutions int // once-only parts that ran more than once
 }
 
-// Play asks queries of all sites for a time, while at is called with the number of each span as it begins. It returns when the
-// last has ended.
-func (w *World) Play(l Load, at func(span int)) *Line {
-	line := &Line{Rows: make([]Tally, int(l.For/l.Each))}
+// RunLoad sends the load, and calls onRow with the index of each row when the row's interval begins. It returns when the last query
+// has ended.
+func (w *Testbed) RunLoad(l Load, onRow func(row int)) *Timeline {
+	timeline := &Timeline{Rows: make([]Tally, int(l.Duration/l.RowDuration))}
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	var pay []string
+	var onceOnlyIDs []string
 	began := time.Now()
-	for n, name := range w.Names {
-		if l.Only != "" && l.Only != name {
+	for n, name := range w.SiteNames {
+		if l.OnlySite != "" && l.OnlySite != name {
 			continue
 		}
-		chance := rand.New(rand.NewPCG(l.Seed, uint64(n)))
+		rng := rand.New(rand.NewPCG(l.Seed, uint64(n)))
 		all.Go(func() {
 			next := began
 			for i := 0; ; i++ {
-				next = next.Add(time.Duration(chance.ExpFloat64() * 1e9 / l.Rate))
-				span := int(next.Sub(began) / l.Each)
-				if span >= len(line.Rows) {
+				next = next.Add(time.Duration(rng.ExpFloat64() * 1e9 / l.Rate))
+				rowIndex := int(next.Sub(began) / l.RowDuration)
+				if rowIndex >= len(timeline.Rows) {
 					return
 				}
-				q := Query{Site: name, Process: i % w.Gateways, ID: fmt.Sprintf("%s-%d", name, i),
-					Workload: chance.IntN(len(Workloads))}
+				q := Query{Site: name, Process: i % w.ProcessesPerSite, ID: fmt.Sprintf("%s-%d", name, i),
+					Workload: rng.IntN(len(Workloads))}
 				time.Sleep(time.Until(next))
 				all.Go(func() {
 					end, took := w.Ask(q)
-					worth := 1.0
+					revenue := 1.0
 					if x, stated := w.Revenue[Workloads[q.Workload]]; stated {
-						worth = x
+						revenue = x
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					row := &line.Rows[span]
+					row := &timeline.Rows[rowIndex]
 					row.Asked++
-					row.Ends[end]++
-					row.Most += worth
-					if row.Took = append(row.Took, took); end == In {
-						row.Revenue += worth
+					row.Outcomes[end]++
+					row.MaxRevenue += revenue
+					if row.Latencies = append(row.Latencies, took); end == InGoal {
+						row.Revenue += revenue
 					}
 					if Workloads[q.Workload] == "pay" {
-						pay = append(pay, q.ID)
+						onceOnlyIDs = append(onceOnlyIDs, q.ID)
 					}
 				})
 			}
 		})
 	}
-	for span := range line.Rows {
-		time.Sleep(time.Until(began.Add(time.Duration(span) * l.Each)))
-		if at != nil {
-			at(span)
+	for rowIndex := range timeline.Rows {
+		time.Sleep(time.Until(began.Add(time.Duration(rowIndex) * l.RowDuration)))
+		if onRow != nil {
+			onRow(rowIndex)
 		}
 	}
 	all.Wait()
-	for _, id := range pay {
-		for shard := range Shards {
-			if w.Ran(fmt.Sprintf("%s.%d", id, shard)) > 1 {
-				line.Doubled++
+	for _, id := range onceOnlyIDs {
+		for shard := range DefaultShards {
+			if w.ExecutionCount(fmt.Sprintf("%s.%d", id, shard)) > 1 {
+				timeline.DuplicateExecutions++
 			}
 		}
 	}
-	return line
+	return timeline
 }
--- a/standin/systemreplica/systemreplica.go
+++ b/standin/systemreplica/systemreplica.go
@@ -1,6 +1,6 @@
-// Package systemreplica is a stand-in for a replica of the whole system, written from the operators' page: it serves
-// HTTP/1.1, seals its answers, sends heartbeats to control and says when it leaves. Faults are made by those
-// who own it: it can be stopped dead.
+// Package systemreplica is a stand-in for a replica of the whole system that follows the operators' documentation: it serves
+// HTTP/1.1, adds a seal header to its answers, sends heartbeats to the controllers and announces its departure. It can also be
+// killed without an announcement.
 package systemreplica
 
 import (
@@ -19,76 +19,78 @@
 )
 
 const (
-	records    = 6 // in a part
-	callWithin = time.Second
+	recordsPerPart = 6
+	callTimeout    = time.Second // maximum time of a call to a controller
 )
 
-// Replica is one stand-in.
+// Replica is a stand-in replica of one service. Its settings must not change after Start.
 type Replica struct {
 	ID, Service, Zone string
-	Work              time.Duration // that a request takes
-	Beat              time.Duration // between two heartbeats
-	Control           []string      // addresses, tried in order from the last that answered
+	WorkTime          time.Duration // processing time of one request
+	HeartbeatInterval time.Duration // time between two heartbeats
+	ControlAddresses  []string      // addresses of the controllers; calls begin with the one that answered last
 
-	Ran  atomic.Int64 // requests that were begun
-	seq  int64
-	at   int
-	ln   net.Listener
-	http *http.Server
-	stop context.CancelFunc
+	Executions   atomic.Int64 // requests that the replica has begun to process
+	callSeq      int64
+	controlIndex int
+	listener     net.Listener
+	server       *http.Server
+	stop         context.CancelFunc
 }
 
-// Start listens on an address and begins to send heartbeats.
+// Start serves on an address and starts to send heartbeats.
 func (r *Replica) Start(address string) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r.ln, r.stop = ln, stop
-	r.http = &http.Server{Handler: r}
-	go r.http.Serve(ln)
-	go r.beats(ctx)
+	r.listener, r.stop = ln, stop
+	r.server = &http.Server{Handler: r}
+	go r.server.Serve(ln)
+	go r.sendHeartbeats(ctx)
 	return nil
 }
 
-// Kill ends it without a word.
+// Kill stops the replica without announcing its departure.
 func (r *Replica) Kill() {
 	r.stop()
-	r.http.Close()
+	r.server.Close()
 }
 
-// Leave says that it drains and then that it is gone; it tells whether both were acknowledged.
+// Leave announces that the replica drains, waits for the drain time, announces its departure and stops. It reports whether both
+// announcements were acknowledged.
 func (r *Replica) Leave(drain time.Duration) bool {
 	r.stop()
-	ok := r.call("heartbeat", "draining")
+	ok := r.callControl("heartbeat", "draining")
 	time.Sleep(drain)
-	ok = r.call("departure", "") && ok
-	r.http.Close()
+	ok = r.callControl("departure", "") && ok
+	r.server.Close()
 	return ok
 }
 
-func (r *Replica) beats(ctx context.Context) {
+func (r *Replica) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
-		r.call("heartbeat", "ready")
+		r.callControl("heartbeat", "ready")
 		select {
 		case <-ctx.Done():
-		case <-time.After(r.Beat):
+		case <-time.After(r.HeartbeatInterval):
 		}
 	}
 }
 
-// call calls one control address after the other until one acknowledges.
-func (r *Replica) call(what, phase string) bool {
-	r.seq++
+// callControl sends a heartbeat or departure to one controller after the other until one acknowledges it, and reports whether one
+// did.
+func (r *Replica) callControl(what, phase string) bool {
+	r.callSeq++
 	var body []byte
 	if phase != "" {
-		body, _ = json.Marshal(map[string]any{"service": r.Service, "address": r.ln.Addr().String(), "zone": r.Zone, "revision": "v1",
-			"capacity": 4, "phase": phase, "warmup-left-ms": 0, "call-seq": r.seq})
+		body, _ = json.Marshal(map[string]any{"service": r.Service, "address": r.listener.Addr().String(), "zone": r.Zone, "revision": "v1",
+			"capacity": 4, "phase": phase, "warmup-left-ms": 0, "call-seq": r.callSeq})
 	}
-	client := http.Client{Timeout: callWithin}
-	for range r.Control {
-		res, err := client.Post("http://"+r.Control[r.at%len(r.Control)]+"/v1/replicas/"+r.ID+"/"+what, "application/json", bytes.NewReader(body))
+	client := http.Client{Timeout: callTimeout}
+	for range r.ControlAddresses {
+		res, err := client.Post("http://"+r.ControlAddresses[r.controlIndex%len(r.ControlAddresses)]+"/v1/replicas/"+r.ID+"/"+what, "application/json", bytes.NewReader(body))
 		if err == nil {
 			io.Copy(io.Discard, res.Body)
 			res.Body.Close()
@@ -96,12 +98,12 @@
 				return true
 			}
 		}
-		r.at++
+		r.controlIndex++
 	}
 	return false
 }
 
-// ServeHTTP runs a request, unless it is meant for another.
+// ServeHTTP processes a request, and rejects one that names another replica or has no attempt ID.
 func (r *Replica) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	w.Header().Set("Willowsill-Replica-Id", r.ID)
 	attempt := q.Header.Get("Willowsill-Attempt-Id")
@@ -119,10 +121,10 @@
 		return
 	}
 	io.Copy(io.Discard, q.Body)
-	r.Ran.Add(1)
-	time.Sleep(r.Work)
-	body := make([]byte, 0, 16*records)
-	for range records {
+	r.Executions.Add(1)
+	time.Sleep(r.WorkTime)
+	body := make([]byte, 0, 16*recordsPerPart)
+	for range recordsPerPart {
 		body = binary.BigEndian.AppendUint64(body, rand.Uint64())
 		body = binary.BigEndian.AppendUint64(body, rand.Uint64())
 	}
--- a/transport/agentserver/agentserver.go
+++ b/transport/agentserver/agentserver.go
@@ -1,6 +1,7 @@
-// Package agentserver runs an agent, the relay beside a proxy: it follows a feeder (a controller or another agent),
-// holds the newest cluster state, and feeds the proxy beside it over loopback and the agents that follow it. It also
-// sends and hears the heartbeats of the edges. It decides nothing.
+// Package agentserver runs an agent, the relay on a proxy's machine. The agent receives updates from an
+// upstream (a controller or another agent), holds the newest cluster state, and sends updates to the local
+// proxy over loopback and to its downstream agents. It also sends and receives the heartbeats of the edges. It
+// makes no decisions of its own.
 package agentserver
 
 import (
@@ -25,72 +26,72 @@
 	"willowsill/transport/watch"
 )
 
-// ErrAgent is the class of this package's errors.
+// ErrAgent builds this package's errors, which have the code agent.
 var ErrAgent = oops.Code("agent")
 
 const (
-	graceMargin = 300 * time.Millisecond // the agent ends so long before its grace does
-	leavePoll   = 100 * time.Millisecond // between two looks whether the proxy has gone
+	graceMargin = 300 * time.Millisecond // at shutdown, time left between the agent's end and the end of the grace period
+	leavePoll   = 100 * time.Millisecond // time between two checks whether the local proxy has disconnected
 
-	followerTimeout = 4 * time.Second        // a follower unheard for so long is no longer reported
-	heartbeatPoll   = 250 * time.Millisecond // between two looks which heartbeats are due and which are missing
+	downstreamTimeout = 4 * time.Second        // a downstream edge that has not reported for this time is left out of the agent's own report
+	heartbeatPoll     = 250 * time.Millisecond // time between two checks for heartbeats that are due or missing
 )
 
-// Server is a running agent.
+// Server is a running agent: the cluster state that it holds, its upstream and its downstream links.
 type Server struct {
 	settings   settings.Settings
 	base       time.Time
-	upstream   watch.Follower
-	proxy      watch.Feed // the proxy beside it
-	relay      watch.Feed // the agents that follow it
+	upstream   watch.Upstream
+	proxyFeed  watch.Feed // to the local proxy
+	relayFeed  watch.Feed // to the downstream agents
 	heartbeats net.PacketConn
-	loans      *watch.Loans // of retries that edges do not use
-
-	mu        sync.Mutex // guards the rest, and the order of what followers are told
-	state     *clusterstate.State
-	detector  *failuredetector.Detector
-	followers map[string]followerReport
-	suspects  []string
-	evidence  []rollout.Evidence // of the proxy beside it
+	loans      *watch.Loans // relays loans of unused retry budget
+
+	mu         sync.Mutex // guards the fields below and the order of messages to downstream edges
+	state      *clusterstate.State
+	detector   *failuredetector.Detector
+	downstream map[string]downstreamReport
+	suspects   []string
+	evidence   []rollout.Evidence // reported by the local proxy
 }
 
-// followerReport is what a follower said last, and when.
-type followerReport struct {
+// downstreamReport is the last report of a downstream edge.
+type downstreamReport struct {
 	controller.EdgeReport
-	at time.Time
+	receivedAt time.Time
 }
 
-// Run runs an agent until ctx ends and the proxy beside it has gone.
+// Run runs an agent until ctx ends and the local proxy has disconnected, or the grace period is almost over.
 func Run(ctx context.Context, local settings.Settings) error {
 	s := &Server{settings: local, base: time.Now().Add(-time.Hour), state: clusterstate.NewState(), detector: failuredetector.New(local.IP),
-		followers: map[string]followerReport{}, loans: watch.NewLoans(local.Bounds.RetryWindow())}
-	proxy, err := peer.Listen(local.Inner(local.Loopback(), settings.PortAgent))
+		downstream: map[string]downstreamReport{}, loans: watch.NewLoans(local.Bounds.RetryWindow())}
+	proxy, err := peer.Listen(local.InternalAddress(local.Loopback(), settings.PortAgent))
 	if err != nil {
 		return ErrAgent.Wrap(err)
 	}
-	relay, err := peer.Listen(local.Inner(local.IP, settings.PortWatch))
+	relay, err := peer.Listen(local.InternalAddress(local.IP, settings.PortWatch))
 	if err != nil {
 		return ErrAgent.Wrap(err)
 	}
-	if s.heartbeats, err = net.ListenPacket("udp", local.Inner(local.IP, settings.PortHeartbeats)); err != nil {
+	if s.heartbeats, err = net.ListenPacket("udp", local.InternalAddress(local.IP, settings.PortHeartbeats)); err != nil {
 		return ErrAgent.Wrapf(err, "listening for heartbeats")
 	}
-	inner, end := context.WithCancel(context.Background())
-	defer end()
-	s.upstream = watch.Follower{Report: s.report, Addresses: s.feeders, Take: s.take,
-		Sign: func(fresh clusterstate.Freshness) { s.relay.Publish(nil, fresh) },
-		Note: s.loans.Heard}
-	go peer.Serve(proxy, func(l *peer.Link) { s.attend(l, &s.proxy) })
-	go peer.Serve(relay, func(l *peer.Link) { s.attend(l, &s.relay) })
-	go s.proxy.Beats(inner, s.upstream.Freshness)
-	go s.hear()
-	go s.watch(inner)
-	go s.upstream.Run(inner)
-	metrics.Serve(inner, local.IP, local.Metrics, s.figures)
+	running, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	s.upstream = watch.Upstream{Report: s.report, Addresses: s.upstreamAddresses, Apply: s.applyUpdate,
+		OnFreshness: func(fresh clusterstate.Freshness) { s.relayFeed.Publish(nil, fresh) },
+		OnLending:   s.loans.HandleUpstream}
+	go peer.Serve(proxy, func(l *peer.Link) { s.serveDownstream(l, &s.proxyFeed) })
+	go peer.Serve(relay, func(l *peer.Link) { s.serveDownstream(l, &s.relayFeed) })
+	go s.proxyFeed.SendHeartbeats(running, s.upstream.Freshness)
+	go s.receiveHeartbeats()
+	go s.sendHeartbeats(running)
+	go s.upstream.Run(running)
+	metrics.Serve(running, local.IP, local.Metrics, s.writeMetrics)
 	<-ctx.Done()
-	// Danger: a proxy that ends in order serves on for a while, and must hear what changes meanwhile.
-	until := time.Now().Add(time.Duration(local.Bounds.GraceS*float64(time.Second)) - graceMargin)
-	for time.Now().Before(until) && s.proxy.Count() > 0 {
+	// Danger: a proxy that drains still serves queries for a while and needs updates until it disconnects.
+	deadline := time.Now().Add(time.Duration(local.Bounds.GraceS*float64(time.Second)) - graceMargin)
+	for time.Now().Before(deadline) && s.proxyFeed.Count() > 0 {
 		time.Sleep(leavePoll)
 	}
 	return nil
@@ -98,61 +99,62 @@
 
 func (s *Server) now() int64 { return int64(time.Since(s.base)) }
 
-// feeders returns the addresses to follow, in order of preference.
-func (s *Server) feeders() (addresses []string) {
+// upstreamAddresses returns the addresses of possible upstreams in order of preference.
+func (s *Server) upstreamAddresses() (addresses []string) {
 	s.mu.Lock()
 	fleet := s.state.Fleet
 	s.mu.Unlock()
-	for _, feeder := range relaytree.Feeders(s.settings.IP, s.settings.Zone, fleet, s.settings.SeedIPs(), s.settings.Zones) {
-		addresses = append(addresses, s.settings.Inner(feeder.IP, settings.PortWatch))
+	for _, upstream := range relaytree.Feeders(s.settings.IP, s.settings.Zone, fleet, s.settings.SeedIPs(), s.settings.Zones) {
+		addresses = append(addresses, s.settings.InternalAddress(upstream.IP, settings.PortWatch))
 	}
 	return addresses
 }
 
-// report returns what this agent says to its feeder: itself, the edges that follow it, and which it suspects.
+// report returns the report to the upstream: this agent, its downstream edges, and the edges that it suspects
+// to have failed.
 func (s *Server) report() watch.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	report := watch.Report{Revision: s.state.Revision, Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: s.settings.IP, Zone: s.settings.Zone}, Suspects: s.suspects, Rollouts: s.evidence}}
-	for ip, follower := range s.followers {
-		age := time.Since(follower.at)
-		if age > followerTimeout {
-			delete(s.followers, ip)
+	for ip, received := range s.downstream {
+		age := time.Since(received.receivedAt)
+		if age > downstreamTimeout {
+			delete(s.downstream, ip)
 			continue
 		}
-		edge := follower.EdgeReport
+		edge := received.EdgeReport
 		edge.Age += int64(age)
-		report.Below = append(report.Below, edge)
+		report.Downstream = append(report.Downstream, edge)
 	}
-	report.Lending = s.loans.Report()
+	report.Lending = s.loans.UpstreamMessage()
 	return report
 }
 
-// take merges an update into the state and publishes what is new in it. It returns false where the update is a patch
-// of another state than the one held, so that a snapshot is needed.
-func (s *Server) take(update clusterstate.Update) bool {
+// applyUpdate merges an update into the state and publishes what is new in it. It returns false if the update
+// is a patch for another state than the one held, so that a snapshot is needed.
+func (s *Server) applyUpdate(update clusterstate.Update) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fresh := s.state.Take(update)
-	if fresh.Empty() {
-		return !s.state.Behind
+	change := s.state.Apply(update)
+	if change.Empty() {
+		return !s.state.NeedsSnapshot
 	}
-	if fresh.Revision > 0 {
-		klog.InfoS("a configuration has come", "revision", fresh.Revision, "bytes", len(fresh.Raw), "sent", len(fresh.Body)+len(fresh.Patch))
+	if change.Revision > 0 {
+		klog.InfoS("a configuration was received", "revision", change.Revision, "bytes", len(change.Raw), "sent", len(change.Body)+len(change.Patch))
 	}
-	if f := fresh.Fleet; !f.Empty() {
-		s.detector.Fleet(s.now(), f.InZone(s.settings.Zone))
+	if f := change.Fleet; !f.Empty() {
+		s.detector.SetEdges(s.now(), f.EdgeIPsInZone(s.settings.Zone))
 	}
-	known := s.upstream.Freshness()
-	s.proxy.Publish(&fresh, known)
-	s.relay.Publish(&fresh, known)
-	s.state.Forget()
-	return !s.state.Behind
+	fresh := s.upstream.Freshness()
+	s.proxyFeed.Publish(&change, fresh)
+	s.relayFeed.Publish(&change, fresh)
+	s.state.DropGone()
+	return !s.state.NeedsSnapshot
 }
 
-// attend feeds one follower until its link ends, and keeps its reports.
-func (s *Server) attend(link *peer.Link, feed *watch.Feed) {
-	watch.Attend(link, func(report watch.Report) {
+// serveDownstream sends updates to one downstream edge until its link ends, and records its reports.
+func (s *Server) serveDownstream(link *peer.Link, feed *watch.Feed) {
+	watch.ReceiveReports(link, func(report watch.Report) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		feed.Join(link, report, s.state.Snapshot(), s.upstream.Freshness())
@@ -164,15 +166,16 @@
 				s.evidence = edge.Rollouts
 				continue
 			}
-			s.followers[edge.Edge.IP] = followerReport{edge, time.Now()}
+			s.downstream[edge.Edge.IP] = downstreamReport{edge, time.Now()}
 		}
-		s.loans.Reported(link, report, s.upstream.Freshness())
+		s.loans.HandleReport(link, report, s.upstream.Freshness())
 	})
-	feed.Part(link)
+	feed.Leave(link)
 }
 
-// watch sends heartbeats to the edges that watch this one and notes which edges are suspected, until ctx ends.
-func (s *Server) watch(ctx context.Context) {
+// sendHeartbeats sends heartbeats to the edges that monitor this one and records which edges are suspected to
+// have failed, until ctx ends.
+func (s *Server) sendHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatPoll)
 	defer ticker.Stop()
 	for {
@@ -183,22 +186,22 @@
 		case <-ticker.C:
 		}
 		s.mu.Lock()
-		to, suspects := s.detector.Tick(s.now())
+		targets, suspects := s.detector.Tick(s.now())
 		if !slices.Equal(suspects, s.suspects) {
 			klog.InfoS("edges that are not heard", "suspects", suspects)
 		}
 		s.suspects = suspects
 		s.mu.Unlock()
-		for _, ip := range to {
-			if a, err := net.ResolveUDPAddr("udp", s.settings.Inner(ip, settings.PortHeartbeats)); err == nil {
-				s.heartbeats.WriteTo([]byte{1}, a)
+		for _, ip := range targets {
+			if address, err := net.ResolveUDPAddr("udp", s.settings.InternalAddress(ip, settings.PortHeartbeats)); err == nil {
+				s.heartbeats.WriteTo([]byte{1}, address)
 			}
 		}
 	}
 }
 
-// hear receives heartbeats until the socket is closed.
-func (s *Server) hear() {
+// receiveHeartbeats receives heartbeats until the socket is closed.
+func (s *Server) receiveHeartbeats() {
 	var buf [16]byte
 	for {
 		_, from, err := s.heartbeats.ReadFrom(buf[:])
@@ -211,7 +214,7 @@
 		}
 		host, _, _ := net.SplitHostPort(from.String())
 		s.mu.Lock()
-		s.detector.Heard(s.now(), host)
+		s.detector.HandleHeartbeat(s.now(), host)
 		s.mu.Unlock()
 	}
 }
--- a/transport/agentserver/agentserver_test.go
+++ b/transport/agentserver/agentserver_test.go
@@ -17,61 +17,61 @@
 	"willowsill/transport/watch"
 )
 
-// follower is one end of a link whose other end the agent attends.
-type follower struct {
+// downstream is a downstream edge, at the far end of a link that the agent serves.
+type downstream struct {
 	*testing.T
 	*peer.Link
 	ip string
 }
 
-func newFollower(t *testing.T, s *Server, ip string) follower {
-	near, far := net.Pipe()
-	attended := peer.Over(near)
-	go s.attend(attended, &s.relay)
-	f := follower{t, peer.Over(far), ip}
+func newDownstream(t *testing.T, s *Server, ip string) downstream {
+	agentEnd, edgeEnd := net.Pipe()
+	served := peer.NewLink(agentEnd)
+	go s.serveDownstream(served, &s.relayFeed)
+	d := downstream{t, peer.NewLink(edgeEnd), ip}
 	t.Cleanup(func() {
-		f.Close()
-		attended.Close()
+		d.Close()
+		served.Close()
 	})
-	return f
+	return d
 }
 
-// report sends a report and returns what the agent says to this follower of loans, nil for nothing.
-func (f follower) report(note *lending.Note) (said *lending.Note) {
-	f.Helper()
-	f.Say(watch.Report{Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: f.ip}}, Lending: note})
+// report sends a report and returns the last lending message that the agent sends back, nil if none comes.
+func (d downstream) report(message *lending.Message) (answer *lending.Message) {
+	d.Helper()
+	d.SendMessage(watch.Report{Self: controller.EdgeReport{Edge: clusterstate.Edge{IP: d.ip}}, Lending: message})
 	for {
 		var m watch.Message
-		if f.Receive(&m, time.Second) != nil {
-			return said
+		if d.Receive(&m, time.Second) != nil {
+			return answer
 		}
 		if m.Lending != nil {
-			must.True(f, m.Freshness != nil, must.Sprint("the follower would take the agent for one of the former version"))
-			said = m.Lending
+			must.True(d, m.Freshness != nil, must.Sprint("without freshness the edge takes the agent for one of the former version"))
+			answer = m.Lending
 		}
 	}
 }
 
-// TestLoansPassThroughAgents: what one follower wants is told to the others and to the feeder, and what one of them lends
-// goes to it, once.
+// TestLoansPassThroughAgents: an agent relays a downstream edge's request for retry budget to its other
+// downstream edges and to its upstream, and relays a loan back to the edge that requested it, exactly once.
 func TestLoansPassThroughAgents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const window = int64(10 * time.Second)
 		s := &Server{settings: settings.Settings{IP: "10.0.0.1"}, base: time.Now(), state: clusterstate.NewState(),
-			detector: failuredetector.New("10.0.0.1"), followers: map[string]followerReport{}, loans: watch.NewLoans(window)}
-		short, idle := newFollower(t, s, "10.0.0.2"), newFollower(t, s, "10.0.0.3")
-		must.Nil(t, short.report(nil))
+			detector: failuredetector.New("10.0.0.1"), downstream: map[string]downstreamReport{}, loans: watch.NewLoans(window)}
+		borrower, idle := newDownstream(t, s, "10.0.0.2"), newDownstream(t, s, "10.0.0.3")
+		must.Nil(t, borrower.report(nil))
 		must.Nil(t, idle.report(nil))
 		must.Nil(t, s.report().Lending)
-		must.Nil(t, short.report(&lending.Note{Wants: []lending.Want{{Number: 7, Amount: 3}}}))
-		must.Eq(t, 3, s.report().Lending.Wants[0].Amount)
-		asked := idle.report(nil)
-		must.Eq(t, 3, asked.Wants[0].Amount)
-		must.Nil(t, idle.report(&lending.Note{Loans: []lending.Loan{{Answers: asked.Wants[0].Number, Amount: 2, For: window}}}).Loans)
-		lent := short.report(&lending.Note{Wants: []lending.Want{{Number: 8, Amount: 3}}})
-		must.Eq(t, 8, lent.Loans[0].Answers)
-		must.Eq(t, 2, lent.Loans[0].Amount)
-		must.Less(t, window, lent.Loans[0].For)
-		must.Nil(t, short.report(&lending.Note{Wants: []lending.Want{{Number: 9, Amount: 3}}}))
+		must.Nil(t, borrower.report(&lending.Message{Requests: []lending.LoanRequest{{Number: 7, Amount: 3}}}))
+		must.Eq(t, 3, s.report().Lending.Requests[0].Amount)
+		request := idle.report(nil)
+		must.Eq(t, 3, request.Requests[0].Amount)
+		must.Nil(t, idle.report(&lending.Message{Loans: []lending.Loan{{Answers: request.Requests[0].Number, Amount: 2, Duration: window}}}).Loans)
+		answer := borrower.report(&lending.Message{Requests: []lending.LoanRequest{{Number: 8, Amount: 3}}})
+		must.Eq(t, 8, answer.Loans[0].Answers)
+		must.Eq(t, 2, answer.Loans[0].Amount)
+		must.Less(t, window, answer.Loans[0].Duration)
+		must.Nil(t, borrower.report(&lending.Message{Requests: []lending.LoanRequest{{Number: 9, Amount: 3}}}))
 	})
 }
--- a/transport/controlclient/controlclient.go
+++ b/transport/controlclient/controlclient.go
@@ -1,5 +1,5 @@
-// Package controlclient is the operators' client: it calls the controllers' HTTP resources, and follows updates as an
-// edge does without being counted as one. It decides nothing.
+// Package controlclient is the operators' client. It calls the controllers' HTTP resources, and receives
+// updates like an edge but isn't counted as one. It makes no decisions of its own.
 package controlclient
 
 import (
@@ -16,42 +16,44 @@
 	"willowsill/transport/watch"
 )
 
-// ErrClient is the class of this package's errors.
+// ErrClient builds this package's errors, which have the code willowctl.
 var ErrClient = oops.Code("willowctl")
 
 const (
-	callWithin = 2 * time.Second
-	tryAgain   = 200 * time.Millisecond
-	followWait = 3 * time.Second
+	callTimeout    = 2 * time.Second
+	retryDelay     = 200 * time.Millisecond
+	receiveTimeout = 3 * time.Second
 
-	mostRedirects = 2 // that one call follows
+	maxRedirects = 2 // most redirects that one call follows
 )
 
-// client sends each request once. Of net/http's own client it keeps neither the idle connections nor the ten redirects.
+// httpClient sends each request once. It differs from net/http's default client in that it keeps no idle
+// connections and follows at most maxRedirects redirects.
 //
-// Danger: net/http sends a request again by itself where a connection that it reuses dies under it. What is sent again is
-// for Control alone to say, and what is never reused is never replayed on.
-var client = &http.Client{
-	Timeout:       callWithin,
+// Danger: net/http resends a request by itself if a reused connection fails before the answer. Only Client may
+// decide whether a request is resent, so connections are never reused.
+var httpClient = &http.Client{
+	Timeout:       callTimeout,
 	Transport:     &http.Transport{Proxy: http.ProxyFromEnvironment, DisableKeepAlives: true},
-	CheckRedirect: boundRedirects,
+	CheckRedirect: limitRedirects,
 }
 
-// boundRedirects follows a 307 as often as all callers of control do.
-func boundRedirects(_ *http.Request, via []*http.Request) error {
-	if len(via) > mostRedirects {
-		return ErrClient.Errorf("more than %d redirects", mostRedirects)
+// limitRedirects lets a call follow at most maxRedirects redirects, the limit of all clients of the control
+// resources.
+func limitRedirects(_ *http.Request, via []*http.Request) error {
+	if len(via) > maxRedirects {
+		return ErrClient.Errorf("more than %d redirects", maxRedirects)
 	}
 	return nil
 }
 
-// Control calls one controller after the other until one gives a clear answer, or ctx ends. A call without a clear answer
-// (no connection, no whole answer within callWithin, a 5xx, 408 or 429) goes out again, the same bytes, to the next address
-// after tryAgain: no more than one in each tryAgain, for as long as ctx lasts. Whoever gives a ctx without an end gets tries
-// without an end.
-type Control struct{ Addresses []string }
+// Client calls one controller after another until one gives a definite answer or ctx ends. A call without a
+// definite answer (no connection, no complete answer within callTimeout, a 5xx, 408 or 429) is repeated with
+// the same bytes at the next address, at most once per retryDelay until ctx ends. If ctx
+// never ends, the retries don't end either.
+type Client struct{ Addresses []string }
 
-func (c *Control) call(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
+func (c *Client) call(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
 	err = ErrClient.Errorf("no control address was given")
 	for n := 0; ctx.Err() == nil && len(c.Addresses) > 0; n++ {
 		address := c.Addresses[n%len(c.Addresses)]
@@ -61,7 +63,7 @@
 		}
 		req.Header.Set("Content-Type", "application/json")
 		var res *http.Response
-		if res, err = client.Do(req); err == nil {
+		if res, err = httpClient.Do(req); err == nil {
 			answer, err = io.ReadAll(res.Body)
 			res.Body.Close()
 			if err == nil && res.StatusCode < http.StatusInternalServerError && res.StatusCode != http.StatusTooManyRequests &&
@@ -74,37 +76,37 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(tryAgain):
+		case <-time.After(retryDelay):
 		}
 	}
 	return 0, nil, ErrClient.Wrapf(err, "no clear answer")
 }
 
-// read asks for the newest configuration; status is 404 where there is none.
-func (c *Control) read(ctx context.Context) (status int, body []byte, err error) {
+// readConfiguration requests the newest configuration; status is 404 if there is none.
+func (c *Client) readConfiguration(ctx context.Context) (status int, body []byte, err error) {
 	return c.call(ctx, http.MethodGet, "/v1/configuration/read", nil)
 }
 
-// Read is the newest configuration.
-func (c *Control) Read(ctx context.Context) ([]byte, error) {
-	status, body, err := c.read(ctx)
+// ReadConfiguration returns the newest configuration.
+func (c *Client) ReadConfiguration(ctx context.Context) ([]byte, error) {
+	status, body, err := c.readConfiguration(ctx)
 	if err == nil && status != http.StatusOK {
 		err = ErrClient.Errorf("status %d: %s", status, bytes.TrimSpace(body))
 	}
 	return body, err
 }
 
-// Holds tells whether the system has a configuration at all.
-func (c *Control) Holds(ctx context.Context) (bool, error) {
-	status, body, err := c.read(ctx)
+// HasConfiguration reports whether the system has a configuration at all.
+func (c *Client) HasConfiguration(ctx context.Context) (bool, error) {
+	status, body, err := c.readConfiguration(ctx)
 	if err == nil && status != http.StatusOK && status != http.StatusNotFound {
 		err = ErrClient.Errorf("status %d: %s", status, bytes.TrimSpace(body))
 	}
 	return status == http.StatusOK, err
 }
 
-// Send sends a configuration until it is acknowledged or refused.
-func (c *Control) Send(ctx context.Context, body []byte) error {
+// SendConfiguration sends a configuration until it is acknowledged or rejected.
+func (c *Client) SendConfiguration(ctx context.Context, body []byte) error {
 	status, answer, err := c.call(ctx, http.MethodPost, "/v1/configuration/replace", body)
 	if err == nil && status != http.StatusOK {
 		err = ErrClient.Errorf("status %d: %s", status, bytes.TrimSpace(answer))
@@ -112,29 +114,29 @@
 	return err
 }
 
-// Follow gives take a snapshot of a feeder and then what changes, until ctx ends or the feeder is silent;
-// take returns false to stop.
-func Follow(ctx context.Context, address string, take func(clusterstate.Update) bool) error {
-	l, err := peer.Dial(ctx, address)
+// Watch passes a snapshot of the cluster's state to apply, and then each change, until apply returns false or
+// ctx ends. It returns an error if the controller is silent for receiveTimeout.
+func Watch(ctx context.Context, address string, apply func(clusterstate.Update) bool) error {
+	link, err := peer.Dial(ctx, address)
 	if err != nil {
 		return ErrClient.Wrap(err)
 	}
-	defer l.Close()
-	defer context.AfterFunc(ctx, l.Close)()
-	said := time.Time{}
+	defer link.Close()
+	defer context.AfterFunc(ctx, link.Close)()
+	lastReport := time.Time{}
 	for ctx.Err() == nil {
-		if time.Since(said) > time.Second {
-			said = time.Now()
-			l.Say(watch.Report{})
+		if time.Since(lastReport) > time.Second {
+			lastReport = time.Now()
+			link.SendMessage(watch.Report{})
 		}
-		var p watch.Message
-		if err := l.Receive(&p, followWait); err != nil {
+		var m watch.Message
+		if err := link.Receive(&m, receiveTimeout); err != nil {
 			if ctx.Err() != nil {
 				return nil
 			}
 			return ErrClient.Wrap(err)
 		}
-		if p.Update != nil && !take(*p.Update) {
+		if m.Update != nil && !apply(*m.Update) {
 			return nil
 		}
 	}
--- a/transport/controlclient/replay_test.go
+++ b/transport/controlclient/replay_test.go
@@ -14,17 +14,18 @@
 	"github.com/shoenig/test/must"
 )
 
-// dyingServer answers the first request of each connection, and ends the connection when it has read a second.
-type dyingServer struct {
-	answers []string // to the first requests of connections, in turn; the last one repeats
+// closingServer answers the first request on each connection, and closes the connection once it has read a second
+// one.
+type closingServer struct {
+	answers []string // answers to the first requests of successive connections; the last one repeats
 
 	mu       sync.Mutex
-	requests []string // method and body, as they were read
+	requests []string // method and body of each request
 	conns    int
-	longest  int // requests read on one connection
+	longest  int // most requests read on one connection
 }
 
-func (s *dyingServer) listen(t *testing.T) string {
+func (s *closingServer) listen(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -40,7 +41,7 @@
 	return ln.Addr().String()
 }
 
-func (s *dyingServer) serve(c net.Conn) {
+func (s *closingServer) serve(c net.Conn) {
 	defer c.Close()
 	s.mu.Lock()
 	answer := s.answers[min(s.conns, len(s.answers)-1)]
@@ -69,26 +70,26 @@
 	done = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 )
 
-// TestStockClientReplays shows what net/http's own client does with a reused connection that dies under a request: a GET
-// is sent again without a word to the caller, and a POST is not once it was written.
+// TestStockClientReplays shows what net/http's default client does if a reused connection is closed under a
+// request: it resends a GET without notice to the caller, but not a POST that was written.
 func TestStockClientReplays(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		method, body string
-		read         int // requests that the server reads for the second call
+		read         int // requests that the server reads during the second call
 		fails        bool
 	}{
 		{http.MethodGet, "", 2, false},
 		{http.MethodPost, "configuration", 1, true},
 	} {
-		t.Run(c.method, func(t *testing.T) {
-			s := &dyingServer{answers: []string{done}}
+		t.Run(tc.method, func(t *testing.T) {
+			s := &closingServer{answers: []string{done}}
 			address := s.listen(t)
-			stock := http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}
+			defaultClient := http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}
 			for call := range 2 {
-				req, err := http.NewRequest(c.method, "http://"+address, strings.NewReader(c.body))
+				req, err := http.NewRequest(tc.method, "http://"+address, strings.NewReader(tc.body))
 				must.NoError(t, err)
-				res, err := stock.Do(req)
-				must.Eq(t, call == 1 && c.fails, err != nil)
+				res, err := defaultClient.Do(req)
+				must.Eq(t, call == 1 && tc.fails, err != nil)
 				if err == nil {
 					io.Copy(io.Discard, res.Body)
 					res.Body.Close()
@@ -96,18 +97,18 @@
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			must.SliceLen(t, 1+c.read, s.requests)
+			must.SliceLen(t, 1+tc.read, s.requests)
 		})
 	}
 }
 
-// TestEachTryHasItsOwnConnection: what is sent again is sent by Control's own tries alone, the same bytes each time, and
-// each on a connection of its own, for net/http replays only on one that it reuses.
+// TestEachTryHasItsOwnConnection: only Client's own retries resend a request. Each retry has the same bytes and
+// a new connection, because net/http replays requests on reused connections alone.
 func TestEachTryHasItsOwnConnection(t *testing.T) {
-	s := &dyingServer{answers: []string{busy, busy, done}}
-	control := Control{Addresses: []string{s.listen(t)}}
-	must.NoError(t, control.Send(context.Background(), []byte("configuration")))
-	_, err := control.Read(context.Background())
+	s := &closingServer{answers: []string{busy, busy, done}}
+	client := Client{Addresses: []string{s.listen(t)}}
+	must.NoError(t, client.SendConfiguration(context.Background(), []byte("configuration")))
+	_, err := client.ReadConfiguration(context.Background())
 	must.NoError(t, err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,28 +117,29 @@
 	must.Eq(t, 4, s.conns)
 }
 
-// TestRedirectsAreBounded: a 307 is followed twice, as by all callers of control, and then the next address is tried.
+// TestRedirectsAreBounded: a 307 is followed twice, the limit of all clients of the control resources, and then
+// the next address is tried.
 func TestRedirectsAreBounded(t *testing.T) {
-	loop := &dyingServer{}
+	loop := &closingServer{}
 	address := loop.listen(t)
 	loop.mu.Lock()
 	loop.answers = []string{"HTTP/1.1 307 There\r\nLocation: http://" + address + "/v1\r\nContent-Length: 0\r\n\r\n"}
 	loop.mu.Unlock()
-	good := &dyingServer{answers: []string{done}}
-	control := Control{Addresses: []string{address, good.listen(t)}}
-	must.NoError(t, control.Send(context.Background(), []byte("configuration")))
+	good := &closingServer{answers: []string{done}}
+	client := Client{Addresses: []string{address, good.listen(t)}}
+	must.NoError(t, client.SendConfiguration(context.Background(), []byte("configuration")))
 	loop.mu.Lock()
 	defer loop.mu.Unlock()
 	must.SliceLen(t, 3, loop.requests)
 }
 
-// TestTriesEndWithTheContext: without a clear answer it goes on until ctx ends, and no longer.
+// TestTriesEndWithTheContext: without a definite answer the retries go on until ctx ends, and no longer.
 func TestTriesEndWithTheContext(t *testing.T) {
-	s := &dyingServer{answers: []string{busy}}
-	control := Control{Addresses: []string{s.listen(t)}}
-	ctx, cancel := context.WithTimeout(context.Background(), 3*tryAgain)
+	s := &closingServer{answers: []string{busy}}
+	client := Client{Addresses: []string{s.listen(t)}}
+	ctx, cancel := context.WithTimeout(context.Background(), 3*retryDelay)
 	defer cancel()
-	must.Error(t, control.Send(ctx, []byte("configuration")))
+	must.Error(t, client.SendConfiguration(ctx, []byte("configuration")))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	must.LessEq(t, 4, len(s.requests))
--- a/transport/controlserver/callcounts.go
+++ b/transport/controlserver/callcounts.go
@@ -13,13 +13,13 @@
 	"willowsill/transport/metrics"
 )
 
-// callKey is a kind of call and the status that it was answered.
+// callKey is a kind of call and the status of its answer.
 type callKey struct {
 	call   string
 	status int
 }
 
-// callCounts counts the calls that were answered since the start. The zero value is empty.
+// callCounts counts the calls answered since the start. The zero value is empty.
 type callCounts struct {
 	mu     sync.Mutex
 	counts map[callKey]int64
@@ -34,18 +34,18 @@
 	c.counts[key]++
 }
 
-// tell tells each count.
-func (c *callCounts) tell(told metrics.Figures) {
+// writeMetrics writes each count as a metric.
+func (c *callCounts) writeMetrics(w metrics.Writer) {
 	c.mu.Lock()
 	counts := maps.Clone(c.counts)
 	c.mu.Unlock()
 	for key, count := range counts {
-		told.Counter(fmt.Sprintf("willowsill_control_calls_total{call=%q,status=\"%d\"}", key.call, key.status), count)
+		w.Counter(fmt.Sprintf("willowsill_control_calls_total{call=%q,status=\"%d\"}", key.call, key.status), count)
 	}
 }
 
-// The resources and calls that are counted under their own names. All else counts as callUnknown, so that callers cannot
-// make labels without end.
+// The resources and calls that are counted by name. All others count as callUnknown, so that callers cannot
+// create an unlimited number of labels.
 var (
 	knownResources = []string{"replicas", "configuration", "rollouts"}
 	knownCalls     = []string{"heartbeat", "departure", "replace", "read", "begin", "abort"}
@@ -56,8 +56,9 @@
 	callHeartbeat = "replicas/heartbeat"
 )
 
-// kindOf is what a call of this path is counted as: the resource and the last part, as in configuration/read.
-func kindOf(path string) string {
+// callKind returns the kind of a call by its path: the resource and the path's last part, as in
+// configuration/read.
+func callKind(path string) string {
 	resource, rest, _ := strings.Cut(strings.TrimPrefix(path, "/v1/"), "/")
 	call := rest[strings.LastIndexByte(rest, '/')+1:]
 	if !slices.Contains(knownResources, resource) || !slices.Contains(knownCalls, call) {
@@ -66,7 +67,7 @@
 	return resource + "/" + call
 }
 
-// statusRecorder keeps the status of an answer.
+// statusRecorder passes an answer on and records its status.
 type statusRecorder struct {
 	http.ResponseWriter
 	status int
@@ -77,12 +78,12 @@
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// counted serves a call, counts it by its answer and logs it where it was turned down. Heartbeats are counted alone: each
-// replica sends one a second.
-func (c *callCounts) counted(w http.ResponseWriter, r *http.Request, serve func(http.ResponseWriter)) {
+// serve serves a call, counts it, and logs it if it was rejected. Heartbeats are counted but not logged,
+// because each replica sends one a second.
+func (c *callCounts) serve(w http.ResponseWriter, r *http.Request, handler func(http.ResponseWriter)) {
 	recorder := &statusRecorder{ResponseWriter: w, status: http.StatusOK}
-	serve(recorder)
-	key := callKey{kindOf(r.URL.Path), recorder.status}
+	handler(recorder)
+	key := callKey{callKind(r.URL.Path), recorder.status}
 	c.add(key)
 	if key.status >= http.StatusBadRequest && key.call != callHeartbeat {
 		klog.InfoS("a call is turned down", "method", r.Method, "path", r.URL.Path, "status", key.status)
--- a/transport/controlserver/controlserver.go
+++ b/transport/controlserver/controlserver.go
@@ -1,5 +1,6 @@
-// Package controlserver runs a controller: it owns the controller's sockets, disk and clock, turns messages and HTTP
-// requests into calls of decide/controller and carries out what those return. It decides nothing.
+// Package controlserver runs a controller: it owns the controller's sockets, disk and clock, turns messages and
+// HTTP requests into calls of decide/controller, and carries out the effects that those return. It makes no
+// decisions of its own.
 package controlserver
 
 import (
@@ -29,89 +30,91 @@
 	"willowsill/transport/watch"
 )
 
-// ErrControlServer is the class of this package's errors.
+// ErrControlServer builds this package's errors, which have the code control_server.
 var ErrControlServer = oops.Code("control_server")
 
 const (
 	inputQueue        = 1024                   // inputs that may wait for the loop
-	inputBatch        = 64                     // inputs taken between two looks at the timer
-	longestPoll       = 50 * time.Millisecond  // between two looks at the timer
-	drainTimeout      = 400 * time.Millisecond // for calls under way at a planned end
+	inputBatch        = 64                     // inputs handled before the next check of the timer
+	maxTickDelay      = 50 * time.Millisecond  // longest time between two checks of the timer
+	drainTimeout      = 400 * time.Millisecond // how long a planned shutdown waits for calls in progress
 	readHeaderTimeout = 2 * time.Second
-	readTimeout       = 5 * time.Second // of a whole request
+	readTimeout       = 5 * time.Second // longest time to read a whole request
 	idleTimeout       = 15 * time.Second
 	maxHeaderBytes    = 16 << 10
-	reopenDelay       = 300 * time.Millisecond // before a disk that refused to open is tried again
+	reopenDelay       = 300 * time.Millisecond // delay after a failed attempt to open the state file
 )
 
-// Server is a running controller.
+// Server is a running controller: the decider with its sockets and its disk.
 type Server struct {
-	settings   settings.Settings
-	base       time.Time
-	controller *controller.Controller
-	inputs     chan func(now int64) controller.Out
-	saves      chan controller.Save
-	mesh       *peer.Mesh
-	feed       watch.Feed
-	operators  watch.Feed   // those who look on: they are told of all replicas
-	loans      *watch.Loans // of retries that edges do not use
-	current    atomic.Pointer[currency]
-	answered   callCounts
+	settings    settings.Settings
+	base        time.Time
+	controller  *controller.Controller
+	inputs      chan func(now int64) controller.Effects
+	saves       chan controller.Save
+	mesh        *peer.Mesh
+	feed        watch.Feed
+	operators   watch.Feed   // watches of operators, which get updates about all replicas
+	loans       *watch.Loans // relays loans of unused retry budget
+	lastCurrent atomic.Pointer[currentInfo]
+	callCounts  callCounts
 
-	mu       sync.Mutex                        // guards the rest
-	calls    map[uint64]chan controller.Answer // that wait, by number
-	lastCall uint64                            // the highest number given
+	mu       sync.Mutex                        // guards calls and lastCall
+	calls    map[uint64]chan controller.Answer // waiting calls, by number
+	lastCall uint64                            // the highest number used
 }
 
-// Run runs a controller until ctx ends.
+// Run opens a controller's disk and sockets, and runs it until ctx ends. Then the controller announces its
+// shutdown, and calls in progress may finish within drainTimeout.
 func Run(ctx context.Context, local settings.Settings) error {
 	s := &Server{settings: local, base: time.Now().Add(-time.Hour), loans: watch.NewLoans(local.Bounds.RetryWindow()),
-		inputs: make(chan func(int64) controller.Out, inputQueue),
+		inputs: make(chan func(int64) controller.Effects, inputQueue),
 		saves:  make(chan controller.Save, 1), calls: map[uint64]chan controller.Answer{}}
-	life := strconv.FormatUint(rand.Uint64(), 36)
-	start := controller.Start{IP: local.IP, Life: life, Zone: local.Zone, Regions: local.Zones, Seeds: local.SeedIPs(), Bootstrap: local.Bootstrap,
-		BeatEvery: local.BeatMs * int64(time.Millisecond), Rolling: rollout.Terms{ExposureShare: local.Bounds.ExposureShare}, Draw: rand.Float64}
+	incarnation := strconv.FormatUint(rand.Uint64(), 36)
+	options := controller.Options{IP: local.IP, Incarnation: incarnation, Zone: local.Zone, Regions: local.Zones, Seeds: local.SeedIPs(), Bootstrap: local.Bootstrap,
+		ReplicaHeartbeatInterval: local.HeartbeatIntervalMs * int64(time.Millisecond), RolloutTerms: rollout.Bounds{ExposureShare: local.Bounds.ExposureShare}, Random: rand.Float64}
 	store, found, err := statestore.Open(local.DataDir)
 	if errors.Is(err, statestore.ErrNewerFormat) {
 		return ErrControlServer.Wrap(err) // the file stays for the version that wrote it
 	}
 	if err != nil {
-		// Danger: a disk that refuses to be read must not be taken for an empty one of a first start; as one that
-		// was emptied it counts for nothing until the others have told what stands.
+		// Danger: a disk that cannot be read must not be taken for the empty disk of a first start. The controller
+		// joins as one whose disk was emptied, which doesn't count in the quorum until the others have sent it the
+		// committed state.
 		klog.ErrorS(err, "the disk cannot be read; this controller joins as one whose disk is empty")
-		start.Bootstrap = false
+		options.Bootstrap = false
 		os.Remove(statestore.Path(local.DataDir))
 	}
-	start.State, start.Committed, start.Rollouts, start.List = found.State, found.Committed, found.Rollouts, found.List
+	options.RegisterState, options.CommittedConfiguration, options.Rollouts, options.Replicas = found.State, found.Committed, found.Rollouts, found.Replicas
 	klog.InfoS("controller", "ip", local.IP, "bootstrap", local.Bootstrap, "found", found.State != nil, "committed", found.Committed.Revision, "sum", found.Committed.Sum,
-		"replicas", len(found.List))
-	s.controller = controller.New(s.now(), start)
+		"replicas", len(found.Replicas))
+	s.controller = controller.New(s.now(), options)
 
-	peers, err := peer.Listen(local.Inner(local.IP, settings.PortControllers))
+	peerListener, err := peer.Listen(local.InternalAddress(local.IP, settings.PortControllers))
 	if err != nil {
 		return ErrControlServer.Wrap(err)
 	}
-	followers, err := peer.Listen(local.Inner(local.IP, settings.PortWatch))
+	edgeListener, err := peer.Listen(local.InternalAddress(local.IP, settings.PortWatch))
 	if err != nil {
 		return ErrControlServer.Wrap(err)
 	}
-	control, err := net.Listen("tcp", local.Bind.Control)
+	httpListener, err := net.Listen("tcp", local.Bind.Control)
 	if err != nil {
 		return ErrControlServer.Wrapf(err, "bind-addrs.control")
 	}
-	inner, end := context.WithCancel(context.Background())
-	defer end()
-	s.mesh = peer.NewMesh(inner)
-	go peer.Serve(peers, s.peer)
-	go peer.Serve(followers, s.follower)
-	go s.save(store)
-	go s.feed.Beats(inner, s.freshness)
-	go s.operators.Beats(inner, s.freshness)
-	metrics.Serve(inner, local.IP, local.Metrics, s.figures)
+	running, cancelRunning := context.WithCancel(context.Background())
+	defer cancelRunning()
+	s.mesh = peer.NewMesh(running)
+	go peer.Serve(peerListener, s.receivePeer)
+	go peer.Serve(edgeListener, s.serveDownstream)
+	go s.saveLoop(store)
+	go s.feed.SendHeartbeats(running, s.freshness)
+	go s.operators.SendHeartbeats(running, s.freshness)
+	metrics.Serve(running, local.IP, local.Metrics, s.writeMetrics)
 	httpServer := &http.Server{Handler: s.handler(), ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes}
 	go func() {
-		if err := httpServer.Serve(control); !errors.Is(err, http.ErrServerClosed) {
+		if err := httpServer.Serve(httpListener); !errors.Is(err, http.ErrServerClosed) {
 			klog.ErrorS(err, "the control server ended")
 		}
 	}()
@@ -123,104 +126,106 @@
 		cancel()
 	}()
 	s.loop(wait)
-	peers.Close()
-	followers.Close()
+	peerListener.Close()
+	edgeListener.Close()
 	return nil
 }
 
 func (s *Server) now() int64 { return int64(time.Since(s.base)) }
 
-// currency is what was last known of how current the controller is.
-type currency struct {
-	since           int64 // on the server's clock; the controller then held all that had been acknowledged
+// currentInfo states how current the controller's state was when the loop last recorded it.
+type currentInfo struct {
+	since           int64 // when the controller last held all that had been acknowledged, on the server's clock
 	epoch, revision uint64
 }
 
-// noteCurrent is called by the loop.
-func (s *Server) noteCurrent() {
-	s.current.Store(&currency{s.controller.CurrentSince(), s.controller.Epoch(), s.controller.Revision()})
+// recordCurrent updates lastCurrent. Only the loop calls it.
+func (s *Server) recordCurrent() {
+	s.lastCurrent.Store(&currentInfo{s.controller.CurrentSince(), s.controller.Epoch(), s.controller.Revision()})
 }
 
-// freshness is what followers are told, as of now. It may be called from any goroutine.
+// freshness returns the current freshness for the messages to downstream edges. It may be called from any
+// goroutine.
 //
-// Danger: a process that stood still for seconds would go on telling what held before; so the age is taken when it is
-// told, and not when it was noted.
+// Danger: a process that was stopped for seconds would report an outdated age. So the age is computed when it
+// is reported, not when the state was recorded.
 func (s *Server) freshness() clusterstate.Freshness {
-	noted := s.current.Load()
-	if noted == nil {
+	recorded := s.lastCurrent.Load()
+	if recorded == nil {
 		return clusterstate.Freshness{}
 	}
-	f := clusterstate.Freshness{Epoch: noted.epoch, Revision: noted.revision}
-	if noted.since != lease.Never {
-		f.Known, f.Age = true, max(s.now()-noted.since, 0)
+	f := clusterstate.Freshness{Epoch: recorded.epoch, Revision: recorded.revision}
+	if recorded.since != lease.Never {
+		f.Known, f.Age = true, max(s.now()-recorded.since, 0)
 	}
 	return f
 }
 
-// loop is the one goroutine that calls the controller.
+// loop is the only goroutine that calls the controller.
 func (s *Server) loop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			s.carry(s.controller.Leave(s.now()))
+			s.applyEffects(s.controller.AnnounceShutdown(s.now()))
 			return
-		case in := <-s.inputs:
-			s.carry(in(s.now()))
+		case input := <-s.inputs:
+			s.applyEffects(input(s.now()))
 			for range min(len(s.inputs), inputBatch) {
-				s.carry((<-s.inputs)(s.now()))
+				s.applyEffects((<-s.inputs)(s.now()))
 			}
 		case <-timer.C:
 		}
-		if now := s.now(); now >= s.controller.Next() {
-			s.carry(s.controller.Tick(now))
+		if now := s.now(); now >= s.controller.NextTick() {
+			s.applyEffects(s.controller.Tick(now))
 		}
-		s.noteCurrent()
-		timer.Reset(min(max(time.Duration(s.controller.Next()-s.now()), time.Millisecond), longestPoll))
+		s.recordCurrent()
+		timer.Reset(min(max(time.Duration(s.controller.NextTick()-s.now()), time.Millisecond), maxTickDelay))
 	}
 }
 
-// carry carries out what the controller asks for: log lines, saves, messages, answers and updates.
-func (s *Server) carry(o controller.Out) {
-	for _, l := range o.Log {
-		klog.InfoS(l.Text, l.Values...)
+// applyEffects carries out the effects that the controller returns: log lines, saves, messages, answers and
+// updates.
+func (s *Server) applyEffects(effects controller.Effects) {
+	for _, line := range effects.Log {
+		klog.InfoS(line.Text, line.Values...)
 	}
-	if o.Save != nil {
-		s.saves <- *o.Save
+	if effects.Save != nil {
+		s.saves <- *effects.Save
 	}
-	for _, send := range o.Sends {
+	for _, send := range effects.Sends {
 		frame, err := peer.Encode(send.Message)
 		if err != nil {
 			klog.ErrorS(err, "a message cannot be encoded")
 			continue
 		}
 		for _, ip := range send.To {
-			s.mesh.Send(s.settings.Inner(ip, settings.PortControllers), frame)
+			s.mesh.Send(s.settings.InternalAddress(ip, settings.PortControllers), frame)
 		}
 	}
-	for _, a := range o.Answers {
+	for _, a := range effects.Answers {
 		s.mu.Lock()
-		c := s.calls[a.Call]
+		waiting := s.calls[a.Call]
 		delete(s.calls, a.Call)
 		s.mu.Unlock()
-		if c != nil {
-			c <- a
+		if waiting != nil {
+			waiting <- a
 		}
 	}
-	if !o.Update.Empty() {
-		s.noteCurrent()
-		s.feed.Publish(&o.Update, s.freshness())
+	if !effects.Update.Empty() {
+		s.recordCurrent()
+		s.feed.Publish(&effects.Update, s.freshness())
 	}
-	if !o.Whole.Empty() {
-		s.operators.Publish(&o.Whole, s.freshness())
+	if !effects.FullUpdate.Empty() {
+		s.operators.Publish(&effects.FullUpdate, s.freshness())
 	}
 }
 
-// save writes states to the disk one after the other, in a goroutine of its own.
+// saveLoop writes states to the disk one after another, in its own goroutine.
 //
-// Danger: a disk that hangs must not hold heartbeats and reads up.
-func (s *Server) save(store *statestore.Store) {
+// Danger: a disk that hangs must not delay heartbeats and reads.
+func (s *Server) saveLoop(store *statestore.Store) {
 	for save := range s.saves {
 		var err error
 		if store == nil {
@@ -231,57 +236,57 @@
 		if err == nil {
 			err = store.Save(save)
 		}
-		s.inputs <- func(now int64) controller.Out { return s.controller.Saved(now, save.Number, err) }
+		s.inputs <- func(now int64) controller.Effects { return s.controller.SaveFinished(now, save.Number, err) }
 	}
 }
 
-// peer hands the messages of another controller to this one until the link ends.
-func (s *Server) peer(link *peer.Link) {
+// receivePeer passes the messages of another controller to this one until the link ends.
+func (s *Server) receivePeer(link *peer.Link) {
 	for {
 		var message controller.Message
 		if err := link.Receive(&message, 0); err != nil {
 			return
 		}
-		s.inputs <- func(now int64) controller.Out { return s.controller.Take(now, message) }
+		s.inputs <- func(now int64) controller.Effects { return s.controller.HandleMessage(now, message) }
 	}
 }
 
-// follower serves one follower, an agent or an operator's watch, until its link ends.
-func (s *Server) follower(link *peer.Link) {
-	watch.Attend(link, func(report watch.Report) {
-		s.inputs <- func(int64) controller.Out {
-			if report.Operator() {
-				s.operators.Join(link, report, s.controller.WholeSnapshot(), s.freshness())
+// serveDownstream serves an agent or an operator's watch until its link ends.
+func (s *Server) serveDownstream(link *peer.Link) {
+	watch.ReceiveReports(link, func(report watch.Report) {
+		s.inputs <- func(int64) controller.Effects {
+			if report.IsOperator() {
+				s.operators.Join(link, report, s.controller.FullSnapshot(), s.freshness())
 			} else {
 				s.feed.Join(link, report, s.controller.Snapshot(), s.freshness())
 			}
-			return controller.Out{}
+			return controller.Effects{}
 		}
 	}, func(report watch.Report) {
 		for _, edge := range report.All() {
-			s.inputs <- func(now int64) controller.Out { return s.controller.Edge(now, edge) }
+			s.inputs <- func(now int64) controller.Effects { return s.controller.HandleEdgeReport(now, edge) }
 		}
-		s.loans.Reported(link, report, s.freshness())
+		s.loans.HandleReport(link, report, s.freshness())
 	})
-	s.feed.Part(link)
-	s.operators.Part(link)
+	s.feed.Leave(link)
+	s.operators.Leave(link)
 }
 
-// call puts a call to the controller and waits for its answer; false where ctx ended first.
-func (s *Server) call(ctx context.Context, in func(now int64, call uint64) controller.Out) (controller.Answer, bool) {
-	c := make(chan controller.Answer, 1)
+// call makes a call to the controller and waits for its answer. It returns false if ctx ended first.
+func (s *Server) call(ctx context.Context, call func(now int64, call uint64) controller.Effects) (controller.Answer, bool) {
+	answers := make(chan controller.Answer, 1)
 	s.mu.Lock()
 	s.lastCall++
 	id := s.lastCall
-	s.calls[id] = c
+	s.calls[id] = answers
 	s.mu.Unlock()
 	select {
-	case s.inputs <- func(now int64) controller.Out { return in(now, id) }:
+	case s.inputs <- func(now int64) controller.Effects { return call(now, id) }:
 	case <-ctx.Done():
 		return controller.Answer{}, false
 	}
 	select {
-	case a := <-c:
+	case a := <-answers:
 		return a, true
 	case <-ctx.Done():
 		s.mu.Lock()
@@ -291,7 +296,7 @@
 	}
 }
 
-// beat hands a heartbeat or a departure of a replica to the controller and waits for its answer.
-func (s *Server) beat(ctx context.Context, r registry.Record) (controller.Answer, bool) {
-	return s.call(ctx, func(now int64, id uint64) controller.Out { return s.controller.Beat(now, id, r) })
+// replicaCall passes a replica's heartbeat or departure to the controller and waits for its answer.
+func (s *Server) replicaCall(ctx context.Context, r registry.Record) (controller.Answer, bool) {
+	return s.call(ctx, func(now int64, id uint64) controller.Effects { return s.controller.HandleReplicaCall(now, id, r) })
 }
--- a/transport/controlserver/resources_test.go
+++ b/transport/controlserver/resources_test.go
@@ -13,24 +13,25 @@
 	"willowsill/transport/metrics"
 )
 
-// newTestServer is a server whose controller is its only member; it has no sockets and its disk saves at once.
+// newTestServer returns a server whose controller is the only member. It has no sockets, and its disk saves at
+// once.
 func newTestServer(t *testing.T, mode string) *Server {
 	s := &Server{settings: settings.Settings{ConfigMode: mode}, calls: map[uint64]chan controller.Answer{},
-		inputs: make(chan func(int64) controller.Out, inputQueue), saves: make(chan controller.Save, 1)}
-	s.controller = controller.New(0, controller.Start{IP: "10.0.0.1", Life: "1", Seeds: []string{"10.0.0.1"}, Bootstrap: true,
-		BeatEvery: 1_000_000_000, Draw: func() float64 { return 0 }})
+		inputs: make(chan func(int64) controller.Effects, inputQueue), saves: make(chan controller.Save, 1)}
+	s.controller = controller.New(0, controller.Options{IP: "10.0.0.1", Incarnation: "1", Seeds: []string{"10.0.0.1"}, Bootstrap: true,
+		ReplicaHeartbeatInterval: 1_000_000_000, Random: func() float64 { return 0 }})
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go func() {
 		now := int64(0)
-		save := func(out controller.Out) {
+		save := func(effects controller.Effects) {
 			for {
-				s.carry(out)
-				if out.Save == nil {
+				s.applyEffects(effects)
+				if effects.Save == nil {
 					return
 				}
 				number := (<-s.saves).Number
-				out = s.controller.Saved(now, number, nil)
+				effects = s.controller.SaveFinished(now, number, nil)
 			}
 		}
 		save(s.controller.Tick(now))
@@ -54,8 +55,8 @@
 	return w.Code
 }
 
-// TestOrdersByHTTP: an order is confirmed, confirmed again when it is sent again, and another content under its
-// number is refused.
+// TestOrdersByHTTP: an order is acknowledged, acknowledged again when it is repeated, and another content with
+// the same revision is rejected.
 func TestOrdersByHTTP(t *testing.T) {
 	for _, mode := range []string{"", configModeHighest} {
 		handler := newTestServer(t, mode).handler()
@@ -68,8 +69,8 @@
 	}
 }
 
-// TestUnknownModeConfirmsNothing: where configurations are ordered in a way that is not known here, no order is
-// confirmed, and none is refused for good.
+// TestUnknownModeConfirmsNothing: in an unknown mode of ordering configurations, no order is acknowledged, and
+// none is rejected for good.
 func TestUnknownModeConfirmsNothing(t *testing.T) {
 	handler := newTestServer(t, "match").handler()
 	must.Eq(t, 501, replace(handler, "7", "one"))
@@ -78,24 +79,26 @@
 	must.Eq(t, 404, w.Code)
 }
 
-// TestFigures: what the loop knows is told as it stands, and a loop that is stuck is told as such and holds nobody.
+// TestFigures: the metrics hold the current state of the controller. If the loop is stuck, the metrics report
+// that the controller is down, without blocking.
 func TestFigures(t *testing.T) {
 	s := newTestServer(t, "")
 	must.Eq(t, http.StatusOK, replace(s.handler(), "7", "s"))
 	text := func(s *Server) string {
 		w := httptest.NewRecorder()
-		metrics.Handler("/metrics", s.figures).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+		metrics.Handler("/metrics", s.writeMetrics).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		return w.Body.String()
 	}
-	told := text(s)
-	must.StrContains(t, told, "willowsill_controller_up 1\n")
-	must.StrContains(t, told, "willowsill_configuration_revision 7\n")
-	must.StrContains(t, told, "willowsill_replicas{phase=\"ready\"} 0\n")
-	must.StrContains(t, told, "willowsill_control_calls_total{call=\"configuration/replace\",status=\"200\"} 1\n")
-	must.Eq(t, "willowsill_controller_up 0\n", text(&Server{inputs: make(chan func(int64) controller.Out)}))
+	body := text(s)
+	must.StrContains(t, body, "willowsill_controller_up 1\n")
+	must.StrContains(t, body, "willowsill_configuration_revision 7\n")
+	must.StrContains(t, body, "willowsill_replicas{phase=\"ready\"} 0\n")
+	must.StrContains(t, body, "willowsill_control_calls_total{call=\"configuration/replace\",status=\"200\"} 1\n")
+	must.Eq(t, "willowsill_controller_up 0\n", text(&Server{inputs: make(chan func(int64) controller.Effects)}))
 }
 
-// TestInvalidOrders: what is invalid gets 400 and is in force nowhere; the configuration before stays.
+// TestInvalidOrders: an invalid order gets 400 and never takes effect; the previous configuration stays in
+// force.
 func TestInvalidOrders(t *testing.T) {
 	handler := newTestServer(t, "").handler()
 	must.Eq(t, http.StatusOK, replace(handler, "7", "s"))
@@ -117,20 +120,20 @@
 	}
 }
 
-// TestTurnedDownCallsAreCounted: a call for what is not there is told apart from one that no majority answered, by kind and
-// status, and calls of unknown kinds share one count.
+// TestTurnedDownCallsAreCounted: calls are counted by kind and status, and calls of unknown kinds share one
+// count.
 func TestTurnedDownCallsAreCounted(t *testing.T) {
 	s := newTestServer(t, "")
 	for _, path := range []string{"/v1/configuration/read", "/v1/nothing/a", "/v1/nothing/b"} {
 		s.handler().ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, path, nil))
 	}
 	w := httptest.NewRecorder()
-	metrics.Handler("/metrics", s.figures).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	metrics.Handler("/metrics", s.writeMetrics).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	must.StrContains(t, w.Body.String(), "willowsill_control_calls_total{call=\"configuration/read\",status=\"404\"} 1\n")
 	must.StrContains(t, w.Body.String(), "willowsill_control_calls_total{call=\"unknown\",status=\"404\"} 2\n")
 }
 
-// TestRolloutIsAcknowledged guards against a roll-out that is begun and never acknowledged (SHORT).
+// TestRolloutIsAcknowledged guards against a rollout that begins but is never acknowledged.
 func TestRolloutIsAcknowledged(t *testing.T) {
 	handler := newTestServer(t, "").handler()
 	call := func(method, path, body string) *httptest.ResponseRecorder {
@@ -148,7 +151,7 @@
 	must.StrContains(t, read.Body.String(), `"target-revision":"v2"`)
 }
 
-// TestInvalidRollouts: what is no order gets a clear refusal and begins nothing.
+// TestInvalidRollouts: an invalid order gets a definite rejection and begins no rollout.
 func TestInvalidRollouts(t *testing.T) {
 	handler := newTestServer(t, "").handler()
 	must.Eq(t, http.StatusOK, replace(handler, "7", "s"))
@@ -161,7 +164,7 @@
 		`{"target-revision":"v2","over-s":9}`:                    http.StatusBadRequest,
 		`{"service":"s","target-revision":"v2","over-s":9`:       http.StatusBadRequest,
 		`{"service":"nobody","target-revision":"v2","over-s":9}`: http.StatusUnprocessableEntity,
-		strings.Repeat(" ", orderMost+1):                         http.StatusRequestEntityTooLarge,
+		strings.Repeat(" ", maxOrderBytes+1):                     http.StatusRequestEntityTooLarge,
 	} {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/rollouts/begin", strings.NewReader(body)))
--- a/transport/discovery/discovery.go
+++ b/transport/discovery/discovery.go
@@ -1,4 +1,5 @@
-// Package discovery keeps a watch on the list of replicas. It tells what discovery said and decides nothing.
+// Package discovery keeps a watch on the list of replicas by long polling. It passes on the answers of
+// discovery, and makes no decisions of its own.
 package discovery
 
 import (
@@ -16,223 +17,224 @@
 )
 
 const (
-	wait     = 5 * time.Second        // that discovery may hold a call back: short, so that a dead way is seen soon
-	spare    = time.Second            // a call is over so long after its wait: before its news counts as told
-	again    = 100 * time.Millisecond // between a failed call and the next: discovery answers at no cost
-	answer   = 8 << 20                // most bytes of an answer: a list of tens of thousands
-	listPath = "/v1/servers"
+	longPollTime   = 5 * time.Second        // how long discovery may delay its answer; short, so that a failed connection is noticed soon
+	callMargin     = time.Second            // added to the poll time to give the timeout of a whole call
+	retryDelay     = 100 * time.Millisecond // wait between a failed call and the next; short, because calls cost discovery little
+	maxAnswerBytes = 8 << 20                // largest answer that is read: a list of tens of thousands of entries
+	listPath       = "/v1/servers"
 )
 
-// Entry is one replica as discovery names it.
+// Entry is one replica as discovery lists it.
 type Entry struct {
-	Host     string
-	Dial     string
-	Cell     int
-	Zone     string // empty where it has none
-	Standing balance.Standing
-	Born     int64 // ms of Unix time, 0 for long ago
-	Distance int   // below balance.Distances, 0 for near
-	Channels int   // parts that this co-ordinator may have in flight there, 0 for no word
+	Host      string
+	Dial      string
+	Cell      int
+	Zone      string // empty if the replica has none
+	Status    balance.Status
+	StartedMs int64 // when the replica started, Unix time in ms; 0 for long ago
+	Distance  int   // distance class below balance.Distances, 0 for the nearest
+	MaxCalls  int   // parts that this aggregator may have in flight at the replica; 0 if not stated
 }
 
-// News is one answer of discovery, or word of its failure.
-type News struct {
+// Update is one answer of discovery, or a failed call.
+type Update struct {
 	Sequence int64
-	Whole    bool // the entries replace the list; else they are changes
+	Full     bool // the entries replace the list; otherwise they are changes
 	Entries  []Entry
-	Oddities []error // what was left out, and why
-	Err      error   // the call failed, and the rest is empty
+	Skipped  []error // why entries were left out
+	Err      error   // the call failed, and the other fields are empty
 }
 
-// message is the form on the wire.
+// message is the JSON form of an answer.
 type message struct {
 	Sequence *int64            `json:"seq"`
-	Whole    bool              `json:"whole"`
+	Full     bool              `json:"whole"`
 	Hosts    []json.RawMessage `json:"hosts"`
 }
 
 type entry struct {
-	Host   string `json:"host"`
-	Dial   string `json:"dial"`
-	Zone   string `json:"site"`
-	Cell   *int   `json:"block"`
-	Health string `json:"health"`
-	Born   int64  `json:"born_ms"`
+	Host      string `json:"host"`
+	Dial      string `json:"dial"`
+	Zone      string `json:"site"`
+	Cell      *int   `json:"block"`
+	Health    string `json:"health"`
+	StartedMs int64  `json:"born_ms"`
 }
 
-// Decode reads a list. Entries that are malformed are left out and named.
-func Decode(text []byte, cells int) (News, error) {
+// Decode reads a list. Malformed entries are left out, and each adds an error to Skipped.
+func Decode(text []byte, cells int) (Update, error) {
 	var m message
 	if err := json.Unmarshal(text, &m); err != nil {
-		return News{}, fmt.Errorf("the list: %w", err)
+		return Update{}, fmt.Errorf("the list: %w", err)
 	}
 	if m.Sequence == nil {
-		return News{}, fmt.Errorf("the list: key %q is missing", "seq")
+		return Update{}, fmt.Errorf("the list: key %q is missing", "seq")
 	}
-	n := News{Sequence: *m.Sequence, Whole: m.Whole}
+	update := Update{Sequence: *m.Sequence, Full: m.Full}
 	for i, raw := range m.Hosts {
 		e, err := decodeEntry(raw, cells)
 		if err != nil {
-			n.Oddities = append(n.Oddities, fmt.Errorf("entry %d: %w", i, err))
+			update.Skipped = append(update.Skipped, fmt.Errorf("entry %d: %w", i, err))
 			continue
 		}
-		n.Entries = append(n.Entries, e)
+		update.Entries = append(update.Entries, e)
 	}
-	return n, nil
+	return update, nil
 }
 
 func decodeEntry(raw json.RawMessage, cells int) (Entry, error) {
-	var e entry
-	if err := json.Unmarshal(raw, &e); err != nil {
+	var wire entry
+	if err := json.Unmarshal(raw, &wire); err != nil {
 		return Entry{}, err
 	}
-	out := Entry{Host: e.Host, Dial: e.Dial, Zone: e.Zone, Born: e.Born}
-	switch e.Health {
+	found := Entry{Host: wire.Host, Dial: wire.Dial, Zone: wire.Zone, StartedMs: wire.StartedMs}
+	switch wire.Health {
 	case "active":
-		out.Standing = balance.Up
+		found.Status = balance.Up
 	case "leaving":
-		out.Standing = balance.Draining
+		found.Status = balance.Draining
 	case "left":
-		out.Standing = balance.Gone
+		found.Status = balance.Gone
 	default:
-		return Entry{}, fmt.Errorf("key %q has the value %.20q", "health", e.Health)
+		return Entry{}, fmt.Errorf("key %q has the value %.20q", "health", wire.Health)
 	}
-	if e.Host == "" {
+	if wire.Host == "" {
 		return Entry{}, fmt.Errorf("key %q is missing", "host")
 	}
-	if out.Standing == balance.Gone { // what has left may have no cell and no address any more
-		return out, nil
+	if found.Status == balance.Gone { // a replica that has left may no longer have a cell and an address
+		return found, nil
 	}
-	if e.Cell == nil || *e.Cell < 0 || *e.Cell >= cells {
+	if wire.Cell == nil || *wire.Cell < 0 || *wire.Cell >= cells {
 		return Entry{}, fmt.Errorf("key %q is missing or no cell of this service", "block")
 	}
-	out.Cell = *e.Cell
-	if _, _, err := net.SplitHostPort(e.Dial); err != nil {
+	found.Cell = *wire.Cell
+	if _, _, err := net.SplitHostPort(wire.Dial); err != nil {
 		return Entry{}, fmt.Errorf("key %q: %w", "dial", err)
 	}
-	return out, nil
+	return found, nil
 }
 
-// Watch asks discovery for news until it is stopped.
+// Watch keeps polling discovery for changes of the list.
 type Watch struct {
 	cells     int
 	sequence  int64
 	transport *http.Transport
-	tell      func(context.Context, News)
-	asked     chan struct{}
+	report    func(context.Context, Update)
+	requested chan struct{}
 
-	mu      sync.Mutex
-	address string
-	moved   bool               // since the last call began
-	abandon context.CancelFunc // the call that is under way
+	mu             sync.Mutex
+	address        string
+	addressChanged bool               // the address has changed since the last call began
+	cancelCall     context.CancelFunc // ends the call in progress
 }
 
-type dialer = func(ctx context.Context, network, address string) (net.Conn, error)
+type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewWatch makes a watch that goes on from a list with that sequence number; tell hears each answer, in
-// order, and each failure.
-func NewWatch(address string, cells int, sequence int64, dial dialer, tell func(context.Context, News)) *Watch {
-	return &Watch{address: address, cells: cells, sequence: sequence, tell: tell, asked: make(chan struct{}, 1),
-		abandon: func() {},
+// NewWatch returns a watch that passes each answer and each failure to report, in order. Its first call requests
+// the full list, whose sequence number replaces the given one.
+func NewWatch(address string, cells int, sequence int64, dial dialFunc, report func(context.Context, Update)) *Watch {
+	return &Watch{address: address, cells: cells, sequence: sequence, report: report, requested: make(chan struct{}, 1),
+		cancelCall: func() {},
 		transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2, DisableCompression: true,
 			DialContext: dial}}
 }
 
-// Ask starts a watch that waits to be asked.
-func (w *Watch) Ask() {
+// Request lets a Run with onRequest, which waits at its start and after a failure, make its next call.
+func (w *Watch) Request() {
 	select {
-	case w.asked <- struct{}{}:
+	case w.requested <- struct{}{}:
 	default:
 	}
 }
 
-// Follow turns the watch to another address. It ends what is under way at the old one and goes on with the
-// whole list from the new one, however far the versions of the two are apart; until that is there the old list
-// stays in force.
-func (w *Watch) Follow(address string) {
+// SetAddress moves the watch to another address. It cancels the call in progress at the old address and
+// requests the full list from the new one, regardless of the sequence numbers of the two. Until that list
+// arrives, the old list stays in force.
+func (w *Watch) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if address != w.address {
-		w.address, w.moved = address, true
-		w.abandon()
+		w.address, w.addressChanged = address, true
+		w.cancelCall()
 	}
 }
 
-// turn begins a call: where it goes, whether that is a new address, and its context, which Follow ends.
-func (w *Watch) turn(ctx context.Context) (here context.Context, address string, moved bool) {
+// beginCall begins a call. It returns the call's address, whether the address changed since the last call, and
+// a context that SetAddress cancels.
+func (w *Watch) beginCall(ctx context.Context) (callCtx context.Context, address string, changed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.abandon()
-	here, w.abandon = context.WithCancel(ctx)
-	if moved, w.moved = w.moved, false; moved {
+	w.cancelCall()
+	callCtx, w.cancelCall = context.WithCancel(ctx)
+	if changed, w.addressChanged = w.addressChanged, false; changed {
 		w.transport.CloseIdleConnections()
 	}
-	return here, w.address, moved
+	return callCtx, w.address, changed
 }
 
-// Run watches until ctx is over. With onAsk it begins when it is asked, and again after each failure;
-// otherwise it begins and goes on by itself.
+// Run watches until ctx ends. With onRequest it waits for a Request at the start and again after each failure;
+// otherwise it starts and continues by itself.
 //
-// Danger: a watch whose next call comes late is broken and misses what comes in between, so tell must only
-// hand the news on.
-func (w *Watch) Run(ctx context.Context, onAsk bool) {
+// Danger: if the next call starts late, discovery has ended the watch and changes in between are missed, so
+// report must only pass the update on and not block.
+func (w *Watch) Run(ctx context.Context, onRequest bool) {
 	defer w.transport.CloseIdleConnections()
-	for first, waits := true, onAsk; ctx.Err() == nil; {
-		if waits {
+	for full, waitForRequest := true, onRequest; ctx.Err() == nil; {
+		if waitForRequest {
 			select {
-			case <-w.asked:
+			case <-w.requested:
 			case <-ctx.Done():
 				return
 			}
 		}
-		here, address, moved := w.turn(ctx)
-		first = first || moved
-		n, err := w.call(here, address, first)
+		callCtx, address, changed := w.beginCall(ctx)
+		full = full || changed
+		update, err := w.call(callCtx, address, full)
 		switch {
-		case here.Err() != nil: // at an end, or turned to another address
-			waits = false
+		case callCtx.Err() != nil: // ended, or moved to another address
+			waitForRequest = false
 		case err != nil:
-			first, waits = true, onAsk
-			w.tell(ctx, News{Err: err})
-			if !onAsk {
+			full, waitForRequest = true, onRequest
+			w.report(ctx, Update{Err: err})
+			if !onRequest {
 				select {
-				case <-time.After(again):
-				case <-here.Done():
+				case <-time.After(retryDelay):
+				case <-callCtx.Done():
 				}
 			}
 		default:
-			first, waits, w.sequence = false, false, n.Sequence
-			w.tell(ctx, n)
+			full, waitForRequest, w.sequence = false, false, update.Sequence
+			w.report(ctx, update)
 		}
 	}
 }
 
-// call makes one call; the first of a watch asks for the whole list.
-func (w *Watch) call(ctx context.Context, address string, first bool) (News, error) {
-	limit := spare
+// call makes one call; the first call of a watch requests the full list.
+func (w *Watch) call(ctx context.Context, address string, full bool) (Update, error) {
+	timeout := callMargin
 	url := "http://" + address + listPath
-	if !first {
-		limit += wait
+	if !full {
+		timeout += longPollTime
 		url += "?since=" + strconv.FormatInt(w.sequence, 10) +
-			"&timeout_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
+			"&timeout_ms=" + strconv.FormatInt(longPollTime.Milliseconds(), 10)
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return News{}, err
+		return Update{}, err
 	}
 	response, err := w.transport.RoundTrip(request)
 	if err != nil {
-		return News{}, err
+		return Update{}, err
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, answer))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return News{}, err
+		return Update{}, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return News{}, fmt.Errorf("discovery answered %s", response.Status)
+		return Update{}, fmt.Errorf("discovery answered %s", response.Status)
 	}
 	return Decode(text, w.cells)
 }
--- a/transport/logs/logs.go
+++ b/transport/logs/logs.go
@@ -1,5 +1,5 @@
 // Package logs sets up the logs of the system's programs: klog, written as JSON lines to standard error. It
-// decides nothing.
+// makes no decisions of its own.
 package logs
 
 import (
@@ -12,10 +12,10 @@
 	"willowsill/deployment/settings"
 )
 
-const memoryShare = 0.6 // of the memory limit, past which the collector works harder
+const softMemoryLimitShare = 0.6 // share of the memory limit beyond which the garbage collector runs more often
 
-// Begin sets the logs up for a program.
-func Begin(program string, s settings.Settings) {
+// Setup configures the logs of a program, and the garbage collector's soft memory limit.
+func Setup(program string, s settings.Settings) {
 	h := slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if len(groups) == 0 && a.Key == slog.SourceKey {
 			return slog.Attr{}
@@ -24,9 +24,9 @@
 	}})
 	klog.SetSlogLogger(slog.New(h).With("program", program, "node", s.Name))
 	if s.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.Limits.MemoryMB<<20)))
+		debug.SetMemoryLimit(int64(softMemoryLimitShare * float64(s.Limits.MemoryMB<<20)))
 	}
 }
 
-// End writes what waits.
-func End() { klog.Flush() }
+// Flush writes buffered log lines; a program calls it before it exits.
+func Flush() { klog.Flush() }
--- a/transport/metrics/metrics.go
+++ b/transport/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves a process's own figures over HTTP, as text in the exposition format of Prometheus. Figures are
-// gathered when they are asked for and at no other time. It decides nothing.
+// Package metrics serves a process's metrics over HTTP in the text exposition format of Prometheus. Metrics are
+// collected only when they are requested. It makes no decisions of its own.
 package metrics
 
 import (
@@ -15,22 +15,22 @@
 	"k8s.io/klog/v2"
 )
 
-// ErrMetrics is the class of this package's errors.
+// ErrMetrics builds this package's errors, which have the code metrics.
 var ErrMetrics = oops.Code("metrics")
 
 const (
-	readTimeout = 2 * time.Second // of a request
+	readTimeout = 2 * time.Second // longest time to read a request
 	idleTimeout = 15 * time.Second
 	maxPort     = 65535
 )
 
-// Endpoint is where figures are served.
+// Endpoint is the port and the path at which metrics are served.
 type Endpoint struct {
 	Port int
 	Path string // begins with a slash
 }
 
-// ParseEndpoint reads an endpoint written as PORT/PATH.
+// ParseEndpoint parses an endpoint written as PORT/PATH.
 func ParseEndpoint(text string) (Endpoint, error) {
 	port, path, found := strings.Cut(text, "/")
 	number, err := strconv.Atoi(port)
@@ -40,59 +40,60 @@
 	return Endpoint{Port: number, Path: "/" + path}, nil
 }
 
-// Figures are what a process tells at one moment.
-type Figures struct{ set *metrics.Set }
+// Writer collects the metrics of one request.
+type Writer struct{ set *metrics.Set }
 
-// Gauge tells a value that may fall. The name may hold labels, as in queue_length{route="scan"}.
-func (f Figures) Gauge(name string, value float64) { f.set.GetOrCreateGauge(name, nil).Set(value) }
+// Gauge writes a value that may fall. The name may hold labels, as in queue_length{route="scan"}.
+func (w Writer) Gauge(name string, value float64) { w.set.GetOrCreateGauge(name, nil).Set(value) }
 
-// Flag tells a gauge of 1 or 0.
-func (f Figures) Flag(name string, value bool) {
+// Flag writes a gauge of 1 or 0.
+func (w Writer) Flag(name string, value bool) {
 	number := 0.0
 	if value {
 		number = 1
 	}
-	f.Gauge(name, number)
+	w.Gauge(name, number)
 }
 
-// Counter tells a count since the start of the process.
-func (f Figures) Counter(name string, value int64) {
-	f.set.GetOrCreateCounter(name).Set(uint64(max(value, 0)))
+// Counter writes a count since the start of the process.
+func (w Writer) Counter(name string, value int64) {
+	w.set.GetOrCreateCounter(name).Set(uint64(max(value, 0)))
 }
 
-// Source gathers the figures of a process. It is called from any goroutine.
-type Source func(Figures)
+// Collector writes the metrics of a process. It is called from any goroutine.
+type Collector func(Writer)
 
-// Handler answers GET at the endpoint's path with what the source gathers.
-func Handler(path string, source Source) http.Handler {
+// Handler answers GET at the endpoint's path with the metrics that the collector writes.
+func Handler(path string, collect Collector) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
-		// A set of its own each time: labels that are gone, such as routes, are told no longer.
+		// A new set for each request, so that labels that no longer exist, such as removed routes, disappear.
 		set := metrics.NewSet()
-		source(Figures{set})
+		collect(Writer{set})
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 		set.WritePrometheus(w)
 	})
 	return mux
 }
 
-// Serve serves figures at an address of this machine and an endpoint written as PORT/PATH until ctx ends; an empty one
-// serves none. A port that cannot be had is logged and changes nothing else: a process without its figures still serves.
-func Serve(ctx context.Context, ip, endpoint string, source Source) {
+// Serve serves metrics at an IP of this machine and an endpoint written as PORT/PATH until ctx ends; without an
+// endpoint it serves none. A failure to listen is only logged, because the process still serves without its
+// metrics.
+func Serve(ctx context.Context, ip, endpoint string, collect Collector) {
 	if endpoint == "" {
 		return
 	}
-	at, err := ParseEndpoint(endpoint)
+	parsed, err := ParseEndpoint(endpoint)
 	if err != nil {
 		klog.ErrorS(err, "no figures are served")
 		return
 	}
-	listener, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(at.Port)))
+	listener, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(parsed.Port)))
 	if err != nil {
 		klog.ErrorS(ErrMetrics.Wrap(err), "no figures are served")
 		return
 	}
-	server := &http.Server{Handler: Handler(at.Path, source), ReadTimeout: readTimeout, IdleTimeout: idleTimeout}
+	server := &http.Server{Handler: Handler(parsed.Path, collect), ReadTimeout: readTimeout, IdleTimeout: idleTimeout}
 	go server.Serve(listener)
 	context.AfterFunc(ctx, func() { server.Close() })
 }
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -7,57 +7,60 @@
 )
 
 const (
-	meshQueue   = 64                     // frames that wait for a link that is being opened
-	redialAfter = 150 * time.Millisecond // after a dial that failed
-	meshIdle    = 20 * time.Second       // a link that nothing is sent on for so long is closed
+	maxQueuedFrames = 64                     // most frames that wait for a link to be opened
+	redialDelay     = 150 * time.Millisecond // wait after a failed dial
+	idleTimeout     = 20 * time.Second       // a link on which no frame is sent for this time is closed
 )
 
-// Mesh keeps a link to each address that something is sent to. What is sent while a link is down is lost once
-// too much waits: its users send again.
+// Mesh keeps a link to each address that it sends to. While a link is down, frames queue up to maxQueuedFrames;
+// then the oldest are dropped. So its users have to resend.
 type Mesh struct {
-	mu    sync.Mutex
-	lines map[string]*line
-	ctx   context.Context
+	mu           sync.Mutex
+	destinations map[string]*destination
+	ctx          context.Context
 }
 
-type line struct {
+type destination struct {
 	queue chan Frame
 }
 
-// NewMesh makes one that ends with ctx.
-func NewMesh(ctx context.Context) *Mesh { return &Mesh{lines: map[string]*line{}, ctx: ctx} }
+// NewMesh returns a mesh whose links end with ctx.
+func NewMesh(ctx context.Context) *Mesh {
+	return &Mesh{destinations: map[string]*destination{}, ctx: ctx}
+}
 
-// Send sends a frame to an address, as soon as it can.
+// Send queues a frame for an address.
 func (m *Mesh) Send(address string, f Frame) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l := m.lines[address]
-	if l == nil {
-		l = &line{make(chan Frame, meshQueue)}
-		m.lines[address] = l
-		go m.run(address, l)
+	d := m.destinations[address]
+	if d == nil {
+		d = &destination{make(chan Frame, maxQueuedFrames)}
+		m.destinations[address] = d
+		go m.run(address, d)
 	}
 	for {
 		select {
-		case l.queue <- f:
+		case d.queue <- f:
 			return
 		default:
 		}
-		select { // the oldest makes room
-		case <-l.queue:
+		select { // drop the oldest frame
+		case <-d.queue:
 		default:
 		}
 	}
 }
 
-// run opens the link again and again while something is to be sent.
-func (m *Mesh) run(address string, l *line) {
+// run sends the queued frames of a destination, and opens its link again after a failure, until nothing is sent
+// for idleTimeout.
+func (m *Mesh) run(address string, d *destination) {
 	defer func() {
 		m.mu.Lock()
-		delete(m.lines, address)
+		delete(m.destinations, address)
 		m.mu.Unlock()
 	}()
-	idle := time.NewTimer(meshIdle)
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	var link *Link
 	defer func() {
@@ -70,7 +73,7 @@
 		if link != nil {
 			ended = link.Ended()
 		}
-		idle.Reset(meshIdle)
+		idle.Reset(idleTimeout)
 		select {
 		case <-m.ctx.Done():
 			return
@@ -78,7 +81,7 @@
 			return
 		case <-ended:
 			link = nil
-		case f := <-l.queue:
+		case f := <-d.queue:
 			if link == nil {
 				var err error
 				if link, err = Dial(m.ctx, address); err != nil {
@@ -86,16 +89,16 @@
 					select {
 					case <-m.ctx.Done():
 						return
-					case <-time.After(redialAfter):
+					case <-time.After(redialDelay):
 					}
 					continue
 				}
-				// Danger: the peer says nothing on this link; that it went away shows only to one who reads.
-				go func(k *Link) {
-					var none any
-					for k.Receive(&none, 0) == nil {
+				// Danger: the peer sends nothing on this link, and only a read notices that the peer has closed it.
+				go func(link *Link) {
+					var ignored any
+					for link.Receive(&ignored, 0) == nil {
 					}
-					k.Close()
+					link.Close()
 				}(link)
 			}
 			link.Send(f)
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries messages between the system's own processes: CBOR in frames over TCP. It decides
-// nothing: it opens links, keeps what waits on them bounded, and says when one is down.
+// Package peer carries messages between the system's own processes: CBOR in frames over TCP. It opens links,
+// bounds what is queued on them, and detects failed ones. It makes no decisions of its own.
 package peer
 
 import (
@@ -17,100 +17,101 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrLink is the class of this package's errors.
+// ErrLink builds this package's errors, which have the code link.
 var ErrLink = oops.Code("link")
 
 const (
-	frameMost   = 8 << 20                // bytes of a frame: a configuration of tens of thousands of routes
-	waitMost    = 8 << 20                // bytes that wait on a link before it counts as down
-	frameHead   = 4                      // bytes: the length
-	dialWait    = 300 * time.Millisecond // a machine that is just rising misses the first call; the next comes soon
-	userTimeout = 2 * time.Second        // unacknowledged for so long, a link is down
-	readBuffer  = 4 << 10
+	maxFrameBytes   = 8 << 20                // largest body of a frame: a configuration of tens of thousands of routes
+	maxQueuedBytes  = 8 << 20                // a link with more bytes queued counts as failed
+	headerBytes     = 4                      // size of a frame's header, which holds the length of the body
+	dialTimeout     = 300 * time.Millisecond // short, because a machine that is starting up drops the first attempt and the next one follows soon
+	userTimeout     = 2 * time.Second        // a link fails if sent data stays unacknowledged for this time
+	readBufferBytes = 4 << 10
 )
 
-// Frame is a message made ready, so that one for many is encoded once.
+// Frame is an encoded message, so that a message to many links is encoded once.
 type Frame []byte
 
-// Encode makes a frame.
+// Encode encodes a message into a frame.
 func Encode(v any) (Frame, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
 		return nil, ErrLink.Wrapf(err, "encoding %T", v)
 	}
-	return append(binary.BigEndian.AppendUint32(make([]byte, 0, frameHead+len(body)), uint32(len(body))), body...), nil
+	return append(binary.BigEndian.AppendUint32(make([]byte, 0, headerBytes+len(body)), uint32(len(body))), body...), nil
 }
 
-// Control sets on a socket what makes a silent peer show.
+// SetUserTimeout sets a socket's TCP user timeout, so that a peer that no longer responds is detected.
 //
-// Danger: a machine without power says nothing; what is written to it would wait for many minutes.
-func Control(_, _ string, raw syscall.RawConn) error {
+// Danger: a machine that has lost power sends no reset, and without the timeout data written to it stays
+// pending for many minutes.
+func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
-	if e := raw.Control(func(fd uintptr) {
+	if controlErr := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
-	}); e != nil {
-		return e
+	}); controlErr != nil {
+		return controlErr
 	}
 	return err
 }
 
-// Link is one connection. Send may be called from any goroutine, Receive from one.
+// Link is a connection. Send may be called from any goroutine, Receive from only one.
 type Link struct {
-	conn   net.Conn
-	r      *bufio.Reader
-	mu     sync.Mutex
-	frames []Frame
-	bytes  int
-	closed bool
-	more   chan struct{}
-	ended  chan struct{}
+	conn        net.Conn
+	r           *bufio.Reader
+	mu          sync.Mutex
+	queued      []Frame
+	queuedBytes int
+	closed      bool
+	wake        chan struct{}
+	ended       chan struct{}
 }
 
-// Over makes a link of a connection.
-func Over(conn net.Conn) *Link {
-	l := &Link{conn: conn, r: bufio.NewReaderSize(conn, readBuffer), more: make(chan struct{}, 1), ended: make(chan struct{})}
+// NewLink returns a link over a connection.
+func NewLink(conn net.Conn) *Link {
+	l := &Link{conn: conn, r: bufio.NewReaderSize(conn, readBufferBytes), wake: make(chan struct{}, 1), ended: make(chan struct{})}
 	go l.write()
 	return l
 }
 
-// Dial opens a link.
+// Dial opens a link to an address and fails after dialTimeout.
 func Dial(ctx context.Context, address string) (*Link, error) {
-	d := net.Dialer{Timeout: dialWait, Control: Control, KeepAlive: -1}
-	conn, err := d.DialContext(ctx, "tcp", address)
+	dialer := net.Dialer{Timeout: dialTimeout, Control: SetUserTimeout, KeepAlive: -1}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, ErrLink.Wrapf(err, "dialling %s", address)
 	}
-	return Over(conn), nil
+	return NewLink(conn), nil
 }
 
-// Remote is the IP at the other end.
-func (l *Link) Remote() string {
+// RemoteIP returns the IP of the peer.
+func (l *Link) RemoteIP() string {
 	host, _, _ := net.SplitHostPort(l.conn.RemoteAddr().String())
 	return host
 }
 
-// Send queues a frame; one too many for the peer closes the link.
+// Send queues a frame. It closes the link if more than maxQueuedBytes would be queued.
 //
-// Danger: a peer that does not read would hold ever more memory here.
+// Danger: the queue for a peer that does not read would grow without bound.
 func (l *Link) Send(f Frame) {
 	l.mu.Lock()
-	if l.bytes+len(f) > waitMost && l.bytes > 0 {
+	if l.queuedBytes+len(f) > maxQueuedBytes && l.queuedBytes > 0 {
 		l.mu.Unlock()
 		l.Close()
 		return
 	}
 	if !l.closed {
-		l.frames, l.bytes = append(l.frames, f), l.bytes+len(f)
+		l.queued, l.queuedBytes = append(l.queued, f), l.queuedBytes+len(f)
 	}
 	l.mu.Unlock()
 	select {
-	case l.more <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Say encodes and sends.
-func (l *Link) Say(v any) error {
+// SendMessage encodes a message and queues it.
+func (l *Link) SendMessage(v any) error {
 	f, err := Encode(v)
 	if err == nil {
 		l.Send(f)
@@ -122,16 +123,16 @@
 	defer l.Close()
 	for {
 		select {
-		case <-l.more:
+		case <-l.wake:
 		case <-l.ended:
 			return
 		}
 		l.mu.Lock()
 		frames := net.Buffers{}
-		for _, f := range l.frames {
+		for _, f := range l.queued {
 			frames = append(frames, f)
 		}
-		l.frames, l.bytes = nil, 0
+		l.queued, l.queuedBytes = nil, 0
 		l.mu.Unlock()
 		if len(frames) == 0 {
 			continue
@@ -143,50 +144,50 @@
 	}
 }
 
-// Receive reads the next message into v; within bounds the wait, 0 for no bound.
-func (l *Link) Receive(v any, within time.Duration) error {
-	var until time.Time
-	if within > 0 {
-		until = time.Now().Add(within)
+// Receive reads the next message into v and waits at most for the timeout, or without a limit if it is 0.
+func (l *Link) Receive(v any, timeout time.Duration) error {
+	var deadline time.Time
+	if timeout > 0 {
+		deadline = time.Now().Add(timeout)
 	}
-	l.conn.SetReadDeadline(until)
-	var head [frameHead]byte
-	if _, err := io.ReadFull(l.r, head[:]); err != nil {
-		return ErrLink.Wrapf(err, "reading from %s", l.Remote())
+	l.conn.SetReadDeadline(deadline)
+	var header [headerBytes]byte
+	if _, err := io.ReadFull(l.r, header[:]); err != nil {
+		return ErrLink.Wrapf(err, "reading from %s", l.RemoteIP())
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > frameMost {
-		return ErrLink.Errorf("a frame of %d bytes from %s", n, l.Remote())
+	n := binary.BigEndian.Uint32(header[:])
+	if n > maxFrameBytes {
+		return ErrLink.Errorf("a frame of %d bytes from %s", n, l.RemoteIP())
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(l.r, body); err != nil {
-		return ErrLink.Wrapf(err, "reading from %s", l.Remote())
+		return ErrLink.Wrapf(err, "reading from %s", l.RemoteIP())
 	}
 	if err := cbor.Unmarshal(body, v); err != nil {
-		return ErrLink.Wrapf(err, "decoding from %s", l.Remote())
+		return ErrLink.Wrapf(err, "decoding from %s", l.RemoteIP())
 	}
 	return nil
 }
 
-// Close ends the link.
+// Close closes the link and drops the queued frames.
 func (l *Link) Close() {
 	l.mu.Lock()
-	was := l.closed
-	l.closed, l.frames = true, nil
+	wasClosed := l.closed
+	l.closed, l.queued = true, nil
 	l.mu.Unlock()
-	if !was {
+	if !wasClosed {
 		close(l.ended)
 		l.conn.Close()
 	}
 }
 
-// Ended is closed once the link is down.
+// Ended returns a channel that is closed when the link is.
 func (l *Link) Ended() <-chan struct{} { return l.ended }
 
-// Serve accepts links until the listener is closed, each in a goroutine of its own.
-func Serve(ln net.Listener, take func(*Link)) {
+// Serve accepts links until the listener is closed, and serves each in its own goroutine.
+func Serve(listener net.Listener, serve func(*Link)) {
 	for {
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			if ne, ok := err.(net.Error); ok && ne.Timeout() {
 				continue
@@ -195,22 +196,22 @@
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			if raw, err := tcp.SyscallConn(); err == nil {
-				Control("", "", raw)
+				SetUserTimeout("", "", raw)
 			}
 		}
 		go func() {
-			l := Over(conn)
+			l := NewLink(conn)
 			defer l.Close()
-			take(l)
+			serve(l)
 		}()
 	}
 }
 
-// Listen listens on an address.
+// Listen opens a TCP listener for links; Serve accepts them.
 func Listen(address string) (net.Listener, error) {
-	ln, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, ErrLink.Wrapf(err, "listening on %s", address)
 	}
-	return ln, nil
+	return listener, nil
 }
--- a/transport/replica/pool.go
+++ b/transport/replica/pool.go
@@ -14,277 +14,277 @@
 	"willowsill/transport/sockets"
 )
 
-// Ticket is one execution on its way; the pool fills in the rest. Its owner sees its end just once: either
-// the pool reports it, or the owner gives it up.
+// Ticket is one execution in progress; the pool fills in the unexported fields. A ticket ends exactly once:
+// either the pool reports it, or its owner abandons or withdraws it.
 type Ticket struct {
 	Part
-	Load any // what its query has for a carrier of another kind, nil for none
-	// Fresh tells that a connection was opened for it, Connected when its connection was up, ns, 0 before. Carriers of another
-	// kind set them.
-	Fresh     bool
-	Connected atomic.Int64
-	conn      *connection
-	frame     *frame
-	since     int64
+	Payload any // request data for a transport of another kind, nil for none
+	// NewConnection reports whether a connection was opened for the ticket, and ConnectedAt when its connection
+	// was open, ns, 0 before that. Transports of another kind set them.
+	NewConnection bool
+	ConnectedAt   atomic.Int64
+	conn          *connection
+	frame         *frame
+	sentAt        int64
 }
 
-// Report tells how a ticket ended.
+// Report states how and when a ticket ended.
 type Report struct {
 	Ticket *Ticket
 	Result balance.Result
 	Value  string
-	At     int64 // ns
+	At     int64 // time of the end, ns
 }
 
-// Pool owns the connections to all replicas: it opens, shares out and closes them. All its methods are for
-// the one goroutine that owns it; what connections have to tell comes to it through Notice.
+// Pool opens, shares and closes the connections to all replicas. Its methods may only be called by the
+// goroutine that owns it, which also passes the connections' events to Handle.
 type Pool struct {
-	Terms
-	replicas []*line
-	tell     func(Notice)
+	Config
+	replicas []*destination
+	notify   func(Event)
 	budget   *sockets.Budget
-	count    *counters.Counters
+	counters *counters.Counters
 }
 
-// Terms are what the deployment states of connections, in ns.
-type Terms struct {
-	Streams       int
-	ConnectWithin int64
-	IdleAfter     int64
-	Now           func() int64
-	Dial          Dial
+// Config holds the deployment's settings for connections. Times are in ns.
+type Config struct {
+	MaxCalls       int
+	ConnectTimeout int64
+	IdleTimeout    int64
+	Now            func() int64
+	Dial           Dial
 }
 
-// Dial opens a connection, and keeps to the time it may take.
+// Dial opens a connection within the deadline of ctx.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// line is all that is kept of one replica.
-type line struct {
-	dial  string
-	conns []*connection
+// destination holds the address of one replica and the connections to it.
+type destination struct {
+	address string
+	conns   []*connection
 }
 
-// NewPool makes a pool that hands what its connections have to tell to tell, from their goroutines.
-func NewPool(t Terms, tell func(Notice), budget *sockets.Budget, count *counters.Counters) *Pool {
-	return &Pool{Terms: t, tell: tell, budget: budget, count: count}
+// NewPool returns a pool whose connections pass their events to notify, from their own goroutines.
+func NewPool(config Config, notify func(Event), budget *sockets.Budget, counters *counters.Counters) *Pool {
+	return &Pool{Config: config, notify: notify, budget: budget, counters: counters}
 }
 
-// Address tells where a replica listens from now on.
-func (p *Pool) Address(replica int, dial string) {
+// SetAddress sets the address of a replica for new connections.
+func (p *Pool) SetAddress(replica int, address string) {
 	for len(p.replicas) <= replica {
-		p.replicas = append(p.replicas, &line{})
+		p.replicas = append(p.replicas, &destination{})
 	}
-	if l := p.replicas[replica]; l.dial != dial {
-		l.dial = dial
-		p.Leave(replica)
+	if d := p.replicas[replica]; d.address != address {
+		d.address = address
+		p.Retire(replica)
 	}
 }
 
-// Leave takes all connections to a replica out of use; what is out there may still come.
-func (p *Pool) Leave(replica int) {
+// Retire retires all connections to a replica. Calls in progress still get their replies.
+func (p *Pool) Retire(replica int) {
 	p.replicas[replica].retire(func(*connection) bool { return true })
 }
 
-// Left tells whether nothing is out at a replica, and no connection to it is left.
-func (p *Pool) Left(replica int) bool { return len(p.replicas[replica].conns) == 0 }
+// Drained reports whether no call to a replica is in progress and no connection to it is left.
+func (p *Pool) Drained(replica int) bool { return len(p.replicas[replica].conns) == 0 }
 
-// Call sends tickets to a replica as one call. It returns false if there is no room for a connection.
-func (p *Pool) Call(replica int, tickets []*Ticket) bool {
-	l, now := p.replicas[replica], p.Now()
-	c := p.choose(l, tickets, now)
+// Send sends tickets to a replica as one call. It returns false if no connection may be opened for them.
+func (p *Pool) Send(replica int, tickets []*Ticket) bool {
+	d, now := p.replicas[replica], p.Now()
+	c := p.chooseConnection(d, tickets, now)
 	if c == nil {
 		return false
 	}
-	f := &frame{left: len(tickets)}
+	f := &frame{openTickets: len(tickets)}
 	for _, t := range tickets {
 		f.parts = append(f.parts, t.Part)
-		t.conn, t.frame, t.since = c, f, now
-		c.out[t.ID] = t
+		t.conn, t.frame, t.sentAt = c, f, now
+		c.tickets[t.ID] = t
 	}
-	c.calls++
+	c.openCalls++
 	c.queue.push(f)
 	return true
 }
 
-// choose returns a connection with room, or a new one.
+// chooseConnection returns a connection that takes another call, or opens one.
 //
-// Danger: a vanished machine says nothing, and its open connections swallow all that is written to them. One
-// on which a part was given up with nothing heard since its send takes no more parts. One that has stood idle
-// for almost as long as the replica keeps it would reset the next part. And an id that was given up on a
-// connection must not meet its own late reply there.
-func (p *Pool) choose(l *line, tickets []*Ticket, now int64) *connection {
-	p.retireIdle(l, now)
-	for _, c := range l.conns {
-		if c.retired || c.calls >= p.Streams {
+// Danger: a machine that has vanished sends nothing, and its open connections accept data without an effect. So
+// a connection takes no more parts after one was abandoned on it with nothing received since it was sent. A
+// connection that has been idle for almost as long as the replica keeps it could be reset with the next part.
+// And an id that was abandoned on a connection must not be used there again, where its late reply may come.
+func (p *Pool) chooseConnection(d *destination, tickets []*Ticket, now int64) *connection {
+	p.retireIdle(d, now)
+	for _, c := range d.conns {
+		if c.retired || c.openCalls >= p.MaxCalls {
 			continue
 		}
-		if !slices.ContainsFunc(tickets, func(t *Ticket) bool { return c.knows(t.ID) }) {
+		if !slices.ContainsFunc(tickets, func(t *Ticket) bool { return c.usedID(t.ID) }) {
 			return c
 		}
 	}
-	if !p.budget.Take(sockets.Replicas) {
-		for replica := range p.replicas { // for the calls to come: a connection ends in its own time
-			p.Release(replica)
+	if !p.budget.Acquire(sockets.Replicas) {
+		for replica := range p.replicas { // closing them takes some time, so only later calls can use their descriptors
+			p.CloseIdle(replica)
 		}
 		return nil
 	}
-	c := newConnection(p, l, now)
-	l.conns = append(l.conns, c)
-	p.count.ConnectionsOpened.Add(1)
-	go c.run(l.dial)
+	c := newConnection(p, d, now)
+	d.conns = append(d.conns, c)
+	p.counters.ConnectionsOpened.Add(1)
+	go c.run(d.address)
 	return c
 }
 
-// retireIdle takes connections out of use before the replica closes them as idle.
-func (p *Pool) retireIdle(l *line, now int64) {
-	l.retire(func(c *connection) bool {
-		return c.calls == 0 && now-c.idleSince >= p.IdleAfter-p.IdleAfter/idleMargin
+// retireIdle retires connections before the replica closes them as idle.
+func (p *Pool) retireIdle(d *destination, now int64) {
+	d.retire(func(c *connection) bool {
+		return c.openCalls == 0 && now-c.idleSince >= p.IdleTimeout-p.IdleTimeout/idleMarginDivisor
 	})
 }
 
-// Sweep retires idle connections everywhere.
+// Sweep retires the connections to all replicas that have been idle for almost as long as replicas keep them.
 func (p *Pool) Sweep() {
-	for _, l := range p.replicas {
-		p.retireIdle(l, p.Now())
+	for _, d := range p.replicas {
+		p.retireIdle(d, p.Now())
 	}
 }
 
-// Release gives back the connections to a replica that carry nothing now.
-func (p *Pool) Release(replica int) {
-	p.replicas[replica].retire(func(c *connection) bool { return c.calls == 0 })
+// CloseIdle closes the connections to a replica that carry no call.
+func (p *Pool) CloseIdle(replica int) {
+	p.replicas[replica].retire(func(c *connection) bool { return c.openCalls == 0 })
 }
 
-// retire takes some connections out of use; they end with their last call.
-func (l *line) retire(which func(*connection) bool) {
-	for _, c := range l.conns {
-		c.retired = c.retired || which(c)
+// retire retires the connections for which the function returns true. They close after their last call.
+func (d *destination) retire(selects func(*connection) bool) {
+	for _, c := range d.conns {
+		c.retired = c.retired || selects(c)
 	}
-	l.tidy()
+	d.closeDrained()
 }
 
-// tidy closes what is retired and carries nothing; the connection's end comes as a notice.
-func (l *line) tidy() {
-	l.conns = slices.DeleteFunc(l.conns, func(c *connection) bool {
-		ends := c.retired && c.calls == 0
-		if ends {
-			c.shut(nil)
+// closeDrained closes the retired connections without a call. Their end is reported by an event.
+func (d *destination) closeDrained() {
+	d.conns = slices.DeleteFunc(d.conns, func(c *connection) bool {
+		closes := c.retired && c.openCalls == 0
+		if closes {
+			c.cancel(nil)
 		}
-		return ends
+		return closes
 	})
 }
 
-// Withdraw takes a ticket back whose part has not left yet; the pool will not report it from then on. What
-// shares its call still goes.
+// Withdraw takes back a ticket whose part was not sent yet; the pool won't report it. The other parts of its
+// call are still sent.
 func (p *Pool) Withdraw(t *Ticket) bool {
-	unsent := t.conn.queue.drop(t.frame, t.ID)
+	unsent := t.conn.queue.remove(t.frame, t.ID)
 	if unsent {
-		p.done(t)
+		p.endTicket(t)
 	}
 	return unsent
 }
 
-// GiveUp ends the wait for a ticket, which the pool will not report from then on. With tell the replica
-// hears of it. It returns true if the part never left and was withdrawn.
-func (p *Pool) GiveUp(t *Ticket, tell bool) (unsent bool) {
+// Abandon ends the wait for a ticket, which the pool then won't report. With notifyReplica the replica is
+// notified that the part is abandoned. It returns true if the part was withdrawn before it was sent.
+func (p *Pool) Abandon(t *Ticket, notifyReplica bool) (unsent bool) {
 	if p.Withdraw(t) {
 		return true
 	}
 	c := t.conn
-	if tell {
-		c.queue.push(&frame{gives: t.ID})
+	if notifyReplica {
+		c.queue.push(&frame{abandonID: t.ID})
 	}
-	if c.heard < t.since && p.Now()-t.since >= p.ConnectWithin {
+	if c.heardAt < t.sentAt && p.Now()-t.sentAt >= p.ConnectTimeout {
 		c.retired = true
 	}
-	c.given[t.ID] = struct{}{}
-	if len(c.given) > givenMost {
+	c.abandoned[t.ID] = struct{}{}
+	if len(c.abandoned) > maxAbandonedIDs {
 		c.retired = true
 	}
-	p.done(t)
+	p.endTicket(t)
 	return false
 }
 
-// done takes a ticket off its connection.
-func (p *Pool) done(t *Ticket) {
+// endTicket removes a ticket from its connection.
+func (p *Pool) endTicket(t *Ticket) {
 	c := t.conn
-	delete(c.out, t.ID)
-	if t.frame.left--; t.frame.left == 0 {
-		c.calls--
+	delete(c.tickets, t.ID)
+	if t.frame.openTickets--; t.frame.openTickets == 0 {
+		c.openCalls--
 		c.idleSince = p.Now()
 	}
-	c.line.tidy()
+	c.destination.closeDrained()
 }
 
-// Note takes in what a connection had to tell and returns the tickets that it ended.
-func (p *Pool) Note(n Notice) (reports []Report) {
-	c := n.conn
-	if n.down {
-		p.budget.Give(sockets.Replicas)
-		p.count.ConnectionsClosed.Add(1)
-		if !n.wasUp && n.Err != nil {
-			p.count.ConnectionsFailed.Add(1)
+// Handle handles an event of a connection and returns the tickets that it ended.
+func (p *Pool) Handle(event Event) (reports []Report) {
+	c := event.conn
+	if event.closed {
+		p.budget.Release(sockets.Replicas)
+		p.counters.ConnectionsClosed.Add(1)
+		if !event.wasOpen && event.Err != nil {
+			p.counters.ConnectionsFailed.Add(1)
 		}
 		c.retired = true
-		c.line.tidy()
-		if errors.Is(n.Err, errSpoilt) {
-			p.count.SpoiltReplies.Add(1)
+		c.destination.closeDrained()
+		if errors.Is(event.Err, errBadReply) {
+			p.counters.InvalidReplies.Add(1)
 		}
-		for _, t := range c.out {
-			reports = append(reports, Report{Ticket: t, Result: t.broken(n.Err), At: n.at})
+		for _, t := range c.tickets {
+			reports = append(reports, Report{Ticket: t, Result: t.resultOnClose(event.Err), At: event.at})
 		}
-		// The order of a map is chance; the module is to see that of the sends.
+		// The order of a map is random; the reports need the order of the sends.
 		slices.SortFunc(reports, func(x, y Report) int {
-			return cmp.Or(cmp.Compare(x.Ticket.frame.number, y.Ticket.frame.number), cmp.Compare(x.Ticket.ID, y.Ticket.ID))
+			return cmp.Or(cmp.Compare(x.Ticket.frame.order, y.Ticket.frame.order), cmp.Compare(x.Ticket.ID, y.Ticket.ID))
 		})
 	} else {
-		c.heard = n.at
-		if n.last { // the good reply counts, and its connection takes no more
+		c.heardAt = event.at
+		if event.corruptTail { // the reply is valid, but the connection is not used again
 			c.retired = true
 		}
-		t := c.out[n.reply.ID]
+		t := c.tickets[event.reply.ID]
 		switch {
-		case t == nil && c.knows(n.reply.ID):
-			delete(c.given, n.reply.ID)
-			c.replied(n.reply.ID)
-			p.count.LateReplies.Add(1)
+		case t == nil && c.usedID(event.reply.ID):
+			delete(c.abandoned, event.reply.ID)
+			c.recordReply(event.reply.ID)
+			p.counters.LateReplies.Add(1)
 			return nil
 		case t == nil:
-			// Danger: a reply under an id that was never sent here was made for a part that waits, and passing it
-			// over would let that part wait until its time is up.
-			c.end(fmt.Errorf("%w: the id %.40q", errSpoilt, n.reply.ID))
+			// Danger: a reply with an id that was never sent here belongs to a part that is waited for. Ignoring it
+			// would delay that part until its timeout.
+			c.closeWith(fmt.Errorf("%w: the id %.40q", errBadReply, event.reply.ID))
 			return nil
 		}
-		c.replied(t.ID)
-		result := [...]balance.Result{Ran: balance.Fulfilled, Failed: balance.Errored, TurnedAway: balance.Full}
-		reports = append(reports, Report{Ticket: t, Result: result[n.reply.End], Value: n.reply.Value, At: n.at})
+		c.recordReply(t.ID)
+		result := [...]balance.Result{Succeeded: balance.Fulfilled, Failed: balance.Errored, Rejected: balance.Full}
+		reports = append(reports, Report{Ticket: t, Result: result[event.reply.Outcome], Value: event.reply.Value, At: event.at})
 	}
 	for _, r := range reports {
-		p.done(r.Ticket)
+		p.endTicket(r.Ticket)
 	}
 	return reports
 }
 
-// broken is how a ticket ends whose connection went down. What broke before its frame's last byte was written never
-// ran. An answer that can't be read comes from a process that is well: it may have run all that was out there, and
-// nothing of that was reset.
-func (t *Ticket) broken(err error) balance.Result {
+// resultOnClose returns the result of a ticket whose connection has closed. A part was never executed if its
+// frame was not written to the last byte. After an answer that cannot be decoded the process still runs: it may
+// have executed all parts on that connection, and the connection was not reset.
+func (t *Ticket) resultOnClose(err error) balance.Result {
 	switch {
 	case !t.frame.written:
 		return balance.ConnectFailed
-	case errors.Is(err, errSpoilt):
+	case errors.Is(err, errBadReply):
 		return balance.Errored
 	}
 	return balance.Reset
 }
 
-// Close ends all connections.
+// Close closes all connections, also those with calls in progress.
 func (p *Pool) Close() {
-	for _, l := range p.replicas {
-		for _, c := range l.conns {
-			c.end(nil)
+	for _, d := range p.replicas {
+		for _, c := range d.conns {
+			c.closeWith(nil)
 		}
 	}
 }
 
-// Open counts the connections that have not ended.
-func (p *Pool) Open() int { return p.budget.Taken(sockets.Replicas) }
+// OpenConnections returns the number of connections that have not ended.
+func (p *Pool) OpenConnections() int { return p.budget.InUse(sockets.Replicas) }
--- a/transport/replicahttp/connection.go
+++ b/transport/replicahttp/connection.go
@@ -19,43 +19,44 @@
 	"willowsill/balance"
 )
 
-// ErrReplica is the class of what goes wrong with a replica's answer.
+// ErrReplica builds this package's errors, which have the code replica.
 var ErrReplica = oops.Code("replica")
 
-var errUnasked = ErrReplica.Errorf("bytes came that belong to no request")
+var errUnsolicited = ErrReplica.Errorf("the replica sent bytes without a request")
 
 const (
-	readBuffer = 2 << 10
-	firstLine  = "HTTP/1." // how the first line of each answer begins
+	readBufferBytes = 2 << 10
+	statusLineStart = "HTTP/1." // the start of each answer's status line
 )
 
-// connection is one to a replica. free and until are the loop's; the rest belongs to its goroutines.
+// connection is a connection to a replica. free and usableUntil belong to the pool's loop; the rest belongs to
+// the connection's goroutines.
 type connection struct {
-	line  *line
-	pool  *Pool
-	free  bool
-	until int64
+	destination *destination
+	pool        *Pool
+	free        bool
+	usableUntil int64
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	mu     sync.Mutex
-	conn   net.Conn
-	closed bool
-	over   *exchange // that is out
+	ctx     context.Context
+	cancel  context.CancelFunc
+	mu      sync.Mutex
+	conn    net.Conn
+	closed  bool
+	current *exchange // the exchange in progress
 
-	writing chan struct{} // full while a request is written
+	writeLock chan struct{} // holds an element while a request is written
 }
 
-// begin books an exchange; the loop calls it while the connection is free.
-func (c *connection) begin(e *exchange) {
+// assign starts an exchange. The loop calls it while the connection is free.
+func (c *connection) assign(e *exchange) {
 	e.conn, c.free = c, false
 	c.mu.Lock()
-	c.over = e
+	c.current = e
 	c.mu.Unlock()
 }
 
-// ended tells whether the connection was closed, by either side.
-func (c *connection) ended() bool {
+// isClosed reports whether the connection was closed by either side.
+func (c *connection) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed
@@ -74,13 +75,13 @@
 
 // run opens the connection, and then reads from it until it ends.
 func (c *connection) run(address string, e *exchange) {
-	within, stop := context.WithTimeout(c.ctx, dialWait)
-	conn, err := c.pool.Dial(within, "tcp", address)
+	dialCtx, stop := context.WithTimeout(c.ctx, dialTimeout)
+	conn, err := c.pool.Dial(dialCtx, "tcp", address)
 	stop()
 	if err != nil {
 		c.cancel()
-		c.pool.Failed.Add(1)
-		c.pool.tell(notice{conn: c, over: e, result: balance.ConnectFailed, down: true, err: err, at: c.pool.now()})
+		c.pool.FailedDials.Add(1)
+		c.pool.notify(notice{conn: c, ended: e, result: balance.ConnectFailed, closed: true, err: err, at: c.pool.now()})
 		return
 	}
 	c.mu.Lock()
@@ -89,135 +90,136 @@
 		conn.Close()
 	}
 	c.mu.Unlock()
-	e.ticket.Connected.Store(c.pool.now())
+	e.ticket.ConnectedAt.Store(c.pool.now())
 	go c.write(e)
 	err = c.read(conn)
 	conn.Close()
 	c.cancel()
-	// A write that is under way fails now, and knows better than this side whether any byte of it was taken.
-	c.writing <- struct{}{}
-	defer func() { <-c.writing }()
-	n := notice{conn: c, down: true, at: c.pool.now()}
+	// A write in progress fails now. It knows whether any byte was accepted, so wait for it to report.
+	c.writeLock <- struct{}{}
+	defer func() { <-c.writeLock }()
+	n := notice{conn: c, closed: true, at: c.pool.now()}
 	c.mu.Lock()
 	closed := c.closed
 	c.closed = true
-	n.over, c.over = c.over, nil
+	n.ended, c.current = c.current, nil
 	c.mu.Unlock()
-	if n.over != nil {
+	if n.ended != nil {
 		n.result = balance.Reset
-		if n.over.state.Load() == pending {
+		if n.ended.state.Load() == pending {
 			n.result = balance.ConnectFailed
 		}
 	}
 	if !closed && !errors.Is(err, io.EOF) {
 		n.err = err
 	}
-	c.pool.tell(n)
+	c.pool.notify(n)
 }
 
 // write writes the request of an exchange, unless it was withdrawn meanwhile.
 //
-// Danger: a replica may answer before it has read a request whole, and the next one begins while the rest of the former is
-// still being written. Where that rest then fails, nothing may follow: the replica would read it as the rest. So writes
-// come one after another, and a failed one closes the connection before the next begins.
+// Danger: a replica may answer before it has read the whole request, so the next exchange may start while the
+// rest of the previous request is still being written. If that write fails, nothing may follow, because the
+// replica would read it as the rest of the previous request. So writes are serialized, and a failed write
+// closes the connection before the next one starts.
 func (c *connection) write(e *exchange) {
-	c.writing <- struct{}{}
-	defer func() { <-c.writing }()
+	c.writeLock <- struct{}{}
+	defer func() { <-c.writeLock }()
 	if !e.state.CompareAndSwap(pending, written) {
-		c.end(e, notice{conn: c, free: unnamed})
+		c.end(e, notice{conn: c, reuseFor: defaultIdleLimit})
 		return
 	}
 	r := e.request()
 	buf := make([]byte, 0, len(r.Head)+len(r.Body)+128)
 	buf = append(buf, r.Head...)
 	buf = append(buf, HeaderDeadline+": "...)
-	buf = strconv.AppendInt(buf, e.ticket.Wait, 10)
+	buf = strconv.AppendInt(buf, e.ticket.WaitMs, 10)
 	buf = append(buf, "\r\n"+HeaderTarget+": "...)
-	buf = append(buf, c.line.id...)
+	buf = append(buf, c.destination.id...)
 	buf = append(buf, "\r\n\r\n"...)
 	buf = append(buf, r.Body...)
-	c.conn.SetWriteDeadline(time.Now().Add(writeWait))
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if n, err := c.conn.Write(buf); err != nil {
 		c.end(e, notice{conn: c, result: failedWrite(n), err: err})
 		c.conn.Close()
 	}
 }
 
-// failedWrite is what a failed write of a request says of its execution: what this machine's own kernel took no byte of
-// cannot have run. All else may have.
-func failedWrite(taken int) balance.Result {
-	if taken == 0 {
+// failedWrite returns the result of an execution whose request could not be written. It cannot have run if this
+// machine's kernel accepted no byte; otherwise it may have run.
+func failedWrite(accepted int) balance.Result {
+	if accepted == 0 {
 		return balance.ConnectFailed
 	}
 	return balance.Reset
 }
 
-// end tells of an exchange's end, if nobody has yet.
+// end reports the end of an exchange, unless that was already reported.
 func (c *connection) end(e *exchange, n notice) bool {
 	c.mu.Lock()
-	mine := c.over == e
-	if mine {
-		c.over = nil
+	isCurrent := c.current == e
+	if isCurrent {
+		c.current = nil
 	}
 	c.mu.Unlock()
-	if mine {
-		n.over, n.at = e, c.pool.now()
-		c.pool.tell(n)
+	if isCurrent {
+		n.ended, n.at = e, c.pool.now()
+		c.pool.notify(n)
 	}
-	return mine
+	return isCurrent
 }
 
-// out is the exchange whose answer is awaited.
-func (c *connection) out() *exchange {
+// currentExchange returns the exchange whose answer is awaited.
+func (c *connection) currentExchange() *exchange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.over
+	return c.current
 }
 
 // read reads answers until the connection ends.
 func (c *connection) read(conn net.Conn) error {
-	r := bufio.NewReaderSize(conn, readBuffer)
-	surplus := false
+	r := bufio.NewReaderSize(conn, readBufferBytes)
+	stale := false
 	for {
 		if _, err := r.Peek(1); err != nil {
 			return err
 		}
-		e := c.out()
-		// Danger: bytes that come while nothing is asked would be taken for the next request's answer.
+		e := c.currentExchange()
+		// Danger: bytes that arrive while no request is open would be taken for the answer to the next request.
 		if e == nil || e.state.Load() != written {
-			return errUnasked
+			return errUnsolicited
 		}
 		req := e.request()
-		a, keep, err := readAnswer(r, req.Method)
+		answer, reuseFor, err := readAnswer(r, req.Method)
 		if err != nil {
 			return err
 		}
-		// Danger: a second answer to an earlier request may come in this one's place. The id tells; the true one
-		// follows.
-		if a.attempt != req.Attempt {
-			surplus = true
+		// Danger: a second answer to an earlier request may come instead of the expected one. The attempt id
+		// distinguishes them, and the expected one follows.
+		if answer.attempt != req.Attempt {
+			stale = true
 			continue
 		}
-		if surplus || r.Buffered() > 0 {
-			keep = 0
+		if stale || r.Buffered() > 0 {
+			reuseFor = 0
 		}
-		c.end(e, notice{conn: c, result: a.result(), answer: &a.Answer, free: keep})
+		c.end(e, notice{conn: c, result: answer.result(), answer: &answer.Answer, reuseFor: reuseFor})
 	}
 }
 
-type answer struct {
+type response struct {
 	Answer
 	attempt     string
 	notExecuted bool
 	encoded     bool
 }
 
-// result is what an answer says of its execution.
-func (a *answer) result() balance.Result {
+// result returns what an answer proves about its execution.
+func (a *response) result() balance.Result {
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
 		return balance.ConnectFailed // another replica has the address
-	case a.notExecuted && turnsAway(a.Status):
+	case a.notExecuted && rejectionStatus(a.Status):
 		return balance.Full
 	case a.Status >= 200 && a.Status < 300 && a.Seal != "" && !a.encoded && !a.notExecuted:
 		return balance.Fulfilled
@@ -225,19 +227,21 @@
 	return balance.Errored
 }
 
-// turnsAway tells whether a replica answers with this status what it has not run. Willowsill-Not-Executed beside any
-// other contradicts itself, and a status without that header proves nothing.
+// rejectionStatus reports whether a replica uses this status for requests that it has not executed.
+// Willowsill-Not-Executed with another status is contradictory, and the status without that header proves
+// nothing.
 //
-// Danger: an unsafe request that has run would be promised to its client as one that never will.
-func turnsAway(status int) bool {
+// Danger: otherwise an unsafe request that was executed would be reported to its client as not executed.
+func rejectionStatus(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusBadRequest
 }
 
-// readAnswer reads the next answer whole, and tells for how long the connection may be used again. An answer without a
-// length is whole where the replica has closed the connection behind it in order.
+// readAnswer reads the next answer completely, and returns for how long the connection may be reused. An answer
+// without a length is complete if the replica closed the connection after it in an orderly way.
 //
-// Danger: one that is reset on the way, or is given up by this side, would look whole; reading it fails then.
-func readAnswer(r *bufio.Reader, method string) (*answer, time.Duration, error) {
+// Danger: an answer without a length that was cut off, by a reset or because this side closed the connection,
+// must not count as complete. In both cases reading its body returns an error.
+func readAnswer(r *bufio.Reader, method string) (*response, time.Duration, error) {
 	var res *http.Response
 	for {
 		var err error
@@ -252,69 +256,69 @@
 		return nil, 0, ErrReplica.Errorf("an answer of %s with status %d", res.Proto, res.StatusCode)
 	}
 	h := res.Header
-	if spliced(res) {
-		return nil, 0, ErrReplica.Errorf("an answer whose head is of two")
+	if mergedHeads(res) {
+		return nil, 0, ErrReplica.Errorf("an answer whose header is merged from two answers")
 	}
 	body, err := readBody(res, method)
 	if err != nil {
 		return nil, 0, ErrReplica.Wrapf(err, "an answer that was broken off")
 	}
-	if endsWithConnection(res) && bytes.Contains(body, []byte(firstLine)) {
-		return nil, 0, ErrReplica.Errorf("an answer without a length, with another one behind it")
+	if endsAtClose(res) && bytes.Contains(body, []byte(statusLineStart)) {
+		return nil, 0, ErrReplica.Errorf("an answer without a length that holds the start of another answer")
 	}
-	a := &answer{Answer: Answer{Status: res.StatusCode, Header: h, Body: body, Seal: h.Get(HeaderSeal), Whole: true,
+	a := &response{Answer: Answer{Status: res.StatusCode, Header: h, Body: body, Seal: h.Get(HeaderSeal), Complete: true,
 		Replica: h.Get(HeaderReplica)}, attempt: h.Get(HeaderAttempt), notExecuted: h.Get(HeaderNotExecuted) != "",
 		encoded: h.Get("Content-Encoding") != "" && !strings.EqualFold(h.Get("Content-Encoding"), "identity")}
-	keep := unnamed
+	reuseFor := defaultIdleLimit
 	for _, item := range strings.Split(h.Get("Keep-Alive"), ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(item), "timeout="); ok {
 			if s, err := strconv.Atoi(v); err == nil {
-				keep = time.Duration(s) * time.Second
-				keep -= keep / idleShare
+				reuseFor = time.Duration(s) * time.Second
+				reuseFor -= reuseFor / idleMarginDivisor
 			}
 		}
 	}
 	if res.Close {
-		keep = 0
+		reuseFor = 0
 	}
-	return a, keep, nil
+	return a, reuseFor, nil
 }
 
-// endsWithConnection tells whether nothing but the end of its connection ends an answer's body.
+// endsAtClose reports whether only the end of the connection ends an answer's body.
 //
-// Danger: what a replica in trouble sends behind such an answer would pass for the rest of its body.
-func endsWithConnection(res *http.Response) bool {
+// Danger: what a faulty replica sends after such an answer would be taken for the rest of its body.
+func endsAtClose(res *http.Response) bool {
 	return res.ContentLength < 0 && len(res.TransferEncoding) == 0
 }
 
-// spliced tells whether the head of an answer was put together from those of two: it bears two first lines, or twice what an
-// answer bears once.
+// mergedHeads reports whether the header of an answer was merged from two answers: it holds a second status
+// line, or a header twice that an answer has only once.
 //
-// Danger: an answer that was broken off in its head, with the next one behind it, reads as one. The status and the seal of
-// the former would go out under the id of the latter.
-func spliced(res *http.Response) bool {
+// Danger: an answer that breaks off within its header and is followed by the next answer looks like one answer.
+// The status and the seal of the first would be passed on with the id of the second.
+func mergedHeads(res *http.Response) bool {
 	for _, once := range [...]string{HeaderAttempt, HeaderSeal, HeaderNotExecuted} {
 		if len(res.Header[once]) > 1 {
 			return true
 		}
 	}
-	if strings.Contains(res.Status, firstLine) {
+	if strings.Contains(res.Status, statusLineStart) {
 		return true
 	}
 	for key, values := range res.Header {
-		if strings.Contains(key, firstLine) || slices.ContainsFunc(values, func(v string) bool { return strings.Contains(v, firstLine) }) {
+		if strings.Contains(key, statusLineStart) || slices.ContainsFunc(values, func(v string) bool { return strings.Contains(v, statusLineStart) }) {
 			return true
 		}
 	}
 	return false
 }
 
-// readBody reads the body of an answer whole; the answer to HEAD has none, whatever length it states.
+// readBody reads the complete body of an answer. The answer to HEAD has none, whatever length it states.
 func readBody(res *http.Response, method string) ([]byte, error) {
 	if method == http.MethodHead {
 		return nil, nil
 	}
-	if res.ContentLength > bodyMost {
+	if res.ContentLength > maxBodyBytes {
 		return nil, ErrReplica.Errorf("an answer of %d bytes", res.ContentLength)
 	}
 	if n := res.ContentLength; n >= 0 {
@@ -322,9 +326,9 @@
 		_, err := io.ReadFull(res.Body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, bodyMost+1))
-	if err == nil && len(body) > bodyMost {
-		err = ErrReplica.Errorf("an answer over %d bytes", bodyMost)
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBodyBytes+1))
+	if err == nil && len(body) > maxBodyBytes {
+		err = ErrReplica.Errorf("an answer over %d bytes", maxBodyBytes)
 	}
 	return body, err
 }
--- a/transport/replicahttp/reuse_test.go
+++ b/transport/replicahttp/reuse_test.go
@@ -13,56 +13,57 @@
 	"willowsill/transport/replica"
 )
 
-// TestGivenUpAndAnswered: an exchange that was given up while its answer was on its way leaves no connection behind that
-// would be used again.
+// TestGivenUpAndAnswered: if an exchange is abandoned after its answer arrived but before the loop handled it,
+// its connection is not reused.
 func TestGivenUpAndAnswered(t *testing.T) {
-	good := text("200 OK", "ID", "s", "abc")
+	good := answerText("200 OK", "ID", "s", "abc")
 	s := &server{answers: []string{good, good}}
-	withPool(t, s, func(d *poolTest) {
+	runFixture(t, s, func(f *fixture) {
 		r := &Request{Attempt: "x1", Method: "GET", Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": x1\r\n")}
-		ticket := &replica.Ticket{Load: r}
-		must.True(t, d.Call(0, []*replica.Ticket{ticket}))
+		ticket := &replica.Ticket{Payload: r}
+		must.True(t, f.Send(0, []*replica.Ticket{ticket}))
 		synctest.Wait()
-		must.Eq(t, 1, len(d.notes)) // the answer is there, and the loop has not heard of it
-		must.False(t, d.GiveUp(ticket, true))
-		reports, _ := d.Note(<-d.notes)
+		must.Eq(t, 1, len(f.events)) // the answer has arrived, but the loop has not handled it
+		must.False(t, f.Abandon(ticket, true))
+		reports, _ := f.Handle(<-f.events)
 		must.SliceEmpty(t, reports)
 		must.MapEmpty(t, r.Answers)
-		result, _ := d.ask("x2")
+		result, _ := f.call("x2")
 		must.Eq(t, balance.Fulfilled, result)
 	})
 }
 
-// TestIdleRace: the replica closes an idle connection at the moment at which the next request is begun on it. What was
-// never written is said not to have run.
+// TestIdleRace: the replica closes an idle connection just before the next request is written to it. A request
+// that was never written is reported as not executed.
 func TestIdleRace(t *testing.T) {
-	good := text("200 OK", "ID", "s", "abc")
+	good := answerText("200 OK", "ID", "s", "abc")
 	s := &server{answers: []string{good, good}, closesIdle: true}
-	withPool(t, s, func(d *poolTest) {
-		d.ask("x1")
-		time.Sleep(time.Second) // it has closed; the loop has not heard of it
-		result, a := d.ask("x2")
+	runFixture(t, s, func(f *fixture) {
+		f.call("x1")
+		time.Sleep(time.Second) // the replica has closed the connection, but the loop has not handled that
+		result, a := f.call("x2")
 		must.True(t, result == balance.ConnectFailed, must.Sprint(result))
 		must.Nil(t, a)
 		must.SliceLen(t, 1, s.heads)
 	})
 }
 
-// TestOpeningIsNotTheReplicasTime: a part's ticket says when its connection was up, whether it was opened for it or was at hand.
+// TestOpeningIsNotTheReplicasTime: the ticket of a part states when its connection was open, whether the
+// connection was opened for it or reused.
 func TestOpeningIsNotTheReplicasTime(t *testing.T) {
-	good := text("200 OK", "ID", "s", "abc")
-	withPool(t, &server{answers: []string{good, good}}, func(d *poolTest) {
-		dial := d.Dial
-		d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+	good := answerText("200 OK", "ID", "s", "abc")
+	runFixture(t, &server{answers: []string{good, good}}, func(f *fixture) {
+		dial := f.Dial
+		f.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			time.Sleep(300 * time.Millisecond)
 			return dial(ctx, network, address)
 		}
 		for _, opening := range []time.Duration{300 * time.Millisecond, 0} {
-			ticket := &replica.Ticket{Load: &Request{Attempt: "x1", Method: "GET", Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": x1\r\n")}}
-			before := d.now()
-			must.True(t, d.Call(0, []*replica.Ticket{ticket}))
-			d.Note(<-d.notes)
-			must.Eq(t, before+int64(opening), ticket.Connected.Load())
+			ticket := &replica.Ticket{Payload: &Request{Attempt: "x1", Method: "GET", Answers: map[int]*Answer{}, Head: []byte("GET / HTTP/1.1\r\nHost: h\r\n" + HeaderAttempt + ": x1\r\n")}}
+			before := f.now()
+			must.True(t, f.Send(0, []*replica.Ticket{ticket}))
+			f.Handle(<-f.events)
+			must.Eq(t, before+int64(opening), ticket.ConnectedAt.Load())
 		}
 	})
 }
--- a/transport/replicahttp/nobody_test.go
+++ b/transport/replicahttp/unmatched_test.go
@@ -11,13 +11,13 @@
 	"willowsill/balance"
 )
 
-// TestAnswerOfNobody: what cannot be told to be one whole answer to this request is given to nobody, and its connection
-// carries no other request.
+// TestAnswerOfNobody: bytes that are not clearly one complete answer to the current request are given to no
+// request, and their connection is not reused.
 func TestAnswerOfNobody(t *testing.T) {
-	good := text("200 OK", "ID", "s", "abc")
-	failed := text("500 No", "ID", "s", "abc")
+	good := answerText("200 OK", "ID", "s", "abc")
+	failed := answerText("500 No", "ID", "s", "abc")
 	for name, answer := range map[string]string{
-		"wrong id":                              text("200 OK", "x0", "s", "abc") + "CLOSE",
+		"wrong id":                              answerText("200 OK", "x0", "s", "abc") + "CLOSE",
 		"no id":                                 "HTTP/1.1 200 OK\r\n" + HeaderSeal + ": s\r\nContent-Length: 3\r\n\r\nabcCLOSE",
 		"two ids, its own first":                withLines(good, HeaderAttempt+": ID\r\n"+HeaderAttempt+": x0\r\n") + "CLOSE",
 		"two ids, its own last":                 withLines(good, HeaderAttempt+": x0\r\n") + "CLOSE",
@@ -45,32 +45,33 @@
 				if reused {
 					s.answers = append([]string{good}, s.answers...)
 				}
-				withPool(t, s, func(d *poolTest) {
+				runFixture(t, s, func(f *fixture) {
 					if reused {
-						result, _ := d.ask("x0a")
+						result, _ := f.call("x0a")
 						must.Eq(t, balance.Fulfilled, result)
 					}
-					result, a := d.ask("x1")
+					result, a := f.call("x1")
 					must.Eq(t, balance.Reset, result)
 					must.Nil(t, a)
-					d.settle()
-					result, a = d.ask("x2")
+					f.settle()
+					result, a = f.call("x2")
 					must.Eq(t, balance.Fulfilled, result)
 					must.Eq(t, "abc", string(a.Body))
-					must.Eq(t, 2, int(d.Opened.Load()))
+					must.Eq(t, 2, int(f.Opened.Load()))
 				})
 			})
 		}
 	}
 }
 
-// TestSurplusAnswers: an answer of an earlier request that comes late is never the next one's, whenever it comes.
+// TestSurplusAnswers: a late second answer to an earlier request is never given to the next one, whenever it
+// arrives.
 func TestSurplusAnswers(t *testing.T) {
-	answer := func(id, body string) string { return text("200 OK", id, "s-"+id, body) }
+	answer := func(id, body string) string { return answerText("200 OK", id, "s-"+id, body) }
 	for name, c := range map[string]struct {
-		behind string // with the first answer, in one segment
-		idle   string // while nothing is asked
-		second string // in place of the second answer
+		behind string // sent with the first answer, in one segment
+		idle   string // sent while no request is open
+		second string // sent instead of the second answer
 		want   balance.Result
 		opened int
 	}{
@@ -84,22 +85,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &server{answers: []string{answer("x1", "abc") + c.behind, c.second}, idle: c.idle}
-			withPool(t, s, func(d *poolTest) {
-				result, a := d.ask("x1")
+			runFixture(t, s, func(f *fixture) {
+				result, a := f.call("x1")
 				must.Eq(t, balance.Fulfilled, result)
 				must.Eq(t, "abc", string(a.Body))
 				if c.idle != "" {
 					time.Sleep(time.Second)
 				}
-				d.settle()
-				result, a = d.ask("x2")
+				f.settle()
+				result, a = f.call("x2")
 				must.Eq(t, c.want, result)
 				if c.want == balance.Fulfilled {
 					must.Eq(t, "new", string(a.Body))
 				} else {
 					must.Nil(t, a)
 				}
-				must.Eq(t, c.opened, int(d.Opened.Load()))
+				must.Eq(t, c.opened, int(f.Opened.Load()))
 			})
 		})
 	}
--- a/transport/replicahttp/write_test.go
+++ b/transport/replicahttp/write_test.go
@@ -18,44 +18,44 @@
 	"willowsill/transport/replica"
 )
 
-// raceRounds is how often a race is run in one test.
+// raceRounds is the number of rounds in which a test repeats a race.
 const raceRounds = 50
 
-// writeEnd is how the next write on a connection ends.
+// writeEnd is how a write on a connection ends.
 type writeEnd struct {
-	taken int // bytes that the kernel took
-	err   error
+	accepted int // bytes that the kernel accepts
+	err      error
 }
 
-// faultyConn is a connection whose writes end as they are told to, in turn; without a word they go through.
+// faultyConn is a connection whose next writes end as listed; further writes succeed.
 type faultyConn struct {
 	net.Conn
 	ends    []writeEnd
 	written *strings.Builder
-	wait    chan struct{} // if there, the first write waits for it after its bytes
+	wait    chan struct{} // if set, the first write blocks after its bytes until the channel is closed
 }
 
-func (f *faultyConn) Write(b []byte) (int, error) {
-	if len(f.ends) == 0 {
-		n, err := f.Conn.Write(b)
-		f.written.Write(b[:n])
+func (c *faultyConn) Write(b []byte) (int, error) {
+	if len(c.ends) == 0 {
+		n, err := c.Conn.Write(b)
+		c.written.Write(b[:n])
 		return n, err
 	}
-	end := f.ends[0]
-	f.ends = f.ends[1:]
-	n := min(end.taken, len(b))
+	end := c.ends[0]
+	c.ends = c.ends[1:]
+	n := min(end.accepted, len(b))
 	if n > 0 {
-		f.Conn.Write(b[:n])
-		f.written.Write(b[:n])
+		c.Conn.Write(b[:n])
+		c.written.Write(b[:n])
 	}
-	if f.wait != nil {
-		<-f.wait
-		f.wait = nil
+	if c.wait != nil {
+		<-c.wait
+		c.wait = nil
 	}
 	return n, end.err
 }
 
-// TestFailedWrites: a write that failed proves that nothing ran only where the kernel took none of it.
+// TestFailedWrites: a failed write proves that nothing was executed only if the kernel accepted no byte of it.
 func TestFailedWrites(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  writeEnd
@@ -72,85 +72,85 @@
 	} {
 		for _, reused := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", reused ", reused), func(t *testing.T) {
-				good := text("200 OK", "ID", "s", "abc")
-				withPool(t, &server{answers: []string{good, good, good}}, func(d *poolTest) {
+				good := answerText("200 OK", "ID", "s", "abc")
+				runFixture(t, &server{answers: []string{good, good, good}}, func(f *fixture) {
 					var conn *faultyConn
-					dial := d.Dial
-					d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+					dial := f.Dial
+					f.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 						c, err := dial(ctx, network, address)
 						conn = &faultyConn{Conn: c, written: &strings.Builder{}}
 						return conn, err
 					}
 					if reused {
-						d.ask("x0")
+						f.call("x0")
 						conn.ends = []writeEnd{c.end}
 					} else {
-						first := d.Dial
-						d.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+						first := f.Dial
+						f.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 							_, err := first(ctx, network, address)
 							conn.ends = []writeEnd{c.end}
 							return conn, err
 						}
 					}
-					result, _ := d.ask("x1")
-					if c.end.taken < 1<<20 { // the whole request may be answered as well
+					result, _ := f.call("x1")
+					if c.end.accepted < 1<<20 { // after the whole request was accepted, it may also be answered
 						must.Eq(t, c.want, result)
 					} else {
 						must.False(t, result.NeverRan())
 					}
-					d.settle()
+					f.settle()
 				})
 			})
 		}
 	}
 }
 
-// stalledWrite gives play a pool with one connection, on which the write of the first request has stalled midway while
-// the replica has answered that it did not run, and the second request waits to be written. release lets the stalled
-// write fail, and tells how the second request ended.
-func stalledWrite(t *testing.T, play func(far net.Conn, conn *faultyConn, release func() []replica.Report)) {
+// stalledWrite calls test with a connection on which the write of the first request has stalled midway. The
+// replica has already answered that it did not execute that request, and the second request waits to be
+// written. release makes the stalled write fail, and returns the reports of what ended then.
+func stalledWrite(t *testing.T, test func(far net.Conn, conn *faultyConn, release func() []replica.Report)) {
 	synctest.Test(t, func(t *testing.T) {
-		near, far := net.Pipe()
+		poolEnd, replicaEnd := net.Pipe()
 		wait := make(chan struct{})
-		conn := &faultyConn{Conn: near, ends: []writeEnd{{taken: 20, err: os.ErrDeadlineExceeded}}, written: &strings.Builder{}, wait: wait}
-		d := &poolTest{t: t, notes: make(chan any, 64)}
+		conn := &faultyConn{Conn: poolEnd, ends: []writeEnd{{accepted: 20, err: os.ErrDeadlineExceeded}}, written: &strings.Builder{}, wait: wait}
+		f := &fixture{t: t, events: make(chan any, 64)}
 		began := time.Now()
-		d.Pool = NewPool(func(v any) { d.notes <- v }, func() int64 { return int64(time.Since(began)) })
-		d.Dial = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
-		d.Address(0, Dial("i-1", "r:1"))
+		f.Pool = NewPool(func(v any) { f.events <- v }, func() int64 { return int64(time.Since(began)) })
+		f.Dial = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
+		f.SetAddress(0, DestinationAddress("i-1", "r:1"))
 		defer func() {
-			far.Close()
-			near.Close()
+			replicaEnd.Close()
+			poolEnd.Close()
 			synctest.Wait()
 		}()
 		go func() {
-			io.ReadFull(far, make([]byte, 20))
-			io.WriteString(far, withLines(text("503 No", "x1", "", ""), notExecutedLine))
+			io.ReadFull(replicaEnd, make([]byte, 20))
+			io.WriteString(replicaEnd, withLines(answerText("503 No", "x1", "", ""), notExecutedLine))
 		}()
-		result, _ := d.ask("x1")
+		result, _ := f.call("x1")
 		must.Eq(t, balance.Full, result)
-		second := &replica.Ticket{Load: &Request{Attempt: "x2", Method: "GET", Head: []byte("GET /other HTTP/1.1\r\n"),
+		second := &replica.Ticket{Payload: &Request{Attempt: "x2", Method: "GET", Head: []byte("GET /other HTTP/1.1\r\n"),
 			Answers: map[int]*Answer{}}}
-		d.Call(0, []*replica.Ticket{second})
+		f.Send(0, []*replica.Ticket{second})
 		synctest.Wait()
-		play(far, conn, func() (ended []replica.Report) {
+		test(replicaEnd, conn, func() (ended []replica.Report) {
 			close(wait)
 			synctest.Wait()
-			for len(d.notes) > 0 {
-				reports, _ := d.Note(<-d.notes)
+			for len(f.events) > 0 {
+				reports, _ := f.Handle(<-f.events)
 				ended = append(ended, reports...)
 				synctest.Wait()
 			}
-			must.Zero(t, d.Open())
+			must.Zero(t, f.OpenConnections())
 			return ended
 		})
 	})
 }
 
-// TestAnsweredBeforeItIsWritten: a replica that answers before it has read the whole request, whose rest then is never
-// taken: no byte of the next request may follow where the replica still waits for that rest.
+// TestAnsweredBeforeItIsWritten: a replica answers before it has read the whole request and then never reads
+// the rest. No byte of the next request may follow, because the replica still waits for that rest.
 func TestAnsweredBeforeItIsWritten(t *testing.T) {
-	for range raceRounds { // whose word comes first, the reader's or the write's, must make no difference
+	for range raceRounds { // the result must not depend on whether the reader or the writer reports first
 		stalledWrite(t, func(far net.Conn, conn *faultyConn, release func() []replica.Report) {
 			go io.Copy(io.Discard, far)
 			ended := release()
@@ -161,7 +161,7 @@
 	}
 }
 
-// deadConn is a connection that ended as it came up.
+// deadConn is a connection that is closed as soon as it is open.
 type deadConn struct{ net.Conn }
 
 func (deadConn) Read([]byte) (int, error)         { return 0, io.EOF }
@@ -169,31 +169,31 @@
 func (deadConn) Close() error                     { return nil }
 func (deadConn) SetWriteDeadline(time.Time) error { return nil }
 
-// TestDeadOnArrival: a connection that has ended before its first request was written proves that it did not run, also where
-// the reader is the one to tell.
+// TestDeadOnArrival: a connection that ends before its first request was written proves that the request was
+// not executed, even if the reader reports the end.
 func TestDeadOnArrival(t *testing.T) {
-	withPool(t, &server{}, func(d *poolTest) {
-		d.Dial = func(context.Context, string, string) (net.Conn, error) { return deadConn{}, nil }
+	runFixture(t, &server{}, func(f *fixture) {
+		f.Dial = func(context.Context, string, string) (net.Conn, error) { return deadConn{}, nil }
 		for range raceRounds {
-			result, _ := d.ask("x1")
+			result, _ := f.call("x1")
 			must.Eq(t, balance.ConnectFailed, result)
-			d.settle()
+			f.settle()
 		}
 	})
 }
 
-// TestEndedBeforeItIsWritten: a connection that ends, or brings bytes that nobody asked for, before a request is written: that
-// request has not run, and is not written any more.
+// TestEndedBeforeItIsWritten: if the connection ends, or receives bytes without a request, before the next
+// request is written, that request is not written any more and is reported as not executed.
 func TestEndedBeforeItIsWritten(t *testing.T) {
 	for name, end := range map[string]func(far net.Conn){
 		"closed":  func(far net.Conn) { far.Close() },
 		"garbage": func(far net.Conn) { io.WriteString(far, "x") },
-		"answer":  func(far net.Conn) { io.WriteString(far, text("200 OK", "x2", "s", "abc")) },
+		"answer":  func(far net.Conn) { io.WriteString(far, answerText("200 OK", "x2", "s", "abc")) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			stalledWrite(t, func(far net.Conn, conn *faultyConn, release func() []replica.Report) {
 				end(far)
-				synctest.Wait() // its end is known before the write may begin
+				synctest.Wait() // the pool's connection has noticed the end before the second request may be written
 				ended := release()
 				must.StrNotContains(t, conn.written.String(), "/other")
 				must.SliceLen(t, 1, ended)
--- a/transport/sockets/sockets.go
+++ b/transport/sockets/sockets.go
@@ -1,62 +1,63 @@
-// Package sockets owns the count of descriptors that the process may hold, and shares it out.
+// Package sockets accounts for the file descriptors that the process may hold, and limits how many each purpose
+// may use.
 package sockets
 
 import "sync"
 
-// Use is what a descriptor is for.
-type Use int
+// Purpose is what a descriptor is used for.
+type Purpose int
 
-// The uses: connections that clients opened, and connections to replicas.
+// The purposes: connections opened by clients, and connections to replicas.
 const (
-	Clients Use = iota
+	Clients Purpose = iota
 	Replicas
-	uses
+	purposeCount
 )
 
 const (
-	reserve = 32 // descriptors for standard streams, the poller, the listener, discovery and the runtime
-	least   = 8  // for clients and replicas together, however low the limit is
+	reservedDescriptors = 32 // descriptors kept for standard streams, the poller, the listener, discovery and the runtime
+	minBudget           = 8  // least descriptors for clients and replicas together, however low the limit is
 )
 
-// Budget counts the descriptors in use against what is allowed for each use and for all.
+// Budget counts the descriptors in use, and limits them per purpose and in total.
 type Budget struct {
-	mu    sync.Mutex
-	all   int
-	most  [uses]int
-	taken [uses]int
+	mu     sync.Mutex
+	total  int
+	limits [purposeCount]int
+	inUse  [purposeCount]int
 }
 
-// NewBudget shares out a limit: neither use can take all that is there.
+// NewBudget splits a limit on descriptors so that neither purpose can use all of them.
 func NewBudget(limit int) *Budget {
-	b := &Budget{all: max(limit-reserve, least)}
-	b.most = [uses]int{Clients: b.all * 3 / 4, Replicas: b.all / 2}
+	b := &Budget{total: max(limit-reservedDescriptors, minBudget)}
+	b.limits = [purposeCount]int{Clients: b.total * 3 / 4, Replicas: b.total / 2}
 	return b
 }
 
-// Take takes one descriptor, if there is one left.
-func (b *Budget) Take(u Use) bool {
+// Acquire takes a descriptor and returns false if none is left for the purpose.
+func (b *Budget) Acquire(purpose Purpose) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.taken[u] >= b.most[u] || b.taken[Clients]+b.taken[Replicas] >= b.all {
+	if b.inUse[purpose] >= b.limits[purpose] || b.inUse[Clients]+b.inUse[Replicas] >= b.total {
 		return false
 	}
-	b.taken[u]++
+	b.inUse[purpose]++
 	return true
 }
 
-// Give gives one back.
-func (b *Budget) Give(u Use) {
+// Release returns a descriptor to the budget.
+func (b *Budget) Release(purpose Purpose) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.taken[u]--
+	b.inUse[purpose]--
 }
 
-// Most is how many a use may take.
-func (b *Budget) Most(u Use) int { return b.most[u] }
+// Limit returns the number of descriptors that a purpose may use.
+func (b *Budget) Limit(purpose Purpose) int { return b.limits[purpose] }
 
-// Taken is how many are in use.
-func (b *Budget) Taken(u Use) int {
+// InUse returns the number of descriptors in use for a purpose.
+func (b *Budget) InUse(purpose Purpose) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.taken[u]
+	return b.inUse[purpose]
 }
