--- a/transport/statestore/format_test.go
+++ b/transport/statestore/format_test.go
@@ -15,7 +15,8 @@
 	"willowsill/decide/registry"
 )
 
-// formerFile was written by the program before the file had a version: three saves, the list with the second.
+// formerFile was written by the program when the file had no version yet. It holds three saves; the second one
+// includes the list of replicas.
 const formerFile = "testdata/without-version.db"
 
 func copyOf(t *testing.T, path string) (dir string, text []byte) {
@@ -26,43 +27,45 @@
 	return dir, text
 }
 
-// TestFormerFormat: a file without a version is read, the next save gives it one, and it is read again.
+// TestFormerFormat: a file without a version is read, the next save adds the version, and the file is read
+// again.
 func TestFormerFormat(t *testing.T) {
 	dir, _ := copyOf(t, formerFile)
-	b, found, err := Open(dir)
+	store, found, err := Open(dir)
 	must.NoError(t, err)
-	want := register.State{Promised: register.Ballot{N: 8, By: "10.0.0.1/x"}, Accepted: register.Ballot{N: 3, By: "10.0.0.2/y"},
+	want := register.State{Promised: register.Ballot{Number: 8, Proposer: "10.0.0.1/x"}, Accepted: register.Ballot{Number: 3, Proposer: "10.0.0.2/y"},
 		Value: register.Value{Epoch: 2, Members: []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, Prior: []string{"10.0.0.1", "10.0.0.2"},
 			Revision: 3, Body: []byte("body"), Size: 3}}
 	must.Eq(t, want, *found.State)
 	must.Eq(t, register.Order{Revision: 2}, found.Committed)
-	must.Eq(t, []registry.Record{{ID: "i-1", Service: "s", Address: "10.0.2.1:80", Seq: 7}}, found.List)
-	must.NoError(t, b.Save(save(4)))
-	must.NoError(t, b.Close())
+	must.Eq(t, []registry.Record{{ID: "i-1", Service: "s", Address: "10.0.2.1:80", Seq: 7}}, found.Replicas)
+	must.NoError(t, store.Save(save(4)))
+	must.NoError(t, store.Close())
 	text, err := os.ReadFile(Path(dir))
 	must.NoError(t, err)
-	whole, version := scan(text)
+	whole, version := scanCommands(text)
 	must.Eq(t, len(text), whole)
 	must.Eq(t, formatVersion, version)
-	b, found, err = Open(dir)
+	store, found, err = Open(dir)
 	must.NoError(t, err)
 	must.Eq(t, 4, found.State.Value.Revision)
-	must.Eq(t, "i-1", found.List[0].ID)
-	must.NoError(t, b.Close())
+	must.Eq(t, "i-1", found.Replicas[0].ID)
+	must.NoError(t, store.Close())
 }
 
-// newerFile puts a file of a newer format into a folder, with an end that this program would cut off.
+// newerFile writes a file of a newer format to a folder, with an incomplete end that this program would cut
+// off.
 func newerFile(t *testing.T, dir string) []byte {
-	b, _, err := Open(dir)
+	store, _, err := Open(dir)
 	must.NoError(t, err)
-	must.NoError(t, b.Save(save(1)))
+	must.NoError(t, store.Save(save(1)))
 	version, err := seal(2, formatVersion+1)
 	must.NoError(t, err)
-	must.NoError(t, b.db.Update(func(tx *buntdb.Tx) error {
+	must.NoError(t, store.db.Update(func(tx *buntdb.Tx) error {
 		_, _, err := tx.Set(versionKey, string(version), nil)
 		return err
 	}))
-	must.NoError(t, b.Close())
+	must.NoError(t, store.Close())
 	text, err := os.ReadFile(Path(dir))
 	must.NoError(t, err)
 	text = append(text, "*9\r\nan end of another kind"...)
@@ -70,7 +73,7 @@
 	return text
 }
 
-// TestNewerFormatRefused: a file of a newer format is refused by a typed error, and not a byte of it changes.
+// TestNewerFormatRefused: a file of a newer format is rejected with ErrNewerFormat, and stays unchanged.
 func TestNewerFormatRefused(t *testing.T) {
 	dir := t.TempDir()
 	text := newerFile(t, dir)
@@ -83,62 +86,62 @@
 	must.Eq(t, text, after)
 }
 
-// TestSizeIsBounded: 10,000 saves of 20 KB leave the file, and what lies beside it while it shrinks, well below
+// TestSizeIsBounded: after 10,000 saves of 20 KB the file, and its copy during compaction, take much less than
 // a disk of 128 MB.
 func TestSizeIsBounded(t *testing.T) {
-	const saves, body, most = 10_000, 20_000, 32 << 20
+	const saves, body, maxBytes = 10_000, 20_000, 32 << 20
 	dir := t.TempDir()
-	b, _, err := Open(dir)
+	store, _, err := Open(dir)
 	must.NoError(t, err)
 	largest := int64(0)
 	for n := uint64(1); n <= saves; n++ {
 		s := save(n)
-		s.State.Value.Body = make([]byte, body)
-		must.NoError(t, b.Save(s))
+		s.RegisterState.Value.Body = make([]byte, body)
+		must.NoError(t, store.Save(s))
 		info, err := os.Stat(Path(dir))
 		must.NoError(t, err)
 		largest = max(largest, info.Size())
 	}
-	t.Logf("%d bytes at the most", largest)
-	must.Less(t, most, largest)
-	must.NoError(t, b.Close())
+	t.Logf("the largest size was %d bytes", largest)
+	must.Less(t, maxBytes, largest)
+	must.NoError(t, store.Close())
 	_, found, err := Open(dir)
 	must.NoError(t, err)
 	must.Eq(t, saves, found.State.Value.Revision)
 }
 
-// TestShrinkCutShort: wherever a shrink is cut short, by a kill or a loss of power, the last save is found: the
-// new file is there in part beside the old one, or whole beside it, or in its place.
+// TestShrinkCutShort: if a kill or a power failure interrupts a compaction at any point, the last save is
+// found: the new file may be incomplete beside the old one, complete beside it, or in its place.
 func TestShrinkCutShort(t *testing.T) {
 	dir := t.TempDir()
-	b, _, err := Open(dir)
+	store, _, err := Open(dir)
 	must.NoError(t, err)
-	must.NoError(t, b.Save(controller.Save{State: save(1).State, List: []registry.Record{{ID: "i-1"}}}))
+	must.NoError(t, store.Save(controller.Save{RegisterState: save(1).RegisterState, Replicas: []registry.Record{{ID: "i-1"}}}))
 	for n := uint64(2); n <= 9; n++ {
-		must.NoError(t, b.Save(save(n)))
+		must.NoError(t, store.Save(save(n)))
 	}
-	next := filepath.Join(dir, shrinkName)
-	must.NoError(t, b.writeAnew(next))
-	must.NoError(t, b.Close())
+	next := filepath.Join(dir, compactedName)
+	must.NoError(t, store.writeCopy(next))
+	must.NoError(t, store.Close())
 	shrunk, err := os.ReadFile(next)
 	must.NoError(t, err)
 	before, err := os.ReadFile(Path(dir))
 	must.NoError(t, err)
 	must.Less(t, len(before), len(shrunk))
-	check := func(text, beside []byte, what string) {
-		at := t.TempDir()
-		must.NoError(t, os.WriteFile(Path(at), text, 0o600))
-		if beside != nil {
-			must.NoError(t, os.WriteFile(filepath.Join(at, shrinkName), beside, 0o600))
+	check := func(text, copyText []byte, what string) {
+		folder := t.TempDir()
+		must.NoError(t, os.WriteFile(Path(folder), text, 0o600))
+		if copyText != nil {
+			must.NoError(t, os.WriteFile(filepath.Join(folder, compactedName), copyText, 0o600))
 		}
-		b, found, err := Open(at)
+		store, found, err := Open(folder)
 		must.NoError(t, err, must.Sprint(what))
 		must.NotNil(t, found.State, must.Sprint(what))
 		must.Eq(t, 9, found.State.Value.Revision, must.Sprint(what))
-		must.Eq(t, "i-1", found.List[0].ID, must.Sprint(what))
-		must.NoError(t, b.Save(save(10)))
-		must.NoError(t, b.Close())
-		_, err = os.Stat(filepath.Join(at, shrinkName))
+		must.Eq(t, "i-1", found.Replicas[0].ID, must.Sprint(what))
+		must.NoError(t, store.Save(save(10)))
+		must.NoError(t, store.Close())
+		_, err = os.Stat(filepath.Join(folder, compactedName))
 		must.ErrorIs(t, err, os.ErrNotExist, must.Sprint(what))
 	}
 	for cut := 0; cut <= len(shrunk); cut += 13 {
@@ -148,51 +151,52 @@
 	check(shrunk, nil, "renamed")
 }
 
-// TestNewFileIsSyncedBeforeItsName: a shrink gives the new file its name only once what it holds is on disk.
+// TestNewFileIsSyncedBeforeItsName: a compaction renames the new file only after its content was synced to
+// disk.
 func TestNewFileIsSyncedBeforeItsName(t *testing.T) {
 	dir := t.TempDir()
-	b, _, err := Open(dir)
+	store, _, err := Open(dir)
 	must.NoError(t, err)
-	must.NoError(t, b.Save(save(1)))
+	must.NoError(t, store.Save(save(1)))
 	var steps []string
-	b.sync = func(f *os.File) error {
+	store.sync = func(f *os.File) error {
 		steps = append(steps, "sync "+filepath.Base(f.Name()))
 		return f.Sync()
 	}
-	b.rename = func(from, to string) error {
+	store.rename = func(from, to string) error {
 		steps = append(steps, "rename "+filepath.Base(from))
 		return os.Rename(from, to)
 	}
-	must.NoError(t, b.shrinkNow())
-	must.Eq(t, []string{"sync " + shrinkName, "rename " + shrinkName, "sync " + filepath.Base(dir)}, steps)
+	must.NoError(t, store.compact())
+	must.Eq(t, []string{"sync " + compactedName, "rename " + compactedName, "sync " + filepath.Base(dir)}, steps)
 	steps = nil
-	must.NoError(t, b.Save(save(2)))
+	must.NoError(t, store.Save(save(2)))
 	must.Eq(t, []string{"sync " + fileName}, steps)
-	must.NoError(t, b.Close())
+	must.NoError(t, store.Close())
 	_, found, err := Open(dir)
 	must.NoError(t, err)
 	must.Eq(t, 2, found.State.Value.Revision)
 }
 
-// TestDiskThatRefuses: a shrink for which there is no room costs nothing, and a save that is refused leaves what
-// was saved before.
+// TestDiskThatRefuses: a compaction that fails for lack of space does no harm, and a failed save leaves the
+// previous one intact.
 func TestDiskThatRefuses(t *testing.T) {
 	dir := t.TempDir()
-	b, _, err := Open(dir)
+	store, _, err := Open(dir)
 	must.NoError(t, err)
-	must.NoError(t, b.Save(save(1)))
-	blocked := filepath.Join(dir, shrinkName)
+	must.NoError(t, store.Save(save(1)))
+	blocked := filepath.Join(dir, compactedName)
 	must.NoError(t, os.MkdirAll(filepath.Join(blocked, "in the way"), 0o700))
-	must.NoError(t, b.shrinkNow())
-	must.NoError(t, b.Save(save(2)))
+	must.NoError(t, store.compact())
+	must.NoError(t, store.Save(save(2)))
 	must.NoError(t, os.RemoveAll(blocked))
 
-	b.sync = func(*os.File) error { return syscall.EIO }
-	must.ErrorIs(t, b.Save(save(3)), syscall.EIO)
-	must.ErrorIs(t, b.Save(save(3)), syscall.EIO)
-	b.sync = (*os.File).Sync
-	must.NoError(t, b.Save(save(4)))
-	must.NoError(t, b.Close())
+	store.sync = func(*os.File) error { return syscall.EIO }
+	must.ErrorIs(t, store.Save(save(3)), syscall.EIO)
+	must.ErrorIs(t, store.Save(save(3)), syscall.EIO)
+	store.sync = (*os.File).Sync
+	must.NoError(t, store.Save(save(4)))
+	must.NoError(t, store.Close())
 	_, found, err := Open(dir)
 	must.NoError(t, err)
 	must.Eq(t, 4, found.State.Value.Revision)
--- a/transport/statestore/statestore.go
+++ b/transport/statestore/statestore.go
@@ -1,5 +1,5 @@
-// Package statestore keeps one controller's part of the register on disk, in buntdb. It decides nothing: it
-// saves what it is given, and finds at the start what was saved last.
+// Package statestore keeps one controller's part of the register on disk, in buntdb. It writes each save and
+// reads the last one at the start. It makes no decisions of its own.
 package statestore
 
 import (
@@ -22,78 +22,79 @@
 	"willowsill/decide/rollout"
 )
 
-// ErrStore is the class of this package's errors.
+// ErrStore builds this package's errors, which have the code statestore.
 var ErrStore = oops.Code("statestore")
 
-// ErrNewerFormat tells that the file was written by a newer version of the program. Nothing of it was changed;
-// whoever meets it must not remove it.
+// ErrNewerFormat is returned if a newer version of the program wrote the file. The file was not changed, and
+// the caller must not remove it.
 var ErrNewerFormat = errors.New("the state file has a newer format than this program reads")
 
 const (
-	fileName   = "register.db"
-	shrinkName = fileName + ".new" // the file that is to take its place
-	listKey    = "list"
-	versionKey = "version"
+	fileName      = "register.db"
+	compactedName = fileName + ".new" // the copy that replaces the file at a compaction
+	listKey       = "list"            // key of the list of replicas
+	versionKey    = "version"         // key of the format version
 
-	// formatVersion is that of the file. One without a version is of the first format, which is read as this one.
+	// formatVersion is the version of the file's format. A file without a version has the first format, which is
+	// read in the same way.
 	formatVersion = 2
 
-	mostDigits = 10 // of a length in the file
+	maxDigits = 10 // most digits of a length in the file
 
-	slots     = 2        // saves go to them by turns, so that a torn one leaves the one before
-	shrinkMin = 24 << 20 // bytes of the file before it is written anew
+	slots           = 2        // saves alternate between them, so that a torn save leaves the previous one intact
+	compactMinBytes = 24 << 20 // size of the file from which it is compacted
 )
 
-// Store is the open file.
+// Store is the open state file of a controller.
 type Store struct {
-	db      *buntdb.DB
-	file    *os.File // the same file, to sync it
-	dir     string
-	number  uint64                      // of the last save
-	current bool                        // the file names the format's version
-	sync    func(*os.File) error        // of files and of the folder; tests put their own in its place
-	rename  func(from, to string) error // likewise
+	db             *buntdb.DB
+	file           *os.File // a second handle of db's file, for syncing it
+	dir            string
+	lastSave       uint64                      // number of the last save
+	versionWritten bool                        // the file holds the current format version
+	sync           func(*os.File) error        // syncs a file or the folder; replaced in tests
+	rename         func(from, to string) error // renames a file; replaced in tests
 }
 
-// kept is what a save holds.
-type kept struct {
+// savedState is what one save holds: the register, and the last configuration and rollouts known to be committed.
+type savedState struct {
 	State             register.State `cbor:"1,keyasint"`
 	CommittedRevision uint64         `cbor:"2,keyasint,omitempty"`
-	CommittedSum      uint64         `cbor:"3,keyasint,omitempty"` // of its content; 0 in a file of the former version
+	CommittedSum      uint64         `cbor:"3,keyasint,omitempty"` // checksum of the committed content; 0 in a file of the former version
 	CommittedRollouts rollout.Set    `cbor:"4,keyasint,omitzero"`
 }
 
-// Found is what the file held when it was opened.
+// Found is the content of the file when it was opened.
 type Found struct {
-	State     *register.State   // nil where none was ever saved
-	Committed register.Order    // the configuration last known to be committed
-	Rollouts  rollout.Set       // last known to be committed
-	List      []registry.Record // as it was last saved
+	State     *register.State   // state of the register, nil if none was ever saved
+	Committed register.Order    // the last configuration known to be committed
+	Rollouts  rollout.Set       // the last rollouts known to be committed
+	Replicas  []registry.Record // the list of replicas that was saved last
 }
 
-// Open opens the file in a folder. Its error is ErrNewerFormat, in a chain, where a newer version of the program
-// wrote the file; the file is left as it is then.
-func Open(dir string) (b *Store, found Found, err error) {
+// Open opens the file in a folder. The error wraps ErrNewerFormat if a newer version of the program wrote the
+// file, which then stays unchanged.
+func Open(dir string) (s *Store, found Found, err error) {
 	path := filepath.Join(dir, fileName)
-	if err := mend(path); err != nil {
+	if err := truncateTornEnd(path); err != nil {
 		return nil, found, ErrStore.Wrapf(err, "opening %s", path)
 	}
-	// What a shrink left behind that was cut short: the file itself is still the one before.
-	os.Remove(filepath.Join(dir, shrinkName))
-	b = &Store{dir: dir, sync: (*os.File).Sync, rename: os.Rename}
-	if err := b.attach(); err != nil {
+	// Remove the copy of an interrupted compaction: the file itself is still the previous one.
+	os.Remove(filepath.Join(dir, compactedName))
+	s = &Store{dir: dir, sync: (*os.File).Sync, rename: os.Rename}
+	if err := s.openFile(); err != nil {
 		return nil, found, ErrStore.Wrapf(err, "opening %s", path)
 	}
-	if found, err = b.load(); err != nil {
-		b.Close()
+	if found, err = s.load(); err != nil {
+		s.Close()
 		return nil, Found{}, ErrStore.Wrapf(err, "reading %s", path)
 	}
-	return b, found, nil
+	return s, found, nil
 }
 
-// attach opens the file as it is on disk.
-func (b *Store) attach() error {
-	path := filepath.Join(b.dir, fileName)
+// openFile opens the database, and its file a second time for syncing.
+func (s *Store) openFile() error {
+	path := filepath.Join(s.dir, fileName)
 	db, err := openDB(path)
 	if err != nil {
 		return err
@@ -103,11 +104,11 @@
 		db.Close()
 		return err
 	}
-	b.db, b.file = db, file
+	s.db, s.file = db, file
 	return nil
 }
 
-// openDB opens a database that syncs nothing by itself: it ignores errors of its syncs, so Store does them.
+// openDB opens the database without its automatic syncs, whose errors it ignores. Store syncs the file itself.
 func openDB(path string) (*buntdb.DB, error) {
 	db, err := buntdb.Open(path)
 	if err != nil {
@@ -120,9 +121,9 @@
 	return db, nil
 }
 
-// load finds what was saved last.
-func (b *Store) load() (found Found, err error) {
-	err = b.db.View(func(tx *buntdb.Tx) error {
+// load reads the last complete save.
+func (s *Store) load() (found Found, err error) {
+	err = s.db.View(func(tx *buntdb.Tx) error {
 		for slot := range slots {
 			text, err := tx.Get(strconv.Itoa(slot))
 			if errors.Is(err, buntdb.ErrNotFound) {
@@ -130,36 +131,36 @@
 			} else if err != nil {
 				return err
 			}
-			var k kept
-			if n, ok := unseal([]byte(text), &k); ok && n > b.number {
-				b.number, found.State = n, &k.State
-				found.Committed = register.Order{Revision: k.CommittedRevision, Sum: k.CommittedSum}
-				found.Rollouts = k.CommittedRollouts
+			var state savedState
+			if n, ok := unseal([]byte(text), &state); ok && n > s.lastSave {
+				s.lastSave, found.State = n, &state.State
+				found.Committed = register.Order{Revision: state.CommittedRevision, Sum: state.CommittedSum}
+				found.Rollouts = state.CommittedRollouts
 			}
 		}
 		if text, err := tx.Get(listKey); err == nil {
-			unseal([]byte(text), &found.List)
+			unseal([]byte(text), &found.Replicas)
 		}
 		if text, err := tx.Get(versionKey); err == nil {
-			b.current = versionOf([]byte(text)) == formatVersion
+			s.versionWritten = parseVersion([]byte(text)) == formatVersion
 		}
 		return nil
 	})
 	return found, err
 }
 
-// Save returns once what is given is on disk for good, or with an error.
+// Save returns nil once the state is synced to disk.
 //
-// Danger: a new file lasts only once the folder that holds its name is synced as well.
-func (b *Store) Save(s controller.Save) error {
-	n := b.number + 1
-	text, err := seal(n, kept{s.State, s.Committed.Revision, s.Committed.Sum, s.Rollouts})
+// Danger: a new file is only durable once its folder is synced as well.
+func (s *Store) Save(save controller.Save) error {
+	n := s.lastSave + 1
+	text, err := seal(n, savedState{save.RegisterState, save.CommittedConfiguration.Revision, save.CommittedConfiguration.Sum, save.Rollouts})
 	if err != nil {
 		return ErrStore.Wrapf(err, "encoding")
 	}
 	var list []byte
-	if s.List != nil {
-		if list, err = seal(n, s.List); err != nil {
+	if save.Replicas != nil {
+		if list, err = seal(n, save.Replicas); err != nil {
 			return ErrStore.Wrapf(err, "encoding")
 		}
 	}
@@ -167,8 +168,8 @@
 	if err != nil {
 		return ErrStore.Wrapf(err, "encoding")
 	}
-	err = b.db.Update(func(tx *buntdb.Tx) error {
-		if !b.current {
+	err = s.db.Update(func(tx *buntdb.Tx) error {
+		if !s.versionWritten {
 			if _, _, err := tx.Set(versionKey, string(version), nil); err != nil {
 				return err
 			}
@@ -184,50 +185,50 @@
 	if err != nil {
 		return ErrStore.Wrapf(err, "saving")
 	}
-	if err := b.sync(b.file); err != nil {
+	if err := s.sync(s.file); err != nil {
 		return ErrStore.Wrapf(err, "syncing")
 	}
-	if b.number == 0 {
-		if err := b.syncDir(); err != nil {
+	if s.lastSave == 0 {
+		if err := s.syncDir(); err != nil {
 			return ErrStore.Wrapf(err, "syncing the folder")
 		}
 	}
-	b.number, b.current = n, true
-	return b.shrink()
+	s.lastSave, s.versionWritten = n, true
+	return s.compactIfLarge()
 }
 
-// shrink writes the file anew once it has grown.
-func (b *Store) shrink() error {
-	info, err := b.file.Stat()
-	if err != nil || info.Size() < shrinkMin {
+// compactIfLarge compacts the file once it has grown to compactMinBytes.
+func (s *Store) compactIfLarge() error {
+	info, err := s.file.Stat()
+	if err != nil || info.Size() < compactMinBytes {
 		return nil
 	}
-	return b.shrinkNow()
+	return s.compact()
 }
 
-// shrinkNow writes the file anew. What was saved is on disk already, so a disk that refuses the new file, as a
-// full one does, costs nothing but room: the next save tries again.
-func (b *Store) shrinkNow() error {
-	next := filepath.Join(b.dir, shrinkName)
-	if err := b.writeAnew(next); err != nil {
-		os.Remove(next)
+// compact replaces the file by a copy of its current content. The state is on disk already, so if the new file cannot be written, for example
+// on a full disk, only space is lost and the next save tries again.
+func (s *Store) compact() error {
+	copyPath := filepath.Join(s.dir, compactedName)
+	if err := s.writeCopy(copyPath); err != nil {
+		os.Remove(copyPath)
 		return nil
 	}
-	return b.replaceBy(next)
+	return s.replaceWith(copyPath)
 }
 
-// writeAnew puts what the file holds into a new one and syncs that.
+// writeCopy writes the current content of the file to a new one and syncs it.
 //
-// It is synced before it takes the place of the other: all members grow alike and shrink at about the same
-// save, and a loss of power right then could leave all of them the new name with nothing behind it.
-func (b *Store) writeAnew(path string) error {
+// It must be synced before it replaces the file: the files of all members grow alike and are compacted at about
+// the same save, so a power failure at that time could leave all members with a renamed file without content.
+func (s *Store) writeCopy(path string) error {
 	os.Remove(path)
-	next, err := openDB(path)
+	copyDB, err := openDB(path)
 	if err != nil {
 		return err
 	}
-	err = b.db.View(func(from *buntdb.Tx) error {
-		return next.Update(func(to *buntdb.Tx) (err error) {
+	err = s.db.View(func(from *buntdb.Tx) error {
+		return copyDB.Update(func(to *buntdb.Tx) (err error) {
 			ascend := from.Ascend("", func(key, value string) bool {
 				_, _, err = to.Set(key, value, nil)
 				return err == nil
@@ -235,46 +236,46 @@
 			return errors.Join(ascend, err)
 		})
 	})
-	if err := errors.Join(err, next.Close()); err != nil {
+	if err := errors.Join(err, copyDB.Close()); err != nil {
 		return err
 	}
 	file, err := os.OpenFile(path, os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	return errors.Join(b.sync(file), file.Close())
+	return errors.Join(s.sync(file), file.Close())
 }
 
-// replaceBy gives a new file the name of the one that is open, and opens it.
-func (b *Store) replaceBy(path string) error {
-	if err := b.rename(path, filepath.Join(b.dir, fileName)); err != nil {
+// replaceWith renames a new file to the name of the open one, and opens it.
+func (s *Store) replaceWith(path string) error {
+	if err := s.rename(path, filepath.Join(s.dir, fileName)); err != nil {
 		os.Remove(path)
 		return nil
 	}
-	before := *b
-	if err := b.attach(); err != nil {
-		return ErrStore.Wrapf(err, "opening the shrunk file")
+	previous := *s
+	if err := s.openFile(); err != nil {
+		return ErrStore.Wrapf(err, "opening the compacted file")
 	}
-	before.Close()
-	if err := b.syncDir(); err != nil {
+	previous.Close()
+	if err := s.syncDir(); err != nil {
 		return ErrStore.Wrapf(err, "syncing the folder")
 	}
 	return nil
 }
 
-// Close closes the file.
-func (b *Store) Close() error { return errors.Join(b.db.Close(), b.file.Close()) }
+// Close closes the database and its file.
+func (s *Store) Close() error { return errors.Join(s.db.Close(), s.file.Close()) }
 
-func (b *Store) syncDir() error {
-	d, err := os.Open(b.dir)
+func (s *Store) syncDir() error {
+	folder, err := os.Open(s.dir)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	return b.sync(d)
+	defer folder.Close()
+	return s.sync(folder)
 }
 
-// seal puts the number of the save before what is saved, and a check sum behind it.
+// seal encodes a value, with the number of the save before it and a checksum after it.
 func seal(n uint64, v any) ([]byte, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
@@ -285,9 +286,9 @@
 	return binary.BigEndian.AppendUint32(text, crc32.ChecksumIEEE(text)), nil
 }
 
-// unseal is the way back; it tells whether the text is whole.
+// unseal decodes what seal has encoded, and reports whether it is complete.
 //
-// Danger: what was being written as the power went may be there in part.
+// Danger: a value that was being written during a power failure may be incomplete.
 func unseal(text []byte, v any) (n uint64, ok bool) {
 	if len(text) < 12 {
 		return 0, false
@@ -299,30 +300,31 @@
 	return binary.BigEndian.Uint64(body), true
 }
 
-// versionOf is the version that a sealed text names, 0 where the text is damaged: then the slots, each with a
-// check sum of its own, tell what can be read.
-func versionOf(text []byte) (version uint64) {
+// parseVersion returns the version in a sealed text, 0 if the text is damaged. In that case the slots, each
+// with its own checksum, determine what can be read.
+func parseVersion(text []byte) (version uint64) {
 	if _, ok := unseal(text, &version); !ok {
 		return 0
 	}
 	return version
 }
 
-// mend cuts the file off behind its last whole command. It changes nothing in a file of a newer format.
+// truncateTornEnd cuts the file off after its last complete command. It changes nothing in a file of a newer
+// format.
 //
-// The database refuses a file whose end is torn, though all that was ever synced stands before it.
-func mend(path string) error {
+// The database refuses to open a file with a torn end, although all synced data precedes that end.
+func truncateTornEnd(path string) error {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	} else if err != nil {
 		return err
 	}
-	whole, version := scan(text)
+	complete, version := scanCommands(text)
 	if version > formatVersion {
 		return fmt.Errorf("%w: it has version %d, this program reads up to %d", ErrNewerFormat, version, formatVersion)
 	}
-	if whole == len(text) {
+	if complete == len(text) {
 		return nil
 	}
 	f, err := os.OpenFile(path, os.O_WRONLY, 0o600)
@@ -330,35 +332,36 @@
 		return err
 	}
 	defer f.Close()
-	if err := f.Truncate(int64(whole)); err != nil {
+	if err := f.Truncate(int64(complete)); err != nil {
 		return err
 	}
 	return f.Sync()
 }
 
-// scan tells how many bytes of a file are whole commands, and the highest version that one of them sets.
-func scan(text []byte) (whole int, version uint64) {
+// scanCommands returns how many bytes of a file are complete commands, and the highest version that one of them
+// sets.
+func scanCommands(text []byte) (complete int, version uint64) {
 	for {
-		words, rest, ok := command(text[whole:])
+		words, rest, ok := readCommand(text[complete:])
 		if !ok {
-			return whole, version
+			return complete, version
 		}
 		if len(words) >= 3 && string(words[0]) == "set" && string(words[1]) == versionKey {
-			version = max(version, versionOf(words[2]))
+			version = max(version, parseVersion(words[2]))
 		}
-		whole = len(text) - len(rest)
+		complete = len(text) - len(rest)
 	}
 }
 
-// command takes one command off a text: an array's count, then each string with its length.
-func command(text []byte) (words [][]byte, rest []byte, ok bool) {
-	count, rest, ok := number(text, '*')
+// readCommand splits one command off a text: the count of its strings, then each string with its length.
+func readCommand(text []byte) (words [][]byte, rest []byte, ok bool) {
+	count, rest, ok := readLength(text, '*')
 	if !ok || count == 0 {
 		return nil, nil, false
 	}
 	for range count {
 		var length int
-		if length, rest, ok = number(rest, '$'); !ok || length+2 > len(rest) || string(rest[length:length+2]) != "\r\n" {
+		if length, rest, ok = readLength(rest, '$'); !ok || length+2 > len(rest) || string(rest[length:length+2]) != "\r\n" {
 			return nil, nil, false
 		}
 		words, rest = append(words, rest[:length]), rest[length+2:]
@@ -366,12 +369,12 @@
 	return words, rest, true
 }
 
-// number takes a line off a text that holds a mark and a number.
-func number(text []byte, mark byte) (n int, rest []byte, ok bool) {
+// readLength splits a line off a text that consists of the mark and a number.
+func readLength(text []byte, mark byte) (n int, rest []byte, ok bool) {
 	if len(text) == 0 || text[0] != mark {
 		return 0, nil, false
 	}
-	end := bytes.Index(text[:min(len(text), mostDigits+3)], []byte("\r\n"))
+	end := bytes.Index(text[:min(len(text), maxDigits+3)], []byte("\r\n"))
 	if end < 2 {
 		return 0, nil, false
 	}
@@ -384,5 +387,5 @@
 	return n, text[end+2:], true
 }
 
-// Path is the file in a folder.
+// Path returns the path of the state file in a folder.
 func Path(dir string) string { return filepath.Join(dir, fileName) }
--- a/transport/store/store_test.go
+++ b/transport/store/store_test.go
@@ -26,7 +26,7 @@
 
 	"willowsill/balance"
 	"willowsill/decide/sharedhealth"
-	"willowsill/internal/pipes"
+	"willowsill/internal/pipenet"
 	"willowsill/standin/redis"
 )
 
@@ -35,76 +35,75 @@
 	deadline = 150 * time.Millisecond
 )
 
-// core is an aggregator that knows what the test says.
-type core struct {
+// testAggregator is an aggregator whose survey the test sets.
+type testAggregator struct {
 	mu      sync.Mutex
 	survey  sharedhealth.Survey
-	allowed []sharedhealth.Allowance
-	crowded bool
+	applied []sharedhealth.RoundResult
+	busy    bool
 }
 
-func (c *core) Consult(context.Context) (sharedhealth.Survey, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.survey, !c.crowded
+func (a *testAggregator) Survey(context.Context) (sharedhealth.Survey, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.survey, !a.busy
 }
 
-func (c *core) Allow(a sharedhealth.Allowance) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	a.Words = slices.Clone(a.Words)
-	c.allowed = append(c.allowed, a)
+func (a *testAggregator) ApplyShared(result sharedhealth.RoundResult) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	result.Reports = slices.Clone(result.Reports)
+	a.applied = append(a.applied, result)
 }
 
-// finds has it find something else of a replica from now on.
-func (c *core) finds(f balance.Finding) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.survey.Findings = slices.Clone(c.survey.Findings)
-	c.survey.Findings[f.Replica] = f
+func (a *testAggregator) setFinding(finding balance.Finding) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.survey.Findings = slices.Clone(a.survey.Findings)
+	a.survey.Findings[finding.Replica] = finding
 }
 
-func (c *core) crowd() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.crowded = true
+func (a *testAggregator) setBusy() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.busy = true
 }
 
-// passed are the replicas that it was last told to pass over.
-func (c *core) passed() (all []int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if n := len(c.allowed); n > 0 {
-		for _, w := range c.allowed[n-1].Words {
-			if w.Weight > 0 {
-				all = append(all, w.Replica)
+// passedOver returns the replicas that the last result gave reports against.
+func (a *testAggregator) passedOver() (all []int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if n := len(a.applied); n > 0 {
+		for _, report := range a.applied[n-1].Reports {
+			if report.Weight > 0 {
+				all = append(all, report.Replica)
 			}
 		}
 	}
 	return all
 }
 
-// one is a client with its core.
-type one struct {
+// testClient is a client with its aggregator and its logs.
+type testClient struct {
 	*Client
-	core *core
+	core *testAggregator
 	logs *observer.ObservedLogs
 }
 
-type world struct {
+type fixture struct {
 	*testing.T
 	server      *redis.Server
-	network     *pipes.Network
-	began       time.Time
-	aggregators []*one
+	network     *pipenet.Network
+	startedAt   time.Time
+	aggregators []*testClient
 }
 
-func (w *world) now() int64 { return int64(time.Since(w.began)) + 1e9 }
+func (w *fixture) now() int64 { return int64(time.Since(w.startedAt)) + 1e9 }
 
-// play plays a test in a bubble of its own time with some aggregators at one server.
-func play(t *testing.T, aggregators int, change func(*Place, *sharedhealth.Terms), do func(*world)) {
+// runFixture runs a test with some aggregators at one server, in a synctest bubble.
+func runFixture(t *testing.T, aggregators int, change func(*Endpoint, *sharedhealth.Config), test func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{T: t, server: &redis.Server{}, network: &pipes.Network{}, began: time.Now()}
+		w := &fixture{T: t, server: &redis.Server{}, network: &pipenet.Network{}, startedAt: time.Now()}
 		l := w.network.Listen("r:1")
 		served := make(chan struct{})
 		go func() {
@@ -114,16 +113,16 @@
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		for i := range aggregators {
-			p := Place{Address: "r:1", Prefix: "t", Dial: w.network.Dial}
-			terms := sharedhealth.Terms{Name: fmt.Sprint("n", i), Incarnation: 7, Seed: uint64(i), Round: int64(round),
-				Deadline: int64(deadline), Sample: 24, Aggregators: aggregators, Rest: 1e9, Health: true,
+			p := Endpoint{Address: "r:1", Prefix: "t", Dial: w.network.Dial}
+			config := sharedhealth.Config{Name: fmt.Sprint("n", i), Incarnation: 7, Seed: uint64(i), RoundInterval: int64(round),
+				RoundTimeout: int64(deadline), SampleSize: 24, Aggregators: aggregators, BaseEjection: 1e9, HealthEnabled: true,
 				Quotas: []sharedhealth.Quota{{Customer: "acme", Rate: 40}}}
 			if change != nil {
-				change(&p, &terms)
+				change(&p, &config)
 			}
-			seen, logs := observer.New(zap.InfoLevel)
-			k := &one{core: &core{survey: survey(20)}, logs: logs}
-			client, err := New(p, sharedhealth.New(w.now(), terms), k.core, w.now, &Count{}, zap.New(seen))
+			logCore, logs := observer.New(zap.InfoLevel)
+			k := &testClient{core: &testAggregator{survey: survey(20)}, logs: logs}
+			client, err := New(p, sharedhealth.New(w.now(), config), k.core, w.now, &Counters{}, zap.New(logCore))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -134,8 +133,8 @@
 				ended <- struct{}{}
 			}()
 		}
-		do(w)
-		w.server.Misbehave(redis.Fault{})
+		test(w)
+		w.server.SetFault(redis.Fault{})
 		stop()
 		for range aggregators {
 			<-ended
@@ -145,18 +144,18 @@
 	})
 }
 
-func survey(replicas int) (s sharedhealth.Survey) {
+func survey(replicas int) (result sharedhealth.Survey) {
 	for i := range replicas {
-		s.Findings = append(s.Findings, balance.Finding{Replica: i, Cell: i / 5})
-		s.Keys = append(s.Keys, sharedhealth.Key("s", int64(i)))
+		result.Findings = append(result.Findings, balance.Finding{Replica: i, Cell: i / 5})
+		result.Keys = append(result.Keys, sharedhealth.ReplicaKey("s", int64(i)))
 	}
-	s.Demand, s.Left = []float64{5}, []float64{0}
-	return s
+	result.Demand, result.TokensLeft = []float64{5}, []float64{0}
+	return result
 }
 
-func (k *one) state() string { return k.count.Figures().State.String() }
+func (k *testClient) state() string { return k.counters.Stats().State.String() }
 
-func (w *world) states() string {
+func (w *fixture) states() string {
 	all := ""
 	for _, k := range w.aggregators {
 		all += k.state() + " "
@@ -164,27 +163,28 @@
 	return strings.TrimSpace(all)
 }
 
-// What two set aside a third passes over, and not for longer than they say so.
+// TestHeard: a replica that two aggregators have ejected is passed over by a third one, and no longer than they
+// report it.
 func TestHeard(t *testing.T) {
-	play(t, 3, nil, func(w *world) {
+	runFixture(t, 3, nil, func(w *fixture) {
 		time.Sleep(4 * round)
 		for _, k := range w.aggregators[:2] {
-			k.core.finds(balance.Finding{Replica: 3, Aside: true, Failed: w.now()})
+			k.core.setFinding(balance.Finding{Replica: 3, Ejected: true, LastFailure: w.now()})
 		}
 		time.Sleep(4 * round)
 		synctest.Wait()
-		if got := w.aggregators[2].core.passed(); len(got) != 1 || got[0] != 3 || w.states() != "fresh fresh fresh" {
+		if got := w.aggregators[2].core.passedOver(); len(got) != 1 || got[0] != 3 || w.states() != "fresh fresh fresh" {
 			w.Errorf("passed over %v, %s", got, w.states())
 		}
-		if f := w.aggregators[2].count.Figures(); f.Live != 3 || f.Heard == 0 || f.Refused != 0 {
+		if f := w.aggregators[2].counters.Stats(); f.LiveMembers != 3 || f.RecordsMerged == 0 || f.RecordsRefused != 0 {
 			w.Errorf("%+v", f)
 		}
 		for _, k := range w.aggregators[:2] {
-			k.core.finds(balance.Finding{Replica: 3})
+			k.core.setFinding(balance.Finding{Replica: 3})
 		}
-		time.Sleep(20 * round) // it fades, not at once for all
+		time.Sleep(20 * round) // reports fade at different times
 		synctest.Wait()
-		if got := w.aggregators[2].core.passed(); len(got) != 0 {
+		if got := w.aggregators[2].core.passedOver(); len(got) != 0 {
 			w.Errorf("still passes over %v", got)
 		}
 		if n := w.server.Connections(); n != 3 {
@@ -193,15 +193,15 @@
 	})
 }
 
-// Tokens are leased by demand, and all together stay within the quota.
+// TestLeased: tokens are leased according to demand, and their sum stays within the quota.
 func TestLeased(t *testing.T) {
-	play(t, 2, nil, func(w *world) {
+	runFixture(t, 2, nil, func(w *fixture) {
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
 		tokens := 0.0
 		for _, k := range w.aggregators {
 			k.core.mu.Lock()
-			for _, a := range k.core.allowed {
+			for _, a := range k.core.applied {
 				for _, l := range a.Leases {
 					tokens += l.Tokens
 				}
@@ -209,72 +209,73 @@
 			k.core.mu.Unlock()
 		}
 		if tokens < 300 || tokens > 40*(30+20) {
-			w.Errorf("%.0f tokens in 30 s at 40 a second, 20 are asked for", tokens)
+			w.Errorf("%.0f tokens leased in 30 s, at a quota of 40 and a demand of 20 per second", tokens)
 		}
 	})
 }
 
-// Whatever the store does, rounds end in time, the aggregator is told so, and all is well soon after.
+// TestFaults: whatever fault the store has, rounds end in time, the aggregator gets the store's state, and the
+// state is fresh again soon after the fault.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault redis.Fault
-		want  string // the state then; empty where rounds go on
+		want  string // the state during the fault; empty if rounds go on
 	}{
 		"2 s for 2 ms":       {redis.Fault{Delay: 2 * time.Second}, "lost"},
-		"silent":             {redis.Fault{Silent: true}, "lost"},
-		"carried out, mute":  {redis.Fault{Mute: true}, "lost"},
-		"stalls mid-reply":   {redis.Fault{Stall: 3}, "lost"},
+		"silent":             {redis.Fault{DropCommands: true}, "lost"},
+		"carried out, mute":  {redis.Fault{DropReplies: true}, "lost"},
+		"stalls mid-reply":   {redis.Fault{StallAfter: 3}, "lost"},
 		"closes mid-reply":   {redis.Fault{CutAfter: 3}, "lost"},
 		"refuses":            {redis.Fault{Refuse: true}, "lost"},
-		"a byte at a time":   {redis.Fault{Trickle: 50 * time.Millisecond}, "lost"},
-		"a gigabyte":         {redis.Fault{Huge: 1 << 30}, "lost"},
-		"a billion items":    {redis.Fault{Many: 1 << 30}, "lost"},
+		"a byte at a time":   {redis.Fault{ByteInterval: 50 * time.Millisecond}, "lost"},
+		"a gigabyte":         {redis.Fault{BulkLength: 1 << 30}, "lost"},
+		"a billion items":    {redis.Fault{ArrayLength: 1 << 30}, "lost"},
 		"loading":            {redis.Fault{Error: "LOADING Redis is loading the dataset in memory"}, "lost"},
 		"read only":          {redis.Fault{Error: "READONLY You can't write against a read only replica."}, "lost"},
 		"out of memory":      {redis.Fault{Error: "OOM command not allowed when used memory > 'maxmemory'."}, "lost"},
 		"no permission":      {redis.Fault{Error: "NOPERM this user has no permissions to run this command"}, "lost"},
 		"cluster moved":      {redis.Fault{Error: "MOVED 3999 127.0.0.1:6381"}, "lost"},
-		"garbled":            {redis.Fault{Garble: true}, "distrusted"},
-		"clock a day onward": {redis.Fault{Skew: 24 * time.Hour}, ""},
+		"garbled":            {redis.Fault{CorruptBulk: true}, "distrusted"},
+		"clock a day onward": {redis.Fault{ClockSkew: 24 * time.Hour}, ""},
 		"60 ms a command":    {redis.Fault{Delay: 60 * time.Millisecond}, "lost"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 2, nil, func(w *world) {
+			runFixture(t, 2, nil, func(w *fixture) {
 				time.Sleep(5 * round)
 				if synctest.Wait(); w.states() != "fresh fresh" {
 					w.Fatal(w.states())
 				}
-				w.server.Misbehave(c.fault)
-				w.server.Drop()
+				w.server.SetFault(c.fault)
+				w.server.CloseConnections()
 				time.Sleep(20 * round)
 				synctest.Wait()
 				if c.want != "" && w.states() != c.want+" "+c.want {
-					w.Errorf("in trouble %s", w.states())
+					w.Errorf("during the fault the states are %s", w.states())
 				}
 				for _, k := range w.aggregators {
-					if len(k.core.passed()) > 0 {
-						w.Error("words of a store in trouble")
+					if len(k.core.passedOver()) > 0 {
+						w.Error("reports of a failed store are still in use")
 					}
 				}
-				w.server.Misbehave(redis.Fault{})
+				w.server.SetFault(redis.Fault{})
 				time.Sleep(80 * time.Second)
 				if synctest.Wait(); w.states() != "fresh fresh" {
-					w.Errorf("long after %s", w.states())
+					w.Errorf("after the fault the states are %s", w.states())
 				}
 			})
 		})
 	}
 }
 
-// A store that was emptied, or went back to an older state, is not believed for a while.
+// TestOlderState: a store that was emptied, or restored to an older state, is distrusted for a while.
 func TestOlderState(t *testing.T) {
-	for name, fall := range map[string]func(*redis.Server){"emptied": (*redis.Server).Empty, "older": (*redis.Server).Return} {
+	for name, reset := range map[string]func(*redis.Server){"emptied": (*redis.Server).Clear, "older": (*redis.Server).RestoreSnapshot} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 2, nil, func(w *world) {
+			runFixture(t, 2, nil, func(w *fixture) {
 				time.Sleep(4 * round)
-				w.server.Keep()
+				w.server.SaveSnapshot()
 				time.Sleep(4 * round)
-				fall(w.server)
+				reset(w.server)
 				time.Sleep(2 * round)
 				if synctest.Wait(); w.states() != "distrusted distrusted" {
 					w.Error(w.states())
@@ -288,44 +289,45 @@
 	}
 }
 
-// What stands at the keys may be of another type, another program, or very much: each is refused by itself.
+// TestOddKeys: a key may hold another type, data of another program, or too much data. Each is rejected without
+// an effect on the others.
 func TestOddKeys(t *testing.T) {
-	play(t, 1, nil, func(w *world) {
+	runFixture(t, 1, nil, func(w *fixture) {
 		time.Sleep(4 * round)
 		for i := range 100_000 {
-			w.server.Plant("t:f", fmt.Sprint("x", i), "nonsense")
+			w.server.Inject("t:f", fmt.Sprint("x", i), "nonsense")
 		}
 		time.Sleep(2 * round)
 		synctest.Wait()
-		f := w.aggregators[0].count.Figures()
-		if f.Refused == 0 || f.Refused > 3*24 || f.State != sharedhealth.Fresh {
+		f := w.aggregators[0].counters.Stats()
+		if f.RecordsRefused == 0 || f.RecordsRefused > 3*24 || f.State != sharedhealth.Fresh {
 			w.Errorf("a hash of many fields: %+v", f)
 		}
-		w.server.Plant("t:f", "", "a string")
-		w.server.Plant("t:m", "", "a string")
-		odd := w.aggregators[0].count.Odd.Load()
+		w.server.Inject("t:f", "", "a string")
+		w.server.Inject("t:m", "", "a string")
+		unusable := w.aggregators[0].counters.UnusableParts.Load()
 		time.Sleep(4 * round)
 		synctest.Wait()
-		if k := w.aggregators[0]; k.count.Odd.Load() == odd || k.state() != "fresh" {
-			w.Errorf("of the wrong type: %d odd parts, %s", k.count.Odd.Load(), k.state())
+		if k := w.aggregators[0]; k.counters.UnusableParts.Load() == unusable || k.state() != "fresh" {
+			w.Errorf("of the wrong type: %d odd parts, %s", k.counters.UnusableParts.Load(), k.state())
 		}
-		w.server.Plant("t:a:n0", "", strings.Repeat("x", 10<<20))
+		w.server.Inject("t:a:n0", "", strings.Repeat("x", 10<<20))
 		time.Sleep(4 * round)
 		synctest.Wait()
-		if k := w.aggregators[0]; k.count.Figures().Failed == 0 {
-			w.Errorf("ten megabytes at its own key: %s", k.state())
+		if k := w.aggregators[0]; k.counters.Stats().FailedRounds == 0 {
+			w.Errorf("ten megabytes at its own presence key fail no round: %s", k.state())
 		}
 	})
 }
 
-// An aggregator that has no time to say what it knows goes on hearing.
+// TestCrowded: an aggregator without time for surveys still receives shared reports.
 func TestCrowded(t *testing.T) {
-	play(t, 1, nil, func(w *world) {
-		w.aggregators[0].core.crowd()
+	runFixture(t, 1, nil, func(w *fixture) {
+		w.aggregators[0].core.setBusy()
 		time.Sleep(10 * round)
 		synctest.Wait()
-		if k := w.aggregators[0]; k.count.Unsurveyed.Load() == 0 || k.state() != "fresh" {
-			w.Errorf("%d unsurveyed, %s", k.count.Unsurveyed.Load(), k.state())
+		if k := w.aggregators[0]; k.counters.SurveysSkipped.Load() == 0 || k.state() != "fresh" {
+			w.Errorf("%d surveys skipped, %s", k.counters.SurveysSkipped.Load(), k.state())
 		}
 	})
 }
@@ -339,12 +341,12 @@
 	return file
 }
 
-// The password comes from a file, is right or wrong, and never stands in the log.
+// TestPassword: the password comes from a file and is never logged. With a wrong one the store counts as lost.
 func TestPassword(t *testing.T) {
 	for _, c := range []struct{ password, state string }{{"open sesame", "fresh"}, {"wrong", "lost"}} {
 		file := write(t, []byte(c.password+"\n"))
-		play(t, 1, func(p *Place, _ *sharedhealth.Terms) { p.User, p.PasswordFile = "willow", file }, func(w *world) {
-			w.server.Protect("willow", "open sesame")
+		runFixture(t, 1, func(p *Endpoint, _ *sharedhealth.Config) { p.User, p.PasswordFile = "willow", file }, func(w *fixture) {
+			w.server.SetCredentials("willow", "open sesame")
 			time.Sleep(40 * round)
 			if synctest.Wait(); w.states() != c.state {
 				w.Errorf("with %q: %s", c.password, w.states())
@@ -354,23 +356,23 @@
 			}
 			for _, e := range w.aggregators[0].logs.All() {
 				if strings.Contains(fmt.Sprint(e), c.password) && c.password != "wrong" {
-					w.Errorf("the log says %v", e)
+					w.Errorf("the log holds the password: %v", e)
 				}
 			}
 		})
 	}
 }
 
-// certificate makes one that signs itself, for a name.
+// certificate returns a self-signed certificate for a name.
 func certificate(t *testing.T, name string) (tls.Certificate, []byte) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	form := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true}
-	der, err := x509.CreateCertificate(rand.Reader, form, form, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -378,7 +380,7 @@
 		pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
 }
 
-// Over TLS the store must show a certificate of the given authority, for its name.
+// TestTLS: over TLS the store has to present a certificate of the configured authority for the configured name.
 func TestTLS(t *testing.T) {
 	good, authority := certificate(t, "store.test")
 	_, other := certificate(t, "store.test")
@@ -393,49 +395,49 @@
 			t.Fatal(err)
 		}
 		go server.Serve(tls.NewListener(l, &tls.Config{Certificates: []tls.Certificate{good}}))
-		place := Place{Address: l.Addr().String(), Prefix: "t", CAFile: write(t, c.authority), ServerName: c.name,
+		endpoint := Endpoint{Address: l.Addr().String(), Prefix: "t", CAFile: write(t, c.authority), ServerName: c.name,
 			Dial: (&net.Dialer{}).DialContext}
-		k, err := New(place, sharedhealth.New(1, sharedhealth.Terms{Name: "a", Incarnation: 1, Round: int64(round),
-			Deadline: int64(deadline)}), &core{}, func() int64 { return 1 }, &Count{}, zap.NewNop())
+		client, err := New(endpoint, sharedhealth.New(1, sharedhealth.Config{Name: "a", Incarnation: 1, RoundInterval: int64(round),
+			RoundTimeout: int64(deadline)}), &testAggregator{}, func() int64 { return 1 }, &Counters{}, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
-		_, err = k.carry(ctx, &sharedhealth.Request{Presence: []byte("x"), Lasts: 1e9})
+		_, err = client.roundTrip(ctx, &sharedhealth.Request{Presence: []byte("x"), PresenceTTL: 1e9})
 		if (err == nil) != c.want {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("server name %s: %v", c.name, err)
 		}
 		cancel()
-		k.hangUp()
+		client.closeConn()
 		l.Close()
 	}
-	if _, err := New(Place{Address: "h:1", CAFile: write(t, []byte("none"))}, nil, nil, nil, nil, nil); err == nil ||
+	if _, err := New(Endpoint{Address: "h:1", CAFile: write(t, []byte("none"))}, nil, nil, nil, nil, nil); err == nil ||
 		!strings.Contains(err.Error(), `"ca_file"`) {
 		t.Errorf("a file without a certificate: %v", err)
 	}
-	if _, err := New(Place{Address: "h:1", PasswordFile: "no-such"}, nil, nil, nil, nil, nil); err == nil ||
+	if _, err := New(Endpoint{Address: "h:1", PasswordFile: "no-such"}, nil, nil, nil, nil, nil); err == nil ||
 		!strings.Contains(err.Error(), `"password_file"`) {
 		t.Errorf("no password file: %v", err)
 	}
 }
 
-// Danger: one short line may announce a gigabyte, and libraries make room before it comes.
+// Danger: one short line may announce a gigabyte, which libraries allocate before the data arrives.
 func TestGuard(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want error
 	}{
 		{"+OK\r\n:5\r\n$3\r\nabc\r\n*2\r\n$1\r\na\r\n$-1\r\n_\r\n,1.5\r\n#t\r\n%1\r\n+a\r\n+b\r\n", nil},
-		{"$16385\r\n", errBulk}, {"$1073741824\r\n", errBulk}, {"*1073741824\r\n", errItems}, {"%5000\r\n", errItems},
-		{"$x\r\n", errSign}, {"?\r\n", errSign}, {"\r\n", errSign}, {"$-7\r\n", errSign},
-		{"-" + strings.Repeat("e", lineMost+1), errLine}, {"$12\r\n$999999999\r\n\r\n", nil},
-		{"$9999999999999999999999\r\n", errSign},
+		{"$16385\r\n", errStringTooLong}, {"$1073741824\r\n", errStringTooLong}, {"*1073741824\r\n", errTooManyItems}, {"%5000\r\n", errTooManyItems},
+		{"$x\r\n", errNotReply}, {"?\r\n", errNotReply}, {"\r\n", errNotReply}, {"$-7\r\n", errNotReply},
+		{"-" + strings.Repeat("e", maxLineBytes+1), errLineTooLong}, {"$12\r\n$999999999\r\n\r\n", nil},
+		{"$9999999999999999999999\r\n", errNotReply},
 	} {
-		for _, step := range []int{1, 3, 1 << 20} { // however it is cut up
-			g, err := &guard{}, error(nil)
+		for _, step := range []int{1, 3, 1 << 20} { // however the bytes are split
+			conn, err := &limitedConn{}, error(nil)
 			for rest := c.text; rest != "" && err == nil; {
 				n := min(step, len(rest))
-				err, rest = g.look([]byte(rest[:n])), rest[n:]
+				err, rest = conn.scan([]byte(rest[:n])), rest[n:]
 			}
 			if err != c.want {
 				t.Errorf("%.20q by %d: %v, want %v", c.text, step, err, c.want)
@@ -447,16 +449,16 @@
 func FuzzGuard(f *testing.F) {
 	f.Add([]byte("$3\r\nabc\r\n*1\r\n:1\r\n"), 2)
 	f.Fuzz(func(t *testing.T, text []byte, step int) {
-		whole, parts := &guard{}, &guard{}
-		a := whole.look(text)
+		complete, parts := &limitedConn{}, &limitedConn{}
+		a := complete.scan(text)
 		step = max(step, 1)
 		var b error
 		for rest := text; len(rest) > 0 && b == nil; {
 			n := min(step, len(rest))
-			b, rest = parts.look(rest[:n]), rest[n:]
+			b, rest = parts.scan(rest[:n]), rest[n:]
 		}
-		if a != b || whole.skip > bulkMost+2 || len(whole.line) > lineMost+1 {
-			t.Errorf("%v and %v, %d to skip", a, b, whole.skip)
+		if a != b || complete.skipBytes > maxStringBytes+2 || len(complete.header) > maxLineBytes+1 {
+			t.Errorf("%v and %v, %d to skip", a, b, complete.skipBytes)
 		}
 	})
 }
@@ -471,33 +473,33 @@
 			}
 			defer l.Close()
 			go server.Serve(l)
-			k, err := New(Place{Address: l.Addr().String(), Prefix: "t", Dial: (&net.Dialer{}).DialContext},
-				sharedhealth.New(1, sharedhealth.Terms{Name: "a", Incarnation: 1, Round: int64(round), Deadline: int64(deadline)}),
-				&core{}, func() int64 { return 1 }, &Count{}, zap.NewNop())
+			client, err := New(Endpoint{Address: l.Addr().String(), Prefix: "t", Dial: (&net.Dialer{}).DialContext},
+				sharedhealth.New(1, sharedhealth.Config{Name: "a", Incarnation: 1, RoundInterval: int64(round), RoundTimeout: int64(deadline)}),
+				&testAggregator{}, func() int64 { return 1 }, &Counters{}, zap.NewNop())
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer k.hangUp()
-			record := sharedhealth.Record{Incarnation: 1, Sequence: 1, At: 1}
+			defer client.closeConn()
+			record := sharedhealth.Record{Incarnation: 1, Sequence: 1, WrittenAt: 1}
 			for i := range 4 {
-				record.Testimonies = append(record.Testimonies, sharedhealth.Testimony{Key: uint64(i), Verdict: sharedhealth.FoundAside})
+				record.Findings = append(record.Findings, sharedhealth.Finding{Key: uint64(i), Verdict: sharedhealth.FoundEjected})
 			}
 			text := record.Append(nil)
 			for i := range n {
-				server.Plant("t:f", fmt.Sprint("n", i), string(text))
+				server.Inject("t:f", fmt.Sprint("n", i), string(text))
 			}
-			commandsWere, bytesWere := server.Traffic()
+			commandsBefore, bytesBefore := server.Traffic()
 			rounds := 0
 			for b.Loop() {
 				rounds++
-				r := &sharedhealth.Request{Presence: text, Lasts: 1e9, Findings: text, Sample: 24, Heartbeat: 5, LiveFrom: 1}
-				if _, err := k.carry(b.Context(), r); err != nil {
+				r := &sharedhealth.Request{Presence: text, PresenceTTL: 1e9, Findings: text, SampleSize: 24, HeartbeatScore: 5, MinLiveScore: 1}
+				if _, err := client.roundTrip(b.Context(), r); err != nil {
 					b.Fatal(err)
 				}
 			}
 			commands, bytes := server.Traffic()
-			b.ReportMetric(float64(commands-commandsWere)/float64(rounds), "commands/round")
-			b.ReportMetric(float64(bytes-bytesWere)/float64(rounds), "bytes/round")
+			b.ReportMetric(float64(commands-commandsBefore)/float64(rounds), "commands/round")
+			b.ReportMetric(float64(bytes-bytesBefore)/float64(rounds), "bytes/round")
 		})
 	}
 }
--- a/transport/wire/wire.go
+++ b/transport/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire hosts aggregators on the simulator's wire: it decodes events into calls on the decision
-// module and encodes the module's results. It decides nothing.
+// Package wire connects aggregators to the simulator: it decodes the simulator's events into calls of the
+// balance package, and encodes that package's results as messages. It makes no decisions of its own.
 package wire
 
 import (
@@ -16,58 +16,60 @@
 	"willowsill/deployment/fields"
 )
 
-// wakeToken comes back with every timer; timers only wake the module.
+// wakeToken identifies timers. All timers are alike: they only cause the next round.
 const wakeToken = "wake"
 
-// instance is one aggregator with the names that its life has brought up.
+// instance is one aggregator, with the tables that map the simulator's names and ids to the aggregator's
+// indices.
 type instance struct {
-	agg       *balance.Aggregator
-	replicas  map[string]int
-	addresses []json.RawMessage
-	workloads map[string]int
-	shards    int
-	requests  map[uint64]request
-	groups    map[int64]*held
-	handles   map[*balance.Query]*held
-	timer     int64 // the earliest timer still to fire, 0 for none
+	aggregator *balance.Aggregator
+	replicas   map[string]int
+	addresses  []json.RawMessage
+	workloads  map[string]int
+	shards     int
+	requests   map[uint64]request
+	groups     map[int64]*queryState
+	queries    map[*balance.Query]*queryState
+	timerAt    int64 // when the earliest pending timer fires, 0 if there is none
 }
 
-// held is what the adapter keeps of a query: the ids to give back.
-type held struct {
-	query *balance.Query
-	id    uint64
-	group int64
-	parts []uint64
-	out   int // executions without an outcome
-	over  bool
+// queryState holds a query and the simulator's ids of it and its parts.
+type queryState struct {
+	query   *balance.Query
+	id      uint64
+	group   int64
+	parts   []uint64
+	running int // executions without an outcome
+	ended   bool
 }
 
-// request tells what an id stands for; part is -1 for the query itself.
+// request is what a request id of the simulator refers to: a part of a query, or the query itself if part is
+// -1.
 type request struct {
-	*held
+	*queryState
 	part int
 }
 
-// host is one adapter process.
-type host struct {
+// adapter holds the aggregators of one adapter process and the batch in progress.
+type adapter struct {
 	now       int64
 	batch     int64
 	instances map[int]*instance
 	touched   []int
-	sheets    map[int][]json.RawMessage
+	lists     map[int][]json.RawMessage
 	out       *bufio.Writer
 }
 
-// Serve plays batches from r until it ends.
+// Serve handles the batches of events from r until its end, and writes the aggregators' decisions to w.
 func Serve(r io.Reader, w io.Writer) error {
-	h := &host{instances: map[int]*instance{}, sheets: map[int][]json.RawMessage{}, out: bufio.NewWriter(w)}
+	a := &adapter{instances: map[int]*instance{}, lists: map[int][]json.RawMessage{}, out: bufio.NewWriter(w)}
 	lines := bufio.NewReaderSize(r, 1<<20)
 	open := false
 	for {
 		line, err := readLine(lines)
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			if open {
-				return fmt.Errorf("batch %d: the input ends inside it", h.batch)
+				return fmt.Errorf("batch %d: the input ends inside it", a.batch)
 			}
 			return nil
 		}
@@ -77,13 +79,13 @@
 		if len(line) == 0 {
 			continue
 		}
-		if open, err = h.line(line, open); err != nil {
-			return fmt.Errorf("batch %d: %w", h.batch, err)
+		if open, err = a.handleLine(line, open); err != nil {
+			return fmt.Errorf("batch %d: %w", a.batch, err)
 		}
 	}
 }
 
-// readLine returns the next line without its end, however long it is.
+// readLine returns the next line of any length without its line end.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadBytes('\n')
 	for len(line) > 0 && (line[len(line)-1] == '\n' || line[len(line)-1] == '\r') {
@@ -92,167 +94,167 @@
 	return line, err
 }
 
-// line takes one message in; open tells whether a batch is under way, before and after it.
-func (h *host) line(line []byte, open bool) (bool, error) {
+// handleLine handles one message; open states whether a batch is in progress, before and after it.
+func (a *adapter) handleLine(text []byte, open bool) (bool, error) {
 	f := &fields.Object{}
-	if err := json.Unmarshal(line, &f.Raw); err != nil {
+	if err := json.Unmarshal(text, &f.Raw); err != nil {
 		return open, fmt.Errorf("not a JSON object: %v", err)
 	}
-	event := f.String("event_type")
+	eventType := f.String("event_type")
 	if f.Err != nil {
 		return open, f.Err
 	}
 	switch {
-	case event == "TICK" && !open:
-		h.now = f.Time("at_time")
-		f.Into("n", &h.batch)
+	case eventType == "TICK" && !open:
+		a.now = f.Duration("at_time")
+		f.Decode("n", &a.batch)
 		return true, f.Err
-	case event == "TICK" || !open:
-		return open, fmt.Errorf("%s out of place", event)
-	case event == "FLUSH":
-		return false, h.reply()
+	case eventType == "TICK" || !open:
+		return open, fmt.Errorf("%s out of place", eventType)
+	case eventType == "FLUSH":
+		return false, a.decideAll()
 	}
-	if err := h.event(event, f); err != nil {
-		return open, fmt.Errorf("%s: %w", event, err)
+	if err := a.handleEvent(eventType, f); err != nil {
+		return open, fmt.Errorf("%s: %w", eventType, err)
 	}
 	return true, nil
 }
 
-// event turns one event into calls.
-func (h *host) event(event string, f *fields.Object) error {
-	if event == "POOL" {
+// handleEvent turns an event into calls of the aggregator.
+func (a *adapter) handleEvent(eventType string, f *fields.Object) error {
+	if eventType == "POOL" {
 		sheet, items := f.Int("sheet"), []json.RawMessage{}
-		f.Into("items", &items)
-		h.sheets[sheet] = items
+		f.Decode("items", &items)
+		a.lists[sheet] = items
 		return f.Err
 	}
-	who := f.Int("who")
+	id := f.Int("who")
 	if f.Err != nil {
 		return f.Err
 	}
-	in := h.instances[who]
-	if event == "OPEN_INSTANCE" {
+	in := a.instances[id]
+	if eventType == "OPEN_INSTANCE" {
 		if in != nil {
-			return fmt.Errorf("instance %d is open", who)
+			return fmt.Errorf("instance %d is open", id)
 		}
-		return h.open(who, f)
+		return a.openInstance(id, f)
 	}
 	if in == nil {
-		return fmt.Errorf("instance %d is not open", who)
+		return fmt.Errorf("instance %d is not open", id)
 	}
-	h.touch(who)
-	switch event {
+	a.touch(id)
+	switch eventType {
 	case "TEARDOWN":
-		delete(h.instances, who)
+		delete(a.instances, id)
 	case "MEMBERS":
-		return h.members(in, f)
+		return a.handleMembers(in, f)
 	case "KNOCK":
-		return in.knock(h.now, f)
+		return in.addQueryOrPart(a.now, f)
 	case "RESPONSE":
-		return in.response(h.now, f)
+		return in.recordResponse(a.now, f)
 	case "VANISHED":
 		var id uint64
-		f.Into("rid", &id)
-		if r, ok := in.requests[id]; ok && f.Err == nil && !r.over && r.part < 0 {
-			r.query.Leave(h.now)
-			in.end(r.held)
+		f.Decode("rid", &id)
+		if r, ok := in.requests[id]; ok && f.Err == nil && !r.ended && r.part < 0 {
+			r.query.ClientLeft(a.now)
+			in.endQuery(r.queryState)
 		}
 	case "FIRED":
-		if f.String("token") == wakeToken && in.timer <= h.now {
-			in.timer = 0
+		if f.String("token") == wakeToken && in.timerAt <= a.now {
+			in.timerAt = 0
 		}
-	case "BEGUN", "HEARD", "SAMPLED": // streams, peers and probes have no part in this service
+	case "BEGUN", "HEARD", "SAMPLED": // stream, peer and probe events are unused by this service
 	default:
 		return errors.New("unknown event")
 	}
 	return f.Err
 }
 
-// touch marks an instance as one that may act in this reply.
-func (h *host) touch(who int) {
-	for _, w := range h.touched {
-		if w == who {
+// touch marks an instance as one that decides at the end of this batch.
+func (a *adapter) touch(id int) {
+	for _, touched := range a.touched {
+		if touched == id {
 			return
 		}
 	}
-	h.touched = append(h.touched, who)
+	a.touched = append(a.touched, id)
 }
 
-func (h *host) open(who int, f *fields.Object) error {
+func (a *adapter) openInstance(id int, f *fields.Object) error {
 	in := &instance{
 		replicas: map[string]int{},
-		requests: map[uint64]request{}, groups: map[int64]*held{},
-		handles: map[*balance.Query]*held{},
+		requests: map[uint64]request{}, groups: map[int64]*queryState{},
+		queries: map[*balance.Query]*queryState{},
 	}
-	seed, boot := f.Number("prng"), f.Object("boot_info")
+	seed, info := f.Float("prng"), f.Object("boot_info")
 	if f.Err != nil {
 		return f.Err
 	}
-	d, err := deployment.Read(boot)
+	settings, err := deployment.Read(info)
 	if err != nil {
 		return err
 	}
-	d.Seed = math.Float64bits(seed)
-	in.workloads, in.shards = d.Workload, d.Shards
-	in.agg = balance.New(h.now, d.Deployment)
-	h.instances[who] = in
-	h.touch(who)
+	settings.Seed = math.Float64bits(seed)
+	in.workloads, in.shards = settings.WorkloadRow, settings.Shards
+	in.aggregator = balance.New(a.now, settings.Deployment)
+	a.instances[id] = in
+	a.touch(id)
 	return nil
 }
 
-// members turns news of the list into one call.
-func (h *host) members(in *instance, f *fields.Object) error {
+// handleMembers turns an event about the list of replicas into one call.
+func (a *adapter) handleMembers(in *instance, f *fields.Object) error {
 	scope := f.String("scope")
 	if scope == "Error" {
-		in.agg.ListFailed(h.now)
+		in.aggregator.ListFailed(a.now)
 		return f.Err
 	}
-	items, ok := h.sheets[f.Int("sheet")]
+	items, ok := a.lists[f.Int("sheet")]
 	if !ok {
 		f.Fail("sheet", "names a list that never came")
 	}
 	listings := make([]balance.Listing, 0, len(items))
 	for _, item := range items {
-		e := &fields.Object{}
-		if err := json.Unmarshal(item, &e.Raw); err != nil {
+		entry := &fields.Object{}
+		if err := json.Unmarshal(item, &entry.Raw); err != nil {
 			f.Fail("items", "has an entry that is no object")
 			break
 		}
-		l := balance.Listing{Cell: e.Int("place"), Started: e.MayTime("launched")}
-		switch e.String("lifecycle") {
+		listing := balance.Listing{Cell: entry.Int("place"), StartedAt: entry.OptionalDuration("launched")}
+		switch entry.String("lifecycle") {
 		case "U":
-			l.Standing = balance.Up
+			listing.Status = balance.Up
 		case "L":
-			l.Standing = balance.Draining
+			listing.Status = balance.Draining
 		case "D":
-			l.Standing = balance.Gone
+			listing.Status = balance.Gone
 		default:
-			e.Fail("lifecycle", "is unknown")
+			entry.Fail("lifecycle", "is unknown")
 		}
-		l.Replica, l.New = in.replica(e)
-		if e.Err != nil {
-			return e.Err
+		listing.Replica, listing.New = in.replicaIndex(entry)
+		if entry.Err != nil {
+			return entry.Err
 		}
-		listings = append(listings, l)
+		listings = append(listings, listing)
 	}
 	if f.Err != nil {
 		return f.Err
 	}
 	switch scope {
 	case "Partial":
-		in.agg.ListChanged(h.now, listings)
+		in.aggregator.UpdateList(a.now, listings)
 	case "Complete":
-		in.agg.ListWhole(h.now, listings, true)
+		in.aggregator.ReplaceList(a.now, listings, true)
 	case "Persisted":
-		in.agg.ListWhole(h.now, listings, false)
+		in.aggregator.ReplaceList(a.now, listings, false)
 	default:
 		return fmt.Errorf("field %q is unknown", "scope")
 	}
 	return nil
 }
 
-// replica maps an address to its small index, and tells whether it is a new one.
-func (in *instance) replica(f *fields.Object) (i int, fresh bool) {
+// replicaIndex returns the index of an address, and whether it is new.
+func (in *instance) replicaIndex(f *fields.Object) (i int, isNew bool) {
 	name := f.String("replica")
 	if f.Err != nil {
 		return 0, false
@@ -261,25 +263,25 @@
 	if !known {
 		i = len(in.addresses)
 		in.replicas[name] = i
-		in.addresses = append(in.addresses, f.Text("replica"))
+		in.addresses = append(in.addresses, f.RawValue("replica"))
 	}
 	return i, !known
 }
 
-// knock takes in a query or one of its parts.
-func (in *instance) knock(now int64, f *fields.Object) error {
+// addQueryOrPart adds a query, or a part to a query that was added before.
+func (in *instance) addQueryOrPart(now int64, f *fields.Object) error {
 	var id uint64
 	var group int64
-	f.Into("rid", &id)
-	f.Into("group_no", &group)
-	shard, measure := f.Int("slab"), f.Number("measure")
+	f.Decode("rid", &id)
+	f.Decode("group_no", &group)
+	shard, measure := f.Int("slab"), f.Float("measure")
 	if f.Err != nil {
 		return f.Err
 	}
 	if shard >= 0 {
 		q := in.groups[group]
 		if shard >= in.shards {
-			return fmt.Errorf("shard %d, of %d", shard, in.shards)
+			return fmt.Errorf("there is no shard %d, only %d shards", shard, in.shards)
 		}
 		if q == nil {
 			return fmt.Errorf("a part of query %d, which is not held", group)
@@ -289,31 +291,31 @@
 		q.query.AddPart(shard, measure)
 		return nil
 	}
-	w, ok := in.workloads[f.String("grade")]
+	workload, ok := in.workloads[f.String("grade")]
 	if !ok {
 		f.Fail("grade", "is not among the classes")
 	}
-	a := balance.Arrival{Workload: w, Patience: f.Time("grace"), Parts: int(measure)}
+	arrival := balance.Arrival{Workload: workload, Timeout: f.Duration("grace"), Parts: int(measure)}
 	if f.Has("resent") && f.Bool("resent") {
-		a.Claim = balance.Retry
+		arrival.Priority = balance.Retry
 	}
 	if f.Err != nil {
 		return f.Err
 	}
-	q := &held{id: id, group: group, query: in.agg.Take(now, a)}
+	q := &queryState{id: id, group: group, query: in.aggregator.AddQuery(now, arrival)}
 	in.requests[id] = request{q, -1}
 	in.groups[group] = q
-	in.handles[q.query] = q
+	in.queries[q.query] = q
 	return nil
 }
 
-// response books the outcome of an execution.
-func (in *instance) response(now int64, f *fields.Object) error {
+// recordResponse records the outcome of an execution.
+func (in *instance) recordResponse(now int64, f *fields.Object) error {
 	var id uint64
-	f.Into("rid", &id)
-	execution, took, result := f.Int("attempt"), f.Time("cost_time"), resultOf(f)
+	f.Decode("rid", &id)
+	attempt, took, result := f.Int("attempt"), f.Duration("cost_time"), parseResult(f)
 	var load []float64
-	f.May("gauge", &load)
+	f.DecodeOptional("gauge", &load)
 	if f.Err != nil {
 		return f.Err
 	}
@@ -321,41 +323,41 @@
 	if !ok || r.part < 0 {
 		return fmt.Errorf("request %d is not held", id)
 	}
-	if r.query.Outcome(now, r.part, execution, result, took) {
-		r.out--
+	if r.query.RecordResult(now, r.part, attempt, result, took) {
+		r.running--
 	}
-	in.forget(r.held)
+	in.releaseIfDone(r.queryState)
 	return nil
 }
 
-// end marks a query as over; its ids stay until the last outcome is in.
-func (in *instance) end(q *held) {
-	q.over = true
+// endQuery marks a query as ended. Its ids stay until the outcomes of all its executions are known.
+func (in *instance) endQuery(q *queryState) {
+	q.ended = true
 	delete(in.groups, q.group)
 	delete(in.requests, q.id)
-	in.forget(q)
+	in.releaseIfDone(q)
 }
 
-func (in *instance) forget(q *held) {
-	if !q.over || q.out > 0 {
+func (in *instance) releaseIfDone(q *queryState) {
+	if !q.ended || q.running > 0 {
 		return
 	}
-	delete(in.handles, q.query)
+	delete(in.queries, q.query)
 	for _, id := range q.parts {
 		delete(in.requests, id)
 	}
 }
 
-// resultOf decodes an outcome code.
-func resultOf(f *fields.Object) balance.Result {
+// parseResult decodes the outcome of an execution.
+func parseResult(f *fields.Object) balance.Result {
 	codes := [...]string{
 		balance.Fulfilled: "ok", balance.Errored: "error", balance.Full: "full", balance.TimedOut: "timeout",
 		balance.ConnectFailed: "connect_failed", balance.Reset: "reset", balance.Cancelled: "cancelled",
-		balance.Moot: "moot",
+		balance.Unsent: "moot",
 	}
-	how := f.String("how")
-	for r, code := range codes {
-		if code == how {
+	code := f.String("how")
+	for r, name := range codes {
+		if name == code {
 			return balance.Result(r)
 		}
 	}
@@ -363,55 +365,55 @@
 	return balance.Errored
 }
 
-// reply lets every touched instance decide and writes what they ask for.
-func (h *host) reply() error {
-	for _, who := range h.touched {
-		if in := h.instances[who]; in != nil {
-			h.encode(who, in, in.agg.Decide(h.now))
+// decideAll has every touched instance decide, and writes the results.
+func (a *adapter) decideAll() error {
+	for _, id := range a.touched {
+		if in := a.instances[id]; in != nil {
+			a.writeRound(id, in, in.aggregator.Decide(a.now))
 		}
 	}
-	h.touched = h.touched[:0]
-	fmt.Fprintf(h.out, `{"event_type":"READY","n":%d}`+"\n", h.batch)
-	return h.out.Flush()
+	a.touched = a.touched[:0]
+	fmt.Fprintf(a.out, `{"event_type":"READY","n":%d}`+"\n", a.batch)
+	return a.out.Flush()
 }
 
-func (h *host) encode(who int, in *instance, round *balance.Round) {
-	ms := func(ns int64) string { return strconv.FormatFloat(fields.Millis(ns), 'f', -1, 64) }
-	for _, s := range round.Sends {
-		q := in.handles[s.Query]
-		q.out++
-		fmt.Fprintf(h.out, `{"event_type":"SEND","who":%d,"rid":%d,"cut_at":%s,"replica":%s}`+"\n",
-			who, q.parts[s.Part], ms(s.CutAt), in.addresses[s.Replica])
-	}
-	for _, c := range round.Cancels {
-		fmt.Fprintf(h.out, `{"event_type":"WITHDRAW","who":%d,"rid":%d,"attempt":%d}`+"\n",
-			who, in.handles[c.Query].parts[c.Part], c.Execution)
-	}
-	for _, e := range round.Endings {
-		q := in.handles[e.Query]
-		switch e.Final {
+func (a *adapter) writeRound(id int, in *instance, round *balance.Round) {
+	ms := func(ns int64) string { return strconv.FormatFloat(fields.MsFromNs(ns), 'f', -1, 64) }
+	for _, send := range round.Sends {
+		q := in.queries[send.Query]
+		q.running++
+		fmt.Fprintf(a.out, `{"event_type":"SEND","who":%d,"rid":%d,"cut_at":%s,"replica":%s}`+"\n",
+			id, q.parts[send.Part], ms(send.Deadline), in.addresses[send.Replica])
+	}
+	for _, cancel := range round.Cancels {
+		fmt.Fprintf(a.out, `{"event_type":"WITHDRAW","who":%d,"rid":%d,"attempt":%d}`+"\n",
+			id, in.queries[cancel.Query].parts[cancel.Part], cancel.Execution)
+	}
+	for _, ending := range round.Endings {
+		q := in.queries[ending.Query]
+		switch ending.Outcome {
 		case balance.Whole, balance.Partial:
-			fmt.Fprintf(h.out, `{"event_type":"MERGE","who":%d,"rid":%d,"whole":%t}`+"\n",
-				who, q.id, e.Final == balance.Whole)
+			fmt.Fprintf(a.out, `{"event_type":"MERGE","who":%d,"rid":%d,"whole":%t}`+"\n",
+				id, q.id, ending.Outcome == balance.Whole)
 		case balance.Declined:
-			fmt.Fprintf(h.out, `{"event_type":"REFUSE","who":%d,"rid":%d,"not_before_for":%s}`+"\n",
-				who, q.id, ms(e.ComeBack))
+			fmt.Fprintf(a.out, `{"event_type":"REFUSE","who":%d,"rid":%d,"not_before_for":%s}`+"\n",
+				id, q.id, ms(ending.RetryAfter))
 		case balance.Forfeited:
-			fmt.Fprintf(h.out, `{"event_type":"FINISH_ERROR","who":%d,"rid":%d}`+"\n", who, q.id)
+			fmt.Fprintf(a.out, `{"event_type":"FINISH_ERROR","who":%d,"rid":%d}`+"\n", id, q.id)
 		}
-		if !e.Query.Open() {
-			in.end(q)
+		if !ending.Query.Open() {
+			in.endQuery(q)
 		}
 	}
-	for _, replica := range round.Releases {
-		fmt.Fprintf(h.out, `{"event_type":"RELEASE","who":%d,"replica":%s}`+"\n", who, in.addresses[replica])
+	for _, replica := range round.CloseIdle {
+		fmt.Fprintf(a.out, `{"event_type":"RELEASE","who":%d,"replica":%s}`+"\n", id, in.addresses[replica])
 	}
 	if round.List == balance.Subscribe {
-		fmt.Fprintf(h.out, `{"event_type":"WATCH","who":%d,"whole":true}`+"\n", who)
+		fmt.Fprintf(a.out, `{"event_type":"WATCH","who":%d,"whole":true}`+"\n", id)
 	}
-	if round.Wake > 0 && (in.timer == 0 || round.Wake < in.timer) {
-		in.timer = h.now + (max(round.Wake-h.now, 0)+999)/1e3*1e3 // the wire counts in microseconds
-		fmt.Fprintf(h.out, `{"event_type":"DEFER","who":%d,"in":%s,"token":"%s"}`+"\n",
-			who, ms(in.timer-h.now), wakeToken)
+	if round.WakeAt > 0 && (in.timerAt == 0 || round.WakeAt < in.timerAt) {
+		in.timerAt = a.now + (max(round.WakeAt-a.now, 0)+999)/1e3*1e3 // rounded up to microseconds, the simulator's unit of time
+		fmt.Fprintf(a.out, `{"event_type":"DEFER","who":%d,"in":%s,"token":"%s"}`+"\n",
+			id, ms(in.timerAt-a.now), wakeToken)
 	}
 }
